--- /dev/null
+++ b/router/not_sent_test.go
@@ -0,0 +1,91 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+)
+
+// notSentRouter has one txn arrive at 1000 with a second to live, in a group whose members are up, and gives what runs one
+// step: each attempt then comes back not sent until the time free, and committed from then on.
+func notSentRouter(members int, free float64) (step func(now float64) (attempts int, final *Decision)) {
+	r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, CanRevoke: true,
+		TxnTypes: map[string]*TxnType{"read": {SLA: 500, Expiry: 1000, Value: 1, LateValue: 1}}}, 1)
+	r.At(1000)
+	r.ListStart()
+	for n := range members {
+		r.Listed(fmt.Sprint("m", n), "z", 1, Up, Never)
+	}
+	r.ListEnd(true)
+	r.Arrive("t", "", "", "read", 1, 0, 1000, false)
+	sent := 0
+	return func(now float64) (attempts int, final *Decision) {
+		r.At(now)
+		r.Rang()
+		for d, more := r.Next(); more; d, more = r.Next() {
+			switch d.Verb {
+			case Check:
+				r.Checked(d.Member, Committed)
+			case Submit:
+				attempts++
+				sent++
+				if now < free {
+					r.Returned("t", sent-1, Moot, 0, false, Unsaid, Never)
+				} else {
+					r.Returned("t", sent-1, Committed, 1, true, Unsaid, Never)
+					return attempts, &d
+				}
+			case Decline, RollBack:
+				return attempts, &d
+			}
+		}
+		return attempts, nil
+	}
+}
+
+// Attempts that come back not sent, since this host had no connection left for a moment, are no attempts at all: the txn is
+// answered once there is one, however many came back before.
+func TestNotSent_AConnectionComesFreeInAMoment(t *testing.T) {
+	for _, members := range []int{1, 3, 7} {
+		step := notSentRouter(members, 1300)
+		var final *Decision
+		before := 0
+		for now := 1000.; final == nil && now < 2000; now += 5 {
+			var attempts int
+			if attempts, final = step(now); now < 1300 {
+				before += attempts
+			}
+			if final != nil && (final.Verb != Submit || now < 1300 || now > 1300+mostUnsent) {
+				t.Errorf("%d members: decision %d at %.0f", members, final.Verb, now)
+			}
+		}
+		if final == nil {
+			t.Errorf("%d members: no final answer", members)
+		}
+		if before < members {
+			t.Errorf("%d members: %d attempts before a connection came free", members, before)
+		}
+	}
+}
+
+// Where no connection ever comes free, each member is asked once at an instant and at growing intervals, and the txn has its
+// one final answer before its time is over.
+func TestNotSent_NoConnectionComesFree(t *testing.T) {
+	for _, members := range []int{1, 3, 7} {
+		step := notSentRouter(members, 1e9)
+		var final *Decision
+		all, end := 0, 0.0
+		for now := 1000.; final == nil && now < 2500; now += 5 {
+			var attempts int
+			if attempts, final = step(now); attempts > members {
+				t.Fatalf("%d members: %d attempts in one instant", members, attempts)
+			}
+			all, end = all+attempts, now
+		}
+		if final == nil || final.Verb != Decline || end > 2000 {
+			t.Fatalf("%d members: final decision %v at %.0f", members, final, end)
+		}
+		if most := members * (4 + int((end-1000)/mostUnsent) + 1); all > most {
+			t.Errorf("%d members: %d attempts in %.0f ms, want %d at most", members, all, end-1000, most)
+		}
+	}
+}
--- a/router/router.go
+++ b/router/router.go
@@ -35,6 +35,7 @@
 	paced      = 2000.0 // ms after which a call for the list has paced the next: a beat of the watch
 	pacedPause = 250.0  // ms until that one, by half more or less
 	leastLimit = 0.2    // a fifth of the time, so that a member that recovers is still noticed
+	mostUnsent = 100.0  // ms between two attempts at one member that come back not sent, at the most; beat at the least
 )
 
 // Never is the time of what has not happened, and the position of what told none.
@@ -90,6 +91,7 @@
 	at, sent, expected         float64 // at: since when the member has had to answer
 	out, missed, revoked, rare bool    // rare: the least limit would not have held it back
 	rests, away                bool    // nothing to answer: it's the pool's turn, or its client's (away)
+	retryAt                    float64 // it came back not sent: no other goes to this member before
 }
 
 type txn struct {
@@ -101,6 +103,7 @@
 	needs                  float64 // the position a session or fresh read must see
 	value, rank            float64 // rank: its place among those waiting
 	subs                   []*submission
+	notSent                int // of these, those that came back not sent
 	effect                 Effect
 	mayRun                 float64 // when the earliest submission that may have run went out, if any
 	ranZone                string
@@ -390,6 +393,10 @@
 		r.remember(t.session, gtid)
 	}
 	sub.out, sub.missed, t.placed, t.met = false, how == Miss, false, how
+	if how == Moot {
+		t.notSent++
+		sub.retryAt = r.now + t.unsentPause(m)
+	}
 	if t.mayRun == Never && (how == Errored || how == TimedOut || how == Reset || how == Revoked) {
 		t.mayRun, t.ranZone = sub.sent, m.zone
 	}
@@ -400,6 +407,26 @@
 	}
 }
 
+// attempts counts the submissions that were sent, or may yet be.
+func (t *txn) attempts() int { return len(t.subs) - t.notSent }
+
+// unsentPause is how long the txn waits before it tries a member again where it was not sent. That is no attempt, and the
+// cause may pass in a moment; guards against asking one member without end in one instant.
+func (t *txn) unsentPause(m *member) float64 {
+	pause := beat
+	for _, sub := range t.subs {
+		if sub.to == m && sub.retryAt > 0 {
+			pause *= 2
+		}
+	}
+	return math.Min(pause, mostUnsent)
+}
+
+// pauses tells whether the txn has just come back not sent from the member.
+func (t *txn) pauses(m *member, now float64) bool {
+	return t.notSent > 0 && slices.ContainsFunc(t.subs, func(s *submission) bool { return s.to == m && now < s.retryAt })
+}
+
 // Pin says that a txn, just arrived, can go to one member alone, where its session's connection leads.
 func (r *Router) Pin(id, node string) {
 	if t := r.txns[id]; t != nil {
@@ -838,7 +865,7 @@
 		m := r.busy[n]
 		for _, sub := range m.out {
 			t, age := sub.of, r.now-sub.at
-			if sub.revoked || sub.rests || t.over || t.effect != Repeatable || len(t.subs) >= r.set.Submissions {
+			if sub.revoked || sub.rests || t.over || t.effect != Repeatable || t.attempts() >= r.set.Submissions {
 				continue
 			}
 			usual := r.usual(t)
@@ -964,9 +991,9 @@
 // hopeless tells that nothing can come of it. Unsent at half its time in vain: its client had better return.
 func (r *Router) hopeless(t *txn) bool {
 	usual, ran := r.usual(t), t.mayRun != Never
-	return len(t.subs) >= r.set.Submissions || r.now+usual > t.expiry ||
+	return t.attempts() >= r.set.Submissions || r.now+usual > t.expiry ||
 		t.pinned && (t.pin == nil || t.pin.barred || t.pin.down) ||
-		ran && t.effect == OnceOnly || len(t.subs) == 0 && r.now+2*beat > t.half &&
+		ran && t.effect == OnceOnly || t.attempts() == 0 && r.now+2*beat > t.half &&
 		(r.headless(t.group) || r.now > t.arrived+t.kind.SLA) ||
 		ran && t.kind.Level == Write && t.met == Reset || // DESIGN: a write that met a reset ends in error
 		ran && t.kind.Effect == Referenced && r.now-t.mayRun > t.kind.Window ||
@@ -1114,7 +1141,7 @@
 
 // fit is the one place that every send passes: it gives the member back if the txn may go there now.
 func (r *Router) fit(t *txn, m *member) *member {
-	if m == nil || m.barred || m.down || t.placed || t.over || t.needsPrimary() && r.now < m.group.halt {
+	if m == nil || m.barred || m.down || t.placed || t.over || t.pauses(m, r.now) || t.needsPrimary() && r.now < m.group.halt {
 		return nil
 	}
 	// Rule 2: a referenced txn that may have run stays where its repeats are discarded.
