--- a/internal/decide/pool/pool.go
+++ b/internal/decide/pool/pool.go
@@ -21,6 +21,8 @@
 	firstStep = 1000.0  // ms until a member that refused a connection is tried with one more
 	lastStep  = 60000.0 // and at the longest, where it goes on refusing
 	retryGap  = 10.0    // ms until the next try where none is up at all
+	localGap  = 10.0    // ms until the next dial to a member after one that failed for a cause of this host's
+	localMost = 100.0   // and at the longest, where it goes on
 	leastPart = 0.75    // of an age or a number of uses: the rest is drawn, so that they don't all end at once
 	settled   = 2.0     // ms within which what comes behind an answer has come
 	rest      = 0.75    // of the time after which a member closes an idle connection: then it is closed here
@@ -92,7 +94,7 @@
 const (
 	Down  Cause = iota // the member can't be reached, or did not let it in
 	Full               // the member says that it holds too many
-	Short              // this router has no descriptor left
+	Short              // this host had no descriptor, port, memory or route for it: that tells nothing of the member
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
@@ -163,6 +165,9 @@
 	step    float64
 	tryAt   float64 // not before, where none is up
 	tries   float64
+
+	localFailures float64 // dials in a row that failed for a cause of this host's
+	localUntil    float64 // no dial before, after one of them
 }
 
 // Pool decides for one router.
@@ -338,7 +343,7 @@
 	p.stir(m)
 	c.lane.opening--
 	m.opening--
-	m.tries = 0
+	m.tries, m.localFailures = 0, 0
 	if c.opened != nil {
 		c.opened.dialed, c.opened = false, nil
 	}
@@ -349,7 +354,8 @@
 }
 
 // Failed says that a connection did not come up. A member that has no room for it is supposed to hold no more than it
-// does; that recovers by one after a second, more slowly where it goes on refusing.
+// does; that recovers by one after a second, more slowly where it goes on refusing. A cause of this host's says nothing of
+// the member: dials to it go on, one after each pause.
 func (p *Pool) Failed(id int, why Cause) {
 	c := p.conns[id]
 	if c == nil || c.state != opening {
@@ -357,6 +363,15 @@
 	}
 	l, m := c.lane, c.lane.place
 	p.drop(c)
+	if why == Short {
+		m.localFailures++
+		m.localUntil = p.now + m.localPause()
+		if c.opened != nil && c.opened.waits {
+			p.refuse(c.opened, NoRoom)
+		}
+		return
+	}
+	m.localFailures = 0
 	if why == Full {
 		if m.bound > 0 {
 			m.step = math.Min(2*m.step, lastStep)
@@ -369,13 +384,16 @@
 	}
 	if w := c.opened; w == nil || !w.waits {
 		return
-	} else if why == Short {
-		p.refuse(w, NoRoom)
 	} else if why == Down || l.bounds.Wait == 0 { // else it waits on
 		p.refuse(w, Unconnected)
 	}
 }
 
+// localPause is how long no further dial to the member is made, after failures that are this host's own.
+func (m *place) localPause() float64 {
+	return math.Min(localMost, localGap*math.Exp2(m.localFailures-1))
+}
+
 func (p *Pool) refuse(w *want, why Why) {
 	p.Leave(w.ID)
 	p.out = append(p.out, Decision{Verb: Refuse, Want: w.ID, Key: w.lane.key, Why: why})
@@ -594,6 +612,9 @@
 // mayOpen tells whether a lane may have one more connection, after others that are idle made room for it.
 func (p *Pool) mayOpen(l *lane) bool {
 	b, m := l.bounds, l.place
+	if m.localFailures > 0 && p.now < m.localUntil { // it would fail for the same cause
+		return false
+	}
 	if !m.up || b.PerMember > 0 && l.all >= b.PerMember || b.Total > 0 && p.totals[l.key.Pool] >= b.Total && !p.yield(
 		func(c *conn) bool { return c.lane.key.Pool == l.key.Pool }) {
 		return false
@@ -639,6 +660,9 @@
 	l.opening++
 	l.place.all++
 	l.place.opening++
+	if m := l.place; m.localFailures > 0 { // this one tries alone, even if it hangs
+		m.localUntil = p.now + m.localPause()
+	}
 	p.totals[l.key.Pool]++
 	d := Decision{Verb: Open, Conn: c.id, Key: l.key}
 	if w != nil {
@@ -715,7 +739,7 @@
 			}
 		}
 		if l.all < l.bounds.Warm && l.opening == 0 {
-			at = math.Min(at, math.Max(now, m.tryAt))
+			at = math.Min(at, max(now, m.tryAt, m.localUntil))
 		}
 	}
 	return at
