--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -116,19 +116,16 @@
 
 	shut   atomic.Int64 // counts the times that it was shut or opened; odd: shut
 	parked atomic.Int64 // when it was that a call for the next connection last came back without one
+
+	accepted net.Conn // not yet with the poller, for want of a descriptor; the acceptor's
 }
 
 func (g *gate) Accept() (net.Conn, error) {
 	g.room <- struct{}{}
 	shut := g.shut.Load()
-	c, err := g.Listener.Accept()
+	c, err := g.next()
 	if err == nil {
-		faults.Here("clients.accepted")
-		g.let.Add(1)
-		if c, err = host.Adopt(c); err == nil {
-			return c, nil
-		}
-		g.let.Add(-1)
+		return c, nil
 	}
 	<-g.room
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -139,6 +136,37 @@
 	return nil, err
 }
 
+// next gives the next connection in the poller's form. One that was accepted stays for the next call while no descriptor is
+// left for that form. Guards against closing it: its client may have sent a request already.
+func (g *gate) next() (net.Conn, error) {
+	if g.accepted == nil {
+		c, err := g.accept()
+		if err != nil {
+			return nil, err
+		}
+		faults.Here("clients.accepted")
+		g.let.Add(1)
+		g.accepted = c
+	}
+	c, err := host.Adopt(g.accepted)
+	if err != nil && errors.As(err, new(syscall.Errno)) {
+		return nil, err
+	}
+	if err != nil { // it has no descriptor at all
+		g.accepted.Close()
+		g.let.Add(-1)
+	}
+	g.accepted = nil
+	return c, err
+}
+
+func (g *gate) accept() (net.Conn, error) {
+	if err := faults.Error("clients.accept"); err != nil {
+		return nil, err
+	}
+	return g.Listener.Accept()
+}
+
 // empty tells that no connection is on its way in: with the system, or between it and the loop. Guards against an end of
 // the process that takes a whole request away, which its client has sent and nobody has read. The gate is shut first, and
 // the answer is no until a call for the next connection has come back without one: none is between the two then.
--- /dev/null
+++ b/internal/faults/errors_release.go
@@ -0,0 +1,9 @@
+//go:build !debug
+
+package faults
+
+// Error is nil.
+func Error(string) error { return nil }
+
+// Limit is n.
+func Limit(_ string, n int) int { return n }
--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -202,48 +202,6 @@
 	return c
 }
 
-// Dial connects within so many ms; done hears of it once. The poller's own way to dial is not used: nbio 1.6.8 takes
-// the first four of sixteen bytes for an IPv4 address and connects to 0.0.0.0.
-func (l *Loop) Dial(addr string, ms float64, done func(*Conn, error)) {
-	go func() {
-		c, err := l.dial(addr, time.Duration(ms*float64(time.Millisecond)))
-		faults.Here("host.dialled")
-		l.Post(func() { done(c, err) })
-	}()
-}
-
-func (l *Loop) dial(addr string, within time.Duration) (*Conn, error) {
-	std, err := net.DialTimeout("tcp", addr, within)
-	if err != nil {
-		return nil, err
-	}
-	nb, err := nbio.NBConn(std)
-	if err != nil {
-		std.Close()
-		return nil, err
-	}
-	faults.Here("host.connected")
-	l.adding.Lock()
-	defer l.adding.Unlock()
-	if l.stopped {
-		nb.Close()
-		return nil, net.ErrClosed
-	}
-	c := l.own(nb, false)
-	_, err = l.engine.AddConn(nb)
-	return c, err
-}
-
-// Adopt makes a connection that came in ready for the poller; where it fails the connection is closed.
-func Adopt(std net.Conn) (net.Conn, error) {
-	nb, err := nbio.NBConn(std)
-	if err != nil {
-		std.Close()
-		return nil, err
-	}
-	return nb, nil
-}
-
 // receive takes in what has come, a bounded part of it at once. On the poller. Of a connection that came in, bytes are told
 // with the end that is there behind them: guards against a request that waited to be read for longer than its client did,
 // and goes on before the loop hears that the client has gone.
@@ -297,7 +255,9 @@
 func (c *Conn) take(buf []byte) (n int, heard bool, err error) {
 	c.order.Lock()
 	defer c.order.Unlock()
-	n, err = c.nb.Read(buf)
+	if err = faults.Error("host.read"); err == nil {
+		n, err = c.nb.Read(buf[:faults.Limit("host.read", len(buf))])
+	}
 	faults.Here("host.read")
 	if heard = n > 0 && !c.deaf.Load(); heard {
 		c.read.Add(int64(n))
