--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -11,9 +11,9 @@
 	"time"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
-	"golang.org/x/sys/unix"
 
 	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/discovery"
 	"wayloft/internal/exchange"
 	"wayloft/internal/faults"
@@ -365,12 +365,8 @@
 	at := a.host.Now()
 	a.host.Dial(m.addr, a.limits.DialTimeout, func(c *host.Conn, err error) {
 		defer a.pull()
-		switch {
-		case errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE):
-			a.hear().Failed(d.Conn, pool.Short)
-			return
-		case err != nil:
-			a.hear().Failed(d.Conn, pool.Down)
+		if err != nil {
+			a.hear().Failed(d.Conn, failure(err))
 			return
 		}
 		l := &link{all: a, id: d.Conn, login: d.Key.Pool, to: m, conn: c, in: pg.NewReader(true, a.limits.Longest)}
@@ -395,6 +391,15 @@
 	})
 }
 
+// failure tells the pool why a dial failed: unless it is the member, its record stays clean.
+func failure(err error) pool.Cause {
+	var dial *host.DialError
+	if errors.As(err, &dial) && dial.Cause() != syscallerror.Peer {
+		return pool.Short
+	}
+	return pool.Down
+}
+
 // refused ends a connection that has not come up.
 func (l *link) refused(why pool.Cause) {
 	if l.all.links[l.id] == l {
