--- a/router/not_sent_test.go
+++ b/router/not_sent_test.go
@@ -89,3 +89,30 @@
 		}
 	}
 }
+
+// What an attempt that was not sent has counted for is taken back: the budget of a member in slow start, the trial of one that is
+// suspected, and when it was sent something last.
+func TestNotSent_LeavesTheMembersRecordClean(t *testing.T) {
+	const sla, window = 500.0, 2000.0
+	r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, ColdFrom: 0.2, WarmUp: 10000, FallMultiple: 2.5, FallWindow: window,
+		TxnTypes: map[string]*TxnType{"read": {SLA: sla, Expiry: 3000, Value: 1, LateValue: 1}}}, 1)
+	r.At(1000)
+	r.ListStart()
+	r.Listed("m", "z", 1, Up, 900)
+	r.ListEnd(true)
+	m := r.members["m"]
+	m.known, m.checkSent, m.doubted, m.doubtAt, m.passed = true, 1000, true, 900, true
+	bears := func() bool { return m.bucket.Bears(1000, 0, sla, window, func() float64 { return 1 }) }
+	if !bears() {
+		t.Fatal("the budget does not bear one")
+	}
+	r.Arrive("t", "", "", "read", 1, 0, 3000, false)
+	if d, _ := r.Next(); d.Verb != Submit || bears() || m.passed {
+		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, bears(), m.passed)
+	}
+	r.Returned("t", 0, Moot, 0, false, Unsaid, Never)
+	if !bears() || !m.passed || m.lastSent != Never || m.down || m.shut || m.bad.Sum != 0 || m.load != 0 {
+		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, shut: %v, failures: %v, load: %v", bears(), m.passed, m.lastSent,
+			m.down, m.shut, m.bad.Sum, m.load)
+	}
+}
--- a/router/router.go
+++ b/router/router.go
@@ -92,6 +92,8 @@
 	out, missed, revoked, rare bool    // rare: the least limit would not have held it back
 	rests, away                bool    // nothing to answer: it's the pool's turn, or its client's (away)
 	retryAt                    float64 // it came back not sent: no other goes to this member before
+	lastSent                   float64 // the member's record before it
+	passed                     bool
 }
 
 type txn struct {
@@ -393,9 +395,8 @@
 		r.remember(t.session, gtid)
 	}
 	sub.out, sub.missed, t.placed, t.met = false, how == Miss, false, how
-	if how == Moot {
-		t.notSent++
-		sub.retryAt = r.now + t.unsentPause(m)
+	if how == Moot && !done {
+		t.unsend(sub, r.now)
 	}
 	if t.mayRun == Never && (how == Errored || how == TimedOut || how == Reset || how == Revoked) {
 		t.mayRun, t.ranZone = sub.sent, m.zone
@@ -410,6 +411,19 @@
 // attempts counts the submissions that were sent, or may yet be.
 func (t *txn) attempts() int { return len(t.subs) - t.notSent }
 
+// unsend takes back what an attempt that was not sent has counted for: the member has had nothing of it.
+func (t *txn) unsend(sub *submission, now float64) {
+	m := sub.to
+	t.notSent++
+	sub.retryAt = now + t.unsentPause(m)
+	if math.Max(m.started, m.guessed) <= sub.sent { // else the budget is another by now
+		m.bucket.Spend(-t.kind.SLA)
+	}
+	if m.lastSent == sub.sent {
+		m.lastSent, m.passed = sub.lastSent, sub.passed && m.doubtAt <= sub.sent
+	}
+}
+
 // unsentPause is how long the txn waits before it tries a member again where it was not sent. That is no attempt, and the
 // cause may pass in a moment; guards against asking one member without end in one instant.
 func (t *txn) unsentPause(m *member) float64 {
@@ -972,7 +986,7 @@
 	}
 	expected := r.expects(t, m)
 	sub := &submission{to: m, of: t, at: r.now, sent: r.now, expected: expected, out: true,
-		rare: r.now-m.lastSent > expected/leastLimit}
+		rare: r.now-m.lastSent > expected/leastLimit, lastSent: m.lastSent, passed: m.passed}
 	t.subs = append(t.subs, sub)
 	if len(m.out) == 0 {
 		r.busy = append(r.busy, m)
