--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -14,6 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/exchange"
 	"wayloft/internal/faults"
 	"wayloft/internal/host"
@@ -22,7 +23,7 @@
 
 const (
 	ahead   = 256 // messages that a session may send ahead
-	pause   = 20 * time.Millisecond
+	pause   = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
 	comers  = 600.0   // ms after SIGTERM until no new connection or request comes (PROTOCOL: 400 at most)
 	hurry   = 2000.   // ms within which a session must ask its first, and send the rest of a message
 	idling  = 10e3    // ms that a session may then rest between two queries
