--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -14,6 +14,7 @@
 	"github.com/lesismal/nbio/logging"
 	"golang.org/x/sys/unix"
 
+	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/faults"
 )
 
@@ -22,6 +23,8 @@
 	readSize  = 1 << 14 // bytes read at once; with the mailbox they bound what waits for the loop
 	reads     = 64      // in a row from one connection, before others have their turn
 	lingering = time.Second
+
+	retryPause = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
 )
 
 // Loop is the goroutine and all that wakes it.
@@ -36,6 +39,8 @@
 	engine *nbio.Engine
 	buf    []byte // the poller's, for what it reads
 
+	mostLeft int64 // bytes that a peer may leave unread; 0: any number
+
 	adding  sync.Mutex // held while the poller gets a connection that was dialled
 	stopped bool       // under adding: it gets no more
 }
@@ -63,6 +68,7 @@
 	closed  bool
 	came    bool     // it came in, and was not made here
 	early   [][]byte // what came before anyone handled it; the mailbox bounds it
+	delayed []byte   // to be written once this host has memory for it; mostLeft bounds it
 }
 
 // NewLoop makes a loop that can hold this many descriptors.
@@ -171,7 +177,7 @@
 	})
 	e.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
 		if c, ok := nb.Session().(*Conn); ok {
-			if sum := c.written.Add(int64(n)); sum == c.after.Load() {
+			if c.count(n) {
 				l.engine.Async(func() { l.Post(c.finish) })
 			}
 		}
@@ -181,7 +187,7 @@
 			l.Post(c.gone)
 		}
 	})
-	l.engine = e
+	l.engine, l.mostLeft = e, int64(mostLeft)
 	return e.Start()
 }
 
@@ -202,48 +208,6 @@
 	return c
 }
 
-// Dial connects within so many ms; done hears of it once. The poller's own way to dial is not used: nbio 1.6.8 takes
-// the first four of sixteen bytes for an IPv4 address and connects to 0.0.0.0.
-func (l *Loop) Dial(addr string, ms float64, done func(*Conn, error)) {
-	go func() {
-		c, err := l.dial(addr, time.Duration(ms*float64(time.Millisecond)))
-		faults.Here("host.dialled")
-		l.Post(func() { done(c, err) })
-	}()
-}
-
-func (l *Loop) dial(addr string, within time.Duration) (*Conn, error) {
-	std, err := net.DialTimeout("tcp", addr, within)
-	if err != nil {
-		return nil, err
-	}
-	nb, err := nbio.NBConn(std)
-	if err != nil {
-		std.Close()
-		return nil, err
-	}
-	faults.Here("host.connected")
-	l.adding.Lock()
-	defer l.adding.Unlock()
-	if l.stopped {
-		nb.Close()
-		return nil, net.ErrClosed
-	}
-	c := l.own(nb, false)
-	_, err = l.engine.AddConn(nb)
-	return c, err
-}
-
-// Adopt makes a connection that came in ready for the poller; where it fails the connection is closed.
-func Adopt(std net.Conn) (net.Conn, error) {
-	nb, err := nbio.NBConn(std)
-	if err != nil {
-		std.Close()
-		return nil, err
-	}
-	return nb, nil
-}
-
 // receive takes in what has come, a bounded part of it at once. On the poller. Of a connection that came in, bytes are told
 // with the end that is there behind them: guards against a request that waited to be read for longer than its client did,
 // and goes on before the loop hears that the client has gone.
@@ -254,7 +218,7 @@
 	for range reads {
 		n, heard, err := c.take(buf)
 		if data != nil {
-			c.tell(data, n == 0 && err == nil || err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR))
+			c.tell(data, n == 0 && err == nil || broken(err))
 			data = nil
 		}
 		if heard {
@@ -264,15 +228,23 @@
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
 			return
-		case err != nil:
+		case broken(err):
 			c.nb.CloseWithError(err)
 			return
+		case err != nil: // memory is short: the poller comes back, since what came is still there
+			time.Sleep(retryPause)
+			return
 		case n == 0 || n < len(buf) && !c.came:
 			return
 		}
 	}
 }
 
+// broken tells that a read's error is the end of its connection.
+func broken(err error) bool {
+	return err != nil && syscallerror.Of(syscallerror.Read, err) == syscallerror.Peer
+}
+
 // tell has the loop hear of bytes, if there are any, and of the end behind them.
 func (c *Conn) tell(data []byte, ended bool) {
 	if data == nil {
@@ -297,7 +269,9 @@
 func (c *Conn) take(buf []byte) (n int, heard bool, err error) {
 	c.order.Lock()
 	defer c.order.Unlock()
-	n, err = c.nb.Read(buf)
+	if err = faults.Error("host.read"); err == nil {
+		n, err = c.nb.Read(buf[:faults.Limit("host.read", len(buf))])
+	}
 	faults.Here("host.read")
 	if heard = n > 0 && !c.deaf.Load(); heard {
 		c.read.Add(int64(n))
@@ -351,33 +325,51 @@
 	if c.was&(unix.POLLERR|unix.POLLHUP) != 0 {
 		err = net.ErrClosed
 	} else {
-		_, err = c.nb.Write(b)
+		err = c.send(b)
 	}
 	if err != nil {
-		c.Drop() // so that the peer hears of it too, whatever was wrong
-		c.loop.Soon(c.gone)
+		c.fail()
 	}
 }
 
+// fail ends the connection, so that the peer hears of it too, whatever was wrong.
+func (c *Conn) fail() {
+	c.Drop()
+	c.loop.Soon(c.gone)
+}
+
 // state asks the system. Guards against nbio closing a descriptor in a failing write: the number is used again at
 // once, and an event for the old connection that the poller still holds then closes the new one. Only the poller
 // may close.
 func (c *Conn) state() (state int16) {
 	err := c.control(func(fd int) error {
-		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		_, err := unix.Poll(poll, 0)
-		for errors.Is(err, unix.EINTR) { // the runtime's own signals: no sign of an end
-			_, err = unix.Poll(poll, 0)
-		}
-		state = poll[0].Revents
-		return err
+		state = polled(fd)
+		return nil
 	})
-	if err != nil {
+	if err != nil { // it is closed
 		return unix.POLLHUP
 	}
 	return state
 }
 
+// polled asks until a call is not interrupted. One that fails for want of memory is no sign of an end: something may be there
+// to be read.
+func polled(fd int) int16 {
+	for {
+		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		err := faults.Error("host.poll")
+		if err == nil {
+			_, err = unix.Poll(poll, 0)
+		}
+		switch {
+		case err == nil:
+			return poll[0].Revents
+		case syscallerror.Of(syscallerror.Poll, err) != syscallerror.Transient: // else e.g. the runtime's own signals
+			return unix.POLLIN
+		}
+	}
+}
+
 // Unread tells whether something has come that the handler has not heard of yet: bytes, or the end.
 func (c *Conn) Unread() bool {
 	c.order.Lock()
