--- a/internal/decide/agent/agent.go
+++ b/internal/decide/agent/agent.go
@@ -36,7 +36,7 @@
 // Settings are given once. Times are ms.
 type Settings struct {
 	Name, Kind, Address string
-	Incarnation         uint64 // higher at each start of the process
+	Incarnation         uint64 // Unix ms of the start, as the wall clock has it
 	Length, Margin      float64
 	Duties              []string // that it would hold
 	Seed                uint64
@@ -111,6 +111,9 @@
 // Agent is one process's part.
 type Agent struct {
 	set      Settings
+	self     incarnation
+	begun    bool    // At has been called
+	begunAt  float64 // and when
 	now      float64
 	chance   chance.Source
 	number   uint64
@@ -141,7 +144,7 @@
 
 // New makes one that has no session yet.
 func New(set Settings) *Agent {
-	a := &Agent{set: set, chance: chance.Source{Seed: set.Seed}, asked: map[uint64]asked{}, holders: map[string]*holder{}, wants: map[string]float64{},
+	a := &Agent{set: set, self: newIncarnation(set.Incarnation), chance: chance.Source{Seed: set.Seed}, asked: map[uint64]asked{}, holders: map[string]*holder{}, wants: map[string]float64{},
 		receiver: lease.NewReceiver(), stands: map[string]*retry{}, told: map[string]float64{}, sessions: map[string]Session{},
 		duties: map[string]Duty{}, beating: retry{at: math.Inf(1)}}
 	for _, duty := range set.Duties {
@@ -183,6 +186,7 @@
 
 // At sets the time; all that follows until the next call happens then.
 func (a *Agent) At(now float64) {
+	a.start(now)
 	a.now = math.Max(a.now, now)
 	for _, duty := range slices.Sorted(maps.Keys(a.wants)) {
 		if a.wants[duty] <= a.now {
@@ -203,6 +207,18 @@
 	}
 }
 
+// start ends the time in which this process counts as one that is starting: after a while, or once it was stopped in between.
+func (a *Agent) start(now float64) {
+	if !a.begun {
+		a.begun, a.begunAt = true, now
+		return
+	}
+	paused := now-a.now > pausedFor*a.set.Length
+	if paused || now-a.begunAt > startingFor*a.set.Length {
+		a.self.late = true
+	}
+}
+
 // holder gives the part in a duty, which knows the time; nil: there is none.
 func (a *Agent) holder(duty string) *holder {
 	h := a.holders[duty]
@@ -221,13 +237,13 @@
 func (a *Agent) call(of asked, e register.Entry) {
 	a.number++
 	a.asked[a.number] = of
-	e.Session, e.Incarnation = a.set.Name, a.set.Incarnation
+	e.Session, e.Incarnation = a.set.Name, a.self.current
 	a.out = append(a.out, Decision{Verb: Call, Number: a.number, Entry: e})
 }
 
 // Entry signs an entry of this process's own: a note of a step, say.
 func (a *Agent) Entry(e register.Entry) register.Entry {
-	e.Session, e.Incarnation = a.set.Name, a.set.Incarnation
+	e.Session, e.Incarnation = a.set.Name, a.self.current
 	return e
 }
 
@@ -271,9 +287,14 @@
 			return
 		}
 		if !ans.Held { // another process has this name, or its session is not over yet
-			a.again(&a.opening)
+			if a.self.refused(ans.Number, &a.chance) {
+				a.opening.at = a.now
+			} else {
+				a.again(&a.opening)
+			}
 			return
 		}
+		a.self.opened()
 		a.open, a.opening = true, retry{at: math.Inf(1)}
 		a.beaten()
 		for _, duty := range slices.Sorted(maps.Keys(a.holders)) {
@@ -346,7 +367,7 @@
 	}
 	a.Reopened++
 	a.open, a.beating, a.opening = false, retry{at: math.Inf(1)}, retry{at: a.now}
-	a.set.Incarnation++
+	a.self.reopen()
 }
 
 // Failed says that a request brought no answer, or none that is known.
@@ -358,6 +379,7 @@
 	delete(a.asked, number)
 	switch of.kind {
 	case register.Open:
+		a.self.unknown = true
 		a.again(&a.opening)
 	case register.Beat:
 		a.again(&a.beating)
@@ -505,6 +527,7 @@
 	case len(a.out) > 0 || a.leaving:
 	case !a.open && a.opening.at <= a.now:
 		a.opening.at = math.Inf(1)
+		a.self.prepare()
 		a.call(asked{kind: register.Open}, register.Entry{Kind: register.Open, Is: a.set.Kind, Address: a.set.Address,
 			Length: uint64(a.set.Length), Policy: a.policy, Wont: a.wont, Why: a.why})
 	case a.open && a.beating.at <= a.now:
--- /dev/null
+++ b/internal/decide/agent/incarnation.go
@@ -0,0 +1,90 @@
+package agent
+
+import "wayloft/internal/decide/chance"
+
+// The state machine replaces a session by one of a higher incarnation and refuses a lower one. The number that a process is started
+// with comes from the wall clock, which may be stepped between two starts, so it alone doesn't tell which of two processes is the later
+// one. Two classes of numbers do: those of sessions that were opened again lie below those of first sessions.
+//
+//   - A process that has had a session, or was paused, or has tried for long, opens one in the lower class only: it never replaces the
+//     first session of a process that was started since, and is itself replaced by it.
+//   - A process whose very first request meets a higher incarnation has found its predecessor, and takes a number above it, once.
+const (
+	reopenedBelow = 1 << 40 // numbers of first sessions, Unix ms of any clock after November 2004, are above
+	reopenedPart  = 4       // what a first number is divided by for the lower class: order among processes is kept, until 2109
+	apart         = 1 << 20 // numbers over which two processes that do the same at once are spread
+	startingFor   = 4.0     // session timeouts after which a process counts as started: a predecessor's session has lapsed
+	pausedFor     = 1.0     // session timeouts between two looks at the clock after which the process must have been stopped
+)
+
+// incarnation is the number under which a process opens its sessions.
+type incarnation struct {
+	current  uint64 // of the present session, or of the next
+	highest  uint64 // of those it has used
+	starting bool   // no session yet, and no doubt that whoever has a higher number was there before
+	late     bool   // it has taken too long to count as starting; current changes when no request is on its way
+	unknown  bool   // a request to open the first session brought no answer: it may have been granted, and have ended since
+	claimed  bool   // it took a number above its predecessor's
+}
+
+func newIncarnation(started uint64) incarnation {
+	if started < reopenedBelow { // a clock that was never set, or a counter
+		started += reopenedBelow
+	}
+	return incarnation{current: started, highest: started, starting: true}
+}
+
+// started ends the time in which a process may replace another's session: its own next one is of the lower class.
+func (i *incarnation) started() {
+	if i.starting {
+		i.starting = false
+		i.current = reopened(i.highest)
+	}
+}
+
+// prepare comes before each request to open a session.
+func (i *incarnation) prepare() {
+	if i.late {
+		i.started()
+	}
+}
+
+// opened takes in that the first session, or another, was granted.
+func (i *incarnation) opened() { i.starting = false }
+
+// reopen gives the next session another number than the one that ended: a late request of that one must not count for it.
+func (i *incarnation) reopen() {
+	if i.current >= reopenedBelow {
+		i.current = reopened(i.highest)
+		return
+	}
+	i.current++
+}
+
+// refused takes in that a session of another number has the name; 0: the coordinator didn't say which. It reports whether a request
+// under a number above may follow at once.
+func (i *incarnation) refused(other uint64, draw *chance.Source) bool {
+	if i.starting && !i.late && other > i.current && !i.unknown && !i.claimed {
+		i.claimed = true
+		i.current = other + 1 + uint64(apart*draw.Next())
+		i.highest = i.current
+		return true
+	}
+	i.started()
+	if other != 0 && other != i.highest {
+		i.yield(other, draw)
+	}
+	return false
+}
+
+// yield places this process below one that was started later, for good: also where both have to open a session again.
+func (i *incarnation) yield(other uint64, draw *chance.Source) {
+	if other >= reopenedBelow {
+		other = reopened(other)
+	}
+	if below := 1 + uint64(apart*draw.Next()); below < other {
+		i.current = min(i.current, other-below)
+	}
+}
+
+func reopened(first uint64) uint64 { return first / reopenedPart }
--- a/internal/decide/register/register.go
+++ b/internal/decide/register/register.go
@@ -286,7 +286,7 @@
 	Held   bool        // it holds the duty, under Fence
 	Fence  lease.Fence // of its grant; else the highest known
 	Why    string      // where it was refused
-	Number uint64      // of the order
+	Number uint64      // of the order; of a session that was refused: the incarnation that has its name
 }
 
 // Apply takes one entry in. index is its place in the log; one that is in already is passed over.
@@ -401,7 +401,7 @@
 	case s == nil && len(r.s.Sessions) >= mostNames:
 		return Answer{Why: "too many sessions"}
 	case s != nil && e.Incarnation < s.Incarnation:
-		return Answer{Why: "a later incarnation has this name"}
+		return Answer{Why: "a later incarnation has this name", Number: s.Incarnation}
 	case s != nil && e.Incarnation == s.Incarnation:
 		s.Heard = r.s.Now // the same request once more
 		r.goesBy(s, e.Policy, e.Wont, e.Why)
--- /dev/null
+++ b/internal/fleet/incarnation_test.go
@@ -0,0 +1,115 @@
+package fleet
+
+import (
+	"context"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"wayloft/internal/decide/register"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/wire"
+)
+
+// sessions is a coordinator that keeps sessions alone, and lets time pass when it is told.
+type sessions struct {
+	mu      sync.Mutex
+	state   *register.Register
+	index   uint64
+	refused chan register.Answer // of requests to open a session
+	opened  chan uint64          // incarnations, of the same
+}
+
+func newSessions() *sessions {
+	return &sessions{state: register.New("lab"), refused: make(chan register.Answer, 100), opened: make(chan uint64, 100)}
+}
+
+func (s *sessions) apply(e register.Entry) register.Answer {
+	s.index++
+	return s.state.Apply(s.index, e)
+}
+
+func (s *sessions) do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	if len(q.Stands) > 0 {
+		return &fleetpb.Answer{Fences: make([]*fleetpb.Fence, len(q.Stands))}, nil
+	}
+	e, err := register.Decode(q.Entry)
+	if err != nil {
+		return nil, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a := s.apply(e)
+	if e.Kind == register.Open && a.Held {
+		s.opened <- e.Incarnation
+	} else if e.Kind == register.Open {
+		s.refused <- a
+	}
+	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: wire.Fence(a.Fence)}, nil
+}
+
+// next is what comes out of a channel, or the test's end.
+func next[T any](t *testing.T, what string, from chan T) T {
+	t.Helper()
+	select {
+	case v := <-from:
+		return v
+	case <-time.After(30 * time.Second):
+		t.Fatal("not seen: " + what)
+		panic("unreachable")
+	}
+}
+
+// start runs a process of the name "r" that was started when the wall clock said so.
+func (s *sessions) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &listing{asked: make(chan bool, 100)}
+	l := newLink(Settings{Fleet: "lab", Name: "r", Kind: "router", Council: []string{addr}, Length: timeoutMs, Margin: timeoutMs / 10}, r, started)
+	ctx, cancel := context.WithCancel(context.Background())
+	go l.Run(ctx, listener)
+	t.Cleanup(func() { cancel(); <-l.Ended() })
+}
+
+// A process that is started after the wall clock was stepped back has its session at once: the coordinator's time stands still, so its
+// predecessor's never lapses here.
+func TestIncarnation_ProcessStartedAfterTheClockWasSteppedBack(t *testing.T) {
+	s := newSessions()
+	addr := serves(t, s.do)
+	s.apply(register.Entry{Kind: register.Open, Session: "r", Incarnation: uint64(time.Now().UnixMilli()), Length: 2000, Is: "router"})
+	s.start(t, addr, time.Now().Add(-time.Hour), 60000) // no call is given up while the machine is busy
+	if refused := next(t, "the refusal", s.refused); refused.Number == 0 {
+		t.Error("the refusal doesn't say which incarnation has the name")
+	}
+	next(t, "its session", s.opened)
+}
+
+// A process whose session lapsed, and whose name another was given meanwhile by an earlier wall clock, finds it taken.
+func TestIncarnation_FormerProcessFindsItsNameTaken(t *testing.T) {
+	s := newSessions()
+	addr := serves(t, s.do)
+	s.start(t, addr, time.Now(), 2000)
+	next(t, "its session", s.opened)
+	s.mu.Lock()
+	s.apply(register.Entry{Kind: register.Tick, Passed: 2001})
+	later := uint64(time.Now().Add(-time.Hour).UnixMilli())
+	granted := s.apply(register.Entry{Kind: register.Open, Session: "r", Incarnation: later, Length: 2000, Is: "router"})
+	s.mu.Unlock()
+	if !granted.Held {
+		t.Fatal("the former session has not lapsed:", granted)
+	}
+	select { // its next heartbeat tells it that it has no session
+	case a := <-s.refused:
+		if a.Number != later {
+			t.Error(a)
+		}
+	case with := <-s.opened:
+		t.Fatalf("the former process won its name back, as %d after %d", with, later)
+	case <-time.After(30 * time.Second):
+		t.Fatal("it asks for no session")
+	}
+}
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -124,7 +124,10 @@
 }
 
 // New makes one; nothing happens until Run.
-func New(set Settings, router Router) *Link {
+func New(set Settings, router Router) *Link { return newLink(set, router, time.Now()) }
+
+// newLink is New by a wall clock that says started. Nothing but the number of the first session comes from it.
+func newLink(set Settings, router Router, started time.Time) *Link {
 	h := fnv.New64a()
 	h.Write([]byte(set.Name))
 	l := &Link{set: set, router: router, client: NewClient(set.Fleet, set.Council, set.Via), inbox: make(chan func(), inbox),
@@ -134,7 +137,8 @@
 	seed := h.Sum64() ^ wire.Draw()
 	l.follow = follow(set, seed)
 	l.agent = agent.New(agent.Settings{Name: set.Name, Kind: set.Kind, Address: set.Address, Length: set.Length, Margin: set.Margin,
-		Incarnation: uint64(time.Now().UnixMilli()), Seed: seed})
+		Incarnation: uint64(max(0, started.UnixMilli())), Seed: seed})
+	l.agent.At(l.now())
 	return l
 }
 
