--- /dev/null
+++ b/internal/council/clock_test.go
@@ -0,0 +1,93 @@
+package council
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"wayloft/internal/decide/council"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/record"
+	"wayloft/internal/wire"
+)
+
+func settings(t *testing.T, dir string, listener net.Listener) Settings {
+	t.Helper()
+	return Settings{Fleet: "lab", Name: "c", Dir: dir, Peers: []council.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10, Keep: 1000,
+		Connections: 8, Record: &record.Record{}}
+}
+
+func loopback(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// Guards against numbers of requests that come from the wall clock: after a step back those of the start before are given once more,
+// and an entry that it left in the log would answer another request.
+func TestClock_RequestNumbersOfAnotherStart(t *testing.T) {
+	const starts = 8
+	dir, listener := t.TempDir(), loopback(t)
+	var numbers []uint64
+	for range starts {
+		c, err := Open(settings(t, dir, listener))
+		if err != nil {
+			t.Fatal(err)
+		}
+		numbers = append(numbers, c.number)
+		if err := c.disk.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	const apart = 1 << 42 // requests, or ns between two starts: more than an hour's
+	for i, one := range numbers {
+		for _, other := range numbers[:i] {
+			if max(one, other)-min(one, other) < apart {
+				t.Errorf("two starts count from %d and %d", one, other)
+			}
+		}
+	}
+}
+
+// A council that is begun when the wall clock was stepped back by an hour is above the epoch that it is told.
+func TestClock_EpochAboveTheOneGiven(t *testing.T) {
+	listener := loopback(t)
+	set := settings(t, t.TempDir(), listener)
+	set.Above = wire.Epoch(time.Now().Add(time.Hour))
+	c, err := Open(set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	over := make(chan error)
+	go func() { over <- c.Run(ctx, listener) }()
+	conn, err := wire.Dial(listener.Addr().String(), "lab")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	asking, end := context.WithTimeout(ctx, time.Minute)
+	defer end()
+	for {
+		state, err := fleetpb.NewCouncilClient(conn).Look(asking, &fleetpb.Empty{})
+		if status.Code(err) == codes.Aborted || err == nil && state.Moved { // it has yet to lead
+			continue
+		}
+		if err != nil || state.Epoch != set.Above+1 {
+			t.Errorf("epoch %d, told of %d: %v", state.GetEpoch(), set.Above, err)
+		}
+		break
+	}
+	cancel()
+	if err := <-over; err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -58,6 +58,7 @@
 	Keep        uint64            // entries until the log is cut
 	Connections int               // at once
 	Ahead       float64           // ms that this process's clock is ahead, for tests
+	Above       uint64            // an epoch known to have been: a council that begins takes a later one, whatever its wall clock says
 	Record      *record.Record
 }
 
@@ -174,7 +175,7 @@
 	log.SetFormatter(logrus.StandardLogger().Formatter)
 	log.SetLevel(logrus.ErrorLevel)
 	node, fresh, err := council.New(council.Settings{Fleet: set.Fleet, Name: set.Name, Peers: set.Peers, Epoch: wire.Epoch(time.Now()),
-		Tick: set.Tick, Keep: set.Keep, Log: log}, had)
+		Above: set.Above, Tick: set.Tick, Keep: set.Keep, Log: log}, had)
 	if err == nil && fresh != nil {
 		err = Store(l, *fresh)
 	}
@@ -183,7 +184,7 @@
 		return nil, fmt.Errorf("%s: %w", set.Dir, err)
 	}
 	c := &Council{set: set, node: node, disk: l, met: met, inbox: make(chan func(), inbox), asked: map[uint64]func(council.Decision){},
-		ways: map[uint64]*way{}, callers: map[uint64]council.Peer{}, moved: make(chan struct{}), number: uint64(time.Now().UnixNano())}
+		ways: map[uint64]*way{}, callers: map[uint64]council.Peer{}, moved: make(chan struct{}), number: firstNumber()}
 	c.self = council.Identity{Name: set.Name, Folder: l.Head.Folder, Starts: l.Head.Starts, Term: had.Hard.GetTerm(),
 		Last: had.Snapshot.GetMetadata().GetIndex()}
 	if n := len(had.Entries); n > 0 {
@@ -192,6 +193,10 @@
 	return c, nil
 }
 
+// firstNumber draws the number after which this start counts its requests. An entry of an earlier start may still be applied; its
+// number must not be that of a request which waits now. It leaves half of all numbers to count in.
+func firstNumber() uint64 { return wire.Draw() >> 1 }
+
 // Run serves on a listener until ctx ends or the process can't go on.
 func (c *Council) Run(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/decide/council/council.go
+++ b/internal/decide/council/council.go
@@ -65,6 +65,7 @@
 	Fleet, Name string
 	Peers       []Peer  // who begins the council, this process among them; empty: it joins one that has begun
 	Epoch       uint64  // in which a council begins that never had a leader: Unix seconds, so that it is above those before it
+	Above       uint64  // an epoch known to have been: the first one is above it also where the wall clock was stepped back; 0: none
 	Tick        float64 // heartbeat; elections come after ten to twenty of them
 	Keep        uint64  // entries until a snapshot is taken and the log is cut
 	Log         raft.Logger
@@ -593,7 +594,7 @@
 // lead begins a leader's account of time.
 func (n *Node) lead() {
 	n.stamped = n.now
-	n.propose(register.Entry{Kind: register.Lead, Epoch: n.set.Epoch}, 0, nil)
+	n.propose(register.Entry{Kind: register.Lead, Epoch: max(n.set.Epoch, n.set.Above+1)}, 0, nil)
 }
 
 func (n *Node) apply(e *raftpb.Entry) error {
