--- a/internal/decide/agent/incarnation_test.go
+++ b/internal/decide/agent/incarnation_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"fmt"
 	"testing"
 
 	"wayloft/internal/decide/chance"
@@ -293,3 +294,20 @@
 		t.Error("out of order")
 	}
 }
+
+// A process's clock is its own: where one machine was booted years before another, its sessions and leases are as long.
+func TestClocksOfTwoMachinesHaveNothingInCommon(t *testing.T) {
+	var log []string
+	for _, booted := range []float64{0, 1e11} {
+		s := sit(t, "d")
+		s.a.At(booted)
+		s.now = booted
+		starts, stops := s.to(booted+5000, true)
+		_, may := s.a.May("d")
+		_, ended := s.to(booted+7000, false)
+		log = append(log, fmt.Sprint(starts, stops, may, ended, s.log))
+	}
+	if log[0] != log[1] {
+		t.Errorf("%s\n%s", log[0], log[1])
+	}
+}
