--- a/internal/decide/agent/agent.go
+++ b/internal/decide/agent/agent.go
@@ -287,7 +287,7 @@
 			return
 		}
 		if !ans.Held { // another process has this name, or its session is not over yet
-			if a.self.refused(ans.Number, &a.chance) {
+			if a.self.refused(ans.Number, a.now-a.begunAt, &a.chance) {
 				a.opening.at = a.now
 			} else {
 				a.again(&a.opening)
--- a/internal/decide/agent/incarnation.go
+++ b/internal/decide/agent/incarnation.go
@@ -8,7 +8,8 @@
 //
 //   - A process that has had a session, or was paused, or has tried for long, opens one in the lower class only: it never replaces the
 //     first session of a process that was started since, and is itself replaced by it.
-//   - A process whose very first request meets a higher incarnation has found its predecessor, and takes a number above it, once.
+//   - A process whose very first request meets an incarnation that no start since its own can have drawn, unless the wall clock was
+//     stepped in between, has found its predecessor, and takes a number above it, once.
 const (
 	reopenedBelow = 1 << 40 // numbers of first sessions, Unix ms of any clock after November 2004, are above
 	reopenedPart  = 4       // what a first number is divided by for the lower class: order among processes is kept, until 2109
@@ -62,9 +63,11 @@
 }
 
 // refused takes in that a session of another number has the name; 0: the coordinator didn't say which. It reports whether a request
-// under a number above may follow at once.
-func (i *incarnation) refused(other uint64, draw *chance.Source) bool {
-	if i.starting && !i.late && other > i.current && !i.unknown && !i.claimed {
+// under a number above may follow at once: not where the other's may be that of a start in the age, in ms, of this one, by a wall clock
+// that went on meanwhile.
+func (i *incarnation) refused(other uint64, age float64, draw *chance.Source) bool {
+	ahead := float64(other) > float64(i.current)+age
+	if i.starting && !i.late && ahead && !i.unknown && !i.claimed {
 		i.claimed = true
 		i.current = other + 1 + uint64(apart*draw.Next())
 		i.highest = i.current
--- a/internal/decide/agent/incarnation_test.go
+++ b/internal/decide/agent/incarnation_test.go
@@ -258,18 +258,35 @@
 // Who is told nothing of the incarnation that has the name, by a coordinator of an earlier build, waits for its end.
 func TestIncarnation_RefusedWithoutNumber(t *testing.T) {
 	i, draw := newIncarnation(today), chance.Source{Seed: 1}
-	if i.refused(0, &draw) || i.current != today/reopenedPart {
+	if i.refused(0, 10, &draw) || i.current != today/reopenedPart {
 		t.Errorf("%+v", i)
 	}
 }
 
+// Of two that are started together, the later one may ask first: it keeps the name.
+func TestIncarnation_TwoStartsTogether(t *testing.T) {
+	n := newNamesakes(t)
+	former := n.begin(today)
+	n.stopped[former] = true
+	n.pass(500)
+	later := n.begin(today + 500)
+	n.tick()
+	n.want(later, "later process")
+	n.stopped[former] = false
+	n.pass(20 * sessionTimeout)
+	n.want(later, "the former process asks, too")
+	if later.Reopened != 0 {
+		t.Error("the later process lost its session")
+	}
+}
+
 // A number is taken above a predecessor's once: who has the name at the second refusal came after the first request.
 func TestIncarnation_ClaimsOnce(t *testing.T) {
 	i, draw := newIncarnation(today), chance.Source{Seed: 1}
-	if !i.refused(today+hour, &draw) || i.current <= today+hour || i.current > today+hour+1+apart {
+	if !i.refused(today+hour, 10, &draw) || i.current <= today+hour || i.current > today+hour+1+apart {
 		t.Errorf("%+v", i)
 	}
-	if i.refused(today+2*hour, &draw) || i.current >= reopenedBelow {
+	if i.refused(today+2*hour, 10, &draw) || i.current >= reopenedBelow {
 		t.Errorf("%+v", i)
 	}
 }
