--- a/internal/decide/agent/agent.go
+++ b/internal/decide/agent/agent.go
@@ -14,25 +14,20 @@
 	"wayloft/internal/decide/chance"
 	"wayloft/internal/decide/due"
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/policy"
 	"wayloft/internal/decide/register"
 )
 
 const (
-	beatPart  = 1.0 / 3  // of a session's length between two beats: two more may fail before it ends
-	retryPart = 1.0 / 8  // of it until the first retry of what failed
-	longest   = 2.0      // of it between two retries, after many: a fleet that waits for its council must not bury it
-	settle    = 0.5      // of it, over which processes come to ask for a duty
-	spread    = 0.5      // of each wait, drawn: what came together must not stay together
-	tellAgain = 4.0      // lengths between two words to the council that it is behind
-	mostKnown = 20000    // sessions and duties kept of what the council tells: twice what it keeps itself
-	mostHeld  = 1000     // duties that one process would hold
-	nameBytes = 16 << 10 // of names that one question carries; a longer name goes alone
+	beatPart  = 1.0 / 3 // of a session's length between two beats: two more may fail before it ends
+	retryPart = 1.0 / 8 // of it until the first retry of what failed
+	longest   = 2.0     // of it between two retries, after many: a fleet that waits for its council must not bury it
+	settle    = 0.5     // of it, over which processes come to ask for a duty
+	spread    = 0.5     // of each wait, drawn: what came together must not stay together
+	tellAgain = 4.0     // lengths between two words to the council that it is behind
+	mostKnown = 20000   // sessions and duties kept of what the council tells: twice what it keeps itself
+	mostHeld  = 1000    // duties that one process would hold
 )
 
-// MostStands is how many duties one question asks about at most.
-const MostStands = 256
-
 // Settings are given once. Times are ms.
 type Settings struct {
 	Name, Kind, Address string
@@ -42,35 +37,6 @@
 	Seed                uint64
 }
 
-// Session and Duty are what the council's watch tells.
-type Session struct {
-	Name, Kind, Address string
-	Incarnation, Policy uint64
-	Ended               bool
-}
-
-type Duty struct {
-	Name, Holder string
-	Fence        lease.Fence
-	Open, Ended  register.Wish
-	Steps        []register.Step
-}
-
-// Update is one word of the watch: all there is, or what has changed.
-type Update struct {
-	Whole           bool
-	WithoutSessions bool // they were not asked for
-	Sessions        []Session
-	Duties          []Duty
-	Policies        []Policy // versions of the policy, the one in force last
-}
-
-// Policy is a version of the policy, and what led to it, where that is short enough to be told with it.
-type Policy struct {
-	Version    policy.Version
-	Difference *policy.Difference
-}
-
 // Verb tells what the host is to do.
 type Verb int
 
@@ -321,37 +287,6 @@
 	}
 }
 
-// Stood conveys the council's answer to a Stand: fences of its duties, in their order. Those past the answer's end are asked again; an
-// answer of more than was asked is none.
-func (a *Agent) Stood(number uint64, fences []lease.Fence) {
-	if of, known := a.asked[number]; known && of.kind == "" {
-		delete(a.asked, number)
-		a.stood(of.duties, fences)
-	}
-}
-
-// stood takes in where the first of some duties stand. The others are put off together: each by itself would be a question of its own.
-func (a *Agent) stood(duties []string, fences []lease.Fence) {
-	if len(fences) > len(duties) {
-		fences = nil
-	}
-	for i, fence := range fences {
-		a.receiver.Learned(duties[i], fence)
-		delete(a.stands, duties[i])
-	}
-	var off retry
-	duties = duties[len(fences):]
-	for _, duty := range duties {
-		off.wait = math.Max(off.wait, a.stands[duty].wait)
-	}
-	if len(duties) > 0 {
-		a.again(&off)
-	}
-	for _, duty := range duties {
-		*a.stands[duty] = off
-	}
-}
-
 func (a *Agent) beaten() {
 	for _, name := range slices.Sorted(maps.Keys(a.duties)) {
 		a.behind(a.duties[name])
@@ -451,13 +386,6 @@
 	return v, highest
 }
 
-// Learn has the council asked where a duty's fences stand, unless that is known.
-func (a *Agent) Learn(duty string) {
-	if !a.receiver.Knows(duty) && a.stands[duty] == nil && len(a.stands) < mostKnown {
-		a.stands[duty] = &retry{at: a.now}
-	}
-}
-
 // Close forgets a scope that is gone.
 func (a *Agent) Close(s lease.Scope) { a.receiver.Close(s) }
 
@@ -544,34 +472,6 @@
 	return d, true
 }
 
-// stand asks where duties stand: all at once that are due, as many as one question carries. Guards against a start that asks once a
-// duty: of many processes together that is more than a council answers.
-func (a *Agent) stand() {
-	var duties []string
-	for duty, r := range a.stands {
-		if r.at <= a.now {
-			duties = append(duties, duty)
-		}
-	}
-	if len(duties) == 0 {
-		return
-	}
-	slices.Sort(duties)
-	bytes := 0
-	for n, duty := range duties {
-		if bytes += len(duty); n == MostStands || n > 0 && bytes > nameBytes {
-			duties = duties[:n]
-			break
-		}
-	}
-	for _, duty := range duties {
-		a.stands[duty].at = math.Inf(1)
-	}
-	a.number++
-	a.asked[a.number] = asked{duties: duties}
-	a.out = append(a.out, Decision{Verb: Stand, Number: a.number, Duties: slices.Clone(duties)})
-}
-
 // Due is when At must be called again at the latest.
 func (a *Agent) Due() float64 {
 	due := math.Min(a.opening.at, a.beating.at)
--- a/internal/decide/agent/changes.go
+++ b/internal/decide/agent/changes.go
@@ -4,10 +4,40 @@
 	"maps"
 	"slices"
 
+	"wayloft/internal/decide/lease"
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/decide/register"
 )
 
+// Session and Duty are what the council's watch tells.
+type Session struct {
+	Name, Kind, Address string
+	Incarnation, Policy uint64
+	Ended               bool
+}
+
+type Duty struct {
+	Name, Holder string
+	Fence        lease.Fence
+	Open, Ended  register.Wish
+	Steps        []register.Step
+}
+
+// Update is one word of the watch: all there is, or what has changed.
+type Update struct {
+	Whole           bool
+	WithoutSessions bool // they were not asked for
+	Sessions        []Session
+	Duties          []Duty
+	Policies        []Policy // versions of the policy, the one in force last
+}
+
+// Policy is a version of the policy, and what led to it, where that is short enough to be told with it.
+type Policy struct {
+	Version    policy.Version
+	Difference *policy.Difference
+}
+
 // inline is the most that versions and their differences take in one word of the watch, in bytes; versionSize is a version's, with
 // its hash, but without its texts.
 const (
--- /dev/null
+++ b/internal/decide/agent/stands.go
@@ -0,0 +1,79 @@
+package agent
+
+import (
+	"math"
+	"slices"
+
+	"wayloft/internal/decide/lease"
+)
+
+// MostStands is how many duties one question asks about at most.
+const MostStands = 256
+
+const nameBytes = 16 << 10 // of names that one question carries; a longer name goes alone
+
+// Learn has the council asked where a duty's fences stand, unless that is known.
+func (a *Agent) Learn(duty string) {
+	if !a.receiver.Knows(duty) && a.stands[duty] == nil && len(a.stands) < mostKnown {
+		a.stands[duty] = &retry{at: a.now}
+	}
+}
+
+// stand asks where duties stand: all at once that are due, as many as one question carries. Guards against a start that asks once a
+// duty: of many processes together that is more than a council answers.
+func (a *Agent) stand() {
+	var duties []string
+	for duty, r := range a.stands {
+		if r.at <= a.now {
+			duties = append(duties, duty)
+		}
+	}
+	if len(duties) == 0 {
+		return
+	}
+	slices.Sort(duties)
+	bytes := 0
+	for n, duty := range duties {
+		if bytes += len(duty); n == MostStands || n > 0 && bytes > nameBytes {
+			duties = duties[:n]
+			break
+		}
+	}
+	for _, duty := range duties {
+		a.stands[duty].at = math.Inf(1)
+	}
+	a.number++
+	a.asked[a.number] = asked{duties: duties}
+	a.out = append(a.out, Decision{Verb: Stand, Number: a.number, Duties: slices.Clone(duties)})
+}
+
+// Stood conveys the council's answer to a Stand: fences of its duties, in their order. Those past the answer's end are asked again; an
+// answer of more than was asked is none.
+func (a *Agent) Stood(number uint64, fences []lease.Fence) {
+	if of, known := a.asked[number]; known && of.kind == "" {
+		delete(a.asked, number)
+		a.stood(of.duties, fences)
+	}
+}
+
+// stood takes in where the first of some duties stand. The others are put off together: each by itself would be a question of its own.
+func (a *Agent) stood(duties []string, fences []lease.Fence) {
+	if len(fences) > len(duties) {
+		fences = nil
+	}
+	for i, fence := range fences {
+		a.receiver.Learned(duties[i], fence)
+		delete(a.stands, duties[i])
+	}
+	var off retry
+	duties = duties[len(fences):]
+	for _, duty := range duties {
+		off.wait = math.Max(off.wait, a.stands[duty].wait)
+	}
+	if len(duties) > 0 {
+		a.again(&off)
+	}
+	for _, duty := range duties {
+		*a.stands[duty] = off
+	}
+}
