--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/council.go
@@ -40,6 +40,7 @@
 
 type councilRunCmd struct {
 	Config string `help:"Settings, TOML." required:"" type:"existingfile" placeholder:"FILE"`
+	Above  uint64 `help:"An epoch known to have been: a council that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
 }
 
 func readCouncil(path string) (*settings.Council, error) {
@@ -76,7 +77,8 @@
 		peers = append(peers, decide.Peer{Name: p.Name, Addr: p.Address})
 	}
 	process, err := council.Open(council.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Folder, Address: addr, Peers: peers, Via: set.Via,
-		Tick: float64(set.Tick), Keep: uint64(set.Keep), Connections: set.Connections, Ahead: float64(set.ClockAhead), Record: rec})
+		Tick: float64(set.Tick), Keep: uint64(set.Keep), Connections: set.Connections, Ahead: float64(set.ClockAhead),
+		Above: c.Above, Record: rec})
 	if err != nil {
 		return err
 	}
@@ -216,7 +218,7 @@
 		return err
 	}
 	if _, err := os.Stat(set.Folder); err != nil {
-		return fmt.Errorf("no folder is left to recover from: %w; start the council anew, its epoch will be above the old one by the clock", err)
+		return fmt.Errorf("no folder is left to recover from: %w; start the council anew, its epoch is above the old one's unless the wall clock was stepped back: then give run --above EPOCH", err)
 	}
 	l, err := ledger.Open(set.Folder, set.Fleet, set.Name, wire.Draw)
 	if err != nil {
