--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -553,6 +553,7 @@
 		return nil, err
 	}
 	t := exchange.New(st, at, func(a exchange.Answer) { s.deliver(a, len(text)) })
+	t.ClientClosed = s.conn.PeerClosed
 	return t, s.all.host.Arrive(t)
 }
 
--- a/internal/clients/pooled.go
+++ b/internal/clients/pooled.go
@@ -348,6 +348,7 @@
 		st.After = max(st.After, label.After)
 	}
 	t := exchange.New(st, at, p.deliver)
+	t.ClientClosed = p.s.conn.PeerClosed
 	t.Talk = &exchange.Talk{Pool: p.pool.Name, Caller: p, Held: p.held}
 	t.Talk.Say(ops)
 	p.txn, p.held = t, nil // it comes back by Keep
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -21,6 +21,9 @@
 	Arrived, Expiry float64 // ms; Arrived: when its last byte came, which may be before its turn
 	Talk            *Talk   // of a txn that takes more than one question; else nil
 
+	// ClientClosed asks the system whether the client's connection has ended; nil: nothing can be asked.
+	ClientClosed func() bool
+
 	over    bool
 	deliver func(Answer)
 }
@@ -39,6 +42,13 @@
 // Over tells whether nothing is owed any more.
 func (t *Txn) Over() bool { return t.over }
 
+// Abandoned tells that no attempt may begin any more, asked right before one is written: nothing is owed, or the client
+// has closed its connection, whether or not the loop has heard of that. Guards against an attempt for a client
+// that left while the router was held up, or behind the batch of events in which the attempt was decided.
+func (t *Txn) Abandoned() bool {
+	return t.over || t.ClientClosed != nil && t.ClientClosed()
+}
+
 func (t *Txn) finish(a Answer) {
 	must.Hold(!t.over, "one final answer for a txn")
 	if !t.over {
--- a/internal/exchange/talk.go
+++ b/internal/exchange/talk.go
@@ -22,6 +22,7 @@
 	kept    int       // bytes of heard
 	started bool      // the client has heard something
 	eager   bool      // it waits for what there is: it has asked for a flush
+	stopped bool      // its client has cancelled it
 	Fault   *pg.Error // the last error of an attempt that the client has not heard of
 	Gtid    float64   // the latest position that the member told; 0 for none
 }
@@ -73,6 +74,12 @@
 	c.Ask(t.said)
 }
 
+// MarkCancelled notes that its client has cancelled the attempt that runs: no further one may begin.
+func (t *Talk) MarkCancelled() { t.stopped = true }
+
+// Cancelled tells whether its client has cancelled it.
+func (t *Talk) Cancelled() bool { return t.stopped }
+
 // Carrier is the connection that carries it, if one does.
 func (t *Talk) Carrier() Carrier { return t.carrier }
 
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -113,7 +113,8 @@
 // Returned says how a submission ended; rows is what the member answered, where it committed.
 func (h *Host) Returned(t *exchange.Txn, seq int, member string, how router.Outcome, took float64,
 	role router.Role, gtid float64, rows []byte) {
-	cut := t.Talk != nil && t.Talk.Started() // its client has had a part: it can't begin anew
+	// Its client has had a part, or has cancelled it: it can't begin anew.
+	cut := t.Talk != nil && (t.Talk.Started() || t.Talk.Cancelled())
 	done := t.Over() || how == router.Committed || cut
 	h.hear().Returned(t.ID, seq, how, took, done, role, gtid)
 	if how == router.Committed && !t.Over() {
--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -359,12 +359,15 @@
 	}
 }
 
-// state asks the system. Guards against nbio closing a descriptor in a failing write: the number is used again at
+// state asks the system whether something can be read, or the connection has ended. Guards against nbio closing a descriptor in a failing write: the number is used again at
 // once, and an event for the old connection that the poller still holds then closes the new one. Only the poller
 // may close.
-func (c *Conn) state() (state int16) {
+func (c *Conn) state() int16 { return c.poll(unix.POLLIN) }
+
+// poll asks the system about these events, and whether the connection is broken.
+func (c *Conn) poll(events int16) (state int16) {
 	err := c.control(func(fd int) error {
-		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		poll := []unix.PollFd{{Fd: int32(fd), Events: events}}
 		_, err := unix.Poll(poll, 0)
 		for errors.Is(err, unix.EINTR) { // the runtime's own signals: no sign of an end
 			_, err = unix.Poll(poll, 0)
@@ -390,6 +393,13 @@
 	return c.read.Load() != c.handled || c.was != 0
 }
 
+// PeerClosed tells whether the peer has ended the connection, or its sending on it, also where the handler has not heard
+// of that yet, or bytes before the end are unread. It asks the system each time.
+func (c *Conn) PeerClosed() bool {
+	const ends = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	return c.closed || c.poll(unix.POLLRDHUP)&ends != 0
+}
+
 // Written tells how many bytes the system has taken.
 func (c *Conn) Written() int64 { return c.written.Load() }
 
--- a/internal/host/loop_test.go
+++ b/internal/host/loop_test.go
@@ -5,6 +5,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"github.com/lesismal/nbio"
 )
 
 // Guards against a dialler that reaches another address than the one it was given.
@@ -154,3 +156,83 @@
 		t.Errorf("%d bytes were heard, want the first alone", got)
 	}
 }
+
+// What the peer's end looks like to who asks for it: bytes that are unread are none, and a half-close with bytes before it is.
+// No poller has read any of it.
+func TestPeerClosed(t *testing.T) {
+	for name, c := range map[string]struct {
+		does func(*net.TCPConn)
+		want bool
+	}{
+		"rests":               {func(*net.TCPConn) {}, false},
+		"sends ahead":         {func(p *net.TCPConn) { p.Write([]byte("more")) }, false},
+		"ends its sending":    {func(p *net.TCPConn) { p.CloseWrite() }, true},
+		"sends and ends":      {func(p *net.TCPConn) { p.Write([]byte("more")); p.CloseWrite() }, true},
+		"closes":              {func(p *net.TCPConn) { p.Close() }, true},
+		"resets":              {func(p *net.TCPConn) { p.SetLinger(0); p.Close() }, true},
+		"sends and resets":    {func(p *net.TCPConn) { p.Write([]byte("more")); p.SetLinger(0); p.Close() }, true},
+		"is shut by this one": {nil, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := NewLoop(256) // no poller reads what the peer does
+			front, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer front.Close()
+			peer, err := net.Dial("tcp", front.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer peer.Close()
+			std, err := front.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			nb, err := nbio.NBConn(std)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer nb.Close()
+			conn := l.own(nb, true)
+			if c.does == nil {
+				conn.Close()
+			} else {
+				c.does(peer.(*net.TCPConn))
+			}
+			if got := conn.PeerClosed(); got != c.want {
+				t.Errorf("closed: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// BenchmarkPeerClosed is what each attempt pays to ask for its client's end.
+func BenchmarkPeerClosed(b *testing.B) {
+	l := NewLoop(256)
+	front, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer front.Close()
+	peer, err := net.Dial("tcp", front.Addr().String())
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer peer.Close()
+	std, err := front.Accept()
+	if err != nil {
+		b.Fatal(err)
+	}
+	nb, err := nbio.NBConn(std)
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer nb.Close()
+	c := l.own(nb, true)
+	for b.Loop() {
+		if c.PeerClosed() {
+			b.Fatal("a connection that is up")
+		}
+	}
+}
--- /dev/null
+++ b/internal/members/attempts_test.go
@@ -0,0 +1,266 @@
+package members
+
+import (
+	"fmt"
+	"math"
+	"runtime"
+	"slices"
+	"strings"
+	"testing"
+
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/session"
+	"wayloft/internal/exchange"
+	"wayloft/internal/pg"
+	"wayloft/internal/standin"
+	"wayloft/router"
+)
+
+// caller is a client with a session, who notes nothing.
+type caller struct{ session *session.Session }
+
+func (c *caller) Session() *session.Session { return c.session }
+func (c *caller) Hear(ms []pg.Message) {
+	for n := range ms {
+		c.session.Heard(&ms[n])
+	}
+}
+func (c *caller) Parameters(*iradix.Tree[string]) {}
+func (c *caller) Keep(exchange.Carrier)           {}
+func (c *caller) Ended(*pg.Error)                 {}
+
+// talk makes a txn of a session, which begins with this statement; its session has something set, if that is wanted.
+func talkOf(t *testing.T, e *ear, id string, wait float64, set bool) *exchange.Txn {
+	t.Helper()
+	base := session.None
+	if set {
+		base, _ = session.Startup(pg.Startups{{"application_name", "x"}})
+	}
+	s := session.New(session.Policy{Settings: 1 << 12, Statements: 8}, base)
+	sql := fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait)
+	_, ops := s.Query(sql, pg.AppendQuery(nil, sql), false)
+	one := exchange.New(&pg.Statement{ID: id, TxnType: "x", Wait: wait}, e.Now(), func(exchange.Answer) {})
+	one.Talk = &exchange.Talk{Pool: "sessions", Caller: &caller{s}}
+	one.Talk.Say(ops)
+	return one
+}
+
+// server is a member that answers what a test has it answer, and tells what it was asked.
+type server struct {
+	*standin.Member
+	told chan string
+}
+
+func newServer(t *testing.T, answer func(sql string) *standin.Reply) *server {
+	s := &server{told: make(chan string, 100)}
+	s.Member = standin.NewMember(t, nil, func(sql string) *standin.Reply {
+		s.told <- sql
+		if r := answer(sql); r != nil {
+			return r
+		}
+		if strings.Contains(sql, "SET") || strings.Contains(sql, "DISCARD") || strings.Contains(sql, "RESET") {
+			return &standin.Reply{Bytes: pg.AppendReady(pg.AppendComplete(nil, "SET"))}
+		}
+		return standin.Row("v", "source", "1")
+	})
+	return s
+}
+
+// saw tells whether the member was asked a statement with this id.
+func (s *server) saw(id string) bool {
+	_, asked := s.Seen()
+	return strings.Contains(strings.Join(asked, "|"), "id="+id+",")
+}
+
+// A client has closed its connection, and the loop has not heard of it: the router was held up, or the attempt is decided in
+// the batch in which the close comes. No attempt is written, whichever it is, and the connection serves the next.
+func TestClientClosedBeforeItsAttemptIsWritten(t *testing.T) {
+	plain := func(t *testing.T, e *ear, id string) *exchange.Txn { return txn(e, id, 60000) }
+	pooled := func(set bool) func(*testing.T, *ear, string) *exchange.Txn {
+		return func(t *testing.T, e *ear, id string) *exchange.Txn { return talkOf(t, e, id, 60000, set) }
+	}
+	for _, c := range []struct {
+		name   string
+		of     func(*testing.T, *ear, string) *exchange.Txn
+		seq    int
+		behind bool // another attempt, for the only connection
+		cold   bool // its connection is not up yet
+	}{
+		{"the first attempt", plain, 0, false, false},
+		{"a retry", plain, 3, false, false},
+		{"one that waits for a connection to come up", plain, 0, false, true},
+		{"one that waits for another's connection", plain, 0, true, false},
+		{"in a session", pooled(false), 0, false, false},
+		{"in a session with settings", pooled(true), 0, false, false},
+		{"a retry in a session", pooled(false), 2, false, false},
+		{"in a session, for a connection to come up", pooled(true), 0, false, true},
+		{"in a session, for another's connection", pooled(true), 0, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			answer := make(chan bool, 1)
+			m := newServer(t, func(sql string) *standin.Reply {
+				if strings.Contains(sql, "id=holds,") {
+					<-answer
+				}
+				return nil
+			})
+			e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			side.limits.Queue = true
+			e.do(func() { side.List(list(m.Addr, router.Up)) })
+			if !c.cold && !c.behind {
+				e.do(func() { side.Submit(c.of(t, e, "warms"), 0, "a", 0, math.Inf(1)) })
+				if got := e.hear(t); !strings.HasPrefix(got, "0 committed") {
+					t.Fatalf("got %q", got)
+				}
+			}
+			if c.behind {
+				e.do(func() { side.Submit(c.of(t, e, "holds"), 0, "a", 0, math.Inf(1)) })
+				standin.Until(t, "the one before is out", func() bool { return m.saw("holds") })
+			}
+			e.do(func() {
+				leaves := c.of(t, e, "leaves")
+				leaves.ClientClosed = func() bool { return true }
+				side.Submit(leaves, c.seq, "a", 0, math.Inf(1))
+			})
+			answer <- true
+			var ends []string
+			for range map[bool]int{false: 1, true: 2}[c.behind] {
+				ends = append(ends, e.hear(t))
+			}
+			if want := fmt.Sprint(c.seq, " moot 0 0 false"); !slices.Contains(ends, want) {
+				t.Errorf("ended as %q, want %q", ends, want)
+			}
+			e.do(func() { side.Submit(c.of(t, e, "after"), 0, "a", 0, math.Inf(1)) })
+			if got := e.hear(t); !strings.HasPrefix(got, "0 committed") {
+				t.Errorf("the next: %q", got)
+			}
+			if accepted, _ := m.Seen(); accepted != 1 {
+				t.Errorf("%d connections, want the one", accepted)
+			}
+			if m.saw("leaves") {
+				t.Error("written for a client that had closed")
+			}
+		})
+	}
+}
+
+// A client closes after its attempt has begun on a connection, while that takes the session's settings: the statement is not
+// written.
+func TestClientClosesWhileItsSettingsAreMade(t *testing.T) {
+	set, goOn := make(chan bool), make(chan bool)
+	m := newServer(t, func(sql string) *standin.Reply {
+		if strings.Contains(sql, "application_name") {
+			set <- true
+			<-goOn
+		}
+		return nil
+	})
+	e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	closed := false // the loop's
+	e.do(func() {
+		side.List(list(m.Addr, router.Up))
+		leaves := talkOf(t, e, "leaves", 60000, true)
+		leaves.ClientClosed = func() bool { return closed }
+		side.Submit(leaves, 0, "a", 0, math.Inf(1))
+	})
+	<-set
+	e.do(func() { closed = true })
+	goOn <- true
+	if got := e.hear(t); got != "0 moot 0 0 false" {
+		t.Errorf("got %q", got)
+	}
+	if m.saw("leaves") {
+		t.Error("written for a client that had closed")
+	}
+}
+
+// The time until which an attempt may be written passes while its connection takes the session's settings: the statement is
+// not written.
+func TestTooLateOnceItsSettingsAreMade(t *testing.T) {
+	set, goOn := make(chan bool), make(chan bool)
+	m := newServer(t, func(sql string) *standin.Reply {
+		if strings.Contains(sql, "application_name") {
+			set <- true
+			<-goOn
+		}
+		return nil
+	})
+	e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	e.do(func() {
+		side.List(list(m.Addr, router.Up))
+		side.Submit(talkOf(t, e, "late", 60000, true), 0, "a", 0, math.Inf(1))
+	})
+	<-set
+	e.do(func() { side.jobs["late"].by = e.Clock() - 1 }) // it has passed since
+	goOn <- true
+	if got := e.hear(t); got != "0 moot 0 0 false" {
+		t.Errorf("got %q", got)
+	}
+	if m.saw("late") {
+		t.Error("written too late")
+	}
+}
+
+// A client cancels while its connection takes the settings, at a member that has named no key to cancel by: its statement is
+// not written.
+func TestCancelledWhileItsSettingsAreMade(t *testing.T) {
+	set, goOn := make(chan bool), make(chan bool)
+	m := newServer(t, func(sql string) *standin.Reply {
+		if strings.Contains(sql, "application_name") {
+			set <- true
+			<-goOn
+		}
+		return nil
+	})
+	e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	var one *exchange.Txn
+	e.do(func() {
+		side.List(list(m.Addr, router.Up))
+		one = talkOf(t, e, "cancels", 60000, true)
+		side.Submit(one, 0, "a", 0, math.Inf(1))
+	})
+	<-set
+	e.do(func() { one.Talk.Carrier().Cancel() })
+	goOn <- true
+	if got := e.hear(t); got != "0 rejected 57014" {
+		t.Errorf("got %q", got)
+	}
+	if m.saw("cancels") {
+		t.Error("written after it was cancelled")
+	}
+}
+
+// A client's time ends while its attempt is held up before the write: it is not written.
+func TestNotWrittenAfterItsTime(t *testing.T) {
+	for name, of := range map[string]func(*ear, string) *exchange.Txn{
+		"plain":        func(e *ear, id string) *exchange.Txn { return txn(e, id, 1000) },
+		"in a session": func(e *ear, id string) *exchange.Txn { return talkOf(t, e, id, 1000, false) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			m := newServer(t, func(string) *standin.Reply { return nil })
+			e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			e.do(func() {
+				side.List(list(m.Addr, router.Up))
+				side.Submit(of(e, "warms"), 0, "a", 0, math.Inf(1))
+			})
+			if got := e.hear(t); !strings.HasPrefix(got, "0 committed") {
+				t.Fatalf("got %q", got)
+			}
+			e.do(func() {
+				late := of(e, "late")
+				for e.Clock() <= late.Expiry {
+					runtime.Gosched()
+				}
+				side.Submit(late, 0, "a", 0, math.Inf(1))
+			})
+			if got := e.hear(t); got != "0 moot 0 0 false" {
+				t.Errorf("got %q", got)
+			}
+			if m.saw("late") {
+				t.Error("written after its client's time")
+			}
+		})
+	}
+}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -48,6 +48,7 @@
 	Clock() float64
 	After(ms float64, f func()) *time.Timer
 	Turn(t *exchange.Txn, seq int, rests bool)
+	Gone(t *exchange.Txn)
 	Soon(f func())
 	Dial(addr string, ms float64, done func(*host.Conn, error))
 	Returned(t *exchange.Txn, seq int, member string, how router.Outcome, took float64, role router.Role,
@@ -242,15 +243,13 @@
 			a.want(j)
 			return
 		}
-		if a.host.Clock() > j.by { // what it was decided on holds no more
-			a.hear().Free(d.Conn, l.like())
-			a.host.Soon(func() { a.end(j, router.Moot) })
-			return
-		}
 		if l.fence = 0; d.Fresh && l.talk == nil {
 			l.fence = 2
 		}
-		l.take(j)
+		if !l.take(j) {
+			l.fence = 0
+			a.hear().Free(d.Conn, l.like())
+		}
 	case pool.Close:
 		if l != nil {
 			l.conn.Close()
@@ -304,6 +303,26 @@
 	}
 }
 
+// expired tells that a job must not be written any more: what it was decided on holds no more, or its client's time is over.
+func (j *job) expired(now float64) bool { return now > j.by || j.txn != nil && now >= j.until }
+
+// withheld tells that a job must not be written, and ends it then: its time is over, or its client has gone. It is called
+// right before the write, and asks for the client last, after all reading of the clock.
+func (a *Members) withheld(j *job) bool {
+	if j.expired(a.host.Clock()) {
+		a.host.Soon(func() { a.end(j, router.Moot) })
+		return true
+	}
+	if j.txn == nil || !j.txn.Abandoned() {
+		return false
+	}
+	a.host.Soon(func() {
+		a.host.Gone(j.txn)
+		a.end(j, router.Moot)
+	})
+	return true
+}
+
 // Abandon gives a submission up whose client has gone, unless it may run already. A talk ends by its own way.
 func (a *Members) Abandon(txn string) {
 	if j := a.jobs[txn]; j != nil && j.txn.Talk == nil && (j.link == nil || !j.link.sent()) {
@@ -405,13 +424,34 @@
 	}
 }
 
-// take writes the job's query.
-func (l *link) take(j *job) {
+// take writes the job's query, unless it is withheld; it tells whether it did.
+func (l *link) take(j *job) bool {
 	must.Hold(j.txn == nil || j.txn.Talk != nil || !j.txn.Over(), "nothing is sent for a client that has gone")
+	if l.talk != nil && j.key == nil {
+		l.heard = 0
+		return l.carry(j)
+	}
+	out := l.query(j)
+	if l.all.withheld(j) {
+		return false
+	}
 	l.job, j.link, l.asked, l.heard = j, l, true, 0
 	l.rows, l.stage, l.cell, l.err, l.role, l.gtid, l.vital = nil, 0, nil, nil, router.Unsaid,
 		router.Never, ""
-	var out []byte
+	if j.rests {
+		j.rests = false
+		l.all.host.Soon(func() {
+			if !j.over {
+				l.all.host.Turn(j.txn, j.seq, false)
+			}
+		})
+	}
+	l.conn.Write(out)
+	return true
+}
+
+// query words what the job asks. A statement tells its member what is left of its client's time right now.
+func (l *link) query(j *job) (out []byte) {
 	if l.fence > 0 {
 		// Guards against a second copy of the last answer, which would pass for the answer to this query: the answer to
 		// an empty query comes first, and nothing that was sent before it can come after.
@@ -420,25 +460,14 @@
 	switch {
 	case j.key != nil:
 		out = pg.AppendCancel(nil, *j.key)
-	case l.talk != nil:
-		l.carry(j)
-		return
 	case j.txn != nil:
-		if j.rests {
-			j.rests = false
-			l.all.host.Soon(func() {
-				if !j.over {
-					l.all.host.Turn(j.txn, j.seq, false)
-				}
-			})
-		}
 		out = j.txn.AppendQuery(out, j.until-l.all.host.Clock())
 	case l.all.limits.Reports:
 		out = pg.AppendQuery(out, "SHOW vitals")
 	default:
 		out = pg.AppendQuery(out, "SELECT 1")
 	}
-	l.conn.Write(out)
+	return out
 }
 
 // drop closes the connection; a job on it must have been taken off it.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -36,6 +36,8 @@
 
 func (e *ear) Turn(*exchange.Txn, int, bool) {}
 
+func (e *ear) Gone(t *exchange.Txn) { t.Leave() }
+
 func (e *ear) Checked(_ string, how router.Outcome) { e.told <- "check " + words[how] }
 
 func (e *ear) Reported(_ string, role router.Role, gtid float64) {
@@ -50,6 +52,11 @@
 func start(t *testing.T, links int) (*ear, *Members) { return startWithin(t, links, 5000) }
 
 func startWithin(t *testing.T, links int, dial float64) (*ear, *Members) {
+	return startPools(t, links, dial, pool.Bounds{})
+}
+
+// startPools makes one with a pool for sessions, too; statements wait for a connection for as long as they do.
+func startPools(t *testing.T, links int, dial float64, sessions pool.Bounds) (*ear, *Members) {
 	e := &ear{host.NewLoop(512), make(chan string, 100)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,9 +65,11 @@
 	if err := e.Listen(l, 64<<20, func(*host.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
+	statements := pool.Statements(60000)
+	statements.Wait = sessions.Wait
 	side := New(e, Limits{DialTimeout: dial, Reports: true, Longest: longest, Budget: 4 * longest,
-		Logins: map[string]Login{Platform: {"api", "ledger"}}}, pool.New(pool.Settings{All: links,
-		Pools: map[string]pool.Bounds{Platform: pool.Statements(60000), Cancels: pool.Cancels(1000)}}))
+		Logins: map[string]Login{Platform: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, pool.New(pool.Settings{All: links,
+		Pools: map[string]pool.Bounds{Platform: statements, Cancels: pool.Cancels(1000), "sessions": sessions}}))
 	ended := make(chan bool)
 	go func() { e.Run(func() {}); close(ended) }()
 	t.Cleanup(func() { e.Post(e.End); <-ended })
--- a/internal/members/talk.go
+++ b/internal/members/talk.go
@@ -31,6 +31,7 @@
 	stale    *session.Prepared    // whose plan it was, where nothing has run: it is asked once more
 	params   *iradix.Tree[string] // what the member has reported
 	copying  bool                 // it takes what is copied in
+	begun    bool                 // of what its client has said, a part is written
 	keeper   exchange.Caller      // whose session keeps the connection between its txns
 }
 
@@ -62,11 +63,6 @@
 			a.host.Soon(func() { a.end(j, router.ConnectFailed) })
 			return
 		}
-		if a.host.Clock() > j.by {
-			a.host.Soon(func() { a.end(j, router.Moot) })
-			return
-		}
-		l.asked = true
 		l.carry(j)
 		return
 	}
@@ -75,8 +71,13 @@
 	a.pull()
 }
 
-// carry begins a txn on the connection: first its settings, then what its client has said.
-func (l *link) carry(j *job) {
+// carry begins a txn on the connection, unless it is withheld: first its settings, then what its client has said. It
+// tells whether it did.
+func (l *link) carry(j *job) bool {
+	if l.all.withheld(j) {
+		return false
+	}
+	l.begun = false
 	l.job, j.link, l.asked = j, l, true
 	l.role, l.gtid, l.vital = router.Unsaid, router.Never, ""
 	l.again, l.stale, l.copying = false, nil, false
@@ -98,6 +99,7 @@
 		s.Brought(true)
 	}
 	t.Carry(l)
+	return true
 }
 
 // turn begins the member's turn, or the client's.
@@ -150,6 +152,10 @@
 		}
 		out = l.encode(out, op)
 	}
+	if !l.begun && l.all.withheld(l.job) { // its settings may have taken a while
+		return
+	}
+	l.begun = l.begun || l.hidden == 0
 	l.conn.Write(out)
 	l.locals()
 }
@@ -381,8 +387,8 @@
 	if d.fault != nil {
 		m.Failure, m.Raw = d.fault, pg.AppendError(nil, d.fault, false)
 	}
-	stale := m.Failure.Code == pg.NoStatement && d.fault == nil ||
-		m.Failure.Code == pg.Unsupported && d.kind != pg.Query && d.kind != pg.Parse
+	stale := !t.Cancelled() && m.Failure.Code == pg.NoStatement && d.fault == nil ||
+		!t.Cancelled() && m.Failure.Code == pg.Unsupported && d.kind != pg.Query && d.kind != pg.Parse
 	if stale && !t.Started() && !l.again && l.status == 'I' {
 		if l.again, l.stale = true, d.stmt; l.stale == nil {
 			l.stale = l.bound
@@ -486,13 +492,18 @@
 // Cancel has the member told to stop what runs here. The connection is not used again, so the cancel can't meet the
 // next client's statement, however late it comes.
 func (l *link) Cancel() {
-	if l.job == nil || l.quiet() || l.tainted || l.key == (pg.Key{}) {
+	if l.job == nil || l.quiet() || l.tainted {
 		return
 	}
-	l.tainted = true
+	l.job.txn.Talk.MarkCancelled()
 	if l.hidden > 0 { // nothing of it has run
+		l.tainted = true
 		l.err = &pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"}
 	}
+	if l.key == (pg.Key{}) { // its member has named none
+		return
+	}
+	l.tainted = true
 	now := l.all.host.Now()
 	key := l.key
 	j := &job{key: &key, to: l.to, at: now, until: now + l.all.limits.DialTimeout, by: math.Inf(1)}
