--- a/internal/members/attempts_test.go
+++ b/internal/members/attempts_test.go
@@ -232,6 +232,90 @@
 	}
 }
 
+// Whatever an attempt is, the time that its member is told is what its client has left at the write: it is decided in a batch
+// that began long before, or waited on its connection, or for a connection.
+func TestTimeLeftAtTheWrite(t *testing.T) {
+	const lag, left = 400.0, 5000.0
+	plain := func(t *testing.T, e *ear, id string) *exchange.Txn { return txn(e, id, left) }
+	pipelined := func(t *testing.T, e *ear, id string) *exchange.Txn {
+		return exchange.New(txn(e, id, left).Statement, e.Now()-300, func(exchange.Answer) {}) // its last byte came then
+	}
+	pooled := func(set bool) func(*testing.T, *ear, string) *exchange.Txn {
+		return func(t *testing.T, e *ear, id string) *exchange.Txn { return talkOf(t, e, id, left, set) }
+	}
+	for _, c := range []struct {
+		name   string
+		of     func(*testing.T, *ear, string) *exchange.Txn
+		seq    int
+		behind bool    // it waits for another's connection meanwhile
+		wait   float64 // its own time-out, where it is one of two that may go out
+	}{
+		{"the first attempt", plain, 0, false, 0},
+		{"a retry", plain, 2, false, 0},
+		{"one with a time-out of its own", plain, 1, false, 2000},
+		{"one that waits for a connection", plain, 0, true, 0},
+		{"one that was sent ahead", pipelined, 0, false, 0},
+		{"in a session", pooled(false), 0, false, 0},
+		{"in a session with settings", pooled(true), 0, false, 0},
+		{"a retry in a session", pooled(false), 2, false, 0},
+		{"in a session, behind another", pooled(false), 0, true, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			answer := make(chan bool, 1)
+			m := newServer(t, func(sql string) *standin.Reply {
+				if strings.Contains(sql, "id=holds,") {
+					<-answer
+				}
+				return nil
+			})
+			e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			side.limits.Queue = true
+			e.do(func() { side.List(list(m.Addr, router.Up)) })
+			before := "warms"
+			if c.behind {
+				before = "holds"
+			}
+			e.do(func() { side.Submit(c.of(t, e, before), 0, "a", 0, math.Inf(1)) })
+			if !c.behind {
+				e.hear(t)
+			}
+			standin.Until(t, "the one before is out", func() bool { return m.saw(before) })
+			var from, began float64
+			heldUp := func() { // the batch goes on for so long
+				for from = e.Clock(); e.Clock() < from+lag; {
+					runtime.Gosched()
+				}
+			}
+			e.do(func() {
+				began = e.Clock()
+				late := c.of(t, e, "late")
+				began = late.Arrived
+				if !c.behind {
+					heldUp()
+				}
+				side.Submit(late, c.seq, "a", c.wait, math.Inf(1))
+				if c.behind {
+					heldUp()
+				}
+			})
+			answer <- true
+			standin.Until(t, "it is out", func() bool { return m.saw("late") })
+			_, asked := m.Seen()
+			sql := asked[slices.IndexFunc(asked, func(s string) bool { return strings.Contains(s, "id=late,") })]
+			var d float64
+			if _, err := fmt.Sscanf(sql[strings.Index(sql, ",d="):], ",d=%f", &d); err != nil {
+				t.Fatal(err)
+			}
+			if most := began + left - (from + lag); d > most {
+				t.Errorf("%.0f ms are told, %.1f at most are left", d, most)
+			}
+			if c.wait > 0 && d > c.wait {
+				t.Errorf("%.0f ms are told, the time-out is %.0f", d, c.wait)
+			}
+		})
+	}
+}
+
 // A client's time ends while its attempt is held up before the write: it is not written.
 func TestNotWrittenAfterItsTime(t *testing.T) {
 	for name, of := range map[string]func(*ear, string) *exchange.Txn{
