--- a/router/router.go
+++ b/router/router.go
@@ -35,6 +35,7 @@
 	paced      = 2000.0 // ms after which a call for the list has paced the next: a beat of the watch
 	pacedPause = 250.0  // ms until that one, by half more or less
 	leastLimit = 0.2    // a fifth of the time, so that a member that recovers is still noticed
+	heldUp     = 100.0  // ms that this router may be held up between its clock and a write, less the slack of the rules
 )
 
 // Never is the time of what has not happened, and the position of what told none.
@@ -969,7 +970,7 @@
 		ran && t.effect == OnceOnly || len(t.subs) == 0 && r.now+2*beat > t.half &&
 		(r.headless(t.group) || r.now > t.arrived+t.kind.SLA) ||
 		ran && t.kind.Level == Write && t.met == Reset || // DESIGN: a write that met a reset ends in error
-		ran && t.kind.Effect == Referenced && r.now-t.mayRun > t.kind.Window ||
+		ran && t.kind.Effect == Referenced && r.now-t.mayRun > t.kind.Window-heldUp ||
 		t.kind.LateValue == 0 && r.now+usual > t.arrived+t.kind.SLA
 }
 
@@ -1005,6 +1006,15 @@
 	return t.needs
 }
 
+// must is the position that a member must be known to have: where members answer whatever they hold, data must be young
+// enough even if this router is held up before it writes.
+func (r *Router) must(t *txn) float64 {
+	if t.kind.Level == Bounded && r.set.Lag == LagAnswers {
+		return t.bound(r.now) + heldUp
+	}
+	return t.bound(r.now)
+}
+
 func (t *txn) needsPrimary() bool { return t.kind.Level == Write || t.kind.Level == Fresh }
 
 // pick chooses a member for the txn, or none: it waits.
@@ -1025,7 +1035,7 @@
 		}
 		return nil
 	}
-	need := t.bound(r.now)
+	need := r.must(t)
 	var fresh, likely, rest, unsure []*member
 	full, unasked := false, false
 	for _, m := range t.group.members {
@@ -1122,7 +1132,7 @@
 		return nil
 	}
 	// Rule 5: where members answer whatever they hold, only a known position will do.
-	if t.kind.Level != Any && r.set.Lag == LagAnswers && m.gtid < t.bound(r.now) && m != r.primary(m.group) {
+	if t.kind.Level != Any && r.set.Lag == LagAnswers && m.gtid < r.must(t) && m != r.primary(m.group) {
 		return nil
 	}
 	// Guards against full connection tables: where checks pass all the same, a pause.
@@ -1149,14 +1159,14 @@
 }
 
 // holds tells until when what a submission rests on holds: its connection may take a while to come up, while
-// the data that is known there ages (rule 5) and the window for repeats closes (rule 2).
+// the data that is known there ages (rule 5) and the window for repeats closes (rule 2). It may be held up after asking.
 func (r *Router) holds(t *txn, m *member) float64 {
 	by := math.Inf(1)
 	if t.kind.Level == Bounded && r.set.Lag == LagAnswers && m != r.primary(m.group) {
-		by = m.gtid + t.kind.Bound
+		by = m.gtid + t.kind.Bound - heldUp
 	}
 	if t.mayRun != Never && t.kind.Effect == Referenced {
-		by = math.Min(by, t.mayRun+t.kind.Window)
+		by = math.Min(by, t.mayRun+t.kind.Window-heldUp)
 	}
 	return by
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -464,7 +464,7 @@
 	for _, c := range []struct {
 		kind, to string
 		by       float64
-	}{{"read", "c", 800 + 700}, {"any", "c", math.Inf(1)}, {"put", "p", math.Inf(1)}} {
+	}{{"read", "c", 800 + 700 - heldUp}, {"any", "c", math.Inf(1)}, {"put", "p", math.Inf(1)}} {
 		r.At(1000)
 		r.Arrive(c.kind, "", "", c.kind, 1, 0, 2000, false)
 		if to, by := submit(c.kind); to != c.to || by != c.by {
@@ -476,8 +476,8 @@
 	}
 	r.At(1100)
 	r.Returned("put", 0, Errored, 100, false, Primary, Never)
-	if _, by := submit("put"); by != 1000+900 {
-		t.Errorf("a repeat by %v, want %v", by, 1900)
+	if _, by := submit("put"); by != 1000+900-heldUp {
+		t.Errorf("a repeat by %v, want %v", by, 1900-heldUp)
 	}
 }
 
@@ -558,3 +558,66 @@
 		t.Errorf("uses %v, shares %v", r.uses, r.shares)
 	}
 }
+
+// A router may be held up for 0.15 s between its clock and a write, and the rules have 50 ms of slack: nothing is decided
+// that would be over by then, on either side of the moment.
+func TestRoomForAHoldUp(t *testing.T) {
+	const held, slack = 150.0, 50.0
+	set := &Settings{Routers: 1, Submissions: 6, CanCheck: true, Lag: LagAnswers, TxnTypes: map[string]*TxnType{
+		"read": {SLA: 500, Expiry: 2000, Value: 1, Level: Bounded, Bound: 300},
+		"put":  {SLA: 500, Expiry: 5000, Value: 1, LateValue: 0.5, Level: Write, Effect: Referenced, Scope: ScopeGroup, Window: 900}}}
+	begin := func(position float64) *Router {
+		r := New(set, 1)
+		r.At(1000)
+		r.ListStart()
+		r.Listed("p", "z", 1, Up, Never)
+		r.Listed("c", "z", 1, Up, Never)
+		r.ListEnd(true)
+		r.Reported("p", Primary, 1000)
+		r.Checked("p", Committed)
+		r.Reported("c", Replica, position)
+		r.Checked("c", Committed)
+		for _, m := range r.members {
+			m.checkSent = 1000
+		}
+		return r
+	}
+	submitted := func(r *Router) (d Decision) {
+		for next, more := r.Next(); more; next, more = r.Next() {
+			if next.Verb == Submit {
+				d = next
+			}
+		}
+		return d
+	}
+	for _, c := range []struct {
+		position float64
+		to       string
+	}{{1000 - 300 + held - slack, "c"}, {1000 - 300 + held - slack - 1, ""}, {1000 - 300, ""}} {
+		r := begin(c.position)
+		r.Arrive("1", "", "", "read", 1, 0, 2000, false)
+		d := submitted(r)
+		if d.Member == "c" && d.By+held > c.position+300+slack {
+			t.Errorf("position %v: written by %v after a hold-up, its data is too old from %v on", c.position, d.By+held, c.position+300+slack)
+		}
+		if (d.Member == "c") != (c.to == "c") {
+			t.Errorf("position %v: sent to %q, want %q", c.position, d.Member, c.to)
+		}
+	}
+	for _, c := range []struct {
+		at   float64
+		sent bool
+	}{{1000 + 900 - held + slack, true}, {1000 + 900 - held + slack + 1, false}} {
+		r := begin(1000)
+		r.Arrive("1", "", "", "put", 1, 0, 5000, false)
+		if submitted(r).Member != "p" {
+			t.Fatal("the first was not sent")
+		}
+		r.At(c.at)
+		r.Reported("p", Primary, c.at)
+		r.Returned("1", 0, Errored, 10, false, Primary, Never)
+		if d := submitted(r); (d.Member == "p") != c.sent || c.sent && d.By+held > 1000+900+slack {
+			t.Errorf("a repeat at %v: sent to %q by %v", c.at, d.Member, d.By)
+		}
+	}
+}
