--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -303,26 +303,6 @@
 	}
 }
 
-// expired tells that a job must not be written any more: what it was decided on holds no more, or its client's time is over.
-func (j *job) expired(now float64) bool { return now > j.by || j.txn != nil && now >= j.until }
-
-// withheld tells that a job must not be written, and ends it then: its time is over, or its client has gone. It is called
-// right before the write, and asks for the client last, after all reading of the clock.
-func (a *Members) withheld(j *job) bool {
-	if j.expired(a.host.Clock()) {
-		a.host.Soon(func() { a.end(j, router.Moot) })
-		return true
-	}
-	if j.txn == nil || !j.txn.Abandoned() {
-		return false
-	}
-	a.host.Soon(func() {
-		a.host.Gone(j.txn)
-		a.end(j, router.Moot)
-	})
-	return true
-}
-
 // Abandon gives a submission up whose client has gone, unless it may run already. A talk ends by its own way.
 func (a *Members) Abandon(txn string) {
 	if j := a.jobs[txn]; j != nil && j.txn.Talk == nil && (j.link == nil || !j.link.sent()) {
@@ -450,26 +430,6 @@
 	return true
 }
 
-// query words what the job asks. A statement tells its member what is left of its client's time right now.
-func (l *link) query(j *job) (out []byte) {
-	if l.fence > 0 {
-		// Guards against a second copy of the last answer, which would pass for the answer to this query: the answer to
-		// an empty query comes first, and nothing that was sent before it can come after.
-		out = pg.AppendQuery(out)
-	}
-	switch {
-	case j.key != nil:
-		out = pg.AppendCancel(nil, *j.key)
-	case j.txn != nil:
-		out = j.txn.AppendQuery(out, j.until-l.all.host.Clock())
-	case l.all.limits.Reports:
-		out = pg.AppendQuery(out, "SHOW vitals")
-	default:
-		out = pg.AppendQuery(out, "SELECT 1")
-	}
-	return out
-}
-
 // drop closes the connection; a job on it must have been taken off it.
 func (l *link) drop() {
 	if l.all.links[l.id] == l {
--- a/internal/members/talk.go
+++ b/internal/members/talk.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"strconv"
-	"strings"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 	"github.com/hashicorp/golang-lru/v2/simplelru"
@@ -203,20 +202,6 @@
 	return append(out, op.Raw...)
 }
 
-// appendQuery appends a simple query. One with a comment tells its member what is left of its client's time right now, as
-// the client may have sent it long ago.
-func (l *link) appendQuery(out, raw []byte) []byte {
-	const header, end = 5, 1 // its kind and length; the zero behind the text
-	if len(raw) < header+end {
-		return append(out, raw...)
-	}
-	s, err := pg.ParseStatement(strings.TrimSpace(string(raw[header : len(raw)-end])))
-	if err != nil {
-		return append(out, raw...)
-	}
-	return s.AppendQuery(out, min(s.Wait, l.job.until-l.all.host.Clock()))
-}
-
 // knows tells whether the member has the statement prepared.
 func (l *link) knows(s *session.Prepared) bool {
 	has, ok := l.prepared.Get(s.Hash)
