--- a/router/router.go
+++ b/router/router.go
@@ -1006,9 +1006,9 @@
 	return t.needs
 }
 
-// must is the position that a member must be known to have: where members answer whatever they hold, data must be young
+// positionNeeded is the position that a member must be known to have: where members answer whatever they hold, data must be young
 // enough even if this router is held up before it writes.
-func (r *Router) must(t *txn) float64 {
+func (r *Router) positionNeeded(t *txn) float64 {
 	if t.kind.Level == Bounded && r.set.Lag == LagAnswers {
 		return t.bound(r.now) + heldUp
 	}
@@ -1035,7 +1035,7 @@
 		}
 		return nil
 	}
-	need := r.must(t)
+	need := r.positionNeeded(t)
 	var fresh, likely, rest, unsure []*member
 	full, unasked := false, false
 	for _, m := range t.group.members {
@@ -1132,7 +1132,7 @@
 		return nil
 	}
 	// Rule 5: where members answer whatever they hold, only a known position will do.
-	if t.kind.Level != Any && r.set.Lag == LagAnswers && m.gtid < r.must(t) && m != r.primary(m.group) {
+	if t.kind.Level != Any && r.set.Lag == LagAnswers && m.gtid < r.positionNeeded(t) && m != r.primary(m.group) {
 		return nil
 	}
 	// Guards against full connection tables: where checks pass all the same, a pause.
