--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -338,12 +338,15 @@
 	c.loop.Soon(c.gone)
 }
 
-// state asks the system. Guards against nbio closing a descriptor in a failing write: the number is used again at
+// state asks the system whether something can be read, or the connection has ended. Guards against nbio closing a descriptor in a failing write: the number is used again at
 // once, and an event for the old connection that the poller still holds then closes the new one. Only the poller
 // may close.
-func (c *Conn) state() (state int16) {
+func (c *Conn) state() int16 { return c.poll(unix.POLLIN) }
+
+// poll asks the system about these events, and whether the connection is broken.
+func (c *Conn) poll(events int16) (state int16) {
 	err := c.control(func(fd int) error {
-		state = polled(fd)
+		state = polled(fd, events)
 		return nil
 	})
 	if err != nil { // it is closed
@@ -354,9 +357,9 @@
 
 // polled asks until a call is not interrupted. One that fails for want of memory is no sign of an end: something may be there
 // to be read.
-func polled(fd int) int16 {
+func polled(fd int, events int16) int16 {
 	for {
-		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		poll := []unix.PollFd{{Fd: int32(fd), Events: events}}
 		err := faults.Error("host.poll")
 		if err == nil {
 			_, err = unix.Poll(poll, 0)
@@ -382,6 +385,13 @@
 	return c.read.Load() != c.handled || c.was != 0
 }
 
+// PeerClosed tells whether the peer has ended the connection, or its sending on it, also where the handler has not heard
+// of that yet, or bytes before the end are unread. It asks the system each time.
+func (c *Conn) PeerClosed() bool {
+	const ends = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	return c.closed || c.poll(unix.POLLRDHUP)&ends != 0
+}
+
 // Written tells how many bytes the system has taken.
 func (c *Conn) Written() int64 { return c.written.Load() }
 
--- a/router/not_sent_test.go
+++ b/router/not_sent_test.go
@@ -102,7 +102,7 @@
 	r.ListEnd(true)
 	m := r.members["m"]
 	m.known, m.checkSent, m.doubted, m.doubtAt, m.passed = true, 1000, true, 900, true
-	bears := func() bool { return m.bucket.Bears(1000, 0, sla, window, func() float64 { return 1 }) }
+	bears := func() bool { return m.bucket.Bears(1000, 0, sla, window, 1, func() float64 { return 1 }) }
 	if !bears() {
 		t.Fatal("the budget does not bear one")
 	}
