--- a/internal/faults/points_debug.go
+++ b/internal/faults/points_debug.go
@@ -14,7 +14,25 @@
 	"time"
 )
 
-var here sync.Map // by name: func()
+var (
+	here     sync.Map // by name: func()
+	failures sync.Map // by name: func(string) error
+)
+
+// FailAt has f decide, each time an operation of this process comes to a point, whether it fails there, until the function that
+// it gives back is called. f is told what the operation works on.
+func FailAt(name string, f func(on string) error) (clear func()) {
+	failures.Store(name, f)
+	return func() { failures.Delete(name) }
+}
+
+// Fail is such a point: the error with which the operation must fail, or nil.
+func Fail(name, on string) error {
+	if f, set := failures.Load(name); set {
+		return f.(func(string) error)(on)
+	}
+	return nil
+}
 
 // At has f called at a point of this process until the function that it gives back is called.
 func At(name string, f func()) (clear func()) {
--- a/internal/faults/points_release.go
+++ b/internal/faults/points_release.go
@@ -13,3 +13,6 @@
 
 // Here does nothing.
 func Here(string) {}
+
+// Fail is nil.
+func Fail(_, _ string) error { return nil }
