--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -13,12 +13,16 @@
 	"os"
 	"path/filepath"
 	"runtime/debug"
+	"slices"
+	"syscall"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/bbolt"
 	bolterr "go.etcd.io/bbolt/errors"
+
+	"wayloft/internal/faults"
 )
 
 const (
@@ -42,60 +46,144 @@
 
 // Ledger is an open folder.
 type Ledger struct {
-	db   *bbolt.DB
-	path string
-	Head Head
+	db     *bbolt.DB // nil: closed
+	dir    string
+	path   string
+	failed error // the write or sync that failed; Reopen clears it
+	Head   Head
 }
 
-// ErrInUse is of a folder that another process has open.
-var ErrInUse = errors.New("another process has this folder open")
+var (
+	// ErrInUse is of a folder that another process has open.
+	ErrInUse = errors.New("another process has this folder open")
+	// ErrUnavailable is of a disk that refuses a write, a sync or to open a file. What was stored before stands; whether what
+	// was being written is stored, nobody knows. Reopen, or Open, may work later.
+	ErrUnavailable = errors.New("storage unavailable")
+	// ErrReplaced is of a folder that Reopen finds changed: another process has had it, or another copy was put in its place.
+	ErrReplaced = errors.New("the folder was replaced or used by another process meanwhile")
+)
+
+// unavailable are the system's errors of a disk that may be well again later.
+var unavailable = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, syscall.EIO, syscall.EROFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
+
+func classify(err error) error {
+	if slices.ContainsFunc(unavailable, func(e error) bool { return errors.Is(err, e) }) {
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	return err
+}
 
 // Open opens a folder, or makes one that belongs to this name of this fleet. draw gives a number that no other folder or
 // start has. A folder of another's, or of a later build, is refused and left as it is.
-func Open(dir, fleet, name string, draw func() uint64) (l *Ledger, err error) {
-	path := filepath.Join(dir, file)
+func Open(dir, fleet, name string, draw func() uint64) (*Ledger, error) {
+	l := &Ledger{dir: dir, path: filepath.Join(dir, file)}
+	if err := l.open(func() error { return l.begin(fleet, name, draw) }); err != nil {
+		return nil, err
+	}
+	return l, nil
+}
+
+// Reopen closes the folder and opens it anew after a write or a sync failed: the kernel may have dropped what it couldn't write,
+// so that neither the open file nor what is in memory of it can be trusted. It goes on as the same start. What is read after it
+// is durable, also what the write that failed may have left: Reopen commits once more, by the other root, with syncs of its own.
+// The lock is given back and taken again; ErrReplaced if somebody else had the folder in between. After an error it may be called
+// again.
+func (l *Ledger) Reopen() error {
+	l.close() // its error is of a file that is given up in any case
+	return l.open(l.resume)
+}
+
+// open opens the file, looks at all of it, and commits the head by start.
+func (l *Ledger) open(start func() error) (err error) {
 	defer func() {
 		if err != nil {
-			l, err = nil, fmt.Errorf("%s: %w", path, err)
+			l.close()
+			err = fmt.Errorf("%s: %w", l.path, err)
 		}
 	}()
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, err
+	if err := faults.Fail("ledger.open", l.path); err != nil {
+		return classify(err)
+	}
+	if err := os.MkdirAll(l.dir, 0o700); err != nil {
+		return classify(err)
 	}
-	l = &Ledger{path: path}
 	// Guards against a file that was cut short: reading beyond its end is a fault of memory.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			l.close()
 			err = fmt.Errorf("cut short or overwritten: %v", p)
 		}
 	}()
-	l.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: patient, FreelistType: bbolt.FreelistMapType})
+	l.db, err = bbolt.Open(l.path, 0o600, &bbolt.Options{Timeout: patient, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, bolterr.ErrTimeout) {
-		return nil, ErrInUse
+		return ErrInUse
 	} else if err != nil {
-		return nil, err
+		return classify(err)
 	}
+	l.failed = nil
 	if err := l.whole(); err != nil {
-		l.close()
-		return nil, err
+		return err
 	}
-	if err := l.begin(fleet, name, draw); err != nil {
-		l.close()
-		return nil, err
+	if err := start(); err != nil {
+		return err
 	}
-	return l, nil
+	return syncDir(l.dir) // else a file that was just made may be gone with the machine
 }
 
-func (l *Ledger) close() {
-	if l.db != nil {
-		l.db.Close()
+func syncDir(dir string) error {
+	d, err := os.Open(dir)
+	if err != nil {
+		return classify(err)
 	}
+	defer d.Close()
+	if err := d.Sync(); err != nil {
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	return nil
+}
+
+func (l *Ledger) close() error {
+	if l.db == nil {
+		return nil
+	}
+	db := l.db
+	l.db = nil
+	return db.Close()
 }
 
 // Close gives the folder back.
-func (l *Ledger) Close() error { return l.db.Close() }
+func (l *Ledger) Close() error { return l.close() }
+
+// update commits what f changes; once it has returned nil that is on disk. After a commit that failed the file is used no
+// more: a second sync may succeed though the kernel has dropped what the first one couldn't write.
+func (l *Ledger) update(f func(*bbolt.Tx) error) error {
+	if l.failed != nil || l.db == nil {
+		return fmt.Errorf("%w: it must be opened again", cmp.Or(l.failed, ErrUnavailable))
+	}
+	if err := faults.Fail("ledger.write", l.path); err != nil {
+		return l.fail(err)
+	}
+	var refused error // by f itself: nothing was written
+	err := l.db.Update(func(tx *bbolt.Tx) error {
+		refused = f(tx)
+		return refused
+	})
+	if refused != nil {
+		return refused
+	}
+	if err == nil {
+		err = faults.Fail("ledger.sync", l.path)
+	}
+	if err != nil {
+		return l.fail(err)
+	}
+	return nil
+}
+
+func (l *Ledger) fail(err error) error {
+	l.failed = fmt.Errorf("%w: %w", ErrUnavailable, err)
+	return l.failed
+}
 
 // whole looks at every page and every sum before anything is believed.
 func (l *Ledger) whole() error {
@@ -134,9 +222,31 @@
 
 func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
+// resume commits the head as it is, having made sure that it is this process's own.
+func (l *Ledger) resume() error {
+	return l.update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(buckets.head)
+		if bucket == nil {
+			return ErrReplaced
+		}
+		b, err := sound(bucket.Get(buckets.head))
+		if err != nil {
+			return fmt.Errorf("head: %w", err)
+		}
+		var h Head
+		if err := cbor.Unmarshal(b, &h); err != nil {
+			return fmt.Errorf("head: %w", err)
+		}
+		if h.Folder != l.Head.Folder || !slices.Equal(h.Starts, l.Head.Starts) {
+			return ErrReplaced
+		}
+		return bucket.Put(buckets.head, seal(b))
+	})
+}
+
 // begin reads the head, or writes a new one, and adds this start to it.
 func (l *Ledger) begin(fleet, name string, draw func() uint64) error {
-	return l.db.Update(func(tx *bbolt.Tx) error {
+	return l.update(func(tx *bbolt.Tx) error {
 		var made [3]*bbolt.Bucket
 		for n, bucket := range [][]byte{buckets.head, buckets.log, buckets.values} {
 			b, err := tx.CreateBucketIfNotExists(bucket)
@@ -191,9 +301,10 @@
 	Anew    bool              // the whole log is dropped before
 }
 
-// Store writes a batch and returns once it is on disk.
+// Store writes a batch and returns once it is on disk. After an error it isn't known whether it is, and nothing more is taken
+// until Reopen.
 func (l *Ledger) Store(b Batch) error {
-	err := l.db.Update(func(tx *bbolt.Tx) error {
+	err := l.update(func(tx *bbolt.Tx) error {
 		log, values := tx.Bucket(buckets.log), tx.Bucket(buckets.values)
 		if b.Anew {
 			if err := tx.DeleteBucket(buckets.log); err != nil {
@@ -241,6 +352,9 @@
 // Read gives the log and the values.
 func (l *Ledger) Read() (records []Record, values map[string][]byte, err error) {
 	values = map[string][]byte{}
+	if l.db == nil {
+		return nil, nil, fmt.Errorf("%s: %w: it is closed", l.path, ErrUnavailable)
+	}
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		err := tx.Bucket(buckets.log).ForEach(func(k, v []byte) error {
 			b, err := sound(v)
