--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -24,6 +24,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"wayloft/internal/decide/agent"
+	"wayloft/internal/decide/backoff"
 	"wayloft/internal/decide/council"
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/decide/register"
@@ -59,14 +60,23 @@
 	Connections int               // at once
 	Ahead       float64           // ms that this process's clock is ahead, for tests
 	Record      *record.Record
+	Planted     Planted
+}
+
+// Planted are defects that tests plant, to show that checkers find them; none is ever set in the program.
+type Planted struct {
+	EarlyAcknowledge bool // sends and answers what rests on an entry before the entry is stored
 }
 
 // Council is one process.
 type Council struct {
 	fleetpb.UnimplementedCouncilServer
 	set     Settings
-	node    *council.Node
-	disk    *ledger.Ledger
+	node    *council.Node  // nil: suspended, until the storage works
+	disk    *ledger.Ledger // nil: it could not be opened yet
+	durable council.Durable
+	backoff backoff.Storage
+	told    uint64 // index up to which events were recorded before it was suspended
 	met     *council.Met
 	self    council.Identity
 	inbox   chan func()
@@ -157,46 +167,46 @@
 	return l.Store(b)
 }
 
-// Open makes a process from its folder. It does nothing until Run.
+// Open makes a process from its folder. It does nothing until Run. Where the disk refuses for now, Run tries again.
 func Open(set Settings) (*Council, error) {
-	l, err := ledger.Open(set.Dir, set.Fleet, set.Name, wire.Draw)
-	if err != nil {
+	c := &Council{set: set, inbox: make(chan func(), inbox), asked: map[uint64]func(council.Decision){}, ways: map[uint64]*way{},
+		callers: map[uint64]council.Peer{}, moved: make(chan struct{}), number: uint64(time.Now().UnixNano())}
+	err := c.load()
+	if errors.Is(err, ledger.ErrUnavailable) {
+		c.suspend(err)
+	} else if err != nil {
+		c.closeDisk()
 		return nil, err
 	}
-	had, met, err := Read(l)
-	if err != nil {
-		l.Close()
-		return nil, fmt.Errorf("%s: %w", set.Dir, err)
-	}
+	return c, nil
+}
+
+// build makes the node from what was stored.
+func (c *Council) build(had council.Stored) (*council.Node, *council.Decision, error) {
 	// The engine's own lines are about its inner life; what it warns of may help on the day.
 	log := logrus.New()
 	log.SetOutput(logrus.StandardLogger().Out)
 	log.SetFormatter(logrus.StandardLogger().Formatter)
 	log.SetLevel(logrus.ErrorLevel)
-	node, fresh, err := council.New(council.Settings{Fleet: set.Fleet, Name: set.Name, Peers: set.Peers, Epoch: wire.Epoch(time.Now()),
+	set := c.set
+	return council.New(council.Settings{Fleet: set.Fleet, Name: set.Name, Peers: set.Peers, Epoch: wire.Epoch(time.Now()),
 		Tick: set.Tick, Keep: set.Keep, Log: log}, had)
-	if err == nil && fresh != nil {
-		err = Store(l, *fresh)
-	}
-	if err != nil {
-		l.Close()
-		return nil, fmt.Errorf("%s: %w", set.Dir, err)
-	}
-	c := &Council{set: set, node: node, disk: l, met: met, inbox: make(chan func(), inbox), asked: map[uint64]func(council.Decision){},
-		ways: map[uint64]*way{}, callers: map[uint64]council.Peer{}, moved: make(chan struct{}), number: uint64(time.Now().UnixNano())}
-	c.self = council.Identity{Name: set.Name, Folder: l.Head.Folder, Starts: l.Head.Starts, Term: had.Hard.GetTerm(),
+}
+
+// identify notes what this process says of its folder.
+func (c *Council) identify(had council.Stored) {
+	c.self = council.Identity{Name: c.set.Name, Folder: c.disk.Head.Folder, Starts: c.disk.Head.Starts, Term: had.Hard.GetTerm(),
 		Last: had.Snapshot.GetMetadata().GetIndex()}
 	if n := len(had.Entries); n > 0 {
 		c.self.Last = had.Entries[n-1].GetIndex()
 	}
-	return c, nil
 }
 
 // Run serves on a listener until ctx ends or the process can't go on.
 func (c *Council) Run(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.disk.Close()
+	defer c.closeDisk()
 	c.ctx = ctx
 	checks := wire.Server(c.set.Fleet)
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(longest), grpc.MaxConcurrentStreams(streams), grpc.ConnectionTimeout(handshake),
@@ -206,9 +216,13 @@
 	fleetpb.RegisterCouncilServer(server, c)
 	go server.Serve(netutil.LimitListener(listener, c.set.Connections))
 	defer server.Stop()
+	var applied, epoch uint64
+	if !c.suspended() {
+		applied, epoch = c.node.Applied(), c.node.Register().Epoch()
+	}
 	logrus.WithFields(logrus.Fields{"name": c.set.Name, "listen": listener.Addr().String(), "fleet": c.set.Fleet, "folder": c.set.Dir,
-		"applied": c.node.Applied(), "epoch": c.node.Register().Epoch()}).Info("council")
-	c.set.Record.Add("up", record.Fields{"applied": c.node.Applied(), "epoch": c.node.Register().Epoch()})
+		"applied": applied, "epoch": epoch}).Info("council")
+	c.set.Record.Add("up", record.Fields{"applied": applied, "epoch": epoch})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for c.ended == nil {
@@ -222,29 +236,46 @@
 			}
 		case <-timer.C:
 		}
+		timer.Reset(time.Duration((c.turn() - c.now()) * float64(time.Millisecond)))
+	}
+	return c.ended
+}
+
+// turn carries out what is due and gives when it must be called again at the latest.
+func (c *Council) turn() (due float64) {
+	if c.suspended() && c.backoff.Due() <= c.now() {
+		c.ended = c.resume()
+	}
+	if !c.suspended() && c.ended == nil {
 		c.node.At(c.now())
 		c.settle()
-		timer.Reset(time.Duration((c.node.Due() - c.now()) * float64(time.Millisecond)))
 	}
-	return c.ended
+	if c.suspended() {
+		return c.backoff.Due()
+	}
+	return c.node.Due()
 }
 
 func (c *Council) now() float64 { return wire.Boottime() + c.set.Ahead }
 
 // settle carries out what the node decides.
 func (c *Council) settle() {
+	var late []council.Decision // the planted defect's
 	for d, more := c.node.Next(); more; d, more = c.node.Next() {
 		switch d.Verb {
 		case council.Save:
 			faults.Point("council.save")
-			if err := Store(c.disk, d); err != nil { // what it would say next rests on this: it must say nothing more
-				c.ended = err
+			if c.set.Planted.EarlyAcknowledge {
+				late = append(late, d)
+				c.node.Saved()
+				continue
+			}
+			if !c.store(d) { // what it would say next rests on this: it must say nothing more
 				return
 			}
 			c.node.Saved()
 		case council.Cut:
-			if err := Store(c.disk, d); err != nil {
-				c.ended = err
+			if !c.store(d) {
 				return
 			}
 		case council.Send:
@@ -264,7 +295,14 @@
 			} else if leads && d.Event.Policy > 0 {
 				faults.Point("council.policy") // the same
 			}
-			c.past(d.Event)
+			if d.Event.Index > c.told { // else it is replayed from the folder that was opened anew
+				c.past(d.Event)
+			}
+		}
+	}
+	for _, d := range late {
+		if !c.store(d) {
+			return
 		}
 	}
 	if err := c.node.Failed(); err != nil {
@@ -273,13 +311,18 @@
 	}
 	if at := c.node.Register().Index(); at != c.index {
 		c.index = at
-		c.mu.Lock()
-		close(c.moved)
-		c.moved = make(chan struct{})
-		c.mu.Unlock()
+		c.wakeWatchers()
 	}
 }
 
+// wakeWatchers has watchers look at the register again.
+func (c *Council) wakeWatchers() {
+	c.mu.Lock()
+	close(c.moved)
+	c.moved = make(chan struct{})
+	c.mu.Unlock()
+}
+
 // past writes what has become so; each process of the council does, so that its record is whole.
 func (c *Council) past(e register.Event) {
 	leads, _ := c.node.Leads()
@@ -322,8 +365,13 @@
 // ask has the loop do something that ends by a decision under a new number.
 func (c *Council) ask(ctx context.Context, begin func(number uint64)) (council.Decision, error) {
 	answer := make(chan council.Decision, 1)
+	suspended := make(chan struct{})
 	var number uint64
 	if err := c.post(ctx, func() {
+		if c.suspended() {
+			close(suspended)
+			return
+		}
 		c.number++
 		number = c.number
 		c.asked[number] = func(d council.Decision) { answer <- d }
@@ -335,9 +383,11 @@
 	select {
 	case d := <-answer:
 		if d.Verb == council.Lost {
-			return d, status.Error(codes.Aborted, "it may have been taken or not: ask again")
+			return d, errUnknown
 		}
 		return d, nil
+	case <-suspended:
+		return council.Decision{}, errStorage
 	case <-ctx.Done():
 		c.post(c.ctx, func() { delete(c.asked, number) })
 		return council.Decision{}, status.FromContextError(ctx.Err()).Err()
@@ -428,6 +478,10 @@
 		c.mu.Unlock()
 		got := make(chan *fleetpb.Update, 1)
 		if err := c.post(stream.Context(), func() {
+			if c.suspended() {
+				close(got)
+				return
+			}
 			u, index := agent.Changes(c.node.Register(), since, from.WithoutSessions)
 			out := wire.Update(u)
 			out.Index = index
@@ -437,6 +491,9 @@
 		}
 		select {
 		case u := <-got:
+			if u == nil {
+				return errStorage
+			}
 			if len(u.Sessions)+len(u.Duties)+len(u.Policies) > 0 || u.Whole || first {
 				if err := stream.Send(u); err != nil {
 					return err
@@ -471,7 +528,9 @@
 	d, err := c.ask(ctx, func(number uint64) {
 		then := c.asked[number]
 		c.asked[number] = func(d council.Decision) {
-			out = c.state()
+			if d.Verb == council.Done {
+				out = c.state()
+			}
 			then(d)
 		}
 		c.node.Read(number)
@@ -511,6 +570,10 @@
 	}
 	got := make(chan packed, 1)
 	if err := c.post(ctx, func() {
+		if c.suspended() {
+			close(got)
+			return
+		}
 		p, known := c.pack(policy.Request{Have: q.Have, Want: q.Want, Whole: q.Whole, Offset: int(min(q.Offset, 1<<30))})
 		if !known {
 			p.version = policy.Version{}
@@ -520,7 +583,10 @@
 		return nil, err
 	}
 	select {
-	case p := <-got:
+	case p, answered := <-got:
+		if !answered {
+			return nil, errStorage
+		}
 		if p.version.Number == 0 {
 			return nil, status.Error(codes.NotFound, "this process knows of no such version: it may lag, ask another")
 		}
@@ -573,12 +639,9 @@
 	d, err := c.ask(ctx, func(number uint64) {
 		then := c.asked[number]
 		c.asked[number] = func(d council.Decision) {
-			if b := c.node.Register().Policy(); c.book == nil || c.version != b.Version {
-				c.version = b.Version
-				c.book = &fleetpb.PolicyBook{Version: wire.Policy(b.Version, nil), Document: wire.Pack(b.Document.Encode()),
-					History: wire.Pack(policy.EncodeChanges(b.History))}
+			if d.Verb == council.Done {
+				out = c.policyBook()
 			}
-			out = c.book
 			then(d)
 		}
 		c.node.Read(number)
@@ -592,6 +655,16 @@
 	return out, nil
 }
 
+// policyBook gives all of the policy, packed once for each version.
+func (c *Council) policyBook() *fleetpb.PolicyBook {
+	if b := c.node.Register().Policy(); c.book == nil || c.version != b.Version {
+		c.version = b.Version
+		c.book = &fleetpb.PolicyBook{Version: wire.Policy(b.Version, nil), Document: wire.Pack(b.Document.Encode()),
+			History: wire.Pack(policy.EncodeChanges(b.History))}
+	}
+	return c.book
+}
+
 // Change is the service's.
 func (c *Council) Change(ctx context.Context, m *fleetpb.Members) (*fleetpb.Answer, error) {
 	var add []council.Peer
@@ -639,6 +712,9 @@
 			return status.Errorf(codes.InvalidArgument, "message of %d on the way of %s", m.GetFrom(), from)
 		}
 		if err := c.post(stream.Context(), func() {
+			if c.suspended() { // as if the network had dropped it
+				return
+			}
 			c.met.Heard(from, m, c.node.Applied())
 			if err := c.node.Step(m); err != nil {
 				logrus.WithError(err).WithField("from", from).Debug("message passed over")
@@ -653,6 +729,10 @@
 func (c *Council) hello(ctx context.Context, p *fleetpb.Identity) error {
 	result := make(chan error, 1)
 	if err := c.post(ctx, func() {
+		if c.suspended() {
+			result <- errStorage
+			return
+		}
 		news, err := c.met.Hello(council.Identity{Name: p.Name, Folder: p.Folder, Starts: p.Starts, Term: p.Term, Last: p.Last})
 		if err != nil {
 			logrus.WithField("from", p.Name).WithError(err).Error("not taken")
@@ -679,8 +759,11 @@
 				err = c.disk.Store(ledger.Batch{Values: map[string][]byte{stored.met: b}})
 			}
 			if err != nil {
-				c.ended = err
+				c.suspend(err)
+				result <- errStorage
+				return
 			}
+			c.stored()
 		}
 		result <- nil
 	}); err != nil {
@@ -741,6 +824,9 @@
 // sent tells the engine what became of a message, where it must know.
 func (c *Council) sent(m *raftpb.Message, arrived bool) {
 	report := func() {
+		if c.suspended() {
+			return
+		}
 		if m.GetType() == raftpb.MsgSnap {
 			c.node.Sent(m.GetTo(), arrived)
 		} else if !arrived {
--- /dev/null
+++ b/internal/council/storage.go
@@ -0,0 +1,134 @@
+package council
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/sirupsen/logrus"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"wayloft/internal/decide/council"
+	"wayloft/internal/ledger"
+	"wayloft/internal/record"
+	"wayloft/internal/wire"
+)
+
+// errStorage is the answer while this process can't store: nothing was begun here, another process may answer.
+var errStorage = status.Error(codes.Unavailable, "the storage of this process fails: ask another, or ask again")
+
+// errUnknown is the answer to what was begun and can't be followed to its end.
+var errUnknown = status.Error(codes.Aborted, "it may have been taken or not: ask again")
+
+// suspended tells whether this process takes part in nothing, since what it holds in memory may not be on its disk.
+func (c *Council) suspended() bool { return c.node == nil }
+
+// suspend has this process stand down: it says nothing more that rests on what could not be stored, neither votes nor
+// acknowledgements, and its node is given up. What waits for an answer learns that it isn't known.
+func (c *Council) suspend(err error) {
+	if c.node != nil {
+		c.told = max(c.told, c.node.Register().Index())
+	}
+	c.node = nil
+	c.pause()
+	for number, answer := range c.asked {
+		delete(c.asked, number)
+		answer(council.Decision{Verb: council.Lost, Number: number})
+	}
+	c.wakeWatchers()
+	if c.backoff.Fail(c.now()) {
+		logrus.WithError(err).WithField("folder", c.set.Dir).Error("storage failed: standing down until it works again")
+		c.set.Record.Add("suspended", record.Fields{"why": err.Error()})
+	}
+}
+
+// pause drops what waits to be sent. It rests on what was stored, but the process to which it goes may answer it before this one
+// is back.
+func (c *Council) pause() {
+	for id, w := range c.ways {
+		w.stop()
+		delete(c.ways, id)
+	}
+}
+
+// resume opens the folder anew and builds the node from what is there. It returns an error if this process can't go on.
+func (c *Council) resume() error {
+	err := c.load()
+	switch {
+	case err == nil:
+		return nil
+	case errors.Is(err, ledger.ErrUnavailable), errors.Is(err, ledger.ErrInUse) && c.disk != nil:
+		c.backoff.Fail(c.now())
+		return nil
+	}
+	return err
+}
+
+// load opens the folder, for the first time or anew, and builds the node from what is there.
+func (c *Council) load() (err error) {
+	if c.disk == nil {
+		c.disk, err = ledger.Open(c.set.Dir, c.set.Fleet, c.set.Name, wire.Draw)
+	} else {
+		err = c.disk.Reopen()
+	}
+	if err != nil {
+		return err
+	}
+	had, met, err := Read(c.disk)
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.set.Dir, err)
+	}
+	if err := c.durable.Check(had); err != nil {
+		return fmt.Errorf("%s: %w", c.set.Dir, err)
+	}
+	node, fresh, err := c.build(had)
+	if err == nil && fresh != nil {
+		err = Store(c.disk, *fresh)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.set.Dir, err)
+	}
+	c.durable.Loaded(had)
+	if fresh != nil {
+		c.durable.Attempt(*fresh)
+		c.durable.Confirm()
+	}
+	if c.node = node; c.met == nil {
+		c.met = met
+	}
+	c.met.Known = met.Known // what it has heard beside counts on
+	if c.self.Name == "" {  // it goes on as the same start
+		c.identify(had)
+	}
+	return nil
+}
+
+// store has a decision on disk, or suspends this process; false: it is suspended.
+func (c *Council) store(d council.Decision) bool {
+	c.durable.Attempt(d)
+	if err := Store(c.disk, d); err != nil {
+		c.suspend(err)
+		return false
+	}
+	c.durable.Confirm()
+	c.stored()
+	return true
+}
+
+// stored notes a write that came through.
+func (c *Council) stored() {
+	if c.backoff.Succeed(c.now()) {
+		logrus.WithFields(logrus.Fields{"folder": c.set.Dir, "applied": c.node.Applied()}).Info("storage works again")
+		c.set.Record.Add("resumed", record.Fields{"applied": c.node.Applied()})
+	}
+}
+
+// closeDisk gives the folder back.
+func (c *Council) closeDisk() {
+	if c.disk == nil {
+		return
+	}
+	if err := c.disk.Close(); err != nil {
+		logrus.WithError(err).WithField("folder", c.set.Dir).Debug("folder not closed")
+	}
+}
--- /dev/null
+++ b/internal/council/storage_test.go
@@ -0,0 +1,383 @@
+//go:build debug
+
+package council
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	logtest "github.com/sirupsen/logrus/hooks/test"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"wayloft/internal/decide/council"
+	"wayloft/internal/decide/register"
+	"wayloft/internal/faults"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/record"
+	"wayloft/internal/wire"
+)
+
+const patience = time.Minute // until a test has failed; nothing waits for it
+
+// disks are the folders of a test's processes, each of which may fail for as long as the test wants.
+type disks struct {
+	mu      sync.Mutex
+	failing map[string]error // by process
+	tried   map[string]int
+	changed chan struct{} // closed when a try has failed
+}
+
+// failures has writes, syncs or openings of the folders fail.
+func failures(t *testing.T, points ...string) *disks {
+	d := &disks{failing: map[string]error{}, tried: map[string]int{}, changed: make(chan struct{})}
+	for _, point := range points {
+		t.Cleanup(faults.FailAt(point, d.fail))
+	}
+	return d
+}
+
+func (d *disks) fail(path string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	name := filepath.Base(filepath.Dir(path))
+	err := d.failing[name]
+	if err != nil {
+		d.tried[name]++
+		close(d.changed)
+		d.changed = make(chan struct{})
+	}
+	return err
+}
+
+func (d *disks) set(err error, names ...string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, name := range names {
+		d.failing[name], d.tried[name] = err, 0
+	}
+}
+
+// until waits until the disks of so many processes have refused so often.
+func (d *disks) until(t *testing.T, processes, times int) {
+	t.Helper()
+	late := time.After(patience)
+	for {
+		d.mu.Lock()
+		tried, changed := maps.Clone(d.tried), d.changed
+		d.mu.Unlock()
+		met := 0
+		for _, n := range tried {
+			if n >= times {
+				met++
+			}
+		}
+		if met >= processes {
+			return
+		}
+		select {
+		case <-changed:
+		case <-late:
+			t.Fatalf("the disks refused %v times, not %d at %d of them", tried, times, processes)
+		}
+	}
+}
+
+// cluster is a council of processes in this one.
+type cluster struct {
+	t     *testing.T
+	dir   string
+	peers []council.Peer
+	procs map[string]*proc
+	next  int
+}
+
+type proc struct {
+	*Council
+	address string
+	end     context.CancelFunc
+	ended   chan error
+}
+
+func newCluster(t *testing.T, names ...string) *cluster {
+	c := &cluster{t: t, dir: t.TempDir(), procs: map[string]*proc{}}
+	for _, name := range names {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+		c.peers = append(c.peers, council.Peer{Name: name, Addr: l.Addr().String()})
+	}
+	t.Cleanup(func() {
+		for name := range c.procs {
+			c.stop(name)
+		}
+	})
+	return c
+}
+
+func (c *cluster) start(name string, planted Planted) {
+	c.t.Helper()
+	var addr string
+	for _, p := range c.peers {
+		if p.Name == name {
+			addr = p.Addr
+		}
+	}
+	rec, err := record.Open(filepath.Join(c.dir, name+".record"), name)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	process, err := Open(Settings{Fleet: "lab", Name: name, Dir: filepath.Join(c.dir, name), Address: addr, Peers: c.peers, Tick: 20, Keep: 1000,
+		Connections: 32, Record: rec, Planted: planted})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	p := &proc{Council: process, address: addr, end: cancel, ended: make(chan error, 1)}
+	go func() {
+		p.ended <- process.Run(ctx, listener)
+		rec.Close()
+	}()
+	c.procs[name] = p
+}
+
+func (c *cluster) stop(name string) {
+	c.t.Helper()
+	p := c.procs[name]
+	delete(c.procs, name)
+	p.end()
+	if err := <-p.ended; err != nil {
+		c.t.Errorf("%s: %v", name, err)
+	}
+}
+
+// try asks one process; what it refuses for now, or can't tell, is an error.
+func (c *cluster) try(ctx context.Context, p *proc, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	conn, err := wire.Dial(p.address, "lab")
+	if err != nil {
+		return nil, err
+	}
+	defer conn.Close()
+	a, err := fleetpb.NewCouncilClient(conn).Do(ctx, q)
+	if err != nil {
+		return nil, err
+	}
+	if a.Moved {
+		return nil, fmt.Errorf("%s leads", a.Leader)
+	}
+	return a, nil
+}
+
+// do asks all processes in turn until one has answered.
+func (c *cluster) do(q *fleetpb.Request) (answer *fleetpb.Answer, by *proc) {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	var last error
+	for ctx.Err() == nil {
+		for _, p := range c.procs {
+			one, end := context.WithTimeout(ctx, time.Second)
+			a, err := c.try(one, p, q)
+			end()
+			if err == nil {
+				return a, p
+			}
+			switch last = err; status.Code(err) {
+			case codes.Aborted, codes.Unavailable, codes.DeadlineExceeded, codes.Unknown:
+			default:
+				c.t.Fatal(err)
+			}
+		}
+	}
+	c.t.Fatalf("nobody answered: %v", last)
+	return nil, nil
+}
+
+func entry(kind register.Kind, duty string) *fleetpb.Request {
+	return &fleetpb.Request{Entry: register.Encode(register.Entry{Kind: kind, Session: "r", Incarnation: 1, Is: "router", Length: 60000, Duty: duty})}
+}
+
+// take has a duty taken and gives its fence, the proof of what was acknowledged.
+func (c *cluster) take(duty string) (fence *fleetpb.Fence, by *proc) {
+	c.t.Helper()
+	c.do(entry(register.Open, ""))
+	a, by := c.do(entry(register.Take, duty))
+	if !a.Held {
+		c.t.Fatalf("%s: %v", duty, a)
+	}
+	return a.Fence, by
+}
+
+// holds wants a duty under the fence under which it was granted.
+func (c *cluster) holds(duty string, want *fleetpb.Fence) error {
+	c.t.Helper()
+	if a, _ := c.do(&fleetpb.Request{Stand: duty}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
+		return fmt.Errorf("%s is held under %v, was granted under %v", duty, a.Fence, want)
+	}
+	return nil
+}
+
+// logged gives how often a line came since the hook was set.
+func logged(hook *logtest.Hook, text string) (n int) {
+	for _, e := range hook.AllEntries() {
+		if strings.HasPrefix(e.Message, text) {
+			n++
+		}
+	}
+	return n
+}
+
+func globalHook(t *testing.T) *logtest.Hook {
+	hook := logtest.NewGlobal()
+	t.Cleanup(func() { logrus.StandardLogger().ReplaceHooks(logrus.LevelHooks{}) })
+	return hook
+}
+
+// All disks of a cluster fail for a while, at the write, at the sync, or with the folder that can't be opened either: no process
+// ends, none answers, each says so once and once when it is back, and what was acknowledged before is still held.
+func TestStorage_AllDisksFailForAWhile(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		points []string
+		err    error
+	}{
+		{"write", []string{"ledger.write"}, syscall.ENOSPC},
+		{"sync", []string{"ledger.sync"}, syscall.EIO},
+		{"write and open", []string{"ledger.write", "ledger.open"}, syscall.EIO},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			hook := globalHook(t)
+			d := failures(t, c.points...)
+			names := []string{"c1", "c2", "c3"}
+			cluster := newCluster(t, names...)
+			for _, name := range names {
+				cluster.start(name, Planted{})
+			}
+			fence, leader := cluster.take("a")
+			d.set(c.err, names...)
+			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			defer cancel()
+			if a, err := cluster.try(ctx, leader, entry(register.Take, "b")); err == nil {
+				t.Errorf("answered though nobody stores: %v", a)
+			} else if code := status.Code(err); code != codes.Aborted && code != codes.Unavailable {
+				t.Errorf("an answer that isn't asked again: %v", err)
+			}
+			d.until(t, 2, 4) // the third stores nothing while nobody leads or can be elected
+			for _, p := range cluster.procs {
+				if a, err := cluster.try(ctx, p, entry(register.Take, "b")); err == nil {
+					t.Errorf("%s answered: %v", p.set.Name, a)
+				}
+			}
+			if n := logged(hook, "storage failed"); n < 2 || n > 3 {
+				t.Errorf("%d lines of as many failures", n)
+			}
+			d.set(nil, names...)
+			if err := cluster.holds("a", fence); err != nil {
+				t.Error(err)
+			}
+			cluster.take("b")
+			for _, name := range names {
+				cluster.stop(name)
+				b, err := os.ReadFile(filepath.Join(cluster.dir, name+".record"))
+				if err != nil || strings.Count(string(b), `"what":"suspended"`) > 1 || strings.Count(string(b), `"what":"resumed"`) > 1 {
+					t.Errorf("%s: %v, %s", name, err, b)
+				}
+			}
+		})
+	}
+}
+
+// A leader whose disk fails hands over by its silence, and is a follower that catches up once the disk works.
+func TestStorage_LeaderStandsDown(t *testing.T) {
+	d := failures(t, "ledger.write")
+	cluster := newCluster(t, "c1", "c2", "c3")
+	for _, p := range cluster.peers {
+		cluster.start(p.Name, Planted{})
+	}
+	fence, leader := cluster.take("a")
+	d.set(syscall.ENOSPC, leader.set.Name)
+	_, next := cluster.take("b")
+	if next == leader {
+		t.Fatal("it answered though it stores nothing")
+	}
+	d.until(t, 1, 2)
+	d.set(nil, leader.set.Name)
+	for name := range cluster.procs { // it is one of the two that are left
+		if name != leader.set.Name && name != next.set.Name {
+			cluster.stop(name)
+		}
+	}
+	if err := cluster.holds("a", fence); err != nil {
+		t.Error(err)
+	}
+	cluster.take("c")
+}
+
+// A process that is started while its disk refuses waits for it.
+func TestStorage_StartsOnAFullDisk(t *testing.T) {
+	d := failures(t, "ledger.open")
+	cluster := newCluster(t, "c1")
+	d.set(syscall.ENOSPC, "c1")
+	cluster.start("c1", Planted{})
+	d.until(t, 1, 3)
+	d.set(nil, "c1")
+	cluster.take("a")
+}
+
+// killed has a process taken down while its disk refuses, with nothing more stored, and started again.
+func (c *cluster) killed(d *disks, name string, planted Planted) {
+	c.t.Helper()
+	c.stop(name)
+	d.set(nil, name)
+	c.start(name, planted)
+}
+
+// What was acknowledged while the disk began to fail is there after a kill; the planted defect, an acknowledgement before the
+// sync, is found.
+func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
+	lost := func(t *testing.T, planted Planted) error {
+		d := failures(t, "ledger.write")
+		cluster := newCluster(t, "c1")
+		cluster.start("c1", planted)
+		cluster.take("a")
+		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		defer cancel()
+		set := make(chan struct{})
+		if err := cluster.procs["c1"].post(ctx, func() { // nothing is half stored then
+			d.set(syscall.ENOSPC, "c1")
+			close(set)
+		}); err != nil {
+			t.Fatal(err)
+		}
+		<-set
+		a, err := cluster.try(ctx, cluster.procs["c1"], entry(register.Take, "b"))
+		d.until(t, 1, 1)
+		cluster.killed(d, "c1", Planted{})
+		if err != nil {
+			return nil // not acknowledged
+		}
+		return cluster.holds("b", a.Fence)
+	}
+	if err := lost(t, Planted{}); err != nil {
+		t.Error(err)
+	}
+	if err := lost(t, Planted{EarlyAcknowledge: true}); err == nil {
+		t.Error("the planted defect is not found")
+	}
+}
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -26,6 +26,7 @@
 //
 //	stop X | wake X | term X | kill X | start X | small X BLOCKS     processes; start waits until it serves
 //	dead X [WORDS]              until it has ended by itself, with these words in its log
+//	runs X                      it hasn't ended
 //	shut X                      until one of the council whose folder has forgotten something is refused by the others, or has
 //	                            noticed and ended; which comes first is chance
 //	hole A B [there|back] | cut A B | heal A B                       links; A or B may be council, routers, members, all
@@ -319,7 +320,7 @@
 	if len(w) > 0 {
 		p = r.f.Process(w[0])
 	}
-	needs := map[string]bool{"stop": true, "wake": true, "term": true, "kill": true, "start": true, "small": true, "dead": true, "lose": true,
+	needs := map[string]bool{"stop": true, "wake": true, "term": true, "kill": true, "start": true, "small": true, "dead": true, "runs": true, "lose": true,
 		"keep": true, "restore": true, "shut": true, "line": true, "none": true, "fault": true, "struck": true, "endless": true, "goes": true, "spoil": true}
 	if needs[verb] && p == nil {
 		return fmt.Errorf("no process %v", w)
@@ -356,6 +357,10 @@
 			return fmt.Errorf("its log has no %q: %s", words, lastLines(b))
 		}
 		return err
+	case "runs":
+		if p.Pid() == 0 {
+			return fmt.Errorf("%s has ended", p.Name)
+		}
 	case "shut":
 		return Until("it is shut out", func() (bool, error) {
 			n, _, err := r.f.Has(w[0], "refused", nil)
