--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,63 +1,168 @@
 // Package record is what a process writes of its acts in the fleet, a JSON object a line, in a file that outlives it: what it
 // held, took, refused and was granted, so that a checker can tell later what happened, whatever became of the process. It owns
-// the file; it must never keep the process from its work: a record that can't be written is counted, not waited for.
+// the file; it must never keep the process from its work: a line that can't be written waits for the next one, up to a bound
+// beyond which the oldest are counted as lost.
 package record
 
 import (
+	"bytes"
 	"encoding/json"
+	"errors"
+	"io"
 	"os"
 	"sync"
 	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"wayloft/internal/faults"
 )
 
+const mostWaiting = 1024 // lines that wait for a file that refuses
+
 // Fields are what a line holds beside its number, its time and what happened.
 type Fields map[string]any
 
 // Record is an open file. A nil one takes nothing.
 type Record struct {
-	mu   sync.Mutex
-	f    *os.File
-	who  string
-	n    int
-	lost int
+	mu      sync.Mutex
+	f       *os.File
+	who     string
+	n       int
+	lost    int
+	waiting [][]byte // whole lines, the oldest first; empty: the file takes what it is given
+	torn    bool     // the file ends in part of a line
 }
 
-// Open begins or goes on with a process's record.
+// Open begins or goes on with a process's record. What a kill has left of a line, or a disk that refused the rest of it, is cut off.
 func Open(path, who string) (*Record, error) {
 	if path == "" {
 		return nil, nil
 	}
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return &Record{f: f, who: who}, nil
+	r := &Record{f: f, who: who, torn: true}
+	if err := r.mend(); err != nil {
+		logrus.WithError(err).WithField("file", path).Warn("record: the end of the last line is not known")
+	}
+	return r, nil
 }
 
-// Add writes one line, at once and whole: what it says has happened when it returns.
+// mend cuts off a line that has no end.
+func (r *Record) mend() error {
+	if !r.torn {
+		return nil
+	}
+	end, err := lastLineEnd(r.f)
+	if err != nil {
+		return err
+	}
+	if s, err := r.f.Stat(); err != nil {
+		return err
+	} else if s.Size() > end {
+		if err := r.f.Truncate(end); err != nil {
+			return err
+		}
+	}
+	r.torn = false
+	return nil
+}
+
+// lastLineEnd finds the end of a file's last whole line, from its end.
+func lastLineEnd(f *os.File) (int64, error) {
+	s, err := f.Stat()
+	if err != nil || !s.Mode().IsRegular() {
+		return 0, err
+	}
+	b := make([]byte, 4096)
+	for end := s.Size(); end > 0; {
+		from := max(0, end-int64(len(b)))
+		part := b[:end-from]
+		if _, err := f.ReadAt(part, from); err != nil && !errors.Is(err, io.EOF) {
+			return 0, err
+		}
+		if n := bytes.LastIndexByte(part, '\n'); n >= 0 {
+			return from + int64(n) + 1, nil
+		}
+		end = from
+	}
+	return 0, nil
+}
+
+// Add writes one line, at once and whole: what it says has happened when it returns. Where the file refuses, the line waits for
+// the next one.
 func (r *Record) Add(what string, f Fields) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	line, err := r.line(what, f)
+	if err != nil {
+		r.lost++
+		return
+	}
+	if r.waiting = append(r.waiting, line); len(r.waiting) > mostWaiting {
+		r.waiting = r.waiting[1:]
+		r.lost++
+	}
+	failed := len(r.waiting) > 1
+	err = r.flush()
+	switch {
+	case err != nil && !failed:
+		logrus.WithError(err).WithField("file", r.f.Name()).Error("record: not written, lines wait")
+	case err == nil && failed:
+		logrus.WithFields(logrus.Fields{"file": r.f.Name(), "lost": r.lost}).Info("record: written again")
+	}
+}
+
+// line numbers and encodes a line.
+func (r *Record) line(what string, f Fields) ([]byte, error) {
 	r.n++
 	line := Fields{"n": r.n, "pid": os.Getpid(), "who": r.who, "what": what, "at": float64(time.Now().UnixMicro()) / 1000}
 	for k, v := range f {
 		line[k] = v
 	}
 	b, err := json.Marshal(line)
-	if err == nil {
-		_, err = r.f.Write(append(b, '\n'))
+	return append(b, '\n'), err
+}
+
+// flush writes what waits, in its order.
+func (r *Record) flush() error {
+	for len(r.waiting) > 0 {
+		if err := r.mend(); err != nil {
+			return err
+		}
+		if err := r.write(r.waiting[0]); err != nil {
+			return err
+		}
+		r.waiting = r.waiting[1:]
 	}
-	if err != nil {
-		r.lost++
+	r.waiting = nil
+	return nil
+}
+
+func (r *Record) write(line []byte) error {
+	part, refused := line, faults.Fail("record.write", r.f.Name())
+	if refused != nil { // half of it is there, as where a disk is full
+		part = line[:len(line)/2]
 	}
+	n, err := r.f.Write(part)
+	r.torn = n > 0 && n < len(line)
+	return errors.Join(refused, err)
 }
 
 // Close ends it.
 func (r *Record) Close() {
-	if r != nil {
-		r.f.Close()
+	if r == nil {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err := r.flush(); err != nil {
+		logrus.WithError(err).WithFields(logrus.Fields{"file": r.f.Name(), "lost": r.lost + len(r.waiting)}).Error("record: lines are lost")
 	}
+	r.f.Close()
 }
--- /dev/null
+++ b/internal/record/record_test.go
@@ -0,0 +1,130 @@
+//go:build debug
+
+package record
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+
+	logtest "github.com/sirupsen/logrus/hooks/test"
+
+	"wayloft/internal/faults"
+)
+
+// numbers reads a record, each line of which must be whole, and gives what each line says as its number.
+func numbers(t *testing.T, path string) (all []int) {
+	t.Helper()
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range bytes.Lines(b) {
+		var l struct{ Number int }
+		if err := json.Unmarshal(line, &l); err != nil || !bytes.HasSuffix(line, []byte("\n")) {
+			t.Fatalf("%q: %v", line, err)
+		}
+		all = append(all, l.Number)
+	}
+	return all
+}
+
+// wants wants the numbers from one to another, each once and in order.
+func wants(t *testing.T, path string, from, to int) {
+	t.Helper()
+	got := numbers(t, path)
+	if len(got) != to-from+1 {
+		t.Fatalf("%d lines, want %d to %d", len(got), from, to)
+	}
+	for n, number := range got {
+		if number != from+n {
+			t.Fatalf("line %d is %d, want %d to %d", n, number, from, to)
+		}
+	}
+}
+
+func opened(t *testing.T, path string) *Record {
+	t.Helper()
+	r, err := Open(path, "r1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+func add(r *Record, from, to int) {
+	for n := from; n <= to; n++ {
+		r.Add("act", Fields{"number": n})
+	}
+}
+
+// A file that refuses lines, after part of each, gets them whole and in order once it takes them again, and says so once each way.
+func TestRecord_RefusedLinesWait(t *testing.T) {
+	hook := logtest.NewGlobal()
+	defer hook.Reset()
+	path := filepath.Join(t.TempDir(), "record")
+	r := opened(t, path)
+	add(r, 1, 3)
+	for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
+		hook.Reset()
+		from := len(numbers(t, path)) + 1
+		clear := faults.FailAt("record.write", func(string) error { return refused })
+		add(r, from, from+9)
+		clear()
+		add(r, from+10, from+10)
+		wants(t, path, 1, from+10)
+		if lines := hook.AllEntries(); len(lines) != 2 {
+			t.Errorf("%d log lines", len(lines))
+		}
+	}
+	if r.Close(); r.lost != 0 {
+		t.Errorf("%d lost", r.lost)
+	}
+}
+
+// What waits is bounded; the oldest lines go first and are counted.
+func TestRecord_WaitingLinesAreBounded(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "record")
+	r := opened(t, path)
+	clear := faults.FailAt("record.write", func(string) error { return syscall.ENOSPC })
+	add(r, 1, mostWaiting+10)
+	if len(r.waiting) != mostWaiting || r.lost != 10 {
+		t.Errorf("%d wait, %d lost", len(r.waiting), r.lost)
+	}
+	clear()
+	r.Close() // the last moment to write them
+	wants(t, path, 11, mostWaiting+10)
+}
+
+// What a kill has left of a line is cut off at the next start, wherever it came.
+func TestRecord_KilledWithinALine(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "record")
+	r := opened(t, path)
+	add(r, 1, 3)
+	r.Close()
+	whole, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for cut := range whole {
+		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
+			t.Fatal(err)
+		}
+		r := opened(t, path)
+		left := bytes.Count(whole[:cut], []byte("\n"))
+		add(r, left+1, left+1)
+		r.Close()
+		wants(t, path, 1, left+1)
+	}
+	long := append(whole, bytes.Repeat([]byte{'x'}, 10000)...)
+	if err := os.WriteFile(path, long, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	r = opened(t, path)
+	add(r, 4, 4)
+	r.Close()
+	wants(t, path, 1, 4)
+}
