--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -238,6 +238,9 @@
 	if l.follow.adopt != nil {
 		due = min(due, l.now()+20)
 	}
+	if l.follow.save != nil {
+		due = min(due, l.follow.retry.Due())
+	}
 	for _, k := range l.looks {
 		due = min(due, k.owner.Due())
 	}
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 	"google.golang.org/grpc/status"
 
+	"wayloft/internal/decide/backoff"
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/decide/register"
 	"wayloft/internal/faults"
@@ -23,7 +24,8 @@
 	// Load gives what was saved last; nothing, or nothing that can be trusted, is the zero Version and no error. An error is
 	// logged, and counts as nothing.
 	Load() (policy.Version, policy.Document, error)
-	// Save keeps a version in place of the one before. An error is logged; the router goes by the version all the same.
+	// Save keeps a version in place of the one before, whole or not at all. After an error it is called again, with this version
+	// or a later one; the router goes by the version all the same.
 	Save(policy.Version, policy.Document) error
 }
 
@@ -109,7 +111,8 @@
 	adopt    *policy.Decision // what the router's loop had no room for yet
 	save     *policy.Decision // what is to be kept once the one before is
 	saving   bool
-	failed   bool // the latest request has: the next goes to any process
+	retry    backoff.Storage // of save, where the folder refuses
+	failed   bool            // the latest request has: the next goes to any process
 }
 
 func follow(set Settings, seed uint64) *following {
@@ -152,19 +155,40 @@
 	if d := f.adopt; d != nil && l.host(func() { l.adopt(*d) }) {
 		f.adopt = nil
 	}
-	if d := f.save; d != nil && !f.saving && l.set.Store != nil {
-		f.save, f.saving = nil, true
-		go func() {
-			err := l.set.Store.Save(d.Version, d.Document)
-			l.post(func() {
-				if f.saving = false; err != nil {
-					logrus.WithError(err).WithField("version", d.Version).Error("the policy is not kept for the next start")
-					l.set.Record.Add("unsaved", record.Fields{"version": d.Version.String(), "why": err.Error()})
-					return
-				}
-				l.set.Record.Add("stored", record.Fields{"version": d.Version.String()})
-			})
-		}()
+	l.keep(now)
+}
+
+// keep has the latest version saved, off the loop, one call at a time; what fails is tried again until a later one takes its place.
+func (l *Link) keep(now float64) {
+	f := l.follow
+	if f.save == nil || f.saving || l.set.Store == nil || f.retry.Failing() && f.retry.Due() > now {
+		return
+	}
+	d := f.save
+	f.save, f.saving = nil, true
+	go func() {
+		err := l.set.Store.Save(d.Version, d.Document)
+		l.post(func() { l.kept(d, err) })
+	}()
+}
+
+// kept takes in what became of a version that was to be saved.
+func (l *Link) kept(d *policy.Decision, err error) {
+	f := l.follow
+	f.saving = false
+	if err == nil {
+		if f.retry.Succeed(l.now()) {
+			logrus.WithField("version", d.Version).Info("the policy is kept for the next start again")
+		}
+		l.set.Record.Add("stored", record.Fields{"version": d.Version.String()})
+		return
+	}
+	if f.save == nil {
+		f.save = d
+	}
+	if f.retry.Fail(l.now()) {
+		logrus.WithError(err).WithField("version", d.Version).Error("the policy is not kept for the next start: trying again")
+		l.set.Record.Add("unsaved", record.Fields{"version": d.Version.String(), "why": err.Error()})
 	}
 }
 
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"crypto/sha256"
 	"errors"
 	"fmt"
@@ -105,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(f.Dir, 0o700); err != nil {
+	if err := f.make(); err != nil {
 		return err
 	}
 	sum := sha256.Sum256(body)
@@ -115,20 +116,42 @@
 	}
 	faults.Point("policy.written")
 	if _, err := f.read(latest); err == nil { // else the one before is the better one
-		if err := os.Rename(f.path(latest), f.path(before)); err != nil {
+		if err := f.rename(latest, before); err != nil {
 			return err
 		}
 	}
 	faults.Point("policy.between")
-	if err := os.Rename(f.path(begun), f.path(latest)); err != nil {
+	if err := f.rename(begun, latest); err != nil {
+		return err
+	}
+	return syncDir(f.Dir)
+}
+
+func (f *Folder) rename(from, to string) error {
+	if err := faults.Fail("policy.rename", f.path(to)); err != nil {
+		return err
+	}
+	return os.Rename(f.path(from), f.path(to))
+}
+
+// make makes the folder, and has its own name last.
+func (f *Folder) make() error {
+	if _, err := os.Stat(f.Dir); err == nil {
+		return nil
+	}
+	if err := os.MkdirAll(f.Dir, 0o700); err != nil {
 		return err
 	}
-	dir, err := os.Open(f.Dir)
+	return syncDir(filepath.Dir(f.Dir))
+}
+
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer dir.Close()
-	return dir.Sync()
+	return cmp.Or(faults.Fail("policy.sync", path), dir.Sync())
 }
 
 func writeSynced(path string, b []byte) error {
@@ -136,6 +159,9 @@
 	if err != nil {
 		return err
 	}
-	_, err = file.Write(b)
-	return errors.Join(err, file.Sync(), file.Close())
+	if refused := faults.Fail("policy.write", path); refused != nil { // half of it is there, as where a disk is full
+		b, err = b[:len(b)/2], refused
+	}
+	_, written := file.Write(b)
+	return errors.Join(err, written, faults.Fail("policy.sync", path), file.Sync(), file.Close())
 }
