--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -23,7 +23,7 @@
 // Fields are what a line holds beside its number, its time and what happened.
 type Fields map[string]any
 
-// Record is an open file. A nil one takes nothing.
+// Record is an open file. A nil or a zero one takes nothing.
 type Record struct {
 	mu      sync.Mutex
 	f       *os.File
@@ -94,7 +94,7 @@
 // Add writes one line, at once and whole: what it says has happened when it returns. Where the file refuses, the line waits for
 // the next one.
 func (r *Record) Add(what string, f Fields) {
-	if r == nil {
+	if r == nil || r.f == nil {
 		return
 	}
 	r.mu.Lock()
@@ -156,7 +156,7 @@
 
 // Close ends it.
 func (r *Record) Close() {
-	if r == nil {
+	if r == nil || r.f == nil {
 		return
 	}
 	r.mu.Lock()
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -128,3 +128,11 @@
 	r.Close()
 	wants(t, path, 1, 4)
 }
+
+// One that was never opened takes nothing.
+func TestRecord_Unopened(t *testing.T) {
+	for _, r := range []*Record{nil, {}} {
+		add(r, 1, 2)
+		r.Close()
+	}
+}
