--- a/internal/council/storage_test.go
+++ b/internal/council/storage_test.go
@@ -38,9 +38,13 @@
 	changed chan struct{} // closed when a try has failed
 }
 
+func newDisks() *disks {
+	return &disks{failing: map[string]error{}, tried: map[string]int{}, changed: make(chan struct{})}
+}
+
 // failures has writes, syncs or openings of the folders fail.
 func failures(t *testing.T, points ...string) *disks {
-	d := &disks{failing: map[string]error{}, tried: map[string]int{}, changed: make(chan struct{})}
+	d := newDisks()
 	for _, point := range points {
 		t.Cleanup(faults.FailAt(point, d.fail))
 	}
@@ -381,3 +385,42 @@
 		t.Error("the planted defect is not found")
 	}
 }
+
+// One process after the other, who leads first, has its disk fail at each point; every other time it is killed meanwhile. All that
+// was acknowledged in between is held to the end.
+func TestStorage_FailuresAndKillsInTurn(t *testing.T) {
+	cluster := newCluster(t, "c1", "c2", "c3")
+	for _, p := range cluster.peers {
+		cluster.start(p.Name, Planted{})
+	}
+	granted := map[string]*fleetpb.Fence{}
+	_, leader := cluster.take("first")
+	round := 0
+	for _, point := range []string{"ledger.write", "ledger.sync"} {
+		for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
+			for _, kill := range []bool{false, true} {
+				round++
+				d := newDisks()
+				clear := faults.FailAt(point, d.fail)
+				name := leader.set.Name
+				d.set(refused, name)
+				duty := fmt.Sprint("duty ", round)
+				granted[duty], leader = cluster.take(duty)
+				if leader.set.Name == name {
+					t.Fatalf("%s answered though its disk fails at %s", name, point)
+				}
+				d.until(t, 1, 2)
+				if kill {
+					cluster.killed(d, name, Planted{})
+				}
+				d.set(nil, name)
+				clear()
+			}
+		}
+	}
+	for duty, fence := range granted {
+		if err := cluster.holds(duty, fence); err != nil {
+			t.Error(err)
+		}
+	}
+}
