--- /dev/null
+++ b/internal/ledger/stored_test.go
@@ -0,0 +1,177 @@
+package ledger
+
+import (
+	"bytes"
+	"compress/gzip"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// What was written by the program of this commit must open for as long as its data may be on a disk.
+const storedBy = "testdata/stored-dd13dd4"
+
+// startDrawn is the number that the tests draw for their own start from a stored directory.
+const startDrawn = 7
+
+// openStored opens a data directory that holds these bytes, as node c3 of the fleet "lab".
+func openStored(t *testing.T, database []byte) (*Ledger, error) {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, file), database, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return Open(dir, "lab", "c3", func() uint64 { return startDrawn })
+}
+
+// readStored gives the bytes of the stored database.
+func readStored(t *testing.T) []byte {
+	t.Helper()
+	packed, err := os.Open(filepath.Join(storedBy, "state.db.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	unpacked, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	database, err := io.ReadAll(unpacked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return database
+}
+
+// describe lists all that a data directory holds.
+func describe(t *testing.T, l *Ledger) string {
+	t.Helper()
+	records, values, err := l.Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	fmt.Fprintf(&out, "version %d\nfleet %s\nname %s\nfolder %016x\n", l.Head.Version, l.Head.Fleet, l.Head.Name, l.Head.Folder)
+	for _, start := range l.Head.Starts {
+		fmt.Fprintf(&out, "start %016x\n", start)
+	}
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(&out, "value %s %d bytes %x\n", name, len(values[name]), sha256.Sum256(values[name]))
+	}
+	for _, record := range records {
+		fmt.Fprintf(&out, "record %d %d bytes %x\n", record.Number, len(record.Bytes), sha256.Sum256(record.Bytes))
+	}
+	return out.String()
+}
+
+// A data directory of the earlier program opens, with all that it holds: identity, starts, named values and records.
+func TestStoredDirectory_Opens(t *testing.T) {
+	l, err := openStored(t, readStored(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	golden, err := os.ReadFile(filepath.Join(storedBy, "content.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := describe(t, l); got != string(golden) {
+		t.Errorf("the directory holds\n%s\nwant\n%s", got, golden)
+	}
+}
+
+// What is appended to a directory of the earlier program is there after it is closed and opened again, beside what was there.
+func TestStoredDirectory_TakesMore(t *testing.T) {
+	l, err := openStored(t, readStored(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	before, _, err := l.Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	next := Record{Number: before[len(before)-1].Number + 1, Bytes: []byte("more")}
+	if err := l.Store(Batch{Records: []Record{next}}); err != nil {
+		t.Fatal(err)
+	}
+	dir := filepath.Dir(l.path)
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if l, err = Open(dir, "lab", "c3", func() uint64 { return startDrawn + 1 }); err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	after, _, err := l.Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(after) != len(before)+1 || string(after[len(before)].Bytes) != "more" || !bytes.Equal(after[0].Bytes, before[0].Bytes) {
+		t.Errorf("%d records after one was appended to %d", len(after), len(before))
+	}
+}
+
+// A directory of the earlier program in which one bit of any record or value has changed is refused.
+func TestStoredDirectory_CorruptedIsRefused(t *testing.T) {
+	database := readStored(t)
+	l, err := openStored(t, database)
+	if err != nil {
+		t.Fatal(err)
+	}
+	records, values, err := l.Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.Close()
+	contents := map[string][]byte{}
+	for name, value := range values {
+		contents["value "+name] = value
+	}
+	for _, record := range records {
+		contents[fmt.Sprint("record ", record.Number)] = record.Bytes
+	}
+	for name, content := range contents {
+		corrupted := slices.Clone(content)
+		corrupted[len(corrupted)/2] ^= 1
+		damaged := bytes.ReplaceAll(database, content, corrupted)
+		if bytes.Equal(damaged, database) {
+			t.Errorf("%s: its bytes are not in the file", name)
+			continue
+		}
+		if l, err := openStored(t, damaged); err == nil {
+			l.Close()
+			t.Errorf("%s: opened with a bit that changed", name)
+		}
+	}
+}
+
+// A directory of the earlier program is refused to another fleet and to another node, and is left as it was.
+func TestStoredDirectory_OfAnotherIsRefused(t *testing.T) {
+	database := readStored(t)
+	for _, c := range []struct{ fleet, name, want string }{
+		{"other", "c3", `of fleet "lab", not of "other"`},
+		{"lab", "c1", `of "c3", not of "c1"`},
+	} {
+		dir := t.TempDir()
+		path := filepath.Join(dir, file)
+		if err := os.WriteFile(path, database, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		l, err := Open(dir, c.fleet, c.name, func() uint64 { return startDrawn })
+		if err == nil {
+			l.Close()
+		}
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s/%s: %v, want %q", c.fleet, c.name, err, c.want)
+		}
+		if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, database) {
+			t.Errorf("%s/%s: the directory was changed: %v", c.fleet, c.name, err)
+		}
+	}
+}
