--- /dev/null
+++ b/internal/fleet/messages_test.go
@@ -0,0 +1,421 @@
+package fleet
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/proto"
+
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/sight"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/wire"
+)
+
+// Messages that processes of this commit sent to each other: processes of two versions run side by side while a fleet is upgraded.
+const recordedBy = "testdata/messages-dd13dd4"
+
+const (
+	coordinator  = "/wayloft.fleet.v1.Council/"
+	receiver     = "/wayloft.fleet.v1.Receiver/"
+	testDeadline = time.Minute // far longer than any test takes
+)
+
+// recordedMessage is a message as it was on the wire.
+type recordedMessage struct {
+	Method  string `json:"method"`
+	Message string `json:"message"`
+	Bytes   []byte `json:"bytes"`
+}
+
+// readRecorded reads the recorded messages of a method.
+func readRecorded(t *testing.T, name, method string) (all [][]byte) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(recordedBy, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range bytes.Lines(text) {
+		var m recordedMessage
+		if err := json.Unmarshal(line, &m); err != nil {
+			t.Fatal(err)
+		}
+		if m.Method == method {
+			all = append(all, m.Bytes)
+		}
+	}
+	if len(all) == 0 {
+		t.Fatalf("%s: nothing of %s", name, method)
+	}
+	return all
+}
+
+// rawBytes is a message that is sent or received as it is.
+type rawBytes []byte
+
+// rawCodec passes messages on without reading them.
+type rawCodec struct{}
+
+func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*rawBytes), nil }
+func (rawCodec) Unmarshal(b []byte, v any) error {
+	*v.(*rawBytes) = bytes.Clone(b)
+	return nil
+}
+func (rawCodec) Name() string { return "proto" }
+
+// serveEarlier serves any method as a process of the earlier version: it wants the metadata that were recorded, and answers by respond.
+func serveEarlier(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
+		sent, _ := metadata.FromIncomingContext(stream.Context())
+		if fleet, form := sent.Get("wayloft-fleet"), sent.Get("wayloft-form"); fmt.Sprint(fleet, form) != "[lab] [1]" {
+			return status.Errorf(codes.FailedPrecondition, "fleet %q, form %q", fleet, form)
+		}
+		method, _ := grpc.MethodFromServerStream(stream)
+		var request rawBytes
+		if err := stream.RecvMsg(&request); err != nil {
+			return err
+		}
+		responses, err := respond(method, request)
+		for _, b := range responses {
+			response := rawBytes(b)
+			if err := stream.SendMsg(&response); err != nil {
+				return err
+			}
+		}
+		return err
+	}))
+	ended := make(chan error)
+	go func() { ended <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		server.Stop()
+		<-ended
+	})
+	return listener.Addr().String()
+}
+
+// errNoMore ends a recording: the client asks no further.
+var errNoMore = status.Error(codes.FailedPrecondition, "nothing more was recorded")
+
+// clientOfEarlier gives a client of a coordinator node that answers each call with the next of these messages.
+func clientOfEarlier(t *testing.T, method string, responses [][]byte) *Client {
+	t.Helper()
+	next := 0
+	address := serveEarlier(t, func(called string, _ []byte) ([][]byte, error) {
+		if called != method {
+			return nil, status.Errorf(codes.Unimplemented, "%s is called, not %s", called, method)
+		}
+		if next == len(responses) {
+			return nil, errNoMore
+		}
+		next++
+		return responses[next-1 : next], nil
+	})
+	client := NewClient("lab", []string{address}, map[string]string{"c1": address, "c2": address, "c3": address})
+	t.Cleanup(client.Close)
+	return client
+}
+
+// callAll calls until nothing more was recorded, and lists what came of each call.
+func callAll(t *testing.T, out *strings.Builder, what string, call func(context.Context) (string, error)) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
+	defer cancel()
+	for n := 1; ; n++ {
+		result, err := call(ctx)
+		if err != nil {
+			fmt.Fprintf(out, "%s ended after %d: %s\n", what, n-1, err.Error()[strings.LastIndex(err.Error(), ": ")+2:])
+			return
+		}
+		fmt.Fprintf(out, "%s %d: %s\n", what, n, result)
+	}
+}
+
+func describeAnswer(a register.Answer) string {
+	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Fence.Epoch, a.Fence.Count, a.Why, a.Number)
+}
+
+// describeUpdate lists what a watch told, as a router takes it in.
+func describeUpdate(message *fleetpb.Update) string {
+	u := wire.FromUpdate(message)
+	out := &strings.Builder{}
+	fmt.Fprintf(out, "index %d whole %t without sessions %t", message.Index, u.Whole, u.WithoutSessions)
+	for _, s := range u.Sessions {
+		fmt.Fprintf(out, "\n  session %s kind %s address %s incarnation %d policy %s ended %t", s.Name, s.Kind, s.Address, s.Incarnation,
+			policy.MarkString(s.Policy), s.Ended)
+	}
+	for _, d := range u.Duties {
+		fmt.Fprintf(out, "\n  lease %s holder %q token %d.%d open %d %q ended %d %q steps %d", d.Name, d.Holder, d.Fence.Epoch, d.Fence.Count, d.Open.Number,
+			d.Open.Text, d.Ended.Number, d.Ended.Text, len(d.Steps))
+		for _, step := range d.Steps {
+			fmt.Fprintf(out, "\n    step %d.%d %q", step.Fence.Epoch, step.Fence.Count, step.Text)
+		}
+	}
+	for _, p := range u.Policies {
+		fmt.Fprintf(out, "\n  policy %s", strings.TrimSpace(describeStored(p.Version, nil)))
+		if p.Difference != nil {
+			fmt.Fprintf(out, " difference %x", p.Difference.Encode())
+		}
+	}
+	return out.String()
+}
+
+// describeState lists the state that a coordinator node told.
+func describeState(s *fleetpb.State) string {
+	out := &strings.Builder{}
+	fmt.Fprintf(out, "epoch %d refused %d %s", s.Epoch, s.Refused, describeUpdate(s.State))
+	for _, p := range s.Council {
+		fmt.Fprintf(out, "\n  node %s address %s leads %t applied %d level %t known %t", p.Name, p.Address, p.Leader, p.Applied, p.Level, p.Known)
+	}
+	for _, one := range s.State.Sessions {
+		fmt.Fprintf(out, "\n  session %s silent %d refused %d rejected %s why %q", one.Name, one.SilentMs, one.Refused, policy.MarkString(one.Wont), one.Why)
+	}
+	for _, one := range s.State.Duties {
+		fmt.Fprintf(out, "\n  lease %s since %d queue %q barred %d.%d", one.Name, one.SinceMs, one.Queue, one.Barred.GetEpoch(), one.Barred.GetCount())
+	}
+	return out.String()
+}
+
+// describePolicies lists a policy and its history.
+func describePolicies(p Policies) string {
+	out := &strings.Builder{}
+	out.WriteString(describeStored(p.Version, p.Document))
+	for _, change := range p.History {
+		fmt.Fprintf(out, "  history %s    difference %x\n", describeStored(change.Version, nil), change.Difference.Encode())
+	}
+	return strings.TrimSuffix(out.String(), "\n")
+}
+
+// splitAnswers parts the recorded answers of Do: of questions where leases stand, and all others.
+func splitAnswers(t *testing.T) (stands, others [][]byte) {
+	t.Helper()
+	for _, b := range readRecorded(t, "responses.jsonl", coordinator+"Do") {
+		a := &fleetpb.Answer{}
+		if err := proto.Unmarshal(b, a); err != nil {
+			t.Fatal(err)
+		}
+		if len(a.Fences) > 0 {
+			stands = append(stands, b)
+		} else {
+			others = append(others, b)
+		}
+	}
+	return stands, others
+}
+
+// A client of this version takes the responses of earlier coordinator nodes as the earlier client did, and asks who leads where it is told so.
+func TestRecordedResponses_AreTaken(t *testing.T) {
+	out := &strings.Builder{}
+	stands, others := splitAnswers(t)
+	do := clientOfEarlier(t, coordinator+"Do", others)
+	callAll(t, out, "do", func(ctx context.Context) (string, error) {
+		a, err := do.Do(ctx, register.Entry{Kind: register.Beat, Session: "r", Incarnation: 1})
+		return describeAnswer(a), err
+	})
+	stand := clientOfEarlier(t, coordinator+"Do", stands)
+	callAll(t, out, "stands", func(ctx context.Context) (string, error) {
+		fences, err := stand.Stands(ctx, []string{"handover/0", "sight/0"})
+		return fmt.Sprint(fences), err
+	})
+	change := clientOfEarlier(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
+	callAll(t, out, "change", func(ctx context.Context) (string, error) {
+		a, err := change.Change(ctx, &fleetpb.Members{})
+		return describeAnswer(a), err
+	})
+	look := clientOfEarlier(t, coordinator+"Look", readRecorded(t, "responses.jsonl", coordinator+"Look"))
+	callAll(t, out, "look", func(ctx context.Context) (string, error) {
+		s, err := look.Look(ctx)
+		if err != nil {
+			return "", err
+		}
+		return describeState(s), nil
+	})
+	policies := clientOfEarlier(t, coordinator+"Policies", readRecorded(t, "responses.jsonl", coordinator+"Policies"))
+	callAll(t, out, "policies", func(ctx context.Context) (string, error) {
+		p, err := policies.Policy(ctx)
+		return describePolicies(p), err
+	})
+	part := clientOfEarlier(t, coordinator+"Policy", readRecorded(t, "responses.jsonl", coordinator+"Policy"))
+	callAll(t, out, "part", func(ctx context.Context) (string, error) {
+		p, err := part.part(ctx, policy.Request{Most: 1024}, true)
+		if err != nil {
+			return "", err
+		}
+		text, err := wire.Unpack(p.Bytes, policy.MostChanges)
+		return fmt.Sprintf("%s  whole %t offset %d total %d changes %x", describeStored(p.Version, nil), p.Whole, p.Offset, p.Total, text), err
+	})
+	compareGolden(t, filepath.Join(recordedBy, "responses.golden"), out.String())
+}
+
+// A watch of this version is told by an earlier coordinator node what the earlier watch was told.
+func TestRecordedUpdates_AreWatched(t *testing.T) {
+	updates := readRecorded(t, "responses.jsonl", coordinator+"Watch")
+	address := serveEarlier(t, func(string, []byte) ([][]byte, error) { return updates, errNoMore })
+	client := NewClient("lab", []string{address}, nil)
+	defer client.Close()
+	out := &strings.Builder{}
+	err := client.Watch(context.Background(), true, func(u *fleetpb.Update) { fmt.Fprintln(out, describeUpdate(u)) })
+	if !strings.Contains(err.Error(), "nothing more was recorded") {
+		t.Error(err)
+	}
+	compareGolden(t, filepath.Join(recordedBy, "updates.golden"), out.String())
+}
+
+// ordered is a router of one group that lists what orders have it do.
+type ordered struct {
+	listing
+	now  float64
+	done chan string
+}
+
+func (r *ordered) Now() float64 { return r.now }
+func (r *ordered) Sighted(report sight.Report) {
+	r.done <- fmt.Sprintf("sighted %s started %g position %g primary %t replica %t at %g", report.Member, report.Started, report.Position, report.Primary,
+		report.Replica, report.At)
+}
+func (r *ordered) Hold(group int, until float64) {
+	if until > 0 {
+		until -= r.now
+	}
+	r.done <- fmt.Sprintf("group %d holds writes for %g ms", group, until)
+}
+func (r *ordered) Writes(int) (int, int) { return 3, 4 }
+
+// respondToRouter answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed once it
+// was asked where both leases of the group stand.
+func respondToRouter(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
+	t.Helper()
+	asked = make(chan bool)
+	once := sync.OnceFunc(func() { close(asked) })
+	stands, others := splitAnswers(t)
+	first := func(matches func(*fleetpb.Answer) bool) [][]byte {
+		for _, b := range others {
+			a := &fleetpb.Answer{}
+			if err := proto.Unmarshal(b, a); err == nil && matches(a) {
+				return [][]byte{b}
+			}
+		}
+		return nil
+	}
+	held := first(func(a *fleetpb.Answer) bool { return a.Held && a.Number == 0 && a.Fence.GetEpoch() == 0 })
+	updates := readRecorded(t, "responses.jsonl", coordinator+"Watch")
+	return asked, func(method string, request []byte) ([][]byte, error) {
+		switch method {
+		case coordinator + "Watch":
+			return updates[:1], errNoMore
+		case coordinator + "Do":
+			q := &fleetpb.Request{}
+			if err := proto.Unmarshal(request, q); err != nil {
+				return nil, err
+			}
+			if len(q.Stands) > 0 {
+				once()
+				return stands[:1], nil
+			}
+			return held, nil
+		}
+		return nil, status.Error(codes.Unimplemented, method)
+	}
+}
+
+// actAsEarlier sends an order as an earlier lease holder did, until the receiver knows where leases stand.
+func actAsEarlier(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
+	t.Helper()
+	ctx = metadata.AppendToOutgoingContext(ctx, "wayloft-fleet", "lab", "wayloft-form", "1")
+	for {
+		var response rawBytes
+		request := rawBytes(order)
+		err := conn.Invoke(ctx, receiver+"Act", &request, &response, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true))
+		if status.Code(err) == codes.Unavailable && ctx.Err() == nil { // it is not up yet
+			continue
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		verdict := &fleetpb.Verdict{}
+		if err := proto.Unmarshal(response, verdict); err != nil {
+			t.Fatal(err)
+		}
+		if verdict.Kind != fleetpb.Verdict_UNKNOWN || ctx.Err() != nil {
+			return verdict
+		}
+	}
+}
+
+// A receiver of this version takes the orders of an earlier lease holder, and its router does what they say.
+func TestRecordedOrders_AreObeyed(t *testing.T) {
+	router := &ordered{listing: listing{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
+	asked, respond := respondToRouter(t)
+	link := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Council: []string{serveEarlier(t, respond)}, Length: 2000, Margin: 200, Bound: 5000},
+		router)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
+	defer cancel()
+	running, end := context.WithCancel(context.Background())
+	go link.Run(running, listener)
+	defer func() { end(); <-link.Ended() }()
+	conn, err := grpc.NewClient("passthrough:///"+listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	select {
+	case <-asked: // an order that comes before has it ask for one lease alone
+	case <-ctx.Done():
+		t.Fatal("it doesn't ask where leases stand")
+	}
+	out := &strings.Builder{}
+	for n, order := range readRecorded(t, "orders.jsonl", receiver+"Act") {
+		v := actAsEarlier(ctx, t, conn, order)
+		if v.Kind != fleetpb.Verdict_TAKEN {
+			t.Fatalf("order %d: %v", n+1, v)
+		}
+		fmt.Fprintf(out, "order %d: %s; highest %d.%d running %d held %d why %q\n", n+1, <-router.done, v.Highest.GetEpoch(), v.Highest.GetCount(),
+			v.Running, v.Held, v.Why)
+	}
+	compareGolden(t, filepath.Join(recordedBy, "orders.golden"), out.String())
+}
+
+// A lease holder of this version takes the verdict of an earlier receiver.
+func TestRecordedVerdict_IsTaken(t *testing.T) {
+	verdicts := readRecorded(t, "responses.jsonl", receiver+"Act")
+	address := serveEarlier(t, func(method string, _ []byte) ([][]byte, error) {
+		if method != receiver+"Act" {
+			return nil, status.Error(codes.Unimplemented, method)
+		}
+		return verdicts[:1], nil
+	})
+	conn, err := wire.Dial(address, "lab")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
+	defer cancel()
+	v, err := fleetpb.NewReceiverClient(conn).Act(ctx, &fleetpb.Order{Duty: "sight/0"})
+	if err != nil || v.Kind != fleetpb.Verdict_TAKEN || v.Highest.GetEpoch() != 96206621 || v.Highest.GetCount() != 1 {
+		t.Errorf("%v, %v", v, err)
+	}
+}
