--- /dev/null
+++ b/internal/lab/fleet/records_test.go
@@ -0,0 +1,205 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/record"
+)
+
+// Audit records that the program of this commit wrote: checkers read them for as long as they are kept.
+const recordsBy = "testdata/records-dd13dd4"
+
+// storedFleet gives a fleet whose processes have the stored records; nothing is started.
+func storedFleet(t *testing.T) *Fleet {
+	t.Helper()
+	f, err := New(Options{Dir: t.TempDir(), Council: 3, Routers: 2, Members: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	for _, name := range []string{"c1", "c2", "c3", "r1", "r2"} {
+		text, err := os.ReadFile(filepath.Join(recordsBy, name+".jsonl"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(f.record(f.procs[name]), text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return f
+}
+
+// signature gives a line's kind with its fields and their JSON types.
+func signature(t *testing.T, line Line) string {
+	t.Helper()
+	var fields []string
+	for key, value := range line {
+		kind := fmt.Sprintf("%T", value)
+		switch value.(type) {
+		case float64:
+			kind = "number"
+		case bool:
+			kind = "boolean"
+		}
+		fields = append(fields, key+" "+kind)
+	}
+	slices.Sort(fields)
+	for _, common := range []string{"at number", "n number", "pid number", "what string", "who string"} {
+		at := slices.Index(fields, common)
+		if at < 0 {
+			t.Errorf("%v: has no %s", line, common)
+			continue
+		}
+		fields = slices.Delete(fields, at, at+1)
+	}
+	return line.Text("what") + ": " + strings.Join(fields, ", ")
+}
+
+// signatures gives those of all processes of these kinds.
+func signatures(t *testing.T, f *Fleet) map[string]bool {
+	t.Helper()
+	all := map[string]bool{}
+	for _, p := range slices.Concat(f.kind("council"), f.kind("router")) {
+		lines, err := f.Record(p.Name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, line := range lines {
+			all[signature(t, line)] = true
+		}
+	}
+	return all
+}
+
+// pinnedSignatures gives those that lines may have.
+func pinnedSignatures(t *testing.T) map[string]bool {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(recordsBy, "lines.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	all := map[string]bool{}
+	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
+		all[line] = true
+	}
+	return all
+}
+
+// Stored records are read and found sound; a line that contradicts them is found.
+func TestStoredRecords_AreChecked(t *testing.T) {
+	f := storedFleet(t)
+	if wrong := Check(f, false); len(wrong) > 0 {
+		t.Error(wrong)
+	}
+	for name, want := range map[string]int{"r1": 2, "r2": 0} {
+		if n, _, err := f.Has(name, "end", map[string]string{"duty": "handover/0", "text": "done: "}); err != nil || n != want {
+			t.Errorf("%s ended %d switchovers, not %d: %v", name, n, want, err)
+		}
+	}
+	pinned := pinnedSignatures(t)
+	for line := range signatures(t, f) {
+		if !pinned[line] {
+			t.Errorf("not pinned: %s", line)
+		}
+	}
+	file, err := os.OpenFile(f.record(f.procs["r2"]), os.O_APPEND|os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	if _, err := file.WriteString(`{"what":"start","duty":"sight/0","fence":"96206621.3"}` + "\n"); err != nil {
+		t.Fatal(err)
+	}
+	if wrong := Check(f, false); len(wrong) == 0 {
+		t.Error("two holders of one token are not found in stored records")
+	}
+}
+
+// A line is one JSON object with sorted keys, numbered, with the time in ms and the process's id and name.
+func TestRecordLine_KeepsItsForm(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "r1.jsonl")
+	r, err := record.Open(path, "r1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Add("taken", record.Fields{"duty": "sight/0", "fence": "5.1"})
+	r.Add("session", record.Fields{"held": true, "incarnation": uint64(1796206621786), "why": ""})
+	r.Close()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	form := regexp.MustCompile(`^\{"at":1\d{12}(\.\d+)?,"duty":"sight/0","fence":"5\.1","n":1,"pid":` + fmt.Sprint(os.Getpid()) + `,"what":"taken","who":"r1"\}
+\{"at":1\d{12}(\.\d+)?,"held":true,"incarnation":1796206621786,"n":2,"pid":` + fmt.Sprint(os.Getpid()) + `,"what":"session","who":"r1","why":""\}
+$`)
+	if !form.Match(text) {
+		t.Errorf("the lines are\n%s", text)
+	}
+	var line Line
+	first, _, _ := strings.Cut(string(text), "\n")
+	if err := json.Unmarshal([]byte(first), &line); err != nil {
+		t.Fatal(err)
+	}
+	if at := time.UnixMilli(int64(line["at"].(float64))); time.Since(at).Abs() > time.Hour {
+		t.Errorf("its time is %v", at)
+	}
+}
+
+// What processes write today has the fields that checkers of stored records know.
+func TestRecords_KeepTheirFields(t *testing.T) {
+	binary, err := build()
+	if err != nil {
+		t.Fatal(err)
+	}
+	few <- true
+	defer func() { <-few }()
+	f, err := New(Options{Binary: binary, Dir: t.TempDir(), Council: 3, Routers: 2, Members: 2, Sight: 250 * time.Millisecond, Handover: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	if err := f.Start(); err != nil {
+		t.Fatal(err)
+	}
+	path, err := f.WritePolicy("policy", policy.Document{"tenants.acme.rate": "40"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, command := range [][]string{
+		{"policy", "propose", path, "--reason", "first", "--wait", Limit.String(), "--routers", "2"},
+		{"fleet", "handover", "0", "--to", "m2"},
+		{"fleet", "release", "sight/0"},
+	} {
+		if out, err := f.Command(command...); err != nil {
+			t.Fatalf("%v: %v: %s", command, err, out)
+		}
+	}
+	pinned := pinnedSignatures(t)
+	awaited := map[string]bool{} // all that the stored records have, since the same was played
+	for line := range signatures(t, storedFleet(t)) {
+		awaited[line] = true
+	}
+	if err := Until("each kind of line is written", func() (bool, error) {
+		for line := range signatures(t, f) {
+			delete(awaited, line)
+		}
+		return len(awaited) == 0, nil
+	}); err != nil {
+		t.Errorf("%v: not %q", err, slices.Sorted(maps.Keys(awaited)))
+	}
+	for line := range signatures(t, f) {
+		if !pinned[line] {
+			t.Errorf("not pinned: %s", line)
+		}
+	}
+}
