--- /dev/null
+++ b/cmd/wayloft/clock_test.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"wayloft/internal/pg"
+	"wayloft/internal/standin"
+)
+
+// clocked is a member whose positions lag the cluster's present, for a router whose wall clock is wrong.
+type clocked struct {
+	*standin.Member
+	checks, reads atomic.Int64
+}
+
+func newClocked(t *testing.T, primary bool, lag time.Duration) *clocked {
+	m := &clocked{}
+	name, role, x1 := "replica", "copy", 0
+	if primary {
+		name, role, x1 = "primary", "source", 1
+	}
+	m.Member = standin.NewMember(t, nil, func(sql string) *standin.Reply {
+		at := float64(time.Now().Add(-lag).UnixMicro()) / 1000
+		if sql == "SHOW vitals" {
+			defer m.checks.Add(1)
+			return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%.6f,x1=%d", at/1000, x1)))}
+		}
+		m.reads.Add(1)
+		return standin.Row(name, role, fmt.Sprintf("%.3f", at))
+	})
+	return m
+}
+
+// startAhead serves with a primary and a replica that answer whatever they hold, by a wall clock that is wrong.
+func startAhead(t *testing.T, ahead time.Duration, members ...*clocked) (addr string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var rows []string
+	for n, m := range members {
+		rows = append(rows, fmt.Sprintf(`{"id":"m%d","host_port":"%s","locality":"z","cell":2,"phase":"in_service","up_since_ms":%d}`,
+			n, m.Addr, time.Now().Add(-10*time.Minute).UnixMilli()))
+	}
+	text := strings.NewReplacer("127.0.0.1:0", l.Addr().String(), `"members":[]`, `"members":[`+strings.Join(rows, ",")+`]`,
+		`"serverChecks":"refuse"`, `"serverChecks":"silent"`, `["any","write"],"classBound":[0,0]`,
+		`["bounded","write","session","bounded"],"classBound":[300000,0,0,20000000]`,
+		`"profiles":[`, `"profiles":[`, `"idempotency":"fragile"}]`, `"idempotency":"fragile"},
+{"name":"own","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"},
+{"name":"old","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"}]`).Replace(configuration)
+	conf, err := load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	conf.wall = func() time.Time { return time.Now().Add(ahead) }
+	term, ended := make(chan os.Signal, 2), make(chan error, 1)
+	go func() { ended <- serve(conf, l, term) }()
+	t.Cleanup(func() { term <- os.Interrupt; <-ended })
+	return l.Addr().String()
+}
+
+var wrongClocks = []time.Duration{0, -600 * time.Millisecond, -time.Hour, time.Hour}
+
+// A replica that lags by 0.7 s must get no read that bears 0.3 s, nor one that must see a commit of just now, whatever the
+// machine's wall clock said at the start.
+func TestWrongClock_NoStaleRead(t *testing.T) {
+	for _, ahead := range wrongClocks {
+		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
+			primary, replica := newClocked(t, true, 0), newClocked(t, false, 700*time.Millisecond)
+			c := standin.NewClient(t, startAhead(t, ahead, primary, replica), true)
+			ask := func(n int, class, more string) {
+				t.Helper()
+				c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, more))
+				if got := c.Answer(); got != "primary ok ready" {
+					t.Errorf("%s read %d: got %q, want the primary's answer", class, n, got)
+				}
+			}
+			n := 0
+			standin.Until(t, "both are checked more than once", func() bool { // from its start on
+				n++
+				ask(n, "look", "")
+				ask(n, "own", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
+				return n > 20 && primary.checks.Load() > 1 && replica.checks.Load() > 1
+			})
+			if got := replica.reads.Load(); got != 0 {
+				t.Errorf("the replica got %d reads", got)
+			}
+		})
+	}
+}
+
+// A replica that is fresh enough gets bounded reads, and those of sessions whose commit it holds; no session is rejected.
+func TestWrongClock_ReplicasServe(t *testing.T) {
+	for _, ahead := range wrongClocks {
+		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
+			primary, replica := newClocked(t, true, 0), newClocked(t, false, 50*time.Millisecond)
+			c := standin.NewClient(t, startAhead(t, ahead, primary, replica), true)
+			commit := time.Now().Add(-10 * time.Second).UnixMilli()
+			for _, class := range []string{"old", "own"} {
+				before, n := replica.reads.Load(), 0
+				standin.Until(t, "the replica serves "+class, func() bool {
+					n++
+					c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2,after=%d */ SELECT blob FROM rows WHERE handle = 's'", class, n,
+						class, commit))
+					if got := c.Answer(); got != "primary ok ready" && got != "replica ok ready" {
+						t.Fatalf("%s read %d: got %q", class, n, got)
+					}
+					return replica.reads.Load() > before
+				})
+			}
+		})
+	}
+}
--- a/cmd/wayloft/config.go
+++ b/cmd/wayloft/config.go
@@ -7,6 +7,7 @@
 	"os"
 	"strconv"
 	"strings"
+	"time"
 
 	"github.com/valyala/fastjson"
 
@@ -31,6 +32,15 @@
 	user, database          string            // of checks and of the platform's form
 	fleet                   *settings.Fleet   // its part in a fleet; nil: none
 	texts                   map[string]string // what only a restart puts in force, as it is in the file
+	wall                    func() time.Time  // the machine's wall clock; nil: time.Now
+}
+
+// wallNow reads the wall clock.
+func (c *config) wallNow() time.Time {
+	if c.wall == nil {
+		return time.Now()
+	}
+	return c.wall()
 }
 
 const leastSockets = 2 * ownSockets // below it there is hardly room for sessions and members
--- a/cmd/wayloft/join.go
+++ b/cmd/wayloft/join.go
@@ -91,17 +91,18 @@
 // report hands a member's report to the fleet's part.
 func (s *service) report(member string, role router.Role, gtid float64) {
 	r := sight.Report{Member: member, Started: started(s.listed[member].Started), Primary: role == router.Primary,
-		Replica: role == router.Replica, At: s.host.Now()}
+		Replica: role == router.Replica, At: s.host.ClusterNow()}
 	if gtid != router.Never {
 		r.Position = gtid
 	}
 	s.link.Reported(r)
 }
 
-// What follows is what the fleet's part asks of a router, on its loop but for Post.
+// What follows is what the fleet's part asks of a router, on its loop but for Post. Times are on the cluster's clock there,
+// since they go between processes.
 
 func (s *service) Post(f func()) { s.host.Post(f) }
-func (s *service) Now() float64  { return s.host.Now() }
+func (s *service) Now() float64  { return s.host.ClusterNow() }
 
 func (s *service) Groups() map[int][]fleet.Member {
 	groups := map[int][]fleet.Member{}
@@ -118,10 +119,7 @@
 }
 
 func (s *service) Sighted(r sight.Report) {
-	since, role, position := r.Started, router.Unsaid, r.Position
-	if since == 0 {
-		since = router.Never
-	}
+	since, role, position := s.starts.Compare(r.Member, r.Started), router.Unsaid, r.Position
 	if r.Primary {
 		role = router.Primary
 	} else if r.Replica {
@@ -133,7 +131,7 @@
 	s.host.Sighted(r.Member, since, role, position)
 }
 
-func (s *service) Hold(group int, until float64) { s.host.Hold(group, until) }
+func (s *service) Hold(group int, until float64) { s.host.Hold(group, s.host.ToLoop(until)) }
 
 func (s *service) Writes(group int) (running, waiting int) { return s.host.Writes(group) }
 
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -91,6 +91,9 @@
 	listed  map[string]discovery.Entry // the list, kept for the fleet's part; nil without one
 	own     *router.Settings           // of the router's own file, over which a policy lies
 	record  *record.Record
+
+	starts  *host.StartTimes
+	entries map[string]discovery.Entry // those with a start, until starts can be translated; then nil
 }
 
 // serve runs a router on a listener until a signal but SIGHUP comes and all that was taken is answered.
@@ -98,9 +101,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	asked := make(chan struct{}, 1)
-	s := &service{resign: func() {}}
+	s := &service{resign: func() {}, entries: map[string]discovery.Entry{}}
 	var err error
-	s.host = host.New(host.NewLoop(conf.sockets), router.New(conf.set, conf.seed), conf.set.TxnTypes, func() {
+	loop := host.NewLoopAt(conf.sockets, conf.wallNow())
+	s.starts = host.NewStartTimes(loop)
+	s.host = host.New(loop, router.New(conf.set, conf.seed), conf.set.TxnTypes, func() {
 		select {
 		case asked <- struct{}{}:
 		default: // one is asked for already
@@ -136,6 +141,10 @@
 	}
 	s.side = members.New(s.host, limits, pool.New(pool.Settings{All: conf.links, Member: conf.perMember, Seed: conf.seed, Pools: bounds}))
 	s.host.Use(s.side)
+	s.host.OnSettled(s.translateStarts)
+	if conf.set.CanCheck && conf.host.Reports {
+		s.host.MayCheck()
+	}
 	if conf.discovery != "" {
 		s.watcher = discovery.New(conf.discovery, conf.known.Revision,
 			func(l *discovery.List) { s.host.Post(func() { s.heard(l) }) },
@@ -203,14 +212,64 @@
 func (s *service) list(l *discovery.List) {
 	s.side.List(l)
 	s.keep(l)
+	s.keepStarts(l)
 	r := s.host.List()
 	r.ListStart()
 	for _, e := range l.Entries {
-		r.Listed(e.ID, e.Zone, e.Group, e.State, e.Started)
+		r.Listed(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
 	}
 	r.ListEnd(l.Whole)
 }
 
+// keepStarts drops the starts of members that are gone, and notes entries to be listed once more when starts can be
+// translated.
+func (s *service) keepStarts(l *discovery.List) {
+	if l.Whole {
+		s.starts.Keep(l.IDs())
+		if s.entries != nil {
+			clear(s.entries)
+		}
+	}
+	for _, e := range l.Entries {
+		if e.State == router.Removed {
+			s.starts.Forget(e.ID)
+		}
+		if s.entries == nil {
+			continue
+		}
+		if e.State == router.Removed || e.Started == router.Never {
+			delete(s.entries, e.ID)
+		} else {
+			s.entries[e.ID] = e
+		}
+	}
+}
+
+// translateStarts lists the members that have a start once more, now that the cluster's clock is known.
+func (s *service) translateStarts() {
+	entries := s.entries
+	s.entries = nil
+	if s.host.FromLoop(0) == 0 || len(entries) == 0 { // they were translated rightly
+		return
+	}
+	r := s.host.List()
+	// The module keeps the latest start that it was told of a member. Guards against one that was told too late by a clock that
+	// is behind, and would be warming up for no reason: its record, which is new, begins anew.
+	r.ListStart()
+	for _, e := range entries {
+		if s.host.FromLoop(0) > 0 {
+			r.Listed(e.ID, e.Zone, e.Group, router.Removed, router.Never)
+		}
+	}
+	r.ListEnd(false)
+	r.ListStart()
+	for _, e := range entries {
+		r.Listed(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
+	}
+	r.ListEnd(false)
+	r.ListFailed() // where lists are polled: this was no answer, and the next poll must stay due
+}
+
 func (s *service) heard(l *discovery.List) {
 	if s.lost != "" {
 		s.lost = ""
--- a/internal/clients/pooled.go
+++ b/internal/clients/pooled.go
@@ -439,7 +439,7 @@
 	defer p.s.all.host.Soon(p.next)
 	if a.Committed != nil {
 		if p.s.all.pooling.Write[t.TxnType] {
-			p.d.After = max(p.d.After, cmp.Or(t.Talk.Gtid, p.s.all.host.Now()))
+			p.d.After = max(p.d.After, cmp.Or(t.Talk.Gtid, p.s.all.host.ClusterNow()))
 		}
 		return
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -48,6 +48,15 @@
 	Entries  []Entry
 }
 
+// IDs gives the members that the list names.
+func (l *List) IDs() map[string]bool {
+	ids := map[string]bool{}
+	for _, e := range l.Entries {
+		ids[e.ID] = true
+	}
+	return ids
+}
+
 var states = map[string]router.State{"in_service": router.Up, "terminating": router.Draining,
 	"terminated": router.Removed}
 
--- /dev/null
+++ b/internal/host/clusterclock_test.go
@@ -0,0 +1,124 @@
+package host
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"wayloft/internal/exchange"
+	"wayloft/internal/pg"
+	"wayloft/router"
+)
+
+// present is the cluster's present.
+func present() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+
+// hostAt makes a host whose machine's wall clock is ahead by so much. It returns the reports that it conveys.
+func hostAt(ahead time.Duration) (*Host, *[]string) {
+	kinds := map[string]*router.TxnType{"read": {SLA: 500, Expiry: 1000, Value: 1, Effect: router.Repeatable, Level: router.Session}}
+	h := New(NewLoopAt(256, time.Now().Add(ahead)), router.New(&router.Settings{Routers: 1, Submissions: 3, CanCheck: true,
+		TxnTypes: kinds}, 1), kinds, func() {})
+	h.Use(nowhere{})
+	var told []string
+	h.Reports(func(member string, _ router.Role, _ float64) { told = append(told, member) })
+	return h, &told
+}
+
+// report has a member's position come in, of this age, in answer to what was asked just now.
+func (h *Host) report(member string, role router.Role, age float64) bool {
+	sent := h.Clock()
+	position := present() - age
+	h.Heard(member, role, position, sent)
+	h.now = h.Clock()
+	if !h.Possible(position) {
+		return false
+	}
+	h.Reported(member, role, position)
+	return true
+}
+
+// A replica that lags by about as much as the wall clock is behind looks fresh by it. Its position is not believed before a
+// primary was heard; the order is forced: it comes first.
+func TestPositionsWaitForAPrimary(t *testing.T) {
+	h, told := hostAt(-600 * time.Millisecond)
+	h.report("replica", router.Replica, 700)
+	if h.position(present()) != router.Never || len(*told) != 0 {
+		t.Errorf("a position is believed on the word of a replica: %v", *told)
+	}
+	h.report("primary", router.Primary, 0)
+	h.report("primary", router.Primary, 0)
+	if got := fmt.Sprint(*told); got != "[replica primary]" && got != "[replica primary primary]" {
+		t.Errorf("conveyed %s", got)
+	}
+	if off := math.Abs(h.ClusterNow() - present()); off > 100 {
+		t.Errorf("the cluster's present is taken to be off by %.0f ms", off)
+	}
+}
+
+// Where the clock is right nothing waits for a second report, and nothing is translated.
+func TestPositionsWithARightClock(t *testing.T) {
+	h, told := hostAt(0)
+	h.report("primary", router.Primary, 0)
+	h.report("replica", router.Replica, 30)
+	if got := fmt.Sprint(*told); got != "[primary replica]" || h.FromLoop(0) != 0 {
+		t.Errorf("conveyed %s, offset %v", got, h.FromLoop(0))
+	}
+	if h.report("replica", router.Replica, -2*Ahead) {
+		t.Error("a position of the future is possible")
+	}
+}
+
+// A session's position is judged by the cluster's clock, and before that is known none is rejected.
+func TestAfterWithAWrongClock(t *testing.T) {
+	for _, ahead := range []time.Duration{-time.Hour, -600 * time.Millisecond, 0, time.Hour} {
+		h, _ := hostAt(ahead)
+		arrive := func(id string, after float64) error {
+			s, err := pg.ParseStatement(fmt.Sprintf("/* id=%s,c=read,d=1000,after=%.3f */ SELECT x", id, after))
+			if err != nil {
+				t.Fatal(err)
+			}
+			return h.Arrive(exchange.New(s, h.Now(), func(exchange.Answer) {}))
+		}
+		if err := arrive("unsettled", present()); err != nil {
+			t.Errorf("ahead by %v, before any report: %v", ahead, err)
+		}
+		for from := time.Now(); !h.settled(); { // an hour ahead takes a second of steady reports
+			if h.report("primary", router.Primary, 0); time.Since(from) > 20*time.Second {
+				t.Fatal("never settled")
+			}
+		}
+		if err := arrive("settled", present()); err != nil {
+			t.Errorf("ahead by %v: %v", ahead, err)
+		}
+		if err := arrive("future", present()+3*Ahead); !errors.Is(err, ErrAfter) {
+			t.Errorf("ahead by %v, a position of the future: got %v", ahead, err)
+		}
+	}
+}
+
+// A start that the list tells is on the cluster's clock. It is translated once, and never lies ahead.
+func TestStartTimes(t *testing.T) {
+	h, _ := hostAt(-time.Hour)
+	starts := NewStartTimes(h.Loop)
+	began := present() - 5000
+	if at := starts.Of("a", began); at > h.Now() {
+		t.Errorf("before the cluster's clock is known: started %.0f ms ahead", at-h.Now())
+	}
+	h.report("primary", router.Primary, 0)
+	h.report("primary", router.Primary, 0)
+	at := starts.Of("a", began)
+	if age := h.Now() - at; age < 4900 || age > 6000 {
+		t.Errorf("started %.0f ms ago, want 5000", age)
+	}
+	if starts.Compare("a", began) != at || starts.Of("a", began) != at {
+		t.Error("one start is two")
+	}
+	if starts.Of("b", router.Never) != router.Never || starts.Compare("b", 0) != router.Never {
+		t.Error("long ago is a time")
+	}
+	if starts.Keep(map[string]bool{"b": true}); len(starts.known) != 0 {
+		t.Errorf("%d are kept", len(starts.known))
+	}
+}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -32,6 +32,12 @@
 	open    map[string]*entry
 	fresh   bool // the module has heard something
 	alarm   *time.Timer
+
+	announced   bool // who waits for the cluster's clock to be settled was told
+	onSettled   func()
+	heldReports []heldReport // one a listed member
+	mayCheck    bool
+	confirming  map[string]bool // members that are to be checked again soon
 }
 
 // entry is a txn that is not over, or has a submission out.
@@ -47,12 +53,12 @@
 	ErrAfter   = errors.New("after lies in the future")
 )
 
-// Ahead is how many ms a position may lie ahead of this machine's clock, whoever names it.
+// Ahead is how many ms a position may lie ahead of the cluster's clock, whoever names it.
 const Ahead = 1000.0
 
 // New makes a host; watch asks for the list.
 func New(loop *Loop, r *router.Router, kinds map[string]*router.TxnType, watch func()) *Host {
-	return &Host{Loop: loop, router: r, kinds: kinds, watch: watch, open: map[string]*entry{}}
+	return &Host{Loop: loop, router: r, kinds: kinds, watch: watch, open: map[string]*entry{}, confirming: map[string]bool{}}
 }
 
 // Use names who carries submissions.
@@ -80,16 +86,11 @@
 		return ErrTxnType
 	}
 	t.Cap(kind.Expiry)
-	age, now := 0.0, h.Now()
-	if t.After > now+Ahead {
+	now := h.Now()
+	if t.After > 0 && !h.Possible(t.After) {
 		return ErrAfter
-	} else if t.After > 0 {
-		// The module reads 0 as no position, and now - age is exactly the position.
-		if age = now - t.After; age == 0 {
-			age = 1e-300
-		}
 	}
-	h.hear().Arrive(t.ID, t.Tenant, t.Session, t.TxnType, t.Group, age, t.Wait, t.Marked)
+	h.hear().Arrive(t.ID, t.Tenant, t.Session, t.TxnType, t.Group, h.tokenAge(t.After, now), t.Wait, t.Marked)
 	if t.Arrived < now {
 		h.hear().Queued(t.ID, now-t.Arrived)
 	}
@@ -115,7 +116,7 @@
 	role router.Role, gtid float64, rows []byte) {
 	cut := t.Talk != nil && t.Talk.Started() // its client has had a part: it can't begin anew
 	done := t.Over() || how == router.Committed || cut
-	h.hear().Returned(t.ID, seq, how, took, done, role, gtid)
+	h.hear().Returned(t.ID, seq, how, took, done, role, h.position(gtid))
 	if how == router.Committed && !t.Over() {
 		t.Commit(rows)
 	} else if cut && !t.Over() {
@@ -144,23 +145,29 @@
 // Checked says how a check ended.
 func (h *Host) Checked(member string, how router.Outcome) { h.hear().Checked(member, how) }
 
-// Reported conveys a member's report.
+// Reported conveys a member's report, once its position can be judged.
 func (h *Host) Reported(member string, role router.Role, gtid float64) {
-	h.hear().Reported(member, role, gtid)
-	if h.reports != nil {
-		h.reports(member, role, gtid)
+	r := heldReport{member, role, gtid}
+	if !h.settled() {
+		h.holdReport(r)
+		return
 	}
+	h.conveyReport(r)
 }
 
-// Reports names who hears of members' reports, too; it must not wait.
+// Reports names who hears of members' reports, too, with positions on the cluster's clock; it must not wait.
 func (h *Host) Reports(f func(member string, role router.Role, gtid float64)) { h.reports = f }
 
 // Look checks a member on behalf of others; what it tells, the module hears as well.
 func (h *Host) Look(member string) { h.members.Check(member) }
 
-// Sighted conveys what another router's check told.
+// Sighted conveys what another router's check told, its position on the cluster's clock. It tells nothing before
+// positions can be judged.
 func (h *Host) Sighted(member string, started float64, role router.Role, gtid float64) {
-	h.hear().Sighted(member, started, role, gtid)
+	if !h.settled() || gtid != router.Never && !h.Possible(gtid) {
+		return
+	}
+	h.hear().Sighted(member, started, role, h.position(gtid))
 }
 
 // Hold has writes of a group wait until then; an earlier time lets them go.
--- a/internal/host/loop.go
+++ b/internal/host/loop.go
@@ -14,6 +14,7 @@
 	"github.com/lesismal/nbio/logging"
 	"golang.org/x/sys/unix"
 
+	"wayloft/internal/decide/clockoffset"
 	"wayloft/internal/faults"
 )
 
@@ -29,12 +30,14 @@
 	mail   chan func()
 	soon   []func() // what the goroutine leaves for itself
 	start  time.Time
-	wall   float64
+	wall   float64 // the machine's wall clock at start: the origin of Clock, and nothing else
 	now    float64
 	batch  int64 // counts the batches of events
 	ended  bool
 	engine *nbio.Engine
-	buf    []byte // the poller's, for what it reads
+
+	cluster clockoffset.Estimate // on the loop
+	buf     []byte               // the poller's, for what it reads
 
 	adding  sync.Mutex // held while the poller gets a connection that was dialled
 	stopped bool       // under adding: it gets no more
@@ -66,19 +69,22 @@
 }
 
 // NewLoop makes a loop that can hold this many descriptors.
-func NewLoop(descriptors int) *Loop {
-	now := time.Now()
-	l := &Loop{mail: make(chan func(), mailbox), start: now, wall: float64(now.UnixMicro()) / 1000, buf: make([]byte, readSize)}
+func NewLoop(descriptors int) *Loop { return NewLoopAt(descriptors, time.Now()) }
+
+// NewLoopAt makes a loop on a machine whose wall clock shows this time.
+func NewLoopAt(descriptors int, wall time.Time) *Loop {
+	l := &Loop{mail: make(chan func(), mailbox), start: time.Now(), wall: float64(wall.UnixMicro()) / 1000, buf: make([]byte, readSize)}
 	l.now = l.wall
 	nbio.MaxOpenFiles = 2*descriptors + 1024 // the size of its table; the platform's limit is what binds
 	return l
 }
 
-// Now is the Unix time in ms at which the present batch of events is taken to happen.
+// Now is the time in ms at which the present batch of events is taken to happen, on the loop's clock: it is the Unix time
+// only if the machine's wall clock was right at the start. ClusterNow is for what others date.
 func (l *Loop) Now() float64 { return l.now }
 
-// Clock is the Unix time in ms at this very moment, a batch of events may be long: one reading at the start, and the
-// monotonic clock since.
+// Clock is the time in ms at this very moment, a batch of events may be long: one reading of the wall at the start, and
+// the monotonic clock since.
 func (l *Loop) Clock() float64 { return l.wall + float64(time.Since(l.start).Microseconds())/1000 }
 
 // tick moves the batch's time.
--- a/internal/members/answer.go
+++ b/internal/members/answer.go
@@ -163,7 +163,7 @@
 	case "rank":
 		l.role = roles[value]
 	case "as_of":
-		if x, err := strconv.ParseFloat(value, 64); err == nil && l.all.possible(x) {
+		if x, err := strconv.ParseFloat(value, 64); err == nil && x > 0 {
 			l.gtid = x
 		}
 	case "vitals":
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -46,6 +46,9 @@
 type Host interface {
 	Now() float64
 	Clock() float64
+	Heard(member string, role router.Role, position, sent float64)
+	Possible(position float64) bool
+	Forget(member string)
 	After(ms float64, f func()) *time.Timer
 	Turn(t *exchange.Txn, seq int, rests bool)
 	Soon(f func())
@@ -95,6 +98,7 @@
 	at     float64
 	until  float64
 	by     float64 // not written after this
+	sent   float64 // when its query was written, or had begun to be
 	worked float64 // ms that the member has had to answer, where the client has turns too
 	turned float64 // since when it is the member's turn; 0: it is not
 	timer  *time.Timer
@@ -162,6 +166,7 @@
 		}
 		if gone && !a.limits.Keep { // what is out to it keeps it until it is back
 			delete(a.byID, id)
+			a.host.Forget(id)
 		}
 	}
 	for _, j := range a.jobs {
@@ -409,6 +414,7 @@
 func (l *link) take(j *job) {
 	must.Hold(j.txn == nil || j.txn.Talk != nil || !j.txn.Over(), "nothing is sent for a client that has gone")
 	l.job, j.link, l.asked, l.heard = j, l, true, 0
+	j.sent = l.all.host.Clock()
 	l.rows, l.stage, l.cell, l.err, l.role, l.gtid, l.vital = nil, 0, nil, nil, router.Unsaid,
 		router.Never, ""
 	var out []byte
@@ -530,7 +536,7 @@
 	var fault *pg.Error
 	role, gtid, vital := router.Unsaid, router.Never, ""
 	if l != nil && l.talk != nil {
-		role, gtid = l.role, l.gtid
+		role, gtid = l.role, a.position(j, l.role, l.gtid, router.Never)
 		fault = l.settle(j, how)
 	} else if l != nil {
 		l.job, l.asked = nil, false
@@ -538,7 +544,8 @@
 			fault = l.err
 		}
 		if l.stage == through || how == router.Committed {
-			rows, cell, role, gtid, vital = l.rows, l.cell, l.role, l.gtid, l.vital
+			rows, cell, role, vital = l.rows, l.cell, l.role, l.vital
+			gtid = a.position(j, role, l.gtid, j.sent)
 		}
 		if l.stage == through {
 			l.rest()
@@ -551,7 +558,7 @@
 		a.CloseIdle(j.to.id)
 	}
 	if j.txn == nil {
-		if read := a.reported(j.to.id, string(cell)); how == router.Committed && a.limits.Reports && !read {
+		if read := a.reported(j, string(cell)); how == router.Committed && a.limits.Reports && !read {
 			how = router.Errored // it is there, and nothing is told
 		}
 		a.host.Checked(j.to.id, how)
@@ -569,7 +576,7 @@
 		return
 	}
 	a.host.Returned(j.txn, j.seq, j.to.id, how, took, role, gtid, rows)
-	a.reported(j.to.id, vital)
+	a.reported(j, vital)
 }
 
 // rest keeps the connection for the next job.
@@ -593,12 +600,22 @@
 	return l.has.ID()
 }
 
-// possible tells whether a position is one that a member can have.
-func (a *Members) possible(gtid float64) bool { return gtid > 0 && gtid <= a.host.Now()+host.Ahead }
+// position takes in the position that came with an answer, and gives it back if the member can have it. sent is when it
+// was asked; Never where it may be of an earlier time.
+func (a *Members) position(j *job, role router.Role, gtid, sent float64) float64 {
+	if gtid == router.Never {
+		return gtid
+	}
+	a.host.Heard(j.to.id, role, gtid, sent)
+	if !a.host.Possible(gtid) {
+		return router.Never
+	}
+	return gtid
+}
 
 // reported reads a report, name=value by commas: the position in seconds, and whether it is from a primary. One that
 // can't be read as a whole tells nothing.
-func (a *Members) reported(id, vitals string) bool {
+func (a *Members) reported(j *job, vitals string) bool {
 	role, at := router.Replica, 0.0
 	for pair := range strings.SplitSeq(vitals, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -613,9 +630,13 @@
 			role = router.Primary
 		}
 	}
-	if !a.possible(at) {
+	if at <= 0 {
+		return false
+	}
+	a.host.Heard(j.to.id, role, at, j.sent)
+	if !a.host.Possible(at) {
 		return false
 	}
-	a.host.Reported(id, role, at)
+	a.host.Reported(j.to.id, role, at)
 	return true
 }
--- a/internal/members/talk.go
+++ b/internal/members/talk.go
@@ -77,7 +77,7 @@
 
 // carry begins a txn on the connection: first its settings, then what its client has said.
 func (l *link) carry(j *job) {
-	l.job, j.link, l.asked = j, l, true
+	l.job, j.link, l.asked, j.sent = j, l, true, router.Never
 	l.role, l.gtid, l.vital = router.Unsaid, router.Never, ""
 	l.again, l.stale, l.copying = false, nil, false
 	t := j.txn.Talk
@@ -544,7 +544,7 @@
 	if how == router.Errored && l.err != nil && l.tainted {
 		fault = l.err
 	}
-	if how == router.Committed && l.gtid > 0 {
+	if how == router.Committed && l.gtid > 0 && l.all.host.Possible(l.gtid) {
 		t.Gtid = l.gtid
 	}
 	if how != router.Errored { // only an error that the member has got over tells what became of the txn
