--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -104,7 +104,7 @@
 	rises := bounds.low > e.offset+RiseTolerance
 	switch {
 	case e.confirmed && !rises:
-	case !rises && !math.IsInf(bounds.high, 1) && bounds.high >= e.offset-longestReportDelay:
+	case !rises && bounds.high >= e.offset-longestReportDelay && bounds.high-bounds.low <= longestReportDelay:
 		e.settled, e.confirmed = true, true // the clock at the start and a primary agree
 	default:
 		e.correct(s.Received)
--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -73,6 +73,18 @@
 	}
 }
 
+// What took longer than the tolerance confirms nothing: a transaction of an hour would fit any clock.
+func TestEstimate_LongAnswersConfirmNothing(t *testing.T) {
+	w := &world{now: start, offset: -hour}
+	w.hear("p0", true, 3*hour, 0)
+	if w.Settled(w.now) {
+		t.Error("settled")
+	}
+	if w.hearEvery(1, 3); math.Abs(w.Offset()+hour) > 3 {
+		t.Errorf("got %.0f", w.Offset())
+	}
+}
+
 // What only replicas have confirmed, by time that passed, falls.
 func TestEstimate_FallsWhereOnlyReplicasConfirmed(t *testing.T) {
 	w := &world{now: start, offset: -hour}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -536,7 +536,7 @@
 	var fault *pg.Error
 	role, gtid, vital := router.Unsaid, router.Never, ""
 	if l != nil && l.talk != nil {
-		role, gtid = l.role, a.position(j, l.role, l.gtid, router.Never)
+		role, gtid = l.role, a.position(j, l.role, l.gtid)
 		fault = l.settle(j, how)
 	} else if l != nil {
 		l.job, l.asked = nil, false
@@ -545,7 +545,7 @@
 		}
 		if l.stage == through || how == router.Committed {
 			rows, cell, role, vital = l.rows, l.cell, l.role, l.vital
-			gtid = a.position(j, role, l.gtid, j.sent)
+			gtid = a.position(j, role, l.gtid)
 		}
 		if l.stage == through {
 			l.rest()
@@ -600,13 +600,12 @@
 	return l.has.ID()
 }
 
-// position takes in the position that came with an answer, and gives it back if the member can have it. sent is when it
-// was asked; Never where it may be of an earlier time.
-func (a *Members) position(j *job, role router.Role, gtid, sent float64) float64 {
+// position takes in the position that came with an answer, and gives it back if the member can have it.
+func (a *Members) position(j *job, role router.Role, gtid float64) float64 {
 	if gtid == router.Never {
 		return gtid
 	}
-	a.heard(j, role, gtid, sent)
+	a.heard(j, role, gtid)
 	if !a.host.Possible(gtid) {
 		return router.Never
 	}
@@ -615,9 +614,9 @@
 
 // heard has a position count for the estimate of the cluster's clock. Guards against an answer of a member that has gone
 // meanwhile: nothing would drop what it told.
-func (a *Members) heard(j *job, role router.Role, position, sent float64) {
+func (a *Members) heard(j *job, role router.Role, position float64) {
 	if a.byID[j.to.id] == j.to {
-		a.host.Heard(j.to.id, role, position, sent)
+		a.host.Heard(j.to.id, role, position, j.sent)
 	}
 }
 
@@ -641,7 +640,7 @@
 	if at <= 0 {
 		return false
 	}
-	a.heard(j, role, at, j.sent)
+	a.heard(j, role, at)
 	if !a.host.Possible(at) {
 		return false
 	}
--- a/internal/members/talk.go
+++ b/internal/members/talk.go
@@ -77,7 +77,7 @@
 
 // carry begins a txn on the connection: first its settings, then what its client has said.
 func (l *link) carry(j *job) {
-	l.job, j.link, l.asked, j.sent = j, l, true, router.Never
+	l.job, j.link, l.asked, j.sent = j, l, true, l.all.host.Clock()
 	l.role, l.gtid, l.vital = router.Unsaid, router.Never, ""
 	l.again, l.stale, l.copying = false, nil, false
 	t := j.txn.Talk
