--- a/internal/members/talk.go
+++ b/internal/members/talk.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	l.begun = false
-	l.job, j.link, l.asked = j, l, true
+	l.job, j.link, l.asked, j.sent = j, l, true, l.all.host.Clock()
 	l.role, l.gtid, l.vital = router.Unsaid, router.Never, ""
 	l.again, l.stale, l.copying = false, nil, false
 	t := j.txn.Talk
@@ -558,7 +558,7 @@
 	if how == router.Errored && l.err != nil && l.tainted {
 		fault = l.err
 	}
-	if how == router.Committed && l.gtid > 0 {
+	if how == router.Committed && l.gtid > 0 && l.all.host.Possible(l.gtid) {
 		t.Gtid = l.gtid
 	}
 	if how != router.Errored { // only an error that the member has got over tells what became of the txn
