--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -4,16 +4,10 @@
 
 import (
 	"errors"
-	"net"
-	"os"
 	"strconv"
 	"strings"
-	"sync/atomic"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"wayloft/internal/exchange"
 	"wayloft/internal/faults"
 	"wayloft/internal/host"
@@ -102,90 +96,6 @@
 	return a
 }
 
-// Gate makes a listener leave connections with the system while there is no room.
-func (a *Clients) Gate(l net.Listener) net.Listener {
-	a.gate = &gate{Listener: l, room: a.room}
-	return a.gate
-}
-
-type gate struct {
-	net.Listener
-	room  chan struct{}
-	let   atomic.Int64 // connections let in
-	taken int64        // of these, how many have become sessions; the loop's
-
-	shut   atomic.Int64 // counts the times that it was shut or opened; odd: shut
-	parked atomic.Int64 // when it was that a call for the next connection last came back without one
-}
-
-func (g *gate) Accept() (net.Conn, error) {
-	g.room <- struct{}{}
-	shut := g.shut.Load()
-	c, err := g.Listener.Accept()
-	if err == nil {
-		faults.Here("clients.accepted")
-		g.let.Add(1)
-		if c, err = host.Adopt(c); err == nil {
-			return c, nil
-		}
-		g.let.Add(-1)
-	}
-	<-g.room
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		g.parked.Store(shut)
-	} else if !errors.Is(err, net.ErrClosed) {
-		time.Sleep(pause) // the poller asks again at once, and a descriptor may come free
-	}
-	return nil, err
-}
-
-// empty tells that no connection is on its way in: with the system, or between it and the loop. Guards against an end of
-// the process that takes a whole request away, which its client has sent and nobody has read. The gate is shut first, and
-// the answer is no until a call for the next connection has come back without one: none is between the two then.
-func (g *gate) empty() bool {
-	if g == nil {
-		return true
-	}
-	timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok {
-		return g.let.Load() == g.taken
-	}
-	if g.shut.Load()%2 == 0 {
-		g.shut.Add(1)
-		timed.SetDeadline(time.Unix(1, 0))
-	}
-	if g.parked.Load() != g.shut.Load() {
-		return false
-	}
-	if g.waits() || g.let.Load() != g.taken {
-		g.open()
-		return false
-	}
-	return true
-}
-
-// open has connections come in again, if it was shut.
-func (g *gate) open() {
-	if timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.shut.Load()%2 == 1 {
-		g.shut.Add(1)
-		timed.SetDeadline(time.Time{})
-	}
-}
-
-// waits tells whether the system holds a connection that nobody has taken.
-func (g *gate) waits() (some bool) {
-	if sys, ok := g.Listener.(syscall.Conn); ok {
-		if raw, err := sys.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) {
-				poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-				n, err := unix.Poll(poll, 0)
-				some = err != nil || n > 0
-			})
-		}
-	}
-	return some
-}
-
 // Accept takes a connection in.
 func (a *Clients) Accept(c *host.Conn) {
 	now := a.host.Now()
@@ -296,48 +206,6 @@
 	}
 }
 
-// Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last.
-func (a *Clients) Drain() {
-	if a.draining { // told twice: the first counts
-		return
-	}
-	a.draining = true
-	a.host.After(comers, func() {
-		a.leaving, a.left = true, a.host.Now()
-		a.lookSoon()
-		a.sweep()
-	})
-}
-
-// sweep ends what is quiet; after a while also what has not sent its query to the end, and never will.
-func (a *Clients) sweep() {
-	for s := range a.sessions {
-		if !s.ends && (s.quiet() || a.host.Now() > a.left+comers && s.answered()) {
-			s.leave()
-		}
-	}
-	a.last()
-}
-
-// leave ends a session at the end of the process, once nothing is owed.
-func (s *session) leave() {
-	if s.p == nil {
-		s.retire()
-	} else if !s.conn.Unread() {
-		s.refuse(&pg.Error{Code: pg.GoingDown, Text: "the router is going down"})
-	}
-}
-
-// last ends the loop after the last session, unless one more is on its way in.
-func (a *Clients) last() {
-	if !a.leaving || len(a.sessions) > 0 {
-		return
-	}
-	if faults.Here("clients.last"); a.gate.empty() {
-		a.host.End()
-	}
-}
-
 // Sessions tells how many there are, and how many of them wait for an answer.
 func (a *Clients) Sessions() (all, busy int) {
 	for s := range a.sessions {
