--- /dev/null
+++ b/cmd/wayloft/hangup_test.go
@@ -0,0 +1,126 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"wayloft/internal/standin"
+)
+
+// SIGHUP comes without end from the first moment in which the process can take it until it serves: it lives, serves, and ends in
+// order. Both as the platform starts it, and started plainly.
+func TestHangupInTheFirstMoments(t *testing.T) {
+	dir := t.TempDir()
+	program := filepath.Join(dir, "wayloft")
+	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	text, err := os.ReadFile("../../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var deploy struct{ Run string }
+	if err := toml.Unmarshal(text, &deploy); err != nil {
+		t.Fatal(err)
+	}
+	run := strings.Replace(deploy.Run, "bin/wayloft", program, 1)
+	for _, start := range []struct {
+		name    string
+		command []string
+	}{{"as deployed", []string{"sh", "-c", run}}, {"plainly", []string{program, "serve"}}} {
+		t.Run(start.name, func(t *testing.T) {
+			ignored := 0
+			for range 6 {
+				if hangups(t, start.command, filepath.Join(dir, "config.json")) {
+					ignored++
+				}
+			}
+			if ignored == 0 {
+				t.Error("SIGHUP is never ignored before the program takes it")
+			}
+		})
+	}
+}
+
+// hangups starts a router, and tells whether it was seen to ignore SIGHUP before it served.
+func hangups(t *testing.T, command []string, file string) (ignored bool) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := l.Addr().String()
+	l.Close()
+	write(t, file, strings.Replace(configuration, "127.0.0.1:0", addr, 1))
+	c := exec.Command(command[0], command[1:]...)
+	c.Env = append(os.Environ(), "PROXY_CONFIG="+file)
+	log, err := c.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Process.Kill() })
+	serving, read := make(chan bool), make(chan bool)
+	go func() {
+		defer close(read)
+		begun := false
+		for lines := bufio.NewScanner(log); lines.Scan(); {
+			if !begun && strings.Contains(lines.Text(), "msg=serving") {
+				begun = true
+				close(serving)
+			}
+		}
+		if !begun {
+			close(serving)
+		}
+	}()
+	for up := false; !up; runtime.Gosched() {
+		if ignored = ignored || ignoresHangup(c.Process.Pid); ignored {
+			c.Process.Signal(syscall.SIGHUP)
+		}
+		select {
+		case <-serving:
+			up = true
+		default:
+		}
+	}
+	if ignored {
+		one := standin.NewClient(t, addr, true)
+		one.Ask("")
+		if got := one.Answer(); got != "empty ready" {
+			t.Errorf("got %q", got)
+		}
+		one.Close()
+	}
+	c.Process.Signal(syscall.SIGTERM)
+	<-read
+	if err := c.Wait(); err != nil {
+		t.Errorf("its end: %v", err)
+	}
+	return ignored
+}
+
+// ignoresHangup reads a process's mask of ignored signals.
+func ignoresHangup(pid int) bool {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return false
+	}
+	_, mask, _ := strings.Cut(string(status), "SigIgn:\t")
+	mask, _, _ = strings.Cut(mask, "\n")
+	bits, _ := strconv.ParseUint(mask, 16, 64)
+	return bits>>(uint(syscall.SIGHUP)-1)&1 == 1
+}
