--- a/cmd/wayloft/pooled_test.go
+++ b/cmd/wayloft/pooled_test.go
@@ -22,6 +22,18 @@
 
 // pooledRouter serves before a stand-in cluster.
 func pooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
+	t.Helper()
+	addr, cluster, signals, ended := drainablePool(t, members, p, set)
+	t.Cleanup(func() {
+		signals <- os.Interrupt
+		<-ended
+		cluster.Close()
+	})
+	return addr, cluster
+}
+
+// drainablePool does so, and gives what has it drain and end.
+func drainablePool(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
 	t.Helper()
 	c, err := lab.Start(members, 0, set)
 	if err != nil {
@@ -40,12 +52,7 @@
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- serve(conf, l, signals) }()
-	t.Cleanup(func() {
-		signals <- os.Interrupt
-		<-ended
-		c.Close()
-	})
-	return l.Addr().String(), c
+	return l.Addr().String(), c, signals, ended
 }
 
 func url(addr string) string { return "postgres://api@" + addr + "/ledger?sslmode=disable" }
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -7,7 +7,6 @@
 	"math"
 	"net"
 	"os"
-	"os/signal"
 	"runtime/debug"
 	"strings"
 	"syscall"
@@ -36,8 +35,7 @@
 type serveCmd struct{ where }
 
 func (c *serveCmd) Run() error {
-	signals := make(chan os.Signal, 16) // from here on SIGHUP ends nothing
-	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
+	signals := hearSignals() // from here on SIGHUP ends nothing
 	conf, err := load(c.Config)
 	if err != nil {
 		return err
@@ -163,17 +161,7 @@
 	} else {
 		go s.watcher.Keep(ctx)
 	}
-	go func() {
-		for sig := range signals {
-			if sig == syscall.SIGHUP {
-				s.reload(conf)
-				continue
-			}
-			logrus.WithField("signal", sig).Info("draining")
-			s.resign() // another has its duties at once; clients are served to the end
-			s.host.Post(s.front.Drain)
-		}
-	}()
+	go s.follow(ctx, conf, signals)
 	s.host.After(everyNow, s.now)
 	s.host.Run()
 	leave()
--- a/cmd/wayloft/serve_test.go
+++ b/cmd/wayloft/serve_test.go
@@ -65,6 +65,12 @@
 
 // start serves with a list of members; it returns the address, and what has it drain and end.
 func start(t *testing.T, discovery string, sockets int, members ...string) (addr string, term chan os.Signal, ended chan error) {
+	t.Helper()
+	return startWith(t, nil, discovery, sockets, members...)
+}
+
+// startWith does so with other settings: pairs of what stands there and what takes its place.
+func startWith(t *testing.T, swap []string, discovery string, sockets int, members ...string) (addr string, term chan os.Signal, ended chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,8 +81,8 @@
 	for n, m := range members {
 		rows = append(rows, fmt.Sprintf(`{"id":"m%d","host_port":"%s","locality":"z","cell":2,"phase":"in_service"}`, n, m))
 	}
-	text := strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:1", discovery, `"members":[]`,
-		`"members":[`+strings.Join(rows, ",")+`]`, `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets)).Replace(configuration)
+	text := strings.NewReplacer(append(swap, "127.0.0.1:0", addr, "127.0.0.1:1", discovery, `"members":[]`,
+		`"members":[`+strings.Join(rows, ",")+`]`, `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets))...).Replace(configuration)
 	t.Setenv("PROXY_CONFIG", write(t, filepath.Join(t.TempDir(), "config.json"), text))
 	conf, err := load(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
@@ -145,9 +151,12 @@
 		{"cancel", "\x00\x00\x00\x10\x04\xd2\x16\x2e12345678", "closed"},
 		{"a value of many packets", hello + query(look("j2", strings.Repeat("v", 300<<10))),
 			"ready, " + strings.Repeat("v", 300<<10) + " ok ready"},
-		{"too much ahead", hello + strings.Repeat(query(""), 50) + query(put("k1", "hang")) + strings.Repeat(query(""), 300),
+		{"much ahead", hello + strings.Repeat(query(""), 50) + query(put("k1", "hang")) + strings.Repeat(query(""), 300) + "S\x00\x00\x00\x04",
 			"ready" + strings.Repeat(", empty ready", 50) + ", 08007 ready" + strings.Repeat(", empty ready", 256) +
-				", 54000 closed"},
+				strings.Repeat(", 53300 ready", 44) + ", 54000 closed"},
+		{"too much ahead", hello + query(put("k2", "hang")) + strings.Repeat(query(""), 256+4097+1),
+			"ready, 08007 ready" + strings.Repeat(", empty ready", 256) + strings.Repeat(", 53300 ready", 4097) + ", 54000 closed"},
+		{"behind its end", hello + "X\x00\x00\x00\x04" + query(look("k3", "behind")), "ready, closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			one := standin.NewClient(t, addr, false)
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	ahead   = 256 // messages that a session may send ahead
+	ahead   = 256  // messages that a session may send ahead
+	surplus = 4096 // queries beyond them that are declined one by one, before the session ends
 	pause   = 20 * time.Millisecond
-	comers  = 600.0   // ms after SIGTERM until no new connection or request comes (PROTOCOL: 400 at most)
 	hurry   = 2000.   // ms within which a session must ask its first, and send the rest of a message
 	idling  = 10e3    // ms that a session may then rest between two queries
 	looks   = 100.0   // ms between two looks at them
@@ -45,6 +45,7 @@
 	keys     map[pg.Key]*pooled
 	ids      uint64  // txns without an id of their client's
 	draining bool    // SIGTERM has come
+	answerBy float64 // by when each request has its final answer then
 	leaving  bool    // each session ends once nothing of it is left to answer
 	left     float64 // since when
 
@@ -61,6 +62,7 @@
 	in    *pg.Reader
 	queue []item
 	txn   *exchange.Txn
+	size  int     // bytes of its statement
 	since float64 // when it last became quiet
 	until float64 // when it must have asked, or sent the rest of a message, or is sent away for idling
 	asked bool    // it has sent a whole query
@@ -80,13 +82,15 @@
 	pg.Message
 	at    float64   // when its last byte came: its client's time runs while it waits for its turn
 	fail  *pg.Error // to be answered instead
+	more  int       // so many more are answered the same
 	fatal bool
 }
 
 var (
-	crowded = &pg.Error{Code: pg.Refused, Text: "too many statements at once"}
-	noRoom  = &pg.Error{Code: pg.Refused, Text: "too many connections"}
-	late    = &pg.Error{Code: pg.Idle, Text: "a whole query took too long to come"}
+	crowded   = &pg.Error{Code: pg.Refused, Text: "too many statements at once"}
+	noRoom    = &pg.Error{Code: pg.Refused, Text: "too many connections"}
+	sentAhead = &pg.Error{Code: pg.TooLong, Text: "too much sent ahead"}
+	late      = &pg.Error{Code: pg.Idle, Text: "a whole query took too long to come"}
 )
 
 // New makes room for so many sessions, which together hold so many bytes of statements, none longer than longest.
@@ -192,9 +196,7 @@
 		case s.ends:
 		case now > s.moved+stalled:
 			s.drop()
-		case s.deaf || !s.answered() || s.p != nil && s.in.Pending() == 0:
-		case s.asked && s.quiet():
-		case now > s.until && !s.conn.Unread():
+		case !s.deaf && s.unfinished() && now > s.until && !s.conn.Unread():
 			a.Late++
 			s.refuse(late)
 		}
@@ -222,6 +224,15 @@
 }
 func (s *session) quiet() bool { return s.answered() && s.in.Pending() == 0 }
 
+// unfinished tells that nothing whole that has come is without its answer, and that the session waits for its client to ask, or for
+// the rest of what it asks.
+func (s *session) unfinished() bool {
+	if s.p != nil {
+		return s.p.unfinished()
+	}
+	return s.answered() && (!s.asked || s.in.Pending() > 0)
+}
+
 func (s *session) finish() {
 	s.end()
 	s.conn.Finish()
@@ -229,6 +240,9 @@
 
 // refuse ends the session with an error.
 func (s *session) refuse(e *pg.Error) {
+	if s.p != nil {
+		s.p.leave()
+	}
 	s.conn.Write(pg.AppendError(nil, e, true))
 	s.finish()
 }
@@ -257,6 +271,7 @@
 // Data takes bytes in.
 func (s *session) Data(b []byte) {
 	if s.deaf {
+		faults.Here("clients.ignored")
 		return
 	}
 	s.all.rota.wake(s, s.all.host.Now())
@@ -274,19 +289,25 @@
 		} else if !ok {
 			s.hold(s.in.Pending() - s.partial)
 			s.partial = s.in.Pending()
-			if s.all.held <= 2*s.all.budget || s.partial == 0 {
+			if s.partial == 0 || !s.all.overfull(s.held) {
 				return
 			}
 			s.deaf = true
 			s.queue = append(s.queue, item{fail: crowded, fatal: true})
 		} else {
 			s.message(m)
+			if s.asked { // what comes behind it has its own time
+				s.until = s.all.host.Now() + hurry
+			}
 		}
 		s.next()
 	}
 }
 
 func (s *session) message(m pg.Message) {
+	if m.Kind == pg.Query {
+		faults.Here("clients.query")
+	}
 	switch {
 	case m.Kind == pg.AskTLS:
 		s.conn.Write([]byte("N"))
@@ -299,12 +320,10 @@
 		s.enter(m)
 	case m.Kind == pg.Startup:
 		s.conn.Write(pg.AppendGreeting(nil, m.Minor))
+	case m.Kind == pg.Query && (len(s.queue) >= ahead || s.all.held+len(m.Text) > s.all.budget):
+		s.decline()
 	case len(s.queue) >= ahead: // of what is not looked at yet
-		s.deaf = true
-		s.queue = append(s.queue, item{fail: &pg.Error{Code: pg.TooLong, Text: "too much sent ahead"}, fatal: true})
-	case m.Kind == pg.Query && s.all.held+len(m.Text) > s.all.budget:
-		s.all.Refused++
-		s.queue = append(s.queue, item{fail: crowded})
+		s.overrun()
 	default:
 		s.asked = s.asked || m.Kind == pg.Query
 		s.hold(len(m.Text))
@@ -312,6 +331,31 @@
 	}
 }
 
+// decline has one more query declined at its turn. Guards against answers that are lost with the session's end: its client may have
+// meant all of them, and waits for each.
+func (s *session) decline() {
+	s.all.Refused++
+	if last := len(s.queue) - 1; last < 0 || s.queue[last].fail != crowded {
+		s.queue = append(s.queue, item{fail: crowded})
+	} else if s.queue[last].more < surplus {
+		s.queue[last].more++
+	} else {
+		s.overrun()
+	}
+}
+
+// overrun ends the session behind the answers to what came before.
+func (s *session) overrun() {
+	s.deaf = true
+	s.queue = append(s.queue, item{fail: sentAhead, fatal: true})
+}
+
+// overfull tells whether all sessions hold too much, and one that holds so much has a part in that. Guards against big statements
+// of some that end the sessions of all others.
+func (a *Clients) overfull(own int) bool {
+	return a.held > 2*a.budget && own > a.budget/a.most
+}
+
 // hold counts bytes that the session holds.
 func (s *session) hold(n int) {
 	s.held += n
@@ -320,13 +364,12 @@
 
 // next answers what can be answered at once, up to the first txn.
 func (s *session) next() {
-	if s.p != nil && !s.p.over && (!s.deaf || len(s.queue) == 0) {
+	if s.p != nil {
 		s.p.next()
 		return
 	}
-	for s.txn == nil && len(s.queue) > 0 && !s.rests && s.spent < ahead && s.conn.Unsent() < unread {
-		i := s.queue[0]
-		s.queue = s.queue[1:]
+	for s.txn == nil && len(s.queue) > 0 && !s.ends && !s.rests && s.spent < ahead && s.conn.Unsent() < unread {
+		i := s.pop()
 		// Guards against floods. A client that waits for each answer is none, however fast it asks.
 		if s.answer(i); s.txn == nil || len(s.queue) > 0 {
 			s.spent++
@@ -335,15 +378,8 @@
 	if s.deaf || !s.answered() {
 		return
 	}
-	now := s.all.host.Now()
-	if s.asked && s.in.Pending() > 0 {
-		s.until = now + hurry
-	}
 	if s.quiet() {
-		s.since = now
-		if s.asked {
-			s.until = now + idling
-		}
+		s.since = s.all.host.Now()
 		if s.all.leaving {
 			s.leave()
 		} else {
@@ -352,6 +388,17 @@
 	}
 }
 
+// pop takes the first of what waits.
+func (s *session) pop() item {
+	i := s.queue[0]
+	if i.more > 0 {
+		s.queue[0].more--
+	} else {
+		s.queue = s.queue[1:]
+	}
+	return i
+}
+
 func (s *session) answer(i item) {
 	switch {
 	case i.fatal:
@@ -390,7 +437,7 @@
 	var bad *pg.Error
 	switch {
 	case err == nil:
-		s.txn = t
+		s.txn, s.size = t, len(text)
 		return
 	case errors.As(err, &bad):
 	case errors.Is(err, host.ErrID):
@@ -421,6 +468,7 @@
 		return nil, err
 	}
 	t := exchange.New(st, at, func(a exchange.Answer) { s.deliver(a, len(text)) })
+	s.all.limitWait(t)
 	return t, s.all.host.Arrive(t)
 }
 
--- a/internal/clients/drain.go
+++ b/internal/clients/drain.go
@@ -1,39 +1,77 @@
 package clients
 
 import (
+	"wayloft/internal/exchange"
 	"wayloft/internal/faults"
 	"wayloft/internal/pg"
 )
 
-// Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last.
-func (a *Clients) Drain() {
+const (
+	comers      = 600.0 // ms after SIGTERM until no new connection or request comes (PROTOCOL: 400 at most)
+	giveUpAfter = 100.0 // ms by which a final answer may miss the end of the drain before the request is given up
+)
+
+var goingDown = &pg.Error{Code: pg.Refused, Text: "the router is going down"}
+
+// Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last. The signal was
+// received at this time of the loop's clock, and within so many ms of it each request has its final answer, whatever members do:
+// the process may be killed soon after that.
+func (a *Clients) Drain(signalled, within float64) {
 	if a.draining { // told twice: the first counts
 		return
 	}
 	a.draining = true
-	a.host.After(comers, func() {
+	a.answerBy = signalled + within
+	now := a.host.Clock()
+	a.host.After(signalled+comers-now, func() {
 		a.leaving, a.left = true, a.host.Now()
 		a.lookSoon()
 		a.sweep()
 	})
+	a.host.After(a.answerBy+giveUpAfter-now, a.giveUp)
+}
+
+// limitWait has a request that is taken while the router drains end before the process may be killed. One that comes later has no
+// time left: it is declined, and never sent to a member.
+func (a *Clients) limitWait(t *exchange.Txn) {
+	if a.draining {
+		t.Cap(max(0, a.answerBy-t.Arrived))
+	}
 }
 
-// sweep ends what is quiet; after a while also what has not sent its query to the end, and never will.
+// sweep ends what is quiet; after a while also what has not sent its query to the end.
 func (a *Clients) sweep() {
+	now := a.host.Now()
+	late := now > min(a.left+comers, a.answerBy)
 	for s := range a.sessions {
-		if !s.ends && (s.quiet() || a.host.Now() > a.left+comers && s.answered()) {
+		if !s.ends && (s.quiet() || late && s.unfinished()) {
 			s.leave()
 		}
 	}
 	a.last()
 }
 
-// leave ends a session at the end of the process, once nothing is owed.
+// leave ends a session at the end of the process, once nothing is owed. A client that has sent a part of a request is told why: it may
+// send the rest before it sees the end.
 func (s *session) leave() {
-	if s.p == nil {
+	switch {
+	case s.quiet() && s.p == nil:
 		s.retire()
-	} else if !s.conn.Unread() {
-		s.refuse(&pg.Error{Code: pg.GoingDown, Text: "the router is going down"})
+	case s.conn.Unread():
+	case s.p == nil:
+		s.refuse(goingDown)
+	default:
+		s.refuse(&pg.Error{Code: pg.GoingDown, Text: goingDown.Text})
+	}
+}
+
+// giveUp answers the requests that are still without an answer at the end of the drain. Those of pools end with their transactions.
+func (a *Clients) giveUp() {
+	for s := range a.sessions {
+		if t := s.txn; t != nil {
+			a.host.Gone(t)
+			s.deliver(exchange.Answer{}, s.size)
+		}
 	}
 }
 
--- a/internal/clients/pooled.go
+++ b/internal/clients/pooled.go
@@ -178,9 +178,8 @@
 func (p *pooled) grow(n int) {
 	p.size += n
 	p.s.hold(n)
-	if p.size > p.s.all.longest || p.s.all.held > 2*p.s.all.budget {
-		p.leave()
-		p.s.refuse(&pg.Error{Code: pg.TooLong, Text: "too much sent ahead"})
+	if p.size > p.s.all.longest || p.s.all.overfull(p.size) {
+		p.s.overrun()
 	}
 }
 
@@ -194,9 +193,9 @@
 	p.txn.Talk.Say(ops)
 }
 
-// next goes on with what came while a unit was on its way.
+// next goes on with what came while a unit was on its way. What has come whole is answered also where the session ends behind it.
 func (p *pooled) next() {
-	for !p.over && !p.s.deaf && len(p.queue) > 0 && (!p.asked || p.copying && isCopy(p.queue[0].Kind)) && p.s.conn.Unsent() < unread {
+	for !p.over && !p.s.ends && len(p.queue) > 0 && (!p.asked || p.copying && isCopy(p.queue[0].Kind)) && p.s.conn.Unsent() < unread {
 		m := p.queue[0]
 		p.queue = p.queue[1:]
 		p.size -= len(m.Raw)
@@ -207,14 +206,20 @@
 			p.handle(m.Message, m.at)
 		}
 	}
-	if len(p.queue) == 0 && p.queue != nil {
+	if len(p.queue) == 0 {
 		p.queue = nil
 	}
-	if p.s.deaf && len(p.queue) > 0 && !p.busy() {
-		p.queue = nil
+	if p.over || p.s.ends {
+		return
+	}
+	if len(p.s.queue) > 0 { // the error that ends the session
+		if len(p.queue) == 0 && (!p.asked || p.copying) {
+			p.s.answer(p.s.queue[0])
+		}
+		return
 	}
-	if !p.over && p.quiet() {
-		if p.s.since = p.s.all.host.Now(); p.s.all.leaving && !p.s.conn.Unread() {
+	if p.quiet() {
+		if p.s.since = p.s.all.host.Now(); p.s.all.leaving && p.s.quiet() {
 			p.s.leave()
 			return
 		}
@@ -226,6 +231,14 @@
 func (p *pooled) busy() bool  { return p.asked || p.open || p.txn != nil }
 func (p *pooled) quiet() bool { return !p.busy() && len(p.queue) == 0 && len(p.ops) == 0 }
 
+// unfinished tells that the rest of a message or of a unit has not come, and nothing is owed before.
+func (p *pooled) unfinished() bool {
+	if len(p.queue) > 0 || p.asked && !p.copying {
+		return false
+	}
+	return p.s.in.Pending() > 0 || len(p.ops) > 0
+}
+
 // handle takes one message, which came at that time, while nothing whole is on its way.
 func (p *pooled) handle(m pg.Message, at float64) {
 	switch {
@@ -256,7 +269,7 @@
 	default:
 		ops, _ := p.d.Extended(m)
 		p.ops = append(p.ops, ops...)
-		if p.grow(len(m.Raw)); p.over {
+		if p.grow(len(m.Raw)); p.s.deaf {
 			return
 		}
 		if m.Kind == pg.Sync || m.Kind == pg.Flush {
@@ -348,6 +361,7 @@
 		st.After = max(st.After, label.After)
 	}
 	t := exchange.New(st, at, p.deliver)
+	a.limitWait(t)
 	t.Talk = &exchange.Talk{Pool: p.pool.Name, Caller: p, Held: p.held}
 	t.Talk.Say(ops)
 	p.txn, p.held = t, nil // it comes back by Keep
@@ -424,7 +438,6 @@
 
 func (p *pooled) Ended(e *pg.Error) {
 	if !p.over {
-		p.leave()
 		p.s.refuse(e)
 	}
 }
--- /dev/null
+++ b/internal/clients/sessions_test.go
@@ -0,0 +1,129 @@
+package clients
+
+import (
+	"io"
+	"net"
+	"testing"
+
+	"wayloft/internal/exchange"
+	"wayloft/internal/host"
+	"wayloft/internal/pg"
+	"wayloft/internal/standin"
+	"wayloft/router"
+)
+
+// only gives the one session that there is; on the loop.
+func (f *front) only() (one *session) {
+	for s := range f.all.sessions {
+		one = s
+	}
+	return one
+}
+
+// until waits until something holds on the loop.
+func (f *front) until(what string, holds func() bool) {
+	f.t.Helper()
+	standin.Until(f.t, what, func() (now bool) {
+		f.do(func() { now = holds() })
+		return now
+	})
+}
+
+// Others hold all memory that statements may take: a client whose small request comes in two pieces is not sent away for that, and
+// has its final answer.
+func TestMemoryThatOthersHold(t *testing.T) {
+	for _, database := range []string{"plain", "pooled"} {
+		t.Run(database, func(t *testing.T) {
+			f := newFront(t, 100)
+			c := f.dial(database, true)
+			f.do(func() { f.all.held += 3 * f.all.budget })
+			ask := pg.AppendQuery(nil, "/* id=1,c=x,d=100 */ SELECT 1")
+			c.Write(ask[:9])
+			f.until("half of it has come", func() bool { return f.only().in.Pending() == 9 })
+			f.do(func() {
+				if f.only().deaf {
+					t.Error("its session ends before the request is whole")
+				}
+			})
+			f.say(c, ask[9:], 1)
+			f.do(func() { f.all.held -= 3 * f.all.budget })
+			f.say(c, pg.AppendQuery(nil, ""), 1)
+		})
+	}
+}
+
+// The end of the drain is counted from the signal, however late the loop hears of it; a request that is taken in it has what is left,
+// and one that comes later none.
+func TestDrainCountsFromTheSignal(t *testing.T) {
+	f := newFront(t, 100)
+	c := f.dial("plain", true)
+	var signalled float64
+	f.do(func() {
+		signalled = f.host.Clock() - comers - 1
+		f.all.Drain(signalled, comers+1e6)
+	})
+	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 { // at once, though it was heard of just now
+		t.Errorf("got %q, %v", rest, err)
+	}
+	f.do(func() {
+		if f.all.left > signalled+2*comers {
+			t.Errorf("it served on until %v ms after the signal", f.all.left-signalled)
+		}
+	})
+	for _, one := range []struct{ at, wait, want float64 }{{0, 500, 500}, {comers + 1e6 - 100, 500, 100}, {comers + 1e6 + 100, 500, 0}} {
+		f.do(func() {
+			x := exchangeAt(signalled+one.at, one.wait)
+			if f.all.limitWait(x); x.Wait < one.want-0.01 || x.Wait > one.want+0.01 {
+				t.Errorf("at %v: it waits for %v, want %v", one.at, x.Wait, one.want)
+			}
+		})
+	}
+}
+
+// A request that is still without an answer at the end of the drain is given one, though nothing decides on it.
+func TestGiveUpAtTheEndOfTheDrain(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	kinds := map[string]*router.TxnType{"x": {SLA: 1e6, Expiry: 1e6, Value: 1, Level: router.Write}}
+	h := host.New(host.NewLoop(256), router.New(&router.Settings{Routers: 1, Submissions: 3, CanCheck: true, TxnTypes: kinds}, 1), kinds, func() {})
+	h.Use(silent{})
+	f := &front{t: t, host: h, all: New(h, 100, 1<<20, 1<<16), addr: l.Addr().String()}
+	if err := h.Listen(f.all.Gate(l), 1<<20, f.all.Accept); err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan bool)
+	go func() { h.Run(); close(ended) }()
+	c := standin.NewClient(t, f.addr, true)
+	f.do(func() {
+		list := h.List()
+		list.ListStart()
+		list.Listed("m", "z", 2, router.Up, router.Never)
+		list.ListEnd(true)
+	})
+	c.Ask("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
+	f.until("it is held for a primary", func() bool { return f.only().txn != nil })
+	f.do(func() { f.all.Drain(h.Clock()-2*comers, comers) })
+	if got := c.Answer(); got != "08007 ready" {
+		t.Errorf("got %q", got)
+	}
+	if got := c.Answer(); got != "closed" {
+		t.Errorf("then %q", got)
+	}
+	c.Close()
+	<-ended
+}
+
+func exchangeAt(at, wait float64) *exchange.Txn {
+	return exchange.New(&pg.Statement{Wait: wait}, at, func(exchange.Answer) {})
+}
+
+// silent is a members' side from which nothing ever comes back.
+type silent struct{}
+
+func (silent) Submit(*exchange.Txn, int, string, float64, float64) {}
+func (silent) Abandon(string)                                      {}
+func (silent) Revoke(string, int)                                  {}
+func (silent) Check(string)                                        {}
+func (silent) CloseIdle(string)                                    {}
