--- a/cmd/wayloft/unanswered_test.go
+++ b/cmd/wayloft/unanswered_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"path/filepath"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -240,6 +242,7 @@
 	addr         string
 	asked        chan string
 	whole, watch chan string
+	open         atomic.Int64 // connections that it serves
 }
 
 func newScript(t *testing.T) *script {
@@ -248,7 +251,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{l.Addr().String(), make(chan string, 100), make(chan string, 10), make(chan string, 10)}
+	s := &script{addr: l.Addr().String(), asked: make(chan string, 100), whole: make(chan string, 10), watch: make(chan string, 10)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -257,7 +260,12 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			go s.serve(c)
+			s.open.Add(1)
+			go func() {
+				defer s.open.Add(-1)
+				s.serve(c)
+				io.Copy(io.Discard, c) // up to its end
+			}()
 		}
 	}()
 	return s
