--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -4,16 +4,10 @@
 
 import (
 	"errors"
-	"net"
-	"os"
 	"strconv"
 	"strings"
-	"sync/atomic"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/exchange"
 	"wayloft/internal/faults"
@@ -22,9 +16,9 @@
 )
 
 const (
-	ahead   = 256 // messages that a session may send ahead
+	ahead   = 256  // messages that a session may send ahead
+	surplus = 4096 // queries beyond them that are declined one by one, before the session ends
 	pause   = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
-	comers  = 600.0   // ms after SIGTERM until no new connection or request comes (PROTOCOL: 400 at most)
 	hurry   = 2000.   // ms within which a session must ask its first, and send the rest of a message
 	idling  = 10e3    // ms that a session may then rest between two queries
 	looks   = 100.0   // ms between two looks at them
@@ -52,6 +46,7 @@
 	keys     map[pg.Key]*pooled
 	ids      uint64  // txns without an id of their client's
 	draining bool    // SIGTERM has come
+	answerBy float64 // by when each request has its final answer then
 	leaving  bool    // each session ends once nothing of it is left to answer
 	left     float64 // since when
 
@@ -68,6 +63,7 @@
 	in    *pg.Reader
 	queue []item
 	txn   *exchange.Txn
+	size  int     // bytes of its statement
 	since float64 // when it last became quiet
 	until float64 // when it must have asked, or sent the rest of a message, or is sent away for idling
 	asked bool    // it has sent a whole query
@@ -87,13 +83,15 @@
 	pg.Message
 	at    float64   // when its last byte came: its client's time runs while it waits for its turn
 	fail  *pg.Error // to be answered instead
+	more  int       // so many more are answered the same
 	fatal bool
 }
 
 var (
-	crowded = &pg.Error{Code: pg.Refused, Text: "too many statements at once"}
-	noRoom  = &pg.Error{Code: pg.Refused, Text: "too many connections"}
-	late    = &pg.Error{Code: pg.Idle, Text: "a whole query took too long to come"}
+	crowded   = &pg.Error{Code: pg.Refused, Text: "too many statements at once"}
+	noRoom    = &pg.Error{Code: pg.Refused, Text: "too many connections"}
+	sentAhead = &pg.Error{Code: pg.TooLong, Text: "too much sent ahead"}
+	late      = &pg.Error{Code: pg.Idle, Text: "a whole query took too long to come"}
 )
 
 // New makes room for so many sessions, which together hold so many bytes of statements, none longer than longest.
@@ -103,118 +101,6 @@
 	return a
 }
 
-// Gate makes a listener leave connections with the system while there is no room.
-func (a *Clients) Gate(l net.Listener) net.Listener {
-	a.gate = &gate{Listener: l, room: a.room}
-	return a.gate
-}
-
-type gate struct {
-	net.Listener
-	room  chan struct{}
-	let   atomic.Int64 // connections let in
-	taken int64        // of these, how many have become sessions; the loop's
-
-	shut   atomic.Int64 // counts the times that it was shut or opened; odd: shut
-	parked atomic.Int64 // when it was that a call for the next connection last came back without one
-
-	accepted net.Conn // not yet with the poller, for want of a descriptor; the acceptor's
-}
-
-func (g *gate) Accept() (net.Conn, error) {
-	g.room <- struct{}{}
-	shut := g.shut.Load()
-	c, err := g.next()
-	if err == nil {
-		return c, nil
-	}
-	<-g.room
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		g.parked.Store(shut)
-	} else if !errors.Is(err, net.ErrClosed) {
-		time.Sleep(pause) // the poller asks again at once, and a descriptor may come free
-	}
-	return nil, err
-}
-
-// next gives the next connection in the poller's form. One that was accepted stays for the next call while no descriptor is
-// left for that form. Guards against closing it: its client may have sent a request already.
-func (g *gate) next() (net.Conn, error) {
-	if g.accepted == nil {
-		c, err := g.accept()
-		if err != nil {
-			return nil, err
-		}
-		faults.Here("clients.accepted")
-		g.let.Add(1)
-		g.accepted = c
-	}
-	c, err := host.Adopt(g.accepted)
-	if err != nil && errors.As(err, new(syscall.Errno)) {
-		return nil, err
-	}
-	if err != nil { // it has no descriptor at all
-		g.accepted.Close()
-		g.let.Add(-1)
-	}
-	g.accepted = nil
-	return c, err
-}
-
-func (g *gate) accept() (net.Conn, error) {
-	if err := faults.Error("clients.accept"); err != nil {
-		return nil, err
-	}
-	return g.Listener.Accept()
-}
-
-// empty tells that no connection is on its way in: with the system, or between it and the loop. Guards against an end of
-// the process that takes a whole request away, which its client has sent and nobody has read. The gate is shut first, and
-// the answer is no until a call for the next connection has come back without one: none is between the two then.
-func (g *gate) empty() bool {
-	if g == nil {
-		return true
-	}
-	timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok {
-		return g.let.Load() == g.taken
-	}
-	if g.shut.Load()%2 == 0 {
-		g.shut.Add(1)
-		timed.SetDeadline(time.Unix(1, 0))
-	}
-	if g.parked.Load() != g.shut.Load() {
-		return false
-	}
-	if g.waits() || g.let.Load() != g.taken {
-		g.open()
-		return false
-	}
-	return true
-}
-
-// open has connections come in again, if it was shut.
-func (g *gate) open() {
-	if timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.shut.Load()%2 == 1 {
-		g.shut.Add(1)
-		timed.SetDeadline(time.Time{})
-	}
-}
-
-// waits tells whether the system holds a connection that nobody has taken.
-func (g *gate) waits() (some bool) {
-	if sys, ok := g.Listener.(syscall.Conn); ok {
-		if raw, err := sys.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) {
-				poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-				n, err := unix.Poll(poll, 0)
-				some = err != nil || n > 0
-			})
-		}
-	}
-	return some
-}
-
 // Accept takes a connection in.
 func (a *Clients) Accept(c *host.Conn) {
 	now := a.host.Now()
@@ -311,9 +197,7 @@
 		case s.ends:
 		case now > s.moved+stalled:
 			s.drop()
-		case s.deaf || !s.answered() || s.p != nil && s.in.Pending() == 0:
-		case s.asked && s.quiet():
-		case now > s.until && !s.conn.Unread():
+		case !s.deaf && s.unfinished() && now > s.until && !s.conn.Unread():
 			a.Late++
 			s.refuse(late)
 		}
@@ -325,48 +209,6 @@
 	}
 }
 
-// Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last.
-func (a *Clients) Drain() {
-	if a.draining { // told twice: the first counts
-		return
-	}
-	a.draining = true
-	a.host.After(comers, func() {
-		a.leaving, a.left = true, a.host.Now()
-		a.lookSoon()
-		a.sweep()
-	})
-}
-
-// sweep ends what is quiet; after a while also what has not sent its query to the end, and never will.
-func (a *Clients) sweep() {
-	for s := range a.sessions {
-		if !s.ends && (s.quiet() || a.host.Now() > a.left+comers && s.answered()) {
-			s.leave()
-		}
-	}
-	a.last()
-}
-
-// leave ends a session at the end of the process, once nothing is owed.
-func (s *session) leave() {
-	if s.p == nil {
-		s.retire()
-	} else if !s.conn.Unread() {
-		s.refuse(&pg.Error{Code: pg.GoingDown, Text: "the router is going down"})
-	}
-}
-
-// last ends the loop after the last session, unless one more is on its way in.
-func (a *Clients) last() {
-	if !a.leaving || len(a.sessions) > 0 {
-		return
-	}
-	if faults.Here("clients.last"); a.gate.empty() {
-		a.host.End()
-	}
-}
-
 // Sessions tells how many there are, and how many of them wait for an answer.
 func (a *Clients) Sessions() (all, busy int) {
 	for s := range a.sessions {
@@ -383,6 +225,15 @@
 }
 func (s *session) quiet() bool { return s.answered() && s.in.Pending() == 0 }
 
+// unfinished tells that nothing whole that has come is without its answer, and that the session waits for its client to ask, or for
+// the rest of what it asks.
+func (s *session) unfinished() bool {
+	if s.p != nil {
+		return s.p.unfinished()
+	}
+	return s.answered() && (!s.asked || s.in.Pending() > 0)
+}
+
 func (s *session) finish() {
 	s.end()
 	s.conn.Finish()
@@ -390,6 +241,9 @@
 
 // refuse ends the session with an error.
 func (s *session) refuse(e *pg.Error) {
+	if s.p != nil {
+		s.p.leave()
+	}
 	s.conn.Write(pg.AppendError(nil, e, true))
 	s.finish()
 }
@@ -418,6 +272,7 @@
 // Data takes bytes in.
 func (s *session) Data(b []byte) {
 	if s.deaf {
+		faults.Here("clients.ignored")
 		return
 	}
 	s.all.rota.wake(s, s.all.host.Now())
@@ -435,19 +290,25 @@
 		} else if !ok {
 			s.hold(s.in.Pending() - s.partial)
 			s.partial = s.in.Pending()
-			if s.all.held <= 2*s.all.budget || s.partial == 0 {
+			if s.partial == 0 || !s.all.overfull(s.held) {
 				return
 			}
 			s.deaf = true
 			s.queue = append(s.queue, item{fail: crowded, fatal: true})
 		} else {
 			s.message(m)
+			if s.asked { // what comes behind it has its own time
+				s.until = s.all.host.Now() + hurry
+			}
 		}
 		s.next()
 	}
 }
 
 func (s *session) message(m pg.Message) {
+	if m.Kind == pg.Query {
+		faults.Here("clients.query")
+	}
 	switch {
 	case m.Kind == pg.AskTLS:
 		s.conn.Write([]byte("N"))
@@ -460,12 +321,10 @@
 		s.enter(m)
 	case m.Kind == pg.Startup:
 		s.conn.Write(pg.AppendGreeting(nil, m.Minor))
+	case m.Kind == pg.Query && (len(s.queue) >= ahead || s.all.held+len(m.Text) > s.all.budget):
+		s.decline()
 	case len(s.queue) >= ahead: // of what is not looked at yet
-		s.deaf = true
-		s.queue = append(s.queue, item{fail: &pg.Error{Code: pg.TooLong, Text: "too much sent ahead"}, fatal: true})
-	case m.Kind == pg.Query && s.all.held+len(m.Text) > s.all.budget:
-		s.all.Refused++
-		s.queue = append(s.queue, item{fail: crowded})
+		s.overrun()
 	default:
 		s.asked = s.asked || m.Kind == pg.Query
 		s.hold(len(m.Text))
@@ -473,6 +332,31 @@
 	}
 }
 
+// decline has one more query declined at its turn. Guards against answers that are lost with the session's end: its client may have
+// meant all of them, and waits for each.
+func (s *session) decline() {
+	s.all.Refused++
+	if last := len(s.queue) - 1; last < 0 || s.queue[last].fail != crowded {
+		s.queue = append(s.queue, item{fail: crowded})
+	} else if s.queue[last].more < surplus {
+		s.queue[last].more++
+	} else {
+		s.overrun()
+	}
+}
+
+// overrun ends the session behind the answers to what came before.
+func (s *session) overrun() {
+	s.deaf = true
+	s.queue = append(s.queue, item{fail: sentAhead, fatal: true})
+}
+
+// overfull tells whether all sessions hold too much, and one that holds so much has a part in that. Guards against big statements
+// of some that end the sessions of all others.
+func (a *Clients) overfull(own int) bool {
+	return a.held > 2*a.budget && own > a.budget/a.most
+}
+
 // hold counts bytes that the session holds.
 func (s *session) hold(n int) {
 	s.held += n
@@ -481,13 +365,12 @@
 
 // next answers what can be answered at once, up to the first txn.
 func (s *session) next() {
-	if s.p != nil && !s.p.over && (!s.deaf || len(s.queue) == 0) {
+	if s.p != nil {
 		s.p.next()
 		return
 	}
-	for s.txn == nil && len(s.queue) > 0 && !s.rests && s.spent < ahead && s.conn.Unsent() < unread {
-		i := s.queue[0]
-		s.queue = s.queue[1:]
+	for s.txn == nil && len(s.queue) > 0 && !s.ends && !s.rests && s.spent < ahead && s.conn.Unsent() < unread {
+		i := s.pop()
 		// Guards against floods. A client that waits for each answer is none, however fast it asks.
 		if s.answer(i); s.txn == nil || len(s.queue) > 0 {
 			s.spent++
@@ -496,15 +379,8 @@
 	if s.deaf || !s.answered() {
 		return
 	}
-	now := s.all.host.Now()
-	if s.asked && s.in.Pending() > 0 {
-		s.until = now + hurry
-	}
 	if s.quiet() {
-		s.since = now
-		if s.asked {
-			s.until = now + idling
-		}
+		s.since = s.all.host.Now()
 		if s.all.leaving {
 			s.leave()
 		} else {
@@ -513,6 +389,17 @@
 	}
 }
 
+// pop takes the first of what waits.
+func (s *session) pop() item {
+	i := s.queue[0]
+	if i.more > 0 {
+		s.queue[0].more--
+	} else {
+		s.queue = s.queue[1:]
+	}
+	return i
+}
+
 func (s *session) answer(i item) {
 	switch {
 	case i.fatal:
@@ -551,7 +438,7 @@
 	var bad *pg.Error
 	switch {
 	case err == nil:
-		s.txn = t
+		s.txn, s.size = t, len(text)
 		return
 	case errors.As(err, &bad):
 	case errors.Is(err, host.ErrID):
@@ -583,6 +470,7 @@
 	}
 	t := exchange.New(st, at, func(a exchange.Answer) { s.deliver(a, len(text)) })
 	t.ClientClosed = s.conn.PeerClosed
+	s.all.limitWait(t)
 	return t, s.all.host.Arrive(t)
 }
 
