--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"wayloft/internal/drill"
+	"wayloft/internal/simadapter"
 )
 
 func main() {
-	if err := drill.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
--- a/cmd/wayloft/ahead_test.go
+++ b/cmd/wayloft/ahead_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
-	"wayloft/internal/standin/pgserver"
 )
 
 // passed waits until so many ms have passed by the router's own clock: until it declines a txn of a cluster that isn't there,
 // at half of its time.
 func passed(t *testing.T, addr string, ms int) {
 	t.Helper()
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	defer c.Close()
 	c.Ask(fmt.Sprintf("/* id=passed,c=look,t=n,d=%d,cluster=9 */ SELECT x", 2*ms))
 	if got := c.Answer(); got != "53300 ready" {
@@ -28,16 +28,16 @@
 // the one behind is over, which is declined then, and no member hears of it.
 func TestTimeRunsBeforeItsTurn(t *testing.T) {
 	answer := make(chan bool)
-	m := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if sql == "SHOW vitals" {
-			return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		} else if strings.Contains(sql, "before") {
 			<-answer
 		}
-		return standin.Row("served", "source", "1")
+		return fakes.Row("served", "source", "1")
 	})
 	addr, _, _ := start(t, "127.0.0.1:1", 256, m.Addr)
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	for n := range 20 { // so that one slow answer doesn't count for much
 		c.Ask(put(fmt.Sprint("q", n), "quick"))
 		if got := c.Answer(); got != "served ok ready" {
@@ -46,7 +46,7 @@
 	}
 	c.Send(string(pg.AppendQuery(pg.AppendQuery(nil, "/* id=b1,c=put,t=n,d=2000,cluster=2 */ INSERT before"),
 		"/* id=b2,c=put,t=n,d=300,cluster=2 */ INSERT behind")))
-	standin.Until(t, "the first is out", func() bool { _, asked := m.Seen(); return strings.Contains(strings.Join(asked, ""), "before") })
+	fakes.Until(t, "the first is out", func() bool { _, asked := m.Seen(); return strings.Contains(strings.Join(asked, ""), "before") })
 	passed(t, addr, 350)
 	answer <- true
 	for n, want := range []string{"served ok ready", "53300 ready"} {
@@ -71,7 +71,7 @@
 			return nil
 		}
 	})
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	query := func(sql string) string { return string(pg.AppendQuery(nil, sql)) }
 	labelled := func(n, d int, sql string) string {
 		return fmt.Sprintf("/* id=q%d,c=write,t=n,d=%d,cluster=0 */ %s", n, d, sql)
@@ -81,7 +81,7 @@
 	c.Send(query(labelled(1, 2000, insert("before", "1"))) + query(labelled(2, 300, insert("late", "1"))) + pipeline +
 		query("SELECT blob FROM rows WHERE handle = 'late'"))
 	<-out
-	other := standin.NewClient(t, addr, true)
+	other := fakes.NewClient(t, addr, true)
 	other.Ask("/* id=passed,c=write,t=n,d=700,cluster=9 */ " + insert("none", "1"))
 	if got := other.Answer(); got != "53300 ready" {
 		t.Fatalf("a cluster that isn't there: %q", got)
--- a/cmd/wayloft/astray_test.go
+++ b/cmd/wayloft/astray_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
-	"wayloft/internal/standin/pgserver"
 )
 
 var long = flag.Int("astray", 4000, "transactions of the mixed run; the long one takes 100000")
@@ -48,7 +48,7 @@
 // mixed is one client of the run, with its own account of what it has set, prepared and written.
 type mixed struct {
 	id       int
-	c        *standin.Client
+	c        *fakes.Client
 	r        *rand.Rand
 	set, was map[string]string
 	saved    map[string]string
@@ -258,7 +258,7 @@
 		owner := map[string]string{"owner": fmt.Sprint(id)}
 		m := &mixed{id: id, r: rand.New(rand.NewPCG(seed, uint64(id))), set: owner, was: clone(owner), names: map[string]string{},
 			codes: map[string]int{}}
-		m.c = standin.NewClient(t, addr, false)
+		m.c = fakes.NewClient(t, addr, false)
 		m.c.Write(pg.AppendStartup(nil, "api", "ledger", [2]string{"options", fmt.Sprintf("-c m.owner=%d", id)}))
 		if got := m.c.Answer(); got != "ready" {
 			t.Fatalf("client %d: %q", id, got)
@@ -294,7 +294,7 @@
 	var counts []pgserver.Counts
 	for _, s := range cluster.Servers {
 		// And one for checks. One that the router has closed is the member's for a moment longer.
-		standin.Until(t, "no more connections than the pool's", func() bool { return s.Counts().Open <= 4+1 })
+		fakes.Until(t, "no more connections than the pool's", func() bool { return s.Counts().Open <= 4+1 })
 		n := s.Counts()
 		counts = append(counts, n)
 	}
--- a/cmd/wayloft/clock_test.go
+++ b/cmd/wayloft/clock_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
 )
 
 // clocked is a member whose positions lag the cluster's present, for a router whose wall clock is wrong.
 type clocked struct {
-	*standin.Member
+	*fakes.Member
 	checks, reads atomic.Int64
 }
 
@@ -26,14 +26,14 @@
 	if primary {
 		name, role, x1 = "primary", "source", 1
 	}
-	m.Member = standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	m.Member = fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		at := float64(time.Now().Add(-lag).UnixMicro()) / 1000
 		if sql == "SHOW vitals" {
 			defer m.checks.Add(1)
-			return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%.6f,x1=%d", at/1000, x1)))}
+			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%.6f,x1=%d", at/1000, x1)))}
 		}
 		m.reads.Add(1)
-		return standin.Row(name, role, fmt.Sprintf("%.3f", at))
+		return fakes.Row(name, role, fmt.Sprintf("%.3f", at))
 	})
 	return m
 }
@@ -75,7 +75,7 @@
 	for _, ahead := range wrongClocks {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
 			primary, replica := newClocked(t, true, 0), newClocked(t, false, 700*time.Millisecond)
-			c := standin.NewClient(t, startAhead(t, ahead, primary, replica), true)
+			c := fakes.NewClient(t, startAhead(t, ahead, primary, replica), true)
 			ask := func(n int, class, more string) {
 				t.Helper()
 				c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, more))
@@ -84,7 +84,7 @@
 				}
 			}
 			n := 0
-			standin.Until(t, "both are checked more than once", func() bool { // from its start on
+			fakes.Until(t, "both are checked more than once", func() bool { // from its start on
 				n++
 				ask(n, "look", "")
 				ask(n, "own", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
@@ -102,11 +102,11 @@
 	for _, ahead := range wrongClocks {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
 			primary, replica := newClocked(t, true, 0), newClocked(t, false, 50*time.Millisecond)
-			c := standin.NewClient(t, startAhead(t, ahead, primary, replica), true)
+			c := fakes.NewClient(t, startAhead(t, ahead, primary, replica), true)
 			commit := time.Now().Add(-10 * time.Second).UnixMilli()
 			for _, class := range []string{"old", "own"} {
 				before, n := replica.reads.Load(), 0
-				standin.Until(t, "the replica serves "+class, func() bool {
+				fakes.Until(t, "the replica serves "+class, func() bool {
 					n++
 					c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2,after=%d */ SELECT blob FROM rows WHERE handle = 's'", class, n,
 						class, commit))
--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/council.go
@@ -11,15 +11,15 @@
 	"strings"
 	"syscall"
 
-	"wayloft/internal/council"
-	decide "wayloft/internal/decide/council"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/audit"
+	"wayloft/internal/coordinator"
+	"wayloft/internal/decide/leasestate"
+	decide "wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/ledger"
-	"wayloft/internal/record"
+	"wayloft/internal/rpc"
 	"wayloft/internal/settings"
-	"wayloft/internal/wire"
+	"wayloft/internal/storage"
 )
 
 // at names a council, for the commands that ask it.
@@ -63,7 +63,7 @@
 	signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	rec, err := record.Open(set.Record, set.Name)
+	rec, err := audit.Open(set.Record, set.Name)
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
@@ -76,8 +76,8 @@
 		}
 		peers = append(peers, decide.Peer{Name: p.Name, Addr: p.Address})
 	}
-	process, err := council.Open(council.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Folder, Address: addr, Peers: peers, Via: set.Via,
-		Tick: float64(set.Tick), Keep: uint64(set.Keep), Connections: set.Connections, Ahead: float64(set.ClockAhead),
+	process, err := coordinator.Open(coordinator.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Folder, Address: addr, Peers: peers, Via: set.Via,
+		Tick: float64(set.Tick), Keep: uint64(set.Keep), Connections: set.Connections, ClockOffset: float64(set.ClockAhead),
 		Above: c.Above, Record: rec})
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	ans, err := client.Change(ctx, m)
+	ans, err := client.ChangeMembership(ctx, m)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	s, err := client.Look(ctx)
+	s, err := client.State(ctx)
 	if err != nil {
 		return err
 	}
@@ -200,7 +200,7 @@
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	ans, err := client.Do(ctx, register.Entry{Kind: register.Ascend, Epoch: epoch})
+	ans, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: epoch})
 	if err != nil {
 		return err
 	}
@@ -220,12 +220,12 @@
 	if _, err := os.Stat(set.Folder); err != nil {
 		return fmt.Errorf("no folder is left to recover from: %w; start the council anew, its epoch is above the old one's unless the wall clock was stepped back: then give run --above EPOCH", err)
 	}
-	l, err := ledger.Open(set.Folder, set.Fleet, set.Name, wire.Draw)
+	l, err := storage.Open(set.Folder, set.Fleet, set.Name, rpc.UniqueID)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	had, _, err := council.Read(l)
+	had, _, err := coordinator.Read(l)
 	if err != nil {
 		return err
 	}
@@ -247,7 +247,7 @@
 	if err := c.meant(); err != nil {
 		return err
 	}
-	if err := council.Store(l, r.Store); err != nil {
+	if err := coordinator.Store(l, r.Store); err != nil {
 		return err
 	}
 	fmt.Printf("epoch %d begins when %s is started\n", r.Epoch, set.Name)
--- a/cmd/wayloft/crossing_test.go
+++ b/cmd/wayloft/crossing_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
 )
 
 // gated is a member that lets connections in, says that it is primary or not, and answers, each only when told to.
@@ -86,7 +86,7 @@
 					x1 = 1
 				}
 				g.mu.Unlock()
-				out = pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))
+				out = pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))
 			default:
 				g.mu.Lock()
 				g.seen = append(g.seen, m.Text)
@@ -98,8 +98,8 @@
 						return
 					}
 				}
-				if out = standin.Row("v", "source", "1").Bytes; strings.Contains(m.Text, "fail") {
-					out = standin.Fail("XX000").Bytes
+				if out = fakes.Row("v", "source", "1").Bytes; strings.Contains(m.Text, "fail") {
+					out = fakes.Fail("XX000").Bytes
 				}
 			}
 			if _, err := c.Write(out); err != nil || g.once && m.Kind == pg.Query {
@@ -116,10 +116,10 @@
 }
 
 // served has a client ask until it is served, each time under a new id.
-func served(t *testing.T, c *standin.Client, name string) {
+func served(t *testing.T, c *fakes.Client, name string) {
 	t.Helper()
 	n := 0
-	standin.Until(t, name+" is served", func() bool {
+	fakes.Until(t, name+" is served", func() bool {
 		n++
 		c.Ask(look(fmt.Sprint(name, n), "x"))
 		return c.Answer() == "v ok ready"
@@ -130,7 +130,7 @@
 func settled(t *testing.T) (wait func()) {
 	t.Helper()
 	gone := make(chan bool, 100)
-	t.Cleanup(faults.At("clients.closed", func() { gone <- true }))
+	t.Cleanup(failpoint.Set("clients.closed", func() { gone <- true }))
 	return func() { <-gone }
 }
 
@@ -148,7 +148,7 @@
 	t.Run("for a connection to come up", func(t *testing.T) {
 		primary := true
 		g, addr, wait := gatedRouter(t, 1, &primary) // the check's, which doesn't last
-		leaves := standin.NewClient(t, addr, true)
+		leaves := fakes.NewClient(t, addr, true)
 		leaves.Ask(put("leaves", "x"))
 		<-g.came // the check's
 		<-g.came // its own
@@ -157,7 +157,7 @@
 		for range 20 {
 			g.greets <- true
 		}
-		served(t, standin.NewClient(t, addr, true), "after")
+		served(t, fakes.NewClient(t, addr, true), "after")
 		if g.asked("leaves") {
 			t.Error("sent after its client had gone")
 		}
@@ -165,15 +165,15 @@
 	t.Run("for a primary", func(t *testing.T) {
 		primary := false
 		g, addr, wait := gatedRouter(t, 20, &primary)
-		leaves := standin.NewClient(t, addr, true)
+		leaves := fakes.NewClient(t, addr, true)
 		leaves.Ask(put("leaves", "x"))
 		leaves.Close()
 		wait()
 		g.mu.Lock()
 		primary = true
 		g.mu.Unlock()
-		c, n := standin.NewClient(t, addr, true), 0
-		standin.Until(t, "writes go through", func() bool {
+		c, n := fakes.NewClient(t, addr, true), 0
+		fakes.Until(t, "writes go through", func() bool {
 			n++
 			c.Ask(put(fmt.Sprint("after", n), "x"))
 			return c.Answer() == "v ok ready"
@@ -185,14 +185,14 @@
 	t.Run("behind another of its session", func(t *testing.T) {
 		primary := true
 		g, addr, wait := gatedRouter(t, 20, &primary)
-		leaves := standin.NewClient(t, addr, true)
+		leaves := fakes.NewClient(t, addr, true)
 		leaves.Ask(look("first", "hang"))
 		leaves.Ask(look("leaves", "x"))
-		standin.Until(t, "the first is out", func() bool { return g.asked("first") })
+		fakes.Until(t, "the first is out", func() bool { return g.asked("first") })
 		leaves.Close()
 		wait()
 		g.asks <- true
-		served(t, standin.NewClient(t, addr, true), "after")
+		served(t, fakes.NewClient(t, addr, true), "after")
 		if g.asked("leaves") {
 			t.Error("sent after its client had gone")
 		}
@@ -200,15 +200,15 @@
 	t.Run("for another try", func(t *testing.T) {
 		primary := true
 		g, addr, wait := gatedRouter(t, 20, &primary)
-		leaves := standin.NewClient(t, addr, true)
+		leaves := fakes.NewClient(t, addr, true)
 		leaves.Ask(look("leaves", "hang and fail"))
-		standin.Until(t, "its first try is out", func() bool { return g.asked("leaves") })
+		fakes.Until(t, "its first try is out", func() bool { return g.asked("leaves") })
 		leaves.Close()
 		wait()
 		for range 20 {
 			g.asks <- true
 		}
-		served(t, standin.NewClient(t, addr, true), "after")
+		served(t, fakes.NewClient(t, addr, true), "after")
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if n := strings.Count(strings.Join(g.seen, "|"), "id=leaves,"); n != 1 {
@@ -227,16 +227,16 @@
 
 func lastSession(t *testing.T, arriving int) {
 	addr, term, ended := start(t, "127.0.0.1:1", 256, member(t).Addr)
-	first := standin.NewClient(t, addr, true)
+	first := fakes.NewClient(t, addr, true)
 	held, release := make(chan bool, 10), make(chan bool)
-	clear := faults.At("clients.accepted", func() { held <- true; <-release })
+	clear := failpoint.Set("clients.accepted", func() { held <- true; <-release })
 	defer clear()
 	empty := make(chan bool, 100)
-	defer faults.At("clients.last", func() { empty <- true })()
+	defer failpoint.Set("clients.last", func() { empty <- true })()
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
-	var late []*standin.Client
+	var late []*fakes.Client
 	for n := range arriving {
-		c := standin.NewClient(t, addr, false)
+		c := fakes.NewClient(t, addr, false)
 		c.Send(hello + string(pg.AppendQuery(nil, look(fmt.Sprint("late", n), "served"))))
 		late = append(late, c)
 	}
@@ -265,9 +265,9 @@
 // its answer, the rest of the other comes and is served, and the process ends once, in order.
 func TestSignalsWhileATxnIsHeld(t *testing.T) {
 	addr, term, ended := start(t, "127.0.0.1:1", 256, withRole(t, 0).Addr)
-	held := standin.NewClient(t, addr, true)
+	held := fakes.NewClient(t, addr, true)
 	held.Ask("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // declined at half its time, after the sweep
-	half := standin.NewClient(t, addr, true)
+	half := fakes.NewClient(t, addr, true)
 	ask := string(pg.AppendQuery(nil, look("half", "whole")))
 	half.Send(ask[:20])
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
@@ -280,7 +280,7 @@
 	if got := half.Answer(); got != "whole ok ready" {
 		t.Errorf("half: %q", got)
 	}
-	for _, c := range []*standin.Client{held, half} {
+	for _, c := range []*fakes.Client{held, half} {
 		if got := c.Answer(); got != "closed" {
 			t.Errorf("got %q, want the end", got)
 		}
@@ -296,17 +296,17 @@
 func TestClientLeavesThePoolsQueue(t *testing.T) {
 	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	wait := settled(t)
-	holder := standin.NewClient(t, addr, true)
+	holder := fakes.NewClient(t, addr, true)
 	if got := told(holder, "BEGIN", insert("holder", "1")); got != "ok ready; 1 ok ready" {
 		t.Fatalf("the holder: %q", got)
 	}
-	closes, cancels := standin.NewClient(t, addr, true), standin.NewClient(t, addr, true)
-	for n, c := range []*standin.Client{closes, cancels} {
+	closes, cancels := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
+	for n, c := range []*fakes.Client{closes, cancels} {
 		c.Ask(insert(fmt.Sprint("waits", n), "1"))
 	}
 	closes.Close()
 	wait()
-	key := standin.NewClient(t, addr, false)
+	key := fakes.NewClient(t, addr, false)
 	key.Send(string(pg.AppendCancel(nil, cancels.Key)))
 	if got := cancels.Answer(); got != "57014 ready" {
 		t.Errorf("the one that cancels: %q", got)
@@ -372,14 +372,14 @@
 	l.Close()
 	c := process(t, strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:1", strings.TrimPrefix(discovery.URL, "http://"),
 		`"sockets":256`, `"sockets":128`).Replace(configuration))
-	standin.Until(t, "it listens", func() bool {
+	fakes.Until(t, "it listens", func() bool {
 		one, err := net.Dial("tcp", addr)
 		if err == nil {
 			one.Close()
 		}
 		return err == nil
 	})
-	ready := standin.NewClient(t, addr, true)
+	ready := fakes.NewClient(t, addr, true)
 	ready.Ask("")
 	if got := ready.Answer(); got != "empty ready" {
 		t.Errorf("not ready: %q", got)
@@ -402,7 +402,7 @@
 	moved := member(t)
 	speak <- fmt.Sprintf(`{"revision":43,"complete":false,"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]}`, moved.Addr)
 	n := 0
-	standin.Until(t, "a client is served by the new list", func() bool {
+	fakes.Until(t, "a client is served by the new list", func() bool {
 		n++
 		one, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -431,7 +431,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := standin.NewClient(t, l.Addr().String(), false) // the system takes it before the router does
+	c := fakes.NewClient(t, l.Addr().String(), false) // the system takes it before the router does
 	c.Send(string(pg.AppendStartup(nil, "api", "ledger")) + string(pg.AppendQuery(nil, look("early", "served"))))
 	signals, ended := make(chan os.Signal, 2), make(chan error, 1)
 	signals <- syscall.SIGTERM
--- a/cmd/wayloft/drain_test.go
+++ b/cmd/wayloft/drain_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
 )
 
 // A deployment with short deadlines is told to end while its members hang, and its clients go on sending on each connection for as
@@ -22,8 +22,8 @@
 	addr, term, ended := startWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
 		"127.0.0.1:1", 256, member(t).Addr)
 	var read, ignored atomic.Int64
-	defer faults.At("clients.query", func() { read.Add(1) })()
-	defer faults.At("clients.ignored", func() { ignored.Add(1) })()
+	defer failpoint.Set("clients.query", func() { read.Add(1) })()
+	defer failpoint.Set("clients.ignored", func() { ignored.Add(1) })()
 	type result struct {
 		asked, answered int
 		last            time.Time
@@ -32,7 +32,7 @@
 	results := make(chan result, clients)
 	going := make(chan bool, clients)
 	for n := range clients {
-		one := standin.NewClient(t, addr, true)
+		one := fakes.NewClient(t, addr, true)
 		ahead := 1 + n%3 // requests that it has on their way at once
 		go func() {
 			var r result
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -12,10 +12,10 @@
 	"text/tabwriter"
 	"time"
 
-	"wayloft/internal/decide/handover"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // patience is how long a command waits for the council: longer than an election takes.
@@ -38,10 +38,10 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return client.Look(ctx)
+	return client.State(ctx)
 }
 
-func fence(f *fleetpb.Fence) string { return wire.FromFence(f).String() }
+func fence(f *fleetpb.Fence) string { return rpc.DecodeToken(f).String() }
 
 func councilRows(s *fleetpb.State) []map[string]any {
 	rows := []map[string]any{}
@@ -55,7 +55,7 @@
 func statusJSON(s *fleetpb.State) map[string]any {
 	duties, sessions, refused := []map[string]any{}, []map[string]any{}, uint64(0)
 	for _, d := range s.State.Duties {
-		duties = append(duties, map[string]any{"duty": d.Name, "holder": d.Holder, "fence": wire.FromFence(d.Fence).Number(), "since_ms": d.SinceMs,
+		duties = append(duties, map[string]any{"duty": d.Name, "holder": d.Holder, "fence": rpc.DecodeToken(d.Fence).Number(), "since_ms": d.SinceMs,
 			"queue": append([]string{}, d.Queue...), "order": d.Open.GetText(), "ended": d.Ended.GetText(), "barred": barred(s, d)})
 	}
 	for _, one := range s.State.Sessions {
@@ -162,7 +162,7 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	s, err := client.Look(ctx)
+	s, err := client.State(ctx)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 			if one.Name != d.Holder {
 				continue
 			}
-			a, err := client.Do(ctx, register.Entry{Kind: register.Free, Session: one.Name, Incarnation: one.Incarnation, Duty: c.Duty, Fence: wire.FromFence(d.Fence)})
+			a, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.ReleaseLease, Session: one.Name, Incarnation: one.Incarnation, Lease: c.Duty, Token: rpc.DecodeToken(d.Fence)})
 			if err != nil {
 				return err
 			}
@@ -203,8 +203,8 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
-	duty := handover.Duty(c.Group)
-	a, err := client.Do(ctx, register.Entry{Kind: register.Order, Duty: duty, Text: handover.Order(c.To)})
+	duty := switchover.LeaseName(c.Group)
+	a, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: duty, Text: switchover.Order(c.To)})
 	if err != nil {
 		return err
 	}
--- a/cmd/wayloft/hangup_test.go
+++ b/cmd/wayloft/hangup_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"wayloft/internal/standin"
+	"wayloft/internal/fakes"
 )
 
 // SIGHUP comes without end from the first moment in which the process can take it until it serves: it lives, serves, and ends in
@@ -98,7 +98,7 @@
 		}
 	}
 	if ignored {
-		one := standin.NewClient(t, addr, true)
+		one := fakes.NewClient(t, addr, true)
 		one.Ask("")
 		if got := one.Answer(); got != "empty ready" {
 			t.Errorf("got %q", got)
--- a/cmd/wayloft/hard_test.go
+++ b/cmd/wayloft/hard_test.go
@@ -12,16 +12,16 @@
 
 	"github.com/jackc/pgx/v5"
 
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
-	"wayloft/internal/standin/pgserver"
 )
 
 // alone asks one question on a session of its own.
 func alone(t *testing.T, addr, sql string) string {
 	t.Helper()
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	defer c.Close()
 	return told(c, sql)
 }
@@ -48,7 +48,7 @@
 		{"after BEGIN alone", []string{"BEGIN"}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := standin.NewClient(t, addr, true)
+			one := fakes.NewClient(t, addr, true)
 			for _, q := range c.ask {
 				if got := told(one, q); !strings.HasSuffix(got, "ok ready") {
 					t.Fatalf("%s: %q", q, got)
@@ -57,13 +57,13 @@
 			one.Send(c.last)
 			if c.last != "" && len(c.ask) == 0 {
 				made := cluster.Servers[0].Counts().Made
-				standin.Until(t, "it has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && made > 0 })
+				fakes.Until(t, "it has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && made > 0 })
 			}
 			one.Close()
 			if got := alone(t, addr, "SELECT blob FROM rows WHERE handle = 'left'"); got != "ok ready" {
 				t.Errorf("the next client: %q", got)
 			}
-			standin.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().Inside == 0 })
+			fakes.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().Inside == 0 })
 		})
 	}
 }
@@ -85,7 +85,7 @@
 		}
 	})
 	fail(-1)
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	parse := string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00")))
 	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
 	sync := string(pg.AppendSync(nil))
@@ -148,7 +148,7 @@
 		_, err := one.Exec(ctx, "SELECT pg_sleep(30)")
 		running <- err
 	}()
-	standin.Until(t, "it runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
+	fakes.Until(t, "it runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
 	if err := one.PgConn().CancelRequest(ctx); err != nil {
 		t.Error(err)
 	}
@@ -156,14 +156,14 @@
 		t.Errorf("the cancelled: %v", err)
 	}
 	// One that waits for the only connection ends at once.
-	holder := standin.NewClient(t, addr, true)
+	holder := fakes.NewClient(t, addr, true)
 	told(holder, "BEGIN", "SELECT 1")
 	go func() {
 		_, err := one.Exec(ctx, "SELECT 1")
 		running <- err
 	}()
 	var ended error
-	standin.Until(t, "the one that waits ends", func() bool {
+	fakes.Until(t, "the one that waits ends", func() bool {
 		one.PgConn().CancelRequest(ctx)
 		select {
 		case ended = <-running:
@@ -180,7 +180,7 @@
 	stop := make(chan bool)
 	var others sync.WaitGroup
 	for range 3 {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		others.Add(1)
 		go func() {
 			defer others.Done()
@@ -210,7 +210,7 @@
 	close(stop)
 	others.Wait()
 	if key := (pg.Key{Process: 1, Secret: 2}); true { // of nobody
-		c := standin.NewClient(t, addr, false)
+		c := fakes.NewClient(t, addr, false)
 		c.Send(string(pg.AppendCancel(nil, key)))
 		if got := c.Answer(); got != "closed" {
 			t.Errorf("a wrong key: %q", got)
@@ -269,9 +269,9 @@
 	addr, cluster := pooledRouter(t, 2, lab.Pool{PerMember: 50, Top: fmt.Sprintf("discovery = \"%s\"\n",
 		strings.TrimPrefix(l.URL, "http://"))}, nil)
 	l.say(1, entry(0, cluster.Servers[0], "in_service"), entry(1, cluster.Servers[1], "in_service"))
-	var open []*standin.Client
+	var open []*fakes.Client
 	for n := range 40 {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		if got := told(c, "BEGIN", insert(fmt.Sprint("open", n), "1")); got != "ok ready; 1 ok ready" {
 			t.Fatalf("%d: %q", n, got)
 		}
@@ -279,7 +279,7 @@
 	}
 	l.say(2, entry(0, cluster.Servers[0], "terminating"), entry(1, cluster.Servers[1], "in_service"))
 	cluster.Promote(cluster.Servers[1])
-	standin.Until(t, "the new primary takes writes", func() bool { return alone(t, addr, insert("new", "1")) == "1 ok ready" })
+	fakes.Until(t, "the new primary takes writes", func() bool { return alone(t, addr, insert("new", "1")) == "1 ok ready" })
 	before := cluster.Servers[0].Counts()
 	cluster.Promote(cluster.Servers[0]) // so that what is open there may end; the router has no word of it
 	for n, c := range open {
@@ -288,7 +288,7 @@
 		}
 	}
 	cluster.Promote(cluster.Servers[1])
-	standin.Until(t, "nothing is left there", func() bool { return cluster.Servers[0].Counts().Open == 0 })
+	fakes.Until(t, "nothing is left there", func() bool { return cluster.Servers[0].Counts().Open == 0 })
 	if n := cluster.Servers[0].Counts(); n.Made != before.Made {
 		t.Errorf("%d connections were made to a member that drains", n.Made-before.Made)
 	}
@@ -298,11 +298,11 @@
 // others are served.
 func TestIdleInTransaction(t *testing.T) {
 	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 4, Extra: "", Idle: "300ms"}, nil)
-	idle := standin.NewClient(t, addr, true)
+	idle := fakes.NewClient(t, addr, true)
 	told(idle, "BEGIN", insert("idle", "1"))
 	var wg sync.WaitGroup
 	for n := range 400 {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -328,9 +328,9 @@
 // A primary that is replaced while transactions are open: they fail honestly, and the next ones go to the new primary.
 func TestPrimaryReplaced(t *testing.T) {
 	addr, cluster := pooledRouter(t, 2, lab.Pool{PerMember: 20}, nil)
-	var open []*standin.Client
+	var open []*fakes.Client
 	for n := range 10 {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		if got := told(c, "BEGIN", insert(fmt.Sprint("r", n), "1")); got != "ok ready; 1 ok ready" {
 			t.Fatalf("%d: %q", n, got)
 		}
@@ -352,7 +352,7 @@
 // Ever new texts: a session that prepares too much hears so, and what connections keep stays bounded.
 func TestFloodOfParse(t *testing.T) {
 	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 1, Extra: "statements = 300\n"}, nil)
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	sync := string(pg.AppendSync(nil))
 	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), ""))
 	for n := range 600 { // without a name, each takes the place of the one before
@@ -369,7 +369,7 @@
 	if last != "54000 ready" {
 		t.Errorf("one too many: %q", last)
 	}
-	standin.Until(t, "the member keeps few", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
+	fakes.Until(t, "the member keeps few", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
 	c.Send(string(pg.AppendExecute(pg.AppendBind(nil, "", "s0", []byte{0, 0, 0, 0, 0, 0}), "")) + sync)
 	if got := c.Answer(); got != "0 ok ready" {
 		t.Errorf("an early one: %q", got)
@@ -382,7 +382,7 @@
 	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 100}, func(s *pgserver.Server) { s.Most = 20 })
 	var wg sync.WaitGroup
 	for n := range 400 {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -404,11 +404,11 @@
 // What can't follow its client pins it; it leaves no trace for the next, and its connection's end is its session's.
 func TestPins(t *testing.T) {
 	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	if got := told(c, "PREPARE mine AS SELECT note('mine')", "EXECUTE mine", "SET m.x = '1'"); got != "ok ready; mine ok ready; ok ready" {
 		t.Fatalf("got %q", got)
 	}
-	other := standin.NewClient(t, addr, true)
+	other := fakes.NewClient(t, addr, true)
 	other.Ask("SHOW m.x") // it waits
 	if got := told(c, "EXECUTE mine", "DISCARD ALL", "EXECUTE mine"); got != "mine ok ready; ok ready; 26000 ready" {
 		t.Errorf("got %q", got)
@@ -436,7 +436,7 @@
 // By session: one connection for as long as the client stays, and nothing of it for the next.
 func TestBySession(t *testing.T) {
 	addr, cluster := pooledRouter(t, 1, lab.Pool{Form: "session", PerMember: 2}, nil)
-	one, two := standin.NewClient(t, addr, true), standin.NewClient(t, addr, true)
+	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	a, b := told(one, "SELECT pg_backend_pid()"), told(two, "SELECT pg_backend_pid()")
 	for range 5 {
 		if x, y := told(one, "SELECT pg_backend_pid()"), told(two, "SELECT pg_backend_pid()"); a == b || x != a || y != b {
@@ -444,7 +444,7 @@
 		}
 	}
 	told(one, "SET m.x = '1'", "PREPARE p AS SELECT 1")
-	three := standin.NewClient(t, addr, true)
+	three := fakes.NewClient(t, addr, true)
 	three.Ask("SHOW m.x")
 	one.Close()
 	if got := three.Answer(); got != " ok ready" {
@@ -461,7 +461,7 @@
 // What breaks the protocol ends its session alone, with its code.
 func TestPooledBadInput(t *testing.T) {
 	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
-	steady := standin.NewClient(t, addr, true)
+	steady := fakes.NewClient(t, addr, true)
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
 	for _, c := range []struct{ name, send, want string }{
 		{"another database", string(pg.AppendStartup(nil, "api", "none")), "3D000 closed"},
@@ -476,7 +476,7 @@
 		{"terminate", hello + "X\x00\x00\x00\x04", "ready, closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := standin.NewClient(t, addr, false)
+			one := fakes.NewClient(t, addr, false)
 			one.Send(c.send)
 			for _, want := range strings.Split(c.want, ", ") {
 				if got := one.Answer(); got != want {
@@ -508,7 +508,7 @@
 			return f
 		}
 	})
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	sync := string(pg.AppendSync(nil))
 	c.Send(string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00"))) + sync)
 	c.Answer()
@@ -557,14 +557,14 @@
 			t.Fatalf("got %q", got)
 		}
 	}
-	other := standin.NewClient(t, addr, true)
-	var slow []*standin.Client
+	other := fakes.NewClient(t, addr, true)
+	var slow []*fakes.Client
 	for range 3 {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		c.Ask("COPY rows (handle, blob) FROM STDIN")
 		slow = append(slow, c)
 	}
-	standin.Until(t, "they copy", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
+	fakes.Until(t, "they copy", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
 	time.Sleep(300 * time.Millisecond) // a silence of all three, far beyond what the member is known for
 	if got := told(other, "/* id=between,c=write,d=400 */ "+insert("between", "1")); got != "1 ok ready" {
 		t.Errorf("between: %q", got)
--- a/cmd/wayloft/join.go
+++ b/cmd/wayloft/join.go
@@ -9,12 +9,12 @@
 	"os/signal"
 	"syscall"
 
-	"wayloft/internal/decide/handover"
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/sight"
+	"wayloft/internal/decide/switchover"
 	"wayloft/internal/discovery"
 	"wayloft/internal/fleet"
-	"wayloft/internal/record"
 	"wayloft/internal/settings"
 	"wayloft/router"
 )
@@ -26,27 +26,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet.orders: %w", err)
 	}
-	rec, err := record.Open(f.Record, conf.name)
+	rec, err := audit.Open(f.Record, conf.name)
 	if err != nil {
 		listener.Close()
 		return nil, fmt.Errorf("fleet.record: %w", err)
 	}
 	s.listed = map[string]discovery.Entry{}
-	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Council: f.Council, Via: f.Via, Listen: f.Orders,
-		Address: cmp.Or(f.Known, listener.Addr().String()), Length: float64(f.Session), Margin: float64(f.Margin), Sight: float64(f.Sight),
-		Bound: float64(f.MostHeld), Ahead: float64(f.ClockAhead), Record: rec}
+	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Council, Via: f.Via, Listen: f.Orders,
+		Address: cmp.Or(f.Known, listener.Addr().String()), SessionTimeout: float64(f.Session), SafetyMargin: float64(f.Margin), HealthSharePeriod: float64(f.Sight),
+		MaxHold: float64(f.MostHeld), ClockOffset: float64(f.ClockAhead), Record: rec}
 	if h := f.Handover; h != nil {
-		set.Handover = true
-		set.Hold = handover.Settings{Hold: float64(h.Hold), Wait: float64(h.Wait), Step: float64(h.Step)}
+		set.SwitchoverEnabled = true
+		set.Switchover = switchover.Settings{Hold: float64(h.Hold), Wait: float64(h.Wait), Step: float64(h.Step)}
 		set.Adapter = adapter(h)
 	}
 	if f.Policy != "" {
 		signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
-		set.Store = &fleet.Folder{Dir: f.Policy, Fleet: f.Name}
+		set.Store = &fleet.PolicyStore{Dir: f.Policy, Fleet: f.Name}
 	}
 	s.own, s.record = conf.set, rec
 	s.link = fleet.New(set, s)
-	s.host.Reports(s.report)
+	s.host.OnReport(s.report)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.resign = cancel
 	go s.link.Run(ctx, listener)
@@ -90,7 +90,7 @@
 
 // report hands a member's report to the fleet's part.
 func (s *service) report(member string, role router.Role, gtid float64) {
-	r := sight.Report{Member: member, Started: started(s.listed[member].Started), Primary: role == router.Primary,
+	r := healthshare.Report{Member: member, Started: started(s.listed[member].Started), Primary: role == router.Primary,
 		Replica: role == router.Replica, At: s.host.ClusterNow()}
 	if gtid != router.Never {
 		r.Position = gtid
@@ -112,14 +112,14 @@
 	return groups
 }
 
-func (s *service) Look(member string) {
+func (s *service) HealthCheck(member string) {
 	if _, there := s.listed[member]; there {
-		s.host.Look(member)
+		s.host.HealthCheck(member)
 	}
 }
 
-func (s *service) Sighted(r sight.Report) {
-	since, role, position := s.starts.Compare(r.Member, r.Started), router.Unsaid, r.Position
+func (s *service) PeerReported(r healthshare.Report) {
+	since, role, position := s.starts.Compare(r.Member, r.Started), router.RoleUnknown, r.Position
 	if r.Primary {
 		role = router.Primary
 	} else if r.Replica {
@@ -128,20 +128,22 @@
 	if position == 0 {
 		position = router.Never
 	}
-	s.host.Sighted(r.Member, since, role, position)
+	s.host.PeerReported(r.Member, since, role, position)
 }
 
-func (s *service) Hold(group int, until float64) { s.host.Hold(group, s.host.ToLoop(until)) }
+func (s *service) HoldWrites(group int, until float64) {
+	s.host.HoldWrites(group, s.host.ToLoop(until))
+}
 
 func (s *service) Writes(group int) (running, waiting int) { return s.host.Writes(group) }
 
-// Policy has the module go by a policy, laid over the settings of the router's own file; on an error it goes on as it was.
-func (s *service) Policy(v policy.Version, d policy.Document) error {
+// ApplyPolicy has the module go by a policy, laid over the settings of the router's own file; on an error it goes on as it was.
+func (s *service) ApplyPolicy(v policy.Version, d policy.Document) error {
 	set, err := settings.Overlay(s.own, d)
 	if err != nil {
 		return err
 	}
-	s.host.Revalue(set)
-	s.record.Add("takes", record.Fields{"version": v.String(), "hash": hex.EncodeToString(v.Hash[:])})
+	s.host.UpdateSettings(set)
+	s.record.Add("takes", audit.Fields{"version": v.String(), "hash": hex.EncodeToString(v.Hash[:])})
 	return nil
 }
--- a/cmd/wayloft/labfast.go
+++ b/cmd/wayloft/labfast.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
-	"wayloft/internal/standin/pgserver"
 )
 
 type labFastCmd struct {
--- a/cmd/wayloft/labfleet.go
+++ b/cmd/wayloft/labfleet.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab/fleet"
-	"wayloft/internal/standin/pgserver"
 )
 
 type labFleetCmd struct {
--- a/cmd/wayloft/labowners.go
+++ b/cmd/wayloft/labowners.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"wayloft/internal/lab/fleet"
-	"wayloft/internal/lab/fleet/twin"
+	"wayloft/internal/lab/fleet/simulation"
 )
 
 type labOwnersCmd struct {
@@ -49,7 +49,7 @@
 	}
 	fmt.Println("checks, stepped: routers, checks a txn without and with sight, p99 age of positions in ms without and with, reads at the primary in % without and with")
 	for _, n := range []int{8, 40, 600} {
-		without, with := twin.Sight(n, 0, 1), twin.Sight(n, 250, 1)
+		without, with := simulation.Sight(n, 0, 1), simulation.Sight(n, 250, 1)
 		fmt.Printf("  %4d %8.3f %8.3f %8.0f %8.0f %6.1f %6.1f\n", n, without.PerTxn, with.PerTxn, without.Age, with.Age, 100*without.Primary, 100*with.Primary)
 	}
 	fmt.Println("service of three routers, twelve writers: writes/s, declined/s, p50 ms, p99 ms")
--- a/cmd/wayloft/labsize.go
+++ b/cmd/wayloft/labsize.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wayloft/internal/lab/size"
+	"wayloft/internal/lab/scale"
 )
 
 type labSizeCmd struct {
@@ -34,8 +34,8 @@
 	Dir     string        `help:"Folder for settings, logs and what the council stores; a temporary one if not given." type:"path"`
 }
 
-func (c *labSizeCmd) options() (o size.Options, err error) {
-	o = size.Options{Dir: c.Dir, Routers: c.Routers, Real: c.Real, Members: c.Members, Group: c.Group, Owners: c.Owners, Sight: c.Sight, For: c.For,
+func (c *labSizeCmd) options() (o scale.Options, err error) {
+	o = scale.Options{Dir: c.Dir, Routers: c.Routers, Real: c.Real, Members: c.Members, Group: c.Group, Owners: c.Owners, Sight: c.Sight, For: c.For,
 		Session: c.Session, Pace: c.Pace, Say: func(text string) { logrus.Info(text) }}
 	switch {
 	case len(c.Sizes) > 0 && !c.Sweep:
@@ -76,9 +76,9 @@
 	case c.Sweep:
 		sizes := c.Sizes
 		if len(sizes) == 0 {
-			sizes = size.Sizes(c.Routers)
+			sizes = scale.Sizes(c.Routers)
 		}
-		s, err := size.Sweep(o, sizes, func(r *size.Report) {
+		s, err := scale.Sweep(o, sizes, func(r *scale.Report) {
 			if !c.JSON {
 				c.print(r)
 			}
@@ -86,21 +86,21 @@
 		if s == nil {
 			return err
 		}
-		return errors.Join(c.write(s, func(w io.Writer) { size.PrintSlopes(w, s.Slopes) }), err) // what ran is told, whatever became of the rest
+		return errors.Join(c.write(s, func(w io.Writer) { scale.PrintSlopes(w, s.Slopes) }), err) // what ran is told, whatever became of the rest
 	case c.Paired:
-		p, err := size.Paired(o, c.Plays)
+		p, err := scale.Paired(o, c.Plays)
 		if err != nil {
 			return err
 		}
 		return c.write(p, p.Print)
 	case c.Event != "":
-		h, err := size.Play(c.Event, o)
+		h, err := scale.Play(c.Event, o)
 		if err != nil {
 			return err
 		}
 		return c.write(h, h.Print)
 	}
-	r, err := size.Measure(o)
+	r, err := scale.Measure(o)
 	if err != nil {
 		return err
 	}
@@ -116,12 +116,12 @@
 	return nil
 }
 
-func (c *labSizeCmd) print(r *size.Report) {
+func (c *labSizeCmd) print(r *scale.Report) {
 	fmt.Printf("%d hollow and %d real routers, %d databases in %d groups; settled after %.1f s, looked at for %.1f s, %d looks spoilt\n", r.Routers, r.Real, r.Members,
 		r.Groups, r.StartS, r.Seconds, r.Spoilt)
-	size.Print(os.Stdout, r.Rows)
+	scale.Print(os.Stdout, r.Rows)
 }
 
 type labHollowCmd struct{}
 
-func (labHollowCmd) Run() error { return size.Hollow(os.Stdin, os.Stdout) }
+func (labHollowCmd) Run() error { return scale.Hollow(os.Stdin, os.Stdout) }
--- a/cmd/wayloft/lost_test.go
+++ b/cmd/wayloft/lost_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/fakes"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
 )
 
 // stopWithin is how long a client that stops in the middle of a request may wait for its error or the end.
@@ -17,7 +17,7 @@
 func query(sql string) string { return string(pg.AppendQuery(nil, sql)) }
 
 // answers reads so many answers, and how long after the start the last of them came.
-func answers(c *standin.Client, count int, since time.Time) (string, time.Duration) {
+func answers(c *fakes.Client, count int, since time.Time) (string, time.Duration) {
 	var all []string
 	for range count {
 		all = append(all, c.Answer())
@@ -34,7 +34,7 @@
 		{"its own end", "X\x00\x00\x00\x04", "closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := standin.NewClient(t, addr, true)
+			one := fakes.NewClient(t, addr, true)
 			one.Send(query("SELECT 1") + query("SELECT 1") + c.send)
 			if got, _ := answers(one, 3, time.Now()); got != "1 ok ready; 1 ok ready; "+c.want {
 				t.Errorf("got %q", got)
@@ -51,7 +51,7 @@
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
 	secure := "\x00\x00\x00\x08\x04\xd2\x16\x2f"
 	platform, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
-	standin.NewClient(t, platform, true) // it is up: two of a process must not start at once
+	fakes.NewClient(t, platform, true) // it is up: two of a process must not start at once
 	pooled, _ := pooledRouter(t, 1, lab.Pool{PerMember: 20}, nil)
 	for _, c := range []struct {
 		name, addr string
@@ -71,7 +71,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			one := standin.NewClient(t, c.addr, false)
+			one := fakes.NewClient(t, c.addr, false)
 			for _, ask := range c.ask {
 				one.Send(ask)
 				if got := one.Answer(); !strings.HasSuffix(got, "ready") {
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			addr, cluster, signals, ended := drainablePool(t, 1, lab.Pool{PerMember: 1}, nil)
 			t.Cleanup(cluster.Close)
-			one := standin.NewClient(t, addr, true)
+			one := fakes.NewClient(t, addr, true)
 			one.Send(stop)
 			since := time.Now()
 			signals <- syscall.SIGTERM
@@ -117,7 +117,7 @@
 	}
 	t.Run("on the platform", func(t *testing.T) {
 		addr, term, ended := start(t, "127.0.0.1:1", 256, member(t).Addr)
-		one := standin.NewClient(t, addr, true)
+		one := fakes.NewClient(t, addr, true)
 		one.Ask(look("first", "x"))
 		whole := query(look("half", "x"))
 		one.Send(whole[:len(whole)-1])
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	fmt.Printf("%s: ok: %s listens on %s, %d members known, %d txn types\n", c.Config, conf.name, conf.listen,
-		len(conf.known.Entries), len(conf.set.TxnTypes))
+		len(conf.known.Entries), len(conf.set.RequestClasses))
 	return nil
 }
 
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -17,8 +17,8 @@
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
 	"wayloft/internal/settings"
-	"wayloft/internal/wire"
 )
 
 // lookEvery is how long propose and its wait rest between two looks at who goes by what.
@@ -192,7 +192,7 @@
 		if err != nil {
 			return fmt.Errorf("--expect: %w", err)
 		}
-		if mark != now.Version.Mark() {
+		if mark != now.Version.Number64() {
 			return fmt.Errorf("version %s is in force, not %s: nothing was changed", now.Version, c.Expect)
 		}
 	}
@@ -306,7 +306,7 @@
 // latest gives the version in force, as a look tells it.
 func latest(s *fleetpb.State) policy.Version {
 	if n := len(s.State.Policies); n > 0 {
-		if v, _, err := wire.FromPolicy(s.State.Policies[n-1]); err == nil {
+		if v, _, err := rpc.DecodePolicy(s.State.Policies[n-1]); err == nil {
 			return v
 		}
 	}
@@ -324,16 +324,16 @@
 	defer tick.Stop()
 	for {
 		one, stop := context.WithTimeout(ctx, patience)
-		s, err := client.Look(one)
+		s, err := client.State(one)
 		stop()
 		switch {
 		case err != nil && ctx.Err() == nil:
 			missing = "the council gives no answer: " + err.Error()
 		case err == nil:
-			if now := latest(s); now.Mark() > v.Mark() {
+			if now := latest(s); now.Number64() > v.Number64() {
 				return nowhere("version %s followed and is in force, by %s: %s", now, now.Author, now.Reason)
 			}
-			all := goers(s, v.Mark(), known)
+			all := goers(s, v.Number64(), known)
 			for _, g := range all {
 				known[g.name] = true
 			}
@@ -371,12 +371,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	s, err := client.Look(ctx)
+	s, err := client.State(ctx)
 	if err != nil {
 		return err
 	}
 	v := now.Version
-	all := goers(s, v.Mark(), nil)
+	all := goers(s, v.Number64(), nil)
 	missing := left(all, c.Routers)
 	if c.JSON {
 		rows := []map[string]any{}
@@ -483,10 +483,10 @@
 // earlier gives the document of an earlier version, as far as the history that is kept tells it: a change says what a field
 // became, and not what it was.
 func earlier(all fleet.Policies, mark uint64) (policy.Version, policy.Document, error) {
-	if mark == all.Version.Mark() {
+	if mark == all.Version.Number64() {
 		return all.Version, all.Document, nil
 	}
-	at := slices.IndexFunc(all.History, func(c policy.Change) bool { return c.Version.Mark() == mark })
+	at := slices.IndexFunc(all.History, func(c policy.Change) bool { return c.Version.Number64() == mark })
 	if at < 0 {
 		return policy.Version{}, nil, fmt.Errorf("there is no version %s among the latest %d", policy.MarkString(mark), len(all.History))
 	}
--- a/cmd/wayloft/pooled_test.go
+++ b/cmd/wayloft/pooled_test.go
@@ -14,10 +14,10 @@
 	"github.com/jackc/pgx/v5/pgconn"
 	"github.com/jackc/pgx/v5/pgxpool"
 
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
-	"wayloft/internal/standin/pgserver"
 )
 
 // pooledRouter serves before a stand-in cluster.
@@ -155,7 +155,7 @@
 }
 
 // told asks simple queries and puts the answers together.
-func told(c *standin.Client, sql ...string) string {
+func told(c *fakes.Client, sql ...string) string {
 	var out []string
 	for _, q := range sql {
 		c.Ask(q)
@@ -194,7 +194,7 @@
 		{"PREPARE p AS SELECT 1", "0A000 ready"},
 		{"COPY rows TO STDOUT", "ok ready"},
 	} {
-		one := standin.NewClient(t, addr, true)
+		one := fakes.NewClient(t, addr, true)
 		var asks []string
 		if asks = strings.Split(c.ask, "|"); c.ask == "" {
 			asks = []string{""}
@@ -220,9 +220,9 @@
 	about := func(name string) string { return string(pg.AppendDescribe(nil, 'S', name)) }
 	closes := func(name string) string { return string(pg.AppendClose(nil, 'S', name)) }
 	sync, flush := string(pg.AppendSync(nil)), string(pg.AppendPlain(nil, 'H'))
-	one, two := standin.NewClient(t, addr, true), standin.NewClient(t, addr, true)
+	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	for n, c := range []struct {
-		who        *standin.Client
+		who        *fakes.Client
 		send, want string
 	}{
 		{one, parse("s", "SELECT 1") + sync, "ready"},
--- a/cmd/wayloft/reload_test.go
+++ b/cmd/wayloft/reload_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"wayloft/internal/standin"
+	"wayloft/internal/fakes"
 )
 
 // New configurations in a row, each with another discovery address, and a burst of signals for each: whatever the router does with
@@ -30,7 +30,7 @@
 	}
 	addr, signals, ended := start(t, of[0].addr, 256, drains.Addr, stays.Addr)
 	<-of[0].asked
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	file := os.Getenv("PROXY_CONFIG")
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -64,7 +64,7 @@
 		}
 	}
 	for n, one := range of[:len(of)-1] {
-		standin.Until(t, fmt.Sprint("all that was asked at address ", n, " has ended"), func() bool { return one.open.Load() == 0 })
+		fakes.Until(t, fmt.Sprint("all that was asked at address ", n, " has ended"), func() bool { return one.open.Load() == 0 })
 	}
 	if now := last.open.Load(); now != 1 {
 		t.Errorf("%d watches are on, want one", now)
@@ -76,7 +76,7 @@
 	}
 }
 
-func seen(m *standin.Member) []string {
+func seen(m *fakes.Member) []string {
 	_, asked := m.Seen()
 	return asked
 }
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -14,15 +14,15 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 	"github.com/sirupsen/logrus"
 
-	"wayloft/internal/clients"
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/audit"
+	"wayloft/internal/backend"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/decide/session"
 	"wayloft/internal/discovery"
+	"wayloft/internal/eventloop"
 	"wayloft/internal/fleet"
-	"wayloft/internal/host"
-	"wayloft/internal/members"
-	"wayloft/internal/must"
-	"wayloft/internal/record"
+	"wayloft/internal/frontend"
+	"wayloft/internal/invariant"
 	"wayloft/internal/settings"
 	"wayloft/router"
 )
@@ -79,18 +79,18 @@
 
 // service is the parts of one router.
 type service struct {
-	host    *host.Host
-	front   *clients.Clients
-	side    *members.Members
+	host    *eventloop.Driver
+	front   *frontend.Frontend
+	side    *backend.Backend
 	watcher *discovery.Watcher
 	lost    string // why the watch on the list is down
-	link    *fleet.Link
+	link    *fleet.Node
 	resign  func()                     // ends its part in the fleet
 	listed  map[string]discovery.Entry // the list, kept for the fleet's part; nil without one
 	own     *router.Settings           // of the router's own file, over which a policy lies
-	record  *record.Record
+	record  *audit.Log
 
-	starts  *host.StartTimes
+	starts  *eventloop.StartTimes
 	entries map[string]discovery.Entry // those with a start, until starts can be translated; then nil
 }
 
@@ -101,50 +101,50 @@
 	asked := make(chan struct{}, 1)
 	s := &service{resign: func() {}, entries: map[string]discovery.Entry{}}
 	var err error
-	loop := host.NewLoopAt(conf.sockets, conf.wallNow())
-	s.starts = host.NewStartTimes(loop)
-	s.host = host.New(loop, router.New(conf.set, conf.seed), conf.set.TxnTypes, func() {
+	loop := eventloop.NewLoopAt(conf.sockets, conf.wallNow())
+	s.starts = eventloop.NewStartTimes(loop)
+	s.host = eventloop.New(loop, router.New(conf.set, conf.seed), conf.set.RequestClasses, func() {
 		select {
 		case asked <- struct{}{}:
 		default: // one is asked for already
 		}
 	})
 	longest := conf.memory / 32 // bytes of one message of either side
-	s.front = clients.New(s.host, conf.sessions, conf.memory/6, longest)
-	limits := members.Limits{DialTimeout: conf.host.DialTimeout, Reports: conf.host.Reports, Longest: longest,
+	s.front = frontend.New(s.host, conf.sessions, conf.memory/6, longest)
+	limits := backend.Limits{DialTimeout: conf.host.DialTimeout, Reports: conf.host.Reports, Longest: longest,
 		Budget: conf.memory / 6, Keep: conf.set.SoftRemoval, Statements: session.MostPrepared, Writes: map[string]bool{},
-		Logins: map[string]members.Login{members.Platform: {User: conf.user, Database: conf.database}}}
-	bounds := map[string]pool.Bounds{members.Platform: pool.Statements(conf.host.IdleClose),
-		members.Cancels: pool.Cancels(conf.host.DialTimeout)}
+		Logins: map[string]backend.Login{backend.Platform: {User: conf.user, Database: conf.database}}}
+	bounds := map[string]connpool.Bounds{backend.Platform: connpool.Statements(conf.host.IdleClose),
+		backend.Cancels: connpool.Cancels(conf.host.DialTimeout)}
 	if conf.sessions > conf.links { // not on the platform: there each session has a connection for its statement
 		limits.Queue = true
-		b := bounds[members.Platform]
+		b := bounds[backend.Platform]
 		b.Wait = conf.host.DialTimeout
-		bounds[members.Platform] = b
+		bounds[backend.Platform] = b
 	}
-	pooling := &clients.Pooling{Seed: conf.seed, Again: map[string]bool{}, Write: limits.Writes}
-	for name, kind := range conf.set.TxnTypes {
+	pooling := &frontend.Pooling{Seed: conf.seed, Again: map[string]bool{}, Write: limits.Writes}
+	for name, kind := range conf.set.RequestClasses {
 		limits.Writes[name] = kind.Level == router.Write || kind.Level == router.Fresh
-		pooling.Again[name] = kind.Effect == router.Repeatable
+		pooling.Again[name] = kind.Effect == router.Idempotent
 	}
 	for _, p := range conf.pools {
-		limits.Logins[p.Name] = members.Login{User: p.User, Database: p.Database}
+		limits.Logins[p.Name] = backend.Login{User: p.User, Database: p.Database}
 		bounds[p.Name] = p.Bounds
-		pooling.Pools = append(pooling.Pools, &clients.Pool{Name: p.Name, User: p.User, Database: p.Database, Plain: p.Plain,
+		pooling.Pools = append(pooling.Pools, &frontend.Pool{Name: p.Name, User: p.User, Database: p.Database, Plain: p.Plain,
 			Policy: p.Policy, Group: p.Group, Fallback: settings.Fallback,
 			Known: func() *iradix.Tree[string] { return s.side.Known(p.Name) }})
 	}
 	if conf.pools != nil {
 		s.front.Pooled(pooling)
 	}
-	s.side = members.New(s.host, limits, pool.New(pool.Settings{All: conf.links, Member: conf.perMember, Seed: conf.seed, Pools: bounds}))
-	s.host.Use(s.side)
+	s.side = backend.New(s.host, limits, connpool.New(connpool.Settings{All: conf.links, Member: conf.perMember, Seed: conf.seed, Pools: bounds}))
+	s.host.SetBackend(s.side)
 	s.host.OnSettled(s.translateStarts)
-	if conf.set.CanCheck && conf.host.Reports {
+	if conf.set.CanHealthCheck && conf.host.Reports {
 		s.host.MayCheck()
 	}
 	if conf.set.Lag != router.LagAnswers {
-		s.host.MembersJudge()
+		s.host.MembersCheckStaleness()
 	}
 	if conf.discovery != "" {
 		s.watcher = discovery.New(conf.discovery, conf.known.Revision,
@@ -160,7 +160,7 @@
 	}
 	known := *conf.known
 	known.Whole = true
-	s.host.Soon(func() { s.list(&known) })
+	s.host.Defer(func() { s.list(&known) })
 	if err := s.host.Listen(s.front.Gate(listener), 2*longest, s.front.Accept); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -168,7 +168,7 @@
 		"members": len(known.Entries)}).Info("serving")
 	if s.watcher == nil {
 		logrus.Info("no list is watched: the members are those of the configuration")
-	} else if conf.set.Ask {
+	} else if conf.set.PollsList {
 		go s.watcher.Answer(ctx, asked)
 	} else {
 		go s.watcher.Keep(ctx)
@@ -205,11 +205,11 @@
 	s.keep(l)
 	s.keepStarts(l)
 	r := s.host.List()
-	r.ListStart()
+	r.BeginList()
 	for _, e := range l.Entries {
-		r.Listed(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
+		r.ListMember(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
 	}
-	r.ListEnd(l.Whole)
+	r.EndList(l.Whole)
 }
 
 // keepStarts drops the starts of members that are gone, and notes entries to be listed once more when starts can be
@@ -246,18 +246,18 @@
 	r := s.host.List()
 	// The module keeps the latest start that it was told of a member. Guards against one that was told too late by a clock that
 	// is behind, and would be warming up for no reason: its record, which is new, begins anew.
-	r.ListStart()
+	r.BeginList()
 	for _, e := range entries {
 		if s.host.FromLoop(0) > 0 {
-			r.Listed(e.ID, e.Zone, e.Group, router.Removed, router.Never)
+			r.ListMember(e.ID, e.Zone, e.Group, router.Removed, router.Never)
 		}
 	}
-	r.ListEnd(false)
-	r.ListStart()
+	r.EndList(false)
+	r.BeginList()
 	for _, e := range entries {
-		r.Listed(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
+		r.ListMember(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
 	}
-	r.ListEnd(false)
+	r.EndList(false)
 	r.ListFailed() // where lists are polled: this was no answer, and the next poll must stay due
 }
 
@@ -286,10 +286,10 @@
 // status logs counts; all but the first three are since the start.
 func (s *service) status(what string) {
 	all, busy := s.front.Sessions()
-	entry := logrus.WithFields(logrus.Fields{"sessions": all, "busy": busy, "links": s.side.Links(),
+	entry := logrus.WithFields(logrus.Fields{"sessions": all, "busy": busy, "links": s.side.Connections(),
 		"bad": s.front.Bad, "refused": s.front.Refused, "unsent": s.side.Unsent,
 		"unheld": s.side.Unheld, "waiting": s.side.Waiting(), "waited": s.side.Late, "idle_ended": s.side.Idle, "spoilt": s.side.Spoilt, "late": s.front.Late, "crowded": s.front.Crowded})
-	if broken := must.Broken(); len(broken) > 0 {
+	if broken := invariant.Violations(); len(broken) > 0 {
 		entry.WithField("broken", broken).Error(what)
 		return
 	}
--- a/cmd/wayloft/serve_test.go
+++ b/cmd/wayloft/serve_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
 )
 
 const configuration = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
@@ -95,21 +95,21 @@
 }
 
 // member answers checks as a primary, and txns by their values: what a statement inserts comes back.
-func member(t *testing.T) *standin.Member { return withRole(t, 1) }
+func member(t *testing.T) *fakes.Member { return withRole(t, 1) }
 
-func withRole(t *testing.T, x1 int) *standin.Member {
-	return standin.NewMember(t, nil, func(sql string) *standin.Reply {
+func withRole(t *testing.T, x1 int) *fakes.Member {
+	return fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		switch {
 		case sql == "SHOW vitals":
-			return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))}
+			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))}
 		case strings.Contains(sql, "hang"):
 			return nil
 		case strings.Contains(sql, "error"):
-			return standin.Fail("XX000")
+			return fakes.Fail("XX000")
 		case strings.Contains(sql, "wrong"):
-			return standin.Fail("42601")
+			return fakes.Fail("42601")
 		}
-		return standin.Row(sql[strings.LastIndex(sql, " ")+1:], "source", "1")
+		return fakes.Row(sql[strings.LastIndex(sql, " ")+1:], "source", "1")
 	})
 }
 
@@ -123,7 +123,7 @@
 
 func TestSessions(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
-	steady := standin.NewClient(t, addr, true)
+	steady := fakes.NewClient(t, addr, true)
 	query := func(sql string) string { return string(pg.AppendQuery(nil, sql)) }
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
 	for n, c := range []struct{ name, send, want string }{
@@ -159,7 +159,7 @@
 		{"behind its end", hello + "X\x00\x00\x00\x04" + query(look("k3", "behind")), "ready, closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := standin.NewClient(t, addr, false)
+			one := fakes.NewClient(t, addr, false)
 			half := len(c.send) / 2
 			one.Send(c.send[:half])
 			one.Send(c.send[half:])
@@ -180,12 +180,12 @@
 // that the old one still has, and a txn that is out goes on; after SIGTERM it does no harm.
 func TestReload(t *testing.T) {
 	answer := make(chan bool)
-	gone := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	gone := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if sql == "SHOW vitals" {
-			return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		}
 		<-answer
-		return standin.Row("old", "source", "1")
+		return fakes.Row("old", "source", "1")
 	})
 	stays := member(t)
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -194,9 +194,9 @@
 	}))
 	t.Cleanup(next.Close)
 	addr, signals, ended := start(t, "127.0.0.1:1", 256, gone.Addr)
-	busy := standin.NewClient(t, addr, true)
+	busy := fakes.NewClient(t, addr, true)
 	busy.Ask(look("1", "slow"))
-	standin.Until(t, "it is out", func() bool { _, asked := gone.Seen(); return strings.Contains(strings.Join(asked, ""), "slow") })
+	fakes.Until(t, "it is out", func() bool { _, asked := gone.Seen(); return strings.Contains(strings.Join(asked, ""), "slow") })
 	file := os.Getenv("PROXY_CONFIG")
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -206,15 +206,15 @@
 	for range 2 {
 		signals <- syscall.SIGHUP
 	}
-	standin.Until(t, "the wrong file has been read", func() bool { return len(signals) == 0 })
+	fakes.Until(t, "the wrong file has been read", func() bool { return len(signals) == 0 })
 	write(t, file+".next", strings.Replace(string(text), "127.0.0.1:1\"", strings.TrimPrefix(next.URL, "http://")+"\"", 1))
 	if err := os.Rename(file+".next", file); err != nil {
 		t.Fatal(err)
 	}
 	signals <- syscall.SIGHUP
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	n := 1
-	standin.Until(t, "the new list is in force", func() bool {
+	fakes.Until(t, "the new list is in force", func() bool {
 		n++
 		c.Ask(put(fmt.Sprint(n), "y"))
 		return c.Answer() == "y ok ready"
@@ -232,7 +232,7 @@
 
 func TestTLSIsRefused(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
-	c := standin.NewClient(t, addr, false)
+	c := fakes.NewClient(t, addr, false)
 	c.Send("\x00\x00\x00\x08\x04\xd2\x16\x2f")
 	b := make([]byte, 1)
 	if _, err := c.Read(b); err != nil || b[0] != 'N' {
@@ -247,7 +247,7 @@
 // Each byte on its own makes the same txn.
 func TestByteByByte(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	for _, b := range pg.AppendQuery(nil, look("1", "whole")) {
 		c.Send(string(b))
 	}
@@ -259,11 +259,11 @@
 // After SIGTERM new connections are still served, what was taken is answered, and only then the program ends.
 func TestDrain(t *testing.T) {
 	addr, term, ended := start(t, "127.0.0.1:1", 256, member(t).Addr, withRole(t, 0).Addr)
-	idle := standin.NewClient(t, addr, true)
-	busy := standin.NewClient(t, addr, true)
+	idle := fakes.NewClient(t, addr, true)
+	busy := fakes.NewClient(t, addr, true)
 	busy.Ask(put("1", "hang"))
 	term <- syscall.SIGTERM
-	late := standin.NewClient(t, addr, true)
+	late := fakes.NewClient(t, addr, true)
 	late.Ask(look("2", "served"))
 	if got := late.Answer(); got != "served ok ready" {
 		t.Errorf("late: %q", got)
@@ -275,7 +275,7 @@
 	if got := busy.Answer(); got != "08007 ready" {
 		t.Errorf("busy: %q", got)
 	}
-	for _, c := range []*standin.Client{idle, busy, late} {
+	for _, c := range []*fakes.Client{idle, busy, late} {
 		if got := c.Answer(); got != "closed" {
 			t.Errorf("got %q, want the end", got)
 		}
@@ -291,10 +291,10 @@
 }
 
 // crowd opens so many sessions, each of which asks once and stays.
-func crowd(t *testing.T, addr string, count int) (all []*standin.Client) {
+func crowd(t *testing.T, addr string, count int) (all []*fakes.Client) {
 	t.Helper()
 	for n := range count {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		c.Ask(look(fmt.Sprint(n), "x"))
 		if got := c.Answer(); got != "x ok ready" {
 			t.Fatalf("client %d: %q", n, got)
@@ -307,7 +307,7 @@
 // More sessions than there is room for: the one that has been quiet longest makes room, a busy one never does.
 func TestMoreSessionsThanRoom(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 128, member(t).Addr, withRole(t, 0).Addr)
-	busy := standin.NewClient(t, addr, true)
+	busy := fakes.NewClient(t, addr, true)
 	busy.Ask(put("busy", "hang"))
 	all := crowd(t, addr, 100)
 	if got := busy.Answer(); got != "08007 ready" {
@@ -333,9 +333,9 @@
 		{hello + ask + ask[:9], "ready, x ok ready, 57P05 closed"},
 		{hello + "S\x00\x00\x00\x04", "ready, ready, 57P05 closed"},
 	}
-	var all []*standin.Client
+	var all []*fakes.Client
 	for _, c := range cases {
-		all = append(all, standin.NewClient(t, addr, false))
+		all = append(all, fakes.NewClient(t, addr, false))
 		all[len(all)-1].Send(c.send)
 	}
 	for n, c := range cases {
@@ -345,19 +345,19 @@
 			}
 		}
 	}
-	steady := standin.NewClient(t, addr, true)
-	var silent []*standin.Client
+	steady := fakes.NewClient(t, addr, true)
+	var silent []*fakes.Client
 	for n := range 200 {
-		silent = append(silent, standin.NewClient(t, addr, false))
+		silent = append(silent, fakes.NewClient(t, addr, false))
 		if n%20 == 0 {
 			steady.Write(pg.AppendQuery(nil, look(fmt.Sprint("s", n), "fine")))
 			if got := steady.Answer(); got == "closed" { // while it was idle: then a client comes again
-				steady = standin.NewClient(t, addr, true)
+				steady = fakes.NewClient(t, addr, true)
 			} else if got != "fine ok ready" {
 				t.Fatalf("among %d: %q", n, got)
 			}
 			if n%40 == 0 {
-				late := standin.NewClient(t, addr, true)
+				late := fakes.NewClient(t, addr, true)
 				late.Ask(look(fmt.Sprint("l", n), "late"))
 				if got := late.Answer(); got != "late ok ready" {
 					t.Fatalf("a newcomer among %d: %q", n, got)
@@ -389,8 +389,8 @@
 // One that asks the same wrong thing again and again, and one that floods after its error, do not keep others waiting.
 func TestFloods(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
-	steady := standin.NewClient(t, addr, true)
-	again, flood := standin.NewClient(t, addr, true), standin.NewClient(t, addr, true)
+	steady := fakes.NewClient(t, addr, true)
+	again, flood := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	heard := make(chan int)
 	go func() {
 		n := 0
@@ -443,7 +443,7 @@
 	t.Cleanup(func() { silent.CloseClientConnections(); silent.Close() })
 	old, moved := member(t), member(t)
 	addr, _, _ := start(t, strings.TrimPrefix(silent.URL, "http://"), 256, old.Addr)
-	c := standin.NewClient(t, addr, true)
+	c := fakes.NewClient(t, addr, true)
 	c.Ask(look("1", "x"))
 	if got := c.Answer(); got != "x ok ready" {
 		t.Fatalf("got %q", got)
@@ -451,7 +451,7 @@
 	speak <- fmt.Sprintf(`{"revision":43,"complete":false,"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]}`,
 		moved.Addr)
 	n := 1
-	standin.Until(t, "the member has moved", func() bool {
+	fakes.Until(t, "the member has moved", func() bool {
 		n++
 		c.Ask(look(fmt.Sprint(n), "y"))
 		if got := c.Answer(); got != "y ok ready" {
@@ -465,26 +465,26 @@
 // A client that leaves frees its txn: its id may come again as soon as its submission is back.
 func TestGone(t *testing.T) {
 	answer := make(chan bool)
-	slow := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	slow := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		switch {
 		case sql == "SHOW vitals":
-			return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		case strings.Contains(sql, "slow"):
 			<-answer
 		}
-		return standin.Row("v", "source", "1")
+		return fakes.Row("v", "source", "1")
 	})
 	addr, _, _ := start(t, "127.0.0.1:1", 256, slow.Addr)
-	leaves := standin.NewClient(t, addr, true)
+	leaves := fakes.NewClient(t, addr, true)
 	leaves.Ask(look("1", "slow"))
-	standin.Until(t, "it is out", func() bool {
+	fakes.Until(t, "it is out", func() bool {
 		_, asked := slow.Seen()
 		return len(asked) > 0 && strings.Contains(asked[len(asked)-1], "slow")
 	})
 	leaves.Close()
 	close(answer)
-	stays := standin.NewClient(t, addr, true)
-	standin.Until(t, "the id is free", func() bool {
+	stays := fakes.NewClient(t, addr, true)
+	fakes.Until(t, "the id is free", func() bool {
 		stays.Ask(look("1", "x"))
 		return stays.Answer() == "v ok ready"
 	})
@@ -494,9 +494,9 @@
 func TestMemory(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
 	long := strings.Repeat("x", 150<<10)
-	var parts []*standin.Client
+	var parts []*fakes.Client
 	part := func() {
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		whole := string(pg.AppendQuery(nil, look("part", long)))
 		c.Send(whole[:len(whole)-1])
 		parts = append(parts, c)
@@ -507,12 +507,12 @@
 	n := 0
 	ask := func() string { // each on a session of its own, which may be ended for its part of a statement
 		n++
-		c := standin.NewClient(t, addr, true)
+		c := fakes.NewClient(t, addr, true)
 		defer c.Close()
 		c.Write(pg.AppendQuery(nil, look(fmt.Sprint("one", n), long)))
 		return c.Answer()
 	}
-	standin.Until(t, "one more is declined", func() bool { return ask() == "53300 ready" })
+	fakes.Until(t, "one more is declined", func() bool { return ask() == "53300 ready" })
 	for range 25 {
 		part()
 	}
@@ -522,7 +522,7 @@
 	for _, c := range parts {
 		c.Close()
 	}
-	standin.Until(t, "the next is served", func() bool { return ask() == long+" ok ready" })
+	fakes.Until(t, "the next is served", func() bool { return ask() == long+" ok ready" })
 }
 
 // Another customer's settings: what may be left out is, and short windows, deadlines and bounds follow from them alone.
@@ -567,9 +567,9 @@
 			}
 			signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 			go func() { ended <- serve(conf, l, signals) }()
-			one := standin.NewClient(t, l.Addr().String(), true)
+			one := fakes.NewClient(t, l.Addr().String(), true)
 			n := 0
-			standin.Until(t, "a read and a write are served", func() bool {
+			fakes.Until(t, "a read and a write are served", func() bool {
 				n++
 				one.Ask(look(fmt.Sprint("r", n), "x"))
 				read := one.Answer()
--- a/cmd/wayloft/signals.go
+++ b/cmd/wayloft/signals.go
@@ -80,8 +80,8 @@
 // drainWithin is the time in ms from a signal to end within which each request must have its final answer.
 func (c *config) drainWithin() float64 {
 	longest := 0.
-	for _, kind := range c.set.TxnTypes {
-		longest = max(longest, kind.Expiry)
+	for _, kind := range c.set.RequestClasses {
+		longest = max(longest, kind.Deadline)
 	}
 	if !strings.HasSuffix(c.path, ".toml") { // who runs a router by a file of its own says how long it may take
 		longest = min(longest, longestCounted)
--- a/cmd/wayloft/unanswered_test.go
+++ b/cmd/wayloft/unanswered_test.go
@@ -12,48 +12,48 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
 )
 
 // Whatever a member does with a statement, or before it takes one, each request gets its one final answer, which never is a
 // part of what came, and after SIGTERM the process ends behind the last. All are out when it comes.
 func TestEveryRequestIsAnswered(t *testing.T) {
 	notice := append([]byte("N\x00\x00\x00\x0f"), "Mmuch of it\x00\x00"[:11]...)
-	whole := standin.Rows("v")
+	whole := fakes.Rows("v")
 	for _, c := range []struct {
 		name  string
-		greet *standin.Reply
-		reply *standin.Reply
+		greet *fakes.Reply
+		reply *fakes.Reply
 	}{
-		{"never lets in", &standin.Reply{}, nil},
-		{"lets in half", &standin.Reply{Bytes: pg.AppendGreeting(nil, 0)[:7]}, nil},
-		{"ends before it lets in", &standin.Reply{Close: true}, nil},
-		{"notices in place of the greeting", &standin.Reply{Bytes: []byte(strings.Repeat(string(notice), 1<<18))}, nil},
+		{"never lets in", &fakes.Reply{}, nil},
+		{"lets in half", &fakes.Reply{Bytes: pg.AppendGreeting(nil, 0)[:7]}, nil},
+		{"ends before it lets in", &fakes.Reply{Close: true}, nil},
+		{"notices in place of the greeting", &fakes.Reply{Bytes: []byte(strings.Repeat(string(notice), 1<<18))}, nil},
 		{"hangs", nil, nil},
-		{"hangs in a head", nil, &standin.Reply{Bytes: whole[:3]}},
-		{"hangs in a row", nil, &standin.Reply{Bytes: whole[:len(whole)-16]}},
-		{"hangs before it is ready", nil, &standin.Reply{Bytes: whole}},
-		{"hangs behind an error", nil, &standin.Reply{Bytes: pg.AppendError(nil, &pg.Error{Code: "XX000", Text: "no"}, false)}},
-		{"a row that is never whole", nil, &standin.Reply{Bytes: append(whole[:30:30], "D\x00\x07\x00\x00\x00\x01\x00\x06\xff\xf6xxx"...)}},
-		{"notices without end", nil, &standin.Reply{Bytes: []byte(strings.Repeat(string(notice), 1<<18))}},
-		{"noise", nil, &standin.Reply{Bytes: []byte("\x00\xff what?")}},
-		{"ends", nil, &standin.Reply{Close: true}},
-		{"ends in a row", nil, &standin.Reply{Bytes: whole[:len(whole)-16], Close: true}},
-		{"is full", nil, standin.Fail("53300")},
-		{"is full, and ends", nil, &standin.Reply{Bytes: pg.AppendError(nil, &pg.Error{Code: "53300", Text: "no"}, true), Close: true}},
+		{"hangs in a head", nil, &fakes.Reply{Bytes: whole[:3]}},
+		{"hangs in a row", nil, &fakes.Reply{Bytes: whole[:len(whole)-16]}},
+		{"hangs before it is ready", nil, &fakes.Reply{Bytes: whole}},
+		{"hangs behind an error", nil, &fakes.Reply{Bytes: pg.AppendError(nil, &pg.Error{Code: "XX000", Text: "no"}, false)}},
+		{"a row that is never whole", nil, &fakes.Reply{Bytes: append(whole[:30:30], "D\x00\x07\x00\x00\x00\x01\x00\x06\xff\xf6xxx"...)}},
+		{"notices without end", nil, &fakes.Reply{Bytes: []byte(strings.Repeat(string(notice), 1<<18))}},
+		{"noise", nil, &fakes.Reply{Bytes: []byte("\x00\xff what?")}},
+		{"ends", nil, &fakes.Reply{Close: true}},
+		{"ends in a row", nil, &fakes.Reply{Bytes: whole[:len(whole)-16], Close: true}},
+		{"is full", nil, fakes.Fail("53300")},
+		{"is full, and ends", nil, &fakes.Reply{Bytes: pg.AppendError(nil, &pg.Error{Code: "53300", Text: "no"}, true), Close: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := standin.NewMember(t, c.greet, func(sql string) *standin.Reply {
+			m := fakes.NewMember(t, c.greet, func(sql string) *fakes.Reply {
 				if sql == "SHOW vitals" {
-					return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+					return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 				}
 				return c.reply
 			})
 			addr, term, ended := start(t, "127.0.0.1:1", 256, m.Addr)
-			var all []*standin.Client
+			var all []*fakes.Client
 			for n := range 8 {
-				one := standin.NewClient(t, addr, true)
+				one := fakes.NewClient(t, addr, true)
 				one.Ask(fmt.Sprintf("/* id=%d,c=%s,t=n,d=%d,cluster=2 */ SELECT x", n, []string{"look", "put"}[n%2], 300+n/2*300))
 				all = append(all, one)
 			}
@@ -86,9 +86,9 @@
 	for _, at := range []int{1, 2, 3, 4, 5, 6, whole / 2, whole - 1} {
 		cuts = append(cuts, at)
 	}
-	var all, never []*standin.Client
+	var all, never []*fakes.Client
 	for n := range 2 * len(cuts) {
-		one := standin.NewClient(t, addr, false)
+		one := fakes.NewClient(t, addr, false)
 		one.Send(hello[:1+n])
 		one.Send(hello[1+n:] + ask(50+n))
 		for _, want := range []string{"ready", "x ok ready"} {
@@ -102,7 +102,7 @@
 			never = append(never, one)
 		}
 	}
-	quiet := standin.NewClient(t, addr, true)
+	quiet := fakes.NewClient(t, addr, true)
 	for n, at := range cuts {
 		all[n].Send(ask(10 + n)[:at])
 		never[n].Send(ask(30 + n)[:at])
@@ -153,7 +153,7 @@
 			one.(*net.TCPConn).SetLinger(0)
 		}
 		one.Close()
-		after := standin.NewClient(t, addr, true)
+		after := fakes.NewClient(t, addr, true)
 		after.Ask(look(fmt.Sprint("after", n), "x"))
 		if got := after.Answer(); got != "x ok ready" {
 			t.Errorf("another session: %q", got)
@@ -212,7 +212,7 @@
 			signals <- syscall.SIGHUP
 			<-next.asked // its whole list
 			<-next.asked // it is told, and the watch has begun
-			asks, n := standin.NewClient(t, addr, true), 0
+			asks, n := fakes.NewClient(t, addr, true), 0
 			count := func() int { _, asked := drains.Seen(); return strings.Count(strings.Join(asked, "|"), "c=look") }
 			last := -1
 			for same := 0; same < 100; n++ { // a hundred in a row go to the other: two to the hundredth by chance
--- a/internal/record/record.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,8 @@
-// Package record is what a process writes of its acts in the fleet, a JSON object a line, in a file that outlives it: what it
+// Package audit is what a process writes of its acts in the fleet, a JSON object a line, in a file that outlives it: what it
 // held, took, refused and was granted, so that a checker can tell later what happened, whatever became of the process. It owns
 // the file; it must never keep the process from its work: a line that can't be written waits for the next one, up to a bound
 // beyond which the oldest are counted as lost.
-package record
+package audit
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 const mostWaiting = 1024 // lines that wait for a file that refuses
@@ -23,8 +23,8 @@
 // Fields are what a line holds beside its number, its time and what happened.
 type Fields map[string]any
 
-// Record is an open file. A nil or a zero one takes nothing.
-type Record struct {
+// Log is an open file. A nil or a zero one takes nothing.
+type Log struct {
 	mu      sync.Mutex
 	f       *os.File
 	who     string
@@ -35,7 +35,7 @@
 }
 
 // Open begins or goes on with a process's record. What a kill has left of a line, or a disk that refused the rest of it, is cut off.
-func Open(path, who string) (*Record, error) {
+func Open(path, who string) (*Log, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Record{f: f, who: who, torn: true}
+	r := &Log{f: f, who: who, torn: true}
 	if err := r.mend(); err != nil {
 		logrus.WithError(err).WithField("file", path).Warn("record: the end of the last line is not known")
 	}
@@ -51,7 +51,7 @@
 }
 
 // mend cuts off a line that has no end.
-func (r *Record) mend() error {
+func (r *Log) mend() error {
 	if !r.torn {
 		return nil
 	}
@@ -93,7 +93,7 @@
 
 // Add writes one line, at once and whole: what it says has happened when it returns. Where the file refuses, the line waits for
 // the next one.
-func (r *Record) Add(what string, f Fields) {
+func (r *Log) Add(what string, f Fields) {
 	if r == nil || r.f == nil {
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // line numbers and encodes a line.
-func (r *Record) line(what string, f Fields) ([]byte, error) {
+func (r *Log) line(what string, f Fields) ([]byte, error) {
 	r.n++
 	line := Fields{"n": r.n, "pid": os.Getpid(), "who": r.who, "what": what, "at": float64(time.Now().UnixMicro()) / 1000}
 	for k, v := range f {
@@ -130,7 +130,7 @@
 }
 
 // flush writes what waits, in its order.
-func (r *Record) flush() error {
+func (r *Log) flush() error {
 	for len(r.waiting) > 0 {
 		if err := r.mend(); err != nil {
 			return err
@@ -144,8 +144,8 @@
 	return nil
 }
 
-func (r *Record) write(line []byte) error {
-	part, refused := line, faults.Fail("record.write", r.f.Name())
+func (r *Log) write(line []byte) error {
+	part, refused := line, failpoint.OperationError("record.write", r.f.Name())
 	if refused != nil { // half of it is there, as where a disk is full
 		part = line[:len(line)/2]
 	}
@@ -155,7 +155,7 @@
 }
 
 // Close ends it.
-func (r *Record) Close() {
+func (r *Log) Close() {
 	if r == nil || r.f == nil {
 		return
 	}
--- a/internal/record/record_test.go
+++ b/internal/audit/audit_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package record
+package audit
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 // numbers reads a record, each line of which must be whole, and gives what each line says as its number.
@@ -46,7 +46,7 @@
 	}
 }
 
-func opened(t *testing.T, path string) *Record {
+func opened(t *testing.T, path string) *Log {
 	t.Helper()
 	r, err := Open(path, "r1")
 	if err != nil {
@@ -55,7 +55,7 @@
 	return r
 }
 
-func add(r *Record, from, to int) {
+func add(r *Log, from, to int) {
 	for n := from; n <= to; n++ {
 		r.Add("act", Fields{"number": n})
 	}
@@ -71,7 +71,7 @@
 	for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
 		hook.Reset()
 		from := len(numbers(t, path)) + 1
-		clear := faults.FailOperations("record.write", func(string) error { return refused })
+		clear := failpoint.SetOperationError("record.write", func(string) error { return refused })
 		add(r, from, from+9)
 		clear()
 		add(r, from+10, from+10)
@@ -89,7 +89,7 @@
 func TestRecord_WaitingLinesAreBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "record")
 	r := opened(t, path)
-	clear := faults.FailOperations("record.write", func(string) error { return syscall.ENOSPC })
+	clear := failpoint.SetOperationError("record.write", func(string) error { return syscall.ENOSPC })
 	add(r, 1, mostWaiting+10)
 	if len(r.waiting) != mostWaiting || r.lost != 10 {
 		t.Errorf("%d wait, %d lost", len(r.waiting), r.lost)
@@ -131,7 +131,7 @@
 
 // One that was never opened takes nothing.
 func TestRecord_Unopened(t *testing.T) {
-	for _, r := range []*Record{nil, {}} {
+	for _, r := range []*Log{nil, {}} {
 		add(r, 1, 2)
 		r.Close()
 	}
--- a/internal/members/answer.go
+++ b/internal/backend/answer.go
@@ -1,9 +1,9 @@
-package members
+package backend
 
 import (
 	"strconv"
 
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/pg"
 	"wayloft/router"
 )
@@ -17,15 +17,15 @@
 	through // and the connection is ready for the next
 )
 
-var outcomes = map[string]router.Outcome{pg.NoPrimary: router.Miss, pg.TooOld: router.Miss, pg.Refused: router.Full,
-	pg.NotNow: router.Full}
+var outcomes = map[string]router.Outcome{pg.NoPrimary: router.Misrouted, pg.TooOld: router.Misrouted, pg.Refused: router.Overloaded,
+	pg.NotNow: router.Overloaded}
 
 // outcome is what an error's code says; whatever the protocol doesn't name may have run.
 func outcome(code string) router.Outcome {
 	if how, known := outcomes[code]; known {
 		return how
 	}
-	return router.Errored
+	return router.ServerError
 }
 
 var roles = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
@@ -71,7 +71,7 @@
 	l.all.Spoilt++
 	l.stage, l.err = nothing, nil
 	if j := l.job; j != nil && !l.unsent() {
-		l.all.end(j, router.Errored)
+		l.all.end(j, router.ServerError)
 	}
 	l.Closed()
 }
@@ -135,9 +135,9 @@
 
 // turnedAway takes an error before the member has let the connection in.
 func (l *link) turnedAway(e *pg.Error) bool {
-	why := pool.Down
+	why := connpool.Down
 	if e.Code == pg.Refused {
-		why = pool.Full
+		why = connpool.Full
 	}
 	l.refused(why)
 	return true
@@ -149,7 +149,7 @@
 	if j == nil || l.err == nil && l.stage != whole {
 		return false
 	}
-	how := router.Committed
+	how := router.Succeeded
 	if l.err != nil {
 		l.rows, how = nil, outcome(l.err.Code)
 	}
--- a/internal/members/attempts_test.go
+++ b/internal/backend/attempts_test.go
@@ -1,4 +1,4 @@
-package members
+package backend
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/decide/session"
-	"wayloft/internal/exchange"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -28,11 +28,11 @@
 	}
 }
 func (c *caller) Parameters(*iradix.Tree[string]) {}
-func (c *caller) Keep(exchange.Carrier)           {}
+func (c *caller) Keep(request.BackendSide)        {}
 func (c *caller) Ended(*pg.Error)                 {}
 
 // talk makes a txn of a session, which begins with this statement; its session has something set, if that is wanted.
-func talkOf(t *testing.T, e *ear, id string, wait float64, set bool) *exchange.Txn {
+func talkOf(t *testing.T, e *ear, id string, wait float64, set bool) *request.Request {
 	t.Helper()
 	base := session.None
 	if set {
@@ -41,29 +41,29 @@
 	s := session.New(session.Policy{Settings: 1 << 12, Statements: 8}, base)
 	sql := fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait)
 	_, ops := s.Query(sql, pg.AppendQuery(nil, sql), false)
-	one := exchange.New(&pg.Statement{ID: id, TxnType: "x", Wait: wait}, e.Now(), func(exchange.Answer) {})
-	one.Talk = &exchange.Talk{Pool: "sessions", Caller: &caller{s}}
-	one.Talk.Say(ops)
+	one := request.New(&pg.Statement{ID: id, TxnType: "x", Wait: wait}, e.Now(), func(request.Response) {})
+	one.Stream = &request.Stream{Pool: "sessions", Client: &caller{s}}
+	one.Stream.Send(ops)
 	return one
 }
 
 // server is a member that answers what a test has it answer, and tells what it was asked.
 type server struct {
-	*standin.Member
+	*fakes.Member
 	told chan string
 }
 
-func newServer(t *testing.T, answer func(sql string) *standin.Reply) *server {
+func newServer(t *testing.T, answer func(sql string) *fakes.Reply) *server {
 	s := &server{told: make(chan string, 100)}
-	s.Member = standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	s.Member = fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		s.told <- sql
 		if r := answer(sql); r != nil {
 			return r
 		}
 		if strings.Contains(sql, "SET") || strings.Contains(sql, "DISCARD") || strings.Contains(sql, "RESET") {
-			return &standin.Reply{Bytes: pg.AppendReady(pg.AppendComplete(nil, "SET"))}
+			return &fakes.Reply{Bytes: pg.AppendReady(pg.AppendComplete(nil, "SET"))}
 		}
-		return standin.Row("v", "source", "1")
+		return fakes.Row("v", "source", "1")
 	})
 	return s
 }
@@ -77,13 +77,13 @@
 // A client has closed its connection, and the loop has not heard of it: the router was held up, or the attempt is decided in
 // the batch in which the close comes. No attempt is written, whichever it is, and the connection serves the next.
 func TestClientClosedBeforeItsAttemptIsWritten(t *testing.T) {
-	plain := func(t *testing.T, e *ear, id string) *exchange.Txn { return txn(e, id, 60000) }
-	pooled := func(set bool) func(*testing.T, *ear, string) *exchange.Txn {
-		return func(t *testing.T, e *ear, id string) *exchange.Txn { return talkOf(t, e, id, 60000, set) }
+	plain := func(t *testing.T, e *ear, id string) *request.Request { return txn(e, id, 60000) }
+	pooled := func(set bool) func(*testing.T, *ear, string) *request.Request {
+		return func(t *testing.T, e *ear, id string) *request.Request { return talkOf(t, e, id, 60000, set) }
 	}
 	for _, c := range []struct {
 		name   string
-		of     func(*testing.T, *ear, string) *exchange.Txn
+		of     func(*testing.T, *ear, string) *request.Request
 		seq    int
 		behind bool // another attempt, for the only connection
 		cold   bool // its connection is not up yet
@@ -100,29 +100,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
-			m := newServer(t, func(sql string) *standin.Reply {
+			m := newServer(t, func(sql string) *fakes.Reply {
 				if strings.Contains(sql, "id=holds,") {
 					<-answer
 				}
 				return nil
 			})
-			e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
 			side.limits.Queue = true
 			e.do(func() { side.List(list(m.Addr, router.Up)) })
 			if !c.cold && !c.behind {
-				e.do(func() { side.Submit(c.of(t, e, "warms"), 0, "a", 0, math.Inf(1)) })
+				e.do(func() { side.SendAttempt(c.of(t, e, "warms"), 0, "a", 0, math.Inf(1)) })
 				if got := e.hear(t); !strings.HasPrefix(got, "0 committed") {
 					t.Fatalf("got %q", got)
 				}
 			}
 			if c.behind {
-				e.do(func() { side.Submit(c.of(t, e, "holds"), 0, "a", 0, math.Inf(1)) })
-				standin.Until(t, "the one before is out", func() bool { return m.saw("holds") })
+				e.do(func() { side.SendAttempt(c.of(t, e, "holds"), 0, "a", 0, math.Inf(1)) })
+				fakes.Until(t, "the one before is out", func() bool { return m.saw("holds") })
 			}
 			e.do(func() {
 				leaves := c.of(t, e, "leaves")
 				leaves.ClientClosed = func() bool { return true }
-				side.Submit(leaves, c.seq, "a", 0, math.Inf(1))
+				side.SendAttempt(leaves, c.seq, "a", 0, math.Inf(1))
 			})
 			answer <- true
 			var ends []string
@@ -132,7 +132,7 @@
 			if want := fmt.Sprint(c.seq, " moot 0 0 false"); !slices.Contains(ends, want) {
 				t.Errorf("ended as %q, want %q", ends, want)
 			}
-			e.do(func() { side.Submit(c.of(t, e, "after"), 0, "a", 0, math.Inf(1)) })
+			e.do(func() { side.SendAttempt(c.of(t, e, "after"), 0, "a", 0, math.Inf(1)) })
 			if got := e.hear(t); !strings.HasPrefix(got, "0 committed") {
 				t.Errorf("the next: %q", got)
 			}
@@ -150,20 +150,20 @@
 // written.
 func TestClientClosesWhileItsSettingsAreMade(t *testing.T) {
 	set, goOn := make(chan bool), make(chan bool)
-	m := newServer(t, func(sql string) *standin.Reply {
+	m := newServer(t, func(sql string) *fakes.Reply {
 		if strings.Contains(sql, "application_name") {
 			set <- true
 			<-goOn
 		}
 		return nil
 	})
-	e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
 	closed := false // the loop's
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
 		leaves := talkOf(t, e, "leaves", 60000, true)
 		leaves.ClientClosed = func() bool { return closed }
-		side.Submit(leaves, 0, "a", 0, math.Inf(1))
+		side.SendAttempt(leaves, 0, "a", 0, math.Inf(1))
 	})
 	<-set
 	e.do(func() { closed = true })
@@ -180,17 +180,17 @@
 // not written.
 func TestTooLateOnceItsSettingsAreMade(t *testing.T) {
 	set, goOn := make(chan bool), make(chan bool)
-	m := newServer(t, func(sql string) *standin.Reply {
+	m := newServer(t, func(sql string) *fakes.Reply {
 		if strings.Contains(sql, "application_name") {
 			set <- true
 			<-goOn
 		}
 		return nil
 	})
-	e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
-		side.Submit(talkOf(t, e, "late", 60000, true), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(talkOf(t, e, "late", 60000, true), 0, "a", 0, math.Inf(1))
 	})
 	<-set
 	e.do(func() { side.jobs["late"].by = e.Clock() - 1 }) // it has passed since
@@ -207,22 +207,22 @@
 // not written.
 func TestCancelledWhileItsSettingsAreMade(t *testing.T) {
 	set, goOn := make(chan bool), make(chan bool)
-	m := newServer(t, func(sql string) *standin.Reply {
+	m := newServer(t, func(sql string) *fakes.Reply {
 		if strings.Contains(sql, "application_name") {
 			set <- true
 			<-goOn
 		}
 		return nil
 	})
-	e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
-	var one *exchange.Txn
+	e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	var one *request.Request
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
 		one = talkOf(t, e, "cancels", 60000, true)
-		side.Submit(one, 0, "a", 0, math.Inf(1))
+		side.SendAttempt(one, 0, "a", 0, math.Inf(1))
 	})
 	<-set
-	e.do(func() { one.Talk.Carrier().Cancel() })
+	e.do(func() { one.Stream.Backend().Cancel() })
 	goOn <- true
 	if got := e.hear(t); got != "0 rejected 57014" {
 		t.Errorf("got %q", got)
@@ -236,16 +236,16 @@
 // that began long before, or waited on its connection, or for a connection.
 func TestTimeLeftAtTheWrite(t *testing.T) {
 	const lag, left = 400.0, 20000.0
-	plain := func(t *testing.T, e *ear, id string) *exchange.Txn { return txn(e, id, left) }
-	pipelined := func(t *testing.T, e *ear, id string) *exchange.Txn {
-		return exchange.New(txn(e, id, left).Statement, e.Now()-300, func(exchange.Answer) {}) // its last byte came then
+	plain := func(t *testing.T, e *ear, id string) *request.Request { return txn(e, id, left) }
+	pipelined := func(t *testing.T, e *ear, id string) *request.Request {
+		return request.New(txn(e, id, left).Statement, e.Now()-300, func(request.Response) {}) // its last byte came then
 	}
-	pooled := func(set bool) func(*testing.T, *ear, string) *exchange.Txn {
-		return func(t *testing.T, e *ear, id string) *exchange.Txn { return talkOf(t, e, id, left, set) }
+	pooled := func(set bool) func(*testing.T, *ear, string) *request.Request {
+		return func(t *testing.T, e *ear, id string) *request.Request { return talkOf(t, e, id, left, set) }
 	}
 	for _, c := range []struct {
 		name   string
-		of     func(*testing.T, *ear, string) *exchange.Txn
+		of     func(*testing.T, *ear, string) *request.Request
 		seq    int
 		behind bool    // it waits for another's connection meanwhile
 		wait   float64 // its own time-out, where it is one of two that may go out
@@ -262,24 +262,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
-			m := newServer(t, func(sql string) *standin.Reply {
+			m := newServer(t, func(sql string) *fakes.Reply {
 				if strings.Contains(sql, "id=holds,") {
 					<-answer
 				}
 				return nil
 			})
-			e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
 			side.limits.Queue = true
 			e.do(func() { side.List(list(m.Addr, router.Up)) })
 			before := "warms"
 			if c.behind {
 				before = "holds"
 			}
-			e.do(func() { side.Submit(c.of(t, e, before), 0, "a", 0, math.Inf(1)) })
+			e.do(func() { side.SendAttempt(c.of(t, e, before), 0, "a", 0, math.Inf(1)) })
 			if !c.behind {
 				e.hear(t)
 			}
-			standin.Until(t, "the one before is out", func() bool { return m.saw(before) })
+			fakes.Until(t, "the one before is out", func() bool { return m.saw(before) })
 			var from, began float64
 			heldUp := func() { // the batch goes on for so long
 				for from = e.Clock(); e.Clock() < from+lag; {
@@ -293,13 +293,13 @@
 				if !c.behind {
 					heldUp()
 				}
-				side.Submit(late, c.seq, "a", c.wait, math.Inf(1))
+				side.SendAttempt(late, c.seq, "a", c.wait, math.Inf(1))
 				if c.behind {
 					heldUp()
 				}
 			})
 			answer <- true
-			standin.Until(t, "it is out", func() bool { return m.saw("late") })
+			fakes.Until(t, "it is out", func() bool { return m.saw("late") })
 			_, asked := m.Seen()
 			sql := asked[slices.IndexFunc(asked, func(s string) bool { return strings.Contains(s, "id=late,") })]
 			var d float64
@@ -318,26 +318,26 @@
 
 // A client's time ends while its attempt is held up before the write: it is not written.
 func TestNotWrittenAfterItsTime(t *testing.T) {
-	for name, of := range map[string]func(*ear, string, float64) *exchange.Txn{
+	for name, of := range map[string]func(*ear, string, float64) *request.Request{
 		"plain":        txn,
-		"in a session": func(e *ear, id string, wait float64) *exchange.Txn { return talkOf(t, e, id, wait, false) },
+		"in a session": func(e *ear, id string, wait float64) *request.Request { return talkOf(t, e, id, wait, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newServer(t, func(string) *standin.Reply { return nil })
-			e, side := startPools(t, 1, 20000, pool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			m := newServer(t, func(string) *fakes.Reply { return nil })
+			e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
 			e.do(func() {
 				side.List(list(m.Addr, router.Up))
-				side.Submit(of(e, "warms", 60000), 0, "a", 0, math.Inf(1))
+				side.SendAttempt(of(e, "warms", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got := e.hear(t); !strings.HasPrefix(got, "0 committed") {
 				t.Fatalf("got %q", got)
 			}
 			e.do(func() {
 				late := of(e, "late", 1000)
-				for e.Clock() <= late.Expiry {
+				for e.Clock() <= late.Deadline {
 					runtime.Gosched()
 				}
-				side.Submit(late, 0, "a", 0, math.Inf(1))
+				side.SendAttempt(late, 0, "a", 0, math.Inf(1))
 			})
 			if got := e.hear(t); got != "0 moot 0 0 false" {
 				t.Errorf("got %q", got)
--- a/internal/members/members.go
+++ b/internal/backend/backend.go
@@ -1,7 +1,7 @@
-// Package members serves the members' side: it owns the sockets to each member, the submissions and checks that travel
-// on them, and their time-outs; which connection, and when one opens or closes, decide/pool says. It must never know a
+// Package backend serves the members' side: it owns the sockets to each member, the submissions and checks that travel
+// on them, and their time-outs; which connection, and when one opens or closes, decide/connpool says. It must never know a
 // client, send what was not decided, or call something never run that may have.
-package members
+package backend
 
 import (
 	"errors"
@@ -12,14 +12,14 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/discovery"
-	"wayloft/internal/exchange"
-	"wayloft/internal/faults"
-	"wayloft/internal/host"
-	"wayloft/internal/must"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/invariant"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -42,30 +42,30 @@
 	Writes      map[string]bool // txn types that need the primary
 }
 
-// Host is what runs the loop, and hears how submissions and checks end.
-type Host interface {
+// Driver is what runs the loop, and hears how submissions and checks end.
+type Driver interface {
 	Now() float64
 	Clock() float64
-	Heard(member string, role router.Role, position, sent float64)
+	RecordPosition(member string, role router.Role, position, sent float64)
 	Possible(position float64) bool
 	Forget(member string)
 	After(ms float64, f func()) *time.Timer
-	Turn(t *exchange.Txn, seq int, rests bool)
-	Gone(t *exchange.Txn)
-	Soon(f func())
-	Dial(addr string, ms float64, done func(*host.Conn, error))
-	Returned(t *exchange.Txn, seq int, member string, how router.Outcome, took float64, role router.Role,
+	TurnChanged(t *request.Request, seq int, rests bool)
+	ClientGone(t *request.Request)
+	Defer(f func())
+	Dial(addr string, ms float64, done func(*eventloop.Conn, error))
+	AttemptEnded(t *request.Request, seq int, member string, how router.Outcome, took float64, role router.Role,
 		gtid float64, rows []byte)
-	Rejected(t *exchange.Txn, seq int, member string, e *pg.Error)
-	Checked(member string, how router.Outcome)
+	StatementFailed(t *request.Request, seq int, member string, e *pg.Error)
+	HealthChecked(member string, how router.Outcome)
 	Reported(member string, role router.Role, gtid float64)
 }
 
-// Members holds all connections.
-type Members struct {
-	host    Host
+// Backend holds all connections.
+type Backend struct {
+	host    Driver
 	limits  Limits
-	pool    *pool.Pool
+	pool    *connpool.Pool
 	byID    map[string]*member
 	links   map[int]*link                   // by the pool's numbers; those that are dialled have none yet
 	jobs    map[string]*job                 // the submission that is out for a txn
@@ -92,8 +92,8 @@
 
 // job is one submission, check or cancel.
 type job struct {
-	txn    *exchange.Txn // nil: a check
-	key    *pg.Key       // of what is to be cancelled
+	txn    *request.Request // nil: a check
+	key    *pg.Key          // of what is to be cancelled
 	seq    int
 	to     *member
 	at     float64
@@ -111,11 +111,11 @@
 
 // link is one connection to a member; one job at a time travels on it.
 type link struct {
-	all   *Members
+	all   *Backend
 	id    int // the pool's
 	login string
 	to    *member
-	conn  *host.Conn
+	conn  *eventloop.Conn
 	in    *pg.Reader
 	job   *job
 	ready bool // it is let in
@@ -136,16 +136,16 @@
 }
 
 // New makes the side.
-func New(h Host, l Limits, p *pool.Pool) *Members {
-	m := &Members{host: h, limits: l, pool: p, byID: map[string]*member{}, links: map[int]*link{}, jobs: map[string]*job{},
+func New(h Driver, l Limits, p *connpool.Pool) *Backend {
+	m := &Backend{host: h, limits: l, pool: p, byID: map[string]*member{}, links: map[int]*link{}, jobs: map[string]*job{},
 		wants: map[string]*job{}, known: map[string]*iradix.Tree[string]{}, armed: math.Inf(1)}
-	h.Soon(m.pull)
+	h.Defer(m.pull)
 	return m
 }
 
 // List takes a list in, whole or of changes. Submissions that are out go on; unsent ones to a member that drains or
 // is gone end, since what was decided before the list told so must not go out long after.
-func (a *Members) List(l *discovery.List) {
+func (a *Backend) List(l *discovery.List) {
 	here := map[string]bool{}
 	for _, e := range l.Entries {
 		here[e.ID] = e.State != router.Removed
@@ -172,7 +172,7 @@
 	}
 	for _, j := range a.jobs {
 		if j.to.barred && (j.link == nil || !j.link.asked) {
-			a.host.Soon(func() { a.end(j, router.Moot) })
+			a.host.Defer(func() { a.end(j, router.NotSent) })
 		}
 	}
 	for _, l := range a.links {
@@ -180,28 +180,28 @@
 			l.goingDown()
 		}
 	}
-	a.host.Soon(a.pull)
+	a.host.Defer(a.pull)
 }
 
-// Links tells how many connections there are, or are being made; Waiting, how many jobs wait for one.
-func (a *Members) Links() int   { return a.pool.Open() }
-func (a *Members) Waiting() int { return a.pool.Waiting() }
+// Connections tells how many connections there are, or are being made; Waiting, how many jobs wait for one.
+func (a *Backend) Connections() int { return a.pool.Open() }
+func (a *Backend) Waiting() int     { return a.pool.Waiting() }
 
 // CloseIdle closes the idle connections to a member.
-func (a *Members) CloseIdle(id string) {
+func (a *Backend) CloseIdle(id string) {
 	a.hear().CloseIdle(id)
-	a.host.Soon(a.pull)
+	a.host.Defer(a.pull)
 }
 
 // hear gives the pool to be told something.
-func (a *Members) hear() *pool.Pool {
-	a.pool.At(a.host.Now())
+func (a *Backend) hear() *connpool.Pool {
+	a.pool.Advance(a.host.Now())
 	a.arm(a.pool.Sweep())
 	return a.pool
 }
 
 // arm has decisions pulled at a time, unless they are sooner.
-func (a *Members) arm(at float64) {
+func (a *Backend) arm(at float64) {
 	if at >= a.armed {
 		return
 	}
@@ -218,27 +218,27 @@
 }
 
 // pull carries out what the pool decides, until it has nothing left.
-func (a *Members) pull() {
+func (a *Backend) pull() {
 	if a.pulling {
 		return
 	}
 	a.pulling = true
-	a.pool.At(a.host.Now())
+	a.pool.Advance(a.host.Now())
 	for d, more := a.pool.Next(); more; d, more = a.pool.Next() {
 		a.do(d)
 	}
 	a.pulling = false
-	a.arm(a.pool.Due())
+	a.arm(a.pool.NextDeadline())
 }
 
-func (a *Members) do(d pool.Decision) {
+func (a *Backend) do(d connpool.Decision) {
 	l, j := a.links[d.Conn], a.wants[d.Want]
-	switch d.Verb {
-	case pool.Open:
+	switch d.Action {
+	case connpool.Open:
 		a.open(d)
-	case pool.Use:
+	case connpool.Use:
 		delete(a.wants, d.Want)
-		must.Hold(l != nil && j != nil && !j.over, "a connection is given to who waits for it")
+		invariant.Check(l != nil && j != nil && !j.over, "a connection is given to who waits for it")
 		if l == nil || j == nil {
 			a.pool.Gone(d.Conn)
 			return
@@ -255,39 +255,39 @@
 			l.fence = 0
 			a.hear().Free(d.Conn, l.like())
 		}
-	case pool.Close:
+	case connpool.Close:
 		if l != nil {
 			l.conn.Close()
 			l.forget()
 		}
-	case pool.Refuse:
+	case connpool.Refuse:
 		delete(a.wants, d.Want)
 		if j == nil {
 			return
 		}
-		how := router.Moot
-		switch d.Why {
-		case pool.NoRoom:
+		how := router.NotSent
+		switch d.Reason {
+		case connpool.NoRoom:
 			if a.Unsent++; j.to.barred {
 				a.Unsent--
 			}
-		case pool.Late:
+		case connpool.Late:
 			a.Late++
-		case pool.Unconnected:
+		case connpool.Unconnected:
 			how = router.ConnectFailed
 		}
-		a.host.Soon(func() { a.end(j, how) })
-	case pool.End:
+		a.host.Defer(func() { a.end(j, how) })
+	case connpool.End:
 		if l != nil && l.job != nil && l.talk != nil {
 			a.Idle++
-			a.host.Soon(func() { l.end(pg.IdleInside, "a transaction was left open and idle for too long") })
+			a.host.Defer(func() { l.end(pg.IdleInside, "a transaction was left open and idle for too long") })
 		}
 	}
 }
 
-// Submit sends a txn to a member, with its own time-out if wait is more than 0; it is not written after by.
-func (a *Members) Submit(t *exchange.Txn, seq int, id string, wait, by float64) {
-	j := &job{txn: t, seq: seq, at: a.host.Now(), until: t.Expiry, by: by}
+// SendAttempt sends a txn to a member, with its own time-out if wait is more than 0; it is not written after by.
+func (a *Backend) SendAttempt(t *request.Request, seq int, id string, wait, by float64) {
+	j := &job{txn: t, seq: seq, at: a.host.Now(), until: t.Deadline, by: by}
 	if wait > 0 {
 		j.until = min(j.until, j.at+wait)
 	}
@@ -295,79 +295,79 @@
 	a.begin(j, id)
 }
 
-// Check asks a member how it is.
-func (a *Members) Check(id string) {
+// HealthCheck asks a member how it is.
+func (a *Backend) HealthCheck(id string) {
 	now := a.host.Now()
 	a.begin(&job{at: now, until: now + a.limits.DialTimeout, by: math.Inf(1)}, id)
 }
 
-// Revoke gives a submission up.
-func (a *Members) Revoke(txn string, seq int) {
+// CancelAttempt gives a submission up.
+func (a *Backend) CancelAttempt(txn string, seq int) {
 	if j := a.jobs[txn]; j != nil && j.seq == seq {
-		a.host.Soon(func() { a.end(j, router.Revoked) })
+		a.host.Defer(func() { a.end(j, router.Canceled) })
 	}
 }
 
 // Abandon gives a submission up whose client has gone, unless it may run already. A talk ends by its own way.
-func (a *Members) Abandon(txn string) {
-	if j := a.jobs[txn]; j != nil && j.txn.Talk == nil && (j.link == nil || !j.link.sent()) {
-		a.end(j, router.Revoked)
+func (a *Backend) Abandon(txn string) {
+	if j := a.jobs[txn]; j != nil && j.txn.Stream == nil && (j.link == nil || !j.link.sent()) {
+		a.end(j, router.Canceled)
 	}
 }
 
-func (a *Members) begin(j *job, id string) {
+func (a *Backend) begin(j *job, id string) {
 	m := a.byID[id]
-	must.Hold(m != nil, "submissions and checks go to listed members")
+	invariant.Check(m != nil, "submissions and checks go to listed members")
 	if m == nil || j.until <= j.at {
 		j.to = &member{id: id}
-		a.host.Soon(func() { a.end(j, router.Moot) })
+		a.host.Defer(func() { a.end(j, router.NotSent) })
 		return
 	}
 	j.to = m
 	j.timer = a.host.After(j.until-a.host.Clock(), func() { a.end(j, router.TimedOut) }) // the batch may be long
-	if j.txn != nil && j.txn.Talk != nil {
+	if j.txn != nil && j.txn.Stream != nil {
 		a.beginTalk(j)
 		return
 	}
 	a.want(j)
 	a.pull()
 	if a.limits.Queue && j.txn != nil && j.link == nil && !j.over { // it is the pool's turn, not the member's
-		a.host.Soon(func() { a.rests(j) })
+		a.host.Defer(func() { a.rests(j) })
 	}
 }
 
 // rests tells the module that a submission waits for a connection.
-func (a *Members) rests(j *job) {
+func (a *Backend) rests(j *job) {
 	if j.link == nil && !j.over {
 		j.rests = true
-		a.host.Turn(j.txn, j.seq, true)
+		a.host.TurnChanged(j.txn, j.seq, true)
 	}
 }
 
 // want asks the pool for a connection.
-func (a *Members) want(j *job) {
+func (a *Backend) want(j *job) {
 	a.asked++
 	j.want = strconv.Itoa(a.asked)
 	a.wants[j.want] = j
-	w := pool.Want{ID: j.want, Key: pool.Key{Member: j.to.id, Pool: Platform}}
+	w := connpool.Request{ID: j.want, Key: connpool.Key{Member: j.to.id, Pool: Platform}}
 	switch {
 	case j.key != nil:
 		w.Key.Pool = Cancels
-	case j.txn != nil && j.txn.Talk != nil:
-		w.Key.Pool, w.Tenant, w.Like = j.txn.Talk.Pool, j.txn.Tenant, j.txn.Talk.Caller.Session().Settings().ID()
+	case j.txn != nil && j.txn.Stream != nil:
+		w.Key.Pool, w.Tenant, w.Like = j.txn.Stream.Pool, j.txn.Tenant, j.txn.Stream.Client.Session().Settings().ID()
 	}
-	a.hear().Want(w)
+	a.hear().Request(w)
 }
 
 // open makes a connection. It is up once the member has let it in; until then nothing has been asked.
-func (a *Members) open(d pool.Decision) {
+func (a *Backend) open(d connpool.Decision) {
 	m := a.byID[d.Key.Member]
 	if m == nil {
 		a.hear().Gone(d.Conn)
 		return
 	}
 	at := a.host.Now()
-	a.host.Dial(m.addr, a.limits.DialTimeout, func(c *host.Conn, err error) {
+	a.host.Dial(m.addr, a.limits.DialTimeout, func(c *eventloop.Conn, err error) {
 		defer a.pull()
 		if err != nil {
 			a.hear().Failed(d.Conn, failure(err))
@@ -389,23 +389,23 @@
 		c.Write(pg.AppendStartup(nil, who.User, who.Database))
 		a.host.After(at+a.limits.DialTimeout-a.host.Now(), func() {
 			if !l.ready {
-				l.refused(pool.Down)
+				l.refused(connpool.Down)
 			}
 		})
 	})
 }
 
 // failure tells the pool why a dial failed: unless it is the member, its record stays clean.
-func failure(err error) pool.Cause {
-	var dial *host.DialError
+func failure(err error) connpool.FailureCause {
+	var dial *eventloop.DialError
 	if errors.As(err, &dial) && dial.Cause() != syscallerror.Peer {
-		return pool.Short
+		return connpool.NoLocalResources
 	}
-	return pool.Down
+	return connpool.Down
 }
 
 // refused ends a connection that has not come up.
-func (l *link) refused(why pool.Cause) {
+func (l *link) refused(why connpool.FailureCause) {
 	if l.all.links[l.id] == l {
 		l.all.hear().Failed(l.id, why)
 		l.conn.Close()
@@ -416,7 +416,7 @@
 
 // take writes the job's query, unless it is withheld; it tells whether it did.
 func (l *link) take(j *job) bool {
-	must.Hold(j.txn == nil || j.txn.Talk != nil || !j.txn.Over(), "nothing is sent for a client that has gone")
+	invariant.Check(j.txn == nil || j.txn.Stream != nil || !j.txn.Over(), "nothing is sent for a client that has gone")
 	if l.talk != nil && j.key == nil {
 		l.heard = 0
 		return l.carry(j)
@@ -427,13 +427,13 @@
 	}
 	l.job, j.link, l.asked, l.heard = j, l, true, 0
 	j.sent = l.all.host.Clock()
-	l.rows, l.stage, l.cell, l.err, l.role, l.gtid, l.vital = nil, 0, nil, nil, router.Unsaid,
+	l.rows, l.stage, l.cell, l.err, l.role, l.gtid, l.vital = nil, 0, nil, nil, router.RoleUnknown,
 		router.Never, ""
 	if j.rests {
 		j.rests = false
-		l.all.host.Soon(func() {
+		l.all.host.Defer(func() {
 			if !j.over {
-				l.all.host.Turn(j.txn, j.seq, false)
+				l.all.host.TurnChanged(j.txn, j.seq, false)
 			}
 		})
 	}
@@ -447,7 +447,7 @@
 		l.all.hear().Gone(l.id)
 		l.conn.Close()
 		l.forget()
-		l.all.host.Soon(l.all.pull) // its place is free
+		l.all.host.Defer(l.all.pull) // its place is free
 	}
 }
 
@@ -460,7 +460,7 @@
 // Closed says that the connection has ended by itself.
 func (l *link) Closed() {
 	if !l.ready {
-		l.refused(pool.Down)
+		l.refused(connpool.Down)
 		return
 	}
 	if j := l.job; j != nil {
@@ -482,7 +482,7 @@
 	case l.err != nil:
 		return outcome(l.err.Code)
 	case l.stage == whole:
-		return router.Committed
+		return router.Succeeded
 	case l.sent():
 		return router.Reset
 	}
@@ -498,13 +498,13 @@
 	if l.sent() {
 		return false
 	}
-	faults.Here("members.unsent")
+	failpoint.Hit("members.unsent")
 	l.conn.Close()
 	return !l.sent()
 }
 
 // end gives a job its outcome, once. A connection whose answer is not through is closed before anyone hears of it.
-func (a *Members) end(j *job, how router.Outcome) {
+func (a *Backend) end(j *job, how router.Outcome) {
 	if j.over {
 		return
 	}
@@ -513,7 +513,7 @@
 		j.timer.Stop()
 	}
 	if l := j.link; l == nil {
-		a.hear().Leave(j.want)
+		a.hear().Cancel(j.want)
 		delete(a.wants, j.want)
 	}
 	l := j.link
@@ -523,12 +523,12 @@
 		}
 		return
 	}
-	if j.txn != nil && (how == router.TimedOut || how == router.Revoked) && (l == nil || l.unsent()) {
-		how = router.Moot // given up before it was written: that says nothing of the member
+	if j.txn != nil && (how == router.TimedOut || how == router.Canceled) && (l == nil || l.unsent()) {
+		how = router.NotSent // given up before it was written: that says nothing of the member
 	}
 	var rows, cell []byte
 	var fault *pg.Error
-	role, gtid, vital := router.Unsaid, router.Never, ""
+	role, gtid, vital := router.RoleUnknown, router.Never, ""
 	if l != nil && l.talk != nil {
 		role, gtid = l.role, a.position(j, l.role, l.gtid)
 		fault = l.settle(j, how)
@@ -537,7 +537,7 @@
 		if l.err != nil && l.err.OfStatement() {
 			fault = l.err
 		}
-		if l.stage == through || how == router.Committed {
+		if l.stage == through || how == router.Succeeded {
 			rows, cell, role, vital = l.rows, l.cell, l.role, l.vital
 			gtid = a.position(j, role, l.gtid)
 		}
@@ -552,24 +552,24 @@
 		a.CloseIdle(j.to.id)
 	}
 	if j.txn == nil {
-		if read := a.reported(j, string(cell)); how == router.Committed && a.limits.Reports && !read {
-			how = router.Errored // it is there, and nothing is told
+		if read := a.reported(j, string(cell)); how == router.Succeeded && a.limits.Reports && !read {
+			how = router.ServerError // it is there, and nothing is told
 		}
-		a.host.Checked(j.to.id, how)
+		a.host.HealthChecked(j.to.id, how)
 		return
 	}
-	must.Hold(a.jobs[j.txn.ID] == j, "one submission of a txn at a time")
+	invariant.Check(a.jobs[j.txn.ID] == j, "one submission of a txn at a time")
 	delete(a.jobs, j.txn.ID)
 	took := a.host.Now() - j.at
-	if j.txn.Talk != nil {
-		j.txn.Talk.Waiting(nil)
+	if j.txn.Stream != nil {
+		j.txn.Stream.OnClientGone(nil)
 		took = j.worked
 	}
-	if how == router.Errored && fault != nil {
-		a.host.Rejected(j.txn, j.seq, j.to.id, fault)
+	if how == router.ServerError && fault != nil {
+		a.host.StatementFailed(j.txn, j.seq, j.to.id, fault)
 		return
 	}
-	a.host.Returned(j.txn, j.seq, j.to.id, how, took, role, gtid, rows)
+	a.host.AttemptEnded(j.txn, j.seq, j.to.id, how, took, role, gtid, rows)
 	a.reported(j, vital)
 }
 
@@ -583,7 +583,7 @@
 	l.in.Shrink()
 	l.count()
 	l.all.hear().Free(l.id, l.like())
-	l.all.host.Soon(l.all.pull)
+	l.all.host.Defer(l.all.pull)
 }
 
 // like is what the connection was left as, for the pool.
@@ -595,7 +595,7 @@
 }
 
 // position takes in the position that came with an answer, and gives it back if the member can have it.
-func (a *Members) position(j *job, role router.Role, gtid float64) float64 {
+func (a *Backend) position(j *job, role router.Role, gtid float64) float64 {
 	if gtid == router.Never {
 		return gtid
 	}
@@ -608,15 +608,15 @@
 
 // heard has a position count for the estimate of the cluster's clock. Guards against an answer of a member that has gone
 // meanwhile: nothing would drop what it told.
-func (a *Members) heard(j *job, role router.Role, position float64) {
+func (a *Backend) heard(j *job, role router.Role, position float64) {
 	if a.byID[j.to.id] == j.to {
-		a.host.Heard(j.to.id, role, position, j.sent)
+		a.host.RecordPosition(j.to.id, role, position, j.sent)
 	}
 }
 
 // reported reads a report, name=value by commas: the position in seconds, and whether it is from a primary. One that
 // can't be read as a whole tells nothing.
-func (a *Members) reported(j *job, vitals string) bool {
+func (a *Backend) reported(j *job, vitals string) bool {
 	role, at := router.Replica, 0.0
 	for pair := range strings.SplitSeq(vitals, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/members/members_test.go
+++ b/internal/backend/backend_test.go
@@ -1,4 +1,4 @@
-package members
+package backend
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/discovery"
-	"wayloft/internal/exchange"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -21,58 +21,58 @@
 
 // ear is a loop with somebody who hears how submissions and checks end.
 type ear struct {
-	*host.Loop
+	*eventloop.Loop
 	told chan string
 }
 
-func (e *ear) Returned(_ *exchange.Txn, seq int, _ string, how router.Outcome, _ float64, role router.Role,
+func (e *ear) AttemptEnded(_ *request.Request, seq int, _ string, how router.Outcome, _ float64, role router.Role,
 	gtid float64, rows []byte) {
 	e.told <- fmt.Sprint(seq, " ", words[how], " ", role, " ", max(gtid, 0), " ", len(rows) > 0)
 }
 
-func (e *ear) Rejected(_ *exchange.Txn, seq int, _ string, err *pg.Error) {
+func (e *ear) StatementFailed(_ *request.Request, seq int, _ string, err *pg.Error) {
 	e.told <- fmt.Sprint(seq, " rejected ", err.Code)
 }
 
-func (e *ear) Turn(*exchange.Txn, int, bool) {}
+func (e *ear) TurnChanged(*request.Request, int, bool) {}
 
-func (e *ear) Gone(t *exchange.Txn) { t.Leave() }
+func (e *ear) ClientGone(t *request.Request) { t.ClientGone() }
 
-func (e *ear) Checked(_ string, how router.Outcome) { e.told <- "check " + words[how] }
+func (e *ear) HealthChecked(_ string, how router.Outcome) { e.told <- "check " + words[how] }
 
 func (e *ear) Reported(_ string, role router.Role, gtid float64) {
 	e.told <- fmt.Sprint("report ", role, " ", gtid)
 }
 
-var words = map[router.Outcome]string{router.Committed: "committed", router.Errored: "errored", router.Full: "full",
-	router.TimedOut: "timed out", router.ConnectFailed: "unconnected", router.Reset: "reset", router.Revoked: "revoked",
-	router.Moot: "moot", router.Miss: "miss"}
+var words = map[router.Outcome]string{router.Succeeded: "committed", router.ServerError: "errored", router.Overloaded: "full",
+	router.TimedOut: "timed out", router.ConnectFailed: "unconnected", router.Reset: "reset", router.Canceled: "revoked",
+	router.NotSent: "moot", router.Misrouted: "miss"}
 
 // start makes a side whose connections may take longer to come up than a busy machine lets them.
-func start(t *testing.T, links int) (*ear, *Members) { return startWithin(t, links, 5000) }
+func start(t *testing.T, links int) (*ear, *Backend) { return startWithin(t, links, 5000) }
 
-func startWithin(t *testing.T, links int, dial float64) (*ear, *Members) {
-	return startPools(t, links, dial, pool.Bounds{})
+func startWithin(t *testing.T, links int, dial float64) (*ear, *Backend) {
+	return startPools(t, links, dial, connpool.Bounds{})
 }
 
 // startPools makes one with a pool for sessions, too; statements wait for a connection for as long as they do.
-func startPools(t *testing.T, links int, dial float64, sessions pool.Bounds) (*ear, *Members) {
-	e := &ear{host.NewLoop(512), make(chan string, 100)}
+func startPools(t *testing.T, links int, dial float64, sessions connpool.Bounds) (*ear, *Backend) {
+	e := &ear{eventloop.NewLoop(512), make(chan string, 100)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := e.Listen(l, 64<<20, func(*host.Conn) {}); err != nil {
+	if err := e.Listen(l, 64<<20, func(*eventloop.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
-	statements := pool.Statements(60000)
+	statements := connpool.Statements(60000)
 	statements.Wait = sessions.Wait
 	side := New(e, Limits{DialTimeout: dial, Reports: true, Longest: longest, Budget: 4 * longest,
-		Logins: map[string]Login{Platform: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, pool.New(pool.Settings{All: links,
-		Pools: map[string]pool.Bounds{Platform: statements, Cancels: pool.Cancels(1000), "sessions": sessions}}))
+		Logins: map[string]Login{Platform: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{All: links,
+		Pools: map[string]connpool.Bounds{Platform: statements, Cancels: connpool.Cancels(1000), "sessions": sessions}}))
 	ended := make(chan bool)
 	go func() { e.Run(func() {}); close(ended) }()
-	t.Cleanup(func() { e.Post(e.End); <-ended })
+	t.Cleanup(func() { e.Post(e.Stop); <-ended })
 	return e, side
 }
 
@@ -94,12 +94,12 @@
 	}
 }
 
-func txn(e *ear, id string, wait float64) *exchange.Txn {
+func txn(e *ear, id string, wait float64) *request.Request {
 	s, err := pg.ParseStatement(fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait))
 	if err != nil {
 		panic(err)
 	}
-	return exchange.New(s, e.Now(), func(exchange.Answer) {})
+	return request.New(s, e.Now(), func(request.Response) {})
 }
 
 func list(addr string, state router.State) *discovery.List {
@@ -119,48 +119,48 @@
 	refusal := pg.AppendError(nil, &pg.Error{Code: pg.Refused, Text: "no"}, true)
 	for _, c := range []struct {
 		name   string
-		greet  *standin.Reply
-		answer *standin.Reply
+		greet  *fakes.Reply
+		answer *fakes.Reply
 		wait   float64 // time-out; 0: none
 		want   string
 		again  bool
 	}{
-		{"row", nil, standin.Row("v", "source", "17"), 0, "0 committed 1 17 true", true},
-		{"row of a replica", nil, standin.Row("v", "copy", "0"), 0, "0 committed 2 0 true", true},
-		{"no primary", nil, standin.Fail("25006"), 0, "0 miss 0 0 false", true},
-		{"too far behind", nil, standin.Fail("72000"), 0, "0 miss 0 0 false", true},
-		{"error", nil, standin.Fail("XX000"), 0, "0 errored 0 0 false", true},
-		{"an error not in the table", nil, standin.Fail("58000"), 0, "0 errored 0 0 false", true},
-		{"a fault of the statement", nil, standin.Fail("42601"), 0, "0 rejected 42601", true},
-		{"a position in the future", nil, standin.Row("v", "source", "1e18"), 0, "0 committed 1 0 true", true},
-		{"a position that is none", nil, standin.Row("v", "copy", "NaN"), 0, "0 committed 2 0 true", true},
-		{"noise in good shape", nil, &standin.Reply{Bytes: []byte("x\x00\x00\x00\x40")}, 0, "0 errored 0 0 false", false},
-		{"a value that keeps coming", nil, &standin.Reply{Bytes: bytes(standin.Rows("v")[:30],
+		{"row", nil, fakes.Row("v", "source", "17"), 0, "0 committed 1 17 true", true},
+		{"row of a replica", nil, fakes.Row("v", "copy", "0"), 0, "0 committed 2 0 true", true},
+		{"no primary", nil, fakes.Fail("25006"), 0, "0 miss 0 0 false", true},
+		{"too far behind", nil, fakes.Fail("72000"), 0, "0 miss 0 0 false", true},
+		{"error", nil, fakes.Fail("XX000"), 0, "0 errored 0 0 false", true},
+		{"an error not in the table", nil, fakes.Fail("58000"), 0, "0 errored 0 0 false", true},
+		{"a fault of the statement", nil, fakes.Fail("42601"), 0, "0 rejected 42601", true},
+		{"a position in the future", nil, fakes.Row("v", "source", "1e18"), 0, "0 committed 1 0 true", true},
+		{"a position that is none", nil, fakes.Row("v", "copy", "NaN"), 0, "0 committed 2 0 true", true},
+		{"noise in good shape", nil, &fakes.Reply{Bytes: []byte("x\x00\x00\x00\x40")}, 0, "0 errored 0 0 false", false},
+		{"a value that keeps coming", nil, &fakes.Reply{Bytes: bytes(fakes.Rows("v")[:30],
 			[]byte("D\xb2\xd0\x5e\x0a\x00\x01\xb2\xd0\x5e\x00"))}, 0, "0 errored 0 0 false", false},
-		{"two rows", nil, &standin.Reply{Bytes: bytes(standin.Rows("v")[:len(standin.Rows("v"))-14], standin.Rows("v")[30:],
+		{"two rows", nil, &fakes.Reply{Bytes: bytes(fakes.Rows("v")[:len(fakes.Rows("v"))-14], fakes.Rows("v")[30:],
 			ready)}, 0, "0 errored 0 0 false", false},
-		{"no row", nil, &standin.Reply{Bytes: bytes(standin.Rows("v")[:30], []byte("C\x00\x00\x00\x05\x00"), ready)}, 0,
+		{"no row", nil, &fakes.Reply{Bytes: bytes(fakes.Rows("v")[:30], []byte("C\x00\x00\x00\x05\x00"), ready)}, 0,
 			"0 errored 0 0 false", false},
-		{"turned away", nil, standin.Fail("53300"), 0, "0 full 0 0 false", true},
-		{"turned away and closed", nil, &standin.Reply{Bytes: refusal, Close: true}, 0, "0 full 0 0 false", false},
-		{"turned away before it was asked", &standin.Reply{Bytes: refusal, Close: true}, nil, 0,
+		{"turned away", nil, fakes.Fail("53300"), 0, "0 full 0 0 false", true},
+		{"turned away and closed", nil, &fakes.Reply{Bytes: refusal, Close: true}, 0, "0 full 0 0 false", false},
+		{"turned away before it was asked", &fakes.Reply{Bytes: refusal, Close: true}, nil, 0,
 			"0 unconnected 0 0 false", false},
-		{"closed before it was asked", &standin.Reply{Close: true}, nil, 0, "0 unconnected 0 0 false", false},
-		{"never let in", &standin.Reply{}, nil, 0, "0 unconnected 0 0 false", false},
-		{"given up before it was asked", &standin.Reply{}, nil, 20, "0 moot 0 0 false", false},
-		{"closed without an answer", nil, &standin.Reply{Close: true}, 0, "0 reset 0 0 false", false},
-		{"closed within the answer", nil, &standin.Reply{Bytes: standin.Rows("v")[:30], Close: true}, 0,
+		{"closed before it was asked", &fakes.Reply{Close: true}, nil, 0, "0 unconnected 0 0 false", false},
+		{"never let in", &fakes.Reply{}, nil, 0, "0 unconnected 0 0 false", false},
+		{"given up before it was asked", &fakes.Reply{}, nil, 20, "0 moot 0 0 false", false},
+		{"closed without an answer", nil, &fakes.Reply{Close: true}, 0, "0 reset 0 0 false", false},
+		{"closed within the answer", nil, &fakes.Reply{Bytes: fakes.Rows("v")[:30], Close: true}, 0,
 			"0 reset 0 0 false", false},
-		{"closed before it is ready", nil, &standin.Reply{Bytes: standin.Rows("v"), Close: true}, 0,
+		{"closed before it is ready", nil, &fakes.Reply{Bytes: fakes.Rows("v"), Close: true}, 0,
 			"0 committed 0 0 true", false},
-		{"malformed", nil, &standin.Reply{Bytes: []byte("?\x00\x00\x00\x04")}, 0, "0 errored 0 0 false", false},
-		{"ready without an answer", nil, &standin.Reply{Bytes: ready}, 0, "0 errored 0 0 false", false},
-		{"too long", nil, &standin.Reply{Bytes: standin.Rows(strings.Repeat("x", longest))}, 0, "0 errored 0 0 false", false},
-		{"too long in parts", nil, &standin.Reply{Bytes: bytes(standin.Rows(strings.Repeat("x", longest/2)),
-			standin.Rows(strings.Repeat("x", longest/2)), ready)}, 0, "0 errored 0 0 false", false},
-		{"notices without end", nil, &standin.Reply{Bytes: []byte(strings.Repeat("N\x00\x00\x00\x08abcd", longest/4))}, 0,
+		{"malformed", nil, &fakes.Reply{Bytes: []byte("?\x00\x00\x00\x04")}, 0, "0 errored 0 0 false", false},
+		{"ready without an answer", nil, &fakes.Reply{Bytes: ready}, 0, "0 errored 0 0 false", false},
+		{"too long", nil, &fakes.Reply{Bytes: fakes.Rows(strings.Repeat("x", longest))}, 0, "0 errored 0 0 false", false},
+		{"too long in parts", nil, &fakes.Reply{Bytes: bytes(fakes.Rows(strings.Repeat("x", longest/2)),
+			fakes.Rows(strings.Repeat("x", longest/2)), ready)}, 0, "0 errored 0 0 false", false},
+		{"notices without end", nil, &fakes.Reply{Bytes: []byte(strings.Repeat("N\x00\x00\x00\x08abcd", longest/4))}, 0,
 			"0 errored 0 0 false", false},
-		{"more than the answer", nil, &standin.Reply{Bytes: bytes(standin.Rows("v"), ready, ready)}, 0,
+		{"more than the answer", nil, &fakes.Reply{Bytes: bytes(fakes.Rows("v"), ready, ready)}, 0,
 			"0 committed 0 0 true", false},
 		{"no answer", nil, nil, 100, "0 timed out 0 0 false", false},
 	} {
@@ -170,18 +170,18 @@
 				dial = 200 // the one that waits for its end
 			}
 			e, side := startWithin(t, 10, dial)
-			m := standin.NewMember(t, c.greet, func(string) *standin.Reply { return c.answer })
+			m := fakes.NewMember(t, c.greet, func(string) *fakes.Reply { return c.answer })
 			e.do(func() {
 				side.List(list(m.Addr, router.Up))
-				side.Submit(txn(e, "1", 5000), 0, "a", c.wait, math.Inf(1))
+				side.SendAttempt(txn(e, "1", 5000), 0, "a", c.wait, math.Inf(1))
 			})
 			if got := e.hear(t); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			standin.Until(t, fmt.Sprint("its connection is kept: ", c.again), func() (settled bool) {
+			fakes.Until(t, fmt.Sprint("its connection is kept: ", c.again), func() (settled bool) {
 				e.do(func() {
 					idle := side.pool.Idle("a")
-					settled = (idle > 0) == c.again && side.Links() == idle && len(side.jobs) == 0
+					settled = (idle > 0) == c.again && side.Connections() == idle && len(side.jobs) == 0
 				})
 				return settled
 			})
@@ -191,12 +191,12 @@
 
 func TestNobodyListens(t *testing.T) {
 	e, side := start(t, 10)
-	m := standin.NewMember(t, nil, nil)
+	m := fakes.NewMember(t, nil, nil)
 	m.Stop()
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
-		side.Submit(txn(e, "1", 5000), 3, "a", 0, math.Inf(1))
-		side.Check("a")
+		side.SendAttempt(txn(e, "1", 5000), 3, "a", 0, math.Inf(1))
+		side.HealthCheck("a")
 	})
 	if a, b := e.hear(t), e.hear(t); a+b != "3 unconnected 0 0 falsecheck unconnected" &&
 		b+a != "3 unconnected 0 0 falsecheck unconnected" {
@@ -207,22 +207,22 @@
 // A late answer must meet no other txn: what is given up loses its connection before the next goes out.
 func TestRevoked(t *testing.T) {
 	e, side := start(t, 10)
-	m := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if strings.Contains(sql, "id=1") {
 			return nil
 		}
-		return standin.Row("v", "source", "1")
+		return fakes.Row("v", "source", "1")
 	})
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
-		side.Submit(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
-	standin.Until(t, "it is out", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
-	e.do(func() { side.Revoke("1", 0) })
+	fakes.Until(t, "it is out", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
+	e.do(func() { side.CancelAttempt("1", 0) })
 	if got := e.hear(t); got != "0 revoked 0 0 false" {
 		t.Errorf("got %q", got)
 	}
-	e.do(func() { side.Submit(txn(e, "2", 5000), 0, "a", 0, math.Inf(1)) })
+	e.do(func() { side.SendAttempt(txn(e, "2", 5000), 0, "a", 0, math.Inf(1)) })
 	if got := e.hear(t); got != "0 committed 1 1 true" {
 		t.Errorf("got %q", got)
 	}
@@ -235,11 +235,11 @@
 func TestChecks(t *testing.T) {
 	e, side := start(t, 10)
 	report := ""
-	m := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if sql != "SHOW vitals" {
 			return nil
 		}
-		return &standin.Reply{Bytes: pg.AppendReady(standin.Rows(report))}
+		return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(report))}
 	})
 	e.do(func() { side.List(list(m.Addr, router.Up)) })
 	for _, c := range []struct{ report, want string }{
@@ -251,7 +251,7 @@
 		{"x1=1", "check errored"},
 		{"\xff\x00", "check errored"},
 	} {
-		e.do(func() { report = c.report; side.Check("a") })
+		e.do(func() { report = c.report; side.HealthCheck("a") })
 		var got []string
 		for range strings.Count(c.want, ";") + 1 {
 			got = append(got, e.hear(t))
@@ -267,18 +267,18 @@
 func TestNoCopyPassesForTheNextAnswer(t *testing.T) {
 	e, side := start(t, 1)
 	copied := false
-	m := standin.NewMember(t, nil, func(sql string) *standin.Reply { return standin.Row("v", "source", "1") })
-	m.Empty = func() *standin.Reply {
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	m.Empty = func() *fakes.Reply {
 		fence := pg.AppendReady(pg.AppendEmpty(nil))
 		if copied { // the answer before comes once more
-			fence = append(standin.Row("old", "source", "1").Bytes, fence...)
+			fence = append(fakes.Row("old", "source", "1").Bytes, fence...)
 		}
-		return &standin.Reply{Bytes: fence}
+		return &fakes.Reply{Bytes: fence}
 	}
 	e.do(func() { side.List(list(m.Addr, router.Up)) })
 	for n, want := range []string{"0 committed 1 1 true", "0 committed 1 1 true", "0 errored 0 0 false"} {
 		e.do(func() { copied = n == 2 })
-		e.do(func() { side.Submit(txn(e, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1)) })
+		e.do(func() { side.SendAttempt(txn(e, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1)) })
 		if got := e.hear(t); got != want {
 			t.Errorf("%d: got %q, want %q", n, got, want)
 		}
@@ -291,12 +291,12 @@
 // Answers that together would hold too much are given up; they may have run.
 func TestAnswersOverTheBudget(t *testing.T) {
 	e, side := start(t, 20)
-	part := standin.Rows(strings.Repeat("v", longest-100))
-	m := standin.NewMember(t, nil, func(string) *standin.Reply { return &standin.Reply{Bytes: part[:len(part)-20]} })
+	part := fakes.Rows(strings.Repeat("v", longest-100))
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return &fakes.Reply{Bytes: part[:len(part)-20]} })
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
 		for n := range 6 {
-			side.Submit(txn(e, fmt.Sprint(n), 60000), 0, "a", 0, math.Inf(1))
+			side.SendAttempt(txn(e, fmt.Sprint(n), 60000), 0, "a", 0, math.Inf(1))
 		}
 	})
 	for range 2 {
@@ -304,17 +304,17 @@
 			t.Errorf("got %q", got)
 		}
 	}
-	standin.Until(t, "four are held", func() (held bool) {
+	fakes.Until(t, "four are held", func() (held bool) {
 		e.do(func() {
-			held = side.held > 3*longest && side.held <= 4*longest && side.Unheld == 2 && side.Links() == 4
+			held = side.held > 3*longest && side.held <= 4*longest && side.Unheld == 2 && side.Connections() == 4
 		})
 		return held
 	})
 	for n := range 6 {
-		e.do(func() { side.Revoke(fmt.Sprint(n), 0) })
+		e.do(func() { side.CancelAttempt(fmt.Sprint(n), 0) })
 	}
-	standin.Until(t, "nothing is held", func() (none bool) {
-		e.do(func() { none = side.held == 0 && side.Links() == 0 })
+	fakes.Until(t, "nothing is held", func() (none bool) {
+		e.do(func() { none = side.held == 0 && side.Connections() == 0 })
 		return none
 	})
 }
@@ -322,14 +322,14 @@
 // Members that come and go leave nothing behind, and what is out to one that is gone still ends as it does.
 func TestLevelsOff(t *testing.T) {
 	e, side := start(t, 10)
-	m := standin.NewMember(t, nil, func(string) *standin.Reply { return standin.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	for n := range 50 {
 		id := fmt.Sprint("m", n)
 		e.do(func() {
 			side.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, Started: router.Never}}})
-			side.Submit(txn(e, id, 5000), 0, id, 0, math.Inf(1))
+			side.SendAttempt(txn(e, id, 5000), 0, id, 0, math.Inf(1))
 		})
-		standin.Until(t, "it is out", func() bool {
+		fakes.Until(t, "it is out", func() bool {
 			_, asked := m.Seen()
 			return len(asked) > n
 		})
@@ -340,8 +340,8 @@
 			t.Errorf("got %q", got)
 		}
 		e.do(func() {
-			if len(side.byID)+len(side.jobs)+side.Links() > 0 {
-				t.Errorf("%d: kept: %d members, %d jobs, %d links", n, len(side.byID), len(side.jobs), side.Links())
+			if len(side.byID)+len(side.jobs)+side.Connections() > 0 {
+				t.Errorf("%d: kept: %d members, %d jobs, %d links", n, len(side.byID), len(side.jobs), side.Connections())
 			}
 		})
 	}
@@ -351,32 +351,32 @@
 // its member.
 func TestLimit(t *testing.T) {
 	e, side := start(t, 1)
-	m := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if strings.Contains(sql, "id=2") {
 			return nil
 		}
-		return standin.Row("v", "source", "1")
+		return fakes.Row("v", "source", "1")
 	})
-	other := standin.NewMember(t, nil, func(string) *standin.Reply { return nil })
+	other := fakes.NewMember(t, nil, func(string) *fakes.Reply { return nil })
 	e.do(func() {
 		l := list(m.Addr, router.Up)
 		l.Entries = append(l.Entries, discovery.Entry{ID: "b", Addr: other.Addr})
 		side.List(l)
-		side.Submit(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
 	if got := e.hear(t); got != "0 committed 1 1 true" {
 		t.Errorf("got %q", got)
 	}
 	e.do(func() {
-		side.Submit(txn(e, "2", 5000), 0, "b", 0, math.Inf(1))
-		side.Submit(txn(e, "3", 5000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "2", 5000), 0, "b", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "3", 5000), 0, "a", 0, math.Inf(1))
 	})
 	if got := e.hear(t); got != "0 moot 0 0 false" {
 		t.Errorf("got %q", got)
 	}
 	e.do(func() {
-		if side.Links() != 1 || side.Unsent != 1 {
-			t.Errorf("%d connections, %d unsent; want 1 of each", side.Links(), side.Unsent)
+		if side.Connections() != 1 || side.Unsent != 1 {
+			t.Errorf("%d connections, %d unsent; want 1 of each", side.Connections(), side.Unsent)
 		}
 	})
 }
@@ -385,11 +385,11 @@
 // changed address, or a new start, drops the idle connections.
 func TestListChanges(t *testing.T) {
 	e, side := startWithin(t, 10, 200)
-	mute := standin.NewMember(t, &standin.Reply{}, nil)
-	m := standin.NewMember(t, nil, func(string) *standin.Reply { return standin.Row("v", "source", "1") })
+	mute := fakes.NewMember(t, &fakes.Reply{}, nil)
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	e.do(func() {
 		side.List(list(mute.Addr, router.Up))
-		side.Submit(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
 		side.List(list(mute.Addr, router.Draining))
 	})
 	if got := e.hear(t); got != "0 moot 0 0 false" {
@@ -406,7 +406,7 @@
 		if len(l.Entries) == 0 || l.Entries[0].Addr != m.Addr {
 			continue
 		}
-		e.do(func() { side.Submit(txn(e, fmt.Sprint("t", n), 5000), 0, "a", 0, math.Inf(1)) })
+		e.do(func() { side.SendAttempt(txn(e, fmt.Sprint("t", n), 5000), 0, "a", 0, math.Inf(1)) })
 		if got := e.hear(t); got != "0 committed 1 1 true" {
 			t.Errorf("list %d: got %q", n, got)
 		}
@@ -416,8 +416,8 @@
 // A connection whose end has come, though nobody has heard of it yet, is not used: its query would meet a reset.
 func TestEndedConnectionIsNotUsed(t *testing.T) {
 	e, side := start(t, 10)
-	m := standin.NewMember(t, nil, func(string) *standin.Reply {
-		r := standin.Row("v", "source", "1")
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
+		r := fakes.Row("v", "source", "1")
 		r.Close = true
 		return r
 	})
@@ -425,7 +425,7 @@
 	for n := range 20 {
 		e.do(func() {
 			time.Sleep(5 * time.Millisecond) // the end comes while the loop is busy
-			side.Submit(txn(e, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1))
+			side.SendAttempt(txn(e, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1))
 		})
 		if got := e.hear(t); got != "0 committed 1 1 true" {
 			t.Fatalf("submission %d: %q", n, got)
@@ -437,16 +437,19 @@
 func TestMovedWhileOut(t *testing.T) {
 	e, side := start(t, 10)
 	answer := make(chan bool)
-	old := standin.NewMember(t, nil, func(string) *standin.Reply { <-answer; return standin.Row("v", "source", "1") })
-	moved := standin.NewMember(t, nil, func(string) *standin.Reply { return standin.Row("v", "source", "2") })
-	e.do(func() { side.List(list(old.Addr, router.Up)); side.Submit(txn(e, "1", 5000), 0, "a", 0, math.Inf(1)) })
-	standin.Until(t, "it is out", func() bool { _, asked := old.Seen(); return len(asked) > 0 })
+	old := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
+	moved := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "2") })
+	e.do(func() {
+		side.List(list(old.Addr, router.Up))
+		side.SendAttempt(txn(e, "1", 5000), 0, "a", 0, math.Inf(1))
+	})
+	fakes.Until(t, "it is out", func() bool { _, asked := old.Seen(); return len(asked) > 0 })
 	e.do(func() { side.List(list(moved.Addr, router.Up)) })
 	close(answer)
 	if got := e.hear(t); got != "0 committed 1 1 true" {
 		t.Errorf("got %q", got)
 	}
-	e.do(func() { side.Submit(txn(e, "2", 5000), 0, "a", 0, math.Inf(1)) })
+	e.do(func() { side.SendAttempt(txn(e, "2", 5000), 0, "a", 0, math.Inf(1)) })
 	if got := e.hear(t); got != "0 committed 1 2 true" {
 		t.Errorf("after the move: %q", got)
 	}
--- a/internal/members/crossing_test.go
+++ b/internal/backend/crossing_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package members
+package backend
 
 import (
 	"fmt"
@@ -12,10 +12,10 @@
 	"sync"
 	"testing"
 
-	"wayloft/internal/exchange"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -51,11 +51,11 @@
 	long := strings.Repeat("x", 16<<20)
 	for _, c := range []struct {
 		name, want string
-		up         func(*Members, *ear)
+		up         func(*Backend, *ear)
 	}{
-		{"revoked", "0 revoked 0 0 false", func(a *Members, _ *ear) { a.Revoke("1", 0) }},
-		{"its client leaves", "0 revoked 0 0 false", func(a *Members, _ *ear) { a.Abandon("1") }},
-		{"timed out", "0 timed out 0 0 false", func(a *Members, e *ear) { e.Soon(func() { a.end(a.jobs["1"], router.TimedOut) }) }},
+		{"revoked", "0 revoked 0 0 false", func(a *Backend, _ *ear) { a.CancelAttempt("1", 0) }},
+		{"its client leaves", "0 revoked 0 0 false", func(a *Backend, _ *ear) { a.Abandon("1") }},
+		{"timed out", "0 timed out 0 0 false", func(a *Backend, e *ear) { e.Defer(func() { a.end(a.jobs["1"], router.TimedOut) }) }},
 	} {
 		for _, drained := range []bool{true, false} {
 			t.Run(fmt.Sprint(c.name, ", read meanwhile: ", drained), func(t *testing.T) {
@@ -67,11 +67,11 @@
 				}
 				e.do(func() {
 					side.List(list(h.addr, router.Up))
-					side.Submit(exchange.New(st, e.Now(), func(exchange.Answer) {}), 0, "a", 0, math.Inf(1))
+					side.SendAttempt(request.New(st, e.Now(), func(request.Response) {}), 0, "a", 0, math.Inf(1))
 				})
 				peer := <-h.in
 				defer peer.Close()
-				standin.Until(t, "a part of it is out", func() (out bool) {
+				fakes.Until(t, "a part of it is out", func() (out bool) {
 					e.do(func() {
 						for _, l := range side.links {
 							out = l.asked && l.conn.Unsent() > 0
@@ -86,7 +86,7 @@
 					}
 				})
 				if drained {
-					defer faults.At("members.unsent", sync.OnceFunc(func() {
+					defer failpoint.Set("members.unsent", sync.OnceFunc(func() {
 						go io.Copy(io.Discard, peer)
 						for !l.conn.Sent() {
 							runtime.Gosched()
@@ -138,14 +138,14 @@
 					continue
 				}
 				asked <- m.Text
-				c.Write(standin.Row("v", "source", "1").Bytes)
+				c.Write(fakes.Row("v", "source", "1").Bytes)
 			}
 		}
 	}()
 	e.do(func() {
 		side.limits.DialTimeout = 20000
 		side.List(list(l.Addr().String(), router.Up))
-		side.Submit(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
 	e.do(func() { side.Abandon("1") })
 	if got := e.hear(t); got != "0 moot 0 0 false" {
@@ -153,11 +153,11 @@
 	}
 	e.do(func() { side.Abandon("1") }) // told twice
 	close(greet)
-	standin.Until(t, "the connection is kept", func() (idle bool) {
+	fakes.Until(t, "the connection is kept", func() (idle bool) {
 		e.do(func() { idle = side.pool.Idle("a") == 1 })
 		return idle
 	})
-	e.do(func() { side.Submit(txn(e, "2", 60000), 0, "a", 0, math.Inf(1)) })
+	e.do(func() { side.SendAttempt(txn(e, "2", 60000), 0, "a", 0, math.Inf(1)) })
 	if got := e.hear(t); got != "0 committed 1 1 true" {
 		t.Errorf("got %q", got)
 	}
@@ -170,9 +170,12 @@
 func TestClientLeavesWhileItsQueryRuns(t *testing.T) {
 	e, side := start(t, 1)
 	answer := make(chan bool)
-	m := standin.NewMember(t, nil, func(string) *standin.Reply { <-answer; return standin.Row("v", "source", "1") })
-	e.do(func() { side.List(list(m.Addr, router.Up)); side.Submit(txn(e, "1", 60000), 0, "a", 0, math.Inf(1)) })
-	standin.Until(t, "it is out", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
+	e.do(func() {
+		side.List(list(m.Addr, router.Up))
+		side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
+	})
+	fakes.Until(t, "it is out", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
 	e.do(func() { side.Abandon("1") })
 	close(answer)
 	if got := e.hear(t); got != "0 committed 1 1 true" {
@@ -184,15 +187,15 @@
 // serves the next.
 func TestTooLateToBeWritten(t *testing.T) {
 	e, side := start(t, 1)
-	m := standin.NewMember(t, nil, func(string) *standin.Reply { return standin.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
-		side.Submit(txn(e, "1", 60000), 0, "a", 0, e.Clock()) // the time that a connection takes is later
+		side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, e.Clock()) // the time that a connection takes is later
 	})
 	if got := e.hear(t); got != "0 moot 0 0 false" {
 		t.Errorf("got %q", got)
 	}
-	e.do(func() { side.Submit(txn(e, "2", 60000), 0, "a", 0, e.Clock()+60000) })
+	e.do(func() { side.SendAttempt(txn(e, "2", 60000), 0, "a", 0, e.Clock()+60000) })
 	if got := e.hear(t); got != "0 committed 1 1 true" {
 		t.Errorf("got %q", got)
 	}
@@ -207,16 +210,16 @@
 	const lag, left, later = 1500.0, 2000.0, 750.0
 	e, side := start(t, 4)
 	told := make(chan string, 10)
-	m := standin.NewMember(t, nil, func(sql string) *standin.Reply {
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		told <- sql
 		if strings.Contains(sql, "id=warm") {
-			return standin.Row("v", "source", "1")
+			return fakes.Row("v", "source", "1")
 		}
 		return nil
 	})
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
-		side.Submit(txn(e, "warm", 60000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "warm", 60000), 0, "a", 0, math.Inf(1))
 	})
 	if got := e.hear(t); got != "0 committed 1 1 true" {
 		t.Fatalf("got %q", got)
@@ -228,9 +231,9 @@
 		for e.Clock() < began+lag {
 			runtime.Gosched()
 		}
-		side.Submit(txn(e, "first", left), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "first", left), 0, "a", 0, math.Inf(1))
 	})
-	e.do(func() { side.Submit(txn(e, "second", began+left+later-e.Now()), 1, "a", 0, math.Inf(1)) })
+	e.do(func() { side.SendAttempt(txn(e, "second", began+left+later-e.Now()), 1, "a", 0, math.Inf(1)) })
 	for range 2 {
 		var d float64
 		sql := <-told
--- a/internal/members/shortage_test.go
+++ b/internal/backend/shortage_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package members
+package backend
 
 import (
 	"fmt"
@@ -11,47 +11,47 @@
 
 	"golang.org/x/sys/unix"
 
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/discovery"
-	"wayloft/internal/exchange"
-	"wayloft/internal/faults"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
 // wholeRouter runs a module, its loop and its members' side before the members of one group.
-func wholeRouter(t *testing.T, kinds map[string]*router.TxnType, addrs ...string) *host.Host {
+func wholeRouter(t *testing.T, kinds map[string]*router.RequestClass, addrs ...string) *eventloop.Driver {
 	t.Helper()
-	h := host.New(host.NewLoop(512), router.New(&router.Settings{Routers: 1, Submissions: 3, CanCheck: true, CanRevoke: true,
-		TxnTypes: kinds}, 1), kinds, func() {})
+	h := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
+		RequestClasses: kinds}, 1), kinds, func() {})
 	side := New(h, Limits{DialTimeout: 5000, Longest: longest, Budget: 4 * longest, Logins: map[string]Login{Platform: {"api", "ledger"}}},
-		pool.New(pool.Settings{All: 10, Pools: map[string]pool.Bounds{Platform: pool.Statements(60000), Cancels: pool.Cancels(1000)}}))
-	h.Use(side)
+		connpool.New(connpool.Settings{All: 10, Pools: map[string]connpool.Bounds{Platform: connpool.Statements(60000), Cancels: connpool.Cancels(1000)}}))
+	h.SetBackend(side)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.Listen(front, 1<<20, func(*host.Conn) {}); err != nil {
+	if err := h.Listen(front, 1<<20, func(*eventloop.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
 	l := &discovery.List{Whole: true}
 	for n, addr := range addrs {
 		l.Entries = append(l.Entries, discovery.Entry{ID: fmt.Sprint("m", n), Addr: addr, Group: 1, State: router.Up, Started: router.Never})
 	}
-	h.Soon(func() {
+	h.Defer(func() {
 		side.List(l)
 		r := h.List()
-		r.ListStart()
+		r.BeginList()
 		for _, e := range l.Entries {
-			r.Listed(e.ID, e.Zone, e.Group, e.State, e.Started)
+			r.ListMember(e.ID, e.Zone, e.Group, e.State, e.Started)
 		}
-		r.ListEnd(true)
+		r.EndList(true)
 	})
 	ended := make(chan bool)
 	go func() { h.Run(); close(ended) }()
-	t.Cleanup(func() { h.Post(h.End); <-ended })
+	t.Cleanup(func() { h.Post(h.Stop); <-ended })
 	return h
 }
 
@@ -65,33 +65,33 @@
 				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", dials that fail: ", failing, ", members: ", members), func(t *testing.T) {
 					var addrs []string
 					for range members {
-						addrs = append(addrs, standin.NewMember(t, nil, func(string) *standin.Reply {
-							return standin.Row("v", "source", "1")
+						addrs = append(addrs, fakes.NewMember(t, nil, func(string) *fakes.Reply {
+							return fakes.Row("v", "source", "1")
 						}).Addr)
 					}
 					var dials atomic.Int64
-					defer faults.FailAt("host.connect", func() error {
+					defer failpoint.SetError("host.connect", func() error {
 						if dials.Add(1) <= failing {
 							return dialError("connect", errno)
 						}
 						return nil
 					})()
-					h := wholeRouter(t, map[string]*router.TxnType{"x": {SLA: expiry, Expiry: expiry, Value: 1, LateValue: 1}}, addrs...)
+					h := wholeRouter(t, map[string]*router.RequestClass{"x": {LatencyObjective: expiry, Deadline: expiry, PriorityWeight: 1, LateWeightShare: 1}}, addrs...)
 					s, err := pg.ParseStatement(fmt.Sprintf("/* id=1,c=x,g=1,d=%.0f */ SELECT blob", expiry))
 					if err != nil {
 						t.Fatal(err)
 					}
 					s.Group = 1
-					answers := make(chan exchange.Answer, 2)
+					answers := make(chan request.Response, 2)
 					began := time.Now()
 					h.Post(func() {
-						if err := h.Arrive(exchange.New(s, h.Now(), func(a exchange.Answer) { answers <- a })); err != nil {
+						if err := h.Arrive(request.New(s, h.Now(), func(a request.Response) { answers <- a })); err != nil {
 							t.Error(err)
 						}
 					})
 					a := <-answers
 					took := time.Since(began)
-					if want := failing < forever; (a.Committed != nil) != want || a.Declined == want {
+					if want := failing < forever; (a.Rows != nil) != want || a.Rejected == want {
 						t.Errorf("answered %+v after %v", a, took)
 					}
 					if took > time.Duration(expiry)*time.Millisecond {
--- a/internal/members/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package members
+package backend
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"wayloft/internal/faults"
-	"wayloft/internal/standin"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
 	"wayloft/router"
 )
 
@@ -38,8 +38,8 @@
 		for n, errno := range append(c.own, c.peer...) {
 			t.Run(fmt.Sprint(c.call, " ", unix.ErrnoName(errno)), func(t *testing.T) {
 				e, side := start(t, 10)
-				m := standin.NewMember(t, nil, func(string) *standin.Reply { return standin.Row("v", "source", "1") })
-				clear := faults.FailAt(c.point, func() error { return dialError(c.call, errno) })
+				m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+				clear := failpoint.SetError(c.point, func() error { return dialError(c.call, errno) })
 				defer clear()
 				want, wantCheck := "0 moot 0 0 false", "check moot"
 				if n >= len(c.own) {
@@ -47,18 +47,18 @@
 				}
 				e.do(func() {
 					side.List(list(m.Addr, router.Up))
-					side.Submit(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
+					side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
 				})
 				if got := e.hear(t); got != want {
 					t.Errorf("got %q, want %q", got, want)
 				}
-				e.do(func() { side.Check("a") })
+				e.do(func() { side.HealthCheck("a") })
 				if got := e.hear(t); got != wantCheck {
 					t.Errorf("got %q, want %q", got, wantCheck)
 				}
 				clear()
 				for n := 1; ; n++ { // until the pool's pause is over
-					e.do(func() { side.Submit(txn(e, fmt.Sprint(n+1), 60000), n, "a", 0, math.Inf(1)) })
+					e.do(func() { side.SendAttempt(txn(e, fmt.Sprint(n+1), 60000), n, "a", 0, math.Inf(1)) })
 					switch got := e.hear(t); got {
 					case fmt.Sprint(n, " committed 1 1 true"):
 						return
@@ -75,9 +75,9 @@
 // However fast submissions come back while this host has no port left, dials are made at the pool's pace alone.
 func TestDialsArePacedWhileThisHostHasNoPort(t *testing.T) {
 	e, side := start(t, 10)
-	m := standin.NewMember(t, nil, nil)
+	m := fakes.NewMember(t, nil, nil)
 	var dials atomic.Int64
-	defer faults.FailAt("host.connect", func() error {
+	defer failpoint.SetError("host.connect", func() error {
 		dials.Add(1)
 		return dialError("connect", unix.EADDRNOTAVAIL)
 	})()
@@ -85,7 +85,7 @@
 	e.do(func() { side.List(list(m.Addr, router.Up)); began = e.Clock() })
 	const submissions = 2000
 	for n := range submissions {
-		e.do(func() { side.Submit(txn(e, fmt.Sprint(n), 60000), n, "a", 0, math.Inf(1)) })
+		e.do(func() { side.SendAttempt(txn(e, fmt.Sprint(n), 60000), n, "a", 0, math.Inf(1)) })
 		if got, want := e.hear(t), fmt.Sprint(n, " moot 0 0 false"); got != want {
 			t.Fatalf("got %q, want %q", got, want)
 		}
@@ -103,19 +103,19 @@
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			e, side := start(t, 10)
 			var broken atomic.Bool
-			defer faults.FailAt("host.read", func() error {
+			defer failpoint.SetError("host.read", func() error {
 				if broken.Load() {
 					return errno
 				}
 				return nil
 			})()
-			m := standin.NewMember(t, nil, func(string) *standin.Reply {
+			m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
 				broken.Store(true)
-				return standin.Row("v", "source", "1")
+				return fakes.Row("v", "source", "1")
 			})
 			e.do(func() {
 				side.List(list(m.Addr, router.Up))
-				side.Submit(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
+				side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got, want := e.hear(t), "0 reset 0 0 false"; got != want {
 				t.Errorf("got %q, want %q", got, want)
@@ -127,14 +127,14 @@
 // Reads that are interrupted, find nothing, lack memory for a moment or take one byte at a time give the same answer.
 func TestReadsAreInterruptedAndShort(t *testing.T) {
 	e, side := start(t, 10)
-	m := standin.NewMember(t, nil, func(string) *standin.Reply { return standin.Row("v", "source", "17") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "17") })
 	var reads atomic.Int64
 	between := []error{0: unix.EINTR, 1: unix.EINTR, 2: unix.EAGAIN, 10: unix.ENOMEM, 49: nil}
-	defer faults.FailAt("host.read", func() error { return between[reads.Add(1)%int64(len(between))] })()
-	defer faults.LimitAt("host.read", 1)()
+	defer failpoint.SetError("host.read", func() error { return between[reads.Add(1)%int64(len(between))] })()
+	defer failpoint.SetLimit("host.read", 1)()
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
-		side.Submit(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
+		side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
 	if got, want := e.hear(t), "0 committed 1 17 true"; got != want {
 		t.Errorf("got %q, want %q", got, want)
--- a/internal/members/talk.go
+++ b/internal/backend/talk.go
@@ -1,4 +1,4 @@
-package members
+package backend
 
 import (
 	"math"
@@ -8,9 +8,9 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"wayloft/internal/decide/session"
-	"wayloft/internal/exchange"
-	"wayloft/internal/must"
+	"wayloft/internal/invariant"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -32,7 +32,7 @@
 	params   *iradix.Tree[string] // what the member has reported
 	copying  bool                 // it takes what is copied in
 	begun    bool                 // of what its client has said, a part is written
-	keeper   exchange.Caller      // whose session keeps the connection between its txns
+	keeper   request.ClientSide   // whose session keeps the connection between its txns
 }
 
 // due is one answer that must come.
@@ -47,7 +47,7 @@
 
 func newTalk(statements int) *talk {
 	c, err := simplelru.NewLRU[uint64, *session.Prepared](1<<30, nil) // trimmed between txns
-	must.Hold(err == nil, "a cache can be made")
+	invariant.Check(err == nil, "a cache can be made")
 	return &talk{has: session.None, prepared: c, most: statements, status: 'I', params: iradix.New[string]()}
 }
 
@@ -55,18 +55,18 @@
 func name(s *session.Prepared) string { return "wl_" + strconv.FormatUint(s.Hash, 36) }
 
 // beginTalk gives a txn the connection that its session keeps, or has it wait for one.
-func (a *Members) beginTalk(j *job) {
-	t := j.txn.Talk
-	t.Waiting(func() { a.end(j, router.Moot) })
-	if l, ok := t.Held.(*link); ok {
+func (a *Backend) beginTalk(j *job) {
+	t := j.txn.Stream
+	t.OnClientGone(func() { a.end(j, router.NotSent) })
+	if l, ok := t.Reserved.(*link); ok {
 		if a.links[l.id] != l || l.job != nil {
-			a.host.Soon(func() { a.end(j, router.ConnectFailed) })
+			a.host.Defer(func() { a.end(j, router.ConnectFailed) })
 			return
 		}
 		l.carry(j)
 		return
 	}
-	a.host.Soon(func() { a.rests(j) })
+	a.host.Defer(func() { a.rests(j) })
 	a.want(j)
 	a.pull()
 }
@@ -79,13 +79,13 @@
 	}
 	l.begun = false
 	l.job, j.link, l.asked, j.sent = j, l, true, l.all.host.Clock()
-	l.role, l.gtid, l.vital = router.Unsaid, router.Never, ""
+	l.role, l.gtid, l.vital = router.RoleUnknown, router.Never, ""
 	l.again, l.stale, l.copying = false, nil, false
-	t := j.txn.Talk
+	t := j.txn.Stream
 	l.keeper = nil
 	l.turn(j, true)
-	t.Caller.Parameters(l.params)
-	s := t.Caller.Session()
+	t.Client.Parameters(l.params)
+	s := t.Client.Session()
 	s.On(l.has)
 	var out []byte
 	for _, text := range session.Difference(l.has, s.Settings()) {
@@ -98,7 +98,7 @@
 	} else {
 		s.Brought(true)
 	}
-	t.Carry(l)
+	t.Attach(l)
 	return true
 }
 
@@ -113,9 +113,9 @@
 		j.turned = 0
 		l.all.hear().Turn(l.id, l.status != 'I')
 	}
-	l.all.host.Soon(func() {
+	l.all.host.Defer(func() {
 		if l.job == j && !j.over && (j.turned > 0) == members {
-			l.all.host.Turn(j.txn, j.seq, !members)
+			l.all.host.TurnChanged(j.txn, j.seq, !members)
 		}
 	})
 }
@@ -250,7 +250,7 @@
 			if d.kind == pg.CloseName {
 				kind = pg.CloseDone
 			}
-			l.job.txn.Talk.Hear(pg.Message{Kind: kind, Raw: d.local})
+			l.job.txn.Stream.Receive(pg.Message{Kind: kind, Raw: d.local})
 		}
 	}
 }
@@ -284,18 +284,18 @@
 			l.params, _, _ = l.params.Insert([]byte(m.Name), m.Text)
 			l.all.known[l.login] = l.params
 			if l.job != nil {
-				l.job.txn.Talk.Caller.Parameters(l.params)
+				l.job.txn.Stream.Client.Parameters(l.params)
 			}
 		}
 		return true
 	case pg.Notice:
 		if l.job != nil && len(l.due) > 0 && l.due[0].seen {
-			l.job.txn.Talk.Hear(*m)
+			l.job.txn.Stream.Receive(*m)
 		}
 		return true
 	case pg.Notification:
 		if l.job != nil {
-			l.job.txn.Talk.Hear(*m)
+			l.job.txn.Stream.Receive(*m)
 		}
 		return true
 	case pg.Failure:
@@ -356,7 +356,7 @@
 			l.copying = true
 			l.turn(l.job, false)
 		}
-		l.job.txn.Talk.Hear(*m)
+		l.job.txn.Stream.Receive(*m)
 	}
 	l.locals()
 	return true
@@ -383,7 +383,7 @@
 		}
 		l.due = l.due[1:]
 	}
-	t := l.job.txn.Talk
+	t := l.job.txn.Stream
 	if !d.seen && d.kind == pg.Query { // settings that its member does not take, or a BEGIN
 		l.tainted = true
 	}
@@ -397,7 +397,7 @@
 			l.stale = l.bound
 		}
 	}
-	t.Hear(*m)
+	t.Receive(*m)
 	return true
 }
 
@@ -414,7 +414,7 @@
 	if j == nil {
 		return false
 	}
-	t := j.txn.Talk
+	t := j.txn.Stream
 	l.status = m.Status
 	stale := l.stale
 	if l.stale = nil; stale != nil && m.Status == 'I' { // nothing has run: the statement is prepared anew
@@ -424,21 +424,21 @@
 			l.hidden++
 			l.conn.Write(pg.AppendSync(out))
 		}
-		t.Again()
+		t.Replay()
 		return true
 	}
 	if how, ours := l.verdict(); ours {
 		l.all.end(j, how)
 		return true
 	}
-	t.Hear(*m)
+	t.Receive(*m)
 	t.Flush()
-	t.Turned()
+	t.NextQuery()
 	if l.job != j { // its client had nothing more to say, and left
 		return true
 	}
 	if m.Status == 'I' && l.quiet() {
-		l.all.end(j, router.Committed)
+		l.all.end(j, router.Succeeded)
 	} else if l.quiet() {
 		l.turn(j, false)
 	}
@@ -448,23 +448,23 @@
 // verdict tells whether an error is about the member rather than the statement, so that the module hears of it before
 // the client does.
 func (l *link) verdict() (router.Outcome, bool) {
-	t := l.job.txn.Talk
+	t := l.job.txn.Stream
 	e := t.Failure()
 	if e == nil || t.Started() {
 		return 0, false
 	}
 	switch e.Code[:min(2, len(e.Code))] {
 	case "XX", "58", "F0":
-		return router.Errored, true
+		return router.ServerError, true
 	}
 	switch e.Code {
 	case pg.Refused, pg.NotNow:
-		return router.Full, true
+		return router.Overloaded, true
 	case pg.TooOld:
-		return router.Miss, true
+		return router.Misrouted, true
 	case pg.NoPrimary: // else it is the transaction that is read only, not the member
 		if l.all.limits.Writes[l.job.txn.TxnType] && l.role != router.Primary {
-			return router.Miss, true
+			return router.Misrouted, true
 		}
 	}
 	return 0, false
@@ -479,11 +479,11 @@
 		l.free()
 	case l.tainted: // the client gets what its member said of its settings or its BEGIN
 		if l.err == nil {
-			l.err = l.job.txn.Talk.Failure()
+			l.err = l.job.txn.Stream.Failure()
 		}
-		l.all.end(l.job, router.Errored)
+		l.all.end(l.job, router.ServerError)
 	case l.hidden == 0:
-		l.job.txn.Talk.Caller.Session().Brought(true)
+		l.job.txn.Stream.Client.Session().Brought(true)
 		l.status = m.Status
 		ops := l.queue
 		l.queue = nil
@@ -498,7 +498,7 @@
 	if l.job == nil || l.quiet() || l.tainted {
 		return
 	}
-	l.job.txn.Talk.MarkCancelled()
+	l.job.txn.Stream.MarkCancelled()
 	if l.hidden > 0 { // nothing of it has run
 		l.tainted = true
 		l.err = &pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"}
@@ -540,28 +540,28 @@
 // goingDown ends a session whose connection leads to a member that drains or is gone, now that nothing of it is open.
 func (l *link) goingDown() {
 	k := l.keeper
-	l.all.host.Soon(func() { k.Ended(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"}) })
+	l.all.host.Defer(func() { k.Ended(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"}) })
 }
 
 // end tells the client that its time is up.
 func (l *link) end(code, text string) {
 	if j := l.job; j != nil {
-		j.txn.Talk.Caller.Ended(&pg.Error{Code: code, Text: text})
+		j.txn.Stream.Client.Ended(&pg.Error{Code: code, Text: text})
 	}
 }
 
 // settle takes a txn off the connection, which goes on to the next, stays with its session, or ends. It gives the
 // member's word on the statement, where that is what ended it.
 func (l *link) settle(j *job, how router.Outcome) (fault *pg.Error) {
-	t := j.txn.Talk
-	s := t.Caller.Session()
-	if how == router.Errored && l.err != nil && l.tainted {
+	t := j.txn.Stream
+	s := t.Client.Session()
+	if how == router.ServerError && l.err != nil && l.tainted {
 		fault = l.err
 	}
-	if how == router.Committed && l.gtid > 0 && l.all.host.Possible(l.gtid) {
-		t.Gtid = l.gtid
+	if how == router.Succeeded && l.gtid > 0 && l.all.host.Possible(l.gtid) {
+		t.Position = l.gtid
 	}
-	if how != router.Errored { // only an error that the member has got over tells what became of the txn
+	if how != router.ServerError { // only an error that the member has got over tells what became of the txn
 		defer func() { t.Fault = nil }()
 	}
 	if j.turned > 0 {
@@ -569,18 +569,18 @@
 	}
 	clean := l.quiet() && l.hidden == 0 && l.status == 'I' && !l.tainted
 	l.job, l.asked, l.err = nil, false, nil
-	if t.Carrier() == l {
+	if t.Backend() == l {
 		if clean {
 			l.has = s.There()
 		}
-		t.Drop()
+		t.Detach()
 	}
 	switch {
-	case !clean || how != router.Committed && s.Kept():
+	case !clean || how != router.Succeeded && s.Kept():
 		l.drop()
-	case how == router.Committed && s.Kept():
-		l.keeper = t.Caller
-		if t.Caller.Keep(l); l.to.barred {
+	case how == router.Succeeded && s.Kept():
+		l.keeper = t.Client
+		if t.Client.Keep(l); l.to.barred {
 			l.goingDown()
 		}
 	default:
@@ -598,7 +598,7 @@
 }
 
 // Known is what members of a pool have reported of themselves, as a client that comes in is told.
-func (a *Members) Known(pool string) *iradix.Tree[string] {
+func (a *Backend) Known(pool string) *iradix.Tree[string] {
 	if t := a.known[pool]; t != nil {
 		return t
 	}
--- a/internal/members/write.go
+++ b/internal/backend/write.go
@@ -1,4 +1,4 @@
-package members
+package backend
 
 import (
 	"strings"
@@ -12,17 +12,17 @@
 
 // withheld tells that a job must not be written, and ends it then: its time is over, or its client has gone. It is called
 // right before the write, and asks for the client last, after all reading of the clock.
-func (a *Members) withheld(j *job) bool {
+func (a *Backend) withheld(j *job) bool {
 	if j.expired(a.host.Clock()) {
-		a.host.Soon(func() { a.end(j, router.Moot) })
+		a.host.Defer(func() { a.end(j, router.NotSent) })
 		return true
 	}
 	if j.txn == nil || !j.txn.Abandoned() {
 		return false
 	}
-	a.host.Soon(func() {
-		a.host.Gone(j.txn)
-		a.end(j, router.Moot)
+	a.host.Defer(func() {
+		a.host.ClientGone(j.txn)
+		a.end(j, router.NotSent)
 	})
 	return true
 }
--- a/internal/council/clock_test.go
+++ b/internal/coordinator/clock_test.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/council"
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 func settings(t *testing.T, dir string, listener net.Listener) Settings {
 	t.Helper()
-	return Settings{Fleet: "lab", Name: "c", Dir: dir, Peers: []council.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10, Keep: 1000,
-		Connections: 8, Record: &record.Record{}}
+	return Settings{Fleet: "lab", Name: "c", Dir: dir, Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10, Keep: 1000,
+		Connections: 8, Record: &audit.Log{}}
 }
 
 func loopback(t *testing.T) net.Listener {
@@ -61,7 +61,7 @@
 func TestClock_EpochAboveTheOneGiven(t *testing.T) {
 	listener := loopback(t)
 	set := settings(t, t.TempDir(), listener)
-	set.Above = wire.Epoch(time.Now().Add(time.Hour))
+	set.Above = rpc.EpochAt(time.Now().Add(time.Hour))
 	c, err := Open(set)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() { over <- c.Run(ctx, listener) }()
-	conn, err := wire.Dial(listener.Addr().String(), "lab")
+	conn, err := rpc.Dial(listener.Addr().String(), "lab")
 	if err != nil {
 		t.Fatal(err)
 	}
