--- a/internal/council/council.go
+++ b/internal/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package council is the process that keeps a share of the fleet's small state: it carries out what decide/council decides, with
+// Package coordinator is the process that keeps a share of the fleet's small state: it carries out what decide/raftnode decides, with
 // a ledger for its disk and gRPC for the others. It owns the listener, the ways to the other processes and the clock; it must
 // never see a txn, decide who holds what, or answer before the ledger has what the answer rests on.
-package council
+package coordinator
 
 import (
 	"context"
@@ -23,16 +23,16 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/agent"
+	"wayloft/internal/audit"
 	"wayloft/internal/decide/backoff"
-	"wayloft/internal/decide/council"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/faults"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/ledger"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
+	"wayloft/internal/storage"
 )
 
 const (
@@ -50,42 +50,42 @@
 
 // Settings are given once.
 type Settings struct {
-	Fleet, Name string
-	Dir         string
-	Address     string            // where others reach it
-	Peers       []council.Peer    // who begins the council; empty: it joins one that has begun
-	Via         map[string]string // ways to others by name, in place of the addresses that the council knows
-	Tick        float64           // ms
-	Keep        uint64            // entries until the log is cut
-	Connections int               // at once
-	Ahead       float64           // ms that this process's clock is ahead, for tests
-	Above       uint64            // an epoch known to have been: a council that begins takes a later one, whatever its wall clock says
-	Record      *record.Record
-	Planted     Planted
-}
-
-// Planted are defects that tests plant, to show that checkers find them; none is ever set in the program.
-type Planted struct {
+	Fleet, Name   string
+	Dir           string
+	Address       string            // where others reach it
+	Peers         []raftnode.Peer   // who begins the council; empty: it joins one that has begun
+	Via           map[string]string // ways to others by name, in place of the addresses that the council knows
+	Tick          float64           // ms
+	Keep          uint64            // entries until the log is cut
+	Connections   int               // at once
+	ClockOffset   float64           // ms that this process's clock is ahead, for tests
+	Above         uint64            // an epoch known to have been: a council that begins takes a later one, whatever its wall clock says
+	Record        *audit.Log
+	SeededDefects SeededDefects
+}
+
+// SeededDefects are defects that tests plant, to show that checkers find them; none is ever set in the program.
+type SeededDefects struct {
 	EarlyAcknowledge bool // sends and answers what rests on an entry before the entry is stored
 }
 
-// Council is one process.
-type Council struct {
+// Server is one process.
+type Server struct {
 	fleetpb.UnimplementedCouncilServer
 	set     Settings
-	node    *council.Node  // nil: suspended, until the storage works
-	disk    *ledger.Ledger // nil: it could not be opened yet
-	durable council.Durable
+	node    *raftnode.Node // nil: suspended, until the storage works
+	disk    *storage.Store // nil: it could not be opened yet
+	durable raftnode.Durable
 	backoff backoff.Storage
 	told    uint64 // index up to which events were recorded before it was suspended
-	met     *council.Met
-	self    council.Identity
+	met     *raftnode.KnownIncarnations
+	self    raftnode.Identity
 	inbox   chan func()
 	ctx     context.Context
 	number  uint64
-	asked   map[uint64]func(council.Decision)
+	asked   map[uint64]func(raftnode.Decision)
 	ways    map[uint64]*way
-	callers map[uint64]council.Peer // who talked to this process while it knew of nobody
+	callers map[uint64]raftnode.Peer // who talked to this process while it knew of nobody
 	mu      sync.Mutex
 	moved   chan struct{} // closed when the register has changed
 	index   uint64
@@ -106,20 +106,20 @@
 var stored = struct{ hard, snapshot, met string }{"hard", "snapshot", "met"}
 
 // Read gives what a ledger holds of a process of the council.
-func Read(l *ledger.Ledger) (s council.Stored, met *council.Met, err error) {
+func Read(l *storage.Store) (s raftnode.Stored, met *raftnode.KnownIncarnations, err error) {
 	records, values, err := l.Read()
 	if err != nil {
 		return s, nil, err
 	}
-	met = council.NewMet()
+	met = raftnode.NewKnownIncarnations()
 	if b := values[stored.met]; b != nil {
 		if err := cbor.Unmarshal(b, &met.Known); err != nil {
 			return s, nil, fmt.Errorf("met: %w", err)
 		}
 	}
 	if b := values[stored.hard]; b != nil {
-		s.Hard = &raftpb.HardState{}
-		if err := proto.Unmarshal(b, s.Hard); err != nil {
+		s.HardState = &raftpb.HardState{}
+		if err := proto.Unmarshal(b, s.HardState); err != nil {
 			return s, nil, fmt.Errorf("state: %w", err)
 		}
 	}
@@ -140,15 +140,15 @@
 }
 
 // Store writes what a decision holds.
-func Store(l *ledger.Ledger, d council.Decision) error {
-	b := ledger.Batch{Values: map[string][]byte{}, Below: d.Below}
+func Store(l *storage.Store, d raftnode.Decision) error {
+	b := storage.Batch{Values: map[string][]byte{}, CompactBelow: d.CompactBelow}
 	put := func(name string, m proto.Message) error {
 		text, err := proto.Marshal(m)
 		b.Values[name] = text
 		return err
 	}
-	if d.Hard != nil {
-		if err := put(stored.hard, d.Hard); err != nil {
+	if d.HardState != nil {
+		if err := put(stored.hard, d.HardState); err != nil {
 			return err
 		}
 	}
@@ -156,24 +156,24 @@
 		if err := put(stored.snapshot, d.Snapshot); err != nil {
 			return err
 		}
-		b.Anew = d.Verb == council.Save // another process's, or the first: what was there before is no part of it
+		b.ReplaceLog = d.Action == raftnode.Save // another process's, or the first: what was there before is no part of it
 	}
 	for _, e := range d.Entries {
 		text, err := proto.Marshal(e)
 		if err != nil {
 			return err
 		}
-		b.Records = append(b.Records, ledger.Record{Number: e.GetIndex(), Bytes: text})
+		b.Records = append(b.Records, storage.Record{Number: e.GetIndex(), Bytes: text})
 	}
-	return l.Store(b)
+	return l.Write(b)
 }
 
 // Open makes a process from its folder. It does nothing until Run. Where the disk refuses for now, Run tries again.
-func Open(set Settings) (*Council, error) {
-	c := &Council{set: set, inbox: make(chan func(), inbox), asked: map[uint64]func(council.Decision){}, ways: map[uint64]*way{},
-		callers: map[uint64]council.Peer{}, moved: make(chan struct{}), number: firstNumber()}
+func Open(set Settings) (*Server, error) {
+	c := &Server{set: set, inbox: make(chan func(), inbox), asked: map[uint64]func(raftnode.Decision){}, ways: map[uint64]*way{},
+		callers: map[uint64]raftnode.Peer{}, moved: make(chan struct{}), number: firstNumber()}
 	err := c.load()
-	if errors.Is(err, ledger.ErrUnavailable) {
+	if errors.Is(err, storage.ErrUnavailable) {
 		c.suspend(err)
 	} else if err != nil {
 		c.closeDisk()
@@ -183,20 +183,20 @@
 }
 
 // build makes the node from what was stored.
-func (c *Council) build(had council.Stored) (*council.Node, *council.Decision, error) {
+func (c *Server) build(had raftnode.Stored) (*raftnode.Node, *raftnode.Decision, error) {
 	// The engine's own lines are about its inner life; what it warns of may help on the day.
 	log := logrus.New()
 	log.SetOutput(logrus.StandardLogger().Out)
 	log.SetFormatter(logrus.StandardLogger().Formatter)
 	log.SetLevel(logrus.ErrorLevel)
 	set := c.set
-	return council.New(council.Settings{Fleet: set.Fleet, Name: set.Name, Peers: set.Peers, Epoch: wire.Epoch(time.Now()),
+	return raftnode.New(raftnode.Settings{Fleet: set.Fleet, Name: set.Name, Peers: set.Peers, Epoch: rpc.EpochAt(time.Now()),
 		Above: set.Above, Tick: set.Tick, Keep: set.Keep, Log: log}, had)
 }
 
 // identify notes what this process says of its folder.
-func (c *Council) identify(had council.Stored) {
-	c.self = council.Identity{Name: c.set.Name, Folder: c.disk.Head.Folder, Starts: c.disk.Head.Starts, Term: had.Hard.GetTerm(),
+func (c *Server) identify(had raftnode.Stored) {
+	c.self = raftnode.Identity{Name: c.set.Name, Folder: c.disk.Identity.StorageID, Starts: c.disk.Identity.Incarnations, Term: had.HardState.GetTerm(),
 		Last: had.Snapshot.GetMetadata().GetIndex()}
 	if n := len(had.Entries); n > 0 {
 		c.self.Last = had.Entries[n-1].GetIndex()
@@ -205,15 +205,15 @@
 
 // firstNumber draws the number after which this start counts its requests. An entry of an earlier start may still be applied; its
 // number must not be that of a request which waits now. It leaves half of all numbers to count in.
-func firstNumber() uint64 { return wire.Draw() >> 1 }
+func firstNumber() uint64 { return rpc.UniqueID() >> 1 }
 
 // Run serves on a listener until ctx ends or the process can't go on.
-func (c *Council) Run(ctx context.Context, listener net.Listener) error {
+func (c *Server) Run(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer c.closeDisk()
 	c.ctx = ctx
-	checks := wire.Server(c.set.Fleet)
+	checks := rpc.Server(c.set.Fleet)
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(longest), grpc.MaxConcurrentStreams(streams), grpc.ConnectionTimeout(handshake),
 		grpc.ChainUnaryInterceptor(checks.Unary), grpc.ChainStreamInterceptor(checks.Stream),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: alive / 2, PermitWithoutStream: true}),
@@ -223,11 +223,11 @@
 	defer server.Stop()
 	var applied, epoch uint64
 	if !c.suspended() {
-		applied, epoch = c.node.Applied(), c.node.Register().Epoch()
+		applied, epoch = c.node.Applied(), c.node.State().Epoch()
 	}
 	logrus.WithFields(logrus.Fields{"name": c.set.Name, "listen": listener.Addr().String(), "fleet": c.set.Fleet, "folder": c.set.Dir,
 		"applied": applied, "epoch": epoch}).Info("council")
-	c.set.Record.Add("up", record.Fields{"applied": applied, "epoch": epoch})
+	c.set.Record.Add("up", audit.Fields{"applied": applied, "epoch": epoch})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for c.ended == nil {
@@ -247,30 +247,30 @@
 }
 
 // turn carries out what is due and gives when it must be called again at the latest.
-func (c *Council) turn() (due float64) {
+func (c *Server) turn() (due float64) {
 	if c.suspended() && c.backoff.Due() <= c.now() {
 		c.ended = c.resume()
 	}
 	if !c.suspended() && c.ended == nil {
-		c.node.At(c.now())
+		c.node.Advance(c.now())
 		c.settle()
 	}
 	if c.suspended() {
 		return c.backoff.Due()
 	}
-	return c.node.Due()
+	return c.node.NextDeadline()
 }
 
-func (c *Council) now() float64 { return wire.Boottime() + c.set.Ahead }
+func (c *Server) now() float64 { return rpc.Boottime() + c.set.ClockOffset }
 
 // settle carries out what the node decides.
-func (c *Council) settle() {
-	var late []council.Decision // the planted defect's
+func (c *Server) settle() {
+	var late []raftnode.Decision // the planted defect's
 	for d, more := c.node.Next(); more; d, more = c.node.Next() {
-		switch d.Verb {
-		case council.Save:
-			faults.Point("council.save")
-			if c.set.Planted.EarlyAcknowledge {
+		switch d.Action {
+		case raftnode.Save:
+			failpoint.Point("council.save")
+			if c.set.SeededDefects.EarlyAcknowledge {
 				late = append(late, d)
 				c.node.Saved()
 				continue
@@ -279,26 +279,26 @@
 				return
 			}
 			c.node.Saved()
-		case council.Cut:
+		case raftnode.Compact:
 			if !c.store(d) {
 				return
 			}
-		case council.Send:
+		case raftnode.Send:
 			c.send(d.Message)
-		case council.Done, council.Moved, council.Lost:
-			if f := c.asked[d.Number]; f != nil {
-				delete(c.asked, d.Number)
+		case raftnode.Done, raftnode.Redirect, raftnode.ResultUnknown:
+			if f := c.asked[d.Request]; f != nil {
+				delete(c.asked, d.Request)
 				f(d)
 			}
-		case council.Led:
-			_, term := c.node.Leads()
+		case raftnode.LeaderChanged:
+			_, term := c.node.IsLeader()
 			logrus.WithFields(logrus.Fields{"leader": d.Leader.Name, "term": term}).Info("leads")
-			c.set.Record.Add("leads", record.Fields{"leader": d.Leader.Name, "term": term})
-		case council.Past:
-			if leads, _ := c.node.Leads(); leads && d.Event.Duty != "" && !d.Event.Ended {
-				faults.Point("council.granted") // agreed, and not yet answered
+			c.set.Record.Add("leads", audit.Fields{"leader": d.Leader.Name, "term": term})
+		case raftnode.Applied:
+			if leads, _ := c.node.IsLeader(); leads && d.Event.Lease != "" && !d.Event.Ended {
+				failpoint.Point("council.granted") // agreed, and not yet answered
 			} else if leads && d.Event.Policy > 0 {
-				faults.Point("council.policy") // the same
+				failpoint.Point("council.policy") // the same
 			}
 			if d.Event.Index > c.told { // else it is replayed from the folder that was opened anew
 				c.past(d.Event)
@@ -310,18 +310,18 @@
 			return
 		}
 	}
-	if err := c.node.Failed(); err != nil {
+	if err := c.node.Err(); err != nil {
 		c.ended = err
 		return
 	}
-	if at := c.node.Register().Index(); at != c.index {
+	if at := c.node.State().Index(); at != c.index {
 		c.index = at
 		c.wakeWatchers()
 	}
 }
 
 // wakeWatchers has watchers look at the register again.
-func (c *Council) wakeWatchers() {
+func (c *Server) wakeWatchers() {
 	c.mu.Lock()
 	close(c.moved)
 	c.moved = make(chan struct{})
@@ -329,37 +329,37 @@
 }
 
 // past writes what has become so; each process of the council does, so that its record is whole.
-func (c *Council) past(e register.Event) {
-	leads, _ := c.node.Leads()
+func (c *Server) past(e leasestate.Event) {
+	leads, _ := c.node.IsLeader()
 	if e.Policy > 0 {
-		b := c.node.Register().Policy()
+		b := c.node.State().Policy()
 		v := b.Version
-		for _, was := range b.History { // another may have followed by now
-			if was.Version.Mark() == e.Policy {
+		for _, was := range b.Changes { // another may have followed by now
+			if was.Version.Number64() == e.Policy {
 				v = was.Version
 			}
 		}
-		c.set.Record.Add("policy", record.Fields{"index": e.Index, "version": policy.MarkString(e.Policy), "hash": hex.EncodeToString(v.Hash[:]),
+		c.set.Record.Add("policy", audit.Fields{"index": e.Index, "version": policy.MarkString(e.Policy), "hash": hex.EncodeToString(v.Hash[:]),
 			"author": v.Author, "reason": v.Reason})
 		if leads {
 			logrus.WithFields(logrus.Fields{"version": v, "author": v.Author, "reason": v.Reason}).Info("policy in force")
 		}
 		return
 	}
-	f := record.Fields{"index": e.Index, "session": e.Session, "duty": e.Duty, "fence": e.Fence.String(), "ended": e.Ended, "why": e.Why}
+	f := audit.Fields{"index": e.Index, "session": e.Session, "duty": e.Lease, "fence": e.Token.String(), "ended": e.Ended, "why": e.Reason}
 	what := "session"
-	if e.Duty != "" {
+	if e.Lease != "" {
 		what = "duty"
 	}
 	c.set.Record.Add(what, f)
-	if !leads || e.Duty == "" {
+	if !leads || e.Lease == "" {
 		return
 	}
-	line := logrus.WithFields(logrus.Fields{"duty": e.Duty, "fence": e.Fence, "holder": e.Session})
-	d, _ := c.node.Register().Duty(e.Duty)
+	line := logrus.WithFields(logrus.Fields{"duty": e.Lease, "fence": e.Token, "holder": e.Session})
+	d, _ := c.node.State().Lease(e.Lease)
 	switch {
-	case d.Barred.Epoch >= c.node.Register().Epoch() && d.Holder == "":
-		line.WithField("seen", d.Barred).Error("not granted: a receiver has seen a fence that this council never gave; begin a new epoch (council recover)")
+	case d.ForeignToken.Epoch >= c.node.State().Epoch() && d.Holder == "":
+		line.WithField("seen", d.ForeignToken).Error("not granted: a receiver has seen a fence that this council never gave; begin a new epoch (council recover)")
 	case e.Ended:
 		line.Info("freed")
 	case e.Session != "":
@@ -368,8 +368,8 @@
 }
 
 // ask has the loop do something that ends by a decision under a new number.
-func (c *Council) ask(ctx context.Context, begin func(number uint64)) (council.Decision, error) {
-	answer := make(chan council.Decision, 1)
+func (c *Server) ask(ctx context.Context, begin func(number uint64)) (raftnode.Decision, error) {
+	answer := make(chan raftnode.Decision, 1)
 	suspended := make(chan struct{})
 	var number uint64
 	if err := c.post(ctx, func() {
@@ -379,29 +379,29 @@
 		}
 		c.number++
 		number = c.number
-		c.asked[number] = func(d council.Decision) { answer <- d }
-		c.node.At(c.now())
+		c.asked[number] = func(d raftnode.Decision) { answer <- d }
+		c.node.Advance(c.now())
 		begin(number)
 	}); err != nil {
-		return council.Decision{}, err
+		return raftnode.Decision{}, err
 	}
 	select {
 	case d := <-answer:
-		if d.Verb == council.Lost {
+		if d.Action == raftnode.ResultUnknown {
 			return d, errUnknown
 		}
 		return d, nil
 	case <-suspended:
-		return council.Decision{}, errStorage
+		return raftnode.Decision{}, errStorage
 	case <-ctx.Done():
 		c.post(c.ctx, func() { delete(c.asked, number) })
-		return council.Decision{}, status.FromContextError(ctx.Err()).Err()
+		return raftnode.Decision{}, status.FromContextError(ctx.Err()).Err()
 	case <-c.ctx.Done():
-		return council.Decision{}, status.Error(codes.Unavailable, "this process is ending")
+		return raftnode.Decision{}, status.Error(codes.Unavailable, "this process is ending")
 	}
 }
 
-func (c *Council) post(ctx context.Context, f func()) error {
+func (c *Server) post(ctx context.Context, f func()) error {
 	select {
 	case c.inbox <- f:
 		return nil
@@ -413,29 +413,29 @@
 }
 
 // asks are the kinds of entries that others may bring; time and leadership are the leader's alone to tell.
-var asks = map[register.Kind]bool{register.Open: true, register.Beat: true, register.End: true, register.Take: true, register.Free: true,
-	register.Pass: true, register.Note: true, register.Told: true, register.Order: true, register.Did: true, register.Ascend: true,
-	register.Propose: true}
+var asks = map[leasestate.Kind]bool{leasestate.OpenSession: true, leasestate.KeepAlive: true, leasestate.CloseSession: true, leasestate.AcquireLease: true, leasestate.ReleaseLease: true,
+	leasestate.TransferLease: true, leasestate.RecordStep: true, leasestate.ReportToken: true, leasestate.PlaceOrder: true, leasestate.CompleteOrder: true, leasestate.BeginEpoch: true,
+	leasestate.ProposePolicy: true}
 
 // Do is the service's.
-func (c *Council) Do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
-	var d council.Decision
+func (c *Server) Do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	var d raftnode.Decision
 	var err error
 	var fences []*fleetpb.Fence
 	stands := q.Stands
 	if q.Stand != "" {
 		stands = []string{q.Stand}
 	}
-	if len(stands) > agent.MostStands {
-		return nil, status.Errorf(codes.InvalidArgument, "stands: %d duties, %d at most", len(stands), agent.MostStands)
+	if len(stands) > leaseclient.MaxTokenQuery {
+		return nil, status.Errorf(codes.InvalidArgument, "stands: %d duties, %d at most", len(stands), leaseclient.MaxTokenQuery)
 	}
 	if len(stands) > 0 {
 		d, err = c.ask(ctx, func(number uint64) {
 			then := c.asked[number]
-			c.asked[number] = func(d council.Decision) {
-				if d.Verb == council.Done { // all by the one word of a majority, under one state
+			c.asked[number] = func(d raftnode.Decision) {
+				if d.Action == raftnode.Done { // all by the one word of a majority, under one state
 					for _, duty := range stands {
-						fences = append(fences, wire.Fence(c.node.Register().Stands(duty)))
+						fences = append(fences, rpc.EncodeToken(c.node.State().LatestToken(duty)))
 					}
 				}
 				then(d)
@@ -443,26 +443,26 @@
 			c.node.Read(number)
 		})
 	} else {
-		e, bad := register.Decode(q.Entry)
+		e, bad := leasestate.Decode(q.Entry)
 		if bad != nil {
 			return nil, status.Error(codes.InvalidArgument, bad.Error())
 		}
-		if !asks[e.Kind] || e.Passed != 0 {
+		if !asks[e.Kind] || e.Elapsed != 0 {
 			return nil, status.Errorf(codes.InvalidArgument, "entry: %q is not for others to bring", e.Kind)
 		}
-		if e.Kind == register.Take {
-			faults.Point("council.asked") // not yet proposed
-		} else if e.Kind == register.Propose {
-			faults.Point("policy.asked") // the same
+		if e.Kind == leasestate.AcquireLease {
+			failpoint.Point("council.asked") // not yet proposed
+		} else if e.Kind == leasestate.ProposePolicy {
+			failpoint.Point("policy.asked") // the same
 		}
-		if d, err = c.ask(ctx, func(number uint64) { c.node.Do(number, e) }); e.Kind == register.Propose {
-			faults.Point("policy.answers") // agreed and watchers told, and who asked not yet answered
+		if d, err = c.ask(ctx, func(number uint64) { c.node.Propose(number, e) }); e.Kind == leasestate.ProposePolicy {
+			failpoint.Point("policy.answers") // agreed and watchers told, and who asked not yet answered
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	if d.Verb == council.Moved {
+	if d.Action == raftnode.Redirect {
 		return &fleetpb.Answer{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}, nil
 	}
 	if len(q.Stands) > 0 {
@@ -471,11 +471,11 @@
 	if len(stands) > 0 {
 		return &fleetpb.Answer{Fence: fences[0]}, nil
 	}
-	return &fleetpb.Answer{Held: d.Answer.Held, Fence: wire.Fence(d.Answer.Fence), Why: d.Answer.Why, Number: d.Answer.Number}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Fence: rpc.EncodeToken(d.Result.Fence), Why: d.Result.Why, Number: d.Result.Number}, nil
 }
 
 // Watch is the service's.
-func (c *Council) Watch(from *fleetpb.WatchFrom, stream grpc.ServerStreamingServer[fleetpb.Update]) error {
+func (c *Server) Watch(from *fleetpb.WatchFrom, stream grpc.ServerStreamingServer[fleetpb.Update]) error {
 	since, first, said := from.Index, true, time.Now()
 	for {
 		c.mu.Lock()
@@ -487,8 +487,8 @@
 				close(got)
 				return
 			}
-			u, index := agent.Changes(c.node.Register(), since, from.WithoutSessions)
-			out := wire.Update(u)
+			u, index := leaseclient.Changes(c.node.State(), since, from.WithoutSessions)
+			out := rpc.EncodeUpdate(u)
 			out.Index = index
 			got <- out
 		}); err != nil {
@@ -528,12 +528,12 @@
 }
 
 // Look is the service's.
-func (c *Council) Look(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.State, error) {
+func (c *Server) Look(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.State, error) {
 	var out *fleetpb.State
 	d, err := c.ask(ctx, func(number uint64) {
 		then := c.asked[number]
-		c.asked[number] = func(d council.Decision) {
-			if d.Verb == council.Done {
+		c.asked[number] = func(d raftnode.Decision) {
+			if d.Action == raftnode.Done {
 				out = c.state()
 			}
 			then(d)
@@ -543,33 +543,33 @@
 	if err != nil {
 		return nil, err
 	}
-	if d.Verb == council.Moved {
+	if d.Action == raftnode.Redirect {
 		return &fleetpb.State{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}, nil
 	}
 	return out, nil
 }
 
-func (c *Council) state() *fleetpb.State {
-	r := c.node.Register()
-	u, index := agent.Changes(r, 0, false)
-	s := &fleetpb.State{State: wire.Update(u), Epoch: r.Epoch(), Refused: r.Refused()}
+func (c *Server) state() *fleetpb.State {
+	r := c.node.State()
+	u, index := leaseclient.Changes(r, 0, false)
+	s := &fleetpb.State{State: rpc.EncodeUpdate(u), Epoch: r.Epoch(), Refused: r.RejectedActs()}
 	s.State.Index = index
 	for _, one := range s.State.Sessions {
 		had, _ := r.Session(one.Name)
-		one.SilentMs, one.Refused, one.Wont, one.Why = r.Now()-had.Heard, had.Refused, had.Wont, had.Why
+		one.SilentMs, one.Refused, one.Wont, one.Why = r.Now()-had.LastHeartbeat, had.RejectedActs, had.RejectedPolicy, had.Reason
 	}
 	for _, one := range s.State.Duties {
-		d, _ := r.Duty(one.Name)
-		one.SinceMs, one.Queue, one.Barred = r.Now()-d.Since, d.Queue, wire.Fence(d.Barred)
+		d, _ := r.Lease(one.Name)
+		one.SinceMs, one.Queue, one.Barred = r.Now()-d.Since, d.Queue, rpc.EncodeToken(d.ForeignToken)
 	}
-	for _, p := range c.node.Council() {
+	for _, p := range c.node.Peers() {
 		s.Council = append(s.Council, &fleetpb.Peer{Name: p.Name, Address: p.Addr, Leader: p.Leader, Applied: p.Applied, Level: p.Level, Known: p.Known})
 	}
 	return s
 }
 
 // Policy is the service's. It is this process's own word, which may lag: who follows a policy never goes back.
-func (c *Council) Policy(ctx context.Context, q *fleetpb.PolicyFrom) (*fleetpb.PolicyPart, error) {
+func (c *Server) Policy(ctx context.Context, q *fleetpb.PolicyFrom) (*fleetpb.PolicyPart, error) {
 	if len(q.Hash) > 64 || q.Most == 0 {
 		return nil, status.Error(codes.InvalidArgument, "unsound")
 	}
@@ -596,11 +596,11 @@
 			return nil, status.Error(codes.NotFound, "this process knows of no such version: it may lag, ask another")
 		}
 		at := min(q.Offset, uint64(len(p.bytes)))
-		if p.version.Mark() != q.Want || at == uint64(len(p.bytes)) { // it is another than the one that was begun with
+		if p.version.Number64() != q.Want || at == uint64(len(p.bytes)) { // it is another than the one that was begun with
 			at = 0
 		}
 		end := min(at+min(q.Most, mostPart), uint64(len(p.bytes)))
-		return &fleetpb.PolicyPart{Version: wire.Policy(p.version, nil), Whole: p.whole, Offset: at, Total: uint64(len(p.bytes)), Bytes: p.bytes[at:end]}, nil
+		return &fleetpb.PolicyPart{Version: rpc.EncodePolicy(p.version, nil), Whole: p.whole, Offset: at, Total: uint64(len(p.bytes)), Bytes: p.bytes[at:end]}, nil
 	case <-c.ctx.Done():
 		return nil, status.Error(codes.Unavailable, "this process is ending")
 	}
@@ -608,12 +608,12 @@
 
 // pack gives what is asked for of the policy: what was begun is read to its end though another version is in force by now, as
 // long as it is kept.
-func (c *Council) pack(q policy.Request) (packed, bool) {
-	b := c.node.Register().Policy()
+func (c *Server) pack(q policy.Request) (packed, bool) {
+	b := c.node.State().Policy()
 	for n := len(c.packed) - 1; n >= 0; n-- {
 		p := c.packed[n]
-		if mark := p.version.Mark(); p.whole == q.Whole && (p.whole || p.have == q.Have) &&
-			(mark == b.Version.Mark() && q.Want <= mark && q.Have <= mark || q.Offset > 0 && mark == q.Want) {
+		if mark := p.version.Number64(); p.whole == q.Whole && (p.whole || p.have == q.Have) &&
+			(mark == b.Version.Number64() && q.Want <= mark && q.Have <= mark || q.Offset > 0 && mark == q.Want) {
 			c.packed = append(slices.Delete(c.packed, n, n+1), p)
 			return p, true
 		}
@@ -626,7 +626,7 @@
 		q.Whole, q.Offset = true, 0
 		return c.pack(q)
 	}
-	p := packed{q.Have, whole, b.Version, wire.Pack(text)}
+	p := packed{q.Have, whole, b.Version, rpc.Compress(text)}
 	c.packed = append(c.packed, p)
 	bytes := 0
 	for n := len(c.packed) - 1; n >= 0; n-- {
@@ -639,12 +639,12 @@
 }
 
 // Policies is the service's.
-func (c *Council) Policies(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.PolicyBook, error) {
+func (c *Server) Policies(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.PolicyBook, error) {
 	var out *fleetpb.PolicyBook
 	d, err := c.ask(ctx, func(number uint64) {
 		then := c.asked[number]
-		c.asked[number] = func(d council.Decision) {
-			if d.Verb == council.Done {
+		c.asked[number] = func(d raftnode.Decision) {
+			if d.Action == raftnode.Done {
 				out = c.policyBook()
 			}
 			then(d)
@@ -654,43 +654,43 @@
 	if err != nil {
 		return nil, err
 	}
-	if d.Verb == council.Moved {
+	if d.Action == raftnode.Redirect {
 		return &fleetpb.PolicyBook{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}, nil
 	}
 	return out, nil
 }
 
 // policyBook gives all of the policy, packed once for each version.
-func (c *Council) policyBook() *fleetpb.PolicyBook {
-	if b := c.node.Register().Policy(); c.book == nil || c.version != b.Version {
+func (c *Server) policyBook() *fleetpb.PolicyBook {
+	if b := c.node.State().Policy(); c.book == nil || c.version != b.Version {
 		c.version = b.Version
-		c.book = &fleetpb.PolicyBook{Version: wire.Policy(b.Version, nil), Document: wire.Pack(b.Document.Encode()),
-			History: wire.Pack(policy.EncodeChanges(b.History))}
+		c.book = &fleetpb.PolicyBook{Version: rpc.EncodePolicy(b.Version, nil), Document: rpc.Compress(b.Document.Encode()),
+			History: rpc.Compress(policy.EncodeChanges(b.Changes))}
 	}
 	return c.book
 }
 
 // Change is the service's.
-func (c *Council) Change(ctx context.Context, m *fleetpb.Members) (*fleetpb.Answer, error) {
-	var add []council.Peer
+func (c *Server) Change(ctx context.Context, m *fleetpb.Members) (*fleetpb.Answer, error) {
+	var add []raftnode.Peer
 	for _, p := range m.Add {
 		if _, _, err := net.SplitHostPort(p.Address); err != nil || p.Name == "" {
 			return nil, status.Errorf(codes.InvalidArgument, "a process needs a name and an address, not %q and %q", p.Name, p.Address)
 		}
-		add = append(add, council.Peer{Name: p.Name, Addr: p.Address})
+		add = append(add, raftnode.Peer{Name: p.Name, Addr: p.Address})
 	}
-	d, err := c.ask(ctx, func(number uint64) { c.node.Change(number, add, m.Remove) })
+	d, err := c.ask(ctx, func(number uint64) { c.node.ChangeMembership(number, add, m.Remove) })
 	if err != nil {
 		return nil, err
 	}
-	if d.Verb == council.Moved {
+	if d.Action == raftnode.Redirect {
 		return &fleetpb.Answer{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}, nil
 	}
-	return &fleetpb.Answer{Held: d.Answer.Held, Why: d.Answer.Why}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Why: d.Result.Why}, nil
 }
 
 // Carry is the service's: what another process of the council says, for as long as it goes on.
-func (c *Council) Carry(stream grpc.ClientStreamingServer[fleetpb.Parcel, fleetpb.Empty]) error {
+func (c *Server) Carry(stream grpc.ClientStreamingServer[fleetpb.Parcel, fleetpb.Empty]) error {
 	var from string
 	for first := true; ; first = false {
 		p, err := stream.Recv()
@@ -713,14 +713,14 @@
 		if err := proto.Unmarshal(p.Message, m); err != nil {
 			return status.Errorf(codes.InvalidArgument, "message of %s: %v", from, err)
 		}
-		if m.GetFrom() != council.ID(from) {
+		if m.GetFrom() != raftnode.ID(from) {
 			return status.Errorf(codes.InvalidArgument, "message of %d on the way of %s", m.GetFrom(), from)
 		}
 		if err := c.post(stream.Context(), func() {
 			if c.suspended() { // as if the network had dropped it
 				return
 			}
-			c.met.Heard(from, m, c.node.Applied())
+			c.met.MessageReceived(from, m, c.node.Applied())
 			if err := c.node.Step(m); err != nil {
 				logrus.WithError(err).WithField("from", from).Debug("message passed over")
 			}
@@ -731,28 +731,28 @@
 }
 
 // hello judges another process's folder, and stores what is new of it before anything else of it is taken.
-func (c *Council) hello(ctx context.Context, p *fleetpb.Identity) error {
+func (c *Server) hello(ctx context.Context, p *fleetpb.Identity) error {
 	result := make(chan error, 1)
 	if err := c.post(ctx, func() {
 		if c.suspended() {
 			result <- errStorage
 			return
 		}
-		news, err := c.met.Hello(council.Identity{Name: p.Name, Folder: p.Folder, Starts: p.Starts, Term: p.Term, Last: p.Last})
+		news, err := c.met.Handshake(raftnode.Identity{Name: p.Name, Folder: p.Folder, Starts: p.Starts, Term: p.Term, Last: p.Last})
 		if err != nil {
 			logrus.WithField("from", p.Name).WithError(err).Error("not taken")
-			c.set.Record.Add("stranger", record.Fields{"from": p.Name, "why": err.Error()})
+			c.set.Record.Add("stranger", audit.Fields{"from": p.Name, "why": err.Error()})
 			result <- status.Error(codes.FailedPrecondition, err.Error())
 			return
 		}
-		if id := council.ID(p.Name); len(c.node.Council()) == 0 && len(c.callers) < 16 {
-			c.callers[id] = council.Peer{ID: id, Name: p.Name, Addr: p.Address}
-		} else if len(c.node.Council()) > 0 {
+		if id := raftnode.ID(p.Name); len(c.node.Peers()) == 0 && len(c.callers) < 16 {
+			c.callers[id] = raftnode.Peer{ID: id, Name: p.Name, Addr: p.Address}
+		} else if len(c.node.Peers()) > 0 {
 			clear(c.callers)
 		}
 		if news {
 			in := map[string]bool{p.Name: true}
-			for _, o := range c.node.Council() {
+			for _, o := range c.node.Peers() {
 				in[o.Name] = true
 			}
 			for _, o := range c.set.Peers {
@@ -761,7 +761,7 @@
 			c.met.Forget(in)
 			b, err := cbor.Marshal(c.met.Known)
 			if err == nil {
-				err = c.disk.Store(ledger.Batch{Values: map[string][]byte{stored.met: b}})
+				err = c.disk.Write(storage.Batch{Values: map[string][]byte{stored.met: b}})
 			}
 			if err != nil {
 				c.suspend(err)
@@ -790,7 +790,7 @@
 }
 
 // send hands a message to the way to its process; one that is full drops it, as a network would.
-func (c *Council) send(m *raftpb.Message) {
+func (c *Server) send(m *raftpb.Message) {
 	peer, known := c.node.Peer(m.GetTo())
 	if !known { // one that joins is talked to before it knows who there is
 		if peer, known = c.callers[m.GetTo()]; !known {
@@ -827,13 +827,13 @@
 }
 
 // sent tells the engine what became of a message, where it must know.
-func (c *Council) sent(m *raftpb.Message, arrived bool) {
+func (c *Server) sent(m *raftpb.Message, arrived bool) {
 	report := func() {
 		if c.suspended() {
 			return
 		}
 		if m.GetType() == raftpb.MsgSnap {
-			c.node.Sent(m.GetTo(), arrived)
+			c.node.SnapshotSent(m.GetTo(), arrived)
 		} else if !arrived {
 			c.node.Unreachable(m.GetTo())
 		}
@@ -845,8 +845,8 @@
 }
 
 // carry keeps a stream to one process and begins another whenever it ends.
-func (c *Council) carry(ctx context.Context, w *way, peer council.Peer) {
-	conn, err := wire.Dial(w.addr, c.set.Fleet)
+func (c *Server) carry(ctx context.Context, w *way, peer raftnode.Peer) {
+	conn, err := rpc.Dial(w.addr, c.set.Fleet)
 	if err != nil {
 		logrus.WithError(err).WithField("to", peer.Name).Error("no way to another process of the council")
 		return
@@ -861,16 +861,16 @@
 		if why := status.Convert(err).Message(); status.Code(err) == codes.FailedPrecondition && why != told {
 			told = why
 			logrus.WithField("to", peer.Name).Error(why)
-			c.set.Record.Add("refused", record.Fields{"by": peer.Name, "why": why})
+			c.set.Record.Add("refused", audit.Fields{"by": peer.Name, "why": why})
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wire.Spread(time.Duration(c.set.Tick * float64(time.Millisecond)))):
+		case <-time.After(rpc.Jitter(time.Duration(c.set.Tick * float64(time.Millisecond)))):
 		}
 	}
 }
 
-func (c *Council) stream(ctx context.Context, to fleetpb.CouncilClient, w *way, peer council.Peer) error {
+func (c *Server) stream(ctx context.Context, to fleetpb.CouncilClient, w *way, peer raftnode.Peer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := to.Carry(ctx)
@@ -915,7 +915,7 @@
 }
 
 // drain drops what waits for a process that is out of reach: when it is back, old messages are of no use to it.
-func (c *Council) drain(w *way) {
+func (c *Server) drain(w *way) {
 	for {
 		select {
 		case m := <-w.messages:
--- a/internal/council/council_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/agent"
-	"wayloft/internal/decide/council"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // One question asks where several duties stand and is answered in their order; as routers ask that know of one to a question alone, it
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Open(Settings{Fleet: "lab", Name: "c", Dir: t.TempDir(), Peers: []council.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10,
-		Keep: 1000, Connections: 8, Record: &record.Record{}})
+	c, err := Open(Settings{Fleet: "lab", Name: "c", Dir: t.TempDir(), Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10,
+		Keep: 1000, Connections: 8, Record: &audit.Log{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	running, end := context.WithCancel(context.Background())
 	go func() { over <- c.Run(running, listener) }()
 	defer func() { end(); <-over }()
-	conn, err := wire.Dial(listener.Addr().String(), "lab")
+	conn, err := rpc.Dial(listener.Addr().String(), "lab")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,14 +53,14 @@
 			}
 		}
 	}
-	entry := func(e register.Entry) *fleetpb.Answer {
+	entry := func(e leasestate.Entry) *fleetpb.Answer {
 		e.Session, e.Incarnation = "r", 1
-		return do(&fleetpb.Request{Entry: register.Encode(e)})
+		return do(&fleetpb.Request{Entry: leasestate.Encode(e)})
 	}
-	entry(register.Entry{Kind: register.Open, Is: "router", Length: 60000})
-	a, b := entry(register.Entry{Kind: register.Take, Duty: "a"}).Fence, entry(register.Entry{Kind: register.Take, Duty: "b"}).Fence
-	entry(register.Entry{Kind: register.Free, Duty: "b", Fence: wire.FromFence(b)})
-	b = entry(register.Entry{Kind: register.Take, Duty: "b"}).Fence
+	entry(leasestate.Entry{Kind: leasestate.OpenSession, Role: "router", Timeout: 60000})
+	a, b := entry(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: "a"}).Fence, entry(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: "b"}).Fence
+	entry(leasestate.Entry{Kind: leasestate.ReleaseLease, Lease: "b", Token: rpc.DecodeToken(b)})
+	b = entry(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: "b"}).Fence
 	if a.Count != 1 || b.Count != 2 {
 		t.Fatal(a, b)
 	}
@@ -72,10 +72,10 @@
 		t.Errorf("%v", one)
 	}
 	var many []string
-	for i := range agent.MostStands + 1 {
+	for i := range leaseclient.MaxTokenQuery + 1 {
 		many = append(many, fmt.Sprint(i))
 	}
-	if got := do(&fleetpb.Request{Stands: many[1:]}); len(got.Fences) != agent.MostStands {
+	if got := do(&fleetpb.Request{Stands: many[1:]}); len(got.Fences) != leaseclient.MaxTokenQuery {
 		t.Errorf("%d fences", len(got.Fences))
 	}
 	for _, q := range []*fleetpb.Request{{Stands: many}, {}} {
--- a/internal/council/descriptor_test.go
+++ b/internal/coordinator/descriptor_test.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"fmt"
--- a/internal/council/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"bytes"
@@ -22,8 +22,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	"wayloft/internal/decide/council"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleetpb"
 )
 
@@ -146,7 +146,7 @@
 }
 
 // startNode starts a node on loopback, with ways to its peers that lead to a listener where nobody answers, and ends it with the test.
-func startNode(t *testing.T, set Settings) (*Council, *grpc.ClientConn) {
+func startNode(t *testing.T, set Settings) (*Server, *grpc.ClientConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -240,7 +240,7 @@
 	state := make(chan string, 1)
 	if err := node.post(ctx, func() {
 		out := &strings.Builder{}
-		describeRegister(out, node.node.Register())
+		describeRegister(out, node.node.State())
 		state <- out.String()
 	}); err != nil {
 		t.Fatal(err)
@@ -248,8 +248,8 @@
 	return <-state
 }
 
-func firstPeers() []council.Peer {
-	return []council.Peer{{Name: "c1", Addr: "127.0.0.1:29501"}, {Name: "c2", Addr: "127.0.0.1:29502"}, {Name: "c3", Addr: "127.0.0.1:29503"}}
+func firstPeers() []raftnode.Peer {
+	return []raftnode.Peer{{Name: "c1", Addr: "127.0.0.1:29501"}, {Name: "c2", Addr: "127.0.0.1:29502"}, {Name: "c3", Addr: "127.0.0.1:29503"}}
 }
 
 // A node of this version votes for a node of the earlier one, follows it, and comes to the state that the earlier ones came to.
@@ -274,7 +274,7 @@
 	if len(m.Entry) == 0 {
 		return "stands"
 	}
-	entry, err := register.Decode(m.Entry)
+	entry, err := leasestate.Decode(m.Entry)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,7 +304,7 @@
 
 // Requests of earlier routers and operators have the answers that they had, as far as tokens don't tell by when the council began.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
-	_, conn := startNode(t, Settings{Name: "c9", Peers: []council.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, Keep: 1000})
+	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, Keep: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
 	want := map[string]string{"open r1": "held:true", "open r2": "held:true", "stands": "fences 2", "take r1": "held:true count 1",
@@ -324,7 +324,7 @@
 			sessions = append(sessions, m.Bytes)
 		}
 		answer := doRecorded(ctx, t, conn, m.Bytes)
-		for answer.Why == register.NoSession { // the test was slower than a session's length
+		for answer.Why == leasestate.ReasonNoSession { // the test was slower than a session's length
 			for _, open := range sessions {
 				doRecorded(ctx, t, conn, open)
 			}
--- a/internal/council/storage.go
+++ b/internal/coordinator/storage.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/council"
-	"wayloft/internal/ledger"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/rpc"
+	"wayloft/internal/storage"
 )
 
 // errStorage is the answer while this process can't store: nothing was begun here, another process may answer.
@@ -21,30 +21,30 @@
 var errUnknown = status.Error(codes.Aborted, "it may have been taken or not: ask again")
 
 // suspended tells whether this process takes part in nothing, since what it holds in memory may not be on its disk.
-func (c *Council) suspended() bool { return c.node == nil }
+func (c *Server) suspended() bool { return c.node == nil }
 
 // suspend has this process stand down: it says nothing more that rests on what could not be stored, neither votes nor
 // acknowledgements, and its node is given up. What waits for an answer learns that it isn't known.
-func (c *Council) suspend(err error) {
+func (c *Server) suspend(err error) {
 	if c.node != nil {
-		c.told = max(c.told, c.node.Register().Index())
+		c.told = max(c.told, c.node.State().Index())
 	}
 	c.node = nil
 	c.pause()
 	for number, answer := range c.asked {
 		delete(c.asked, number)
-		answer(council.Decision{Verb: council.Lost, Number: number})
+		answer(raftnode.Decision{Action: raftnode.ResultUnknown, Request: number})
 	}
 	c.wakeWatchers()
 	if c.backoff.Fail(c.now()) {
 		logrus.WithError(err).WithField("folder", c.set.Dir).Error("storage failed: standing down until it works again")
-		c.set.Record.Add("suspended", record.Fields{"why": err.Error()})
+		c.set.Record.Add("suspended", audit.Fields{"why": err.Error()})
 	}
 }
 
 // pause drops what waits to be sent. It rests on what was stored, but the process to which it goes may answer it before this one
 // is back.
-func (c *Council) pause() {
+func (c *Server) pause() {
 	for id, w := range c.ways {
 		w.stop()
 		delete(c.ways, id)
@@ -52,12 +52,12 @@
 }
 
 // resume opens the folder anew and builds the node from what is there. It returns an error if this process can't go on.
-func (c *Council) resume() error {
+func (c *Server) resume() error {
 	err := c.load()
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, ledger.ErrUnavailable), errors.Is(err, ledger.ErrInUse) && c.disk != nil:
+	case errors.Is(err, storage.ErrUnavailable), errors.Is(err, storage.ErrInUse) && c.disk != nil:
 		c.backoff.Fail(c.now())
 		return nil
 	}
@@ -65,9 +65,9 @@
 }
 
 // load opens the folder, for the first time or anew, and builds the node from what is there.
-func (c *Council) load() (err error) {
+func (c *Server) load() (err error) {
 	if c.disk == nil {
-		c.disk, err = ledger.Open(c.set.Dir, c.set.Fleet, c.set.Name, wire.Draw)
+		c.disk, err = storage.Open(c.set.Dir, c.set.Fleet, c.set.Name, rpc.UniqueID)
 	} else {
 		err = c.disk.Reopen()
 	}
@@ -104,7 +104,7 @@
 }
 
 // store has a decision on disk, or suspends this process; false: it is suspended.
-func (c *Council) store(d council.Decision) bool {
+func (c *Server) store(d raftnode.Decision) bool {
 	c.durable.Attempt(d)
 	if err := Store(c.disk, d); err != nil {
 		c.suspend(err)
@@ -116,15 +116,15 @@
 }
 
 // stored notes a write that came through.
-func (c *Council) stored() {
+func (c *Server) stored() {
 	if c.backoff.Succeed(c.now()) {
 		logrus.WithFields(logrus.Fields{"folder": c.set.Dir, "applied": c.node.Applied()}).Info("storage works again")
-		c.set.Record.Add("resumed", record.Fields{"applied": c.node.Applied()})
+		c.set.Record.Add("resumed", audit.Fields{"applied": c.node.Applied()})
 	}
 }
 
 // closeDisk gives the folder back.
-func (c *Council) closeDisk() {
+func (c *Server) closeDisk() {
 	if c.disk == nil {
 		return
 	}
--- a/internal/council/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package council
+package coordinator
 
 import (
 	"context"
@@ -20,12 +20,12 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/council"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/faults"
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 const patience = time.Minute // until a test has failed; nothing waits for it
@@ -46,7 +46,7 @@
 func failures(t *testing.T, points ...string) *disks {
 	d := newDisks()
 	for _, point := range points {
-		t.Cleanup(faults.FailOperations(point, d.fail))
+		t.Cleanup(failpoint.SetOperationError(point, d.fail))
 	}
 	return d
 }
@@ -101,13 +101,13 @@
 type cluster struct {
 	t     *testing.T
 	dir   string
-	peers []council.Peer
+	peers []raftnode.Peer
 	procs map[string]*proc
 	next  int
 }
 
 type proc struct {
-	*Council
+	*Server
 	address string
 	end     context.CancelFunc
 	ended   chan error
@@ -121,7 +121,7 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		c.peers = append(c.peers, council.Peer{Name: name, Addr: l.Addr().String()})
+		c.peers = append(c.peers, raftnode.Peer{Name: name, Addr: l.Addr().String()})
 	}
 	t.Cleanup(func() {
 		for name := range c.procs {
@@ -131,7 +131,7 @@
 	return c
 }
 
-func (c *cluster) start(name string, planted Planted) {
+func (c *cluster) start(name string, planted SeededDefects) {
 	c.t.Helper()
 	var addr string
 	for _, p := range c.peers {
@@ -139,12 +139,12 @@
 			addr = p.Addr
 		}
 	}
-	rec, err := record.Open(filepath.Join(c.dir, name+".record"), name)
+	rec, err := audit.Open(filepath.Join(c.dir, name+".record"), name)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	process, err := Open(Settings{Fleet: "lab", Name: name, Dir: filepath.Join(c.dir, name), Address: addr, Peers: c.peers, Tick: 20, Keep: 1000,
-		Connections: 32, Record: rec, Planted: planted})
+		Connections: 32, Record: rec, SeededDefects: planted})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &proc{Council: process, address: addr, end: cancel, ended: make(chan error, 1)}
+	p := &proc{Server: process, address: addr, end: cancel, ended: make(chan error, 1)}
 	go func() {
 		p.ended <- process.Run(ctx, listener)
 		rec.Close()
@@ -173,7 +173,7 @@
 
 // try asks one process; what it refuses for now, or can't tell, is an error.
 func (c *cluster) try(ctx context.Context, p *proc, q *fleetpb.Request) (*fleetpb.Answer, error) {
-	conn, err := wire.Dial(p.address, "lab")
+	conn, err := rpc.Dial(p.address, "lab")
 	if err != nil {
 		return nil, err
 	}
@@ -213,15 +213,15 @@
 	return nil, nil
 }
 
-func entry(kind register.Kind, duty string) *fleetpb.Request {
-	return &fleetpb.Request{Entry: register.Encode(register.Entry{Kind: kind, Session: "r", Incarnation: 1, Is: "router", Length: 60000, Duty: duty})}
+func entry(kind leasestate.Kind, duty string) *fleetpb.Request {
+	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: duty})}
 }
 
 // take has a duty taken and gives its fence, the proof of what was acknowledged.
 func (c *cluster) take(duty string) (fence *fleetpb.Fence, by *proc) {
 	c.t.Helper()
-	c.do(entry(register.Open, ""))
-	a, by := c.do(entry(register.Take, duty))
+	c.do(entry(leasestate.OpenSession, ""))
+	a, by := c.do(entry(leasestate.AcquireLease, duty))
 	if !a.Held {
 		c.t.Fatalf("%s: %v", duty, a)
 	}
@@ -271,20 +271,20 @@
 			names := []string{"c1", "c2", "c3"}
 			cluster := newCluster(t, names...)
 			for _, name := range names {
-				cluster.start(name, Planted{})
+				cluster.start(name, SeededDefects{})
 			}
 			fence, leader := cluster.take("a")
 			d.set(c.err, names...)
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if a, err := cluster.try(ctx, leader, entry(register.Take, "b")); err == nil {
+			if a, err := cluster.try(ctx, leader, entry(leasestate.AcquireLease, "b")); err == nil {
 				t.Errorf("answered though nobody stores: %v", a)
 			} else if code := status.Code(err); code != codes.Aborted && code != codes.Unavailable {
 				t.Errorf("an answer that isn't asked again: %v", err)
 			}
 			d.until(t, 2, 4) // the third stores nothing while nobody leads or can be elected
 			for _, p := range cluster.procs {
-				if a, err := cluster.try(ctx, p, entry(register.Take, "b")); err == nil {
+				if a, err := cluster.try(ctx, p, entry(leasestate.AcquireLease, "b")); err == nil {
 					t.Errorf("%s answered: %v", p.set.Name, a)
 				}
 			}
@@ -312,7 +312,7 @@
 	d := failures(t, "ledger.write")
 	cluster := newCluster(t, "c1", "c2", "c3")
 	for _, p := range cluster.peers {
-		cluster.start(p.Name, Planted{})
+		cluster.start(p.Name, SeededDefects{})
 	}
 	fence, leader := cluster.take("a")
 	d.set(syscall.ENOSPC, leader.set.Name)
@@ -338,14 +338,14 @@
 	d := failures(t, "ledger.open")
 	cluster := newCluster(t, "c1")
 	d.set(syscall.ENOSPC, "c1")
-	cluster.start("c1", Planted{})
+	cluster.start("c1", SeededDefects{})
 	d.until(t, 1, 3)
 	d.set(nil, "c1")
 	cluster.take("a")
 }
 
 // killed has a process taken down while its disk refuses, with nothing more stored, and started again.
-func (c *cluster) killed(d *disks, name string, planted Planted) {
+func (c *cluster) killed(d *disks, name string, planted SeededDefects) {
 	c.t.Helper()
 	c.stop(name)
 	d.set(nil, name)
@@ -355,7 +355,7 @@
 // What was acknowledged while the disk began to fail is there after a kill; the planted defect, an acknowledgement before the
 // sync, is found.
 func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
-	lost := func(t *testing.T, planted Planted) error {
+	lost := func(t *testing.T, planted SeededDefects) error {
 		d := failures(t, "ledger.write")
 		cluster := newCluster(t, "c1")
 		cluster.start("c1", planted)
@@ -370,18 +370,18 @@
 			t.Fatal(err)
 		}
 		<-set
-		a, err := cluster.try(ctx, cluster.procs["c1"], entry(register.Take, "b"))
+		a, err := cluster.try(ctx, cluster.procs["c1"], entry(leasestate.AcquireLease, "b"))
 		d.until(t, 1, 1)
-		cluster.killed(d, "c1", Planted{})
+		cluster.killed(d, "c1", SeededDefects{})
 		if err != nil {
 			return nil // not acknowledged
 		}
 		return cluster.holds("b", a.Fence)
 	}
-	if err := lost(t, Planted{}); err != nil {
+	if err := lost(t, SeededDefects{}); err != nil {
 		t.Error(err)
 	}
-	if err := lost(t, Planted{EarlyAcknowledge: true}); err == nil {
+	if err := lost(t, SeededDefects{EarlyAcknowledge: true}); err == nil {
 		t.Error("the planted defect is not found")
 	}
 }
@@ -391,7 +391,7 @@
 func TestStorage_FailuresAndKillsInTurn(t *testing.T) {
 	cluster := newCluster(t, "c1", "c2", "c3")
 	for _, p := range cluster.peers {
-		cluster.start(p.Name, Planted{})
+		cluster.start(p.Name, SeededDefects{})
 	}
 	granted := map[string]*fleetpb.Fence{}
 	_, leader := cluster.take("first")
@@ -401,7 +401,7 @@
 			for _, kill := range []bool{false, true} {
 				round++
 				d := newDisks()
-				clear := faults.FailOperations(point, d.fail)
+				clear := failpoint.SetOperationError(point, d.fail)
 				name := leader.set.Name
 				d.set(refused, name)
 				duty := fmt.Sprint("duty ", round)
@@ -411,7 +411,7 @@
 				}
 				d.until(t, 1, 2)
 				if kill {
-					cluster.killed(d, name, Planted{})
+					cluster.killed(d, name, SeededDefects{})
 				}
 				d.set(nil, name)
 				clear()
--- a/internal/council/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"bytes"
@@ -16,10 +16,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/council"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/ledger"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/storage"
 )
 
 // What was written by the program of this commit must open for as long as its data may be on a disk.
@@ -54,9 +54,9 @@
 func drawStart() uint64 { return 7 }
 
 // readStored opens a node's stored data directory and reads it.
-func readStored(t *testing.T, node string) (ledger.Head, council.Stored, *council.Met) {
+func readStored(t *testing.T, node string) (storage.Identity, raftnode.Stored, *raftnode.KnownIncarnations) {
 	t.Helper()
-	storage, err := ledger.Open(unpackStored(t, node), "lab", node, drawStart)
+	storage, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return storage.Head, stored, met
+	return storage.Identity, stored, met
 }
 
 // compareGolden compares a text with the file that holds what it must be.
@@ -81,37 +81,37 @@
 }
 
 // describeRegister lists all that the replicated state machine holds.
-func describeRegister(out *strings.Builder, state *register.Register) {
-	fmt.Fprintf(out, "epoch %d index %d time_ms %d refused %d\n", state.Epoch(), state.Index(), state.Now(), state.Refused())
+func describeRegister(out *strings.Builder, state *leasestate.State) {
+	fmt.Fprintf(out, "epoch %d index %d time_ms %d refused %d\n", state.Epoch(), state.Index(), state.Now(), state.RejectedActs())
 	for _, name := range state.Sessions() {
 		s, _ := state.Session(name)
-		fmt.Fprintf(out, "session %s kind %s incarnation %d length_ms %d heard_ms %d address %s policy %s refused %d rejected %s why %q\n", name, s.Is,
-			s.Incarnation, s.Length, s.Heard, s.Address, policy.MarkString(s.Policy), s.Refused, policy.MarkString(s.Wont), s.Why)
+		fmt.Fprintf(out, "session %s kind %s incarnation %d length_ms %d heard_ms %d address %s policy %s refused %d rejected %s why %q\n", name, s.Role,
+			s.Incarnation, s.Timeout, s.LastHeartbeat, s.Address, policy.MarkString(s.Policy), s.RejectedActs, policy.MarkString(s.RejectedPolicy), s.Reason)
 	}
-	for _, name := range state.Duties() {
-		d, _ := state.Duty(name)
-		fmt.Fprintf(out, "lease %s holder %q token %d.%d since_ms %d queue %q barred %d.%d open %d %q ended %d %q\n", name, d.Holder, d.Fence.Epoch,
-			d.Fence.Count, d.Since, d.Queue, d.Barred.Epoch, d.Barred.Count, d.Open.Number, d.Open.Text, d.Ended.Number, d.Ended.Text)
+	for _, name := range state.Leases() {
+		d, _ := state.Lease(name)
+		fmt.Fprintf(out, "lease %s holder %q token %d.%d since_ms %d queue %q barred %d.%d open %d %q ended %d %q\n", name, d.Holder, d.Token.Epoch,
+			d.Token.Count, d.Since, d.Queue, d.ForeignToken.Epoch, d.ForeignToken.Count, d.Open.Number, d.Open.Text, d.Ended.Number, d.Ended.Text)
 		for _, step := range d.Steps {
-			fmt.Fprintf(out, "  step %d.%d %q\n", step.Fence.Epoch, step.Fence.Count, step.Text)
+			fmt.Fprintf(out, "  step %d.%d %q\n", step.Token.Epoch, step.Token.Count, step.Text)
 		}
 	}
 	events, all := state.Since(0)
 	fmt.Fprintf(out, "events %d all %t\n", len(events), all)
 	for _, e := range events {
-		fmt.Fprintf(out, "  event %d session %q ended %t lease %q token %d.%d why %q policy %s\n", e.Index, e.Session, e.Ended, e.Duty, e.Fence.Epoch,
-			e.Fence.Count, e.Why, policy.MarkString(e.Policy))
+		fmt.Fprintf(out, "  event %d session %q ended %t lease %q token %d.%d why %q policy %s\n", e.Index, e.Session, e.Ended, e.Lease, e.Token.Epoch,
+			e.Token.Count, e.Reason, policy.MarkString(e.Policy))
 	}
 	describePolicy(out, state.Policy())
 }
 
-func describePolicy(out *strings.Builder, book *policy.Book) {
+func describePolicy(out *strings.Builder, book *policy.History) {
 	describeVersion(out, "policy", book.Version)
 	for _, field := range slices.Sorted(maps.Keys(book.Document)) {
 		fmt.Fprintf(out, "  field %s = %s\n", field, book.Document[field])
 	}
-	fmt.Fprintf(out, "policy barred %s\n", policy.MarkString(book.Barred))
-	for _, change := range book.History {
+	fmt.Fprintf(out, "policy barred %s\n", policy.MarkString(book.ForeignVersion))
+	for _, change := range book.Changes {
 		describeVersion(out, "history", change.Version)
 		for _, field := range slices.Sorted(maps.Keys(change.Difference.Set)) {
 			fmt.Fprintf(out, "  set %s = %s\n", field, change.Difference.Set[field])
@@ -146,17 +146,17 @@
 	if err := cbor.Unmarshal(entry.GetData(), &record); err != nil {
 		t.Fatalf("entry %d: %v", entry.GetIndex(), err)
 	}
-	e, err := register.Decode(record.Entry)
+	e, err := leasestate.Decode(record.Entry)
 	if err != nil {
 		t.Fatalf("entry %d: %v", entry.GetIndex(), err)
 	}
-	if !bytes.Equal(register.Encode(e), record.Entry) {
-		t.Errorf("entry %d: written again it is %x, not %x", entry.GetIndex(), register.Encode(e), record.Entry)
+	if !bytes.Equal(leasestate.Encode(e), record.Entry) {
+		t.Errorf("entry %d: written again it is %x, not %x", entry.GetIndex(), leasestate.Encode(e), record.Entry)
 	}
 	fmt.Fprintf(out, " by %d number %d also %d kind %s", record.By, record.Number, record.Also, e.Kind)
-	fmt.Fprintf(out, " passed_ms %d session %q incarnation %d lease %q token %d.%d", e.Passed, e.Session, e.Incarnation, e.Duty, e.Fence.Epoch, e.Fence.Count)
-	for _, n := range e.Names {
-		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.Refused, policy.MarkString(n.Policy))
+	fmt.Fprintf(out, " passed_ms %d session %q incarnation %d lease %q token %d.%d", e.Elapsed, e.Session, e.Incarnation, e.Lease, e.Token.Epoch, e.Token.Count)
+	for _, n := range e.Heartbeats {
+		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.RejectedActs, policy.MarkString(n.Policy))
 	}
 }
 
@@ -165,15 +165,15 @@
 	t.Helper()
 	head, stored, met := readStored(t, node)
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "fleet %s node %s directory %016x starts %016x\n", head.Fleet, head.Name, head.Folder, head.Starts)
-	fmt.Fprintf(out, "term %d vote %d commit %d\n", stored.Hard.GetTerm(), stored.Hard.GetVote(), stored.Hard.GetCommit())
+	fmt.Fprintf(out, "fleet %s node %s directory %016x starts %016x\n", head.Fleet, head.Name, head.StorageID, head.Incarnations)
+	fmt.Fprintf(out, "term %d vote %d commit %d\n", stored.HardState.GetTerm(), stored.HardState.GetVote(), stored.HardState.GetCommit())
 	for _, name := range slices.Sorted(maps.Keys(met.Known)) {
 		fmt.Fprintf(out, "met %s directory %016x start %016x\n", name, met.Known[name].Folder, met.Known[name].Start)
 	}
 	meta := stored.Snapshot.GetMetadata()
 	fmt.Fprintf(out, "snapshot index %d term %d voters %d learners %d\n", meta.GetIndex(), meta.GetTerm(), meta.GetConfState().GetVoters(),
 		meta.GetConfState().GetLearners())
-	peers, state, err := council.Image("lab", stored.Snapshot)
+	peers, state, err := raftnode.DecodeSnapshot("lab", stored.Snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,17 +196,17 @@
 
 // storedImage is a snapshot's form. It is spelt out here, apart from the product's own type, to pin the keys.
 type storedImage struct {
-	Format   uint64                  `cbor:"1,keyasint"`
-	Peers    map[uint64]council.Peer `cbor:"2,keyasint"`
-	Register []byte                  `cbor:"3,keyasint"`
-	Gone     []uint64                `cbor:"4,keyasint"`
+	Format   uint64                   `cbor:"1,keyasint"`
+	Peers    map[uint64]raftnode.Peer `cbor:"2,keyasint"`
+	Register []byte                   `cbor:"3,keyasint"`
+	Gone     []uint64                 `cbor:"4,keyasint"`
 }
 
 // What was read of a snapshot, of a node's hard state and of the nodes it met is written again in the same bytes: an earlier program can read
 // what this one writes, and nothing of it was lost.
 func TestStoredNode_IsWrittenAsItWas(t *testing.T) {
 	for _, node := range storedNodes {
-		storage, err := ledger.Open(unpackStored(t, node), "lab", node, drawStart)
+		storage, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -219,7 +219,7 @@
 			t.Fatal(err)
 		}
 		storage.Close()
-		_, state, err := council.Image("lab", read.Snapshot)
+		_, state, err := raftnode.DecodeSnapshot("lab", read.Snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -230,10 +230,10 @@
 		if !bytes.Equal(state.Snapshot(), image.Register) {
 			t.Errorf("%s: the state machine's snapshot is written as\n%x\nnot as\n%x", node, state.Snapshot(), image.Register)
 		}
-		if again := council.Pack(image.Peers, image.Gone, state); !bytes.Equal(again, read.Snapshot.GetData()) {
+		if again := raftnode.EncodeSnapshot(image.Peers, image.Gone, state); !bytes.Equal(again, read.Snapshot.GetData()) {
 			t.Errorf("%s: the snapshot is written as\n%x\nnot as\n%x", node, again, read.Snapshot.GetData())
 		}
-		hard, err := proto.Marshal(read.Hard)
+		hard, err := proto.Marshal(read.HardState)
 		if err != nil || !bytes.Equal(hard, values["hard"]) {
 			t.Errorf("%s: the hard state is written as %x, not as %x: %v", node, hard, values["hard"], err)
 		}
@@ -256,7 +256,7 @@
 			t.Error(c.ended)
 		}
 		out := &strings.Builder{}
-		describeRegister(out, c.node.Register())
+		describeRegister(out, c.node.State())
 		fmt.Fprintf(out, "applied %d\n", c.node.Applied())
 		c.disk.Close()
 		compareGolden(t, filepath.Join(storedBy, node+".applied.golden"), out.String())
@@ -266,7 +266,7 @@
 // A data directory of the earlier program in which one bit of a named value has changed opens at no node.
 func TestStoredNode_CorruptedIsRefused(t *testing.T) {
 	for _, node := range storedNodes {
-		storage, err := ledger.Open(unpackStored(t, node), "lab", node, drawStart)
+		storage, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -86,8 +86,8 @@
 	return e.settled
 }
 
-// Hear takes in a sample, and corrects the estimate where members agree that it is wrong.
-func (e *Estimate) Hear(s Sample) {
+// Add takes in a sample, and corrects the estimate where members agree that it is wrong.
+func (e *Estimate) Add(s Sample) {
 	if !(s.Position >= earliestPosition && s.Position < latestPosition) {
 		return
 	}
--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -5,7 +5,7 @@
 	"math"
 	"testing"
 
-	"wayloft/internal/decide/chance"
+	"wayloft/internal/decide/random"
 )
 
 const start = 1.7672256e12 // the router's clock when it starts
@@ -19,7 +19,7 @@
 // hear has a member answer after a round trip, with a position that is this old.
 func (w *world) hear(member string, primary bool, roundTrip, age float64) {
 	w.now += roundTrip
-	w.Hear(Sample{Member: member, Primary: primary, Position: w.now - roundTrip/2 + w.offset - age, Sent: w.now - roundTrip,
+	w.Add(Sample{Member: member, Primary: primary, Position: w.now - roundTrip/2 + w.offset - age, Sent: w.now - roundTrip,
 		Received: w.now})
 }
 
@@ -171,7 +171,7 @@
 	var e Estimate
 	for _, position := range []float64{0, 1, 17, -5, 1e18, math.Inf(1), math.NaN()} {
 		for range 3 {
-			e.Hear(Sample{"a", true, position, start, start + 1})
+			e.Add(Sample{"a", true, position, start, start + 1})
 		}
 	}
 	if e.Offset() != 0 || e.Settled(start+hour) || len(e.witnesses) > 0 {
@@ -183,7 +183,7 @@
 // interval of one sample hides, unless every report so far was late; and a right clock is never corrected.
 func TestEstimate_NeverTooLow(t *testing.T) {
 	for seed := range uint64(300) {
-		draw := chance.Source{Seed: seed + 1}
+		draw := random.Source{Seed: seed + 1}
 		offsets := []float64{0, 0.6 * second, hour, -hour, -4 * second}
 		w := &world{now: start + seed2ms(seed), offset: offsets[seed%uint64(len(offsets))]}
 		primaries := 1 + int(draw.Next()*6)
--- a/internal/decide/pool/pool.go
+++ b/internal/decide/connpool/connpool.go
@@ -1,10 +1,10 @@
-// Package pool decides about connections to members: which one a submission gets, when one is opened, kept or closed,
+// Package connpool decides about connections to members: which one a submission gets, when one is opened, kept or closed,
 // and who waits for one. It owns their count, in all, for each member and for each pool; it must never open a socket,
 // read a clock or choose a member: that is router's, before anything is wanted here.
 //
 // The host calls At, then the inputs, which only update what is known, then pulls Next until it has nothing left, and
 // calls again at Due. Times are Unix ms. Connections are numbered here; a want has the id that its host gave it.
-package pool
+package connpool
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"math"
 	"slices"
 
-	"wayloft/internal/decide/chance"
-	"wayloft/internal/decide/due"
+	"wayloft/internal/decide/random"
+	"wayloft/internal/decide/timerqueue"
 )
 
 const (
@@ -60,51 +60,51 @@
 // Key tells which connections are alike.
 type Key struct{ Member, Pool string }
 
-// Want is a submission or a check that needs a connection.
-type Want struct {
+// Request is a submission or a check that needs a connection.
+type Request struct {
 	ID     string
 	Key    Key
 	Tenant string
 	Like   any // connections that were freed like this are preferred; must be comparable
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Open   Verb = iota // a connection, numbered Conn
-	Use                // Conn for Want
-	Close              // Conn
-	Refuse             // Want
-	End                // Conn has been kept by a client that asks nothing, for too long
+	Open   Action = iota // a connection, numbered Conn
+	Use                  // Conn for Want
+	Close                // Conn
+	Refuse               // Want
+	End                  // Conn has been kept by a client that asks nothing, for too long
 )
 
-// Why a want is refused.
-type Why int
+// RefusalReason a want is refused.
+type RefusalReason int
 
 const (
-	NoRoom      Why = iota // this router has no connection left: that tells nothing of the member
-	Late                   // it has waited as long as it may
-	Unconnected            // the connection that was opened for it failed to come up
+	NoRoom      RefusalReason = iota // this router has no connection left: that tells nothing of the member
+	Late                             // it has waited as long as it may
+	Unconnected                      // the connection that was opened for it failed to come up
 )
 
-// Cause is why a connection did not come up.
-type Cause int
+// FailureCause is why a connection did not come up.
+type FailureCause int
 
 const (
-	Down  Cause = iota // the member can't be reached, or did not let it in
-	Full               // the member says that it holds too many
-	Short              // this host had no descriptor, port, memory or route for it: that tells nothing of the member
+	Down             FailureCause = iota // the member can't be reached, or did not let it in
+	Full                                 // the member says that it holds too many
+	NoLocalResources                     // this host had no descriptor, port, memory or route for it: that tells nothing of the member
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb  Verb
-	Conn  int
-	Key   Key
-	Want  string
-	Why   Why
-	Fresh bool // Use: it has not rested; what comes behind its last answer may still be on its way
+	Action Action
+	Conn   int
+	Key    Key
+	Want   string
+	Reason RefusalReason
+	Fresh  bool // Use: it has not rested; what comes behind its last answer may still be on its way
 }
 
 type state int
@@ -127,11 +127,11 @@
 	lastUse     int
 	like        any
 	stale, rest bool // stale: not to be used again
-	inside      due.Item[*conn]
+	inside      timerqueue.Timer[*conn]
 }
 
 type want struct {
-	Want
+	Request
 	lane          *lane
 	at            float64
 	waits, dialed bool // dialed: a connection is being opened for it
@@ -155,7 +155,7 @@
 type place struct {
 	member  string
 	stirred bool // something has happened since the last sweep
-	swept   due.Item[*place]
+	swept   timerqueue.Timer[*place]
 	up      bool
 	lanes   map[string]*lane
 	all     int // connections, those being opened among them
@@ -174,7 +174,7 @@
 type Pool struct {
 	set     Settings
 	now     float64
-	chance  chance.Source
+	chance  random.Source
 	last    int
 	conns   map[int]*conn
 	places  map[string]*place
@@ -186,20 +186,20 @@
 	sweepAt float64
 
 	// What a sweep goes over, so that it costs by what has happened and is due, not by what is there.
-	stirred []*place          // something has happened to them since the last one
-	later   due.Queue[*place] // by when there is something to do
-	resting due.Queue[*conn]  // those kept by clients that ask nothing, by when they have been kept too long
-	visited int               // places and connections gone over so far
+	stirred []*place                 // something has happened to them since the last one
+	later   timerqueue.Queue[*place] // by when there is something to do
+	resting timerqueue.Queue[*conn]  // those kept by clients that ask nothing, by when they have been kept too long
+	visited int                      // places and connections gone over so far
 }
 
 // New makes a pool that has no connection yet.
 func New(set Settings) *Pool {
-	return &Pool{set: set, chance: chance.Source{Seed: set.Seed}, conns: map[int]*conn{}, places: map[string]*place{}, totals: map[string]int{},
+	return &Pool{set: set, chance: random.Source{Seed: set.Seed}, conns: map[int]*conn{}, places: map[string]*place{}, totals: map[string]int{},
 		wants: map[string]*want{}}
 }
 
-// At sets the time; all that follows until the next call happens then.
-func (p *Pool) At(now float64) { p.now, p.fresh = now, true }
+// Advance sets the time; all that follows until the next call happens then.
+func (p *Pool) Advance(now float64) { p.now, p.fresh = now, true }
 
 func (p *Pool) place(member string) *place {
 	m := p.places[member]
@@ -266,7 +266,7 @@
 
 // close gives a connection up; its host closes it.
 func (p *Pool) close(c *conn) {
-	p.out = append(p.out, Decision{Verb: Close, Conn: c.id, Key: c.lane.key})
+	p.out = append(p.out, Decision{Action: Close, Conn: c.id, Key: c.lane.key})
 	p.drop(c)
 }
 
@@ -292,14 +292,14 @@
 	}
 }
 
-// Want asks for a connection; Use or Refuse answers it, unless it leaves.
-func (p *Pool) Want(w Want) {
+// Request asks for a connection; Use or Refuse answers it, unless it leaves.
+func (p *Pool) Request(w Request) {
 	l := p.lane(w.Key)
 	l.busyAt = p.now
 	if l.waiting[w.Tenant] == nil {
 		l.ring = append(l.ring, w.Tenant)
 	}
-	one := &want{Want: w, lane: l, at: p.now, waits: true}
+	one := &want{Request: w, lane: l, at: p.now, waits: true}
 	l.waiting[w.Tenant] = append(l.waiting[w.Tenant], one)
 	p.wants[w.ID] = one
 	if l.waits++; l.waits == 1 {
@@ -307,8 +307,8 @@
 	}
 }
 
-// Leave says that a want is not waiting any more.
-func (p *Pool) Leave(id string) {
+// Cancel says that a want is not waiting any more.
+func (p *Pool) Cancel(id string) {
 	if w := p.wants[id]; w != nil {
 		p.take(w.lane, w.Tenant, slices.Index(w.lane.waiting[w.Tenant], w))
 	}
@@ -356,14 +356,14 @@
 // Failed says that a connection did not come up. A member that has no room for it is supposed to hold no more than it
 // does; that recovers by one after a second, more slowly where it goes on refusing. A cause of this host's says nothing of
 // the member: dials to it go on, one after each pause.
-func (p *Pool) Failed(id int, why Cause) {
+func (p *Pool) Failed(id int, why FailureCause) {
 	c := p.conns[id]
 	if c == nil || c.state != opening {
 		return
 	}
 	l, m := c.lane, c.lane.place
 	p.drop(c)
-	if why == Short {
+	if why == NoLocalResources {
 		m.localFailures++
 		m.localUntil = p.now + m.localPause()
 		if c.opened != nil && c.opened.waits {
@@ -394,9 +394,9 @@
 	return math.Min(localMost, localGap*math.Exp2(m.localFailures-1))
 }
 
-func (p *Pool) refuse(w *want, why Why) {
-	p.Leave(w.ID)
-	p.out = append(p.out, Decision{Verb: Refuse, Want: w.ID, Key: w.lane.key, Why: why})
+func (p *Pool) refuse(w *want, why RefusalReason) {
+	p.Cancel(w.ID)
+	p.out = append(p.out, Decision{Action: Refuse, Want: w.ID, Key: w.lane.key, Reason: why})
 }
 
 // Free says that a connection can be used again, and like what it was left.
@@ -500,8 +500,8 @@
 	return p.set.Member
 }
 
-// Due is when Next may have something although nothing came in; after an input, that may be as early as Sweep.
-func (p *Pool) Due() float64 {
+// NextDeadline is when Next may have something although nothing came in; after an input, that may be as early as Sweep.
+func (p *Pool) NextDeadline() float64 {
 	if len(p.stirred) > 0 || len(p.hungry) > 0 {
 		return p.sweepAt
 	}
@@ -561,7 +561,7 @@
 		fresh := c.uses > 0 && p.now-c.since < l.bounds.Settle
 		c.state = busy
 		c.uses++
-		p.out = append(p.out, Decision{Verb: Use, Conn: c.id, Want: w.ID, Key: l.key, Fresh: fresh})
+		p.out = append(p.out, Decision{Action: Use, Conn: c.id, Want: w.ID, Key: l.key, Fresh: fresh})
 	}
 	for w := l.undialed(); w != nil && l.opening < l.waits && p.mayOpen(l); w = l.undialed() {
 		p.open(l, w)
@@ -664,7 +664,7 @@
 		m.localUntil = p.now + m.localPause()
 	}
 	p.totals[l.key.Pool]++
-	d := Decision{Verb: Open, Conn: c.id, Key: l.key}
+	d := Decision{Action: Open, Conn: c.id, Key: l.key}
 	if w != nil {
 		w.dialed, d.Want = true, w.ID
 	}
@@ -714,7 +714,7 @@
 	slices.SortFunc(over, func(c, o *conn) int { return c.id - o.id })
 	for _, c := range over {
 		c.rest = false
-		p.out = append(p.out, Decision{Verb: End, Conn: c.id, Key: c.lane.key})
+		p.out = append(p.out, Decision{Action: End, Conn: c.id, Key: c.lane.key})
 	}
 }
 
--- a/internal/decide/pool/pool_test.go
+++ b/internal/decide/connpool/connpool_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"wayloft/internal/standin/scenario"
+	"wayloft/internal/fakes/scenario"
 )
 
 // A scenario is a text file, one step a line; # starts a comment.
@@ -49,10 +49,10 @@
 var verbs, whys = []string{"open", "use", "close", "refuse", "end"}, []string{"noroom", "late", "unconnected"}
 
 func told(d Decision) string {
-	s := verbs[d.Verb]
-	switch d.Verb {
+	s := verbs[d.Action]
+	switch d.Action {
 	case Refuse:
-		return s + " " + d.Want + " " + whys[d.Why]
+		return s + " " + d.Want + " " + whys[d.Reason]
 	case Open:
 		s += " " + strconv.Itoa(d.Conn) + " " + d.Key.Member + "/" + d.Key.Pool
 	default:
@@ -78,7 +78,7 @@
 		if p.now, _ = strconv.ParseFloat(w[1], 64); p.p == nil {
 			p.p = New(p.set)
 		}
-		p.p.At(p.now)
+		p.p.Advance(p.now)
 		p.stale = true
 		return nil
 	case "expect", "nothing":
@@ -102,7 +102,7 @@
 		return nil
 	}
 	p.stale = true
-	p.p.At(p.now)
+	p.p.Advance(p.now)
 	conn, _ := strconv.Atoi(w[1])
 	var like any
 	if o["like"] != "" {
@@ -117,13 +117,13 @@
 		p.p.CloseIdle(w[1])
 	case "want":
 		member, name, _ := strings.Cut(w[2], "/")
-		p.p.Want(Want{ID: w[1], Key: Key{member, name}, Tenant: o["tenant"], Like: like})
+		p.p.Request(Request{ID: w[1], Key: Key{member, name}, Tenant: o["tenant"], Like: like})
 	case "leave":
-		p.p.Leave(w[1])
+		p.p.Cancel(w[1])
 	case "opened":
 		p.p.Opened(conn)
 	case "failed", "full", "short":
-		p.p.Failed(conn, map[string]Cause{"failed": Down, "full": Full, "short": Short}[w[0]])
+		p.p.Failed(conn, map[string]FailureCause{"failed": Down, "full": Full, "short": NoLocalResources}[w[0]])
 	case "free":
 		p.p.Free(conn, like)
 	case "gone":
@@ -148,7 +148,7 @@
 		asked, since := map[string]Key{}, map[string]float64{}
 		pull := func() {
 			for d, more := p.Next(); more; d, more = p.Next() {
-				switch d.Verb {
+				switch d.Action {
 				case Open:
 					conns[d.Conn], keys[d.Conn] = "opening", d.Key
 				case Use:
@@ -209,7 +209,7 @@
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{0, 1, 30, 400}).Draw(t, "ms")
-			p.At(now)
+			p.Advance(now)
 			who := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "member")
 			switch rapid.IntRange(0, 11).Draw(t, "step") {
 			case 0:
@@ -221,7 +221,7 @@
 				id := strconv.Itoa(ids)
 				k := Key{who, rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "pool")}
 				asked[id], since[id] = k, now
-				p.Want(Want{ID: id, Key: k, Tenant: rapid.SampledFrom([]string{"", "t", "u"}).Draw(t, "tenant")})
+				p.Request(Request{ID: id, Key: k, Tenant: rapid.SampledFrom([]string{"", "t", "u"}).Draw(t, "tenant")})
 			case 5, 6:
 				if c := some("opening"); c > 0 {
 					conns[c] = "idle"
@@ -230,7 +230,7 @@
 			case 7:
 				if c := some("opening"); c > 0 {
 					delete(conns, c)
-					p.Failed(c, Cause(rapid.IntRange(0, 2).Draw(t, "cause")))
+					p.Failed(c, FailureCause(rapid.IntRange(0, 2).Draw(t, "cause")))
 				}
 			case 8, 9:
 				if c := some("busy"); c > 0 {
@@ -246,7 +246,7 @@
 				for id := range asked {
 					if len(asked) == 1 {
 						delete(asked, id)
-						p.Leave(id)
+						p.Cancel(id)
 					}
 				}
 			}
@@ -261,7 +261,7 @@
 		}
 		for range 3 {
 			now += 2000
-			p.At(now)
+			p.Advance(now)
 			pull()
 		}
 		if left := len(p.conns) + len(p.places) + len(p.wants) + len(p.hungry) + len(p.totals) + len(asked); left > 0 {
@@ -273,17 +273,17 @@
 
 func BenchmarkTurn(b *testing.B) {
 	p := New(Settings{All: 100, Pools: map[string]Bounds{"x": {PerMember: 16, Wait: 1000}}})
-	p.At(1)
+	p.Advance(1)
 	p.Listed("a", true)
 	b.ReportAllocs()
 	for n := range b.N {
-		p.At(float64(n))
-		p.Want(Want{ID: "w", Key: Key{"a", "x"}})
+		p.Advance(float64(n))
+		p.Request(Request{ID: "w", Key: Key{"a", "x"}})
 		for d, more := p.Next(); more; d, more = p.Next() {
-			if d.Verb == Open {
+			if d.Action == Open {
 				p.Opened(d.Conn)
-				p.At(float64(n))
-			} else if d.Verb == Use {
+				p.Advance(float64(n))
+			} else if d.Action == Use {
 				p.Free(d.Conn, nil)
 			}
 		}
--- a/internal/decide/pool/sweep_test.go
+++ b/internal/decide/connpool/sweep_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"cmp"
@@ -15,13 +15,13 @@
 func TestASweepPassesOverWhatRests(t *testing.T) {
 	p := New(Settings{All: 2000, Pools: map[string]Bounds{"x": {Idle: 60000, Age: 90000, Uses: 9, Wait: 500, IdleInside: 70000, Warm: 1}}})
 	pull := func(now float64) (n int) {
-		p.At(now)
+		p.Advance(now)
 		for _, more := p.Next(); more; _, more = p.Next() {
 			n++
 		}
 		return n
 	}
-	p.At(0)
+	p.Advance(0)
 	for n := range 820 {
 		p.Listed(strconv.Itoa(n), true)
 	}
@@ -29,7 +29,7 @@
 	for id := 1; id <= 820; id++ {
 		p.Opened(id)
 	}
-	p.Want(Want{ID: "w", Key: Key{"7", "x"}})
+	p.Request(Request{ID: "w", Key: Key{"7", "x"}})
 	pull(100)
 	p.Turn(8, true)
 	pull(200)
@@ -42,13 +42,13 @@
 	if n := p.visited - before; n != 0 {
 		t.Errorf("100 sweeps over 820 members with a connection each went over %d of them, none was due", n)
 	}
-	if due := p.Due(); due < 60000 {
+	if due := p.NextDeadline(); due < 60000 {
 		t.Errorf("due at %v, the first that has something to do is idle for too long at 60000", due)
 	}
-	p.At(11000)
-	p.Want(Want{ID: "v", Key: Key{"9", "x"}})
-	if before = p.visited; p.Due() > 11000 || pull(11000) != 1 || p.visited > before+1 {
-		t.Errorf("one member is wanted: %d gone over, due at %v", p.visited-before, p.Due())
+	p.Advance(11000)
+	p.Request(Request{ID: "v", Key: Key{"9", "x"}})
+	if before = p.visited; p.NextDeadline() > 11000 || pull(11000) != 1 || p.visited > before+1 {
+		t.Errorf("one member is wanted: %d gone over, due at %v", p.visited-before, p.NextDeadline())
 	}
 }
 
@@ -60,7 +60,7 @@
 			IdleInside: 300}, "y": {Wait: 500, Idle: 900, Warm: 1}, "z": {Settle: 2}}}
 		p, all := New(set), New(set)
 		now, ids := 1000.0, 0
-		state, wants := map[int]Verb{}, []string{}
+		state, wants := map[int]Action{}, []string{}
 		pull := func(p *Pool) (out []Decision) {
 			for d, more := p.Next(); more; d, more = p.Next() {
 				out = append(out, d)
@@ -71,14 +71,14 @@
 			by := now + rapid.SampledFrom([]float64{0, 1, 30, 120, 400, 3000}).Draw(t, "ms")
 			for all.sweepAt <= by { // as a host would: at each sweep of the one, at Due of the other
 				now = math.Max(now, all.sweepAt)
-				all.At(now)
+				all.Advance(now)
 				for _, m := range all.places {
 					all.stir(m)
 				}
 				want := pull(all)
 				var got []Decision
-				if p.Due() <= now {
-					p.At(now)
+				if p.NextDeadline() <= now {
+					p.Advance(now)
 					got = pull(p)
 				}
 				if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -91,9 +91,9 @@
 			who := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "member")
 			name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "pool")
 			tenant := rapid.SampledFrom([]string{"", "t"}).Draw(t, "tenant")
-			cause := Cause(rapid.IntRange(0, 2).Draw(t, "cause"))
+			cause := FailureCause(rapid.IntRange(0, 2).Draw(t, "cause"))
 			yes := rapid.IntRange(0, 3).Draw(t, "yes") > 0
-			some := func(among func(Verb) bool) int {
+			some := func(among func(Action) bool) int {
 				var ids []int
 				for id, v := range state {
 					if among(v) {
@@ -105,19 +105,19 @@
 				}
 				return ids[rapid.IntRange(0, len(ids)-1).Draw(t, "which")]
 			}
-			opening, inUse := some(func(v Verb) bool { return v == Open }), some(func(v Verb) bool { return v == Use })
+			opening, inUse := some(func(v Action) bool { return v == Open }), some(func(v Action) bool { return v == Use })
 			step := rapid.IntRange(0, 9).Draw(t, "step")
 			if step == 1 {
 				ids++
 				wants = append(wants, strconv.Itoa(ids))
 			}
 			for _, one := range []*Pool{p, all} {
-				one.At(now)
+				one.Advance(now)
 				switch step {
 				case 0:
 					one.Listed(who, yes)
 				case 1:
-					one.Want(Want{ID: strconv.Itoa(ids), Key: Key{who, name}, Tenant: tenant})
+					one.Request(Request{ID: strconv.Itoa(ids), Key: Key{who, name}, Tenant: tenant})
 				case 2, 3:
 					one.Opened(opening)
 				case 4:
@@ -130,7 +130,7 @@
 					one.Gone(cmp.Or(inUse, opening))
 				case 9:
 					if len(wants) > 0 {
-						one.Leave(wants[0])
+						one.Cancel(wants[0])
 					}
 				}
 			}
@@ -166,11 +166,11 @@
 }
 
 // note keeps how connections stand: opening, in use, or up.
-func note(ds []Decision, state map[int]Verb) {
+func note(ds []Decision, state map[int]Action) {
 	for _, d := range ds {
-		switch d.Verb {
+		switch d.Action {
 		case Open, Use:
-			state[d.Conn] = d.Verb
+			state[d.Conn] = d.Action
 		case Close:
 			delete(state, d.Conn)
 		}
@@ -180,22 +180,22 @@
 // Guards against a member that was forgotten, whose last sweep forgets the one that has its name by then.
 func TestListedAnewAfterItWasForgotten(t *testing.T) {
 	p := New(Settings{All: 9, Pools: map[string]Bounds{"x": {Wait: 500}}})
-	expect := func(now float64, want ...Verb) {
+	expect := func(now float64, want ...Action) {
 		t.Helper()
-		p.At(now)
-		var got []Verb
+		p.Advance(now)
+		var got []Action
 		for d, more := p.Next(); more; d, more = p.Next() {
-			got = append(got, d.Verb)
+			got = append(got, d.Action)
 		}
 		if !slices.Equal(got, want) {
 			t.Fatalf("at %v: %v, not %v", now, got, want)
 		}
 	}
 	expect(0)
-	p.Want(Want{ID: "w", Key: Key{"a", "x"}})
+	p.Request(Request{ID: "w", Key: Key{"a", "x"}})
 	expect(600, Refuse)
 	p.Listed("a", true)
-	p.Want(Want{ID: "v", Key: Key{"a", "x"}})
+	p.Request(Request{ID: "v", Key: Key{"a", "x"}})
 	expect(610, Open)
 	p.Opened(1)
 	expect(620, Use)
@@ -209,12 +209,12 @@
 func TestWhoWaitsIsTriedAgainInTime(t *testing.T) {
 	p := New(Settings{All: 9, Pools: map[string]Bounds{"x": {Wait: 60000}}})
 	p.Listed("a", true)
-	p.Want(Want{ID: "w", Key: Key{"a", "x"}})
+	p.Request(Request{ID: "w", Key: Key{"a", "x"}})
 	tries, now := 0, 0.0
-	for ; now < 2000; now = p.Due() {
-		p.At(now)
+	for ; now < 2000; now = p.NextDeadline() {
+		p.Advance(now)
 		for d, more := p.Next(); more; d, more = p.Next() {
-			if d.Verb == Open {
+			if d.Action == Open {
 				tries++
 				p.Failed(d.Conn, Full)
 			}
--- a/internal/decide/fade/fade.go
+++ b/internal/decide/decay/decay.go
@@ -1,6 +1,6 @@
-// Package fade has sums that decay with time, for what decisions smooth. It owns the arithmetic; it must never know what is summed
+// Package decay has sums that decay with time, for what decisions smooth. It owns the arithmetic; it must never know what is summed
 // or read a clock.
-package fade
+package decay
 
 import "math"
 
@@ -22,8 +22,8 @@
 	return f.Sum
 }
 
-// Most keeps the largest of what was added, fading.
-func (f *Sum) Most(now, span, x float64) { f.Sum = math.Max(f.Read(now, span), x) }
+// Max keeps the largest of what was added, fading.
+func (f *Sum) Max(now, span, x float64) { f.Sum = math.Max(f.Read(now, span), x) }
 
 // Mean is a mean that fades: of what was added, each with a weight.
 type Mean struct{ All, Weight Sum }
@@ -34,7 +34,7 @@
 	m.Weight.Add(now, span, weight)
 }
 
-// Of gives the mean, where what is supposed at first weighs as much as so many answers.
-func (m *Mean) Of(now, span, answers, supposed float64) float64 {
+// Value gives the mean, where what is supposed at first weighs as much as so many answers.
+func (m *Mean) Value(now, span, answers, supposed float64) float64 {
 	return (m.All.Read(now, span) + answers*supposed) / (m.Weight.Read(now, span) + answers)
 }
--- a/internal/decide/fade/fade_test.go
+++ b/internal/decide/decay/decay_test.go
@@ -1,4 +1,4 @@
-package fade
+package decay
 
 import (
 	"math"
@@ -14,8 +14,8 @@
 	if again := f.Read(1050, 100); again != f.Sum {
 		t.Errorf("a clock that goes back changed it to %v", again)
 	}
-	f.Most(1100, 100, 2)
-	f.Most(1100, 100, 5)
+	f.Max(1100, 100, 2)
+	f.Max(1100, 100, 5)
 	if f.Sum != 5 {
 		t.Errorf("the most is %v", f.Sum)
 	}
--- a/internal/decide/sight/sight.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -1,8 +1,8 @@
-// Package sight decides how one process looks at the members of a group for the whole fleet, and what the others make of what
+// Package healthshare decides how one process looks at the members of a group for the whole fleet, and what the others make of what
 // it says. It owns the turns in which members are asked and the bounds on a report; it must never tell a router who is
 // primary: a report stands for a position, which of one start never goes back, so that a late one is weak and not wrong, and
 // for whom to ask first.
-package sight
+package healthshare
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	ahead   = 1000.0 // ms that a position may lie ahead of this machine's clock, as for a router's own checks
 )
 
-// Duty names the duty of a group.
-func Duty(group int) string { return fmt.Sprintf("sight/%d", group) }
+// LeaseName names the duty of a group.
+func LeaseName(group int) string { return fmt.Sprintf("sight/%d", group) }
 
 // Report is what a check told.
 type Report struct {
@@ -30,23 +30,23 @@
 	At       float64 // Unix ms, when it was told, by its owner's clock
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Look Verb = iota // check Member
-	Send             // Reports to all others
+	Probe Action = iota // check Member
+	Share               // Reports to all others
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb    Verb
+	Action  Action
 	Member  string
 	Reports []Report
 }
 
-// Owner looks at one group. Times are ms on any clock that doesn't go back.
-type Owner struct {
+// Prober looks at one group. Times are ms on any clock that doesn't go back.
+type Prober struct {
 	period  float64
 	now     float64
 	members []string
@@ -56,16 +56,16 @@
 	since   float64 // when the first report that has yet to go came
 }
 
-// NewOwner makes one that asks each member once a period.
-func NewOwner(period float64) *Owner {
-	return &Owner{period: period, latest: map[string]Report{}}
+// NewProber makes one that asks each member once a period.
+func NewProber(period float64) *Prober {
+	return &Prober{period: period, latest: map[string]Report{}}
 }
 
-// At sets the time; all that follows until the next call happens then.
-func (o *Owner) At(now float64) { o.now = math.Max(o.now, now) }
+// Advance sets the time; all that follows until the next call happens then.
+func (o *Prober) Advance(now float64) { o.now = math.Max(o.now, now) }
 
 // Members says who is in the group now.
-func (o *Owner) Members(ids []string) {
+func (o *Prober) Members(ids []string) {
 	o.members = slices.Clone(ids[:min(len(ids), most)])
 	for id := range o.latest {
 		if !slices.Contains(o.members, id) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Told takes in a report of a check, whoever asked for it.
-func (o *Owner) Told(r Report) {
+// Reported takes in a report of a check, whoever asked for it.
+func (o *Prober) Reported(r Report) {
 	if !slices.Contains(o.members, r.Member) {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // Next gives the next decision; false: none is left.
-func (o *Owner) Next() (Decision, bool) {
+func (o *Prober) Next() (Decision, bool) {
 	if len(o.latest) > 0 && (o.now-o.since >= gather*o.period || len(o.latest) == len(o.members)) {
 		var all []Report
 		for _, id := range o.members {
@@ -95,18 +95,18 @@
 			}
 		}
 		clear(o.latest)
-		return Decision{Verb: Send, Reports: all}, true
+		return Decision{Action: Share, Reports: all}, true
 	}
 	if len(o.members) == 0 || o.turnAt > o.now {
 		return Decision{}, false
 	}
 	o.turnAt = math.Max(o.turnAt, o.now-o.period) + o.period/float64(len(o.members)) // one after the other, evenly
 	o.turn = (o.turn + 1) % len(o.members)
-	return Decision{Verb: Look, Member: o.members[o.turn]}, true
+	return Decision{Action: Probe, Member: o.members[o.turn]}, true
 }
 
-// Due is when At must be called again at the latest.
-func (o *Owner) Due() float64 {
+// NextDeadline is when At must be called again at the latest.
+func (o *Prober) NextDeadline() float64 {
 	due := math.Inf(1)
 	if len(o.latest) > 0 {
 		due = o.since + gather*o.period
@@ -117,8 +117,8 @@
 	return due
 }
 
-// Sound says what is wrong with a report that came from another process, at this Unix time in ms; nil: nothing.
-func Sound(r Report, now float64) error {
+// CheckReport says what is wrong with a report that came from another process, at this Unix time in ms; nil: nothing.
+func CheckReport(r Report, now float64) error {
 	for what, x := range map[string]float64{"started": r.Started, "position": r.Position, "at": r.At} {
 		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 			return fmt.Errorf("%s: %v is no time", what, x)
@@ -135,5 +135,5 @@
 	return nil
 }
 
-// Most is how many reports one message may hold.
-func Most() int { return most }
+// MaxReports is how many reports one message may hold.
+func MaxReports() int { return most }
--- a/internal/decide/sight/sight_test.go
+++ b/internal/decide/healthshare/healthshare_test.go
@@ -1,4 +1,4 @@
-package sight
+package healthshare
 
 import (
 	"fmt"
@@ -8,23 +8,23 @@
 
 // Each member is asked once a period, one after the other; reports go together, soon; a member that left is neither asked nor told of.
 func TestTurns(t *testing.T) {
-	o := NewOwner(400)
+	o := NewProber(400)
 	o.Members([]string{"a", "b", "c", "d"})
 	asked, told, last := map[string]int{}, map[string]int{}, 0.0
 	var gaps []float64
 	for at := 0.0; at < 4000; at += 10 {
 		if at == 2000 {
 			o.Members([]string{"a", "b"})
-			o.Told(Report{Member: "c"})
+			o.Reported(Report{Member: "c"})
 		}
-		o.At(at)
+		o.Advance(at)
 		for d, more := o.Next(); more; d, more = o.Next() {
-			switch d.Verb {
-			case Look:
+			switch d.Action {
+			case Probe:
 				asked[d.Member]++
 				gaps, last = append(gaps, at-last), at
-				o.Told(Report{Member: d.Member, Position: at})
-			case Send:
+				o.Reported(Report{Member: d.Member, Position: at})
+			case Share:
 				for _, r := range d.Reports {
 					if told[r.Member]++; at-r.Position > 110 {
 						t.Errorf("a report of %s waited for %v ms", r.Member, at-r.Position)
@@ -48,12 +48,12 @@
 
 // One that stood still doesn't make up for the turns that it missed.
 func TestPause(t *testing.T) {
-	o := NewOwner(100)
+	o := NewProber(100)
 	o.Members([]string{"a", "b"})
-	o.At(100000)
+	o.Advance(100000)
 	looks := 0
 	for d, more := o.Next(); more && looks < 100; d, more = o.Next() {
-		if d.Verb == Look {
+		if d.Action == Probe {
 			looks++
 		}
 	}
@@ -78,7 +78,7 @@
 		"before time":   {Report{Member: "a", At: -1}, false},
 		"a long member": {Report{Member: string(make([]byte, 300))}, false},
 	} {
-		if err := Sound(c.r, 5000); (err == nil) != c.ok {
+		if err := CheckReport(c.r, 5000); (err == nil) != c.ok {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
--- a/internal/decide/commits/commits_test.go
+++ b/internal/decide/lastcommit/lastcommit_test.go
@@ -1,4 +1,4 @@
-package commits
+package lastcommit
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 )
 
 func TestRemembersAndDrops(t *testing.T) {
-	var m Memory
+	var m Commits
 	for n := range 5000 {
 		m.Add(fmt.Sprint(n%3000), float64(n+1))
 		if m.Full() {
--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -11,26 +11,26 @@
 	"fmt"
 )
 
-// Fence orders the grants of one duty. Epoch counts the beginnings of the council's state, Count the grants within one.
-// The zero Fence is older than any grant.
-type Fence struct {
+// Token orders the grants of one duty. Epoch counts the beginnings of the council's state, Count the grants within one.
+// The zero Token is older than any grant.
+type Token struct {
 	Epoch uint64 `cbor:"1,keyasint" json:"epoch"`
 	Count uint64 `cbor:"2,keyasint" json:"count"`
 }
 
 // Compare tells whether f is older (-1), the same (0) or newer (1) than g.
-func (f Fence) Compare(g Fence) int {
+func (f Token) Compare(g Token) int {
 	return cmp.Or(cmp.Compare(f.Epoch, g.Epoch), cmp.Compare(f.Count, g.Count))
 }
 
 // CountBits are those of a fence's number that count grants; the epoch is above them.
 const CountBits = 24
 
-// Most is the most grants of one duty in an epoch; the next grant begins another.
-const Most = 1<<CountBits - 1
+// MaxCount is the most grants of one duty in an epoch; the next grant begins another.
+const MaxCount = 1<<CountBits - 1
 
 // Number is the fence as one number that grows with it, for guard rows and reports. It fits what others hold exactly (53 bits)
 // for epochs under 2^29: those that begin by the clock do so until 2040.
-func (f Fence) Number() uint64 { return f.Epoch<<CountBits | f.Count }
+func (f Token) Number() uint64 { return f.Epoch<<CountBits | f.Count }
 
-func (f Fence) String() string { return fmt.Sprintf("%d.%d", f.Epoch, f.Count) }
+func (f Token) String() string { return fmt.Sprintf("%d.%d", f.Epoch, f.Count) }
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -4,7 +4,7 @@
 	"maps"
 	"math"
 
-	"wayloft/internal/decide/chance"
+	"wayloft/internal/decide/random"
 )
 
 const (
@@ -16,28 +16,28 @@
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Length float64 // of a lease, as the council counts it
-	Margin float64 // before its end, from which the holder no longer acts: what an act takes, and the clocks' difference
-	Seed   uint64
+	Duration     float64 // of a lease, as the council counts it
+	SafetyMargin float64 // before its end, from which the holder no longer acts: what an act takes, and the clocks' difference
+	Seed         uint64
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Ask      Verb = iota // ask for the duty, or for more time, as request Number
-	GiveBack             // tell the council that the duty is free, under Fence
-	PassOn               // tell the council to grant it to To next, under Fence
-	Stop                 // what acts under Fence must end now: nothing more may go out
-	Start                // may act under Fence
+	RequestLease  Action = iota // ask for the duty, or for more time, as request Number
+	ReleaseLease                // tell the council that the duty is free, under Fence
+	TransferLease               // tell the council to grant it to To next, under Fence
+	Stop                        // what acts under Fence must end now: nothing more may go out
+	Start                       // may act under Fence
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb   Verb
-	Number uint64
-	Fence  Fence
-	To     string
+	Action  Action
+	Request uint64
+	Token   Token
+	To      string
 }
 
 // Holder is one process's part in one duty: candidate, then owner, then neither.
@@ -47,41 +47,41 @@
 	wanted bool
 	acting bool
 	to     string  // whom it is to be passed on to
-	fence  Fence   // of the lease that is held, or was last
+	fence  Token   // of the lease that is held, or was last
 	until  float64 // no act from then on
 	number uint64
 	asked  map[uint64]float64 // requests without an answer yet, and when they went out
 	askAt  float64
-	chance chance.Source
+	chance random.Source
 	out    []Decision
-	others Fence // the highest that is known to be not this process's
-	higher Fence // the highest that a receiver knew: its own next one, maybe
+	others Token // the highest that is known to be not this process's
+	higher Token // the highest that a receiver knew: its own next one, maybe
 }
 
 // NewHolder makes one that wants nothing yet.
 func NewHolder(set Settings) *Holder {
-	return &Holder{set: set, chance: chance.Source{Seed: set.Seed}, asked: map[uint64]float64{}, until: math.Inf(-1)}
+	return &Holder{set: set, chance: random.Source{Seed: set.Seed}, asked: map[uint64]float64{}, until: math.Inf(-1)}
 }
 
-// At sets the time; all that follows until the next call happens then. A holder that slept finds its lease over.
-func (h *Holder) At(now float64) {
+// Advance sets the time; all that follows until the next call happens then. A holder that slept finds its lease over.
+func (h *Holder) Advance(now float64) {
 	h.now = math.Max(h.now, now) // a clock that goes back must not lengthen a lease
 	if h.acting && h.now >= h.until {
 		h.stop()
 	}
 	// What is older than a lease can bring none.
-	maps.DeleteFunc(h.asked, func(_ uint64, at float64) bool { return at <= h.now-h.set.Length })
+	maps.DeleteFunc(h.asked, func(_ uint64, at float64) bool { return at <= h.now-h.set.Duration })
 }
 
-// Want says that this process would hold the duty.
-func (h *Holder) Want() {
+// Acquire says that this process would hold the duty.
+func (h *Holder) Acquire() {
 	if !h.wanted {
 		h.wanted, h.askAt = true, h.now
 	}
 }
 
-// Leave ends it: what is held is given back, or passed on to the process named. No grant that is still on its way counts.
-func (h *Holder) Leave(to string) {
+// Release ends it: what is held is given back, or passed on to the process named. No grant that is still on its way counts.
+func (h *Holder) Release(to string) {
 	if !h.wanted {
 		return
 	}
@@ -90,34 +90,34 @@
 	if h.acting {
 		h.stop()
 		if to != "" {
-			h.out = append(h.out, Decision{Verb: PassOn, Fence: h.fence, To: to})
+			h.out = append(h.out, Decision{Action: TransferLease, Token: h.fence, To: to})
 		} else {
-			h.out = append(h.out, Decision{Verb: GiveBack, Fence: h.fence})
+			h.out = append(h.out, Decision{Action: ReleaseLease, Token: h.fence})
 		}
 	}
 }
 
 // Granted says that request number was answered with a grant or more time under fence. The time counts from when the
 // request went out: when the council counted it, nobody here can know.
-func (h *Holder) Granted(number uint64, fence Fence) {
+func (h *Holder) Granted(number uint64, fence Token) {
 	at, known := h.asked[number]
 	if !known || !h.wanted || fence.Compare(h.fence) < 0 || fence.Compare(h.higher) < 0 ||
-		fence.Compare(h.others) <= 0 && h.others != (Fence{}) {
+		fence.Compare(h.others) <= 0 && h.others != (Token{}) {
 		return
 	}
 	delete(h.asked, number)
 	if h.acting && fence != h.fence { // it was somebody else's in between: what was begun under the old fence must end
 		h.stop()
 	}
-	until := at + h.set.Length - h.set.Margin
+	until := at + h.set.Duration - h.set.SafetyMargin
 	if fence == h.fence {
 		until = math.Max(until, h.until)
 	}
 	h.fence, h.until = fence, until
-	h.askAt = math.Min(at+h.set.Length*(renewAt-spread*h.chance.Next()), math.Max(until, h.now))
+	h.askAt = math.Min(at+h.set.Duration*(renewAt-spread*h.chance.Next()), math.Max(until, h.now))
 	if !h.acting && h.now < h.until {
 		h.acting = true
-		h.out = append(h.out, Decision{Verb: Start, Fence: fence})
+		h.out = append(h.out, Decision{Action: Start, Token: fence})
 	}
 }
 
@@ -126,7 +126,7 @@
 func (h *Holder) Denied(number uint64) {
 	_, known := h.asked[number]
 	if delete(h.asked, number); known && number == h.number { // else its turn may have come since
-		if h.askAt = h.now + h.set.Length*queued*(1-spread*h.chance.Next()); h.acting {
+		if h.askAt = h.now + h.set.Duration*queued*(1-spread*h.chance.Next()); h.acting {
 			h.stop() // the council has it otherwise
 		}
 	}
@@ -134,7 +134,7 @@
 
 // Refused says that a receiver knows a higher fence: this one is over, whatever the clock says. Whose the higher one is, it doesn't
 // say: a grant under it may be on its way here.
-func (h *Holder) Refused(higher Fence) {
+func (h *Holder) Refused(higher Token) {
 	if higher.Compare(h.fence) > 0 {
 		if higher.Compare(h.higher) > 0 {
 			h.higher = higher
@@ -146,7 +146,7 @@
 }
 
 // Lost says that the council has this fence, or none that is higher, as somebody else's or nobody's.
-func (h *Holder) Lost(fence Fence) {
+func (h *Holder) Lost(fence Token) {
 	if fence.Compare(h.fence) < 0 { // told before this process's own grant
 		return
 	}
@@ -167,14 +167,14 @@
 
 func (h *Holder) stop() {
 	h.acting, h.until = false, math.Min(h.until, h.now)
-	h.out = append(h.out, Decision{Verb: Stop, Fence: h.fence})
+	h.out = append(h.out, Decision{Action: Stop, Token: h.fence})
 }
 
-// May tells whether an act may go out now, and the fence that goes with it. Ask it last, right before the act.
-func (h *Holder) May() (Fence, bool) { return h.fence, h.acting && h.now < h.until }
+// Valid tells whether an act may go out now, and the fence that goes with it. Ask it last, right before the act.
+func (h *Holder) Valid() (Token, bool) { return h.fence, h.acting && h.now < h.until }
 
-// Due is when At must be called again at the latest.
-func (h *Holder) Due() float64 {
+// NextDeadline is when At must be called again at the latest.
+func (h *Holder) NextDeadline() float64 {
 	due := math.Inf(1)
 	if h.acting {
 		due = h.until
@@ -195,8 +195,8 @@
 	if h.wanted && h.askAt <= h.now {
 		h.number++
 		h.asked[h.number] = h.now
-		h.askAt = h.now + h.set.Length*retryPart*(1+h.chance.Next())
-		return Decision{Verb: Ask, Number: h.number}, true
+		h.askAt = h.now + h.set.Duration*retryPart*(1+h.chance.Next())
+		return Decision{Action: RequestLease, Request: h.number}, true
 	}
 	return Decision{}, false
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"wayloft/internal/standin/scenario"
+	"wayloft/internal/fakes/scenario"
 )
 
 // A scenario plays one holder with a lease of 1,000 ms and a margin of 100, and one receiver.
@@ -18,7 +18,7 @@
 //	learned DUTY 1.2 | act DUTY ABOUT HOLDER 1.2 VERDICT [HIGHEST] | restarts | closes DUTY ABOUT
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
-		p := &play{h: NewHolder(Settings{Length: 1000, Margin: 100, Seed: 1}), r: NewReceiver()}
+		p := &play{h: NewHolder(Settings{Duration: 1000, SafetyMargin: 100, Seed: 1}), r: NewReceiver()}
 		return func(line string) error { return p.step(strings.Fields(line)) }
 	})
 }
@@ -30,11 +30,11 @@
 }
 
 var (
-	verbs    = map[Verb]string{Ask: "ask", GiveBack: "give", PassOn: "pass", Stop: "stop", Start: "start"}
+	verbs    = map[Action]string{RequestLease: "ask", ReleaseLease: "give", TransferLease: "pass", Stop: "stop", Start: "start"}
 	verdicts = map[Verdict]string{Taken: "taken", Old: "old", Unknown: "unknown", Broken: "broken"}
 )
 
-func fence(s string) (f Fence) {
+func fence(s string) (f Token) {
 	a, b, _ := strings.Cut(s, ".")
 	f.Epoch, _ = strconv.ParseUint(a, 10, 64)
 	f.Count, _ = strconv.ParseUint(b, 10, 64)
@@ -48,11 +48,11 @@
 	}
 	switch w[0] {
 	case "at":
-		p.h.At(float64(number(1)))
+		p.h.Advance(float64(number(1)))
 	case "wants":
-		p.h.Want()
+		p.h.Acquire()
 	case "leaves":
-		p.h.Leave(strings.Join(w[1:], ""))
+		p.h.Release(strings.Join(w[1:], ""))
 	case "turn":
 		p.h.Turn()
 	case "granted":
@@ -64,17 +64,17 @@
 	case "refused":
 		p.h.Refused(fence(w[1]))
 	case "may":
-		f, may := p.h.May()
+		f, may := p.h.Valid()
 		if got := map[bool]string{true: f.String(), false: "not"}[may]; got != w[1] {
 			return fmt.Errorf("may %s", got)
 		}
 	case "want", "never":
 		for d, more := p.h.Next(); more; d, more = p.h.Next() {
-			line := verbs[d.Verb]
-			if d.Verb == Ask {
-				line += fmt.Sprint(" ", d.Number)
+			line := verbs[d.Action]
+			if d.Action == RequestLease {
+				line += fmt.Sprint(" ", d.Request)
 			} else {
-				line += strings.TrimRight(" "+d.Fence.String()+" "+d.To, " ")
+				line += strings.TrimRight(" "+d.Token.String()+" "+d.To, " ")
 			}
 			p.left = append(p.left, line)
 		}
@@ -91,7 +91,7 @@
 			return fmt.Errorf("left: %s", strings.Join(p.left, "; "))
 		}
 	case "learned":
-		p.r.Learned(w[1], fence(w[2]))
+		p.r.TokenLearned(w[1], fence(w[2]))
 	case "restarts":
 		p.r = NewReceiver()
 	case "closes":
@@ -109,16 +109,16 @@
 
 // Requests that were never answered are forgotten after a lease's length, also while others are answered.
 func TestForgetsRequests(t *testing.T) {
-	h := NewHolder(Settings{Length: 1000, Margin: 100, Seed: 1})
-	h.Want()
+	h := NewHolder(Settings{Duration: 1000, SafetyMargin: 100, Seed: 1})
+	h.Acquire()
 	for at := 0.0; at < 100000; at += 50 {
-		h.At(at)
+		h.Advance(at)
 		for d, more := h.Next(); more; d, more = h.Next() {
-			if d.Verb == Ask && d.Number%3 == 1 {
-				h.Granted(d.Number, Fence{1, 1})
+			if d.Action == RequestLease && d.Request%3 == 1 {
+				h.Granted(d.Request, Token{1, 1})
 			}
 		}
-		if _, may := h.May(); !may {
+		if _, may := h.Valid(); !may {
 			t.Fatalf("%v: not acting", at)
 		}
 		if len(h.asked) > 10 {
@@ -132,8 +132,8 @@
 	r := NewReceiver()
 	for n := range 820 {
 		duty := fmt.Sprint("sight/", n)
-		r.Learned(duty, Fence{Epoch: 1})
-		r.Take(Scope{Duty: duty, About: duty}, "a", Fence{Epoch: 1, Count: uint64(n)})
+		r.TokenLearned(duty, Token{Epoch: 1})
+		r.Take(Scope{Lease: duty, About: duty}, "a", Token{Epoch: 1, Count: uint64(n)})
 	}
 	for n := range 820 {
 		if fence, holder := r.Highest(fmt.Sprint("sight/", n)); fence.Count != uint64(n) || holder != "a" {
--- a/internal/decide/lease/receiver.go
+++ b/internal/decide/lease/receiver.go
@@ -1,9 +1,9 @@
 package lease
 
-import "wayloft/internal/must"
+import "wayloft/internal/invariant"
 
 // Scope is what acts of one duty are about: one group, say. Each has a memory of its own.
-type Scope struct{ Duty, About string }
+type Scope struct{ Lease, About string }
 
 // Verdict is what a receiver makes of an act.
 type Verdict int
@@ -18,25 +18,25 @@
 // Receiver remembers, for each scope, the highest fence that it has seen. It begins knowing nothing and takes no act of
 // a duty until Learned says where the duty's fences stand: what it saw before it restarted may have been higher.
 type Receiver struct {
-	learned map[string]Fence           // by duty
+	learned map[string]Token           // by duty
 	seen    map[string]map[string]seen // by duty and what the act was about
 	Late    int                        // acts refused for their fence, since the start
 	Looked  int                        // scopes gone over for what is known of a duty, since the start
 }
 
 type seen struct {
-	fence  Fence
+	fence  Token
 	holder string
 	broken bool
 }
 
 // NewReceiver makes one that takes nothing yet.
 func NewReceiver() *Receiver {
-	return &Receiver{learned: map[string]Fence{}, seen: map[string]map[string]seen{}}
+	return &Receiver{learned: map[string]Token{}, seen: map[string]map[string]seen{}}
 }
 
-// Learned says which fence the council knows to be the latest granted of a duty. It never lowers what is known.
-func (r *Receiver) Learned(duty string, fence Fence) {
+// TokenLearned says which fence the council knows to be the latest granted of a duty. It never lowers what is known.
+func (r *Receiver) TokenLearned(duty string, fence Token) {
 	if known, ok := r.learned[duty]; !ok || fence.Compare(known) > 0 {
 		r.learned[duty] = fence
 	}
@@ -50,21 +50,21 @@
 
 // Close drops what is kept of a scope that is gone; the duty's own fence still holds for it.
 func (r *Receiver) Close(s Scope) {
-	if was, ok := r.seen[s.Duty][s.About]; ok {
-		if delete(r.seen[s.Duty], s.About); len(r.seen[s.Duty]) == 0 {
-			delete(r.seen, s.Duty)
+	if was, ok := r.seen[s.Lease][s.About]; ok {
+		if delete(r.seen[s.Lease], s.About); len(r.seen[s.Lease]) == 0 {
+			delete(r.seen, s.Lease)
 		}
-		r.Learned(s.Duty, was.fence)
+		r.TokenLearned(s.Lease, was.fence)
 	}
 }
 
 // Take judges an act. highest is the fence to answer with where it is Old.
-func (r *Receiver) Take(s Scope, holder string, fence Fence) (v Verdict, highest Fence) {
-	least, known := r.learned[s.Duty]
+func (r *Receiver) Take(s Scope, holder string, fence Token) (v Verdict, highest Token) {
+	least, known := r.learned[s.Lease]
 	if !known {
-		return Unknown, Fence{}
+		return Unknown, Token{}
 	}
-	was := r.seen[s.Duty][s.About]
+	was := r.seen[s.Lease][s.About]
 	if highest = least; was.fence.Compare(least) > 0 {
 		highest = was.fence
 	}
@@ -73,7 +73,7 @@
 		return Old, highest
 	}
 	if fence == was.fence && was.holder != "" && was.holder != holder {
-		must.Hold(false, "one fence, one holder")
+		invariant.Check(false, "one fence, one holder")
 		was.broken = true
 	}
 	if was.broken && fence == was.fence {
@@ -85,10 +85,10 @@
 }
 
 func (r *Receiver) see(s Scope, what seen) {
-	if r.seen[s.Duty] == nil {
-		r.seen[s.Duty] = map[string]seen{}
+	if r.seen[s.Lease] == nil {
+		r.seen[s.Lease] = map[string]seen{}
 	}
-	r.seen[s.Duty][s.About] = what
+	r.seen[s.Lease][s.About] = what
 }
 
 // Knows tells whether anything of a duty may be taken yet.
@@ -96,7 +96,7 @@
 
 // Highest is the highest fence known of a duty, over all its scopes, and who acted under it, if somebody did; a council that
 // knows a lower one, or another holder, must not grant it.
-func (r *Receiver) Highest(duty string) (highest Fence, holder string) {
+func (r *Receiver) Highest(duty string) (highest Token, holder string) {
 	highest = r.learned[duty]
 	for _, was := range r.seen[duty] {
 		if r.Looked++; was.fence.Compare(highest) >= 0 {
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
 var deep = flag.Int("deep", 7, "steps that the small world is explored for")
@@ -32,15 +32,15 @@
 	now      float64
 	owners   [2]*lease.Holder
 	asleep   [2]bool
-	checked  [2]lease.Fence // what the owner has found that it may do, and not yet sent
-	council  *register.Register
+	checked  [2]lease.Token // what the owner has found that it may do, and not yet sent
+	council  *leasestate.State
 	index    uint64
 	epoch    uint64
 	receiver *lease.Receiver
 	restarts int
 	net      []message
 	done     map[string]int // how often what happens once or twice has happened
-	accepted lease.Fence    // the highest, by any incarnation of the receiver
+	accepted lease.Token    // the highest, by any incarnation of the receiver
 	refused  int
 	wrong    string
 }
@@ -49,38 +49,38 @@
 	kind   string // ask, answer, act, stand
 	owner  int
 	number uint64
-	fence  lease.Fence
+	fence  lease.Token
 	held   bool
 }
 
 const duty = "d"
 
-var scope = lease.Scope{Duty: duty, About: "g"}
+var scope = lease.Scope{Lease: duty, About: "g"}
 
 func begin(d defects) *world {
-	w := &world{defects: d, council: register.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[string]int{}}
-	w.receiver.Learned(duty, w.council.Stands(duty))
+	w := &world{defects: d, council: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[string]int{}}
+	w.receiver.TokenLearned(duty, w.council.LatestToken(duty))
 	for n := range w.owners {
-		w.owners[n] = lease.NewHolder(lease.Settings{Length: 3, Margin: 1 - d.overstayed, Seed: uint64(n)})
-		w.owners[n].Want()
+		w.owners[n] = lease.NewHolder(lease.Settings{Duration: 3, SafetyMargin: 1 - d.overstayed, Seed: uint64(n)})
+		w.owners[n].Acquire()
 		w.pull(n)
 	}
 	return w
 }
 
-func (w *world) apply(e register.Entry) register.Answer {
+func (w *world) apply(e leasestate.Entry) leasestate.Result {
 	w.index++
 	return w.council.Apply(w.index, e)
 }
 
 func (w *world) pull(n int) {
 	for d, more := w.owners[n].Next(); more; d, more = w.owners[n].Next() {
-		switch d.Verb {
-		case lease.Ask: // one goes in place of the one before, if that is still on its way
+		switch d.Action {
+		case lease.RequestLease: // one goes in place of the one before, if that is still on its way
 			w.net = slices.DeleteFunc(w.net, func(m message) bool { return m.kind == "ask" && m.owner == n })
-			w.net = append(w.net, message{kind: "ask", owner: n, number: d.Number})
+			w.net = append(w.net, message{kind: "ask", owner: n, number: d.Request})
 		case lease.Stop:
-			w.checked[n] = lease.Fence{} // it ends what it was about to do, if it is awake to hear of it
+			w.checked[n] = lease.Token{} // it ends what it was about to do, if it is awake to hear of it
 		}
 	}
 }
@@ -105,9 +105,9 @@
 		if w.once("sleep") {
 			s = append(s, "sleep"+name)
 		}
-		if _, may := w.owners[n].May(); may && w.checked[n] == (lease.Fence{}) {
+		if _, may := w.owners[n].Valid(); may && w.checked[n] == (lease.Token{}) {
 			s = append(s, "check"+name)
-		} else if w.checked[n] != (lease.Fence{}) && w.once("send") {
+		} else if w.checked[n] != (lease.Token{}) && w.once("send") {
 			s = append(s, "send"+name)
 		}
 	}
@@ -138,10 +138,10 @@
 	switch verb {
 	case "tick":
 		w.now += 2
-		w.apply(register.Entry{Kind: register.Tick, Passed: 2})
+		w.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 2})
 		for n := range w.owners {
 			if !w.asleep[n] {
-				w.owners[n].At(w.now)
+				w.owners[n].Advance(w.now)
 				w.pull(n)
 			}
 		}
@@ -149,37 +149,37 @@
 		w.asleep[n] = true
 	case "wake": // it goes on where it stood: what it has checked may go out before it looks at its clock
 		w.asleep[n] = false
-		if w.checked[n] != (lease.Fence{}) {
+		if w.checked[n] != (lease.Token{}) {
 			w.net = append(w.net, message{kind: "act", owner: n, fence: w.checked[n]})
 		}
-		w.owners[n].At(w.now)
+		w.owners[n].Advance(w.now)
 		w.pull(n)
 	case "check":
-		w.checked[n], _ = w.owners[n].May()
-		if d, _ := w.council.Duty(duty); d.Holder != fmt.Sprint(n) && w.done["wiped"] == 0 {
-			w.wrong = fmt.Sprintf("owner %d may act under %v while the council has %q at %v", n, w.checked[n], d.Holder, d.Fence)
+		w.checked[n], _ = w.owners[n].Valid()
+		if d, _ := w.council.Lease(duty); d.Holder != fmt.Sprint(n) && w.done["wiped"] == 0 {
+			w.wrong = fmt.Sprintf("owner %d may act under %v while the council has %q at %v", n, w.checked[n], d.Holder, d.Token)
 		}
 	case "send":
 		w.net = append(w.net, message{kind: "act", owner: n, fence: w.checked[n]})
-		w.checked[n] = lease.Fence{}
+		w.checked[n] = lease.Token{}
 	case "lose":
 		w.net = append(w.net[:n:n], w.net[n+1:]...)
 	case "restart":
 		w.receiver = lease.NewReceiver()
 		if w.restarts++; w.forgets {
-			w.receiver.Learned(duty, lease.Fence{})
+			w.receiver.TokenLearned(duty, lease.Token{})
 		} else {
 			w.net = append(w.net, message{kind: "stand", number: uint64(w.restarts)})
 		}
 	case "wiped":
-		w.council = register.New("f")
+		w.council = leasestate.New("f")
 		if w.epoch++; w.sameEpoch {
 			w.epoch--
 		} else {
-			w.apply(register.Entry{Kind: register.Ascend, Epoch: w.epoch})
+			w.apply(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: w.epoch})
 		}
 	case "lead":
-		w.apply(register.Entry{Kind: register.Lead})
+		w.apply(leasestate.Entry{Kind: leasestate.BeginTerm})
 	case "deliver":
 		m := w.net[n]
 		w.net = append(w.net[:n:n], w.net[n+1:]...)
@@ -192,9 +192,9 @@
 	switch m.kind {
 	case "ask":
 		if _, open := w.council.Session(name); !open {
-			w.apply(register.Entry{Kind: register.Open, Session: name, Incarnation: 1, Length: 3})
+			w.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: 3})
 		}
-		a := w.apply(register.Entry{Kind: register.Take, Session: name, Incarnation: 1, Duty: duty})
+		a := w.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: duty})
 		w.net = append(w.net, message{kind: "answer", owner: m.owner, number: m.number, fence: a.Fence, held: a.Held})
 	case "answer":
 		if m.held {
@@ -205,12 +205,12 @@
 		w.pull(m.owner)
 	case "stand":
 		if m.held {
-			w.receiver.Learned(duty, m.fence)
+			w.receiver.TokenLearned(duty, m.fence)
 			return
 		}
-		if m.held, m.fence = true, w.council.Stands(duty); w.epochless {
-			d, _ := w.council.Duty(duty)
-			m.fence = d.Fence
+		if m.held, m.fence = true, w.council.LatestToken(duty); w.epochless {
+			d, _ := w.council.Lease(duty)
+			m.fence = d.Token
 		}
 		w.net = append(w.net, m)
 	case "act":
@@ -384,7 +384,7 @@
 			if got != "" || w.refused != 1 {
 				t.Errorf("without it: %q, %d late acts refused", got, w.refused)
 			}
-			if _, may := w.owners[0].May(); may {
+			if _, may := w.owners[0].Valid(); may {
 				t.Error("the owner that woke up goes on")
 			}
 		})
--- a/internal/decide/agent/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -1,12 +1,12 @@
-package agent
+package leaseclient
 
 import (
 	"maps"
 	"slices"
 
 	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
 )
 
 // Session and Duty are what the council's watch tells.
@@ -16,11 +16,11 @@
 	Ended               bool
 }
 
-type Duty struct {
+type Lease struct {
 	Name, Holder string
-	Fence        lease.Fence
-	Open, Ended  register.Wish
-	Steps        []register.Step
+	Token        lease.Token
+	Open, Ended  leasestate.Order
+	Steps        []leasestate.Step
 }
 
 // Update is one word of the watch: all there is, or what has changed.
@@ -28,7 +28,7 @@
 	Whole           bool
 	WithoutSessions bool // they were not asked for
 	Sessions        []Session
-	Duties          []Duty
+	Leases          []Lease
 	Policies        []Policy // versions of the policy, the one in force last
 }
 
@@ -48,7 +48,7 @@
 // Changes gives what a watcher who has heard of everything up to an entry has to hear now: what has changed, or the whole
 // state where that is no longer kept or the watcher is ahead, since this state is an older one. Without sessions, what becomes of
 // others' is left out: who gives no orders needs none of them, and hundreds of routers are told of hundreds otherwise.
-func Changes(r *register.Register, since uint64, without bool) (Update, uint64) {
+func Changes(r *leasestate.State, since uint64, without bool) (Update, uint64) {
 	events, all := r.Since(since)
 	if since == 0 || since > r.Index() || !all {
 		u := Update{Whole: true, WithoutSessions: without, Policies: policies(r.Policy(), 1)}
@@ -57,8 +57,8 @@
 				u.Sessions = append(u.Sessions, session(r, name))
 			}
 		}
-		for _, name := range r.Duties() {
-			u.Duties = append(u.Duties, duty(r, name))
+		for _, name := range r.Leases() {
+			u.Leases = append(u.Leases, duty(r, name))
 		}
 		return u, r.Index()
 	}
@@ -67,8 +67,8 @@
 		switch {
 		case e.Policy != 0:
 			versions++
-		case e.Duty != "":
-			duties[e.Duty] = true
+		case e.Lease != "":
+			duties[e.Lease] = true
 		case !without:
 			sessions[e.Session] = true
 		}
@@ -81,19 +81,19 @@
 		u.Sessions = append(u.Sessions, session(r, name))
 	}
 	for _, name := range slices.Sorted(maps.Keys(duties)) {
-		u.Duties = append(u.Duties, duty(r, name))
+		u.Leases = append(u.Leases, duty(r, name))
 	}
 	return u, r.Index()
 }
 
 // policies gives the latest versions, the one in force last, with as many of the differences as fit, from the latest back.
-func policies(b *policy.Book, versions int) (all []Policy) {
+func policies(b *policy.History, versions int) (all []Policy) {
 	if b.Version.Number == 0 {
 		return nil
 	}
 	left := inline
-	for n := len(b.History) - 1; n >= max(0, len(b.History)-versions); n-- {
-		c := b.History[n]
+	for n := len(b.Changes) - 1; n >= max(0, len(b.Changes)-versions); n-- {
+		c := b.Changes[n]
 		if left -= c.Difference.Size() + len(c.Version.Author) + len(c.Version.Reason) + versionSize; left < 0 {
 			break
 		}
@@ -106,12 +106,12 @@
 	return all
 }
 
-func session(r *register.Register, name string) Session {
+func session(r *leasestate.State, name string) Session {
 	s, open := r.Session(name)
-	return Session{Name: name, Kind: s.Is, Address: s.Address, Incarnation: s.Incarnation, Policy: s.Policy, Ended: !open}
+	return Session{Name: name, Kind: s.Role, Address: s.Address, Incarnation: s.Incarnation, Policy: s.Policy, Ended: !open}
 }
 
-func duty(r *register.Register, name string) Duty {
-	d, _ := r.Duty(name)
-	return Duty{Name: name, Holder: d.Holder, Fence: d.Fence, Open: d.Open, Ended: d.Ended, Steps: d.Steps}
+func duty(r *leasestate.State, name string) Lease {
+	d, _ := r.Lease(name)
+	return Lease{Name: name, Holder: d.Holder, Token: d.Token, Open: d.Open, Ended: d.Ended, Steps: d.Steps}
 }
--- a/internal/decide/agent/incarnation.go
+++ b/internal/decide/leaseclient/incarnation.go
@@ -1,6 +1,6 @@
-package agent
+package leaseclient
 
-import "wayloft/internal/decide/chance"
+import "wayloft/internal/decide/random"
 
 // The state machine replaces a session by one of a higher incarnation and refuses a lower one. The number that a process is started
 // with comes from the wall clock, which may be stepped between two starts, so it alone doesn't tell which of two processes is the later
@@ -65,7 +65,7 @@
 // refused takes in that a session of another number has the name; 0: the coordinator didn't say which. It reports whether a request
 // under a number above may follow at once: not where the other's may be that of a start in the age, in ms, of this one, by a wall clock
 // that went on meanwhile.
-func (i *incarnation) refused(other uint64, age float64, draw *chance.Source) bool {
+func (i *incarnation) refused(other uint64, age float64, draw *random.Source) bool {
 	ahead := float64(other) > float64(i.current)+age
 	if i.starting && !i.late && ahead && !i.unknown && !i.claimed {
 		i.claimed = true
@@ -81,7 +81,7 @@
 }
 
 // yield places this process below one that was started later, for good: also where both have to open a session again.
-func (i *incarnation) yield(other uint64, draw *chance.Source) {
+func (i *incarnation) yield(other uint64, draw *random.Source) {
 	if other >= reopenedBelow {
 		other = reopened(other)
 	}
--- a/internal/decide/agent/incarnation_test.go
+++ b/internal/decide/leaseclient/incarnation_test.go
@@ -1,11 +1,11 @@
-package agent
+package leaseclient
 
 import (
 	"fmt"
 	"testing"
 
-	"wayloft/internal/decide/chance"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/random"
 )
 
 const (
@@ -17,36 +17,36 @@
 // all; a stopped one is fed nothing.
 type namesakes struct {
 	t        *testing.T
-	r        *register.Register
+	r        *leasestate.State
 	index    uint64
 	now      float64
-	agents   []*Agent
-	stopped  map[*Agent]bool
-	cut      map[*Agent]bool // requests bring no answer and arrive nowhere
-	silenced map[*Agent]bool // requests arrive, and their answers are lost
+	agents   []*Client
+	stopped  map[*Client]bool
+	cut      map[*Client]bool // requests bring no answer and arrive nowhere
+	silenced map[*Client]bool // requests arrive, and their answers are lost
 }
 
 func newNamesakes(t *testing.T) *namesakes {
-	return &namesakes{t: t, r: register.New("f"), stopped: map[*Agent]bool{}, cut: map[*Agent]bool{}, silenced: map[*Agent]bool{}}
+	return &namesakes{t: t, r: leasestate.New("f"), stopped: map[*Client]bool{}, cut: map[*Client]bool{}, silenced: map[*Client]bool{}}
 }
 
 const sessionTimeout = 1000
 
-func (n *namesakes) begin(wall uint64) *Agent {
-	a := New(Settings{Name: "p", Kind: "router", Incarnation: wall, Length: sessionTimeout, Margin: 100, Seed: wall})
-	a.At(n.now)
+func (n *namesakes) begin(wall uint64) *Client {
+	a := New(Settings{Name: "p", Kind: "router", Incarnation: wall, SessionTimeout: sessionTimeout, SafetyMargin: 100, Seed: wall})
+	a.Advance(n.now)
 	n.agents = append(n.agents, a)
 	return a
 }
 
-func (n *namesakes) apply(e register.Entry) register.Answer {
+func (n *namesakes) apply(e leasestate.Entry) leasestate.Result {
 	n.index++
 	return n.r.Apply(n.index, e)
 }
 
 func (n *namesakes) tick() {
 	n.now += 10
-	n.apply(register.Entry{Kind: register.Tick, Passed: 10})
+	n.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
 	for _, a := range n.agents {
 		if !n.stopped[a] {
 			n.turn(a)
@@ -54,17 +54,17 @@
 	}
 }
 
-func (n *namesakes) turn(a *Agent) {
-	a.At(n.now)
+func (n *namesakes) turn(a *Client) {
+	a.Advance(n.now)
 	for d, more := a.Next(); more; d, more = a.Next() {
 		switch {
 		case n.cut[a]:
-			a.Failed(d.Number)
+			a.Failed(d.Request)
 		case n.silenced[a]:
 			n.apply(d.Entry)
-			a.Failed(d.Number)
+			a.Failed(d.Request)
 		default:
-			a.Answered(d.Number, n.apply(d.Entry))
+			a.Answered(d.Request, n.apply(d.Entry))
 		}
 	}
 }
@@ -76,16 +76,16 @@
 }
 
 // has tells whether the name's session is this process's.
-func (n *namesakes) has(a *Agent) bool {
+func (n *namesakes) has(a *Client) bool {
 	s, open := n.r.Session("p")
-	return open && s.Incarnation == a.self.current && a.Open()
+	return open && s.Incarnation == a.self.current && a.HasSession()
 }
 
-func (n *namesakes) want(a *Agent, what string) {
+func (n *namesakes) want(a *Client, what string) {
 	n.t.Helper()
 	if !n.has(a) {
 		s, open := n.r.Session("p")
-		n.t.Fatalf("%s: the session is %d (open: %v), not the expected process's (%d, open: %v)", what, s.Incarnation, open, a.self.current, a.Open())
+		n.t.Fatalf("%s: the session is %d (open: %v), not the expected process's (%d, open: %v)", what, s.Incarnation, open, a.self.current, a.HasSession())
 	}
 }
 
@@ -151,7 +151,7 @@
 	n.pass(100)
 	n.stopped[killed] = true
 	former := n.begin(today)
-	former.At(n.now)
+	former.Advance(n.now)
 	d, _ := former.Next()
 	refusal := n.apply(d.Entry)
 	n.stopped[former] = true
@@ -160,8 +160,8 @@
 	n.pass(100)
 	n.want(later, "later process")
 	n.stopped[former] = false
-	former.At(n.now)
-	former.Answered(d.Number, refusal)
+	former.Advance(n.now)
+	former.Answered(d.Request, refusal)
 	n.pass(20 * sessionTimeout)
 	n.want(later, "the former process runs again")
 }
@@ -243,7 +243,7 @@
 	n.pass(3 * sessionTimeout)
 	n.want(a, "opened again")
 	below := a.self.current
-	restored, err := register.Restore("f", older)
+	restored, err := leasestate.Restore("f", older)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,7 +257,7 @@
 
 // Who is told nothing of the incarnation that has the name, by a coordinator of an earlier build, waits for its end.
 func TestIncarnation_RefusedWithoutNumber(t *testing.T) {
-	i, draw := newIncarnation(today), chance.Source{Seed: 1}
+	i, draw := newIncarnation(today), random.Source{Seed: 1}
 	if i.refused(0, 10, &draw) || i.current != today/reopenedPart {
 		t.Errorf("%+v", i)
 	}
@@ -282,7 +282,7 @@
 
 // A number is taken above a predecessor's once: who has the name at the second refusal came after the first request.
 func TestIncarnation_ClaimsOnce(t *testing.T) {
-	i, draw := newIncarnation(today), chance.Source{Seed: 1}
+	i, draw := newIncarnation(today), random.Source{Seed: 1}
 	if !i.refused(today+hour, 10, &draw) || i.current <= today+hour || i.current > today+hour+1+apart {
 		t.Errorf("%+v", i)
 	}
@@ -317,10 +317,10 @@
 	var log []string
 	for _, booted := range []float64{0, 1e11} {
 		s := sit(t, "d")
-		s.a.At(booted)
+		s.a.Advance(booted)
 		s.now = booted
 		starts, stops := s.to(booted+5000, true)
-		_, may := s.a.May("d")
+		_, may := s.a.Valid("d")
 		_, ended := s.to(booted+7000, false)
 		log = append(log, fmt.Sprint(starts, stops, may, ended, s.log))
 	}
--- a/internal/decide/agent/agent.go
+++ b/internal/decide/leaseclient/leaseclient.go
@@ -1,20 +1,20 @@
-// Package agent decides one process's part in the fleet: its session with the council, the duties that it would hold, and
+// Package leaseclient decides one process's part in the fleet: its session with the council, the duties that it would hold, and
 // whose orders it takes. It owns the account of what was asked and is not answered; it must never do I/O, read a clock, or
 // keep the process from its own work: all that it says is "you may act for the fleet now", or "no longer".
 //
 // The host feeds it time, answers, the council's watch and others' acts, and pulls what to ask of the council and which
 // duties begin and end. Times are ms on a clock that also runs while the machine sleeps.
-package agent
+package leaseclient
 
 import (
 	"maps"
 	"math"
 	"slices"
 
-	"wayloft/internal/decide/chance"
-	"wayloft/internal/decide/due"
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/random"
+	"wayloft/internal/decide/timerqueue"
 )
 
 const (
@@ -30,35 +30,35 @@
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Name, Kind, Address string
-	Incarnation         uint64 // Unix ms of the start, as the wall clock has it
-	Length, Margin      float64
-	Duties              []string // that it would hold
-	Seed                uint64
+	Name, Kind, Address          string
+	Incarnation                  uint64 // Unix ms of the start, as the wall clock has it
+	SessionTimeout, SafetyMargin float64
+	Leases                       []string // that it would hold
+	Seed                         uint64
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Call  Verb = iota // propose Entry to the council, as request Number
-	Stand             // ask the council where the fences of Duties stand now, as request Number; Stood takes the answer
-	Start             // Duty is this process's, under Fence
-	Stop              // it is no more: nothing more may go out under Fence
+	Propose     Action = iota // propose Entry to the council, as request Number
+	QueryTokens               // ask the council where the fences of Duties stand now, as request Number; Stood takes the answer
+	Start                     // Duty is this process's, under Fence
+	Stop                      // it is no more: nothing more may go out under Fence
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb   Verb
-	Number uint64
-	Entry  register.Entry
-	Duty   string
-	Duties []string
-	Fence  lease.Fence
+	Action  Action
+	Request uint64
+	Entry   leasestate.Entry
+	Lease   string
+	Leases  []string
+	Token   lease.Token
 }
 
 type asked struct {
-	kind   register.Kind // "": Stand
+	kind   leasestate.Kind // "": Stand
 	duty   string
 	number uint64   // the holder's own
 	duties []string // of Stand
@@ -71,17 +71,17 @@
 type holder struct {
 	*lease.Holder
 	duty string
-	due  due.Item[*holder]
+	due  timerqueue.Timer[*holder]
 }
 
-// Agent is one process's part.
-type Agent struct {
+// Client is one process's part.
+type Client struct {
 	set      Settings
 	self     incarnation
 	begun    bool    // At has been called
 	begunAt  float64 // and when
 	now      float64
-	chance   chance.Source
+	chance   random.Source
 	number   uint64
 	asked    map[uint64]asked
 	open     bool
@@ -90,68 +90,68 @@
 	leaving  bool
 	left     bool
 	holders  map[string]*holder
-	soonest  due.Queue[*holder] // by when they may decide something by themselves
-	touched  int                // holders gone over so far because of time alone
-	wants    map[string]float64 // duties that it will ask for, and from when
+	soonest  timerqueue.Queue[*holder] // by when they may decide something by themselves
+	touched  int                       // holders gone over so far because of time alone
+	wants    map[string]float64        // duties that it will ask for, and from when
 	receiver *lease.Receiver
 	stands   map[string]*retry  // duties whose fences this receiver has yet to learn
 	told     map[string]float64 // by duty: when the council was told that it is behind
 	sessions map[string]Session
-	duties   map[string]Duty
+	duties   map[string]Lease
 	out      []Decision
 	others   bool // sessions holds all there are
 	policy   uint64
 	wont     uint64
 	why      string
 
-	Reopened int // sessions that the council had ended
-	Refused  int // acts of others turned away for their fence
+	Reopened     int // sessions that the council had ended
+	RejectedActs int // acts of others turned away for their fence
 }
 
 // New makes one that has no session yet.
-func New(set Settings) *Agent {
-	a := &Agent{set: set, self: newIncarnation(set.Incarnation), chance: chance.Source{Seed: set.Seed}, asked: map[uint64]asked{}, holders: map[string]*holder{}, wants: map[string]float64{},
+func New(set Settings) *Client {
+	a := &Client{set: set, self: newIncarnation(set.Incarnation), chance: random.Source{Seed: set.Seed}, asked: map[uint64]asked{}, holders: map[string]*holder{}, wants: map[string]float64{},
 		receiver: lease.NewReceiver(), stands: map[string]*retry{}, told: map[string]float64{}, sessions: map[string]Session{},
-		duties: map[string]Duty{}, beating: retry{at: math.Inf(1)}}
-	for _, duty := range set.Duties {
+		duties: map[string]Lease{}, beating: retry{at: math.Inf(1)}}
+	for _, duty := range set.Leases {
 		a.want(duty)
 	}
 	return a
 }
 
-// Want says that this process would hold a duty, too. It comes to ask for it at a drawn time, so that not the first process that starts
+// Acquire says that this process would hold a duty, too. It comes to ask for it at a drawn time, so that not the first process that starts
 // gets all there are.
-func (a *Agent) Want(duty string) {
+func (a *Client) Acquire(duty string) {
 	if _, soon := a.wants[duty]; !soon && a.holders[duty] == nil && !a.leaving && len(a.holders)+len(a.wants) < mostHeld {
-		a.wants[duty] = a.now + a.set.Length*settle*a.chance.Next()
+		a.wants[duty] = a.now + a.set.SessionTimeout*settle*a.chance.Next()
 	}
 }
 
-func (a *Agent) want(duty string) {
-	h := &holder{Holder: lease.NewHolder(lease.Settings{Length: a.set.Length, Margin: a.set.Margin, Seed: a.set.Seed + uint64(len(a.holders))}),
+func (a *Client) want(duty string) {
+	h := &holder{Holder: lease.NewHolder(lease.Settings{Duration: a.set.SessionTimeout, SafetyMargin: a.set.SafetyMargin, Seed: a.set.Seed + uint64(len(a.holders))}),
 		duty: duty}
 	h.due.Of = h
-	h.At(a.now)
-	h.Want()
+	h.Advance(a.now)
+	h.Acquire()
 	a.holders[duty] = h
-	a.soonest.Put(&h.due, h.Due())
+	a.soonest.Put(&h.due, h.NextDeadline())
 }
 
-// Unwant gives a duty up, held or not.
-func (a *Agent) Unwant(duty string) {
+// Release gives a duty up, held or not.
+func (a *Client) Release(duty string) {
 	delete(a.wants, duty)
 	// What it asked for must not be taken for an answer to what another holder of this duty will ask.
-	maps.DeleteFunc(a.asked, func(_ uint64, of asked) bool { return of.kind == register.Take && of.duty == duty })
+	maps.DeleteFunc(a.asked, func(_ uint64, of asked) bool { return of.kind == leasestate.AcquireLease && of.duty == duty })
 	if h := a.holder(duty); h != nil {
-		h.Leave("")
+		h.Release("")
 		a.pull(duty)
 		delete(a.holders, duty)
 		a.soonest.Drop(&h.due)
 	}
 }
 
-// At sets the time; all that follows until the next call happens then.
-func (a *Agent) At(now float64) {
+// Advance sets the time; all that follows until the next call happens then.
+func (a *Client) Advance(now float64) {
 	a.start(now)
 	a.now = math.Max(a.now, now)
 	for _, duty := range slices.Sorted(maps.Keys(a.wants)) {
@@ -174,81 +174,81 @@
 }
 
 // start ends the time in which this process counts as one that is starting: after a while, or once it was stopped in between.
-func (a *Agent) start(now float64) {
+func (a *Client) start(now float64) {
 	if !a.begun {
 		a.begun, a.begunAt = true, now
 		return
 	}
-	paused := now-a.now > pausedFor*a.set.Length
-	if paused || now-a.begunAt > startingFor*a.set.Length {
+	paused := now-a.now > pausedFor*a.set.SessionTimeout
+	if paused || now-a.begunAt > startingFor*a.set.SessionTimeout {
 		a.self.late = true
 	}
 }
 
 // holder gives the part in a duty, which knows the time; nil: there is none.
-func (a *Agent) holder(duty string) *holder {
+func (a *Client) holder(duty string) *holder {
 	h := a.holders[duty]
 	if h != nil {
-		h.At(a.now)
+		h.Advance(a.now)
 	}
 	return h
 }
 
 // again puts the next try off, twice as far each time, by a part that is drawn.
-func (a *Agent) again(r *retry) {
-	r.wait = math.Min(math.Max(2*r.wait, a.set.Length*retryPart), a.set.Length*longest)
+func (a *Client) again(r *retry) {
+	r.wait = math.Min(math.Max(2*r.wait, a.set.SessionTimeout*retryPart), a.set.SessionTimeout*longest)
 	r.at = a.now + r.wait*(1-spread*a.chance.Next())
 }
 
-func (a *Agent) call(of asked, e register.Entry) {
+func (a *Client) call(of asked, e leasestate.Entry) {
 	a.number++
 	a.asked[a.number] = of
 	e.Session, e.Incarnation = a.set.Name, a.self.current
-	a.out = append(a.out, Decision{Verb: Call, Number: a.number, Entry: e})
+	a.out = append(a.out, Decision{Action: Propose, Request: a.number, Entry: e})
 }
 
 // Entry signs an entry of this process's own: a note of a step, say.
-func (a *Agent) Entry(e register.Entry) register.Entry {
+func (a *Client) Entry(e leasestate.Entry) leasestate.Entry {
 	e.Session, e.Incarnation = a.set.Name, a.self.current
 	return e
 }
 
 // pull takes over what a holder decides.
-func (a *Agent) pull(duty string) {
+func (a *Client) pull(duty string) {
 	h := a.holders[duty]
-	defer func() { a.soonest.Put(&h.due, h.Due()) }()
+	defer func() { a.soonest.Put(&h.due, h.NextDeadline()) }()
 	for d, more := h.Next(); more; d, more = h.Next() {
-		switch d.Verb {
-		case lease.Ask:
+		switch d.Action {
+		case lease.RequestLease:
 			if a.open { // else it is asked for again once there is a session
-				a.call(asked{kind: register.Take, duty: duty, number: d.Number}, register.Entry{Kind: register.Take, Duty: duty})
+				a.call(asked{kind: leasestate.AcquireLease, duty: duty, number: d.Request}, leasestate.Entry{Kind: leasestate.AcquireLease, Lease: duty})
 			}
-		case lease.GiveBack:
-			a.call(asked{kind: register.Free}, register.Entry{Kind: register.Free, Duty: duty, Fence: d.Fence})
-		case lease.PassOn:
-			a.call(asked{kind: register.Pass}, register.Entry{Kind: register.Pass, Duty: duty, Fence: d.Fence, To: d.To})
+		case lease.ReleaseLease:
+			a.call(asked{kind: leasestate.ReleaseLease}, leasestate.Entry{Kind: leasestate.ReleaseLease, Lease: duty, Token: d.Token})
+		case lease.TransferLease:
+			a.call(asked{kind: leasestate.TransferLease}, leasestate.Entry{Kind: leasestate.TransferLease, Lease: duty, Token: d.Token, To: d.To})
 		case lease.Start, lease.Stop:
-			if d.Verb == lease.Start { // what a former owner sends here is old from now on
-				a.receiver.Learned(duty, d.Fence)
+			if d.Action == lease.Start { // what a former owner sends here is old from now on
+				a.receiver.TokenLearned(duty, d.Token)
 			}
-			a.out = append(a.out, Decision{Verb: map[lease.Verb]Verb{lease.Start: Start, lease.Stop: Stop}[d.Verb], Duty: duty, Fence: d.Fence})
+			a.out = append(a.out, Decision{Action: map[lease.Action]Action{lease.Start: Start, lease.Stop: Stop}[d.Action], Lease: duty, Token: d.Token})
 		}
 	}
 }
 
 // Answered conveys the council's answer to a request.
-func (a *Agent) Answered(number uint64, ans register.Answer) {
+func (a *Client) Answered(number uint64, ans leasestate.Result) {
 	of, known := a.asked[number]
 	if !known {
 		return
 	}
 	delete(a.asked, number)
-	if ans.Why == register.NoSession && of.kind != register.Open {
+	if ans.Why == leasestate.ReasonNoSession && of.kind != leasestate.OpenSession {
 		a.lost()
 		return
 	}
 	switch of.kind {
-	case register.Open:
+	case leasestate.OpenSession:
 		if a.leaving {
 			return
 		}
@@ -267,9 +267,9 @@
 			a.holder(duty).Turn()
 			a.pull(duty)
 		}
-	case register.Beat:
+	case leasestate.KeepAlive:
 		a.beaten()
-	case register.Take:
+	case leasestate.AcquireLease:
 		h := a.holder(of.duty)
 		if h == nil {
 			return
@@ -280,23 +280,23 @@
 			h.Denied(of.number)
 		}
 		a.pull(of.duty)
-	case register.End:
+	case leasestate.CloseSession:
 		a.left = true
 	case "":
 		a.stood(of.duties, nil) // it told no fences
 	}
 }
 
-func (a *Agent) beaten() {
+func (a *Client) beaten() {
 	for _, name := range slices.Sorted(maps.Keys(a.duties)) {
 		a.behind(a.duties[name])
 	}
-	a.beating = retry{at: a.now + a.set.Length*beatPart*(1-spread*a.chance.Next())}
+	a.beating = retry{at: a.now + a.set.SessionTimeout*beatPart*(1-spread*a.chance.Next())}
 }
 
 // lost: the council has ended this session, or never had it. What was held ends by itself, under its own account of time;
 // the process begins again as another incarnation.
-func (a *Agent) lost() {
+func (a *Client) lost() {
 	if !a.open || a.leaving {
 		return
 	}
@@ -306,19 +306,19 @@
 }
 
 // Failed says that a request brought no answer, or none that is known.
-func (a *Agent) Failed(number uint64) {
+func (a *Client) Failed(number uint64) {
 	of, known := a.asked[number]
 	if !known {
 		return
 	}
 	delete(a.asked, number)
 	switch of.kind {
-	case register.Open:
+	case leasestate.OpenSession:
 		a.self.unknown = true
 		a.again(&a.opening)
-	case register.Beat:
+	case leasestate.KeepAlive:
 		a.again(&a.beating)
-	case register.End:
+	case leasestate.CloseSession:
 		a.left = true // its length will end it
 	case "":
 		a.stood(of.duties, nil)
@@ -327,7 +327,7 @@
 
 // Watched takes in what the council tells. It may be old: a higher fence is true whenever it is heard, a lower one says only
 // that somebody should look.
-func (a *Agent) Watched(u Update) {
+func (a *Client) Watched(u Update) {
 	if u.Whole {
 		clear(a.sessions)
 		clear(a.duties)
@@ -340,82 +340,82 @@
 			a.sessions[s.Name] = s
 		}
 	}
-	for _, d := range u.Duties {
+	for _, d := range u.Leases {
 		if len(a.duties) < mostKnown {
 			a.duties[d.Name] = d
 		}
 		if h := a.holder(d.Name); h != nil {
 			if d.Holder != a.set.Name {
-				h.Lost(d.Fence)
-			} else if fence, may := h.May(); !may || fence != d.Fence {
+				h.Lost(d.Token)
+			} else if fence, may := h.Valid(); !may || fence != d.Token {
 				h.Turn()
 			}
 			a.pull(d.Name)
 		}
 		if a.behind(d); a.receiver.Knows(d.Name) && d.Holder != "" {
-			a.receiver.Learned(d.Name, d.Fence) // before its holder's first act gets here
+			a.receiver.TokenLearned(d.Name, d.Token) // before its holder's first act gets here
 		}
 	}
 }
 
 // behind tells the council of a fence that this receiver has seen and the council seems not to know, or has given to another.
-func (a *Agent) behind(d Duty) {
+func (a *Client) behind(d Lease) {
 	highest, holder := a.receiver.Highest(d.Name)
-	order := highest.Compare(d.Fence)
+	order := highest.Compare(d.Token)
 	if order < 0 || order == 0 && (holder == "" || d.Holder == "" || holder == d.Holder) {
 		return
 	}
-	if at, once := a.told[d.Name]; once && a.now-at < tellAgain*a.set.Length || !a.open {
+	if at, once := a.told[d.Name]; once && a.now-at < tellAgain*a.set.SessionTimeout || !a.open {
 		return
 	}
 	a.told[d.Name] = a.now
 	a.number++
-	a.asked[a.number] = asked{kind: register.Told}
-	a.out = append(a.out, Decision{Verb: Call, Number: a.number, Entry: register.Entry{Kind: register.Told, Duty: d.Name, Fence: highest, Session: holder}})
+	a.asked[a.number] = asked{kind: leasestate.ReportToken}
+	a.out = append(a.out, Decision{Action: Propose, Request: a.number, Entry: leasestate.Entry{Kind: leasestate.ReportToken, Lease: d.Name, Token: highest, Session: holder}})
 }
 
-// Take judges another's act. Of a duty that this receiver knows nothing of it takes none, and asks the council.
-func (a *Agent) Take(s lease.Scope, holder string, fence lease.Fence) (lease.Verdict, lease.Fence) {
+// Check judges another's act. Of a duty that this receiver knows nothing of it takes none, and asks the council.
+func (a *Client) Check(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
 	v, highest := a.receiver.Take(s, holder, fence)
 	switch v {
 	case lease.Unknown:
-		a.Learn(s.Duty)
+		a.LearnToken(s.Lease)
 	case lease.Old:
-		a.Refused++
+		a.RejectedActs++
 	}
 	return v, highest
 }
 
 // Close forgets a scope that is gone.
-func (a *Agent) Close(s lease.Scope) { a.receiver.Close(s) }
+func (a *Client) Close(s lease.Scope) { a.receiver.Close(s) }
 
-// Refusal says that a receiver turned an act of this process away.
-func (a *Agent) Refusal(duty string, higher lease.Fence) {
+// Rejected says that a receiver turned an act of this process away.
+func (a *Client) Rejected(duty string, higher lease.Token) {
 	if h := a.holder(duty); h != nil {
 		h.Refused(higher)
 		a.pull(duty)
 	}
 }
 
-// May tells whether this process may act for a duty now, and the fence that goes with the act. Ask it last, right before.
-func (a *Agent) May(duty string) (lease.Fence, bool) {
+// Valid tells whether this process may act for a duty now, and the fence that goes with the act. Ask it last, right before.
+func (a *Client) Valid(duty string) (lease.Token, bool) {
 	if h := a.holder(duty); h != nil {
-		return h.May()
+		return h.Valid()
 	}
-	return lease.Fence{}, false
+	return lease.Token{}, false
 }
 
-// PassTo hands a duty on to the session named, if this process holds it; it wants it no more.
-func (a *Agent) PassTo(duty, name string) {
+// Transfer hands a duty on to the session named, if this process holds it; it wants it no more.
+func (a *Client) Transfer(duty, name string) {
 	if h := a.holder(duty); h != nil {
-		h.Leave(name)
+		h.Release(name)
 		a.pull(duty)
 	}
 }
 
-// GoBy says which version of the policy this process goes by, by its mark, and which it couldn't take, if any; the council hears
+// PolicyApplied says which version of the policy this process goes by, by its mark, and which it couldn't take, if any; the council hears
 // it with the next beat, now.
-func (a *Agent) GoBy(mark, wont uint64, why string) {
+func (a *Client) PolicyApplied(mark, wont uint64, why string) {
 	if a.policy == mark && a.wont == wont && a.why == why {
 		return
 	}
@@ -425,17 +425,17 @@
 }
 
 // Leave ends it: nothing more is done for the fleet, and the council is told. Left tells when it has been, or can't be.
-func (a *Agent) Leave() {
+func (a *Client) Leave() {
 	if a.leaving {
 		return
 	}
 	a.leaving = true
 	clear(a.wants)
 	for _, duty := range slices.Sorted(maps.Keys(a.holders)) {
-		a.holder(duty).Leave("")
+		a.holder(duty).Release("")
 		for d, more := a.holders[duty].Next(); more; d, more = a.holders[duty].Next() {
-			if d.Verb == lease.Stop { // the session's end gives all back at once
-				a.out = append(a.out, Decision{Verb: Stop, Duty: duty, Fence: d.Fence})
+			if d.Action == lease.Stop { // the session's end gives all back at once
+				a.out = append(a.out, Decision{Action: Stop, Lease: duty, Token: d.Token})
 			}
 		}
 	}
@@ -443,24 +443,24 @@
 		a.left = true
 		return
 	}
-	a.call(asked{kind: register.End}, register.Entry{Kind: register.End, Refused: uint64(a.Refused)})
+	a.call(asked{kind: leasestate.CloseSession}, leasestate.Entry{Kind: leasestate.CloseSession, RejectedActs: uint64(a.RejectedActs)})
 }
 
 // Left tells whether nothing is left to do.
-func (a *Agent) Left() bool { return a.left }
+func (a *Client) Left() bool { return a.left }
 
 // Next gives the next decision; false: none is left.
-func (a *Agent) Next() (Decision, bool) {
+func (a *Client) Next() (Decision, bool) {
 	switch {
 	case len(a.out) > 0 || a.leaving:
 	case !a.open && a.opening.at <= a.now:
 		a.opening.at = math.Inf(1)
 		a.self.prepare()
-		a.call(asked{kind: register.Open}, register.Entry{Kind: register.Open, Is: a.set.Kind, Address: a.set.Address,
-			Length: uint64(a.set.Length), Policy: a.policy, Wont: a.wont, Why: a.why})
+		a.call(asked{kind: leasestate.OpenSession}, leasestate.Entry{Kind: leasestate.OpenSession, Role: a.set.Kind, Address: a.set.Address,
+			Timeout: uint64(a.set.SessionTimeout), Policy: a.policy, RejectedPolicy: a.wont, Reason: a.why})
 	case a.open && a.beating.at <= a.now:
 		a.beating.at = math.Inf(1)
-		a.call(asked{kind: register.Beat}, register.Entry{Kind: register.Beat, Policy: a.policy, Wont: a.wont, Why: a.why, Refused: uint64(a.Refused)})
+		a.call(asked{kind: leasestate.KeepAlive}, leasestate.Entry{Kind: leasestate.KeepAlive, Policy: a.policy, RejectedPolicy: a.wont, Reason: a.why, RejectedActs: uint64(a.RejectedActs)})
 	default:
 		a.stand()
 	}
@@ -472,8 +472,8 @@
 	return d, true
 }
 
-// Due is when At must be called again at the latest.
-func (a *Agent) Due() float64 {
+// NextDeadline is when At must be called again at the latest.
+func (a *Client) NextDeadline() float64 {
 	due := math.Min(a.opening.at, a.beating.at)
 	if i := a.soonest.First(); i != nil {
 		due = math.Min(due, i.At())
@@ -487,11 +487,11 @@
 	return due
 }
 
-// Others tells whether Sessions holds all that there are, as far as the council told: a watch may have left them out.
-func (a *Agent) Others() bool { return a.others }
+// SessionsComplete tells whether Sessions holds all that there are, as far as the council told: a watch may have left them out.
+func (a *Client) SessionsComplete() bool { return a.others }
 
 // Sessions gives the sessions of a kind that the council told of, by name.
-func (a *Agent) Sessions(kind string) (all []Session) {
+func (a *Client) Sessions(kind string) (all []Session) {
 	for _, name := range slices.Sorted(maps.Keys(a.sessions)) {
 		if a.sessions[name].Kind == kind {
 			all = append(all, a.sessions[name])
@@ -500,8 +500,8 @@
 	return all
 }
 
-// Duty gives what the council told of a duty.
-func (a *Agent) Duty(name string) (Duty, bool) { d, ok := a.duties[name]; return d, ok }
+// Lease gives what the council told of a duty.
+func (a *Client) Lease(name string) (Lease, bool) { d, ok := a.duties[name]; return d, ok }
 
-// Open tells whether this process has a session, as far as it knows.
-func (a *Agent) Open() bool { return a.open }
+// HasSession tells whether this process has a session, as far as it knows.
+func (a *Client) HasSession() bool { return a.open }
--- a/internal/decide/agent/agent_test.go
+++ b/internal/decide/leaseclient/leaseclient_test.go
@@ -1,4 +1,4 @@
-package agent
+package leaseclient
 
 import (
 	"fmt"
@@ -7,32 +7,32 @@
 	"testing"
 
 	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
 )
 
 // table is an agent and a register that answers it at once.
 type table struct {
 	t   *testing.T
-	a   *Agent
-	r   *register.Register
+	a   *Client
+	r   *leasestate.State
 	now float64
 	at  uint64
-	log []register.Kind
+	log []leasestate.Kind
 }
 
 func sit(t *testing.T, duties ...string) *table {
-	return &table{t: t, r: register.New("f"), a: New(Settings{Name: "p", Kind: "router", Incarnation: 1, Length: 1000, Margin: 100, Duties: duties, Seed: 1})}
+	return &table{t: t, r: leasestate.New("f"), a: New(Settings{Name: "p", Kind: "router", Incarnation: 1, SessionTimeout: 1000, SafetyMargin: 100, Leases: duties, Seed: 1})}
 }
 
-func (s *table) apply(e register.Entry) register.Answer {
+func (s *table) apply(e leasestate.Entry) leasestate.Result {
 	s.at++
 	return s.r.Apply(s.at, e)
 }
 
-func (s *table) stands(duties []string) (fences []lease.Fence) {
+func (s *table) stands(duties []string) (fences []lease.Token) {
 	for _, duty := range duties {
-		fences = append(fences, s.r.Stands(duty))
+		fences = append(fences, s.r.LatestToken(duty))
 	}
 	return fences
 }
@@ -40,18 +40,18 @@
 // to lets time pass, in steps of 10 ms, with requests answered or not.
 func (s *table) to(at float64, answers bool) (starts, stops int) {
 	for ; s.now < at; s.now += 10 {
-		s.apply(register.Entry{Kind: register.Tick, Passed: 10})
-		s.a.At(s.now)
+		s.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
+		s.a.Advance(s.now)
 		for d, more := s.a.Next(); more; d, more = s.a.Next() {
-			switch d.Verb {
-			case Call:
+			switch d.Action {
+			case Propose:
 				if s.log = append(s.log, d.Entry.Kind); answers {
-					s.a.Answered(d.Number, s.apply(d.Entry))
+					s.a.Answered(d.Request, s.apply(d.Entry))
 				} else {
-					s.a.Failed(d.Number)
+					s.a.Failed(d.Request)
 				}
-			case Stand:
-				s.a.Stood(d.Number, s.stands(d.Duties))
+			case QueryTokens:
+				s.a.TokensLearned(d.Request, s.stands(d.Leases))
 			case Start:
 				starts++
 			case Stop:
@@ -62,7 +62,7 @@
 	return starts, stops
 }
 
-func (s *table) count(k register.Kind) (n int) {
+func (s *table) count(k leasestate.Kind) (n int) {
 	for _, one := range s.log {
 		if one == k {
 			n++
@@ -74,21 +74,21 @@
 // A session is opened before anything is asked for; a duty is held on, and lost and found again with the council.
 func TestHoldsOn(t *testing.T) {
 	s := sit(t, "d")
-	if starts, stops := s.to(5000, true); starts != 1 || stops != 0 || s.log[0] != register.Open || s.count(register.Open) != 1 {
+	if starts, stops := s.to(5000, true); starts != 1 || stops != 0 || s.log[0] != leasestate.OpenSession || s.count(leasestate.OpenSession) != 1 {
 		t.Fatalf("%d starts, %d stops, %v", starts, stops, s.log)
 	}
-	fence, may := s.a.May("d")
-	if !may || fence != (lease.Fence{Epoch: 1, Count: 1}) {
+	fence, may := s.a.Valid("d")
+	if !may || fence != (lease.Token{Epoch: 1, Count: 1}) {
 		t.Fatal(fence, may)
 	}
 	if starts, stops := s.to(8000, false); starts != 0 || stops != 1 {
 		t.Fatalf("without the council: %d starts, %d stops", starts, stops)
 	}
 	s.log = nil
-	if starts, _ := s.to(14000, true); starts != 1 || s.a.Reopened != 1 || s.count(register.Open) != 1 {
+	if starts, _ := s.to(14000, true); starts != 1 || s.a.Reopened != 1 || s.count(leasestate.OpenSession) != 1 {
 		t.Fatalf("back: %d starts, reopened %d times, %v", starts, s.a.Reopened, s.log)
 	}
-	if fence, may = s.a.May("d"); !may || fence.Count != 2 {
+	if fence, may = s.a.Valid("d"); !may || fence.Count != 2 {
 		t.Error("its session had ended, the grant must be another:", fence, may)
 	}
 }
@@ -97,7 +97,7 @@
 func TestTriesLessOften(t *testing.T) {
 	s := sit(t)
 	s.to(60000, false)
-	if n := s.count(register.Open); n < 25 || n > 80 {
+	if n := s.count(leasestate.OpenSession); n < 25 || n > 80 {
 		t.Errorf("%d tries in a minute", n)
 	}
 }
@@ -105,20 +105,20 @@
 // A receiver asks where fences stand before it takes anything, and takes no lower one then; who holds a duty knows its own fence.
 func TestReceives(t *testing.T) {
 	s := sit(t, "d")
-	scope := lease.Scope{Duty: "e", About: "g"}
-	old := lease.Fence{Epoch: 1, Count: 2}
-	if v, _ := s.a.Take(scope, "q", old); v != lease.Unknown {
+	scope := lease.Scope{Lease: "e", About: "g"}
+	old := lease.Token{Epoch: 1, Count: 2}
+	if v, _ := s.a.Check(scope, "q", old); v != lease.Unknown {
 		t.Fatal("took an act of a duty that it knows nothing of:", v)
 	}
 	s.to(500, true)
-	if v, _ := s.a.Take(scope, "q", old); v != lease.Taken {
+	if v, _ := s.a.Check(scope, "q", old); v != lease.Taken {
 		t.Fatal(v)
 	}
-	s.a.Watched(Update{Duties: []Duty{{Name: "e", Holder: "x", Fence: lease.Fence{Epoch: 1, Count: 5}}}})
-	if v, highest := s.a.Take(scope, "q", old); v != lease.Old || highest.Count != 5 || s.a.Refused != 1 {
+	s.a.Watched(Update{Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 5}}}})
+	if v, highest := s.a.Check(scope, "q", old); v != lease.Old || highest.Count != 5 || s.a.RejectedActs != 1 {
 		t.Error("the watch told of a higher fence:", v, highest)
 	}
-	if v, _ := s.a.Take(lease.Scope{Duty: "d", About: "g"}, "q", lease.Fence{Epoch: 1}); v != lease.Old {
+	if v, _ := s.a.Check(lease.Scope{Lease: "d", About: "g"}, "q", lease.Token{Epoch: 1}); v != lease.Old {
 		t.Error("its own duty's former owner:", v)
 	}
 }
@@ -126,16 +126,16 @@
 // A council that has gone back is told, with the holder whose act was taken, again while it stays so.
 func TestTellsOfHigherFences(t *testing.T) {
 	s := sit(t)
-	s.a.Learn("e")
+	s.a.LearnToken("e")
 	s.to(500, true)
-	s.a.Take(lease.Scope{Duty: "e", About: "g"}, "q", lease.Fence{Epoch: 1, Count: 7})
-	s.a.Watched(Update{Whole: true, Duties: []Duty{{Name: "e", Holder: "x", Fence: lease.Fence{Epoch: 1, Count: 2}}}})
+	s.a.Check(lease.Scope{Lease: "e", About: "g"}, "q", lease.Token{Epoch: 1, Count: 7})
+	s.a.Watched(Update{Whole: true, Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 2}}}})
 	s.to(1000, true)
-	if d, _ := s.r.Duty("e"); d.Barred.Count != 7 {
+	if d, _ := s.r.Lease("e"); d.ForeignToken.Count != 7 {
 		t.Fatalf("the council knows nothing of it: %+v, %v", d, s.log)
 	}
-	if s.to(9000, true); s.count(register.Told) < 2 || s.count(register.Told) > 4 {
-		t.Errorf("told %d times in 9 s", s.count(register.Told))
+	if s.to(9000, true); s.count(leasestate.ReportToken) < 2 || s.count(leasestate.ReportToken) > 4 {
+		t.Errorf("told %d times in 9 s", s.count(leasestate.ReportToken))
 	}
 }
 
@@ -146,7 +146,7 @@
 		s.to(500, true)
 		s.a.Leave()
 		_, stops := s.to(600, answers)
-		if _, may := s.a.May("d"); may || stops != 1 || !s.a.Left() {
+		if _, may := s.a.Valid("d"); may || stops != 1 || !s.a.Left() {
 			t.Errorf("answered %v: may %v, %d stops, left %v", answers, may, stops, s.a.Left())
 		}
 		if _, open := s.r.Session("p"); open == answers {
@@ -160,11 +160,11 @@
 	s := sit(t, "d")
 	s.to(500, true)
 	u, at := Changes(s.r, 0, false)
-	if !u.Whole || len(u.Sessions) != 1 || len(u.Duties) != 1 || u.Duties[0].Holder != "p" {
+	if !u.Whole || len(u.Sessions) != 1 || len(u.Leases) != 1 || u.Leases[0].Holder != "p" {
 		t.Fatalf("%+v", u)
 	}
-	s.apply(register.Entry{Kind: register.Order, Duty: "d", Text: "x"})
-	if u, _ = Changes(s.r, at, false); u.Whole || len(u.Sessions) != 0 || len(u.Duties) != 1 || u.Duties[0].Open.Text != "x" {
+	s.apply(leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: "d", Text: "x"})
+	if u, _ = Changes(s.r, at, false); u.Whole || len(u.Sessions) != 0 || len(u.Leases) != 1 || u.Leases[0].Open.Text != "x" {
 		t.Errorf("%+v", u)
 	}
 	if u, _ = Changes(s.r, at+1000, false); !u.Whole {
@@ -182,11 +182,11 @@
 	if starts, _ := s.to(10000, true); starts != len(duties) {
 		t.Fatalf("%d duties of %d began", starts, len(duties))
 	}
-	if asks := s.count(register.Take); s.a.touched > asks+len(duties) || asks < 20*len(duties) {
+	if asks := s.count(leasestate.AcquireLease); s.a.touched > asks+len(duties) || asks < 20*len(duties) {
 		t.Errorf("in 1,000 looks holders were gone over %d times; they asked %d times, which is what time had them do", s.a.touched, asks)
 	}
-	if _, stops := s.to(12000, false); stops != len(duties) || s.a.Due() <= s.now-10 {
-		t.Errorf("without the council %d duties of %d ended in time; due at %v, it is %v", stops, len(duties), s.a.Due(), s.now)
+	if _, stops := s.to(12000, false); stops != len(duties) || s.a.NextDeadline() <= s.now-10 {
+		t.Errorf("without the council %d duties of %d ended in time; due at %v, it is %v", stops, len(duties), s.a.NextDeadline(), s.now)
 	}
 }
 
@@ -194,7 +194,7 @@
 func (s *table) propose(share string) policy.Version {
 	b := s.r.Policy()
 	p := policy.Propose(b.Version, b.Document, policy.Document{"over_share_value": share}, "a", "to "+share)
-	if a := s.apply(register.Entry{Kind: register.Propose, Proposal: &p}); !a.Held {
+	if a := s.apply(leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p}); !a.Held {
 		s.t.Fatal(a)
 	}
 	return s.r.Policy().Version
@@ -212,10 +212,10 @@
 	if len(u.Policies) != 2 || u.Policies[0].Version != first || u.Policies[1].Version != second || u.Policies[1].Difference.Set["over_share_value"] != "0.3" {
 		t.Fatalf("%+v", u)
 	}
-	s.a.GoBy(second.Mark(), 0, "")
+	s.a.PolicyApplied(second.Number64(), 0, "")
 	s.to(1000, true)
-	s.apply(register.Entry{Kind: register.Open, Session: "q", Incarnation: 1, Length: 60000})
-	if one, _ := s.r.Session("p"); one.Policy != second.Mark() {
+	s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "q", Incarnation: 1, Timeout: 60000})
+	if one, _ := s.r.Session("p"); one.Policy != second.Number64() {
 		t.Error("the council doesn't know of it:", one)
 	}
 	if u, _ := Changes(s.r, next, true); len(u.Sessions)+len(u.Policies) != 0 || !u.WithoutSessions {
@@ -234,7 +234,7 @@
 		wide[fmt.Sprintf("tenants.%03d.rate", n)] = "1"
 	}
 	p := policy.Propose(b.Version, b.Document, wide, "a", "wide")
-	s.apply(register.Entry{Kind: register.Propose, Proposal: &p})
+	s.apply(leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p})
 	if u, _ := Changes(s.r, at, true); len(u.Policies) != 1 || u.Policies[0].Difference != nil || u.Policies[0].Version != s.r.Policy().Version {
 		t.Errorf("too long to be told: %+v", u)
 	}
@@ -246,14 +246,14 @@
 	s.to(500, true)
 	v := s.propose("0.2")
 	s.log = nil
-	s.a.GoBy(0, v.Mark(), "no memory")
+	s.a.PolicyApplied(0, v.Number64(), "no memory")
 	s.to(s.now+11, true)
-	if one, _ := s.r.Session("p"); one.Wont != v.Mark() || one.Why != "no memory" || s.count(register.Beat) != 1 {
+	if one, _ := s.r.Session("p"); one.RejectedPolicy != v.Number64() || one.Reason != "no memory" || s.count(leasestate.KeepAlive) != 1 {
 		t.Fatal(one, s.log)
 	}
-	s.a.GoBy(v.Mark(), 0, "")
+	s.a.PolicyApplied(v.Number64(), 0, "")
 	s.to(s.now+11, true)
-	if one, _ := s.r.Session("p"); one.Policy != v.Mark() || one.Wont != 0 || one.Why != "" {
+	if one, _ := s.r.Session("p"); one.Policy != v.Number64() || one.RejectedPolicy != 0 || one.Reason != "" {
 		t.Fatal(one)
 	}
 	s.to(s.now+4000, false)
@@ -261,7 +261,7 @@
 		t.Fatal("its session was to end")
 	}
 	s.to(s.now+6000, true)
-	if one, _ := s.r.Session("p"); one.Policy != v.Mark() || s.a.Reopened != 1 {
+	if one, _ := s.r.Session("p"); one.Policy != v.Number64() || s.a.Reopened != 1 {
 		t.Error(one, s.a.Reopened)
 	}
 }
@@ -270,23 +270,23 @@
 func TestOthers(t *testing.T) {
 	s := sit(t)
 	s.a.Watched(Update{Whole: true, Sessions: []Session{{Name: "q", Kind: "router"}}})
-	if !s.a.Others() || len(s.a.Sessions("router")) != 1 {
+	if !s.a.SessionsComplete() || len(s.a.Sessions("router")) != 1 {
 		t.Error("it was told of all")
 	}
 	s.a.Watched(Update{Whole: true, WithoutSessions: true})
-	if s.a.Others() || len(s.a.Sessions("router")) != 0 {
+	if s.a.SessionsComplete() || len(s.a.Sessions("router")) != 0 {
 		t.Error("it was told of none")
 	}
 }
 
 // asks pulls the questions where duties stand that are due.
 func (s *table) asks() (all []Decision) {
-	s.a.At(s.now)
+	s.a.Advance(s.now)
 	for d, more := s.a.Next(); more; d, more = s.a.Next() {
-		switch d.Verb {
-		case Call:
-			s.a.Answered(d.Number, s.apply(d.Entry))
-		case Stand:
+		switch d.Action {
+		case Propose:
+			s.a.Answered(d.Request, s.apply(d.Entry))
+		case QueryTokens:
 			all = append(all, d)
 		}
 	}
@@ -299,20 +299,20 @@
 	s := sit(t)
 	learn := func(n int) {
 		for i := range n {
-			s.a.Learn(fmt.Sprintf("d/%03d", i))
+			s.a.LearnToken(fmt.Sprintf("d/%03d", i))
 		}
 	}
 	learn(328)
 	all := s.asks()
-	if len(all) != 2 || len(all[0].Duties) != 256 || len(all[1].Duties) != 72 || all[0].Duties[0] != "d/000" || all[1].Duties[71] != "d/327" {
+	if len(all) != 2 || len(all[0].Leases) != 256 || len(all[1].Leases) != 72 || all[0].Leases[0] != "d/000" || all[1].Leases[71] != "d/327" {
 		t.Fatalf("%d questions where 328 duties stand, not 2 of 256 and 72", len(all))
 	}
 	if learn(328); len(s.asks()) != 0 {
 		t.Fatal("asked again what is being asked")
 	}
 	// Of the first ten alone it is told where they stand, and of those after 256 nothing.
-	s.a.Stood(all[0].Number, s.stands(all[0].Duties)[:10])
-	s.a.Failed(all[1].Number)
+	s.a.TokensLearned(all[0].Request, s.stands(all[0].Leases)[:10])
+	s.a.Failed(all[1].Request)
 	if n := len(s.asks()); n != 0 {
 		t.Fatalf("asked again at once, %d times", n)
 	}
@@ -328,13 +328,13 @@
 		t.Fatalf("knows where %d stand, not 10", n)
 	}
 	s.now = 1000 // both are due again
-	if all = s.asks(); len(all) != 2 || len(all[0].Duties) != 256 || len(all[1].Duties) != 62 || all[0].Duties[0] != "d/010" {
+	if all = s.asks(); len(all) != 2 || len(all[0].Leases) != 256 || len(all[1].Leases) != 62 || all[0].Leases[0] != "d/010" {
 		t.Fatalf("%d questions again, not 2 of 256 and 62", len(all))
 	}
 	// An answer of more than was asked, or none that tells fences, is none.
-	s.a.Stood(all[0].Number, make([]lease.Fence, 257))
-	s.a.Answered(all[1].Number, register.Answer{})
-	s.a.Stood(all[1].Number, s.stands(all[1].Duties)) // late: it was given up
+	s.a.TokensLearned(all[0].Request, make([]lease.Token, 257))
+	s.a.Answered(all[1].Request, leasestate.Result{})
+	s.a.TokensLearned(all[1].Request, s.stands(all[1].Leases)) // late: it was given up
 	if n := known(); n != 10 {
 		t.Fatalf("knows where %d stand, not 10", n)
 	}
@@ -347,16 +347,16 @@
 func TestAsksWhereTheyStandLessOften(t *testing.T) {
 	s := sit(t)
 	for i := range 100 {
-		s.a.Learn(fmt.Sprint(i))
+		s.a.LearnToken(fmt.Sprint(i))
 	}
 	n := 0
 	for ; s.now < 60000; s.now += 10 {
-		s.apply(register.Entry{Kind: register.Tick, Passed: 10})
+		s.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
 		for _, d := range s.asks() {
-			if n++; len(d.Duties) != 100 {
-				t.Fatalf("try %d is about %d duties", n, len(d.Duties))
+			if n++; len(d.Leases) != 100 {
+				t.Fatalf("try %d is about %d duties", n, len(d.Leases))
 			}
-			s.a.Failed(d.Number)
+			s.a.Failed(d.Request)
 		}
 	}
 	if n < 25 || n > 80 {
@@ -369,13 +369,13 @@
 	s := sit(t)
 	long := strings.Repeat("b", nameBytes+1)
 	for _, duty := range []string{"c", long, "a", "d"} {
-		s.a.Learn(duty)
+		s.a.LearnToken(duty)
 	}
 	all := s.asks()
-	if len(all) != 3 || !slices.Equal(all[0].Duties, []string{"a"}) || !slices.Equal(all[1].Duties, []string{long}) || !slices.Equal(all[2].Duties, []string{"c", "d"}) {
+	if len(all) != 3 || !slices.Equal(all[0].Leases, []string{"a"}) || !slices.Equal(all[1].Leases, []string{long}) || !slices.Equal(all[2].Leases, []string{"c", "d"}) {
 		t.Fatalf("%d questions", len(all))
 	}
-	s.a.Stood(all[2].Number, []lease.Fence{{Epoch: 1, Count: 7}, {Epoch: 1, Count: 3}})
+	s.a.TokensLearned(all[2].Request, []lease.Token{{Epoch: 1, Count: 7}, {Epoch: 1, Count: 3}})
 	for duty, count := range map[string]uint64{"c": 7, "d": 3} {
 		if highest, _ := s.a.receiver.Highest(duty); highest.Count != count {
 			t.Errorf("%s stands at %v, not at %d", duty, highest, count)
--- a/internal/decide/agent/stands.go
+++ b/internal/decide/leaseclient/stands.go
@@ -1,4 +1,4 @@
-package agent
+package leaseclient
 
 import (
 	"math"
@@ -7,13 +7,13 @@
 	"wayloft/internal/decide/lease"
 )
 
-// MostStands is how many duties one question asks about at most.
-const MostStands = 256
+// MaxTokenQuery is how many duties one question asks about at most.
+const MaxTokenQuery = 256
 
 const nameBytes = 16 << 10 // of names that one question carries; a longer name goes alone
 
-// Learn has the council asked where a duty's fences stand, unless that is known.
-func (a *Agent) Learn(duty string) {
+// LearnToken has the council asked where a duty's fences stand, unless that is known.
+func (a *Client) LearnToken(duty string) {
 	if !a.receiver.Knows(duty) && a.stands[duty] == nil && len(a.stands) < mostKnown {
 		a.stands[duty] = &retry{at: a.now}
 	}
@@ -21,7 +21,7 @@
 
 // stand asks where duties stand: all at once that are due, as many as one question carries. Guards against a start that asks once a
 // duty: of many processes together that is more than a council answers.
-func (a *Agent) stand() {
+func (a *Client) stand() {
 	var duties []string
 	for duty, r := range a.stands {
 		if r.at <= a.now {
@@ -34,7 +34,7 @@
 	slices.Sort(duties)
 	bytes := 0
 	for n, duty := range duties {
-		if bytes += len(duty); n == MostStands || n > 0 && bytes > nameBytes {
+		if bytes += len(duty); n == MaxTokenQuery || n > 0 && bytes > nameBytes {
 			duties = duties[:n]
 			break
 		}
@@ -44,12 +44,12 @@
 	}
 	a.number++
 	a.asked[a.number] = asked{duties: duties}
-	a.out = append(a.out, Decision{Verb: Stand, Number: a.number, Duties: slices.Clone(duties)})
+	a.out = append(a.out, Decision{Action: QueryTokens, Request: a.number, Leases: slices.Clone(duties)})
 }
 
-// Stood conveys the council's answer to a Stand: fences of its duties, in their order. Those past the answer's end are asked again; an
+// TokensLearned conveys the council's answer to a Stand: fences of its duties, in their order. Those past the answer's end are asked again; an
 // answer of more than was asked is none.
-func (a *Agent) Stood(number uint64, fences []lease.Fence) {
+func (a *Client) TokensLearned(number uint64, fences []lease.Token) {
 	if of, known := a.asked[number]; known && of.kind == "" {
 		delete(a.asked, number)
 		a.stood(of.duties, fences)
@@ -57,12 +57,12 @@
 }
 
 // stood takes in where the first of some duties stand. The others are put off together: each by itself would be a question of its own.
-func (a *Agent) stood(duties []string, fences []lease.Fence) {
+func (a *Client) stood(duties []string, fences []lease.Token) {
 	if len(fences) > len(duties) {
 		fences = nil
 	}
 	for i, fence := range fences {
-		a.receiver.Learned(duties[i], fence)
+		a.receiver.TokenLearned(duties[i], fence)
 		delete(a.stands, duties[i])
 	}
 	var off retry
