--- a/internal/decide/register/register.go
+++ b/internal/decide/leasestate/leasestate.go
@@ -1,11 +1,11 @@
-// Package register decides what the fleet's small state becomes with each entry of the council's log: sessions of
+// Package leasestate decides what the fleet's small state becomes with each entry of the council's log: sessions of
 // processes, duties with their holders, queues and fences, the steps that an owner noted down, and the policy that is in force.
 // It must never read a clock, draw chance or do I/O: the same entries give the same bytes of snapshot everywhere.
 //
 // Time enters only as what the leader put into the log: each entry says how many ms went by on the leader's clock since the
 // one before. A new leader can't know how long the log stood still, so it gives every session its whole length again; a
 // lease is its session's, and counts at its holder from before it was asked for, so it ends there first.
-package register
+package leasestate
 
 import (
 	"cmp"
@@ -33,92 +33,92 @@
 type Kind string
 
 const (
-	Lead   Kind = "lead"   // a new leader begins; all sessions get their whole length again
-	Tick   Kind = "tick"   // time has passed
-	Open   Kind = "open"   // Session begins, or begins anew with a higher Incarnation; Is, Length
-	Beat   Kind = "beat"   // Session is heard from
-	End    Kind = "end"    // Session ends by itself
-	Take   Kind = "take"   // Session would hold Duty
-	Free   Kind = "free"   // Session gives Duty back, under Fence
-	Pass   Kind = "pass"   // Session gives Duty to the session named To, under Fence, if that is alive
-	Note   Kind = "note"   // Session notes down a step of Duty, under Fence, before it is taken
-	Told   Kind = "told"   // a receiver knows of a higher Fence of Duty than is kept here
-	Ascend Kind = "ascend" // an operator began a new epoch
-	Beats  Kind = "beats"  // all of Names are heard from
-	Order  Kind = "order"  // an operator asks the owner of Duty for something: Text
-	// Propose asks for a change of the policy: Proposal. Builds before it stop at one: all of the council must know it first.
-	Propose Kind = "propose"
-	Did     Kind = "did" // Session ended order Number of Duty, under Fence; Text says how
+	BeginTerm     Kind = "lead"   // a new leader begins; all sessions get their whole length again
+	AdvanceTime   Kind = "tick"   // time has passed
+	OpenSession   Kind = "open"   // Session begins, or begins anew with a higher Incarnation; Is, Length
+	KeepAlive     Kind = "beat"   // Session is heard from
+	CloseSession  Kind = "end"    // Session ends by itself
+	AcquireLease  Kind = "take"   // Session would hold Duty
+	ReleaseLease  Kind = "free"   // Session gives Duty back, under Fence
+	TransferLease Kind = "pass"   // Session gives Duty to the session named To, under Fence, if that is alive
+	RecordStep    Kind = "note"   // Session notes down a step of Duty, under Fence, before it is taken
+	ReportToken   Kind = "told"   // a receiver knows of a higher Fence of Duty than is kept here
+	BeginEpoch    Kind = "ascend" // an operator began a new epoch
+	KeepAliveAll  Kind = "beats"  // all of Names are heard from
+	PlaceOrder    Kind = "order"  // an operator asks the owner of Duty for something: Text
+	// ProposePolicy asks for a change of the policy: Proposal. Builds before it stop at one: all of the council must know it first.
+	ProposePolicy Kind = "propose"
+	CompleteOrder Kind = "did" // Session ended order Number of Duty, under Fence; Text says how
 )
 
 // Entry is one entry of the log; only the fields of its kind are set.
 type Entry struct {
-	Kind        Kind        `cbor:"1,keyasint"`
-	Passed      uint64      `cbor:"2,keyasint,omitempty"` // ms on the leader's clock since its entry before
-	Session     string      `cbor:"3,keyasint,omitempty"`
-	Incarnation uint64      `cbor:"4,keyasint,omitempty"`
-	Is          string      `cbor:"5,keyasint,omitempty"`
-	Length      uint64      `cbor:"6,keyasint,omitempty"` // ms of silence that a session outlives
-	Duty        string      `cbor:"7,keyasint,omitempty"`
-	Fence       lease.Fence `cbor:"8,keyasint,omitzero"`
-	To          string      `cbor:"9,keyasint,omitempty"`
-	Text        string      `cbor:"10,keyasint,omitempty"`
-	Epoch       uint64      `cbor:"11,keyasint,omitempty"`
-	Address     string      `cbor:"12,keyasint,omitempty"` // where Session hears the fleet's orders
-	Policy      uint64      `cbor:"13,keyasint,omitempty"` // mark of the policy's version that Session goes by
-	Number      uint64      `cbor:"14,keyasint,omitempty"`
-	Names       []Name      `cbor:"15,keyasint,omitempty"`
-	Refused     uint64      `cbor:"16,keyasint,omitempty"` // acts that Session turned away for their fence, since its start
-
-	Proposal *policy.Proposal `cbor:"17,keyasint,omitempty"`
-	Wont     uint64           `cbor:"18,keyasint,omitempty"` // mark of a version that Session couldn't take
-	Why      string           `cbor:"19,keyasint,omitempty"` // for what reason
-}
-
-// Name is one incarnation of a session.
-type Name struct {
-	Session     string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`
-	Refused     uint64 `cbor:"3,keyasint,omitempty"`
-	Policy      uint64 `cbor:"4,keyasint,omitempty"`
-	Wont        uint64 `cbor:"5,keyasint,omitempty"`
-	Why         string `cbor:"6,keyasint,omitempty"`
+	Kind         Kind        `cbor:"1,keyasint"`
+	Elapsed      uint64      `cbor:"2,keyasint,omitempty"` // ms on the leader's clock since its entry before
+	Session      string      `cbor:"3,keyasint,omitempty"`
+	Incarnation  uint64      `cbor:"4,keyasint,omitempty"`
+	Role         string      `cbor:"5,keyasint,omitempty"`
+	Timeout      uint64      `cbor:"6,keyasint,omitempty"` // ms of silence that a session outlives
+	Lease        string      `cbor:"7,keyasint,omitempty"`
+	Token        lease.Token `cbor:"8,keyasint,omitzero"`
+	To           string      `cbor:"9,keyasint,omitempty"`
+	Text         string      `cbor:"10,keyasint,omitempty"`
+	Epoch        uint64      `cbor:"11,keyasint,omitempty"`
+	Address      string      `cbor:"12,keyasint,omitempty"` // where Session hears the fleet's orders
+	Policy       uint64      `cbor:"13,keyasint,omitempty"` // mark of the policy's version that Session goes by
+	Number       uint64      `cbor:"14,keyasint,omitempty"`
+	Heartbeats   []Heartbeat `cbor:"15,keyasint,omitempty"`
+	RejectedActs uint64      `cbor:"16,keyasint,omitempty"` // acts that Session turned away for their fence, since its start
+
+	Proposal       *policy.Proposal `cbor:"17,keyasint,omitempty"`
+	RejectedPolicy uint64           `cbor:"18,keyasint,omitempty"` // mark of a version that Session couldn't take
+	Reason         string           `cbor:"19,keyasint,omitempty"` // for what reason
+}
+
+// Heartbeat is one incarnation of a session.
+type Heartbeat struct {
+	Session        string `cbor:"1,keyasint"`
+	Incarnation    uint64 `cbor:"2,keyasint"`
+	RejectedActs   uint64 `cbor:"3,keyasint,omitempty"`
+	Policy         uint64 `cbor:"4,keyasint,omitempty"`
+	RejectedPolicy uint64 `cbor:"5,keyasint,omitempty"`
+	Reason         string `cbor:"6,keyasint,omitempty"`
 }
 
 // Session is a process as the council knows it.
 type Session struct {
-	Incarnation uint64 `cbor:"1,keyasint"`
-	Is          string `cbor:"2,keyasint"`
-	Length      uint64 `cbor:"3,keyasint"`
-	Heard       uint64 `cbor:"4,keyasint"` // on the register's time
-	Address     string `cbor:"5,keyasint"`
-	Policy      uint64 `cbor:"6,keyasint"` // mark of the version that it goes by, as it last said
-	Refused     uint64 `cbor:"7,keyasint"`
-	Wont        uint64 `cbor:"8,keyasint,omitempty"` // mark of a version that it couldn't take
-	Why         string `cbor:"9,keyasint,omitempty"`
-}
-
-// Duty is something that one process at a time does for the fleet.
-type Duty struct {
-	Holder string      `cbor:"1,keyasint"` // empty: nobody
-	Fence  lease.Fence `cbor:"2,keyasint"` // of the latest grant, and never lower than any before
-	Since  uint64      `cbor:"3,keyasint"`
-	Queue  []string    `cbor:"4,keyasint"` // sessions that would hold it, the one that is next first
-	Barred lease.Fence `cbor:"5,keyasint"` // a fence that some receiver has seen though it was never granted here
-	Steps  []Step      `cbor:"6,keyasint"` // since the order that is open came, or the latest ended
-	Open   Wish        `cbor:"7,keyasint"` // what is asked of the owner
-	Ended  Wish        `cbor:"8,keyasint"` // the latest that was ended, and how
-}
-
-// Wish is an operator's order, numbered within its duty from 1; 0: none.
-type Wish struct {
+	Incarnation    uint64 `cbor:"1,keyasint"`
+	Role           string `cbor:"2,keyasint"`
+	Timeout        uint64 `cbor:"3,keyasint"`
+	LastHeartbeat  uint64 `cbor:"4,keyasint"` // on the register's time
+	Address        string `cbor:"5,keyasint"`
+	Policy         uint64 `cbor:"6,keyasint"` // mark of the version that it goes by, as it last said
+	RejectedActs   uint64 `cbor:"7,keyasint"`
+	RejectedPolicy uint64 `cbor:"8,keyasint,omitempty"` // mark of a version that it couldn't take
+	Reason         string `cbor:"9,keyasint,omitempty"`
+}
+
+// Lease is something that one process at a time does for the fleet.
+type Lease struct {
+	Holder       string      `cbor:"1,keyasint"` // empty: nobody
+	Token        lease.Token `cbor:"2,keyasint"` // of the latest grant, and never lower than any before
+	Since        uint64      `cbor:"3,keyasint"`
+	Queue        []string    `cbor:"4,keyasint"` // sessions that would hold it, the one that is next first
+	ForeignToken lease.Token `cbor:"5,keyasint"` // a fence that some receiver has seen though it was never granted here
+	Steps        []Step      `cbor:"6,keyasint"` // since the order that is open came, or the latest ended
+	Open         Order       `cbor:"7,keyasint"` // what is asked of the owner
+	Ended        Order       `cbor:"8,keyasint"` // the latest that was ended, and how
+}
+
+// Order is an operator's order, numbered within its duty from 1; 0: none.
+type Order struct {
 	Number uint64 `cbor:"1,keyasint" json:"number"`
 	Text   string `cbor:"2,keyasint" json:"text"`
 }
 
 // Step is a note of an owner's, for itself and for who comes after it.
 type Step struct {
-	Fence lease.Fence `cbor:"1,keyasint"`
+	Token lease.Token `cbor:"1,keyasint"`
 	Text  string      `cbor:"2,keyasint"`
 }
 
@@ -127,36 +127,36 @@
 	Index   uint64      `cbor:"1,keyasint"` // of the entry that brought it
 	Session string      `cbor:"2,keyasint,omitempty"`
 	Ended   bool        `cbor:"3,keyasint,omitempty"`
-	Duty    string      `cbor:"4,keyasint,omitempty"`
-	Fence   lease.Fence `cbor:"5,keyasint,omitzero"`
-	Why     string      `cbor:"6,keyasint,omitempty"` // silent, anew, left: how a session ended
+	Lease   string      `cbor:"4,keyasint,omitempty"`
+	Token   lease.Token `cbor:"5,keyasint,omitzero"`
+	Reason  string      `cbor:"6,keyasint,omitempty"` // silent, anew, left: how a session ended
 	Policy  uint64      `cbor:"7,keyasint,omitempty"` // mark of the version that is in force now
 }
 
-type state struct {
+type snapshot struct {
 	Version  uint64              `cbor:"1,keyasint"`
 	Fleet    string              `cbor:"2,keyasint"`
 	Epoch    uint64              `cbor:"3,keyasint"`
 	Now      uint64              `cbor:"4,keyasint"` // ms that have passed by the leaders' clocks
 	Index    uint64              `cbor:"5,keyasint"`
 	Sessions map[string]*Session `cbor:"6,keyasint"`
-	Duties   map[string]*Duty    `cbor:"7,keyasint"`
+	Duties   map[string]*Lease   `cbor:"7,keyasint"`
 	Events   []Event             `cbor:"8,keyasint"`
 	Refused  uint64              `cbor:"9,keyasint"`            // by sessions that are over
-	Policy   *policy.Book        `cbor:"10,keyasint,omitempty"` // nil: nothing was ever proposed
+	Policy   *policy.History     `cbor:"10,keyasint,omitempty"` // nil: nothing was ever proposed
 }
 
-// Register is the state after the entries so far.
-type Register struct{ s state }
+// State is the state after the entries so far.
+type State struct{ s snapshot }
 
 // New makes an empty one in the first epoch.
-func New(fleet string) *Register {
-	return &Register{state{Version: 1, Fleet: fleet, Epoch: 1, Sessions: map[string]*Session{}, Duties: map[string]*Duty{}}}
+func New(fleet string) *State {
+	return &State{snapshot{Version: 1, Fleet: fleet, Epoch: 1, Sessions: map[string]*Session{}, Duties: map[string]*Lease{}}}
 }
 
-// Unbegun makes one that grants nothing until its first leader has said in which epoch it begins. Guards against a council
+// NewUninitialized makes one that grants nothing until its first leader has said in which epoch it begins. Guards against a council
 // that is started anew by mistake: what it grants is above all that was granted before.
-func Unbegun(fleet string) *Register {
+func NewUninitialized(fleet string) *State {
 	r := New(fleet)
 	r.s.Epoch = 0
 	return r
@@ -164,8 +164,8 @@
 
 const behind = "a receiver knows a higher fence than this council"
 
-// NoSession is why a session that must be opened first is refused.
-const NoSession = "no such session"
+// ReasonNoSession is why a session that must be opened first is refused.
+const ReasonNoSession = "no such session"
 
 var (
 	// ErrUnknown is of an entry, or a snapshot, that a later build wrote: it must not be passed over.
@@ -207,21 +207,21 @@
 		return e, fmt.Errorf("entry: %w: %w", ErrUnsound, err)
 	}
 	switch e.Kind {
-	case Lead, Tick, Open, Beat, End, Take, Free, Pass, Note, Told, Ascend, Beats, Order, Did, Propose:
+	case BeginTerm, AdvanceTime, OpenSession, KeepAlive, CloseSession, AcquireLease, ReleaseLease, TransferLease, RecordStep, ReportToken, BeginEpoch, KeepAliveAll, PlaceOrder, CompleteOrder, ProposePolicy:
 	default:
 		return e, fmt.Errorf("entry: %w: kind %.32q", ErrUnknown, e.Kind)
 	}
-	for _, text := range []string{e.Session, e.Is, e.Duty, e.To, e.Text, e.Address, e.Why} {
+	for _, text := range []string{e.Session, e.Role, e.Lease, e.To, e.Text, e.Address, e.Reason} {
 		if len(text) > longest {
 			return e, fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrUnsound, len(text), longest)
 		}
 	}
-	for _, n := range e.Names {
-		if n := max(len(n.Session), len(n.Why)); n > longest {
+	for _, n := range e.Heartbeats {
+		if n := max(len(n.Session), len(n.Reason)); n > longest {
 			return e, fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrUnsound, n, longest)
 		}
 	}
-	if (e.Kind == Propose) != (e.Proposal != nil) {
+	if (e.Kind == ProposePolicy) != (e.Proposal != nil) {
 		return e, fmt.Errorf("entry: %w: %q with or without a proposal", ErrUnsound, e.Kind)
 	}
 	if e.Proposal != nil {
@@ -229,14 +229,14 @@
 			return e, fmt.Errorf("entry: %w: %w", ErrUnsound, err)
 		}
 	}
-	if e.Passed > mostPassed || e.Length > mostPassed {
-		return e, fmt.Errorf("entry: %w: %d ms passed, a length of %d ms, %d at most", ErrUnsound, e.Passed, e.Length, mostPassed)
+	if e.Elapsed > mostPassed || e.Timeout > mostPassed {
+		return e, fmt.Errorf("entry: %w: %d ms passed, a length of %d ms, %d at most", ErrUnsound, e.Elapsed, e.Timeout, mostPassed)
 	}
 	return e, nil
 }
 
 // Snapshot gives the whole state as bytes, the same for the same entries.
-func (r *Register) Snapshot() []byte {
+func (r *State) Snapshot() []byte {
 	b, err := coding.EncMode.Marshal(r.s)
 	if err != nil {
 		panic(err)
@@ -245,7 +245,7 @@
 }
 
 // Restore reads a snapshot of the fleet's. Nothing is taken over from one that is unsound, later or another fleet's.
-func Restore(fleet string, b []byte) (*Register, error) {
+func Restore(fleet string, b []byte) (*State, error) {
 	var head struct {
 		Version uint64 `cbor:"1,keyasint"`
 		Fleet   string `cbor:"2,keyasint"`
@@ -281,99 +281,99 @@
 	return r, nil
 }
 
-// Answer is what the process that brought an entry hears.
-type Answer struct {
+// Result is what the process that brought an entry hears.
+type Result struct {
 	Held   bool        // it holds the duty, under Fence
-	Fence  lease.Fence // of its grant; else the highest known
+	Fence  lease.Token // of its grant; else the highest known
 	Why    string      // where it was refused
 	Number uint64      // of the order; of a session that was refused: the incarnation that has its name
 }
 
 // Apply takes one entry in. index is its place in the log; one that is in already is passed over.
-func (r *Register) Apply(index uint64, e Entry) Answer {
+func (r *State) Apply(index uint64, e Entry) Result {
 	if index <= r.s.Index {
-		return Answer{Why: "applied before"}
+		return Result{Why: "applied before"}
 	}
 	r.s.Index = index
-	r.s.Now += e.Passed
-	if e.Kind == Lead {
+	r.s.Now += e.Elapsed
+	if e.Kind == BeginTerm {
 		if r.s.Epoch == 0 {
 			r.s.Epoch = e.Epoch
 		}
 		for _, s := range r.s.Sessions {
-			s.Heard = r.s.Now
+			s.LastHeartbeat = r.s.Now
 		}
 	}
 	r.expire()
 	switch e.Kind {
-	case Open:
+	case OpenSession:
 		return r.open(e)
-	case Beat, End, Take, Free, Pass, Note, Did:
+	case KeepAlive, CloseSession, AcquireLease, ReleaseLease, TransferLease, RecordStep, CompleteOrder:
 		return r.of(e)
-	case Beats:
-		for _, n := range e.Names {
+	case KeepAliveAll:
+		for _, n := range e.Heartbeats {
 			if s := r.s.Sessions[n.Session]; s != nil && s.Incarnation == n.Incarnation {
-				s.Heard, s.Refused = r.s.Now, max(s.Refused, n.Refused)
-				r.goesBy(s, n.Policy, n.Wont, n.Why)
+				s.LastHeartbeat, s.RejectedActs = r.s.Now, max(s.RejectedActs, n.RejectedActs)
+				r.goesBy(s, n.Policy, n.RejectedPolicy, n.Reason)
 			}
 		}
-	case Propose:
+	case ProposePolicy:
 		return r.propose(e)
-	case Order:
+	case PlaceOrder:
 		return r.order(e)
-	case Told:
+	case ReportToken:
 		return r.told(e)
-	case Ascend:
+	case BeginEpoch:
 		if e.Epoch <= r.s.Epoch {
-			return Answer{Why: fmt.Sprintf("epoch %d has begun already", r.s.Epoch)}
+			return Result{Why: fmt.Sprintf("epoch %d has begun already", r.s.Epoch)}
 		}
 		r.s.Epoch = e.Epoch
 		for _, name := range slices.Sorted(maps.Keys(r.s.Duties)) {
 			r.free(name)
 		}
-		if r.s.Policy != nil && r.s.Policy.Ascend(e.Epoch) {
-			r.tell(Event{Policy: r.s.Policy.Version.Mark()})
+		if r.s.Policy != nil && r.s.Policy.BeginEpoch(e.Epoch) {
+			r.tell(Event{Policy: r.s.Policy.Version.Number64()})
 		}
 	}
-	return Answer{}
+	return Result{}
 }
 
 // propose takes in a change of the policy. Whether its fields may change is asked before it gets into the log (Policy.Judge): a
 // build with another table would make another state of the same entry.
-func (r *Register) propose(e Entry) Answer {
+func (r *State) propose(e Entry) Result {
 	b := r.book()
 	was := b.Version
 	v, why := b.Propose(r.s.Epoch, *e.Proposal)
 	if why != "" {
-		return Answer{Why: why, Number: was.Number}
+		return Result{Why: why, Number: was.Number}
 	}
 	if v != was {
-		r.tell(Event{Policy: v.Mark()})
+		r.tell(Event{Policy: v.Number64()})
 	}
-	return Answer{Held: true, Number: v.Number}
+	return Result{Held: true, Number: v.Number}
 }
 
 // book gives what is kept of policies. From the first on that concerns them, the snapshot is one that earlier builds refuse.
-func (r *Register) book() *policy.Book {
+func (r *State) book() *policy.History {
 	if r.s.Policy == nil {
-		r.s.Policy, r.s.Version = &policy.Book{}, version
+		r.s.Policy, r.s.Version = &policy.History{}, version
 	}
 	return r.s.Policy
 }
 
 // goesBy notes down by which version a session goes. Nobody is told: hundreds would hear of hundreds; who wants to know looks.
-func (r *Register) goesBy(s *Session, mark, wont uint64, why string) {
-	s.Policy, s.Wont, s.Why = mark, wont, why
+func (r *State) goesBy(s *Session, mark, wont uint64, why string) {
+	s.Policy, s.RejectedPolicy, s.Reason = mark, wont, why
 	if mark > 0 {
 		r.book().Acknowledged(mark)
 	}
 }
 
 // expire ends the sessions that have been silent for longer than their length.
-func (r *Register) expire() {
+func (r *State) expire() {
 	var over []string
 	for name, s := range r.s.Sessions {
-		if r.s.Now-s.Heard > s.Length {
+		if r.s.Now-s.LastHeartbeat > s.Timeout {
 			over = append(over, name)
 		}
 	}
@@ -383,136 +383,136 @@
 	}
 }
 
-// Left is how many ms of the leader's time may go by until some session ends, if none is heard from; false: there is none.
-func (r *Register) Left() (ms uint64, any bool) {
+// UntilExpiry is how many ms of the leader's time may go by until some session ends, if none is heard from; false: there is none.
+func (r *State) UntilExpiry() (ms uint64, any bool) {
 	for _, s := range r.s.Sessions {
-		if left := s.Heard + s.Length - min(r.s.Now, s.Heard+s.Length); !any || left < ms {
+		if left := s.LastHeartbeat + s.Timeout - min(r.s.Now, s.LastHeartbeat+s.Timeout); !any || left < ms {
 			ms, any = left, true
 		}
 	}
 	return ms, any
 }
 
-func (r *Register) open(e Entry) Answer {
+func (r *State) open(e Entry) Result {
 	s := r.s.Sessions[e.Session]
 	switch {
-	case e.Session == "" || e.Length == 0:
-		return Answer{Why: "a session needs a name and a length"}
+	case e.Session == "" || e.Timeout == 0:
+		return Result{Why: "a session needs a name and a length"}
 	case s == nil && len(r.s.Sessions) >= mostNames:
-		return Answer{Why: "too many sessions"}
+		return Result{Why: "too many sessions"}
 	case s != nil && e.Incarnation < s.Incarnation:
-		return Answer{Why: "a later incarnation has this name", Number: s.Incarnation}
+		return Result{Why: "a later incarnation has this name", Number: s.Incarnation}
 	case s != nil && e.Incarnation == s.Incarnation:
-		s.Heard = r.s.Now // the same request once more
-		r.goesBy(s, e.Policy, e.Wont, e.Why)
-		return Answer{Held: true}
+		s.LastHeartbeat = r.s.Now // the same request once more
+		r.goesBy(s, e.Policy, e.RejectedPolicy, e.Reason)
+		return Result{Held: true}
 	case s != nil:
 		r.end(e.Session, "anew") // its process started anew and knows nothing of what it held
 	}
-	s = &Session{Incarnation: e.Incarnation, Is: e.Is, Length: e.Length, Heard: r.s.Now, Address: e.Address}
+	s = &Session{Incarnation: e.Incarnation, Role: e.Role, Timeout: e.Timeout, LastHeartbeat: r.s.Now, Address: e.Address}
 	r.s.Sessions[e.Session] = s
-	r.goesBy(s, e.Policy, e.Wont, e.Why)
+	r.goesBy(s, e.Policy, e.RejectedPolicy, e.Reason)
 	r.tell(Event{Session: e.Session})
-	return Answer{Held: true}
+	return Result{Held: true}
 }
 
 // of takes in what a session does. One that is not there, or of another incarnation, hears that it must open one first.
-func (r *Register) of(e Entry) Answer {
+func (r *State) of(e Entry) Result {
 	s := r.s.Sessions[e.Session]
 	if s == nil || s.Incarnation != e.Incarnation {
-		return Answer{Why: NoSession}
+		return Result{Why: ReasonNoSession}
 	}
-	s.Heard, s.Refused = r.s.Now, max(s.Refused, e.Refused)
+	s.LastHeartbeat, s.RejectedActs = r.s.Now, max(s.RejectedActs, e.RejectedActs)
 	switch e.Kind {
-	case Beat:
-		r.goesBy(s, e.Policy, e.Wont, e.Why)
-		return Answer{Held: true}
-	case End:
+	case KeepAlive:
+		r.goesBy(s, e.Policy, e.RejectedPolicy, e.Reason)
+		return Result{Held: true}
+	case CloseSession:
 		r.end(e.Session, "left")
-		return Answer{}
-	case Take:
+		return Result{}
+	case AcquireLease:
 		return r.take(e)
 	}
-	d := r.s.Duties[e.Duty]
-	if d == nil || d.Holder != e.Session || d.Fence != e.Fence {
-		a := Answer{Why: "not the holder"}
+	d := r.s.Duties[e.Lease]
+	if d == nil || d.Holder != e.Session || d.Token != e.Token {
+		a := Result{Why: "not the holder"}
 		if d != nil {
-			a.Fence = d.Fence
+			a.Fence = d.Token
 		}
 		return a
 	}
 	switch e.Kind {
-	case Free:
-		r.free(e.Duty)
-	case Pass:
+	case ReleaseLease:
+		r.free(e.Lease)
+	case TransferLease:
 		if r.s.Sessions[e.To] == nil {
-			return Answer{Held: true, Fence: d.Fence, Why: "the successor has no session"}
+			return Result{Held: true, Fence: d.Token, Why: "the successor has no session"}
 		}
 		d.Queue = append([]string{e.To}, slices.DeleteFunc(d.Queue, func(q string) bool { return q == e.To })...)
-		r.free(e.Duty)
-	case Note:
-		if d.Steps = append(d.Steps, Step{d.Fence, e.Text}); len(d.Steps) > mostSteps {
+		r.free(e.Lease)
+	case RecordStep:
+		if d.Steps = append(d.Steps, Step{d.Token, e.Text}); len(d.Steps) > mostSteps {
 			d.Steps = slices.Delete(d.Steps, 0, len(d.Steps)-mostSteps)
 		}
-		r.tell(Event{Duty: e.Duty, Fence: d.Fence, Session: d.Holder})
-		return Answer{Held: true, Fence: d.Fence}
-	case Did:
+		r.tell(Event{Lease: e.Lease, Token: d.Token, Session: d.Holder})
+		return Result{Held: true, Fence: d.Token}
+	case CompleteOrder:
 		if e.Number == d.Open.Number && e.Number > 0 {
-			d.Ended, d.Open, d.Steps = Wish{e.Number, e.Text}, Wish{}, nil
-			r.tell(Event{Duty: e.Duty, Fence: d.Fence, Session: d.Holder})
+			d.Ended, d.Open, d.Steps = Order{e.Number, e.Text}, Order{}, nil
+			r.tell(Event{Lease: e.Lease, Token: d.Token, Session: d.Holder})
 		}
-		return Answer{Held: true, Fence: d.Fence, Number: d.Ended.Number}
+		return Result{Held: true, Fence: d.Token, Number: d.Ended.Number}
 	}
-	return Answer{Fence: d.Fence}
+	return Result{Fence: d.Token}
 }
 
 // take grants a duty that nobody holds, to the first of its queue; a holder's repeat gets the same fence.
-func (r *Register) take(e Entry) Answer {
-	d, why := r.duty(e.Duty)
+func (r *State) take(e Entry) Result {
+	d, why := r.duty(e.Lease)
 	if d == nil {
-		return Answer{Why: why}
+		return Result{Why: why}
 	}
 	if d.Holder != e.Session && !slices.Contains(d.Queue, e.Session) {
 		d.Queue = append(d.Queue, e.Session)
 	}
 	if d.Holder == "" {
-		r.grant(e.Duty)
+		r.grant(e.Lease)
 	}
 	if d.Holder == e.Session {
-		return Answer{Held: true, Fence: d.Fence}
+		return Result{Held: true, Fence: d.Token}
 	}
 	if why = "held by " + d.Holder; d.Holder == "" {
 		why = behind
 	}
-	return Answer{Fence: d.Fence, Why: why}
+	return Result{Fence: d.Token, Why: why}
 }
 
 // order notes down what an operator wants; the same words again, while it is open, are the same order.
-func (r *Register) order(e Entry) Answer {
-	d, why := r.duty(e.Duty)
+func (r *State) order(e Entry) Result {
+	d, why := r.duty(e.Lease)
 	switch {
 	case d == nil:
-		return Answer{Why: why}
+		return Result{Why: why}
 	case e.Text == "":
-		return Answer{Why: "an order needs words"}
+		return Result{Why: "an order needs words"}
 	case d.Open.Number == 0:
-		d.Open, d.Steps = Wish{d.Ended.Number + 1, e.Text}, nil
-		r.tell(Event{Duty: e.Duty, Fence: d.Fence, Session: d.Holder})
+		d.Open, d.Steps = Order{d.Ended.Number + 1, e.Text}, nil
+		r.tell(Event{Lease: e.Lease, Token: d.Token, Session: d.Holder})
 	case d.Open.Text != e.Text:
-		return Answer{Why: fmt.Sprintf("order %d is open: %s", d.Open.Number, d.Open.Text), Number: d.Open.Number}
+		return Result{Why: fmt.Sprintf("order %d is open: %s", d.Open.Number, d.Open.Text), Number: d.Open.Number}
 	}
-	return Answer{Held: true, Fence: d.Fence, Number: d.Open.Number}
+	return Result{Held: true, Fence: d.Token, Number: d.Open.Number}
 }
 
 // duty finds a duty, or makes one that nobody holds yet.
-func (r *Register) duty(name string) (d *Duty, why string) {
+func (r *State) duty(name string) (d *Lease, why string) {
 	if d = r.s.Duties[name]; d != nil {
 		return d, ""
 	}
 	if name == "" || len(r.s.Duties) >= mostNames {
 		return nil, "no duty named, or too many"
 	}
-	d = &Duty{}
+	d = &Lease{}
 	r.s.Duties[name] = d
 	return d, ""
 }
@@ -520,41 +520,41 @@
 // grant gives a free duty to the first of its queue. Guards against fences that go back, after state was lost: while a
 // receiver has seen a fence that this state knows nothing of, there may have been more in that epoch: nobody gets the
 // duty until an operator has begun another.
-func (r *Register) grant(name string) {
+func (r *State) grant(name string) {
 	d := r.s.Duties[name]
 	if len(d.Queue) == 0 || d.Holder != "" {
 		return
 	}
-	next := lease.Fence{Epoch: r.s.Epoch, Count: 1}
-	if d.Fence.Epoch == r.s.Epoch {
-		next.Count = d.Fence.Count + 1
+	next := lease.Token{Epoch: r.s.Epoch, Count: 1}
+	if d.Token.Epoch == r.s.Epoch {
+		next.Count = d.Token.Count + 1
 	}
-	if next.Count > lease.Most {
+	if next.Count > lease.MaxCount {
 		r.s.Epoch++
-		next = lease.Fence{Epoch: r.s.Epoch, Count: 1}
+		next = lease.Token{Epoch: r.s.Epoch, Count: 1}
 	}
-	if next.Epoch <= d.Barred.Epoch {
+	if next.Epoch <= d.ForeignToken.Epoch {
 		return
 	}
-	d.Holder, d.Fence, d.Since = d.Queue[0], next, r.s.Now
+	d.Holder, d.Token, d.Since = d.Queue[0], next, r.s.Now
 	d.Queue = slices.Delete(d.Queue, 0, 1)
-	r.tell(Event{Duty: name, Fence: next, Session: d.Holder})
+	r.tell(Event{Lease: name, Token: next, Session: d.Holder})
 }
 
 // free takes a duty from its holder; the next of the queue gets it at once.
-func (r *Register) free(name string) {
+func (r *State) free(name string) {
 	d := r.s.Duties[name]
 	if d.Holder != "" {
-		r.tell(Event{Duty: name, Fence: d.Fence, Session: d.Holder, Ended: true})
+		r.tell(Event{Lease: name, Token: d.Token, Session: d.Holder, Ended: true})
 		d.Holder, d.Since = "", r.s.Now
 	}
 	r.grant(name)
 }
 
-func (r *Register) end(session, why string) {
-	r.s.Refused += r.s.Sessions[session].Refused
+func (r *State) end(session, why string) {
+	r.s.Refused += r.s.Sessions[session].RejectedActs
 	delete(r.s.Sessions, session)
-	r.tell(Event{Session: session, Ended: true, Why: why})
+	r.tell(Event{Session: session, Ended: true, Reason: why})
 	for _, name := range slices.Sorted(maps.Keys(r.s.Duties)) {
 		d := r.s.Duties[name]
 		d.Queue = slices.DeleteFunc(d.Queue, func(q string) bool { return q == session })
@@ -567,23 +567,23 @@
 // told takes in that a receiver has seen a fence that was never granted here, or one that was granted here to somebody
 // else than Session, if it says who acted under it: this state is older than what the fleet has been through. The duty is taken away, since who holds it
 // can't act, and granted again only in a later epoch.
-func (r *Register) told(e Entry) Answer {
-	d, why := r.duty(e.Duty)
+func (r *State) told(e Entry) Result {
+	d, why := r.duty(e.Lease)
 	if d == nil {
-		return Answer{Why: why}
+		return Result{Why: why}
 	}
-	order := e.Fence.Compare(d.Fence)
+	order := e.Token.Compare(d.Token)
 	known := order < 0 || order == 0 && (d.Holder == "" || e.Session == "" || d.Holder == e.Session)
-	if known || e.Fence.Compare(d.Barred) <= 0 {
-		return Answer{Fence: d.Fence}
+	if known || e.Token.Compare(d.ForeignToken) <= 0 {
+		return Result{Fence: d.Token}
 	}
-	d.Barred = e.Fence
-	r.tell(Event{Duty: e.Duty, Fence: d.Fence})
-	r.free(e.Duty)
-	return Answer{Fence: d.Fence, Why: behind}
+	d.ForeignToken = e.Token
+	r.tell(Event{Lease: e.Lease, Token: d.Token})
+	r.free(e.Lease)
+	return Result{Fence: d.Token, Why: behind}
 }
 
-func (r *Register) tell(e Event) {
+func (r *State) tell(e Event) {
 	e.Index = r.s.Index
 	if r.s.Events = append(r.s.Events, e); len(r.s.Events) > mostEvents {
 		r.s.Events = slices.Delete(r.s.Events, 0, len(r.s.Events)-mostEvents)
@@ -591,7 +591,7 @@
 }
 
 // Since gives the events after an index, or false where some of them are no longer kept: then all must be read anew.
-func (r *Register) Since(index uint64) ([]Event, bool) {
+func (r *State) Since(index uint64) ([]Event, bool) {
 	if len(r.s.Events) == mostEvents && index < r.s.Events[0].Index {
 		return nil, false
 	}
@@ -599,36 +599,36 @@
 	return slices.Clone(r.s.Events[n:]), true
 }
 
-// Duty and Session give what is kept of one; false: nothing. Duties and Sessions name them, in order.
-func (r *Register) Duty(name string) (Duty, bool) {
+// Lease and Session give what is kept of one; false: nothing. Duties and Sessions name them, in order.
+func (r *State) Lease(name string) (Lease, bool) {
 	d := r.s.Duties[name]
 	if d == nil {
-		return Duty{}, false
+		return Lease{}, false
 	}
 	c := *d
 	c.Queue, c.Steps = slices.Clone(d.Queue), slices.Clone(d.Steps)
 	return c, true
 }
 
-// Stands is the fence under which nothing of a duty is in force any more: what a receiver that knows nothing learns. In an
+// LatestToken is the fence under which nothing of a duty is in force any more: what a receiver that knows nothing learns. In an
 // epoch without a grant so far that is the epoch's beginning, since those before it are over.
-func (r *Register) Stands(name string) lease.Fence {
-	stands := lease.Fence{Epoch: r.s.Epoch}
-	if d := r.s.Duties[name]; d != nil && d.Fence.Compare(stands) > 0 {
-		stands = d.Fence
+func (r *State) LatestToken(name string) lease.Token {
+	stands := lease.Token{Epoch: r.s.Epoch}
+	if d := r.s.Duties[name]; d != nil && d.Token.Compare(stands) > 0 {
+		stands = d.Token
 	}
 	return stands
 }
 
 // Policy gives what is kept of policies; it must not be changed, nor kept. Before the first proposal it is empty.
-func (r *Register) Policy() *policy.Book {
+func (r *State) Policy() *policy.History {
 	if r.s.Policy == nil {
-		return &policy.Book{}
+		return &policy.History{}
 	}
 	return r.s.Policy
 }
 
-func (r *Register) Session(name string) (Session, bool) {
+func (r *State) Session(name string) (Session, bool) {
 	s := r.s.Sessions[name]
 	if s == nil {
 		return Session{}, false
@@ -636,10 +636,10 @@
 	return *s, true
 }
 
-func (r *Register) Duties() []string   { return slices.Sorted(maps.Keys(r.s.Duties)) }
-func (r *Register) Sessions() []string { return slices.Sorted(maps.Keys(r.s.Sessions)) }
-func (r *Register) Index() uint64      { return r.s.Index }
-func (r *Register) Now() uint64        { return r.s.Now }
-func (r *Register) Refused() uint64    { return r.s.Refused }
-func (r *Register) Fleet() string      { return r.s.Fleet }
-func (r *Register) Epoch() uint64      { return r.s.Epoch }
+func (r *State) Leases() []string     { return slices.Sorted(maps.Keys(r.s.Duties)) }
+func (r *State) Sessions() []string   { return slices.Sorted(maps.Keys(r.s.Sessions)) }
+func (r *State) Index() uint64        { return r.s.Index }
+func (r *State) Now() uint64          { return r.s.Now }
+func (r *State) RejectedActs() uint64 { return r.s.Refused }
+func (r *State) Fleet() string        { return r.s.Fleet }
+func (r *State) Epoch() uint64        { return r.s.Epoch }
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/leasestate/leasestate_test.go
@@ -1,4 +1,4 @@
-package register
+package leasestate
 
 import (
 	"bytes"
@@ -16,24 +16,24 @@
 
 // fleet is a register with the index of its log.
 type fleet struct {
-	*Register
+	*State
 	at uint64
 }
 
-func (f *fleet) do(e Entry) Answer {
+func (f *fleet) do(e Entry) Result {
 	f.at++
 	return f.Apply(f.at, e)
 }
 
 func begin(sessions ...string) *fleet {
-	f := &fleet{Register: New("f")}
+	f := &fleet{State: New("f")}
 	for _, s := range sessions {
-		f.do(Entry{Kind: Open, Session: s, Incarnation: 1, Length: 100})
+		f.do(Entry{Kind: OpenSession, Session: s, Incarnation: 1, Timeout: 100})
 	}
 	return f
 }
 
-func take(s string) Entry { return Entry{Kind: Take, Session: s, Incarnation: 1, Duty: "d"} }
+func take(s string) Entry { return Entry{Kind: AcquireLease, Session: s, Incarnation: 1, Lease: "d"} }
 
 func want(t *testing.T, what string, got, want any) {
 	t.Helper()
@@ -42,7 +42,7 @@
 	}
 }
 
-func fence(epoch, count uint64) lease.Fence { return lease.Fence{Epoch: epoch, Count: count} }
+func fence(epoch, count uint64) lease.Token { return lease.Token{Epoch: epoch, Count: count} }
 
 func TestGrantQueueAndEnd(t *testing.T) {
 	f := begin("a", "b", "c")
@@ -50,20 +50,20 @@
 	want(t, "a repeat gets the same", f.do(take("a")).Fence, fence(1, 1))
 	want(t, "taken", f.do(take("b")).Held, false)
 	f.do(take("c"))
-	f.do(Entry{Kind: Beat, Session: "b", Incarnation: 1, Passed: 90})
-	f.do(Entry{Kind: Beat, Session: "c", Incarnation: 1, Passed: 5})
-	d, _ := f.Duty("d")
+	f.do(Entry{Kind: KeepAlive, Session: "b", Incarnation: 1, Elapsed: 90})
+	f.do(Entry{Kind: KeepAlive, Session: "c", Incarnation: 1, Elapsed: 5})
+	d, _ := f.Lease("d")
 	want(t, "still held", d.Holder, "a")
-	f.do(Entry{Kind: Tick, Passed: 6}) // a has been silent for 101
-	d, _ = f.Duty("d")
+	f.do(Entry{Kind: AdvanceTime, Elapsed: 6}) // a has been silent for 101
+	d, _ = f.Lease("d")
 	want(t, "next of the queue", d.Holder, "b")
-	want(t, "fence", d.Fence, fence(1, 2))
-	want(t, "who ended", f.do(Entry{Kind: Free, Session: "a", Incarnation: 1, Duty: "d", Fence: fence(1, 1)}).Why, "no such session")
-	a := f.do(Entry{Kind: Pass, Session: "b", Incarnation: 1, Duty: "d", Fence: fence(1, 2), To: "c"})
-	d, _ = f.Duty("d")
+	want(t, "fence", d.Token, fence(1, 2))
+	want(t, "who ended", f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1)}).Why, "no such session")
+	a := f.do(Entry{Kind: TransferLease, Session: "b", Incarnation: 1, Lease: "d", Token: fence(1, 2), To: "c"})
+	d, _ = f.Lease("d")
 	want(t, "passed on", d.Holder+a.Why, "c")
 	events, all := f.Since(0)
-	if last := events[len(events)-1]; !all || last.Session != "c" || last.Fence != fence(1, 3) {
+	if last := events[len(events)-1]; !all || last.Session != "c" || last.Token != fence(1, 3) {
 		t.Fatalf("events %+v", events)
 	}
 }
@@ -71,13 +71,13 @@
 func TestNewLeaderGivesWholeLength(t *testing.T) {
 	f := begin("a")
 	f.do(take("a"))
-	f.do(Entry{Kind: Tick, Passed: 90})
-	f.do(Entry{Kind: Lead, Passed: 50})
-	f.do(Entry{Kind: Tick, Passed: 100})
-	d, _ := f.Duty("d")
+	f.do(Entry{Kind: AdvanceTime, Elapsed: 90})
+	f.do(Entry{Kind: BeginTerm, Elapsed: 50})
+	f.do(Entry{Kind: AdvanceTime, Elapsed: 100})
+	d, _ := f.Lease("d")
 	want(t, "held", d.Holder, "a")
-	f.do(Entry{Kind: Tick, Passed: 1})
-	d, _ = f.Duty("d")
+	f.do(Entry{Kind: AdvanceTime, Elapsed: 1})
+	d, _ = f.Lease("d")
 	want(t, "over", d.Holder, "")
 }
 
@@ -85,28 +85,28 @@
 func TestIncarnation(t *testing.T) {
 	f := begin("a")
 	f.do(take("a"))
-	f.do(Entry{Kind: Open, Session: "a", Incarnation: 2, Length: 100})
-	d, _ := f.Duty("d")
+	f.do(Entry{Kind: OpenSession, Session: "a", Incarnation: 2, Timeout: 100})
+	d, _ := f.Lease("d")
 	want(t, "freed", d.Holder, "")
 	want(t, "the former self", f.do(take("a")).Why, "no such session")
-	want(t, "an older one", f.do(Entry{Kind: Open, Session: "a", Incarnation: 1, Length: 100}).Held, false)
-	want(t, "fence", f.do(Entry{Kind: Take, Session: "a", Incarnation: 2, Duty: "d"}).Fence, fence(1, 2))
+	want(t, "an older one", f.do(Entry{Kind: OpenSession, Session: "a", Incarnation: 1, Timeout: 100}).Held, false)
+	want(t, "fence", f.do(Entry{Kind: AcquireLease, Session: "a", Incarnation: 2, Lease: "d"}).Fence, fence(1, 2))
 }
 
 // A council whose state was lost grants nothing under fences that receivers have seen, until its epoch is above.
 func TestLostState(t *testing.T) {
 	f := begin("a")
-	f.do(Entry{Kind: Told, Duty: "d", Fence: fence(1, 7)})
+	f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(1, 7)})
 	a := f.do(take("a"))
 	want(t, "grant", a.Held, false)
 	want(t, "why", a.Why, behind)
-	want(t, "an old epoch", f.do(Entry{Kind: Ascend, Epoch: 1}).Why, "epoch 1 has begun already")
-	f.do(Entry{Kind: Ascend, Epoch: 2})
+	want(t, "an old epoch", f.do(Entry{Kind: BeginEpoch, Epoch: 1}).Why, "epoch 1 has begun already")
+	f.do(Entry{Kind: BeginEpoch, Epoch: 2})
 	want(t, "above", f.do(take("a")).Fence, fence(2, 1))
 	// An older copy put back grants the same fence to another; who has seen the first says so.
-	want(t, "its own", f.do(Entry{Kind: Told, Duty: "d", Fence: fence(2, 1), Session: "a"}).Why, "")
-	f.do(Entry{Kind: Told, Duty: "d", Fence: fence(2, 1), Session: "z"})
-	d, _ := f.Duty("d")
+	want(t, "its own", f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "a"}).Why, "")
+	f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "z"})
+	d, _ := f.Lease("d")
 	want(t, "taken away", d.Holder, "")
 	if f.do(take("a")).Held {
 		t.Fatal("granted at or under a fence that another has")
@@ -117,9 +117,9 @@
 func TestManyGrants(t *testing.T) {
 	f := begin("a")
 	f.do(take("a"))
-	f.s.Duties["d"].Fence.Count = lease.Most
-	before := f.s.Duties["d"].Fence.Number()
-	f.do(Entry{Kind: Free, Session: "a", Incarnation: 1, Duty: "d", Fence: fence(1, lease.Most)})
+	f.s.Duties["d"].Token.Count = lease.MaxCount
+	before := f.s.Duties["d"].Token.Number()
+	f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, lease.MaxCount)})
 	a := f.do(take("a"))
 	want(t, "fence", a.Fence, fence(2, 1))
 	want(t, "grows", a.Fence.Number() > before, true)
@@ -128,16 +128,16 @@
 func TestSteps(t *testing.T) {
 	f := begin("a", "b")
 	f.do(take("a"))
-	note := Entry{Kind: Note, Session: "a", Incarnation: 1, Duty: "d", Fence: fence(1, 1), Text: "hold"}
+	note := Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1), Text: "hold"}
 	want(t, "noted", f.do(note).Held, true)
-	f.do(Entry{Kind: Free, Session: "a", Incarnation: 1, Duty: "d", Fence: fence(1, 1)})
+	f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1)})
 	f.do(take("b"))
 	note.Text = "late"
 	want(t, "a former holder's", f.do(note).Fence, fence(1, 2))
 	for range 40 {
-		f.do(Entry{Kind: Note, Session: "b", Incarnation: 1, Duty: "d", Fence: fence(1, 2), Text: "go"})
+		f.do(Entry{Kind: RecordStep, Session: "b", Incarnation: 1, Lease: "d", Token: fence(1, 2), Text: "go"})
 	}
-	d, _ := f.Duty("d")
+	d, _ := f.Lease("d")
 	want(t, "kept", len(d.Steps), mostSteps)
 	for _, s := range d.Steps {
 		want(t, "step", s.Text, "go")
@@ -147,39 +147,39 @@
 // An operator's order is open until its duty's owner ends it, whoever that is by then; the same words again are the same.
 func TestOrders(t *testing.T) {
 	f := begin("a", "b")
-	order := Entry{Kind: Order, Duty: "d", Text: "to m2"}
+	order := Entry{Kind: PlaceOrder, Lease: "d", Text: "to m2"}
 	want(t, "number", f.do(order).Number, uint64(1))
 	want(t, "again", f.do(order).Number, uint64(1))
-	want(t, "another", f.do(Entry{Kind: Order, Duty: "d", Text: "to m3"}).Why, "order 1 is open: to m2")
+	want(t, "another", f.do(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Why, "order 1 is open: to m2")
 	f.do(take("a"))
-	f.do(Entry{Kind: Note, Session: "a", Incarnation: 1, Duty: "d", Fence: fence(1, 1), Text: "hold"})
-	did := Entry{Kind: Did, Session: "a", Incarnation: 1, Duty: "d", Fence: fence(1, 1), Number: 1, Text: "done"}
+	f.do(Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1), Text: "hold"})
+	did := Entry{Kind: CompleteOrder, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1), Number: 1, Text: "done"}
 	f.do(take("b"))
-	f.do(Entry{Kind: End, Session: "a", Incarnation: 1})
+	f.do(Entry{Kind: CloseSession, Session: "a", Incarnation: 1})
 	want(t, "a former owner's word", f.do(did).Why, "no such session")
-	d, _ := f.Duty("d")
+	d, _ := f.Lease("d")
 	want(t, "steps that the next owner finds", len(d.Steps), 1)
-	did.Session, did.Fence = "b", fence(1, 2)
+	did.Session, did.Token = "b", fence(1, 2)
 	want(t, "ended", f.do(did).Number, uint64(1))
-	d, _ = f.Duty("d")
-	want(t, "what is kept", d.Ended, Wish{1, "done"})
+	d, _ = f.Lease("d")
+	want(t, "what is kept", d.Ended, Order{1, "done"})
 	want(t, "open", d.Open.Number, uint64(0))
-	want(t, "the next", f.do(Entry{Kind: Order, Duty: "d", Text: "to m3"}).Number, uint64(2))
+	want(t, "the next", f.do(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Number, uint64(2))
 }
 
 // Beats of many come as one entry; those of other incarnations count for nothing.
 func TestBeats(t *testing.T) {
 	f := begin("a", "b")
-	f.do(Entry{Kind: Beats, Passed: 90, Names: []Name{{Session: "a", Incarnation: 1, Refused: 3}, {Session: "b", Incarnation: 2}, {Session: "z", Incarnation: 1}}})
-	left, any := f.Left()
+	f.do(Entry{Kind: KeepAliveAll, Elapsed: 90, Heartbeats: []Heartbeat{{Session: "a", Incarnation: 1, RejectedActs: 3}, {Session: "b", Incarnation: 2}, {Session: "z", Incarnation: 1}}})
+	left, any := f.UntilExpiry()
 	want(t, "left", left, uint64(10))
 	want(t, "any", any, true)
-	f.do(Entry{Kind: Tick, Passed: 11})
+	f.do(Entry{Kind: AdvanceTime, Elapsed: 11})
 	_, a := f.Session("a")
 	_, b := f.Session("b")
 	want(t, "a, b", [2]bool{a, b}, [2]bool{true, false})
-	f.do(Entry{Kind: End, Session: "a", Incarnation: 1, Refused: 4})
-	want(t, "refused, of those that are over", f.Refused(), uint64(4))
+	f.do(Entry{Kind: CloseSession, Session: "a", Incarnation: 1, RejectedActs: 4})
+	want(t, "refused, of those that are over", f.RejectedActs(), uint64(4))
 }
 
 func TestRefusedWhole(t *testing.T) {
@@ -203,7 +203,7 @@
 	}
 	for n := range whole {
 		if r, err := Restore("f", whole[:n]); err == nil {
-			t.Fatalf("%d of %d bytes read as %v", n, len(whole), r.Duties())
+			t.Fatalf("%d of %d bytes read as %v", n, len(whole), r.Leases())
 		}
 	}
 	f.s.Version = version + 1
@@ -214,14 +214,14 @@
 
 func draw(t *rapid.T) Entry {
 	name := rapid.SampledFrom([]string{"a", "b", "c"})
-	e := Entry{Kind: rapid.SampledFrom([]Kind{Lead, Tick, Open, Beat, End, Take, Free, Pass, Note, Told, Ascend, Beats, Order, Did, Propose}).Draw(t, "kind"),
-		Passed: uint64(rapid.IntRange(0, 60).Draw(t, "passed")), Session: name.Draw(t, "session"), To: name.Draw(t, "to"),
-		Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "incarnation")), Length: 100,
-		Duty:  rapid.SampledFrom([]string{"d", "e"}).Draw(t, "duty"),
-		Fence: fence(uint64(rapid.IntRange(1, 3).Draw(t, "epoch")), uint64(rapid.IntRange(0, 4).Draw(t, "count"))),
+	e := Entry{Kind: rapid.SampledFrom([]Kind{BeginTerm, AdvanceTime, OpenSession, KeepAlive, CloseSession, AcquireLease, ReleaseLease, TransferLease, RecordStep, ReportToken, BeginEpoch, KeepAliveAll, PlaceOrder, CompleteOrder, ProposePolicy}).Draw(t, "kind"),
+		Elapsed: uint64(rapid.IntRange(0, 60).Draw(t, "passed")), Session: name.Draw(t, "session"), To: name.Draw(t, "to"),
+		Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "incarnation")), Timeout: 100,
+		Lease: rapid.SampledFrom([]string{"d", "e"}).Draw(t, "duty"),
+		Token: fence(uint64(rapid.IntRange(1, 3).Draw(t, "epoch")), uint64(rapid.IntRange(0, 4).Draw(t, "count"))),
 		Epoch: uint64(rapid.IntRange(1, 4).Draw(t, "to epoch")), Text: "x", Number: uint64(rapid.IntRange(0, 2).Draw(t, "number"))}
-	mark := policy.Version{Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "of")), Number: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}.Mark()
-	if e.Kind != Propose {
+	mark := policy.Version{Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "of")), Number: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}.Number64()
+	if e.Kind != ProposePolicy {
 		e.Policy = mark
 		return e
 	}
@@ -231,10 +231,10 @@
 }
 
 // change proposes a document of one field.
-func (f *fleet) change(share string) Answer {
+func (f *fleet) change(share string) Result {
 	now := f.Policy()
 	p := policy.Propose(now.Version, now.Document, policy.Document{"over_share_value": share}, "a", "to "+share)
-	return f.do(Entry{Kind: Propose, Proposal: &p})
+	return f.do(Entry{Kind: ProposePolicy, Proposal: &p})
 }
 
 // A change is compared and set; what it says is told to those who watch, what sessions say of it to nobody, and a new epoch
@@ -242,35 +242,35 @@
 func TestPolicy(t *testing.T) {
 	f := begin("a", "b")
 	before := f.Snapshot()
-	f.do(Entry{Kind: Beats, Names: []Name{{Session: "a", Incarnation: 1}}})
+	f.do(Entry{Kind: KeepAliveAll, Heartbeats: []Heartbeat{{Session: "a", Incarnation: 1}}})
 	var head struct {
 		Version uint64 `cbor:"1,keyasint"`
 	}
 	if err := cbor.Unmarshal(before, &head); err != nil || head.Version != 1 {
 		t.Fatal("without a policy an earlier build must be able to read it:", head, err)
 	}
-	want(t, "first", f.change("0.2"), Answer{Held: true, Number: 1})
+	want(t, "first", f.change("0.2"), Result{Held: true, Number: 1})
 	if err := cbor.Unmarshal(f.Snapshot(), &head); err != nil || head.Version != 2 {
 		t.Fatal("with one it must refuse it:", head, err)
 	}
 	at := f.Index()
 	events, _ := f.Since(at - 1)
-	if len(events) != 1 || events[0].Policy != f.Policy().Version.Mark() {
+	if len(events) != 1 || events[0].Policy != f.Policy().Version.Number64() {
 		t.Fatal(events)
 	}
 	stale := policy.Propose(policy.Version{}, nil, policy.Document{"over_share_value": "0.5"}, "b", "")
-	if a := f.do(Entry{Kind: Propose, Proposal: &stale}); a.Held || a.Number != 1 || !strings.Contains(a.Why, "1.1 is in force, this was made from none") {
+	if a := f.do(Entry{Kind: ProposePolicy, Proposal: &stale}); a.Held || a.Number != 1 || !strings.Contains(a.Why, "1.1 is in force, this was made from none") {
 		t.Error(a)
 	}
-	mark := f.Policy().Version.Mark()
-	f.do(Entry{Kind: Beat, Session: "a", Incarnation: 1, Policy: mark})
-	f.do(Entry{Kind: Beats, Names: []Name{{Session: "b", Incarnation: 1, Wont: mark, Why: "no memory"}}})
+	mark := f.Policy().Version.Number64()
+	f.do(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: mark})
+	f.do(Entry{Kind: KeepAliveAll, Heartbeats: []Heartbeat{{Session: "b", Incarnation: 1, RejectedPolicy: mark, Reason: "no memory"}}})
 	if events, _ := f.Since(at); len(events) != 0 {
 		t.Error("hundreds would hear of hundreds:", events)
 	}
 	a, _ := f.Session("a")
 	b, _ := f.Session("b")
-	if a.Policy != mark || b.Policy != 0 || b.Wont != mark || b.Why != "no memory" {
+	if a.Policy != mark || b.Policy != 0 || b.RejectedPolicy != mark || b.Reason != "no memory" {
 		t.Error(a, b)
 	}
 	r, err := Restore("f", f.Snapshot())
@@ -280,10 +280,10 @@
 	if !bytes.Equal(r.Snapshot(), f.Snapshot()) || r.Policy().Version != f.Policy().Version {
 		t.Error("it doesn't come back")
 	}
-	f.do(Entry{Kind: Ascend, Epoch: 4})
+	f.do(Entry{Kind: BeginEpoch, Epoch: 4})
 	want(t, "above all before", f.Policy().Version.String(), "4.2")
-	want(t, "the next", f.change("0.3"), Answer{Held: true, Number: 3})
-	f.do(Entry{Kind: Beat, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Mark()})
+	want(t, "the next", f.change("0.3"), Result{Held: true, Number: 3})
+	f.do(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Number64()})
 	if a := f.change("0.4"); a.Held || !strings.Contains(a.Why, "4.9") {
 		t.Error("a router knows more than this council:", a)
 	}
@@ -300,15 +300,15 @@
 		large[strings.Repeat("x", 240)+strings.Repeat("y", n%16)+string(rune('a'+n%26))+strings.Repeat("z", n/100)] = strings.Repeat("v", 250)
 	}
 	p := &policy.Proposal{Difference: policy.Difference{Set: map[string]string{"a": "b"}}}
-	for name, e := range map[string]Entry{"none": {Kind: Propose}, "of another kind": {Kind: Tick, Proposal: p},
-		"a long reason": {Kind: Propose, Proposal: &policy.Proposal{Reason: strings.Repeat("x", 201)}},
-		"too large":     {Kind: Propose, Proposal: &policy.Proposal{Difference: policy.Difference{Set: large}}},
-		"why":           {Kind: Beat, Why: strings.Repeat("x", longest+1)}} {
+	for name, e := range map[string]Entry{"none": {Kind: ProposePolicy}, "of another kind": {Kind: AdvanceTime, Proposal: p},
+		"a long reason": {Kind: ProposePolicy, Proposal: &policy.Proposal{Reason: strings.Repeat("x", 201)}},
+		"too large":     {Kind: ProposePolicy, Proposal: &policy.Proposal{Difference: policy.Difference{Set: large}}},
+		"why":           {Kind: KeepAlive, Reason: strings.Repeat("x", longest+1)}} {
 		if _, err := Decode(Encode(e)); !errors.Is(err, ErrUnsound) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Decode(Encode(Entry{Kind: Propose, Proposal: p})); err != nil {
+	if _, err := Decode(Encode(Entry{Kind: ProposePolicy, Proposal: p})); err != nil {
 		t.Error(err)
 	}
 }
@@ -319,7 +319,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f, cut := begin("a"), rapid.IntRange(0, 60).Draw(t, "cut")
 		g := begin("a")
-		last, holders := map[string]lease.Fence{}, map[string]string{}
+		last, holders := map[string]lease.Token{}, map[string]string{}
 		docs, mark := map[uint64][32]byte{}, uint64(0)
 		for n := range rapid.IntRange(1, 60).Draw(t, "entries") {
 			e := draw(t)
@@ -334,22 +334,22 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				f.Register = r
+				f.State = r
 			}
 			now := f.Policy().Version
-			if had, known := docs[now.Mark()]; known && had != now.Hash || now.Mark() < mark {
+			if had, known := docs[now.Number64()]; known && had != now.Hash || now.Number64() < mark {
 				t.Fatalf("policy %s after %s", now, policy.MarkString(mark))
 			}
-			docs[now.Mark()], mark = now.Hash, now.Mark()
-			for _, name := range f.Duties() {
-				d, _ := f.Duty(name)
-				if d.Fence.Compare(last[name]) < 0 || d.Fence == last[name] && d.Holder != "" && d.Holder != holders[name] {
-					t.Fatalf("%s: %v of %q after %v of %q", name, d.Fence, d.Holder, last[name], holders[name])
+			docs[now.Number64()], mark = now.Hash, now.Number64()
+			for _, name := range f.Leases() {
+				d, _ := f.Lease(name)
+				if d.Token.Compare(last[name]) < 0 || d.Token == last[name] && d.Holder != "" && d.Holder != holders[name] {
+					t.Fatalf("%s: %v of %q after %v of %q", name, d.Token, d.Holder, last[name], holders[name])
 				}
-				if d.Fence != last[name] {
+				if d.Token != last[name] {
 					holders[name] = d.Holder
 				}
-				last[name] = d.Fence
+				last[name] = d.Token
 				if _, open := f.Session(d.Holder); d.Holder != "" && !open {
 					t.Fatalf("%s is held by %q, which has no session", name, d.Holder)
 				}
@@ -375,7 +375,7 @@
 	f.Add(r.Snapshot())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := Restore("f", b); err == nil {
-			r.Apply(r.Index()+1, Entry{Kind: Tick, Passed: 1})
+			r.Apply(r.Index()+1, Entry{Kind: AdvanceTime, Elapsed: 1})
 			if _, err := Restore("f", r.Snapshot()); err != nil {
 				t.Fatal("what was taken does not come back:", err)
 			}
--- a/internal/decide/policy/book.go
+++ b/internal/decide/policy/book.go
@@ -12,28 +12,28 @@
 	MostChanges = mostKept + mostHistory*(1<<10) // bytes of a history, encoded
 )
 
-// Book is what the register keeps of policies: the version in force with its document, and how it came to it. Its methods give
+// History is what the register keeps of policies: the version in force with its document, and how it came to it. Its methods give
 // the same for the same calls everywhere; which fields may change is judged before a proposal comes here (Difference.Judge), since
 // builds may differ in that and the register must not.
-type Book struct {
-	Version  Version  `cbor:"1,keyasint"`
-	Document Document `cbor:"2,keyasint"`
-	History  []Change `cbor:"3,keyasint"` // the latest last; each follows the one before
-	Barred   uint64   `cbor:"4,keyasint"` // a mark that some router goes by though it was never given here
+type History struct {
+	Version        Version  `cbor:"1,keyasint"`
+	Document       Document `cbor:"2,keyasint"`
+	Changes        []Change `cbor:"3,keyasint"` // the latest last; each follows the one before
+	ForeignVersion uint64   `cbor:"4,keyasint"` // a mark that some router goes by though it was never given here
 }
 
 // Propose takes a proposal in: the version that it became, or why it became none. The same proposal again, while what it became
 // is in force, is that version.
-func (b *Book) Propose(epoch uint64, p Proposal) (Version, string) {
-	v := Version{Epoch: epoch, Number: b.Version.Number + 1, Hash: p.Hash, Base: b.Version.Mark(), Author: p.Author, Reason: p.Reason}
+func (b *History) Propose(epoch uint64, p Proposal) (Version, string) {
+	v := Version{Epoch: epoch, Number: b.Version.Number + 1, Hash: p.Hash, Base: b.Version.Number64(), Author: p.Author, Reason: p.Reason}
 	if now := b.Version; now.Number > 0 && p.Base == now.Base && p.Hash == now.Hash && p.Author == now.Author && p.Reason == now.Reason {
 		return now, ""
 	}
 	switch {
 	case p.Base != v.Base:
 		return Version{}, fmt.Sprintf("version %s is in force, this was made from %s", b.Version, MarkString(p.Base))
-	case b.Barred > v.Base && b.Barred>>markBits >= epoch:
-		return Version{}, fmt.Sprintf("a router goes by version %s, which this council never gave: begin a new epoch (council recover)", MarkString(b.Barred))
+	case b.ForeignVersion > v.Base && b.ForeignVersion>>markBits >= epoch:
+		return Version{}, fmt.Sprintf("a router goes by version %s, which this council never gave: begin a new epoch (council recover)", MarkString(b.ForeignVersion))
 	case v.Number > mostNumber || epoch > mostNumber:
 		return Version{}, "no number is left"
 	case p.Difference.Empty():
@@ -54,46 +54,46 @@
 	return v, ""
 }
 
-// Ascend gives what is in force a number in a new epoch, so that it is above all that was ever given: a router that knows more
+// BeginEpoch gives what is in force a number in a new epoch, so that it is above all that was ever given: a router that knows more
 // than a council that was set back goes by what the council has. It reports whether there is anything in force.
-func (b *Book) Ascend(epoch uint64) bool {
+func (b *History) BeginEpoch(epoch uint64) bool {
 	v := b.Version
 	if v.Number == 0 || epoch > mostNumber || v.Number == mostNumber {
 		return false
 	}
-	v.Epoch, v.Number, v.Base, v.Reason = epoch, v.Number+1, v.Mark(), "a new epoch"
+	v.Epoch, v.Number, v.Base, v.Reason = epoch, v.Number+1, v.Number64(), "a new epoch"
 	b.enter(Change{Version: v}, b.Document)
 	return true
 }
 
-func (b *Book) enter(c Change, d Document) {
+func (b *History) enter(c Change, d Document) {
 	b.Version, b.Document = c.Version, d
-	b.History = append(b.History, c)
-	for bytes := b.kept(); len(b.History) > mostHistory || bytes > mostKept; {
-		bytes -= len(b.History[0].Difference.Encode())
-		b.History = slices.Delete(b.History, 0, 1)
+	b.Changes = append(b.Changes, c)
+	for bytes := b.kept(); len(b.Changes) > mostHistory || bytes > mostKept; {
+		bytes -= len(b.Changes[0].Difference.Encode())
+		b.Changes = slices.Delete(b.Changes, 0, 1)
 	}
 }
 
-func (b *Book) kept() (bytes int) {
-	for _, c := range b.History {
+func (b *History) kept() (bytes int) {
+	for _, c := range b.Changes {
 		bytes += len(c.Difference.Encode())
 	}
 	return bytes
 }
 
 // Acknowledged takes in which version a session goes by. Guards against numbers that are given twice, after state was lost.
-func (b *Book) Acknowledged(mark uint64) {
-	if mark > b.Version.Mark() {
-		b.Barred = max(b.Barred, mark)
+func (b *History) Acknowledged(mark uint64) {
+	if mark > b.Version.Number64() {
+		b.ForeignVersion = max(b.ForeignVersion, mark)
 	}
 }
 
 // After gives the changes that lead from a version to the one in force; false: it isn't kept, or never was.
-func (b *Book) After(mark uint64) ([]Change, bool) {
-	for n := len(b.History) - 1; n >= 0; n-- {
-		if b.History[n].Version.Base == mark {
-			return slices.Clone(b.History[n:]), true
+func (b *History) After(mark uint64) ([]Change, bool) {
+	for n := len(b.Changes) - 1; n >= 0; n-- {
+		if b.Changes[n].Version.Base == mark {
+			return slices.Clone(b.Changes[n:]), true
 		}
 	}
 	return nil, false
@@ -101,8 +101,8 @@
 
 // Serve gives what leads who asks to the version in force: the changes after the one it has, in one piece, or the whole document,
 // whichever is shorter. false: this book is behind what is asked for, so another must be asked.
-func (b *Book) Serve(q Request) (packs []byte, whole, known bool) {
-	mark := b.Version.Mark()
+func (b *History) Serve(q Request) (packs []byte, whole, known bool) {
+	mark := b.Version.Number64()
 	if mark == 0 || q.Want > mark || q.Have > mark {
 		return nil, false, false
 	}
@@ -119,7 +119,7 @@
 }
 
 // Check tells whether what was stored is whole.
-func (b *Book) Check() error {
+func (b *History) Check() error {
 	if err := b.Document.Check(); err != nil {
 		return err
 	}
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"wayloft/internal/decide/chance"
+	"wayloft/internal/decide/random"
 )
 
 // Times are ms, sizes bytes.
@@ -18,14 +18,14 @@
 
 // Settings of a Follower are given once.
 type Settings struct {
-	Rate    float64 // bytes a second that what is fetched may take, with what each request costs; 0: 2560
-	Seed    uint64
-	Unpack  func(b []byte, most int) ([]byte, error) // undoes the packing of all parts together; at most so many bytes may come of it
-	Planted Planted
+	Rate          float64 // bytes a second that what is fetched may take, with what each request costs; 0: 2560
+	Seed          uint64
+	Unpack        func(b []byte, most int) ([]byte, error) // undoes the packing of all parts together; at most so many bytes may come of it
+	SeededDefects SeededDefects
 }
 
-// Planted are defects that tests plant, to show that checkers find them; none is ever set in the program.
-type Planted struct {
+// SeededDefects are defects that tests plant, to show that checkers find them; none is ever set in the program.
+type SeededDefects struct {
 	Unhashed   bool // takes a whole document whatever its hash
 	Backward   bool // believes whoever told it last
 	WrongBase  bool // applies a difference to whatever document it has
@@ -33,14 +33,14 @@
 	EarlyWord  bool // acknowledges before the router goes by it
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Fetch       Verb = iota // ask some process of the council for the part that Request names: Got or Failed follows
-	Adopt                   // go by Document, of Version, from now on: Took or Couldnt follows
-	Store                   // keep Version and Document for the next start; nothing waits for it
-	Acknowledge             // tell the council with the next beat: this router goes by Mark, and couldn't take Wont, for Why
+	Fetch       Action = iota // ask some process of the council for the part that Request names: Got or Failed follows
+	Apply                     // go by Document, of Version, from now on: Took or Couldnt follows
+	Store                     // keep Version and Document for the next start; nothing waits for it
+	Acknowledge               // tell the council with the next beat: this router goes by Mark, and couldn't take Wont, for Why
 )
 
 // Request names the part that is wanted.
@@ -55,13 +55,13 @@
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb     Verb
+	Action   Action
 	Request  Request
 	Version  Version
 	Document Document
-	Mark     uint64
-	Wont     uint64
-	Why      string
+	Applied  uint64
+	Rejected uint64
+	Reason   string
 }
 
 // mostPacked are the bytes of all parts together: packing must not make the most that is packed longer than this.
@@ -73,7 +73,7 @@
 type Follower struct {
 	set     Settings
 	now     float64
-	chance  chance.Source
+	chance  random.Source
 	known   Version // the latest whose document is here, whole and of its hash
 	doc     Document
 	sure    bool // the council told of known; else it is what was stored
@@ -100,11 +100,11 @@
 	if set.Rate == 0 {
 		set.Rate = rate
 	}
-	return &Follower{set: set, chance: chance.Source{Seed: set.Seed}, at: math.Inf(1)}
+	return &Follower{set: set, chance: random.Source{Seed: set.Seed}, at: math.Inf(1)}
 }
 
-// At sets the time; all that follows until the next call happens then.
-func (f *Follower) At(now float64) { f.now = math.Max(f.now, now) }
+// Advance sets the time; all that follows until the next call happens then.
+func (f *Follower) Advance(now float64) { f.now = math.Max(f.now, now) }
 
 // Stored says at start what was kept. It is gone by until the council has told what is in force: fields may overlap (all are
 // lenient), and a router that can't reach the council is nearer to the others with it than without.
@@ -112,22 +112,22 @@
 	if f.known.Number > 0 || v.Number == 0 {
 		return
 	}
-	if d.Hash() != v.Hash && !f.set.Planted.Unhashed {
+	if d.Hash() != v.Hash && !f.set.SeededDefects.Unhashed {
 		f.Wrong++
 		return
 	}
 	f.known, f.doc = v, d
 }
 
-// Told takes in a version that some process of the council tells, and what led to it, if that was told. The teller may lag: an
+// VersionAnnounced takes in a version that some process of the council tells, and what led to it, if that was told. The teller may lag: an
 // older version than one that is known says nothing.
-func (f *Follower) Told(v Version, x *Difference) {
-	mark, known := v.Mark(), f.known.Mark()
+func (f *Follower) VersionAnnounced(v Version, x *Difference) {
+	mark, known := v.Number64(), f.known.Number64()
 	switch {
-	case mark == 0 || f.set.Planted.StoredWins && known > 0 && !f.sure:
+	case mark == 0 || f.set.SeededDefects.StoredWins && known > 0 && !f.sure:
 		return
-	case f.set.Planted.Backward && mark != known:
-	case mark < known || mark < f.target.Mark():
+	case f.set.SeededDefects.Backward && mark != known:
+	case mark < known || mark < f.target.Number64():
 		f.Stale++
 		return
 	case mark == known && v.Hash == f.known.Hash:
@@ -137,7 +137,7 @@
 		f.Conflicts++
 		return
 	}
-	if mark == f.target.Mark() && v.Hash != f.target.Hash {
+	if mark == f.target.Number64() && v.Hash != f.target.Hash {
 		f.Conflicts++
 		return
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	if x != nil {
-		if d, err := f.doc.With(*x); err == nil && (d.Hash() == v.Hash || f.set.Planted.WrongBase) {
+		if d, err := f.doc.With(*x); err == nil && (d.Hash() == v.Hash || f.set.SeededDefects.WrongBase) {
 			f.verified(v, d)
 			return
 		}
@@ -167,36 +167,36 @@
 
 // needs tells whether the document that is in force, as far as is known, isn't here.
 func (f *Follower) needs() bool {
-	mark, known := f.target.Mark(), f.known.Mark()
-	return mark > known || mark == known && f.target.Hash != f.known.Hash || f.set.Planted.Backward && mark != known
+	mark, known := f.target.Number64(), f.known.Number64()
+	return mark > known || mark == known && f.target.Hash != f.known.Hash || f.set.SeededDefects.Backward && mark != known
 }
 
 // verified takes over a document whose hash fits.
 func (f *Follower) verified(v Version, d Document) {
-	if v.Mark() < f.known.Mark() && !f.set.Planted.Backward {
+	if v.Number64() < f.known.Number64() && !f.set.SeededDefects.Backward {
 		return
 	}
-	if v.Mark() == f.offered && v.Hash != f.known.Hash {
+	if v.Number64() == f.offered && v.Hash != f.known.Hash {
 		f.anew = true
 	}
 	f.known, f.doc, f.sure, f.whole = v, d, true, false
-	if f.reading, f.at, f.wait = (Part{}), math.Inf(1), 0; f.target.Mark() <= v.Mark() {
+	if f.reading, f.at, f.wait = (Part{}), math.Inf(1), 0; f.target.Number64() <= v.Number64() {
 		f.target = v
 	} else {
 		f.begin()
 	}
 }
 
-// Got takes in what was fetched.
-func (f *Follower) Got(p Part) {
+// PartReceived takes in what was fetched.
+func (f *Follower) PartReceived(p Part) {
 	if !f.asked {
 		return
 	}
 	f.asked = false
-	mark := p.Version.Mark()
+	mark := p.Version.Number64()
 	sound := mark > 0 && p.Total > 0 && p.Total <= mostPacked && len(p.Bytes) > 0 && p.Offset+len(p.Bytes) <= p.Total && len(p.Bytes) <= part
-	old := mark < f.known.Mark() || mark == f.known.Mark() && p.Version.Hash == f.known.Hash
-	if f.set.Planted.Backward {
+	old := mark < f.known.Number64() || mark == f.known.Number64() && p.Version.Hash == f.known.Hash
+	if f.set.SeededDefects.Backward {
 		old = false
 	}
 	if !sound || old { // whoever answered lags, or worse
@@ -212,7 +212,7 @@
 		f.reading = Part{Version: p.Version, Whole: p.Whole, Total: p.Total}
 	}
 	f.reading.Bytes = append(f.reading.Bytes, p.Bytes...)
-	if mark > f.target.Mark() {
+	if mark > f.target.Number64() {
 		f.target = p.Version
 	}
 	f.paid = f.now + float64(len(p.Bytes)+each)/f.set.Rate*1000
@@ -244,7 +244,7 @@
 	}
 	if r.Whole {
 		d, err := Decode(raw)
-		return d, err == nil && (d.Hash() == r.Version.Hash || f.set.Planted.Unhashed)
+		return d, err == nil && (d.Hash() == r.Version.Hash || f.set.SeededDefects.Unhashed)
 	}
 	all, err := DecodeChanges(raw)
 	if err != nil {
@@ -256,11 +256,11 @@
 			return nil, false
 		}
 	}
-	return d, d.Hash() == r.Version.Hash || f.set.Planted.WrongBase
+	return d, d.Hash() == r.Version.Hash || f.set.SeededDefects.WrongBase
 }
 
-// Failed says that a request brought nothing.
-func (f *Follower) Failed() {
+// FetchFailed says that a request brought nothing.
+func (f *Follower) FetchFailed() {
 	if f.asked {
 		f.asked = false
 		f.again()
@@ -277,13 +277,13 @@
 	f.at = math.Max(f.now+f.wait*(1-f.chance.Next()/2), f.paid)
 }
 
-// Took says that the router goes by a version that it was to adopt.
-func (f *Follower) Took(v Version) {
-	if v.Mark() < f.here.Mark() && !f.set.Planted.Backward {
+// Applied says that the router goes by a version that it was to adopt.
+func (f *Follower) Applied(v Version) {
+	if v.Number64() < f.here.Number64() && !f.set.SeededDefects.Backward {
 		return
 	}
 	f.here, f.word = v, true
-	if f.wont <= v.Mark() {
+	if f.wont <= v.Number64() {
 		f.wont, f.why = 0, ""
 	}
 	if v == f.known {
@@ -291,51 +291,51 @@
 	}
 }
 
-// Couldnt says that the router can't go by a version that it was to adopt, and why; it stays with what it had until there is
+// ApplyFailed says that the router can't go by a version that it was to adopt, and why; it stays with what it had until there is
 // another.
-func (f *Follower) Couldnt(v Version, why string) {
+func (f *Follower) ApplyFailed(v Version, why string) {
 	if len(why) > LongestWhy {
 		why = why[:LongestWhy]
 	}
-	f.wont, f.why, f.word = v.Mark(), why, true
+	f.wont, f.why, f.word = v.Number64(), why, true
 }
 
 // Next gives the next decision; false: none is left.
 func (f *Follower) Next() (Decision, bool) {
 	switch {
-	case f.known.Number > 0 && (f.known.Mark() != f.offered || f.anew):
-		f.offered, f.anew = f.known.Mark(), false
-		if f.set.Planted.EarlyWord {
+	case f.known.Number > 0 && (f.known.Number64() != f.offered || f.anew):
+		f.offered, f.anew = f.known.Number64(), false
+		if f.set.SeededDefects.EarlyWord {
 			f.here, f.word = f.known, true
 		}
-		return Decision{Verb: Adopt, Version: f.known, Document: f.doc}, true
-	case f.word && (f.sure || f.here != f.known || f.set.Planted.StoredWins): // what was stored is not yet known to be of this version
+		return Decision{Action: Apply, Version: f.known, Document: f.doc}, true
+	case f.word && (f.sure || f.here != f.known || f.set.SeededDefects.StoredWins): // what was stored is not yet known to be of this version
 		f.word = false
-		return Decision{Verb: Acknowledge, Mark: f.here.Mark(), Wont: f.wont, Why: f.why}, true
+		return Decision{Action: Acknowledge, Applied: f.here.Number64(), Rejected: f.wont, Reason: f.why}, true
 	case f.store:
 		f.store = false
 		if f.here == f.known {
-			return Decision{Verb: Store, Version: f.known, Document: f.doc}, true
+			return Decision{Action: Store, Version: f.known, Document: f.doc}, true
 		}
 		return f.Next()
 	case !f.asked && f.at <= f.now:
 		f.asked, f.at = true, math.Inf(1)
-		q := Request{Have: f.known.Mark(), Hash: f.known.Hash, Want: f.target.Mark(), Whole: f.whole, Offset: len(f.reading.Bytes),
+		q := Request{Have: f.known.Number64(), Hash: f.known.Hash, Want: f.target.Number64(), Whole: f.whole, Offset: len(f.reading.Bytes),
 			Most: part}
-		if f.set.Planted.Backward && q.Want < q.Have {
+		if f.set.SeededDefects.Backward && q.Want < q.Have {
 			q.Have, q.Whole = 0, true
 		}
 		if q.Offset > 0 { // what is begun is read to its end: else changes that come faster than it does would starve it
-			q.Want, q.Whole = f.reading.Version.Mark(), f.reading.Whole
+			q.Want, q.Whole = f.reading.Version.Number64(), f.reading.Whole
 		}
-		return Decision{Verb: Fetch, Request: q}, true
+		return Decision{Action: Fetch, Request: q}, true
 	}
 	return Decision{}, false
 }
 
-// Due is when At must be called again at the latest; infinite: nothing waits for a time.
-func (f *Follower) Due() float64 { return f.at }
+// NextDeadline is when At must be called again at the latest; infinite: nothing waits for a time.
+func (f *Follower) NextDeadline() float64 { return f.at }
 
-// Here is the version that the router goes by; Known the latest whose document is here.
-func (f *Follower) Here() Version  { return f.here }
-func (f *Follower) Known() Version { return f.known }
+// AppliedVersion is the version that the router goes by; Known the latest whose document is here.
+func (f *Follower) AppliedVersion() Version { return f.here }
+func (f *Follower) FetchedVersion() Version { return f.known }
--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -20,11 +20,11 @@
 type desk struct {
 	t        *testing.T
 	f        *Follower
-	b        *Book
+	b        *History
 	now      float64
 	doc      Document
 	by       Version
-	log      []Verb
+	log      []Action
 	fetched  int // bytes
 	last     Decision
 	wont     string // why the router takes nothing
@@ -33,7 +33,7 @@
 }
 
 func sit(t *testing.T) *desk {
-	return &desk{t: t, f: NewFollower(Settings{Seed: 1, Unpack: plain}), b: &Book{}}
+	return &desk{t: t, f: NewFollower(Settings{Seed: 1, Unpack: plain}), b: &History{}}
 }
 
 func (s *desk) change(d Document) Version {
@@ -44,34 +44,34 @@
 	return v
 }
 
-func (s *desk) told() { s.f.Told(s.b.Version, nil) }
+func (s *desk) told() { s.f.VersionAnnounced(s.b.Version, nil) }
 
 // to lets time pass, in steps of 10 ms.
 func (s *desk) to(at float64) {
 	for ; s.now <= at; s.now += 10 {
-		s.f.At(s.now)
+		s.f.Advance(s.now)
 		for d, more := s.f.Next(); more; d, more = s.f.Next() {
-			s.log = append(s.log, d.Verb)
-			switch s.last = d; d.Verb {
-			case Adopt:
+			s.log = append(s.log, d.Action)
+			switch s.last = d; d.Action {
+			case Apply:
 				if d.Document.Hash() != d.Version.Hash {
 					s.t.Fatalf("%s isn't of its hash", d.Version)
 				}
-				if d.Version.Mark() < s.by.Mark() {
+				if d.Version.Number64() < s.by.Number64() {
 					s.t.Fatalf("back from %s to %s", s.by, d.Version)
 				}
 				if s.wont != "" {
-					s.f.Couldnt(d.Version, s.wont)
+					s.f.ApplyFailed(d.Version, s.wont)
 					continue
 				}
 				s.doc, s.by = d.Document, d.Version
-				s.f.Took(d.Version)
+				s.f.Applied(d.Version)
 			case Fetch:
 				if s.mute {
-					s.f.Failed()
+					s.f.FetchFailed()
 					continue
 				}
-				s.f.Got(s.part(d.Request))
+				s.f.PartReceived(s.part(d.Request))
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 	return Part{Version: s.b.Version, Whole: whole, Offset: at, Total: len(raw), Bytes: raw[at:end]}
 }
 
-func (s *desk) count(v Verb) (n int) {
+func (s *desk) count(v Action) (n int) {
 	for _, one := range s.log {
 		if one == v {
 			n++
@@ -123,13 +123,13 @@
 func TestInline(t *testing.T) {
 	s := sit(t)
 	s.change(Document{"over_share_value": "0.2"})
-	s.f.Told(s.b.Version, &s.b.History[0].Difference)
+	s.f.VersionAnnounced(s.b.Version, &s.b.Changes[0].Difference)
 	s.to(0)
 	s.at(s.b.Version)
-	if fmt.Sprint(s.log) != fmt.Sprint([]Verb{Adopt, Acknowledge, Store}) || s.f.Due() != math.Inf(1) {
-		t.Error(s.log, s.f.Due())
+	if fmt.Sprint(s.log) != fmt.Sprint([]Action{Apply, Acknowledge, Store}) || s.f.NextDeadline() != math.Inf(1) {
+		t.Error(s.log, s.f.NextDeadline())
 	}
-	s.f.Told(s.b.Version, nil) // once more
+	s.f.VersionAnnounced(s.b.Version, nil) // once more
 	s.to(5000)
 	if len(s.log) != 3 {
 		t.Error(s.log)
@@ -189,7 +189,7 @@
 	s.at(s.b.Version)
 	lie := Difference{Set: map[string]string{"over_share_value": "0.9"}} // a difference that was told, and isn't the one
 	s.change(Document{"over_share_value": "0.4"})
-	s.f.Told(s.b.Version, &lie)
+	s.f.VersionAnnounced(s.b.Version, &lie)
 	s.to(18000)
 	s.at(s.b.Version)
 }
@@ -198,21 +198,21 @@
 func TestNeverBack(t *testing.T) {
 	s := sit(t)
 	old := s.change(Document{"over_share_value": "0.2"})
-	first := s.b.History[0].Difference
+	first := s.b.Changes[0].Difference
 	s.change(Document{"over_share_value": "0.3"})
 	s.told()
 	s.to(2000)
-	s.f.Told(old, &first)
+	s.f.VersionAnnounced(old, &first)
 	s.to(4000)
 	s.at(s.b.Version)
 	if s.f.Stale != 1 {
 		t.Error(s.f.Stale)
 	}
-	s.b = &Book{}
+	s.b = &History{}
 	if v, why := propose(s.b, 9, Document{"over_share_value": "0.2"}); why != "" || v.Number != 1 {
 		t.Fatal(v, why)
 	}
-	s.f.Told(s.b.Version, &s.b.History[0].Difference)
+	s.f.VersionAnnounced(s.b.Version, &s.b.Changes[0].Difference)
 	s.to(8000)
 	s.at(s.b.Version)
 }
@@ -224,7 +224,7 @@
 	s.told()
 	s.to(2000)
 	v.Hash[0]++
-	s.f.Told(v, nil)
+	s.f.VersionAnnounced(v, nil)
 	s.to(6000)
 	s.at(s.b.Version)
 	if s.f.Conflicts != 1 || s.count(Fetch) != 1 {
@@ -245,7 +245,7 @@
 	}
 	s.told()
 	s.to(6000)
-	if s.last.Verb != Store && s.last.Mark != kept.Mark() || s.count(Acknowledge) != 1 || s.count(Fetch) != 0 {
+	if s.last.Action != Store && s.last.Applied != kept.Number64() || s.count(Acknowledge) != 1 || s.count(Fetch) != 0 {
 		t.Error(s.log)
 	}
 	s.change(Document{"over_share_value": "0.3"})
@@ -262,7 +262,7 @@
 	s.told()
 	s.to(3000)
 	s.at(s.b.Version)
-	if s.last.Mark != s.b.Version.Mark() && s.last.Verb != Store {
+	if s.last.Applied != s.b.Version.Number64() && s.last.Action != Store {
 		t.Error(s.log)
 	}
 
@@ -283,18 +283,18 @@
 	s.to(2000)
 	s.wont = "no memory"
 	s.change(Document{"over_share_value": "0.3"})
-	s.f.Told(s.b.Version, &s.b.History[1].Difference)
+	s.f.VersionAnnounced(s.b.Version, &s.b.Changes[1].Difference)
 	s.to(4000)
 	s.at(had)
-	if d := s.last; d.Verb != Acknowledge || d.Mark != had.Mark() || d.Wont != s.b.Version.Mark() || d.Why != "no memory" {
+	if d := s.last; d.Action != Acknowledge || d.Applied != had.Number64() || d.Rejected != s.b.Version.Number64() || d.Reason != "no memory" {
 		t.Errorf("%+v", d)
 	}
 	s.wont = ""
 	s.change(Document{"over_share_value": "0.4"})
-	s.f.Told(s.b.Version, &s.b.History[2].Difference)
+	s.f.VersionAnnounced(s.b.Version, &s.b.Changes[2].Difference)
 	s.to(6000)
 	s.at(s.b.Version)
-	if s.last.Verb != Store || s.f.wont != 0 {
+	if s.last.Action != Store || s.f.wont != 0 {
 		t.Errorf("%+v", s.last)
 	}
 }
@@ -320,13 +320,13 @@
 	s.change(large(200, "123.45"))
 	served := *s.b // what was lately begun to be given is kept as it was
 	read := func(q Request) Part {
-		if q.Offset > 0 && q.Want == served.Version.Mark() {
+		if q.Offset > 0 && q.Want == served.Version.Number64() {
 			was := s.b
 			s.b = &served
 			defer func() { s.b = was }()
 		} else {
 			served = *s.b
-			served.History = slices.Clone(s.b.History)
+			served.Changes = slices.Clone(s.b.Changes)
 		}
 		return s.part(q)
 	}
@@ -335,14 +335,14 @@
 		s.change(Document{"over_share_value": Number(float64(n) / 1000)})
 		s.told()
 		for end := s.now + 200; s.now <= end; s.now += 10 {
-			s.f.At(s.now)
+			s.f.Advance(s.now)
 			for d, more := s.f.Next(); more; d, more = s.f.Next() {
-				switch d.Verb {
-				case Adopt:
+				switch d.Action {
+				case Apply:
 					s.doc, s.by = d.Document, d.Version
-					s.f.Took(d.Version)
+					s.f.Applied(d.Version)
 				case Fetch:
-					s.f.Got(read(d.Request))
+					s.f.PartReceived(read(d.Request))
 				}
 			}
 		}
@@ -360,13 +360,13 @@
 	for n, p := range []Part{{}, {Version: v}, {Version: v, Total: 10}, {Version: v, Total: 10, Bytes: make([]byte, 11)}, {Version: v, Total: 1 << 30, Bytes: []byte{1}},
 		{Version: v, Total: 10, Offset: 5, Bytes: []byte{1}}, {Version: v, Total: 4000, Bytes: make([]byte, part+1)}, {Version: v, Whole: true, Total: 1, Bytes: []byte{0xff}}} {
 		f := NewFollower(Settings{Seed: 1, Unpack: plain})
-		f.Told(v, nil)
-		f.At(1000)
-		if d, more := f.Next(); !more || d.Verb != Fetch {
+		f.VersionAnnounced(v, nil)
+		f.Advance(1000)
+		if d, more := f.Next(); !more || d.Action != Fetch {
 			t.Fatal(d, more)
 		}
-		f.Got(p)
-		f.Got(p) // nothing was asked for
+		f.PartReceived(p)
+		f.PartReceived(p) // nothing was asked for
 		if d, more := f.Next(); more {
 			t.Errorf("%d: %+v", n, d)
 		}
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -177,7 +177,7 @@
 	if v.String() != "94000000.7" || (Version{Epoch: 3}).String() != "none" {
 		t.Error(v, Version{Epoch: 3})
 	}
-	if mark, err := ParseMark(v.String()); err != nil || mark != v.Mark() {
+	if mark, err := ParseMark(v.String()); err != nil || mark != v.Number64() {
 		t.Error(mark, err)
 	}
 	for _, bad := range []string{"", "7", "1.0", "01.2", "1.2 ", "1.2.3", "-1.2", "9999999999.1", "1.4294967296"} {
@@ -185,13 +185,13 @@
 			t.Errorf("%q is %x", bad, mark)
 		}
 	}
-	if (Version{Epoch: 1, Number: mostNumber}).Mark() >= (Version{Epoch: 2, Number: 1}).Mark() {
+	if (Version{Epoch: 1, Number: mostNumber}).Number64() >= (Version{Epoch: 2, Number: 1}).Number64() {
 		t.Error("a later epoch must be above all of an earlier one")
 	}
 }
 
 // propose has a book take a change of its document.
-func propose(b *Book, epoch uint64, change Document) (Version, string) {
+func propose(b *History, epoch uint64, change Document) (Version, string) {
 	next := maps.Clone(b.Document)
 	if next == nil {
 		next = Document{}
@@ -201,7 +201,7 @@
 }
 
 func TestBook(t *testing.T) {
-	b := &Book{}
+	b := &History{}
 	if v, why := propose(b, 5, Document{"over_share_value": "0.2"}); why != "" || v.String() != "5.1" || b.Version != v || v.Size != len(b.Document.Encode()) {
 		t.Fatal(v, why)
 	}
@@ -209,7 +209,7 @@
 	p := Propose(first, doc, Document{"over_share_value": "0.3"}, "a", "r")
 	other := Propose(first, doc, Document{"over_share_value": "0.4"}, "b", "r")
 	v, why := b.Propose(5, p)
-	if why != "" || v.String() != "5.2" || v.Base != first.Mark() {
+	if why != "" || v.String() != "5.2" || v.Base != first.Number64() {
 		t.Fatal(v, why)
 	}
 	if again, why := b.Propose(5, p); why != "" || again != v || b.Version != v {
@@ -218,7 +218,7 @@
 	if _, why := b.Propose(5, other); !strings.Contains(why, "5.2 is in force, this was made from 5.1") {
 		t.Error(why)
 	}
-	p.Base = v.Mark()
+	p.Base = v.Number64()
 	if _, why := b.Propose(5, p); why == "" {
 		t.Error("a difference that was made from another document")
 	}
@@ -232,34 +232,34 @@
 	}
 	// After an epoch was begun, what is in force stands above all that was given before.
 	was := b.Version
-	if !b.Ascend(9) || b.Version.String() != "9.3" || b.Version.Hash != was.Hash || b.Version.Base != was.Mark() {
+	if !b.BeginEpoch(9) || b.Version.String() != "9.3" || b.Version.Hash != was.Hash || b.Version.Base != was.Number64() {
 		t.Error(b.Version)
 	}
-	if (&Book{}).Ascend(9) {
+	if (&History{}).BeginEpoch(9) {
 		t.Error("nothing is in force")
 	}
 }
 
 // A council that was set back without a new epoch takes no proposal: its number would be another document's.
 func TestBarred(t *testing.T) {
-	b := &Book{}
+	b := &History{}
 	propose(b, 5, Document{"over_share_value": "0.2"})
-	b.Acknowledged(b.Version.Mark())
-	if b.Barred != 0 {
+	b.Acknowledged(b.Version.Number64())
+	if b.ForeignVersion != 0 {
 		t.Error("that is what it gave")
 	}
-	b.Acknowledged(Version{Epoch: 5, Number: 4}.Mark())
+	b.Acknowledged(Version{Epoch: 5, Number: 4}.Number64())
 	if _, why := propose(b, 5, Document{"over_share_value": "0.3"}); !strings.Contains(why, "5.4") {
 		t.Error(why)
 	}
-	if !b.Ascend(6) {
+	if !b.BeginEpoch(6) {
 		t.Fatal()
 	}
 	if v, why := propose(b, 6, Document{"over_share_value": "0.3"}); why != "" || v.String() != "6.3" {
 		t.Error(v, why)
 	}
-	lost := &Book{}
-	lost.Acknowledged(Version{Epoch: 5, Number: 4}.Mark())
+	lost := &History{}
+	lost.Acknowledged(Version{Epoch: 5, Number: 4}.Number64())
 	if v, why := propose(lost, 8, Document{"over_share_value": "0.3"}); why != "" || v.String() != "8.1" {
 		t.Error("a council that began anew, in a later epoch:", v, why)
 	}
@@ -267,17 +267,17 @@
 
 // The history is bounded in count and bytes; what it no longer leads from is served whole.
 func TestHistory(t *testing.T) {
-	b := &Book{}
+	b := &History{}
 	for n := range 100 {
 		propose(b, 1, Document{"over_share_value": Number(float64(n) / 100)})
 	}
-	if len(b.History) != mostHistory {
-		t.Fatal(len(b.History))
+	if len(b.Changes) != mostHistory {
+		t.Fatal(len(b.Changes))
 	}
-	if _, kept := b.After(Version{Epoch: 1, Number: 100 - mostHistory - 1}.Mark()); kept {
+	if _, kept := b.After(Version{Epoch: 1, Number: 100 - mostHistory - 1}.Number64()); kept {
 		t.Error("that is gone")
 	}
-	all, kept := b.After(Version{Epoch: 1, Number: 90}.Mark())
+	all, kept := b.After(Version{Epoch: 1, Number: 90}.Number64())
 	if !kept || len(all) != 10 || all[9].Version != b.Version {
 		t.Error(len(all), kept)
 	}
@@ -290,16 +290,16 @@
 			t.Fatal(why)
 		}
 	}
-	if kept := b.kept(); kept > mostKept || len(b.History) > 4 {
-		t.Error(kept, len(b.History))
+	if kept := b.kept(); kept > mostKept || len(b.Changes) > 4 {
+		t.Error(kept, len(b.Changes))
 	}
-	if n := len(EncodeChanges(b.History)); n > MostChanges {
+	if n := len(EncodeChanges(b.Changes)); n > MostChanges {
 		t.Error(n)
 	}
-	if _, whole, known := b.Serve(Request{Have: Version{Epoch: 1, Number: 90}.Mark(), Want: b.Version.Mark()}); !whole || !known {
+	if _, whole, known := b.Serve(Request{Have: Version{Epoch: 1, Number: 90}.Number64(), Want: b.Version.Number64()}); !whole || !known {
 		t.Error(whole, known)
 	}
-	if _, _, known := b.Serve(Request{Want: b.Version.Mark() + 1}); known {
+	if _, _, known := b.Serve(Request{Want: b.Version.Number64() + 1}); known {
 		t.Error("it is behind that")
 	}
 }
@@ -307,13 +307,13 @@
 // Entries alone decide: whatever is proposed, each number is one document, numbers grow, and each follows from the one before.
 func TestBookOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, docs, epoch := &Book{}, map[uint64]Document{}, uint64(1)
+		b, docs, epoch := &History{}, map[uint64]Document{}, uint64(1)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			was := b.Version
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				epoch++
-				b.Ascend(epoch)
+				b.BeginEpoch(epoch)
 			default:
 				base := b.Version
 				from := b.Document
@@ -323,12 +323,12 @@
 					from = docs[mark]
 				}
 				v, why := b.Propose(epoch, Propose(base, from, documents.Draw(t, "next"), "a", "r"))
-				if why == "" && v != was && base.Mark() != was.Mark() {
+				if why == "" && v != was && base.Number64() != was.Number64() {
 					t.Fatalf("made from %s, taken though %s was in force", base, was)
 				}
 			}
-			mark := b.Version.Mark()
-			if mark < was.Mark() || b.Check() != nil {
+			mark := b.Version.Number64()
+			if mark < was.Number64() || b.Check() != nil {
 				t.Fatal(b.Version, was, b.Check())
 			}
 			if had, known := docs[mark]; known && had.Hash() != b.Document.Hash() {
--- a/internal/decide/policy/version.go
+++ b/internal/decide/policy/version.go
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// Mark is a version as one number that grows with it: what a session's word carries, and what is compared. 0: no version.
+// Number64 is a version as one number that grows with it: what a session's word carries, and what is compared. 0: no version.
 // Epochs are seconds and fit until the year 2159; a number that doesn't fit is never given.
-func (v Version) Mark() uint64 {
+func (v Version) Number64() uint64 {
 	if v.Number == 0 {
 		return 0
 	}
@@ -45,7 +45,7 @@
 )
 
 // String gives a version as operators write it: 94000000.7 is the 7th of that epoch; "none" before the first.
-func (v Version) String() string { return MarkString(v.Mark()) }
+func (v Version) String() string { return MarkString(v.Number64()) }
 
 // MarkString writes a mark as Version.String does.
 func MarkString(mark uint64) string {
@@ -66,7 +66,7 @@
 		v.Number == 0 || v.String() != text {
 		return 0, fmt.Errorf("a version is written like 94000000.7, or none, not %.40q", text)
 	}
-	return v.Mark(), nil
+	return v.Number64(), nil
 }
 
 // Change is a version and what led to it from the one before.
@@ -86,7 +86,7 @@
 
 // Propose makes the proposal that leads from the version in force, and its document, to another document.
 func Propose(base Version, old, new Document, author, reason string) Proposal {
-	return Proposal{Base: base.Mark(), Difference: Between(old, new), Hash: new.Hash(), Author: author, Reason: reason}
+	return Proposal{Base: base.Number64(), Difference: Between(old, new), Hash: new.Hash(), Author: author, Reason: reason}
 }
 
 // Check tells whether a proposal is within the bounds; whether its fields may change is Difference.Judge's.
--- a/internal/decide/council/beats_test.go
+++ b/internal/decide/raftnode/beats_test.go
@@ -1,4 +1,4 @@
-package council
+package raftnode
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
 // trio is a council of three over disks in memory, on one clock, that counts what the three say to each other.
@@ -16,7 +16,7 @@
 	nodes    []*Node
 	now      float64
 	number   uint64
-	done     map[uint64]register.Answer
+	done     map[uint64]leasestate.Result
 	lost     int
 	messages map[raftpb.MessageType]int
 	bytes    map[raftpb.MessageType]int
@@ -25,7 +25,7 @@
 }
 
 func three(t *testing.T) *trio {
-	c := &trio{t: t, now: 1, done: map[uint64]register.Answer{}}
+	c := &trio{t: t, now: 1, done: map[uint64]leasestate.Result{}}
 	c.count()
 	peers := []Peer{{Name: "c1"}, {Name: "c2"}, {Name: "c3"}}
 	for n := range peers {
@@ -44,7 +44,7 @@
 
 func (c *trio) leader() *Node {
 	for _, n := range c.nodes {
-		if leads, _ := n.Leads(); leads {
+		if leads, _ := n.IsLeader(); leads {
 			return n
 		}
 	}
@@ -58,15 +58,15 @@
 		for _, n := range c.nodes {
 			for d, more := n.Next(); more; d, more = n.Next() {
 				again = true
-				switch d.Verb {
+				switch d.Action {
 				case Save:
 					if n == c.leader() {
 						c.entries += len(d.Entries)
 					}
 					n.Saved()
 				case Done:
-					c.done[d.Number] = d.Answer
-				case Lost:
+					c.done[d.Request] = d.Result
+				case ResultUnknown:
 					c.lost++
 				case Send:
 					m := d.Message
@@ -84,7 +84,7 @@
 					}
 				}
 			}
-			if err := n.Failed(); err != nil {
+			if err := n.Err(); err != nil {
 				c.t.Fatal(err)
 			}
 		}
@@ -95,16 +95,16 @@
 func (c *trio) at(now float64) {
 	c.now = now
 	for _, n := range c.nodes {
-		n.At(now)
+		n.Advance(now)
 	}
 	c.settle()
 }
 
-func (c *trio) do(e register.Entry) uint64 {
+func (c *trio) do(e leasestate.Entry) uint64 {
 	c.number++
 	l := c.leader()
-	l.At(c.now)
-	l.Do(c.number, e)
+	l.Advance(c.now)
+	l.Propose(c.number, e)
 	c.at(c.now)
 	return c.number
 }
@@ -116,7 +116,7 @@
 		c.at(c.now + 10)
 	}
 	for n := range sessions {
-		c.do(register.Entry{Kind: register.Open, Session: name(n), Incarnation: 1, Length: length})
+		c.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: name(n), Incarnation: 1, Timeout: length})
 	}
 	c.count()
 	return c
@@ -125,7 +125,7 @@
 func name(n int) string { return fmt.Sprintf("router-%d", n) }
 
 func (c *trio) beat(n int) uint64 {
-	return c.do(register.Entry{Kind: register.Beat, Session: name(n), Incarnation: 1})
+	return c.do(leasestate.Entry{Kind: leasestate.KeepAlive, Session: name(n), Incarnation: 1})
 }
 
 // Each session's beat comes alone, at a time of its own, as those of hundreds of routers do: what the three write and say goes by
@@ -170,15 +170,15 @@
 func TestBeatsHurry(t *testing.T) {
 	t.Run("a short session", func(t *testing.T) {
 		c := began(t, 1, 1500)
-		c.at(c.leader().Due()) // the whole of a tick is left
+		c.at(c.leader().NextDeadline()) // the whole of a tick is left
 		if number := c.beat(0); !c.done[number].Held {
 			t.Error("waits though its asker has a quarter of its length")
 		}
 	})
 	t.Run("nobody's", func(t *testing.T) {
 		c := began(t, 1, 2000)
-		c.at(c.leader().Due())
-		if number := c.beat(7); c.done[number].Why != register.NoSession {
+		c.at(c.leader().NextDeadline())
+		if number := c.beat(7); c.done[number].Why != leasestate.ReasonNoSession {
 			t.Errorf("%+v", c.done[number])
 		}
 	})
@@ -187,11 +187,11 @@
 			c := began(t, 1, 2000)
 			heard := c.now
 			for to := heard + 1750 + float64(ms); c.now < to; {
-				c.at(min(to, c.leader().Due()))
+				c.at(min(to, c.leader().NextDeadline()))
 			}
-			_, open := c.leader().Register().Session(name(0))
+			_, open := c.leader().State().Session(name(0))
 			number := c.beat(0)
-			c.at(c.leader().Due())
+			c.at(c.leader().NextDeadline())
 			if a, answered := c.done[number]; a.Held != open || !answered {
 				t.Fatalf("%d ms silent, stands %v: %+v, answered %v", 1750+ms, open, a, answered)
 			}
@@ -199,29 +199,29 @@
 	})
 	t.Run("before what comes after it", func(t *testing.T) {
 		c := began(t, 2, 2000)
-		c.at(c.leader().Due())
+		c.at(c.leader().NextDeadline())
 		first := c.beat(0)
 		if _, answered := c.done[first]; answered {
 			t.Fatal("it didn't wait")
 		}
 		at := c.leader().Applied()
-		then := c.do(register.Entry{Kind: register.Take, Session: name(1), Incarnation: 1, Duty: "d"})
+		then := c.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name(1), Incarnation: 1, Lease: "d"})
 		if !c.done[first].Held || !c.done[then].Held || c.leader().Applied() != at+2 {
 			t.Errorf("%+v, %+v, %d entries", c.done[first], c.done[then], c.leader().Applied()-at)
 		}
 	})
 	t.Run("and is lost with the lead", func(t *testing.T) {
 		c := began(t, 1, 2000)
-		c.at(c.leader().Due())
+		c.at(c.leader().NextDeadline())
 		c.beat(0)
 		l := c.leader()
 		for c.lost == 0 && l == c.leader() { // nobody hears it any more
-			l.At(l.Due())
+			l.Advance(l.NextDeadline())
 			for d, more := l.Next(); more; d, more = l.Next() {
-				switch d.Verb {
+				switch d.Action {
 				case Save:
 					l.Saved()
-				case Lost:
+				case ResultUnknown:
 					c.lost++
 				}
 			}
--- a/internal/decide/council/durable.go
+++ b/internal/decide/raftnode/durable.go
@@ -1,4 +1,4 @@
-package council
+package raftnode
 
 import (
 	"errors"
@@ -29,10 +29,10 @@
 // Attempt takes in a decision that is about to be stored.
 func (d *Durable) Attempt(decision Decision) {
 	m := d.stored
-	if h := decision.Hard; h != nil {
+	if h := decision.HardState; h != nil {
 		m.term, m.vote, m.commit = h.GetTerm(), h.GetVote(), h.GetCommit()
 	}
-	if decision.Verb == Save && decision.Snapshot.GetMetadata().GetIndex() > 0 {
+	if decision.Action == Save && decision.Snapshot.GetMetadata().GetIndex() > 0 {
 		m.last = decision.Snapshot.GetMetadata().GetIndex()
 	}
 	if n := len(decision.Entries); n > 0 {
@@ -54,7 +54,7 @@
 }
 
 func markOf(s Stored) mark {
-	m := mark{term: s.Hard.GetTerm(), vote: s.Hard.GetVote(), commit: s.Hard.GetCommit(), last: s.Snapshot.GetMetadata().GetIndex()}
+	m := mark{term: s.HardState.GetTerm(), vote: s.HardState.GetVote(), commit: s.HardState.GetCommit(), last: s.Snapshot.GetMetadata().GetIndex()}
 	if n := len(s.Entries); n > 0 {
 		m.last = max(m.last, s.Entries[n-1].GetIndex())
 	}
--- a/internal/decide/council/epoch_test.go
+++ b/internal/decide/raftnode/epoch_test.go
@@ -1,10 +1,10 @@
-package council
+package raftnode
 
 import (
 	"testing"
 
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
 // begin is a council of one that begins by this epoch and with a session, s.
@@ -15,35 +15,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &alone{t: t, n: n, now: 1, done: map[uint64]register.Answer{}}
+	a := &alone{t: t, n: n, now: 1, done: map[uint64]leasestate.Result{}}
 	a.store(*fresh)
 	a.pass(500)
-	a.do(register.Entry{Kind: register.Open, Session: "s", Incarnation: 1, Length: 60000})
+	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	return a
 }
 
-func (a *alone) take() register.Answer {
-	return a.do(register.Entry{Kind: register.Take, Session: "s", Incarnation: 1, Duty: "d"})
+func (a *alone) take() leasestate.Result {
+	return a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
 }
 
 // A council that is begun anew after its wall clock went back comes into an epoch of the past. Receivers refuse what it grants and say
 // so; it then grants nothing until an operator has begun an epoch above the one that they saw.
 func TestEpoch_BegunAnewAfterClockWentBack(t *testing.T) {
-	scope, receiver := lease.Scope{Duty: "d", About: "d"}, lease.NewReceiver()
+	scope, receiver := lease.Scope{Lease: "d", About: "d"}, lease.NewReceiver()
 	was := begin(t, 5000, 0).take().Fence
-	receiver.Learned("d", was)
+	receiver.TokenLearned("d", was)
 	anew := begin(t, 1400, 0)
 	granted := anew.take()
 	verdict, seen := receiver.Take(scope, "s", granted.Fence)
 	if !granted.Held || granted.Fence.Epoch != 1400 || verdict != lease.Old || seen != was {
 		t.Fatalf("granted %+v, which the receiver judges %v, %v", granted, verdict, seen)
 	}
-	anew.do(register.Entry{Kind: register.Told, Duty: "d", Fence: seen})
+	anew.do(leasestate.Entry{Kind: leasestate.ReportToken, Lease: "d", Token: seen})
 	if a := anew.take(); a.Held {
 		t.Fatalf("granted again in an epoch of the past: %+v", a)
 	}
-	d, _ := anew.n.Register().Duty("d")
-	anew.do(register.Entry{Kind: register.Ascend, Epoch: d.Barred.Epoch + 1}) // as council recover does
+	d, _ := anew.n.State().Lease("d")
+	anew.do(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as council recover does
 	granted = anew.take()
 	if verdict, _ := receiver.Take(scope, "s", granted.Fence); !granted.Held || verdict != lease.Taken {
 		t.Errorf("granted %+v, which the receiver judges %v", granted, verdict)
@@ -53,7 +53,7 @@
 // Whoever begins it may say which epoch has been: then it is above from the start.
 func TestEpoch_BegunAboveAnother(t *testing.T) {
 	for _, c := range []struct{ clock, above, want uint64 }{{1400, 5000, 5001}, {5000, 1400, 5000}, {5000, 5000, 5001}, {5000, 0, 5000}} {
-		if got := begin(t, c.clock, c.above).take().Fence; got != (lease.Fence{Epoch: c.want, Count: 1}) {
+		if got := begin(t, c.clock, c.above).take().Fence; got != (lease.Token{Epoch: c.want, Count: 1}) {
 			t.Errorf("%+v: granted under %v", c, got)
 		}
 	}
@@ -68,13 +68,13 @@
 	at := func(now float64) {
 		c.now = now
 		for _, n := range c.nodes {
-			n.At(now + ahead[n])
+			n.Advance(now + ahead[n])
 		}
 		c.settle()
 	}
-	do := func(e register.Entry) register.Answer {
+	do := func(e leasestate.Entry) leasestate.Result {
 		c.number++
-		c.leader().Do(c.number, e)
+		c.leader().Propose(c.number, e)
 		for number, end := c.number, c.now+500; c.now < end; {
 			if a, done := c.done[number]; done {
 				return a
@@ -82,12 +82,12 @@
 			at(c.now + 10)
 		}
 		t.Fatalf("%+v is not answered", e)
-		return register.Answer{}
+		return leasestate.Result{}
 	}
 	for c.leader() == nil {
 		at(c.now + 10)
 	}
-	do(register.Entry{Kind: register.Open, Session: "s", Incarnation: 1, Length: length})
+	do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: length})
 	led := map[*Node]bool{}
 	for range 6 {
 		old := c.leader()
@@ -98,15 +98,15 @@
 				to = n
 			}
 		}
-		began, counted := c.now, old.Register().Now()
+		began, counted := c.now, old.State().Now()
 		old.raw.TransferLeader(to.id)
 		for c.leader() != to {
 			at(c.now + 10)
 		}
-		if a := do(register.Entry{Kind: register.Beat, Session: "s", Incarnation: 1}); !a.Held {
+		if a := do(leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1}); !a.Held {
 			t.Fatalf("the session ended where another began to lead: %+v", a)
 		}
-		if passed, took := float64(to.Register().Now()-counted), c.now-began; passed > took+100 {
+		if passed, took := float64(to.State().Now()-counted), c.now-began; passed > took+100 {
 			t.Fatalf("%v ms are counted for %v", passed, took)
 		}
 	}
@@ -114,7 +114,7 @@
 		t.Errorf("%d of %d led", len(led), len(c.nodes))
 	}
 	heard := c.now
-	for _, open := c.leader().Register().Session("s"); open; _, open = c.leader().Register().Session("s") {
+	for _, open := c.leader().State().Session("s"); open; _, open = c.leader().State().Session("s") {
 		at(c.now + 10)
 	}
 	if took := c.now - heard; took < length || took > length+500 {
--- a/internal/decide/council/met.go
+++ b/internal/decide/raftnode/met.go
@@ -1,4 +1,4 @@
-package council
+package raftnode
 
 import (
 	"fmt"
@@ -16,28 +16,28 @@
 	Last   uint64   `cbor:"5,keyasint"`
 }
 
-// Met remembers the folders of the council's other processes. Raft rests on a process remembering what it voted for and what
+// KnownIncarnations remembers the folders of the council's other processes. Raft rests on a process remembering what it voted for and what
 // it acknowledged; one whose folder was lost, or put back from an older copy, may break that, so nothing of it is taken. What
 // it can't tell: a copy that is as old as the latest start, if this process started since and heard nothing in between.
-type Met struct {
-	Known  map[string]Seen   `cbor:"1,keyasint"` // to be stored whenever Hello says so
-	surely map[string]uint64 // entries that it acknowledged and that are committed
+type KnownIncarnations struct {
+	Known  map[string]StorageIdentity `cbor:"1,keyasint"` // to be stored whenever Hello says so
+	surely map[string]uint64          // entries that it acknowledged and that are committed
 	term   map[string]uint64
 }
 
-// Seen is a folder as it was met last.
-type Seen struct {
+// StorageIdentity is a folder as it was met last.
+type StorageIdentity struct {
 	Folder uint64 `cbor:"1,keyasint"`
 	Start  uint64 `cbor:"2,keyasint"`
 }
 
-// NewMet makes one that has met nobody.
-func NewMet() *Met {
-	return &Met{Known: map[string]Seen{}, surely: map[string]uint64{}, term: map[string]uint64{}}
+// NewKnownIncarnations makes one that has met nobody.
+func NewKnownIncarnations() *KnownIncarnations {
+	return &KnownIncarnations{Known: map[string]StorageIdentity{}, surely: map[string]uint64{}, term: map[string]uint64{}}
 }
 
-// Hello judges who begins to talk; news: what is known has changed and must be stored before its first message is taken.
-func (m *Met) Hello(id Identity) (news bool, err error) {
+// Handshake judges who begins to talk; news: what is known has changed and must be stored before its first message is taken.
+func (m *KnownIncarnations) Handshake(id Identity) (news bool, err error) {
 	if len(id.Starts) == 0 || id.Name == "" {
 		return false, fmt.Errorf("it doesn't say who it is")
 	}
@@ -54,12 +54,12 @@
 	case !known && len(m.Known) >= 4*mostPeers:
 		return false, fmt.Errorf("too many processes have been met")
 	}
-	m.Known[id.Name] = Seen{id.Folder, last}
+	m.Known[id.Name] = StorageIdentity{id.Folder, last}
 	return true, nil
 }
 
-// Heard notes what a message proves of its sender's disk; committed is as far as this process knows.
-func (m *Met) Heard(name string, msg *raftpb.Message, committed uint64) {
+// MessageReceived notes what a message proves of its sender's disk; committed is as far as this process knows.
+func (m *KnownIncarnations) MessageReceived(name string, msg *raftpb.Message, committed uint64) {
 	switch msg.GetType() {
 	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp:
 		return // these carry a term that nobody has stored
@@ -72,7 +72,7 @@
 }
 
 // Forget drops all but those named.
-func (m *Met) Forget(but map[string]bool) {
+func (m *KnownIncarnations) Forget(but map[string]bool) {
 	for name := range m.Known {
 		if !but[name] {
 			delete(m.Known, name)
--- a/internal/decide/council/council.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -1,10 +1,10 @@
-// Package council decides what one process of the council does: Raft over the register's entries, by etcd's state machine,
+// Package raftnode decides what one process of the council does: Raft over the register's entries, by etcd's state machine,
 // which has neither clock nor socket nor disk. It owns the log as far as it is in memory, the register, the council's own
 // members and who waits for what; it must never do I/O, read a clock, or answer before what it answers is durable.
 //
 // The host feeds it time, messages and requests, pulls decisions, and calls Saved once what a Save holds is on disk. The
 // stepped twin runs the same code over a disk and a network of its own.
-package council
+package raftnode
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
 const (
@@ -54,57 +54,57 @@
 	return cmp.Or(h.Sum64(), 1)
 }
 
-// Planted are defects that tests plant, to show that checkers find them; none is ever set in the program.
-type Planted struct {
+// SeededDefects are defects that tests plant, to show that checkers find them; none is ever set in the program.
+type SeededDefects struct {
 	EarlyAnswer bool // answers when an entry is taken in, not when it is committed
 	StaleRead   bool // a leader answers reads without asking whether it still is one
 }
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Fleet, Name string
-	Peers       []Peer  // who begins the council, this process among them; empty: it joins one that has begun
-	Epoch       uint64  // in which a council begins that never had a leader: Unix seconds, so that it is above those before it
-	Above       uint64  // an epoch known to have been: the first one is above it also where the wall clock was stepped back; 0: none
-	Tick        float64 // heartbeat; elections come after ten to twenty of them
-	Keep        uint64  // entries until a snapshot is taken and the log is cut
-	Log         raft.Logger
-	Planted     Planted
+	Fleet, Name   string
+	Peers         []Peer  // who begins the council, this process among them; empty: it joins one that has begun
+	Epoch         uint64  // in which a council begins that never had a leader: Unix seconds, so that it is above those before it
+	Above         uint64  // an epoch known to have been: the first one is above it also where the wall clock was stepped back; 0: none
+	Tick          float64 // heartbeat; elections come after ten to twenty of them
+	Keep          uint64  // entries until a snapshot is taken and the log is cut
+	Log           raft.Logger
+	SeededDefects SeededDefects
 }
 
 // Stored is what a process had on its disk.
 type Stored struct {
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry
-	Snapshot *raftpb.Snapshot
+	HardState *raftpb.HardState
+	Entries   []*raftpb.Entry
+	Snapshot  *raftpb.Snapshot
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Save  Verb = iota // store Hard, Entries (in place of what is stored from the first of them on) and Snapshot, synced; then Saved
-	Cut               // store Snapshot, and drop what is stored before Below; no answer waits for it
-	Send              // Message to another process
-	Done              // request Number has its Answer
-	Moved             // request Number must go to the process Leader; empty: none is known
-	Lost              // request Number may have been taken or not
-	Led               // Leader leads, or nobody does
-	Past              // Event has become so
+	Save          Action = iota // store Hard, Entries (in place of what is stored from the first of them on) and Snapshot, synced; then Saved
+	Compact                     // store Snapshot, and drop what is stored before Below; no answer waits for it
+	Send                        // Message to another process
+	Done                        // request Number has its Answer
+	Redirect                    // request Number must go to the process Leader; empty: none is known
+	ResultUnknown               // request Number may have been taken or not
+	LeaderChanged               // Leader leads, or nobody does
+	Applied                     // Event has become so
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb     Verb
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry
-	Snapshot *raftpb.Snapshot
-	Below    uint64
-	Message  *raftpb.Message
-	Number   uint64
-	Answer   register.Answer
-	Leader   Peer
-	Event    register.Event
+	Action       Action
+	HardState    *raftpb.HardState
+	Entries      []*raftpb.Entry
+	Snapshot     *raftpb.Snapshot
+	CompactBelow uint64
+	Message      *raftpb.Message
+	Request      uint64
+	Result       leasestate.Result
+	Leader       Peer
+	Event        leasestate.Event
 }
 
 // Node is one process's part.
@@ -113,7 +113,7 @@
 	id      uint64
 	raw     *raft.RawNode
 	mem     *raft.MemoryStorage
-	reg     *register.Register
+	reg     *leasestate.State
 	peers   map[uint64]Peer
 	gone    []uint64
 	conf    *raftpb.ConfState
@@ -138,7 +138,7 @@
 
 type beat struct {
 	number uint64
-	register.Name
+	leasestate.Heartbeat
 }
 
 // record is one entry of the log: what becomes of the register, and who waits for it.
@@ -173,31 +173,31 @@
 	return b
 }
 
-// Image reads a snapshot: the council's own members, and the register.
-func Image(fleet string, snapshot *raftpb.Snapshot) (map[uint64]Peer, *register.Register, error) {
+// DecodeSnapshot reads a snapshot: the council's own members, and the register.
+func DecodeSnapshot(fleet string, snapshot *raftpb.Snapshot) (map[uint64]Peer, *leasestate.State, error) {
 	i, reg, err := unpack(fleet, snapshot)
 	return i.Peers, reg, err
 }
 
-func unpack(fleet string, snapshot *raftpb.Snapshot) (i image, reg *register.Register, err error) {
+func unpack(fleet string, snapshot *raftpb.Snapshot) (i image, reg *leasestate.State, err error) {
 	if err := cbor.Unmarshal(snapshot.GetData(), &i); err != nil {
-		return i, nil, fmt.Errorf("snapshot: %w: %w", register.ErrUnsound, err)
+		return i, nil, fmt.Errorf("snapshot: %w: %w", leasestate.ErrUnsound, err)
 	}
 	if i.Format > format {
-		return i, nil, fmt.Errorf("snapshot: %w: format %d, this build knows %d", register.ErrUnknown, i.Format, format)
+		return i, nil, fmt.Errorf("snapshot: %w: format %d, this build knows %d", leasestate.ErrUnknown, i.Format, format)
 	}
-	reg, err = register.Restore(fleet, i.Register)
+	reg, err = leasestate.Restore(fleet, i.Register)
 	return i, reg, err
 }
 
-// Pack makes a snapshot's data.
-func Pack(peers map[uint64]Peer, gone []uint64, reg *register.Register) []byte {
+// EncodeSnapshot makes a snapshot's data.
+func EncodeSnapshot(peers map[uint64]Peer, gone []uint64, reg *leasestate.State) []byte {
 	return encode(image{Format: format, Peers: peers, Register: reg.Snapshot(), Gone: gone})
 }
 
-// First is the snapshot with which a council begins: the same at each of those who begin it. Its epoch is the first leader's
+// InitialSnapshot is the snapshot with which a council begins: the same at each of those who begin it. Its epoch is the first leader's
 // to say.
-func First(fleet string, peers []Peer) *raftpb.Snapshot {
+func InitialSnapshot(fleet string, peers []Peer) *raftpb.Snapshot {
 	conf := &raftpb.ConfState{}
 	all := map[uint64]Peer{}
 	for _, p := range peers {
@@ -205,12 +205,12 @@
 		conf.Voters = append(conf.Voters, p.ID)
 	}
 	slices.Sort(conf.Voters)
-	return &raftpb.Snapshot{Data: Pack(all, nil, register.Unbegun(fleet)),
+	return &raftpb.Snapshot{Data: EncodeSnapshot(all, nil, leasestate.NewUninitialized(fleet)),
 		Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 }
 
-// Check says what is wrong with who begins a council.
-func Check(name string, peers []Peer) error {
+// CheckPeers says what is wrong with who begins a council.
+func CheckPeers(name string, peers []Peer) error {
 	ids, names := map[uint64]string{}, map[string]bool{}
 	for _, p := range peers {
 		if other, taken := ids[p.ID]; taken {
@@ -236,15 +236,15 @@
 	for i := range set.Peers {
 		set.Peers[i].ID = ID(set.Peers[i].Name)
 	}
-	if err := Check(set.Name, set.Peers); err != nil {
+	if err := CheckPeers(set.Name, set.Peers); err != nil {
 		return nil, nil, fmt.Errorf("council: %w", err)
 	}
-	n = &Node{set: set, id: ID(set.Name), mem: raft.NewMemoryStorage(), reg: register.New(set.Fleet), peers: map[uint64]Peer{},
+	n = &Node{set: set, id: ID(set.Name), mem: raft.NewMemoryStorage(), reg: leasestate.New(set.Fleet), peers: map[uint64]Peer{},
 		conf: &raftpb.ConfState{}, pending: map[uint64]bool{}, reads: map[uint64]uint64{}}
-	if stored.Hard == nil && stored.Snapshot == nil && len(set.Peers) > 0 {
-		stored.Snapshot = First(set.Fleet, set.Peers)
-		stored.Hard = &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
-		fresh = &Decision{Verb: Save, Hard: stored.Hard, Snapshot: stored.Snapshot}
+	if stored.HardState == nil && stored.Snapshot == nil && len(set.Peers) > 0 {
+		stored.Snapshot = InitialSnapshot(set.Fleet, set.Peers)
+		stored.HardState = &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+		fresh = &Decision{Action: Save, HardState: stored.HardState, Snapshot: stored.Snapshot}
 	}
 	if stored.Snapshot != nil {
 		if err := n.restore(stored.Snapshot); err != nil {
@@ -254,8 +254,8 @@
 			return nil, nil, err
 		}
 	}
-	if stored.Hard != nil {
-		if err := n.mem.SetHardState(stored.Hard); err != nil {
+	if stored.HardState != nil {
+		if err := n.mem.SetHardState(stored.HardState); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -263,8 +263,8 @@
 		return nil, nil, err
 	}
 	last, _ := n.mem.LastIndex()
-	if stored.Hard.GetCommit() > last {
-		return nil, nil, fmt.Errorf("council: stored up to %d though %d was committed: the folder is not whole", last, stored.Hard.GetCommit())
+	if stored.HardState.GetCommit() > last {
+		return nil, nil, fmt.Errorf("council: stored up to %d though %d was committed: the folder is not whole", last, stored.HardState.GetCommit())
 	}
 	n.raw, err = raft.NewRawNode(&raft.Config{ID: n.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: n.mem,
 		Applied: n.applied, MaxSizePerMsg: sizePerMsg, MaxInflightMsgs: inFlight, MaxUncommittedEntriesSize: uncommitted,
@@ -284,8 +284,8 @@
 	return nil
 }
 
-// At sets the time, in ms on a clock that also runs while the machine sleeps.
-func (n *Node) At(now float64) {
+// Advance sets the time, in ms on a clock that also runs while the machine sleeps.
+func (n *Node) Advance(now float64) {
 	if n.tickAt == 0 {
 		n.tickAt, n.now = now, now
 	}
@@ -306,19 +306,19 @@
 	if stood { // it may have missed what sessions said meanwhile: as a new leader, it gives them their whole length
 		n.lead()
 	}
-	left, any := n.reg.Left()
+	left, any := n.reg.UntilExpiry()
 	// A beat that came in time must not find its session ended by the time that passed while it waited. A tick beyond the next, for
 	// what is proposed and not applied: it has passed time that left still counts.
-	if ticked || n.hurry || any && n.Due()+n.set.Tick-n.stamped > float64(left) {
+	if ticked || n.hurry || any && n.NextDeadline()+n.set.Tick-n.stamped > float64(left) {
 		n.flush()
 	}
 	if any && !n.ticking && n.now-n.stamped > float64(left) {
-		n.ticking = n.propose(register.Entry{Kind: register.Tick}, 0, nil) == nil
+		n.ticking = n.propose(leasestate.Entry{Kind: leasestate.AdvanceTime}, 0, nil) == nil
 	}
 }
 
-// Due is when At must be called again at the latest.
-func (n *Node) Due() float64 { return n.tickAt + n.set.Tick }
+// NextDeadline is when At must be called again at the latest.
+func (n *Node) NextDeadline() float64 { return n.tickAt + n.set.Tick }
 
 // Step takes in a message of another process. One that no sound process sends is an error and changes nothing.
 func (n *Node) Step(m *raftpb.Message) error {
@@ -329,7 +329,7 @@
 		return fmt.Errorf("a message for %d, this is %d", m.GetTo(), n.id)
 	}
 	if m.GetType() == raftpb.MsgSnap { // what can't be read must not come between a log and its state
-		if _, _, err := Image(n.set.Fleet, m.GetSnapshot()); err != nil {
+		if _, _, err := DecodeSnapshot(n.set.Fleet, m.GetSnapshot()); err != nil {
 			return err
 		}
 	}
@@ -354,43 +354,43 @@
 // Unreachable says that messages to a process don't get there.
 func (n *Node) Unreachable(id uint64) { n.raw.ReportUnreachable(id) }
 
-// Sent says whether a snapshot got there.
-func (n *Node) Sent(id uint64, arrived bool) {
+// SnapshotSent says whether a snapshot got there.
+func (n *Node) SnapshotSent(id uint64, arrived bool) {
 	n.raw.ReportSnapshot(id, map[bool]raft.SnapshotStatus{true: raft.SnapshotFinish, false: raft.SnapshotFailure}[arrived])
 }
 
-// Do has an entry proposed for request number, which no other has had. Each request ends by Done, Moved or Lost, once.
-func (n *Node) Do(number uint64, e register.Entry) {
+// Propose has an entry proposed for request number, which no other has had. Each request ends by Done, Moved or Lost, once.
+func (n *Node) Propose(number uint64, e leasestate.Entry) {
 	switch {
 	case !n.leads:
 		n.moved(number)
 	case len(n.pending) >= mostPending:
-		n.out = append(n.out, Decision{Verb: Lost, Number: number}) // a refusal would say that somebody else holds what was asked for
-	case e.Kind == register.Beat:
+		n.out = append(n.out, Decision{Action: ResultUnknown, Request: number}) // a refusal would say that somebody else holds what was asked for
+	case e.Kind == leasestate.KeepAlive:
 		n.pending[number] = true
-		n.beats = append(n.beats, beat{number, register.Name{Session: e.Session, Incarnation: e.Incarnation, Refused: e.Refused,
-			Policy: e.Policy, Wont: e.Wont, Why: e.Why}})
-		if s, open := n.reg.Session(e.Session); !open || float64(s.Length) < waitPart*n.set.Tick {
+		n.beats = append(n.beats, beat{number, leasestate.Heartbeat{Session: e.Session, Incarnation: e.Incarnation, RejectedActs: e.RejectedActs,
+			Policy: e.Policy, RejectedPolicy: e.RejectedPolicy, Reason: e.Reason}})
+		if s, open := n.reg.Session(e.Session); !open || float64(s.Timeout) < waitPart*n.set.Tick {
 			n.hurry = true
 		}
-	case e.Kind == register.Propose && refused(e) != "":
-		n.out = append(n.out, Decision{Verb: Done, Number: number, Answer: register.Answer{Why: refused(e)}})
+	case e.Kind == leasestate.ProposePolicy && refused(e) != "":
+		n.out = append(n.out, Decision{Action: Done, Request: number, Result: leasestate.Result{Why: refused(e)}})
 	default:
 		n.flush() // what came before it counts before it
 		n.pending[number] = true
 		if err := n.propose(e, number, nil); err != nil {
 			delete(n.pending, number)
-			n.out = append(n.out, Decision{Verb: Lost, Number: number})
-		} else if n.set.Planted.EarlyAnswer {
+			n.out = append(n.out, Decision{Action: ResultUnknown, Request: number})
+		} else if n.set.SeededDefects.EarlyAnswer {
 			delete(n.pending, number)
-			n.out = append(n.out, Decision{Verb: Done, Number: number, Answer: n.preview(e)})
+			n.out = append(n.out, Decision{Action: Done, Request: number, Result: n.preview(e)})
 		}
 	}
 }
 
 // refused tells all that keeps a proposal's fields from being changed. It is asked before the proposal gets into the log: there
 // each build must make the same of it, whatever it knows of fields.
-func refused(e register.Entry) string {
+func refused(e leasestate.Entry) string {
 	var all []string
 	for _, f := range e.Proposal.Difference.Judge() {
 		if all = append(all, f.Field+": "+f.Reason); len(all) == mostFindings {
@@ -402,10 +402,10 @@
 }
 
 // preview answers an entry as if it were committed; a planted defect.
-func (n *Node) preview(e register.Entry) register.Answer {
-	r, err := register.Restore(n.set.Fleet, n.reg.Snapshot())
+func (n *Node) preview(e leasestate.Entry) leasestate.Result {
+	r, err := leasestate.Restore(n.set.Fleet, n.reg.Snapshot())
 	if err != nil {
-		return register.Answer{Why: err.Error()}
+		return leasestate.Result{Why: err.Error()}
 	}
 	return r.Apply(r.Index()+1, e)
 }
@@ -417,10 +417,10 @@
 	for len(n.beats) > 0 {
 		some := n.beats[:min(len(n.beats), mostBeats)]
 		n.beats = n.beats[len(some):]
-		e := register.Entry{Kind: register.Beats}
+		e := leasestate.Entry{Kind: leasestate.KeepAliveAll}
 		var also []uint64
 		for _, b := range some {
-			e.Names, also = append(e.Names, b.Name), append(also, b.number)
+			e.Heartbeats, also = append(e.Heartbeats, b.Heartbeat), append(also, b.number)
 		}
 		if n.propose(e, 0, also) != nil {
 			for _, b := range also {
@@ -431,12 +431,12 @@
 }
 
 // propose times an entry by this leader's clock and hands it to Raft.
-func (n *Node) propose(e register.Entry, number uint64, also []uint64) error {
+func (n *Node) propose(e leasestate.Entry, number uint64, also []uint64) error {
 	passed := min(max(0, n.now-n.stamped), mostPassed)
-	e.Passed = uint64(passed)
-	err := n.raw.Propose(encode(record{By: n.id, Number: number, Entry: register.Encode(e), Also: also}))
+	e.Elapsed = uint64(passed)
+	err := n.raw.Propose(encode(record{By: n.id, Number: number, Entry: leasestate.Encode(e), Also: also}))
 	if err == nil {
-		n.stamped += float64(e.Passed)
+		n.stamped += float64(e.Elapsed)
 		if passed == mostPassed {
 			n.stamped = n.now
 		}
@@ -451,17 +451,17 @@
 	case !n.leads:
 		n.moved(number)
 	case len(n.reads) >= mostPending:
-		n.out = append(n.out, Decision{Verb: Lost, Number: number})
-	case n.set.Planted.StaleRead:
-		n.out = append(n.out, Decision{Verb: Done, Number: number})
+		n.out = append(n.out, Decision{Action: ResultUnknown, Request: number})
+	case n.set.SeededDefects.StaleRead:
+		n.out = append(n.out, Decision{Action: Done, Request: number})
 	default:
 		n.reads[number] = 0
 		n.raw.ReadIndex(encode(number))
 	}
 }
 
-// Change has processes join or leave the council, through a joint configuration.
-func (n *Node) Change(number uint64, add []Peer, remove []string) {
+// ChangeMembership has processes join or leave the council, through a joint configuration.
+func (n *Node) ChangeMembership(number uint64, add []Peer, remove []string) {
 	if !n.leads {
 		n.moved(number)
 		return
@@ -504,20 +504,20 @@
 		}
 	}
 	if why != "" {
-		n.out = append(n.out, Decision{Verb: Done, Number: number, Answer: register.Answer{Why: why}})
+		n.out = append(n.out, Decision{Action: Done, Request: number, Result: leasestate.Result{Why: why}})
 		return
 	}
 	n.pending[number] = true
 }
 
 func (n *Node) moved(number uint64) {
-	n.out = append(n.out, Decision{Verb: Moved, Number: number, Leader: n.peers[n.leader]})
+	n.out = append(n.out, Decision{Action: Redirect, Request: number, Leader: n.peers[n.leader]})
 }
 
 func (n *Node) lose(number uint64) {
 	if n.pending[number] {
 		delete(n.pending, number)
-		n.out = append(n.out, Decision{Verb: Lost, Number: number})
+		n.out = append(n.out, Decision{Action: ResultUnknown, Request: number})
 	}
 }
 
@@ -535,7 +535,7 @@
 		}
 	}
 	for _, m := range rd.Messages {
-		n.out = append(n.out, Decision{Verb: Send, Message: m})
+		n.out = append(n.out, Decision{Action: Send, Message: m})
 	}
 	for _, e := range rd.CommittedEntries {
 		if err := n.apply(e); err != nil {
@@ -558,7 +558,7 @@
 	for _, number := range slices.Sorted(maps.Keys(n.reads)) {
 		if at := n.reads[number]; at > 0 && at <= n.applied {
 			delete(n.reads, number)
-			n.out = append(n.out, Decision{Verb: Done, Number: number})
+			n.out = append(n.out, Decision{Action: Done, Request: number})
 		}
 	}
 	if n.applied-n.snapAt >= n.set.Keep || n.changed {
@@ -570,7 +570,7 @@
 func (n *Node) led(s *raft.SoftState) {
 	if n.leader != s.Lead {
 		n.leader = s.Lead
-		n.out = append(n.out, Decision{Verb: Led, Leader: n.peers[s.Lead]})
+		n.out = append(n.out, Decision{Action: LeaderChanged, Leader: n.peers[s.Lead]})
 	}
 	leads := s.RaftState == raft.StateLeader
 	if leads == n.leads {
@@ -587,14 +587,14 @@
 	}
 	for _, number := range slices.Sorted(maps.Keys(n.reads)) {
 		delete(n.reads, number)
-		n.out = append(n.out, Decision{Verb: Lost, Number: number})
+		n.out = append(n.out, Decision{Action: ResultUnknown, Request: number})
 	}
 }
 
 // lead begins a leader's account of time.
 func (n *Node) lead() {
 	n.stamped = n.now
-	n.propose(register.Entry{Kind: register.Lead, Epoch: max(n.set.Epoch, n.set.Above+1)}, 0, nil)
+	n.propose(leasestate.Entry{Kind: leasestate.BeginTerm, Epoch: max(n.set.Epoch, n.set.Above+1)}, 0, nil)
 }
 
 func (n *Node) apply(e *raftpb.Entry) error {
@@ -610,13 +610,13 @@
 	if err := cbor.Unmarshal(e.GetData(), &r); err != nil {
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
-	entry, err := register.Decode(r.Entry)
+	entry, err := leasestate.Decode(r.Entry)
 	if err != nil { // all of them stop at it, rather than go different ways
 		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 	}
 	answer := n.reg.Apply(e.GetIndex(), entry)
 	if r.By == n.id {
-		if entry.Kind == register.Tick {
+		if entry.Kind == leasestate.AdvanceTime {
 			n.ticking = false
 		}
 		n.done(r.Number, answer)
@@ -628,25 +628,25 @@
 	}
 	events, _ := n.reg.Since(n.events)
 	for _, ev := range events {
-		n.out = append(n.out, Decision{Verb: Past, Event: ev})
+		n.out = append(n.out, Decision{Action: Applied, Event: ev})
 	}
 	n.events = n.reg.Index()
 	return nil
 }
 
 // beaten answers one beat of many.
-func (n *Node) beaten(e register.Entry, also []uint64, number uint64) register.Answer {
-	name := e.Names[slices.Index(also, number)]
+func (n *Node) beaten(e leasestate.Entry, also []uint64, number uint64) leasestate.Result {
+	name := e.Heartbeats[slices.Index(also, number)]
 	if s, open := n.reg.Session(name.Session); open && s.Incarnation == name.Incarnation {
-		return register.Answer{Held: true}
+		return leasestate.Result{Held: true}
 	}
-	return register.Answer{Why: register.NoSession}
+	return leasestate.Result{Why: leasestate.ReasonNoSession}
 }
 
-func (n *Node) done(number uint64, a register.Answer) {
+func (n *Node) done(number uint64, a leasestate.Result) {
 	if n.pending[number] {
 		delete(n.pending, number)
-		n.out = append(n.out, Decision{Verb: Done, Number: number, Answer: a})
+		n.out = append(n.out, Decision{Action: Done, Request: number, Result: a})
 	}
 }
 
@@ -682,14 +682,14 @@
 		}
 	}
 	if who.By == n.id {
-		n.done(who.Number, register.Answer{Held: true})
+		n.done(who.Number, leasestate.Result{Held: true})
 	}
 	return nil
 }
 
 // cut takes a snapshot and drops what lies behind it, but for a tail.
 func (n *Node) cut() {
-	s, err := n.mem.CreateSnapshot(n.applied, n.conf, Pack(n.peers, n.gone, n.reg))
+	s, err := n.mem.CreateSnapshot(n.applied, n.conf, EncodeSnapshot(n.peers, n.gone, n.reg))
 	if err != nil {
 		n.failed = err
 		return
@@ -705,7 +705,7 @@
 		below = first - 1
 	}
 	n.snapAt, n.changed = n.applied, false
-	n.out = append(n.out, Decision{Verb: Cut, Snapshot: s, Below: below + 1})
+	n.out = append(n.out, Decision{Action: Compact, Snapshot: s, CompactBelow: below + 1})
 }
 
 // Next gives the next decision; false: none is left, or a Save has not been answered by Saved.
@@ -735,23 +735,23 @@
 			n.mem.SetHardState(rd.HardState)
 		}
 		if rd.HardState != nil || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
-			return Decision{Verb: Save, Hard: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}, true
+			return Decision{Action: Save, HardState: rd.HardState, Entries: rd.Entries, Snapshot: rd.Snapshot}, true
 		}
 		n.Saved() // nothing to store
 	}
 }
 
-// Failed tells why this process can't go on: an entry or a snapshot that it doesn't know, or that is unsound.
-func (n *Node) Failed() error { return n.failed }
+// Err tells why this process can't go on: an entry or a snapshot that it doesn't know, or that is unsound.
+func (n *Node) Err() error { return n.failed }
 
 // Applied is the index up to which entries are known to be agreed, and are applied here.
 func (n *Node) Applied() uint64 { return n.applied }
 
-// Register gives the state as far as it is applied here; it must not be changed, nor kept.
-func (n *Node) Register() *register.Register { return n.reg }
+// State gives the state as far as it is applied here; it must not be changed, nor kept.
+func (n *Node) State() *leasestate.State { return n.reg }
 
-// Standing is how one process of the council stands, as this one sees it.
-type Standing struct {
+// PeerStatus is how one process of the council stands, as this one sees it.
+type PeerStatus struct {
 	Peer
 	Leader  bool
 	Applied uint64 // for others than this one: what the leader knows that they have
@@ -759,10 +759,10 @@
 	Known   bool   // Applied and Level are
 }
 
-// Council gives the council's members as this process knows them, by name.
-func (n *Node) Council() (all []Standing) {
+// Peers gives the council's members as this process knows them, by name.
+func (n *Node) Peers() (all []PeerStatus) {
 	for _, id := range slices.Sorted(maps.Keys(n.peers)) {
-		all = append(all, Standing{Peer: n.peers[id], Leader: id == n.leader})
+		all = append(all, PeerStatus{Peer: n.peers[id], Leader: id == n.leader})
 	}
 	status := n.raw.Status()
 	for i := range all {
@@ -773,12 +773,12 @@
 			s.Level = pr.RecentActive && pr.Match+catchUp >= n.applied
 		}
 	}
-	slices.SortFunc(all, func(a, b Standing) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b PeerStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
 // Peer gives a member of the council by its number.
 func (n *Node) Peer(id uint64) (Peer, bool) { p, ok := n.peers[id]; return p, ok }
 
-// Leads tells whether this process leads, as far as it knows, and in which term.
-func (n *Node) Leads() (bool, uint64) { return n.leads, n.raw.BasicStatus().HardState.GetTerm() }
+// IsLeader tells whether this process leads, as far as it knows, and in which term.
+func (n *Node) IsLeader() (bool, uint64) { return n.leads, n.raw.BasicStatus().HardState.GetTerm() }
--- a/internal/decide/council/council_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -1,4 +1,4 @@
-package council
+package raftnode
 
 import (
 	"strings"
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
 )
 
 func quiet() *logrus.Logger {
@@ -25,7 +25,7 @@
 	disk   Stored
 	now    float64
 	number uint64
-	done   map[uint64]register.Answer
+	done   map[uint64]leasestate.Result
 	moved  int
 }
 
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &alone{t: t, n: n, disk: disk, now: 1, done: map[uint64]register.Answer{}}
+	a := &alone{t: t, n: n, disk: disk, now: 1, done: map[uint64]leasestate.Result{}}
 	if fresh != nil {
 		a.store(*fresh)
 	}
@@ -46,43 +46,43 @@
 		a.disk.Snapshot = d.Snapshot
 		var kept []*raftpb.Entry
 		for _, e := range a.disk.Entries {
-			if e.GetIndex() >= d.Below && d.Verb == Cut {
+			if e.GetIndex() >= d.CompactBelow && d.Action == Compact {
 				kept = append(kept, e)
 			}
 		}
 		a.disk.Entries = kept
 	}
 	a.disk.Entries = append(a.disk.Entries, d.Entries...)
-	if d.Hard != nil {
-		a.disk.Hard = d.Hard
+	if d.HardState != nil {
+		a.disk.HardState = d.HardState
 	}
 }
 
 func (a *alone) pass(ms float64) {
 	for until := a.now + ms; a.now < until; a.now += 5 {
-		a.n.At(a.now)
+		a.n.Advance(a.now)
 		a.pull()
 	}
 }
 
 func (a *alone) pull() {
 	for d, more := a.n.Next(); more; d, more = a.n.Next() {
-		switch d.Verb {
-		case Save, Cut:
-			if a.store(d); d.Verb == Save {
+		switch d.Action {
+		case Save, Compact:
+			if a.store(d); d.Action == Save {
 				a.n.Saved()
 			}
 		case Done:
-			a.done[d.Number] = d.Answer
-		case Moved:
+			a.done[d.Request] = d.Result
+		case Redirect:
 			a.moved++
 		}
 	}
 }
 
-func (a *alone) do(e register.Entry) register.Answer {
+func (a *alone) do(e leasestate.Entry) leasestate.Result {
 	a.number++
-	a.n.Do(a.number, e)
+	a.n.Propose(a.number, e)
 	a.pass(20)
 	ans, ok := a.done[a.number]
 	if !ok {
@@ -94,32 +94,32 @@
 // One that begins takes its epoch from its clock, answers what is durable, cuts its log, and comes back with the same state.
 func TestAlone(t *testing.T) {
 	a := one(t, Stored{})
-	if a.n.Do(99, register.Entry{Kind: register.Tick}); a.moved != 0 {
+	if a.n.Propose(99, leasestate.Entry{Kind: leasestate.AdvanceTime}); a.moved != 0 {
 		t.Fatal("answered before it was pulled")
 	}
 	a.pass(500)
 	if a.moved != 1 {
 		t.Error("who doesn't lead must say so")
 	}
-	a.do(register.Entry{Kind: register.Open, Session: "s", Incarnation: 1, Length: 60000})
-	got := a.do(register.Entry{Kind: register.Take, Session: "s", Incarnation: 1, Duty: "d"})
+	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
+	got := a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
 	if !got.Held || got.Fence.Epoch != 7 || got.Fence.Count != 1 {
 		t.Fatalf("%+v", got)
 	}
 	for range 300 {
-		a.do(register.Entry{Kind: register.Beat, Session: "s", Incarnation: 1})
+		a.do(leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1})
 	}
 	if len(a.disk.Entries) > 250 {
 		t.Errorf("%d entries are kept", len(a.disk.Entries))
 	}
-	before := a.n.Register().Snapshot()
+	before := a.n.State().Snapshot()
 	b := one(t, a.disk)
 	b.pass(1)
-	if string(b.n.Register().Snapshot()) != string(before) && b.n.Applied() >= a.n.Applied() {
+	if string(b.n.State().Snapshot()) != string(before) && b.n.Applied() >= a.n.Applied() {
 		t.Error("another state after a restart")
 	}
 	b.pass(500)
-	if again := b.do(register.Entry{Kind: register.Take, Session: "s", Incarnation: 1, Duty: "d"}); again.Fence != got.Fence {
+	if again := b.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); again.Fence != got.Fence {
 		t.Errorf("a repeat gets %v, not %v", again.Fence, got.Fence)
 	}
 	b.number++
@@ -134,18 +134,18 @@
 func TestTime(t *testing.T) {
 	a := one(t, Stored{})
 	a.pass(500)
-	a.do(register.Entry{Kind: register.Open, Session: "s", Incarnation: 1, Length: 1000})
+	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 1000})
 	a.pass(900)
-	if _, open := a.n.Register().Session("s"); !open {
+	if _, open := a.n.State().Session("s"); !open {
 		t.Fatal("ended too soon")
 	}
 	a.now += 5000 // stopped and woken
 	a.pass(100)
-	if _, open := a.n.Register().Session("s"); !open {
+	if _, open := a.n.State().Session("s"); !open {
 		t.Fatal("ended for the leader's own pause")
 	}
 	a.pass(1200)
-	if _, open := a.n.Register().Session("s"); open {
+	if _, open := a.n.State().Session("s"); open {
 		t.Error("silent for longer than its length, and still there")
 	}
 }
@@ -170,9 +170,9 @@
 	a := one(t, Stored{})
 	a.pass(500)
 	for want, change := range map[string]func(uint64){
-		"nothing to change": func(n uint64) { a.n.Change(n, nil, nil) },
-		"is not of this":    func(n uint64) { a.n.Change(n, []Peer{{Name: "c2"}}, []string{"c9"}) },
-		"0 processes would": func(n uint64) { a.n.Change(n, nil, []string{"c1"}) },
+		"nothing to change": func(n uint64) { a.n.ChangeMembership(n, nil, nil) },
+		"is not of this":    func(n uint64) { a.n.ChangeMembership(n, []Peer{{Name: "c2"}}, []string{"c9"}) },
+		"0 processes would": func(n uint64) { a.n.ChangeMembership(n, nil, []string{"c1"}) },
 	} {
 		a.number++
 		change(a.number)
@@ -185,14 +185,14 @@
 		t.Error("another fleet's folder was taken")
 	}
 	short := a.disk
-	short.Hard = &raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(0), Commit: proto.Uint64(1000)}
+	short.HardState = &raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(0), Commit: proto.Uint64(1000)}
 	if _, _, err := New(Settings{Fleet: "f", Name: "c1", Tick: 10, Keep: 100, Log: quiet()}, short); err == nil {
 		t.Error("a folder that lacks entries was taken")
 	}
 	if a.n.raw.Propose(encode(record{By: 1, Number: 1, Entry: encode(map[int]any{1: "merge"})})) != nil {
 		t.Fatal("not proposed")
 	}
-	if a.pass(30); a.n.Failed() == nil {
+	if a.pass(30); a.n.Err() == nil {
 		t.Error("an entry of a later build was passed over")
 	}
 }
@@ -201,15 +201,15 @@
 func TestRecover(t *testing.T) {
 	a := one(t, Stored{})
 	a.pass(500)
-	a.do(register.Entry{Kind: register.Open, Session: "s", Incarnation: 1, Length: 60000})
-	was := a.do(register.Entry{Kind: register.Take, Session: "s", Incarnation: 1, Duty: "d"}).Fence
+	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
+	was := a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Fence
 	three := a.disk
 	three.Snapshot = proto.Clone(three.Snapshot).(*raftpb.Snapshot)
-	_, reg, err := Image("f", three.Snapshot)
+	_, reg, err := DecodeSnapshot("f", three.Snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	three.Snapshot.Data = Pack(map[uint64]Peer{ID("c1"): {ID("c1"), "c1", ""}, ID("c2"): {ID("c2"), "c2", "b"}, ID("c3"): {ID("c3"), "c3", "c"}}, nil, reg)
+	three.Snapshot.Data = EncodeSnapshot(map[uint64]Peer{ID("c1"): {ID("c1"), "c1", ""}, ID("c2"): {ID("c2"), "c2", "b"}, ID("c3"): {ID("c3"), "c3", "c"}}, nil, reg)
 	r, err := Recover("f", "c1", "a", three, 12)
 	if err != nil {
 		t.Fatal(err)
@@ -217,13 +217,13 @@
 	if r.Was != 7 || r.Epoch != 13 || len(r.GivenUp) != 2 {
 		t.Errorf("%+v", r)
 	}
-	b := one(t, Stored{Hard: r.Store.Hard, Snapshot: r.Store.Snapshot})
+	b := one(t, Stored{HardState: r.Store.HardState, Snapshot: r.Store.Snapshot})
 	b.pass(500)
-	if got := b.do(register.Entry{Kind: register.Take, Session: "s", Incarnation: 1, Duty: "d"}); !got.Held || got.Fence.Compare(was) <= 0 || got.Fence.Epoch != 13 {
+	if got := b.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Fence.Compare(was) <= 0 || got.Fence.Epoch != 13 {
 		t.Errorf("%+v after %v", got, was)
 	}
 	b.number++
-	b.n.Change(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
+	b.n.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
 	if b.pass(20); !strings.Contains(b.done[b.number].Why, "was of this council before") {
 		t.Errorf("a process that was given up came back: %+v", b.done[b.number])
 	}
@@ -234,11 +234,11 @@
 }
 
 func TestMet(t *testing.T) {
-	m := NewMet()
+	m := NewKnownIncarnations()
 	id := Identity{Name: "c2", Folder: 5, Starts: []uint64{10}, Term: 3, Last: 40}
 	hello := func(what string, id Identity, news bool, words string) {
 		t.Helper()
-		got, err := m.Hello(id)
+		got, err := m.Handshake(id)
 		if got != news || (err == nil) != (words == "") || err != nil && !strings.Contains(err.Error(), words) {
 			t.Errorf("%s: news %v, %v", what, got, err)
 		}
@@ -247,7 +247,7 @@
 	hello("again", id, false, "")
 	id.Starts = []uint64{10, 11}
 	hello("started again", id, true, "")
-	m.Heard("c2", &raftpb.Message{Type: raftpb.MsgAppResp.Enum(), Index: proto.Uint64(90), Term: proto.Uint64(4)}, 80)
+	m.MessageReceived("c2", &raftpb.Message{Type: raftpb.MsgAppResp.Enum(), Index: proto.Uint64(90), Term: proto.Uint64(4)}, 80)
 	hello("by another connection, of the same start", id, false, "")
 	older := id
 	older.Starts = []uint64{10, 12}
@@ -260,7 +260,7 @@
 	hello("an older copy, by its term", older, false, "older copy")
 	older.Term = 4
 	hello("whole", older, true, "")
-	m.Heard("c2", &raftpb.Message{Type: raftpb.MsgPreVote.Enum(), Term: proto.Uint64(99)}, 80)
+	m.MessageReceived("c2", &raftpb.Message{Type: raftpb.MsgPreVote.Enum(), Term: proto.Uint64(99)}, 80)
 	hello("a term that nobody stored counts for nothing", older, false, "")
 	other := id
 	other.Folder = 6
@@ -275,10 +275,10 @@
 func TestPolicy(t *testing.T) {
 	a := one(t, Stored{})
 	a.pass(500)
-	propose := func(d policy.Document) register.Answer {
-		b := a.n.Register().Policy()
+	propose := func(d policy.Document) leasestate.Result {
+		b := a.n.State().Policy()
 		p := policy.Propose(b.Version, b.Document, d, "a", "r")
-		return a.do(register.Entry{Kind: register.Propose, Proposal: &p})
+		return a.do(leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p})
 	}
 	at := a.n.Applied()
 	got := propose(policy.Document{"txn_types.order.effect": "idempotent", "memory": "1", "over_share_value": "0.2"})
@@ -288,23 +288,23 @@
 	if got = propose(policy.Document{"over_share_value": "0.2"}); !got.Held || got.Number != 1 {
 		t.Fatal(got)
 	}
-	version := a.n.Register().Policy().Version
+	version := a.n.State().Policy().Version
 	if version.Epoch != 7 {
 		t.Error(version)
 	}
-	a.do(register.Entry{Kind: register.Open, Session: "s", Incarnation: 1, Length: 60000})
+	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	at = a.n.Applied()
 	for range 20 {
 		a.number++
-		a.n.Do(a.number, register.Entry{Kind: register.Beat, Session: "s", Incarnation: 1, Policy: version.Mark()})
+		a.n.Propose(a.number, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1, Policy: version.Number64()})
 	}
 	a.pass(20)
-	if s, _ := a.n.Register().Session("s"); s.Policy != version.Mark() || a.n.Applied() > at+2 {
+	if s, _ := a.n.State().Session("s"); s.Policy != version.Number64() || a.n.Applied() > at+2 {
 		t.Errorf("%+v, %d entries", s, a.n.Applied()-at)
 	}
 	b := one(t, a.disk)
 	b.pass(500)
-	if p := b.n.Register().Policy(); p.Version != version || p.Document["over_share_value"] != "0.2" {
+	if p := b.n.State().Policy(); p.Version != version || p.Document["over_share_value"] != "0.2" {
 		t.Error(p)
 	}
 }
--- a/internal/decide/council/recover.go
+++ b/internal/decide/raftnode/recover.go
@@ -1,4 +1,4 @@
-package council
+package raftnode
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
 // Recovery is what beginning a council again from one folder comes to.
@@ -34,7 +34,7 @@
 	if err != nil {
 		return Recovery{}, err
 	}
-	r := Recovery{Was: reg.Epoch(), Index: stored.Snapshot.GetMetadata().GetIndex(), Committed: stored.Hard.GetCommit()}
+	r := Recovery{Was: reg.Epoch(), Index: stored.Snapshot.GetMetadata().GetIndex(), Committed: stored.HardState.GetCommit()}
 	term := stored.Snapshot.GetMetadata().GetTerm()
 	for _, e := range stored.Entries {
 		if e.GetIndex() <= r.Index {
@@ -51,7 +51,7 @@
 		if err := cbor.Unmarshal(e.GetData(), &rec); err != nil {
 			return Recovery{}, fmt.Errorf("entry %d: %w", r.Index, err)
 		}
-		entry, err := register.Decode(rec.Entry)
+		entry, err := leasestate.Decode(rec.Entry)
 		if err != nil {
 			return Recovery{}, fmt.Errorf("entry %d: %w", r.Index, err)
 		}
@@ -66,10 +66,10 @@
 			i.Gone = append(i.Gone, id)
 		}
 	}
-	reg.Apply(r.Index+1, register.Entry{Kind: register.Ascend, Epoch: r.Epoch})
-	r.Store = Decision{Verb: Save,
-		Hard: &raftpb.HardState{Term: proto.Uint64(max(term, stored.Hard.GetTerm()) + 1), Vote: proto.Uint64(0), Commit: proto.Uint64(r.Index + 1)},
-		Snapshot: &raftpb.Snapshot{Data: Pack(map[uint64]Peer{self.ID: self}, i.Gone, reg), Metadata: &raftpb.SnapshotMetadata{
+	reg.Apply(r.Index+1, leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: r.Epoch})
+	r.Store = Decision{Action: Save,
+		HardState: &raftpb.HardState{Term: proto.Uint64(max(term, stored.HardState.GetTerm()) + 1), Vote: proto.Uint64(0), Commit: proto.Uint64(r.Index + 1)},
+		Snapshot: &raftpb.Snapshot{Data: EncodeSnapshot(map[uint64]Peer{self.ID: self}, i.Gone, reg), Metadata: &raftpb.SnapshotMetadata{
 			ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}}, Index: proto.Uint64(r.Index + 1), Term: proto.Uint64(max(term, 1))}}}
 	return r, nil
 }
--- a/internal/decide/chance/chance.go
+++ b/internal/decide/random/random.go
@@ -1,6 +1,6 @@
-// Package chance draws what decisions leave to chance, from a seed and a counter, so that the same inputs give the same
+// Package random draws what decisions leave to chance, from a seed and a counter, so that the same inputs give the same
 // decisions again. It owns the sequence; it must never read a clock or the system's randomness.
-package chance
+package random
 
 import (
 	"encoding/binary"
--- a/internal/decide/chance/chance_test.go
+++ b/internal/decide/random/random_test.go
@@ -1,4 +1,4 @@
-package chance
+package random
 
 import (
 	"math"
--- a/internal/decide/session/session_test.go
+++ b/internal/decide/session/session_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
+	"wayloft/internal/fakes/scenario"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin/scenario"
 )
 
 // A scenario is a text file, one step a line; # starts a comment.
--- a/internal/decide/ramp/ramp_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -1,22 +1,22 @@
-package ramp
+package slowstart
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	"wayloft/internal/decide/chance"
+	"wayloft/internal/decide/random"
 )
 
 // play has routers spend all that they may, after a time in which none came; it tells the most in a window, and all.
 func play(seed uint64, routers int, budget, quiet float64) (most, all int) {
-	draw := chance.Source{Seed: seed}
+	draw := random.Source{Seed: seed}
 	buckets := make([]Bucket, routers)
 	rate := budget * size / window / float64(routers)
 	var sent []float64
 	for now := 1.0; now < quiet+3*window; now += 10 {
 		for n := range buckets {
-			for (now == 1 || now >= quiet) && buckets[n].Bears(now, rate, size, window, float64(routers), draw.Next) {
+			for (now == 1 || now >= quiet) && buckets[n].Allows(now, rate, size, window, float64(routers), draw.Next) {
 				buckets[n].Spend(size)
 				sent = append(sent, now)
 			}
@@ -97,17 +97,17 @@
 		want bool
 	}{{9900, false}, {10010, true}, {10000 + lasts - 10, true}, {10000 + lasts + 10, false}, {19900, false}, {20010, true}} {
 		var b Bucket
-		b.Bears(0, rate, size, window, 1, none)
-		if got := b.Bears(c.at, rate, size, window, 1, none); got != c.want {
+		b.Allows(0, rate, size, window, 1, none)
+		if got := b.Allows(c.at, rate, size, window, 1, none); got != c.want {
 			t.Errorf("at %.0f: %v", c.at, got)
 		}
 	}
 	var b Bucket
-	b.Bears(0, rate, size, window, 1, none)
-	if b.Bears(10010, rate, size, window, 1, none); b.level < size {
+	b.Allows(0, rate, size, window, 1, none)
+	if b.Allows(10010, rate, size, window, 1, none); b.level < size {
 		t.Fatal("none has come")
 	}
-	if b.Spend(size); b.Bears(10010, rate, size, window, 1, none) {
+	if b.Spend(size); b.Allows(10010, rate, size, window, 1, none) {
 		t.Error("it is there twice")
 	}
 }
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/switchover/switchover.go
@@ -1,4 +1,4 @@
-// Package handover decides a planned change of a group's primary: what its owner does, step by step, each noted in the register
+// Package switchover decides a planned change of a group's primary: what its owner does, step by step, each noted in the register
 // before it is taken, so that the next owner knows where the last one stood; and what a router makes of being asked to hold
 // writes. It owns the order of steps and the bounds; it must never do one itself, or hold a write for longer than a router's
 // own bound whatever becomes of the owner.
@@ -6,7 +6,7 @@
 // What a late owner could do: release writes to a primary that yielded, or have a second member take over. Each step goes with
 // the fence of the owner's grant; a router that has seen a higher one refuses it, and so does a member, by its guard row, in
 // the same transaction as the step.
-package handover
+package switchover
 
 import (
 	"fmt"
@@ -16,11 +16,11 @@
 	"strings"
 
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
-// Duty names the duty of a group.
-func Duty(group int) string { return fmt.Sprintf("handover/%d", group) }
+// LeaseName names the duty of a group.
+func LeaseName(group int) string { return fmt.Sprintf("handover/%d", group) }
 
 // Steps, as they are noted. Each says what is done next, so that one that is noted may have been taken or not.
 const (
@@ -42,56 +42,56 @@
 	Step float64 // for one step at a member, or one word to a router
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Find Verb = iota // ask the group's members which one is primary: Found
-	Note             // note Text in the register: Noted
-	Tell             // tell router To: Told
-	Do               // have member To take Step, under the fence: Done
-	End              // the order is over, as Text says: a word for the log, the Desk owes it to the council
+	FindPrimary   Action = iota // ask the group's members which one is primary: Found
+	RecordStep                  // note Text in the register: Noted
+	CommandRouter               // tell router To: Told
+	CommandMember               // have member To take Step, under the fence: Done
+	EndOrder                    // the order is over, as Text says: a word for the log, the Desk owes it to the council
 )
 
-// Word is what a router is told.
-type Word int
+// RouterCommand is what a router is told.
+type RouterCommand int
 
 const (
-	Hold Word = iota
-	Look      // how many writes run
-	Release
+	HoldWrites  RouterCommand = iota
+	CountWrites               // how many writes run
+	ReleaseWrites
 )
 
 // What a member is to do. Each may be asked again, and is refused without an effect where the member has seen a higher fence.
 const (
-	Bar   = "bar"   // nothing, but refuse lower fences from then on
-	Yield = "yield" // take no more writes
-	Take  = "take"  // take writes
+	FenceMember = "bar"   // nothing, but refuse lower fences from then on
+	StepDown    = "yield" // take no more writes
+	Promote     = "take"  // take writes
 )
 
 // Outcome is how a step at a member ended.
 type Outcome int
 
 const (
-	Took    Outcome = iota
-	Refused         // the member has seen a higher fence
-	Failed          // it had no effect, for a reason that may pass or not
-	Unknown         // it may have had one
+	Succeeded Outcome = iota
+	Fenced            // the member has seen a higher fence
+	Failed            // it had no effect, for a reason that may pass or not
+	Unknown           // it may have had one
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb Verb
-	Text string
-	To   string
-	Word Word
-	Step string
-	Rank uint64  // Do: of this step among those under one fence; the member refuses a lower one, as it does a lower fence
-	Most float64 // Hold: for so many ms at most
+	Action Action
+	Text   string
+	To     string
+	Word   RouterCommand
+	Step   string
+	Rank   uint64  // Do: of this step among those under one fence; the member refuses a lower one, as it does a lower fence
+	Most   float64 // Hold: for so many ms at most
 }
 
-// Owner carries one order out.
-type Owner struct {
+// Executor carries one order out.
+type Executor struct {
 	set      Settings
 	now      float64
 	begun    float64
@@ -112,7 +112,7 @@
 }
 
 type guest struct {
-	told    Word
+	told    RouterCommand
 	waits   bool
 	holds   bool
 	running int
@@ -123,17 +123,17 @@
 // Order is the text of an operator's order.
 func Order(to string) string { return "to " + to }
 
-// NewOwner takes an order up where the steps say that it stands.
+// NewExecutor takes an order up where the steps say that it stands.
 // rank is that of the last step under this fence: a step that was sent and not answered may still arrive after later ones of the
 // same owner, and must be refused as one of a former owner is.
-func NewOwner(set Settings, order string, steps []register.Step, rank uint64, now float64) (*Owner, error) {
+func NewExecutor(set Settings, order string, steps []leasestate.Step, rank uint64, now float64) (*Executor, error) {
 	to, ok := strings.CutPrefix(order, "to ")
 	if !ok || to == "" {
 		return nil, fmt.Errorf("the order %q is none that this build knows", order)
 	}
-	o := &Owner{set: set, now: now, begun: now, to: to, rank: rank, routers: map[string]*guest{}}
+	o := &Executor{set: set, now: now, begun: now, to: to, rank: rank, routers: map[string]*guest{}}
 	if len(steps) == 0 {
-		o.out = append(o.out, Decision{Verb: Find})
+		o.out = append(o.out, Decision{Action: FindPrimary})
 		o.waits = true
 		return o, nil
 	}
@@ -158,20 +158,20 @@
 	return o, nil
 }
 
-// At sets the time; all that follows until the next call happens then.
-func (o *Owner) At(now float64) {
+// Advance sets the time; all that follows until the next call happens then.
+func (o *Executor) Advance(now float64) {
 	o.now = math.Max(o.now, now)
 	o.step()
 }
 
 // begin notes a phase down, and enters it once that is noted.
-func (o *Owner) begin(phase string) {
+func (o *Executor) begin(phase string) {
 	o.phase, o.at, o.waits, o.tries = phase, -1, true, 0
-	o.out = append(o.out, Decision{Verb: Note, Text: phase + " " + o.from + " " + o.to})
+	o.out = append(o.out, Decision{Action: RecordStep, Text: phase + " " + o.from + " " + o.to})
 }
 
-// Found says which member takes writes, or why nobody can tell.
-func (o *Owner) Found(member string, err error) {
+// PrimaryFound says which member takes writes, or why nobody can tell.
+func (o *Executor) PrimaryFound(member string, err error) {
 	if o.phase != "" || !o.waits {
 		return
 	}
@@ -187,8 +187,8 @@
 	}
 }
 
-// Noted says that a step is noted, or that it can't be: then this process owns nothing any more.
-func (o *Owner) Noted(ok bool) {
+// StepRecorded says that a step is noted, or that it can't be: then this process owns nothing any more.
+func (o *Executor) StepRecorded(ok bool) {
 	if o.at != -1 {
 		return
 	}
@@ -201,7 +201,7 @@
 }
 
 // Routers says who has a session now; those that come late are told to hold too, those that went are not waited for.
-func (o *Owner) Routers(names []string) {
+func (o *Executor) Routers(names []string) {
 	for _, name := range names {
 		if o.routers[name] == nil {
 			o.routers[name] = &guest{}
@@ -215,8 +215,8 @@
 	o.step()
 }
 
-// Told says how a router answered: whether it did as told, and how many writes run there.
-func (o *Owner) Told(router string, word Word, ok bool, running int) {
+// RouterAnswered says how a router answered: whether it did as told, and how many writes run there.
+func (o *Executor) RouterAnswered(router string, word RouterCommand, ok bool, running int) {
 	g := o.routers[router]
 	if g == nil || !g.waits || g.told != word {
 		return
@@ -226,21 +226,21 @@
 		g.failed++
 	} else {
 		g.failed = 0
-		g.holds, g.running = word != Release, running
+		g.holds, g.running = word != ReleaseWrites, running
 	}
 	o.step()
 }
 
-// Done says how a step at a member ended.
-func (o *Owner) Done(how Outcome, why string) {
+// StepDone says how a step at a member ended.
+func (o *Executor) StepDone(how Outcome, why string) {
 	if !o.waits || o.at < 0 {
 		return
 	}
 	o.waits = false
 	switch {
-	case how == Refused:
+	case how == Fenced:
 		o.over = true // somebody else owns this now
-	case how == Took:
+	case how == Succeeded:
 		o.at, o.tries = o.at+1, 0
 	case how == Failed && (o.phase == yield || o.phase == take):
 		o.undo(why)
@@ -260,7 +260,7 @@
 }
 
 // undo takes back what was begun, if anything was.
-func (o *Owner) undo(why string) {
+func (o *Executor) undo(why string) {
 	if o.why = why; o.yields {
 		o.begin(back)
 	} else {
@@ -268,15 +268,15 @@
 	}
 }
 
-func (o *Owner) end(how string) {
+func (o *Executor) end(how string) {
 	if !o.over {
 		o.over, o.how = true, how
-		o.out = append(o.out, Decision{Verb: End, Text: how})
+		o.out = append(o.out, Decision{Action: EndOrder, Text: how})
 	}
 }
 
 // step goes on as far as it can.
-func (o *Owner) step() {
+func (o *Executor) step() {
 	if o.over || o.waits && (o.phase == yield || o.phase == take) || o.at < 0 {
 		return
 	}
@@ -286,18 +286,18 @@
 	case yield:
 		switch o.at {
 		case 0: // the next: an owner of before may have a step on its way there
-			o.do(o.to, Bar)
+			o.do(o.to, FenceMember)
 		case 1:
-			o.do(o.from, Yield)
+			o.do(o.from, StepDown)
 		default:
 			o.begin(take)
 		}
 	case take:
 		switch o.at {
 		case 0:
-			o.do(o.from, Yield) // again, for who takes over here: it does no harm
+			o.do(o.from, StepDown) // again, for who takes over here: it does no harm
 		case 1:
-			o.do(o.to, Take)
+			o.do(o.to, Promote)
 		default:
 			o.begin(release)
 		}
@@ -312,9 +312,9 @@
 	case back:
 		switch {
 		case o.at == 0: // it may have taken over, by this owner's word or one's before that is still on its way
-			o.do(o.to, Yield)
+			o.do(o.to, StepDown)
 		case o.at == 1:
-			o.do(o.from, Take)
+			o.do(o.from, Promote)
 		case o.letGo():
 			o.end("taken back, " + o.from + " is the primary: " + o.why)
 		}
@@ -323,7 +323,7 @@
 
 // quiet has all routers hold, and goes on once nothing runs, or it has taken long enough: what still runs then is turned
 // away by the member itself.
-func (o *Owner) quiet() {
+func (o *Executor) quiet() {
 	still, late := 0, o.now-o.since > o.set.Wait
 	for _, name := range slices.Sorted(maps.Keys(o.routers)) {
 		g := o.routers[name]
@@ -332,10 +332,10 @@
 			still++
 		case !g.holds && g.failed < 3:
 			still++
-			o.tell(name, g, Hold)
+			o.tell(name, g, HoldWrites)
 		case g.holds && g.running > 0 && !late:
 			if still++; o.now-g.at >= lookAgain {
-				o.tell(name, g, Look)
+				o.tell(name, g, CountWrites)
 			}
 		}
 	}
@@ -345,52 +345,52 @@
 }
 
 // letGo tells all routers to let go, and tells whether each has heard, or can't be reached: it lets go by itself.
-func (o *Owner) letGo() bool {
+func (o *Executor) letGo() bool {
 	still := 0
 	for _, name := range slices.Sorted(maps.Keys(o.routers)) {
 		g := o.routers[name]
 		switch {
 		case g.waits:
 			still++
-		case g.told != Release && g.failed < 6 || g.told == Release && g.failed > 0 && g.failed < 3:
+		case g.told != ReleaseWrites && g.failed < 6 || g.told == ReleaseWrites && g.failed > 0 && g.failed < 3:
 			still++
-			o.tell(name, g, Release)
+			o.tell(name, g, ReleaseWrites)
 		}
 	}
 	return still == 0
 }
 
-func (o *Owner) tell(name string, g *guest, w Word) {
+func (o *Executor) tell(name string, g *guest, w RouterCommand) {
 	if g.told != w {
 		g.failed = 0
 	}
 	g.told, g.waits, g.at = w, true, o.now
-	o.out = append(o.out, Decision{Verb: Tell, To: name, Word: w, Most: o.set.Hold})
+	o.out = append(o.out, Decision{Action: CommandRouter, To: name, Word: w, Most: o.set.Hold})
 }
 
-func (o *Owner) do(member, step string) {
+func (o *Executor) do(member, step string) {
 	if o.waits || o.tries > 0 && o.now-o.since < o.set.Step/4 {
 		return
 	}
 	o.waits = true
-	o.yields = o.yields || step == Yield
+	o.yields = o.yields || step == StepDown
 	if o.tries == 0 {
 		o.rank++
 	}
-	o.out = append(o.out, Decision{Verb: Do, To: member, Step: step, Rank: o.rank})
+	o.out = append(o.out, Decision{Action: CommandMember, To: member, Step: step, Rank: o.rank})
 }
 
 // Over tells whether nothing is left to do, whether the order has ended or another owns it.
-func (o *Owner) Over() bool { return o.over && len(o.out) == 0 }
+func (o *Executor) Over() bool { return o.over && len(o.out) == 0 }
 
 // RankBits are those below a fence's number in a guard row; an owner that has used most of them gives its duty back.
 const RankBits = 10
 
 // Phase tells where it stands, for people.
-func (o *Owner) Phase() string { return o.phase }
+func (o *Executor) Phase() string { return o.phase }
 
 // Next gives the next decision; false: none is left.
-func (o *Owner) Next() (Decision, bool) {
+func (o *Executor) Next() (Decision, bool) {
 	if len(o.out) == 0 {
 		return Decision{}, false
 	}
@@ -399,54 +399,54 @@
 	return d, true
 }
 
-// Desk is what a process keeps of a group's duty between orders, and between two spells of owning it under one fence: the rank that
+// OrderState is what a process keeps of a group's duty between orders, and between two spells of owning it under one fence: the rank that
 // its steps have come to, which members remember, and the order that it ended last. Its zero is of one that never owned it.
-type Desk struct {
-	fence lease.Fence
+type OrderState struct {
+	fence lease.Token
 	rank  uint64
-	ended register.Wish // the order that was ended last, and how
-	owes  bool          // the council has yet to be told of that
+	ended leasestate.Order // the order that was ended last, and how
+	owes  bool             // the council has yet to be told of that
 }
 
-// Sit begins a spell under a fence; under the one before, it goes on.
-func (d *Desk) Sit(fence lease.Fence) {
+// BeginLease begins a spell under a fence; under the one before, it goes on.
+func (d *OrderState) BeginLease(fence lease.Token) {
 	if fence != d.fence {
-		*d = Desk{fence: fence}
+		*d = OrderState{fence: fence}
 	}
 }
 
 // Take gives an owner to the open order, where there is one to be carried out here; else nil. What the council tells may come from a
 // process of it that lags: orders up to the last that was ended are old.
-func (d *Desk) Take(set Settings, open register.Wish, steps []register.Step, now float64) (*Owner, error) {
+func (d *OrderState) Take(set Settings, open leasestate.Order, steps []leasestate.Step, now float64) (*Executor, error) {
 	if open.Number <= d.ended.Number {
 		return nil, nil
 	}
-	o, err := NewOwner(set, open.Text, steps, d.rank, now)
+	o, err := NewExecutor(set, open.Text, steps, d.rank, now)
 	if err != nil {
-		d.ended, d.owes = register.Wish{Number: open.Number, Text: err.Error()}, true
+		d.ended, d.owes = leasestate.Order{Number: open.Number, Text: err.Error()}, true
 	}
 	return o, err
 }
 
-// Keep notes how far an owner's steps have come, and whether its order is over here: ended, or another's.
-func (d *Desk) Keep(o *Owner, number uint64) {
+// Update notes how far an owner's steps have come, and whether its order is over here: ended, or another's.
+func (d *OrderState) Update(o *Executor, number uint64) {
 	if d.rank = max(d.rank, o.rank); o.Over() {
-		d.ended, d.owes = register.Wish{Number: number, Text: o.how}, o.how != ""
+		d.ended, d.owes = leasestate.Order{Number: number, Text: o.how}, o.how != ""
 	}
 }
 
-// Owes gives the order whose end the council has yet to be told of: until it has been, nobody can give another.
-func (d *Desk) Owes() (register.Wish, bool) { return d.ended, d.owes }
+// UnreportedEnd gives the order whose end the council has yet to be told of: until it has been, nobody can give another.
+func (d *OrderState) UnreportedEnd() (leasestate.Order, bool) { return d.ended, d.owes }
 
-// Told says that the council has taken it.
-func (d *Desk) Told(number uint64) { d.owes = d.owes && d.ended.Number != number }
+// EndReported says that the council has taken it.
+func (d *OrderState) EndReported(number uint64) { d.owes = d.owes && d.ended.Number != number }
 
-// Spent tells that another fence is needed before another order is taken up: few ranks are left under this one.
-func (d *Desk) Spent() bool { return d.rank > 1<<RankBits-100 }
+// NeedsNewToken tells that another fence is needed before another order is taken up: few ranks are left under this one.
+func (d *OrderState) NeedsNewToken() bool { return d.rank > 1<<RankBits-100 }
 
-// Guests is a router's part: which groups' writes wait, and until when. A handover is named by its fence's epoch and its order's
+// WriteHolds is a router's part: which groups' writes wait, and until when. A handover is named by its fence's epoch and its order's
 // number; the same one never holds for longer than its bound, however often it asks.
-type Guests struct {
+type WriteHolds struct {
 	bound float64
 	holds map[int]holding
 }
@@ -457,11 +457,13 @@
 	over          bool
 }
 
-// NewGuests makes a router's part; bound is the most, in ms, that it holds for one handover.
-func NewGuests(bound float64) *Guests { return &Guests{bound: bound, holds: map[int]holding{}} }
+// NewWriteHolds makes a router's part; bound is the most, in ms, that it holds for one handover.
+func NewWriteHolds(bound float64) *WriteHolds {
+	return &WriteHolds{bound: bound, holds: map[int]holding{}}
+}
 
 // Hold says until when writes of a group wait; 0: they don't.
-func (g *Guests) Hold(group int, fence lease.Fence, number uint64, most, now float64) (until float64) {
+func (g *WriteHolds) Hold(group int, fence lease.Token, number uint64, most, now float64) (until float64) {
 	h, had := g.holds[group]
 	if had && h.epoch == fence.Epoch && h.number == number {
 		if h.over {
@@ -477,11 +479,11 @@
 }
 
 // Release lets a group's writes go; what still asks to hold for the same handover, later, asks in vain.
-func (g *Guests) Release(group int, fence lease.Fence, number uint64) {
+func (g *WriteHolds) Release(group int, fence lease.Token, number uint64) {
 	g.holds[group] = holding{epoch: fence.Epoch, number: number, over: true}
 }
 
 // Forget drops groups that are gone.
-func (g *Guests) Forget(but map[int]bool) {
+func (g *WriteHolds) Forget(but map[int]bool) {
 	maps.DeleteFunc(g.holds, func(group int, _ holding) bool { return !but[group] })
 }
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/switchover/switchover_test.go
@@ -1,4 +1,4 @@
-package handover
+package switchover
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 )
 
 // world is a group of members, the register's steps and some routers, for one order and its owners.
@@ -17,10 +17,10 @@
 	now     float64
 	guard   map[string]int // by member: the highest fence seen
 	primary map[string]bool
-	steps   []register.Step
+	steps   []leasestate.Step
 	ended   string
 	fence   int
-	o       *Owner
+	o       *Executor
 	log     []string
 }
 
@@ -28,7 +28,7 @@
 
 func begin(t interface{ Fatal(...any) }, w *world) {
 	w.fence++
-	o, err := NewOwner(Settings{Hold: 3000, Wait: 1000, Step: 300}, Order("m2"), w.steps, 0, w.now)
+	o, err := NewExecutor(Settings{Hold: 3000, Wait: 1000, Step: 300}, Order("m2"), w.steps, 0, w.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,14 +43,14 @@
 // at has a member take a step under a fence, as its guard row and its own part have it.
 func (w *world) at(member, step string, fence int) Outcome {
 	if fence < w.guard[member] {
-		return Refused
+		return Fenced
 	}
 	w.guard[member] = fence
-	if step != Bar {
-		w.primary[member] = step == Take
+	if step != FenceMember {
+		w.primary[member] = step == Promote
 	}
 	w.log = append(w.log, step+" "+member)
-	return Took
+	return Succeeded
 }
 
 // guards is what a step shows to a guard row.
@@ -58,18 +58,18 @@
 
 // do carries one decision out as it was meant to be.
 func (w *world) do(d Decision) {
-	w.log = append(w.log, fmt.Sprint(d.Verb))
-	switch d.Verb {
-	case Find:
-		w.o.Found("m1", nil)
-	case Note:
-		w.steps = append(w.steps, register.Step{Text: d.Text})
-		w.o.Noted(true)
-	case Tell:
-		w.o.Told(d.To, d.Word, true, 0)
-	case Do:
-		w.o.Done(w.at(d.To, d.Step, w.guards(d)), "")
-	case End:
+	w.log = append(w.log, fmt.Sprint(d.Action))
+	switch d.Action {
+	case FindPrimary:
+		w.o.PrimaryFound("m1", nil)
+	case RecordStep:
+		w.steps = append(w.steps, leasestate.Step{Text: d.Text})
+		w.o.StepRecorded(true)
+	case CommandRouter:
+		w.o.RouterAnswered(d.To, d.Word, true, 0)
+	case CommandMember:
+		w.o.StepDone(w.at(d.To, d.Step, w.guards(d)), "")
+	case EndOrder:
 		w.ended, w.steps = d.Text, nil
 	}
 }
@@ -83,7 +83,7 @@
 			return
 		}
 		w.now += 20
-		w.o.At(w.now)
+		w.o.Advance(w.now)
 	}
 	t.Fatal("no end", w.o.Phase(), w.log)
 }
@@ -112,7 +112,7 @@
 	for _, step := range []string{hold, yield, take, release, back, leave} {
 		for _, took := range []bool{false, true} {
 			w := fresh()
-			w.steps = []register.Step{{Text: step + " m1 m2"}}
+			w.steps = []leasestate.Step{{Text: step + " m1 m2"}}
 			if step == take || step == release || step == yield && took {
 				w.primary["m1"] = false
 			}
@@ -134,10 +134,10 @@
 			}
 		}
 	}
-	if _, err := NewOwner(Settings{}, Order("m2"), []register.Step{{Text: "leap m1 m2"}}, 0, 0); err == nil {
+	if _, err := NewExecutor(Settings{}, Order("m2"), []leasestate.Step{{Text: "leap m1 m2"}}, 0, 0); err == nil {
 		t.Error("a step of a later build was passed over")
 	}
-	if _, err := NewOwner(Settings{}, "away", nil, 0, 0); err == nil {
+	if _, err := NewExecutor(Settings{}, "away", nil, 0, 0); err == nil {
 		t.Error("an order of a later build was taken")
 	}
 }
@@ -147,12 +147,12 @@
 	play := func(told func(w *world, d Decision)) float64 {
 		w := fresh()
 		for begin(t, w); w.now < 5000; w.now += 20 {
-			w.o.At(w.now)
+			w.o.Advance(w.now)
 			for d, more := w.o.Next(); more; d, more = w.o.Next() {
-				switch d.Verb {
-				case Tell:
+				switch d.Action {
+				case CommandRouter:
 					told(w, d)
-				case Do:
+				case CommandMember:
 					return w.now
 				default:
 					w.do(d)
@@ -163,7 +163,7 @@
 	}
 	looks := 0
 	at := play(func(w *world, d Decision) {
-		if d.Word == Hold && d.Most != 3000 {
+		if d.Word == HoldWrites && d.Most != 3000 {
 			t.Fatalf("asked to hold for %v", d.Most)
 		}
 		running := 3
@@ -171,12 +171,12 @@
 			running = 0
 		}
 		looks++
-		w.o.Told(d.To, d.Word, d.To != "r2", running)
+		w.o.RouterAnswered(d.To, d.Word, d.To != "r2", running)
 	})
 	if at < 200 || at > 400 || looks > 30 {
 		t.Errorf("went on after %v ms and %d words; the last write ended after 200", at, looks)
 	}
-	if at := play(func(w *world, d Decision) { w.o.Told(d.To, d.Word, true, 1) }); at < 1000 || at > 1200 {
+	if at := play(func(w *world, d Decision) { w.o.RouterAnswered(d.To, d.Word, true, 1) }); at < 1000 || at > 1200 {
 		t.Errorf("a write that never ends held it up for %v ms, 1,000 were said", at)
 	}
 }
@@ -211,7 +211,7 @@
 				begin(t, w)
 			}
 			w.now += 20
-			w.o.At(w.now)
+			w.o.Advance(w.now)
 			d, more := w.o.Next()
 			if !more {
 				if w.o.Over() { // refused: somebody else's; here the next takes over
@@ -221,18 +221,18 @@
 			}
 			how := rapid.IntRange(0, 9).Draw(t, "how")
 			switch {
-			case d.Verb == Do && owners > 1 && how == 0: // it is sent, and no answer is heard
+			case d.Action == CommandMember && owners > 1 && how == 0: // it is sent, and no answer is heard
 				onTheWay = append(onTheWay, late{d.To, d.Step, w.guards(d)})
-				w.o.Done(Unknown, "lost")
-			case d.Verb == Do && how == 1:
-				w.o.Done(Failed, "no")
-			case d.Verb == Do:
+				w.o.StepDone(Unknown, "lost")
+			case d.Action == CommandMember && how == 1:
+				w.o.StepDone(Failed, "no")
+			case d.Action == CommandMember:
 				if rapid.IntRange(0, 3).Draw(t, "late") == 0 {
 					deliver()
 				}
-				w.o.Done(w.at(d.To, d.Step, w.guards(d)), "")
-			case d.Verb == Tell && how < 3:
-				w.o.Told(d.To, d.Word, false, 0)
+				w.o.StepDone(w.at(d.To, d.Step, w.guards(d)), "")
+			case d.Action == CommandRouter && how < 3:
+				w.o.RouterAnswered(d.To, d.Word, false, 0)
 			default:
 				w.do(d)
 			}
@@ -249,11 +249,11 @@
 // A router holds for one handover no longer than its own bound, however often it is asked; once it was told that it is over,
 // not at all.
 func TestGuests(t *testing.T) {
-	g, f := NewGuests(1000), lease.Fence{Epoch: 1, Count: 4}
+	g, f := NewWriteHolds(1000), lease.Token{Epoch: 1, Count: 4}
 	if got := g.Hold(0, f, 1, 5000, 100); got != 1100 {
 		t.Errorf("until %v, 1,100 is the bound", got)
 	}
-	if got := g.Hold(0, lease.Fence{Epoch: 1, Count: 5}, 1, 5000, 900); got != 1100 {
+	if got := g.Hold(0, lease.Token{Epoch: 1, Count: 5}, 1, 5000, 900); got != 1100 {
 		t.Errorf("asked again by the next owner: until %v", got)
 	}
 	g.Release(0, f, 1)
@@ -271,12 +271,12 @@
 
 // What a process knows of a duty outlives a gap under the same fence, not another's grant; an end is owed until it has been told.
 func TestDesk(t *testing.T) {
-	var d Desk
-	f := lease.Fence{Epoch: 1, Count: 4}
+	var d OrderState
+	f := lease.Token{Epoch: 1, Count: 4}
 	set := Settings{Hold: 3000, Wait: 1000, Step: 300}
-	d.Sit(f)
-	order := register.Wish{Number: 2, Text: Order("m2")}
-	o, err := d.Take(set, order, []register.Step{{Text: "yield m1 m2"}}, 0)
+	d.BeginLease(f)
+	order := leasestate.Order{Number: 2, Text: Order("m2")}
+	o, err := d.Take(set, order, []leasestate.Step{{Text: "yield m1 m2"}}, 0)
 	if err != nil || o == nil {
 		t.Fatal(o, err)
 	}
@@ -284,33 +284,33 @@
 	w.o, w.fence = o, 1
 	w.o.Routers(routers)
 	w.run(t)
-	d.Keep(o, 2)
-	if ended, owes := d.Owes(); !owes || ended.Number != 2 || !strings.HasPrefix(ended.Text, "done") {
+	d.Update(o, 2)
+	if ended, owes := d.UnreportedEnd(); !owes || ended.Number != 2 || !strings.HasPrefix(ended.Text, "done") {
 		t.Errorf("%+v, %v", ended, owes)
 	}
 	rank := d.rank
-	d.Sit(f)
+	d.BeginLease(f)
 	if o, _ := d.Take(set, order, nil, 0); o != nil || d.rank != rank || rank == 0 {
 		t.Error("the same fence again: the order is begun anew, or ranks are", d.rank, rank)
 	}
-	if o, _ := d.Take(set, register.Wish{Number: 1, Text: Order("m3")}, nil, 0); o != nil {
+	if o, _ := d.Take(set, leasestate.Order{Number: 1, Text: Order("m3")}, nil, 0); o != nil {
 		t.Error("an order of before was begun")
 	}
-	d.Told(1)
-	if _, owes := d.Owes(); !owes {
+	d.EndReported(1)
+	if _, owes := d.UnreportedEnd(); !owes {
 		t.Error("another order's end was told")
 	}
-	if d.Told(2); d.owes {
+	if d.EndReported(2); d.owes {
 		t.Error("told, and still owed")
 	}
-	if _, err := d.Take(set, register.Wish{Number: 3, Text: "away"}, nil, 0); err == nil || !d.owes {
+	if _, err := d.Take(set, leasestate.Order{Number: 3, Text: "away"}, nil, 0); err == nil || !d.owes {
 		t.Error("an order that nobody knows must end, too:", err)
 	}
 	d.rank = 1<<RankBits - 1
-	if !d.Spent() {
+	if !d.NeedsNewToken() {
 		t.Error("no ranks are left")
 	}
-	if d.Sit(lease.Fence{Epoch: 1, Count: 5}); d != (Desk{fence: lease.Fence{Epoch: 1, Count: 5}}) {
+	if d.BeginLease(lease.Token{Epoch: 1, Count: 5}); d != (OrderState{fence: lease.Token{Epoch: 1, Count: 5}}) {
 		t.Errorf("another fence: %+v", d)
 	}
 }
--- a/internal/decide/due/due_test.go
+++ b/internal/decide/timerqueue/timerqueue_test.go
@@ -1,4 +1,4 @@
-package due
+package timerqueue
 
 import (
 	"math"
@@ -12,9 +12,9 @@
 func TestAsASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
-		all := make([]*Item[int], 12)
+		all := make([]*Timer[int], 12)
 		for n := range all {
-			all[n] = &Item[int]{Of: n}
+			all[n] = &Timer[int]{Of: n}
 		}
 		at := map[int]float64{}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -52,11 +52,11 @@
 // Whatever joins, leaves and is set: the first is the one that a walk over a list in order finds due.
 func TestTurnsAsAWalkOverAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q Turns[int]
-		var list []*Turn[int]
-		all := make([]*Turn[int], 8)
+		var q FairQueue[int]
+		var list []*FairTimer[int]
+		all := make([]*FairTimer[int], 8)
 		for n := range all {
-			all[n] = &Turn[int]{Of: n}
+			all[n] = &FairTimer[int]{Of: n}
 		}
 		now := 0.0
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -77,7 +77,7 @@
 			case 4:
 				now++
 			}
-			first := slices.IndexFunc(list, func(o *Turn[int]) bool { return o.At() <= now })
+			first := slices.IndexFunc(list, func(o *FairTimer[int]) bool { return o.At() <= now })
 			if got := q.First(now); (got == nil) != (first < 0) || got != nil && got != list[first] {
 				t.Fatalf("the first due is %v, the list has %d", got, first)
 			}
--- a/internal/decide/due/turns.go
+++ b/internal/decide/timerqueue/turns.go
@@ -1,30 +1,30 @@
-package due
+package timerqueue
 
 import "math"
 
-// Turns has things wait, each for its time. Those whose time has come are taken in the order in which they joined, however
+// FairQueue has things wait, each for its time. Those whose time has come are taken in the order in which they joined, however
 // long they have waited, as a walk over a list of all would take them. Its zero value is empty.
-type Turns[T any] struct {
-	later  Queue[*Turn[T]] // by time
-	ready  Queue[*Turn[T]] // by order
+type FairQueue[T any] struct {
+	later  Queue[*FairTimer[T]] // by time
+	ready  Queue[*FairTimer[T]] // by order
 	joined float64
 
 	Taken int // how often the time of one has come
 }
 
-// Turn is a thing's place; its zero value with Of set has joined nothing.
-type Turn[T any] struct {
+// FairTimer is a thing's place; its zero value with Of set has joined nothing.
+type FairTimer[T any] struct {
 	Of           T
 	at, order    float64
-	all          *Turns[T]
-	later, ready Item[*Turn[T]]
+	all          *FairQueue[T]
+	later, ready Timer[*FairTimer[T]]
 }
 
 // Len is how many have joined and not left.
-func (q *Turns[T]) Len() int { return q.later.Len() + q.ready.Len() }
+func (q *FairQueue[T]) Len() int { return q.later.Len() + q.ready.Len() }
 
 // Join has one wait for the time that it was set to last, behind all that joined before.
-func (q *Turns[T]) Join(t *Turn[T]) {
+func (q *FairQueue[T]) Join(t *FairTimer[T]) {
 	q.joined++
 	t.all, t.order = q, q.joined
 	t.later.Of, t.ready.Of = t, t
@@ -32,23 +32,23 @@
 }
 
 // Leave takes one out, if it is in.
-func (q *Turns[T]) Leave(t *Turn[T]) {
+func (q *FairQueue[T]) Leave(t *FairTimer[T]) {
 	q.later.Drop(&t.later)
 	q.ready.Drop(&t.ready)
 	t.all = nil
 }
 
 // Set says for which time it waits; Inf is none. At is that time.
-func (t *Turn[T]) Set(at float64) {
+func (t *FairTimer[T]) Set(at float64) {
 	if t.at = at; t.all != nil {
 		t.all.ready.Drop(&t.ready)
 		t.all.later.Put(&t.later, at)
 	}
 }
-func (t *Turn[T]) At() float64 { return t.at }
+func (t *FairTimer[T]) At() float64 { return t.at }
 
 // First is the one that joined first among those whose time has come, nil if none has. It stays until it is set anew.
-func (q *Turns[T]) First(now float64) *Turn[T] {
+func (q *FairQueue[T]) First(now float64) *FairTimer[T] {
 	for i := q.later.First(); i != nil && i.At() <= now; i = q.later.First() {
 		q.Taken++
 		q.later.Drop(i)
@@ -61,7 +61,7 @@
 }
 
 // Soonest is the earliest time of all, Inf if there is none.
-func (q *Turns[T]) Soonest() float64 {
+func (q *FairQueue[T]) Soonest() float64 {
 	at := math.Inf(1)
 	if i := q.later.First(); i != nil {
 		at = i.At()
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 	"wayloft/router"
 )
 
@@ -21,7 +21,7 @@
 	told := make(chan *List, 10)
 	w := New(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
 	once := sync.OnceFunc(func() { w.Move(next.Addr().String()) })
-	defer faults.At("discovery.tell", once)()
+	defer failpoint.Set("discovery.tell", once)()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Keep(ctx)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,7 +16,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/settings"
 	"wayloft/router"
 )
@@ -273,7 +273,7 @@
 // tell passes a list on, unless discovery has moved meanwhile. Guards against a line of the old address that was read
 // just before the move, and told after it.
 func (w *Watcher) tell(ctx context.Context, l *List, fresh bool) error {
-	faults.Here("discovery.tell")
+	failpoint.Hit("discovery.tell")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() != nil {
--- a/internal/host/alarm_test.go
+++ b/internal/eventloop/alarm_test.go
@@ -1,30 +1,30 @@
-package host
+package eventloop
 
 import (
 	"testing"
 	"time"
 
-	"wayloft/internal/exchange"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
 // nowhere carries nothing: nothing is decided for a member.
-type nowhere struct{ Members }
+type nowhere struct{ Backend }
 
 // The module's alarm rings while a batch is handled that began before its time. It asks for another: nothing else may come in,
 // and what waits has to get its answer. The order is forced: the alarm is in the mailbox when the batch, begun earlier, takes it out.
 func TestTheAlarmRingsInAnEarlierBatch(t *testing.T) {
-	kinds := map[string]*router.TxnType{"write": {SLA: 500, Expiry: 1000, Value: 1, Effect: router.OnceOnly, Level: router.Write}}
-	h := New(NewLoop(256), router.New(&router.Settings{Routers: 1, Submissions: 3, CanCheck: true, TxnTypes: kinds}, 1), kinds, func() {})
-	h.Use(nowhere{})
+	kinds := map[string]*router.RequestClass{"write": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, Effect: router.NonIdempotent, Level: router.Write}}
+	h := New(NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: kinds}, 1), kinds, func() {})
+	h.SetBackend(nowhere{})
 	begun := h.Now()
 	answers := 0
 	s, err := pg.ParseStatement("/* id=1,c=write,d=1000 */ INSERT x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.Arrive(exchange.New(s, begun, func(exchange.Answer) { answers++ })); err != nil {
+	if err := h.Arrive(request.New(s, begun, func(request.Response) { answers++ })); err != nil {
 		t.Fatal(err)
 	}
 	h.settle()
--- a/internal/host/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -1,4 +1,4 @@
-package host
+package eventloop
 
 import (
 	"maps"
@@ -14,10 +14,10 @@
 // latestPosition bounds what can be a Unix time in ms at all.
 const latestPosition = 1e15
 
-// Heard takes in a position that a member told, for the estimate of the cluster's clock. sent is when the member was
+// RecordPosition takes in a position that a member told, for the estimate of the cluster's clock. sent is when the member was
 // asked, on the loop's clock; router.Never if it isn't known. It goes before Returned and Reported, which convey it.
-func (l *Loop) Heard(member string, role router.Role, position, sent float64) {
-	l.cluster.Hear(clockoffset.Sample{Member: member, Primary: role == router.Primary, Position: position, Sent: sent,
+func (l *Loop) RecordPosition(member string, role router.Role, position, sent float64) {
+	l.cluster.Add(clockoffset.Sample{Member: member, Primary: role == router.Primary, Position: position, Sent: sent,
 		Received: l.Clock()})
 }
 
@@ -31,7 +31,7 @@
 	if !(position > 0 && position < latestPosition) {
 		return false
 	}
-	return !l.cluster.Settled(l.Clock()) || position <= l.ClusterNow()+Ahead
+	return !l.cluster.Settled(l.Clock()) || position <= l.ClusterNow()+MaxPositionAhead
 }
 
 // ClusterNow is the cluster's present, as far as it is known.
@@ -49,7 +49,7 @@
 }
 
 // position translates a member's position for the module: Never where none was told or it can't be judged yet.
-func (h *Host) position(position float64) float64 {
+func (h *Driver) position(position float64) float64 {
 	if position == router.Never || !h.settled() {
 		return router.Never
 	}
@@ -57,7 +57,7 @@
 }
 
 // settled tells whether positions can be judged, and conveys what was held until they could.
-func (h *Host) settled() bool {
+func (h *Driver) settled() bool {
 	if !h.cluster.Settled(h.Clock()) {
 		return false
 	}
@@ -78,33 +78,33 @@
 	return true
 }
 
-// Heard takes in a position as the loop does, and has its member checked again where that helps to settle the clock.
-func (h *Host) Heard(member string, role router.Role, position, sent float64) {
-	h.Loop.Heard(member, role, position, sent)
+// RecordPosition takes in a position as the loop does, and has its member checked again where that helps to settle the clock.
+func (h *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
+	h.Loop.RecordPosition(member, role, position, sent)
 	if wait, wanted := h.cluster.Confirm(member); wanted && h.mayCheck && !h.confirming[member] {
 		h.confirming[member] = true
 		h.After(wait, func() { h.confirm(member) })
 	}
 }
 
-func (h *Host) confirm(member string) {
+func (h *Driver) confirm(member string) {
 	delete(h.confirming, member)
 	if _, wanted := h.cluster.Confirm(member); wanted {
-		h.members.Check(member)
+		h.members.HealthCheck(member)
 	}
 }
 
-// MembersJudge says that members themselves refuse a read, or have it wait, where they lag behind its position.
-func (h *Host) MembersJudge() { h.membersJudge = true }
+// MembersCheckStaleness says that members themselves refuse a read, or have it wait, where they lag behind its position.
+func (h *Driver) MembersCheckStaleness() { h.membersJudge = true }
 
 // MayCheck allows checks of members on the host's own behalf; a check has to bring a report.
-func (h *Host) MayCheck() { h.mayCheck = true }
+func (h *Driver) MayCheck() { h.mayCheck = true }
 
 // OnSettled names who hears, once, that times on the cluster's clock can be translated.
-func (h *Host) OnSettled(f func()) { h.onSettled = f }
+func (h *Driver) OnSettled(f func()) { h.onSettled = f }
 
 // holdReport keeps a member's latest report until it can be judged; there is one a member at most.
-func (h *Host) holdReport(r heldReport) {
+func (h *Driver) holdReport(r heldReport) {
 	for n, old := range h.heldReports {
 		if old.member == r.member {
 			h.heldReports[n] = r
@@ -118,7 +118,7 @@
 }
 
 // recheckSettled looks again later: replicas alone may settle it by the time that has passed.
-func (h *Host) recheckSettled() {
+func (h *Driver) recheckSettled() {
 	h.After(settleCheckInterval, func() {
 		if !h.settled() {
 			h.recheckSettled()
@@ -129,7 +129,7 @@
 // settleCheckInterval is how often, in ms, it is looked whether reports that are held can be judged.
 const settleCheckInterval = 250.0
 
-func (h *Host) conveyReport(r heldReport) {
+func (h *Driver) conveyReport(r heldReport) {
 	h.hear().Reported(r.member, r.role, h.ToLoop(r.position))
 	if h.reports != nil {
 		h.reports(r.member, r.role, r.position)
@@ -137,7 +137,7 @@
 }
 
 // tokenAge is how old the position is that a session's read must see, as the module is told: 0 for none.
-func (h *Host) tokenAge(after, now float64) float64 {
+func (h *Driver) tokenAge(after, now float64) float64 {
 	if after == 0 {
 		return 0
 	}
--- a/internal/host/clusterclock_test.go
+++ b/internal/eventloop/clusterclock_test.go
@@ -1,4 +1,4 @@
-package host
+package eventloop
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/exchange"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -16,21 +16,21 @@
 func present() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // hostAt makes a host whose machine's wall clock is ahead by so much. It returns the reports that it conveys.
-func hostAt(ahead time.Duration) (*Host, *[]string) {
-	kinds := map[string]*router.TxnType{"read": {SLA: 500, Expiry: 1000, Value: 1, Effect: router.Repeatable, Level: router.Session}}
-	h := New(NewLoopAt(256, time.Now().Add(ahead)), router.New(&router.Settings{Routers: 1, Submissions: 3, CanCheck: true,
-		TxnTypes: kinds}, 1), kinds, func() {})
-	h.Use(nowhere{})
+func hostAt(ahead time.Duration) (*Driver, *[]string) {
+	kinds := map[string]*router.RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, Effect: router.Idempotent, Level: router.Session}}
+	h := New(NewLoopAt(256, time.Now().Add(ahead)), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true,
+		RequestClasses: kinds}, 1), kinds, func() {})
+	h.SetBackend(nowhere{})
 	var told []string
-	h.Reports(func(member string, _ router.Role, _ float64) { told = append(told, member) })
+	h.OnReport(func(member string, _ router.Role, _ float64) { told = append(told, member) })
 	return h, &told
 }
 
 // report has a member's position come in, of this age, in answer to what was asked just now.
-func (h *Host) report(member string, role router.Role, age float64) bool {
+func (h *Driver) report(member string, role router.Role, age float64) bool {
 	sent := h.Clock()
 	position := present() - age
-	h.Heard(member, role, position, sent)
+	h.RecordPosition(member, role, position, sent)
 	h.now = h.Clock()
 	if !h.Possible(position) {
 		return false
@@ -65,7 +65,7 @@
 	if got := fmt.Sprint(*told); got != "[primary replica]" || h.FromLoop(0) != 0 {
 		t.Errorf("conveyed %s, offset %v", got, h.FromLoop(0))
 	}
-	if h.report("replica", router.Replica, -2*Ahead) {
+	if h.report("replica", router.Replica, -2*MaxPositionAhead) {
 		t.Error("a position of the future is possible")
 	}
 }
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return h.Arrive(exchange.New(s, h.Now(), func(exchange.Answer) {}))
+			return h.Arrive(request.New(s, h.Now(), func(request.Response) {}))
 		}
 		if err := arrive("unsettled", present()); err != nil {
 			t.Errorf("ahead by %v, before any report: %v", ahead, err)
@@ -92,7 +92,7 @@
 		if err := arrive("settled", present()); err != nil {
 			t.Errorf("ahead by %v: %v", ahead, err)
 		}
-		if err := arrive("future", present()+3*Ahead); !errors.Is(err, ErrAfter) {
+		if err := arrive("future", present()+3*MaxPositionAhead); !errors.Is(err, ErrAfter) {
 			t.Errorf("ahead by %v, a position of the future: got %v", ahead, err)
 		}
 	}
@@ -125,7 +125,7 @@
 
 // checking notes which members are checked.
 type checking struct {
-	Members
+	Backend
 	checked []string
 }
 
@@ -143,7 +143,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h, _ := hostAt(c.ahead)
 			members := &checking{}
-			h.Use(members)
+			h.SetBackend(members)
 			h.MayCheck()
 			h.report("primary", router.Primary, 0)
 			if c.gone {
--- a/internal/host/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package host
+package eventloop
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 // ends is a handler that notes what it hears.
@@ -36,7 +36,7 @@
 	}
 	ended := make(chan bool)
 	go func() { l.Run(func() {}); close(ended) }()
-	t.Cleanup(func() { l.Post(l.End); <-ended })
+	t.Cleanup(func() { l.Post(l.Stop); <-ended })
 	peer, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 			ended := make(chan bool, 1)
 			ask := func() { l.Post(func() { ended <- end(c) }) }
 			apart := false
-			clear := faults.At("host.read", sync.OnceFunc(func() {
+			clear := failpoint.Set("host.read", sync.OnceFunc(func() {
 				if apart = c.order.TryLock(); apart { // nothing keeps the end out: let it happen now
 					c.order.Unlock()
 					ask()
@@ -85,10 +85,10 @@
 	var order []string
 	var mu sync.Mutex
 	note := func(what string) { mu.Lock(); order = append(order, what); mu.Unlock() }
-	clear := faults.At("host.read", func() { note("read") })
+	clear := failpoint.Set("host.read", func() { note("read") })
 	defer clear()
 	free := false
-	defer faults.At("host.quietly", func() {
+	defer failpoint.Set("host.quietly", func() {
 		if free = c.order.TryLock(); free {
 			c.order.Unlock()
 		}
@@ -151,8 +151,8 @@
 			}
 			defer front.Close()
 			gone := make(chan bool, 10)
-			defer faults.At("host.gone", func() { gone <- true })()
-			defer faults.At("host.dialled", func() { // it is with the poller, and the loop has not heard of it
+			defer failpoint.Set("host.gone", func() { gone <- true })()
+			defer failpoint.Set("host.dialled", func() { // it is with the poller, and the loop has not heard of it
 				peer, err := front.Accept()
 				if err != nil {
 					t.Error(err)
@@ -232,7 +232,7 @@
 	}
 	ended := make(chan bool)
 	go func() { l.Run(func() { o.note("settled") }); close(ended) }()
-	defer func() { l.Post(l.End); <-ended }()
+	defer func() { l.Post(l.Stop); <-ended }()
 	var peers [2]net.Conn
 	for n := range peers {
 		if peers[n], err = net.Dial("tcp", front.Addr().String()); err != nil {
@@ -242,9 +242,9 @@
 		<-accepted
 	}
 	held, release := make(chan bool), make(chan bool)
-	defer faults.At("host.read", sync.OnceFunc(func() { held <- true; <-release }))()
+	defer failpoint.Set("host.read", sync.OnceFunc(func() { held <- true; <-release }))()
 	told := 0
-	defer faults.At("host.told", func() {
+	defer failpoint.Set("host.told", func() {
 		if told++; told == 2 { // the request; the first is the other's
 			<-o.over
 		}
@@ -282,7 +282,7 @@
 	}
 	defer there.Close()
 	ended, dialled := make(chan bool), make(chan error)
-	defer faults.At("host.connected", func() { <-ended })()
+	defer failpoint.Set("host.connected", func() { <-ended })()
 	go func() { _, err := l.dial(there.Addr().String(), 10*time.Second); dialled <- err }()
 	go func() { l.Run(func() {}); close(ended) }()
 	peer, err := there.Accept()
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	l.Post(l.End)
+	l.Post(l.Stop)
 	if err := <-dialled; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the dial ended with %v", err)
 	}
