--- /dev/null
+++ b/internal/eventloop/driver.go
@@ -0,0 +1,253 @@
+package eventloop
+
+import (
+	"errors"
+	"time"
+
+	"wayloft/internal/invariant"
+	"wayloft/internal/pg"
+	"wayloft/internal/request"
+	"wayloft/router"
+)
+
+// Backend carries submissions and checks to members. How each ended comes back by Returned and Checked. Abandon gives
+// up what of a txn may not have run yet.
+type Backend interface {
+	Abandon(txn string)
+	SendAttempt(txn *request.Request, seq int, member string, wait, by float64)
+	CancelAttempt(txn string, seq int)
+	HealthCheck(member string)
+	CloseIdle(member string)
+}
+
+// Driver drives one module: events go in, decisions are pulled and carried out, and an alarm is kept for it. It
+// carries out, it must never decide.
+type Driver struct {
+	*Loop
+	router  *router.Router
+	members Backend
+	kinds   map[string]*router.RequestClass
+	watch   func()
+	reports func(member string, role router.Role, gtid float64)
+	open    map[string]*entry
+	fresh   bool // the module has heard something
+	alarm   *time.Timer
+
+	announced   bool // who waits for the cluster's clock to be settled was told
+	onSettled   func()
+	heldReports []heldReport // one a listed member
+	mayCheck    bool
+	confirming  map[string]bool // members that are to be checked again soon
+
+	membersJudge bool
+}
+
+// entry is a txn that is not over, or has a submission out.
+type entry struct {
+	txn       *request.Request
+	sent, out int
+}
+
+// What Arrive finds wrong.
+var (
+	ErrRequestClass = errors.New("txn type is not in the settings")
+	ErrID           = errors.New("id is in use")
+	ErrAfter        = errors.New("after lies in the future")
+)
+
+// MaxPositionAhead is how many ms a position may lie ahead of the cluster's clock, whoever names it.
+const MaxPositionAhead = 1000.0
+
+// New makes a host; watch asks for the list.
+func New(loop *Loop, r *router.Router, kinds map[string]*router.RequestClass, watch func()) *Driver {
+	return &Driver{Loop: loop, router: r, kinds: kinds, watch: watch, open: map[string]*entry{}, confirming: map[string]bool{}}
+}
+
+// SetBackend names who carries submissions.
+func (h *Driver) SetBackend(m Backend) { h.members = m }
+
+// Run runs the loop until it ends.
+func (h *Driver) Run() { h.Loop.Run(h.settle) }
+
+// hear tells the module the time before the first input of a batch.
+func (h *Driver) hear() *router.Router {
+	if !h.fresh {
+		h.fresh = true
+		h.router.Advance(h.Now())
+	}
+	return h.router
+}
+
+// Arrive takes a txn in.
+func (h *Driver) Arrive(t *request.Request) error {
+	if h.open[t.ID] != nil {
+		return ErrID
+	}
+	kind := h.kinds[t.TxnType]
+	if kind == nil {
+		return ErrRequestClass
+	}
+	t.LimitWait(kind.Deadline)
+	now := h.Now()
+	if t.After > 0 && !h.Possible(t.After) {
+		return ErrAfter
+	}
+	h.hear().Arrive(t.ID, t.Tenant, t.Session, t.TxnType, t.Group, h.tokenAge(t.After, now), t.Wait, t.Marked)
+	if t.Arrived < now {
+		h.hear().Queued(t.ID, now-t.Arrived)
+	}
+	if t.Stream != nil && t.Stream.Reserved != nil {
+		h.hear().Pin(t.ID, t.Stream.Reserved.Member())
+	}
+	h.open[t.ID] = &entry{txn: t}
+	return nil
+}
+
+// ClientGone says that the client of a txn has left: nothing is owed any more, and what is not written yet isn't written. Guards
+// against a submission that waits for a connection to come up, and goes out long after.
+func (h *Driver) ClientGone(t *request.Request) {
+	if t.ClientGone() {
+		h.hear().ClientGone(t.ID)
+		h.forget(t.ID)
+		h.members.Abandon(t.ID)
+	}
+}
+
+// AttemptEnded says how a submission ended; rows is what the member answered, where it committed.
+func (h *Driver) AttemptEnded(t *request.Request, seq int, member string, how router.Outcome, took float64,
+	role router.Role, gtid float64, rows []byte) {
+	// Its client has had a part, or has cancelled it: it can't begin anew.
+	cut := t.Stream != nil && (t.Stream.Started() || t.Stream.Cancelled())
+	done := t.Over() || how == router.Succeeded || cut
+	h.hear().AttemptEnded(t.ID, seq, how, took, done, role, h.position(gtid))
+	if how == router.Succeeded && !t.Over() {
+		t.Succeed(rows)
+	} else if cut && !t.Over() {
+		t.Fail()
+	}
+	h.open[t.ID].out--
+	h.forget(t.ID)
+}
+
+// TurnChanged says whose turn it is in a txn of several questions: the member's, or its client's or the pool's, who have it
+// rest.
+func (h *Driver) TurnChanged(t *request.Request, seq int, rests bool) {
+	h.hear().TurnChanged(t.ID, seq, rests, t.Stream != nil && t.Stream.Started())
+}
+
+// StatementFailed says that a member found a submission's statement at fault: it did not run, and tells nothing of the member.
+func (h *Driver) StatementFailed(t *request.Request, seq int, member string, e *pg.Error) {
+	h.hear().AttemptEnded(t.ID, seq, router.NotSent, 0, true, router.RoleUnknown, router.Never)
+	if !t.Over() {
+		t.StatementError(e)
+	}
+	h.open[t.ID].out--
+	h.forget(t.ID)
+}
+
+// HealthChecked says how a check ended.
+func (h *Driver) HealthChecked(member string, how router.Outcome) {
+	h.hear().HealthChecked(member, how)
+}
+
+// Reported conveys a member's report, once its position can be judged.
+func (h *Driver) Reported(member string, role router.Role, gtid float64) {
+	r := heldReport{member, role, gtid}
+	if !h.settled() {
+		h.holdReport(r)
+		return
+	}
+	h.conveyReport(r)
+}
+
+// OnReport names who hears of members' reports, too, with positions on the cluster's clock; it must not wait.
+func (h *Driver) OnReport(f func(member string, role router.Role, gtid float64)) { h.reports = f }
+
+// HealthCheck checks a member on behalf of others; what it tells, the module hears as well.
+func (h *Driver) HealthCheck(member string) { h.members.HealthCheck(member) }
+
+// PeerReported conveys what another router's check told, its position on the cluster's clock. It tells nothing before
+// positions can be judged.
+func (h *Driver) PeerReported(member string, started float64, role router.Role, gtid float64) {
+	if !h.settled() || gtid != router.Never && !h.Possible(gtid) {
+		return
+	}
+	h.hear().PeerReported(member, started, role, h.position(gtid))
+}
+
+// HoldWrites has writes of a group wait until then; an earlier time lets them go.
+func (h *Driver) HoldWrites(group int, until float64) { h.hear().HoldWrites(group, until) }
+
+// UpdateSettings conveys settings with other values and tenants; which txn types there are, and what else is fixed of them, stays.
+func (h *Driver) UpdateSettings(set *router.Settings) { h.hear().UpdateSettings(set) }
+
+// Writes counts the txns of a group that need its primary: those that are out there, and those that wait.
+func (h *Driver) Writes(group int) (out, waiting int) {
+	for _, e := range h.open {
+		kind := h.kinds[e.txn.TxnType]
+		if e.txn.Group != group || kind.Level != router.Write && kind.Level != router.Fresh {
+			continue
+		}
+		if e.out > 0 {
+			out++
+		} else {
+			waiting++
+		}
+	}
+	return out, waiting
+}
+
+// List gives the module to be told of the list.
+func (h *Driver) List() *router.Router { return h.hear() }
+
+// forget drops a txn once nothing can come of it; until then its id is in use.
+func (h *Driver) forget(id string) {
+	if e := h.open[id]; e.txn.Over() && e.out == 0 {
+		delete(h.open, id)
+	}
+}
+
+func (h *Driver) settle() {
+	if !h.fresh {
+		return
+	}
+	h.fresh = false
+	for d, more := h.router.Next(); more; d, more = h.router.Next() {
+		h.do(d)
+	}
+}
+
+func (h *Driver) do(d router.Decision) {
+	switch d.Action {
+	case router.SendAttempt, router.RejectRequest, router.FailRequest:
+		e := h.open[d.RequestID]
+		invariant.Check(e != nil && !e.txn.Over() && e.out == 0, "decisions are for open txns with nothing out")
+		if e == nil || e.txn.Over() {
+			return
+		}
+		switch d.Action {
+		case router.SendAttempt:
+			e.sent++
+			e.out++
+			h.members.SendAttempt(e.txn, e.sent-1, d.Member, d.Wait, d.NotAfter)
+		case router.RejectRequest:
+			e.txn.Reject(d.Wait)
+		case router.FailRequest:
+			e.txn.Fail()
+		}
+		h.forget(d.RequestID)
+	case router.CancelAttempt:
+		h.members.CancelAttempt(d.RequestID, d.Attempt)
+	case router.HealthCheck:
+		h.members.HealthCheck(d.Member)
+	case router.RequestList:
+		h.watch()
+	case router.CloseIdleConnections:
+		h.members.CloseIdle(d.Member)
+	case router.SetTimer:
+		if h.alarm != nil {
+			h.alarm.Stop()
+		}
+		h.alarm = h.After(d.Time-h.Now(), func() { h.hear().TimerFired() })
+	}
+}
--- a/internal/host/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package host runs the router. This file owns the one goroutine on which everything happens, its mailbox, its
+// Package eventloop runs the router. This file owns the one goroutine on which everything happens, its mailbox, its
 // clock, its timers and the sockets, which one nbio poller serves; it must never know what the bytes mean.
-package host
+package eventloop
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 
 	"wayloft/internal/decide/clockoffset"
 	"wayloft/internal/decide/syscallerror"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 const (
@@ -102,16 +102,16 @@
 // Post has f run on the loop; it waits while the mailbox is full and must not be called on the loop.
 func (l *Loop) Post(f func()) { l.mail <- f }
 
-// Soon has f run on the loop after what is running; it must be called on the loop.
-func (l *Loop) Soon(f func()) { l.soon = append(l.soon, f) }
+// Defer has f run on the loop after what is running; it must be called on the loop.
+func (l *Loop) Defer(f func()) { l.soon = append(l.soon, f) }
 
 // After has f run on the loop in so many ms, unless it is stopped. One that is stopped late may still run.
 func (l *Loop) After(ms float64, f func()) *time.Timer {
 	return time.AfterFunc(time.Duration(max(0, ms)*float64(time.Millisecond)), func() { l.Post(f) })
 }
 
-// End has Run return.
-func (l *Loop) End() { l.ended = true }
+// Stop has Run return.
+func (l *Loop) Stop() { l.ended = true }
 
 // Run handles events in batches, each followed by settle, until End.
 func (l *Loop) Run(settle func()) {
@@ -267,7 +267,7 @@
 			c.gone()
 		}
 	})
-	faults.Here("host.told")
+	failpoint.Hit("host.told")
 }
 
 // take reads and counts in one step, against who asks what is unread. Guards against an end that is decided between the
@@ -275,10 +275,10 @@
 func (c *Conn) take(buf []byte) (n int, heard bool, err error) {
 	c.order.Lock()
 	defer c.order.Unlock()
-	if err = faults.Error("host.read"); err == nil {
-		n, err = c.nb.Read(buf[:faults.Limit("host.read", len(buf))])
+	if err = failpoint.Error("host.read"); err == nil {
+		n, err = c.nb.Read(buf[:failpoint.Limit("host.read", len(buf))])
 	}
-	faults.Here("host.read")
+	failpoint.Hit("host.read")
 	if heard = n > 0 && !c.deaf.Load(); heard {
 		c.read.Add(int64(n))
 	}
@@ -308,7 +308,7 @@
 	if early == nil && !ended {
 		return
 	}
-	c.loop.Soon(func() {
+	c.loop.Defer(func() {
 		for _, data := range early {
 			h.Data(data)
 		}
@@ -341,7 +341,7 @@
 // fail ends the connection, so that the peer hears of it too, whatever was wrong.
 func (c *Conn) fail() {
 	c.Drop()
-	c.loop.Soon(c.gone)
+	c.loop.Defer(c.gone)
 }
 
 // state asks the system whether something can be read, or the connection has ended. Guards against nbio closing a descriptor in a failing write: the number is used again at
@@ -366,7 +366,7 @@
 func polled(fd int, events int16) int16 {
 	for {
 		poll := []unix.PollFd{{Fd: int32(fd), Events: events}}
-		err := faults.Error("host.poll")
+		err := failpoint.Error("host.poll")
 		if err == nil {
 			_, err = unix.Poll(poll, 0)
 		}
@@ -414,7 +414,7 @@
 			c.handler.Closed()
 		}
 	}
-	faults.Here("host.gone")
+	failpoint.Hit("host.gone")
 }
 
 // Close ends the connection at once, by way of the poller; Closed does not follow.
@@ -444,7 +444,7 @@
 	if c.closed || !c.Sent() || c.unread() {
 		return false
 	}
-	faults.Here("host.quietly")
+	failpoint.Hit("host.quietly")
 	end()
 	return true
 }
--- a/internal/host/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package host
+package eventloop
 
 import (
 	"net"
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	got := make(chan bool, 2)
-	l.Soon(func() {
+	l.Defer(func() {
 		l.Dial(there.Addr().String(), 1000, func(_ *Conn, err error) {
 			got <- err == nil
 			there.Close()
-			l.Dial(there.Addr().String(), 1000, func(_ *Conn, err error) { got <- err == nil; l.End() })
+			l.Dial(there.Addr().String(), 1000, func(_ *Conn, err error) { got <- err == nil; l.Stop() })
 		})
 	})
 	go l.Run(func() {})
@@ -49,7 +49,7 @@
 func run(t *testing.T, l *Loop) {
 	ended := make(chan bool)
 	go func() { l.Run(func() {}); close(ended) }()
-	t.Cleanup(func() { l.Post(l.End); <-ended })
+	t.Cleanup(func() { l.Post(l.Stop); <-ended })
 }
 
 // Guards against taking an interrupted call for the end of a connection: under load the runtime's own signals
--- a/internal/host/syscall_test.go
+++ b/internal/eventloop/syscall_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package host
+package eventloop
 
 import (
 	"bytes"
@@ -10,13 +10,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 // cycle has a point fail with one after the other, nil among them, and counts its calls.
 func cycle(point string, errs ...error) (calls *atomic.Int64, clear func()) {
 	calls = &atomic.Int64{}
-	return calls, faults.FailAt(point, func() error { return errs[(calls.Add(1)-1)%int64(len(errs))] })
+	return calls, failpoint.SetError(point, func() error { return errs[(calls.Add(1)-1)%int64(len(errs))] })
 }
 
 // Writes that are interrupted, find no room, lack memory for a moment or take a few bytes: the peer gets all that was written, in
@@ -25,7 +25,7 @@
 	l, c, peer, _ := pair(t, 1<<20)
 	calls, clear := cycle("host.write", unix.EINTR, unix.ENOBUFS, unix.EINTR, nil, unix.EAGAIN, unix.ENOMEM)
 	defer clear()
-	defer faults.LimitAt("host.write", 3)()
+	defer failpoint.SetLimit("host.write", 3)()
 	for n := range 30 {
 		want := bytes.Repeat([]byte{byte(n)}, 1000)
 		l.Post(func() { c.Write(want[:500]); c.Write(want[500:]) })
@@ -49,7 +49,7 @@
 	l, _, peer, h := pair(t, 1<<20)
 	_, clear := cycle("host.read", unix.EINTR, unix.EAGAIN, nil, unix.ENOBUFS, nil, nil, unix.EINTR)
 	defer clear()
-	defer faults.LimitAt("host.read", 1)()
+	defer failpoint.SetLimit("host.read", 1)()
 	const text = "a request in some parts"
 	if _, err := peer.Write([]byte(text)); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 			const most = 1 << 20
 			l, c, _, h := pair(t, most)
 			release := make(chan bool)
-			defer faults.At("host.read", func() { <-release })()
+			defer failpoint.Set("host.read", func() { <-release })()
 			_, clear := cycle("host.write", errno)
 			defer clear()
 			closed := make(chan bool)
--- a/internal/host/write.go
+++ b/internal/eventloop/write.go
@@ -1,4 +1,4 @@
-package host
+package eventloop
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"syscall"
 
 	"wayloft/internal/decide/syscallerror"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 var errUnread = errors.New("the peer leaves too much unread")
@@ -27,7 +27,7 @@
 	}
 	n, err := c.writeOnce(b)
 	if c.count(n) {
-		c.loop.Soon(c.finish)
+		c.loop.Defer(c.finish)
 	}
 	switch b = b[n:]; {
 	case len(b) == 0:
@@ -58,9 +58,9 @@
 func (c *Conn) writeOnce(b []byte) (n int, err error) {
 	err = c.control(func(fd int) error {
 		for {
-			err := faults.Error("host.write")
+			err := failpoint.Error("host.write")
 			if err == nil {
-				n, err = syscall.Write(fd, b[:faults.Limit("host.write", len(b))])
+				n, err = syscall.Write(fd, b[:failpoint.Limit("host.write", len(b))])
 			}
 			if !errors.Is(err, syscall.EINTR) {
 				n = max(0, n)
--- a/internal/faults/errors_debug.go
+++ b/internal/failpoint/errors_debug.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package faults
+package failpoint
 
 import "sync"
 
@@ -9,9 +9,9 @@
 	limiting sync.Map // by name: int
 )
 
-// FailAt has the system call at a point fail with what f gives, where that is not nil, until the function that it gives back
+// SetError has the system call at a point fail with what f gives, where that is not nil, until the function that it gives back
 // is called.
-func FailAt(name string, f func() error) (clear func()) {
+func SetError(name string, f func() error) (clear func()) {
 	failing.Store(name, f)
 	return func() { failing.Delete(name) }
 }
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// LimitAt has a read or write at a point take this many bytes at most, until the function that it gives back is called.
-func LimitAt(name string, most int) (clear func()) {
+// SetLimit has a read or write at a point take this many bytes at most, until the function that it gives back is called.
+func SetLimit(name string, most int) (clear func()) {
 	limiting.Store(name, most)
 	return func() { limiting.Delete(name) }
 }
--- a/internal/faults/errors_release.go
+++ b/internal/failpoint/errors_release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package faults
+package failpoint
 
 // Error is nil.
 func Error(string) error { return nil }
--- a/internal/faults/points_debug.go
+++ b/internal/failpoint/points_debug.go
@@ -1,9 +1,9 @@
 //go:build debug
 
-// Package faults has the points at which a test stops or kills a process from inside, where no signal from outside could be timed, and
+// Package failpoint has the points at which a test stops or kills a process from inside, where no signal from outside could be timed, and
 // those at which it holds a thread of its own process, to force an order of two events. It owns the folder that names the first and the
 // functions set for the second; in a release build there is none of it.
-package faults
+package failpoint
 
 import (
 	"os"
@@ -19,29 +19,29 @@
 	failures sync.Map // by name: func(string) error
 )
 
-// FailOperations has f decide, each time an operation of this process comes to a point, whether it fails there, until the function that
+// SetOperationError has f decide, each time an operation of this process comes to a point, whether it fails there, until the function that
 // it gives back is called. f is told what the operation works on.
-func FailOperations(name string, f func(on string) error) (clear func()) {
+func SetOperationError(name string, f func(on string) error) (clear func()) {
 	failures.Store(name, f)
 	return func() { failures.Delete(name) }
 }
 
-// Fail is such a point: the error with which the operation must fail, or nil.
-func Fail(name, on string) error {
+// OperationError is such a point: the error with which the operation must fail, or nil.
+func OperationError(name, on string) error {
 	if f, set := failures.Load(name); set {
 		return f.(func(string) error)(on)
 	}
 	return nil
 }
 
-// At has f called at a point of this process until the function that it gives back is called.
-func At(name string, f func()) (clear func()) {
+// Set has f called at a point of this process until the function that it gives back is called.
+func Set(name string, f func()) (clear func()) {
 	here.Store(name, f)
 	return func() { here.Delete(name) }
 }
 
-// Here is such a point.
-func Here(name string) {
+// Hit is such a point.
+func Hit(name string) {
 	if f, set := here.Load(name); set {
 		f.(func())()
 	}
@@ -72,9 +72,9 @@
 	}
 }
 
-// Span gives d, or an hour for as long as the folder that WAYLOFT_FAULTS names holds a file of this name: what is waited for then ends
+// Duration gives d, or an hour for as long as the folder that WAYLOFT_FAULTS names holds a file of this name: what is waited for then ends
 // by what comes, not by the time that a busy machine takes.
-func Span(name string, d time.Duration) time.Duration {
+func Duration(name string, d time.Duration) time.Duration {
 	dir := os.Getenv("WAYLOFT_FAULTS")
 	if dir == "" {
 		return d
--- a/internal/standin/standin.go
+++ b/internal/fakes/fakes.go
@@ -1,6 +1,6 @@
-// Package standin has the other ends for tests: a member and a client that speak the protocol as they are told to.
+// Package fakes has the other ends for tests: a member and a client that speak the protocol as they are told to.
 // It owns their sockets, on loopback; it must never be part of the program.
-package standin
+package fakes
 
 import (
 	"encoding/binary"
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -14,9 +14,9 @@
 	"google.golang.org/grpc/status"
 
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // oneTry is how long one process of the council has for an answer, before another is asked.
@@ -55,7 +55,7 @@
 	if conn := c.conns[addr]; conn != nil {
 		return conn, nil
 	}
-	conn, err := wire.Dial(addr, c.fleet)
+	conn, err := rpc.Dial(addr, c.fleet)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 		if n >= len(c.addrs) || last != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(wire.Spread(20 * time.Millisecond)):
+			case <-time.After(rpc.Jitter(20 * time.Millisecond)):
 			}
 		}
 		if ctx.Err() != nil {
@@ -173,20 +173,20 @@
 	return last
 }
 
-// Do has an entry proposed.
-func (c *Client) Do(ctx context.Context, e register.Entry) (a register.Answer, err error) {
-	got, err := c.request(ctx, &fleetpb.Request{Entry: register.Encode(e)})
+// ProposeEntry has an entry proposed.
+func (c *Client) ProposeEntry(ctx context.Context, e leasestate.Entry) (a leasestate.Result, err error) {
+	got, err := c.request(ctx, &fleetpb.Request{Entry: leasestate.Encode(e)})
 	if err != nil {
 		return a, err
 	}
-	return wire.Answer(got), nil
+	return rpc.DecodeResult(got), nil
 }
 
-// Stands asks where duties' fences stand now: one question, whose answer is by one word of a majority, at most agent.MostStands of them.
+// LatestTokens asks where duties' fences stand now: one question, whose answer is by one word of a majority, at most agent.MostStands of them.
 // The fences are in the duties' order, never more, and none is left out in between. A process that doesn't know such a question finds
 // no entry in it and refuses it, so an older one is never taken to say that all stand at nothing: processes of the council are brought up
 // to date before routers.
-func (c *Client) Stands(ctx context.Context, duties []string) ([]lease.Fence, error) {
+func (c *Client) LatestTokens(ctx context.Context, duties []string) ([]lease.Token, error) {
 	a, err := c.request(ctx, &fleetpb.Request{Stands: duties})
 	if err != nil {
 		return nil, err
@@ -194,9 +194,9 @@
 	if len(a.Fences) != len(duties) {
 		return nil, fmt.Errorf("the council answered with %d fences of %d", len(a.Fences), len(duties))
 	}
-	fences := make([]lease.Fence, 0, len(duties))
+	fences := make([]lease.Token, 0, len(duties))
 	for _, f := range a.Fences {
-		fences = append(fences, wire.FromFence(f))
+		fences = append(fences, rpc.DecodeToken(f))
 	}
 	return fences, nil
 }
@@ -212,8 +212,8 @@
 	return a, err
 }
 
-// Look gives the state as it is now.
-func (c *Client) Look(ctx context.Context) (s *fleetpb.State, err error) {
+// State gives the state as it is now.
+func (c *Client) State(ctx context.Context) (s *fleetpb.State, err error) {
 	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		var err error
 		if s, err = to.Look(ctx, &fleetpb.Empty{}); err != nil {
@@ -224,14 +224,14 @@
 	return s, err
 }
 
-// Change has processes join or leave the council.
-func (c *Client) Change(ctx context.Context, m *fleetpb.Members) (a register.Answer, err error) {
+// ChangeMembership has processes join or leave the council.
+func (c *Client) ChangeMembership(ctx context.Context, m *fleetpb.Members) (a leasestate.Result, err error) {
 	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		got, err := to.Change(ctx, m)
 		if err != nil {
 			return false, "", "", err
 		}
-		a = wire.Answer(got)
+		a = rpc.DecodeResult(got)
 		return got.Moved, got.Leader, got.Address, nil
 	})
 	return a, err
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -14,12 +14,12 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/handover"
+	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/decide/sight"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // answering is a process of the council that answers by a function.
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checks := wire.Server("lab")
+	checks := rpc.Server("lab")
 	s := grpc.NewServer(grpc.ChainUnaryInterceptor(checks.Unary))
 	fleetpb.RegisterCouncilServer(s, &answering{do: do})
 	go s.Serve(l)
@@ -65,7 +65,7 @@
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	a, err := c.Do(ctx, register.Entry{Kind: register.Beat, Session: "r1"})
+	a, err := c.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "r1"})
 	if err != nil || a.Number != 7 || calls.Load() != 2 {
 		t.Errorf("got %+v, %v after %d calls", a, err, calls.Load())
 	}
@@ -87,7 +87,7 @@
 	})
 	// Processes that don't know the question: one finds no entry in it, the other would answer as for nothing.
 	older := serves(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
-		_, err := register.Decode(q.Entry)
+		_, err := leasestate.Decode(q.Entry)
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	})
 	empty := serves(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) { return &fleetpb.Answer{}, nil })
@@ -97,14 +97,14 @@
 		c := NewClient("lab", []string{addr}, nil)
 		defer c.Close()
 		calls.Store(0)
-		fences, err := c.Stands(ctx, []string{"ccc", "a", "bb"})
+		fences, err := c.LatestTokens(ctx, []string{"ccc", "a", "bb"})
 		if addr == older || addr == empty {
 			if err == nil || fences != nil {
 				t.Errorf("took %v for an answer", fences)
 			}
 			continue
 		}
-		if err != nil || calls.Load() != 1 || !slices.Equal(fences, []lease.Fence{{Epoch: 1, Count: 3}, {Epoch: 1, Count: 1}, {Epoch: 1, Count: 2}}) {
+		if err != nil || calls.Load() != 1 || !slices.Equal(fences, []lease.Token{{Epoch: 1, Count: 3}, {Epoch: 1, Count: 1}, {Epoch: 1, Count: 2}}) {
 			t.Errorf("%v, %v after %d calls", fences, err, calls.Load())
 		}
 	}
@@ -131,7 +131,7 @@
 		r.groups[group] = nil
 	}
 	// Its length is such that no call is given up while the machine is busy.
-	l := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Council: []string{council}, Length: 100000, Margin: 200}, r)
+	l := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{council}, SessionTimeout: 100000, SafetyMargin: 200}, r)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -147,13 +147,13 @@
 	}
 	took := make(chan lease.Verdict)
 	for group := range 164 {
-		for _, duty := range []string{sight.Duty(group), handover.Duty(group)} {
+		for _, duty := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
 			if !duties[duty] {
 				t.Fatal("not asked:", duty)
 			}
 			for v := lease.Unknown; v == lease.Unknown; { // until the answer is in
 				l.post(func() {
-					v, _ := l.agent.Take(lease.Scope{Duty: duty, About: "x"}, "q", lease.Fence{Epoch: 1, Count: 999 + uint64(group)})
+					v, _ := l.agent.Check(lease.Scope{Lease: duty, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
 					took <- v
 				})
 				if v = <-took; v != lease.Old && v != lease.Unknown {
@@ -163,7 +163,7 @@
 		}
 	}
 	l.post(func() {
-		v, _ := l.agent.Take(lease.Scope{Duty: sight.Duty(163), About: "x"}, "q", lease.Fence{Epoch: 1, Count: 1163})
+		v, _ := l.agent.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
 		took <- v
 	})
 	if v := <-took; v != lease.Taken {
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -13,13 +13,13 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/sirupsen/logrus"
 
-	"wayloft/internal/decide/handover"
+	"wayloft/internal/audit"
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/faults"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // Adapter is how a planned change is done at the members: statements of the settings.
@@ -66,66 +66,66 @@
 }
 
 // step does one step at a member, under a fence.
-func (a *Adapter) step(ctx context.Context, addr, step string, fence lease.Fence, rank uint64) (handover.Outcome, error) {
-	number := int64(fence.Number()<<handover.RankBits | rank)
+func (a *Adapter) step(ctx context.Context, addr, step string, fence lease.Token, rank uint64) (switchover.Outcome, error) {
+	number := int64(fence.Number()<<switchover.RankBits | rank)
 	c, err := a.connect(ctx, addr)
 	if err != nil {
-		return handover.Unknown, err // an earlier try may be on its way, so it is not said that nothing has happened
+		return switchover.Unknown, err // an earlier try may be on its way, so it is not said that nothing has happened
 	}
 	defer c.Close(context.Background())
 	tx, err := c.Begin(ctx)
 	if err != nil {
-		return handover.Unknown, err
+		return switchover.Unknown, err
 	}
 	defer tx.Rollback(context.Background())
 	tag, err := tx.Exec(ctx, a.Guard, number)
 	if err != nil {
-		return handover.Failed, fmt.Errorf("guard row: %w", err)
+		return switchover.Failed, fmt.Errorf("guard row: %w", err)
 	}
 	if tag.RowsAffected() == 0 {
 		var seen string
 		if err := tx.QueryRow(ctx, a.Seen).Scan(&seen); errors.Is(err, pgx.ErrNoRows) {
-			return handover.Failed, errors.New("there is no guard row: without it nothing keeps a former owner's step from running late")
+			return switchover.Failed, errors.New("there is no guard row: without it nothing keeps a former owner's step from running late")
 		} else if err != nil {
-			return handover.Failed, fmt.Errorf("guard row: %w", err)
+			return switchover.Failed, fmt.Errorf("guard row: %w", err)
 		}
-		return handover.Refused, fmt.Errorf("the member has seen the fence %s", seen)
+		return switchover.Fenced, fmt.Errorf("the member has seen the fence %s", seen)
 	}
-	statement := map[string]string{handover.Yield: a.Yield, handover.Take: a.Take}[step]
+	statement := map[string]string{switchover.StepDown: a.Yield, switchover.Promote: a.Take}[step]
 	if statement != "" {
 		if _, err := tx.Exec(ctx, statement); err != nil {
-			return handover.Failed, fmt.Errorf("%s: %w", step, err)
+			return switchover.Failed, fmt.Errorf("%s: %w", step, err)
 		}
 	}
 	if err := tx.Commit(ctx); err != nil {
-		return handover.Unknown, err
+		return switchover.Unknown, err
 	}
-	return handover.Took, nil
+	return switchover.Succeeded, nil
 }
 
 // handing is the duty of handover, held for a group.
 type handing struct {
 	group  int
-	fence  lease.Fence
-	desk   *handover.Desk
+	fence  lease.Token
+	desk   *switchover.OrderState
 	number uint64
-	owner  *handover.Owner // of the order that is carried out; else nil
-	noteAt float64         // when the council may be told again how the last one ended
+	owner  *switchover.Executor // of the order that is carried out; else nil
+	noteAt float64              // when the council may be told again how the last one ended
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
 // hand goes on with a handover, if one is ordered.
-func (l *Link) hand(duty string, now float64) {
+func (l *Node) hand(duty string, now float64) {
 	h := l.hands[duty]
 	if h.owner == nil {
-		if ended, owes := h.desk.Owes(); owes {
+		if ended, owes := h.desk.UnreportedEnd(); owes {
 			if h.noteAt <= now {
 				h.noteAt = math.Inf(1)
-				l.note(duty, h, register.Entry{Kind: register.Did, Number: ended.Number, Text: clip(ended.Text)}, func(ok bool) {
+				l.note(duty, h, leasestate.Entry{Kind: leasestate.CompleteOrder, Number: ended.Number, Text: clip(ended.Text)}, func(ok bool) {
 					l.post(func() {
-						if h.noteAt = l.now() + l.set.Length/4; ok {
-							h.desk.Told(ended.Number)
+						if h.noteAt = l.now() + l.set.SessionTimeout/4; ok {
+							h.desk.EndReported(ended.Number)
 							h.noteAt = 0
 						}
 					})
@@ -133,16 +133,16 @@
 			}
 			return
 		}
-		if h.desk.Spent() {
-			l.agent.Unwant(duty)
-			l.agent.Want(duty)
+		if h.desk.NeedsNewToken() {
+			l.agent.Release(duty)
+			l.agent.Acquire(duty)
 			return
 		}
-		d, known := l.agent.Duty(duty)
-		if !known || d.Holder != l.set.Name || d.Fence != h.fence {
+		d, known := l.agent.Lease(duty)
+		if !known || d.Holder != l.set.Name || d.Token != h.fence {
 			return
 		}
-		owner, err := h.desk.Take(l.set.Hold, d.Open, d.Steps, now)
+		owner, err := h.desk.Take(l.set.Switchover, d.Open, d.Steps, now)
 		if owner == nil && err == nil {
 			return
 		}
@@ -152,21 +152,21 @@
 		}
 		h.owner, h.number = owner, d.Open.Number
 		h.ctx, h.cancel = context.WithCancel(l.ctx)
-		l.set.Record.Add("order", record.Fields{"duty": duty, "fence": h.fence.String(), "number": h.number, "text": d.Open.Text, "steps": len(d.Steps)})
+		l.set.Record.Add("order", audit.Fields{"duty": duty, "fence": h.fence.String(), "number": h.number, "text": d.Open.Text, "steps": len(d.Steps)})
 	}
-	if !l.agent.Others() { // who are to hear of it isn't known yet
+	if !l.agent.SessionsComplete() { // who are to hear of it isn't known yet
 		return
 	}
 	var names []string
 	for _, s := range l.agent.Sessions("router") {
 		names = append(names, s.Name)
 	}
-	h.owner.At(now)
+	h.owner.Advance(now)
 	h.owner.Routers(names)
 	for d, more := h.owner.Next(); more; d, more = h.owner.Next() {
 		l.carry(duty, h, d)
 	}
-	if h.desk.Keep(h.owner, h.number); h.owner.Over() {
+	if h.desk.Update(h.owner, h.number); h.owner.Over() {
 		h.cancel()
 		h.owner = nil
 	}
@@ -182,23 +182,23 @@
 
 // still has a handover's owner hear of something, if it is the one that waits for it: the duty may be another's by now, or the
 // order the next.
-func (l *Link) still(duty string, h *handing, o *handover.Owner, f func()) {
+func (l *Node) still(duty string, h *handing, o *switchover.Executor, f func()) {
 	if l.hands[duty] == h && h.owner == o {
-		o.At(l.now())
+		o.Advance(l.now())
 		f()
 	}
 }
 
 // note has the register note a step, or the end.
-func (l *Link) note(duty string, h *handing, e register.Entry, done func(ok bool)) {
-	e.Duty, e.Fence = duty, h.fence
+func (l *Node) note(duty string, h *handing, e leasestate.Entry, done func(ok bool)) {
+	e.Lease, e.Token = duty, h.fence
 	e = l.agent.Entry(e)
 	go func() {
-		var a register.Answer
+		var a leasestate.Result
 		var err error
 		for tries := 0; ; tries++ { // asking again does no harm: a note that stands twice says the same
-			ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.Length*float64(time.Millisecond)))
-			a, err = l.client.Do(ctx, e)
+			ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.SessionTimeout*float64(time.Millisecond)))
+			a, err = l.client.ProposeEntry(ctx, e)
 			cancel()
 			if err == nil || l.ctx.Err() != nil || tries > 5 {
 				break
@@ -208,34 +208,34 @@
 	}()
 }
 
-func (l *Link) carry(duty string, h *handing, d handover.Decision) {
-	fence, may := l.agent.May(duty) // the last look before an act goes out
+func (l *Node) carry(duty string, h *handing, d switchover.Decision) {
+	fence, may := l.agent.Valid(duty) // the last look before an act goes out
 	if !may || fence != h.fence {
 		return
 	}
 	o := h.owner
-	switch d.Verb {
-	case handover.Find:
+	switch d.Action {
+	case switchover.FindPrimary:
 		members := l.groups[h.group]
 		go func() {
 			found, err := l.find(h.ctx, members)
-			l.post(func() { l.still(duty, h, o, func() { o.Found(found, err) }) })
+			l.post(func() { l.still(duty, h, o, func() { o.PrimaryFound(found, err) }) })
 		}()
-	case handover.Note:
-		l.set.Record.Add("step", record.Fields{"duty": duty, "fence": fence.String(), "number": h.number, "text": d.Text})
+	case switchover.RecordStep:
+		l.set.Record.Add("step", audit.Fields{"duty": duty, "fence": fence.String(), "number": h.number, "text": d.Text})
 		logrus.WithFields(logrus.Fields{"duty": duty, "fence": fence, "order": h.number}).Info(d.Text)
-		l.note(duty, h, register.Entry{Kind: register.Note, Text: d.Text}, func(ok bool) {
-			faults.Point("noted." + strings.Fields(d.Text)[0])
+		l.note(duty, h, leasestate.Entry{Kind: leasestate.RecordStep, Text: d.Text}, func(ok bool) {
+			failpoint.Point("noted." + strings.Fields(d.Text)[0])
 			l.post(func() {
 				l.still(duty, h, o, func() {
-					l.set.Record.Add("noted", record.Fields{"duty": duty, "fence": fence.String(), "number": h.number, "text": d.Text, "ok": ok})
-					o.Noted(ok)
+					l.set.Record.Add("noted", audit.Fields{"duty": duty, "fence": fence.String(), "number": h.number, "text": d.Text, "ok": ok})
+					o.StepRecorded(ok)
 				})
 			})
 		})
-	case handover.Tell:
+	case switchover.CommandRouter:
 		l.tell(duty, h, o, d)
-	case handover.Do:
+	case switchover.CommandMember:
 		var addr string
 		for _, m := range l.groups[h.group] {
 			if m.ID == d.To {
@@ -243,58 +243,58 @@
 			}
 		}
 		go func() {
-			faults.Point("step." + d.Step) // between the look and the act
-			how, err := handover.Failed, fmt.Errorf("%s is not in the list", d.To)
+			failpoint.Point("step." + d.Step) // between the look and the act
+			how, err := switchover.Failed, fmt.Errorf("%s is not in the list", d.To)
 			if addr != "" { // one that is begun goes on, whatever becomes of the lease: the member's guard row decides
 				ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.Adapter.Within*float64(time.Millisecond)))
 				how, err = l.set.Adapter.step(ctx, addr, d.Step, fence, d.Rank)
 				cancel()
-				faults.Point("stepped." + d.Step)
+				failpoint.Point("stepped." + d.Step)
 			}
 			why := ""
 			if err != nil {
 				why = d.To + ": " + err.Error()
 			}
 			l.post(func() {
-				l.set.Record.Add("done", record.Fields{"duty": duty, "fence": fence.String(), "member": d.To, "step": d.Step, "how": int(how), "why": why})
-				if how == handover.Refused {
-					l.agent.Refused++ // by the member, which has nobody else to tell of it
+				l.set.Record.Add("done", audit.Fields{"duty": duty, "fence": fence.String(), "member": d.To, "step": d.Step, "how": int(how), "why": why})
+				if how == switchover.Fenced {
+					l.agent.RejectedActs++ // by the member, which has nobody else to tell of it
 				}
-				if how != handover.Took {
+				if how != switchover.Succeeded {
 					logrus.WithFields(logrus.Fields{"duty": duty, "fence": fence, "member": d.To, "step": d.Step, "why": why}).Warn("step not taken")
 				}
-				l.still(duty, h, o, func() { o.Done(how, why) })
+				l.still(duty, h, o, func() { o.StepDone(how, why) })
 			})
 		}()
-	case handover.End:
+	case switchover.EndOrder:
 		logrus.WithFields(logrus.Fields{"duty": duty, "fence": fence, "order": h.number}).Info(d.Text)
-		l.set.Record.Add("end", record.Fields{"duty": duty, "fence": fence.String(), "number": h.number, "text": d.Text})
+		l.set.Record.Add("end", audit.Fields{"duty": duty, "fence": fence.String(), "number": h.number, "text": d.Text})
 	}
 }
 
 // tell gives a router a word of a handover.
-func (l *Link) tell(duty string, h *handing, owner *handover.Owner, d handover.Decision) {
+func (l *Node) tell(duty string, h *handing, owner *switchover.Executor, d switchover.Decision) {
 	for _, s := range l.agent.Sessions("router") {
 		if s.Name != d.To {
 			continue
 		}
-		o := &fleetpb.Order{Duty: duty, About: duty, Holder: l.set.Name, Fence: wire.Fence(h.fence), Hold: &fleetpb.Hold{Group: int64(h.group),
-			Number: h.number, MostMs: d.Most, Ends: d.Word == handover.Release, Looks: d.Word == handover.Look}}
+		o := &fleetpb.Order{Duty: duty, About: duty, Holder: l.set.Name, Fence: rpc.EncodeToken(h.fence), Hold: &fleetpb.Hold{Group: int64(h.group),
+			Number: h.number, MostMs: d.Most, Ends: d.Word == switchover.ReleaseWrites, Looks: d.Word == switchover.CountWrites}}
 		l.order(s, o, func(v *fleetpb.Verdict, err error) {
 			ok := err == nil && v.Kind == fleetpb.Verdict_TAKEN
 			running := 0
 			if ok {
 				running = int(min(v.Running, math.MaxInt32))
 			}
-			l.still(duty, h, owner, func() { owner.Told(d.To, d.Word, ok, running) })
+			l.still(duty, h, owner, func() { owner.RouterAnswered(d.To, d.Word, ok, running) })
 		})
 		return
 	}
-	owner.Told(d.To, d.Word, false, 0)
+	owner.RouterAnswered(d.To, d.Word, false, 0)
 }
 
 // find asks the members of a group which one takes writes.
-func (l *Link) find(ctx context.Context, members []Member) (string, error) {
+func (l *Node) find(ctx context.Context, members []Member) (string, error) {
 	if len(members) == 0 {
 		return "", errors.New("the group has no members")
 	}
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -7,25 +7,25 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // sessions is a coordinator that keeps sessions alone, and lets time pass when it is told.
 type sessions struct {
 	mu      sync.Mutex
-	state   *register.Register
+	state   *leasestate.State
 	index   uint64
-	refused chan register.Answer // of requests to open a session
-	opened  chan uint64          // incarnations, of the same
+	refused chan leasestate.Result // of requests to open a session
+	opened  chan uint64            // incarnations, of the same
 }
 
 func newSessions() *sessions {
-	return &sessions{state: register.New("lab"), refused: make(chan register.Answer, 100), opened: make(chan uint64, 100)}
+	return &sessions{state: leasestate.New("lab"), refused: make(chan leasestate.Result, 100), opened: make(chan uint64, 100)}
 }
 
-func (s *sessions) apply(e register.Entry) register.Answer {
+func (s *sessions) apply(e leasestate.Entry) leasestate.Result {
 	s.index++
 	return s.state.Apply(s.index, e)
 }
@@ -34,19 +34,19 @@
 	if len(q.Stands) > 0 {
 		return &fleetpb.Answer{Fences: make([]*fleetpb.Fence, len(q.Stands))}, nil
 	}
-	e, err := register.Decode(q.Entry)
+	e, err := leasestate.Decode(q.Entry)
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.apply(e)
-	if e.Kind == register.Open && a.Held {
+	if e.Kind == leasestate.OpenSession && a.Held {
 		s.opened <- e.Incarnation
-	} else if e.Kind == register.Open {
+	} else if e.Kind == leasestate.OpenSession {
 		s.refused <- a
 	}
-	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: wire.Fence(a.Fence)}, nil
+	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: rpc.EncodeToken(a.Fence)}, nil
 }
 
 // next is what comes out of a channel, or the test's end.
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	r := &listing{asked: make(chan bool, 100)}
-	l := newLink(Settings{Fleet: "lab", Name: "r", Kind: "router", Council: []string{addr}, Length: timeoutMs, Margin: timeoutMs / 10}, r, started)
+	l := newLink(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeout: timeoutMs, SafetyMargin: timeoutMs / 10}, r, started)
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx, listener)
 	t.Cleanup(func() { cancel(); <-l.Ended() })
@@ -80,7 +80,7 @@
 func TestIncarnation_ProcessStartedAfterTheClockWasSteppedBack(t *testing.T) {
 	s := newSessions()
 	addr := serves(t, s.do)
-	s.apply(register.Entry{Kind: register.Open, Session: "r", Incarnation: uint64(time.Now().UnixMilli()), Length: 2000, Is: "router"})
+	s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "r", Incarnation: uint64(time.Now().UnixMilli()), Timeout: 2000, Role: "router"})
 	s.start(t, addr, time.Now().Add(-time.Hour), 60000) // no call is given up while the machine is busy
 	if refused := next(t, "the refusal", s.refused); refused.Number == 0 {
 		t.Error("the refusal doesn't say which incarnation has the name")
@@ -95,9 +95,9 @@
 	s.start(t, addr, time.Now(), 2000)
 	next(t, "its session", s.opened)
 	s.mu.Lock()
-	s.apply(register.Entry{Kind: register.Tick, Passed: 2001})
+	s.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 2001})
 	later := uint64(time.Now().Add(-time.Hour).UnixMilli())
-	granted := s.apply(register.Entry{Kind: register.Open, Session: "r", Incarnation: later, Length: 2000, Is: "router"})
+	granted := s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "r", Incarnation: later, Timeout: 2000, Role: "router"})
 	s.mu.Unlock()
 	if !granted.Held {
 		t.Fatal("the former session has not lapsed:", granted)
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -1,5 +1,5 @@
 // Package fleet is a process's way to its fleet: its session with the council, the duties it holds, the orders it takes of
-// others'. It carries out what decide/agent, decide/sight and decide/handover decide. It owns a goroutine, a listener and
+// others'. It carries out what decide/leaseclient, decide/healthshare and decide/switchover decide. It owns a goroutine, a listener and
 // connections of its own; it must never have a txn wait, and whatever becomes of it the router serves on.
 package fleet
 
@@ -23,17 +23,17 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/agent"
-	"wayloft/internal/decide/handover"
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/decide/sight"
-	"wayloft/internal/faults"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/must"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/invariant"
+	"wayloft/internal/rpc"
 )
 
 const (
@@ -50,14 +50,14 @@
 	Post(f func())
 	Now() float64                            // Unix ms
 	Groups() map[int][]Member                // as the list has them; asked at the start and after Changed
-	Look(member string)                      // check it
-	Sighted(r sight.Report)                  // what another's check told
-	Hold(group int, until float64)           // writes wait until then, Unix ms; 0: they don't
+	HealthCheck(member string)               // check it
+	PeerReported(r healthshare.Report)       // what another's check told
+	HoldWrites(group int, until float64)     // writes wait until then, Unix ms; 0: they don't
 	Writes(group int) (running, waiting int) // of a group
 
 	// Policy has the router go by a document from now on, in place of the one before: what it doesn't name is the router's own
 	// file's to say. An error: it can't, for this reason, and goes on as it was; operators are shown it.
-	Policy(v policy.Version, d policy.Document) error
+	ApplyPolicy(v policy.Version, d policy.Document) error
 }
 
 // Member is one of a group's.
@@ -68,30 +68,30 @@
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Fleet, Name, Kind string
-	Council           []string
-	Via               map[string]string // other ways to processes, by name
-	Listen            string            // for orders; Address is what others are told, Listen where it is empty
-	Address           string
-	Length, Margin    float64
-	Sight             float64 // between two looks at a member, for who owns sight; 0: this process would not
-	Handover          bool    // this process would carry handovers out
-	Hold              handover.Settings
-	Adapter           *Adapter
-	Bound             float64 // the most that writes wait here for one handover
-	Ahead             float64 // ms that this process's clock is ahead, for tests
-	Record            *record.Record
-	PolicyRate        float64 // bytes a second that fetching the policy may take; 0: 2560
-	Store             Store   // of the policy; nil: none
+	Fleet, Name, Kind            string
+	Coordinators                 []string
+	Via                          map[string]string // other ways to processes, by name
+	Listen                       string            // for orders; Address is what others are told, Listen where it is empty
+	Address                      string
+	SessionTimeout, SafetyMargin float64
+	HealthSharePeriod            float64 // between two looks at a member, for who owns sight; 0: this process would not
+	SwitchoverEnabled            bool    // this process would carry handovers out
+	Switchover                   switchover.Settings
+	Adapter                      *Adapter
+	MaxHold                      float64 // the most that writes wait here for one handover
+	ClockOffset                  float64 // ms that this process's clock is ahead, for tests
+	Record                       *audit.Log
+	PolicyRate                   float64 // bytes a second that fetching the policy may take; 0: 2560
+	Store                        Store   // of the policy; nil: none
 }
 
-// Link is one process's way to its fleet.
-type Link struct {
+// Node is one process's way to its fleet.
+type Node struct {
 	fleetpb.UnimplementedReceiverServer
 	set     Settings
 	router  Router
 	client  *Client
-	agent   *agent.Agent
+	agent   *leaseclient.Client
 	inbox   chan func()
 	ctx     context.Context
 	ended   chan struct{}
@@ -100,15 +100,15 @@
 	rewatch context.CancelFunc // ends the watch that leaves them out; under mu
 	mu      sync.Mutex
 	groups  map[int][]Member
-	lookAt  float64                   // when the router is asked which groups there are
-	changed chan struct{}             // they have changed
-	asked   int                       // how often it was asked
-	heard   int                       // the latest of these that it has answered
-	wanted  map[string]bool           // duties that it would own, of groups that are listed
-	desks   map[string]*handover.Desk // by duty, while it is wanted
-	looks   map[string]*looker        // by duty, while it is held
-	hands   map[string]*handing       // by duty, while it is held
-	guests  *handover.Guests
+	lookAt  float64                           // when the router is asked which groups there are
+	changed chan struct{}                     // they have changed
+	asked   int                               // how often it was asked
+	heard   int                               // the latest of these that it has answered
+	wanted  map[string]bool                   // duties that it would own, of groups that are listed
+	desks   map[string]*switchover.OrderState // by duty, while it is wanted
+	looks   map[string]*looker                // by duty, while it is held
+	hands   map[string]*handing               // by duty, while it is held
+	guests  *switchover.WriteHolds
 	ways    map[string]*grpc.ClientConn // to other processes, by address
 	hosted  chan func()                 // what the router's loop is to do, in order
 	dropped atomic.Int64                // reports for which there was no room
@@ -118,37 +118,37 @@
 // looker is sight, held for a group.
 type looker struct {
 	group int
-	fence lease.Fence
-	owner *sight.Owner
+	fence lease.Token
+	owner *healthshare.Prober
 	busy  map[string]bool // routers that have yet to answer the word before
 }
 
 // New makes one; nothing happens until Run.
-func New(set Settings, router Router) *Link { return newLink(set, router, time.Now()) }
+func New(set Settings, router Router) *Node { return newLink(set, router, time.Now()) }
 
 // newLink is New by a wall clock that says started. Nothing but the number of the first session comes from it.
-func newLink(set Settings, router Router, started time.Time) *Link {
+func newLink(set Settings, router Router, started time.Time) *Node {
 	h := fnv.New64a()
 	h.Write([]byte(set.Name))
-	l := &Link{set: set, router: router, client: NewClient(set.Fleet, set.Council, set.Via), inbox: make(chan func(), inbox),
-		ended: make(chan struct{}), groups: map[int][]Member{}, wanted: map[string]bool{}, desks: map[string]*handover.Desk{}, looks: map[string]*looker{},
-		hands: map[string]*handing{}, guests: handover.NewGuests(set.Bound), ways: map[string]*grpc.ClientConn{}, hosted: make(chan func(), inbox),
+	l := &Node{set: set, router: router, client: NewClient(set.Fleet, set.Coordinators, set.Via), inbox: make(chan func(), inbox),
+		ended: make(chan struct{}), groups: map[int][]Member{}, wanted: map[string]bool{}, desks: map[string]*switchover.OrderState{}, looks: map[string]*looker{},
+		hands: map[string]*handing{}, guests: switchover.NewWriteHolds(set.MaxHold), ways: map[string]*grpc.ClientConn{}, hosted: make(chan func(), inbox),
 		changed: make(chan struct{}, 1)}
-	seed := h.Sum64() ^ wire.Draw()
+	seed := h.Sum64() ^ rpc.UniqueID()
 	l.follow = follow(set, seed)
-	l.agent = agent.New(agent.Settings{Name: set.Name, Kind: set.Kind, Address: set.Address, Length: set.Length, Margin: set.Margin,
+	l.agent = leaseclient.New(leaseclient.Settings{Name: set.Name, Kind: set.Kind, Address: set.Address, SessionTimeout: set.SessionTimeout, SafetyMargin: set.SafetyMargin,
 		Incarnation: uint64(max(0, started.UnixMilli())), Seed: seed})
-	l.agent.At(l.now())
+	l.agent.Advance(l.now())
 	return l
 }
 
 // Run is the process's part in the fleet until ctx ends; then it gives back what it holds.
-func (l *Link) Run(ctx context.Context, listener net.Listener) {
+func (l *Node) Run(ctx context.Context, listener net.Listener) {
 	defer close(l.ended)
 	on, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.ctx = on
-	checks := wire.Server(l.set.Fleet)
+	checks := rpc.Server(l.set.Fleet)
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(longest), grpc.MaxConcurrentStreams(64), grpc.ConnectionTimeout(handshake),
 		grpc.ChainUnaryInterceptor(checks.Unary), grpc.ChainStreamInterceptor(checks.Stream),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
@@ -174,7 +174,7 @@
 		}
 	}()
 	logrus.WithFields(logrus.Fields{"name": l.set.Name, "orders": listener.Addr().String(), "fleet": l.set.Fleet}).Info("fleet")
-	l.set.Record.Add("up", record.Fields{"kind": l.set.Kind})
+	l.set.Record.Add("up", audit.Fields{"kind": l.set.Kind})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	left := ctx.Done()
@@ -192,7 +192,7 @@
 		case <-left:
 			left = nil
 			late = time.After(farewell)
-			l.agent.At(l.now())
+			l.agent.Advance(l.now())
 			l.agent.Leave()
 		case <-late:
 			return
@@ -203,20 +203,20 @@
 }
 
 // Ended is closed once Run has returned.
-func (l *Link) Ended() <-chan struct{} { return l.ended }
+func (l *Node) Ended() <-chan struct{} { return l.ended }
 
 // Changed says that the router's list has changed. It never waits, and may be called on the router's loop.
-func (l *Link) Changed() {
+func (l *Node) Changed() {
 	select {
 	case l.changed <- struct{}{}:
 	default: // it is yet to be looked at
 	}
 }
 
-func (l *Link) now() float64 { return wire.Boottime() + l.set.Ahead }
+func (l *Node) now() float64 { return rpc.Boottime() + l.set.ClockOffset }
 
 // post has the loop do something; it reports false where the loop has ended.
-func (l *Link) post(f func()) bool {
+func (l *Node) post(f func()) bool {
 	select {
 	case l.inbox <- f:
 		return true
@@ -226,7 +226,7 @@
 }
 
 // host has the router's loop do something, in the order of these calls; false: too much waits there already.
-func (l *Link) host(f func()) bool {
+func (l *Node) host(f func()) bool {
 	select {
 	case l.hosted <- f:
 		return true
@@ -237,8 +237,8 @@
 }
 
 // due is when something may have to be done next if nothing comes in.
-func (l *Link) due() float64 {
-	due := min(l.agent.Due(), l.lookAt, l.follow.follower.Due())
+func (l *Node) due() float64 {
+	due := min(l.agent.NextDeadline(), l.lookAt, l.follow.follower.NextDeadline())
 	if l.follow.adopt != nil {
 		due = min(due, l.now()+20)
 	}
@@ -246,7 +246,7 @@
 		due = min(due, l.follow.retry.Due())
 	}
 	for _, k := range l.looks {
-		due = min(due, k.owner.Due())
+		due = min(due, k.owner.NextDeadline())
 	}
 	if len(l.hands) > 0 {
 		due = min(due, l.now()+20)
@@ -255,9 +255,9 @@
 }
 
 // turn carries out what is decided.
-func (l *Link) turn() {
+func (l *Node) turn() {
 	now := l.now()
-	l.agent.At(now)
+	l.agent.Advance(now)
 	if l.lookAt <= now {
 		l.asked++
 		n := l.asked
@@ -286,39 +286,39 @@
 }
 
 // listed takes in which groups there are.
-func (l *Link) listed(groups map[int][]Member) {
+func (l *Node) listed(groups map[int][]Member) {
 	l.groups = groups
 	wanted := map[string]bool{}
 	there := map[int]bool{}
 	for group := range groups {
 		there[group] = true
-		if l.set.Sight > 0 {
-			wanted[sight.Duty(group)] = true
+		if l.set.HealthSharePeriod > 0 {
+			wanted[healthshare.LeaseName(group)] = true
 		}
-		if l.set.Handover {
-			wanted[handover.Duty(group)] = true
+		if l.set.SwitchoverEnabled {
+			wanted[switchover.LeaseName(group)] = true
 		}
-		for _, duty := range []string{sight.Duty(group), handover.Duty(group)} {
-			l.agent.Learn(duty)
+		for _, duty := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
+			l.agent.LearnToken(duty)
 		}
 	}
 	l.guests.Forget(there)
 	for duty := range l.wanted {
 		if !wanted[duty] {
 			delete(l.desks, duty)
-			l.agent.Unwant(duty)
+			l.agent.Release(duty)
 		}
 	}
 	l.wanted = wanted
 	for _, duty := range slices.Sorted(maps.Keys(wanted)) {
-		l.agent.Want(duty)
+		l.agent.Acquire(duty)
 	}
 	for _, k := range l.looks {
 		l.members(k)
 	}
 }
 
-func (l *Link) members(k *looker) {
+func (l *Node) members(k *looker) {
 	var ids []string
 	for _, m := range l.groups[k.group] {
 		ids = append(ids, m.ID)
@@ -326,43 +326,43 @@
 	k.owner.Members(ids)
 }
 
-func (l *Link) do(d agent.Decision) {
-	switch d.Verb {
-	case agent.Call, agent.Stand:
+func (l *Node) do(d leaseclient.Decision) {
+	switch d.Action {
+	case leaseclient.Propose, leaseclient.QueryTokens:
 		go l.ask(d)
-	case agent.Start:
-		l.set.Record.Add("start", record.Fields{"duty": d.Duty, "fence": d.Fence.String()})
-		logrus.WithFields(logrus.Fields{"duty": d.Duty, "fence": d.Fence}).Info("owns")
+	case leaseclient.Start:
+		l.set.Record.Add("start", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+		logrus.WithFields(logrus.Fields{"duty": d.Lease, "fence": d.Token}).Info("owns")
 		l.others()
 		var group int
-		if _, err := fmt.Sscanf(d.Duty, "sight/%d", &group); err == nil {
-			k := &looker{group: group, fence: d.Fence, owner: sight.NewOwner(l.set.Sight), busy: map[string]bool{}}
-			k.owner.At(l.now())
+		if _, err := fmt.Sscanf(d.Lease, "sight/%d", &group); err == nil {
+			k := &looker{group: group, fence: d.Token, owner: healthshare.NewProber(l.set.HealthSharePeriod), busy: map[string]bool{}}
+			k.owner.Advance(l.now())
 			l.members(k)
-			l.looks[d.Duty] = k
-		} else if _, err := fmt.Sscanf(d.Duty, "handover/%d", &group); err == nil {
-			if l.desks[d.Duty] == nil {
-				l.desks[d.Duty] = &handover.Desk{}
+			l.looks[d.Lease] = k
+		} else if _, err := fmt.Sscanf(d.Lease, "handover/%d", &group); err == nil {
+			if l.desks[d.Lease] == nil {
+				l.desks[d.Lease] = &switchover.OrderState{}
 			}
-			l.desks[d.Duty].Sit(d.Fence)
-			l.hands[d.Duty] = &handing{group: group, fence: d.Fence, desk: l.desks[d.Duty]}
+			l.desks[d.Lease].BeginLease(d.Token)
+			l.hands[d.Lease] = &handing{group: group, fence: d.Token, desk: l.desks[d.Lease]}
 		}
-	case agent.Stop:
-		l.set.Record.Add("stop", record.Fields{"duty": d.Duty, "fence": d.Fence.String()})
-		logrus.WithFields(logrus.Fields{"duty": d.Duty, "fence": d.Fence}).Info("owns no more")
-		delete(l.looks, d.Duty)
-		if h := l.hands[d.Duty]; h != nil && h.cancel != nil {
+	case leaseclient.Stop:
+		l.set.Record.Add("stop", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+		logrus.WithFields(logrus.Fields{"duty": d.Lease, "fence": d.Token}).Info("owns no more")
+		delete(l.looks, d.Lease)
+		if h := l.hands[d.Lease]; h != nil && h.cancel != nil {
 			h.cancel()
 		}
-		delete(l.hands, d.Duty)
+		delete(l.hands, d.Lease)
 		l.owns.Store(len(l.looks)+len(l.hands) > 0)
 	}
 }
 
 // others has the watch tell the sessions of others from now on, since this process gives orders. The next watch leaves them out
 // again, if it owns nothing by then.
-func (l *Link) others() {
-	if l.owns.Store(true); l.agent.Others() {
+func (l *Node) others() {
+	if l.owns.Store(true); l.agent.SessionsComplete() {
 		return
 	}
 	l.mu.Lock()
@@ -373,41 +373,41 @@
 }
 
 // ask carries a request to the council. A quarter of the session's length is enough for an answer, or for another try.
-func (l *Link) ask(d agent.Decision) {
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.Length/4*float64(time.Millisecond)))
+func (l *Node) ask(d leaseclient.Decision) {
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.SessionTimeout/4*float64(time.Millisecond)))
 	defer cancel()
-	var a register.Answer
-	var fences []lease.Fence
+	var a leasestate.Result
+	var fences []lease.Token
 	var err error
-	if d.Verb == agent.Stand {
-		fences, err = l.client.Stands(ctx, d.Duties)
+	if d.Action == leaseclient.QueryTokens {
+		fences, err = l.client.LatestTokens(ctx, d.Leases)
 	} else {
-		a, err = l.client.Do(ctx, d.Entry)
+		a, err = l.client.ProposeEntry(ctx, d.Entry)
 	}
 	l.post(func() {
-		l.agent.At(l.now())
+		l.agent.Advance(l.now())
 		if err != nil {
 			logrus.WithError(err).Debug("no answer of the council")
-			l.agent.Failed(d.Number)
+			l.agent.Failed(d.Request)
 			return
 		}
-		if d.Verb == agent.Stand {
-			l.agent.Stood(d.Number, fences)
+		if d.Action == leaseclient.QueryTokens {
+			l.agent.TokensLearned(d.Request, fences)
 			return
 		}
-		if d.Verb == agent.Call && d.Entry.Kind == register.Told && a.Why != "" {
-			logrus.WithFields(logrus.Fields{"duty": d.Entry.Duty, "seen": d.Entry.Fence, "council": a.Fence}).Error(a.Why)
-			l.set.Record.Add("behind", record.Fields{"duty": d.Entry.Duty, "seen": d.Entry.Fence.String(), "council": a.Fence.String()})
+		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.ReportToken && a.Why != "" {
+			logrus.WithFields(logrus.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token, "council": a.Fence}).Error(a.Why)
+			l.set.Record.Add("behind", audit.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token.String(), "council": a.Fence.String()})
 		}
-		if d.Verb == agent.Call && d.Entry.Kind == register.Open {
-			l.set.Record.Add("session", record.Fields{"held": a.Held, "why": a.Why, "incarnation": d.Entry.Incarnation})
+		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.OpenSession {
+			l.set.Record.Add("session", audit.Fields{"held": a.Held, "why": a.Why, "incarnation": d.Entry.Incarnation})
 		}
-		l.agent.Answered(d.Number, a)
+		l.agent.Answered(d.Request, a)
 	})
 }
 
 // watch hears of changes, and begins again whenever that ends.
-func (l *Link) watch() {
+func (l *Node) watch() {
 	told := ""
 	for l.ctx.Err() == nil {
 		ctx, cancel := context.WithCancel(l.ctx)
@@ -420,12 +420,12 @@
 		err := l.client.Watch(ctx, without, func(u *fleetpb.Update) {
 			told = ""
 			l.post(func() {
-				l.agent.At(l.now())
-				in := wire.FromUpdate(u)
+				l.agent.Advance(l.now())
+				in := rpc.DecodeUpdate(u)
 				l.agent.Watched(in)
-				l.follow.follower.At(l.now())
+				l.follow.follower.Advance(l.now())
 				for _, p := range in.Policies {
-					l.follow.follower.Told(p.Version, p.Difference)
+					l.follow.follower.VersionAnnounced(p.Version, p.Difference)
 				}
 			})
 		})
@@ -439,17 +439,17 @@
 		}
 		select {
 		case <-l.ctx.Done():
-		case <-time.After(wire.Spread(300 * time.Millisecond)):
+		case <-time.After(rpc.Jitter(300 * time.Millisecond)):
 		}
 	}
 }
 
 // Reported says what a check of this process told, on the router's loop. It never waits.
-func (l *Link) Reported(r sight.Report) {
+func (l *Node) Reported(r healthshare.Report) {
 	select {
 	case l.inbox <- func() {
 		for _, k := range l.looks {
-			k.owner.Told(r) // of another group's it takes none
+			k.owner.Reported(r) // of another group's it takes none
 		}
 	}:
 	default:
@@ -458,22 +458,22 @@
 }
 
 // look does what sight of a group decides.
-func (l *Link) look(duty string, now float64) {
+func (l *Node) look(duty string, now float64) {
 	k := l.looks[duty]
-	k.owner.At(now)
+	k.owner.Advance(now)
 	for d, more := k.owner.Next(); more; d, more = k.owner.Next() {
-		switch d.Verb {
-		case sight.Look:
-			l.host(func() { l.router.Look(d.Member) })
-		case sight.Send:
+		switch d.Action {
+		case healthshare.Probe:
+			l.host(func() { l.router.HealthCheck(d.Member) })
+		case healthshare.Share:
 			l.spread(duty, k, d.Reports)
 		}
 	}
 }
 
 // spread sends reports to all other routers; one that has yet to answer the word before is passed over: the next will do.
-func (l *Link) spread(duty string, k *looker, reports []sight.Report) {
-	order := &fleetpb.Order{Duty: duty, About: duty, Holder: l.set.Name, Fence: wire.Fence(k.fence)}
+func (l *Node) spread(duty string, k *looker, reports []healthshare.Report) {
+	order := &fleetpb.Order{Duty: duty, About: duty, Holder: l.set.Name, Fence: rpc.EncodeToken(k.fence)}
 	for _, r := range reports {
 		order.Sightings = append(order.Sightings, &fleetpb.Sighting{Member: r.Member, Started: r.Started, Position: r.Position,
 			Primary: r.Primary, Replica: r.Replica, At: r.At})
@@ -482,17 +482,17 @@
 		if s.Name == l.set.Name || k.busy[s.Name] {
 			continue
 		}
-		if fence, may := l.agent.May(duty); !may || fence != k.fence { // the last look before it goes out
+		if fence, may := l.agent.Valid(duty); !may || fence != k.fence { // the last look before it goes out
 			return
 		}
-		faults.Point("sight.looked") // between the look and the act
+		failpoint.Point("sight.looked") // between the look and the act
 		k.busy[s.Name] = true
 		l.order(s, order, func(v *fleetpb.Verdict, err error) { delete(k.busy, s.Name) })
 	}
 }
 
 // order sends an act to another process; done hears of it on the loop, as does the agent where it was refused.
-func (l *Link) order(to agent.Session, o *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
+func (l *Node) order(to leaseclient.Session, o *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
 	if to.Name == l.set.Name { // this very process
 		go func() {
 			v, err := l.Act(l.ctx, o)
@@ -507,7 +507,7 @@
 	conn := l.ways[addr]
 	if conn == nil {
 		var err error
-		if conn, err = wire.Dial(addr, l.set.Fleet); err != nil {
+		if conn, err = rpc.Dial(addr, l.set.Fleet); err != nil {
 			done(nil, err)
 			return
 		}
@@ -515,17 +515,17 @@
 		l.ways[addr] = conn
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(l.ctx, faults.Span("order.ends", time.Duration(l.set.Length/2*float64(time.Millisecond))))
+		ctx, cancel := context.WithTimeout(l.ctx, failpoint.Duration("order.ends", time.Duration(l.set.SessionTimeout/2*float64(time.Millisecond))))
 		defer cancel()
 		v, err := fleetpb.NewReceiverClient(conn).Act(ctx, o)
 		l.post(func() {
 			if err == nil && v.Kind == fleetpb.Verdict_OLD {
-				higher := wire.FromFence(v.Highest)
-				logrus.WithFields(logrus.Fields{"duty": o.Duty, "fence": wire.FromFence(o.Fence), "higher": higher, "by": to.Name}).
+				higher := rpc.DecodeToken(v.Highest)
+				logrus.WithFields(logrus.Fields{"duty": o.Duty, "fence": rpc.DecodeToken(o.Fence), "higher": higher, "by": to.Name}).
 					Warn("an act of ours was refused: the duty is another's")
-				l.set.Record.Add("refused", record.Fields{"duty": o.Duty, "fence": wire.FromFence(o.Fence).String(), "higher": higher.String(), "by": to.Name})
-				l.agent.At(l.now())
-				l.agent.Refusal(o.Duty, higher)
+				l.set.Record.Add("refused", audit.Fields{"duty": o.Duty, "fence": rpc.DecodeToken(o.Fence).String(), "higher": higher.String(), "by": to.Name})
+				l.agent.Advance(l.now())
+				l.agent.Rejected(o.Duty, higher)
 			}
 			done(v, err)
 		})
@@ -533,7 +533,7 @@
 }
 
 // clean ends the ways to processes that have no session any more.
-func (l *Link) clean() {
+func (l *Node) clean() {
 	there := map[string]bool{}
 	for _, s := range l.agent.Sessions("router") {
 		there[s.Address] = true
@@ -549,11 +549,11 @@
 
 // Act is the service's: an order of a duty's owner. Its fence is judged and what it says is handed to the router in one go, so
 // that nothing under a lower fence can come in between.
-func (l *Link) Act(ctx context.Context, o *fleetpb.Order) (*fleetpb.Verdict, error) {
+func (l *Node) Act(ctx context.Context, o *fleetpb.Order) (*fleetpb.Verdict, error) {
 	if l.ctx == nil || ctx.Err() != nil {
 		return nil, status.Error(codes.Unavailable, "not up")
 	}
-	if len(o.Duty) > 256 || len(o.About) > 256 || len(o.Holder) > 256 || len(o.Sightings) > sight.Most() {
+	if len(o.Duty) > 256 || len(o.About) > 256 || len(o.Holder) > 256 || len(o.Sightings) > healthshare.MaxReports() {
 		return nil, status.Error(codes.InvalidArgument, "an order of unsound size")
 	}
 	if !strings.HasPrefix(o.Duty, "sight/") && !strings.HasPrefix(o.Duty, "handover/") {
@@ -576,12 +576,12 @@
 var verdicts = map[lease.Verdict]fleetpb.Verdict_Kind{lease.Taken: fleetpb.Verdict_TAKEN, lease.Old: fleetpb.Verdict_OLD,
 	lease.Unknown: fleetpb.Verdict_UNKNOWN, lease.Broken: fleetpb.Verdict_BROKEN}
 
-func (l *Link) judge(o *fleetpb.Order, done func(*fleetpb.Verdict)) {
-	l.agent.At(l.now())
-	fence := wire.FromFence(o.Fence)
-	verdict, highest := l.agent.Take(lease.Scope{Duty: o.Duty, About: o.About}, o.Holder, fence)
-	v := &fleetpb.Verdict{Kind: verdicts[verdict], Highest: wire.Fence(highest)}
-	f := record.Fields{"duty": o.Duty, "about": o.About, "holder": o.Holder, "fence": fence.String()}
+func (l *Node) judge(o *fleetpb.Order, done func(*fleetpb.Verdict)) {
+	l.agent.Advance(l.now())
+	fence := rpc.DecodeToken(o.Fence)
+	verdict, highest := l.agent.Check(lease.Scope{Lease: o.Duty, About: o.About}, o.Holder, fence)
+	v := &fleetpb.Verdict{Kind: verdicts[verdict], Highest: rpc.EncodeToken(highest)}
+	f := audit.Fields{"duty": o.Duty, "about": o.About, "holder": o.Holder, "fence": fence.String()}
 	switch verdict {
 	case lease.Taken:
 		l.set.Record.Add("taken", f)
@@ -592,31 +592,31 @@
 		l.set.Record.Add("late", f)
 		logrus.WithFields(logrus.Fields{"duty": o.Duty, "holder": o.Holder, "fence": fence, "higher": highest}).Warn("refused an act of a former owner")
 	case lease.Broken:
-		must.Hold(false, "one fence, one holder")
+		invariant.Check(false, "one fence, one holder")
 	}
 	done(v)
 }
 
 // obey has the router do what an order says; what is unsound of it is passed over, with words.
-func (l *Link) obey(o *fleetpb.Order, fence lease.Fence, v *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
+func (l *Node) obey(o *fleetpb.Order, fence lease.Token, v *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
 	h := o.Hold
 	took := l.host(func() {
 		now := l.router.Now()
 		for _, s := range o.Sightings {
-			r := sight.Report{Member: s.Member, Started: s.Started, Position: s.Position, Primary: s.Primary, Replica: s.Replica, At: s.At}
-			if err := sight.Sound(r, now); err != nil {
+			r := healthshare.Report{Member: s.Member, Started: s.Started, Position: s.Position, Primary: s.Primary, Replica: s.Replica, At: s.At}
+			if err := healthshare.CheckReport(r, now); err != nil {
 				v.Kind, v.Why = fleetpb.Verdict_UNSOUND, err.Error()
 				continue
 			}
 			l.seen.Add(1)
-			l.router.Sighted(r)
+			l.router.PeerReported(r)
 		}
 		if h == nil {
 			done(v)
 			return
 		}
 		group := int(h.Group)
-		if o.Duty != handover.Duty(group) {
+		if o.Duty != switchover.LeaseName(group) {
 			v.Kind, v.Why = fleetpb.Verdict_UNSOUND, "an order about another group"
 			done(v)
 			return
@@ -625,9 +625,9 @@
 		case h.Looks:
 		case h.Ends:
 			l.guests.Release(group, fence, h.Number)
-			l.router.Hold(group, 0)
+			l.router.HoldWrites(group, 0)
 		default:
-			l.router.Hold(group, l.guests.Hold(group, fence, h.Number, h.MostMs, now))
+			l.router.HoldWrites(group, l.guests.Hold(group, fence, h.Number, h.MostMs, now))
 		}
 		running, waiting := l.router.Writes(group)
 		v.Running, v.Held = int64(running), int64(waiting)
--- a/internal/fleet/link_test.go
+++ b/internal/fleet/link_test.go
@@ -5,8 +5,8 @@
 	"net"
 	"testing"
 
+	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/sight"
 )
 
 // listing is a router whose list is looked at.
@@ -15,13 +15,13 @@
 	asked  chan bool
 }
 
-func (r *listing) Post(f func())         { f() }
-func (r *listing) Now() float64          { return 0 }
-func (r *listing) Look(string)           {}
-func (r *listing) Sighted(sight.Report)  {}
-func (r *listing) Hold(int, float64)     {}
-func (r *listing) Writes(int) (int, int) { return 0, 0 }
-func (r *listing) Policy(policy.Version, policy.Document) error {
+func (r *listing) Post(f func())                   { f() }
+func (r *listing) Now() float64                    { return 0 }
+func (r *listing) HealthCheck(string)              {}
+func (r *listing) PeerReported(healthshare.Report) {}
+func (r *listing) HoldWrites(int, float64)         {}
+func (r *listing) Writes(int) (int, int)           { return 0, 0 }
+func (r *listing) ApplyPolicy(policy.Version, policy.Document) error {
 	return nil
 }
 func (r *listing) Groups() map[int][]Member {
@@ -32,10 +32,10 @@
 // Guards against a fleet's part that goes over all groups again and again, where the list has not changed.
 func TestTheListIsLookedAtWhereItChanges(t *testing.T) {
 	r := &listing{asked: make(chan bool, 100)}
-	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Council: []string{"127.0.0.1:1"}, Length: 2000, Margin: 200}, r)
+	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, r)
 	l.agent.Leave() // it asks nothing of a council
 	for range 20 {
-		l.set.Ahead += 1000
+		l.set.ClockOffset += 1000
 		l.turn()
 	}
 	if n := len(l.hosted); n != 1 {
@@ -59,7 +59,7 @@
 // Guards against a change that is not heard of.
 func TestAChangeIsLookedAt(t *testing.T) {
 	r := &listing{asked: make(chan bool)}
-	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Council: []string{"127.0.0.1:1"}, Length: 2000, Margin: 200}, r)
+	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, r)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -20,11 +20,11 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
+	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/decide/sight"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // Messages that processes of this commit sent to each other: processes of two versions run side by side while a fleet is upgraded.
@@ -150,24 +150,24 @@
 	}
 }
 
-func describeAnswer(a register.Answer) string {
+func describeAnswer(a leasestate.Result) string {
 	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Fence.Epoch, a.Fence.Count, a.Why, a.Number)
 }
 
 // describeUpdate lists what a watch told, as a router takes it in.
 func describeUpdate(message *fleetpb.Update) string {
-	u := wire.FromUpdate(message)
+	u := rpc.DecodeUpdate(message)
 	out := &strings.Builder{}
 	fmt.Fprintf(out, "index %d whole %t without sessions %t", message.Index, u.Whole, u.WithoutSessions)
 	for _, s := range u.Sessions {
 		fmt.Fprintf(out, "\n  session %s kind %s address %s incarnation %d policy %s ended %t", s.Name, s.Kind, s.Address, s.Incarnation,
 			policy.MarkString(s.Policy), s.Ended)
 	}
-	for _, d := range u.Duties {
-		fmt.Fprintf(out, "\n  lease %s holder %q token %d.%d open %d %q ended %d %q steps %d", d.Name, d.Holder, d.Fence.Epoch, d.Fence.Count, d.Open.Number,
+	for _, d := range u.Leases {
+		fmt.Fprintf(out, "\n  lease %s holder %q token %d.%d open %d %q ended %d %q steps %d", d.Name, d.Holder, d.Token.Epoch, d.Token.Count, d.Open.Number,
 			d.Open.Text, d.Ended.Number, d.Ended.Text, len(d.Steps))
 		for _, step := range d.Steps {
-			fmt.Fprintf(out, "\n    step %d.%d %q", step.Fence.Epoch, step.Fence.Count, step.Text)
+			fmt.Fprintf(out, "\n    step %d.%d %q", step.Token.Epoch, step.Token.Count, step.Text)
 		}
 	}
 	for _, p := range u.Policies {
@@ -228,22 +228,22 @@
 	stands, others := splitAnswers(t)
 	do := clientOfEarlier(t, coordinator+"Do", others)
 	callAll(t, out, "do", func(ctx context.Context) (string, error) {
-		a, err := do.Do(ctx, register.Entry{Kind: register.Beat, Session: "r", Incarnation: 1})
+		a, err := do.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "r", Incarnation: 1})
 		return describeAnswer(a), err
 	})
 	stand := clientOfEarlier(t, coordinator+"Do", stands)
 	callAll(t, out, "stands", func(ctx context.Context) (string, error) {
-		fences, err := stand.Stands(ctx, []string{"handover/0", "sight/0"})
+		fences, err := stand.LatestTokens(ctx, []string{"handover/0", "sight/0"})
 		return fmt.Sprint(fences), err
 	})
 	change := clientOfEarlier(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
 	callAll(t, out, "change", func(ctx context.Context) (string, error) {
-		a, err := change.Change(ctx, &fleetpb.Members{})
+		a, err := change.ChangeMembership(ctx, &fleetpb.Members{})
 		return describeAnswer(a), err
 	})
 	look := clientOfEarlier(t, coordinator+"Look", readRecorded(t, "responses.jsonl", coordinator+"Look"))
 	callAll(t, out, "look", func(ctx context.Context) (string, error) {
-		s, err := look.Look(ctx)
+		s, err := look.State(ctx)
 		if err != nil {
 			return "", err
 		}
@@ -260,7 +260,7 @@
 		if err != nil {
 			return "", err
 		}
-		text, err := wire.Unpack(p.Bytes, policy.MostChanges)
+		text, err := rpc.Decompress(p.Bytes, policy.MostChanges)
 		return fmt.Sprintf("%s  whole %t offset %d total %d changes %x", describeStored(p.Version, nil), p.Whole, p.Offset, p.Total, text), err
 	})
 	compareGolden(t, filepath.Join(recordedBy, "responses.golden"), out.String())
@@ -288,7 +288,7 @@
 }
 
 func (r *ordered) Now() float64 { return r.now }
-func (r *ordered) Sighted(report sight.Report) {
+func (r *ordered) Sighted(report healthshare.Report) {
 	r.done <- fmt.Sprintf("sighted %s started %g position %g primary %t replica %t at %g", report.Member, report.Started, report.Position, report.Primary,
 		report.Replica, report.At)
 }
@@ -365,7 +365,7 @@
 func TestRecordedOrders_AreObeyed(t *testing.T) {
 	router := &ordered{listing: listing{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
 	asked, respond := respondToRouter(t)
-	link := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Council: []string{serveEarlier(t, respond)}, Length: 2000, Margin: 200, Bound: 5000},
+	link := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeout: 2000, SafetyMargin: 200, MaxHold: 5000},
 		router)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -407,7 +407,7 @@
 		}
 		return verdicts[:1], nil
 	})
-	conn, err := wire.Dial(address, "lab")
+	conn, err := rpc.Dial(address, "lab")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -10,13 +10,13 @@
 	"github.com/sirupsen/logrus"
 	"google.golang.org/grpc/status"
 
+	"wayloft/internal/audit"
 	"wayloft/internal/decide/backoff"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/record"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // Store keeps a policy at a router from one start to the next. Both are called off the router's loop, one call at a time.
@@ -38,11 +38,11 @@
 
 // Propose asks for a change of the policy: Held with the Number that it has, or Why not, one line for each reason. A proposal
 // is taken only while the version that it was made from is in force. Asking again for the same is harmless.
-func (c *Client) Propose(ctx context.Context, p policy.Proposal) (register.Answer, error) {
+func (c *Client) Propose(ctx context.Context, p policy.Proposal) (leasestate.Result, error) {
 	if err := p.Check(); err != nil {
-		return register.Answer{}, err
+		return leasestate.Result{}, err
 	}
-	return c.Do(ctx, register.Entry{Kind: register.Propose, Proposal: &p})
+	return c.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p})
 }
 
 // Policy gives the policy in force and its history, by the word of a majority.
@@ -58,10 +58,10 @@
 	if err != nil {
 		return all, err
 	}
-	if all.Version, _, err = wire.FromPolicy(got.Version); err != nil {
+	if all.Version, _, err = rpc.DecodePolicy(got.Version); err != nil {
 		return all, err
 	}
-	text, err := wire.Unpack(got.Document, policy.MostBytes)
+	text, err := rpc.Decompress(got.Document, policy.MostBytes)
 	if err != nil {
 		return all, fmt.Errorf("policy: %w", err)
 	}
@@ -71,7 +71,7 @@
 	if all.Version.Number > 0 && all.Document.Hash() != all.Version.Hash {
 		return all, policy.ErrMismatch
 	}
-	if text, err = wire.Unpack(got.History, policy.MostChanges); err != nil {
+	if text, err = rpc.Decompress(got.History, policy.MostChanges); err != nil {
 		return all, fmt.Errorf("policy: history: %w", err)
 	}
 	all.History, err = policy.DecodeChanges(text)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return p, fmt.Errorf("council at %s: %s", addr, status.Convert(err).Message())
 	}
-	v, _, err := wire.FromPolicy(a.Version)
+	v, _, err := rpc.DecodePolicy(a.Version)
 	if err != nil {
 		return p, fmt.Errorf("council at %s: %w", addr, err)
 	}
@@ -116,12 +116,12 @@
 }
 
 func follow(set Settings, seed uint64) *following {
-	return &following{follower: policy.NewFollower(policy.Settings{Rate: set.PolicyRate, Seed: seed, Unpack: wire.Unpack})}
+	return &following{follower: policy.NewFollower(policy.Settings{Rate: set.PolicyRate, Seed: seed, Unpack: rpc.Decompress})}
 }
 
 // remember begins with what was kept.
-func (l *Link) remember() {
-	l.follow.follower.At(l.now())
+func (l *Node) remember() {
+	l.follow.follower.Advance(l.now())
 	if l.set.Store == nil {
 		return
 	}
@@ -129,25 +129,25 @@
 	if err != nil {
 		logrus.WithError(err).Warn("no policy of an earlier start")
 	}
-	if l.set.Record.Add("begins with", record.Fields{"version": v.String()}); v.Number == 0 {
+	if l.set.Record.Add("begins with", audit.Fields{"version": v.String()}); v.Number == 0 {
 		return
 	}
 	l.follow.follower.Stored(v, d)
 }
 
 // goBy does what is decided of the policy.
-func (l *Link) goBy(now float64) {
+func (l *Node) goBy(now float64) {
 	f := l.follow
-	f.follower.At(now)
+	f.follower.Advance(now)
 	for d, more := f.follower.Next(); more; d, more = f.follower.Next() {
-		switch d.Verb {
+		switch d.Action {
 		case policy.Fetch:
 			go l.fetch(d.Request, !f.failed)
-		case policy.Adopt:
+		case policy.Apply:
 			f.adopt = &d
 		case policy.Acknowledge:
-			l.set.Record.Add("goes by", record.Fields{"version": policy.MarkString(d.Mark), "wont": policy.MarkString(d.Wont), "why": d.Why})
-			l.agent.GoBy(d.Mark, d.Wont, d.Why)
+			l.set.Record.Add("goes by", audit.Fields{"version": policy.MarkString(d.Applied), "wont": policy.MarkString(d.Rejected), "why": d.Reason})
+			l.agent.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
 			f.save = &d
 		}
@@ -159,7 +159,7 @@
 }
 
 // keep has the latest version saved, off the loop, one call at a time; what fails is tried again until a later one takes its place.
-func (l *Link) keep(now float64) {
+func (l *Node) keep(now float64) {
 	f := l.follow
 	if f.save == nil || f.saving || l.set.Store == nil || f.retry.Failing() && f.retry.Due() > now {
 		return
@@ -173,14 +173,14 @@
 }
 
 // kept takes in what became of a version that was to be saved.
-func (l *Link) kept(d *policy.Decision, err error) {
+func (l *Node) kept(d *policy.Decision, err error) {
 	f := l.follow
 	f.saving = false
 	if err == nil {
 		if f.retry.Succeed(l.now()) {
 			logrus.WithField("version", d.Version).Info("the policy is kept for the next start again")
 		}
-		l.set.Record.Add("stored", record.Fields{"version": d.Version.String()})
+		l.set.Record.Add("stored", audit.Fields{"version": d.Version.String()})
 		return
 	}
 	if f.save == nil {
@@ -188,39 +188,39 @@
 	}
 	if f.retry.Fail(l.now()) {
 		logrus.WithError(err).WithField("version", d.Version).Error("the policy is not kept for the next start: trying again")
-		l.set.Record.Add("unsaved", record.Fields{"version": d.Version.String(), "why": err.Error()})
+		l.set.Record.Add("unsaved", audit.Fields{"version": d.Version.String(), "why": err.Error()})
 	}
 }
 
 // adopt has the router go by a version, on its loop.
-func (l *Link) adopt(d policy.Decision) {
-	faults.Point("policy.adopt")
-	err := l.router.Policy(d.Version, d.Document)
+func (l *Node) adopt(d policy.Decision) {
+	failpoint.Point("policy.adopt")
+	err := l.router.ApplyPolicy(d.Version, d.Document)
 	go l.post(func() {
-		l.follow.follower.At(l.now())
+		l.follow.follower.Advance(l.now())
 		line := logrus.WithFields(logrus.Fields{"version": d.Version, "author": d.Version.Author, "reason": d.Version.Reason})
 		if err != nil {
 			line.WithError(err).Error("a policy that this router can't take")
-			l.follow.follower.Couldnt(d.Version, err.Error())
+			l.follow.follower.ApplyFailed(d.Version, err.Error())
 			return
 		}
 		line.Info("goes by policy")
-		l.follow.follower.Took(d.Version)
+		l.follow.follower.Applied(d.Version)
 	})
 }
 
-func (l *Link) fetch(q policy.Request, first bool) {
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.Length/2*float64(time.Millisecond)))
+func (l *Node) fetch(q policy.Request, first bool) {
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.SessionTimeout/2*float64(time.Millisecond)))
 	defer cancel()
 	p, err := l.client.part(ctx, q, first)
 	l.post(func() {
 		f := l.follow
-		f.follower.At(l.now())
+		f.follower.Advance(l.now())
 		if f.failed = err != nil; err != nil {
 			logrus.WithError(err).Debug("no part of the policy")
-			f.follower.Failed()
+			f.follower.FetchFailed()
 			return
 		}
-		f.follower.Got(p)
+		f.follower.PartReceived(p)
 	})
 }
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -13,10 +13,10 @@
 
 	"google.golang.org/grpc"
 
-	"wayloft/internal/council"
-	decide "wayloft/internal/decide/council"
+	"wayloft/internal/coordinator"
+	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/sight"
+	decide "wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
 )
@@ -44,7 +44,7 @@
 		peers = append(peers, decide.Peer{Name: fmt.Sprint("c", n+1), Addr: l.Addr().String()})
 	}
 	for n, p := range peers {
-		c, err := council.Open(council.Settings{Fleet: "f", Name: p.Name, Dir: t.TempDir(), Address: p.Addr, Peers: peers, Tick: 20, Keep: 1000, Connections: 100})
+		c, err := coordinator.Open(coordinator.Settings{Fleet: "f", Name: p.Name, Dir: t.TempDir(), Address: p.Addr, Peers: peers, Tick: 20, Keep: 1000, Connections: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,12 +84,12 @@
 func (p *plain) Post(f func())                     { p.loop <- f }
 func (p *plain) Now() float64                      { return 0 }
 func (p *plain) Groups() map[int][]fleet.Member    { return nil }
-func (p *plain) Look(string)                       {}
-func (p *plain) Sighted(sight.Report)              {}
-func (p *plain) Hold(int, float64)                 {}
+func (p *plain) HealthCheck(string)                {}
+func (p *plain) PeerReported(healthshare.Report)   {}
+func (p *plain) HoldWrites(int, float64)           {}
 func (p *plain) Writes(int) (running, waiting int) { return 0, 0 }
 func (p *plain) set(wont error)                    { p.mu.Lock(); p.wont = wont; p.mu.Unlock() }
-func (p *plain) Policy(v policy.Version, d policy.Document) error {
+func (p *plain) ApplyPolicy(v policy.Version, d policy.Document) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.wont != nil {
@@ -128,7 +128,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	link := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Council: h.addrs, Address: l.Addr().String(), Length: 2000, Margin: 200,
+	link := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addrs, Address: l.Addr().String(), SessionTimeout: 2000, SafetyMargin: 200,
 		PolicyRate: 1 << 20, Store: s}, p)
 	loop := run(func(ctx context.Context) {
 		for {
@@ -153,7 +153,7 @@
 	for {
 		select {
 		case got := <-p.heard:
-			if got.Mark() >= v.Mark() {
+			if got.Number64() >= v.Number64() {
 				return
 			}
 		case <-late:
@@ -221,7 +221,7 @@
 	told := func(name string, right func(*fleetpb.Session) bool) { // each look waits for a majority
 		t.Helper()
 		for {
-			s, err := client.Look(ctx)
+			s, err := client.State(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -233,7 +233,7 @@
 		}
 	}
 	for n := range all {
-		told(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Mark() && s.Wont == 0 })
+		told(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Number64() && s.Wont == 0 })
 	}
 
 	// A proposal from what is no longer in force, and one of fields that can't be changed.
@@ -241,7 +241,7 @@
 		a.Held || !strings.Contains(a.Why, "is in force") {
 		t.Error(a, err)
 	}
-	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Mark(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
+	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Number64(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
 		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(a.Why, "txn_types.order.level: ") || !strings.Contains(a.Why, "listen: ") {
 		t.Error(a, err)
 	}
@@ -257,14 +257,14 @@
 	next := propose(t, ctx, client, func(d policy.Document) { d["over_share_value"] = "0.4" })
 	all[2].until(t, next)
 	told("r2", func(s *fleetpb.Session) bool {
-		return s.Policy == large.Mark() && s.Wont == next.Mark() && s.Why == "no memory for this"
+		return s.Policy == large.Number64() && s.Wont == next.Number64() && s.Why == "no memory for this"
 	})
 	back, _ := h.join("r1", kept)
 	if v := <-back.heard; v != large {
 		t.Errorf("came back with %s, kept %s", v, large)
 	}
 	back.until(t, next)
-	told("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Mark() })
+	told("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Number64() })
 }
 
 // deaf leads a council, and gives no answer to the first that asks.
@@ -312,7 +312,7 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if s, err := client.Look(ctx); err != nil || s.Epoch != 7 {
+	if s, err := client.State(ctx); err != nil || s.Epoch != 7 {
 		t.Error(s, err)
 	}
 }
--- a/internal/fleet/storage_test.go
+++ b/internal/fleet/storage_test.go
@@ -11,13 +11,13 @@
 	"testing"
 
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 // copied gives a folder as a process that is killed now leaves it.
-func copied(t *testing.T, f *Folder) *Folder {
+func copied(t *testing.T, f *PolicyStore) *PolicyStore {
 	t.Helper()
-	left := &Folder{Dir: t.TempDir(), Fleet: f.Fleet}
+	left := &PolicyStore{Dir: t.TempDir(), Fleet: f.Fleet}
 	names, err := filepath.Glob(f.path("*"))
 	if err != nil {
 		t.Fatal(err)
@@ -43,11 +43,11 @@
 			for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
 				for _, run := range []int{1, 3} {
 					t.Run(fmt.Sprint(point, " ", at, " ", refused, " ", run), func(t *testing.T) {
-						f := &Folder{Dir: t.TempDir(), Fleet: "lab"}
+						f := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 						saved(t, f, 1, 2)
 						for range run {
 							count := 0
-							clear := faults.FailOperations(point, func(string) error {
+							clear := failpoint.SetOperationError(point, func(string) error {
 								if count++; count == at {
 									return refused
 								}
@@ -59,7 +59,7 @@
 							if err == nil && count >= at {
 								t.Fatal("a save that failed is told as done")
 							}
-							for _, left := range []*Folder{copied(t, f), f} {
+							for _, left := range []*PolicyStore{copied(t, f), f} {
 								if v, got, err := left.Load(); err != nil || v.Number < 2 || v.Number > 3 || got["tenants.acme.rate"] != fmt.Sprint(v.Number) {
 									t.Fatalf("%v, %v, %v", v, got, err)
 								}
@@ -78,15 +78,15 @@
 func TestKeep_TriesAgain(t *testing.T) {
 	var failing atomic.Bool
 	tried := make(chan struct{}, 100)
-	defer faults.FailOperations("policy.write", func(string) error {
+	defer failpoint.SetOperationError("policy.write", func(string) error {
 		tried <- struct{}{}
 		if failing.Load() {
 			return syscall.ENOSPC
 		}
 		return nil
 	})()
-	f := &Folder{Dir: t.TempDir(), Fleet: "lab"}
-	l := &Link{set: Settings{Store: f}, inbox: make(chan func()), ended: make(chan struct{}), follow: &following{}}
+	f := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
+	l := &Node{set: Settings{Store: f}, inbox: make(chan func()), ended: make(chan struct{}), follow: &following{}}
 	defer close(l.ended)
 	turn := func(now float64) { // as the loop does
 		l.keep(now)
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 const (
@@ -22,11 +22,11 @@
 	mostStore = policy.MostBytes + 8192 // bytes of one file
 )
 
-// Folder keeps a policy in a folder of this router's own, in two generations: "policy", and the one before it. Each is written
+// PolicyStore keeps a policy in a folder of this router's own, in two generations: "policy", and the one before it. Each is written
 // whole under another name, synced, and only then given its name, with a sum over all its bytes: a process that ends at any
 // moment, or a disk that fills up, leaves at least one as it was. A file that is wrong is set aside (".wrong") and counts as
 // none. It says what to begin with; what is in force the council says.
-type Folder struct{ Dir, Fleet string }
+type PolicyStore struct{ Dir, Fleet string }
 
 // kept is what a file holds, after the SHA-256 of its bytes.
 type kept struct {
@@ -36,7 +36,7 @@
 	Document policy.Document `cbor:"4,keyasint"`
 }
 
-func (f *Folder) path(name string) string { return filepath.Join(f.Dir, name) }
+func (f *PolicyStore) path(name string) string { return filepath.Join(f.Dir, name) }
 
 const (
 	latest = "policy"
@@ -48,7 +48,7 @@
 var errWrong = errors.New("not a policy as it was written")
 
 // read gives what a file holds. fs.ErrNotExist: there is none; errWrong: it can't be trusted.
-func (f *Folder) read(name string) (k kept, err error) {
+func (f *PolicyStore) read(name string) (k kept, err error) {
 	file, err := os.Open(f.path(name))
 	if err != nil {
 		return k, err
@@ -82,7 +82,7 @@
 }
 
 // Load gives the latest generation that can be trusted. The error tells of a folder or file that can't be read.
-func (f *Folder) Load() (policy.Version, policy.Document, error) {
+func (f *PolicyStore) Load() (policy.Version, policy.Document, error) {
 	var wrong error
 	for _, name := range []string{latest, before} {
 		k, err := f.read(name)
@@ -101,7 +101,7 @@
 }
 
 // Save keeps a version. Whatever becomes of it, what was there before is there, or this.
-func (f *Folder) Save(v policy.Version, d policy.Document) error {
+func (f *PolicyStore) Save(v policy.Version, d policy.Document) error {
 	body, err := cbor.Marshal(kept{storeForm, f.Fleet, v, d})
 	if err != nil {
 		return err
@@ -114,28 +114,28 @@
 		os.Remove(f.path(begun)) // what there is of it takes room on a disk that is full
 		return err
 	}
-	faults.Point("policy.written")
+	failpoint.Point("policy.written")
 	if _, err := f.read(latest); err == nil { // else the one before is the better one
 		if err := f.rename(latest, before); err != nil {
 			return err
 		}
 	}
-	faults.Point("policy.between")
+	failpoint.Point("policy.between")
 	if err := f.rename(begun, latest); err != nil {
 		return err
 	}
 	return syncDir(f.Dir)
 }
 
-func (f *Folder) rename(from, to string) error {
-	if err := faults.Fail("policy.rename", f.path(to)); err != nil {
+func (f *PolicyStore) rename(from, to string) error {
+	if err := failpoint.OperationError("policy.rename", f.path(to)); err != nil {
 		return err
 	}
 	return os.Rename(f.path(from), f.path(to))
 }
 
 // make makes the folder, and has its own name last.
-func (f *Folder) make() error {
+func (f *PolicyStore) make() error {
 	if _, err := os.Stat(f.Dir); err == nil {
 		return nil
 	}
@@ -151,7 +151,7 @@
 		return err
 	}
 	defer dir.Close()
-	return cmp.Or(faults.Fail("policy.sync", path), dir.Sync())
+	return cmp.Or(failpoint.OperationError("policy.sync", path), dir.Sync())
 }
 
 func writeSynced(path string, b []byte) error {
@@ -159,9 +159,9 @@
 	if err != nil {
 		return err
 	}
-	if refused := faults.Fail("policy.write", path); refused != nil { // half of it is there, as where a disk is full
+	if refused := failpoint.OperationError("policy.write", path); refused != nil { // half of it is there, as where a disk is full
 		b, err = b[:len(b)/2], refused
 	}
 	_, written := file.Write(b)
-	return errors.Join(err, written, faults.Fail("policy.sync", path), file.Sync(), file.Close())
+	return errors.Join(err, written, failpoint.OperationError("policy.sync", path), file.Sync(), file.Close())
 }
--- a/internal/fleet/store_test.go
+++ b/internal/fleet/store_test.go
@@ -15,7 +15,7 @@
 	return policy.Version{Epoch: 5, Number: number, Hash: d.Hash(), Size: len(d.Encode()), Author: "ann", Reason: "more room"}
 }
 
-func saved(t *testing.T, f *Folder, numbers ...uint64) {
+func saved(t *testing.T, f *PolicyStore, numbers ...uint64) {
 	t.Helper()
 	for _, n := range numbers {
 		d := policy.Document{"tenants.acme.rate": fmt.Sprint(n)}
@@ -26,7 +26,7 @@
 }
 
 // loads wants what was saved under a number; 0: nothing.
-func loads(t *testing.T, f *Folder, want uint64) {
+func loads(t *testing.T, f *PolicyStore, want uint64) {
 	t.Helper()
 	v, d, err := f.Load()
 	if err != nil || v.Number != want || want > 0 && !maps.Equal(d, policy.Document{"tenants.acme.rate": fmt.Sprint(want)}) {
@@ -37,7 +37,7 @@
 // What was saved last is there at the next start; the one before stands in where a file is wrong, whatever is wrong with it,
 // and a wrong one is set aside.
 func TestStore(t *testing.T) {
-	f := &Folder{Dir: filepath.Join(t.TempDir(), "deep", "er"), Fleet: "lab"}
+	f := &PolicyStore{Dir: filepath.Join(t.TempDir(), "deep", "er"), Fleet: "lab"}
 	loads(t, f, 0)
 	saved(t, f, 1)
 	loads(t, f, 1)
@@ -80,13 +80,13 @@
 	}
 	loads(t, f, 0)
 	saved(t, f, 6)
-	loads(t, &Folder{Dir: f.Dir, Fleet: "other"}, 0)
+	loads(t, &PolicyStore{Dir: f.Dir, Fleet: "other"}, 0)
 	loads(t, f, 0)
 }
 
 // A process that ends between any two steps of a save leaves the version before it, or this.
 func TestStoreCutShort(t *testing.T) {
-	f := &Folder{Dir: t.TempDir(), Fleet: "lab"}
+	f := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	saved(t, f, 1, 2)
 	if err := os.WriteFile(f.path(begun), []byte("half"), 0o600); err != nil { // while it was being written
 		t.Fatal(err)
@@ -106,14 +106,14 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := &Folder{Dir: filepath.Join(file, "policy"), Fleet: "lab"}
+	f := &PolicyStore{Dir: filepath.Join(file, "policy"), Fleet: "lab"}
 	if err := f.Save(version(1, nil), nil); err == nil {
 		t.Error("saved beneath a file")
 	}
 	if v, _, err := f.Load(); err == nil || v.Number != 0 {
 		t.Errorf("got %v, %v", v, err)
 	}
-	full := &Folder{Dir: t.TempDir(), Fleet: "lab"}
+	full := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	saved(t, full, 1)
 	if err := os.Symlink("/dev/full", full.path(begun)); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -16,9 +16,9 @@
 const storedBy = "testdata/stored-dd13dd4"
 
 // copyStored lays a router's stored policy folder out in a temporary one.
-func copyStored(t *testing.T) *Folder {
+func copyStored(t *testing.T) *PolicyStore {
 	t.Helper()
-	folder := &Folder{Dir: t.TempDir(), Fleet: "lab"}
+	folder := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	for _, name := range []string{"policy", "policy.before"} {
 		text, err := os.ReadFile(filepath.Join(storedBy, name))
 		if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // loadStored loads what a folder holds and lists it.
-func loadStored(t *testing.T, folder *Folder) string {
+func loadStored(t *testing.T, folder *PolicyStore) string {
 	t.Helper()
 	version, document, err := folder.Load()
 	if err != nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh := &Folder{Dir: t.TempDir(), Fleet: "lab"}
+	fresh := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	if err := fresh.Save(version, document); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/clients/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package clients
+package frontend
 
 import (
 	"net"
@@ -10,13 +10,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 // failures has a point fail so many times with an error, and counts the calls.
 func failures(point string, times int64, err error) (calls *atomic.Int64, clear func()) {
 	calls = &atomic.Int64{}
-	return calls, faults.FailAt(point, func() error {
+	return calls, failpoint.SetError(point, func() error {
 		if calls.Add(1) <= times {
 			return err
 		}
@@ -71,8 +71,8 @@
 func TestAcceptedConnectionWaitsForADescriptor_WhileDraining(t *testing.T) {
 	f := newFront(t, 10)
 	var ends atomic.Int64 // times that the process would have ended
-	defer faults.At("clients.last", func() { ends.Add(1) })()
-	defer faults.FailAt("host.adopt", func() error {
+	defer failpoint.Set("clients.last", func() { ends.Add(1) })()
+	defer failpoint.SetError("host.adopt", func() error {
 		if ends.Load() < 3 {
 			return os.NewSyscallError("dup", unix.EMFILE)
 		}
--- a/internal/clients/closed_test.go
+++ b/internal/frontend/closed_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"fmt"
@@ -8,32 +8,32 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 	decide "wayloft/internal/decide/session"
-	"wayloft/internal/exchange"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
 // A request can be asked whether its client has closed, before the loop has heard of it: the loop is busy with asking when the
 // client closes. One that sends more has not.
 func TestARequestKnowsThatItsClientClosed(t *testing.T) {
-	kinds := map[string]*router.TxnType{"read": {SLA: 60000, Expiry: 60000, Value: 1, LateValue: 1}}
+	kinds := map[string]*router.RequestClass{"read": {LatencyObjective: 60000, Deadline: 60000, PriorityWeight: 1, LateWeightShare: 1}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := host.New(host.NewLoop(256), router.New(&router.Settings{Routers: 1, Submissions: 6, CanCheck: true, TxnTypes: kinds}, 1), kinds, func() {})
+	h := eventloop.New(eventloop.NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: kinds}, 1), kinds, func() {})
 	f := &front{t: t, host: h, all: New(h, 10, 1<<20, 1<<16), addr: l.Addr().String()}
 	f.all.Pooled(&Pooling{Pools: []*Pool{{Name: "p", Database: "pooled", Policy: decide.Policy{Settings: 1 << 12, Statements: 8},
 		Fallback: "read", Known: iradix.New[string]}, {Name: "s", Database: "plain", Plain: true}}})
-	h.Use(nobody{})
+	h.SetBackend(nobody{})
 	if err := h.Listen(f.all.Gate(l), 1<<20, f.all.Accept); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan bool)
 	go func() { h.Run(); close(ended) }()
-	t.Cleanup(func() { h.Post(h.End); <-ended })
+	t.Cleanup(func() { h.Post(h.Stop); <-ended })
 	for _, database := range []string{"plain", "pooled"} {
 		t.Run(database, func(t *testing.T) {
 			c := f.dial(database, false)
@@ -43,8 +43,8 @@
 				}
 			}
 			ask(database)
-			var one *exchange.Txn
-			standin.Until(t, "its request is there", func() bool {
+			var one *request.Request
+			fakes.Until(t, "its request is there", func() bool {
 				f.do(func() {
 					for s := range f.all.sessions {
 						if one = s.txn; s.p != nil {
@@ -67,7 +67,7 @@
 					t.Error("not closed, before the loop has heard of it")
 				}
 			})
-			standin.Until(t, "its session ends", func() (none bool) {
+			fakes.Until(t, "its session ends", func() (none bool) {
 				f.do(func() { none = len(f.all.sessions) == 0 })
 				return none
 			})
@@ -76,6 +76,6 @@
 }
 
 // nobody carries nothing: there is no member.
-type nobody struct{ host.Members }
+type nobody struct{ eventloop.Backend }
 
 func (nobody) Abandon(string) {}
--- a/internal/clients/drain.go
+++ b/internal/frontend/drain.go
@@ -1,9 +1,9 @@
-package clients
+package frontend
 
 import (
-	"wayloft/internal/exchange"
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 )
 
 const (
@@ -16,7 +16,7 @@
 // Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last. The signal was
 // received at this time of the loop's clock, and within so many ms of it each request has its final answer, whatever members do:
 // the process may be killed soon after that.
-func (a *Clients) Drain(signalled, within float64) {
+func (a *Frontend) Drain(signalled, within float64) {
 	if a.draining { // told twice: the first counts
 		return
 	}
@@ -33,14 +33,14 @@
 
 // limitWait has a request that is taken while the router drains end before the process may be killed. One that comes later has no
 // time left: it is declined, and never sent to a member.
-func (a *Clients) limitWait(t *exchange.Txn) {
+func (a *Frontend) limitWait(t *request.Request) {
 	if a.draining {
-		t.Cap(max(0, a.answerBy-t.Arrived))
+		t.LimitWait(max(0, a.answerBy-t.Arrived))
 	}
 }
 
 // sweep ends what is quiet; after a while also what has not sent its query to the end.
-func (a *Clients) sweep() {
+func (a *Frontend) sweep() {
 	now := a.host.Now()
 	late := now > min(a.left+comers, a.answerBy)
 	for s := range a.sessions {
@@ -66,21 +66,21 @@
 }
 
 // giveUp answers the requests that are still without an answer at the end of the drain. Those of pools end with their transactions.
-func (a *Clients) giveUp() {
+func (a *Frontend) giveUp() {
 	for s := range a.sessions {
 		if t := s.txn; t != nil {
-			a.host.Gone(t)
-			s.deliver(exchange.Answer{}, s.size)
+			a.host.ClientGone(t)
+			s.deliver(request.Response{}, s.size)
 		}
 	}
 }
 
 // last ends the loop after the last session, unless one more is on its way in.
-func (a *Clients) last() {
+func (a *Frontend) last() {
 	if !a.leaving || len(a.sessions) > 0 {
 		return
 	}
-	if faults.Here("clients.last"); a.gate.empty() {
-		a.host.End()
+	if failpoint.Hit("clients.last"); a.gate.empty() {
+		a.host.Stop()
 	}
 }
--- a/internal/clients/clients.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package clients serves the clients' side: it owns the sessions, the order of their queries and the drain. It must
+// Package frontend serves the clients' side: it owns the sessions, the order of their queries and the drain. It must
 // never know a member, and never give a txn an answer that no member and no decision made.
-package clients
+package frontend
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"time"
 
 	"wayloft/internal/decide/syscallerror"
-	"wayloft/internal/exchange"
-	"wayloft/internal/faults"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 )
 
 const (
@@ -29,9 +29,9 @@
 	unread  = 1 << 16 // bytes that a client may leave unread before its next query is looked at
 )
 
-// Clients holds all sessions.
-type Clients struct {
-	host     *host.Host
+// Frontend holds all sessions.
+type Frontend struct {
+	host     *eventloop.Driver
 	most     int // sessions
 	budget   int // bytes of statements and parts of them
 	longest  int // bytes of one message
@@ -57,12 +57,12 @@
 
 // session is one client's connection: its messages are answered in order, one at a time.
 type session struct {
-	all   *Clients
-	conn  *host.Conn
+	all   *Frontend
+	conn  *eventloop.Conn
 	p     *pooled // nil: the platform's form
 	in    *pg.Reader
 	queue []item
-	txn   *exchange.Txn
+	txn   *request.Request
 	size  int     // bytes of its statement
 	since float64 // when it last became quiet
 	until float64 // when it must have asked, or sent the rest of a message, or is sent away for idling
@@ -95,14 +95,14 @@
 )
 
 // New makes room for so many sessions, which together hold so many bytes of statements, none longer than longest.
-func New(h *host.Host, most, budget, longest int) *Clients {
-	a := &Clients{host: h, most: most, budget: budget, longest: longest, sessions: map[*session]bool{},
+func New(h *eventloop.Driver, most, budget, longest int) *Frontend {
+	a := &Frontend{host: h, most: most, budget: budget, longest: longest, sessions: map[*session]bool{},
 		rota: rota{awake: map[*session]bool{}}, keys: map[pg.Key]*pooled{}, room: make(chan struct{}, most+spare)}
 	return a
 }
 
 // Accept takes a connection in.
-func (a *Clients) Accept(c *host.Conn) {
+func (a *Frontend) Accept(c *eventloop.Conn) {
 	now := a.host.Now()
 	s := &session{all: a, conn: c, in: pg.NewReader(false, a.longest), since: now, moved: now, until: now + hurry}
 	c.Handle(s)
@@ -123,7 +123,7 @@
 // makeRoom ends a session if no other could come in: one that has had time to ask and did not, else the one that has
 // been quiet longest, else a newcomer. Guards against crowds that connect and say nothing: they push out each other
 // before anyone else.
-func (a *Clients) makeRoom() {
+func (a *Frontend) makeRoom() {
 	for len(a.sessions)-a.ending >= a.most {
 		if first := a.first(a.host.Now()); first == nil || first.retire() { // others may be waiting
 			return
@@ -168,7 +168,7 @@
 // look ends sessions that have taken too long, whatever they wait for but an answer, and of those that rest all but the
 // latest third of what there is room for. Guards against connections that are never used, statements that never end,
 // answers that are never read, and clients that hold connections which they don't use again until none is left to them.
-func (a *Clients) look() {
+func (a *Frontend) look() {
 	a.looking = false
 	if a.lookOnce(); a.leaving || len(a.rota.awake)+a.rota.resting.Len() > 0 {
 		a.lookSoon()
@@ -176,14 +176,14 @@
 }
 
 // lookSoon has the next look come, where one is needed. A router whose sessions all sleep wakes for none.
-func (a *Clients) lookSoon() {
+func (a *Frontend) lookSoon() {
 	if !a.looking {
 		a.looking = true
 		a.host.After(looks, a.look)
 	}
 }
 
-func (a *Clients) lookOnce() {
+func (a *Frontend) lookOnce() {
 	now := a.host.Now()
 	for s := range a.rota.awake {
 		a.rota.looked++
@@ -210,7 +210,7 @@
 }
 
 // Sessions tells how many there are, and how many of them wait for an answer.
-func (a *Clients) Sessions() (all, busy int) {
+func (a *Frontend) Sessions() (all, busy int) {
 	for s := range a.sessions {
 		if s.txn != nil || s.p != nil && s.p.txn != nil {
 			busy++
@@ -255,7 +255,7 @@
 		s.p.leave()
 	}
 	if s.txn != nil {
-		s.all.host.Gone(s.txn)
+		s.all.host.ClientGone(s.txn)
 		s.txn = nil
 	}
 	if s.ends {
@@ -265,14 +265,14 @@
 	delete(s.all.sessions, s)
 	s.all.rota.leave(s)
 	<-s.all.room
-	faults.Here("clients.closed")
+	failpoint.Hit("clients.closed")
 	s.all.last()
 }
 
 // Data takes bytes in.
 func (s *session) Data(b []byte) {
 	if s.deaf {
-		faults.Here("clients.ignored")
+		failpoint.Hit("clients.ignored")
 		return
 	}
 	s.all.rota.wake(s, s.all.host.Now())
@@ -307,7 +307,7 @@
 
 func (s *session) message(m pg.Message) {
 	if m.Kind == pg.Query {
-		faults.Here("clients.query")
+		failpoint.Hit("clients.query")
 	}
 	switch {
 	case m.Kind == pg.AskTLS:
@@ -353,7 +353,7 @@
 
 // overfull tells whether all sessions hold too much, and one that holds so much has a part in that. Guards against big statements
 // of some that end the sessions of all others.
-func (a *Clients) overfull(own int) bool {
+func (a *Frontend) overfull(own int) bool {
 	return a.held > 2*a.budget && own > a.budget/a.most
 }
 
@@ -441,7 +441,7 @@
 		s.txn, s.size = t, len(text)
 		return
 	case errors.As(err, &bad):
-	case errors.Is(err, host.ErrID):
+	case errors.Is(err, eventloop.ErrID):
 		bad = &pg.Error{Code: pg.Taken, Text: err.Error()}
 	default:
 		bad = &pg.Error{Code: pg.Invalid, Text: err.Error()}
@@ -463,28 +463,28 @@
 	}
 }
 
-func (s *session) arrive(text string, at float64) (*exchange.Txn, error) {
+func (s *session) arrive(text string, at float64) (*request.Request, error) {
 	st, err := pg.ParseStatement(text)
 	if err != nil {
 		return nil, err
 	}
-	t := exchange.New(st, at, func(a exchange.Answer) { s.deliver(a, len(text)) })
+	t := request.New(st, at, func(a request.Response) { s.deliver(a, len(text)) })
 	t.ClientClosed = s.conn.PeerClosed
 	s.all.limitWait(t)
 	return t, s.all.host.Arrive(t)
 }
 
 // deliver writes the final answer. What comes next waits its turn, since decisions are just being pulled.
-func (s *session) deliver(a exchange.Answer, size int) {
+func (s *session) deliver(a request.Response, size int) {
 	s.txn = nil
 	s.hold(-size)
 	switch {
-	case a.Committed != nil:
-		s.conn.Write(pg.AppendReady(a.Committed))
-	case a.Declined:
+	case a.Rows != nil:
+		s.conn.Write(pg.AppendReady(a.Rows))
+	case a.Rejected:
 		e := &pg.Error{Code: pg.Refused, Text: "declined, a retry does no harm"}
-		if a.Wait > 0 {
-			e.Detail = strconv.Itoa(int(a.Wait))
+		if a.RetryAfter > 0 {
+			e.Detail = strconv.Itoa(int(a.RetryAfter))
 		}
 		s.fail(e)
 	case a.Fault != nil:
@@ -492,5 +492,5 @@
 	default:
 		s.fail(&pg.Error{Code: pg.Unresolved, Text: "rolled back, it may have taken effect"})
 	}
-	s.all.host.Soon(s.next)
+	s.all.host.Defer(s.next)
 }
--- a/internal/clients/gate.go
+++ b/internal/frontend/gate.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"errors"
@@ -10,12 +10,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"wayloft/internal/faults"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/failpoint"
 )
 
 // Gate makes a listener leave connections with the system while there is no room.
-func (a *Clients) Gate(l net.Listener) net.Listener {
+func (a *Frontend) Gate(l net.Listener) net.Listener {
 	a.gate = &gate{Listener: l, room: a.room}
 	return a.gate
 }
@@ -56,11 +56,11 @@
 		if err != nil {
 			return nil, err
 		}
-		faults.Here("clients.accepted")
+		failpoint.Hit("clients.accepted")
 		g.let.Add(1)
 		g.accepted = c
 	}
-	c, err := host.Adopt(g.accepted)
+	c, err := eventloop.Adopt(g.accepted)
 	if err != nil && errors.As(err, new(syscall.Errno)) {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 }
 
 func (g *gate) accept() (net.Conn, error) {
-	if err := faults.Error("clients.accept"); err != nil {
+	if err := failpoint.Error("clients.accept"); err != nil {
 		return nil, err
 	}
 	return g.Listener.Accept()
--- a/internal/clients/pooled.go
+++ b/internal/frontend/pooled.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"cmp"
@@ -11,9 +11,9 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 	decide "wayloft/internal/decide/session"
-	"wayloft/internal/exchange"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
 	"wayloft/internal/pg"
+	"wayloft/internal/request"
 )
 
 // Pool is what clients of a user and database share.
@@ -35,7 +35,7 @@
 }
 
 // Pooled gives clients pools; it is called before the first comes.
-func (a *Clients) Pooled(p *Pooling) { a.pooling = p }
+func (a *Frontend) Pooled(p *Pooling) { a.pooling = p }
 
 // find gives the pool of a client that comes in: one for its user first.
 func (p *Pooling) find(user, database string) *Pool {
@@ -50,7 +50,7 @@
 }
 
 // platform tells whether a client that comes in has the platform's form.
-func (a *Clients) platform(m pg.Message) bool {
+func (a *Frontend) platform(m pg.Message) bool {
 	user := m.Startup.Get("user")
 	p := a.pooling.find(user, cmp.Or(m.Startup.Get("database"), user))
 	return p != nil && p.Plain
@@ -63,8 +63,8 @@
 	d    *decide.Session
 	key  pg.Key
 	told *iradix.Tree[string] // what the client knows of its server
-	txn  *exchange.Txn
-	held exchange.Carrier // the connection that stays with the session
+	txn  *request.Request
+	held request.BackendSide // the connection that stays with the session
 
 	ops     []decide.Op // of the unit that is not whole yet
 	queue   []item      // what came while one is on its way
@@ -135,22 +135,22 @@
 }
 
 // cancel stops what runs for the client that has this key, if anything does. It is never told whether.
-func (a *Clients) cancel(k pg.Key) {
+func (a *Frontend) cancel(k pg.Key) {
 	p := a.keys[k]
 	if p == nil || p.txn == nil {
 		return
 	}
-	if c := p.txn.Talk.Carrier(); c != nil {
+	if c := p.txn.Stream.Backend(); c != nil {
 		c.Cancel()
 		return
 	}
 	t := p.txn // it waits, and nothing has run
-	p.txn, p.held = nil, t.Talk.Held
-	a.host.Gone(t)
-	t.Talk.Quit()
+	p.txn, p.held = nil, t.Stream.Reserved
+	a.host.ClientGone(t)
+	t.Stream.ClientGone()
 	p.d.Lost(false)
 	p.fail(&pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"})
-	a.host.Soon(p.next)
+	a.host.Defer(p.next)
 }
 
 // take takes one message of the client's.
@@ -190,7 +190,7 @@
 
 func (p *pooled) copy(m pg.Message) {
 	ops, _ := p.d.Extended(m)
-	p.txn.Talk.Say(ops)
+	p.txn.Stream.Send(ops)
 }
 
 // next goes on with what came while a unit was on its way. What has come whole is answered also where the session ends behind it.
@@ -314,7 +314,7 @@
 	}
 	p.asked, p.open = whole, !whole
 	p.saying(ops)
-	p.txn.Talk.Say(ops)
+	p.txn.Stream.Send(ops)
 }
 
 // saying counts what is on its way, and answered what no longer is. Guards against many that wait with much.
@@ -350,7 +350,7 @@
 		p.d.After = 0
 	}
 	st := &pg.Statement{ID: a.nextID(), TxnType: txnType, Tenant: tenant, Wait: mostWait, Group: p.pool.Group,
-		After: min(p.d.After, a.host.ClusterNow()+host.Ahead)} // it may have been dated by an estimate that has fallen since
+		After: min(p.d.After, a.host.ClusterNow()+eventloop.MaxPositionAhead)} // it may have been dated by an estimate that has fallen since
 	if w, err := strconv.ParseFloat(p.d.Own("wait"), 64); err == nil && w > 0 {
 		st.Wait = w
 	}
@@ -361,17 +361,17 @@
 		st.ID, st.Wait, st.Group, st.Session, st.Marked = label.ID, label.Wait, label.Group, label.Session, label.Marked
 		st.After = max(st.After, label.After)
 	}
-	t := exchange.New(st, at, p.deliver)
+	t := request.New(st, at, p.deliver)
 	t.ClientClosed = p.s.conn.PeerClosed
 	a.limitWait(t)
-	t.Talk = &exchange.Talk{Pool: p.pool.Name, Caller: p, Held: p.held}
-	t.Talk.Say(ops)
+	t.Stream = &request.Stream{Pool: p.pool.Name, Client: p, Reserved: p.held}
+	t.Stream.Send(ops)
 	p.txn, p.held = t, nil // it comes back by Keep
 	if err := a.host.Arrive(t); err != nil {
-		p.txn, p.held = nil, t.Talk.Held
+		p.txn, p.held = nil, t.Stream.Reserved
 		p.d.Lost(false)
 		code := pg.Invalid
-		if errors.Is(err, host.ErrID) {
+		if errors.Is(err, eventloop.ErrID) {
 			code = pg.Taken
 		}
 		a.Bad++
@@ -382,7 +382,7 @@
 const mostWait = 1e12 // ms: as long as the txn type lets it
 
 // nextID makes the id of a txn that has none of its client's.
-func (a *Clients) nextID() string {
+func (a *Frontend) nextID() string {
 	a.ids++
 	h := fnv.New64a()
 	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, a.pooling.Seed), a.ids))
@@ -401,7 +401,7 @@
 		switch m.Kind {
 		case pg.CopyIn:
 			p.copying = true
-			p.s.all.host.Soon(p.next)
+			p.s.all.host.Defer(p.next)
 		case pg.Failure:
 			p.copying = false
 			p.skips = p.skips || p.open
@@ -409,7 +409,7 @@
 			p.copying = false
 		case pg.Ready:
 			p.answered()
-			p.s.all.host.Soon(p.next)
+			p.s.all.host.Defer(p.next)
 		}
 	}
 	p.s.conn.Write(out)
@@ -431,10 +431,10 @@
 	}
 }
 
-func (p *pooled) Keep(c exchange.Carrier) {
+func (p *pooled) Keep(c request.BackendSide) {
 	if p.held = c; p.over {
 		p.held = nil
-		p.s.all.host.Soon(c.Release)
+		p.s.all.host.Defer(c.Release)
 	}
 }
 
@@ -445,29 +445,29 @@
 }
 
 // deliver takes the final answer of a txn. What a member committed, the client has heard already.
-func (p *pooled) deliver(a exchange.Answer) {
+func (p *pooled) deliver(a request.Response) {
 	t := p.txn
 	if t == nil {
 		return
 	}
 	p.txn = nil
-	defer p.s.all.host.Soon(p.next)
-	if a.Committed != nil {
+	defer p.s.all.host.Defer(p.next)
+	if a.Rows != nil {
 		if p.s.all.pooling.Write[t.TxnType] {
-			p.d.After = max(p.d.After, cmp.Or(t.Talk.Gtid, p.s.all.host.ClusterNow()))
+			p.d.After = max(p.d.After, cmp.Or(t.Stream.Position, p.s.all.host.ClusterNow()))
 		}
 		return
 	}
-	kept, started, fault := t.Talk.Held, t.Talk.Started(), t.Talk.Fault
-	may := p.d.Lost(!a.Declined && a.Fault == nil)
+	kept, started, fault := t.Stream.Reserved, t.Stream.Started(), t.Stream.Fault
+	may := p.d.Lost(!a.Rejected && a.Fault == nil)
 	var e *pg.Error
 	switch {
 	case a.Fault != nil:
 		e = a.Fault
-	case a.Declined:
+	case a.Rejected:
 		e = &pg.Error{Code: pg.Refused, Text: "declined, a retry does no harm"}
-		if a.Wait > 0 {
-			e.Detail = strconv.Itoa(int(a.Wait))
+		if a.RetryAfter > 0 {
+			e.Detail = strconv.Itoa(int(a.RetryAfter))
 		}
 	case fault != nil:
 		e = fault
@@ -478,7 +478,7 @@
 	default:
 		e = &pg.Error{Code: pg.Broken, Text: "the connection was lost before the commit: nothing took effect"}
 	}
-	if kept != nil && (started || !a.Declined) { // what it kept there is gone
+	if kept != nil && (started || !a.Rejected) { // what it kept there is gone
 		p.Ended(&pg.Error{Code: pg.GoingDown, Text: e.Text + "; the connection that this session kept has ended"})
 		return
 	}
@@ -509,15 +509,15 @@
 	delete(p.s.all.keys, p.key)
 	if t := p.txn; t != nil {
 		p.txn = nil
-		p.s.all.host.Gone(t)
-		t.Talk.Quit()
-		if c := t.Talk.Held; c != nil { // it may never have got there
-			p.s.all.host.Soon(c.Release)
+		p.s.all.host.ClientGone(t)
+		t.Stream.ClientGone()
+		if c := t.Stream.Reserved; c != nil { // it may never have got there
+			p.s.all.host.Defer(c.Release)
 		}
 	}
 	if c := p.held; c != nil {
 		p.held = nil
-		p.s.all.host.Soon(c.Release)
+		p.s.all.host.Defer(c.Release)
 	}
 	p.queue, p.ops = nil, nil
 	p.shrink()
--- a/internal/clients/resting.go
+++ b/internal/frontend/resting.go
@@ -1,9 +1,9 @@
-package clients
+package frontend
 
 import (
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"wayloft/internal/decide/due"
+	"wayloft/internal/decide/timerqueue"
 )
 
 // unheard is what all clients are told before any member has told more. One for all: each of its own, it took two thirds of
@@ -21,14 +21,14 @@
 // rested longest; its client's next bytes wake it.
 type rota struct {
 	awake   map[*session]bool
-	fresh   due.Queue[*session] // those that have not asked yet, by since when they are quiet
-	resting due.Queue[*session] // those of the platform's form that sleep, likewise
-	looked  int                 // how many sessions were looked at so far
+	fresh   timerqueue.Queue[*session] // those that have not asked yet, by since when they are quiet
+	resting timerqueue.Queue[*session] // those of the platform's form that sleep, likewise
+	looked  int                        // how many sessions were looked at so far
 }
 
 // place is where a session stands in the rota. The times noted may be too early, never too late: whoever comes on one in
 // front notes it anew.
-type place struct{ fresh, resting due.Item[*session] }
+type place struct{ fresh, resting timerqueue.Timer[*session] }
 
 // enter has a session looked at, and noted as one that has not asked.
 func (r *rota) enter(s *session) {
@@ -68,8 +68,8 @@
 
 // oldest gives the session of a queue that has been quiet longest and can end now; those passed over stay in it. It ends its
 // search where no other was quiet before then.
-func (r *rota) oldest(q *due.Queue[*session], before float64) (first *session) {
-	var over []*due.Item[*session]
+func (r *rota) oldest(q *timerqueue.Queue[*session], before float64) (first *session) {
+	var over []*timerqueue.Timer[*session]
 	for i := q.First(); i != nil && i.At() <= before && first == nil; i = q.First() {
 		r.looked++
 		switch s := i.Of; {
@@ -92,7 +92,7 @@
 
 // first gives the session that goes first where another could not come in: one that has had time to ask and did not, else the
 // one that has been quiet longest, else a newcomer.
-func (a *Clients) first(now float64) *session {
+func (a *Frontend) first(now float64) *session {
 	r := &a.rota
 	if s := r.oldest(&r.fresh, now-grace); s != nil {
 		return s
@@ -113,8 +113,8 @@
 }
 
 // retireLongest ends those of the platform's form that have rested too long, and all but the latest so many.
-func (a *Clients) retireLongest(now float64, most int) {
-	var over []*due.Item[*session]
+func (a *Frontend) retireLongest(now float64, most int) {
+	var over []*timerqueue.Timer[*session]
 	q := &a.rota.resting
 	for i := q.First(); i != nil && (q.Len()+len(over) > most || now > i.At()+idling); i = q.First() {
 		a.rota.looked++
--- a/internal/clients/resting_test.go
+++ b/internal/frontend/resting_test.go
@@ -1,4 +1,4 @@
-package clients
+package frontend
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	decide "wayloft/internal/decide/session"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
 	"wayloft/internal/pg"
 	"wayloft/router"
 )
@@ -18,8 +18,8 @@
 // front is a router's clients' side before no members.
 type front struct {
 	t    *testing.T
-	host *host.Host
-	all  *Clients
+	host *eventloop.Driver
+	all  *Frontend
 	addr string
 }
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := host.New(host.NewLoop(256), router.New(&router.Settings{}, 1), nil, func() {})
+	h := eventloop.New(eventloop.NewLoop(256), router.New(&router.Settings{}, 1), nil, func() {})
 	f := &front{t: t, host: h, all: New(h, most, 1<<20, 1<<16), addr: l.Addr().String()}
 	f.all.Pooled(&Pooling{Pools: []*Pool{{Name: "p", Database: "pooled", Policy: decide.Policy{Settings: 1 << 12, Statements: 8},
 		Known: iradix.New[string]}, {Name: "s", Database: "plain", Plain: true}}})
@@ -37,7 +37,7 @@
 	}
 	ended := make(chan bool)
 	go func() { h.Run(); close(ended) }()
-	t.Cleanup(func() { h.Post(h.End); <-ended })
+	t.Cleanup(func() { h.Post(h.Stop); <-ended })
 	return f
 }
 
--- a/internal/clients/sessions_test.go
+++ b/internal/frontend/sessions_test.go
@@ -1,14 +1,14 @@
-package clients
+package frontend
 
 import (
 	"io"
 	"net"
 	"testing"
 
-	"wayloft/internal/exchange"
-	"wayloft/internal/host"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/standin"
+	"wayloft/internal/request"
 	"wayloft/router"
 )
 
@@ -23,7 +23,7 @@
 // until waits until something holds on the loop.
 func (f *front) until(what string, holds func() bool) {
 	f.t.Helper()
-	standin.Until(f.t, what, func() (now bool) {
+	fakes.Until(f.t, what, func() (now bool) {
 		f.do(func() { now = holds() })
 		return now
 	})
@@ -86,21 +86,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := map[string]*router.TxnType{"x": {SLA: 1e6, Expiry: 1e6, Value: 1, Level: router.Write}}
-	h := host.New(host.NewLoop(256), router.New(&router.Settings{Routers: 1, Submissions: 3, CanCheck: true, TxnTypes: kinds}, 1), kinds, func() {})
-	h.Use(silent{})
+	kinds := map[string]*router.RequestClass{"x": {LatencyObjective: 1e6, Deadline: 1e6, PriorityWeight: 1, Level: router.Write}}
+	h := eventloop.New(eventloop.NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: kinds}, 1), kinds, func() {})
+	h.SetBackend(silent{})
 	f := &front{t: t, host: h, all: New(h, 100, 1<<20, 1<<16), addr: l.Addr().String()}
 	if err := h.Listen(f.all.Gate(l), 1<<20, f.all.Accept); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan bool)
 	go func() { h.Run(); close(ended) }()
-	c := standin.NewClient(t, f.addr, true)
+	c := fakes.NewClient(t, f.addr, true)
 	f.do(func() {
 		list := h.List()
-		list.ListStart()
-		list.Listed("m", "z", 2, router.Up, router.Never)
-		list.ListEnd(true)
+		list.BeginList()
+		list.ListMember("m", "z", 2, router.Up, router.Never)
+		list.EndList(true)
 	})
 	c.Ask("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
 	f.until("it is held for a primary", func() bool { return f.only().txn != nil })
@@ -115,15 +115,15 @@
 	<-ended
 }
 
-func exchangeAt(at, wait float64) *exchange.Txn {
-	return exchange.New(&pg.Statement{Wait: wait}, at, func(exchange.Answer) {})
+func exchangeAt(at, wait float64) *request.Request {
+	return request.New(&pg.Statement{Wait: wait}, at, func(request.Response) {})
 }
 
 // silent is a members' side from which nothing ever comes back.
 type silent struct{}
 
-func (silent) Submit(*exchange.Txn, int, string, float64, float64) {}
-func (silent) Abandon(string)                                      {}
-func (silent) Revoke(string, int)                                  {}
-func (silent) Check(string)                                        {}
-func (silent) CloseIdle(string)                                    {}
+func (silent) SendAttempt(*request.Request, int, string, float64, float64) {}
+func (silent) Abandon(string)                                              {}
+func (silent) CancelAttempt(string, int)                                   {}
+func (silent) HealthCheck(string)                                          {}
+func (silent) CloseIdle(string)                                            {}
--- a/internal/must/release.go
+++ b/internal/invariant/release.go
@@ -1,5 +1,5 @@
 //go:build !debug
 
-package must
+package invariant
 
 const debug = false
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -6,7 +6,7 @@
 	"os/exec"
 	"slices"
 
-	"wayloft/internal/standin/pgserver"
+	"wayloft/internal/fakes/pgserver"
 )
 
 // Command runs the program once, as an operator would, and gives what it printed.
--- a/internal/lab/fleet/check_test.go
+++ b/internal/lab/fleet/check_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"wayloft/internal/lab/fleet/twin"
-	"wayloft/internal/standin/pgserver"
+	"wayloft/internal/fakes/pgserver"
+	"wayloft/internal/lab/fleet/simulation"
 )
 
 // Each checker of records finds what it is there for, and nothing in records that are as they should be.
@@ -93,17 +93,17 @@
 
 // A history in which a read tells less than an answer before it, or two hold one fence, is found.
 func TestLinear(t *testing.T) {
-	op := func(session string, begun, ended float64, held bool, count uint64) twin.Op {
-		o := twin.Op{Duty: "d", Session: session, Begun: begun, Ended: ended, Held: held}
+	op := func(session string, begun, ended float64, held bool, count uint64) simulation.Op {
+		o := simulation.Op{Duty: "d", Session: session, Begun: begun, Ended: ended, Held: held}
 		o.Fence.Epoch, o.Fence.Count = 1, count
 		return o
 	}
-	good := []twin.Op{op("a", 0, 1, true, 1), op("b", 2, 5, true, 2), op("", 3, 4, false, 1), op("", 6, 7, false, 2), op("a", 8, 9, false, 2)}
-	if wrong := twin.Linear(good); len(wrong) > 0 {
+	good := []simulation.Op{op("a", 0, 1, true, 1), op("b", 2, 5, true, 2), op("", 3, 4, false, 1), op("", 6, 7, false, 2), op("a", 8, 9, false, 2)}
+	if wrong := simulation.Linear(good); len(wrong) > 0 {
 		t.Error(wrong)
 	}
-	for what, bad := range map[string]twin.Op{"an old read": op("", 10, 11, false, 1), "two holders": op("a", 10, 11, true, 2)} {
-		if wrong := twin.Linear(append(good[:len(good):len(good)], bad)); len(wrong) == 0 {
+	for what, bad := range map[string]simulation.Op{"an old read": op("", 10, 11, false, 1), "two holders": op("a", 10, 11, true, 2)} {
+		if wrong := simulation.Linear(append(good[:len(good):len(good)], bad)); len(wrong) == 0 {
 			t.Error(what, "was not found")
 		}
 	}
--- a/internal/lab/fleet/manage.go
+++ b/internal/lab/fleet/manage.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"wayloft/internal/standin/pgserver"
+	"wayloft/internal/fakes/pgserver"
 )
 
 // Processes gives all, in the order in which they were made.
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -13,10 +13,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/prometheus/procfs"
 
-	"wayloft/internal/decide/agent"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	client "wayloft/internal/fleet"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // Gaps plays what takes an owner away, so often each, on one fleet, and tells for how long nobody acted: from the event to the
@@ -221,7 +221,7 @@
 	c := client.NewClient(fleet, addrs, via)
 	defer c.Close()
 	length := float64(session.Milliseconds())
-	a := agent.New(agent.Settings{Name: name, Kind: "router", Incarnation: 1, Length: length, Margin: length / 10, Seed: rand.Uint64()})
+	a := leaseclient.New(leaseclient.Settings{Name: name, Kind: "router", Incarnation: 1, SessionTimeout: length, SafetyMargin: length / 10, Seed: rand.Uint64()})
 	inbox := make(chan func(), 64)
 	post := func(f func()) {
 		select {
@@ -230,23 +230,23 @@
 		}
 	}
 	for ctx.Err() == nil {
-		a.At(wire.Boottime())
+		a.Advance(rpc.Boottime())
 		for d, more := a.Next(); more; d, more = a.Next() {
 			go func() {
 				one, cancel := context.WithTimeout(ctx, session/4)
 				defer cancel()
-				ans, err := c.Do(one, d.Entry)
+				ans, err := c.ProposeEntry(one, d.Entry)
 				post(func() {
-					a.At(wire.Boottime())
+					a.Advance(rpc.Boottime())
 					if err != nil {
-						a.Failed(d.Number)
+						a.Failed(d.Request)
 						return
 					}
-					if d.Entry.Kind == register.Beat {
+					if d.Entry.Kind == leasestate.KeepAlive {
 						beats.Add(1)
 					}
 					before := a.Reopened
-					a.Answered(d.Number, ans)
+					a.Answered(d.Request, ans)
 					ended.Add(int64(a.Reopened - before))
 				})
 			}()
@@ -254,7 +254,7 @@
 		select {
 		case f := <-inbox:
 			f()
-		case <-time.After(time.Duration(max(1, min(a.Due()-wire.Boottime(), 1000)) * float64(time.Millisecond))):
+		case <-time.After(time.Duration(max(1, min(a.NextDeadline()-rpc.Boottime(), 1000)) * float64(time.Millisecond))):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
 	client "wayloft/internal/fleet"
 	"wayloft/internal/settings"
 )
@@ -171,7 +171,7 @@
 }
 
 // send proposes a document to follow a version; nil: the one in force.
-func (r *run) send(d policy.Document, from *client.Policies) (a register.Answer, err error) {
+func (r *run) send(d policy.Document, from *client.Policies) (a leasestate.Result, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), Limit)
 	defer cancel()
 	if from == nil {
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -7,16 +7,16 @@
 	"time"
 
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
 	client "wayloft/internal/fleet"
-	"wayloft/internal/lab/fleet/twin"
+	"wayloft/internal/lab/fleet/simulation"
 )
 
 // Probe is clients of the council that take and give back a duty and ask where it stands, whatever befalls the council; what they
 // heard is checked against what one process would have answered.
 type Probe struct {
 	mu   sync.Mutex
-	ops  []twin.Op
+	ops  []simulation.Op
 	stop context.CancelFunc
 	all  sync.WaitGroup
 }
@@ -39,32 +39,32 @@
 	name := fmt.Sprint("probe", n)
 	now := func() float64 { return float64(time.Since(begun).Microseconds()) / 1000 }
 	for turn := 0; ctx.Err() == nil; turn++ {
-		e := register.Entry{Session: name, Incarnation: 1, Duty: probed}
-		op := twin.Op{Client: n, Duty: probed, Session: name, Begun: now(), Ended: -1}
+		e := leasestate.Entry{Session: name, Incarnation: 1, Lease: probed}
+		op := simulation.Op{Client: n, Duty: probed, Session: name, Begun: now(), Ended: -1}
 		one, cancel := context.WithTimeout(ctx, 3*time.Second)
-		var a register.Answer
+		var a leasestate.Result
 		var err error
 		switch turn % 4 {
 		case 0:
-			e.Kind, e.Is, e.Length = register.Open, "probe", 60000
-			a, err = c.Do(one, e)
+			e.Kind, e.Role, e.Timeout = leasestate.OpenSession, "probe", 60000
+			a, err = c.ProposeEntry(one, e)
 		case 1:
-			op.Kind, e.Kind = "take", register.Take
-			a, err = c.Do(one, e)
+			op.Kind, e.Kind = "take", leasestate.AcquireLease
+			a, err = c.ProposeEntry(one, e)
 		case 2:
 			op.Kind = "stand"
-			var fences []lease.Fence
-			if fences, err = c.Stands(one, []string{probed}); err == nil {
+			var fences []lease.Token
+			if fences, err = c.LatestTokens(one, []string{probed}); err == nil {
 				a.Fence = fences[0]
 			}
 		case 3:
 			if last := p.held(name); last.Held {
-				e.Kind, e.Fence = register.Free, last.Fence
-				c.Do(one, e)
+				e.Kind, e.Token = leasestate.ReleaseLease, last.Fence
+				c.ProposeEntry(one, e)
 			}
 		}
 		cancel()
-		if op.Kind != "" && err == nil && a.Why != register.NoSession {
+		if op.Kind != "" && err == nil && a.Why != leasestate.ReasonNoSession {
 			op.Ended, op.Held, op.Fence = now(), a.Held, a.Fence
 			p.mu.Lock()
 			p.ops = append(p.ops, op)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (p *Probe) held(name string) (last twin.Op) {
+func (p *Probe) held(name string) (last simulation.Op) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, op := range p.ops {
@@ -110,5 +110,5 @@
 	if len(p.ops) < least {
 		return []string{fmt.Sprintf("only %d answers were heard of the council", len(p.ops))}
 	}
-	return twin.Linear(p.ops)
+	return simulation.Linear(p.ops)
 }
--- a/internal/lab/fleet/records_test.go
+++ b/internal/lab/fleet/records_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/audit"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/record"
 )
 
 // Audit records that the program of this commit wrote: checkers read them for as long as they are kept.
@@ -128,12 +128,12 @@
 // A line is one JSON object with sorted keys, numbered, with the time in ms and the process's id and name.
 func TestRecordLine_KeepsItsForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.jsonl")
-	r, err := record.Open(path, "r1")
+	r, err := audit.Open(path, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Add("taken", record.Fields{"duty": "sight/0", "fence": "5.1"})
-	r.Add("session", record.Fields{"held": true, "incarnation": uint64(1796206621786), "why": ""})
+	r.Add("taken", audit.Fields{"duty": "sight/0", "fence": "5.1"})
+	r.Add("session", audit.Fields{"held": true, "incarnation": uint64(1796206621786), "why": ""})
 	r.Close()
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -14,11 +14,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"wayloft/internal/decide/handover"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
 	client "wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/wire"
+	"wayloft/internal/rpc"
 )
 
 // Script is what befalls a fleet, step by step. Each step does something or waits for something that processes report, never
@@ -280,7 +280,7 @@
 func (r *run) look() (*fleetpb.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	return r.client.Look(ctx)
+	return r.client.State(ctx)
 }
 
 // sees waits until the council's state is so.
@@ -484,7 +484,7 @@
 	case "order":
 		ctx, cancel := context.WithTimeout(context.Background(), Limit)
 		defer cancel()
-		a, err := r.client.Do(ctx, register.Entry{Kind: register.Order, Duty: handover.Duty(0), Text: handover.Order(w[0])})
+		a, err := r.client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.Order(w[0])})
 		if err == nil && !a.Held {
 			err = fmt.Errorf("%s", a.Why)
 		}
@@ -494,7 +494,7 @@
 		text := ""
 		if err := r.sees("the order ends", func(s *fleetpb.State) bool {
 			for _, d := range s.State.Duties {
-				if d.Name == handover.Duty(0) && d.Ended.GetNumber() == r.order {
+				if d.Name == switchover.LeaseName(0) && d.Ended.GetNumber() == r.order {
 					text = d.Ended.Text
 					return true
 				}
@@ -517,7 +517,7 @@
 			return slices.ContainsFunc(s.State.Duties, func(d *fleetpb.Duty) bool { return d.Name == w[0] && len(d.Queue) == n })
 		})
 	case "second":
-		return r.sees("the clock goes on", func(s *fleetpb.State) bool { return s.Epoch < wire.Epoch(time.Now()) })
+		return r.sees("the clock goes on", func(s *fleetpb.State) bool { return s.Epoch < rpc.EpochAt(time.Now()) })
 	case "barred":
 		return r.sees("the duty is barred", func(s *fleetpb.State) bool {
 			return slices.ContainsFunc(s.State.Duties, func(d *fleetpb.Duty) bool {
--- a/internal/lab/fleet/twin/faults.go
+++ b/internal/lab/fleet/simulation/faults.go
@@ -1,10 +1,10 @@
-package twin
+package simulation
 
 import (
 	"fmt"
 
-	"wayloft/internal/decide/council"
-	"wayloft/internal/decide/handover"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/decide/switchover"
 )
 
 // draw schedules faults by chance, and their ends: after half of the run all is well again but for what is lost for good.
@@ -42,7 +42,7 @@
 	var top uint64
 	for _, p := range w.Council {
 		if p.node != nil {
-			if leads, term := p.node.Leads(); leads && term >= top {
+			if leads, term := p.node.IsLeader(); leads && term >= top {
 				best, top = p, term
 			}
 		}
@@ -85,7 +85,7 @@
 	w.Faults["wiped"]++
 	for _, p := range w.Council {
 		p.Kill()
-		p.disk = council.Stored{}
+		p.disk = raftnode.Stored{}
 		w.After(1200+w.rand.Float64()*200, p.start)
 	}
 }
@@ -129,7 +129,7 @@
 
 func (w *World) some() string {
 	if w.opt.Handover && w.rand.IntN(2) == 0 {
-		return handover.Duty(0)
+		return switchover.LeaseName(0)
 	}
 	return duty(w.rand.IntN(w.opt.Duties))
 }
@@ -199,8 +199,8 @@
 func (w *World) replace(old, next *Proc) {
 	if l := w.Leader(); l != nil && !l.asleep {
 		w.number++
-		l.run(func() { l.node.Change(w.number, []council.Peer{{Name: next.Name}}, []string{old.Name}) })
-		for _, s := range l.node.Council() {
+		l.run(func() { l.node.ChangeMembership(w.number, []raftnode.Peer{{Name: next.Name}}, []string{old.Name}) })
+		for _, s := range l.node.Peers() {
 			if s.Name == next.Name {
 				return
 			}
--- a/internal/lab/fleet/twin/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -1,4 +1,4 @@
-package twin
+package simulation
 
 import (
 	"errors"
@@ -6,10 +6,10 @@
 	"math"
 	"strings"
 
-	"wayloft/internal/decide/agent"
-	"wayloft/internal/decide/handover"
 	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
 	"wayloft/router"
 )
 
@@ -17,7 +17,7 @@
 // outlives the process.
 type member struct {
 	primary bool
-	guard   lease.Fence
+	guard   lease.Token
 	rank    uint64
 }
 
@@ -44,9 +44,9 @@
 	writes  = 25.0   // ms between two of a router's writes
 )
 
-var settings = &router.Settings{Routers: 5, AskWithin: 10000, ColdFrom: 0.2, WarmUp: 1000, FallMultiple: 2.5, FallWindow: 2000, Submissions: 6,
-	CanCheck: true, CanRevoke: true, RetryAfter: 1000, TxnTypes: map[string]*router.TxnType{"write": {SLA: 2000, Expiry: 10000, Value: 1,
-		LateValue: 0.5, Effect: router.OnceOnly, Level: router.Write}}, Tenants: map[string]float64{}}
+var settings = &router.Settings{Routers: 5, ListPollTimeout: 10000, SlowStartFloor: 0.2, SlowStartDuration: 1000, OverloadMultiple: 2.5, OverloadWindow: 2000, MaxAttempts: 6,
+	CanHealthCheck: true, CanCancel: true, RetryAfter: 1000, RequestClasses: map[string]*router.RequestClass{"write": {LatencyObjective: 2000, Deadline: 10000, PriorityWeight: 1,
+		LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write}}, Tenants: map[string]float64{}}
 
 // carrier is a router's module with what carries it out, in the twin.
 type carrier struct {
@@ -76,8 +76,8 @@
 func (w *World) order(to string, tries int) {
 	if l := w.Leader(); l != nil && !l.asleep {
 		w.number++
-		e := register.Entry{Kind: register.Order, Duty: handover.Duty(0), Text: handover.Order(to)}
-		l.run(func() { l.node.At(l.clock()); l.node.Do(w.number, e) })
+		e := leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.Order(to)}
+		l.run(func() { l.node.Advance(l.clock()); l.node.Propose(w.number, e) })
 		w.planned.orders++
 		return
 	}
@@ -89,13 +89,13 @@
 // carries makes a router's module anew, with its clients.
 func (p *Proc) carries() {
 	c := &carrier{p: p, r: router.New(settings, p.w.opt.Seed+uint64(p.Name[len(p.Name)-1])), out: map[string]int{}, at: map[string]float64{}}
-	p.carrier, p.guests = c, handover.NewGuests(holdFor)
+	p.carrier, p.guests = c, switchover.NewWriteHolds(holdFor)
 	c.hear(func(r *router.Router) {
-		r.ListStart()
+		r.BeginList()
 		for _, m := range p.w.planned.members {
-			r.Listed(m.Name, "z", 0, router.Up, router.Never)
+			r.ListMember(m.Name, "z", 0, router.Up, router.Never)
 		}
-		r.ListEnd(true)
+		r.EndList(true)
 	})
 	p.later(p.w.rand.Float64()*writes, p.client)
 }
@@ -113,7 +113,7 @@
 
 // hear tells the module something, and carries out what it decides.
 func (c *carrier) hear(f func(*router.Router)) {
-	c.r.At(c.p.w.Now + 1)
+	c.r.Advance(c.p.w.Now + 1)
 	f(c.r)
 	c.pull()
 }
@@ -121,21 +121,21 @@
 func (c *carrier) pull() {
 	p, w := c.p, c.p.w
 	for d, more := c.r.Next(); more; d, more = c.r.Next() {
-		switch d.Verb {
-		case router.Submit:
-			seq := c.out[d.Txn]
-			c.out[d.Txn]++
-			c.submit(d.Txn, seq, w.byName[d.Member])
-		case router.Decline:
-			w.planned.told[d.Txn] = "declined"
-		case router.Check:
+		switch d.Action {
+		case router.SendAttempt:
+			seq := c.out[d.RequestID]
+			c.out[d.RequestID]++
+			c.submit(d.RequestID, seq, w.byName[d.Member])
+		case router.RejectRequest:
+			w.planned.told[d.RequestID] = "declined"
+		case router.HealthCheck:
 			c.check(w.byName[d.Member])
-		case router.Alarm:
+		case router.SetTimer:
 			c.alarms++ // the one before is stopped, as the host does
 			n := c.alarms
-			p.later(d.At-w.Now, func() {
+			p.later(d.Time-w.Now, func() {
 				if n == c.alarms {
-					c.hear(func(r *router.Router) { r.Rang() })
+					c.hear(func(r *router.Router) { r.TimerFired() })
 				}
 			})
 		}
@@ -148,24 +148,26 @@
 	end := func(how router.Outcome, role router.Role) {
 		if !over {
 			over = true
-			if how == router.Committed {
+			if how == router.Succeeded {
 				w.planned.told[txn] = "committed"
 			}
-			c.hear(func(r *router.Router) { r.Returned(txn, seq, how, w.Now-begun, how == router.Committed, role, w.Now) })
+			c.hear(func(r *router.Router) {
+				r.AttemptEnded(txn, seq, how, w.Now-begun, how == router.Succeeded, role, w.Now)
+			})
 		}
 	}
 	w.send(p, to, 100, func() {
 		took := 1 + w.rand.ExpFloat64()*4
 		to.later(took, func() { // it runs at one moment
-			how, role := router.Miss, router.Replica
+			how, role := router.Misrouted, router.Replica
 			if to.member.primary {
-				how, role = router.Committed, router.Primary
+				how, role = router.Succeeded, router.Primary
 				w.planned.log = append(w.planned.log, line{by: to.Name, txn: txn})
 			}
 			w.send(to, p, 100, func() { end(how, role) })
 		})
 	})
-	p.later(4000, func() { end(router.Reset, router.Unsaid) })
+	p.later(4000, func() { end(router.Reset, router.RoleUnknown) })
 }
 
 func (c *carrier) check(to *Proc) {
@@ -181,7 +183,7 @@
 				over = true
 				c.hear(func(r *router.Router) {
 					r.Reported(to.Name, role, at)
-					r.Checked(to.Name, router.Committed)
+					r.HealthChecked(to.Name, router.Succeeded)
 				})
 			}
 		})
@@ -189,16 +191,16 @@
 	p.later(500, func() {
 		if !over {
 			over = true
-			c.hear(func(r *router.Router) { r.Checked(to.Name, router.TimedOut) })
+			c.hear(func(r *router.Router) { r.HealthChecked(to.Name, router.TimedOut) })
 		}
 	})
 }
 
 // handing is the duty, held by a process of the twin.
 type handing struct {
-	fence  lease.Fence
+	fence  lease.Token
 	number uint64
-	owner  *handover.Owner
+	owner  *switchover.Executor
 	noteAt float64
 
 	stepping string // at a member, decided and not yet sent
@@ -211,24 +213,24 @@
 		return
 	}
 	if h.owner == nil {
-		if ended, owes := p.desk.Owes(); owes {
+		if ended, owes := p.desk.UnreportedEnd(); owes {
 			if h.noteAt <= p.clock() {
 				h.noteAt = math.Inf(1)
-				p.note(h, register.Entry{Kind: register.Did, Duty: handover.Duty(0), Fence: h.fence, Number: ended.Number,
+				p.note(h, leasestate.Entry{Kind: leasestate.CompleteOrder, Lease: switchover.LeaseName(0), Token: h.fence, Number: ended.Number,
 					Text: ended.Text[:min(len(ended.Text), 200)]}, 0, func(ok bool) {
 					if h.noteAt = p.clock() + Length/4; ok {
-						p.desk.Told(ended.Number)
+						p.desk.EndReported(ended.Number)
 						h.noteAt = 0
 					}
 				})
 			}
 			return
 		}
-		d, known := p.agent.Duty(handover.Duty(0))
-		if !known || d.Holder != p.Name || d.Fence != h.fence {
+		d, known := p.agent.Lease(switchover.LeaseName(0))
+		if !known || d.Holder != p.Name || d.Token != h.fence {
 			return
 		}
-		owner, err := p.desk.Take(handover.Settings{Hold: holdFor, Wait: holdFor / 3, Step: 300}, d.Open, d.Steps, p.clock())
+		owner, err := p.desk.Take(switchover.Settings{Hold: holdFor, Wait: holdFor / 3, Step: 300}, d.Open, d.Steps, p.clock())
 		if err != nil {
 			p.w.wrong("%s: %v", p.Name, err)
 		}
@@ -241,34 +243,34 @@
 	for _, s := range p.agent.Sessions("router") {
 		names = append(names, s.Name)
 	}
-	h.owner.At(p.clock())
+	h.owner.Advance(p.clock())
 	h.owner.Routers(names)
 	for d, more := h.owner.Next(); more; d, more = h.owner.Next() {
 		p.step(h, d)
 	}
-	if p.desk.Keep(h.owner, h.number); h.owner.Over() {
+	if p.desk.Update(h.owner, h.number); h.owner.Over() {
 		h.owner = nil
 	}
 }
 
 // still has a handover hear of something, if it is this process's yet.
-func (p *Proc) still(h *handing, o *handover.Owner, f func(*handover.Owner)) {
+func (p *Proc) still(h *handing, o *switchover.Executor, f func(*switchover.Executor)) {
 	if p.handing == h && h.owner == o {
-		o.At(p.clock())
+		o.Advance(p.clock())
 		f(o)
 	}
 }
 
-func (p *Proc) step(h *handing, d handover.Decision) {
+func (p *Proc) step(h *handing, d switchover.Decision) {
 	w := p.w
-	p.agent.At(p.clock())
-	fence, may := p.agent.May(handover.Duty(0))
+	p.agent.Advance(p.clock())
+	fence, may := p.agent.Valid(switchover.LeaseName(0))
 	if !may || fence != h.fence {
 		return
 	}
 	o := h.owner
-	switch d.Verb {
-	case handover.Find:
+	switch d.Action {
+	case switchover.FindPrimary:
 		p.later(2, func() {
 			found := ""
 			for _, m := range w.planned.members {
@@ -280,55 +282,55 @@
 			if found == "" {
 				err = errors.New("no member takes writes")
 			}
-			p.still(h, o, func(o *handover.Owner) { o.Found(found, err) })
+			p.still(h, o, func(o *switchover.Executor) { o.PrimaryFound(found, err) })
 		})
-	case handover.Note:
-		p.note(h, register.Entry{Kind: register.Note, Duty: handover.Duty(0), Fence: fence, Text: d.Text}, 0, func(ok bool) {
-			p.still(h, o, func(o *handover.Owner) { o.Noted(ok) })
+	case switchover.RecordStep:
+		p.note(h, leasestate.Entry{Kind: leasestate.RecordStep, Lease: switchover.LeaseName(0), Token: fence, Text: d.Text}, 0, func(ok bool) {
+			p.still(h, o, func(o *switchover.Executor) { o.StepRecorded(ok) })
 		})
-	case handover.End:
+	case switchover.EndOrder:
 		first, _, _ := strings.Cut(d.Text, ":")
 		w.planned.done[strings.Fields(first)[0]]++
-	case handover.Tell:
+	case switchover.CommandRouter:
 		p.tell(h, o, d)
-	case handover.Do:
+	case switchover.CommandMember:
 		// Between the look and the act this process may be stopped.
 		to := w.byName[d.To]
 		h.stepping = d.Step
 		p.later(w.rand.Float64()*20, func() {
 			h.stepping = ""
 			over := false
-			end := func(how handover.Outcome, why string) {
+			end := func(how switchover.Outcome, why string) {
 				if !over {
 					over = true
-					p.still(h, o, func(o *handover.Owner) { o.Done(how, why) })
+					p.still(h, o, func(o *switchover.Executor) { o.StepDone(how, why) })
 				}
 			}
 			w.send(p, to, 80, func() {
-				how := handover.Took
+				how := switchover.Succeeded
 				switch m := to.member; {
 				case (fence.Compare(m.guard) < 0 || fence == m.guard && d.Rank < m.rank) && !w.opt.Planted.Unguarded:
-					how = handover.Refused
+					how = switchover.Fenced
 					w.planned.lateAt++
 				default:
 					m.guard, m.rank = fence, d.Rank
-					if d.Step == handover.Take && !m.primary {
+					if d.Step == switchover.Promote && !m.primary {
 						w.planned.log = append(w.planned.log, line{by: to.Name, takes: true})
 					}
-					if d.Step != handover.Bar {
-						m.primary = d.Step == handover.Take
+					if d.Step != switchover.FenceMember {
+						m.primary = d.Step == switchover.Promote
 					}
 				}
 				w.send(to, p, 40, func() { end(how, "") })
 			})
-			p.later(300, func() { end(handover.Unknown, "no answer") })
+			p.later(300, func() { end(switchover.Unknown, "no answer") })
 		})
 	}
 }
 
 // note has the register note a step, again until there is an answer.
-func (p *Proc) note(h *handing, e register.Entry, tries int, done func(bool)) {
-	p.entry(p.agent.Entry(e), func(ans register.Answer, ok bool) {
+func (p *Proc) note(h *handing, e leasestate.Entry, tries int, done func(bool)) {
+	p.entry(p.agent.Entry(e), func(ans leasestate.Result, ok bool) {
 		if !ok && tries < 6 {
 			p.note(h, e, tries+1, done)
 			return
@@ -338,36 +340,36 @@
 }
 
 // entry is a request of the process's own, beside its agent's.
-func (p *Proc) entry(e register.Entry, done func(register.Answer, bool)) {
+func (p *Proc) entry(e leasestate.Entry, done func(leasestate.Result, bool)) {
 	p.own++
 	number := p.own | 1<<62
 	p.calls[number] = call{done: done}
-	p.ask(agent.Decision{Verb: agent.Call, Number: number, Entry: e}, 0)
+	p.ask(leaseclient.Decision{Action: leaseclient.Propose, Request: number, Entry: e}, 0)
 }
 
-func (p *Proc) tell(h *handing, o *handover.Owner, d handover.Decision) {
+func (p *Proc) tell(h *handing, o *switchover.Executor, d switchover.Decision) {
 	w, to, over := p.w, p.w.byName[d.To], false
 	end := func(ok bool, running int) {
 		if !over {
 			over = true
-			p.still(h, o, func(o *handover.Owner) { o.Told(d.To, d.Word, ok, running) })
+			p.still(h, o, func(o *switchover.Executor) { o.RouterAnswered(d.To, d.Word, ok, running) })
 		}
 	}
 	w.send(p, to, 80, func() {
-		verdict, highest := to.judge(lease.Scope{Duty: handover.Duty(0), About: "g"}, p.Name, h.fence)
+		verdict, highest := to.judge(lease.Scope{Lease: switchover.LeaseName(0), About: "g"}, p.Name, h.fence)
 		running := 0
 		switch verdict {
 		case lease.Taken:
-			w.accept(to, handover.Duty(0), p.Name, h.fence)
+			w.accept(to, switchover.LeaseName(0), p.Name, h.fence)
 			until := 0.0
 			switch d.Word {
-			case handover.Release:
+			case switchover.ReleaseWrites:
 				to.guests.Release(0, h.fence, h.number)
-			case handover.Hold:
+			case switchover.HoldWrites:
 				until = to.guests.Hold(0, h.fence, h.number, d.Most, w.Now+1)
 			}
-			if d.Word != handover.Look {
-				to.carrier.hear(func(r *router.Router) { r.Hold(0, until) })
+			if d.Word != switchover.CountWrites {
+				to.carrier.hear(func(r *router.Router) { r.HoldWrites(0, until) })
 			}
 			for txn, n := range to.carrier.out {
 				if n > 0 && w.planned.told[txn] == "in doubt" {
@@ -379,7 +381,7 @@
 		}
 		w.send(to, p, 40, func() {
 			if verdict == lease.Old {
-				p.agent.Refusal(handover.Duty(0), highest)
+				p.agent.Rejected(switchover.LeaseName(0), highest)
 			}
 			end(verdict == lease.Taken, running)
 		})
--- a/internal/lab/fleet/twin/history.go
+++ b/internal/lab/fleet/simulation/history.go
@@ -1,4 +1,4 @@
-package twin
+package simulation
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 // seen is what the history says of a duty so far: the highest fence that an answer told, and whose it is, if that is known.
 type seen struct {
-	fence  lease.Fence
+	fence  lease.Token
 	holder string
 }
 
@@ -50,7 +50,7 @@
 func Linear(ops []Op) (wrong []string) {
 	by := map[string][]porcupine.Operation{}
 	for _, op := range ops {
-		if op.Ended < 0 || !op.Held && op.Fence == (lease.Fence{}) { // unanswered, or refused before the duty was looked at
+		if op.Ended < 0 || !op.Held && op.Fence == (lease.Token{}) { // unanswered, or refused before the duty was looked at
 			continue
 		}
 		if len(by[op.Duty]) >= mostOps {
--- a/internal/lab/fleet/twin/policy.go
+++ b/internal/lab/fleet/simulation/policy.go
@@ -1,4 +1,4 @@
-package twin
+package simulation
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/agent"
-	"wayloft/internal/decide/council"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
-	"wayloft/internal/wire"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/rpc"
 )
 
 // Allowance is what control may take of a router's line: bytes in any second, both ways.
@@ -146,7 +146,7 @@
 	o := w.ruling.operators[operator]
 	c := w.Council[w.rand.IntN(len(w.Council))]
 	w.send(o, c, 16, func() {
-		b := c.node.Register().Policy()
+		b := c.node.State().Policy()
 		base, doc := b.Version, b.Document
 		w.send(c, o, 16, func() {
 			next := change(doc)
@@ -178,35 +178,35 @@
 	}
 	w.send(o, to, p.Difference.Size()+64, func() {
 		w.number++
-		e := register.Entry{Kind: register.Propose, Proposal: &p}
+		e := leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p}
 		if w.opt.Planted.Uncompared { // whatever is in force, the difference goes on top of it
-			b := to.node.Register().Policy()
+			b := to.node.State().Policy()
 			q := p
 			if d, err := b.Document.With(p.Difference); err == nil {
-				q.Base, q.Hash = b.Version.Mark(), d.Hash()
+				q.Base, q.Hash = b.Version.Number64(), d.Hash()
 			}
 			e.Proposal = &q
 		}
-		to.waiting[w.number] = asker{proc: o, life: o.life, done: func(d council.Decision) {
+		to.waiting[w.number] = asker{proc: o, life: o.life, done: func(d raftnode.Decision) {
 			if answered {
 				return
 			}
 			switch {
-			case d.Verb == council.Moved:
+			case d.Action == raftnode.Redirect:
 				again(w.byName[d.Leader.Name])
-			case d.Verb == council.Lost:
+			case d.Action == raftnode.ResultUnknown:
 				again(nil)
-			case d.Answer.Held:
+			case d.Result.Held:
 				answered = true
 				w.Accepted++
-				w.ruling.intended[d.Answer.Number] = append(w.ruling.intended[d.Answer.Number], p.Hash)
+				w.ruling.intended[d.Result.Number] = append(w.ruling.intended[d.Result.Number], p.Hash)
 			default:
 				answered = true
 				w.Refused++
 			}
 		}}
-		to.node.At(to.clock())
-		to.node.Do(w.number, e)
+		to.node.Advance(to.clock())
+		to.node.Propose(w.number, e)
 	})
 	w.After(600, func() { again(nil) })
 }
@@ -215,11 +215,11 @@
 func (w *World) stands(v policy.Version, d policy.Document, history []policy.Change) {
 	r := w.ruling
 	for _, c := range history {
-		if had, known := r.docs[c.Version.Mark()]; known && had != c.Version.Hash {
+		if had, known := r.docs[c.Version.Number64()]; known && had != c.Version.Hash {
 			w.wrong("version %s is two documents", c.Version)
 		}
 	}
-	mark := v.Mark()
+	mark := v.Number64()
 	had, known := r.docs[mark]
 	if known && had != v.Hash {
 		w.wrong("version %s is two documents", v)
@@ -228,7 +228,7 @@
 		return
 	}
 	for _, c := range history {
-		r.docs[c.Version.Mark()] = c.Version.Hash
+		r.docs[c.Version.Number64()] = c.Version.Hash
 	}
 	r.docs[mark], r.last = v.Hash, max(r.last, mark)
 	if d.Hash() != v.Hash {
@@ -250,20 +250,20 @@
 // went takes in that a router goes by a document from now on.
 func (w *World) went(p *Proc, v policy.Version, d policy.Document) {
 	r := w.ruling
-	if had, known := r.docs[v.Mark()]; known && had != d.Hash() && !(p.tampered && maps.Equal(d, p.kept.doc)) {
+	if had, known := r.docs[v.Number64()]; known && had != d.Hash() && !(p.tampered && maps.Equal(d, p.kept.doc)) {
 		w.wrong("%s goes by another document than the one of version %s", p.Name, v)
 	}
-	if v.Mark() < p.ruled.version.Mark() {
+	if v.Number64() < p.ruled.version.Number64() {
 		w.wrong("%s goes back from %s to %s", p.Name, p.ruled.version, v)
 	}
 	p.ruled.version, p.ruled.doc = v, d
 	r.went[p.Name+" "+v.String()] = true
 	w.Adopted++
-	if one, waits := r.waits[v.Mark()]; waits && one.left[p.Name] {
-		r.took[v.Mark()] = append(r.took[v.Mark()], w.Now-one.since)
+	if one, waits := r.waits[v.Number64()]; waits && one.left[p.Name] {
+		r.took[v.Number64()] = append(r.took[v.Number64()], w.Now-one.since)
 	}
 	for mark, one := range r.waits {
-		if mark <= v.Mark() && one.left[p.Name] {
+		if mark <= v.Number64() && one.left[p.Name] {
 			delete(one.left, p.Name)
 			if len(one.left) == 0 {
 				w.Everywhere = append(w.Everywhere, w.Now-one.since)
@@ -299,8 +299,8 @@
 
 func (p *Proc) startRuled() {
 	p.ruled = &ruled{follower: policy.NewFollower(policy.Settings{Seed: p.w.opt.Seed<<20 ^ uint64(p.tries)<<12 ^ uint64(slices.Index(p.w.Routers, p)),
-		Unpack: wire.Unpack, Planted: p.w.opt.Planted.Policy})}
-	p.ruled.follower.At(p.clock())
+		Unpack: rpc.Decompress, SeededDefects: p.w.opt.Planted.Policy})}
+	p.ruled.follower.Advance(p.clock())
 	p.ruled.follower.Stored(p.kept.version, p.kept.doc)
 	p.subscribe()
 	p.listen()
@@ -338,18 +338,18 @@
 
 // inform gives one watcher what is new; a word that is empty only each second.
 func (p *Proc) inform(one *watcher) {
-	u, index := agent.Changes(p.node.Register(), one.since, true)
-	if one.since = index; !u.Whole && len(u.Duties)+len(u.Policies) == 0 {
+	u, index := leaseclient.Changes(p.node.State(), one.since, true)
+	if one.since = index; !u.Whole && len(u.Leases)+len(u.Policies) == 0 {
 		return
 	}
 	p.word(one, u)
 }
 
-func (p *Proc) word(one *watcher, u agent.Update) {
+func (p *Proc) word(one *watcher, u leaseclient.Update) {
 	w := p.w
 	one.seq++
 	stream, seq := one.stream, one.seq
-	size := proto.Size(wire.Update(u))
+	size := proto.Size(rpc.EncodeUpdate(u))
 	deliver := func() {
 		if one.proc.life == one.life && one.proc.ruled != nil {
 			one.proc.hear(stream, seq, u)
@@ -363,16 +363,16 @@
 
 // push tells all watchers, 5 ms after the register moved; and an empty word each second.
 func (p *Proc) push() {
-	if at := p.node.Register().Index(); at != p.pushed && !p.pushing {
+	if at := p.node.State().Index(); at != p.pushed && !p.pushing {
 		p.pushing = true
 		p.later(5, func() {
 			p.pushing = false
-			events, all := p.node.Register().Since(p.pushed)
-			if p.pushed = p.node.Register().Index(); all && len(events) == 0 {
+			events, all := p.node.State().Since(p.pushed)
+			if p.pushed = p.node.State().Index(); all && len(events) == 0 {
 				return
 			}
-			if b := p.node.Register().Policy(); b.Version.Number > 0 {
-				p.w.stands(b.Version, b.Document, b.History)
+			if b := p.node.State().Policy(); b.Version.Number > 0 {
+				p.w.stands(b.Version, b.Document, b.Changes)
 			}
 			for _, one := range p.watchers {
 				p.inform(one)
@@ -383,13 +383,13 @@
 
 func (p *Proc) empty() {
 	for _, one := range p.watchers {
-		p.word(one, agent.Update{})
+		p.word(one, leaseclient.Update{})
 	}
 	p.later(1000, p.empty)
 }
 
 // hear takes a word of the watch. One that is missing ends it; all that come are heard, whatever their order.
-func (p *Proc) hear(stream, seq int, u agent.Update) {
+func (p *Proc) hear(stream, seq int, u leaseclient.Update) {
 	r := p.ruled
 	if stream == r.stream {
 		r.heard = p.w.Now
@@ -401,37 +401,37 @@
 		}
 		r.seq = max(r.seq, seq)
 	}
-	r.follower.At(p.clock())
+	r.follower.Advance(p.clock())
 	for _, one := range u.Policies {
-		r.follower.Told(one.Version, one.Difference)
+		r.follower.VersionAnnounced(one.Version, one.Difference)
 	}
 }
 
 // goBy carries out what the follower decides.
 func (p *Proc) goBy() {
 	w, r := p.w, p.ruled
-	r.follower.At(p.clock())
+	r.follower.Advance(p.clock())
 	for d, more := r.follower.Next(); more; d, more = r.follower.Next() {
-		switch d.Verb {
-		case policy.Adopt:
+		switch d.Action {
+		case policy.Apply:
 			r.applied = max(r.applied, w.Now+0.1+w.rand.ExpFloat64()*3)
 			p.later(r.applied-w.Now, func() {
 				w.went(p, d.Version, d.Document)
-				r.follower.At(p.clock())
-				r.follower.Took(d.Version)
+				r.follower.Advance(p.clock())
+				r.follower.Applied(d.Version)
 			})
 		case policy.Acknowledge:
-			if d.Mark > r.version.Mark() {
-				w.wrong("%s says that it goes by %s, and goes by %s", p.Name, policy.MarkString(d.Mark), r.version)
+			if d.Applied > r.version.Number64() {
+				w.wrong("%s says that it goes by %s, and goes by %s", p.Name, policy.MarkString(d.Applied), r.version)
 			}
-			p.agent.GoBy(d.Mark, d.Wont, d.Why)
+			p.agent.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
 			p.later(1+w.rand.ExpFloat64()*5, func() { p.kept, p.tampered = kept{d.Version, d.Document}, false })
 		case policy.Fetch:
 			p.fetch(d.Request)
 		}
 	}
-	if at := w.Now + max(r.follower.Due()-p.clock(), 1); r.wake <= w.Now || at < r.wake {
+	if at := w.Now + max(r.follower.NextDeadline()-p.clock(), 1); r.wake <= w.Now || at < r.wake {
 		if r.wake = at; !math.IsInf(at, 1) {
 			p.later(at-w.Now, func() {})
 		}
@@ -453,20 +453,20 @@
 				return
 			}
 			r.asking++
-			r.follower.At(p.clock())
+			r.follower.Advance(p.clock())
 			if !known {
-				r.follower.Failed()
+				r.follower.FetchFailed()
 				return
 			}
 			w.Fetched++
-			r.follower.Got(part)
+			r.follower.PartReceived(part)
 		})
 	})
 	p.later(1000, func() {
 		if p.ruled == r && r.asking == number {
 			r.asking++
-			r.follower.At(p.clock())
-			r.follower.Failed()
+			r.follower.Advance(p.clock())
+			r.follower.FetchFailed()
 		}
 	})
 }
@@ -480,11 +480,11 @@
 
 // part gives what the council's process would; one that is broken gives other bytes under the same version.
 func (p *Proc) part(q policy.Request) (policy.Part, bool) {
-	b := p.node.Register().Policy()
+	b := p.node.State().Policy()
 	var got *piece
 	for n := range p.pieces {
 		one := &p.pieces[n]
-		if q.Offset > 0 && one.version.Mark() == q.Want && one.whole == q.Whole && (one.whole || one.have == q.Have) {
+		if q.Offset > 0 && one.version.Number64() == q.Want && one.whole == q.Whole && (one.whole || one.have == q.Have) {
 			got = one
 		}
 	}
@@ -504,7 +504,7 @@
 		}
 		p.pieces = append(p.pieces, piece{q.Have, b.Version, whole, nil})
 		got = &p.pieces[len(p.pieces)-1]
-		if got.bytes = wire.Pack(raw); len(p.pieces) > 64 {
+		if got.bytes = rpc.Compress(raw); len(p.pieces) > 64 {
 			got = &piece{q.Have, b.Version, whole, got.bytes}
 			p.pieces = p.pieces[1:]
 		}
@@ -606,17 +606,17 @@
 	if l == nil {
 		return []string{"nobody leads in the end"}
 	}
-	b := l.node.Register().Policy()
+	b := l.node.State().Policy()
 	for _, p := range w.Routers {
 		if !p.up || p.asleep {
 			wrong = append(wrong, p.Name+" is down in the end")
 			continue
 		}
 		w.Older, w.Unfit = w.Older+p.ruled.follower.Stale, w.Unfit+p.ruled.follower.Wrong
-		if p.ruled.version.Mark() != b.Version.Mark() || p.ruled.doc.Hash() != b.Version.Hash {
+		if p.ruled.version.Number64() != b.Version.Number64() || p.ruled.doc.Hash() != b.Version.Hash {
 			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end, %s is in force", p.Name, p.ruled.version, b.Version))
 		}
-		if s, open := l.node.Register().Session(p.Name); !open || s.Policy != p.ruled.version.Mark() {
+		if s, open := l.node.State().Session(p.Name); !open || s.Policy != p.ruled.version.Number64() {
 			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end and is known to go by %s (session %v)", p.Name, p.ruled.version,
 				policy.MarkString(s.Policy), open))
 		}
--- a/internal/lab/fleet/twin/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -1,4 +1,4 @@
-package twin
+package simulation
 
 import (
 	"flag"
@@ -143,7 +143,7 @@
 	since := w.Now
 	var look func()
 	look = func() {
-		if p.ruled != nil && p.ruled.version.Mark() == w.ruling.last && w.ruling.last != 0 && w.Now > since+1 {
+		if p.ruled != nil && p.ruled.version.Number64() == w.ruling.last && w.ruling.last != 0 && w.Now > since+1 {
 			*into = append(*into, w.Now-since)
 			return
 		}
--- a/internal/lab/fleet/twin/sight.go
+++ b/internal/lab/fleet/simulation/sight.go
@@ -1,4 +1,4 @@
-package twin
+package simulation
 
 import (
 	"container/heap"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"wayloft/internal/decide/sight"
+	"wayloft/internal/decide/healthshare"
 	"wayloft/router"
 )
 
@@ -24,10 +24,10 @@
 func Sight(routers int, period float64, seed uint64) Sighting {
 	r := rand.New(rand.NewPCG(seed, 7))
 	ids := []string{"a", "b", "c", "d", "e"}
-	set := &router.Settings{Routers: routers, AskWithin: 10000, ColdFrom: 0.2, WarmUp: 1000, FallMultiple: 2.5, FallWindow: 2000, Submissions: 6,
-		CanCheck: true, CanRevoke: true, RetryAfter: 1000, Tenants: map[string]float64{}, TxnTypes: map[string]*router.TxnType{
-			"read":  {SLA: 500, Expiry: 2000, Value: 1, Level: router.Bounded, Bound: 1500},
-			"write": {SLA: 1000, Expiry: 5000, Value: 1, LateValue: 0.5, Effect: router.OnceOnly, Level: router.Write}}}
+	set := &router.Settings{Routers: routers, ListPollTimeout: 10000, SlowStartFloor: 0.2, SlowStartDuration: 1000, OverloadMultiple: 2.5, OverloadWindow: 2000, MaxAttempts: 6,
+		CanHealthCheck: true, CanCancel: true, RetryAfter: 1000, Tenants: map[string]float64{}, RequestClasses: map[string]*router.RequestClass{
+			"read":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: router.Bounded, StalenessBound: 1500},
+			"write": {LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write}}}
 	var now float64
 	var q queue
 	seq := 0
@@ -49,25 +49,25 @@
 	var pull func(n int)
 	alarms := make([]int, routers)
 	hear := func(n int, f func(*router.Router)) {
-		all[n].At(now)
+		all[n].Advance(now)
 		f(all[n])
 		pull(n)
 	}
 	told := func(n int, id string, at float64) { known[n][id] = max(known[n][id], at) }
 	pull = func(n int) {
 		for d, more := all[n].Next(); more; d, more = all[n].Next() {
-			switch d.Verb {
-			case router.Check:
+			switch d.Action {
+			case router.HealthCheck:
 				checks++
 				after(1+r.Float64(), func() {
 					role, at := position(d.Member)
 					after(1, func() {
 						told(n, d.Member, at)
-						hear(n, func(m *router.Router) { m.Reported(d.Member, role, at); m.Checked(d.Member, router.Committed) })
+						hear(n, func(m *router.Router) { m.Reported(d.Member, role, at); m.HealthChecked(d.Member, router.Succeeded) })
 					})
 				})
-			case router.Submit:
-				if d.Txn[0] == 'r' {
+			case router.SendAttempt:
+				if d.RequestID[0] == 'r' {
 					if reads++; d.Member == "a" {
 						atPrimary++
 					} else {
@@ -78,14 +78,14 @@
 				after(took, func() {
 					role, at := position(d.Member)
 					told(n, d.Member, at)
-					hear(n, func(m *router.Router) { m.Returned(d.Txn, d.Seq, router.Committed, took, true, role, at) })
+					hear(n, func(m *router.Router) { m.AttemptEnded(d.RequestID, d.Attempt, router.Succeeded, took, true, role, at) })
 				})
-			case router.Alarm:
+			case router.SetTimer:
 				alarms[n]++ // the one before is stopped, as the host does
 				k := alarms[n]
-				after(d.At-now, func() {
+				after(d.Time-now, func() {
 					if k == alarms[n] {
-						hear(n, func(m *router.Router) { m.Rang() })
+						hear(n, func(m *router.Router) { m.TimerFired() })
 					}
 				})
 			}
@@ -95,11 +95,11 @@
 	for n := range all {
 		all[n], known[n], seqs[n] = router.New(set, seed+uint64(n)*7919), map[string]float64{}, map[string]int{}
 		hear(n, func(m *router.Router) {
-			m.ListStart()
+			m.BeginList()
 			for _, id := range ids {
-				m.Listed(id, "z", 0, router.Up, router.Never)
+				m.ListMember(id, "z", 0, router.Up, router.Never)
 			}
-			m.ListEnd(true)
+			m.EndList(true)
 		})
 		var arrive func()
 		arrive = func() {
@@ -114,17 +114,17 @@
 		after(r.Float64()*100, arrive)
 	}
 	if period > 0 {
-		o := sight.NewOwner(period)
+		o := healthshare.NewProber(period)
 		o.Members(ids)
 		var turn func()
 		turn = func() {
-			o.At(now)
+			o.Advance(now)
 			for d, more := o.Next(); more; d, more = o.Next() {
-				if d.Verb == sight.Look {
+				if d.Action == healthshare.Probe {
 					checks++
 					after(2, func() {
 						role, at := position(d.Member)
-						o.Told(sight.Report{Member: d.Member, Position: at, Primary: role == router.Primary, Replica: role == router.Replica, At: now})
+						o.Reported(healthshare.Report{Member: d.Member, Position: at, Primary: role == router.Primary, Replica: role == router.Replica, At: now})
 					})
 					continue
 				}
@@ -136,7 +136,7 @@
 								role = router.Primary
 							}
 							told(n, rep.Member, rep.Position)
-							hear(n, func(m *router.Router) { m.Sighted(rep.Member, router.Never, role, rep.Position) })
+							hear(n, func(m *router.Router) { m.PeerReported(rep.Member, router.Never, role, rep.Position) })
 						}
 					})
 				}
--- a/internal/lab/fleet/twin/sight_test.go
+++ b/internal/lab/fleet/simulation/sight_test.go
@@ -1,4 +1,4 @@
-package twin
+package simulation
 
 import "testing"
 
--- a/internal/lab/fleet/twin/twin.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package twin plays a fleet in simulated time: the same council, agents and receivers as the program's processes, over a
+// Package simulation plays a fleet in simulated time: the same council, agents and receivers as the program's processes, over a
 // network, disks and clocks of its own, without a process or a socket. One seed gives one run. It owns time and faults; it
 // must never decide what the pure parts decide.
-package twin
+package simulation
 
 import (
 	"container/heap"
@@ -15,23 +15,23 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/agent"
-	"wayloft/internal/decide/council"
-	"wayloft/internal/decide/handover"
 	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/decide/switchover"
 )
 
 // Planted are defects, each to be found by a checker; the program has none of them.
 type Planted struct {
-	Council    council.Planted
+	Council    raftnode.SeededDefects
 	Unchecked  bool // receivers take whatever comes
 	Forgets    bool // a receiver that restarted takes orders without having asked where their fences stand
 	Overstays  bool // a lease is counted from the answer on, not from the request
 	SameEpoch  bool // a council that lost its state begins again in the same epoch
 	Unguarded  bool // members take steps whatever their guard rows say
-	Policy     policy.Planted
+	Policy     policy.SeededDefects
 	Uncompared bool // a proposal is taken whatever is in force
 	Unsaved    bool // a process of the council answers before its disk does
 }
@@ -84,7 +84,7 @@
 	Kind           string // take or stand
 	Begun, Ended   float64
 	Held           bool
-	Fence          lease.Fence
+	Fence          lease.Token
 }
 
 type event struct {
@@ -118,28 +118,28 @@
 	waits  []func()
 	ahead  float64 // its clock against the world's
 
-	node    *council.Node // of a process of the council
-	disk    council.Stored
+	node    *raftnode.Node // of a process of the council
+	disk    raftnode.Stored
 	slow    float64 // ms that its disk takes beyond the usual
 	lost    bool    // its folder is, for good
 	joins   bool    // it takes another's place
 	waiting map[uint64]asker
 	read    map[uint64][]string
 
-	agent  *agent.Agent
+	agent  *leaseclient.Client
 	duties []string
 	leader string
 	calls  map[uint64]call // by the agent's numbers
 	watch  uint64
-	acting map[string]lease.Fence
-	seen   map[string]lease.Fence // where Forgets is planted
+	acting map[string]lease.Token
+	seen   map[string]lease.Token // where Forgets is planted
 	tries  int
 
 	own     uint64 // requests of its own
 	carrier *carrier
-	guests  *handover.Guests
+	guests  *switchover.WriteHolds
 	handing *handing
-	desk    handover.Desk
+	desk    switchover.OrderState
 	member  *member
 
 	ruled    *ruled // a router's part in the policy, and its disk
@@ -156,14 +156,14 @@
 	proc   *Proc
 	life   int
 	number uint64
-	done   func(council.Decision) // of a request that is not an agent's
+	done   func(raftnode.Decision) // of a request that is not an agent's
 }
 
 // call is a request without an answer yet.
 type call struct {
-	ops   []int                       // its places in the history, one for each duty that it asks about; none: not kept
-	again func()                      // sends it once more, to who leads
-	done  func(register.Answer, bool) // of one that is not the agent\'s
+	ops   []int                         // its places in the history, one for each duty that it asks about; none: not kept
+	again func()                        // sends it once more, to who leads
+	done  func(leasestate.Result, bool) // of one that is not the agent\'s
 }
 
 // World is one run.
@@ -180,10 +180,10 @@
 	cut     map[[2]string]bool // from, to
 	loss    float64
 	number  uint64
-	taken   map[string]lease.Fence // by receiver and scope: the highest ever accepted there
+	taken   map[string]lease.Token // by receiver and scope: the highest ever accepted there
 	holders map[string]string      // by duty and fence: who acted under it
 	granted map[string]string      // by duty and fence: to whom, as a leader applied it
-	top     map[string]lease.Fence // the highest of these
+	top     map[string]lease.Token // the highest of these
 	owner   map[string]string      // by duty: who acts, as the world sees it
 	since   map[string]float64     // when it last had none
 	planned *planned
@@ -195,7 +195,7 @@
 // Play runs one world to its end.
 func Play(o Options) *World {
 	w := &World{opt: o, rand: rand.New(rand.NewPCG(o.Seed, 0x9e3779b97f4a7c15)), byName: map[string]*Proc{}, cut: map[[2]string]bool{},
-		taken: map[string]lease.Fence{}, holders: map[string]string{}, granted: map[string]string{}, top: map[string]lease.Fence{}, owner: map[string]string{},
+		taken: map[string]lease.Token{}, holders: map[string]string{}, granted: map[string]string{}, top: map[string]lease.Token{}, owner: map[string]string{},
 		since: map[string]float64{}, number: 1 << 32}
 	w.Faults = map[string]int{}
 	w.log = logrus.New()
@@ -220,7 +220,7 @@
 				p.duties = append(p.duties, duty(d))
 			}
 			if o.Handover {
-				p.duties = append(p.duties, handover.Duty(0))
+				p.duties = append(p.duties, switchover.LeaseName(0))
 			}
 		}
 		w.Routers, w.byName[p.Name] = append(w.Routers, p), p
@@ -346,16 +346,16 @@
 func (p *Proc) beat() {
 	due := tick
 	if p.agent != nil {
-		due = min(max(p.agent.Due()-p.clock(), 1), 100)
+		due = min(max(p.agent.NextDeadline()-p.clock(), 1), 100)
 		if p.ruled != nil { // nothing else looks at the clock for it
-			due = min(max(p.agent.Due()-p.clock(), 1), 1000)
+			due = min(max(p.agent.NextDeadline()-p.clock(), 1), 1000)
 		}
 	}
 	p.later(due, func() {
 		if p.node != nil {
-			p.node.At(p.clock())
+			p.node.Advance(p.clock())
 		} else {
-			p.agent.At(p.clock())
+			p.agent.Advance(p.clock())
 		}
 		p.beat()
 	})
@@ -378,7 +378,7 @@
 // Kill ends a process at once.
 func (p *Proc) Kill() {
 	p.up, p.asleep, p.waits, p.node, p.agent, p.carrier, p.handing, p.ruled = false, false, nil, nil, nil, nil, nil, nil
-	p.desk = handover.Desk{}
+	p.desk = switchover.OrderState{}
 	for _, d := range p.duties {
 		p.w.stopped(p, d)
 	}
@@ -406,14 +406,14 @@
 func (p *Proc) startCouncil() {
 	p.waiting, p.read = map[uint64]asker{}, map[uint64][]string{}
 	p.watchers, p.pushed, p.pushing, p.pieces = nil, 0, false, nil
-	var peers []council.Peer
+	var peers []raftnode.Peer
 	for _, o := range p.w.Council {
 		if !o.joins && !p.joins {
-			peers = append(peers, council.Peer{Name: o.Name})
+			peers = append(peers, raftnode.Peer{Name: o.Name})
 		}
 	}
-	node, fresh, err := council.New(council.Settings{Fleet: "f", Name: p.Name, Peers: peers, Epoch: p.w.epoch(), Tick: tick, Keep: 200, Log: p.w.log,
-		Planted: p.w.opt.Planted.Council}, p.disk)
+	node, fresh, err := raftnode.New(raftnode.Settings{Fleet: "f", Name: p.Name, Peers: peers, Epoch: p.w.epoch(), Tick: tick, Keep: 200, Log: p.w.log,
+		SeededDefects: p.w.opt.Planted.Council}, p.disk)
 	if err != nil {
 		p.w.wrong("%s does not start: %v", p.Name, err)
 		p.up = false
@@ -423,7 +423,7 @@
 		p.store(*fresh)
 	}
 	p.node = node
-	if node.At(p.clock()); p.w.opt.Policy != nil {
+	if node.Advance(p.clock()); p.w.opt.Policy != nil {
 		p.later(1000, p.empty)
 	}
 }
@@ -437,13 +437,13 @@
 }
 
 // store is the process's disk; what it is given is copied, as a disk would.
-func (p *Proc) store(d council.Decision) {
+func (p *Proc) store(d raftnode.Decision) {
 	clone := func(m proto.Message) proto.Message { return proto.Clone(m) }
 	if d.Snapshot != nil && d.Snapshot.GetMetadata().GetIndex() > 0 {
 		p.disk.Snapshot = clone(d.Snapshot).(*raftpb.Snapshot)
 		at := d.Snapshot.GetMetadata().GetIndex()
-		if d.Verb == council.Cut {
-			at = d.Below - 1
+		if d.Action == raftnode.Compact {
+			at = d.CompactBelow - 1
 		}
 		p.disk.Entries = slices.DeleteFunc(p.disk.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= at })
 	}
@@ -454,16 +454,16 @@
 			p.disk.Entries = append(p.disk.Entries, clone(e).(*raftpb.Entry))
 		}
 	}
-	if d.Hard != nil {
-		p.disk.Hard = clone(d.Hard).(*raftpb.HardState)
+	if d.HardState != nil {
+		p.disk.HardState = clone(d.HardState).(*raftpb.HardState)
 	}
 }
 
 func (p *Proc) settleCouncil() {
 	w := p.w
 	for d, more := p.node.Next(); more; d, more = p.node.Next() {
-		switch d.Verb {
-		case council.Save:
+		switch d.Action {
+		case raftnode.Save:
 			if w.opt.Planted.Unsaved {
 				p.node.Saved()
 				p.later(50, func() { p.store(d) })
@@ -473,9 +473,9 @@
 				p.store(d)
 				p.node.Saved()
 			})
-		case council.Cut:
+		case raftnode.Compact:
 			p.store(d)
-		case council.Send:
+		case raftnode.Send:
 			peer, _ := p.node.Peer(d.Message.GetTo())
 			to := w.byName[peer.Name]
 			if to == nil {
@@ -488,28 +488,28 @@
 				}
 			})
 			if m.GetType() == raftpb.MsgSnap {
-				p.later(20, func() { p.node.Sent(m.GetTo(), true) })
+				p.later(20, func() { p.node.SnapshotSent(m.GetTo(), true) })
 			}
-		case council.Done, council.Moved, council.Lost:
+		case raftnode.Done, raftnode.Redirect, raftnode.ResultUnknown:
 			p.answer(d)
-		case council.Led:
+		case raftnode.LeaderChanged:
 			if d.Leader.Name == p.Name {
 				w.Elections++
 			}
-		case council.Past:
-			if leads, _ := p.node.Leads(); leads && d.Event.Duty != "" && d.Event.Session != "" && !d.Event.Ended {
-				key := d.Event.Duty + " " + d.Event.Fence.String()
+		case raftnode.Applied:
+			if leads, _ := p.node.IsLeader(); leads && d.Event.Lease != "" && d.Event.Session != "" && !d.Event.Ended {
+				key := d.Event.Lease + " " + d.Event.Token.String()
 				if _, before := w.granted[key]; !before {
 					w.granted[key] = d.Event.Session
-					if d.Event.Fence.Compare(w.top[d.Event.Duty]) > 0 {
-						w.top[d.Event.Duty] = d.Event.Fence
+					if d.Event.Token.Compare(w.top[d.Event.Lease]) > 0 {
+						w.top[d.Event.Lease] = d.Event.Token
 					}
 					w.Grants++
 				}
 			}
 		}
 	}
-	if err := p.node.Failed(); err != nil {
+	if err := p.node.Err(); err != nil {
 		w.wrong("%s: %v", p.Name, err)
 		p.Kill()
 		return
@@ -519,19 +519,19 @@
 	}
 }
 
-func (p *Proc) answer(d council.Decision) {
-	who, waits := p.waiting[d.Number]
+func (p *Proc) answer(d raftnode.Decision) {
+	who, waits := p.waiting[d.Request]
 	if !waits {
 		return
 	}
-	delete(p.waiting, d.Number)
-	ans := d.Answer
-	var fences []lease.Fence
-	if duties, read := p.read[d.Number]; read {
-		delete(p.read, d.Number)
-		if d.Verb == council.Done {
+	delete(p.waiting, d.Request)
+	ans := d.Result
+	var fences []lease.Token
+	if duties, read := p.read[d.Request]; read {
+		delete(p.read, d.Request)
+		if d.Action == raftnode.Done {
 			for _, duty := range duties {
-				fences = append(fences, p.node.Register().Stands(duty))
+				fences = append(fences, p.node.State().LatestToken(duty))
 			}
 		}
 	}
@@ -542,30 +542,30 @@
 			return
 		}
 		if to.life == who.life && to.agent != nil {
-			to.heard(who.number, d.Verb, ans, fences, d.Leader.Name)
+			to.heard(who.number, d.Action, ans, fences, d.Leader.Name)
 		}
 	})
 }
 
 func (p *Proc) startRouter() {
 	p.tries++
-	p.calls, p.acting, p.seen, p.watch, p.leader = map[uint64]call{}, map[string]lease.Fence{}, map[string]lease.Fence{}, 0, ""
+	p.calls, p.acting, p.seen, p.watch, p.leader = map[uint64]call{}, map[string]lease.Token{}, map[string]lease.Token{}, 0, ""
 	margin := Margin
 	if p.w.opt.Planted.Overstays {
 		margin = -1000 // as if it were counted from a late answer
 	}
-	p.agent = agent.New(agent.Settings{Name: p.Name, Kind: "router", Address: p.Name, Incarnation: uint64(p.tries) * 1000, Length: Length,
-		Margin: margin, Duties: p.duties, Seed: p.w.opt.Seed + uint64(len(p.Name)) + uint64(p.tries)<<8 + uint64(p.Name[len(p.Name)-1])<<16})
-	p.agent.At(p.clock())
+	p.agent = leaseclient.New(leaseclient.Settings{Name: p.Name, Kind: "router", Address: p.Name, Incarnation: uint64(p.tries) * 1000, SessionTimeout: Length,
+		SafetyMargin: margin, Leases: p.duties, Seed: p.w.opt.Seed + uint64(len(p.Name)) + uint64(p.tries)<<8 + uint64(p.Name[len(p.Name)-1])<<16})
+	p.agent.Advance(p.clock())
 	for d := range p.w.opt.Duties {
-		p.agent.Learn(duty(d))
+		p.agent.LearnToken(duty(d))
 	}
 	if p.w.opt.Policy != nil {
 		p.startRuled()
 		return
 	}
 	if p.look(); p.w.planned != nil {
-		p.agent.Learn(handover.Duty(0))
+		p.agent.LearnToken(switchover.LeaseName(0))
 		p.carries()
 	}
 }
@@ -576,8 +576,8 @@
 	c := w.Council[w.rand.IntN(len(w.Council))]
 	life, since := p.life, p.watch
 	w.send(p, c, 16, func() {
-		u, index := agent.Changes(c.node.Register(), since, false)
-		w.send(c, p, 16+48*(len(u.Sessions)+len(u.Duties)), func() {
+		u, index := leaseclient.Changes(c.node.State(), since, false)
+		w.send(c, p, 16+48*(len(u.Sessions)+len(u.Leases)), func() {
 			if p.life == life && p.watch == since {
 				p.watch = index
 				p.agent.Watched(u)
@@ -589,21 +589,21 @@
 
 func (p *Proc) settleRouter() {
 	for d, more := p.agent.Next(); more; d, more = p.agent.Next() {
-		switch d.Verb {
-		case agent.Call, agent.Stand:
-			p.calls[d.Number] = call{ops: p.begin(d)}
+		switch d.Action {
+		case leaseclient.Propose, leaseclient.QueryTokens:
+			p.calls[d.Request] = call{ops: p.begin(d)}
 			p.ask(d, 0)
-		case agent.Start:
-			p.acting[d.Duty] = d.Fence
-			if p.w.began(p, d.Duty); d.Duty == handover.Duty(0) {
-				p.desk.Sit(d.Fence)
-				p.handing = &handing{fence: d.Fence}
+		case leaseclient.Start:
+			p.acting[d.Lease] = d.Token
+			if p.w.began(p, d.Lease); d.Lease == switchover.LeaseName(0) {
+				p.desk.BeginLease(d.Token)
+				p.handing = &handing{fence: d.Token}
 			} else {
-				p.act(d.Duty, d.Fence)
+				p.act(d.Lease, d.Token)
 			}
-		case agent.Stop:
-			delete(p.acting, d.Duty)
-			if p.w.stopped(p, d.Duty); d.Duty == handover.Duty(0) {
+		case leaseclient.Stop:
+			delete(p.acting, d.Lease)
+			if p.w.stopped(p, d.Lease); d.Lease == switchover.LeaseName(0) {
 				p.handing = nil
 			}
 		}
@@ -611,13 +611,13 @@
 }
 
 // begin notes a request for the history that is checked; takes and reads alone are, and a read for each duty by itself.
-func (p *Proc) begin(d agent.Decision) (ops []int) {
-	op, duties := Op{Client: p.w.client(p), Kind: "stand", Begun: p.w.Now, Ended: -1}, d.Duties
-	if d.Verb == agent.Call {
-		if d.Entry.Kind != register.Take {
+func (p *Proc) begin(d leaseclient.Decision) (ops []int) {
+	op, duties := Op{Client: p.w.client(p), Kind: "stand", Begun: p.w.Now, Ended: -1}, d.Leases
+	if d.Action == leaseclient.Propose {
+		if d.Entry.Kind != leasestate.AcquireLease {
 			return nil
 		}
-		op.Session, op.Kind, duties = d.Entry.Session, "take", []string{d.Entry.Duty}
+		op.Session, op.Kind, duties = d.Entry.Session, "take", []string{d.Entry.Lease}
 	}
 	for _, op.Duty = range duties {
 		ops = append(ops, len(p.w.Ops))
@@ -627,14 +627,14 @@
 }
 
 // ask sends a request to who is thought to lead, or to anybody; unanswered for 300 ms, it has failed.
-func (p *Proc) ask(d agent.Decision, tries int) {
+func (p *Proc) ask(d leaseclient.Decision, tries int) {
 	w := p.w
-	open, waits := p.calls[d.Number]
+	open, waits := p.calls[d.Request]
 	if !waits {
 		return
 	}
 	if tries > 3 {
-		p.fail(d.Number)
+		p.fail(d.Request)
 		return
 	}
 	c := w.byName[p.leader]
@@ -642,23 +642,23 @@
 		c = w.Council[w.rand.IntN(len(w.Council))]
 	}
 	open.again = func() { p.ask(d, tries+1) }
-	p.calls[d.Number] = open
+	p.calls[d.Request] = open
 	life := p.life
 	w.send(p, c, 96, func() {
 		w.number++
-		c.waiting[w.number] = asker{proc: p, life: life, number: d.Number}
-		c.node.At(c.clock())
-		if d.Verb == agent.Stand {
-			c.read[w.number] = d.Duties
+		c.waiting[w.number] = asker{proc: p, life: life, number: d.Request}
+		c.node.Advance(c.clock())
+		if d.Action == leaseclient.QueryTokens {
+			c.read[w.number] = d.Leases
 			c.node.Read(w.number)
 		} else {
-			c.node.Do(w.number, d.Entry)
+			c.node.Propose(w.number, d.Entry)
 		}
 	})
 	p.later(300, func() {
-		if _, waits := p.calls[d.Number]; waits {
+		if _, waits := p.calls[d.Request]; waits {
 			p.leader = ""
-			p.fail(d.Number)
+			p.fail(d.Request)
 		}
 	})
 }
@@ -666,28 +666,28 @@
 func (p *Proc) fail(number uint64) {
 	c := p.calls[number]
 	delete(p.calls, number)
-	p.agent.At(p.clock())
+	p.agent.Advance(p.clock())
 	if c.done != nil {
-		c.done(register.Answer{}, false)
+		c.done(leasestate.Result{}, false)
 		return
 	}
 	p.agent.Failed(number)
 }
 
 // heard takes in how the council answered.
-func (p *Proc) heard(number uint64, how council.Verb, ans register.Answer, fences []lease.Fence, leader string) {
+func (p *Proc) heard(number uint64, how raftnode.Action, ans leasestate.Result, fences []lease.Token, leader string) {
 	c, open := p.calls[number]
 	if !open {
 		return
 	}
 	switch how {
-	case council.Moved:
+	case raftnode.Redirect:
 		if p.leader = leader; leader == "" {
 			p.fail(number)
 		} else {
 			c.again()
 		}
-	case council.Lost:
+	case raftnode.ResultUnknown:
 		p.fail(number)
 	default:
 		delete(p.calls, number)
@@ -697,12 +697,12 @@
 				op.Fence = fences[i]
 			}
 		}
-		p.agent.At(p.clock())
+		p.agent.Advance(p.clock())
 		switch {
 		case c.done != nil:
 			c.done(ans, true)
 		case fences != nil:
-			p.agent.Stood(number, fences)
+			p.agent.TokensLearned(number, fences)
 		default:
 			p.agent.Answered(number, ans)
 		}
@@ -710,13 +710,13 @@
 }
 
 // act has an owner send acts for as long as it may. Between its look and its act it may be stopped.
-func (p *Proc) act(duty string, as lease.Fence) {
+func (p *Proc) act(duty string, as lease.Token) {
 	w := p.w
 	if now, still := p.acting[duty]; !still || now != as {
 		return
 	}
-	p.agent.At(p.clock())
-	if fence, may := p.agent.May(duty); may {
+	p.agent.Advance(p.clock())
+	if fence, may := p.agent.Valid(duty); may {
 		if holder, later := w.above(duty, fence); later && w.Faults["wiped"] == 0 {
 			w.wrong("%s finds that it may act for %s under %v, which %s was granted", p.Name, duty, fence, holder)
 		}
@@ -729,16 +729,16 @@
 }
 
 // above tells whether a higher fence of a duty has been granted, and to whom.
-func (w *World) above(duty string, fence lease.Fence) (string, bool) {
+func (w *World) above(duty string, fence lease.Token) (string, bool) {
 	top := w.top[duty]
 	return w.granted[duty+" "+top.String()], top.Compare(fence) > 0
 }
 
-func (p *Proc) order(to *Proc, duty string, fence lease.Fence) {
+func (p *Proc) order(to *Proc, duty string, fence lease.Token) {
 	w := p.w
 	life := p.life
 	w.send(p, to, 80, func() {
-		verdict, highest := to.judge(lease.Scope{Duty: duty, About: "g"}, p.Name, fence)
+		verdict, highest := to.judge(lease.Scope{Lease: duty, About: "g"}, p.Name, fence)
 		switch verdict {
 		case lease.Taken:
 			w.accept(to, duty, p.Name, fence)
@@ -747,29 +747,29 @@
 		}
 		w.send(to, p, 32, func() {
 			if p.life == life && verdict == lease.Old {
-				p.agent.Refusal(duty, highest)
+				p.agent.Rejected(duty, highest)
 			}
 		})
 	})
 }
 
 // judge is the receiver's own, or what is left of it where a defect is planted.
-func (p *Proc) judge(s lease.Scope, holder string, fence lease.Fence) (lease.Verdict, lease.Fence) {
+func (p *Proc) judge(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
 	switch {
 	case p.w.opt.Planted.Unchecked:
 		return lease.Taken, fence
 	case p.w.opt.Planted.Forgets:
-		if fence.Compare(p.seen[s.Duty]) < 0 {
-			return lease.Old, p.seen[s.Duty]
+		if fence.Compare(p.seen[s.Lease]) < 0 {
+			return lease.Old, p.seen[s.Lease]
 		}
-		p.seen[s.Duty] = fence
+		p.seen[s.Lease] = fence
 		return lease.Taken, fence
 	}
-	return p.agent.Take(s, holder, fence)
+	return p.agent.Check(s, holder, fence)
 }
 
 // accept checks what a receiver took against all that was ever taken there, whatever it remembers.
-func (w *World) accept(at *Proc, duty, holder string, fence lease.Fence) {
+func (w *World) accept(at *Proc, duty, holder string, fence lease.Token) {
 	w.Acts++
 	key := at.Name + " " + duty
 	if fence.Compare(w.taken[key]) < 0 {
@@ -812,7 +812,7 @@
 	}
 	for _, p := range w.Council {
 		if p.node != nil {
-			w.Entries = max(w.Entries, p.node.Register().Index())
+			w.Entries = max(w.Entries, p.node.State().Index())
 		}
 	}
 	if len(w.Wrong) == 0 {
--- a/internal/lab/fleet/twin/twin_test.go
+++ b/internal/lab/fleet/simulation/simulation_test.go
@@ -1,11 +1,11 @@
-package twin
+package simulation
 
 import (
 	"flag"
 	"slices"
 	"testing"
 
-	"wayloft/internal/decide/handover"
+	"wayloft/internal/decide/switchover"
 )
 
 var schedules = flag.Int("schedules", 40, "drawn schedules that the twin plays")
@@ -111,8 +111,8 @@
 		w.After(at, func() { w.order("m2", 0) })
 		for wait := 1.0; wait < 200; wait++ { // the moment in which the new primary is to take over
 			w.After(at+wait, func() {
-				if p := w.Owner(handover.Duty(0)); p != nil && p.handing != nil && p.handing.owner != nil && p.handing.owner.Phase() == "take" &&
-					p.handing.stepping == handover.Take && !p.asleep {
+				if p := w.Owner(switchover.LeaseName(0)); p != nil && p.handing != nil && p.handing.owner != nil && p.handing.owner.Phase() == "take" &&
+					p.handing.stepping == switchover.Promote && !p.asleep {
 					w.StopFor(p, 5500)
 				}
 			})
--- a/internal/lab/size/directory.go
+++ b/internal/lab/scale/directory.go
@@ -1,4 +1,4 @@
-package size
+package scale
 
 import (
 	"encoding/json"
--- a/internal/lab/size/installation.go
+++ b/internal/lab/scale/installation.go
@@ -1,4 +1,4 @@
-package size
+package scale
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"wayloft/internal/decide/sight"
+	"wayloft/internal/decide/healthshare"
 	client "wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/lab/fleet"
@@ -274,7 +274,7 @@
 func (in *Installation) state() (*fleetpb.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return in.client.Look(ctx)
+	return in.client.State(ctx)
 }
 
 // look looks at all processes, and asks those of hollow ones for their counts.
@@ -423,7 +423,7 @@
 	out := map[string]string{}
 	for n := range in.owners {
 		for _, d := range s.State.Duties {
-			if d.Name == sight.Duty(n) {
+			if d.Name == healthshare.LeaseName(n) {
 				out[d.Name] = d.Holder
 			}
 		}
--- a/internal/lab/size/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -1,4 +1,4 @@
-package size
+package scale
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"wayloft/internal/decide/agent"
+	"wayloft/internal/decide/leaseclient"
 )
 
 var build = sync.OnceValues(func() (string, error) {
@@ -69,7 +69,7 @@
 	exact("watches' first words", r.Start["whole_in"], routers)
 	// Each asks once where all groups' two duties stand, as many to a call as one carries, and opens a session; a beat comes when a
 	// sixth of its length is over at the earliest. An answer that names another process is no answer.
-	stands, opens := routers*((2*groups+agent.MostStands-1)/agent.MostStands), routers
+	stands, opens := routers*((2*groups+leaseclient.MaxTokenQuery-1)/leaseclient.MaxTokenQuery), routers
 	answers, beats := r.Start["answer_in"], routers*int64(1+r.StartS/(o.Session.Seconds()/6))
 	if answers < stands+opens || answers > stands+opens+beats {
 		t.Errorf("%d answers to %d questions, %d opens and at most %d beats", answers, stands, opens, beats)
