--- a/internal/lab/size/routers.go
+++ b/internal/lab/scale/routers.go
@@ -1,4 +1,4 @@
-package size
+package scale
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/sight"
 	"wayloft/internal/discovery"
 	"wayloft/internal/fleet"
 	"wayloft/internal/pg"
@@ -31,7 +31,7 @@
 // one is one of them; what follows mailbox is its goroutine's alone.
 type one struct {
 	all     *routers
-	link    *fleet.Link
+	link    *fleet.Node
 	mailbox chan func()
 	listed  map[string]discovery.Entry
 	checks  map[string]chan bool // by member: a check is to be made
@@ -56,8 +56,8 @@
 		if err != nil {
 			return nil, err
 		}
-		o.link = fleet.New(fleet.Settings{Fleet: s.Fleet, Name: name, Kind: "router", Council: s.Council, Via: s.Via, Address: listener.Addr().String(),
-			Length: s.SessionMs, Margin: s.SessionMs / 10, Sight: s.SightMs, Bound: 5000}, o)
+		o.link = fleet.New(fleet.Settings{Fleet: s.Fleet, Name: name, Kind: "router", Coordinators: s.Council, Via: s.Via, Address: listener.Addr().String(),
+			SessionTimeout: s.SessionMs, SafetyMargin: s.SessionMs / 10, HealthSharePeriod: s.SightMs, MaxHold: 5000}, o)
 		r.all = append(r.all, o)
 		if s.PaceMs > 0 {
 			time.Sleep(time.Duration(s.PaceMs * float64(time.Millisecond)))
@@ -110,10 +110,10 @@
 
 // What follows is what the fleet's part asks of a router.
 
-func (o *one) Post(f func())         { o.mailbox <- f }
-func (o *one) Now() float64          { return unixMs() }
-func (o *one) Hold(int, float64)     {}
-func (o *one) Writes(int) (int, int) { return 0, 0 }
+func (o *one) Post(f func())           { o.mailbox <- f }
+func (o *one) Now() float64            { return unixMs() }
+func (o *one) HoldWrites(int, float64) {}
+func (o *one) Writes(int) (int, int)   { return 0, 0 }
 func (o *one) Groups() map[int][]fleet.Member {
 	groups := map[int][]fleet.Member{}
 	for _, e := range o.listed {
@@ -129,21 +129,21 @@
 	return at
 }
 
-func (o *one) Policy(policy.Version, policy.Document) error {
+func (o *one) ApplyPolicy(policy.Version, policy.Document) error {
 	o.all.counts.policies.Add(1)
 	o.all.ear.policy()
 	return nil
 }
 
-func (o *one) Sighted(r sight.Report) {
+func (o *one) PeerReported(r healthshare.Report) {
 	o.all.counts.sighted.Add(1)
 	if r.Primary {
 		o.heard = o.all.ear.primary(r.Member, o.heard)
 	}
 }
 
-// Look has a member checked on a connection that is kept, as a router keeps it. One that has yet to answer is passed over.
-func (o *one) Look(member string) {
+// HealthCheck has a member checked on a connection that is kept, as a router keeps it. One that has yet to answer is passed over.
+func (o *one) HealthCheck(member string) {
 	e, there := o.listed[member]
 	if !there {
 		return
@@ -189,7 +189,7 @@
 			}
 		}
 		_, err := c.Write(pg.AppendQuery(nil, ""))
-		var r sight.Report
+		var r healthshare.Report
 		if err == nil {
 			r, err = o.hear(c, in, e)
 		}
@@ -203,8 +203,8 @@
 }
 
 // hear reads up to the end of an answer.
-func (o *one) hear(c net.Conn, in *pg.Reader, e discovery.Entry) (sight.Report, error) {
-	r := sight.Report{Member: e.ID, Started: started(e.Started)}
+func (o *one) hear(c net.Conn, in *pg.Reader, e discovery.Entry) (healthshare.Report, error) {
+	r := healthshare.Report{Member: e.ID, Started: started(e.Started)}
 	buf := make([]byte, 512)
 	c.SetReadDeadline(time.Now().Add(checkLimit))
 	for {
--- a/internal/lab/size/size.go
+++ b/internal/lab/scale/scale.go
@@ -1,16 +1,16 @@
-// Package size measures what each role of an installation costs at which size, on one machine: the real council and some real
+// Package scale measures what each role of an installation costs at which size, on one machine: the real council and some real
 // routers as processes of the program, and around them hollow routers, databases and a discovery service, many to a process, which
 // run the real session, watch, agent, list and sight code over real sockets without clients. It owns the processes that it started and
 // the account of what they did, counted from outside wherever that can be; it must never end what it did not start, go beyond
 // its bounds, or be part of a router.
-package size
+package scale
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"wayloft/internal/decide/agent"
+	"wayloft/internal/decide/leaseclient"
 )
 
 const (
@@ -100,7 +100,9 @@
 const startCalls, startWords = 2500, 5000
 
 // questions is how many calls a router that starts asks where duties stand.
-func (o Options) questions() int { return (2*o.groups() + agent.MostStands - 1) / agent.MostStands }
+func (o Options) questions() int {
+	return (2*o.groups() + leaseclient.MaxTokenQuery - 1) / leaseclient.MaxTokenQuery
+}
 
 func (o Options) pace() time.Duration {
 	if o.Pace > 0 {
--- a/internal/lab/up.go
+++ b/internal/lab/up.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"wayloft/internal/standin/pgserver"
+	"wayloft/internal/fakes/pgserver"
 )
 
 // Cluster is a group of stand-in servers, the first of which is the primary.
--- a/internal/wire/clock_test.go
+++ b/internal/rpc/clock_test.go
@@ -1,4 +1,4 @@
-package wire
+package rpc
 
 import (
 	"go/ast"
@@ -20,9 +20,9 @@
 // stepped. In the packages of the coordinator and its clients the wall clock is read in two places: for the number of a start, and for
 // the first epoch.
 func TestWallClockIsReadInTwoPlaces(t *testing.T) {
-	want := []string{"fleet.newLink: UnixMilli", "wire.Epoch: Unix"}
+	want := []string{"fleet.newLink: UnixMilli", "rpc.EpochAt: Unix"}
 	var got []string
-	for _, dir := range []string{".", "../fleet", "../council", "../decide/agent", "../decide/council", "../decide/lease", "../decide/register"} {
+	for _, dir := range []string{".", "../fleet", "../coordinator", "../decide/leaseclient", "../decide/raftnode", "../decide/lease", "../decide/leasestate"} {
 		paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(paths) == 0 {
 			t.Fatal(dir, err)
--- a/internal/wire/wire.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package wire is how processes of a fleet reach each other: gRPC without TLS, the fleet's name with each call, a clock that
+// Package rpc is how processes of a fleet reach each other: gRPC without TLS, the fleet's name with each call, a clock that
 // also runs while the machine sleeps, and the forms of decisions' values. It owns nothing that lasts; it must never decide.
-package wire
+package rpc
 
 import (
 	"context"
@@ -22,10 +22,10 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/agent"
 	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
 	"wayloft/internal/fleetpb"
 )
 
@@ -47,18 +47,18 @@
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-// Epoch is that of a council that begins now: the seconds since November 2023, so that one that begins later is above.
-func Epoch(now time.Time) uint64 { return uint64(max(1, now.Unix()-1700000000)) }
+// EpochAt is that of a council that begins now: the seconds since November 2023, so that one that begins later is above.
+func EpochAt(now time.Time) uint64 { return uint64(max(1, now.Unix()-1700000000)) }
 
-// Draw gives a number that nobody else has: of a folder, or of a start.
-func Draw() uint64 {
+// UniqueID gives a number that nobody else has: of a folder, or of a start.
+func UniqueID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// Spread draws a wait from half of d to one and a half: what failed together must not come again together.
-func Spread(d time.Duration) time.Duration {
+// Jitter draws a wait from half of d to one and a half: what failed together must not come again together.
+func Jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + mrand.Float64()) * float64(d))
 }
 
@@ -122,56 +122,56 @@
 	}
 }
 
-// Fence, Update and what follows turn decisions' values into the form, and back.
-func Fence(f lease.Fence) *fleetpb.Fence { return &fleetpb.Fence{Epoch: f.Epoch, Count: f.Count} }
+// EncodeToken, Update and what follows turn decisions' values into the form, and back.
+func EncodeToken(f lease.Token) *fleetpb.Fence { return &fleetpb.Fence{Epoch: f.Epoch, Count: f.Count} }
 
-func FromFence(f *fleetpb.Fence) lease.Fence {
-	return lease.Fence{Epoch: f.GetEpoch(), Count: f.GetCount()}
+func DecodeToken(f *fleetpb.Fence) lease.Token {
+	return lease.Token{Epoch: f.GetEpoch(), Count: f.GetCount()}
 }
 
-func Update(u agent.Update) *fleetpb.Update {
+func EncodeUpdate(u leaseclient.Update) *fleetpb.Update {
 	out := &fleetpb.Update{Whole: u.Whole, WithoutSessions: u.WithoutSessions}
 	for _, p := range u.Policies {
-		out.Policies = append(out.Policies, Policy(p.Version, p.Difference))
+		out.Policies = append(out.Policies, EncodePolicy(p.Version, p.Difference))
 	}
 	for _, s := range u.Sessions {
 		out.Sessions = append(out.Sessions, &fleetpb.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
 			Policy: s.Policy, Ended: s.Ended})
 	}
-	for _, d := range u.Duties {
-		one := &fleetpb.Duty{Name: d.Name, Holder: d.Holder, Fence: Fence(d.Fence), Open: wish(d.Open), Ended: wish(d.Ended)}
+	for _, d := range u.Leases {
+		one := &fleetpb.Duty{Name: d.Name, Holder: d.Holder, Fence: EncodeToken(d.Token), Open: wish(d.Open), Ended: wish(d.Ended)}
 		for _, s := range d.Steps {
-			one.Steps = append(one.Steps, &fleetpb.Step{Fence: Fence(s.Fence), Text: s.Text})
+			one.Steps = append(one.Steps, &fleetpb.Step{Fence: EncodeToken(s.Token), Text: s.Text})
 		}
 		out.Duties = append(out.Duties, one)
 	}
 	return out
 }
 
-// FromUpdate passes over a version whose form is not sound, as if it had not been told.
-func FromUpdate(in *fleetpb.Update) agent.Update {
-	u := agent.Update{Whole: in.Whole, WithoutSessions: in.WithoutSessions}
+// DecodeUpdate passes over a version whose form is not sound, as if it had not been told.
+func DecodeUpdate(in *fleetpb.Update) leaseclient.Update {
+	u := leaseclient.Update{Whole: in.Whole, WithoutSessions: in.WithoutSessions}
 	for _, p := range in.Policies {
-		if v, x, err := FromPolicy(p); err == nil {
-			u.Policies = append(u.Policies, agent.Policy{Version: v, Difference: x})
+		if v, x, err := DecodePolicy(p); err == nil {
+			u.Policies = append(u.Policies, leaseclient.Policy{Version: v, Difference: x})
 		}
 	}
 	for _, s := range in.Sessions {
-		u.Sessions = append(u.Sessions, agent.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
+		u.Sessions = append(u.Sessions, leaseclient.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, d := range in.Duties {
-		one := agent.Duty{Name: d.Name, Holder: d.Holder, Fence: FromFence(d.Fence), Open: fromWish(d.Open), Ended: fromWish(d.Ended)}
+		one := leaseclient.Lease{Name: d.Name, Holder: d.Holder, Token: DecodeToken(d.Fence), Open: fromWish(d.Open), Ended: fromWish(d.Ended)}
 		for _, s := range d.Steps {
-			one.Steps = append(one.Steps, register.Step{Fence: FromFence(s.Fence), Text: s.Text})
+			one.Steps = append(one.Steps, leasestate.Step{Token: DecodeToken(s.Fence), Text: s.Text})
 		}
-		u.Duties = append(u.Duties, one)
+		u.Leases = append(u.Leases, one)
 	}
 	return u
 }
 
-// Policy and FromPolicy turn a version, and what led to it if that is told.
-func Policy(v policy.Version, x *policy.Difference) *fleetpb.Policy {
+// EncodePolicy and FromPolicy turn a version, and what led to it if that is told.
+func EncodePolicy(v policy.Version, x *policy.Difference) *fleetpb.Policy {
 	p := &fleetpb.Policy{Epoch: v.Epoch, Number: v.Number, Hash: v.Hash[:], Base: v.Base, Size: uint64(v.Size), Author: v.Author, Reason: v.Reason}
 	if x != nil {
 		p.Told, p.Difference = true, x.Encode()
@@ -179,7 +179,7 @@
 	return p
 }
 
-func FromPolicy(p *fleetpb.Policy) (v policy.Version, x *policy.Difference, err error) {
+func DecodePolicy(p *fleetpb.Policy) (v policy.Version, x *policy.Difference, err error) {
 	v = policy.Version{Epoch: p.GetEpoch(), Number: p.GetNumber(), Base: p.GetBase(), Size: int(p.GetSize()), Author: p.GetAuthor(), Reason: p.GetReason()}
 	if copy(v.Hash[:], p.GetHash()) != len(v.Hash) || len(p.GetHash()) != len(v.Hash) {
 		return v, nil, fmt.Errorf("policy: a hash of %d bytes", len(p.GetHash()))
@@ -197,9 +197,9 @@
 	return v, x, nil
 }
 
-// Pack and Unpack are zstd (RFC 8878). What comes of Unpack is at most so many bytes, or an error: a few bytes may unpack to a
+// Compress and Unpack are zstd (RFC 8878). What comes of Unpack is at most so many bytes, or an error: a few bytes may unpack to a
 // great many.
-func Pack(b []byte) []byte { return packer().EncodeAll(b, nil) }
+func Compress(b []byte) []byte { return packer().EncodeAll(b, nil) }
 
 var packer = sync.OnceValue(func() *zstd.Encoder { // a process that only unpacks makes none
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10), zstd.WithLowerEncoderMem(true))
@@ -209,7 +209,7 @@
 	return e
 })
 
-func Unpack(b []byte, most int) ([]byte, error) {
+func Decompress(b []byte, most int) ([]byte, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(most)))
 	if err != nil {
 		return nil, err
@@ -218,13 +218,13 @@
 	return d.DecodeAll(b, nil)
 }
 
-func wish(w register.Wish) *fleetpb.Wish { return &fleetpb.Wish{Number: w.Number, Text: w.Text} }
+func wish(w leasestate.Order) *fleetpb.Wish { return &fleetpb.Wish{Number: w.Number, Text: w.Text} }
 
-func fromWish(w *fleetpb.Wish) register.Wish {
-	return register.Wish{Number: w.GetNumber(), Text: w.GetText()}
+func fromWish(w *fleetpb.Wish) leasestate.Order {
+	return leasestate.Order{Number: w.GetNumber(), Text: w.GetText()}
 }
 
-// Answer reads an answer of the council.
-func Answer(a *fleetpb.Answer) register.Answer {
-	return register.Answer{Held: a.Held, Fence: FromFence(a.Fence), Why: a.Why, Number: a.Number}
+// DecodeResult reads an answer of the council.
+func DecodeResult(a *fleetpb.Answer) leasestate.Result {
+	return leasestate.Result{Held: a.Held, Fence: DecodeToken(a.Fence), Why: a.Why, Number: a.Number}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/rpc/rpc_test.go
@@ -1,4 +1,4 @@
-package wire
+package rpc
 
 import (
 	"bytes"
@@ -8,31 +8,31 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"wayloft/internal/decide/agent"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
-	"wayloft/internal/decide/register"
 	"wayloft/internal/fleetpb"
 )
 
 // What is packed comes back; what would unpack to more than it may is refused, as is what isn't packed.
 func TestPack(t *testing.T) {
 	long := bytes.Repeat([]byte("tenants.acme.rate"), 20000)
-	packed := Pack(long)
-	if got, err := Unpack(packed, len(long)); err != nil || !bytes.Equal(got, long) || len(packed) > len(long)/100 {
+	packed := Compress(long)
+	if got, err := Decompress(packed, len(long)); err != nil || !bytes.Equal(got, long) || len(packed) > len(long)/100 {
 		t.Error(len(got), len(packed), err)
 	}
-	if got, err := Unpack(packed, len(long)/2); err == nil {
+	if got, err := Decompress(packed, len(long)/2); err == nil {
 		t.Error(len(got), "bytes came of it")
 	}
 	noise := make([]byte, policy.MostChanges) // the most that is ever packed, of what packs worst
 	rand.NewChaCha8([32]byte{1}).Read(noise)
 	for _, n := range []int{1, policy.MostBytes - 1, policy.MostBytes, policy.MostChanges} {
-		if got, err := Unpack(Pack(noise[:n]), max(n, policy.MostBytes)); err != nil || !bytes.Equal(got, noise[:n]) {
+		if got, err := Decompress(Compress(noise[:n]), max(n, policy.MostBytes)); err != nil || !bytes.Equal(got, noise[:n]) {
 			t.Errorf("%d bytes: %d, %v", n, len(got), err)
 		}
 	}
 	for _, bad := range [][]byte{[]byte("not packed at all"), packed[:len(packed)/2]} {
-		if _, err := Unpack(bad, 1<<20); err == nil {
+		if _, err := Decompress(bad, 1<<20); err == nil {
 			t.Errorf("%d bytes that are not sound are taken", len(bad))
 		}
 	}
@@ -41,16 +41,16 @@
 func TestPolicies(t *testing.T) {
 	v := policy.Version{Epoch: 3, Number: 4, Hash: [32]byte{5}, Base: 6, Size: 7, Author: "a", Reason: "r"}
 	x := policy.Difference{Set: map[string]string{"over_share_value": "0.2"}, Gone: []string{"tenants.a.rate"}}
-	got, y, err := FromPolicy(Policy(v, &x))
+	got, y, err := DecodePolicy(EncodePolicy(v, &x))
 	if err != nil || got != v || y.Set["over_share_value"] != "0.2" || len(y.Gone) != 1 {
 		t.Error(got, y, err)
 	}
-	if _, y, err := FromPolicy(Policy(v, nil)); y != nil || err != nil {
+	if _, y, err := DecodePolicy(EncodePolicy(v, nil)); y != nil || err != nil {
 		t.Error(y, err)
 	}
 	for name, p := range map[string]*fleetpb.Policy{"nothing": nil, "a short hash": {Hash: []byte{1}}, "a great number": {Hash: make([]byte, 32), Number: 1 << 40},
 		"no difference": {Hash: make([]byte, 32), Told: true, Difference: []byte{0xff}}} {
-		if _, _, err := FromPolicy(p); err == nil {
+		if _, _, err := DecodePolicy(p); err == nil {
 			t.Error(name)
 		}
 	}
@@ -59,9 +59,9 @@
 // What a watch tells at its beginning, in a fleet of 610 routers and 164 groups with two duties each: sessions are two thirds of it,
 // and it is what a router that gives no orders need not hear. The rest has to be heard within a few seconds of an allowance of 6 KB.
 func TestWatchSize(t *testing.T) {
-	r := register.New("f")
+	r := leasestate.New("f")
 	at := uint64(0)
-	do := func(e register.Entry) {
+	do := func(e leasestate.Entry) {
 		at++
 		if a := r.Apply(at, e); !a.Held {
 			t.Fatal(e, a)
@@ -69,17 +69,17 @@
 	}
 	for n := range 610 {
 		name := fmt.Sprintf("router-%03d", n)
-		do(register.Entry{Kind: register.Open, Session: name, Incarnation: 1764547200000, Length: 2000, Is: "router", Address: "10.20.30.40:7101", Policy: 94000000 << 32})
+		do(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1764547200000, Timeout: 2000, Role: "router", Address: "10.20.30.40:7101", Policy: 94000000 << 32})
 		if n < 328 {
-			do(register.Entry{Kind: register.Take, Session: name, Incarnation: 1764547200000, Duty: fmt.Sprint("handover/", n)})
+			do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1764547200000, Lease: fmt.Sprint("handover/", n)})
 		}
 	}
 	size := func(since uint64, without bool) int {
-		u, _ := agent.Changes(r, since, without)
-		return proto.Size(Update(u))
+		u, _ := leaseclient.Changes(r, since, without)
+		return proto.Size(EncodeUpdate(u))
 	}
 	all, few := size(0, false), size(0, true)
-	do(register.Entry{Kind: register.Open, Session: "router-007", Incarnation: 1764547300000, Length: 2000, Is: "router", Address: "10.20.30.40:7101"})
+	do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "router-007", Incarnation: 1764547300000, Timeout: 2000, Role: "router", Address: "10.20.30.40:7101"})
 	one, none := size(at-1, false), size(at-1, true)
 	t.Logf("%d bytes with sessions, %d without; a router that restarts: %d, %d", all, few, one, none)
 	if few > 3*6<<10 || all < 2*few || none > one {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -10,7 +10,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"wayloft/internal/decide/pool"
+	"wayloft/internal/decide/connpool"
 	"wayloft/internal/decide/session"
 	"wayloft/router"
 )
@@ -168,7 +168,7 @@
 	Name, User, Database string
 	Plain                bool // the platform's form
 	Policy               session.Policy
-	Bounds               pool.Bounds
+	Bounds               connpool.Bounds
 	Group                int
 }
 
@@ -213,8 +213,8 @@
 }
 
 var (
-	fileEffects = map[string]router.Effect{"repeatable": router.Repeatable, "referenced": router.Referenced,
-		"once-only": router.OnceOnly}
+	fileEffects = map[string]router.Effect{"repeatable": router.Idempotent, "referenced": router.IdempotentWithKey,
+		"once-only": router.NonIdempotent}
 	fileScopes = map[string]router.Scope{"all": router.ScopeAll, "zone": router.ScopeZone, "group": router.ScopeGroup}
 	fileLags   = map[string]router.Lag{"answers": router.LagAnswers, "refuses": router.LagRefuses, "waits": router.LagWaits}
 	forms      = map[string]bool{"transaction": false, "session": true, "platform": false}
@@ -324,18 +324,18 @@
 func (f *File) Settings() (*router.Settings, *Host, error) {
 	fl := f.Fleet
 	or := func(x, otherwise float64) float64 { return cmp.Or(x, otherwise) }
-	set := &router.Settings{Routers: cmp.Or(fl.Routers, 1), Zone: fl.Zone, AskWithin: or(float64(fl.ListWithin), 10000),
-		ColdFrom: or(fl.ColdFrom, 0.2), WarmUp: or(float64(fl.WarmUp), 10000), FallMultiple: or(fl.Multiple, 2.5),
-		FallWindow: or(float64(fl.Window), 2000), Submissions: cmp.Or(fl.Submissions, 6), CanCheck: true, CanRevoke: true,
-		RetryAfter: or(float64(fl.RetryAfter), 1000), TxnTypes: map[string]*router.TxnType{}, Tenants: map[string]float64{}}
+	set := &router.Settings{Routers: cmp.Or(fl.Routers, 1), Zone: fl.Zone, ListPollTimeout: or(float64(fl.ListWithin), 10000),
+		SlowStartFloor: or(fl.ColdFrom, 0.2), SlowStartDuration: or(float64(fl.WarmUp), 10000), OverloadMultiple: or(fl.Multiple, 2.5),
+		OverloadWindow: or(float64(fl.Window), 2000), MaxAttempts: cmp.Or(fl.Submissions, 6), CanHealthCheck: true, CanCancel: true,
+		RetryAfter: or(float64(fl.RetryAfter), 1000), RequestClasses: map[string]*router.RequestClass{}, Tenants: map[string]float64{}}
 	host := &Host{DialTimeout: or(float64(fl.Connect), 1000), IdleClose: or(float64(fl.IdleClose), 600000), Reports: fl.Reports}
 	var err error
 	if set.Lag, err = word(fileLags, "fleet.lagging_reads", fl.Lag, "answers"); err != nil {
 		return nil, nil, err
 	}
 	for _, t := range f.Types {
-		kind := &router.TxnType{SLA: float64(t.SLA), Expiry: float64(t.Expiry), Value: or(t.Value, 1), LateValue: t.Late,
-			Window: float64(t.Window), Bound: float64(t.Bound)}
+		kind := &router.RequestClass{LatencyObjective: float64(t.SLA), Deadline: float64(t.Expiry), PriorityWeight: or(t.Value, 1), LateWeightShare: t.Late,
+			IdempotencyWindow: float64(t.Window), StalenessBound: float64(t.Bound)}
 		var errs [3]error
 		kind.Effect, errs[0] = word(fileEffects, "effect", t.Effect, "once-only")
 		kind.Scope, errs[1] = word(fileScopes, "scope", t.Scope, "all")
@@ -343,11 +343,11 @@
 		if err := errors.Join(errs[:]...); err != nil {
 			return nil, nil, fmt.Errorf("txn_types: %s: %w", t.Name, err)
 		}
-		set.TxnTypes[t.Name] = kind
+		set.RequestClasses[t.Name] = kind
 	}
 	for _, p := range f.Pools {
-		if p.Form != "platform" && p.Write == "" && set.TxnTypes[Fallback] == nil {
-			set.TxnTypes[Fallback] = &router.TxnType{SLA: 1000, Expiry: 60000, Value: 1, LateValue: 0.5, Effect: router.OnceOnly,
+		if p.Form != "platform" && p.Write == "" && set.RequestClasses[Fallback] == nil {
+			set.RequestClasses[Fallback] = &router.RequestClass{LatencyObjective: 1000, Deadline: 60000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent,
 				Level: router.Write}
 		}
 	}
@@ -363,8 +363,8 @@
 		one := Pooled{Name: p.User + "/" + p.Database, User: p.User, Database: p.Database, Plain: p.Form == "platform", Group: p.Group}
 		one.Policy = session.Policy{Read: p.Read, Write: p.Write, Pins: p.Pins == nil || *p.Pins, Holds: p.Form == "session",
 			Settings: cmp.Or(int(p.Settings), 8<<10), Statements: cmp.Or(p.Statements, 1000)}
-		one.Bounds = pool.Bounds{PerMember: p.PerMember, Total: p.Total, Warm: p.Warm, Wait: float64(p.Wait),
-			Idle: cmp.Or(float64(p.Idle), pool.Statements(cmp.Or(float64(f.Fleet.IdleClose), 600000)).Idle), Age: float64(p.Age), Uses: p.Uses,
+		one.Bounds = connpool.Bounds{PerMember: p.PerMember, Total: p.Total, Warm: p.Warm, Wait: float64(p.Wait),
+			Idle: cmp.Or(float64(p.Idle), connpool.Statements(cmp.Or(float64(f.Fleet.IdleClose), 600000)).Idle), Age: float64(p.Age), Uses: p.Uses,
 			IdleInside: float64(p.IdleInside)}
 		out = append(out, one)
 	}
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -299,14 +299,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := set.TxnTypes["read"]
-	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over share", set.OverShareValue, "asks", set.Ask, "marks repeats", set.MarksRepeats) +
-		fmt.Sprintln("ask within", set.AskWithin, "soft removal", set.SoftRemoval, "cold from", set.ColdFrom, "warm up", set.WarmUp, "fall multiple",
-			set.FallMultiple, "fall window", set.FallWindow) +
-		fmt.Sprintln("attempts", set.Submissions, "checks", set.CanCheck, "revokes", set.CanRevoke, "retry after", set.RetryAfter, "remembered", set.Remembered) +
+	class := set.RequestClasses["read"]
+	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over share", set.OverQuotaWeight, "asks", set.PollsList, "marks repeats", set.ClientsMarkRetries) +
+		fmt.Sprintln("ask within", set.ListPollTimeout, "soft removal", set.SoftRemoval, "cold from", set.SlowStartFloor, "warm up", set.SlowStartDuration, "fall multiple",
+			set.OverloadMultiple, "fall window", set.OverloadWindow) +
+		fmt.Sprintln("attempts", set.MaxAttempts, "checks", set.CanHealthCheck, "revokes", set.CanCancel, "retry after", set.RetryAfter, "remembered", set.RemembersCommits) +
 		fmt.Sprintln("zero", host.Zero, "dial", host.DialTimeout, "idle close", host.IdleClose, "reports", host.Reports) +
-		fmt.Sprintln("read: sla", class.SLA, "expiry", class.Expiry, "value", class.Value, "late", class.LateValue, "window", class.Window, "bound",
-			class.Bound) +
+		fmt.Sprintln("read: sla", class.LatencyObjective, "expiry", class.Deadline, "value", class.PriorityWeight, "late", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
+			class.StalenessBound) +
 		fmt.Sprintln("acme", set.Tenants["acme"])
 	compareGolden(t, "platform-settings.golden", got+withoutEachKey(t, document, decodeSettings))
 }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -271,11 +271,11 @@
 // take; then it stays with what it has. own stays as it is, and shares with what is given all that a policy doesn't say.
 func Overlay(own *router.Settings, d policy.Document) (*router.Settings, error) {
 	next := *own
-	next.TxnTypes, next.Tenants = maps.Clone(own.TxnTypes), maps.Clone(own.Tenants)
+	next.RequestClasses, next.Tenants = maps.Clone(own.RequestClasses), maps.Clone(own.Tenants)
 	if next.Tenants == nil {
 		next.Tenants = map[string]float64{}
 	}
-	changed := map[string]*router.TxnType{}
+	changed := map[string]*router.RequestClass{}
 	var wrong []error
 	fail := func(format string, args ...any) { wrong = append(wrong, fmt.Errorf(format, args...)) }
 	unsound := map[string]bool{}
@@ -295,9 +295,9 @@
 			next.Tenants[name] = x
 			continue
 		case table == "":
-			next.OverShareValue = x
+			next.OverQuotaWeight = x
 			continue
-		case own.TxnTypes[name] == nil:
+		case own.RequestClasses[name] == nil:
 			if !missing[name] {
 				fail("no such txn type %q", name)
 			}
@@ -306,19 +306,19 @@
 		}
 		kind := changed[name]
 		if kind == nil {
-			kind = &router.TxnType{}
-			*kind = *own.TxnTypes[name]
-			changed[name], next.TxnTypes[name] = kind, kind
+			kind = &router.RequestClass{}
+			*kind = *own.RequestClasses[name]
+			changed[name], next.RequestClasses[name] = kind, kind
 		}
 		switch {
 		case key == "late_value" && x > 1:
 			fail("%s: must be from 0 to 1, not %s", field, d[field])
 		case key == "late_value":
-			kind.LateValue = x
+			kind.LateWeightShare = x
 		case x == 0:
 			fail("%s: must be more than 0", field)
 		default:
-			kind.Value = x
+			kind.PriorityWeight = x
 		}
 	}
 	if len(wrong) > 0 {
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -100,15 +100,15 @@
 
 // The policy's fields lie over a router's own; what it doesn't say is the router's, which keeps what it has if it can't take all.
 func TestOverlay(t *testing.T) {
-	own := &router.Settings{OverShareValue: 0.5, Zone: "z", Tenants: map[string]float64{"acme": 1, "zeta": 2}, TxnTypes: map[string]*router.TxnType{
-		"order": {SLA: 7, Value: 1, LateValue: 0.5, Window: 9}, "read": {SLA: 8, Value: 2}}}
-	was := fmt.Sprint(own.OverShareValue, own.Tenants, *own.TxnTypes["order"], *own.TxnTypes["read"])
+	own := &router.Settings{OverQuotaWeight: 0.5, Zone: "z", Tenants: map[string]float64{"acme": 1, "zeta": 2}, RequestClasses: map[string]*router.RequestClass{
+		"order": {LatencyObjective: 7, PriorityWeight: 1, LateWeightShare: 0.5, IdempotencyWindow: 9}, "read": {LatencyObjective: 8, PriorityWeight: 2}}}
+	was := fmt.Sprint(own.OverQuotaWeight, own.Tenants, *own.RequestClasses["order"], *own.RequestClasses["read"])
 	set, err := Overlay(own, policy.Document{"over_share_value": "0.2", "txn_types.order.value": "1e+06", "tenants.acme.rate": "0", "tenants.new.rate": "3.5"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o := set.TxnTypes["order"]; *o != (router.TxnType{SLA: 7, Value: 1e6, LateValue: 0.5, Window: 9}) || set.TxnTypes["read"] != own.TxnTypes["read"] ||
-		set.OverShareValue != 0.2 || set.Zone != "z" || !maps.Equal(set.Tenants, map[string]float64{"acme": 0, "new": 3.5, "zeta": 2}) {
+	if o := set.RequestClasses["order"]; *o != (router.RequestClass{LatencyObjective: 7, PriorityWeight: 1e6, LateWeightShare: 0.5, IdempotencyWindow: 9}) || set.RequestClasses["read"] != own.RequestClasses["read"] ||
+		set.OverQuotaWeight != 0.2 || set.Zone != "z" || !maps.Equal(set.Tenants, map[string]float64{"acme": 0, "new": 3.5, "zeta": 2}) {
 		t.Errorf("got %+v, %+v", set, o)
 	}
 	set, err = Overlay(own, policy.Document{"txn_types.x.value": "1", "txn_types.x.late_value": "1", "txn_types.order.window": "5s", "txn_types.read.value": "0",
@@ -116,7 +116,7 @@
 	if set != nil || err == nil || len(strings.Split(err.Error(), "\n")) != 6 || !strings.Contains(err.Error(), `no such txn type "x"`) {
 		t.Errorf("got %v, %v", set, err)
 	}
-	if now := fmt.Sprint(own.OverShareValue, own.Tenants, *own.TxnTypes["order"], *own.TxnTypes["read"]); now != was {
+	if now := fmt.Sprint(own.OverQuotaWeight, own.Tenants, *own.RequestClasses["order"], *own.RequestClasses["read"]); now != was {
 		t.Errorf("own was %s, is %s", was, now)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -109,8 +109,8 @@
 }
 
 var (
-	effects = map[string]router.Effect{"retryable": router.Repeatable, "dedup": router.Referenced,
-		"fragile": router.OnceOnly}
+	effects = map[string]router.Effect{"retryable": router.Idempotent, "dedup": router.IdempotentWithKey,
+		"fragile": router.NonIdempotent}
 	scopes = map[string]router.Scope{"all": router.ScopeAll, "zone": router.ScopeZone, "cell": router.ScopeGroup}
 	levels = map[string]router.Level{"any": router.Any, "bounded": router.Bounded, "session": router.Session,
 		"fresh": router.Fresh, "write": router.Write}
@@ -133,25 +133,25 @@
 	f := &Fields{V: facts}
 	host := &Host{}
 	set := &router.Settings{Routers: int(f.Number("balancers")), Zone: f.Maybe("locality"),
-		OverShareValue: f.OrZero("overShareWorth"), TxnTypes: map[string]*router.TxnType{},
+		OverQuotaWeight: f.OrZero("overShareWorth"), RequestClasses: map[string]*router.RequestClass{},
 		Tenants: map[string]float64{}}
-	set.Ask = choice(f, "discovery", asks)
+	set.PollsList = choice(f, "discovery", asks)
 	if f.Get("clientHabits") != nil {
-		f.Inner("clientHabits", func(c *Fields) { set.MarksRepeats = c.Flag("marksRetry") })
+		f.Inner("clientHabits", func(c *Fields) { set.ClientsMarkRetries = c.Flag("marksRetry") })
 	}
 	f.Inner("contract", func(c *Fields) {
-		if set.AskWithin = c.OrZero("askWithin") / 1000; set.Ask && set.AskWithin <= 0 {
+		if set.ListPollTimeout = c.OrZero("askWithin") / 1000; set.PollsList && set.ListPollTimeout <= 0 {
 			c.Fail("askWithin", "more than 0 where lists are asked for")
 		}
 		set.SoftRemoval = c.Flag("softRemoval")
-		set.ColdFrom = c.Number("coldFrom")
-		set.WarmUp = c.Number("warmUp") / 1000
-		set.FallMultiple = c.Number("fallMultiple")
-		set.FallWindow = c.Number("overloadFor") / 1000
+		set.SlowStartFloor = c.Number("coldFrom")
+		set.SlowStartDuration = c.Number("warmUp") / 1000
+		set.OverloadMultiple = c.Number("fallMultiple")
+		set.OverloadWindow = c.Number("overloadFor") / 1000
 	})
 	f.Inner("permissions", func(c *Fields) {
-		set.Submissions = int(c.Number("attemptsCap"))
-		set.CanCheck, set.CanRevoke = c.Flag("probes"), c.Flag("cancel")
+		set.MaxAttempts = int(c.Number("attemptsCap"))
+		set.CanHealthCheck, set.CanCancel = c.Flag("probes"), c.Flag("cancel")
 		if c.Flag("retryAfter") {
 			set.RetryAfter = c.OrZero("maxRetryAfter") / 1000
 		}
@@ -163,15 +163,15 @@
 	var reads, bounds []*fastjson.Value
 	f.Inner("familyInfo", func(c *Fields) {
 		set.Lag = choice(c, "serverChecks", lags)
-		set.Remembered = choice(c, "tokenMode", own)
+		set.RemembersCommits = choice(c, "tokenMode", own)
 		host.Zero = c.Number("countedFrom") / 1000
 		reads, bounds = c.Array("readLevel"), c.Array("classBound")
 	})
 	for n, row := range f.Array("profiles") {
 		c := &Fields{V: row}
-		kind := &router.TxnType{SLA: c.Number("target") / 1000, Expiry: c.Number("deadline") / 1000,
-			Value: c.Number("worth"), LateValue: c.OrZero("lateWorth"), Window: c.OrZero("window") / 1000}
-		if kind.Effect = choice(c, "idempotency", effects); kind.Effect == router.Referenced {
+		kind := &router.RequestClass{LatencyObjective: c.Number("target") / 1000, Deadline: c.Number("deadline") / 1000,
+			PriorityWeight: c.Number("worth"), LateWeightShare: c.OrZero("lateWorth"), IdempotencyWindow: c.OrZero("window") / 1000}
+		if kind.Effect = choice(c, "idempotency", effects); kind.Effect == router.IdempotentWithKey {
 			kind.Scope = choice(c, "group", scopes)
 		}
 		if c.Err == nil && (n >= len(reads) || n >= len(bounds)) {
@@ -182,9 +182,9 @@
 			if !known {
 				return nil, nil, fmt.Errorf("familyInfo.readLevel: unknown value %s", reads[n])
 			}
-			kind.Level, kind.Bound = level, bounds[n].GetFloat64()/1000
+			kind.Level, kind.StalenessBound = level, bounds[n].GetFloat64()/1000
 		}
-		set.TxnTypes[c.Text("name")] = kind
+		set.RequestClasses[c.Text("name")] = kind
 		if c.Err != nil {
 			return nil, nil, fmt.Errorf("profiles[%d].%w", n, c.Err)
 		}
--- a/internal/drill/drill.go
+++ b/internal/simadapter/simadapter.go
@@ -1,6 +1,6 @@
-// Package drill plays router instances on the bench's wire: it decodes events, hands their fields to the
+// Package simadapter plays router instances on the bench's wire: it decodes events, hands their fields to the
 // router, pulls its decisions and encodes them.
-package drill
+package simadapter
 
 import (
 	"bufio"
@@ -144,7 +144,7 @@
 		}
 	case "RETURNED":
 		how := outcome(f)
-		role, gtid := router.Unsaid, router.Never
+		role, gtid := router.RoleUnknown, router.Never
 		if mark := int64(f.OrZero("mark")); mark != 0 {
 			role = router.Role(mark & 3)
 			if mark>>2 != 0 {
@@ -153,28 +153,28 @@
 		}
 		id, seq, node, rtt := f.Text("call"), int(f.OrZero("seqNo")), f.Text("node"), f.OrZero("rtt")/1000
 		if done := f.Flag("terminal"); f.Err == nil {
-			r.Returned(id, seq, how, rtt, done, role, gtid)
+			r.AttemptEnded(id, seq, how, rtt, done, role, gtid)
 			p.report(i, node, f)
 		}
 	case "ECHO":
 		how := outcome(f)
 		if node := f.Text("node"); f.Err == nil {
-			r.Checked(node, how)
+			r.HealthChecked(node, how)
 			p.report(i, node, f)
 		}
 	case "CLIENT_GONE":
 		if id := f.Text("call"); f.Err == nil {
-			r.Gone(id)
+			r.ClientGone(id)
 		}
 	case "TIMEOUT_FIRED":
-		r.Rang()
+		r.TimerFired()
 	}
 	return f.Err
 }
 
-var outcomes = map[int]router.Outcome{200: router.Committed, 500: router.Errored, 503: router.Full,
-	504: router.TimedOut, 502: router.ConnectFailed, 598: router.Reset, 499: router.Revoked, 410: router.Moot,
-	404: router.Miss}
+var outcomes = map[int]router.Outcome{200: router.Succeeded, 500: router.ServerError, 503: router.Overloaded,
+	504: router.TimedOut, 502: router.ConnectFailed, 598: router.Reset, 499: router.Canceled, 410: router.NotSent,
+	404: router.Misrouted}
 
 func outcome(f *settings.Fields) router.Outcome {
 	code := int(f.Number("how"))
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	i.router.ListStart()
+	i.router.BeginList()
 	for _, row := range rows.GetArray() {
 		e := &settings.Fields{V: row}
 		id, zone, groupNo, word := e.Text("node"), e.Maybe("dc"), int(e.OrZero("group")), e.Text("state")
@@ -244,9 +244,9 @@
 		if !known {
 			return fmt.Errorf("ref: list %d: state: unknown %q", n, word)
 		}
-		i.router.Listed(id, zone, groupNo, state, started)
+		i.router.ListMember(id, zone, groupNo, state, started)
 	}
-	i.router.ListEnd(mode != "D")
+	i.router.EndList(mode != "D")
 	return nil
 }
 
@@ -267,7 +267,7 @@
 func (p *player) hear(i *instance) {
 	if !i.heard {
 		i.heard = true
-		i.router.At(p.now)
+		i.router.Advance(p.now)
 		p.heard = append(p.heard, i)
 	}
 }
@@ -323,35 +323,35 @@
 	return p.out.Flush()
 }
 
-var verbs = map[router.Verb]string{router.Submit: "HAND_OFF", router.Revoke: "REVOKE",
-	router.Decline: "SAY_NO", router.RollBack: "FAIL", router.Check: "HEALTH_CHECK",
-	router.Watch: "WATCH", router.Close: "RELEASE", router.Alarm: "SET_ALARM"}
+var verbs = map[router.Action]string{router.SendAttempt: "HAND_OFF", router.CancelAttempt: "REVOKE",
+	router.RejectRequest: "SAY_NO", router.FailRequest: "FAIL", router.HealthCheck: "HEALTH_CHECK",
+	router.RequestList: "WATCH", router.CloseIdleConnections: "RELEASE", router.SetTimer: "SET_ALARM"}
 
 func (p *player) write(name string, d router.Decision) {
 	p.buf = append(p.buf[:0], '{')
-	p.put("op", verbs[d.Verb])
+	p.put("op", verbs[d.Action])
 	p.put("router", name)
-	if d.Txn != "" {
-		p.put("call", d.Txn)
+	if d.RequestID != "" {
+		p.put("call", d.RequestID)
 	}
 	if d.Member != "" {
 		p.put("node", d.Member)
 	}
-	switch d.Verb {
-	case router.Submit:
+	switch d.Action {
+	case router.SendAttempt:
 		if d.Wait > 0 {
 			p.putNumber("cap", d.Wait*1000)
 		}
-	case router.Revoke:
-		p.putNumber("seqNo", float64(d.Seq))
-	case router.Decline:
+	case router.CancelAttempt:
+		p.putNumber("seqNo", float64(d.Attempt))
+	case router.RejectRequest:
 		if d.Wait > 0 {
 			p.putNumber("wait", d.Wait*1000)
 		}
-	case router.Watch:
+	case router.RequestList:
 		p.buf = append(p.buf, `"on":true,`...)
-	case router.Alarm:
-		p.putNumber("time", d.At*1000)
+	case router.SetTimer:
+		p.putNumber("time", d.Time*1000)
 		p.put("keyBack", alarmKey)
 	}
 	p.buf[len(p.buf)-1] = '}'
--- a/internal/drill/drill_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"strings"
--- a/internal/ledger/ledger_test.go
+++ b/internal/storage/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package storage
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 
 func draw() uint64 { drawn++; return drawn }
 
-func open(t *testing.T, dir string) *Ledger {
+func open(t *testing.T, dir string) *Store {
 	t.Helper()
 	l, err := Open(dir, "f", "c1", draw)
 	if err != nil {
@@ -27,9 +27,9 @@
 	return l
 }
 
-func store(t *testing.T, l *Ledger, b Batch) {
+func store(t *testing.T, l *Store, b Batch) {
 	t.Helper()
-	if err := l.Store(b); err != nil {
+	if err := l.Write(b); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -46,8 +46,8 @@
 	l := open(t, dir)
 	store(t, l, Batch{Records: records(2, 9, "a"), Values: map[string][]byte{"state": []byte("x")}})
 	store(t, l, Batch{Records: records(7, 8, "b")}) // in place of 7 to 9
-	store(t, l, Batch{Below: 4, Values: map[string][]byte{"state": []byte("y")}})
-	folder := l.Head.Folder
+	store(t, l, Batch{CompactBelow: 4, Values: map[string][]byte{"state": []byte("y")}})
+	folder := l.Identity.StorageID
 	if _, err := Open(dir, "f", "c1", draw); !errors.Is(err, ErrInUse) {
 		t.Errorf("opened twice: %v", err)
 	}
@@ -62,10 +62,10 @@
 	if err != nil || text != "y 4:a4 5:a5 6:a6 7:b7 8:b8" {
 		t.Errorf("%s, %v", text, err)
 	}
-	if len(l.Head.Starts) != 2 || l.Head.Folder != folder {
-		t.Errorf("head %+v, folder was %d", l.Head, folder)
+	if len(l.Identity.Incarnations) != 2 || l.Identity.StorageID != folder {
+		t.Errorf("head %+v, folder was %d", l.Identity, folder)
 	}
-	store(t, l, Batch{Anew: true, Records: records(20, 20, "c")})
+	store(t, l, Batch{ReplaceLog: true, Records: records(20, 20, "c")})
 	if got, _, _ = l.Read(); len(got) != 1 || got[0].Number != 20 {
 		t.Errorf("begun anew: %v", got)
 	}
@@ -143,7 +143,7 @@
 			from := uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "from"))
 			b := Batch{Records: records(from, from+uint64(rapid.IntRange(0, 5).Draw(rt, "more")), rapid.StringN(0, 3, 9).Draw(rt, "text"))}
 			if rapid.Bool().Draw(rt, "cuts") {
-				b.Below = uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "below"))
+				b.CompactBelow = uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "below"))
 			}
 			store(t, l, b)
 			for n := range want {
@@ -156,7 +156,7 @@
 				last = r.Number
 			}
 			for n := range want {
-				if n < b.Below {
+				if n < b.CompactBelow {
 					delete(want, n)
 				}
 			}
--- a/internal/ledger/ledger.go
+++ b/internal/storage/storage.go
@@ -1,8 +1,8 @@
-// Package ledger keeps what a process stores in a folder: a log of numbered records, named values, and a head that says whose
+// Package storage keeps what a process stores in a folder: a log of numbered records, named values, and a head that says whose
 // folder it is. It owns the file, its lock and its sums; it must never know what a record means, or answer before it is on
 // disk. It is bbolt beneath (copy on write, two roots), so that a process killed at any moment finds all or nothing of what
 // it was writing; each record has a sum of its own, so that a disk that changes a bit is noticed.
-package ledger
+package storage
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 	"go.etcd.io/bbolt"
 	bolterr "go.etcd.io/bbolt/errors"
 
-	"wayloft/internal/faults"
+	"wayloft/internal/failpoint"
 )
 
 const (
@@ -34,23 +34,23 @@
 
 var buckets = struct{ head, log, values []byte }{[]byte("head"), []byte("log"), []byte("values")}
 
-// Head says whose folder it is. Folder is drawn when it is made, Starts at each start from it, the latest last: others who
+// Identity says whose folder it is. Folder is drawn when it is made, Starts at each start from it, the latest last: others who
 // have heard them can tell an older copy that was put back.
-type Head struct {
-	Version int      `cbor:"1,keyasint"`
-	Fleet   string   `cbor:"2,keyasint"`
-	Name    string   `cbor:"3,keyasint"`
-	Folder  uint64   `cbor:"4,keyasint"`
-	Starts  []uint64 `cbor:"5,keyasint"`
+type Identity struct {
+	Version      int      `cbor:"1,keyasint"`
+	Fleet        string   `cbor:"2,keyasint"`
+	Name         string   `cbor:"3,keyasint"`
+	StorageID    uint64   `cbor:"4,keyasint"`
+	Incarnations []uint64 `cbor:"5,keyasint"`
 }
 
-// Ledger is an open folder.
-type Ledger struct {
-	db     *bbolt.DB // nil: closed
-	dir    string
-	path   string
-	failed error // the write or sync that failed; Reopen clears it
-	Head   Head
+// Store is an open folder.
+type Store struct {
+	db       *bbolt.DB // nil: closed
+	dir      string
+	path     string
+	failed   error // the write or sync that failed; Reopen clears it
+	Identity Identity
 }
 
 var (
@@ -75,8 +75,8 @@
 
 // Open opens a folder, or makes one that belongs to this name of this fleet. draw gives a number that no other folder or
 // start has. A folder of another's, or of a later build, is refused and left as it is.
-func Open(dir, fleet, name string, draw func() uint64) (*Ledger, error) {
-	l := &Ledger{dir: dir, path: filepath.Join(dir, file)}
+func Open(dir, fleet, name string, draw func() uint64) (*Store, error) {
+	l := &Store{dir: dir, path: filepath.Join(dir, file)}
 	if err := l.open(func() error { return l.begin(fleet, name, draw) }); err != nil {
 		return nil, err
 	}
@@ -88,20 +88,20 @@
 // is durable, also what the write that failed may have left: Reopen commits once more, by the other root, with syncs of its own.
 // The lock is given back and taken again; ErrReplaced if somebody else had the folder in between. After an error it may be called
 // again.
-func (l *Ledger) Reopen() error {
+func (l *Store) Reopen() error {
 	l.close() // its error is of a file that is given up in any case
 	return l.open(l.resume)
 }
 
 // open opens the file, looks at all of it, and commits the head by start.
-func (l *Ledger) open(start func() error) (err error) {
+func (l *Store) open(start func() error) (err error) {
 	defer func() {
 		if err != nil {
 			l.close()
 			err = fmt.Errorf("%s: %w", l.path, err)
 		}
 	}()
-	if err := faults.Fail("ledger.open", l.path); err != nil {
+	if err := failpoint.OperationError("ledger.open", l.path); err != nil {
 		return classify(err)
 	}
 	if err := os.MkdirAll(l.dir, 0o700); err != nil {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (l *Ledger) close() error {
+func (l *Store) close() error {
 	if l.db == nil {
 		return nil
 	}
@@ -152,15 +152,15 @@
 }
 
 // Close gives the folder back.
-func (l *Ledger) Close() error { return l.close() }
+func (l *Store) Close() error { return l.close() }
 
 // update commits what f changes; once it has returned nil that is on disk. After a commit that failed the file is used no
 // more: a second sync may succeed though the kernel has dropped what the first one couldn't write.
-func (l *Ledger) update(f func(*bbolt.Tx) error) error {
+func (l *Store) update(f func(*bbolt.Tx) error) error {
 	if l.failed != nil || l.db == nil {
 		return fmt.Errorf("%w: it must be opened again", cmp.Or(l.failed, ErrUnavailable))
 	}
-	if err := faults.Fail("ledger.write", l.path); err != nil {
+	if err := failpoint.OperationError("ledger.write", l.path); err != nil {
 		return l.fail(err)
 	}
 	var refused error // by f itself: nothing was written
@@ -172,7 +172,7 @@
 		return refused
 	}
 	if err == nil {
-		err = faults.Fail("ledger.sync", l.path)
+		err = failpoint.OperationError("ledger.sync", l.path)
 	}
 	if err != nil {
 		return l.fail(err)
@@ -180,13 +180,13 @@
 	return nil
 }
 
-func (l *Ledger) fail(err error) error {
+func (l *Store) fail(err error) error {
 	l.failed = fmt.Errorf("%w: %w", ErrUnavailable, err)
 	return l.failed
 }
 
 // whole looks at every page and every sum before anything is believed.
-func (l *Ledger) whole() error {
+func (l *Store) whole() error {
 	return l.db.View(func(tx *bbolt.Tx) error {
 		if s, err := os.Stat(l.path); err != nil {
 			return err
@@ -223,7 +223,7 @@
 func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // resume commits the head as it is, having made sure that it is this process's own.
-func (l *Ledger) resume() error {
+func (l *Store) resume() error {
 	return l.update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(buckets.head)
 		if bucket == nil {
@@ -233,11 +233,11 @@
 		if err != nil {
 			return fmt.Errorf("head: %w", err)
 		}
-		var h Head
+		var h Identity
 		if err := cbor.Unmarshal(b, &h); err != nil {
 			return fmt.Errorf("head: %w", err)
 		}
-		if h.Folder != l.Head.Folder || !slices.Equal(h.Starts, l.Head.Starts) {
+		if h.StorageID != l.Identity.StorageID || !slices.Equal(h.Incarnations, l.Identity.Incarnations) {
 			return ErrReplaced
 		}
 		return bucket.Put(buckets.head, seal(b))
@@ -245,7 +245,7 @@
 }
 
 // begin reads the head, or writes a new one, and adds this start to it.
-func (l *Ledger) begin(fleet, name string, draw func() uint64) error {
+func (l *Store) begin(fleet, name string, draw func() uint64) error {
 	return l.update(func(tx *bbolt.Tx) error {
 		var made [3]*bbolt.Bucket
 		for n, bucket := range [][]byte{buckets.head, buckets.log, buckets.values} {
@@ -255,7 +255,7 @@
 			}
 			made[n] = b
 		}
-		h := Head{Version: version, Fleet: fleet, Name: name}
+		h := Identity{Version: version, Fleet: fleet, Name: name}
 		if v := made[0].Get(buckets.head); v != nil {
 			b, err := sound(v)
 			if err != nil {
@@ -273,12 +273,12 @@
 				return fmt.Errorf("of %q, not of %q", h.Name, name)
 			}
 		} else {
-			h.Folder = draw()
+			h.StorageID = draw()
 		}
-		if h.Starts = append(h.Starts, draw()); len(h.Starts) > most {
-			h.Starts = h.Starts[len(h.Starts)-most:]
+		if h.Incarnations = append(h.Incarnations, draw()); len(h.Incarnations) > most {
+			h.Incarnations = h.Incarnations[len(h.Incarnations)-most:]
 		}
-		l.Head = h
+		l.Identity = h
 		b, err := cbor.Marshal(h)
 		if err != nil {
 			return err
@@ -295,18 +295,18 @@
 
 // Batch is what is stored at once, or not at all.
 type Batch struct {
-	Records []Record          // in place of all from the first of them on
-	Values  map[string][]byte // by name
-	Below   uint64            // what lies before it is dropped
-	Anew    bool              // the whole log is dropped before
+	Records      []Record          // in place of all from the first of them on
+	Values       map[string][]byte // by name
+	CompactBelow uint64            // what lies before it is dropped
+	ReplaceLog   bool              // the whole log is dropped before
 }
 
-// Store writes a batch and returns once it is on disk. After an error it isn't known whether it is, and nothing more is taken
+// Write writes a batch and returns once it is on disk. After an error it isn't known whether it is, and nothing more is taken
 // until Reopen.
-func (l *Ledger) Store(b Batch) error {
+func (l *Store) Write(b Batch) error {
 	err := l.update(func(tx *bbolt.Tx) error {
 		log, values := tx.Bucket(buckets.log), tx.Bucket(buckets.values)
-		if b.Anew {
+		if b.ReplaceLog {
 			if err := tx.DeleteBucket(buckets.log); err != nil {
 				return err
 			}
@@ -328,9 +328,9 @@
 				}
 			}
 		}
-		if b.Below > 0 {
+		if b.CompactBelow > 0 {
 			c := log.Cursor()
-			for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < b.Below; k, _ = c.First() {
+			for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < b.CompactBelow; k, _ = c.First() {
 				if err := c.Delete(); err != nil {
 					return err
 				}
@@ -350,7 +350,7 @@
 }
 
 // Read gives the log and the values.
-func (l *Ledger) Read() (records []Record, values map[string][]byte, err error) {
+func (l *Store) Read() (records []Record, values map[string][]byte, err error) {
 	values = map[string][]byte{}
 	if l.db == nil {
 		return nil, nil, fmt.Errorf("%s: %w: it is closed", l.path, ErrUnavailable)
@@ -386,7 +386,7 @@
 }
 
 // Copy writes the whole file as it is at one moment, for a copy to keep.
-func (l *Ledger) Copy(w io.Writer) error {
+func (l *Store) Copy(w io.Writer) error {
 	return l.db.View(func(tx *bbolt.Tx) error {
 		_, err := tx.WriteTo(w)
 		return err
@@ -394,7 +394,7 @@
 }
 
 // Size tells how many bytes the file has.
-func (l *Ledger) Size() int64 {
+func (l *Store) Size() int64 {
 	s, err := os.Stat(l.path)
 	if err != nil {
 		return 0
--- a/internal/ledger/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -1,4 +1,4 @@
-package ledger
+package storage
 
 import (
 	"errors"
@@ -57,7 +57,7 @@
 }
 
 // inject has one fault come at the ledger's next commit. bbolt has no seam for it: its own for tests is not exported.
-func inject(t *testing.T, l *Ledger, f fault) *faultyFile {
+func inject(t *testing.T, l *Store, f fault) *faultyFile {
 	t.Helper()
 	db := reflect.ValueOf(l.db).Elem()
 	file := *(**os.File)(unsafe.Pointer(db.FieldByName("file").UnsafeAddr()))
@@ -157,7 +157,7 @@
 // contents are what a ledger holds, as plain values.
 type contents map[string]string
 
-func read(l *Ledger) (contents, error) {
+func read(l *Store) (contents, error) {
 	records, values, err := l.Read()
 	c := contents{}
 	for _, r := range records {
@@ -177,7 +177,7 @@
 }
 
 // store stores one more batch, three records and a value that belong together, and in turn drops older ones.
-func (h *history) store(l *Ledger) error {
+func (h *history) store(l *Store) error {
 	h.number++
 	from := h.number * 2 // the third record of the batch before is replaced
 	b := Batch{Records: records(from, from+2, fmt.Sprint("batch ", h.number, " ", string(make([]byte, 700)))), Values: map[string][]byte{"batch": fmt.Append(nil, h.number)}}
@@ -187,17 +187,17 @@
 	}
 	h.with["batch"] = string(b.Values["batch"])
 	if h.number%4 == 0 {
-		b.Below = from - 4
+		b.CompactBelow = from - 4
 		maps.DeleteFunc(h.with, func(name, _ string) bool {
 			var n uint64
 			_, err := fmt.Sscan(name, &n)
-			return err == nil && n < b.Below
+			return err == nil && n < b.CompactBelow
 		})
 	}
 	if h.earlyAcknowledge {
 		h.acknowledged = h.with
 	}
-	err := l.Store(b)
+	err := l.Write(b)
 	if err == nil {
 		h.acknowledged = h.with
 	}
@@ -214,7 +214,7 @@
 }
 
 // killed opens what a process that was killed at this moment has left.
-func (h *history) killed(t *testing.T, l *Ledger) error {
+func (h *history) killed(t *testing.T, l *Store) error {
 	t.Helper()
 	b, err := os.ReadFile(l.path)
 	if err != nil {
@@ -251,7 +251,7 @@
 			t.Fatal(err)
 		}
 	}
-	head := l.Head
+	head := l.Identity
 	for range run {
 		faulty := inject(t, l, f)
 		err := h.store(l)
@@ -266,7 +266,7 @@
 		if !errors.Is(err, ErrUnavailable) {
 			return true, fmt.Errorf("store: %v", err)
 		}
-		if again := l.Store(Batch{}); !errors.Is(again, ErrUnavailable) {
+		if again := l.Write(Batch{}); !errors.Is(again, ErrUnavailable) {
 			return true, fmt.Errorf("stored on the file that failed: %v", again)
 		}
 		if err := h.killed(t, l); err != nil {
@@ -286,8 +286,8 @@
 	if err := h.store(l); err != nil {
 		return true, err
 	}
-	if fmt.Sprint(l.Head) != fmt.Sprint(head) {
-		return true, fmt.Errorf("head %+v, was %+v", l.Head, head)
+	if fmt.Sprint(l.Identity) != fmt.Sprint(head) {
+		return true, fmt.Errorf("head %+v, was %+v", l.Identity, head)
 	}
 	return struck, h.killed(t, l)
 }
--- a/internal/ledger/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -1,4 +1,4 @@
-package ledger
+package storage
 
 import (
 	"bytes"
@@ -21,7 +21,7 @@
 const startDrawn = 7
 
 // openStored opens a data directory that holds these bytes, as node c3 of the fleet "lab".
-func openStored(t *testing.T, database []byte) (*Ledger, error) {
+func openStored(t *testing.T, database []byte) (*Store, error) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, file), database, 0o600); err != nil {
@@ -50,15 +50,15 @@
 }
 
 // describe lists all that a data directory holds.
-func describe(t *testing.T, l *Ledger) string {
+func describe(t *testing.T, l *Store) string {
 	t.Helper()
 	records, values, err := l.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d\nfleet %s\nname %s\nfolder %016x\n", l.Head.Version, l.Head.Fleet, l.Head.Name, l.Head.Folder)
-	for _, start := range l.Head.Starts {
+	fmt.Fprintf(&out, "version %d\nfleet %s\nname %s\nfolder %016x\n", l.Identity.Version, l.Identity.Fleet, l.Identity.Name, l.Identity.StorageID)
+	for _, start := range l.Identity.Incarnations {
 		fmt.Fprintf(&out, "start %016x\n", start)
 	}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -97,7 +97,7 @@
 		t.Fatalf("%d records: %v", len(before), err)
 	}
 	next := Record{Number: before[len(before)-1].Number + 1, Bytes: []byte("more")}
-	if err := l.Store(Batch{Records: []Record{next}}); err != nil {
+	if err := l.Write(Batch{Records: []Record{next}}); err != nil {
 		t.Fatal(err)
 	}
 	dir := filepath.Dir(l.path)
--- a/router/idle_test.go
+++ b/router/idle_test.go
@@ -7,30 +7,30 @@
 
 // spread is a router before so many groups of one member, each of which has had a txn.
 func spread(groups int) (r *Router, pull func(now float64) (out []Decision)) {
-	r = New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, CanRevoke: true, ColdFrom: 0.2, WarmUp: 10000, FallMultiple: 2.5,
-		FallWindow: 2000, AskWithin: 10000, TxnTypes: map[string]*TxnType{"any": {SLA: 100, Expiry: 1000, Value: 1, LateValue: 0.5, Level: Any}}}, 1)
-	r.At(1)
-	r.ListStart()
+	r = New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5,
+		OverloadWindow: 2000, ListPollTimeout: 10000, RequestClasses: map[string]*RequestClass{"any": {LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Any}}}, 1)
+	r.Advance(1)
+	r.BeginList()
 	for n := range groups {
-		r.Listed(fmt.Sprint("m", n), "", n, Up, Never)
+		r.ListMember(fmt.Sprint("m", n), "", n, Up, Never)
 	}
-	r.ListEnd(true)
+	r.EndList(true)
 	pull = func(now float64) (out []Decision) {
-		r.At(now)
+		r.Advance(now)
 		for d, more := r.Next(); more; d, more = r.Next() {
 			out = append(out, d)
-			switch d.Verb {
-			case Check:
-				r.Checked(d.Member, Committed)
+			switch d.Action {
+			case HealthCheck:
+				r.HealthChecked(d.Member, Succeeded)
 				r.Reported(d.Member, Replica, now)
-			case Submit:
-				r.Returned(d.Txn, 0, Committed, 5, true, Replica, now)
+			case SendAttempt:
+				r.AttemptEnded(d.RequestID, 0, Succeeded, 5, true, Replica, now)
 			}
 		}
 		return out
 	}
 	for n := range groups {
-		r.At(float64(2 + n))
+		r.Advance(float64(2 + n))
 		r.Arrive(fmt.Sprint("t", n), "", "", "any", n, 0, 1000, false)
 		pull(float64(2 + n))
 		pull(float64(2 + n)) // what waited for the check
@@ -46,7 +46,7 @@
 			for n := range b.N {
 				now += 0.36 // 2,790 a second
 				id := fmt.Sprint("x", n)
-				r.At(now)
+				r.Advance(now)
 				r.Arrive(id, "", "", "any", n%groups, 0, 1000, false)
 				pull(now)
 			}
@@ -64,7 +64,7 @@
 	before := r.used.Taken
 	for n := range 50 {
 		now++
-		r.At(now)
+		r.Advance(now)
 		r.Arrive(fmt.Sprint("x", n), "", "", "any", 7, 0, 1000, false)
 		pull(now)
 	}
--- a/router/moot_test.go
+++ b/router/moot_test.go
@@ -9,26 +9,26 @@
 // for as long as the txn lives, in one instant: nothing else would be heard meanwhile.
 func TestUnmadeSubmissionsEndInOneInstant(t *testing.T) {
 	for _, members := range []int{1, 2, 5} {
-		r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, TxnTypes: map[string]*TxnType{"read": {SLA: 500, Expiry: 1000, Value: 1}}}, 1)
-		r.At(1000)
-		r.ListStart()
+		r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}}}, 1)
+		r.Advance(1000)
+		r.BeginList()
 		for n := range members {
-			r.Listed(fmt.Sprint("m", n), "z", 1, Up, Never)
+			r.ListMember(fmt.Sprint("m", n), "z", 1, Up, Never)
 		}
-		r.ListEnd(true)
+		r.EndList(true)
 		sent, first := 0, 0
 		step := func(now float64) {
-			r.At(now)
-			r.Rang()
+			r.Advance(now)
+			r.TimerFired()
 			for d, more := r.Next(); more; d, more = r.Next() {
-				switch d.Verb {
-				case Check:
-					r.Checked(d.Member, Committed)
-				case Submit:
+				switch d.Action {
+				case HealthCheck:
+					r.HealthChecked(d.Member, Succeeded)
+				case SendAttempt:
 					if sent++; sent-first > 6 {
 						t.Fatalf("%d members: submitted %d times in one instant", members, sent-first)
 					}
-					r.Returned("t", sent-1, Moot, 0, false, Unsaid, Never)
+					r.AttemptEnded("t", sent-1, NotSent, 0, false, RoleUnknown, Never)
 				}
 			}
 			first = sent
--- a/router/not_sent_test.go
+++ b/router/not_sent_test.go
@@ -8,33 +8,33 @@
 // notSentRouter has one txn arrive at 1000 with a second to live, in a group whose members are up, and gives what runs one
 // step: each attempt then comes back not sent until the time free, and committed from then on.
 func notSentRouter(members int, free float64) (step func(now float64) (attempts int, final *Decision)) {
-	r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, CanRevoke: true,
-		TxnTypes: map[string]*TxnType{"read": {SLA: 500, Expiry: 1000, Value: 1, LateValue: 1}}}, 1)
-	r.At(1000)
-	r.ListStart()
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true,
+		RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 1}}}, 1)
+	r.Advance(1000)
+	r.BeginList()
 	for n := range members {
-		r.Listed(fmt.Sprint("m", n), "z", 1, Up, Never)
+		r.ListMember(fmt.Sprint("m", n), "z", 1, Up, Never)
 	}
-	r.ListEnd(true)
+	r.EndList(true)
 	r.Arrive("t", "", "", "read", 1, 0, 1000, false)
 	sent := 0
 	return func(now float64) (attempts int, final *Decision) {
-		r.At(now)
-		r.Rang()
+		r.Advance(now)
+		r.TimerFired()
 		for d, more := r.Next(); more; d, more = r.Next() {
-			switch d.Verb {
-			case Check:
-				r.Checked(d.Member, Committed)
-			case Submit:
+			switch d.Action {
+			case HealthCheck:
+				r.HealthChecked(d.Member, Succeeded)
+			case SendAttempt:
 				attempts++
 				sent++
 				if now < free {
-					r.Returned("t", sent-1, Moot, 0, false, Unsaid, Never)
+					r.AttemptEnded("t", sent-1, NotSent, 0, false, RoleUnknown, Never)
 				} else {
-					r.Returned("t", sent-1, Committed, 1, true, Unsaid, Never)
+					r.AttemptEnded("t", sent-1, Succeeded, 1, true, RoleUnknown, Never)
 					return attempts, &d
 				}
-			case Decline, RollBack:
+			case RejectRequest, FailRequest:
 				return attempts, &d
 			}
 		}
@@ -54,8 +54,8 @@
 			if attempts, final = step(now); now < 1300 {
 				before += attempts
 			}
-			if final != nil && (final.Verb != Submit || now < 1300 || now > 1300+mostUnsent) {
-				t.Errorf("%d members: decision %d at %.0f", members, final.Verb, now)
+			if final != nil && (final.Action != SendAttempt || now < 1300 || now > 1300+mostUnsent) {
+				t.Errorf("%d members: decision %d at %.0f", members, final.Action, now)
 			}
 		}
 		if final == nil {
@@ -81,7 +81,7 @@
 			}
 			all, end = all+attempts, now
 		}
-		if final == nil || final.Verb != Decline || end > 2000 {
+		if final == nil || final.Action != RejectRequest || end > 2000 {
 			t.Fatalf("%d members: final decision %v at %.0f", members, final, end)
 		}
 		if most := members * (4 + int((end-1000)/mostUnsent) + 1); all > most {
@@ -94,23 +94,23 @@
 // suspected, and when it was sent something last.
 func TestNotSent_LeavesTheMembersRecordClean(t *testing.T) {
 	const sla, window = 500.0, 2000.0
-	r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, ColdFrom: 0.2, WarmUp: 10000, FallMultiple: 2.5, FallWindow: window,
-		TxnTypes: map[string]*TxnType{"read": {SLA: sla, Expiry: 3000, Value: 1, LateValue: 1}}}, 1)
-	r.At(1000)
-	r.ListStart()
-	r.Listed("m", "z", 1, Up, 900)
-	r.ListEnd(true)
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5, OverloadWindow: window,
+		RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: sla, Deadline: 3000, PriorityWeight: 1, LateWeightShare: 1}}}, 1)
+	r.Advance(1000)
+	r.BeginList()
+	r.ListMember("m", "z", 1, Up, 900)
+	r.EndList(true)
 	m := r.members["m"]
 	m.known, m.checkSent, m.doubted, m.doubtAt, m.passed = true, 1000, true, 900, true
-	bears := func() bool { return m.bucket.Bears(1000, 0, sla, window, 1, func() float64 { return 1 }) }
+	bears := func() bool { return m.bucket.Allows(1000, 0, sla, window, 1, func() float64 { return 1 }) }
 	if !bears() {
 		t.Fatal("the budget does not bear one")
 	}
 	r.Arrive("t", "", "", "read", 1, 0, 3000, false)
-	if d, _ := r.Next(); d.Verb != Submit || bears() || m.passed {
+	if d, _ := r.Next(); d.Action != SendAttempt || bears() || m.passed {
 		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, bears(), m.passed)
 	}
-	r.Returned("t", 0, Moot, 0, false, Unsaid, Never)
+	r.AttemptEnded("t", 0, NotSent, 0, false, RoleUnknown, Never)
 	if !bears() || !m.passed || m.lastSent != Never || m.down || m.shut || m.bad.Sum != 0 || m.load != 0 {
 		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, shut: %v, failures: %v, load: %v", bears(), m.passed, m.lastSent,
 			m.down, m.shut, m.bad.Sum, m.load)
--- a/router/ramp_test.go
+++ b/router/ramp_test.go
@@ -5,7 +5,7 @@
 	"math"
 	"testing"
 
-	"wayloft/internal/decide/chance"
+	"wayloft/internal/decide/random"
 )
 
 // fleet is many routers of the same group that know nothing of each other. Members answer after a fixed time whatever
@@ -16,7 +16,7 @@
 	now     float64
 	routers []*Router
 	shares  []float64 // of the traffic
-	draw    chance.Source
+	draw    random.Source
 	rate    float64 // txns a ms over all
 	ids     int
 	due     []answer
@@ -38,9 +38,9 @@
 )
 
 func newFleet(t *testing.T, routers int, rate float64, seed uint64) *fleet {
-	f := &fleet{t: t, rate: rate, draw: chance.Source{Seed: seed}, sent: map[string][]float64{}, primary: "m0",
-		set: &Settings{Routers: routers, Submissions: 6, CanCheck: true, CanRevoke: true, ColdFrom: 0.2, WarmUp: 10000, FallMultiple: 2.5,
-			FallWindow: 2000, AskWithin: 10000, Lag: LagRefuses, TxnTypes: map[string]*TxnType{"x": {SLA: 500, Expiry: 2000, Value: 1, LateValue: 0.2, Level: Any}}}}
+	f := &fleet{t: t, rate: rate, draw: random.Source{Seed: seed}, sent: map[string][]float64{}, primary: "m0",
+		set: &Settings{Routers: routers, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5,
+			OverloadWindow: 2000, ListPollTimeout: 10000, Lag: LagRefuses, RequestClasses: map[string]*RequestClass{"x": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, LateWeightShare: 0.2, Level: Any}}}}
 	sum := 0.0
 	for n := range routers { // uneven: some get several times the mean
 		f.routers = append(f.routers, New(f.set, seed+uint64(n)*7919))
@@ -56,17 +56,17 @@
 // list tells all routers of each member its state and start.
 func (f *fleet) list(states map[string]State, started map[string]float64) {
 	for _, r := range f.routers {
-		r.At(f.now)
-		r.ListStart()
+		r.Advance(f.now)
+		r.BeginList()
 		for n := range rampMembers {
 			id := fmt.Sprint("m", n)
 			at := Never
 			if x, told := started[id]; told {
 				at = x
 			}
-			r.Listed(id, "z", 1, states[id], at)
+			r.ListMember(id, "z", 1, states[id], at)
 		}
-		r.ListEnd(true)
+		r.EndList(true)
 	}
 }
 
@@ -75,7 +75,7 @@
 		f.now += rampTick
 		woken := map[int]bool{}
 		for n := range f.routers {
-			f.routers[n].At(f.now)
+			f.routers[n].Advance(f.now)
 		}
 		later := f.due[:0]
 		for _, a := range f.due {
@@ -89,9 +89,9 @@
 			}
 			if a.check {
 				r.Reported(a.member, role, f.now)
-				r.Checked(a.member, Committed)
+				r.HealthChecked(a.member, Succeeded)
 			} else {
-				r.Returned(a.id, 0, Committed, rampTook, true, role, f.now)
+				r.AttemptEnded(a.id, 0, Succeeded, rampTook, true, role, f.now)
 			}
 		}
 		f.due = append([]answer(nil), later...)
@@ -103,13 +103,13 @@
 					woken[n] = true
 				}
 			}
-			r.Rang()
+			r.TimerFired()
 			for d, more := r.Next(); more; d, more = r.Next() {
-				switch d.Verb {
-				case Submit:
+				switch d.Action {
+				case SendAttempt:
 					f.sent[d.Member] = append(f.sent[d.Member], f.now)
-					f.due = append(f.due, answer{f.now + rampTook, n, d.Txn, d.Member, false})
-				case Check:
+					f.due = append(f.due, answer{f.now + rampTook, n, d.RequestID, d.Member, false})
+				case HealthCheck:
 					f.due = append(f.due, answer{f.now + rampTick, n, "", d.Member, true})
 				}
 			}
@@ -143,17 +143,17 @@
 				f.run(3500)
 				var all []float64
 				for _, at := range f.sent["m1"] {
-					if at >= start && at < start+f.set.WarmUp { // after that it is cold no more
+					if at >= start && at < start+f.set.SlowStartDuration { // after that it is cold no more
 						all = append(all, at)
 					}
 				}
 				worst, where, most, allowed := math.Inf(-1), 0.0, 0, 0.0
 				for n, last := 0, 0; n < len(all); n++ {
-					for last < len(all) && all[last] < all[n]+f.set.FallWindow {
+					for last < len(all) && all[last] < all[n]+f.set.OverloadWindow {
 						last++
 					}
-					w := f.set.ColdFrom + (1-f.set.ColdFrom)*(all[n]+f.set.FallWindow/2-start)/f.set.WarmUp // in the middle of it
-					N := f.set.FallMultiple * w * can * f.set.FallWindow
+					w := f.set.SlowStartFloor + (1-f.set.SlowStartFloor)*(all[n]+f.set.OverloadWindow/2-start)/f.set.SlowStartDuration // in the middle of it
+					N := f.set.OverloadMultiple * w * can * f.set.OverloadWindow
 					if over := (float64(last-n) - N) / math.Sqrt(N); over > worst {
 						worst, where, most, allowed = over, all[n]-start, last-n, N
 					}
--- a/router/router.go
+++ b/router/router.go
@@ -11,11 +11,11 @@
 	"math"
 	"slices"
 
-	"wayloft/internal/decide/chance"
-	"wayloft/internal/decide/commits"
-	"wayloft/internal/decide/due"
-	"wayloft/internal/decide/fade"
-	"wayloft/internal/decide/ramp"
+	"wayloft/internal/decide/decay"
+	"wayloft/internal/decide/lastcommit"
+	"wayloft/internal/decide/random"
+	"wayloft/internal/decide/slowstart"
+	"wayloft/internal/decide/timerqueue"
 )
 
 const (
@@ -58,32 +58,32 @@
 	prompt, checkOut       bool    // check as soon as the least gap allows; one is out
 	since, downAt, guessed float64 // first listed; went down; was last back from a possible restart
 
-	bucket ramp.Bucket // while cold: SLA time it may be sent
+	bucket slowstart.Bucket // while cold: SLA time it may be sent
 
 	checkSent, lastAnswer, lastSent float64
 	sighted                         float64 // when another router's check was last heard of
 	out                             []*submission
-	load                            float64  // of these, without those whose clients have yet to go on
-	overtaken                       float64  // when the latest submission that it has answered was sent
-	doubted                         bool     // has been silent too long; cleared by any answer to a submission
-	doubtAt                         float64  // when the doubt began
-	passed                          bool     // a check has passed since, and no trial has gone out
-	pause                           fade.Sum // the longest unlikely silence that an answer has ended
-	slow, good, bad                 fade.Sum // latency against the usual; committed; failed, refused or lost
-	limit                           float64  // how many of this router's submissions it may hold at once
-	tested                          bool     // the limit has been found once
+	load                            float64   // of these, without those whose clients have yet to go on
+	overtaken                       float64   // when the latest submission that it has answered was sent
+	doubted                         bool      // has been silent too long; cleared by any answer to a submission
+	doubtAt                         float64   // when the doubt began
+	passed                          bool      // a check has passed since, and no trial has gone out
+	pause                           decay.Sum // the longest unlikely silence that an answer has ended
+	slow, good, bad                 decay.Sum // latency against the usual; committed; failed, refused or lost
+	limit                           float64   // how many of this router's submissions it may hold at once
+	tested                          bool      // the limit has been found once
 }
 
 type group struct {
 	no             int
 	members        []*member
-	used           bool                // it has had traffic here
-	held, halt     float64             // when a txn last found no member; writes wait
-	checks         due.Turn[*group]    // when one may be due
-	asked          float64             // when its latest check went out; Never: one has come back since
-	arrived, reads fade.Sum            // txns; reads that need a known position
-	repeatable     float64             // when the last repeatable txn came
-	answers        map[bool]*fade.Mean // of replicas, of primaries
+	used           bool                         // it has had traffic here
+	held, halt     float64                      // when a txn last found no member; writes wait
+	checks         timerqueue.FairTimer[*group] // when one may be due
+	asked          float64                      // when its latest check went out; Never: one has come back since
+	arrived, reads decay.Sum                    // txns; reads that need a known position
+	repeatable     float64                      // when the last repeatable txn came
+	answers        map[bool]*decay.Mean         // of replicas, of primaries
 }
 
 type submission struct {
@@ -99,7 +99,7 @@
 
 type txn struct {
 	id, session            string
-	kind                   *TxnType
+	kind                   *RequestClass
 	use                    *usage
 	group                  *group
 	arrived, expiry        float64 // the client's first try, as far as it can be told, and the end of this one
@@ -119,10 +119,10 @@
 
 // usage is what one txn type has shown of itself.
 type usage struct {
-	took   fade.Mean // until an answer
-	came   fade.Sum  // txns
-	ended  fade.Sum  // tries ended here without success, whose clients may come back
-	habits [2]habit  // what many tries are given
+	took   decay.Mean // until an answer
+	came   decay.Sum  // txns
+	ended  decay.Sum  // tries ended here without success, whose clients may come back
+	habits [2]habit   // what many tries are given
 }
 
 type habit struct{ ttl, votes float64 }
@@ -130,11 +130,11 @@
 // age guesses how long a client has been trying: most tries are given one of two times, a repeat what earlier
 // ones left. Guards against jams of repeats that look new; the second time, against taking clients for old
 // where others turn impatient. It misjudges those whose time is rare.
-func (u *usage) age(now float64, kind *TxnType, ttl float64, marked bool) float64 {
+func (u *usage) age(now float64, kind *RequestClass, ttl float64, marked bool) float64 {
 	n := slices.IndexFunc(u.habits[:], func(h habit) bool {
-		return math.Abs(ttl-h.ttl) <= kind.Expiry/50 // a fiftieth: the clock's tick and the network
+		return math.Abs(ttl-h.ttl) <= kind.Deadline/50 // a fiftieth: the clock's tick and the network
 	})
-	weak, step, first := 0, 1.0, !marked && u.ended.Read(now, 2*kind.Expiry) < 0.5
+	weak, step, first := 0, 1.0, !marked && u.ended.Read(now, 2*kind.Deadline) < 0.5
 	if u.habits[1].votes < u.habits[0].votes {
 		weak = 1
 	}
@@ -149,80 +149,80 @@
 	if first || n >= 0 && (n != weak || !marked && u.habits[n].votes > 3) {
 		return 0
 	}
-	u.ended.Add(now, 2*kind.Expiry, -1)
-	return math.Max(0, kind.Expiry-ttl)
+	u.ended.Add(now, 2*kind.Deadline, -1)
+	return math.Max(0, kind.Deadline-ttl)
 }
 
 // Router decides for one instance.
 type Router struct {
 	set                  *Settings
-	chance               chance.Source
+	chance               random.Source
 	now, born            float64
 	members              map[string]*member
 	groups               map[int]*group
 	txns                 map[string]*txn
 	waiting              []*txn
-	cursor               int                 // which of them was looked at last
-	stuck                *txn                // what found no member last, since the last input
-	sorted, looked       bool                // since the last input; looked: for silent members
-	busy                 []*member           // those that hold submissions
-	used                 due.Turns[*group]   // those that have had traffic
-	admit                map[bool]float64    // chance to take txns on, for replicas and primaries
-	answers              map[bool]*fade.Mean // from all groups
-	worths               fade.Sum            // worth by work of what arrived
-	commits              commits.Memory      // where session tokens are the router\'s own memory
-	done                 fade.Sum            // SLA times committed; unlike latency they hold still in a jam
-	flow, most           float64             // the most of them a ms and member; members up at once
-	crowded              fade.Sum            // connections refused by members whose checks went on
-	idle                 []*member           // whose connections are to be closed
-	arrived, heard, lost fade.Sum            // txns; submissions answered in any way, and rather lost than long
-	span                 float64             // ms over which what is measured fades
-	uses                 map[*TxnType]*usage
-	shares               map[string]*fade.Sum // by tenant
+	cursor               int                          // which of them was looked at last
+	stuck                *txn                         // what found no member last, since the last input
+	sorted, looked       bool                         // since the last input; looked: for silent members
+	busy                 []*member                    // those that hold submissions
+	used                 timerqueue.FairQueue[*group] // those that have had traffic
+	admit                map[bool]float64             // chance to take txns on, for replicas and primaries
+	answers              map[bool]*decay.Mean         // from all groups
+	worths               decay.Sum                    // worth by work of what arrived
+	commits              lastcommit.Commits           // where session tokens are the router\'s own memory
+	done                 decay.Sum                    // SLA times committed; unlike latency they hold still in a jam
+	flow, most           float64                      // the most of them a ms and member; members up at once
+	crowded              decay.Sum                    // connections refused by members whose checks went on
+	idle                 []*member                    // whose connections are to be closed
+	arrived, heard, lost decay.Sum                    // txns; submissions answered in any way, and rather lost than long
+	span                 float64                      // ms over which what is measured fades
+	uses                 map[*RequestClass]*usage
+	shares               map[string]*decay.Sum // by tenant
 	listed               map[string]bool
-	least                float64  // the shortest check period
-	late                 fade.Sum // how late the alarm rang at most: pauses of this router's own
-	wantWatch, alarmAt   float64  // when to ask for the list again; the alarm that is out
-	watched              float64  // when it was asked for last
+	least                float64   // the shortest check period
+	late                 decay.Sum // how late the alarm rang at most: pauses of this router's own
+	wantWatch, alarmAt   float64   // when to ask for the list again; the alarm that is out
+	watched              float64   // when it was asked for last
 }
 
 func New(set *Settings, seed uint64) *Router {
-	r := &Router{set: set, chance: chance.Source{Seed: seed}, wantWatch: math.Inf(1), alarmAt: math.Inf(1),
+	r := &Router{set: set, chance: random.Source{Seed: seed}, wantWatch: math.Inf(1), alarmAt: math.Inf(1),
 		members: map[string]*member{}, groups: map[int]*group{}, txns: map[string]*txn{},
 		least: restCheck, span: longMemory, admit: map[bool]float64{false: reserve, true: reserve},
-		answers: map[bool]*fade.Mean{false: {}, true: {}}}
-	if set.Ask {
+		answers: map[bool]*decay.Mean{false: {}, true: {}}}
+	if set.PollsList {
 		r.wantWatch = Never
 	}
-	r.Revalue(set)
-	for _, kind := range set.TxnTypes {
+	r.UpdateSettings(set)
+	for _, kind := range set.RequestClasses {
 		if kind.Level == Bounded {
-			r.least = math.Min(r.least, kind.Bound/3)
+			r.least = math.Min(r.least, kind.StalenessBound/3)
 		}
 	}
 	return r
 }
 
-// Revalue takes settings with other values and tenants. A txn that is open ends by those it was taken under;
+// UpdateSettings takes settings with other values and tenants. A txn that is open ends by those it was taken under;
 // what was learned stays, by name, and what arrived is weighed as it would be worth now.
-func (r *Router) Revalue(set *Settings) {
-	uses, shares, old, worth := map[*TxnType]*usage{}, map[string]*fade.Sum{}, 0.0, 0.0
-	for _, name := range slices.Sorted(maps.Keys(set.TxnTypes)) {
-		kind, was := set.TxnTypes[name], cmp.Or(r.set.TxnTypes[name], set.TxnTypes[name])
+func (r *Router) UpdateSettings(set *Settings) {
+	uses, shares, old, worth := map[*RequestClass]*usage{}, map[string]*decay.Sum{}, 0.0, 0.0
+	for _, name := range slices.Sorted(maps.Keys(set.RequestClasses)) {
+		kind, was := set.RequestClasses[name], cmp.Or(r.set.RequestClasses[name], set.RequestClasses[name])
 		uses[kind] = cmp.Or(r.uses[was], &usage{})
-		n := uses[kind].came.Read(r.now, longMemory) / kind.SLA
-		old, worth = old+n*was.Value, worth+n*kind.Value
+		n := uses[kind].came.Read(r.now, longMemory) / kind.LatencyObjective
+		old, worth = old+n*was.PriorityWeight, worth+n*kind.PriorityWeight
 	}
 	for name := range set.Tenants {
-		shares[name] = cmp.Or(r.shares[name], &fade.Sum{})
+		shares[name] = cmp.Or(r.shares[name], &decay.Sum{})
 	}
 	if r.set, r.uses, r.shares = set, uses, shares; old > 0 {
 		r.worths.Sum *= worth / old
 	}
 }
 
-// At sets the time; all that follows until the next call happens then.
-func (r *Router) At(now float64) {
+// Advance sets the time; all that follows until the next call happens then.
+func (r *Router) Advance(now float64) {
 	r.now, r.born = now, cmp.Or(r.born, now)
 	r.cursor, r.sorted, r.looked, r.stuck = 0, false, false, nil
 }
@@ -258,7 +258,7 @@
 	g := r.groups[no]
 	if g == nil {
 		g = &group{no: no, held: Never, asked: Never, used: !listed,
-			answers: map[bool]*fade.Mean{false: {}, true: {}}}
+			answers: map[bool]*decay.Mean{false: {}, true: {}}}
 		if g.checks.Of = g; listed {
 			r.groups[no] = g
 		}
@@ -266,10 +266,10 @@
 	return g
 }
 
-// ListStart, Listed and ListEnd convey one list, whole or of changes.
-func (r *Router) ListStart() { r.listed = map[string]bool{} }
+// BeginList, Listed and ListEnd convey one list, whole or of changes.
+func (r *Router) BeginList() { r.listed = map[string]bool{} }
 
-func (r *Router) Listed(id, zone string, groupNo int, state State, started float64) {
+func (r *Router) ListMember(id, zone string, groupNo int, state State, started float64) {
 	g := r.group(groupNo, true)
 	m := r.members[id]
 	if m == nil {
@@ -291,7 +291,7 @@
 	}
 }
 
-func (r *Router) ListEnd(whole bool) {
+func (r *Router) EndList(whole bool) {
 	up := 0.0
 	for id, m := range r.members {
 		if here, told := r.listed[id]; !here && (told || whole) && !r.set.SoftRemoval {
@@ -315,7 +315,7 @@
 		}
 	}
 	r.most = math.Max(r.most, up)
-	if r.set.Ask && r.wantWatch != Never {
+	if r.set.PollsList && r.wantWatch != Never {
 		r.wantWatch = math.Inf(1)
 	}
 }
@@ -323,10 +323,10 @@
 // ListFailed says that a call failed or the subscription broke. Many must not ask again at once, nor late:
 // one that took its time, a silence or a call that hung, has paced them already, and another may follow.
 func (r *Router) ListFailed() {
-	if !r.set.Ask {
+	if !r.set.PollsList {
 		return
 	}
-	pause := math.Min(r.set.AskWithin/8, restCheck)
+	pause := math.Min(r.set.ListPollTimeout/8, restCheck)
 	if r.now-r.watched >= paced {
 		pause = math.Min(pause, pacedPause)
 	}
@@ -336,20 +336,20 @@
 // Arrive takes a txn; false: its txn type is not in the settings. marked: its client says it is a repeat.
 func (r *Router) Arrive(id, tenant, session, txnType string, groupNo int, tokenAge, ttl float64,
 	marked bool) bool {
-	kind := r.set.TxnTypes[txnType]
+	kind := r.set.RequestClasses[txnType]
 	if kind == nil {
 		return false
 	}
 	g := r.group(groupNo, false)
 	age := r.uses[kind].age(r.now, kind, ttl, marked)
-	if r.set.MarksRepeats && !marked {
+	if r.set.ClientsMarkRetries && !marked {
 		age = 0
 	}
 	t := &txn{id: id, kind: kind, use: r.uses[kind], group: g, arrived: r.now - age, expiry: r.now + ttl,
 		effect: kind.Effect, half: r.now + ttl/2, needs: Never, session: session, mayRun: Never, asked: Never,
-		value: kind.Value}
+		value: kind.PriorityWeight}
 	switch {
-	case kind.Level == Session && r.set.Remembered && r.commits.Of(session) != 0:
+	case kind.Level == Session && r.set.RemembersCommits && r.commits.Of(session) != 0:
 		t.needs = r.commits.Of(session)
 	case kind.Level == Session && tokenAge != 0: // a commit may be dated a little ahead
 		t.needs = r.now - tokenAge
@@ -361,7 +361,7 @@
 	r.span = math.Max(memory, math.Min(longMemory, sample*longMemory/r.arrived.Sum))
 	g.arrived.Add(r.now, r.span, 1)
 	g.checks.Set(r.now)
-	if r.use(g); kind.Effect == Repeatable {
+	if r.use(g); kind.Effect == Idempotent {
 		g.repeatable = r.now
 	}
 	if kind.Level == Bounded && r.set.Lag == LagAnswers { // else members see to the bound themselves
@@ -369,9 +369,9 @@
 	}
 	if f := r.shares[tenant]; f != nil &&
 		f.Add(r.now, r.span, 1)*1000/r.span > r.set.Tenants[tenant]/float64(r.set.Routers) {
-		t.value *= r.set.OverShareValue
+		t.value *= r.set.OverQuotaWeight
 	}
-	r.worths.Add(r.now, longMemory, t.value/kind.SLA)
+	r.worths.Add(r.now, longMemory, t.value/kind.LatencyObjective)
 	r.txns[id] = t
 	r.waiting, r.sorted = append(r.waiting, t), false
 	return true
@@ -384,22 +384,22 @@
 	}
 }
 
-// Returned says how a submission ended. gtid is never where the answer told no position.
-func (r *Router) Returned(id string, seq int, how Outcome, rtt float64, done bool, role Role, gtid float64) {
+// AttemptEnded says how a submission ended. gtid is never where the answer told no position.
+func (r *Router) AttemptEnded(id string, seq int, how Outcome, rtt float64, done bool, role Role, gtid float64) {
 	t := r.txns[id]
 	if t == nil || seq >= len(t.subs) || !t.subs[seq].out {
 		return
 	}
 	sub, m := t.subs[seq], t.subs[seq].to
 	r.answered(sub, how, rtt, role, gtid)
-	if how == Committed && t.kind.Level == Write && r.set.Remembered && t.session != "" {
+	if how == Succeeded && t.kind.Level == Write && r.set.RemembersCommits && t.session != "" {
 		r.remember(t.session, gtid)
 	}
-	sub.out, sub.missed, t.placed, t.met = false, how == Miss, false, how
-	if how == Moot && !done {
+	sub.out, sub.missed, t.placed, t.met = false, how == Misrouted, false, how
+	if how == NotSent && !done {
 		t.unsend(sub, r.now)
 	}
-	if t.mayRun == Never && (how == Errored || how == TimedOut || how == Reset || how == Revoked) {
+	if t.mayRun == Never && (how == ServerError || how == TimedOut || how == Reset || how == Canceled) {
 		t.mayRun, t.ranZone = sub.sent, m.zone
 	}
 	if t.over = t.over || done; t.over {
@@ -418,7 +418,7 @@
 	t.notSent++
 	sub.retryAt = now + t.unsentPause(m)
 	if math.Max(m.started, m.guessed) <= sub.sent { // else the budget is another by now
-		m.bucket.Spend(-t.kind.SLA)
+		m.bucket.Spend(-t.kind.LatencyObjective)
 	}
 	if m.lastSent == sub.sent {
 		m.lastSent, m.passed = sub.lastSent, sub.passed && m.doubtAt <= sub.sent
@@ -458,15 +458,15 @@
 	}
 }
 
-// Turn says whose turn it is in a submission that takes more than one: the member's, or its client's or the
+// TurnChanged says whose turn it is in a submission that takes more than one: the member's, or its client's or the
 // pool's, who make it rest. started: part of the answer is with the client, so it is never sent again.
-func (r *Router) Turn(id string, seq int, rests, started bool) {
+func (r *Router) TurnChanged(id string, seq int, rests, started bool) {
 	t := r.txns[id]
 	if t == nil || seq >= len(t.subs) || !t.subs[seq].out {
 		return
 	}
 	if started {
-		t.effect = OnceOnly
+		t.effect = NonIdempotent
 	}
 	sub := t.subs[seq]
 	if sub.rests && !rests {
@@ -485,7 +485,7 @@
 func (r *Router) heardFrom(sub *submission) {
 	m := sub.to
 	if quiet, since := r.silence(m); quiet > doubt/2 {
-		m.pause.Most(r.now, longMemory, r.now-since)
+		m.pause.Max(r.now, longMemory, r.now-since)
 	}
 	m.lastAnswer, m.overtaken = r.now, math.Max(m.overtaken, sub.at)
 	m.doubted, m.down, m.shut = false, false, false
@@ -513,14 +513,14 @@
 }
 
 func (r *Router) lose(t *txn) {
-	t.use.ended.Add(r.now, 2*t.kind.Expiry, 1)
+	t.use.ended.Add(r.now, 2*t.kind.Deadline, 1)
 	r.forget(t)
 }
 
 // answered updates the record of a member from the end of a submission to it.
 func (r *Router) answered(sub *submission, how Outcome, rtt float64, role Role, gtid float64) {
 	m, t := sub.to, sub.of
-	if how <= Full || how == Miss {
+	if how <= Overloaded || how == Misrouted {
 		r.heardFrom(sub)
 	}
 	m.out = slices.DeleteFunc(m.out, func(o *submission) bool { return o == sub })
@@ -534,11 +534,11 @@
 		}
 	}
 	switch how {
-	case Committed, Errored, Full, Miss:
+	case Succeeded, ServerError, Overloaded, Misrouted:
 		r.heard.Add(r.now, r.span, 1)
 		thought := r.primary(m.group) == m
 		m.tell(role, r.now, gtid)
-		if how == Miss {
+		if how == Misrouted {
 			r.missed(m, t, thought)
 		}
 	case ConnectFailed, Reset:
@@ -547,18 +547,18 @@
 		r.markDown(m)
 	}
 	switch {
-	case how == Committed:
+	case how == Succeeded:
 		r.follow(t)
 		usual := r.usual(t)
 		t.use.took.Add(r.now, r.span, rtt, 1)
 		m.slow.Add(r.now, r.span, rtt/usual)
 		m.good.Add(r.now, r.span, 1)
-		r.steer(sub, t.kind.SLA/2/rtt)
-	case how == Errored:
+		r.steer(sub, t.kind.LatencyObjective/2/rtt)
+	case how == ServerError:
 		m.bad.Add(r.now, r.span, 1)
-	case how == TimedOut || how == Revoked:
+	case how == TimedOut || how == Canceled:
 		r.unanswered(sub)
-	case how == Full:
+	case how == Overloaded:
 		r.steer(sub, 0)
 	}
 }
@@ -572,7 +572,7 @@
 	r.lost.Add(r.now, r.span, lost)
 	m.bad.Add(r.now, r.span, lost)
 	t.use.took.Add(r.now, r.span, (1-lost)*(r.now-sub.at+sub.expected), 1-lost)
-	if lost < 0.5 && r.now-sub.at > math.Min(t.kind.SLA/2, 2*sub.expected) { // else its client's time was short
+	if lost < 0.5 && r.now-sub.at > math.Min(t.kind.LatencyObjective/2, 2*sub.expected) { // else its client's time was short
 		r.steer(sub, 0)
 	}
 }
@@ -623,7 +623,7 @@
 
 func (m *member) tell(role Role, at, gtid float64) {
 	m.gtid = math.Max(m.gtid, gtid)
-	m.known = m.known || role != Unsaid
+	m.known = m.known || role != RoleUnknown
 	if role == Primary {
 		m.claim = math.Max(m.claim, at)
 	} else if role == Replica {
@@ -669,18 +669,18 @@
 	}
 }
 
-// Checked conveys the end of a check.
-func (r *Router) Checked(node string, how Outcome) {
+// HealthChecked conveys the end of a check.
+func (r *Router) HealthChecked(node string, how Outcome) {
 	m := r.members[node]
 	if m == nil {
 		return
 	}
 	m.checkOut, m.group.asked = false, Never
 	m.group.checks.Set(Never)
-	if how == Full {
+	if how == Overloaded {
 		return // too crowded to be checked: it is there, and nothing else is told
 	}
-	if how == Moot { // never made, since no connection was left here: nothing is told
+	if how == NotSent { // never made, since no connection was left here: nothing is told
 		if !m.down {
 			m.ask()
 		}
@@ -688,10 +688,10 @@
 	}
 	// Guards against checks that fail where members serve: an answer since is the better evidence, and an error
 	// shows that it is there. The txns themselves then ask (fit, pick).
-	if m.mum = how == Errored; m.mum {
+	if m.mum = how == ServerError; m.mum {
 		m.down = false
 		return
-	} else if how != Committed {
+	} else if how != Succeeded {
 		if (!m.down || m.shut) && m.lastAnswer < m.checkSent {
 			m.down, m.shut = false, false
 			r.markDown(m)
@@ -716,7 +716,7 @@
 // begin starts a cold member's record of speed and limit anew.
 func (m *member) begin() {
 	m.denial = math.Max(m.denial, m.downAt) // if it was primary, it may be no more
-	m.limit, m.tested, m.bucket = math.Min(firstLimit, m.limit), false, ramp.Bucket{}
+	m.limit, m.tested, m.bucket = math.Min(firstLimit, m.limit), false, slowstart.Bucket{}
 }
 
 // Reported conveys a report of role and position, dated by that position, since it may be old.
@@ -727,10 +727,10 @@
 	}
 }
 
-// Sighted conveys another router's check: a position, which of one start never goes back, and whom to ask.
-func (r *Router) Sighted(node string, started float64, role Role, gtid float64) {
+// PeerReported conveys another router's check: a position, which of one start never goes back, and whom to ask.
+func (r *Router) PeerReported(node string, started float64, role Role, gtid float64) {
 	if m := r.members[node]; m != nil && started >= m.started {
-		r.Reported(node, Unsaid, gtid)
+		r.Reported(node, RoleUnknown, gtid)
 		m.sighted = r.now // stands in for a resting check until it goes quiet
 		if g := m.group; role == Primary {
 			g.members = slices.Insert(slices.DeleteFunc(g.members, func(o *member) bool { return o == m }), 0, m)
@@ -738,25 +738,25 @@
 	}
 }
 
-// Hold has writes of a group wait until then, as without a primary; an earlier time has it asked anew.
-func (r *Router) Hold(groupNo int, until float64) {
+// HoldWrites has writes of a group wait until then, as without a primary; an earlier time has it asked anew.
+func (r *Router) HoldWrites(groupNo int, until float64) {
 	g := r.group(groupNo, false)
 	if g.halt = until; until <= r.now {
 		r.recheck(g)
 	}
 }
 
-// Gone says that the client of a txn has left; nothing is owed any more.
-func (r *Router) Gone(id string) {
+// ClientGone says that the client of a txn has left; nothing is owed any more.
+func (r *Router) ClientGone(id string) {
 	if t := r.txns[id]; t != nil {
 		r.lose(t)
 	}
 }
 
-// Rang: another is asked for, also after one in a batch that began before its time: there may be no other.
-func (r *Router) Rang() {
+// TimerFired: another is asked for, also after one in a batch that began before its time: there may be no other.
+func (r *Router) TimerFired() {
 	if r.now > r.alarmAt-beat/2 {
-		r.late.Most(r.now, longMemory, r.now-r.alarmAt)
+		r.late.Max(r.now, longMemory, r.now-r.alarmAt)
 	}
 	r.alarmAt = math.Inf(1)
 }
@@ -767,14 +767,14 @@
 		r.look()
 	}
 	if r.wantWatch <= r.now {
-		r.watched, r.wantWatch = r.now, r.now+r.set.AskWithin/2 // unless something is heard before
-		return Decision{Verb: Watch}, true
+		r.watched, r.wantWatch = r.now, r.now+r.set.ListPollTimeout/2 // unless something is heard before
+		return Decision{Action: RequestList}, true
 	}
 	// Guards against full connection tables: idle connections here keep other routers out. Costs a handshake.
 	if n := len(r.idle); n > 0 {
 		m := r.idle[n-1]
 		r.idle = r.idle[:n-1]
-		return Decision{Verb: Close, Member: m.id}, true
+		return Decision{Action: CloseIdleConnections, Member: m.id}, true
 	}
 	for _, next := range []func() (Decision, bool){r.nextRevoke, r.nextTxn, r.nextCheck} {
 		if d, ok := next(); ok {
@@ -783,7 +783,7 @@
 	}
 	if due := r.due(); due < r.alarmAt {
 		r.alarmAt = due
-		return Decision{Verb: Alarm, At: due}, true
+		return Decision{Action: SetTimer, Time: due}, true
 	}
 	return Decision{}, false
 }
@@ -794,7 +794,7 @@
 	if len(r.waiting) > 0 {
 		due = r.now
 	}
-	if r.set.CanCheck {
+	if r.set.CanHealthCheck {
 		due = math.Min(due, r.used.Soonest())
 	}
 	for _, m := range r.busy {
@@ -811,13 +811,13 @@
 }
 
 func (r *Router) nextCheck() (Decision, bool) {
-	for c := r.used.First(r.now); r.set.CanCheck && c != nil; c = r.used.First(r.now) {
+	for c := r.used.First(r.now); r.set.CanHealthCheck && c != nil; c = r.used.First(r.now) {
 		g, next := c.Of, math.Inf(1)
 		for _, m := range g.members {
 			due := r.checkDue(m)
 			if due <= r.now {
 				m.prompt, m.checkOut, m.checkSent, g.asked = false, true, r.now, r.now
-				return Decision{Verb: Check, Member: m.id}, true
+				return Decision{Action: HealthCheck, Member: m.id}, true
 			}
 			next = math.Min(next, due)
 		}
@@ -876,18 +876,18 @@
 // nextRevoke takes repeatable txns back to send them again: from a member in doubt, and where the answer is
 // rather lost than late, if another try can still be in time. One that is only long is worked on twice.
 func (r *Router) nextRevoke() (Decision, bool) {
-	for n := 0; r.set.CanRevoke && n < len(r.busy); n++ {
+	for n := 0; r.set.CanCancel && n < len(r.busy); n++ {
 		m := r.busy[n]
 		for _, sub := range m.out {
 			t, age := sub.of, r.now-sub.at
-			if sub.revoked || sub.rests || t.over || t.effect != Repeatable || t.attempts() >= r.set.Submissions {
+			if sub.revoked || sub.rests || t.over || t.effect != Idempotent || t.attempts() >= r.set.MaxAttempts {
 				continue
 			}
 			usual := r.usual(t)
-			useful := r.now+usual < t.arrived+t.kind.SLA || t.kind.LateValue > 0 && r.now+usual < t.expiry
+			useful := r.now+usual < t.arrived+t.kind.LatencyObjective || t.kind.LateWeightShare > 0 && r.now+usual < t.expiry
 			if useful && age > r.lostAfter(sub) || m.doubted && age > sub.expected {
 				sub.revoked = true
-				return Decision{Verb: Revoke, Txn: t.id, Seq: slices.Index(t.subs, sub)}, true
+				return Decision{Action: CancelAttempt, RequestID: t.id, Attempt: slices.Index(t.subs, sub)}, true
 			}
 		}
 	}
@@ -925,8 +925,8 @@
 func (r *Router) worth(t *txn) float64 {
 	usual := r.usual(t)
 	late := 1 - math.Exp(math.Min(0, r.now-t.expiry)/usual)
-	soon := 1 - math.Exp(math.Min(0, r.now-t.arrived-t.kind.SLA)/usual)
-	return t.value * (soon + t.kind.LateValue*math.Max(0, late-soon)) / usual
+	soon := 1 - math.Exp(math.Min(0, r.now-t.arrived-t.kind.LatencyObjective)/usual)
+	return t.value * (soon + t.kind.LateWeightShare*math.Max(0, late-soon)) / usual
 }
 
 // steer moves the chance of taking txns on to where one answer in five is not soon, as adapt does a limit. It
@@ -951,14 +951,14 @@
 func (r *Router) blame(g *group, pri bool) float64 {
 	all, own := r.answers[pri], g.answers[pri]
 	share := math.Max(0.2, all.All.Read(r.now, longMemory)/math.Max(1, all.Weight.Read(r.now, longMemory)))
-	return own.Of(r.now, longMemory, prior, share) / share
+	return own.Value(r.now, longMemory, prior, share) / share
 }
 
 // admits decides by worth for work, against the others', whether to take a txn on, or let a primary have it.
 func (r *Router) admits(t *txn, pri bool) bool {
 	mean := r.worths.Read(r.now, longMemory) / r.arrived.Read(r.now, longMemory)
 	part := r.admit[pri] / r.blame(t.group, pri)
-	return part >= 1 || r.chance.Next() < math.Pow(part, mean*t.kind.SLA/t.value)
+	return part >= 1 || r.chance.Next() < math.Pow(part, mean*t.kind.LatencyObjective/t.value)
 }
 
 // place sends, ends or holds one waiting txn.
@@ -995,9 +995,9 @@
 	m.out, m.load = append(m.out, sub), m.load+1
 	t.placed = true // so that no other goes out before it has returned
 	m.lastSent, m.passed = r.now, false
-	m.bucket.Spend(t.kind.SLA)
-	d := Decision{Verb: Submit, Txn: t.id, Member: m.id, By: r.holds(t, m)}
-	if t.effect == Repeatable && !r.set.CanRevoke {
+	m.bucket.Spend(t.kind.LatencyObjective)
+	d := Decision{Action: SendAttempt, RequestID: t.id, Member: m.id, NotAfter: r.holds(t, m)}
+	if t.effect == Idempotent && !r.set.CanCancel {
 		d.Wait = r.lostAfter(sub) // in place of taking it back
 	}
 	return d, true
@@ -1006,30 +1006,30 @@
 // hopeless tells that nothing can come of it. Unsent at half its time in vain: its client had better return.
 func (r *Router) hopeless(t *txn) bool {
 	usual, ran := r.usual(t), t.mayRun != Never
-	return t.attempts() >= r.set.Submissions || r.now+usual > t.expiry ||
+	return t.attempts() >= r.set.MaxAttempts || r.now+usual > t.expiry ||
 		t.pinned && (t.pin == nil || t.pin.barred || t.pin.down) ||
-		ran && t.effect == OnceOnly || t.attempts() == 0 && r.now+2*beat > t.half &&
-		(r.headless(t.group) || r.now > t.arrived+t.kind.SLA) ||
+		ran && t.effect == NonIdempotent || t.attempts() == 0 && r.now+2*beat > t.half &&
+		(r.headless(t.group) || r.now > t.arrived+t.kind.LatencyObjective) ||
 		ran && t.kind.Level == Write && t.met == Reset || // DESIGN: a write that met a reset ends in error
-		ran && t.kind.Effect == Referenced && r.now-t.mayRun > t.kind.Window-heldUp ||
-		t.kind.LateValue == 0 && r.now+usual > t.arrived+t.kind.SLA
+		ran && t.kind.Effect == IdempotentWithKey && r.now-t.mayRun > t.kind.IdempotencyWindow-heldUp ||
+		t.kind.LateWeightShare == 0 && r.now+usual > t.arrived+t.kind.LatencyObjective
 }
 
 func (r *Router) end(t *txn) Decision {
 	r.lose(t)
-	promise := t.effect == Repeatable || t.effect == Referenced && t.kind.Scope == ScopeAll &&
-		r.now+r.set.RetryAfter-t.mayRun < t.kind.Window // when its client is told to come back
+	promise := t.effect == Idempotent || t.effect == IdempotentWithKey && t.kind.Scope == ScopeAll &&
+		r.now+r.set.RetryAfter-t.mayRun < t.kind.IdempotencyWindow // when its client is told to come back
 	if t.mayRun != Never && !promise {
-		return Decision{Verb: RollBack, Txn: t.id}
+		return Decision{Action: FailRequest, RequestID: t.id}
 	}
 	// A repeat could not be answered in time either; the wait may be longer than needed after a short jam.
-	return Decision{Verb: Decline, Txn: t.id, Wait: r.set.RetryAfter}
+	return Decision{Action: RejectRequest, RequestID: t.id, Wait: r.set.RetryAfter}
 }
 
 // usual is the smoothed time to an answer of a txn type, over all members. Until some are in, a quarter of
 // the SLA time is supposed: whoever set it expects answers well inside it.
 func (r *Router) usual(t *txn) float64 {
-	return t.use.took.Of(r.now, r.span, prior, t.kind.SLA/4)
+	return t.use.took.Value(r.now, r.span, prior, t.kind.LatencyObjective/4)
 }
 
 // slowness is the member's smoothed latency against what is usual.
@@ -1042,7 +1042,7 @@
 // bound is the position that the txn must see if sent now.
 func (t *txn) bound(now float64) float64 {
 	if t.kind.Level == Bounded {
-		return now - t.kind.Bound
+		return now - t.kind.StalenessBound
 	}
 	return t.needs
 }
@@ -1069,7 +1069,7 @@
 			return r.fit(t, pri)
 		}
 		for _, m := range t.group.members {
-			asks := m.mum && !m.known || !r.set.CanCheck // the txn does, where checks tell nothing
+			asks := m.mum && !m.known || !r.set.CanHealthCheck // the txn does, where checks tell nothing
 			if asks && r.now-m.denial > recheckGap && r.fit(t, m) != nil {
 				return m
 			}
@@ -1086,7 +1086,7 @@
 			return m // its trial is due
 		case m == pri || m.doubted || m.barred || m.down || t.turnedAway(m):
 		case m.checkSent == Never:
-			unasked = r.set.CanCheck
+			unasked = r.set.CanHealthCheck
 		case fits && m.gtid >= need:
 			fresh = append(fresh, m)
 		case fits && near:
@@ -1115,14 +1115,14 @@
 		return r.fit(t, pri)
 	}
 	// None is known fresh enough, some seemed so: ask two, wait a moment, as waiting operations do (DESIGN).
-	if len(unsure) > 0 && r.set.CanCheck && t.asked == Never {
+	if len(unsure) > 0 && r.set.CanHealthCheck && t.asked == Never {
 		t.asked = r.now
 		r.draw(t, unsure).ask()
 		r.draw(t, unsure).ask()
 		return nil
 	}
 	asked := func(m *member) bool { return m.checkOut && !m.doubted && !m.down }
-	if r.now-t.asked < t.kind.SLA/8 && slices.ContainsFunc(t.group.members, asked) {
+	if r.now-t.asked < t.kind.LatencyObjective/8 && slices.ContainsFunc(t.group.members, asked) {
 		return nil
 	}
 	return r.fit(t, pri)
@@ -1157,10 +1157,10 @@
 // warmth is the least share of its usual work that a member can do by now.
 func (r *Router) warmth(m *member) float64 {
 	start := m.started
-	if r.now-m.guessed < r.set.AskWithin/2 {
+	if r.now-m.guessed < r.set.ListPollTimeout/2 {
 		start = math.Max(start, m.guessed)
 	}
-	return math.Min(1, r.set.ColdFrom+(1-r.set.ColdFrom)*(r.now-start)/r.set.WarmUp)
+	return math.Min(1, r.set.SlowStartFloor+(1-r.set.SlowStartFloor)*(r.now-start)/r.set.SlowStartDuration)
 }
 
 // fit is the one place that every send passes: it gives the member back if the txn may go there now.
@@ -1169,7 +1169,7 @@
 		return nil
 	}
 	// Rule 2: a referenced txn that may have run stays where its repeats are discarded.
-	if t.mayRun != Never && t.kind.Effect == Referenced && t.kind.Scope == ScopeZone && m.zone != t.ranZone {
+	if t.mayRun != Never && t.kind.Effect == IdempotentWithKey && t.kind.Scope == ScopeZone && m.zone != t.ranZone {
 		return nil
 	}
 	// Rule 5: where members answer whatever they hold, only a known position will do.
@@ -1177,7 +1177,7 @@
 		return nil
 	}
 	// Guards against full connection tables: where checks pass all the same, a pause.
-	if m.shut && r.now-m.lastSent < r.expects(t, m) || !m.known && r.set.CanCheck && !m.mum ||
+	if m.shut && r.now-m.lastSent < r.expects(t, m) || !m.known && r.set.CanHealthCheck && !m.mum ||
 		m.doubted && !r.tries(m, t) ||
 		!r.bears(m, t) || !m.room(r.now, r.expects(t, m)) {
 		return nil
@@ -1188,15 +1188,15 @@
 // tries tells whether the txn may be a doubted member's trial: the first as soon as a check has passed since.
 func (r *Router) tries(m *member, t *txn) bool {
 	return (m.passed || r.now-m.lastSent >= recheckGap) &&
-		(t.effect == Repeatable || m.known && len(m.out) == 0 && r.now-t.group.repeatable > longMemory)
+		(t.effect == Idempotent || m.known && len(m.out) == 0 && r.now-t.group.repeatable > longMemory)
 }
 
 // bears tells whether a cold member can take one more (rule 4): what goes there from here stays under the
 // allowed multiple of the cold share of what a member has committed here.
 func (r *Router) bears(m *member, t *txn) bool {
 	w := r.warmth(m)
-	rate := r.set.FallMultiple * w * r.flow
-	return w >= 1 || m.bucket.Bears(r.now, rate, t.kind.SLA, r.set.FallWindow, float64(r.set.Routers), r.chance.Next)
+	rate := r.set.OverloadMultiple * w * r.flow
+	return w >= 1 || m.bucket.Allows(r.now, rate, t.kind.LatencyObjective, r.set.OverloadWindow, float64(r.set.Routers), r.chance.Next)
 }
 
 // holds tells until when what a submission rests on holds: its connection may take a while to come up, while
@@ -1204,10 +1204,10 @@
 func (r *Router) holds(t *txn, m *member) float64 {
 	by := math.Inf(1)
 	if t.kind.Level == Bounded && r.set.Lag == LagAnswers && m != r.primary(m.group) {
-		by = m.gtid + t.kind.Bound - heldUp
+		by = m.gtid + t.kind.StalenessBound - heldUp
 	}
-	if t.mayRun != Never && t.kind.Effect == Referenced {
-		by = math.Min(by, t.mayRun+t.kind.Window-heldUp)
+	if t.mayRun != Never && t.kind.Effect == IdempotentWithKey {
+		by = math.Min(by, t.mayRun+t.kind.IdempotencyWindow-heldUp)
 	}
 	return by
 }
@@ -1215,7 +1215,7 @@
 // follow keeps the best average that members have committed, over the most that were ever up, lest a loss of
 // many raises it, less what few txns vary by, since all add up. Guards against restarts of many, and lulls.
 func (r *Router) follow(t *txn) {
-	r.done.Add(r.now, longMemory, t.kind.SLA)
+	r.done.Add(r.now, longMemory, t.kind.LatencyObjective)
 	span := longMemory * (1 - math.Exp(-math.Max(longMemory/3, r.now-r.born)/longMemory))
-	r.flow = math.Max(r.flow, r.done.Sum/(1+math.Sqrt(t.kind.SLA/r.done.Sum))/span/r.most)
+	r.flow = math.Max(r.flow, r.done.Sum/(1+math.Sqrt(t.kind.LatencyObjective/r.done.Sum))/span/r.most)
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"wayloft/internal/standin/scenario"
+	"wayloft/internal/fakes/scenario"
 )
 
 // A scenario is a text file, one step a line; # starts a comment.
@@ -32,23 +32,23 @@
 //
 // All members are in group 1, unless it says otherwise, and in the zone of their name's first letter.
 var (
-	outcomeWords = map[string]Outcome{"ok": Committed, "error": Errored, "full": Full, "timeout": TimedOut,
-		"unconnected": ConnectFailed, "reset": Reset, "revoked": Revoked, "moot": Moot, "miss": Miss}
-	effectWords = map[string]Effect{"repeatable": Repeatable, "referenced": Referenced, "once-only": OnceOnly}
+	outcomeWords = map[string]Outcome{"ok": Succeeded, "error": ServerError, "full": Overloaded, "timeout": TimedOut,
+		"unconnected": ConnectFailed, "reset": Reset, "revoked": Canceled, "moot": NotSent, "miss": Misrouted}
+	effectWords = map[string]Effect{"repeatable": Idempotent, "referenced": IdempotentWithKey, "once-only": NonIdempotent}
 	levelWords  = map[string]Level{"any": Any, "bounded": Bounded, "session": Session, "fresh": Fresh,
 		"write": Write}
 	scopeWords = map[string]Scope{"all": ScopeAll, "zone": ScopeZone, "group": ScopeGroup}
 	lagWords   = map[string]Lag{"answers": LagAnswers, "refuses": LagRefuses, "waits": LagWaits}
-	roleWords  = map[string]Role{"": Unsaid, "primary": Primary, "replica": Replica}
+	roleWords  = map[string]Role{"": RoleUnknown, "primary": Primary, "replica": Replica}
 	stateWords = map[string]State{"up": Up, "draining": Draining, "removed": Removed}
-	verbWords  = map[Verb]string{Submit: "submit", Revoke: "revoke", Decline: "decline", RollBack: "rollback",
-		Check: "check", Watch: "watch", Close: "close", Alarm: "alarm"}
+	verbWords  = map[Action]string{SendAttempt: "submit", CancelAttempt: "revoke", RejectRequest: "decline", FailRequest: "rollback",
+		HealthCheck: "check", RequestList: "watch", CloseIdleConnections: "close", SetTimer: "alarm"}
 )
 
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
-		p := &play{set: &Settings{Routers: 1, Submissions: 6, CanCheck: true, CanRevoke: true, ColdFrom: 0.2,
-			WarmUp: 10000, FallMultiple: 2.5, FallWindow: 2000, AskWithin: 10000, TxnTypes: map[string]*TxnType{},
+		p := &play{set: &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2,
+			SlowStartDuration: 10000, OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000, RequestClasses: map[string]*RequestClass{},
 			Tenants: map[string]float64{}}, last: map[string]Decision{}, count: map[string]int{}}
 		return func(line string) error { return p.step(strings.Fields(line)) }
 	})
@@ -87,25 +87,25 @@
 	switch w[0] {
 	case "set":
 		p.set.Routers = int(number(o["routers"], float64(p.set.Routers)))
-		p.set.Submissions = int(number(o["submissions"], float64(p.set.Submissions)))
+		p.set.MaxAttempts = int(number(o["submissions"], float64(p.set.MaxAttempts)))
 		p.set.RetryAfter = number(o["retryafter"], 0)
-		_, p.set.Ask = o["ask"]
-		_, p.set.Remembered = o["remembered"]
-		_, p.set.MarksRepeats = o["marks"]
+		_, p.set.PollsList = o["ask"]
+		_, p.set.RemembersCommits = o["remembered"]
+		_, p.set.ClientsMarkRetries = o["marks"]
 		_, p.set.SoftRemoval = o["soft"]
 		_, p.unused = o["unused"]
 		_, blind := o["nochecks"]
-		p.set.CanCheck = !blind
+		p.set.CanHealthCheck = !blind
 		p.set.Lag = lagWords[o["lag"]]
 		return nil
 	case "type":
-		p.set.TxnTypes[w[1]] = &TxnType{SLA: number(o["sla"], 500), Value: number(o["value"], 1),
-			Expiry:    number(o["expiry"], 3000),
-			LateValue: number(o["late"], 0), Effect: effectWords[o["effect"]], Scope: scopeWords[o["scope"]],
-			Window: number(o["window"], 5000), Level: levelWords[o["level"]], Bound: number(o["bound"], 0)}
+		p.set.RequestClasses[w[1]] = &RequestClass{LatencyObjective: number(o["sla"], 500), PriorityWeight: number(o["value"], 1),
+			Deadline:        number(o["expiry"], 3000),
+			LateWeightShare: number(o["late"], 0), Effect: effectWords[o["effect"]], Scope: scopeWords[o["scope"]],
+			IdempotencyWindow: number(o["window"], 5000), Level: levelWords[o["level"]], StalenessBound: number(o["bound"], 0)}
 		return nil
 	case "tenant":
-		p.set.Tenants[w[1]], p.set.OverShareValue = number(o["rate"], 0), number(o["over"], 0)
+		p.set.Tenants[w[1]], p.set.OverQuotaWeight = number(o["rate"], 0), number(o["over"], 0)
 		return nil
 	case "at":
 		p.now = number(w[1], 0)
@@ -119,10 +119,10 @@
 			if _, paused := o["paused"]; paused {
 				due = p.now
 			}
-			p.r.At(due)
+			p.r.Advance(due)
 		}
-		p.r.Rang()
-		p.r.At(p.now)
+		p.r.TimerFired()
+		p.r.Advance(p.now)
 		p.fresh = true
 		return nil
 	case "want", "never":
@@ -148,35 +148,35 @@
 			return fmt.Errorf("never sent, or unknown outcome")
 		}
 		_, done := o["done"]
-		p.r.Returned(w[1], d.Seq, how, p.now-d.At, done || how == Committed, roleWords[o["role"]],
+		p.r.AttemptEnded(w[1], d.Attempt, how, p.now-d.Time, done || how == Succeeded, roleWords[o["role"]],
 			number(o["gtid"], Never))
 	case "turn":
 		_, rests := o["rests"]
 		_, started := o["started"]
-		p.r.Turn(w[1], p.last[w[1]].Seq, rests, started)
+		p.r.TurnChanged(w[1], p.last[w[1]].Attempt, rests, started)
 	case "checked":
 		how, known := outcomeWords[w[2]]
 		if !known {
 			return fmt.Errorf("unknown outcome")
 		}
-		p.r.Checked(w[1], how)
-		if role := roleWords[o["role"]]; role != Unsaid {
+		p.r.HealthChecked(w[1], how)
+		if role := roleWords[o["role"]]; role != RoleUnknown {
 			p.r.Reported(w[1], role, number(o["gtid"], Never))
 		}
 	case "gone":
-		p.r.Gone(w[1])
+		p.r.ClientGone(w[1])
 	case "sighted":
-		p.r.Sighted(w[1], number(o["started"], Never), roleWords[o["role"]], number(o["gtid"], Never))
+		p.r.PeerReported(w[1], number(o["started"], Never), roleWords[o["role"]], number(o["gtid"], Never))
 	case "hold":
-		p.r.Hold(1, number(w[1], 0))
+		p.r.HoldWrites(1, number(w[1], 0))
 	case "revalue":
 		next := *p.r.set
-		next.TxnTypes, next.Tenants = maps.Clone(next.TxnTypes), maps.Clone(next.Tenants)
+		next.RequestClasses, next.Tenants = maps.Clone(next.RequestClasses), maps.Clone(next.Tenants)
 		_, gone := o["gone"]
-		if kind := next.TxnTypes[w[1]]; kind != nil {
+		if kind := next.RequestClasses[w[1]]; kind != nil {
 			other := *kind
-			other.Value, other.LateValue = number(o["value"], kind.Value), number(o["late"], kind.LateValue)
-			next.TxnTypes[w[1]] = &other
+			other.PriorityWeight, other.LateWeightShare = number(o["value"], kind.PriorityWeight), number(o["late"], kind.LateWeightShare)
+			next.RequestClasses[w[1]] = &other
 		} else if w[1] != "tenant" {
 			return fmt.Errorf("unknown txn type")
 		} else if gone {
@@ -184,7 +184,7 @@
 		} else {
 			next.Tenants[w[2]] = number(o["rate"], 0)
 		}
-		p.r.Revalue(&next)
+		p.r.UpdateSettings(&next)
 	default:
 		return fmt.Errorf("unknown step")
 	}
@@ -196,7 +196,7 @@
 		p.r.ListFailed()
 		return nil
 	}
-	p.r.ListStart()
+	p.r.BeginList()
 	for _, word := range w[1:] {
 		word, at, _ := strings.Cut(word, "@")
 		id, word, _ := strings.Cut(word, ":")
@@ -205,9 +205,9 @@
 		if !known && word != "" {
 			return fmt.Errorf("unknown state %q", word)
 		}
-		p.r.Listed(id, id[:1], int(number(group, 1)), state, number(at, Never))
+		p.r.ListMember(id, id[:1], int(number(group, 1)), state, number(at, Never))
 	}
-	p.r.ListEnd(w[0] == "whole")
+	p.r.EndList(w[0] == "whole")
 	if !p.unused { // traffic has had all that are listed asked
 		for _, m := range p.r.group(1, true).members {
 			m.prompt = m.prompt || m.checkSent == Never
@@ -228,13 +228,13 @@
 			if n > 1000 {
 				return fmt.Errorf("decisions without end")
 			}
-			if d.Verb == Submit {
-				d.Seq, d.At = p.count[d.Txn], p.now
-				p.count[d.Txn]++
-				p.last[d.Txn] = d
+			if d.Action == SendAttempt {
+				d.Attempt, d.Time = p.count[d.RequestID], p.now
+				p.count[d.RequestID]++
+				p.last[d.RequestID] = d
 			}
-			line := strings.Join(strings.Fields(verbWords[d.Verb]+" "+d.Txn+" "+d.Member), " ")
-			if d.Verb == Decline {
+			line := strings.Join(strings.Fields(verbWords[d.Action]+" "+d.RequestID+" "+d.Member), " ")
+			if d.Action == RejectRequest {
 				line += fmt.Sprintf(" %.0f", d.Wait)
 			}
 			p.out = append(p.out, line)
@@ -261,18 +261,18 @@
 // What is kept follows what is there now: members that come and go, with their groups, and txns, some for groups that
 // were never listed, leave nothing behind, while what is out to a member that left still comes back.
 func TestLevelsOff(t *testing.T) {
-	read := &TxnType{SLA: 500, Value: 1, Expiry: 1000, Level: Any}
-	r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, ColdFrom: 1, WarmUp: 1, FallMultiple: 2,
-		FallWindow: 1000, TxnTypes: map[string]*TxnType{"read": read}}, 1)
+	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Any}
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 1, SlowStartDuration: 1, OverloadMultiple: 2,
+		OverloadWindow: 1000, RequestClasses: map[string]*RequestClass{"read": read}}, 1)
 	pull := func(at float64) (sent []Decision, ended int) {
-		r.At(at)
+		r.Advance(at)
 		for d, more := r.Next(); more; d, more = r.Next() {
-			switch d.Verb {
-			case Submit:
+			switch d.Action {
+			case SendAttempt:
 				sent = append(sent, d)
-			case Check:
-				r.Checked(d.Member, Committed)
-			case Decline, RollBack:
+			case HealthCheck:
+				r.HealthChecked(d.Member, Succeeded)
+			case RejectRequest, FailRequest:
 				ended++
 			}
 		}
@@ -281,15 +281,15 @@
 	var late []Decision
 	for n := range 500 {
 		at := float64(n) * 1000
-		r.At(at)
-		r.ListStart()
-		r.Listed(fmt.Sprint("m", n), "z", n, Up, at)
+		r.Advance(at)
+		r.BeginList()
+		r.ListMember(fmt.Sprint("m", n), "z", n, Up, at)
 		if n > 0 {
-			r.Listed(fmt.Sprint("m", n-1), "z", n-1, Removed, at-1000)
+			r.ListMember(fmt.Sprint("m", n-1), "z", n-1, Removed, at-1000)
 		}
-		r.ListEnd(n%2 == 0)
+		r.EndList(n%2 == 0)
 		for _, d := range late {
-			r.Returned(d.Txn, 0, TimedOut, 900, true, Unsaid, Never)
+			r.AttemptEnded(d.RequestID, 0, TimedOut, 900, true, RoleUnknown, Never)
 		}
 		r.Arrive(fmt.Sprint("t", n), "", "", "read", n, 0, 1000, false)
 		r.Arrive(fmt.Sprint("u", n), "", "", "read", -n, 0, 1000, false)
@@ -312,34 +312,34 @@
 // Where another router's checks are heard of, resting checks of one's own stay out; they are back within a period once it goes
 // quiet.
 func TestSightSparesChecks(t *testing.T) {
-	read := &TxnType{SLA: 500, Value: 1, Expiry: 1000, Level: Bounded, Bound: 900}
+	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Bounded, StalenessBound: 900}
 	roles := map[string]Role{"a": Primary, "b": Replica, "c": Replica}
 	play := func(sightUpTo float64) (checks []float64) {
-		r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, ColdFrom: 1, WarmUp: 1, FallMultiple: 2, FallWindow: 1000,
-			TxnTypes: map[string]*TxnType{"read": read}}, 1)
-		r.At(1)
-		r.ListStart()
+		r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 1, SlowStartDuration: 1, OverloadMultiple: 2, OverloadWindow: 1000,
+			RequestClasses: map[string]*RequestClass{"read": read}}, 1)
+		r.Advance(1)
+		r.BeginList()
 		for _, id := range []string{"a", "b", "c"} {
-			r.Listed(id, "z", 1, Up, Never)
+			r.ListMember(id, "z", 1, Up, Never)
 		}
-		r.ListEnd(true)
+		r.EndList(true)
 		for at := 10.0; at < 10000; at += 10 {
-			r.At(at)
+			r.Advance(at)
 			if int(at)%200 == 0 && at < sightUpTo {
 				for _, id := range []string{"a", "b", "c"} {
-					r.Sighted(id, Never, roles[id], at)
+					r.PeerReported(id, Never, roles[id], at)
 				}
 			}
 			id := fmt.Sprint(at)
 			r.Arrive(id, "", "", "read", 1, 0, 1000, false)
 			for d, more := r.Next(); more; d, more = r.Next() {
-				switch d.Verb {
-				case Check:
+				switch d.Action {
+				case HealthCheck:
 					checks = append(checks, at)
 					r.Reported(d.Member, roles[d.Member], at)
-					r.Checked(d.Member, Committed)
-				case Submit:
-					r.Returned(d.Txn, d.Seq, Committed, 5, true, roles[d.Member], at)
+					r.HealthChecked(d.Member, Succeeded)
+				case SendAttempt:
+					r.AttemptEnded(d.RequestID, d.Attempt, Succeeded, 5, true, roles[d.Member], at)
 				}
 			}
 		}
@@ -361,19 +361,19 @@
 func TestTheNextCallForTheList(t *testing.T) {
 	for _, within := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 50; seed++ {
-			r := New(&Settings{Ask: true, AskWithin: within, Routers: 1}, seed)
+			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
 			watches := func(now float64) (asked bool) {
-				r.At(now)
-				r.Rang()
+				r.Advance(now)
+				r.TimerFired()
 				for d, more := r.Next(); more; d, more = r.Next() {
-					asked = asked || d.Verb == Watch
+					asked = asked || d.Action == RequestList
 				}
 				return asked
 			}
 			if !watches(1) {
 				t.Fatal("no call at first")
 			}
-			r.At(50)
+			r.Advance(50)
 			r.ListFailed()
 			if watches(50) {
 				t.Errorf("within %.0f, seed %d: asked again at once", within, seed)
@@ -393,14 +393,14 @@
 	const hang = 2500
 	for _, within := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 200; seed++ {
-			r := New(&Settings{Ask: true, AskWithin: within, Routers: 1}, seed)
+			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
 			now := 0.0
 			watch := func() float64 {
 				for ; ; now += beat {
-					r.At(now)
-					r.Rang()
+					r.Advance(now)
+					r.TimerFired()
 					for d, more := r.Next(); more; d, more = r.Next() {
-						if d.Verb == Watch {
+						if d.Action == RequestList {
 							return now
 						}
 					}
@@ -408,14 +408,14 @@
 			}
 			fail := func() {
 				now += hang
-				r.At(now)
+				r.Advance(now)
 				r.ListFailed()
 			}
 			watch()
 			now = 50
-			r.At(now)
-			r.ListStart()
-			r.ListEnd(false) // the first is answered
+			r.Advance(now)
+			r.BeginList()
+			r.EndList(false) // the first is answered
 			now = 30000
 			silent := now
 			fail()
@@ -433,15 +433,15 @@
 // What a submission rests on holds for a time, which goes with it: a position known of a member ages, and the window for
 // repeats closes, while its connection comes up.
 func TestUntilWhenASubmissionHolds(t *testing.T) {
-	r := New(&Settings{Routers: 1, Submissions: 6, CanCheck: true, Lag: LagAnswers, TxnTypes: map[string]*TxnType{
-		"read": {SLA: 500, Expiry: 2000, Value: 1, Level: Bounded, Bound: 700},
-		"any":  {SLA: 500, Expiry: 2000, Value: 1, Level: Any},
-		"put":  {SLA: 500, Expiry: 2000, Value: 1, LateValue: 0.5, Level: Write, Effect: Referenced, Scope: ScopeGroup, Window: 900}}}, 1)
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
+		"read": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Bounded, StalenessBound: 700},
+		"any":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Any},
+		"put":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Write, Effect: IdempotentWithKey, Scope: ScopeGroup, IdempotencyWindow: 900}}}, 1)
 	submit := func(id string) (to string, by float64) {
 		t.Helper()
 		for d, more := r.Next(); more; d, more = r.Next() {
-			if d.Verb == Submit && d.Txn == id {
-				to, by = d.Member, d.By
+			if d.Action == SendAttempt && d.RequestID == id {
+				to, by = d.Member, d.NotAfter
 			}
 		}
 		if to == "" {
@@ -449,15 +449,15 @@
 		}
 		return to, by
 	}
-	r.At(1000)
-	r.ListStart()
-	r.Listed("p", "z", 1, Up, Never)
-	r.Listed("c", "z", 1, Up, Never)
-	r.ListEnd(true)
+	r.Advance(1000)
+	r.BeginList()
+	r.ListMember("p", "z", 1, Up, Never)
+	r.ListMember("c", "z", 1, Up, Never)
+	r.EndList(true)
 	r.Reported("p", Primary, 990)
-	r.Checked("p", Committed)
+	r.HealthChecked("p", Succeeded)
 	r.Reported("c", Replica, 800)
-	r.Checked("c", Committed)
+	r.HealthChecked("c", Succeeded)
 	for _, m := range r.members {
 		m.checkSent = 995
 	}
@@ -465,17 +465,17 @@
 		kind, to string
 		by       float64
 	}{{"read", "c", 800 + 700 - heldUp}, {"any", "c", math.Inf(1)}, {"put", "p", math.Inf(1)}} {
-		r.At(1000)
+		r.Advance(1000)
 		r.Arrive(c.kind, "", "", c.kind, 1, 0, 2000, false)
 		if to, by := submit(c.kind); to != c.to || by != c.by {
 			t.Errorf("%s: to %s by %v, want %s by %v", c.kind, to, by, c.to, c.by)
 		}
 		if c.kind != "put" {
-			r.Returned(c.kind, 0, Committed, 10, true, Replica, Never)
+			r.AttemptEnded(c.kind, 0, Succeeded, 10, true, Replica, Never)
 		}
 	}
-	r.At(1100)
-	r.Returned("put", 0, Errored, 100, false, Primary, Never)
+	r.Advance(1100)
+	r.AttemptEnded("put", 0, ServerError, 100, false, Primary, Never)
 	if _, by := submit("put"); by != 1000+900-heldUp {
 		t.Errorf("a repeat by %v, want %v", by, 1900-heldUp)
 	}
@@ -485,43 +485,43 @@
 // type's times stay, those of a tenant that has no share any more go, and values that all grow alike change no decision.
 func TestRevalue(t *testing.T) {
 	made := func(scale float64, tenants map[string]float64) *Settings {
-		s := &Settings{Routers: 1, Submissions: 6, CanCheck: true, CanRevoke: true, ColdFrom: 0.2, WarmUp: 1, FallMultiple: 2, FallWindow: 1000,
-			RetryAfter: 1000, OverShareValue: 0.1, Tenants: tenants, TxnTypes: map[string]*TxnType{}}
+		s := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 1, OverloadMultiple: 2, OverloadWindow: 1000,
+			RetryAfter: 1000, OverQuotaWeight: 0.1, Tenants: tenants, RequestClasses: map[string]*RequestClass{}}
 		for n, name := range []string{"cheap", "fair", "dear"} {
-			s.TxnTypes[name] = &TxnType{SLA: 100, Expiry: 3000, Value: scale * math.Pow(10, float64(n)), LateValue: 0.5, Level: Any}
+			s.RequestClasses[name] = &RequestClass{LatencyObjective: 100, Deadline: 3000, PriorityWeight: scale * math.Pow(10, float64(n)), LateWeightShare: 0.5, Level: Any}
 		}
 		return s
 	}
 	shares := map[string]float64{"acme": 100, "zeta": 5}
 	play := func(every int, scale float64) (decisions []string, declined int) {
 		r, sent := New(made(1, shares), 7), map[string]int{}
-		r.At(1)
-		r.ListStart()
-		r.Listed("a", "z", 1, Up, Never)
-		r.Listed("b", "z", 1, Up, Never)
-		r.ListEnd(true)
+		r.Advance(1)
+		r.BeginList()
+		r.ListMember("a", "z", 1, Up, Never)
+		r.ListMember("b", "z", 1, Up, Never)
+		r.EndList(true)
 		for at := 150; at < 60000; at += 150 { // few txns: the chance to be taken on goes by worth
-			r.At(float64(at))
-			r.Rang()
+			r.Advance(float64(at))
+			r.TimerFired()
 			if every > 0 && at%every == 0 {
 				factor := math.Pow(scale, float64(at/every))
-				r.Revalue(made(factor, shares))
+				r.UpdateSettings(made(factor, shares))
 			}
 			r.Arrive(fmt.Sprint(at), []string{"acme", "zeta", ""}[at/150%3], "", []string{"dear", "cheap", "fair", "cheap"}[at/150%4], 1, 0, 1000, false)
 			for d, more := r.Next(); more; d, more = r.Next() {
-				decisions = append(decisions, fmt.Sprint(at, d.Verb, d.Txn, d.Member))
-				switch d.Verb {
-				case Check:
+				decisions = append(decisions, fmt.Sprint(at, d.Action, d.RequestID, d.Member))
+				switch d.Action {
+				case HealthCheck:
 					r.Reported(d.Member, Replica, float64(at))
-					r.Checked(d.Member, Committed)
-				case Submit:
-					how := Committed
+					r.HealthChecked(d.Member, Succeeded)
+				case SendAttempt:
+					how := Succeeded
 					if at > 20000 && at < 40000 && at%900 != 0 { // a jam
-						how = Full
+						how = Overloaded
 					}
-					r.Returned(d.Txn, sent[d.Txn], how, 20, how == Committed, Replica, float64(at))
-					sent[d.Txn]++
-				case Decline:
+					r.AttemptEnded(d.RequestID, sent[d.RequestID], how, 20, how == Succeeded, Replica, float64(at))
+					sent[d.RequestID]++
+				case RejectRequest:
 					declined++
 				}
 			}
@@ -543,17 +543,17 @@
 
 	set := made(1, shares)
 	r := New(set, 1)
-	r.At(1000)
+	r.Advance(1000)
 	r.Arrive("open", "acme", "", "dear", 1, 0, 1000, false)
-	open, use, share := r.txns["open"], r.uses[set.TxnTypes["dear"]], r.shares["acme"]
+	open, use, share := r.txns["open"], r.uses[set.RequestClasses["dear"]], r.shares["acme"]
 	next := made(3, map[string]float64{"acme": 7, "new": 1})
-	next.TxnTypes["dear"].LateValue = 0
-	r.Revalue(next)
+	next.RequestClasses["dear"].LateWeightShare = 0
+	r.UpdateSettings(next)
 	r.Arrive("later", "acme", "", "dear", 1, 0, 1000, false)
-	if later := r.txns["later"]; open.value != 100 || open.kind.LateValue != 0.5 || later.value != 300 || later.kind.LateValue != 0 {
-		t.Errorf("the open txn: %v, %v late; the later one: %v, %v", open.value, open.kind.LateValue, later.value, later.kind.LateValue)
+	if later := r.txns["later"]; open.value != 100 || open.kind.LateWeightShare != 0.5 || later.value != 300 || later.kind.LateWeightShare != 0 {
+		t.Errorf("the open txn: %v, %v late; the later one: %v, %v", open.value, open.kind.LateWeightShare, later.value, later.kind.LateWeightShare)
 	}
-	if r.uses[next.TxnTypes["dear"]] != use || r.shares["acme"] != share || r.shares["new"] == nil || r.shares["zeta"] != nil ||
+	if r.uses[next.RequestClasses["dear"]] != use || r.shares["acme"] != share || r.shares["new"] == nil || r.shares["zeta"] != nil ||
 		len(r.uses) != 3 || len(r.shares) != 2 {
 		t.Errorf("uses %v, shares %v", r.uses, r.shares)
 	}
@@ -563,20 +563,20 @@
 // that would be over by then, on either side of the moment.
 func TestRoomForAHoldUp(t *testing.T) {
 	const held, slack = 150.0, 50.0
-	set := &Settings{Routers: 1, Submissions: 6, CanCheck: true, Lag: LagAnswers, TxnTypes: map[string]*TxnType{
-		"read": {SLA: 500, Expiry: 2000, Value: 1, Level: Bounded, Bound: 300},
-		"put":  {SLA: 500, Expiry: 5000, Value: 1, LateValue: 0.5, Level: Write, Effect: Referenced, Scope: ScopeGroup, Window: 900}}}
+	set := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
+		"read": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Bounded, StalenessBound: 300},
+		"put":  {LatencyObjective: 500, Deadline: 5000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Write, Effect: IdempotentWithKey, Scope: ScopeGroup, IdempotencyWindow: 900}}}
 	begin := func(position float64) *Router {
 		r := New(set, 1)
-		r.At(1000)
-		r.ListStart()
-		r.Listed("p", "z", 1, Up, Never)
-		r.Listed("c", "z", 1, Up, Never)
-		r.ListEnd(true)
+		r.Advance(1000)
+		r.BeginList()
+		r.ListMember("p", "z", 1, Up, Never)
+		r.ListMember("c", "z", 1, Up, Never)
+		r.EndList(true)
 		r.Reported("p", Primary, 1000)
-		r.Checked("p", Committed)
+		r.HealthChecked("p", Succeeded)
 		r.Reported("c", Replica, position)
-		r.Checked("c", Committed)
+		r.HealthChecked("c", Succeeded)
 		for _, m := range r.members {
 			m.checkSent = 1000
 		}
@@ -584,7 +584,7 @@
 	}
 	submitted := func(r *Router) (d Decision) {
 		for next, more := r.Next(); more; next, more = r.Next() {
-			if next.Verb == Submit {
+			if next.Action == SendAttempt {
 				d = next
 			}
 		}
@@ -597,8 +597,8 @@
 		r := begin(c.position)
 		r.Arrive("1", "", "", "read", 1, 0, 2000, false)
 		d := submitted(r)
-		if d.Member == "c" && d.By+held > c.position+300+slack {
-			t.Errorf("position %v: written by %v after a hold-up, its data is too old from %v on", c.position, d.By+held, c.position+300+slack)
+		if d.Member == "c" && d.NotAfter+held > c.position+300+slack {
+			t.Errorf("position %v: written by %v after a hold-up, its data is too old from %v on", c.position, d.NotAfter+held, c.position+300+slack)
 		}
 		if (d.Member == "c") != (c.to == "c") {
 			t.Errorf("position %v: sent to %q, want %q", c.position, d.Member, c.to)
@@ -613,11 +613,11 @@
 		if submitted(r).Member != "p" {
 			t.Fatal("the first was not sent")
 		}
-		r.At(c.at)
+		r.Advance(c.at)
 		r.Reported("p", Primary, c.at)
-		r.Returned("1", 0, Errored, 10, false, Primary, Never)
-		if d := submitted(r); (d.Member == "p") != c.sent || c.sent && d.By+held > 1000+900+slack {
-			t.Errorf("a repeat at %v: sent to %q by %v", c.at, d.Member, d.By)
+		r.AttemptEnded("1", 0, ServerError, 10, false, Primary, Never)
+		if d := submitted(r); (d.Member == "p") != c.sent || c.sent && d.NotAfter+held > 1000+900+slack {
+			t.Errorf("a repeat at %v: sent to %q by %v", c.at, d.Member, d.NotAfter)
 		}
 	}
 }
--- a/router/types.go
+++ b/router/types.go
@@ -4,24 +4,24 @@
 type Outcome int
 
 const (
-	Committed Outcome = iota
-	Errored
-	Full
+	Succeeded Outcome = iota
+	ServerError
+	Overloaded
 	TimedOut
 	ConnectFailed
 	Reset
-	Revoked
-	Moot
-	Miss
+	Canceled
+	NotSent
+	Misrouted
 )
 
 // Effect tells what a repeat of a txn does.
 type Effect int
 
 const (
-	Repeatable Effect = iota
-	Referenced
-	OnceOnly
+	Idempotent Effect = iota
+	IdempotentWithKey
+	NonIdempotent
 )
 
 // Level tells which members may take a txn.
@@ -57,7 +57,7 @@
 type Role int
 
 const (
-	Unsaid Role = iota
+	RoleUnknown Role = iota
 	Primary
 	Replica
 )
@@ -74,60 +74,60 @@
 // Settings are given at start; Revalue later takes others that differ in values and tenants alone. All times are
 // milliseconds.
 type Settings struct {
-	Routers        int
-	Zone           string
-	Ask            bool // the list comes only when asked for
-	AskWithin      float64
-	SoftRemoval    bool
-	ColdFrom       float64
-	WarmUp         float64
-	FallMultiple   float64
-	FallWindow     float64
-	Submissions    int // at most, for one txn
-	CanCheck       bool
-	CanRevoke      bool
-	RetryAfter     float64 // longest wait a client follows; 0 where none may be told
-	Lag            Lag
-	MarksRepeats   bool // clients mark the repeats of a txn
-	Remembered     bool // session tokens are the router's own memory
-	OverShareValue float64
-	TxnTypes       map[string]*TxnType
-	Tenants        map[string]float64 // txns per second within the share, all routers together
+	Routers            int
+	Zone               string
+	PollsList          bool // the list comes only when asked for
+	ListPollTimeout    float64
+	SoftRemoval        bool
+	SlowStartFloor     float64
+	SlowStartDuration  float64
+	OverloadMultiple   float64
+	OverloadWindow     float64
+	MaxAttempts        int // at most, for one txn
+	CanHealthCheck     bool
+	CanCancel          bool
+	RetryAfter         float64 // longest wait a client follows; 0 where none may be told
+	Lag                Lag
+	ClientsMarkRetries bool // clients mark the repeats of a txn
+	RemembersCommits   bool // session tokens are the router's own memory
+	OverQuotaWeight    float64
+	RequestClasses     map[string]*RequestClass
+	Tenants            map[string]float64 // txns per second within the share, all routers together
 }
 
-type TxnType struct {
-	SLA       float64
-	Expiry    float64 // over all tries of a client
-	Value     float64
-	LateValue float64 // share of the value
-	Effect    Effect
-	Scope     Scope
-	Window    float64
-	Level     Level
-	Bound     float64
+type RequestClass struct {
+	LatencyObjective  float64
+	Deadline          float64 // over all tries of a client
+	PriorityWeight    float64
+	LateWeightShare   float64 // share of the value
+	Effect            Effect
+	Scope             Scope
+	IdempotencyWindow float64
+	Level             Level
+	StalenessBound    float64
 }
 
-// Verb tells what the host is to do.
-type Verb int
+// Action tells what the host is to do.
+type Action int
 
 const (
-	Submit Verb = iota
-	Revoke
-	Decline
-	RollBack
-	Check
-	Watch
-	Close // the idle connections to a member
-	Alarm
+	SendAttempt Action = iota
+	CancelAttempt
+	RejectRequest
+	FailRequest
+	HealthCheck
+	RequestList
+	CloseIdleConnections // the idle connections to a member
+	SetTimer
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Verb   Verb
-	Txn    string
-	Member string
-	Seq    int     // Revoke: which submission
-	Wait   float64 // Decline: when to come back; Submit: its time-out, 0 for none
-	By     float64 // Submit: not written after this
-	At     float64 // Alarm
+	Action    Action
+	RequestID string
+	Member    string
+	Attempt   int     // Revoke: which submission
+	Wait      float64 // Decline: when to come back; Submit: its time-out, 0 for none
+	NotAfter  float64 // Submit: not written after this
+	Time      float64 // Alarm
 }
