--- a/cmd/wayloft/ahead_test.go
+++ b/cmd/wayloft/ahead_test.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/pg"
 )
 
-// passed waits until so many ms have passed by the router's own clock: until it declines a txn of a cluster that isn't there,
+// passed waits until so many ms have passed by the router's own clock: until it rejects a request of a cluster that isn't there,
 // at half of its time.
 func passed(t *testing.T, addr string, ms int) {
 	t.Helper()
@@ -25,7 +25,7 @@
 }
 
 // A query that was sent ahead waits for its turn, and its client's time runs: the one before it is answered when the time of
-// the one behind is over, which is declined then, and no member hears of it.
+// the one behind is over, which is rejected then, and no member hears of it.
 func TestTimeRunsBeforeItsTurn(t *testing.T) {
 	answer := make(chan bool)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
--- a/cmd/wayloft/astray_test.go
+++ b/cmd/wayloft/astray_test.go
@@ -76,7 +76,7 @@
 	return out
 }
 
-// ask asks a simple query; a decline or a lost transaction is no fault of the run, and is told.
+// ask asks a simple query; a rejection or a lost transaction is no fault of the run, and is told.
 func (m *mixed) ask(sql string) (answer string, ok bool) {
 	m.c.Ask(sql)
 	return m.hear(sql)
--- a/cmd/wayloft/config.go
+++ b/cmd/wayloft/config.go
@@ -110,7 +110,7 @@
 	if err := checkAddresses(c, true); err != nil {
 		return nil, err
 	}
-	each := (c.sockets - ownSockets) / 2 // a txn takes a session and a connection to a member
+	each := (c.sockets - ownSockets) / 2 // a request takes a session and a connection to a member
 	c.sessions, c.links = each, each
 	c.user, c.database = "api", "ledger"
 	var err error
--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/council.go
@@ -22,7 +22,7 @@
 	"wayloft/internal/storage"
 )
 
-// at names a council, for the commands that ask it.
+// at names a coordinator, for the commands that ask it.
 type at struct {
 	Council []string `help:"Addresses of the council's processes." required:"" placeholder:"ADDR" env:"WAYLOFT_COUNCIL"`
 	Fleet   string   `help:"The fleet's name." default:"fleet" env:"WAYLOFT_FLEET"`
@@ -179,7 +179,7 @@
 	return errors.New("--config, of the one process that is left, or --council, of one that runs, must be given")
 }
 
-// running begins a new epoch in a council that runs.
+// running begins a new epoch in a coordinator that runs.
 func (c *councilRecoverCmd) running() error {
 	client := fleet.NewClient(c.Fleet, c.Council, nil)
 	defer client.Close()
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// fromFolder begins a council of one from what is left.
+// fromFolder begins a coordinator of one from what is left.
 func (c *councilRecoverCmd) fromFolder() error {
 	set, err := readCouncil(c.Config)
 	if err != nil {
--- a/cmd/wayloft/crossing_test.go
+++ b/cmd/wayloft/crossing_test.go
@@ -142,7 +142,7 @@
 	return g, addr, settled(t)
 }
 
-// A client leaves while its txn waits, wherever that is; when what it waited for comes, nothing is sent for it. The id
+// A client leaves while its request waits, wherever that is; when what it waited for comes, nothing is sent for it. The id
 // of each must never be seen by any member, though one that asks after it is.
 func TestClientLeavesWhileItsTxnWaits(t *testing.T) {
 	t.Run("for a connection to come up", func(t *testing.T) {
@@ -261,12 +261,12 @@
 	}
 }
 
-// SIGTERM comes twice, with SIGHUP between, while one txn is held for a primary and half a query has come: the one gets
+// SIGTERM comes twice, with SIGHUP between, while one request is held for a primary and half a query has come: the one gets
 // its answer, the rest of the other comes and is served, and the process ends once, in order.
 func TestSignalsWhileATxnIsHeld(t *testing.T) {
 	addr, term, ended := start(t, "127.0.0.1:1", 256, withRole(t, 0).Addr)
 	held := fakes.NewClient(t, addr, true)
-	held.Ask("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // declined at half its time, after the sweep
+	held.Ask("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // rejected at half its time, after the sweep
 	half := fakes.NewClient(t, addr, true)
 	ask := string(pg.AppendQuery(nil, look("half", "whole")))
 	half.Send(ask[:20])
@@ -291,7 +291,7 @@
 	}
 }
 
-// The same for a txn that waits for a pool's only connection: its client closes, or cancels by its key, and nothing of it
+// The same for a request that waits for a pool's only connection: its client closes, or cancels by its key, and nothing of it
 // runs once the connection is free.
 func TestClientLeavesThePoolsQueue(t *testing.T) {
 	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -18,7 +18,7 @@
 	"wayloft/internal/rpc"
 )
 
-// patience is how long a command waits for the council: longer than an election takes.
+// patience is how long a command waits for the coordinator: longer than an election takes.
 const patience = 5 * time.Second
 
 type fleetCmd struct {
@@ -67,7 +67,7 @@
 		"index": s.State.Index}
 }
 
-// barred tells why a duty is not granted, if a receiver has seen a fence that this council never gave.
+// barred tells why a lease is not granted, if a receiver has seen a fencing token that this coordinator never gave.
 func barred(s *fleetpb.State, d *fleetpb.Duty) string {
 	if d.Barred.GetEpoch() >= s.Epoch && d.Barred.GetEpoch() > 0 {
 		return fence(d.Barred)
--- a/cmd/wayloft/hard_test.go
+++ b/cmd/wayloft/hard_test.go
@@ -100,7 +100,7 @@
 			t.Errorf("lost at message %d: %q", kind, got)
 		}
 	}
-	// In a transaction that has begun it is rolled back, and nothing of it is sent again.
+	// In a transaction that has begun it is failed, and nothing of it is sent again.
 	for _, x := range []struct{ ask, want string }{{"BEGIN", "ok ready"}, {insert("dies", "1"), "1 ok ready"}} {
 		if got := told(c, x.ask); got != x.want {
 			t.Fatalf("%s: %q", x.ask, got)
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -1,6 +1,6 @@
-// Wayloft is the real router: one process that carries clients' txns to database members and decides with the same
+// Wayloft is the real router: one process that carries clients' requests to database members and decides with the same
 // module as on the bench. This package owns the command line, the configuration and the start and end of the
-// process; it must never decide about a txn.
+// process; it must never decide about a request.
 package main
 
 import (
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -156,7 +156,7 @@
 	return findings(x.Judge())
 }
 
-// many is how many routers there are: one that lost the council before is not among the sessions, and would not be missed.
+// many is how many routers there are: one that lost the coordinator before is not among the sessions, and would not be missed.
 type many struct {
 	Routers int `help:"How many routers there must be; fewer, and the rest is waited for." placeholder:"N" default:"0"`
 }
@@ -236,7 +236,7 @@
 	return c.wait(client, v, agreed)
 }
 
-// goer is one router, as a look at the council tells it.
+// goer is one router, as a look at the coordinator tells it.
 type goer struct {
 	name, state, why string
 	mark             uint64
--- a/cmd/wayloft/pooled_test.go
+++ b/cmd/wayloft/pooled_test.go
@@ -20,7 +20,7 @@
 	"wayloft/internal/pg"
 )
 
-// pooledRouter serves before a stand-in cluster.
+// pooledRouter serves before a fake cluster.
 func pooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
 	t.Helper()
 	addr, cluster, signals, ended := drainablePool(t, members, p, set)
--- a/cmd/wayloft/serve_test.go
+++ b/cmd/wayloft/serve_test.go
@@ -94,7 +94,7 @@
 	return addr, term, ended
 }
 
-// member answers checks as a primary, and txns by their values: what a statement inserts comes back.
+// member answers checks as a primary, and requests by their values: what a statement inserts comes back.
 func member(t *testing.T) *fakes.Member { return withRole(t, 1) }
 
 func withRole(t *testing.T, x1 int) *fakes.Member {
@@ -177,7 +177,7 @@
 }
 
 // SIGHUP: a file that is wrong changes nothing; from a good one discovery's address is taken, whose list bars a member
-// that the old one still has, and a txn that is out goes on; after SIGTERM it does no harm.
+// that the old one still has, and a request that is out goes on; after SIGTERM it does no harm.
 func TestReload(t *testing.T) {
 	answer := make(chan bool)
 	gone := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -244,7 +244,7 @@
 	}
 }
 
-// Each byte on its own makes the same txn.
+// Each byte on its own makes the same request.
 func TestByteByByte(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
 	c := fakes.NewClient(t, addr, true)
@@ -462,7 +462,7 @@
 	})
 }
 
-// A client that leaves frees its txn: its id may come again as soon as its submission is back.
+// A client that leaves frees its request: its id may come again as soon as its attempt is back.
 func TestGone(t *testing.T) {
 	answer := make(chan bool)
 	slow := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -490,7 +490,7 @@
 	})
 }
 
-// Statements that together hold too much are declined, and parts of them end their session; later ones are served.
+// Statements that together hold too much are rejected, and parts of them end their session; later ones are served.
 func TestMemory(t *testing.T) {
 	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
 	long := strings.Repeat("x", 150<<10)
--- a/cmd/wayloft/signals.go
+++ b/cmd/wayloft/signals.go
@@ -73,7 +73,7 @@
 func (s *service) drain(sig os.Signal, conf *config) {
 	signalled := s.host.Clock()
 	logrus.WithField("signal", sig).Info("draining")
-	s.resign() // another has its duties at once; clients are served to the end
+	s.resign() // another has its leases at once; clients are served to the end
 	s.host.Post(func() { s.front.Drain(signalled, conf.drainWithin()) })
 }
 
--- a/internal/backend/attempts_test.go
+++ b/internal/backend/attempts_test.go
@@ -31,7 +31,7 @@
 func (c *caller) Keep(request.BackendSide)        {}
 func (c *caller) Ended(*pg.Error)                 {}
 
-// talk makes a txn of a session, which begins with this statement; its session has something set, if that is wanted.
+// talk makes a request of a session, which begins with this statement; its session has something set, if that is wanted.
 func talkOf(t *testing.T, e *ear, id string, wait float64, set bool) *request.Request {
 	t.Helper()
 	base := session.None
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend serves the members' side: it owns the sockets to each member, the submissions and checks that travel
+// Package backend serves the members' side: it owns the sockets to each member, the attempts and checks that travel
 // on them, and their time-outs; which connection, and when one opens or closes, decide/connpool says. It must never know a
 // client, send what was not decided, or call something never run that may have.
 package backend
@@ -39,10 +39,10 @@
 	Keep        bool    // members that are gone may still be used
 	Statements  int     // prepared statements that a connection keeps
 	Logins      map[string]Login
-	Writes      map[string]bool // txn types that need the primary
+	Writes      map[string]bool // request classes that need the primary
 }
 
-// Driver is what runs the loop, and hears how submissions and checks end.
+// Driver is what runs the loop, and hears how attempts and checks end.
 type Driver interface {
 	Now() float64
 	Clock() float64
@@ -68,19 +68,19 @@
 	pool    *connpool.Pool
 	byID    map[string]*member
 	links   map[int]*link                   // by the pool's numbers; those that are dialled have none yet
-	jobs    map[string]*job                 // the submission that is out for a txn
+	jobs    map[string]*job                 // the attempt that is out for a request
 	wants   map[string]*job                 // who waits for a connection, by the pool's ids
 	known   map[string]*iradix.Tree[string] // what members of a pool report, as it was heard last
 	asked   int                             // wants so far
 	pulling bool                            // decisions are being pulled
-	armed   float64                         // when the pool may decide something by itself; the alarm then rings
+	armed   float64                         // when the pool may decide something by itself; the timer then rings
 	alarm   *time.Timer
 
-	Unsent int // submissions and checks for which no connection was left
+	Unsent int // attempts and checks for which no connection was left
 	held   int // bytes
 	Unheld int // answers given up since together they held too much
 	Spoilt int // connections that ended since what came on them can't be an answer
-	Late   int // submissions that waited for a connection for as long as their pool lets them
+	Late   int // attempts that waited for a connection for as long as their pool lets them
 	Idle   int // transactions whose clients kept a connection and asked nothing
 }
 
@@ -90,7 +90,7 @@
 	started  float64
 }
 
-// job is one submission, check or cancel.
+// job is one attempt, check or cancel.
 type job struct {
 	txn    *request.Request // nil: a check
 	key    *pg.Key          // of what is to be cancelled
@@ -132,7 +132,7 @@
 	held  int
 	heard int // bytes that have come since its last job began
 
-	*talk // of pools whose txns take more than one question
+	*talk // of pools whose requests take more than one question
 }
 
 // New makes the side.
@@ -143,7 +143,7 @@
 	return m
 }
 
-// List takes a list in, whole or of changes. Submissions that are out go on; unsent ones to a member that drains or
+// List takes a list in, whole or of changes. Attempts that are out go on; unsent ones to a member that drains or
 // is gone end, since what was decided before the list told so must not go out long after.
 func (a *Backend) List(l *discovery.List) {
 	here := map[string]bool{}
@@ -285,7 +285,7 @@
 	}
 }
 
-// SendAttempt sends a txn to a member, with its own time-out if wait is more than 0; it is not written after by.
+// SendAttempt sends a request to a member, with its own time-out if wait is more than 0; it is not written after by.
 func (a *Backend) SendAttempt(t *request.Request, seq int, id string, wait, by float64) {
 	j := &job{txn: t, seq: seq, at: a.host.Now(), until: t.Deadline, by: by}
 	if wait > 0 {
@@ -301,14 +301,14 @@
 	a.begin(&job{at: now, until: now + a.limits.DialTimeout, by: math.Inf(1)}, id)
 }
 
-// CancelAttempt gives a submission up.
+// CancelAttempt gives an attempt up.
 func (a *Backend) CancelAttempt(txn string, seq int) {
 	if j := a.jobs[txn]; j != nil && j.seq == seq {
 		a.host.Defer(func() { a.end(j, router.Canceled) })
 	}
 }
 
-// Abandon gives a submission up whose client has gone, unless it may run already. A talk ends by its own way.
+// Abandon gives an attempt up whose client has gone, unless it may run already. A talk ends by its own way.
 func (a *Backend) Abandon(txn string) {
 	if j := a.jobs[txn]; j != nil && j.txn.Stream == nil && (j.link == nil || !j.link.sent()) {
 		a.end(j, router.Canceled)
@@ -336,7 +336,7 @@
 	}
 }
 
-// rests tells the module that a submission waits for a connection.
+// rests tells the module that an attempt waits for a connection.
 func (a *Backend) rests(j *job) {
 	if j.link == nil && !j.over {
 		j.rests = true
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -19,7 +19,7 @@
 
 const longest = 160 << 10
 
-// ear is a loop with somebody who hears how submissions and checks end.
+// ear is a loop with somebody who hears how attempts and checks end.
 type ear struct {
 	*eventloop.Loop
 	told chan string
@@ -113,7 +113,7 @@
 	return b
 }
 
-// Each way in which a submission can end, and whether its connection is used again.
+// Each way in which an attempt can end, and whether its connection is used again.
 func TestOutcomes(t *testing.T) {
 	ready := pg.AppendReady(nil)
 	refusal := pg.AppendError(nil, &pg.Error{Code: pg.Refused, Text: "no"}, true)
@@ -204,7 +204,7 @@
 	}
 }
 
-// A late answer must meet no other txn: what is given up loses its connection before the next goes out.
+// A late answer must meet no other request: what is given up loses its connection before the next goes out.
 func TestRevoked(t *testing.T) {
 	e, side := start(t, 10)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -347,7 +347,7 @@
 	}
 }
 
-// At the limit idle connections are given back first; a submission without any never ran, and says nothing of
+// At the limit idle connections are given back first; an attempt without any never ran, and says nothing of
 // its member.
 func TestLimit(t *testing.T) {
 	e, side := start(t, 1)
--- a/internal/backend/crossing_test.go
+++ b/internal/backend/crossing_test.go
@@ -45,7 +45,7 @@
 	return h
 }
 
-// The rest of a query is written just while its submission is given up: whoever judges asks after the connection is
+// The rest of a query is written just while its attempt is given up: whoever judges asks after the connection is
 // closed, so that what has gone out to the end is never called unrun.
 func TestTheLastByteGoesOutWhileItIsGivenUp(t *testing.T) {
 	long := strings.Repeat("x", 16<<20)
@@ -106,7 +106,7 @@
 	}
 }
 
-// A client leaves while its submission waits for a connection to come up, in the pool's queue, or behind a list: nothing
+// A client leaves while its attempt waits for a connection to come up, in the pool's queue, or behind a list: nothing
 // is sent for it, and the connection serves the next.
 func TestClientLeavesBeforeItsQueryIsWritten(t *testing.T) {
 	e, side := start(t, 1)
@@ -166,7 +166,7 @@
 	}
 }
 
-// A client leaves while its query may run: the submission goes on to its end, whose word on the member is heard.
+// A client leaves while its query may run: the attempt goes on to its end, whose word on the member is heard.
 func TestClientLeavesWhileItsQueryRuns(t *testing.T) {
 	e, side := start(t, 1)
 	answer := make(chan bool)
@@ -183,7 +183,7 @@
 	}
 }
 
-// What a submission was decided on holds no more when its connection is there: it is not written, and the connection
+// What an attempt was decided on holds no more when its connection is there: it is not written, and the connection
 // serves the next.
 func TestTooLateToBeWritten(t *testing.T) {
 	e, side := start(t, 1)
@@ -204,7 +204,7 @@
 	}
 }
 
-// A batch of events takes long, and a submission is decided at its end: its member is told no more than what is left by
+// A batch of events takes long, and an attempt is decided at its end: its member is told no more than what is left by
 // then, and it is given up when its client's time is over, not that much later.
 func TestWhatIsLeftAfterALongBatch(t *testing.T) {
 	const lag, left, later = 1500.0, 2000.0, 750.0
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -22,7 +22,7 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// A dial that fails for a cause of this host's says nothing of the member: neither a submission nor a check counts against
+// A dial that fails for a cause of this host's says nothing of the member: neither an attempt nor a check counts against
 // it, and the next dial, once the cause is gone, serves. One that fails for the member's cause counts.
 func TestDialFails(t *testing.T) {
 	for _, c := range []struct {
@@ -72,7 +72,7 @@
 	}
 }
 
-// However fast submissions come back while this host has no port left, dials are made at the pool's pace alone.
+// However fast attempts come back while this host has no port left, dials are made at the pool's pace alone.
 func TestDialsArePacedWhileThisHostHasNoPort(t *testing.T) {
 	e, side := start(t, 10)
 	m := fakes.NewMember(t, nil, nil)
--- a/internal/backend/talk.go
+++ b/internal/backend/talk.go
@@ -14,7 +14,7 @@
 	"wayloft/router"
 )
 
-// talk is what a connection has of its own where one txn asks it several things: what it was told to prepare and set,
+// talk is what a connection has of its own where one request asks it several things: what it was told to prepare and set,
 // and what its member still has to answer, in order.
 type talk struct {
 	has      session.Settings
@@ -27,12 +27,12 @@
 	key      pg.Key
 	tainted  bool // not to be used again
 	bound    *session.Prepared
-	again    bool                 // a plan was invalid once in this txn already
+	again    bool                 // a plan was invalid once in this request already
 	stale    *session.Prepared    // whose plan it was, where nothing has run: it is asked once more
 	params   *iradix.Tree[string] // what the member has reported
 	copying  bool                 // it takes what is copied in
 	begun    bool                 // of what its client has said, a part is written
-	keeper   request.ClientSide   // whose session keeps the connection between its txns
+	keeper   request.ClientSide   // whose session keeps the connection between its requests
 }
 
 // due is one answer that must come.
@@ -46,7 +46,7 @@
 }
 
 func newTalk(statements int) *talk {
-	c, err := simplelru.NewLRU[uint64, *session.Prepared](1<<30, nil) // trimmed between txns
+	c, err := simplelru.NewLRU[uint64, *session.Prepared](1<<30, nil) // trimmed between requests
 	invariant.Check(err == nil, "a cache can be made")
 	return &talk{has: session.None, prepared: c, most: statements, status: 'I', params: iradix.New[string]()}
 }
@@ -54,7 +54,7 @@
 // name is what a statement is called at its member.
 func name(s *session.Prepared) string { return "wl_" + strconv.FormatUint(s.Hash, 36) }
 
-// beginTalk gives a txn the connection that its session keeps, or has it wait for one.
+// beginTalk gives a request the connection that its session keeps, or has it wait for one.
 func (a *Backend) beginTalk(j *job) {
 	t := j.txn.Stream
 	t.OnClientGone(func() { a.end(j, router.NotSent) })
@@ -71,7 +71,7 @@
 	a.pull()
 }
 
-// carry begins a txn on the connection, unless it is withheld: first its settings, then what its client has said. It
+// carry begins a request on the connection, unless it is withheld: first its settings, then what its client has said. It
 // tells whether it did.
 func (l *link) carry(j *job) bool {
 	if l.all.withheld(j) {
@@ -223,7 +223,7 @@
 	return pg.AppendClose(out, 'S', name(s))
 }
 
-// trim closes what has not been used for longest beyond what the connection may keep. Only between txns: what is bound
+// trim closes what has not been used for longest beyond what the connection may keep. Only between requests: what is bound
 // must not be closed.
 func (l *link) trim() {
 	if l.prepared.Len() <= l.most {
@@ -527,7 +527,7 @@
 	l.within()
 }
 
-// within ends the connection unless the member answers what is asked between two txns. Guards against one that is kept
+// within ends the connection unless the member answers what is asked between two requests. Guards against one that is kept
 // for nobody.
 func (l *link) within() {
 	l.all.host.After(l.all.limits.DialTimeout, func() {
@@ -550,7 +550,7 @@
 	}
 }
 
-// settle takes a txn off the connection, which goes on to the next, stays with its session, or ends. It gives the
+// settle takes a request off the connection, which goes on to the next, stays with its session, or ends. It gives the
 // member's word on the statement, where that is what ended it.
 func (l *link) settle(j *job, how router.Outcome) (fault *pg.Error) {
 	t := j.txn.Stream
@@ -561,7 +561,7 @@
 	if how == router.Succeeded && l.gtid > 0 && l.all.host.Possible(l.gtid) {
 		t.Position = l.gtid
 	}
-	if how != router.ServerError { // only an error that the member has got over tells what became of the txn
+	if how != router.ServerError { // only an error that the member has got over tells what became of the request
 		defer func() { t.Fault = nil }()
 	}
 	if j.turned > 0 {
--- a/internal/coordinator/clock_test.go
+++ b/internal/coordinator/clock_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A council that is begun when the wall clock was stepped back by an hour is above the epoch that it is told.
+// A coordinator that is begun when the wall clock was stepped back by an hour is above the epoch that it is told.
 func TestClock_EpochAboveTheOneGiven(t *testing.T) {
 	listener := loopback(t)
 	set := settings(t, t.TempDir(), listener)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,6 +1,6 @@
 // Package coordinator is the process that keeps a share of the fleet's small state: it carries out what decide/raftnode decides, with
-// a ledger for its disk and gRPC for the others. It owns the listener, the ways to the other processes and the clock; it must
-// never see a txn, decide who holds what, or answer before the ledger has what the answer rests on.
+// a store for its disk and gRPC for the others. It owns the listener, the ways to the other processes and the clock; it must
+// never see a request, decide who holds what, or answer before the store has what the answer rests on.
 package coordinator
 
 import (
@@ -53,13 +53,13 @@
 	Fleet, Name   string
 	Dir           string
 	Address       string            // where others reach it
-	Peers         []raftnode.Peer   // who begins the council; empty: it joins one that has begun
-	Via           map[string]string // ways to others by name, in place of the addresses that the council knows
+	Peers         []raftnode.Peer   // who begins the coordinator; empty: it joins one that has begun
+	Via           map[string]string // ways to others by name, in place of the addresses that the coordinator knows
 	Tick          float64           // ms
 	Keep          uint64            // entries until the log is cut
 	Connections   int               // at once
 	ClockOffset   float64           // ms that this process's clock is ahead, for tests
-	Above         uint64            // an epoch known to have been: a council that begins takes a later one, whatever its wall clock says
+	Above         uint64            // an epoch known to have been: a coordinator that begins takes a later one, whatever its wall clock says
 	Record        *audit.Log
 	SeededDefects SeededDefects
 }
@@ -87,7 +87,7 @@
 	ways    map[uint64]*way
 	callers map[uint64]raftnode.Peer // who talked to this process while it knew of nobody
 	mu      sync.Mutex
-	moved   chan struct{} // closed when the register has changed
+	moved   chan struct{} // closed when the replicated state has changed
 	index   uint64
 	packed  []packed            // what was lately asked for of the policy, the latest last
 	book    *fleetpb.PolicyBook // what was last told of all of it, packed once for each version
@@ -105,7 +105,7 @@
 
 var stored = struct{ hard, snapshot, met string }{"hard", "snapshot", "met"}
 
-// Read gives what a ledger holds of a process of the council.
+// Read gives what a store holds of a coordinator node.
 func Read(l *storage.Store) (s raftnode.Stored, met *raftnode.KnownIncarnations, err error) {
 	records, values, err := l.Read()
 	if err != nil {
@@ -265,7 +265,7 @@
 
 // settle carries out what the node decides.
 func (c *Server) settle() {
-	var late []raftnode.Decision // the planted defect's
+	var late []raftnode.Decision // the seeded defect's
 	for d, more := c.node.Next(); more; d, more = c.node.Next() {
 		switch d.Action {
 		case raftnode.Save:
@@ -320,7 +320,7 @@
 	}
 }
 
-// wakeWatchers has watchers look at the register again.
+// wakeWatchers has watchers look at the replicated state again.
 func (c *Server) wakeWatchers() {
 	c.mu.Lock()
 	close(c.moved)
@@ -328,7 +328,7 @@
 	c.mu.Unlock()
 }
 
-// past writes what has become so; each process of the council does, so that its record is whole.
+// past writes what has become so; each coordinator node does, so that its record is whole.
 func (c *Server) past(e leasestate.Event) {
 	leads, _ := c.node.IsLeader()
 	if e.Policy > 0 {
@@ -509,7 +509,7 @@
 		case <-c.ctx.Done():
 			return status.Error(codes.Unavailable, "this process is ending")
 		}
-		quiet := time.NewTimer(time.Until(said.Add(alive))) // beats move the register all the time, and change nothing to tell
+		quiet := time.NewTimer(time.Until(said.Add(alive))) // beats move the replicated state all the time, and change nothing to tell
 		select {
 		case <-moved:
 			time.Sleep(coalesce)
@@ -689,7 +689,7 @@
 	return &fleetpb.Answer{Held: d.Result.Held, Why: d.Result.Why}, nil
 }
 
-// Carry is the service's: what another process of the council says, for as long as it goes on.
+// Carry is the service's: what another coordinator node says, for as long as it goes on.
 func (c *Server) Carry(stream grpc.ClientStreamingServer[fleetpb.Parcel, fleetpb.Empty]) error {
 	var from string
 	for first := true; ; first = false {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -18,7 +18,7 @@
 	"wayloft/internal/rpc"
 )
 
-// One question asks where several duties stand and is answered in their order; as routers ask that know of one to a question alone, it
+// One question asks where several leases stand and is answered in their order; as routers ask that know of one to a question alone, it
 // is answered as before; more than one carries are refused.
 func TestStands(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -302,7 +302,7 @@
 	}
 }
 
-// Requests of earlier routers and operators have the answers that they had, as far as tokens don't tell by when the council began.
+// Requests of earlier routers and operators have the answers that they had, as far as tokens don't tell by when the coordinator began.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
 	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, Keep: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// cluster is a council of processes in this one.
+// cluster is a coordinator of processes in this one.
 type cluster struct {
 	t     *testing.T
 	dir   string
@@ -217,7 +217,7 @@
 	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: duty})}
 }
 
-// take has a duty taken and gives its fence, the proof of what was acknowledged.
+// take has a lease taken and gives its fencing token, the proof of what was acknowledged.
 func (c *cluster) take(duty string) (fence *fleetpb.Fence, by *proc) {
 	c.t.Helper()
 	c.do(entry(leasestate.OpenSession, ""))
@@ -228,7 +228,7 @@
 	return a.Fence, by
 }
 
-// holds wants a duty under the fence under which it was granted.
+// holds wants a lease under the fencing token under which it was granted.
 func (c *cluster) holds(duty string, want *fleetpb.Fence) error {
 	c.t.Helper()
 	if a, _ := c.do(&fleetpb.Request{Stand: duty}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
@@ -352,7 +352,7 @@
 	c.start(name, planted)
 }
 
-// What was acknowledged while the disk began to fail is there after a kill; the planted defect, an acknowledgement before the
+// What was acknowledged while the disk began to fail is there after a kill; the seeded defect, an acknowledgement before the
 // sync, is found.
 func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
 	lost := func(t *testing.T, planted SeededDefects) error {
--- a/internal/decide/connpool/connpool.go
+++ b/internal/decide/connpool/connpool.go
@@ -1,4 +1,4 @@
-// Package connpool decides about connections to members: which one a submission gets, when one is opened, kept or closed,
+// Package connpool decides about connections to members: which one an attempt gets, when one is opened, kept or closed,
 // and who waits for one. It owns their count, in all, for each member and for each pool; it must never open a socket,
 // read a clock or choose a member: that is router's, before anything is wanted here.
 //
@@ -42,7 +42,7 @@
 	IdleInside float64 // ms that a client may keep one and ask nothing
 }
 
-// Statements are the bounds of a pool whose txns are one statement each: none has to wait, since who can't be sent now
+// Statements are the bounds of a pool whose requests are one statement each: none has to wait, since who can't be sent now
 // may go elsewhere. idleClose is when a member closes an idle connection.
 func Statements(idleClose float64) Bounds { return Bounds{Idle: rest * idleClose, Settle: settled} }
 
@@ -60,7 +60,7 @@
 // Key tells which connections are alike.
 type Key struct{ Member, Pool string }
 
-// Request is a submission or a check that needs a connection.
+// Request is an attempt or a check that needs a connection.
 type Request struct {
 	ID     string
 	Key    Key
--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -17,7 +17,7 @@
 	ahead   = 1000.0 // ms that a position may lie ahead of this machine's clock, as for a router's own checks
 )
 
-// LeaseName names the duty of a group.
+// LeaseName names the lease of a group.
 func LeaseName(group int) string { return fmt.Sprintf("sight/%d", group) }
 
 // Report is what a check told.
--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -1,5 +1,5 @@
 // Package lease decides who may act for the fleet and whose acts are taken. It owns the holder's account of its own time
-// (Holder) and the receiver's memory of fences (Receiver); it must never read a clock, grant anything (that is register's)
+// (Holder) and the receiver's memory of fencing tokens (Receiver); it must never read a clock, grant anything (that is replicated state's)
 // or open a socket. Times are ms on a clock that also runs while the machine sleeps; its zero means nothing.
 //
 // The idea is that of Burrows, "The Chubby lock service for loosely-coupled distributed systems" (OSDI 2006): a lease is
@@ -11,7 +11,7 @@
 	"fmt"
 )
 
-// Token orders the grants of one duty. Epoch counts the beginnings of the council's state, Count the grants within one.
+// Token orders the grants of one lease. Epoch counts the beginnings of the coordinator's state, Count the grants within one.
 // The zero Token is older than any grant.
 type Token struct {
 	Epoch uint64 `cbor:"1,keyasint" json:"epoch"`
@@ -23,13 +23,13 @@
 	return cmp.Or(cmp.Compare(f.Epoch, g.Epoch), cmp.Compare(f.Count, g.Count))
 }
 
-// CountBits are those of a fence's number that count grants; the epoch is above them.
+// CountBits are those of a fencing token's number that count grants; the epoch is above them.
 const CountBits = 24
 
-// MaxCount is the most grants of one duty in an epoch; the next grant begins another.
+// MaxCount is the most grants of one lease in an epoch; the next grant begins another.
 const MaxCount = 1<<CountBits - 1
 
-// Number is the fence as one number that grows with it, for guard rows and reports. It fits what others hold exactly (53 bits)
+// Number is the fencing token as one number that grows with it, for guard rows and reports. It fits what others hold exactly (53 bits)
 // for epochs under 2^29: those that begin by the clock do so until 2040.
 func (f Token) Number() uint64 { return f.Epoch<<CountBits | f.Count }
 
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -16,7 +16,7 @@
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Duration     float64 // of a lease, as the council counts it
+	Duration     float64 // of a lease, as the coordinator counts it
 	SafetyMargin float64 // before its end, from which the holder no longer acts: what an act takes, and the clocks' difference
 	Seed         uint64
 }
@@ -25,9 +25,9 @@
 type Action int
 
 const (
-	RequestLease  Action = iota // ask for the duty, or for more time, as request Number
-	ReleaseLease                // tell the council that the duty is free, under Fence
-	TransferLease               // tell the council to grant it to To next, under Fence
+	RequestLease  Action = iota // ask for the lease, or for more time, as request Number
+	ReleaseLease                // tell the coordinator that the lease is free, under Fence
+	TransferLease               // tell the coordinator to grant it to To next, under Fence
 	Stop                        // what acts under Fence must end now: nothing more may go out
 	Start                       // may act under Fence
 )
@@ -40,7 +40,7 @@
 	To      string
 }
 
-// Holder is one process's part in one duty: candidate, then owner, then neither.
+// Holder is one process's part in one lease: candidate, then owner, then neither.
 type Holder struct {
 	set    Settings
 	now    float64
@@ -73,7 +73,7 @@
 	maps.DeleteFunc(h.asked, func(_ uint64, at float64) bool { return at <= h.now-h.set.Duration })
 }
 
-// Acquire says that this process would hold the duty.
+// Acquire says that this process would hold the lease.
 func (h *Holder) Acquire() {
 	if !h.wanted {
 		h.wanted, h.askAt = true, h.now
@@ -97,8 +97,8 @@
 	}
 }
 
-// Granted says that request number was answered with a grant or more time under fence. The time counts from when the
-// request went out: when the council counted it, nobody here can know.
+// Granted says that request number was answered with a grant or more time under fencing token. The time counts from when the
+// request went out: when the coordinator counted it, nobody here can know.
 func (h *Holder) Granted(number uint64, fence Token) {
 	at, known := h.asked[number]
 	if !known || !h.wanted || fence.Compare(h.fence) < 0 || fence.Compare(h.higher) < 0 ||
@@ -106,7 +106,7 @@
 		return
 	}
 	delete(h.asked, number)
-	if h.acting && fence != h.fence { // it was somebody else's in between: what was begun under the old fence must end
+	if h.acting && fence != h.fence { // it was somebody else's in between: what was begun under the old fencing token must end
 		h.stop()
 	}
 	until := at + h.set.Duration - h.set.SafetyMargin
@@ -121,18 +121,18 @@
 	}
 }
 
-// Denied says that somebody else holds the duty; this process is in the queue, and is told when it is its turn.
-// It asks again after many leases only: a herd of candidates must not weigh on the council.
+// Denied says that somebody else holds the lease; this process is in the queue, and is told when it is its turn.
+// It asks again after many leases only: a herd of candidates must not weigh on the coordinator.
 func (h *Holder) Denied(number uint64) {
 	_, known := h.asked[number]
 	if delete(h.asked, number); known && number == h.number { // else its turn may have come since
 		if h.askAt = h.now + h.set.Duration*queued*(1-spread*h.chance.Next()); h.acting {
-			h.stop() // the council has it otherwise
+			h.stop() // the coordinator has it otherwise
 		}
 	}
 }
 
-// Refused says that a receiver knows a higher fence: this one is over, whatever the clock says. Whose the higher one is, it doesn't
+// Refused says that a receiver knows a higher fencing token: this one is over, whatever the clock says. Whose the higher one is, it doesn't
 // say: a grant under it may be on its way here.
 func (h *Holder) Refused(higher Token) {
 	if higher.Compare(h.fence) > 0 {
@@ -145,7 +145,7 @@
 	}
 }
 
-// Lost says that the council has this fence, or none that is higher, as somebody else's or nobody's.
+// Lost says that the coordinator has this fencing token, or none that is higher, as somebody else's or nobody's.
 func (h *Holder) Lost(fence Token) {
 	if fence.Compare(h.fence) < 0 { // told before this process's own grant
 		return
@@ -158,7 +158,7 @@
 	}
 }
 
-// Turn says that the council has this process's turn come: it asks at once.
+// Turn says that the coordinator has this process's turn come: it asks at once.
 func (h *Holder) Turn() {
 	if h.wanted {
 		h.askAt = h.now
@@ -170,7 +170,7 @@
 	h.out = append(h.out, Decision{Action: Stop, Token: h.fence})
 }
 
-// Valid tells whether an act may go out now, and the fence that goes with it. Ask it last, right before the act.
+// Valid tells whether an act may go out now, and the fencing token that goes with it. Ask it last, right before the act.
 func (h *Holder) Valid() (Token, bool) { return h.fence, h.acting && h.now < h.until }
 
 // NextDeadline is when At must be called again at the latest.
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -12,7 +12,7 @@
 // A scenario plays one holder with a lease of 1,000 ms and a margin of 100, and one receiver.
 //
 //	at 120 | wants | leaves [SUCCESSOR] | turn
-//	granted REQUEST 1.2 | denied REQUEST | refused 1.3 (by a receiver) | lost 1.3 (by the council's word)
+//	granted REQUEST 1.2 | denied REQUEST | refused 1.3 (by a receiver) | lost 1.3 (by the coordinator's word)
 //	want ask | start 1.2 | stop 1.2 | give 1.2 | pass 1.2 SUCCESSOR      decisions, in any order; never VERB: none such
 //	may 1.2 | may not
 //	learned DUTY 1.2 | act DUTY ABOUT HOLDER 1.2 VERDICT [HIGHEST] | restarts | closes DUTY ABOUT
@@ -127,7 +127,7 @@
 	}
 }
 
-// Guards against a word on one duty that costs by how many others there are: a beat asks for each of them.
+// Guards against a word on one lease that costs by how many others there are: a beat asks for each of them.
 func TestOneDutyIsLookedUpAlone(t *testing.T) {
 	r := NewReceiver()
 	for n := range 820 {
--- a/internal/decide/lease/receiver.go
+++ b/internal/decide/lease/receiver.go
@@ -2,7 +2,7 @@
 
 import "wayloft/internal/invariant"
 
-// Scope is what acts of one duty are about: one group, say. Each has a memory of its own.
+// Scope is what acts of one lease are about: one group, say. Each has a memory of its own.
 type Scope struct{ Lease, About string }
 
 // Verdict is what a receiver makes of an act.
@@ -10,18 +10,18 @@
 
 const (
 	Taken   Verdict = iota
-	Old             // a higher fence has been seen, which goes into the answer
-	Unknown         // this receiver has yet to hear from the council which fence is in force, and takes nothing
-	Broken          // the same fence from two holders: a promise is broken, and nothing more is taken under it
+	Old             // a higher fencing token has been seen, which goes into the answer
+	Unknown         // this receiver has yet to hear from the coordinator which fencing token is in force, and takes nothing
+	Broken          // the same fencing token from two holders: a promise is broken, and nothing more is taken under it
 )
 
-// Receiver remembers, for each scope, the highest fence that it has seen. It begins knowing nothing and takes no act of
-// a duty until Learned says where the duty's fences stand: what it saw before it restarted may have been higher.
+// Receiver remembers, for each scope, the highest fencing token that it has seen. It begins knowing nothing and takes no act of
+// a lease until Learned says where the lease's fencing tokens stand: what it saw before it restarted may have been higher.
 type Receiver struct {
-	learned map[string]Token           // by duty
-	seen    map[string]map[string]seen // by duty and what the act was about
-	Late    int                        // acts refused for their fence, since the start
-	Looked  int                        // scopes gone over for what is known of a duty, since the start
+	learned map[string]Token           // by lease
+	seen    map[string]map[string]seen // by lease and what the act was about
+	Late    int                        // acts refused for their fencing token, since the start
+	Looked  int                        // scopes gone over for what is known of a lease, since the start
 }
 
 type seen struct {
@@ -35,20 +35,20 @@
 	return &Receiver{learned: map[string]Token{}, seen: map[string]map[string]seen{}}
 }
 
-// TokenLearned says which fence the council knows to be the latest granted of a duty. It never lowers what is known.
+// TokenLearned says which fencing token the coordinator knows to be the latest granted of a lease. It never lowers what is known.
 func (r *Receiver) TokenLearned(duty string, fence Token) {
 	if known, ok := r.learned[duty]; !ok || fence.Compare(known) > 0 {
 		r.learned[duty] = fence
 	}
 }
 
-// Forget drops what is kept of a duty that the fleet no longer has; until it is learned again nothing of it is taken.
+// Forget drops what is kept of a lease that the fleet no longer has; until it is learned again nothing of it is taken.
 func (r *Receiver) Forget(duty string) {
 	delete(r.learned, duty)
 	delete(r.seen, duty)
 }
 
-// Close drops what is kept of a scope that is gone; the duty's own fence still holds for it.
+// Close drops what is kept of a scope that is gone; the lease's own fencing token still holds for it.
 func (r *Receiver) Close(s Scope) {
 	if was, ok := r.seen[s.Lease][s.About]; ok {
 		if delete(r.seen[s.Lease], s.About); len(r.seen[s.Lease]) == 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Take judges an act. highest is the fence to answer with where it is Old.
+// Take judges an act. highest is the fencing token to answer with where it is Old.
 func (r *Receiver) Take(s Scope, holder string, fence Token) (v Verdict, highest Token) {
 	least, known := r.learned[s.Lease]
 	if !known {
@@ -91,10 +91,10 @@
 	r.seen[s.Lease][s.About] = what
 }
 
-// Knows tells whether anything of a duty may be taken yet.
+// Knows tells whether anything of a lease may be taken yet.
 func (r *Receiver) Knows(duty string) bool { _, known := r.learned[duty]; return known }
 
-// Highest is the highest fence known of a duty, over all its scopes, and who acted under it, if somebody did; a council that
+// Highest is the highest fencing token known of a lease, over all its scopes, and who acted under it, if somebody did; a coordinator that
 // knows a lower one, or another holder, must not grant it.
 func (r *Receiver) Highest(duty string) (highest Token, holder string) {
 	highest = r.learned[duty]
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -16,17 +16,17 @@
 
 var deep = flag.Int("deep", 7, "steps that the small world is explored for")
 
-// defects are planted in the world, each to be found.
+// defects are seeded in the world, each to be found.
 type defects struct {
 	unchecked  bool    // the receiver takes whatever comes
 	forgets    bool    // a receiver that restarted takes orders without having asked
-	sameEpoch  bool    // a council that lost its state begins again in the same epoch
+	sameEpoch  bool    // a coordinator that lost its state begins again in the same epoch
 	epochless  bool    // a restarted receiver learns the latest grant, which a new epoch may not have
 	overstayed float64 // ms that a holder acts beyond its lease
 }
 
-// world is two owners, a receiver and a council, with a network that delays and loses, pauses, restarts and one loss of
-// the council's state. Times are ms; a lease is 3 long and its margin 1.
+// world is two owners, a receiver and a coordinator, with a network that delays and loses, pauses, restarts and one loss of
+// the coordinator's state. Times are ms; a lease is 3 long and its margin 1.
 type world struct {
 	defects
 	now      float64
@@ -291,8 +291,8 @@
 	return nil, "", states, late
 }
 
-// Every order of messages, losses, pauses, restarts and one loss of the council's state, up to a depth: no act is taken
-// under a fence lower than one that was taken before, and nobody may act while the council has another.
+// Every order of messages, losses, pauses, restarts and one loss of the coordinator's state, up to a depth: no act is taken
+// under a fencing token lower than one that was taken before, and nobody may act while the coordinator has another.
 func TestSmallWorld(t *testing.T) {
 	path, wrong, states, late := explore(defects{}, *deep)
 	if wrong != "" {
@@ -314,7 +314,7 @@
 	}
 }
 
-// granted has owner 0 granted the duty, act, and check that it may act again.
+// granted has owner 0 granted the lease, act, and check that it may act again.
 func (w *world) granted() {
 	w.pass("ask", 0)
 	w.pass("answer", 0)
@@ -324,7 +324,7 @@
 	w.step("check 0")
 }
 
-// late plays the hard case: owner 0 has checked that it may act and is stopped; owner 1 is granted the duty and acts; the
+// late plays the hard case: owner 0 has checked that it may act and is stopped; owner 1 is granted the lease and acts; the
 // receiver restarts; owner 0 wakes and sends.
 func late(d defects, between string) (wrong string, w *world) {
 	defer func() {
--- a/internal/decide/leaseclient/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -9,7 +9,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// Session and Duty are what the council's watch tells.
+// Session and Lease are what the coordinator's watch tells.
 type Session struct {
 	Name, Kind, Address string
 	Incarnation, Policy uint64
--- a/internal/decide/leaseclient/leaseclient.go
+++ b/internal/decide/leaseclient/leaseclient.go
@@ -1,9 +1,9 @@
-// Package leaseclient decides one process's part in the fleet: its session with the council, the duties that it would hold, and
+// Package leaseclient decides one process's part in the fleet: its session with the coordinator, the leases that it would hold, and
 // whose orders it takes. It owns the account of what was asked and is not answered; it must never do I/O, read a clock, or
 // keep the process from its own work: all that it says is "you may act for the fleet now", or "no longer".
 //
-// The host feeds it time, answers, the council's watch and others' acts, and pulls what to ask of the council and which
-// duties begin and end. Times are ms on a clock that also runs while the machine sleeps.
+// The host feeds it time, answers, the coordinator's watch and others' acts, and pulls what to ask of the coordinator and which
+// leases begin and end. Times are ms on a clock that also runs while the machine sleeps.
 package leaseclient
 
 import (
@@ -20,12 +20,12 @@
 const (
 	beatPart  = 1.0 / 3 // of a session's length between two beats: two more may fail before it ends
 	retryPart = 1.0 / 8 // of it until the first retry of what failed
-	longest   = 2.0     // of it between two retries, after many: a fleet that waits for its council must not bury it
-	settle    = 0.5     // of it, over which processes come to ask for a duty
+	longest   = 2.0     // of it between two retries, after many: a fleet that waits for its coordinator must not bury it
+	settle    = 0.5     // of it, over which processes come to ask for a lease
 	spread    = 0.5     // of each wait, drawn: what came together must not stay together
-	tellAgain = 4.0     // lengths between two words to the council that it is behind
-	mostKnown = 20000   // sessions and duties kept of what the council tells: twice what it keeps itself
-	mostHeld  = 1000    // duties that one process would hold
+	tellAgain = 4.0     // lengths between two words to the coordinator that it is behind
+	mostKnown = 20000   // sessions and leases kept of what the coordinator tells: twice what it keeps itself
+	mostHeld  = 1000    // leases that one process would hold
 )
 
 // Settings are given once. Times are ms.
@@ -41,9 +41,9 @@
 type Action int
 
 const (
-	Propose     Action = iota // propose Entry to the council, as request Number
-	QueryTokens               // ask the council where the fences of Duties stand now, as request Number; Stood takes the answer
-	Start                     // Duty is this process's, under Fence
+	Propose     Action = iota // propose Entry to the coordinator, as request Number
+	QueryTokens               // ask the coordinator where the fencing tokens of Leases stand now, as request Number; Stood takes the answer
+	Start                     // Lease is this process's, under Fence
 	Stop                      // it is no more: nothing more may go out under Fence
 )
 
@@ -67,7 +67,7 @@
 // retry is something that is asked until it is answered, less and less often.
 type retry struct{ at, wait float64 }
 
-// holder is this process's part in one duty.
+// holder is this process's part in one lease.
 type holder struct {
 	*lease.Holder
 	duty string
@@ -92,10 +92,10 @@
 	holders  map[string]*holder
 	soonest  timerqueue.Queue[*holder] // by when they may decide something by themselves
 	touched  int                       // holders gone over so far because of time alone
-	wants    map[string]float64        // duties that it will ask for, and from when
+	wants    map[string]float64        // leases that it will ask for, and from when
 	receiver *lease.Receiver
-	stands   map[string]*retry  // duties whose fences this receiver has yet to learn
-	told     map[string]float64 // by duty: when the council was told that it is behind
+	stands   map[string]*retry  // leases whose fencing tokens this receiver has yet to learn
+	told     map[string]float64 // by lease: when the coordinator was told that it is behind
 	sessions map[string]Session
 	duties   map[string]Lease
 	out      []Decision
@@ -104,8 +104,8 @@
 	wont     uint64
 	why      string
 
-	Reopened     int // sessions that the council had ended
-	RejectedActs int // acts of others turned away for their fence
+	Reopened     int // sessions that the coordinator had ended
+	RejectedActs int // acts of others rejected for their fencing token
 }
 
 // New makes one that has no session yet.
@@ -119,7 +119,7 @@
 	return a
 }
 
-// Acquire says that this process would hold a duty, too. It comes to ask for it at a drawn time, so that not the first process that starts
+// Acquire says that this process would hold a lease, too. It comes to ask for it at a drawn time, so that not the first process that starts
 // gets all there are.
 func (a *Client) Acquire(duty string) {
 	if _, soon := a.wants[duty]; !soon && a.holders[duty] == nil && !a.leaving && len(a.holders)+len(a.wants) < mostHeld {
@@ -137,10 +137,10 @@
 	a.soonest.Put(&h.due, h.NextDeadline())
 }
 
-// Release gives a duty up, held or not.
+// Release gives a lease up, held or not.
 func (a *Client) Release(duty string) {
 	delete(a.wants, duty)
-	// What it asked for must not be taken for an answer to what another holder of this duty will ask.
+	// What it asked for must not be taken for an answer to what another holder of this lease will ask.
 	maps.DeleteFunc(a.asked, func(_ uint64, of asked) bool { return of.kind == leasestate.AcquireLease && of.duty == duty })
 	if h := a.holder(duty); h != nil {
 		h.Release("")
@@ -185,7 +185,7 @@
 	}
 }
 
-// holder gives the part in a duty, which knows the time; nil: there is none.
+// holder gives the part in a lease, which knows the time; nil: there is none.
 func (a *Client) holder(duty string) *holder {
 	h := a.holders[duty]
 	if h != nil {
@@ -236,7 +236,7 @@
 	}
 }
 
-// Answered conveys the council's answer to a request.
+// Answered conveys the coordinator's answer to a request.
 func (a *Client) Answered(number uint64, ans leasestate.Result) {
 	of, known := a.asked[number]
 	if !known {
@@ -283,7 +283,7 @@
 	case leasestate.CloseSession:
 		a.left = true
 	case "":
-		a.stood(of.duties, nil) // it told no fences
+		a.stood(of.duties, nil) // it told no fencing tokens
 	}
 }
 
@@ -294,7 +294,7 @@
 	a.beating = retry{at: a.now + a.set.SessionTimeout*beatPart*(1-spread*a.chance.Next())}
 }
 
-// lost: the council has ended this session, or never had it. What was held ends by itself, under its own account of time;
+// lost: the coordinator has ended this session, or never had it. What was held ends by itself, under its own account of time;
 // the process begins again as another incarnation.
 func (a *Client) lost() {
 	if !a.open || a.leaving {
@@ -325,7 +325,7 @@
 	}
 }
 
-// Watched takes in what the council tells. It may be old: a higher fence is true whenever it is heard, a lower one says only
+// Watched takes in what the coordinator tells. It may be old: a higher fencing token is true whenever it is heard, a lower one says only
 // that somebody should look.
 func (a *Client) Watched(u Update) {
 	if u.Whole {
@@ -358,7 +358,7 @@
 	}
 }
 
-// behind tells the council of a fence that this receiver has seen and the council seems not to know, or has given to another.
+// behind tells the coordinator of a fencing token that this receiver has seen and the coordinator seems not to know, or has given to another.
 func (a *Client) behind(d Lease) {
 	highest, holder := a.receiver.Highest(d.Name)
 	order := highest.Compare(d.Token)
@@ -374,7 +374,7 @@
 	a.out = append(a.out, Decision{Action: Propose, Request: a.number, Entry: leasestate.Entry{Kind: leasestate.ReportToken, Lease: d.Name, Token: highest, Session: holder}})
 }
 
-// Check judges another's act. Of a duty that this receiver knows nothing of it takes none, and asks the council.
+// Check judges another's act. Of a lease that this receiver knows nothing of it takes none, and asks the coordinator.
 func (a *Client) Check(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
 	v, highest := a.receiver.Take(s, holder, fence)
 	switch v {
@@ -397,7 +397,7 @@
 	}
 }
 
-// Valid tells whether this process may act for a duty now, and the fence that goes with the act. Ask it last, right before.
+// Valid tells whether this process may act for a lease now, and the fencing token that goes with the act. Ask it last, right before.
 func (a *Client) Valid(duty string) (lease.Token, bool) {
 	if h := a.holder(duty); h != nil {
 		return h.Valid()
@@ -405,7 +405,7 @@
 	return lease.Token{}, false
 }
 
-// Transfer hands a duty on to the session named, if this process holds it; it wants it no more.
+// Transfer hands a lease on to the session named, if this process holds it; it wants it no more.
 func (a *Client) Transfer(duty, name string) {
 	if h := a.holder(duty); h != nil {
 		h.Release(name)
@@ -413,7 +413,7 @@
 	}
 }
 
-// PolicyApplied says which version of the policy this process goes by, by its mark, and which it couldn't take, if any; the council hears
+// PolicyApplied says which version of the policy this process goes by, by its mark, and which it couldn't take, if any; the coordinator hears
 // it with the next beat, now.
 func (a *Client) PolicyApplied(mark, wont uint64, why string) {
 	if a.policy == mark && a.wont == wont && a.why == why {
@@ -424,7 +424,7 @@
 	}
 }
 
-// Leave ends it: nothing more is done for the fleet, and the council is told. Left tells when it has been, or can't be.
+// Leave ends it: nothing more is done for the fleet, and the coordinator is told. Left tells when it has been, or can't be.
 func (a *Client) Leave() {
 	if a.leaving {
 		return
@@ -487,10 +487,10 @@
 	return due
 }
 
-// SessionsComplete tells whether Sessions holds all that there are, as far as the council told: a watch may have left them out.
+// SessionsComplete tells whether Sessions holds all that there are, as far as the coordinator told: a watch may have left them out.
 func (a *Client) SessionsComplete() bool { return a.others }
 
-// Sessions gives the sessions of a kind that the council told of, by name.
+// Sessions gives the sessions of a kind that the coordinator told of, by name.
 func (a *Client) Sessions(kind string) (all []Session) {
 	for _, name := range slices.Sorted(maps.Keys(a.sessions)) {
 		if a.sessions[name].Kind == kind {
@@ -500,7 +500,7 @@
 	return all
 }
 
-// Lease gives what the council told of a duty.
+// Lease gives what the coordinator told of a lease.
 func (a *Client) Lease(name string) (Lease, bool) { d, ok := a.duties[name]; return d, ok }
 
 // HasSession tells whether this process has a session, as far as it knows.
--- a/internal/decide/leaseclient/leaseclient_test.go
+++ b/internal/decide/leaseclient/leaseclient_test.go
@@ -71,7 +71,7 @@
 	return n
 }
 
-// A session is opened before anything is asked for; a duty is held on, and lost and found again with the council.
+// A session is opened before anything is asked for; a lease is held on, and lost and found again with the coordinator.
 func TestHoldsOn(t *testing.T) {
 	s := sit(t, "d")
 	if starts, stops := s.to(5000, true); starts != 1 || stops != 0 || s.log[0] != leasestate.OpenSession || s.count(leasestate.OpenSession) != 1 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// While the council is away each try comes later than the one before, up to a bound.
+// While the coordinator is away each try comes later than the one before, up to a bound.
 func TestTriesLessOften(t *testing.T) {
 	s := sit(t)
 	s.to(60000, false)
@@ -102,7 +102,7 @@
 	}
 }
 
-// A receiver asks where fences stand before it takes anything, and takes no lower one then; who holds a duty knows its own fence.
+// A receiver asks where fencing tokens stand before it takes anything, and takes no lower one then; who holds a lease knows its own fencing token.
 func TestReceives(t *testing.T) {
 	s := sit(t, "d")
 	scope := lease.Scope{Lease: "e", About: "g"}
@@ -123,7 +123,7 @@
 	}
 }
 
-// A council that has gone back is told, with the holder whose act was taken, again while it stays so.
+// A coordinator that has gone back is told, with the holder whose act was taken, again while it stays so.
 func TestTellsOfHigherFences(t *testing.T) {
 	s := sit(t)
 	s.a.LearnToken("e")
@@ -172,7 +172,7 @@
 	}
 }
 
-// Guards against a look at the time that costs by how many duties a process has or would have, and not by what is due.
+// Guards against a look at the time that costs by how many leases a process has or would have, and not by what is due.
 func TestTimeTouchesWhatIsDue(t *testing.T) {
 	var duties []string
 	for n := range 200 {
@@ -190,7 +190,7 @@
 	}
 }
 
-// propose has the register take a document of one field.
+// propose has the replicated state take a document of one field.
 func (s *table) propose(share string) policy.Version {
 	b := s.r.Policy()
 	p := policy.Propose(b.Version, b.Document, policy.Document{"over_share_value": share}, "a", "to "+share)
@@ -279,7 +279,7 @@
 	}
 }
 
-// asks pulls the questions where duties stand that are due.
+// asks pulls the questions where leases stand that are due.
 func (s *table) asks() (all []Decision) {
 	s.a.Advance(s.now)
 	for d, more := s.a.Next(); more; d, more = s.a.Next() {
@@ -293,7 +293,7 @@
 	return all
 }
 
-// Guards against a start that asks the council once a duty: what is due together goes in one question, as many as one carries; what
+// Guards against a start that asks the coordinator once a lease: what is due together goes in one question, as many as one carries; what
 // brought no answer, or a part of one, is asked again together, later.
 func TestAsksWhereAllStandAtOnce(t *testing.T) {
 	s := sit(t)
@@ -331,7 +331,7 @@
 	if all = s.asks(); len(all) != 2 || len(all[0].Leases) != 256 || len(all[1].Leases) != 62 || all[0].Leases[0] != "d/010" {
 		t.Fatalf("%d questions again, not 2 of 256 and 62", len(all))
 	}
-	// An answer of more than was asked, or none that tells fences, is none.
+	// An answer of more than was asked, or none that tells fencing tokens, is none.
 	s.a.TokensLearned(all[0].Request, make([]lease.Token, 257))
 	s.a.Answered(all[1].Request, leasestate.Result{})
 	s.a.TokensLearned(all[1].Request, s.stands(all[1].Leases)) // late: it was given up
@@ -343,7 +343,7 @@
 	}
 }
 
-// While no answer comes, duties that were asked about together stay together, and each try comes later than the one before.
+// While no answer comes, leases that were asked about together stay together, and each try comes later than the one before.
 func TestAsksWhereTheyStandLessOften(t *testing.T) {
 	s := sit(t)
 	for i := range 100 {
@@ -364,7 +364,7 @@
 	}
 }
 
-// Each duty in a question is learned with its own fence; names that are long go in questions of their own.
+// Each lease in a question is learned with its own fencing token; names that are long go in questions of their own.
 func TestStandsInOrder(t *testing.T) {
 	s := sit(t)
 	long := strings.Repeat("b", nameBytes+1)
--- a/internal/decide/leaseclient/stands.go
+++ b/internal/decide/leaseclient/stands.go
@@ -7,20 +7,20 @@
 	"wayloft/internal/decide/lease"
 )
 
-// MaxTokenQuery is how many duties one question asks about at most.
+// MaxTokenQuery is how many leases one question asks about at most.
 const MaxTokenQuery = 256
 
 const nameBytes = 16 << 10 // of names that one question carries; a longer name goes alone
 
-// LearnToken has the council asked where a duty's fences stand, unless that is known.
+// LearnToken has the coordinator asked where a lease's fencing tokens stand, unless that is known.
 func (a *Client) LearnToken(duty string) {
 	if !a.receiver.Knows(duty) && a.stands[duty] == nil && len(a.stands) < mostKnown {
 		a.stands[duty] = &retry{at: a.now}
 	}
 }
 
-// stand asks where duties stand: all at once that are due, as many as one question carries. Guards against a start that asks once a
-// duty: of many processes together that is more than a council answers.
+// stand asks where leases stand: all at once that are due, as many as one question carries. Guards against a start that asks once a
+// lease: of many processes together that is more than a coordinator answers.
 func (a *Client) stand() {
 	var duties []string
 	for duty, r := range a.stands {
@@ -47,7 +47,7 @@
 	a.out = append(a.out, Decision{Action: QueryTokens, Request: a.number, Leases: slices.Clone(duties)})
 }
 
-// TokensLearned conveys the council's answer to a Stand: fences of its duties, in their order. Those past the answer's end are asked again; an
+// TokensLearned conveys the coordinator's answer to a Stand: fencing tokens of its leases, in their order. Those past the answer's end are asked again; an
 // answer of more than was asked is none.
 func (a *Client) TokensLearned(number uint64, fences []lease.Token) {
 	if of, known := a.asked[number]; known && of.kind == "" {
@@ -56,7 +56,7 @@
 	}
 }
 
-// stood takes in where the first of some duties stand. The others are put off together: each by itself would be a question of its own.
+// stood takes in where the first of some leases stand. The others are put off together: each by itself would be a question of its own.
 func (a *Client) stood(duties []string, fences []lease.Token) {
 	if len(fences) > len(duties) {
 		fences = nil
--- a/internal/decide/leasestate/leasestate.go
+++ b/internal/decide/leasestate/leasestate.go
@@ -1,5 +1,5 @@
-// Package leasestate decides what the fleet's small state becomes with each entry of the council's log: sessions of
-// processes, duties with their holders, queues and fences, the steps that an owner noted down, and the policy that is in force.
+// Package leasestate decides what the fleet's small state becomes with each entry of the coordinator's log: sessions of
+// processes, leases with their holders, queues and fencing tokens, the steps that an owner noted down, and the policy that is in force.
 // It must never read a clock, draw chance or do I/O: the same entries give the same bytes of snapshot everywhere.
 //
 // Time enters only as what the leader put into the log: each entry says how many ms went by on the leader's clock since the
@@ -23,9 +23,9 @@
 const (
 	version    = 2     // 1 until something is proposed for the first time: what an earlier build can read it gets to read
 	longest    = 256   // bytes of a name or a note
-	mostSteps  = 16    // notes kept of one duty: the latest
+	mostSteps  = 16    // notes kept of one lease: the latest
 	mostEvents = 1000  // kept for those who watch; who is further behind reads the whole state again
-	mostNames  = 10000 // sessions, and duties: these stay for good, since their fences must
+	mostNames  = 10000 // sessions, and leases: these stay for good, since their fencing tokens must
 	mostPassed = 60000 // ms in one entry: more than that and the leader should have resigned
 )
 
@@ -38,17 +38,17 @@
 	OpenSession   Kind = "open"   // Session begins, or begins anew with a higher Incarnation; Is, Length
 	KeepAlive     Kind = "beat"   // Session is heard from
 	CloseSession  Kind = "end"    // Session ends by itself
-	AcquireLease  Kind = "take"   // Session would hold Duty
-	ReleaseLease  Kind = "free"   // Session gives Duty back, under Fence
-	TransferLease Kind = "pass"   // Session gives Duty to the session named To, under Fence, if that is alive
-	RecordStep    Kind = "note"   // Session notes down a step of Duty, under Fence, before it is taken
-	ReportToken   Kind = "told"   // a receiver knows of a higher Fence of Duty than is kept here
+	AcquireLease  Kind = "take"   // Session would hold Lease
+	ReleaseLease  Kind = "free"   // Session gives Lease back, under Fence
+	TransferLease Kind = "pass"   // Session gives Lease to the session named To, under Fence, if that is alive
+	RecordStep    Kind = "note"   // Session notes down a step of Lease, under Fence, before it is taken
+	ReportToken   Kind = "told"   // a receiver knows of a higher Fence of Lease than is kept here
 	BeginEpoch    Kind = "ascend" // an operator began a new epoch
 	KeepAliveAll  Kind = "beats"  // all of Names are heard from
-	PlaceOrder    Kind = "order"  // an operator asks the owner of Duty for something: Text
-	// ProposePolicy asks for a change of the policy: Proposal. Builds before it stop at one: all of the council must know it first.
+	PlaceOrder    Kind = "order"  // an operator asks the owner of Lease for something: Text
+	// ProposePolicy asks for a change of the policy: Proposal. Builds before it stop at one: all of the coordinator must know it first.
 	ProposePolicy Kind = "propose"
-	CompleteOrder Kind = "did" // Session ended order Number of Duty, under Fence; Text says how
+	CompleteOrder Kind = "did" // Session ended order Number of Lease, under Fence; Text says how
 )
 
 // Entry is one entry of the log; only the fields of its kind are set.
@@ -68,7 +68,7 @@
 	Policy       uint64      `cbor:"13,keyasint,omitempty"` // mark of the policy's version that Session goes by
 	Number       uint64      `cbor:"14,keyasint,omitempty"`
 	Heartbeats   []Heartbeat `cbor:"15,keyasint,omitempty"`
-	RejectedActs uint64      `cbor:"16,keyasint,omitempty"` // acts that Session turned away for their fence, since its start
+	RejectedActs uint64      `cbor:"16,keyasint,omitempty"` // acts that Session rejected for their fencing token, since its start
 
 	Proposal       *policy.Proposal `cbor:"17,keyasint,omitempty"`
 	RejectedPolicy uint64           `cbor:"18,keyasint,omitempty"` // mark of a version that Session couldn't take
@@ -85,12 +85,12 @@
 	Reason         string `cbor:"6,keyasint,omitempty"`
 }
 
-// Session is a process as the council knows it.
+// Session is a process as the coordinator knows it.
 type Session struct {
 	Incarnation    uint64 `cbor:"1,keyasint"`
 	Role           string `cbor:"2,keyasint"`
 	Timeout        uint64 `cbor:"3,keyasint"`
-	LastHeartbeat  uint64 `cbor:"4,keyasint"` // on the register's time
+	LastHeartbeat  uint64 `cbor:"4,keyasint"` // on the replicated state's time
 	Address        string `cbor:"5,keyasint"`
 	Policy         uint64 `cbor:"6,keyasint"` // mark of the version that it goes by, as it last said
 	RejectedActs   uint64 `cbor:"7,keyasint"`
@@ -104,13 +104,13 @@
 	Token        lease.Token `cbor:"2,keyasint"` // of the latest grant, and never lower than any before
 	Since        uint64      `cbor:"3,keyasint"`
 	Queue        []string    `cbor:"4,keyasint"` // sessions that would hold it, the one that is next first
-	ForeignToken lease.Token `cbor:"5,keyasint"` // a fence that some receiver has seen though it was never granted here
+	ForeignToken lease.Token `cbor:"5,keyasint"` // a fencing token that some receiver has seen though it was never granted here
 	Steps        []Step      `cbor:"6,keyasint"` // since the order that is open came, or the latest ended
 	Open         Order       `cbor:"7,keyasint"` // what is asked of the owner
 	Ended        Order       `cbor:"8,keyasint"` // the latest that was ended, and how
 }
 
-// Order is an operator's order, numbered within its duty from 1; 0: none.
+// Order is an operator's order, numbered within its lease from 1; 0: none.
 type Order struct {
 	Number uint64 `cbor:"1,keyasint" json:"number"`
 	Text   string `cbor:"2,keyasint" json:"text"`
@@ -154,7 +154,7 @@
 	return &State{snapshot{Version: 1, Fleet: fleet, Epoch: 1, Sessions: map[string]*Session{}, Duties: map[string]*Lease{}}}
 }
 
-// NewUninitialized makes one that grants nothing until its first leader has said in which epoch it begins. Guards against a council
+// NewUninitialized makes one that grants nothing until its first leader has said in which epoch it begins. Guards against a coordinator
 // that is started anew by mistake: what it grants is above all that was granted before.
 func NewUninitialized(fleet string) *State {
 	r := New(fleet)
@@ -283,7 +283,7 @@
 
 // Result is what the process that brought an entry hears.
 type Result struct {
-	Held   bool        // it holds the duty, under Fence
+	Held   bool        // it holds the lease, under Fence
 	Fence  lease.Token // of its grant; else the highest known
 	Why    string      // where it was refused
 	Number uint64      // of the order; of a session that was refused: the incarnation that has its name
@@ -466,7 +466,7 @@
 	return Result{Fence: d.Token}
 }
 
-// take grants a duty that nobody holds, to the first of its queue; a holder's repeat gets the same fence.
+// take grants a lease that nobody holds, to the first of its queue; a holder's repeat gets the same fencing token.
 func (r *State) take(e Entry) Result {
 	d, why := r.duty(e.Lease)
 	if d == nil {
@@ -504,7 +504,7 @@
 	return Result{Held: true, Fence: d.Token, Number: d.Open.Number}
 }
 
-// duty finds a duty, or makes one that nobody holds yet.
+// lease finds a lease, or makes one that nobody holds yet.
 func (r *State) duty(name string) (d *Lease, why string) {
 	if d = r.s.Duties[name]; d != nil {
 		return d, ""
@@ -517,9 +517,9 @@
 	return d, ""
 }
 
-// grant gives a free duty to the first of its queue. Guards against fences that go back, after state was lost: while a
-// receiver has seen a fence that this state knows nothing of, there may have been more in that epoch: nobody gets the
-// duty until an operator has begun another.
+// grant gives a free lease to the first of its queue. Guards against fencing tokens that go back, after state was lost: while a
+// receiver has seen a fencing token that this state knows nothing of, there may have been more in that epoch: nobody gets the
+// lease until an operator has begun another.
 func (r *State) grant(name string) {
 	d := r.s.Duties[name]
 	if len(d.Queue) == 0 || d.Holder != "" {
@@ -541,7 +541,7 @@
 	r.tell(Event{Lease: name, Token: next, Session: d.Holder})
 }
 
-// free takes a duty from its holder; the next of the queue gets it at once.
+// free takes a lease from its holder; the next of the queue gets it at once.
 func (r *State) free(name string) {
 	d := r.s.Duties[name]
 	if d.Holder != "" {
@@ -564,8 +564,8 @@
 	}
 }
 
-// told takes in that a receiver has seen a fence that was never granted here, or one that was granted here to somebody
-// else than Session, if it says who acted under it: this state is older than what the fleet has been through. The duty is taken away, since who holds it
+// told takes in that a receiver has seen a fencing token that was never granted here, or one that was granted here to somebody
+// else than Session, if it says who acted under it: this state is older than what the fleet has been through. The lease is taken away, since who holds it
 // can't act, and granted again only in a later epoch.
 func (r *State) told(e Entry) Result {
 	d, why := r.duty(e.Lease)
@@ -599,7 +599,7 @@
 	return slices.Clone(r.s.Events[n:]), true
 }
 
-// Lease and Session give what is kept of one; false: nothing. Duties and Sessions name them, in order.
+// Lease and Session give what is kept of one; false: nothing. Leases and Sessions name them, in order.
 func (r *State) Lease(name string) (Lease, bool) {
 	d := r.s.Duties[name]
 	if d == nil {
@@ -610,7 +610,7 @@
 	return c, true
 }
 
-// LatestToken is the fence under which nothing of a duty is in force any more: what a receiver that knows nothing learns. In an
+// LatestToken is the fencing token under which nothing of a lease is in force any more: what a receiver that knows nothing learns. In an
 // epoch without a grant so far that is the epoch's beginning, since those before it are over.
 func (r *State) LatestToken(name string) lease.Token {
 	stands := lease.Token{Epoch: r.s.Epoch}
--- a/internal/decide/leasestate/leasestate_test.go
+++ b/internal/decide/leasestate/leasestate_test.go
@@ -93,7 +93,7 @@
 	want(t, "fence", f.do(Entry{Kind: AcquireLease, Session: "a", Incarnation: 2, Lease: "d"}).Fence, fence(1, 2))
 }
 
-// A council whose state was lost grants nothing under fences that receivers have seen, until its epoch is above.
+// A coordinator whose state was lost grants nothing under fencing tokens that receivers have seen, until its epoch is above.
 func TestLostState(t *testing.T) {
 	f := begin("a")
 	f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(1, 7)})
@@ -103,7 +103,7 @@
 	want(t, "an old epoch", f.do(Entry{Kind: BeginEpoch, Epoch: 1}).Why, "epoch 1 has begun already")
 	f.do(Entry{Kind: BeginEpoch, Epoch: 2})
 	want(t, "above", f.do(take("a")).Fence, fence(2, 1))
-	// An older copy put back grants the same fence to another; who has seen the first says so.
+	// An older copy put back grants the same fencing token to another; who has seen the first says so.
 	want(t, "its own", f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "a"}).Why, "")
 	f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "z"})
 	d, _ := f.Lease("d")
@@ -113,7 +113,7 @@
 	}
 }
 
-// A duty that was granted as often as one number can hold goes on in the next epoch, above.
+// A lease that was granted as often as one number can hold goes on in the next epoch, above.
 func TestManyGrants(t *testing.T) {
 	f := begin("a")
 	f.do(take("a"))
@@ -144,7 +144,7 @@
 	}
 }
 
-// An operator's order is open until its duty's owner ends it, whoever that is by then; the same words again are the same.
+// An operator's order is open until its lease's owner ends it, whoever that is by then; the same words again are the same.
 func TestOrders(t *testing.T) {
 	f := begin("a", "b")
 	order := Entry{Kind: PlaceOrder, Lease: "d", Text: "to m2"}
@@ -313,7 +313,7 @@
 	}
 }
 
-// Whatever the entries: fences of a duty only grow with its holders, a holder has a session, no one is queued twice, a
+// Whatever the entries: fencing tokens of a lease only grow with its holders, a holder has a session, no one is queued twice, a
 // snapshot in the middle changes nothing, and bytes are the same again.
 func TestAnyEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/decide/policy/book.go
+++ b/internal/decide/policy/book.go
@@ -12,9 +12,9 @@
 	MostChanges = mostKept + mostHistory*(1<<10) // bytes of a history, encoded
 )
 
-// History is what the register keeps of policies: the version in force with its document, and how it came to it. Its methods give
+// History is what the replicated state keeps of policies: the version in force with its document, and how it came to it. Its methods give
 // the same for the same calls everywhere; which fields may change is judged before a proposal comes here (Difference.Judge), since
-// builds may differ in that and the register must not.
+// builds may differ in that and the replicated state must not.
 type History struct {
 	Version        Version  `cbor:"1,keyasint"`
 	Document       Document `cbor:"2,keyasint"`
@@ -55,7 +55,7 @@
 }
 
 // BeginEpoch gives what is in force a number in a new epoch, so that it is above all that was ever given: a router that knows more
-// than a council that was set back goes by what the council has. It reports whether there is anything in force.
+// than a coordinator that was set back goes by what the coordinator has. It reports whether there is anything in force.
 func (b *History) BeginEpoch(epoch uint64) bool {
 	v := b.Version
 	if v.Number == 0 || epoch > mostNumber || v.Number == mostNumber {
--- a/internal/decide/policy/document.go
+++ b/internal/decide/policy/document.go
@@ -1,7 +1,7 @@
 // Package policy decides how what all routers of a fleet must agree on changes: what a document is and what two of them differ
 // in, which differences may take hold at different moments at different routers, and how one router comes to the version in
 // force. It owns the form and the bounds of a document and one router's account of it (Follower); which version is in force is
-// register's. It must never do I/O, read a clock, draw chance but by chance.Source, or adopt a document whose hash doesn't fit.
+// replicated state's. It must never do I/O, read a clock, draw chance but by chance.Source, or adopt a document whose hash doesn't fit.
 //
 // Only lenient fields can be changed: of these, two versions may overlap for a bounded time without harm. Strict ones are
 // refused with their reason (Classify).
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -37,17 +37,17 @@
 type Action int
 
 const (
-	Fetch       Action = iota // ask some process of the council for the part that Request names: Got or Failed follows
+	Fetch       Action = iota // ask some coordinator node for the part that Request names: Got or Failed follows
 	Apply                     // go by Document, of Version, from now on: Took or Couldnt follows
 	Store                     // keep Version and Document for the next start; nothing waits for it
-	Acknowledge               // tell the council with the next beat: this router goes by Mark, and couldn't take Wont, for Why
+	Acknowledge               // tell the coordinator with the next beat: this router goes by Mark, and couldn't take Wont, for Why
 )
 
 // Request names the part that is wanted.
 type Request struct {
 	Have   uint64   // mark of the version whose document is here; 0: none
 	Hash   [32]byte // of it
-	Want   uint64   // mark of the version that is wanted: a process of the council that doesn't know of it must say so
+	Want   uint64   // mark of the version that is wanted: a coordinator node that doesn't know of it must say so
 	Whole  bool     // not differences: they don't fit, or didn't
 	Offset int
 	Most   int // bytes
@@ -76,7 +76,7 @@
 	chance  random.Source
 	known   Version // the latest whose document is here, whole and of its hash
 	doc     Document
-	sure    bool // the council told of known; else it is what was stored
+	sure    bool // the coordinator told of known; else it is what was stored
 	here    Version
 	offered uint64 // mark of the latest that the host was told to adopt
 	wont    uint64
@@ -106,8 +106,8 @@
 // Advance sets the time; all that follows until the next call happens then.
 func (f *Follower) Advance(now float64) { f.now = math.Max(f.now, now) }
 
-// Stored says at start what was kept. It is gone by until the council has told what is in force: fields may overlap (all are
-// lenient), and a router that can't reach the council is nearer to the others with it than without.
+// Stored says at start what was kept. It is gone by until the coordinator has told what is in force: fields may overlap (all are
+// lenient), and a router that can't reach the coordinator is nearer to the others with it than without.
 func (f *Follower) Stored(v Version, d Document) {
 	if f.known.Number > 0 || v.Number == 0 {
 		return
@@ -119,7 +119,7 @@
 	f.known, f.doc = v, d
 }
 
-// VersionAnnounced takes in a version that some process of the council tells, and what led to it, if that was told. The teller may lag: an
+// VersionAnnounced takes in a version that some coordinator node tells, and what led to it, if that was told. The teller may lag: an
 // older version than one that is known says nothing.
 func (f *Follower) VersionAnnounced(v Version, x *Difference) {
 	mark, known := v.Number64(), f.known.Number64()
--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -217,7 +217,7 @@
 	s.at(s.b.Version)
 }
 
-// Another document under a version that the council has told already is never gone by.
+// Another document under a version that the coordinator has told already is never gone by.
 func TestConflict(t *testing.T) {
 	s := sit(t)
 	v := s.change(Document{"over_share_value": "0.2"})
@@ -232,7 +232,7 @@
 	}
 }
 
-// What was kept is gone by from the start, acknowledged once the council has told of it, and given up where the council has another
+// What was kept is gone by from the start, acknowledged once the coordinator has told of it, and given up where the coordinator has another
 // document under its version; what doesn't fit its hash counts as nothing.
 func TestStored(t *testing.T) {
 	s := sit(t)
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// A council that was set back without a new epoch takes no proposal: its number would be another document's.
+// A coordinator that was set back without a new epoch takes no proposal: its number would be another document's.
 func TestBarred(t *testing.T) {
 	b := &History{}
 	propose(b, 5, Document{"over_share_value": "0.2"})
--- a/internal/decide/policy/version.go
+++ b/internal/decide/policy/version.go
@@ -6,8 +6,8 @@
 	"unicode/utf8"
 )
 
-// Version names one document that was in force. Epoch, of the council's state, and Number order them: within an epoch Number grows
-// by one with each; an operator's new epoch gives what is in force then a new number; a council that lost all it knew
+// Version names one document that was in force. Epoch, of the coordinator's state, and Number order them: within an epoch Number grows
+// by one with each; an operator's new epoch gives what is in force then a new number; a coordinator that lost all it knew
 // begins a higher epoch with number 1.
 type Version struct {
 	Epoch  uint64   `cbor:"1,keyasint"`
--- a/internal/decide/raftnode/beats_test.go
+++ b/internal/decide/raftnode/beats_test.go
@@ -10,7 +10,7 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// trio is a council of three over disks in memory, on one clock, that counts what the three say to each other.
+// trio is a coordinator of three over disks in memory, on one clock, that counts what the three say to each other.
 type trio struct {
 	t        *testing.T
 	nodes    []*Node
@@ -109,7 +109,7 @@
 	return c.number
 }
 
-// began is a council of three with a leader, and sessions of a length.
+// began is a coordinator of three with a leader, and sessions of a length.
 func began(t *testing.T, sessions int, length uint64) *trio {
 	c := three(t)
 	for c.leader() == nil {
--- a/internal/decide/raftnode/epoch_test.go
+++ b/internal/decide/raftnode/epoch_test.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// begin is a council of one that begins by this epoch and with a session, s.
+// begin is a coordinator of one that begins by this epoch and with a session, s.
 func begin(t *testing.T, epoch, above uint64) *alone {
 	t.Helper()
 	n, fresh, err := New(Settings{Fleet: "f", Name: "c1", Peers: []Peer{{Name: "c1"}}, Epoch: epoch, Above: above, Tick: 10, Keep: 100, Log: quiet()},
@@ -26,7 +26,7 @@
 	return a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
 }
 
-// A council that is begun anew after its wall clock went back comes into an epoch of the past. Receivers refuse what it grants and say
+// A coordinator that is begun anew after its wall clock went back comes into an epoch of the past. Receivers refuse what it grants and say
 // so; it then grants nothing until an operator has begun an epoch above the one that they saw.
 func TestEpoch_BegunAnewAfterClockWentBack(t *testing.T) {
 	scope, receiver := lease.Scope{Lease: "d", About: "d"}, lease.NewReceiver()
@@ -43,7 +43,7 @@
 		t.Fatalf("granted again in an epoch of the past: %+v", a)
 	}
 	d, _ := anew.n.State().Lease("d")
-	anew.do(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as council recover does
+	anew.do(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as coordinator recover does
 	granted = anew.take()
 	if verdict, _ := receiver.Take(scope, "s", granted.Fence); !granted.Held || verdict != lease.Taken {
 		t.Errorf("granted %+v, which the receiver judges %v", granted, verdict)
--- a/internal/decide/raftnode/met.go
+++ b/internal/decide/raftnode/met.go
@@ -16,7 +16,7 @@
 	Last   uint64   `cbor:"5,keyasint"`
 }
 
-// KnownIncarnations remembers the folders of the council's other processes. Raft rests on a process remembering what it voted for and what
+// KnownIncarnations remembers the folders of the coordinator's other processes. Raft rests on a process remembering what it voted for and what
 // it acknowledged; one whose folder was lost, or put back from an older copy, may break that, so nothing of it is taken. What
 // it can't tell: a copy that is as old as the latest start, if this process started since and heard nothing in between.
 type KnownIncarnations struct {
--- a/internal/decide/raftnode/raftnode.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -1,5 +1,5 @@
-// Package raftnode decides what one process of the council does: Raft over the register's entries, by etcd's state machine,
-// which has neither clock nor socket nor disk. It owns the log as far as it is in memory, the register, the council's own
+// Package raftnode decides what one coordinator node does: Raft over the replicated state's entries, by etcd's state machine,
+// which has neither clock nor socket nor disk. It owns the log as far as it is in memory, the replicated state, the coordinator's own
 // members and who waits for what; it must never do I/O, read a clock, or answer before what it answers is durable.
 //
 // The host feeds it time, messages and requests, pulls decisions, and calls Saved once what a Save holds is on disk. The
@@ -29,18 +29,18 @@
 	mostPending   = 10000
 	mostBeats     = 512     // names in one entry
 	waitPart      = 16      // a beat waits for the tick only where that is less than this part of its session's length: its asker waits a quarter
-	mostPassed    = 60000   // ms in one entry, the register's own bound
+	mostPassed    = 60000   // ms in one entry, the replicated state's own bound
 	inFlight      = 64      // messages to one process without an answer
 	sizePerMsg    = 1 << 18 // bytes
 	uncommitted   = 4 << 20 // bytes of entries that wait for a majority
 	mostGone      = 1000
 	mostFindings  = 50         // told of one proposal
-	mostPeers     = 9          // of a council: more only make it slower
+	mostPeers     = 9          // of a coordinator: more only make it slower
 	format        = uint64(1)  // of the snapshot
 	catchUp       = uint64(64) // entries that a process may lack and still be called level
 )
 
-// Peer is a process of the council.
+// Peer is a coordinator node.
 type Peer struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint"`
@@ -63,8 +63,8 @@
 // Settings are given once. Times are ms.
 type Settings struct {
 	Fleet, Name   string
-	Peers         []Peer  // who begins the council, this process among them; empty: it joins one that has begun
-	Epoch         uint64  // in which a council begins that never had a leader: Unix seconds, so that it is above those before it
+	Peers         []Peer  // who begins the coordinator, this process among them; empty: it joins one that has begun
+	Epoch         uint64  // in which a coordinator begins that never had a leader: Unix seconds, so that it is above those before it
 	Above         uint64  // an epoch known to have been: the first one is above it also where the wall clock was stepped back; 0: none
 	Tick          float64 // heartbeat; elections come after ten to twenty of them
 	Keep          uint64  // entries until a snapshot is taken and the log is cut
@@ -131,7 +131,7 @@
 	beats   []beat            // wait for the tick
 	hurry   bool              // one of beats can't
 	out     []Decision
-	changed bool   // the council's members have, since the last snapshot
+	changed bool   // the coordinator's members have, since the last snapshot
 	events  uint64 // index of the latest that was told
 	failed  error  // an entry that this build doesn't know
 }
@@ -141,7 +141,7 @@
 	leasestate.Heartbeat
 }
 
-// record is one entry of the log: what becomes of the register, and who waits for it.
+// record is one entry of the log: what becomes of the replicated state, and who waits for it.
 type record struct {
 	By     uint64   `cbor:"1,keyasint"` // the process that took it
 	Number uint64   `cbor:"2,keyasint"`
@@ -173,7 +173,7 @@
 	return b
 }
 
-// DecodeSnapshot reads a snapshot: the council's own members, and the register.
+// DecodeSnapshot reads a snapshot: the coordinator's own members, and the replicated state.
 func DecodeSnapshot(fleet string, snapshot *raftpb.Snapshot) (map[uint64]Peer, *leasestate.State, error) {
 	i, reg, err := unpack(fleet, snapshot)
 	return i.Peers, reg, err
@@ -195,7 +195,7 @@
 	return encode(image{Format: format, Peers: peers, Register: reg.Snapshot(), Gone: gone})
 }
 
-// InitialSnapshot is the snapshot with which a council begins: the same at each of those who begin it. Its epoch is the first leader's
+// InitialSnapshot is the snapshot with which a coordinator begins: the same at each of those who begin it. Its epoch is the first leader's
 // to say.
 func InitialSnapshot(fleet string, peers []Peer) *raftpb.Snapshot {
 	conf := &raftpb.ConfState{}
@@ -209,7 +209,7 @@
 		Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 }
 
-// CheckPeers says what is wrong with who begins a council.
+// CheckPeers says what is wrong with who begins a coordinator.
 func CheckPeers(name string, peers []Peer) error {
 	ids, names := map[uint64]string{}, map[string]bool{}
 	for _, p := range peers {
@@ -401,7 +401,7 @@
 	return strings.Join(all, "\n")
 }
 
-// preview answers an entry as if it were committed; a planted defect.
+// preview answers an entry as if it were committed; a seeded defect.
 func (n *Node) preview(e leasestate.Entry) leasestate.Result {
 	r, err := leasestate.Restore(n.set.Fleet, n.reg.Snapshot())
 	if err != nil {
@@ -410,7 +410,7 @@
 	return r.Apply(r.Index()+1, e)
 }
 
-// flush proposes the beats that came since the last tick as entries of many: each of its own would have a council of three
+// flush proposes the beats that came since the last tick as entries of many: each of its own would have a coordinator of three
 // write hundreds of entries a second for a fleet of hundreds. A host asks At at each input, so that At must not flush each time.
 func (n *Node) flush() {
 	n.hurry = false
@@ -460,7 +460,7 @@
 	}
 }
 
-// ChangeMembership has processes join or leave the council, through a joint configuration.
+// ChangeMembership has processes join or leave the coordinator, through a joint configuration.
 func (n *Node) ChangeMembership(number uint64, add []Peer, remove []string) {
 	if !n.leads {
 		n.moved(number)
@@ -750,7 +750,7 @@
 // State gives the state as far as it is applied here; it must not be changed, nor kept.
 func (n *Node) State() *leasestate.State { return n.reg }
 
-// PeerStatus is how one process of the council stands, as this one sees it.
+// PeerStatus is how one coordinator node stands, as this one sees it.
 type PeerStatus struct {
 	Peer
 	Leader  bool
@@ -759,7 +759,7 @@
 	Known   bool   // Applied and Level are
 }
 
-// Peers gives the council's members as this process knows them, by name.
+// Peers gives the coordinator's members as this process knows them, by name.
 func (n *Node) Peers() (all []PeerStatus) {
 	for _, id := range slices.Sorted(maps.Keys(n.peers)) {
 		all = append(all, PeerStatus{Peer: n.peers[id], Leader: id == n.leader})
@@ -777,7 +777,7 @@
 	return all
 }
 
-// Peer gives a member of the council by its number.
+// Peer gives a member of the coordinator by its number.
 func (n *Node) Peer(id uint64) (Peer, bool) { p, ok := n.peers[id]; return p, ok }
 
 // IsLeader tells whether this process leads, as far as it knows, and in which term.
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -18,7 +18,7 @@
 	return l
 }
 
-// alone is a council of one over a disk in memory.
+// alone is a coordinator of one over a disk in memory.
 type alone struct {
 	t      *testing.T
 	n      *Node
@@ -197,7 +197,7 @@
 	}
 }
 
-// From one folder a council of one begins again, in a later epoch, with all that it held.
+// From one folder a coordinator of one begins again, in a later epoch, with all that it held.
 func TestRecover(t *testing.T) {
 	a := one(t, Stored{})
 	a.pass(500)
--- a/internal/decide/raftnode/recover.go
+++ b/internal/decide/raftnode/recover.go
@@ -13,17 +13,17 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// Recovery is what beginning a council again from one folder comes to.
+// Recovery is what beginning a coordinator again from one folder comes to.
 type Recovery struct {
 	Store     Decision // in place of all that is stored
 	Epoch     uint64   // that begins
 	Was       uint64
 	Index     uint64 // of the last entry that is kept
 	Committed uint64 // of the last one known to be agreed; those after it may or may not have been
-	GivenUp   []Peer // processes that are no more of the council
+	GivenUp   []Peer // processes that are no more of the coordinator
 }
 
-// Recover begins a council of one from what one of its processes had stored, in a later epoch. All its entries are kept, also
+// Recover begins a coordinator of one from what one of its processes had stored, in a later epoch. All its entries are kept, also
 // those that it doesn't know to be agreed: the ones who knew are lost. What only they had is given up; the later epoch
 // keeps it from doing harm.
 func Recover(fleet, name, addr string, stored Stored, above uint64) (Recovery, error) {
--- a/internal/decide/session/planted_debug.go
+++ b/internal/decide/session/planted_debug.go
@@ -2,6 +2,6 @@
 
 package session
 
-// Planted breaks one thing on purpose, so that a test can show that its checker finds it. In a release build nothing
-// can be planted.
+// Seeded breaks one thing on purpose, so that a test can show that its checker finds it. In a release build nothing
+// can be seeded.
 var Planted string
--- a/internal/decide/session/session.go
+++ b/internal/decide/session/session.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// MostKept is how many bytes of an answer are kept back so that its txn may still go elsewhere: what is longer is
+	// MostKept is how many bytes of an answer are kept back so that its request may still go elsewhere: what is longer is
 	// passed on as it comes.
 	MostKept = 16 << 10
-	// MostPrepared is how many statements a connection keeps prepared between two txns.
+	// MostPrepared is how many statements a connection keeps prepared between two requests.
 	MostPrepared = 256
 )
 
 // Policy is what a pool says of its sessions.
 type Policy struct {
-	Read, Write string // txn types of what has no label: declared read only, and all else; Write may be none
+	Read, Write string // request classes of what has no label: declared read only, and all else; Write may be none
 	Pins        bool   // a session may keep its connection for what can't follow it
 	Holds       bool   // it keeps it in any case, from its first statement on
 	Settings    int    // bytes of settings at most
@@ -382,7 +382,7 @@
 // Begin gives what goes before a unit of an extended query that no connection carries yet.
 func (s *Session) Begin() []Op { return s.begin() }
 
-// Label tells the txn that begins with the present unit: its label, else what the session has set, else what its pool
+// Label tells the request that begins with the present unit: its label, else what the session has set, else what its pool
 // says. none: nothing tells, so that it is once-only and for the primary.
 func (s *Session) Label() (label *pg.Statement, txnType, tenant string, none bool) {
 	if s.first != nil && s.first.Label != nil {
@@ -507,7 +507,7 @@
 }
 
 // Lost says that the connection that carried it has ended, or that it never got one; it tells whether the transaction
-// may have taken effect all the same. Its session goes on as after a transaction that was rolled back.
+// may have taken effect all the same. Its session goes on as after a transaction that was failed.
 func (s *Session) Lost(sent bool) (may bool) {
 	may = sent && s.commits
 	if s.status != 'I' { // its client must end the transaction that it thinks it is in
--- a/internal/decide/slowstart/slowstart.go
+++ b/internal/decide/slowstart/slowstart.go
@@ -1,5 +1,5 @@
 // Package slowstart is a token bucket for what a cold member may be sent by one of many routers that know nothing of each other.
-// It owns what has added up for one member; it must never know which txn it is for, or read a clock.
+// It owns what has added up for one member; it must never know which request it is for, or read a clock.
 package slowstart
 
 import "math"
@@ -34,7 +34,7 @@
 }
 
 // Allows tells whether one more of this size may go now, where so many routers together may send so much in a window and
-// this one's part of it comes at rate a ms. It adds up from a start by chance, since a part is often far less than one txn:
+// this one's part of it comes at rate a ms. It adds up from a start by chance, since a part is often far less than one request:
 // routers take turns. It lapses, since all would spend in one burst what they had saved up: no window sees more than
 // the rate over it and over the time that a share lasts, and both together are its whole budget.
 func (b *Bucket) Allows(now, rate, size, window, routers float64, chance func() float64) bool {
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -34,15 +34,15 @@
 
 const window, size = 2000.0, 500.0
 
-// Whenever txns come, and however long none came before, no window of any play sees more than its budget and the tolerance of
+// Whenever requests come, and however long none came before, no window of any play sees more than its budget and the tolerance of
 // the rule (STANDING: N + 2 roots + 2; under 30: N + 3 roots + 3), though each play spends all that there is. The narrow
 // tolerance, which bound for small budgets before, is passed in one play of twenty at the most. One that always asks gets its
 // rate, as far as the tolerance leaves room for chance.
 func TestNoWindowSeesMoreThanItsBudget(t *testing.T) {
 	const plays = 20
 	for _, routers := range []int{1, 7, 30, 300, 900} {
-		for _, budget := range []float64{2, 5, 20, 29, 30, 60, 200} { // txns in a window, by all
-			for _, quiet := range []float64{0, 900, 20000} { // ms without a txn before all come at once
+		for _, budget := range []float64{2, 5, 20, 29, 30, 60, 200} { // requests in a window, by all
+			for _, quiet := range []float64{0, 900, 20000} { // ms without a request before all come at once
 				t.Run(fmt.Sprintf("%d routers, budget %.0f, quiet for %.0f", routers, budget, quiet), func(t *testing.T) {
 					t.Parallel()
 					narrow, over, sum := budget+2*math.Sqrt(budget)+2, 0, 0
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -1,10 +1,10 @@
-// Package switchover decides a planned change of a group's primary: what its owner does, step by step, each noted in the register
+// Package switchover decides a planned change of a group's primary: what its owner does, step by step, each noted in the replicated state
 // before it is taken, so that the next owner knows where the last one stood; and what a router makes of being asked to hold
 // writes. It owns the order of steps and the bounds; it must never do one itself, or hold a write for longer than a router's
 // own bound whatever becomes of the owner.
 //
 // What a late owner could do: release writes to a primary that yielded, or have a second member take over. Each step goes with
-// the fence of the owner's grant; a router that has seen a higher one refuses it, and so does a member, by its guard row, in
+// the fencing token of the owner's grant; a router that has seen a higher one refuses it, and so does a member, by its guard row, in
 // the same transaction as the step.
 package switchover
 
@@ -19,7 +19,7 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// LeaseName names the duty of a group.
+// LeaseName names the lease of a group.
 func LeaseName(group int) string { return fmt.Sprintf("handover/%d", group) }
 
 // Steps, as they are noted. Each says what is done next, so that one that is noted may have been taken or not.
@@ -47,10 +47,10 @@
 
 const (
 	FindPrimary   Action = iota // ask the group's members which one is primary: Found
-	RecordStep                  // note Text in the register: Noted
+	RecordStep                  // note Text in the replicated state: Noted
 	CommandRouter               // tell router To: Told
-	CommandMember               // have member To take Step, under the fence: Done
-	EndOrder                    // the order is over, as Text says: a word for the log, the Desk owes it to the council
+	CommandMember               // have member To take Step, under the fencing token: Done
+	EndOrder                    // the order is over, as Text says: a word for the log, the Desk owes it to the coordinator
 )
 
 // RouterCommand is what a router is told.
@@ -62,9 +62,9 @@
 	ReleaseWrites
 )
 
-// What a member is to do. Each may be asked again, and is refused without an effect where the member has seen a higher fence.
+// What a member is to do. Each may be asked again, and is refused without an effect where the member has seen a higher fencing token.
 const (
-	FenceMember = "bar"   // nothing, but refuse lower fences from then on
+	FenceMember = "bar"   // nothing, but refuse lower fencing tokens from then on
 	StepDown    = "yield" // take no more writes
 	Promote     = "take"  // take writes
 )
@@ -74,7 +74,7 @@
 
 const (
 	Succeeded Outcome = iota
-	Fenced            // the member has seen a higher fence
+	Fenced            // the member has seen a higher fencing token
 	Failed            // it had no effect, for a reason that may pass or not
 	Unknown           // it may have had one
 )
@@ -86,7 +86,7 @@
 	To     string
 	Word   RouterCommand
 	Step   string
-	Rank   uint64  // Do: of this step among those under one fence; the member refuses a lower one, as it does a lower fence
+	Rank   uint64  // Do: of this step among those under one fencing token; the member refuses a lower one, as it does a lower fencing token
 	Most   float64 // Hold: for so many ms at most
 }
 
@@ -124,7 +124,7 @@
 func Order(to string) string { return "to " + to }
 
 // NewExecutor takes an order up where the steps say that it stands.
-// rank is that of the last step under this fence: a step that was sent and not answered may still arrive after later ones of the
+// rank is that of the last step under this fencing token: a step that was sent and not answered may still arrive after later ones of the
 // same owner, and must be refused as one of a former owner is.
 func NewExecutor(set Settings, order string, steps []leasestate.Step, rank uint64, now float64) (*Executor, error) {
 	to, ok := strings.CutPrefix(order, "to ")
@@ -383,7 +383,7 @@
 // Over tells whether nothing is left to do, whether the order has ended or another owns it.
 func (o *Executor) Over() bool { return o.over && len(o.out) == 0 }
 
-// RankBits are those below a fence's number in a guard row; an owner that has used most of them gives its duty back.
+// RankBits are those below a fencing token's number in a guard row; an owner that has used most of them gives its lease back.
 const RankBits = 10
 
 // Phase tells where it stands, for people.
@@ -399,23 +399,23 @@
 	return d, true
 }
 
-// OrderState is what a process keeps of a group's duty between orders, and between two spells of owning it under one fence: the rank that
+// OrderState is what a process keeps of a group's lease between orders, and between two spells of owning it under one fencing token: the rank that
 // its steps have come to, which members remember, and the order that it ended last. Its zero is of one that never owned it.
 type OrderState struct {
 	fence lease.Token
 	rank  uint64
 	ended leasestate.Order // the order that was ended last, and how
-	owes  bool             // the council has yet to be told of that
+	owes  bool             // the coordinator has yet to be told of that
 }
 
-// BeginLease begins a spell under a fence; under the one before, it goes on.
+// BeginLease begins a spell under a fencing token; under the one before, it goes on.
 func (d *OrderState) BeginLease(fence lease.Token) {
 	if fence != d.fence {
 		*d = OrderState{fence: fence}
 	}
 }
 
-// Take gives an owner to the open order, where there is one to be carried out here; else nil. What the council tells may come from a
+// Take gives an owner to the open order, where there is one to be carried out here; else nil. What the coordinator tells may come from a
 // process of it that lags: orders up to the last that was ended are old.
 func (d *OrderState) Take(set Settings, open leasestate.Order, steps []leasestate.Step, now float64) (*Executor, error) {
 	if open.Number <= d.ended.Number {
@@ -435,16 +435,16 @@
 	}
 }
 
-// UnreportedEnd gives the order whose end the council has yet to be told of: until it has been, nobody can give another.
+// UnreportedEnd gives the order whose end the coordinator has yet to be told of: until it has been, nobody can give another.
 func (d *OrderState) UnreportedEnd() (leasestate.Order, bool) { return d.ended, d.owes }
 
-// EndReported says that the council has taken it.
+// EndReported says that the coordinator has taken it.
 func (d *OrderState) EndReported(number uint64) { d.owes = d.owes && d.ended.Number != number }
 
-// NeedsNewToken tells that another fence is needed before another order is taken up: few ranks are left under this one.
+// NeedsNewToken tells that another fencing token is needed before another order is taken up: few ranks are left under this one.
 func (d *OrderState) NeedsNewToken() bool { return d.rank > 1<<RankBits-100 }
 
-// WriteHolds is a router's part: which groups' writes wait, and until when. A handover is named by its fence's epoch and its order's
+// WriteHolds is a router's part: which groups' writes wait, and until when. A switchover is named by its fencing token's epoch and its order's
 // number; the same one never holds for longer than its bound, however often it asks.
 type WriteHolds struct {
 	bound float64
@@ -457,7 +457,7 @@
 	over          bool
 }
 
-// NewWriteHolds makes a router's part; bound is the most, in ms, that it holds for one handover.
+// NewWriteHolds makes a router's part; bound is the most, in ms, that it holds for one switchover.
 func NewWriteHolds(bound float64) *WriteHolds {
 	return &WriteHolds{bound: bound, holds: map[int]holding{}}
 }
@@ -478,7 +478,7 @@
 	return g.holds[group].until
 }
 
-// Release lets a group's writes go; what still asks to hold for the same handover, later, asks in vain.
+// Release lets a group's writes go; what still asks to hold for the same switchover, later, asks in vain.
 func (g *WriteHolds) Release(group int, fence lease.Token, number uint64) {
 	g.holds[group] = holding{epoch: fence.Epoch, number: number, over: true}
 }
--- a/internal/decide/switchover/switchover_test.go
+++ b/internal/decide/switchover/switchover_test.go
@@ -12,10 +12,10 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// world is a group of members, the register's steps and some routers, for one order and its owners.
+// world is a group of members, the replicated state's steps and some routers, for one order and its owners.
 type world struct {
 	now     float64
-	guard   map[string]int // by member: the highest fence seen
+	guard   map[string]int // by member: the highest fencing token seen
 	primary map[string]bool
 	steps   []leasestate.Step
 	ended   string
@@ -40,7 +40,7 @@
 	return &world{guard: map[string]int{}, primary: map[string]bool{"m1": true}}
 }
 
-// at has a member take a step under a fence, as its guard row and its own part have it.
+// at has a member take a step under a fencing token, as its guard row and its own part have it.
 func (w *world) at(member, step string, fence int) Outcome {
 	if fence < w.guard[member] {
 		return Fenced
@@ -246,7 +246,7 @@
 	})
 }
 
-// A router holds for one handover no longer than its own bound, however often it is asked; once it was told that it is over,
+// A router holds for one switchover no longer than its own bound, however often it is asked; once it was told that it is over,
 // not at all.
 func TestGuests(t *testing.T) {
 	g, f := NewWriteHolds(1000), lease.Token{Epoch: 1, Count: 4}
@@ -269,7 +269,7 @@
 	}
 }
 
-// What a process knows of a duty outlives a gap under the same fence, not another's grant; an end is owed until it has been told.
+// What a process knows of a lease outlives a gap under the same fencing token, not another's grant; an end is owed until it has been told.
 func TestDesk(t *testing.T) {
 	var d OrderState
 	f := lease.Token{Epoch: 1, Count: 4}
--- a/internal/eventloop/alarm_test.go
+++ b/internal/eventloop/alarm_test.go
@@ -12,8 +12,8 @@
 // nowhere carries nothing: nothing is decided for a member.
 type nowhere struct{ Backend }
 
-// The module's alarm rings while a batch is handled that began before its time. It asks for another: nothing else may come in,
-// and what waits has to get its answer. The order is forced: the alarm is in the mailbox when the batch, begun earlier, takes it out.
+// The module's timer rings while a batch is handled that began before its time. It asks for another: nothing else may come in,
+// and what waits has to get its answer. The order is forced: the timer is in the mailbox when the batch, begun earlier, takes it out.
 func TestTheAlarmRingsInAnEarlierBatch(t *testing.T) {
 	kinds := map[string]*router.RequestClass{"write": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, Effect: router.NonIdempotent, Level: router.Write}}
 	h := New(NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: kinds}, 1), kinds, func() {})
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -10,8 +10,8 @@
 	"wayloft/router"
 )
 
-// Backend carries submissions and checks to members. How each ended comes back by Returned and Checked. Abandon gives
-// up what of a txn may not have run yet.
+// Backend carries attempts and checks to members. How each ended comes back by Returned and Checked. Abandon gives
+// up what of a request may not have run yet.
 type Backend interface {
 	Abandon(txn string)
 	SendAttempt(txn *request.Request, seq int, member string, wait, by float64)
@@ -20,7 +20,7 @@
 	CloseIdle(member string)
 }
 
-// Driver drives one module: events go in, decisions are pulled and carried out, and an alarm is kept for it. It
+// Driver drives one module: events go in, decisions are pulled and carried out, and an timer is kept for it. It
 // carries out, it must never decide.
 type Driver struct {
 	*Loop
@@ -42,7 +42,7 @@
 	membersJudge bool
 }
 
-// entry is a txn that is not over, or has a submission out.
+// entry is a request that is not over, or has an attempt out.
 type entry struct {
 	txn       *request.Request
 	sent, out int
@@ -63,7 +63,7 @@
 	return &Driver{Loop: loop, router: r, kinds: kinds, watch: watch, open: map[string]*entry{}, confirming: map[string]bool{}}
 }
 
-// SetBackend names who carries submissions.
+// SetBackend names who carries attempts.
 func (h *Driver) SetBackend(m Backend) { h.members = m }
 
 // Run runs the loop until it ends.
@@ -78,7 +78,7 @@
 	return h.router
 }
 
-// Arrive takes a txn in.
+// Arrive takes a request in.
 func (h *Driver) Arrive(t *request.Request) error {
 	if h.open[t.ID] != nil {
 		return ErrID
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// ClientGone says that the client of a txn has left: nothing is owed any more, and what is not written yet isn't written. Guards
-// against a submission that waits for a connection to come up, and goes out long after.
+// ClientGone says that the client of a request has left: nothing is owed any more, and what is not written yet isn't written. Guards
+// against an attempt that waits for a connection to come up, and goes out long after.
 func (h *Driver) ClientGone(t *request.Request) {
 	if t.ClientGone() {
 		h.hear().ClientGone(t.ID)
@@ -113,7 +113,7 @@
 	}
 }
 
-// AttemptEnded says how a submission ended; rows is what the member answered, where it committed.
+// AttemptEnded says how an attempt ended; rows is what the member answered, where it committed.
 func (h *Driver) AttemptEnded(t *request.Request, seq int, member string, how router.Outcome, took float64,
 	role router.Role, gtid float64, rows []byte) {
 	// Its client has had a part, or has cancelled it: it can't begin anew.
@@ -129,13 +129,13 @@
 	h.forget(t.ID)
 }
 
-// TurnChanged says whose turn it is in a txn of several questions: the member's, or its client's or the pool's, who have it
+// TurnChanged says whose turn it is in a request of several questions: the member's, or its client's or the pool's, who have it
 // rest.
 func (h *Driver) TurnChanged(t *request.Request, seq int, rests bool) {
 	h.hear().TurnChanged(t.ID, seq, rests, t.Stream != nil && t.Stream.Started())
 }
 
-// StatementFailed says that a member found a submission's statement at fault: it did not run, and tells nothing of the member.
+// StatementFailed says that a member found an attempt's statement at fault: it did not run, and tells nothing of the member.
 func (h *Driver) StatementFailed(t *request.Request, seq int, member string, e *pg.Error) {
 	h.hear().AttemptEnded(t.ID, seq, router.NotSent, 0, true, router.RoleUnknown, router.Never)
 	if !t.Over() {
@@ -178,10 +178,10 @@
 // HoldWrites has writes of a group wait until then; an earlier time lets them go.
 func (h *Driver) HoldWrites(group int, until float64) { h.hear().HoldWrites(group, until) }
 
-// UpdateSettings conveys settings with other values and tenants; which txn types there are, and what else is fixed of them, stays.
+// UpdateSettings conveys settings with other values and tenants; which request classes there are, and what else is fixed of them, stays.
 func (h *Driver) UpdateSettings(set *router.Settings) { h.hear().UpdateSettings(set) }
 
-// Writes counts the txns of a group that need its primary: those that are out there, and those that wait.
+// Writes counts the requests of a group that need its primary: those that are out there, and those that wait.
 func (h *Driver) Writes(group int) (out, waiting int) {
 	for _, e := range h.open {
 		kind := h.kinds[e.txn.TxnType]
@@ -200,7 +200,7 @@
 // List gives the module to be told of the list.
 func (h *Driver) List() *router.Router { return h.hear() }
 
-// forget drops a txn once nothing can come of it; until then its id is in use.
+// forget drops a request once nothing can come of it; until then its id is in use.
 func (h *Driver) forget(id string) {
 	if e := h.open[id]; e.txn.Over() && e.out == 0 {
 		delete(h.open, id)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -53,7 +53,7 @@
 }
 
 // Guards against taking an interrupted call for the end of a connection: under load the runtime's own signals
-// interrupted one in some thousands, and the session was dropped with its txn while its client went on waiting.
+// interrupted one in some thousands, and the session was dropped with its request while its client went on waiting.
 func TestSignalsAreNoEnd(t *testing.T) {
 	l := NewLoop(256)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fakes/pgserver/server.go
+++ b/internal/fakes/pgserver/server.go
@@ -1,4 +1,4 @@
-// Package pgserver is a stand-in for a small PostgreSQL server and its cluster, after the public protocol: transactions,
+// Package pgserver is a fake for a small PostgreSQL server and its cluster, after the public protocol: transactions,
 // settings, prepared statements, COPY, cancels, over one table. It owns its sockets, on loopback, and the record of what
 // each connection was told; it must never import what it stands in for.
 package pgserver
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -19,10 +19,10 @@
 	"wayloft/internal/rpc"
 )
 
-// oneTry is how long one process of the council has for an answer, before another is asked.
+// oneTry is how long one coordinator node has for an answer, before another is asked.
 const oneTry = 600 * time.Millisecond
 
-// Client asks the council: whoever leads it, by way of whoever answers.
+// Client asks the coordinator: whoever leads it, by way of whoever answers.
 type Client struct {
 	fleet string
 	addrs []string
@@ -182,9 +182,9 @@
 	return rpc.DecodeResult(got), nil
 }
 
-// LatestTokens asks where duties' fences stand now: one question, whose answer is by one word of a majority, at most agent.MostStands of them.
-// The fences are in the duties' order, never more, and none is left out in between. A process that doesn't know such a question finds
-// no entry in it and refuses it, so an older one is never taken to say that all stand at nothing: processes of the council are brought up
+// LatestTokens asks where leases' fencing tokens stand now: one question, whose answer is by one word of a majority, at most agent.MostStands of them.
+// The fencing tokens are in the leases' order, never more, and none is left out in between. A process that doesn't know such a question finds
+// no entry in it and refuses it, so an older one is never taken to say that all stand at nothing: coordinator nodes are brought up
 // to date before routers.
 func (c *Client) LatestTokens(ctx context.Context, duties []string) ([]lease.Token, error) {
 	a, err := c.request(ctx, &fleetpb.Request{Stands: duties})
@@ -224,7 +224,7 @@
 	return s, err
 }
 
-// ChangeMembership has processes join or leave the council.
+// ChangeMembership has processes join or leave the coordinator.
 func (c *Client) ChangeMembership(ctx context.Context, m *fleetpb.Members) (a leasestate.Result, err error) {
 	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		got, err := to.Change(ctx, m)
@@ -240,7 +240,7 @@
 // quiet is how long a watch may say nothing: an empty word comes each second.
 const quiet = 4 * time.Second
 
-// Watch hears of what changes from some process of the council, until ctx ends or it falls silent. What it tells first is all
+// Watch hears of what changes from some coordinator node, until ctx ends or it falls silent. What it tells first is all
 // there is; without sessions, those of others are left out.
 func (c *Client) Watch(ctx context.Context, without bool, deliver func(*fleetpb.Update)) error {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -22,7 +22,7 @@
 	"wayloft/internal/rpc"
 )
 
-// answering is a process of the council that answers by a function.
+// answering is a coordinator node that answers by a function.
 type answering struct {
 	fleetpb.UnimplementedCouncilServer
 	do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)
@@ -71,7 +71,7 @@
 	}
 }
 
-// One call asks where many duties stand, and again as a whole where another process leads; what says less than that is no answer.
+// One call asks where many leases stand, and again as a whole where another process leads; what says less than that is no answer.
 func TestStandsInOneCall(t *testing.T) {
 	calls := atomic.Int32{}
 	leader := serves(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// A process that starts where there are 164 groups asks the council where their duties stand in two calls, and goes by the answer.
+// A process that starts where there are 164 groups asks the coordinator where their leases stand in two calls, and goes by the answer.
 func TestAStartAsksInTwoCalls(t *testing.T) {
 	asked := make(chan []string, 400)
 	council := serves(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -26,8 +26,8 @@
 type Adapter struct {
 	User, Database string
 	Primary        string  // one row, true at the member that takes writes
-	Guard          string  // $1: the fence, and the step's rank under it; changes one row, none where the member has seen a higher one
-	Seen           string  // the guard row's fence, as one row; none where there is no guard row
+	Guard          string  // $1: the fencing token, and the step's rank under it; changes one row, none where the member has seen a higher one
+	Seen           string  // the guard row's fencing token, as one row; none where there is no guard row
 	Yield, Take    string  // in the same transaction as Guard
 	Within         float64 // ms, for one step
 }
@@ -65,7 +65,7 @@
 	return text == "t" || text == "true" || text == "on", nil
 }
 
-// step does one step at a member, under a fence.
+// step does one step at a member, under a fencing token.
 func (a *Adapter) step(ctx context.Context, addr, step string, fence lease.Token, rank uint64) (switchover.Outcome, error) {
 	number := int64(fence.Number()<<switchover.RankBits | rank)
 	c, err := a.connect(ctx, addr)
@@ -103,19 +103,19 @@
 	return switchover.Succeeded, nil
 }
 
-// handing is the duty of handover, held for a group.
+// handing is the lease of switchover, held for a group.
 type handing struct {
 	group  int
 	fence  lease.Token
 	desk   *switchover.OrderState
 	number uint64
 	owner  *switchover.Executor // of the order that is carried out; else nil
-	noteAt float64              // when the council may be told again how the last one ended
+	noteAt float64              // when the coordinator may be told again how the last one ended
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// hand goes on with a handover, if one is ordered.
+// hand goes on with a switchover, if one is ordered.
 func (l *Node) hand(duty string, now float64) {
 	h := l.hands[duty]
 	if h.owner == nil {
@@ -172,7 +172,7 @@
 	}
 }
 
-// clip keeps a text within what the register takes.
+// clip keeps a text within what the replicated state takes.
 func clip(s string) string {
 	if len(s) > 250 {
 		s = s[:250]
@@ -180,7 +180,7 @@
 	return s
 }
 
-// still has a handover's owner hear of something, if it is the one that waits for it: the duty may be another's by now, or the
+// still has a switchover's owner hear of something, if it is the one that waits for it: the lease may be another's by now, or the
 // order the next.
 func (l *Node) still(duty string, h *handing, o *switchover.Executor, f func()) {
 	if l.hands[duty] == h && h.owner == o {
@@ -189,7 +189,7 @@
 	}
 }
 
-// note has the register note a step, or the end.
+// note has the replicated state note a step, or the end.
 func (l *Node) note(duty string, h *handing, e leasestate.Entry, done func(ok bool)) {
 	e.Lease, e.Token = duty, h.fence
 	e = l.agent.Entry(e)
@@ -272,7 +272,7 @@
 	}
 }
 
-// tell gives a router a word of a handover.
+// tell gives a router a word of a switchover.
 func (l *Node) tell(duty string, h *handing, owner *switchover.Executor, d switchover.Decision) {
 	for _, s := range l.agent.Sessions("router") {
 		if s.Name != d.To {
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -1,6 +1,6 @@
-// Package fleet is a process's way to its fleet: its session with the council, the duties it holds, the orders it takes of
+// Package fleet is a process's way to its fleet: its session with the coordinator, the leases it holds, the orders it takes of
 // others'. It carries out what decide/leaseclient, decide/healthshare and decide/switchover decide. It owns a goroutine, a listener and
-// connections of its own; it must never have a txn wait, and whatever becomes of it the router serves on.
+// connections of its own; it must never have a request wait, and whatever becomes of it the router serves on.
 package fleet
 
 import (
@@ -42,7 +42,7 @@
 	connections = 1024            // of those who give orders
 	handshake   = 5 * time.Second // for one of them to begin to speak the protocol
 	again       = 500.0           // ms until the router is asked again which groups there are, where too much waited for it
-	farewell    = time.Second     // to tell the council that this process leaves
+	farewell    = time.Second     // to tell the coordinator that this process leaves
 )
 
 // Router is what the fleet's part asks of a router. All but Post are called on the router's own loop.
@@ -74,11 +74,11 @@
 	Listen                       string            // for orders; Address is what others are told, Listen where it is empty
 	Address                      string
 	SessionTimeout, SafetyMargin float64
-	HealthSharePeriod            float64 // between two looks at a member, for who owns sight; 0: this process would not
-	SwitchoverEnabled            bool    // this process would carry handovers out
+	HealthSharePeriod            float64 // between two looks at a member, for who owns health sharing; 0: this process would not
+	SwitchoverEnabled            bool    // this process would carry switchovers out
 	Switchover                   switchover.Settings
 	Adapter                      *Adapter
-	MaxHold                      float64 // the most that writes wait here for one handover
+	MaxHold                      float64 // the most that writes wait here for one switchover
 	ClockOffset                  float64 // ms that this process's clock is ahead, for tests
 	Record                       *audit.Log
 	PolicyRate                   float64 // bytes a second that fetching the policy may take; 0: 2560
@@ -96,7 +96,7 @@
 	ctx     context.Context
 	ended   chan struct{}
 	follow  *following
-	owns    atomic.Bool        // a duty: it needs the sessions of those whom it gives orders
+	owns    atomic.Bool        // a lease: it needs the sessions of those whom it gives orders
 	rewatch context.CancelFunc // ends the watch that leaves them out; under mu
 	mu      sync.Mutex
 	groups  map[int][]Member
@@ -104,10 +104,10 @@
 	changed chan struct{}                     // they have changed
 	asked   int                               // how often it was asked
 	heard   int                               // the latest of these that it has answered
-	wanted  map[string]bool                   // duties that it would own, of groups that are listed
-	desks   map[string]*switchover.OrderState // by duty, while it is wanted
-	looks   map[string]*looker                // by duty, while it is held
-	hands   map[string]*handing               // by duty, while it is held
+	wanted  map[string]bool                   // leases that it would own, of groups that are listed
+	desks   map[string]*switchover.OrderState // by lease, while it is wanted
+	looks   map[string]*looker                // by lease, while it is held
+	hands   map[string]*handing               // by lease, while it is held
 	guests  *switchover.WriteHolds
 	ways    map[string]*grpc.ClientConn // to other processes, by address
 	hosted  chan func()                 // what the router's loop is to do, in order
@@ -115,7 +115,7 @@
 	seen    atomic.Int64                // positions heard of from others
 }
 
-// looker is sight, held for a group.
+// looker is health sharing, held for a group.
 type looker struct {
 	group int
 	fence lease.Token
@@ -372,7 +372,7 @@
 	}
 }
 
-// ask carries a request to the council. A quarter of the session's length is enough for an answer, or for another try.
+// ask carries a request to the coordinator. A quarter of the session's length is enough for an answer, or for another try.
 func (l *Node) ask(d leaseclient.Decision) {
 	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.SessionTimeout/4*float64(time.Millisecond)))
 	defer cancel()
@@ -457,7 +457,7 @@
 	}
 }
 
-// look does what sight of a group decides.
+// look does what health sharing of a group decides.
 func (l *Node) look(duty string, now float64) {
 	k := l.looks[duty]
 	k.owner.Advance(now)
@@ -547,8 +547,8 @@
 	}
 }
 
-// Act is the service's: an order of a duty's owner. Its fence is judged and what it says is handed to the router in one go, so
-// that nothing under a lower fence can come in between.
+// Act is the service's: an order of a lease's owner. Its fencing token is judged and what it says is handed to the router in one go, so
+// that nothing under a lower fencing token can come in between.
 func (l *Node) Act(ctx context.Context, o *fleetpb.Order) (*fleetpb.Verdict, error) {
 	if l.ctx == nil || ctx.Err() != nil {
 		return nil, status.Error(codes.Unavailable, "not up")
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -29,7 +29,7 @@
 	Save(policy.Version, policy.Document) error
 }
 
-// Policies are what a council keeps of the policy: the version in force with its document, and the latest changes, it last.
+// Policies are what a coordinator keeps of the policy: the version in force with its document, and the latest changes, it last.
 type Policies struct {
 	Version  policy.Version // Number 0: nothing was ever proposed
 	Document policy.Document
@@ -78,7 +78,7 @@
 	return all, err
 }
 
-// part asks one process of the council for a part of the policy: the one that is watched first, since what it told it has.
+// part asks one coordinator node for a part of the policy: the one that is watched first, since what it told it has.
 func (c *Client) part(ctx context.Context, q policy.Request, first bool) (p policy.Part, err error) {
 	c.mu.Lock()
 	addr := c.watched
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -24,7 +24,7 @@
 // patience is how long a test waits for what must come; it says nothing of how long that takes.
 const patience = 60 * time.Second
 
-// house is a council of three on sockets.
+// house is a coordinator of three on sockets.
 type house struct {
 	t     *testing.T
 	addrs []string
@@ -267,7 +267,7 @@
 	told("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Number64() })
 }
 
-// deaf leads a council, and gives no answer to the first that asks.
+// deaf leads a coordinator, and gives no answer to the first that asks.
 type deaf struct {
 	fleetpb.UnimplementedCouncilServer
 	asked chan bool
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -25,7 +25,7 @@
 // PolicyStore keeps a policy in a folder of this router's own, in two generations: "policy", and the one before it. Each is written
 // whole under another name, synced, and only then given its name, with a sum over all its bytes: a process that ends at any
 // moment, or a disk that fills up, leaves at least one as it was. A file that is wrong is set aside (".wrong") and counts as
-// none. It says what to begin with; what is in force the council says.
+// none. It says what to begin with; what is in force the coordinator says.
 type PolicyStore struct{ Dir, Fleet string }
 
 // kept is what a file holds, after the SHA-256 of its bytes.
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -32,7 +32,7 @@
 }
 
 // limitWait has a request that is taken while the router drains end before the process may be killed. One that comes later has no
-// time left: it is declined, and never sent to a member.
+// time left: it is rejected, and never sent to a member.
 func (a *Frontend) limitWait(t *request.Request) {
 	if a.draining {
 		t.LimitWait(max(0, a.answerBy-t.Arrived))
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
 // Package frontend serves the clients' side: it owns the sessions, the order of their queries and the drain. It must
-// never know a member, and never give a txn an answer that no member and no decision made.
+// never know a member, and never give a request an answer that no member and no decision made.
 package frontend
 
 import (
@@ -17,7 +17,7 @@
 
 const (
 	ahead   = 256  // messages that a session may send ahead
-	surplus = 4096 // queries beyond them that are declined one by one, before the session ends
+	surplus = 4096 // queries beyond them that are rejected one by one, before the session ends
 	pause   = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
 	hurry   = 2000.   // ms within which a session must ask its first, and send the rest of a message
 	idling  = 10e3    // ms that a session may then rest between two queries
@@ -44,7 +44,7 @@
 	ending   int      // sessions whose connection ends, but has not ended yet
 	pooling  *Pooling // nil: all have the platform's form
 	keys     map[pg.Key]*pooled
-	ids      uint64  // txns without an id of their client's
+	ids      uint64  // requests without an id of their client's
 	draining bool    // SIGTERM has come
 	answerBy float64 // by when each request has its final answer then
 	leaving  bool    // each session ends once nothing of it is left to answer
@@ -332,7 +332,7 @@
 	}
 }
 
-// decline has one more query declined at its turn. Guards against answers that are lost with the session's end: its client may have
+// rejection has one more query rejected at its turn. Guards against answers that are lost with the session's end: its client may have
 // meant all of them, and waits for each.
 func (s *session) decline() {
 	s.all.Refused++
@@ -363,7 +363,7 @@
 	s.all.held += n
 }
 
-// next answers what can be answered at once, up to the first txn.
+// next answers what can be answered at once, up to the first request.
 func (s *session) next() {
 	if s.p != nil {
 		s.p.next()
@@ -432,7 +432,7 @@
 	s.conn.Write(pg.AppendReady(pg.AppendError(nil, e, false)))
 }
 
-// take hands a txn over.
+// take hands a request over.
 func (s *session) take(text string, at float64) {
 	t, err := s.arrive(text, at)
 	var bad *pg.Error
--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -19,10 +19,10 @@
 // Pool is what clients of a user and database share.
 type Pool struct {
 	Name, User, Database string // User "": any
-	Plain                bool   // the platform's form: one statement with a comment, one txn
+	Plain                bool   // the platform's form: one statement with a comment, one request
 	Policy               decide.Policy
 	Group                int
-	Fallback             string // txn type of what neither a label nor a setting nor the policy tells
+	Fallback             string // request class of what neither a label nor a setting nor the policy tells
 	Known                func() *iradix.Tree[string]
 }
 
@@ -30,8 +30,8 @@
 type Pooling struct {
 	Pools []*Pool
 	Seed  uint64
-	Again map[string]bool // txn types that may run again
-	Write map[string]bool // txn types that change something
+	Again map[string]bool // request classes that may run again
+	Write map[string]bool // request classes that change something
 }
 
 // Pooled gives clients pools; it is called before the first comes.
@@ -56,7 +56,7 @@
 	return p != nil && p.Plain
 }
 
-// pooled is a session whose txns are transactions: what its client says, in order, up to where it must wait.
+// pooled is a session whose requests are transactions: what its client says, in order, up to where it must wait.
 type pooled struct {
 	s    *session
 	pool *Pool
@@ -333,7 +333,7 @@
 	p.asked, p.open, p.copying = false, false, false
 }
 
-// arrive hands a txn over that begins with these, which came at that time.
+// arrive hands a request over that begins with these, which came at that time.
 func (p *pooled) arrive(ops []decide.Op, at float64) {
 	a := p.s.all
 	if p.saying(ops); a.held > a.budget {
@@ -379,9 +379,9 @@
 	}
 }
 
-const mostWait = 1e12 // ms: as long as the txn type lets it
+const mostWait = 1e12 // ms: as long as the request class lets it
 
-// nextID makes the id of a txn that has none of its client's.
+// nextID makes the id of a request that has none of its client's.
 func (a *Frontend) nextID() string {
 	a.ids++
 	h := fnv.New64a()
@@ -444,7 +444,7 @@
 	}
 }
 
-// deliver takes the final answer of a txn. What a member committed, the client has heard already.
+// deliver takes the final answer of a request. What a member committed, the client has heard already.
 func (p *pooled) deliver(a request.Response) {
 	t := p.txn
 	if t == nil {
@@ -482,7 +482,7 @@
 		p.Ended(&pg.Error{Code: pg.GoingDown, Text: e.Text + "; the connection that this session kept has ended"})
 		return
 	}
-	p.held = kept // it was declined, and stays where it was
+	p.held = kept // it was rejected, and stays where it was
 	p.fail(e)
 }
 
@@ -500,7 +500,7 @@
 	p.answered()
 }
 
-// leave ends all that the session has open: its txn, its connection, its key.
+// leave ends all that the session has open: its request, its connection, its key.
 func (p *pooled) leave() {
 	if p.over {
 		return
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -21,8 +21,8 @@
 	return string(out), err
 }
 
-// Check looks at what all processes wrote: at no receiver was an act taken under a fence lower than one taken there before, one
-// fence has one holder, the council's processes agree on what became so, and grants only grow, unless its state has gone back.
+// Check looks at what all processes wrote: at no receiver was an act taken under a fencing token lower than one taken there before, one
+// fencing token has one holder, the coordinator's processes agree on what became so, and grants only grow, unless its state has gone back.
 func Check(f *Fleet, goneBack bool) (wrong []string) {
 	add := func(format string, args ...any) {
 		if len(wrong) < 20 {
--- a/internal/lab/fleet/check_test.go
+++ b/internal/lab/fleet/check_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// A history in which a read tells less than an answer before it, or two hold one fence, is found.
+// A history in which a read tells less than an answer before it, or two hold one fencing token, is found.
 func TestLinear(t *testing.T) {
 	op := func(session string, begun, ended float64, held bool, count uint64) simulation.Op {
 		o := simulation.Op{Duty: "d", Session: session, Begun: begun, Ended: ended, Held: held}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet starts several real processes of the program on loopback, council, routers and stand-in members, with a switch on
+// Package fleet starts several real processes of the program on loopback, coordinator, routers and fake members, with a switch on
 // each link between two of them, and tells by their records what happened. It owns the processes that it started, their
 // folders and the switches, and ends all of them; it must never decide for them.
 package fleet
@@ -28,25 +28,25 @@
 	Routers   int
 	Members   int
 	Switches  bool          // a switch on each link; else processes reach each other directly
-	Session   time.Duration // of routers with the council
-	Sight     time.Duration // 0: nobody owns sight
+	Session   time.Duration // of routers with the coordinator
+	Sight     time.Duration // 0: nobody owns health sharing
 	Handover  bool
-	Hold      time.Duration                         // of one handover
-	Council_  string                                // further keys of the council's settings
+	Hold      time.Duration                         // of one switchover
+	Council_  string                                // further keys of the coordinator's settings
 	Router    func(name string) (fleet, top string) // further keys of a router's, in [fleet] and above it
 	Fleet     string
 	Unguarded string // a member without a guard row
 	Alone     bool   // routers have no [fleet] at all
-	Keep      int    // entries until the council's log is cut; 0: few, so that it is cut in a short play
+	Keep      int    // entries until the coordinator's log is cut; 0: few, so that it is cut in a short play
 	Quiet     bool   // nobody writes a record
 }
 
 // Process is one that was started, or will be.
 type Process struct {
 	Kind, Name string
-	Addr       string // where it serves: clients, the council's calls, statements
+	Addr       string // where it serves: clients, the coordinator's calls, statements
 	Orders     string // of a router
-	Folder     string // of the council
+	Folder     string // of the coordinator
 	Config     string
 	fleet      *Fleet
 	args       []string
@@ -140,7 +140,7 @@
 	return p, nil
 }
 
-// Join writes the settings of one more process of the council, which joins it.
+// Join writes the settings of one more coordinator node, which joins it.
 func (f *Fleet) Join(name string) (*Process, error) {
 	p, err := f.add("council", name)
 	if err != nil {
@@ -187,7 +187,7 @@
 // Process gives one by its name.
 func (f *Fleet) Process(name string) *Process { return f.procs[name] }
 
-// Council gives the addresses of the council's processes.
+// Coordinator gives the addresses of the coordinator's processes.
 func (f *Fleet) CouncilAddrs() (all []string) {
 	for _, p := range f.kind("council") {
 		all = append(all, p.Addr)
@@ -602,7 +602,7 @@
 	return errors.Is(err, os.ErrNotExist)
 }
 
-// Owner tells who acts for a duty by the records: the process with the highest fence that has started and not stopped.
+// Owner tells who acts for a lease by the records: the process with the highest fencing token that has started and not stopped.
 func (f *Fleet) Owner(duty string) (name, fence string, err error) {
 	var top [2]uint64
 	for _, p := range f.kind("router") {
@@ -626,7 +626,7 @@
 	return name, fence, nil
 }
 
-// Fence reads a fence as records have it.
+// Fence reads a fencing token as records have it.
 func Fence(s string) (f [2]uint64) {
 	fmt.Sscanf(s, "%d.%d", &f[0], &f[1])
 	return f
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -139,16 +139,16 @@
 	}
 }
 
-// Cost is what a council takes for so many sessions.
+// Cost is what a coordinator takes for so many sessions.
 type Cost struct {
 	Sessions int
 	CPU      float64 // seconds a second, over its processes
-	Bytes    float64 // a second, between sessions and council, both ways
+	Bytes    float64 // a second, between sessions and coordinator, both ways
 	Beats    float64 // a second
 	Missed   int     // sessions that ended meanwhile
 }
 
-// Costs holds so many sessions of the given length with a council of three for some seconds.
+// Costs holds so many sessions of the given length with a coordinator of three for some seconds.
 func Costs(binary, dir string, sessions int, session, during time.Duration) (c Cost, err error) {
 	f, err := New(Options{Binary: binary, Dir: dir, Council: 3})
 	if err != nil {
@@ -262,11 +262,11 @@
 
 // Service is what clients had of a fleet over a while.
 type Service struct {
-	Rate, Declined float64 // writes committed, and declined, a second
+	Rate, Declined float64 // writes committed, and rejected, a second
 	P50, P99       float64 // ms
 }
 
-// Serve has writers use a fleet for a while, with something done to its council meanwhile.
+// Serve has writers use a fleet for a while, with something done to its coordinator meanwhile.
 func Serve(binary, dir string, alone bool, during time.Duration, meanwhile func(f *Fleet, ended <-chan struct{})) (s Service, err error) {
 	f, err := New(Options{Binary: binary, Dir: dir, Council: 3, Routers: 3, Members: 3, Alone: alone, Sight: 250 * time.Millisecond, Handover: !alone})
 	if err != nil {
@@ -280,7 +280,7 @@
 	for _, p := range f.kind("router") {
 		addrs = append(addrs, p.Addr)
 	}
-	time.Sleep(1500 * time.Millisecond) // sessions and duties are there, limits are found
+	time.Sleep(1500 * time.Millisecond) // sessions and leases are there, limits are found
 	l := NewLoad(addrs, 12)
 	if err := l.More(400); err != nil {
 		return s, err
@@ -303,7 +303,7 @@
 		P50: float64(l.times.ValueAtQuantile(50)) / 1000, P99: float64(l.times.ValueAtQuantile(99)) / 1000}, nil
 }
 
-// Flap stops and wakes the whole council, a second each.
+// Flap stops and wakes the whole coordinator, a second each.
 func Flap(f *Fleet, ended <-chan struct{}) {
 	for on := false; ; on = !on {
 		for _, p := range f.kind("council") {
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -117,7 +117,7 @@
 		return Until("every router goes by the version in force", func() (bool, error) {
 			now, err := r.inForce()
 			if err != nil {
-				return false, nil // a council without a leader has one later
+				return false, nil // a coordinator without a leader has one later
 			}
 			for _, p := range r.f.kind("router") {
 				if p.Pid() == 0 || len(w) > 1 && slices.Contains(w[1:], p.Name) {
@@ -132,7 +132,7 @@
 	case "goes":
 		p := r.f.Process(w[0])
 		return Until(w[0]+" goes by "+w[1], func() (bool, error) {
-			if len(w) > 2 { // it says so once the council has told it, and may have gone on by then
+			if len(w) > 2 { // it says so once the coordinator has told it, and may have gone on by then
 				n, _, err := r.f.Has(w[0], "takes", map[string]string{"pid": fmt.Sprint(p.Pid()), "version": w[1]})
 				return n > 0, err
 			}
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// settle waits until each router that runs goes by the version in force by the council's records, or has said that it can't.
+// settle waits until each router that runs goes by the version in force by the coordinator's records, or has said that it can't.
 func (f *Fleet) settle() error {
 	force := uint64(0)
 	for _, p := range f.kind("council") {
@@ -250,7 +250,7 @@
 
 // CheckPolicy looks at what all processes wrote of the policy: no two documents stand under one version, anywhere; each router only
 // goes on to higher versions from one start to its end; it says that it goes by a version only once it has taken it, and takes
-// none that the council never gave; what operators were told is agreed has become so; and each router that runs has ended at
+// none that the coordinator never gave; what operators were told is agreed has become so; and each router that runs has ended at
 // the version in force, or has said that it can't.
 func CheckPolicy(f *Fleet, agreed []string, runs func(*Process) bool) (wrong []string) {
 	add := func(format string, args ...any) {
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/lab/fleet/simulation"
 )
 
-// Probe is clients of the council that take and give back a duty and ask where it stands, whatever befalls the council; what they
+// Probe is clients of the coordinator that take and give back a lease and ask where it stands, whatever befalls the coordinator; what they
 // heard is checked against what one process would have answered.
 type Probe struct {
 	mu   sync.Mutex
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -27,27 +27,27 @@
 //	stop X | wake X | term X | kill X | start X | small X BLOCKS     processes; start waits until it serves
 //	dead X [WORDS]              until it has ended by itself, with these words in its log
 //	runs X                      it hasn't ended
-//	shut X                      until one of the council whose folder has forgotten something is refused by the others, or has
+//	shut X                      until one of the coordinator whose folder has forgotten something is refused by the others, or has
 //	                            noticed and ended; which comes first is chance
-//	hole A B [there|back] | cut A B | heal A B                       links; A or B may be council, routers, members, all
+//	hole A B [there|back] | cut A B | heal A B                       links; A or B may be coordinator, routers, members, all
 //	held A B [any]              until something waits on each of these links; any: on one
-//	late N                      until N acts were refused for their fence
+//	late N                      until N acts were refused for their fencing token
 //	fault X POINT stop|kill     at a point inside, the next time; struck X POINT: until that has come to pass, and it stands still or is gone
 //	caught POINT as V           until a router, whichever comes by first, stands still at a point inside; the others go on
 //	endless X                   its orders wait for their answers from now on, however long that takes
 //	lose X | keep X | restore X                                      the folder of one that is not running
 //	owner DUTY as V [not W]     until a process acts for it by its record, and another than W
-//	holder DUTY as V [not W]    until the council has a holder, another than W
+//	holder DUTY as V [not W]    until the coordinator has a holder, another than W
 //	leader as V [not W]         until a process leads by its own record
 //	line X WHAT [k=v ...]       until its record has such a line; "lines N X WHAT ...": N of them
 //	none X WHAT [k=v ...]       it has none by now
 //	heard V [but W]             until all routers but V itself and W have taken two acts of V's
-//	sessions N | council N      until the council has so many
+//	sessions N | coordinator N      until the coordinator has so many
 //	order MEMBER                a planned change of group 0; ended WORDS: until it has ended, as the words say
 //	primary M                   until this member, and no other, takes writes
 //	queue DUTY N                until so many wait for it
-//	second                      until the clock has gone on by a second since the council began: the next to begin is above it
-//	barred DUTY                 until the council says that it grants it no more
+//	second                      until the clock has gone on by a second since the coordinator began: the next to begin is above it
+//	barred DUTY                 until the coordinator says that it grants it no more
 //	policy P FIELD=V ...        writes a policy's file; many=N: and so many tenants; {P.policy} is its path
 //	propose P [ARGS]            "policy propose", which must succeed, and sets $P to the version
 //	begin P [ARGS]              the same, not waited for; ends STATUS [WORDS]: until it has ended so, having printed the words
@@ -56,7 +56,7 @@
 //	everywhere [but X ...]      until each router that runs says by its record that it goes by the version in force
 //	goes X VERSION [anew]       until it says so of a version; anew: has taken it since its latest start, maybe from its folder
 //	spoil X                     a bit of its stored policy, while it is not running
-//	do ARGS                     the program with --council and --fleet, which must succeed; fails WORDS: it failed so
+//	do ARGS                     the program with --coordinator and --fleet, which must succeed; fails WORDS: it failed so
 //	writes                      until clients have had 40 more writes committed
 //
 // A name that begins with $ was set by "as" or "propose", also after k=; other words stand for themselves.
@@ -69,13 +69,13 @@
 	Sight     bool              `toml:"sight"`
 	Handover  bool              `toml:"handover"`
 	Writers   int               `toml:"writers"`
-	Probe     bool              `toml:"probe"` // a client whose history at the council is checked
+	Probe     bool              `toml:"probe"` // a client whose history at the coordinator is checked
 	Session   string            `toml:"session"`
 	Unguarded string            `toml:"unguarded"`
 	Clocks    map[string]string `toml:"clocks"`    // by process: how far ahead
-	GoneBack  bool              `toml:"gone_back"` // the council's state does: what its processes write before and after need not agree
-	Late      int               `toml:"late"`      // acts that must have been refused for their fence, at least
-	Extra     []string          `toml:"extra"`     // routers that know a txn type more, "extra"
+	GoneBack  bool              `toml:"gone_back"` // the coordinator's state does: what its processes write before and after need not agree
+	Late      int               `toml:"late"`      // acts that must have been refused for their fencing token, at least
+	Extra     []string          `toml:"extra"`     // routers that know a request class more, "extra"
 	Steps     []string          `toml:"steps"`
 }
 
@@ -283,11 +283,11 @@
 	return r.client.State(ctx)
 }
 
-// sees waits until the council's state is so.
+// sees waits until the coordinator's state is so.
 func (r *run) sees(what string, f func(*fleetpb.State) bool) error {
 	return Until(what, func() (bool, error) {
 		s, err := r.look()
-		return err == nil && f(s), nil // a council without a leader has one later
+		return err == nil && f(s), nil // a coordinator without a leader has one later
 	})
 }
 
@@ -563,7 +563,7 @@
 	return nil
 }
 
-// caught sets a point for all routers, since on a busy machine a duty may pass on between a look at who owns it and the point. One
+// caught sets a point for all routers, since on a busy machine a lease may pass on between a look at who owns it and the point. One
 // that has come by as well by the time the first stands still is woken.
 func (r *run) caught(point string, words []string) error {
 	for _, p := range r.f.kind("router") {
@@ -599,8 +599,8 @@
 	return nil
 }
 
-// change is the operator's command, again while the council elects or another change is on. Where it took effect and its answer got
-// lost, the next is told that there is nothing to change: then the council's own state says that it is done.
+// change is the operator's command, again while the coordinator elects or another change is on. Where it took effect and its answer got
+// lost, the next is told that there is nothing to change: then the coordinator's own state says that it is done.
 func (r *run) change(verb, what string) error {
 	name, _, _ := strings.Cut(what, "=")
 	out, err := "", error(nil)
--- a/internal/lab/fleet/simulation/faults.go
+++ b/internal/lab/fleet/simulation/faults.go
@@ -16,7 +16,7 @@
 		f := kinds[w.rand.IntN(len(kinds))]
 		w.After(1500+w.rand.Float64()*(w.opt.For-1500), func() { w.Faults[f()]++ })
 	}
-	if w.rand.IntN(12) == 0 { // all of the council's folders at once; it begins anew
+	if w.rand.IntN(12) == 0 { // all of the coordinator's folders at once; it begins anew
 		w.After(2500+w.rand.Float64()*(w.opt.For-2500), func() { w.Wipe() })
 	}
 	w.After(w.opt.For+3000, func() {
@@ -50,7 +50,7 @@
 	return best
 }
 
-// Owner gives the process that acts for a duty, as it sees it.
+// Owner gives the process that acts for a lease, as it sees it.
 func (w *World) Owner(d string) *Proc { return w.byName[w.owner[d]] }
 
 // StopFor, KillFor and CutOff are faults with an end.
@@ -80,7 +80,7 @@
 	w.After(ms, func() { set(false) })
 }
 
-// Wipe loses the folders of the whole council, which then begins anew.
+// Wipe loses the folders of the whole coordinator, which then begins anew.
 func (w *World) Wipe() {
 	w.Faults["wiped"]++
 	for _, p := range w.Council {
@@ -171,7 +171,7 @@
 	return "half of the routers restarted"
 }
 
-// killMost kills all of the council in one moment, and starts it again from its folders.
+// killMost kills all of the coordinator in one moment, and starts it again from its folders.
 func (w *World) killMost() string {
 	for _, p := range w.Council {
 		w.KillFor(p, 100+w.rand.Float64()*400)
--- a/internal/lab/fleet/simulation/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -13,7 +13,7 @@
 	"wayloft/router"
 )
 
-// member is a stand-in for a member of the group: whether it takes writes, its guard row, and what it committed. All of it
+// member is a fake for a member of the group: whether it takes writes, its guard row, and what it committed. All of it
 // outlives the process.
 type member struct {
 	primary bool
@@ -28,11 +28,11 @@
 	takes bool   // by became primary
 }
 
-// Planned change: what a world with handovers has beside councils and routers.
+// Planned change: what a world with switchovers has beside coordinators and routers.
 type planned struct {
 	members []*Proc
 	log     []line
-	told    map[string]string // by txn: committed, declined, in doubt
+	told    map[string]string // by request: committed, rejected, suspected
 	orders  int
 	done    map[string]int // how orders ended, by their first word
 	number  int
@@ -40,7 +40,7 @@
 }
 
 const (
-	holdFor = 3000.0 // ms, of one handover
+	holdFor = 3000.0 // ms, of one switchover
 	writes  = 25.0   // ms between two of a router's writes
 )
 
@@ -48,13 +48,13 @@
 	CanHealthCheck: true, CanCancel: true, RetryAfter: 1000, RequestClasses: map[string]*router.RequestClass{"write": {LatencyObjective: 2000, Deadline: 10000, PriorityWeight: 1,
 		LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write}}, Tenants: map[string]float64{}}
 
-// carrier is a router's module with what carries it out, in the twin.
+// carrier is a router's module with what carries it out, in the simulation.
 type carrier struct {
 	alarms int // asked for so far
 	p      *Proc
 	r      *router.Router
 	fresh  bool
-	out    map[string]int // submissions by txn
+	out    map[string]int // attempts by request
 	at     map[string]float64
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// order is an operator's, again until the council has taken it.
+// order is an operator's, again until the coordinator has taken it.
 func (w *World) order(to string, tries int) {
 	if l := w.Leader(); l != nil && !l.asleep {
 		w.number++
@@ -196,7 +196,7 @@
 	})
 }
 
-// handing is the duty, held by a process of the twin.
+// handing is the lease, held by a process of the simulation.
 type handing struct {
 	fence  lease.Token
 	number uint64
@@ -206,7 +206,7 @@
 	stepping string // at a member, decided and not yet sent
 }
 
-// hand goes on with a handover, as the program's fleet does.
+// hand goes on with a switchover, as the program's fleet does.
 func (p *Proc) hand() {
 	h := p.handing
 	if h == nil {
@@ -253,7 +253,7 @@
 	}
 }
 
-// still has a handover hear of something, if it is this process's yet.
+// still has a switchover hear of something, if it is this process's yet.
 func (p *Proc) still(h *handing, o *switchover.Executor, f func(*switchover.Executor)) {
 	if p.handing == h && h.owner == o {
 		o.Advance(p.clock())
@@ -328,7 +328,7 @@
 	}
 }
 
-// note has the register note a step, again until there is an answer.
+// note has the replicated state note a step, again until there is an answer.
 func (p *Proc) note(h *handing, e leasestate.Entry, tries int, done func(bool)) {
 	p.entry(p.agent.Entry(e), func(ans leasestate.Result, ok bool) {
 		if !ok && tries < 6 {
@@ -389,7 +389,7 @@
 	p.later(500, func() { end(false, 0) })
 }
 
-// writesWell checks the group's log: what clients were told is committed is there once, what was declined is not, nothing is there
+// writesWell checks the group's log: what clients were told is committed is there once, what was rejected is not, nothing is there
 // twice, and who committed had taken over last.
 func (w *World) writesWell() (wrong []string) {
 	times, writer := map[string]int{}, ""
--- a/internal/lab/fleet/simulation/history.go
+++ b/internal/lab/fleet/simulation/history.go
@@ -12,14 +12,14 @@
 	"wayloft/internal/decide/lease"
 )
 
-// seen is what the history says of a duty so far: the highest fence that an answer told, and whose it is, if that is known.
+// seen is what the history says of a lease so far: the highest fencing token that an answer told, and whose it is, if that is known.
 type seen struct {
 	fence  lease.Token
 	holder string
 }
 
 // model says which answers may follow each other, if each takes effect at one moment between its request and its answer: no
-// fence is lower than one told before, and one fence has one holder. That grants end by time is not in the history.
+// fencing token is lower than one told before, and one fencing token has one holder. That grants end by time is not in the history.
 var model = porcupine.Model{
 	Init: func() any { return seen{} },
 	Step: func(state, in, out any) (bool, any) {
@@ -42,15 +42,15 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// mostOps are the answers looked at of one duty, the first ones: what follows them can't make them wrong, and the search grows
+// mostOps are the answers looked at of one lease, the first ones: what follows them can't make them wrong, and the search grows
 // faster than the history.
 const mostOps = 400
 
-// Linear checks that what the council answered could have been answered by one process, one request after the other.
+// Linear checks that what the coordinator answered could have been answered by one process, one request after the other.
 func Linear(ops []Op) (wrong []string) {
 	by := map[string][]porcupine.Operation{}
 	for _, op := range ops {
-		if op.Ended < 0 || !op.Held && op.Fence == (lease.Token{}) { // unanswered, or refused before the duty was looked at
+		if op.Ended < 0 || !op.Held && op.Fence == (lease.Token{}) { // unanswered, or refused before the lease was looked at
 			continue
 		}
 		if len(by[op.Duty]) >= mostOps {
--- a/internal/lab/fleet/simulation/policy.go
+++ b/internal/lab/fleet/simulation/policy.go
@@ -30,7 +30,7 @@
 	Fields  int     // of the document that the run begins with
 	Change  int     // fields that each change sets
 	Every   float64 // ms between two changes, drawn around it
-	Regions bool    // one council process and a third of the routers are cut off from the rest now and then
+	Regions bool    // one coordinator node and a third of the routers are cut off from the rest now and then
 	Apart   float64 // ms, for how long
 	Zone    int     // routers that restart at once; 0: none
 }
@@ -150,7 +150,7 @@
 		base, doc := b.Version, b.Document
 		w.send(c, o, 16, func() {
 			next := change(doc)
-			if base.Number == 0 { // nothing yet: or a council that begins anew, where all of it is proposed again
+			if base.Number == 0 { // nothing yet: or a coordinator that begins anew, where all of it is proposed again
 				next = w.document(w.ruling.Fields)
 			}
 			p := policy.Propose(base, doc, next, o.Name, fmt.Sprint("at ", int(w.Now)))
@@ -211,7 +211,7 @@
 	w.After(600, func() { again(nil) })
 }
 
-// stands takes in that a version is in force, as some process of the council has it.
+// stands takes in that a version is in force, as some coordinator node has it.
 func (w *World) stands(v policy.Version, d policy.Document, history []policy.Change) {
 	r := w.ruling
 	for _, c := range history {
@@ -306,7 +306,7 @@
 	p.listen()
 }
 
-// subscribe begins a watch with some process of the council.
+// subscribe begins a watch with some coordinator node.
 func (p *Proc) subscribe() {
 	w, r := p.w, p.ruled
 	if old := r.from; old != nil {
@@ -361,7 +361,7 @@
 	}
 }
 
-// push tells all watchers, 5 ms after the register moved; and an empty word each second.
+// push tells all watchers, 5 ms after the replicated state moved; and an empty word each second.
 func (p *Proc) push() {
 	if at := p.node.State().Index(); at != p.pushed && !p.pushing {
 		p.pushing = true
@@ -478,7 +478,7 @@
 	bytes   []byte
 }
 
-// part gives what the council's process would; one that is broken gives other bytes under the same version.
+// part gives what the coordinator's process would; one that is broken gives other bytes under the same version.
 func (p *Proc) part(q policy.Request) (policy.Part, bool) {
 	b := p.node.State().Policy()
 	var got *piece
@@ -543,7 +543,7 @@
 	})
 }
 
-// lagging cuts a process of the council off from the others, not from the routers: it goes on to tell what it knows.
+// lagging cuts a coordinator node off from the others, not from the routers: it goes on to tell what it knows.
 func (w *World) lagging() string {
 	c := w.Council[w.rand.IntN(len(w.Council))]
 	w.CutOff(c, true, true, w.Council, 2000+w.lasting()*3)
@@ -587,7 +587,7 @@
 	return "zone restarted"
 }
 
-// apart cuts the last process of the council and a third of the routers off from the others.
+// apart cuts the last coordinator node and a third of the routers off from the others.
 func (w *World) apart() string {
 	here := w.Council[len(w.Council)-1:]
 	here = append(slices.Clone(here), w.Routers[len(w.Routers)*2/3:]...)
--- a/internal/lab/fleet/simulation/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -152,7 +152,7 @@
 	look()
 }
 
-// staleTellers has processes of the council cut off from the others in turn, a change meanwhile, and all routers begin their
+// staleTellers has coordinator nodes cut off from the others in turn, a change meanwhile, and all routers begin their
 // watches anew.
 func staleTellers(w *World) {
 	for n, c := range w.Council {
@@ -167,7 +167,7 @@
 	}
 }
 
-// otherBytes has all of the council give other bytes than what is in force, to routers that come back with nothing.
+// otherBytes has all of the coordinator give other bytes than what is in force, to routers that come back with nothing.
 func otherBytes(w *World) {
 	w.After(4000, func() {
 		for _, c := range w.Council {
@@ -181,7 +181,7 @@
 	})
 }
 
-// Each planted defect is found by some schedule, and none is found without it.
+// Each seeded defect is found by some schedule, and none is found without it.
 func TestPlantedPolicies(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/lab/fleet/simulation/sight.go
+++ b/internal/lab/fleet/simulation/sight.go
@@ -10,7 +10,7 @@
 	"wayloft/router"
 )
 
-// Sighting is what sight came to: checks for each txn over the whole fleet, the age of the positions that reads rested on, and
+// Sighting is what health sharing came to: checks for each request over the whole fleet, the age of the positions that reads rested on, and
 // how many reads the primary had to take.
 type Sighting struct {
 	PerTxn  float64
@@ -19,8 +19,8 @@
 	Txns    int
 }
 
-// Sight plays so many routers' modules before one group of five, each with ten bounded reads and two writes a second, for 20 s in
-// simulated time; with sight, its owner asks each member once a period and all others hear of it.
+// Health sharing plays so many routers' modules before one group of five, each with ten bounded reads and two writes a second, for 20 s in
+// simulated time; with health sharing, its owner asks each member once a period and all others hear of it.
 func Sight(routers int, period float64, seed uint64) Sighting {
 	r := rand.New(rand.NewPCG(seed, 7))
 	ids := []string{"a", "b", "c", "d", "e"}
--- a/internal/lab/fleet/simulation/sight_test.go
+++ b/internal/lab/fleet/simulation/sight_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// With sight the whole fleet checks far less, and reads rest on positions that are no older than without.
+// With health sharing the whole fleet checks far less, and reads rest on positions that are no older than without.
 func TestSight(t *testing.T) {
 	without, with := Sight(40, 0, 1), Sight(40, 250, 1)
 	t.Logf("without %+v, with %+v", without, with)
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -1,4 +1,4 @@
-// Package simulation plays a fleet in simulated time: the same council, agents and receivers as the program's processes, over a
+// Package simulation plays a fleet in simulated time: the same coordinator, agents and receivers as the program's processes, over a
 // network, disks and clocks of its own, without a process or a socket. One seed gives one run. It owns time and faults; it
 // must never decide what the pure parts decide.
 package simulation
@@ -23,17 +23,17 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// Planted are defects, each to be found by a checker; the program has none of them.
+// Seeded are defects, each to be found by a checker; the program has none of them.
 type Planted struct {
 	Council    raftnode.SeededDefects
 	Unchecked  bool // receivers take whatever comes
-	Forgets    bool // a receiver that restarted takes orders without having asked where their fences stand
+	Forgets    bool // a receiver that restarted takes orders without having asked where their fencing tokens stand
 	Overstays  bool // a lease is counted from the answer on, not from the request
-	SameEpoch  bool // a council that lost its state begins again in the same epoch
+	SameEpoch  bool // a coordinator that lost its state begins again in the same epoch
 	Unguarded  bool // members take steps whatever their guard rows say
 	Policy     policy.SeededDefects
 	Uncompared bool // a proposal is taken whatever is in force
-	Unsaved    bool // a process of the council answers before its disk does
+	Unsaved    bool // a coordinator node answers before its disk does
 }
 
 // Options say what is played.
@@ -49,10 +49,10 @@
 	Schedule func(*World) // events of its own in place of drawn ones
 	Handover bool         // planned changes of a group's primary, under writes
 	Policy   *Ruling      // changes of the policy; nil: none
-	Owners   int          // of the routers, how many would hold duties; 0: all
+	Owners   int          // of the routers, how many would hold leases; 0: all
 }
 
-// Lease and margin of the twin's sessions, ms.
+// Lease and margin of the simulation's sessions, ms.
 const (
 	Length = 2000.0
 	Margin = 200.0
@@ -63,21 +63,21 @@
 type Report struct {
 	Wrong     []string
 	Acts      int // taken by receivers
-	Late      int // refused for their fence
+	Late      int // refused for their fencing token
 	Grants    int
 	Elections int
 	Faults    map[string]int
 	Unowned   []float64 // ms without an owner after an owner stopped, was killed or cut off, each time
-	Entries   uint64    // of the council's log
+	Entries   uint64    // of the coordinator's log
 	Bytes     int       // between all processes
 	Messages  int
 	Ops       []Op
 	Ended     float64
 	Ruled
-	Stuck []string // duties without an owner long after the last fault
+	Stuck []string // leases without an owner long after the last fault
 }
 
-// Op is one request at the council as its client saw it.
+// Op is one request at the coordinator as its client saw it.
 type Op struct {
 	Client, Number int
 	Duty, Session  string
@@ -108,7 +108,7 @@
 	return x
 }
 
-// Proc is one process of the twin.
+// Proc is one process of the simulation.
 type Proc struct {
 	Name   string
 	w      *World
@@ -118,7 +118,7 @@
 	waits  []func()
 	ahead  float64 // its clock against the world's
 
-	node    *raftnode.Node // of a process of the council
+	node    *raftnode.Node // of a coordinator node
 	disk    raftnode.Stored
 	slow    float64 // ms that its disk takes beyond the usual
 	lost    bool    // its folder is, for good
@@ -132,7 +132,7 @@
 	calls  map[uint64]call // by the agent's numbers
 	watch  uint64
 	acting map[string]lease.Token
-	seen   map[string]lease.Token // where Forgets is planted
+	seen   map[string]lease.Token // where Forgets is seeded
 	tries  int
 
 	own     uint64 // requests of its own
@@ -145,7 +145,7 @@
 	ruled    *ruled // a router's part in the policy, and its disk
 	kept     kept
 	tampered bool
-	watchers []*watcher // of a process of the council
+	watchers []*watcher // of a coordinator node
 	pushed   uint64
 	pushing  bool
 	broken   bool
@@ -161,7 +161,7 @@
 
 // call is a request without an answer yet.
 type call struct {
-	ops   []int                         // its places in the history, one for each duty that it asks about; none: not kept
+	ops   []int                         // its places in the history, one for each lease that it asks about; none: not kept
 	again func()                        // sends it once more, to who leads
 	done  func(leasestate.Result, bool) // of one that is not the agent\'s
 }
@@ -181,10 +181,10 @@
 	loss    float64
 	number  uint64
 	taken   map[string]lease.Token // by receiver and scope: the highest ever accepted there
-	holders map[string]string      // by duty and fence: who acted under it
-	granted map[string]string      // by duty and fence: to whom, as a leader applied it
+	holders map[string]string      // by lease and fencing token: who acted under it
+	granted map[string]string      // by lease and fencing token: to whom, as a leader applied it
 	top     map[string]lease.Token // the highest of these
-	owner   map[string]string      // by duty: who acts, as the world sees it
+	owner   map[string]string      // by lease: who acts, as the world sees it
 	since   map[string]float64     // when it last had none
 	planned *planned
 	ruling  *ruling
@@ -428,7 +428,7 @@
 	}
 }
 
-// epoch is the time at which a council would begin, as the program takes it; a defect has it stand still.
+// epoch is the time at which a coordinator would begin, as the program takes it; a defect has it stand still.
 func (w *World) epoch() uint64 {
 	if w.opt.Planted.SameEpoch {
 		return 1
@@ -570,7 +570,7 @@
 	}
 }
 
-// look is the watch: it asks some process of the council what has changed.
+// look is the watch: it asks some coordinator node what has changed.
 func (p *Proc) look() {
 	w := p.w
 	c := w.Council[w.rand.IntN(len(w.Council))]
@@ -610,7 +610,7 @@
 	}
 }
 
-// begin notes a request for the history that is checked; takes and reads alone are, and a read for each duty by itself.
+// begin notes a request for the history that is checked; takes and reads alone are, and a read for each lease by itself.
 func (p *Proc) begin(d leaseclient.Decision) (ops []int) {
 	op, duties := Op{Client: p.w.client(p), Kind: "stand", Begun: p.w.Now, Ended: -1}, d.Leases
 	if d.Action == leaseclient.Propose {
@@ -674,7 +674,7 @@
 	p.agent.Failed(number)
 }
 
-// heard takes in how the council answered.
+// heard takes in how the coordinator answered.
 func (p *Proc) heard(number uint64, how raftnode.Action, ans leasestate.Result, fences []lease.Token, leader string) {
 	c, open := p.calls[number]
 	if !open {
@@ -728,7 +728,7 @@
 	p.later(40+w.rand.Float64()*40, func() { p.act(duty, as) })
 }
 
-// above tells whether a higher fence of a duty has been granted, and to whom.
+// above tells whether a higher fencing token of a lease has been granted, and to whom.
 func (w *World) above(duty string, fence lease.Token) (string, bool) {
 	top := w.top[duty]
 	return w.granted[duty+" "+top.String()], top.Compare(fence) > 0
@@ -753,7 +753,7 @@
 	})
 }
 
-// judge is the receiver's own, or what is left of it where a defect is planted.
+// judge is the receiver's own, or what is left of it where a defect is seeded.
 func (p *Proc) judge(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
 	switch {
 	case p.w.opt.Planted.Unchecked:
@@ -801,7 +801,7 @@
 	}
 }
 
-// finish looks at what is left in the end: long after the last fault each duty has an owner.
+// finish looks at what is left in the end: long after the last fault each lease has an owner.
 func (w *World) finish() {
 	w.Ended = w.Now
 	for n := range w.opt.Duties {
--- a/internal/lab/fleet/simulation/simulation_test.go
+++ b/internal/lab/fleet/simulation/simulation_test.go
@@ -14,9 +14,9 @@
 	return Options{Seed: seed, Council: 3, Routers: 5, Duties: 2, For: 12000}
 }
 
-// Whatever the faults: no act is taken under a fence lower than one taken there before, one fence has one holder, nobody finds
-// that it may act once another was granted the duty, the council's answers are linearizable, and when all is over each
-// duty has an owner.
+// Whatever the faults: no act is taken under a fencing token lower than one taken there before, one fencing token has one holder, nobody finds
+// that it may act once another was granted the lease, the coordinator's answers are linearizable, and when all is over each
+// lease has an owner.
 func TestSchedules(t *testing.T) {
 	late, acts, grants, faults := 0, 0, 0, map[string]int{}
 	for seed := range uint64(*schedules) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// An owner that lost its lease with the council and found it again under the same fence goes on with the ranks of its steps where
+// An owner that lost its lease with the coordinator and found it again under the same fencing token goes on with the ranks of its steps where
 // they were, since members have seen them, and with what it had ended.
 func TestSameFenceAgain(t *testing.T) {
 	o := changing(1)
@@ -90,21 +90,21 @@
 	}
 }
 
-// A holder whose late act is refused with the fence of its own next grant takes that grant up.
+// A holder whose late act is refused with the fencing token of its own next grant takes that grant up.
 func TestOwnNextFence(t *testing.T) {
 	if w := Play(common(4482)); len(w.Wrong)+len(w.Stuck) > 0 {
 		t.Error(w.Wrong, w.Stuck)
 	}
 }
 
-// An owner that hears of an order of before again, from a process of the council that lags, doesn't begin it anew.
+// An owner that hears of an order of before again, from a coordinator node that lags, doesn't begin it anew.
 func TestOldOrder(t *testing.T) {
 	if w := Play(changing(125)); len(w.Wrong) > 0 {
 		t.Error(w.Wrong)
 	}
 }
 
-// lateSteps has owners of handover stopped while a step of theirs is about to go out, and the primary changed again, to somebody
+// lateSteps has owners of switchover stopped while a step of theirs is about to go out, and the primary changed again, to somebody
 // else, before they wake.
 func lateSteps(w *World) {
 	for at := 3000.0; at < w.opt.For; at += 7000 {
@@ -163,8 +163,8 @@
 	}
 }
 
-// formerLeader cuts the leader off from the council alone, while routers that just started ask where fences stand and the
-// duty changes hands.
+// formerLeader cuts the leader off from the coordinator alone, while routers that just started ask where fencing tokens stand and the
+// lease changes hands.
 func formerLeader(w *World) {
 	for at := 3000.0; at < w.opt.For; at += 3000 {
 		w.After(at, func() {
@@ -198,7 +198,7 @@
 	}
 }
 
-// Each planted defect is found by some schedule among the first of a few hundred, and none is found without it.
+// Each seeded defect is found by some schedule among the first of a few hundred, and none is found without it.
 func TestPlanted(t *testing.T) {
 	wiped := func(w *World) {
 		w.draw()
@@ -238,7 +238,7 @@
 	}
 }
 
-// A fleet of 600 routers on a council of three, without faults and with its council away for a while.
+// A fleet of 600 routers on a coordinator of three, without faults and with its coordinator away for a while.
 func TestLarge(t *testing.T) {
 	w := Play(Options{Seed: 3, Council: 3, Routers: 600, Duties: 13, Owners: 40, For: 8000, Schedule: func(w *World) {
 		w.After(3000, func() {
--- a/internal/lab/scale/count.go
+++ b/internal/lab/scale/count.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	standing = iota // asks where duties stand
-	calling         // brings the council an entry
+	standing = iota // asks where leases stand
+	calling         // brings the coordinator an entry
 	answering
 	moving // an answer that names another process to ask
 	whole  // a watch's first word
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -196,7 +196,7 @@
 
 const (
 	restarted = 3               // the zone that is
-	second    = string('a' + 1) // region, which is cut off from the council's majority
+	second    = string('a' + 1) // region, which is cut off from the coordinator's majority
 )
 
 // restartZone kills all routers and databases of a zone at once and has them back at once, cold, with the list saying so.
@@ -245,7 +245,7 @@
 		return nil, err
 	}
 	took := (unixMs() - at) / 1000
-	if err := in.settle(in.Routers + in.Real); err != nil { // each asks of the council where all duties stand
+	if err := in.settle(in.Routers + in.Real); err != nil { // each asks of the coordinator where all leases stand
 		return nil, err
 	}
 	b, err := in.ended(before)
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -25,7 +25,7 @@
 // Installation is all that was started.
 type Installation struct {
 	Options
-	fleet     *fleet.Fleet // council and real routers
+	fleet     *fleet.Fleet // coordinator and real routers
 	directory *Child
 	databases []*Child // by zone; nil where it has none
 	routers   []*Child // by zone; nil where it has none
@@ -36,7 +36,7 @@
 	Settled   time.Duration   // what the start took
 }
 
-// Start starts all but owners of sight and waits until it has settled.
+// Start starts all but holders of the health-share lease and waits until it has settled.
 func Start(o Options) (in *Installation, err error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 // zoneNames begin the names of a zone's routers.
 func zoneNames(z int) string { return fmt.Sprintf("%c%d-", region(z), z) }
 
-// zone gives what the process of a zone's routers is to be. Two processes of the council are in region a, one is in region b.
+// zone gives what the process of a zone's routers is to be. Two coordinator nodes are in region a, one is in region b.
 func (in *Installation) zone(z int) (Spec, error) {
 	s := Spec{Role: "routers", Fleet: in.fleet.Fleet, Discovery: in.directory.Addrs[0], SessionMs: float64(in.Session.Milliseconds()),
 		PaceMs: float64(in.pace().Microseconds()) / 1000 * zones, Via: map[string]string{}}
@@ -270,7 +270,7 @@
 	return out
 }
 
-// state asks the council.
+// state asks the coordinator.
 func (in *Installation) state() (*fleetpb.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -335,7 +335,7 @@
 	return between{then.at.Sub(before.at).Seconds(), before, then}, nil
 }
 
-// asking is what hollow routers ask of the council in all, so far.
+// asking is what hollow routers ask of the coordinator in all, so far.
 func asking(counts map[string]map[string]int64) int64 {
 	return sum(counts, "routers", "stand_out") + sum(counts, "routers", "call_out")
 }
@@ -383,7 +383,7 @@
 	}
 }
 
-// Own starts owners of sight, a process and a group each, and waits until each has told all others.
+// Own starts holders of the health-share lease, a process and a group each, and waits until each has told all others.
 func (in *Installation) Own() error {
 	for n := range in.Owners {
 		s, err := in.zone(0)
@@ -414,7 +414,7 @@
 	})
 }
 
-// holders tells who holds sight of the owned groups.
+// holders tells who holds health sharing of the owned groups.
 func (in *Installation) holders() (map[string]string, error) {
 	s, err := in.state()
 	if err != nil {
--- a/internal/lab/scale/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -67,7 +67,7 @@
 	exact("lists", r.Start["lists"], routers) // the whole one, once
 	exact("entries", r.Start["entries"], routers*members)
 	exact("watches' first words", r.Start["whole_in"], routers)
-	// Each asks once where all groups' two duties stand, as many to a call as one carries, and opens a session; a beat comes when a
+	// Each asks once where all groups' two leases stand, as many to a call as one carries, and opens a session; a beat comes when a
 	// sixth of its length is over at the earliest. An answer that names another process is no answer.
 	stands, opens := routers*((2*groups+leaseclient.MaxTokenQuery-1)/leaseclient.MaxTokenQuery), routers
 	answers, beats := r.Start["answer_in"], routers*int64(1+r.StartS/(o.Session.Seconds()/6))
@@ -88,7 +88,7 @@
 	exact("bytes of whole lists", d["whole_bytes"], d["wholes"]*d["list_bytes"])
 	exact("changes of the list", d["changes"], 0)
 
-	// Sight: who holds it is who would; each report of a check is told at most once to each router; a check is on its way, or answered.
+	// Health sharing: who holds it is who would; each report of a check is told at most once to each router; a check is on its way, or answered.
 	if r.Holders["sight/0"] != "o0" || len(r.Holders) != 1 {
 		t.Errorf("sight is held by %v", r.Holders)
 	}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -14,19 +14,19 @@
 	Real     int                         `json:"real"`
 	Members  int                         `json:"members"`
 	Groups   int                         `json:"groups"`
-	Sessions int                         `json:"sessions"` // at the council, in the first look
+	Sessions int                         `json:"sessions"` // at the coordinator, in the first look
 	StartS   float64                     `json:"start_s"`  // until all had settled
 	Seconds  float64                     `json:"seconds"`  // of the first look
 	Rows     []Row                       `json:"rows"`
 	Spoilt   int                         `json:"spoilt"`            // looks that were cast aside, since the machine stood still in them
-	Holders  map[string]string           `json:"holders,omitempty"` // of sight, while it was looked at
+	Holders  map[string]string           `json:"holders,omitempty"` // of health sharing, while it was looked at
 	Start    map[string]int64            `json:"start"`             // what hollow routers said and heard in all until the first look
 	Counts   map[string]int64            `json:"counts"`            // what they said and heard in the first look
-	Sight    map[string]int64            `json:"sight,omitempty"`   // and while sight was looked at, owners and told together
+	Sight    map[string]int64            `json:"sight,omitempty"`   // and while health sharing was looked at, owners and told together
 	Children map[string]map[string]int64 `json:"-"`
 }
 
-// Measure starts an installation, looks at it while nothing happens, then while sight is owned, and ends it.
+// Measure starts an installation, looks at it while nothing happens, then while health sharing is owned, and ends it.
 func Measure(o Options) (*Report, error) {
 	in, err := Start(o)
 	if err != nil {
@@ -76,7 +76,7 @@
 const mostLooks = 4
 
 // undisturbed looks until nothing in a look says that the machine, busy with others' work, stood still: a watch of a list or of the
-// council that fell silent, a council that changed its leader, calls without an answer.
+// coordinator that fell silent, a coordinator that changed its leader, calls without an answer.
 func (in *Installation) undisturbed() (b between, spoilt int, err error) {
 	for n := range mostLooks {
 		if b, err = in.during(in.For); err != nil {
@@ -99,7 +99,7 @@
 	return b, spoilt, nil
 }
 
-// total adds up the counts of routers and owners of sight.
+// total adds up the counts of routers and holders of the health-share lease.
 func total(counts map[string]map[string]int64) map[string]int64 {
 	out := map[string]int64{}
 	for name, c := range counts {
@@ -218,7 +218,7 @@
 	r := b.row(role, len(of), of, machineAllowance)
 	n := b.seconds * float64(max(1, len(of)))
 	f := b.all(of...)
-	// What routers say to it and hear of it is the sessions'; the rest is between processes of the council.
+	// What routers say to it and hear of it is the sessions'; the rest is between coordinator nodes.
 	asking := slices.Concat(pids(in.routers), pids(in.owners), running(in.kind("router")))
 	var addrs []string
 	for _, p := range processes {
@@ -246,7 +246,7 @@
 	return r
 }
 
-// sightRows is what owners of sight cost, and what those cost whom they tell, beside what they did before.
+// sightRows is what holders of the health-share lease cost, and what those cost whom they tell, beside what they did before.
 func (in *Installation) sightRows(calm []Row, b between) []Row {
 	owner := b.row("owner of sight, 1 group", len(in.owners), pids(in.owners), routerAllowance)
 	for what, count := range map[string]string{"orders": "order_out", "order_payload": "order_out_bytes", "verdicts": "verdict_in", "looks": "looks", "looks_passed_over": "looks_passed_over"} {
--- a/internal/lab/scale/paired.go
+++ b/internal/lab/scale/paired.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Pair is what the whole council costs with so many hollow routers, and with as many real ones.
+// Pair is what the whole coordinator costs with so many hollow routers, and with as many real ones.
 type Pair struct {
 	Routers int                   `json:"routers"`
 	Plays   int                   `json:"plays"`
@@ -54,7 +54,7 @@
 	return p, nil
 }
 
-// toCouncil measures what routers cost the council, and the routers' own row.
+// toCouncil measures what routers cost the coordinator, and the routers' own row.
 func toCouncil(o Options) (values []float64, own Row, err error) {
 	in, err := Start(o)
 	if err != nil {
--- a/internal/lab/scale/routers.go
+++ b/internal/lab/scale/routers.go
@@ -19,7 +19,7 @@
 	"wayloft/router"
 )
 
-// routers are many hollow ones. Each has a mailbox in place of a router's loop; list, session, watch and sight are the real code's.
+// routers are many hollow ones. Each has a mailbox in place of a router's loop; list, session, watch and health sharing are the real code's.
 type routers struct {
 	spec   Spec
 	all    []*one
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale measures what each role of an installation costs at which size, on one machine: the real council and some real
+// Package scale measures what each role of an installation costs at which size, on one machine: the real coordinator and some real
 // routers as processes of the program, and around them hollow routers, databases and a discovery service, many to a process, which
-// run the real session, watch, agent, list and sight code over real sockets without clients. It owns the processes that it started and
+// run the real session, watch, agent, list and health sharing code over real sockets without clients. It owns the processes that it started and
 // the account of what they did, counted from outside wherever that can be; it must never end what it did not start, go beyond
 // its bounds, or be part of a router.
 package scale
@@ -15,7 +15,7 @@
 
 const (
 	zones         = 8   // hollow routers and databases are spread over so many, a process each
-	councils      = 3   // processes of the council
+	councils      = 3   // coordinator nodes
 	mostProcesses = 300 // in all
 	mostMemory    = 12 << 10
 	mostRouters   = 2000 // hollow ones
@@ -31,22 +31,22 @@
 	hollowMiB    = 6  // of one router of them
 	memberKiB    = 512
 	discoveryKiB = 512 // for each watcher
-	toldKiB      = 256 // for each owner of sight and router that it tells
+	toldKiB      = 256 // for each owner of health sharing and router that it tells
 )
 
 // Options say what is started.
 type Options struct {
 	Binary  string // the program
-	Dir     string // for settings, logs and what the council stores
+	Dir     string // for settings, logs and what the coordinator stores
 	Routers int    // hollow
 	Real    int    // routers, processes each
 	Members int    // hollow databases
 	Group   int    // of which so many are a group
-	Owners  int    // of sight, one group each, while sight is looked at; 0: sight is not looked at
+	Owners  int    // of health sharing, one group each, while health sharing is looked at; 0: health sharing is not looked at
 	Sight   time.Duration
 	For     time.Duration // of each look
-	Session time.Duration // of routers with the council
-	Pace    time.Duration // between the starts of two routers; 0: by how much each asks of the council
+	Session time.Duration // of routers with the coordinator
+	Pace    time.Duration // between the starts of two routers; 0: by how much each asks of the coordinator
 	Regions bool          // two, with a switch on each link between them
 	Say     func(string)  // hears how a start goes on; nil: nobody
 	Stop    <-chan struct{}
@@ -94,12 +94,12 @@
 
 func (o Options) groups() int { return (o.Members + o.Group - 1) / o.Group }
 
-// Routers that start may ask so many calls a second of the council together, several times less than it answers, since what is
-// late is asked again: each opens a session and asks where two duties of each group stand. And so many words a second may be said of them: each
+// Routers that start may ask so many calls a second of the coordinator together, several times less than it answers, since what is
+// late is asked again: each opens a session and asks where two leases of each group stand. And so many words a second may be said of them: each
 // start is told to all others.
 const startCalls, startWords = 2500, 5000
 
-// questions is how many calls a router that starts asks where duties stand.
+// questions is how many calls a router that starts asks where leases stand.
 func (o Options) questions() int {
 	return (2*o.groups() + leaseclient.MaxTokenQuery - 1) / leaseclient.MaxTokenQuery
 }
--- a/internal/lab/scale/talk.go
+++ b/internal/lab/scale/talk.go
@@ -43,7 +43,7 @@
 // Mark says from when on, and of what, it is noted when routers hear of it.
 type Mark struct {
 	Revision int64  `json:"revision,omitempty"` // of the list, or a later one
-	Primary  string `json:"primary,omitempty"`  // told of as one by sight
+	Primary  string `json:"primary,omitempty"`  // told of as one by health sharing
 	Policy   bool   `json:"policy,omitempty"`   // any other version
 }
 
--- a/internal/lab/still.go
+++ b/internal/lab/still.go
@@ -23,7 +23,7 @@
 	Program           string // wayloft, as built
 	Members, Sessions int
 	Groups            int  // that the members are of
-	Fleet             bool // with a council of one process, of which the router hears
+	Fleet             bool // with a coordinator of one process, of which the router hears
 	Memory            string
 	Settle            time.Duration
 	For               time.Duration // of one look
--- a/internal/lab/up.go
+++ b/internal/lab/up.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/fakes/pgserver"
 )
 
-// Cluster is a group of stand-in servers, the first of which is the primary.
+// Cluster is a group of fake servers, the first of which is the primary.
 type Cluster struct {
 	*pgserver.Cluster
 	Servers []*pgserver.Server
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Statement is a txn as its client worded it: the comment in front, decoded, and the text around its time limit.
+// Statement is a request as its client worded it: the comment in front, decoded, and the text around its time limit.
 type Statement struct {
 	ID, TxnType, Tenant string
 	Session             string  // the quoted key
