--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,4 +1,4 @@
-// Package request is where the two sides meet: one txn, what its client said, until when it waits, and its one
+// Package request is where the two sides meet: one request, what its client said, until when it waits, and its one
 // final answer. It owns the rule that there is exactly one; it must never know a socket of either side.
 package request
 
@@ -7,19 +7,19 @@
 	"wayloft/internal/pg"
 )
 
-// Response is how a txn ended.
+// Response is how a request ended.
 type Response struct {
 	Rows       []byte    // what a member answered, whole and byte for byte; nil where it was not committed
 	Fault      *pg.Error // what is wrong with the statement itself
-	Rejected   bool      // else rolled back
+	Rejected   bool      // else failed
 	RetryAfter float64
 }
 
-// Request is one txn on its way.
+// Request is one request on its way.
 type Request struct {
 	*pg.Statement
 	Arrived, Deadline float64 // ms; Arrived: when its last byte came, which may be before its turn
-	Stream            *Stream // of a txn that takes more than one question; else nil
+	Stream            *Stream // of a request that takes more than one question; else nil
 
 	// ClientClosed asks the system whether the client's connection has ended; nil: nothing can be asked.
 	ClientClosed func() bool
@@ -28,12 +28,12 @@
 	deliver func(Response)
 }
 
-// New takes a txn in; deliver is called once, unless its client leaves first.
+// New takes a request in; deliver is called once, unless its client leaves first.
 func New(s *pg.Statement, arrived float64, deliver func(Response)) *Request {
 	return &Request{Statement: s, Arrived: arrived, Deadline: arrived + s.Wait, deliver: deliver}
 }
 
-// LimitWait limits the time that the client may wait. Guards against txns that are held for as long as a client likes.
+// LimitWait limits the time that the client may wait. Guards against requests that are held for as long as a client likes.
 func (t *Request) LimitWait(most float64) {
 	t.Wait = min(t.Wait, most)
 	t.Deadline = t.Arrived + t.Wait
--- a/internal/request/talk.go
+++ b/internal/request/talk.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/pg"
 )
 
-// Stream is a txn that takes more than one question: what its client says goes to the one connection that carries it,
+// Stream is a request that takes more than one question: what its client says goes to the one connection that carries it,
 // and what comes back to the client. It owns what must be said again if the connection is lost before the client has
 // heard anything; it must never say anything again after that.
 type Stream struct {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -47,7 +47,7 @@
 	return float64(t.Sec)*1000 + float64(t.Nsec)/1e6
 }
 
-// EpochAt is that of a council that begins now: the seconds since November 2023, so that one that begins later is above.
+// EpochAt is that of a coordinator that begins now: the seconds since November 2023, so that one that begins later is above.
 func EpochAt(now time.Time) uint64 { return uint64(max(1, now.Unix()-1700000000)) }
 
 // UniqueID gives a number that nobody else has: of a folder, or of a start.
@@ -224,7 +224,7 @@
 	return leasestate.Order{Number: w.GetNumber(), Text: w.GetText()}
 }
 
-// DecodeResult reads an answer of the council.
+// DecodeResult reads an answer of the coordinator.
 func DecodeResult(a *fleetpb.Answer) leasestate.Result {
 	return leasestate.Result{Held: a.Held, Fence: DecodeToken(a.Fence), Why: a.Why, Number: a.Number}
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// What a watch tells at its beginning, in a fleet of 610 routers and 164 groups with two duties each: sessions are two thirds of it,
+// What a watch tells at its beginning, in a fleet of 610 routers and 164 groups with two leases each: sessions are two thirds of it,
 // and it is what a router that gives no orders need not hear. The rest has to be heard within a few seconds of an allowance of 6 KB.
 func TestWatchSize(t *testing.T) {
 	r := leasestate.New("f")
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -55,14 +55,14 @@
 	User        string   `toml:"check_user"`
 	Database    string   `toml:"check_database"`
 
-	// The fleet's part is off unless council is given.
+	// The fleet's part is off unless coordinator is given.
 	Name       string            `toml:"name"`
 	Council    []string          `toml:"council"` // addresses
-	Orders     string            `toml:"orders"`  // where this process hears duties' owners
+	Orders     string            `toml:"orders"`  // where this process hears leases' owners
 	Known      string            `toml:"orders_address"`
 	Session    Duration          `toml:"session"`
 	Margin     Duration          `toml:"margin"`
-	Sight      Duration          `toml:"sight"` // between two looks at a member, for who owns sight; 0: this process would not
+	Sight      Duration          `toml:"sight"` // between two looks at a member, for who owns health sharing; 0: this process would not
 	Handover   *Handover         `toml:"handover"`
 	MostHeld   Duration          `toml:"most_held"` // that writes wait here for a planned change
 	Via        map[string]string `toml:"via"`
@@ -71,7 +71,7 @@
 	ClockAhead Duration          `toml:"clock_ahead"`
 }
 
-// Handover is how a planned change of a group's primary is done, for a process that would do it.
+// Switchover is how a planned change of a group's primary is done, for a process that would do it.
 type Handover struct {
 	Hold     Duration `toml:"hold"` // that routers are asked to have writes wait
 	Wait     Duration `toml:"wait"` // of it, for what runs
@@ -172,7 +172,7 @@
 	Group                int
 }
 
-// Fallback is the txn type of what nothing tells: once-only, and for the primary.
+// Fallback is the request class of what nothing tells: once-only, and for the primary.
 const Fallback = "unlabelled"
 
 // wrong names the place of a mistake in a file.
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -10,18 +10,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// CouncilFile is the form of a council process's settings.
+// CouncilFile is the form of a coordinator node's settings.
 type CouncilFile struct {
 	Council Council `toml:"council"`
 }
 
-// Council is one process of the council. What is not given has a value that suits a fleet of hundreds.
+// Coordinator is one coordinator node. What is not given has a value that suits a fleet of hundreds.
 type Council struct {
 	Fleet       string            `toml:"fleet"`
 	Name        string            `toml:"name"`
 	Listen      string            `toml:"listen"`
 	Folder      string            `toml:"folder"`
-	Join        bool              `toml:"join"` // a council that has begun, by `council add`
+	Join        bool              `toml:"join"` // a coordinator that has begun, by `council add`
 	Peers       []CouncilPeer     `toml:"peers"`
 	Tick        Duration          `toml:"tick"`
 	Keep        int               `toml:"keep"` // entries until the log is cut
@@ -31,7 +31,7 @@
 	ClockAhead  Duration          `toml:"clock_ahead"`
 }
 
-// CouncilPeer is one of those who begin the council.
+// CouncilPeer is one of those who begin the coordinator.
 type CouncilPeer struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// ReadCouncil decodes a council process's file and says what is wrong with it.
+// ReadCouncil decodes a coordinator node's file and says what is wrong with it.
 func ReadCouncil(text []byte) (*Council, error) {
 	f := &CouncilFile{}
 	if err := strict(text, f); err != nil {
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -32,7 +32,7 @@
 // ReadPolicy reads a policy as people write it, TOML, and gives its fields:
 //
 //	over_share_value = 0.2
-//	[[txn_types]]              # name, and any of value, late_value; effect, level, scope, bound, window, expiry are strict
+//	[[txn_types]]              # name, and any of value, late_value; effect, level, scope, bound, window, deadline are strict
 //	[[tenants]]                # name, and rate
 //
 // Its error names everything that is wrong, a line each, with line and key. A strict field is read like any other: whether it
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%s %d, %v, dropped %v", kind, f.at, f.err, f.dropped)
 }
 
-// faultyFile stands between bbolt and the file of an open ledger.
+// faultyFile stands between bbolt and the file of an open store.
 type faultyFile struct {
 	t       *testing.T
 	fault   fault
@@ -56,7 +56,7 @@
 	bytes  []byte
 }
 
-// inject has one fault come at the ledger's next commit. bbolt has no seam for it: its own for tests is not exported.
+// inject has one fault come at the store's next commit. bbolt has no seam for it: its own for tests is not exported.
 func inject(t *testing.T, l *Store, f fault) *faultyFile {
 	t.Helper()
 	db := reflect.ValueOf(l.db).Elem()
@@ -154,7 +154,7 @@
 	}
 }
 
-// contents are what a ledger holds, as plain values.
+// contents are what a store holds, as plain values.
 type contents map[string]string
 
 func read(l *Store) (contents, error) {
@@ -173,7 +173,7 @@
 type history struct {
 	number             uint64
 	acknowledged, with contents // with: also what was attempted last
-	earlyAcknowledge   bool     // the planted defect
+	earlyAcknowledge   bool     // the seeded defect
 }
 
 // store stores one more batch, three records and a value that belong together, and in turn drops older ones.
@@ -312,7 +312,7 @@
 var runs = []int{1, 3}
 
 // Each write of a commit fails, one time and three times in a row: what was acknowledged is there, also after a kill, nothing is
-// half there, and the ledger stores again once it is opened anew.
+// half there, and the store stores again once it is opened anew.
 func TestStorage_EachWriteFails(t *testing.T) {
 	const fewest = 4 // pages of the records, the values and the free list, and the root
 	met := true
@@ -341,7 +341,7 @@
 	}
 }
 
-// The planted defect, an acknowledgement before the sync, is found.
+// The seeded defect, an acknowledgement before the sync, is found.
 func TestStorage_FindsEarlyAcknowledgement(t *testing.T) {
 	for _, f := range append(writeFaults(1), syncFaults()...) {
 		if f.kind == failedRootSync && !f.dropped {
--- a/router/alarm_test.go
+++ b/router/alarm_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An alarm may ring in a batch that began before its time. It was the only one, so the module asks for another: else what
+// An timer may ring in a batch that began before its time. It was the only one, so the module asks for another: else what
 // waits here would wait for good.
 func TestAnAlarmRingsEarly(t *testing.T) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: map[string]*RequestClass{"write": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1,
--- a/router/idle_test.go
+++ b/router/idle_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// spread is a router before so many groups of one member, each of which has had a txn.
+// spread is a router before so many groups of one member, each of which has had a request.
 func spread(groups int) (r *Router, pull func(now float64) (out []Decision)) {
 	r = New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5,
 		OverloadWindow: 2000, ListPollTimeout: 10000, RequestClasses: map[string]*RequestClass{"any": {LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Any}}}, 1)
--- a/router/moot_test.go
+++ b/router/moot_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Where no connection is left here, each submission comes back unmade at once. Guards against asking one member after the other
-// for as long as the txn lives, in one instant: nothing else would be heard meanwhile.
+// Where no connection is left here, each attempt comes back unmade at once. Guards against asking one member after the other
+// for as long as the request lives, in one instant: nothing else would be heard meanwhile.
 func TestUnmadeSubmissionsEndInOneInstant(t *testing.T) {
 	for _, members := range []int{1, 2, 5} {
 		r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}}}, 1)
--- a/router/not_sent_test.go
+++ b/router/not_sent_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// notSentRouter has one txn arrive at 1000 with a second to live, in a group whose members are up, and gives what runs one
+// notSentRouter has one request arrive at 1000 with a second to live, in a group whose members are up, and gives what runs one
 // step: each attempt then comes back not sent until the time free, and committed from then on.
 func notSentRouter(members int, free float64) (step func(now float64) (attempts int, final *Decision)) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true,
@@ -42,7 +42,7 @@
 	}
 }
 
-// Attempts that come back not sent, since this host had no connection left for a moment, are no attempts at all: the txn is
+// Attempts that come back not sent, since this host had no connection left for a moment, are no attempts at all: the request is
 // answered once there is one, however many came back before.
 func TestNotSent_AConnectionComesFreeInAMoment(t *testing.T) {
 	for _, members := range []int{1, 3, 7} {
@@ -67,7 +67,7 @@
 	}
 }
 
-// Where no connection ever comes free, each member is asked once at an instant and at growing intervals, and the txn has its
+// Where no connection ever comes free, each member is asked once at an instant and at growing intervals, and the request has its
 // one final answer before its time is over.
 func TestNotSent_NoConnectionComesFree(t *testing.T) {
 	for _, members := range []int{1, 3, 7} {
--- a/router/ramp_test.go
+++ b/router/ramp_test.go
@@ -17,7 +17,7 @@
 	routers []*Router
 	shares  []float64 // of the traffic
 	draw    random.Source
-	rate    float64 // txns a ms over all
+	rate    float64 // requests a ms over all
 	ids     int
 	due     []answer
 	sent    map[string][]float64 // to a member, by time
@@ -122,7 +122,7 @@
 func TestTheRampHoldsForTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		routers int
-		rate    float64 // txns a second
+		rate    float64 // requests a second
 		load    float64 // of what the members can do, before
 	}{{1, 100, 1}, {7, 100, 1}, {7, 20, 1}, {3, 100, 1}, {20, 100, 1}, {30, 100, 1}, {30, 400, 0.6}, {300, 100, 1}, {300, 400, 1}, {900, 300, 1}} {
 		for seed := uint64(1); seed <= 2; seed++ {
@@ -132,7 +132,7 @@
 				up := map[string]State{}
 				f.list(up, nil)
 				f.run(20000)
-				can := c.rate / rampMembers / c.load / 1000 // what one member can do, txns a ms
+				can := c.rate / rampMembers / c.load / 1000 // what one member can do, requests a ms
 				start := f.now
 				f.list(map[string]State{"m1": Removed}, nil)
 				f.run(1000)
--- a/router/router.go
+++ b/router/router.go
@@ -1,4 +1,4 @@
-// Package router decides where the txns of one router go. Its interface is in types.go.
+// Package router decides where the requests of one router go. Its interface is in types.go.
 //
 // The host calls At first whenever something has come in, then the inputs (Listed, Arrive, Returned ...),
 // which only update what is known, then pulls Next until it has nothing left, and does each decision before
@@ -21,16 +21,16 @@
 const (
 	beat       = 10.0   // ms between two looks at what waits; least between two checks of one member (DESIGN)
 	restCheck  = 1000.0 // the shortest check period where nothing presses (DESIGN)
-	perCheck   = 4.0    // txns that pay for a resting check: few enough to notice a change, checks cost points
+	perCheck   = 4.0    // requests that pay for a resting check: few enough to notice a change, checks cost points
 	recheckGap = 500.0  // check period while a group has no primary (DESIGN); also between two trials
-	memory     = 3000.0 // ms over which what is measured fades, at the least: a few SLA times
+	memory     = 3000.0 // ms over which what is measured fades, at the least: a few latency objectives
 	longMemory = 30000. // and at the most: trouble comes and goes in tens of seconds
-	sample     = 30.0   // txns that a memory should hold, so that one answer doesn't swing it
+	sample     = 30.0   // requests that a memory should hold, so that one answer doesn't swing it
 	prior      = 3.0    // answers that what is supposed at first weighs as much as
 	doubt      = 10.0   // expected waits of silence; one healthy chance in twenty thousand (e^-10)
 	rareLoss   = 0.001  // share of answers supposed lost on the way until some were
-	lostAfter  = 5.5    // expected waits; one healthy txn in 250 takes longer (e^-5.5)
-	firstLimit = 1.0    // submissions at once to a member not yet known: all routers may start together
+	lostAfter  = 5.5    // expected waits; one healthy request in 250 takes longer (e^-5.5)
+	firstLimit = 1.0    // attempts at once to a member not yet known: all routers may start together
 	reserve    = 1.5    // of the chance to be taken on, so that a few slow answers in a row change nothing
 	paced      = 2000.0 // ms after which a call for the list has paced the next: a beat of the watch
 	pacedPause = 250.0  // ms until that one, by half more or less
@@ -58,19 +58,19 @@
 	prompt, checkOut       bool    // check as soon as the least gap allows; one is out
 	since, downAt, guessed float64 // first listed; went down; was last back from a possible restart
 
-	bucket slowstart.Bucket // while cold: SLA time it may be sent
+	bucket slowstart.Bucket // while cold: latency objective it may be sent
 
 	checkSent, lastAnswer, lastSent float64
 	sighted                         float64 // when another router's check was last heard of
 	out                             []*submission
 	load                            float64   // of these, without those whose clients have yet to go on
-	overtaken                       float64   // when the latest submission that it has answered was sent
-	doubted                         bool      // has been silent too long; cleared by any answer to a submission
+	overtaken                       float64   // when the latest attempt that it has answered was sent
+	doubted                         bool      // has been silent too long; cleared by any answer to an attempt
 	doubtAt                         float64   // when the doubt began
 	passed                          bool      // a check has passed since, and no trial has gone out
 	pause                           decay.Sum // the longest unlikely silence that an answer has ended
 	slow, good, bad                 decay.Sum // latency against the usual; committed; failed, refused or lost
-	limit                           float64   // how many of this router's submissions it may hold at once
+	limit                           float64   // how many of this router's attempts it may hold at once
 	tested                          bool      // the limit has been found once
 }
 
@@ -78,11 +78,11 @@
 	no             int
 	members        []*member
 	used           bool                         // it has had traffic here
-	held, halt     float64                      // when a txn last found no member; writes wait
+	held, halt     float64                      // when a request last found no member; writes wait
 	checks         timerqueue.FairTimer[*group] // when one may be due
 	asked          float64                      // when its latest check went out; Never: one has come back since
-	arrived, reads decay.Sum                    // txns; reads that need a known position
-	repeatable     float64                      // when the last repeatable txn came
+	arrived, reads decay.Sum                    // requests; reads that need a known position
+	repeatable     float64                      // when the last repeatable request came
 	answers        map[bool]*decay.Mean         // of replicas, of primaries
 }
 
@@ -108,19 +108,19 @@
 	subs                   []*submission
 	notSent                int // of these, those that came back not sent
 	effect                 Effect
-	mayRun                 float64 // when the earliest submission that may have run went out, if any
+	mayRun                 float64 // when the earliest attempt that may have run went out, if any
 	ranZone                string
-	met                    Outcome // how the last submission ended
+	met                    Outcome // how the last attempt ended
 	asked, half            float64 // when checks were asked for on its behalf; half of this try's time
-	admitted, placed, over bool    // placed: a submission is out; over: it has had its final answer
+	admitted, placed, over bool    // placed: an attempt is out; over: it has had its final answer
 	pinned                 bool
 	pin                    *member
 }
 
-// usage is what one txn type has shown of itself.
+// usage is what one request class has shown of itself.
 type usage struct {
 	took   decay.Mean // until an answer
-	came   decay.Sum  // txns
+	came   decay.Sum  // requests
 	ended  decay.Sum  // tries ended here without success, whose clients may come back
 	habits [2]habit   // what many tries are given
 }
@@ -165,24 +165,24 @@
 	cursor               int                          // which of them was looked at last
 	stuck                *txn                         // what found no member last, since the last input
 	sorted, looked       bool                         // since the last input; looked: for silent members
-	busy                 []*member                    // those that hold submissions
+	busy                 []*member                    // those that hold attempts
 	used                 timerqueue.FairQueue[*group] // those that have had traffic
-	admit                map[bool]float64             // chance to take txns on, for replicas and primaries
+	admit                map[bool]float64             // chance to take requests on, for replicas and primaries
 	answers              map[bool]*decay.Mean         // from all groups
 	worths               decay.Sum                    // worth by work of what arrived
 	commits              lastcommit.Commits           // where session tokens are the router\'s own memory
-	done                 decay.Sum                    // SLA times committed; unlike latency they hold still in a jam
+	done                 decay.Sum                    // latency objectives committed; unlike latency they hold still in a jam
 	flow, most           float64                      // the most of them a ms and member; members up at once
 	crowded              decay.Sum                    // connections refused by members whose checks went on
 	idle                 []*member                    // whose connections are to be closed
-	arrived, heard, lost decay.Sum                    // txns; submissions answered in any way, and rather lost than long
+	arrived, heard, lost decay.Sum                    // requests; attempts answered in any way, and rather lost than long
 	span                 float64                      // ms over which what is measured fades
 	uses                 map[*RequestClass]*usage
 	shares               map[string]*decay.Sum // by tenant
 	listed               map[string]bool
 	least                float64   // the shortest check period
-	late                 decay.Sum // how late the alarm rang at most: pauses of this router's own
-	wantWatch, alarmAt   float64   // when to ask for the list again; the alarm that is out
+	late                 decay.Sum // how late the timer rang at most: pauses of this router's own
+	wantWatch, alarmAt   float64   // when to ask for the list again; the timer that is out
 	watched              float64   // when it was asked for last
 }
 
@@ -203,7 +203,7 @@
 	return r
 }
 
-// UpdateSettings takes settings with other values and tenants. A txn that is open ends by those it was taken under;
+// UpdateSettings takes settings with other values and tenants. A request that is open ends by those it was taken under;
 // what was learned stays, by name, and what arrived is weighed as it would be worth now.
 func (r *Router) UpdateSettings(set *Settings) {
 	uses, shares, old, worth := map[*RequestClass]*usage{}, map[string]*decay.Sum{}, 0.0, 0.0
@@ -227,8 +227,8 @@
 	r.cursor, r.sorted, r.looked, r.stuck = 0, false, false, nil
 }
 
-// look finds members in doubt, once the answers that came with the present batch are heard. Guards against
-// whatever takes txns and answers none: hung, vanished or cut off. Long pauses look the same for a while; the
+// look finds members suspected, once the answers that came with the present batch are heard. Guards against
+// whatever takes requests and answers none: hung, vanished or cut off. Long pauses look the same for a while; the
 // first answer ends the doubt. One pause silences all that is out there together, so that no chance of theirs
 // is against it: a silence must also be longer than a look can tell, than this router's own pauses, and than
 // twice what answers have ended.
@@ -333,7 +333,7 @@
 	r.wantWatch = math.Min(r.wantWatch, r.now+pause*(0.5+r.chance.Next()))
 }
 
-// Arrive takes a txn; false: its txn type is not in the settings. marked: its client says it is a repeat.
+// Arrive takes a request; false: its request class is not in the settings. marked: its client says it is a repeat.
 func (r *Router) Arrive(id, tenant, session, txnType string, groupNo int, tokenAge, ttl float64,
 	marked bool) bool {
 	kind := r.set.RequestClasses[txnType]
@@ -384,7 +384,7 @@
 	}
 }
 
-// AttemptEnded says how a submission ended. gtid is never where the answer told no position.
+// AttemptEnded says how an attempt ended. position is never where the answer told no position.
 func (r *Router) AttemptEnded(id string, seq int, how Outcome, rtt float64, done bool, role Role, gtid float64) {
 	t := r.txns[id]
 	if t == nil || seq >= len(t.subs) || !t.subs[seq].out {
@@ -409,7 +409,7 @@
 	}
 }
 
-// attempts counts the submissions that were sent, or may yet be.
+// attempts counts the attempts that were sent, or may yet be.
 func (t *txn) attempts() int { return len(t.subs) - t.notSent }
 
 // unsend takes back what an attempt that was not sent has counted for: the member has had nothing of it.
@@ -425,7 +425,7 @@
 	}
 }
 
-// unsentPause is how long the txn waits before it tries a member again where it was not sent. That is no attempt, and the
+// unsentPause is how long the request waits before it tries a member again where it was not sent. That is no attempt, and the
 // cause may pass in a moment; guards against asking one member without end in one instant.
 func (t *txn) unsentPause(m *member) float64 {
 	pause := beat
@@ -437,19 +437,19 @@
 	return math.Min(pause, mostUnsent)
 }
 
-// pauses tells whether the txn has just come back not sent from the member.
+// pauses tells whether the request has just come back not sent from the member.
 func (t *txn) pauses(m *member, now float64) bool {
 	return t.notSent > 0 && slices.ContainsFunc(t.subs, func(s *submission) bool { return s.to == m && now < s.retryAt })
 }
 
-// Pin says that a txn, just arrived, can go to one member alone, where its session's connection leads.
+// Pin says that a request, just arrived, can go to one member alone, where its session's connection leads.
 func (r *Router) Pin(id, node string) {
 	if t := r.txns[id]; t != nil {
 		t.pinned, t.pin = true, r.members[node]
 	}
 }
 
-// Queued says that a txn, just arrived, waited so long for its turn behind others of its client's. That is
+// Queued says that a request, just arrived, waited so long for its turn behind others of its client's. That is
 // its client's time; an answer may still be soon. Guards against answers that nobody waits for any more.
 func (r *Router) Queued(id string, waited float64) {
 	if t := r.txns[id]; t != nil {
@@ -458,7 +458,7 @@
 	}
 }
 
-// TurnChanged says whose turn it is in a submission that takes more than one: the member's, or its client's or the
+// TurnChanged says whose turn it is in an attempt that takes more than one: the member's, or its client's or the
 // pool's, who make it rest. started: part of the answer is with the client, so it is never sent again.
 func (r *Router) TurnChanged(id string, seq int, rests, started bool) {
 	t := r.txns[id]
@@ -505,7 +505,7 @@
 	}
 }
 
-// forget drops a txn that has had its final answer once no submission of it is out any more.
+// forget drops a request that has had its final answer once no attempt of it is out any more.
 func (r *Router) forget(t *txn) {
 	if t.over = true; !t.placed {
 		delete(r.txns, t.id)
@@ -517,7 +517,7 @@
 	r.forget(t)
 }
 
-// answered updates the record of a member from the end of a submission to it.
+// answered updates the record of a member from the end of an attempt to it.
 func (r *Router) answered(sub *submission, how Outcome, rtt float64, role Role, gtid float64) {
 	m, t := sub.to, sub.of
 	if how <= Overloaded || how == Misrouted {
@@ -563,7 +563,7 @@
 	}
 }
 
-// unanswered weighs whether a submission without an answer was lost on the way, or is only long and counts as
+// unanswered weighs whether an attempt without an answer was lost on the way, or is only long and counts as
 // at least that slow: the one grows likely where others are quick and many are lost.
 func (r *Router) unanswered(sub *submission) {
 	m, t := sub.to, sub.of
@@ -577,14 +577,14 @@
 	}
 }
 
-// usualLoss is the share of this router's submissions that get no answer though they may run.
+// usualLoss is the share of this router's attempts that get no answer though they may run.
 func (r *Router) usualLoss() float64 {
 	lost := r.lost.Read(r.now, r.span)
 	return (lost + prior*rareLoss) / (lost + r.heard.Read(r.now, r.span) + prior)
 }
 
 // adapt moves the limit towards where one answer in five is not soon: with exponential waits, and half the
-// SLA time as soon, one in twenty-five is then late. It guards against overload from any cause: what a member
+// latency objective as soon, one in twenty-five is then late. It guards against overload from any cause: what a member
 // can't take in time is held here, by worth. It may hold back too much where a limit seldom moves.
 func (m *member) adapt(ease, routers float64) {
 	step := math.Max(0.1, m.limit/50)
@@ -687,7 +687,7 @@
 		return
 	}
 	// Guards against checks that fail where members serve: an answer since is the better evidence, and an error
-	// shows that it is there. The txns themselves then ask (fit, pick).
+	// shows that it is there. The requests themselves then ask (fit, pick).
 	if m.mum = how == ServerError; m.mum {
 		m.down = false
 		return
@@ -746,7 +746,7 @@
 	}
 }
 
-// ClientGone says that the client of a txn has left; nothing is owed any more.
+// ClientGone says that the client of a request has left; nothing is owed any more.
 func (r *Router) ClientGone(id string) {
 	if t := r.txns[id]; t != nil {
 		r.lose(t)
@@ -827,8 +827,8 @@
 }
 
 // checkDue follows need: well inside the smallest bound where enough reads need positions to pay for it; at
-// rest some txns pay for each check, lest many routers with little traffic check more than they send, and an
-// answer tells as much; sooner for a member marked unknown or down, and for all while txns need a primary.
+// rest some requests pay for each check, lest many routers with little traffic check more than they send, and an
+// answer tells as much; sooner for a member marked unknown or down, and for all while requests need a primary.
 func (r *Router) checkDue(m *member) float64 {
 	g, gone := m.group, m.checkSent-m.downAt
 	each := float64(len(g.members)) * r.span / g.arrived.Read(r.now, r.span)
@@ -844,7 +844,7 @@
 		return g.asked + 2*beat
 	case m.checkSent == Never:
 		return m.since + perCheck*each
-	case m.down && gone < recheckGap: // it may have met what the txn met
+	case m.down && gone < recheckGap: // it may have met what the request met
 		return m.checkSent + math.Max(beat, gone)
 	case r.headless(g) && r.now-g.held < recheckGap:
 		return m.checkSent + recheckGap
@@ -873,7 +873,7 @@
 	return p == nil || p.doubted || r.now < g.halt
 }
 
-// nextRevoke takes repeatable txns back to send them again: from a member in doubt, and where the answer is
+// nextRevoke takes repeatable requests back to send them again: from a member suspected, and where the answer is
 // rather lost than late, if another try can still be in time. One that is only long is worked on twice.
 func (r *Router) nextRevoke() (Decision, bool) {
 	for n := 0; r.set.CanCancel && n < len(r.busy); n++ {
@@ -929,7 +929,7 @@
 	return t.value * (soon + t.kind.LateWeightShare*math.Max(0, late-soon)) / usual
 }
 
-// steer moves the chance of taking txns on to where one answer in five is not soon, as adapt does a limit. It
+// steer moves the chance of taking requests on to where one answer in five is not soon, as adapt does a limit. It
 // guards against jams where each router sends a member too little for the least limit: each moves a little.
 // The fewer are taken on, the more an answer speaks for. ease: how many times over it came soon enough.
 func (r *Router) steer(sub *submission, ease float64) {
@@ -947,21 +947,21 @@
 }
 
 // blame is the share of a group's answers that were slow against that of all groups, or one in five if that
-// is more. Guards against a jam of a few groups that has txns of all others refused, or hides behind them.
+// is more. Guards against a jam of a few groups that has requests of all others refused, or hides behind them.
 func (r *Router) blame(g *group, pri bool) float64 {
 	all, own := r.answers[pri], g.answers[pri]
 	share := math.Max(0.2, all.All.Read(r.now, longMemory)/math.Max(1, all.Weight.Read(r.now, longMemory)))
 	return own.Value(r.now, longMemory, prior, share) / share
 }
 
-// admits decides by worth for work, against the others', whether to take a txn on, or let a primary have it.
+// admits decides by worth for work, against the others', whether to take a request on, or let a primary have it.
 func (r *Router) admits(t *txn, pri bool) bool {
 	mean := r.worths.Read(r.now, longMemory) / r.arrived.Read(r.now, longMemory)
 	part := r.admit[pri] / r.blame(t.group, pri)
 	return part >= 1 || r.chance.Next() < math.Pow(part, mean*t.kind.LatencyObjective/t.value)
 }
 
-// place sends, ends or holds one waiting txn.
+// place sends, ends or holds one waiting request.
 func (r *Router) place(t *txn) (Decision, bool) {
 	if t.placed || t.over {
 		return Decision{}, false
@@ -1026,8 +1026,8 @@
 	return Decision{Action: RejectRequest, RequestID: t.id, Wait: r.set.RetryAfter}
 }
 
-// usual is the smoothed time to an answer of a txn type, over all members. Until some are in, a quarter of
-// the SLA time is supposed: whoever set it expects answers well inside it.
+// usual is the smoothed time to an answer of a request class, over all members. Until some are in, a quarter of
+// the latency objective is supposed: whoever set it expects answers well inside it.
 func (r *Router) usual(t *txn) float64 {
 	return t.use.took.Value(r.now, r.span, prior, t.kind.LatencyObjective/4)
 }
@@ -1039,7 +1039,7 @@
 
 func (r *Router) expects(t *txn, m *member) float64 { return r.usual(t) * r.slowness(m) }
 
-// bound is the position that the txn must see if sent now.
+// bound is the position that the request must see if sent now.
 func (t *txn) bound(now float64) float64 {
 	if t.kind.Level == Bounded {
 		return now - t.kind.StalenessBound
@@ -1058,7 +1058,7 @@
 
 func (t *txn) needsPrimary() bool { return t.kind.Level == Write || t.kind.Level == Fresh }
 
-// pick chooses a member for the txn, or none: it waits.
+// pick chooses a member for the request, or none: it waits.
 func (r *Router) pick(t *txn) *member {
 	pri := r.primary(t.group)
 	if t.pinned {
@@ -1069,7 +1069,7 @@
 			return r.fit(t, pri)
 		}
 		for _, m := range t.group.members {
-			asks := m.mum && !m.known || !r.set.CanHealthCheck // the txn does, where checks tell nothing
+			asks := m.mum && !m.known || !r.set.CanHealthCheck // the request does, where checks tell nothing
 			if asks && r.now-m.denial > recheckGap && r.fit(t, m) != nil {
 				return m
 			}
@@ -1132,14 +1132,14 @@
 	return slices.ContainsFunc(t.subs, func(s *submission) bool { return s.to == m && s.missed })
 }
 
-// draw picks one by chance, weighted against smoothed latency times one plus submissions out.
+// draw picks one by chance, weighted against smoothed latency times one plus attempts out.
 func (r *Router) draw(t *txn, from []*member) *member {
 	var best *member
 	top := Never
 	for _, m := range from {
 		good, bad := m.good.Read(r.now, r.span), m.bad.Read(r.now, r.span)
 		cost := r.slowness(m) * (1 + m.load)
-		// Guards against members that fail or refuse quickly, whose latency would draw more txns to them.
+		// Guards against members that fail or refuse quickly, whose latency would draw more requests to them.
 		weight := math.Pow((good+1)/(good+bad+1), 4) / (cost * cost)
 		if slices.ContainsFunc(t.subs, func(s *submission) bool { return s.to == m }) {
 			weight /= 10 // it has not answered this one
@@ -1163,12 +1163,12 @@
 	return math.Min(1, r.set.SlowStartFloor+(1-r.set.SlowStartFloor)*(r.now-start)/r.set.SlowStartDuration)
 }
 
-// fit is the one place that every send passes: it gives the member back if the txn may go there now.
+// fit is the one place that every send passes: it gives the member back if the request may go there now.
 func (r *Router) fit(t *txn, m *member) *member {
 	if m == nil || m.barred || m.down || t.placed || t.over || t.pauses(m, r.now) || t.needsPrimary() && r.now < m.group.halt {
 		return nil
 	}
-	// Rule 2: a referenced txn that may have run stays where its repeats are discarded.
+	// Rule 2: a referenced request that may have run stays where its repeats are discarded.
 	if t.mayRun != Never && t.kind.Effect == IdempotentWithKey && t.kind.Scope == ScopeZone && m.zone != t.ranZone {
 		return nil
 	}
@@ -1185,7 +1185,7 @@
 	return m
 }
 
-// tries tells whether the txn may be a doubted member's trial: the first as soon as a check has passed since.
+// tries tells whether the request may be a doubted member's trial: the first as soon as a check has passed since.
 func (r *Router) tries(m *member, t *txn) bool {
 	return (m.passed || r.now-m.lastSent >= recheckGap) &&
 		(t.effect == Idempotent || m.known && len(m.out) == 0 && r.now-t.group.repeatable > longMemory)
@@ -1199,7 +1199,7 @@
 	return w >= 1 || m.bucket.Allows(r.now, rate, t.kind.LatencyObjective, r.set.OverloadWindow, float64(r.set.Routers), r.chance.Next)
 }
 
-// holds tells until when what a submission rests on holds: its connection may take a while to come up, while
+// holds tells until when what an attempt rests on holds: its connection may take a while to come up, while
 // the data that is known there ages (rule 5) and the window for repeats closes (rule 2). It may be held up after asking.
 func (r *Router) holds(t *txn, m *member) float64 {
 	by := math.Inf(1)
@@ -1213,7 +1213,7 @@
 }
 
 // follow keeps the best average that members have committed, over the most that were ever up, lest a loss of
-// many raises it, less what few txns vary by, since all add up. Guards against restarts of many, and lulls.
+// many raises it, less what few requests vary by, since all add up. Guards against restarts of many, and lulls.
 func (r *Router) follow(t *txn) {
 	r.done.Add(r.now, longMemory, t.kind.LatencyObjective)
 	span := longMemory * (1 - math.Exp(-math.Max(longMemory/3, r.now-r.born)/longMemory))
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -16,19 +16,19 @@
 //
 //	set routers=2 lag=answers ...      settings, or "unused": no traffic before; then: type NAME level=write effect=once-only ...
 //	at 120                             the time; what follows happens then; "paused": the router stood still up to then
-//	turn t1 rests started              of the submission sent last: whose turn it is, and whether its client has had a part
+//	turn t1 rests started              of the attempt sent last: whose turn it is, and whether its client has had a part
 //	list whole a/2 b:draining c@-5     members, / and a group, states, @ the time of a start; "list changes" for changes only
 //	list failed
 //	arrive t1 TYPE ttl=500 age=20 session=s tenant=n group=2 marked
-//	returned t1 miss role=replica gtid=90 done     of the submission sent last
-//	checked a ok role=primary gtid=100             or another outcome
+//	returned t1 miss role=replica position=90 done     of the attempt sent last
+//	checked a ok role=primary position=100             or another outcome
 //	gone t1
-//	sighted a started=-5 role=primary gtid=100     another router's check; started: Never unless it says
+//	sighted a started=-5 role=primary position=100     another router's check; started: Never unless it says
 //	hold 2000 | hold none                          writes of group 1 wait until then
 //	tenant n rate=10 over=0.1                      its share, and what is over one is worth; before the first "at"
 //	revalue TYPE value=5 late=0.2 | revalue tenant n rate=20 | revalue tenant n gone     later settings
 //	want submit t1 a|b                 a decision that must be among those just pulled; it is used up
-//	never submit t1                    none such may be left among them; a decline tells its wait: decline t1 400
+//	never submit t1                    none such may be left among them; a rejection tells its wait: rejection t1 400
 //
 // All members are in group 1, unless it says otherwise, and in the zone of their name's first letter.
 var (
@@ -61,7 +61,7 @@
 	unused bool // the group has had no traffic yet
 	fresh  bool // inputs have come since the last pull
 	out    []string
-	last   map[string]Decision // the last submission of each txn
+	last   map[string]Decision // the last attempt of each request
 	count  map[string]int
 }
 
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// What is kept follows what is there now: members that come and go, with their groups, and txns, some for groups that
+// What is kept follows what is there now: members that come and go, with their groups, and requests, some for groups that
 // were never listed, leave nothing behind, while what is out to a member that left still comes back.
 func TestLevelsOff(t *testing.T) {
 	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Any}
@@ -430,7 +430,7 @@
 	}
 }
 
-// What a submission rests on holds for a time, which goes with it: a position known of a member ages, and the window for
+// What an attempt rests on holds for a time, which goes with it: a position known of a member ages, and the window for
 // repeats closes, while its connection comes up.
 func TestUntilWhenASubmissionHolds(t *testing.T) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
@@ -481,7 +481,7 @@
 	}
 }
 
-// Later settings take hold of what comes after them alone, and nothing that was learned is lost: a tenant's traffic and a txn
+// Later settings take hold of what comes after them alone, and nothing that was learned is lost: a tenant's traffic and a request
 // type's times stay, those of a tenant that has no share any more go, and values that all grow alike change no decision.
 func TestRevalue(t *testing.T) {
 	made := func(scale float64, tenants map[string]float64) *Settings {
@@ -500,7 +500,7 @@
 		r.ListMember("a", "z", 1, Up, Never)
 		r.ListMember("b", "z", 1, Up, Never)
 		r.EndList(true)
-		for at := 150; at < 60000; at += 150 { // few txns: the chance to be taken on goes by worth
+		for at := 150; at < 60000; at += 150 { // few requests: the chance to be taken on goes by worth
 			r.Advance(float64(at))
 			r.TimerFired()
 			if every > 0 && at%every == 0 {
--- a/router/types.go
+++ b/router/types.go
@@ -1,6 +1,6 @@
 package router
 
-// Outcome tells how a submission or a check ended.
+// Outcome tells how an attempt or a check ended.
 type Outcome int
 
 const (
@@ -15,7 +15,7 @@
 	Misrouted
 )
 
-// Effect tells what a repeat of a txn does.
+// Effect tells what a repeat of a request does.
 type Effect int
 
 const (
@@ -24,7 +24,7 @@
 	NonIdempotent
 )
 
-// Level tells which members may take a txn.
+// Level tells which members may take a request.
 type Level int
 
 const (
@@ -35,7 +35,7 @@
 	Write
 )
 
-// Scope tells which members discard the repeat of a referenced txn.
+// Scope tells which members discard the repeat of a referenced request.
 type Scope int
 
 const (
@@ -83,16 +83,16 @@
 	SlowStartDuration  float64
 	OverloadMultiple   float64
 	OverloadWindow     float64
-	MaxAttempts        int // at most, for one txn
+	MaxAttempts        int // at most, for one request
 	CanHealthCheck     bool
 	CanCancel          bool
 	RetryAfter         float64 // longest wait a client follows; 0 where none may be told
 	Lag                Lag
-	ClientsMarkRetries bool // clients mark the repeats of a txn
+	ClientsMarkRetries bool // clients mark the repeats of a request
 	RemembersCommits   bool // session tokens are the router's own memory
 	OverQuotaWeight    float64
 	RequestClasses     map[string]*RequestClass
-	Tenants            map[string]float64 // txns per second within the share, all routers together
+	Tenants            map[string]float64 // requests per second within the share, all routers together
 }
 
 type RequestClass struct {
@@ -126,7 +126,7 @@
 	Action    Action
 	RequestID string
 	Member    string
-	Attempt   int     // Revoke: which submission
+	Attempt   int     // Revoke: which attempt
 	Wait      float64 // Decline: when to come back; Submit: its time-out, 0 for none
 	NotAfter  float64 // Submit: not written after this
 	Time      float64 // Alarm
