--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -204,7 +204,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
 	duty := switchover.LeaseName(c.Group)
-	a, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: duty, Text: switchover.Order(c.To)})
+	a, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: duty, Text: switchover.FormatOrder(c.To)})
 	if err != nil {
 		return err
 	}
--- a/cmd/wayloft/join.go
+++ b/cmd/wayloft/join.go
@@ -32,12 +32,12 @@
 		return nil, fmt.Errorf("fleet.record: %w", err)
 	}
 	s.listed = map[string]discovery.Entry{}
-	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Council, Via: f.Via, Listen: f.Orders,
+	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Council, AddressOverrides: f.Via, ListenAddress: f.Orders,
 		Address: cmp.Or(f.Known, listener.Addr().String()), SessionTimeout: float64(f.Session), SafetyMargin: float64(f.Margin), HealthSharePeriod: float64(f.Sight),
-		MaxHold: float64(f.MostHeld), ClockOffset: float64(f.ClockAhead), Record: rec}
+		MaxHold: float64(f.MostHeld), ClockOffset: float64(f.ClockAhead), AuditLog: rec}
 	if h := f.Handover; h != nil {
 		set.SwitchoverEnabled = true
-		set.Switchover = switchover.Settings{Hold: float64(h.Hold), Wait: float64(h.Wait), Step: float64(h.Step)}
+		set.Switchover = switchover.Settings{MaxHold: float64(h.Hold), DrainTimeout: float64(h.Wait), StepTimeout: float64(h.Step)}
 		set.Adapter = adapter(h)
 	}
 	if f.Policy != "" {
@@ -58,8 +58,8 @@
 }
 
 func adapter(h *settings.Handover) *fleet.Adapter {
-	return &fleet.Adapter{User: h.User, Database: h.Database, Primary: h.Primary, Guard: h.Guard, Seen: h.Seen, Yield: h.Yield,
-		Take: h.Take, Within: float64(h.Step)}
+	return &fleet.Adapter{User: h.User, Database: h.Database, PrimaryQuery: h.Primary, GuardStatement: h.Guard, GuardQuery: h.Seen, StepDownStatement: h.Yield,
+		PromoteStatement: h.Take, StepTimeoutMs: float64(h.Step)}
 }
 
 // keep notes the list for the fleet's part.
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -65,7 +65,7 @@
 }
 
 // findings gives what keeps a change from being made, as one error.
-func findings(all []policy.Finding) error {
+func findings(all []policy.Violation) error {
 	var errs []error
 	for _, f := range all {
 		if f.Field == "" {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	if err := findings(policy.Judge(nil, d)); err != nil { // nothing strict was ever in force
+	if err := findings(policy.ValidateChange(nil, d)); err != nil { // nothing strict was ever in force
 		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
 	if c.Config != "" {
@@ -148,12 +148,12 @@
 		return err
 	}
 	fmt.Printf("version %s is in force\n", now.Version)
-	x := policy.Between(now.Document, d)
+	x := policy.Diff(now.Document, d)
 	if x.Empty() {
 		fmt.Println("nothing changes")
 	}
 	printDifference(now.Document, x)
-	return findings(x.Judge())
+	return findings(x.Validate())
 }
 
 // many is how many routers there are: one that lost the coordinator before is not among the sessions, and would not be missed.
@@ -188,15 +188,15 @@
 		return err
 	}
 	if c.Expect != "" {
-		mark, err := policy.ParseMark(c.Expect)
+		mark, err := policy.ParsePacked(c.Expect)
 		if err != nil {
 			return fmt.Errorf("--expect: %w", err)
 		}
-		if mark != now.Version.Number64() {
+		if mark != now.Version.Packed() {
 			return fmt.Errorf("version %s is in force, not %s: nothing was changed", now.Version, c.Expect)
 		}
 	}
-	x := policy.Between(now.Document, d)
+	x := policy.Diff(now.Document, d)
 	if x.Empty() {
 		if now.Version.Number == 0 {
 			return errors.New("it says nothing, and no policy is in force: nothing was changed")
@@ -204,7 +204,7 @@
 		fmt.Printf("version %s, which is in force, says the same\n", now.Version)
 		return c.wait(client, now.Version, time.Now())
 	}
-	if err := findings(x.Judge()); err != nil {
+	if err := findings(x.Validate()); err != nil {
 		return fmt.Errorf("nothing was changed, version %s stays in force:\n%w", now.Version, err)
 	}
 	p := policy.Propose(now.Version, now.Document, d, c.Author, c.Reason)
@@ -296,7 +296,7 @@
 		case stateCouldn:
 			why = "couldn't: " + strings.ReplaceAll(g.why, "\n", "; ")
 		case stateWaits:
-			why = "goes by " + policy.MarkString(g.mark)
+			why = "goes by " + policy.FormatPacked(g.mark)
 		}
 		out = append(out, fmt.Sprintf("%s (%s)", g.name, why))
 	}
@@ -330,10 +330,10 @@
 		case err != nil && ctx.Err() == nil:
 			missing = "the council gives no answer: " + err.Error()
 		case err == nil:
-			if now := latest(s); now.Number64() > v.Number64() {
+			if now := latest(s); now.Packed() > v.Packed() {
 				return nowhere("version %s followed and is in force, by %s: %s", now, now.Author, now.Reason)
 			}
-			all := goers(s, v.Number64(), known)
+			all := goers(s, v.Packed(), known)
 			for _, g := range all {
 				known[g.name] = true
 			}
@@ -376,12 +376,12 @@
 		return err
 	}
 	v := now.Version
-	all := goers(s, v.Number64(), nil)
+	all := goers(s, v.Packed(), nil)
 	missing := left(all, c.Routers)
 	if c.JSON {
 		rows := []map[string]any{}
 		for _, g := range all {
-			rows = append(rows, map[string]any{"name": g.name, "version": policy.MarkString(g.mark), "state": g.state, "why": g.why, "silent_ms": g.silent})
+			rows = append(rows, map[string]any{"name": g.name, "version": policy.FormatPacked(g.mark), "state": g.state, "why": g.why, "silent_ms": g.silent})
 		}
 		return printJSON(map[string]any{"version": v.String(), "hash": hash(v), "fields": len(now.Document), "author": v.Author,
 			"reason": v.Reason, "everywhere": missing == "", "routers": rows})
@@ -399,7 +399,7 @@
 		if g.why != "" {
 			state += ": " + strings.ReplaceAll(g.why, "\n", "; ")
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d ms\t%s\n", g.name, policy.MarkString(g.mark), g.silent, state)
+		fmt.Fprintf(w, "%s\t%s\t%d ms\t%s\n", g.name, policy.FormatPacked(g.mark), g.silent, state)
 	}
 	w.Flush()
 	if missing == "" {
@@ -428,14 +428,14 @@
 		rows := []map[string]any{}
 		for _, one := range all.History {
 			v := one.Version
-			rows = append(rows, map[string]any{"version": v.String(), "base": policy.MarkString(v.Base), "hash": hash(v), "author": v.Author, "reason": v.Reason,
-				"set": one.Difference.Set, "gone": append([]string{}, one.Difference.Gone...)})
+			rows = append(rows, map[string]any{"version": v.String(), "base": policy.FormatPacked(v.Base), "hash": hash(v), "author": v.Author, "reason": v.Reason,
+				"set": one.Difference.Set, "gone": append([]string{}, one.Difference.Removed...)})
 		}
 		return printJSON(rows)
 	}
 	for _, one := range all.History {
 		v := one.Version
-		fmt.Printf("%s after %s, by %s: %s\n", v, policy.MarkString(v.Base), cmp.Or(v.Author, "nobody"), cmp.Or(v.Reason, "no reason given"))
+		fmt.Printf("%s after %s, by %s: %s\n", v, policy.FormatPacked(v.Base), cmp.Or(v.Author, "nobody"), cmp.Or(v.Reason, "no reason given"))
 		for _, field := range one.Difference.Fields() {
 			if value, set := one.Difference.Set[field]; set {
 				fmt.Printf("    %s = %s\n", field, value)
@@ -464,7 +464,7 @@
 	}
 	v, d := all.Version, all.Document
 	if c.Version != "" {
-		mark, err := policy.ParseMark(c.Version)
+		mark, err := policy.ParsePacked(c.Version)
 		if err != nil {
 			return err
 		}
@@ -483,12 +483,12 @@
 // earlier gives the document of an earlier version, as far as the history that is kept tells it: a change says what a field
 // became, and not what it was.
 func earlier(all fleet.Policies, mark uint64) (policy.Version, policy.Document, error) {
-	if mark == all.Version.Number64() {
+	if mark == all.Version.Packed() {
 		return all.Version, all.Document, nil
 	}
-	at := slices.IndexFunc(all.History, func(c policy.Change) bool { return c.Version.Number64() == mark })
+	at := slices.IndexFunc(all.History, func(c policy.Change) bool { return c.Version.Packed() == mark })
 	if at < 0 {
-		return policy.Version{}, nil, fmt.Errorf("there is no version %s among the latest %d", policy.MarkString(mark), len(all.History))
+		return policy.Version{}, nil, fmt.Errorf("there is no version %s among the latest %d", policy.FormatPacked(mark), len(all.History))
 	}
 	v := all.History[at].Version
 	// What no later change touched is as it is now; the rest is as the changes up to it say.
@@ -505,7 +505,7 @@
 				d[field] = value
 			}
 		}
-		for _, field := range c.Difference.Gone {
+		for _, field := range c.Difference.Removed {
 			if touched[field] {
 				delete(d, field)
 			}
--- a/cmd/wayloft/policy_test.go
+++ b/cmd/wayloft/policy_test.go
@@ -17,7 +17,7 @@
 	one := func(name string, mark, wont, silent uint64, why string) *fleetpb.Session {
 		return &fleetpb.Session{Name: name, Kind: "router", Policy: mark, Wont: wont, SilentMs: silent, Why: why}
 	}
-	v := func(number uint64) uint64 { return policy.Version{Epoch: 9, Number: number}.Number64() }
+	v := func(number uint64) uint64 { return policy.Version{Epoch: 9, Number: number}.Packed() }
 	there := one("r1", v(2), 0, 300, "")
 	for _, c := range []struct {
 		sessions []*fleetpb.Session
@@ -63,15 +63,15 @@
 					delete(d, field)
 				}
 			}
-			v := policy.Version{Epoch: 3, Number: number, Base: all.Version.Number64(), Hash: d.Hash()}
-			all.History = append(all.History, policy.Change{Version: v, Difference: policy.Between(all.Document, d)})
+			v := policy.Version{Epoch: 3, Number: number, Base: all.Version.Packed(), Hash: d.Hash()}
+			all.History = append(all.History, policy.Change{Version: v, Difference: policy.Diff(all.Document, d)})
 			all.Version, all.Document = v, d
 			docs = append(docs, d)
 		}
 		cut := r.IntN(len(docs))
 		all.History = all.History[cut:]
 		for n, want := range docs {
-			v, got, err := earlier(all, policy.Version{Epoch: 3, Number: uint64(n + 1)}.Number64())
+			v, got, err := earlier(all, policy.Version{Epoch: 3, Number: uint64(n + 1)}.Packed())
 			switch {
 			case err != nil:
 				if refused++; cut == 0 || n == len(docs)-1 {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -335,11 +335,11 @@
 		b := c.node.State().Policy()
 		v := b.Version
 		for _, was := range b.Changes { // another may have followed by now
-			if was.Version.Number64() == e.Policy {
+			if was.Version.Packed() == e.Policy {
 				v = was.Version
 			}
 		}
-		c.set.Record.Add("policy", audit.Fields{"index": e.Index, "version": policy.MarkString(e.Policy), "hash": hex.EncodeToString(v.Hash[:]),
+		c.set.Record.Add("policy", audit.Fields{"index": e.Index, "version": policy.FormatPacked(e.Policy), "hash": hex.EncodeToString(v.Hash[:]),
 			"author": v.Author, "reason": v.Reason})
 		if leads {
 			logrus.WithFields(logrus.Fields{"version": v, "author": v.Author, "reason": v.Reason}).Info("policy in force")
@@ -579,7 +579,7 @@
 			close(got)
 			return
 		}
-		p, known := c.pack(policy.Request{Have: q.Have, Want: q.Want, Whole: q.Whole, Offset: int(min(q.Offset, 1<<30))})
+		p, known := c.pack(policy.Request{Have: q.Have, Want: q.Want, Full: q.Whole, Offset: int(min(q.Offset, 1<<30))})
 		if !known {
 			p.version = policy.Version{}
 		}
@@ -596,7 +596,7 @@
 			return nil, status.Error(codes.NotFound, "this process knows of no such version: it may lag, ask another")
 		}
 		at := min(q.Offset, uint64(len(p.bytes)))
-		if p.version.Number64() != q.Want || at == uint64(len(p.bytes)) { // it is another than the one that was begun with
+		if p.version.Packed() != q.Want || at == uint64(len(p.bytes)) { // it is another than the one that was begun with
 			at = 0
 		}
 		end := min(at+min(q.Most, mostPart), uint64(len(p.bytes)))
@@ -612,8 +612,8 @@
 	b := c.node.State().Policy()
 	for n := len(c.packed) - 1; n >= 0; n-- {
 		p := c.packed[n]
-		if mark := p.version.Number64(); p.whole == q.Whole && (p.whole || p.have == q.Have) &&
-			(mark == b.Version.Number64() && q.Want <= mark && q.Have <= mark || q.Offset > 0 && mark == q.Want) {
+		if mark := p.version.Packed(); p.whole == q.Full && (p.whole || p.have == q.Have) &&
+			(mark == b.Version.Packed() && q.Want <= mark && q.Have <= mark || q.Offset > 0 && mark == q.Want) {
 			c.packed = append(slices.Delete(c.packed, n, n+1), p)
 			return p, true
 		}
@@ -622,8 +622,8 @@
 	if !known {
 		return packed{}, false
 	}
-	if whole && !q.Whole {
-		q.Whole, q.Offset = true, 0
+	if whole && !q.Full {
+		q.Full, q.Offset = true, 0
 		return c.pack(q)
 	}
 	p := packed{q.Have, whole, b.Version, rpc.Compress(text)}
--- a/internal/coordinator/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -86,7 +86,7 @@
 	for _, name := range state.Sessions() {
 		s, _ := state.Session(name)
 		fmt.Fprintf(out, "session %s kind %s incarnation %d length_ms %d heard_ms %d address %s policy %s refused %d rejected %s why %q\n", name, s.Role,
-			s.Incarnation, s.Timeout, s.LastHeartbeat, s.Address, policy.MarkString(s.Policy), s.RejectedActs, policy.MarkString(s.RejectedPolicy), s.Reason)
+			s.Incarnation, s.Timeout, s.LastHeartbeat, s.Address, policy.FormatPacked(s.Policy), s.RejectedActs, policy.FormatPacked(s.RejectedPolicy), s.Reason)
 	}
 	for _, name := range state.Leases() {
 		d, _ := state.Lease(name)
@@ -100,7 +100,7 @@
 	fmt.Fprintf(out, "events %d all %t\n", len(events), all)
 	for _, e := range events {
 		fmt.Fprintf(out, "  event %d session %q ended %t lease %q token %d.%d why %q policy %s\n", e.Index, e.Session, e.Ended, e.Lease, e.Token.Epoch,
-			e.Token.Count, e.Reason, policy.MarkString(e.Policy))
+			e.Token.Count, e.Reason, policy.FormatPacked(e.Policy))
 	}
 	describePolicy(out, state.Policy())
 }
@@ -110,18 +110,18 @@
 	for _, field := range slices.Sorted(maps.Keys(book.Document)) {
 		fmt.Fprintf(out, "  field %s = %s\n", field, book.Document[field])
 	}
-	fmt.Fprintf(out, "policy barred %s\n", policy.MarkString(book.ForeignVersion))
+	fmt.Fprintf(out, "policy barred %s\n", policy.FormatPacked(book.ForeignVersion))
 	for _, change := range book.Changes {
 		describeVersion(out, "history", change.Version)
 		for _, field := range slices.Sorted(maps.Keys(change.Difference.Set)) {
 			fmt.Fprintf(out, "  set %s = %s\n", field, change.Difference.Set[field])
 		}
-		fmt.Fprintf(out, "  removed %q\n", change.Difference.Gone)
+		fmt.Fprintf(out, "  removed %q\n", change.Difference.Removed)
 	}
 }
 
 func describeVersion(out *strings.Builder, what string, v policy.Version) {
-	fmt.Fprintf(out, "%s %d.%d hash %x base %s size %d author %q reason %q\n", what, v.Epoch, v.Number, v.Hash, policy.MarkString(v.Base), v.Size, v.Author,
+	fmt.Fprintf(out, "%s %d.%d hash %x base %s size %d author %q reason %q\n", what, v.Epoch, v.Number, v.Hash, policy.FormatPacked(v.Base), v.Size, v.Author,
 		v.Reason)
 }
 
@@ -156,7 +156,7 @@
 	fmt.Fprintf(out, " by %d number %d also %d kind %s", record.By, record.Number, record.Also, e.Kind)
 	fmt.Fprintf(out, " passed_ms %d session %q incarnation %d lease %q token %d.%d", e.Elapsed, e.Session, e.Incarnation, e.Lease, e.Token.Epoch, e.Token.Count)
 	for _, n := range e.Heartbeats {
-		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.RejectedActs, policy.MarkString(n.Policy))
+		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.RejectedActs, policy.FormatPacked(n.Policy))
 	}
 }
 
--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	gather  = 0.25   // of a period that reports wait for each other, so that one message carries several
-	longest = 256    // bytes of a member's id
-	most    = 1000   // reports in one message, and members of one group
-	ahead   = 1000.0 // ms that a position may lie ahead of this machine's clock, as for a router's own checks
+	batchFraction     = 0.25   // of a period that reports wait for each other, so that one message carries several
+	maxMemberIDBytes  = 256    // bytes of a member's id
+	maxReports        = 1000   // reports in one message, and members of one group
+	maxPositionLeadMs = 1000.0 // ms that a position may lie ahead of this machine's clock, as for a router's own checks
 )
 
 // LeaseName names the lease of a group.
@@ -47,29 +47,29 @@
 
 // Prober looks at one group. Times are ms on any clock that doesn't go back.
 type Prober struct {
-	period  float64
-	now     float64
-	members []string
-	turn    int
-	turnAt  float64
-	latest  map[string]Report
-	since   float64 // when the first report that has yet to go came
+	periodMs     float64
+	now          float64
+	members      []string
+	nextMember   int
+	nextProbe    float64
+	pending      map[string]Report
+	pendingSince float64 // when the first report that has yet to go came
 }
 
 // NewProber makes one that asks each member once a period.
 func NewProber(period float64) *Prober {
-	return &Prober{period: period, latest: map[string]Report{}}
+	return &Prober{periodMs: period, pending: map[string]Report{}}
 }
 
 // Advance sets the time; all that follows until the next call happens then.
 func (o *Prober) Advance(now float64) { o.now = math.Max(o.now, now) }
 
-// Members says who is in the group now.
-func (o *Prober) Members(ids []string) {
-	o.members = slices.Clone(ids[:min(len(ids), most)])
-	for id := range o.latest {
+// SetMembers says who is in the group now.
+func (o *Prober) SetMembers(ids []string) {
+	o.members = slices.Clone(ids[:min(len(ids), maxReports)])
+	for id := range o.pending {
 		if !slices.Contains(o.members, id) {
-			delete(o.latest, id)
+			delete(o.pending, id)
 		}
 	}
 }
@@ -79,40 +79,40 @@
 	if !slices.Contains(o.members, r.Member) {
 		return
 	}
-	if len(o.latest) == 0 {
-		o.since = o.now
+	if len(o.pending) == 0 {
+		o.pendingSince = o.now
 	}
-	o.latest[r.Member] = r
+	o.pending[r.Member] = r
 }
 
 // Next gives the next decision; false: none is left.
 func (o *Prober) Next() (Decision, bool) {
-	if len(o.latest) > 0 && (o.now-o.since >= gather*o.period || len(o.latest) == len(o.members)) {
+	if len(o.pending) > 0 && (o.now-o.pendingSince >= batchFraction*o.periodMs || len(o.pending) == len(o.members)) {
 		var all []Report
 		for _, id := range o.members {
-			if r, told := o.latest[id]; told {
+			if r, told := o.pending[id]; told {
 				all = append(all, r)
 			}
 		}
-		clear(o.latest)
+		clear(o.pending)
 		return Decision{Action: Share, Reports: all}, true
 	}
-	if len(o.members) == 0 || o.turnAt > o.now {
+	if len(o.members) == 0 || o.nextProbe > o.now {
 		return Decision{}, false
 	}
-	o.turnAt = math.Max(o.turnAt, o.now-o.period) + o.period/float64(len(o.members)) // one after the other, evenly
-	o.turn = (o.turn + 1) % len(o.members)
-	return Decision{Action: Probe, Member: o.members[o.turn]}, true
+	o.nextProbe = math.Max(o.nextProbe, o.now-o.periodMs) + o.periodMs/float64(len(o.members)) // one after the other, evenly
+	o.nextMember = (o.nextMember + 1) % len(o.members)
+	return Decision{Action: Probe, Member: o.members[o.nextMember]}, true
 }
 
 // NextDeadline is when At must be called again at the latest.
 func (o *Prober) NextDeadline() float64 {
 	due := math.Inf(1)
-	if len(o.latest) > 0 {
-		due = o.since + gather*o.period
+	if len(o.pending) > 0 {
+		due = o.pendingSince + batchFraction*o.periodMs
 	}
 	if len(o.members) > 0 {
-		due = math.Min(due, o.turnAt)
+		due = math.Min(due, o.nextProbe)
 	}
 	return due
 }
@@ -125,15 +125,15 @@
 		}
 	}
 	switch {
-	case r.Member == "" || len(r.Member) > longest:
+	case r.Member == "" || len(r.Member) > maxMemberIDBytes:
 		return fmt.Errorf("member: an id of %d bytes", len(r.Member))
 	case r.Primary && r.Replica:
 		return fmt.Errorf("%s: both primary and replica", r.Member)
-	case r.Position > now+ahead:
+	case r.Position > now+maxPositionLeadMs:
 		return fmt.Errorf("%s: position lies %.0f ms ahead", r.Member, r.Position-now)
 	}
 	return nil
 }
 
 // MaxReports is how many reports one message may hold.
-func MaxReports() int { return most }
+func MaxReports() int { return maxReports }
--- a/internal/decide/healthshare/healthshare_test.go
+++ b/internal/decide/healthshare/healthshare_test.go
@@ -7,14 +7,14 @@
 )
 
 // Each member is asked once a period, one after the other; reports go together, soon; a member that left is neither asked nor told of.
-func TestTurns(t *testing.T) {
+func TestProber_ProbesEvenlyAndBatchesReports(t *testing.T) {
 	o := NewProber(400)
-	o.Members([]string{"a", "b", "c", "d"})
+	o.SetMembers([]string{"a", "b", "c", "d"})
 	asked, told, last := map[string]int{}, map[string]int{}, 0.0
 	var gaps []float64
 	for at := 0.0; at < 4000; at += 10 {
 		if at == 2000 {
-			o.Members([]string{"a", "b"})
+			o.SetMembers([]string{"a", "b"})
 			o.Reported(Report{Member: "c"})
 		}
 		o.Advance(at)
@@ -47,9 +47,9 @@
 }
 
 // One that stood still doesn't make up for the turns that it missed.
-func TestPause(t *testing.T) {
+func TestProber_DoesNotCatchUpAfterAPause(t *testing.T) {
 	o := NewProber(100)
-	o.Members([]string{"a", "b"})
+	o.SetMembers([]string{"a", "b"})
 	o.Advance(100000)
 	looks := 0
 	for d, more := o.Next(); more && looks < 100; d, more = o.Next() {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestSound(t *testing.T) {
+func TestCheckReport_Bounds(t *testing.T) {
 	for what, c := range map[string]struct {
 		r  Report
 		ok bool
--- a/internal/decide/leaseclient/leaseclient_test.go
+++ b/internal/decide/leaseclient/leaseclient_test.go
@@ -212,10 +212,10 @@
 	if len(u.Policies) != 2 || u.Policies[0].Version != first || u.Policies[1].Version != second || u.Policies[1].Difference.Set["over_share_value"] != "0.3" {
 		t.Fatalf("%+v", u)
 	}
-	s.a.PolicyApplied(second.Number64(), 0, "")
+	s.a.PolicyApplied(second.Packed(), 0, "")
 	s.to(1000, true)
 	s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "q", Incarnation: 1, Timeout: 60000})
-	if one, _ := s.r.Session("p"); one.Policy != second.Number64() {
+	if one, _ := s.r.Session("p"); one.Policy != second.Packed() {
 		t.Error("the council doesn't know of it:", one)
 	}
 	if u, _ := Changes(s.r, next, true); len(u.Sessions)+len(u.Policies) != 0 || !u.WithoutSessions {
@@ -246,14 +246,14 @@
 	s.to(500, true)
 	v := s.propose("0.2")
 	s.log = nil
-	s.a.PolicyApplied(0, v.Number64(), "no memory")
+	s.a.PolicyApplied(0, v.Packed(), "no memory")
 	s.to(s.now+11, true)
-	if one, _ := s.r.Session("p"); one.RejectedPolicy != v.Number64() || one.Reason != "no memory" || s.count(leasestate.KeepAlive) != 1 {
+	if one, _ := s.r.Session("p"); one.RejectedPolicy != v.Packed() || one.Reason != "no memory" || s.count(leasestate.KeepAlive) != 1 {
 		t.Fatal(one, s.log)
 	}
-	s.a.PolicyApplied(v.Number64(), 0, "")
+	s.a.PolicyApplied(v.Packed(), 0, "")
 	s.to(s.now+11, true)
-	if one, _ := s.r.Session("p"); one.Policy != v.Number64() || one.RejectedPolicy != 0 || one.Reason != "" {
+	if one, _ := s.r.Session("p"); one.Policy != v.Packed() || one.RejectedPolicy != 0 || one.Reason != "" {
 		t.Fatal(one)
 	}
 	s.to(s.now+4000, false)
@@ -261,7 +261,7 @@
 		t.Fatal("its session was to end")
 	}
 	s.to(s.now+6000, true)
-	if one, _ := s.r.Session("p"); one.Policy != v.Number64() || s.a.Reopened != 1 {
+	if one, _ := s.r.Session("p"); one.Policy != v.Packed() || s.a.Reopened != 1 {
 		t.Error(one, s.a.Reopened)
 	}
 }
--- a/internal/decide/leasestate/leasestate.go
+++ b/internal/decide/leasestate/leasestate.go
@@ -332,7 +332,7 @@
 			r.free(name)
 		}
 		if r.s.Policy != nil && r.s.Policy.BeginEpoch(e.Epoch) {
-			r.tell(Event{Policy: r.s.Policy.Version.Number64()})
+			r.tell(Event{Policy: r.s.Policy.Version.Packed()})
 		}
 	}
 	return Result{}
@@ -348,7 +348,7 @@
 		return Result{Why: why, Number: was.Number}
 	}
 	if v != was {
-		r.tell(Event{Policy: v.Number64()})
+		r.tell(Event{Policy: v.Packed()})
 	}
 	return Result{Held: true, Number: v.Number}
 }
--- a/internal/decide/leasestate/leasestate_test.go
+++ b/internal/decide/leasestate/leasestate_test.go
@@ -220,7 +220,7 @@
 		Lease: rapid.SampledFrom([]string{"d", "e"}).Draw(t, "duty"),
 		Token: fence(uint64(rapid.IntRange(1, 3).Draw(t, "epoch")), uint64(rapid.IntRange(0, 4).Draw(t, "count"))),
 		Epoch: uint64(rapid.IntRange(1, 4).Draw(t, "to epoch")), Text: "x", Number: uint64(rapid.IntRange(0, 2).Draw(t, "number"))}
-	mark := policy.Version{Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "of")), Number: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}.Number64()
+	mark := policy.Version{Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "of")), Number: uint64(rapid.IntRange(0, 3).Draw(t, "version"))}.Packed()
 	if e.Kind != ProposePolicy {
 		e.Policy = mark
 		return e
@@ -255,14 +255,14 @@
 	}
 	at := f.Index()
 	events, _ := f.Since(at - 1)
-	if len(events) != 1 || events[0].Policy != f.Policy().Version.Number64() {
+	if len(events) != 1 || events[0].Policy != f.Policy().Version.Packed() {
 		t.Fatal(events)
 	}
 	stale := policy.Propose(policy.Version{}, nil, policy.Document{"over_share_value": "0.5"}, "b", "")
 	if a := f.do(Entry{Kind: ProposePolicy, Proposal: &stale}); a.Held || a.Number != 1 || !strings.Contains(a.Why, "1.1 is in force, this was made from none") {
 		t.Error(a)
 	}
-	mark := f.Policy().Version.Number64()
+	mark := f.Policy().Version.Packed()
 	f.do(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: mark})
 	f.do(Entry{Kind: KeepAliveAll, Heartbeats: []Heartbeat{{Session: "b", Incarnation: 1, RejectedPolicy: mark, Reason: "no memory"}}})
 	if events, _ := f.Since(at); len(events) != 0 {
@@ -283,7 +283,7 @@
 	f.do(Entry{Kind: BeginEpoch, Epoch: 4})
 	want(t, "above all before", f.Policy().Version.String(), "4.2")
 	want(t, "the next", f.change("0.3"), Result{Held: true, Number: 3})
-	f.do(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Number64()})
+	f.do(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Packed()})
 	if a := f.change("0.4"); a.Held || !strings.Contains(a.Why, "4.9") {
 		t.Error("a router knows more than this council:", a)
 	}
@@ -337,10 +337,10 @@
 				f.State = r
 			}
 			now := f.Policy().Version
-			if had, known := docs[now.Number64()]; known && had != now.Hash || now.Number64() < mark {
-				t.Fatalf("policy %s after %s", now, policy.MarkString(mark))
+			if had, known := docs[now.Packed()]; known && had != now.Hash || now.Packed() < mark {
+				t.Fatalf("policy %s after %s", now, policy.FormatPacked(mark))
 			}
-			docs[now.Number64()], mark = now.Hash, now.Number64()
+			docs[now.Packed()], mark = now.Hash, now.Packed()
 			for _, name := range f.Leases() {
 				d, _ := f.Lease(name)
 				if d.Token.Compare(last[name]) < 0 || d.Token == last[name] && d.Holder != "" && d.Holder != holders[name] {
--- a/internal/decide/policy/book.go
+++ b/internal/decide/policy/book.go
@@ -7,9 +7,9 @@
 
 // A history is kept for those who are a few versions behind, and for operators.
 const (
-	mostHistory = 64
-	mostKept    = 512 << 10                      // bytes of all differences of a history
-	MostChanges = mostKept + mostHistory*(1<<10) // bytes of a history, encoded
+	maxHistoryChanges  = 64
+	maxDifferenceBytes = 512 << 10                                      // bytes of all differences of a history
+	MaxHistoryBytes    = maxDifferenceBytes + maxHistoryChanges*(1<<10) // bytes of a history, encoded
 )
 
 // History is what the replicated state keeps of policies: the version in force with its document, and how it came to it. Its methods give
@@ -25,16 +25,16 @@
 // Propose takes a proposal in: the version that it became, or why it became none. The same proposal again, while what it became
 // is in force, is that version.
 func (b *History) Propose(epoch uint64, p Proposal) (Version, string) {
-	v := Version{Epoch: epoch, Number: b.Version.Number + 1, Hash: p.Hash, Base: b.Version.Number64(), Author: p.Author, Reason: p.Reason}
+	v := Version{Epoch: epoch, Number: b.Version.Number + 1, Hash: p.Hash, Base: b.Version.Packed(), Author: p.Author, Reason: p.Reason}
 	if now := b.Version; now.Number > 0 && p.Base == now.Base && p.Hash == now.Hash && p.Author == now.Author && p.Reason == now.Reason {
 		return now, ""
 	}
 	switch {
 	case p.Base != v.Base:
-		return Version{}, fmt.Sprintf("version %s is in force, this was made from %s", b.Version, MarkString(p.Base))
-	case b.ForeignVersion > v.Base && b.ForeignVersion>>markBits >= epoch:
-		return Version{}, fmt.Sprintf("a router goes by version %s, which this council never gave: begin a new epoch (council recover)", MarkString(b.ForeignVersion))
-	case v.Number > mostNumber || epoch > mostNumber:
+		return Version{}, fmt.Sprintf("version %s is in force, this was made from %s", b.Version, FormatPacked(p.Base))
+	case b.ForeignVersion > v.Base && b.ForeignVersion>>numberBits >= epoch:
+		return Version{}, fmt.Sprintf("a router goes by version %s, which this council never gave: begin a new epoch (council recover)", FormatPacked(b.ForeignVersion))
+	case v.Number > maxNumber || epoch > maxNumber:
 		return Version{}, "no number is left"
 	case p.Difference.Empty():
 		return Version{}, "nothing changes"
@@ -42,7 +42,7 @@
 	if err := p.Check(); err != nil {
 		return Version{}, err.Error()
 	}
-	d, err := b.Document.With(p.Difference)
+	d, err := b.Document.Apply(p.Difference)
 	if err != nil {
 		return Version{}, err.Error()
 	}
@@ -50,7 +50,7 @@
 		return Version{}, ErrMismatch.Error()
 	}
 	v.Size = len(d.Encode())
-	b.enter(Change{v, p.Difference}, d)
+	b.install(Change{v, p.Difference}, d)
 	return v, ""
 }
 
@@ -58,24 +58,24 @@
 // than a coordinator that was set back goes by what the coordinator has. It reports whether there is anything in force.
 func (b *History) BeginEpoch(epoch uint64) bool {
 	v := b.Version
-	if v.Number == 0 || epoch > mostNumber || v.Number == mostNumber {
+	if v.Number == 0 || epoch > maxNumber || v.Number == maxNumber {
 		return false
 	}
-	v.Epoch, v.Number, v.Base, v.Reason = epoch, v.Number+1, v.Number64(), "a new epoch"
-	b.enter(Change{Version: v}, b.Document)
+	v.Epoch, v.Number, v.Base, v.Reason = epoch, v.Number+1, v.Packed(), "a new epoch"
+	b.install(Change{Version: v}, b.Document)
 	return true
 }
 
-func (b *History) enter(c Change, d Document) {
+func (b *History) install(c Change, d Document) {
 	b.Version, b.Document = c.Version, d
 	b.Changes = append(b.Changes, c)
-	for bytes := b.kept(); len(b.Changes) > mostHistory || bytes > mostKept; {
+	for bytes := b.differenceBytes(); len(b.Changes) > maxHistoryChanges || bytes > maxDifferenceBytes; {
 		bytes -= len(b.Changes[0].Difference.Encode())
 		b.Changes = slices.Delete(b.Changes, 0, 1)
 	}
 }
 
-func (b *History) kept() (bytes int) {
+func (b *History) differenceBytes() (bytes int) {
 	for _, c := range b.Changes {
 		bytes += len(c.Difference.Encode())
 	}
@@ -84,13 +84,13 @@
 
 // Acknowledged takes in which version a session goes by. Guards against numbers that are given twice, after state was lost.
 func (b *History) Acknowledged(mark uint64) {
-	if mark > b.Version.Number64() {
+	if mark > b.Version.Packed() {
 		b.ForeignVersion = max(b.ForeignVersion, mark)
 	}
 }
 
-// After gives the changes that lead from a version to the one in force; false: it isn't kept, or never was.
-func (b *History) After(mark uint64) ([]Change, bool) {
+// ChangesSince gives the changes that lead from a version to the one in force; false: it isn't kept, or never was.
+func (b *History) ChangesSince(mark uint64) ([]Change, bool) {
 	for n := len(b.Changes) - 1; n >= 0; n-- {
 		if b.Changes[n].Version.Base == mark {
 			return slices.Clone(b.Changes[n:]), true
@@ -102,11 +102,11 @@
 // Serve gives what leads who asks to the version in force: the changes after the one it has, in one piece, or the whole document,
 // whichever is shorter. false: this book is behind what is asked for, so another must be asked.
 func (b *History) Serve(q Request) (packs []byte, whole, known bool) {
-	mark := b.Version.Number64()
+	mark := b.Version.Packed()
 	if mark == 0 || q.Want > mark || q.Have > mark {
 		return nil, false, false
 	}
-	if changes, kept := b.After(q.Have); kept && !q.Whole {
+	if changes, kept := b.ChangesSince(q.Have); kept && !q.Full {
 		bytes := 0
 		for _, c := range changes {
 			bytes += c.Difference.Size()
@@ -123,7 +123,7 @@
 	if err := b.Document.Check(); err != nil {
 		return err
 	}
-	if v := b.Version; v.Number > 0 && (v.Hash != b.Document.Hash() || v.Number > mostNumber || v.Epoch > mostNumber) {
+	if v := b.Version; v.Number > 0 && (v.Hash != b.Document.Hash() || v.Number > maxNumber || v.Epoch > maxNumber) {
 		return fmt.Errorf("policy: version %s: %w", v, ErrMismatch)
 	}
 	return nil
--- a/internal/decide/policy/document.go
+++ b/internal/decide/policy/document.go
@@ -22,16 +22,16 @@
 
 // Bounds of a document, and of a difference.
 const (
-	MostBytes  = 256 << 10 // of the canonical bytes
-	MostFields = 20000
-	LongestKey = 256 // bytes of a field's name
-	LongestVal = 256 // bytes of a value
-	LongestWhy = 200 // bytes of an author, a reason, or of why a version could not be taken
+	MaxDocumentBytes  = 256 << 10 // of the canonical bytes
+	MaxFields         = 20000
+	MaxFieldNameBytes = 256 // bytes of a field's name
+	MaxValueBytes     = 256 // bytes of a value
+	MaxReasonBytes    = 200 // bytes of an author, a reason, or of why a version could not be taken
 )
 
 var (
-	// ErrUnsound is of bytes that Encode doesn't give.
-	ErrUnsound = errors.New("unsound")
+	// ErrMalformed is of bytes that Encode doesn't give.
+	ErrMalformed = errors.New("unsound")
 	// ErrTooLarge is of a document beyond the bounds.
 	ErrTooLarge = errors.New("too large")
 	// ErrMismatch is of a difference that doesn't lead from the document at hand to the hash that is stated.
@@ -45,18 +45,18 @@
 
 // Difference leads from one document to another.
 type Difference struct {
-	Set  map[string]string `cbor:"1,keyasint,omitempty"` // fields that are new or have another value
-	Gone []string          `cbor:"2,keyasint,omitempty"` // in order
+	Set     map[string]string `cbor:"1,keyasint,omitempty"` // fields that are new or have another value
+	Removed []string          `cbor:"2,keyasint,omitempty"` // in order
 }
 
-var coding = func() (m struct {
+var canonical = func() (m struct {
 	cbor.EncMode
 	cbor.DecMode
 }) {
 	var err, other error
 	m.EncMode, err = cbor.CoreDetEncOptions().EncMode() // RFC 8949, 4.2.1: one form for each value
 	m.DecMode, other = cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, DupMapKey: cbor.DupMapKeyEnforcedAPF,
-		IndefLength: cbor.IndefLengthForbidden, MaxNestedLevels: 8, MaxMapPairs: MostFields, MaxArrayElements: MostFields}.DecMode()
+		IndefLength: cbor.IndefLengthForbidden, MaxNestedLevels: 8, MaxMapPairs: MaxFields, MaxArrayElements: MaxFields}.DecMode()
 	if err := cmp.Or(err, other); err != nil {
 		panic(err)
 	}
@@ -64,7 +64,7 @@
 }()
 
 func encode(v any) []byte {
-	b, err := coding.EncMode.Marshal(v)
+	b, err := canonical.EncMode.Marshal(v)
 	if err != nil {
 		panic(err) // texts and numbers alone
 	}
@@ -73,11 +73,11 @@
 
 // decode reads what encode gave, and nothing else: another form of the same values is refused, since hashes are over bytes.
 func decode(b []byte, into any) error {
-	if err := coding.DecMode.Unmarshal(b, into); err != nil {
-		return fmt.Errorf("%w: %w", ErrUnsound, err)
+	if err := canonical.DecMode.Unmarshal(b, into); err != nil {
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if !bytes.Equal(encode(into), b) {
-		return fmt.Errorf("%w: not the canonical form", ErrUnsound)
+		return fmt.Errorf("%w: not the canonical form", ErrMalformed)
 	}
 	return nil
 }
@@ -95,49 +95,49 @@
 
 // Decode reads canonical bytes. Bytes that are no document's, or beyond the bounds, are ErrUnsound or ErrTooLarge.
 func Decode(b []byte) (Document, error) {
-	if len(b) > MostBytes {
-		return nil, fmt.Errorf("policy: %w: %d bytes, %d at most", ErrTooLarge, len(b), MostBytes)
+	if len(b) > MaxDocumentBytes {
+		return nil, fmt.Errorf("policy: %w: %d bytes, %d at most", ErrTooLarge, len(b), MaxDocumentBytes)
 	}
 	d := Document{}
 	if err := decode(b, &d); err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
 	if d == nil {
-		return nil, fmt.Errorf("policy: %w: no document", ErrUnsound)
+		return nil, fmt.Errorf("policy: %w: no document", ErrMalformed)
 	}
 	return d, d.Check()
 }
 
 // Check tells whether a document is within the bounds: ErrTooLarge, or ErrUnsound with the field's name.
 func (d Document) Check() error {
-	if len(d) > MostFields {
-		return fmt.Errorf("policy: %w: %d fields, %d at most", ErrTooLarge, len(d), MostFields)
+	if len(d) > MaxFields {
+		return fmt.Errorf("policy: %w: %d fields, %d at most", ErrTooLarge, len(d), MaxFields)
 	}
 	for _, field := range slices.Sorted(maps.Keys(d)) {
-		if err := bounded(field, d[field]); err != nil {
+		if err := checkField(field, d[field]); err != nil {
 			return err
 		}
 	}
-	if n := len(d.Encode()); n > MostBytes {
-		return fmt.Errorf("policy: %w: %d bytes, %d at most", ErrTooLarge, n, MostBytes)
+	if n := len(d.Encode()); n > MaxDocumentBytes {
+		return fmt.Errorf("policy: %w: %d bytes, %d at most", ErrTooLarge, n, MaxDocumentBytes)
 	}
 	return nil
 }
 
-func bounded(field, value string) error {
+func checkField(field, value string) error {
 	switch {
-	case field == "" || len(field) > LongestKey:
-		return fmt.Errorf("policy: %w: a field's name of %d bytes, 1 to %d may be", ErrTooLarge, len(field), LongestKey)
-	case len(value) > LongestVal:
-		return fmt.Errorf("policy: %.64s: %w: a value of %d bytes, %d at most", field, ErrTooLarge, len(value), LongestVal)
+	case field == "" || len(field) > MaxFieldNameBytes:
+		return fmt.Errorf("policy: %w: a field's name of %d bytes, 1 to %d may be", ErrTooLarge, len(field), MaxFieldNameBytes)
+	case len(value) > MaxValueBytes:
+		return fmt.Errorf("policy: %.64s: %w: a value of %d bytes, %d at most", field, ErrTooLarge, len(value), MaxValueBytes)
 	case !utf8.ValidString(field) || !utf8.ValidString(value):
-		return fmt.Errorf("policy: %.64q: %w: not UTF-8", field, ErrUnsound)
+		return fmt.Errorf("policy: %.64q: %w: not UTF-8", field, ErrMalformed)
 	}
 	return nil
 }
 
-// Between gives what leads from one document to another.
-func Between(old, new Document) Difference {
+// Diff gives what leads from one document to another.
+func Diff(old, new Document) Difference {
 	var x Difference
 	for field, value := range new {
 		if had, there := old[field]; !there || had != value {
@@ -149,27 +149,27 @@
 	}
 	for field := range old {
 		if _, there := new[field]; !there {
-			x.Gone = append(x.Gone, field)
+			x.Removed = append(x.Removed, field)
 		}
 	}
-	slices.Sort(x.Gone)
+	slices.Sort(x.Removed)
 	return x
 }
 
-// With gives the document that a difference leads to; d stays as it is. A difference that was not made from d is ErrMismatch
+// Apply gives the document that a difference leads to; d stays as it is. A difference that was not made from d is ErrMismatch
 // where that shows: a field that is gone must have been there, one that is set must have had another value. That it shows is
 // not certain: who has a hash compares it.
-func (d Document) With(x Difference) (Document, error) {
+func (d Document) Apply(x Difference) (Document, error) {
 	next := maps.Clone(d)
 	if next == nil {
 		next = Document{}
 	}
-	for _, field := range x.Gone {
+	for _, field := range x.Removed {
 		if _, there := next[field]; !there {
 			return nil, fmt.Errorf("policy: %.64q: %w: it is to go and isn't there", field, ErrMismatch)
 		}
 		if _, set := x.Set[field]; set {
-			return nil, fmt.Errorf("policy: %.64q: %w: it is to go and to be set", field, ErrUnsound)
+			return nil, fmt.Errorf("policy: %.64q: %w: it is to go and to be set", field, ErrMalformed)
 		}
 		delete(next, field)
 	}
@@ -187,8 +187,8 @@
 
 // DecodeDifference reads a difference's canonical bytes, within a document's bounds.
 func DecodeDifference(b []byte) (x Difference, err error) {
-	if len(b) > 2*MostBytes {
-		return x, fmt.Errorf("policy: difference: %w: %d bytes, %d at most", ErrTooLarge, len(b), 2*MostBytes)
+	if len(b) > 2*MaxDocumentBytes {
+		return x, fmt.Errorf("policy: difference: %w: %d bytes, %d at most", ErrTooLarge, len(b), 2*MaxDocumentBytes)
 	}
 	if err := decode(b, &x); err != nil {
 		return x, fmt.Errorf("policy: difference: %w", err)
@@ -201,15 +201,15 @@
 	if err := Document(x.Set).Check(); err != nil {
 		return err
 	}
-	if len(x.Gone) > MostFields {
-		return fmt.Errorf("policy: %w: %d fields, %d at most", ErrTooLarge, len(x.Gone), MostFields)
+	if len(x.Removed) > MaxFields {
+		return fmt.Errorf("policy: %w: %d fields, %d at most", ErrTooLarge, len(x.Removed), MaxFields)
 	}
-	for n, field := range x.Gone {
-		if err := bounded(field, ""); err != nil {
+	for n, field := range x.Removed {
+		if err := checkField(field, ""); err != nil {
 			return err
 		}
-		if n > 0 && field <= x.Gone[n-1] {
-			return fmt.Errorf("policy: %w: fields that go must be in order, once", ErrUnsound)
+		if n > 0 && field <= x.Removed[n-1] {
+			return fmt.Errorf("policy: %w: fields that go must be in order, once", ErrMalformed)
 		}
 	}
 	return nil
@@ -220,16 +220,16 @@
 	for field, value := range x.Set {
 		bytes += len(field) + len(value) + 6
 	}
-	for _, field := range x.Gone {
+	for _, field := range x.Removed {
 		bytes += len(field) + 3
 	}
 	return bytes
 }
 
 // Empty tells whether a difference changes nothing.
-func (x Difference) Empty() bool { return len(x.Set)+len(x.Gone) == 0 }
+func (x Difference) Empty() bool { return len(x.Set)+len(x.Removed) == 0 }
 
 // Fields names all that a difference touches, in order.
 func (x Difference) Fields() []string {
-	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(x.Set)), x.Gone...)))
+	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(x.Set)), x.Removed...)))
 }
--- a/internal/decide/policy/version.go
+++ b/internal/decide/policy/version.go
@@ -21,52 +21,52 @@
 
 // Check tells whether a version is one that a register could have made.
 func (v Version) Check() error {
-	if v.Number > mostNumber || v.Epoch > mostNumber || v.Size < 0 || v.Size > MostBytes || len(v.Author) > LongestWhy || len(v.Reason) > LongestWhy {
-		return fmt.Errorf("policy: version %.40s: %w", v, ErrUnsound)
+	if v.Number > maxNumber || v.Epoch > maxNumber || v.Size < 0 || v.Size > MaxDocumentBytes || len(v.Author) > MaxReasonBytes || len(v.Reason) > MaxReasonBytes {
+		return fmt.Errorf("policy: version %.40s: %w", v, ErrMalformed)
 	}
 	return nil
 }
 
-// Number64 is a version as one number that grows with it: what a session's word carries, and what is compared. 0: no version.
+// Packed is a version as one number that grows with it: what a session's word carries, and what is compared. 0: no version.
 // Epochs are seconds and fit until the year 2159; a number that doesn't fit is never given.
-func (v Version) Number64() uint64 {
+func (v Version) Packed() uint64 {
 	if v.Number == 0 {
 		return 0
 	}
-	return v.Epoch<<markBits | v.Number
+	return v.Epoch<<numberBits | v.Number
 }
 
-// Marked gives the epoch and the number of a mark.
-func Marked(mark uint64) (epoch, number uint64) { return mark >> markBits, mark & mostNumber }
+// SplitPacked gives the epoch and the number of a mark.
+func SplitPacked(mark uint64) (epoch, number uint64) { return mark >> numberBits, mark & maxNumber }
 
 const (
-	markBits   = 32
-	mostNumber = 1<<markBits - 1
+	numberBits = 32
+	maxNumber  = 1<<numberBits - 1
 )
 
 // String gives a version as operators write it: 94000000.7 is the 7th of that epoch; "none" before the first.
-func (v Version) String() string { return MarkString(v.Number64()) }
+func (v Version) String() string { return FormatPacked(v.Packed()) }
 
-// MarkString writes a mark as Version.String does.
-func MarkString(mark uint64) string {
+// FormatPacked writes a mark as Version.String does.
+func FormatPacked(mark uint64) string {
 	if mark == 0 {
 		return "none"
 	}
-	epoch, number := Marked(mark)
+	epoch, number := SplitPacked(mark)
 	return fmt.Sprintf("%d.%d", epoch, number)
 }
 
-// ParseMark reads what String wrote.
-func ParseMark(text string) (uint64, error) {
+// ParsePacked reads what String wrote.
+func ParsePacked(text string) (uint64, error) {
 	if text == "none" {
 		return 0, nil
 	}
 	var v Version
-	if n, err := fmt.Sscanf(text, "%d.%d", &v.Epoch, &v.Number); n != 2 || err != nil || v.Epoch > mostNumber || v.Number > mostNumber ||
+	if n, err := fmt.Sscanf(text, "%d.%d", &v.Epoch, &v.Number); n != 2 || err != nil || v.Epoch > maxNumber || v.Number > maxNumber ||
 		v.Number == 0 || v.String() != text {
 		return 0, fmt.Errorf("a version is written like 94000000.7, or none, not %.40q", text)
 	}
-	return v.Number64(), nil
+	return v.Packed(), nil
 }
 
 // Change is a version and what led to it from the one before.
@@ -86,14 +86,14 @@
 
 // Propose makes the proposal that leads from the version in force, and its document, to another document.
 func Propose(base Version, old, new Document, author, reason string) Proposal {
-	return Proposal{Base: base.Number64(), Difference: Between(old, new), Hash: new.Hash(), Author: author, Reason: reason}
+	return Proposal{Base: base.Packed(), Difference: Diff(old, new), Hash: new.Hash(), Author: author, Reason: reason}
 }
 
 // Check tells whether a proposal is within the bounds; whether its fields may change is Difference.Judge's.
 func (p Proposal) Check() error {
 	for _, text := range []string{p.Author, p.Reason} {
-		if len(text) > LongestWhy || !utf8.ValidString(text) {
-			return fmt.Errorf("policy: %w: an author or reason of %d bytes, %d at most, in UTF-8", ErrTooLarge, len(text), LongestWhy)
+		if len(text) > MaxReasonBytes || !utf8.ValidString(text) {
+			return fmt.Errorf("policy: %w: an author or reason of %d bytes, %d at most, in UTF-8", ErrTooLarge, len(text), MaxReasonBytes)
 		}
 	}
 	return p.Difference.Check()
@@ -102,7 +102,7 @@
 // Part is a piece of what a router fetches: the differences after a version it has, or the whole document.
 type Part struct {
 	Version Version // that all parts together lead to
-	Whole   bool    // the document's canonical bytes; else Changes' of all versions after the one that was named
+	Full    bool    // the document's canonical bytes; else Changes' of all versions after the one that was named
 	Offset  int     // of Bytes, in Total
 	Total   int     // packed
 	Bytes   []byte  // packed: Settings.Unpack makes the bytes of them
@@ -113,14 +113,14 @@
 
 // DecodeChanges reads them; they are bounded as a history is.
 func DecodeChanges(b []byte) (all []Change, err error) {
-	if len(b) > MostChanges {
-		return nil, fmt.Errorf("policy: changes: %w: %d bytes, %d at most", ErrTooLarge, len(b), MostChanges)
+	if len(b) > MaxHistoryBytes {
+		return nil, fmt.Errorf("policy: changes: %w: %d bytes, %d at most", ErrTooLarge, len(b), MaxHistoryBytes)
 	}
 	if err := decode(b, &all); err != nil {
 		return nil, fmt.Errorf("policy: changes: %w", err)
 	}
-	if len(all) > mostHistory {
-		return nil, fmt.Errorf("policy: changes: %w: %d, %d at most", ErrTooLarge, len(all), mostHistory)
+	if len(all) > maxHistoryChanges {
+		return nil, fmt.Errorf("policy: changes: %w: %d, %d at most", ErrTooLarge, len(all), maxHistoryChanges)
 	}
 	for _, c := range all {
 		if err := cmp.Or(c.Version.Check(), c.Difference.Check()); err != nil {
--- a/internal/decide/raftnode/raftnode.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -392,7 +392,7 @@
 // each build must make the same of it, whatever it knows of fields.
 func refused(e leasestate.Entry) string {
 	var all []string
-	for _, f := range e.Proposal.Difference.Judge() {
+	for _, f := range e.Proposal.Difference.Validate() {
 		if all = append(all, f.Field+": "+f.Reason); len(all) == mostFindings {
 			all = append(all, "and more")
 			break
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -296,10 +296,10 @@
 	at = a.n.Applied()
 	for range 20 {
 		a.number++
-		a.n.Propose(a.number, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1, Policy: version.Number64()})
+		a.n.Propose(a.number, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1, Policy: version.Packed()})
 	}
 	a.pass(20)
-	if s, _ := a.n.State().Session("s"); s.Policy != version.Number64() || a.n.Applied() > at+2 {
+	if s, _ := a.n.State().Session("s"); s.Policy != version.Packed() || a.n.Applied() > at+2 {
 		t.Errorf("%+v, %d entries", s, a.n.Applied()-at)
 	}
 	b := one(t, a.disk)
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -24,22 +24,22 @@
 
 // Steps, as they are noted. Each says what is done next, so that one that is noted may have been taken or not.
 const (
-	hold    = "hold"    // FROM TO: routers hold new writes, what runs ends
-	yield   = "yield"   // FROM TO: the old primary takes no more writes
-	take    = "take"    // FROM TO: the new one does
-	release = "release" // FROM TO: routers let go
-	back    = "back"    // FROM TO: nothing comes of it: the new one takes none, the old one does again, routers let go
-	leave   = "leave"   // FROM TO: nothing comes of it, and nothing was begun at the members: routers let go
+	phaseHold     = "hold"    // FROM TO: routers hold new writes, what runs ends
+	phaseStepDown = "yield"   // FROM TO: the old primary takes no more writes
+	phasePromote  = "take"    // FROM TO: the new one does
+	phaseRelease  = "release" // FROM TO: routers let go
+	phaseRollback = "back"    // FROM TO: nothing comes of it: the new one takes none, the old one does again, routers let go
+	phaseAbandon  = "leave"   // FROM TO: nothing comes of it, and nothing was begun at the members: routers let go
 )
 
-// lookAgain is how long, in ms, a router whose writes run is left alone before it is asked again.
-const lookAgain = 10
+// countInterval is how long, in ms, a router whose writes run is left alone before it is asked again.
+const countInterval = 10
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Hold float64 // the most that a router holds
-	Wait float64 // for what runs, of that
-	Step float64 // for one step at a member, or one word to a router
+	MaxHold      float64 // the most that a router holds
+	DrainTimeout float64 // for what runs, of that
+	StepTimeout  float64 // for one step at a member, or one word to a router
 }
 
 // Action tells what the host is to do.
@@ -81,47 +81,47 @@
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Action Action
-	Text   string
-	To     string
-	Word   RouterCommand
-	Step   string
-	Rank   uint64  // Do: of this step among those under one fencing token; the member refuses a lower one, as it does a lower fencing token
-	Most   float64 // Hold: for so many ms at most
+	Action  Action
+	Text    string
+	Target  string
+	Command RouterCommand
+	Step    string
+	Rank    uint64  // Do: of this step among those under one fencing token; the member refuses a lower one, as it does a lower fencing token
+	MaxHold float64 // Hold: for so many ms at most
 }
 
 // Executor carries one order out.
 type Executor struct {
-	set      Settings
-	now      float64
-	begun    float64
-	from, to string
-	phase    string // "": the primary is looked for
-	at       int    // how far within the phase
-	waits    bool   // for the host's answer
-	since    float64
-	routers  map[string]*guest
-	held     bool // some router was told to hold
-	why      string
-	out      []Decision
-	over     bool
-	how      string // it ended; empty: it is another's
-	tries    int
-	rank     uint64
-	yields   bool // a member may have been asked to yield, by this owner or one before
+	settings               Settings
+	now                    float64
+	startedAt              float64
+	oldPrimary, newPrimary string
+	phase                  string // "": the primary is looked for
+	stage                  int    // how far within the phase
+	awaiting               bool   // for the host's answer
+	stageStarted           float64
+	routers                map[string]*routerState
+	held                   bool // some router was told to hold
+	reason                 string
+	decisions              []Decision
+	finished               bool
+	outcome                string // it ended; empty: it is another's
+	attempts               int
+	rank                   uint64
+	mayHaveSteppedDown     bool // a member may have been asked to yield, by this owner or one before
 }
 
-type guest struct {
-	told    RouterCommand
-	waits   bool
-	holds   bool
-	running int
-	failed  int
-	at      float64 // when it was told last
+type routerState struct {
+	command     RouterCommand
+	awaiting    bool
+	holding     bool
+	running     int
+	failures    int
+	commandedAt float64 // when it was told last
 }
 
-// Order is the text of an operator's order.
-func Order(to string) string { return "to " + to }
+// FormatOrder is the text of an operator's order.
+func FormatOrder(to string) string { return "to " + to }
 
 // NewExecutor takes an order up where the steps say that it stands.
 // rank is that of the last step under this fencing token: a step that was sent and not answered may still arrive after later ones of the
@@ -131,27 +131,27 @@
 	if !ok || to == "" {
 		return nil, fmt.Errorf("the order %q is none that this build knows", order)
 	}
-	o := &Executor{set: set, now: now, begun: now, to: to, rank: rank, routers: map[string]*guest{}}
+	o := &Executor{settings: set, now: now, startedAt: now, newPrimary: to, rank: rank, routers: map[string]*routerState{}}
 	if len(steps) == 0 {
-		o.out = append(o.out, Decision{Action: FindPrimary})
-		o.waits = true
+		o.decisions = append(o.decisions, Decision{Action: FindPrimary})
+		o.awaiting = true
 		return o, nil
 	}
 	last := strings.Fields(steps[len(steps)-1].Text)
 	if len(last) != 3 || last[2] != to {
 		return nil, fmt.Errorf("the step %q is none that this build knows", steps[len(steps)-1].Text)
 	}
-	o.from, o.held = last[1], true
+	o.oldPrimary, o.held = last[1], true
 	switch last[0] {
-	case hold: // nothing was asked of the members
-		o.why = "its owner was lost while writes were held"
-		o.begin(leave)
-	case yield, take, release, back, leave:
-		o.yields = last[0] != leave
-		if last[0] == back || last[0] == leave {
-			o.why = "taken back"
+	case phaseHold: // nothing was asked of the members
+		o.reason = "its owner was lost while writes were held"
+		o.enterPhase(phaseAbandon)
+	case phaseStepDown, phasePromote, phaseRelease, phaseRollback, phaseAbandon:
+		o.mayHaveSteppedDown = last[0] != phaseAbandon
+		if last[0] == phaseRollback || last[0] == phaseAbandon {
+			o.reason = "taken back"
 		}
-		o.begin(last[0])
+		o.enterPhase(last[0])
 	default:
 		return nil, fmt.Errorf("the step %q is none that this build knows", steps[len(steps)-1].Text)
 	}
@@ -164,47 +164,47 @@
 	o.step()
 }
 
-// begin notes a phase down, and enters it once that is noted.
-func (o *Executor) begin(phase string) {
-	o.phase, o.at, o.waits, o.tries = phase, -1, true, 0
-	o.out = append(o.out, Decision{Action: RecordStep, Text: phase + " " + o.from + " " + o.to})
+// enterPhase notes a phase down, and enters it once that is noted.
+func (o *Executor) enterPhase(phase string) {
+	o.phase, o.stage, o.awaiting, o.attempts = phase, -1, true, 0
+	o.decisions = append(o.decisions, Decision{Action: RecordStep, Text: phase + " " + o.oldPrimary + " " + o.newPrimary})
 }
 
 // PrimaryFound says which member takes writes, or why nobody can tell.
 func (o *Executor) PrimaryFound(member string, err error) {
-	if o.phase != "" || !o.waits {
+	if o.phase != "" || !o.awaiting {
 		return
 	}
-	o.waits = false
+	o.awaiting = false
 	switch {
 	case err != nil:
 		o.end("nothing was changed: " + err.Error())
-	case member == o.to:
-		o.end("done: " + o.to + " is the primary already")
+	case member == o.newPrimary:
+		o.end("done: " + o.newPrimary + " is the primary already")
 	default:
-		o.from = member
-		o.begin(hold)
+		o.oldPrimary = member
+		o.enterPhase(phaseHold)
 	}
 }
 
 // StepRecorded says that a step is noted, or that it can't be: then this process owns nothing any more.
 func (o *Executor) StepRecorded(ok bool) {
-	if o.at != -1 {
+	if o.stage != -1 {
 		return
 	}
 	if !ok {
-		o.over = true
+		o.finished = true
 		return
 	}
-	o.at, o.waits, o.since = 0, false, o.now
+	o.stage, o.awaiting, o.stageStarted = 0, false, o.now
 	o.step()
 }
 
-// Routers says who has a session now; those that come late are told to hold too, those that went are not waited for.
-func (o *Executor) Routers(names []string) {
+// SetRouters says who has a session now; those that come late are told to hold too, those that went are not waited for.
+func (o *Executor) SetRouters(names []string) {
 	for _, name := range names {
 		if o.routers[name] == nil {
-			o.routers[name] = &guest{}
+			o.routers[name] = &routerState{}
 		}
 	}
 	for name := range o.routers {
@@ -218,170 +218,170 @@
 // RouterAnswered says how a router answered: whether it did as told, and how many writes run there.
 func (o *Executor) RouterAnswered(router string, word RouterCommand, ok bool, running int) {
 	g := o.routers[router]
-	if g == nil || !g.waits || g.told != word {
+	if g == nil || !g.awaiting || g.command != word {
 		return
 	}
-	g.waits = false
+	g.awaiting = false
 	if !ok {
-		g.failed++
+		g.failures++
 	} else {
-		g.failed = 0
-		g.holds, g.running = word != ReleaseWrites, running
+		g.failures = 0
+		g.holding, g.running = word != ReleaseWrites, running
 	}
 	o.step()
 }
 
 // StepDone says how a step at a member ended.
 func (o *Executor) StepDone(how Outcome, why string) {
-	if !o.waits || o.at < 0 {
+	if !o.awaiting || o.stage < 0 {
 		return
 	}
-	o.waits = false
+	o.awaiting = false
 	switch {
 	case how == Fenced:
-		o.over = true // somebody else owns this now
+		o.finished = true // somebody else owns this now
 	case how == Succeeded:
-		o.at, o.tries = o.at+1, 0
-	case how == Failed && (o.phase == yield || o.phase == take):
-		o.undo(why)
-	case o.phase == take && o.now-o.begun > 4*o.set.Hold, o.phase == yield && o.now-o.begun > o.set.Hold:
-		o.undo("not done in time: " + why)
-	case o.phase == back && o.at == 0 && o.now-o.begun > 8*o.set.Hold:
+		o.stage, o.attempts = o.stage+1, 0
+	case how == Failed && (o.phase == phaseStepDown || o.phase == phasePromote):
+		o.rollBack(why)
+	case o.phase == phasePromote && o.now-o.startedAt > 4*o.settings.MaxHold, o.phase == phaseStepDown && o.now-o.startedAt > o.settings.MaxHold:
+		o.rollBack("not done in time: " + why)
+	case o.phase == phaseRollback && o.stage == 0 && o.now-o.startedAt > 8*o.settings.MaxHold:
 		// Whether it took over, only it can say: that the old one takes writes again might make two that do.
-		o.end("stuck: nobody can tell whether " + o.to + " takes writes, and " + o.from + " takes none; an operator must look: " + why)
-	case o.phase == back && o.at == 1 && o.tries >= 3: // all that can be done has been
-		o.why += "; " + why
-		o.at, o.tries = o.at+1, 0
+		o.end("stuck: nobody can tell whether " + o.newPrimary + " takes writes, and " + o.oldPrimary + " takes none; an operator must look: " + why)
+	case o.phase == phaseRollback && o.stage == 1 && o.attempts >= 3: // all that can be done has been
+		o.reason += "; " + why
+		o.stage, o.attempts = o.stage+1, 0
 	default:
-		o.tries++ // asked again, which does no harm
-		o.since = o.now
+		o.attempts++ // asked again, which does no harm
+		o.stageStarted = o.now
 	}
 	o.step()
 }
 
-// undo takes back what was begun, if anything was.
-func (o *Executor) undo(why string) {
-	if o.why = why; o.yields {
-		o.begin(back)
+// rollBack takes back what was begun, if anything was.
+func (o *Executor) rollBack(why string) {
+	if o.reason = why; o.mayHaveSteppedDown {
+		o.enterPhase(phaseRollback)
 	} else {
-		o.begin(leave)
+		o.enterPhase(phaseAbandon)
 	}
 }
 
 func (o *Executor) end(how string) {
-	if !o.over {
-		o.over, o.how = true, how
-		o.out = append(o.out, Decision{Action: EndOrder, Text: how})
+	if !o.finished {
+		o.finished, o.outcome = true, how
+		o.decisions = append(o.decisions, Decision{Action: EndOrder, Text: how})
 	}
 }
 
 // step goes on as far as it can.
 func (o *Executor) step() {
-	if o.over || o.waits && (o.phase == yield || o.phase == take) || o.at < 0 {
+	if o.finished || o.awaiting && (o.phase == phaseStepDown || o.phase == phasePromote) || o.stage < 0 {
 		return
 	}
 	switch o.phase {
-	case hold:
-		o.quiet()
-	case yield:
-		switch o.at {
+	case phaseHold:
+		o.holdWrites()
+	case phaseStepDown:
+		switch o.stage {
 		case 0: // the next: an owner of before may have a step on its way there
-			o.do(o.to, FenceMember)
+			o.commandMember(o.newPrimary, FenceMember)
 		case 1:
-			o.do(o.from, StepDown)
+			o.commandMember(o.oldPrimary, StepDown)
 		default:
-			o.begin(take)
+			o.enterPhase(phasePromote)
 		}
-	case take:
-		switch o.at {
+	case phasePromote:
+		switch o.stage {
 		case 0:
-			o.do(o.from, StepDown) // again, for who takes over here: it does no harm
+			o.commandMember(o.oldPrimary, StepDown) // again, for who takes over here: it does no harm
 		case 1:
-			o.do(o.to, Promote)
+			o.commandMember(o.newPrimary, Promote)
 		default:
-			o.begin(release)
+			o.enterPhase(phaseRelease)
 		}
-	case release:
-		if o.letGo() {
-			o.end("done: " + o.to + " is the primary in place of " + o.from)
+	case phaseRelease:
+		if o.releaseWrites() {
+			o.end("done: " + o.newPrimary + " is the primary in place of " + o.oldPrimary)
 		}
-	case leave:
-		if o.letGo() {
-			o.end("taken back, " + o.from + " is the primary: " + o.why)
+	case phaseAbandon:
+		if o.releaseWrites() {
+			o.end("taken back, " + o.oldPrimary + " is the primary: " + o.reason)
 		}
-	case back:
+	case phaseRollback:
 		switch {
-		case o.at == 0: // it may have taken over, by this owner's word or one's before that is still on its way
-			o.do(o.to, StepDown)
-		case o.at == 1:
-			o.do(o.from, Promote)
-		case o.letGo():
-			o.end("taken back, " + o.from + " is the primary: " + o.why)
+		case o.stage == 0: // it may have taken over, by this owner's word or one's before that is still on its way
+			o.commandMember(o.newPrimary, StepDown)
+		case o.stage == 1:
+			o.commandMember(o.oldPrimary, Promote)
+		case o.releaseWrites():
+			o.end("taken back, " + o.oldPrimary + " is the primary: " + o.reason)
 		}
 	}
 }
 
-// quiet has all routers hold, and goes on once nothing runs, or it has taken long enough: what still runs then is turned
+// holdWrites has all routers hold, and goes on once nothing runs, or it has taken long enough: what still runs then is turned
 // away by the member itself.
-func (o *Executor) quiet() {
-	still, late := 0, o.now-o.since > o.set.Wait
+func (o *Executor) holdWrites() {
+	still, late := 0, o.now-o.stageStarted > o.settings.DrainTimeout
 	for _, name := range slices.Sorted(maps.Keys(o.routers)) {
 		g := o.routers[name]
 		switch {
-		case g.waits:
+		case g.awaiting:
 			still++
-		case !g.holds && g.failed < 3:
+		case !g.holding && g.failures < 3:
 			still++
-			o.tell(name, g, HoldWrites)
-		case g.holds && g.running > 0 && !late:
-			if still++; o.now-g.at >= lookAgain {
-				o.tell(name, g, CountWrites)
+			o.commandRouter(name, g, HoldWrites)
+		case g.holding && g.running > 0 && !late:
+			if still++; o.now-g.commandedAt >= countInterval {
+				o.commandRouter(name, g, CountWrites)
 			}
 		}
 	}
 	if still == 0 || late {
-		o.begin(yield)
+		o.enterPhase(phaseStepDown)
 	}
 }
 
-// letGo tells all routers to let go, and tells whether each has heard, or can't be reached: it lets go by itself.
-func (o *Executor) letGo() bool {
+// releaseWrites tells all routers to let go, and tells whether each has heard, or can't be reached: it lets go by itself.
+func (o *Executor) releaseWrites() bool {
 	still := 0
 	for _, name := range slices.Sorted(maps.Keys(o.routers)) {
 		g := o.routers[name]
 		switch {
-		case g.waits:
+		case g.awaiting:
 			still++
-		case g.told != ReleaseWrites && g.failed < 6 || g.told == ReleaseWrites && g.failed > 0 && g.failed < 3:
+		case g.command != ReleaseWrites && g.failures < 6 || g.command == ReleaseWrites && g.failures > 0 && g.failures < 3:
 			still++
-			o.tell(name, g, ReleaseWrites)
+			o.commandRouter(name, g, ReleaseWrites)
 		}
 	}
 	return still == 0
 }
 
-func (o *Executor) tell(name string, g *guest, w RouterCommand) {
-	if g.told != w {
-		g.failed = 0
+func (o *Executor) commandRouter(name string, g *routerState, w RouterCommand) {
+	if g.command != w {
+		g.failures = 0
 	}
-	g.told, g.waits, g.at = w, true, o.now
-	o.out = append(o.out, Decision{Action: CommandRouter, To: name, Word: w, Most: o.set.Hold})
+	g.command, g.awaiting, g.commandedAt = w, true, o.now
+	o.decisions = append(o.decisions, Decision{Action: CommandRouter, Target: name, Command: w, MaxHold: o.settings.MaxHold})
 }
 
-func (o *Executor) do(member, step string) {
-	if o.waits || o.tries > 0 && o.now-o.since < o.set.Step/4 {
+func (o *Executor) commandMember(member, step string) {
+	if o.awaiting || o.attempts > 0 && o.now-o.stageStarted < o.settings.StepTimeout/4 {
 		return
 	}
-	o.waits = true
-	o.yields = o.yields || step == StepDown
-	if o.tries == 0 {
+	o.awaiting = true
+	o.mayHaveSteppedDown = o.mayHaveSteppedDown || step == StepDown
+	if o.attempts == 0 {
 		o.rank++
 	}
-	o.out = append(o.out, Decision{Action: CommandMember, To: member, Step: step, Rank: o.rank})
+	o.decisions = append(o.decisions, Decision{Action: CommandMember, Target: member, Step: step, Rank: o.rank})
 }
 
-// Over tells whether nothing is left to do, whether the order has ended or another owns it.
-func (o *Executor) Over() bool { return o.over && len(o.out) == 0 }
+// Finished tells whether nothing is left to do, whether the order has ended or another owns it.
+func (o *Executor) Finished() bool { return o.finished && len(o.decisions) == 0 }
 
 // RankBits are those below a fencing token's number in a guard row; an owner that has used most of them gives its lease back.
 const RankBits = 10
@@ -391,55 +391,57 @@
 
 // Next gives the next decision; false: none is left.
 func (o *Executor) Next() (Decision, bool) {
-	if len(o.out) == 0 {
+	if len(o.decisions) == 0 {
 		return Decision{}, false
 	}
-	d := o.out[0]
-	o.out = o.out[1:]
+	d := o.decisions[0]
+	o.decisions = o.decisions[1:]
 	return d, true
 }
 
 // OrderState is what a process keeps of a group's lease between orders, and between two spells of owning it under one fencing token: the rank that
 // its steps have come to, which members remember, and the order that it ended last. Its zero is of one that never owned it.
 type OrderState struct {
-	fence lease.Token
-	rank  uint64
-	ended leasestate.Order // the order that was ended last, and how
-	owes  bool             // the coordinator has yet to be told of that
+	token         lease.Token
+	rank          uint64
+	lastEnded     leasestate.Order // the order that was ended last, and how
+	endUnreported bool             // the coordinator has yet to be told of that
 }
 
 // BeginLease begins a spell under a fencing token; under the one before, it goes on.
 func (d *OrderState) BeginLease(fence lease.Token) {
-	if fence != d.fence {
-		*d = OrderState{fence: fence}
+	if fence != d.token {
+		*d = OrderState{token: fence}
 	}
 }
 
-// Take gives an owner to the open order, where there is one to be carried out here; else nil. What the coordinator tells may come from a
+// StartOrder gives an owner to the open order, where there is one to be carried out here; else nil. What the coordinator tells may come from a
 // process of it that lags: orders up to the last that was ended are old.
-func (d *OrderState) Take(set Settings, open leasestate.Order, steps []leasestate.Step, now float64) (*Executor, error) {
-	if open.Number <= d.ended.Number {
+func (d *OrderState) StartOrder(set Settings, open leasestate.Order, steps []leasestate.Step, now float64) (*Executor, error) {
+	if open.Number <= d.lastEnded.Number {
 		return nil, nil
 	}
 	o, err := NewExecutor(set, open.Text, steps, d.rank, now)
 	if err != nil {
-		d.ended, d.owes = leasestate.Order{Number: open.Number, Text: err.Error()}, true
+		d.lastEnded, d.endUnreported = leasestate.Order{Number: open.Number, Text: err.Error()}, true
 	}
 	return o, err
 }
 
 // Update notes how far an owner's steps have come, and whether its order is over here: ended, or another's.
 func (d *OrderState) Update(o *Executor, number uint64) {
-	if d.rank = max(d.rank, o.rank); o.Over() {
-		d.ended, d.owes = leasestate.Order{Number: number, Text: o.how}, o.how != ""
+	if d.rank = max(d.rank, o.rank); o.Finished() {
+		d.lastEnded, d.endUnreported = leasestate.Order{Number: number, Text: o.outcome}, o.outcome != ""
 	}
 }
 
 // UnreportedEnd gives the order whose end the coordinator has yet to be told of: until it has been, nobody can give another.
-func (d *OrderState) UnreportedEnd() (leasestate.Order, bool) { return d.ended, d.owes }
+func (d *OrderState) UnreportedEnd() (leasestate.Order, bool) { return d.lastEnded, d.endUnreported }
 
 // EndReported says that the coordinator has taken it.
-func (d *OrderState) EndReported(number uint64) { d.owes = d.owes && d.ended.Number != number }
+func (d *OrderState) EndReported(number uint64) {
+	d.endUnreported = d.endUnreported && d.lastEnded.Number != number
+}
 
 // NeedsNewToken tells that another fencing token is needed before another order is taken up: few ranks are left under this one.
 func (d *OrderState) NeedsNewToken() bool { return d.rank > 1<<RankBits-100 }
@@ -447,26 +449,26 @@
 // WriteHolds is a router's part: which groups' writes wait, and until when. A switchover is named by its fencing token's epoch and its order's
 // number; the same one never holds for longer than its bound, however often it asks.
 type WriteHolds struct {
-	bound float64
-	holds map[int]holding
+	maxHold float64
+	holds   map[int]writeHold
 }
 
-type holding struct {
+type writeHold struct {
 	epoch, number uint64
 	until         float64
-	over          bool
+	released      bool
 }
 
 // NewWriteHolds makes a router's part; bound is the most, in ms, that it holds for one switchover.
 func NewWriteHolds(bound float64) *WriteHolds {
-	return &WriteHolds{bound: bound, holds: map[int]holding{}}
+	return &WriteHolds{maxHold: bound, holds: map[int]writeHold{}}
 }
 
 // Hold says until when writes of a group wait; 0: they don't.
 func (g *WriteHolds) Hold(group int, fence lease.Token, number uint64, most, now float64) (until float64) {
 	h, had := g.holds[group]
 	if had && h.epoch == fence.Epoch && h.number == number {
-		if h.over {
+		if h.released {
 			return 0
 		}
 		return h.until
@@ -474,16 +476,16 @@
 	if math.IsNaN(most) || most < 0 {
 		most = 0
 	}
-	g.holds[group] = holding{epoch: fence.Epoch, number: number, until: now + math.Min(most, g.bound)}
+	g.holds[group] = writeHold{epoch: fence.Epoch, number: number, until: now + math.Min(most, g.maxHold)}
 	return g.holds[group].until
 }
 
 // Release lets a group's writes go; what still asks to hold for the same switchover, later, asks in vain.
 func (g *WriteHolds) Release(group int, fence lease.Token, number uint64) {
-	g.holds[group] = holding{epoch: fence.Epoch, number: number, over: true}
+	g.holds[group] = writeHold{epoch: fence.Epoch, number: number, released: true}
 }
 
-// Forget drops groups that are gone.
-func (g *WriteHolds) Forget(but map[int]bool) {
-	maps.DeleteFunc(g.holds, func(group int, _ holding) bool { return !but[group] })
+// RetainGroups drops groups that are gone.
+func (g *WriteHolds) RetainGroups(but map[int]bool) {
+	maps.DeleteFunc(g.holds, func(group int, _ writeHold) bool { return !but[group] })
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -19,24 +19,24 @@
 	"wayloft/internal/rpc"
 )
 
-// oneTry is how long one coordinator node has for an answer, before another is asked.
-const oneTry = 600 * time.Millisecond
+// attemptTimeout is how long one coordinator node has for an answer, before another is asked.
+const attemptTimeout = 600 * time.Millisecond
 
 // Client asks the coordinator: whoever leads it, by way of whoever answers.
 type Client struct {
-	fleet string
-	addrs []string
-	via   map[string]string
-	mu    sync.Mutex
-	conns map[string]*grpc.ClientConn
-	lead  string // address of who led when it was last heard
+	fleet            string
+	addrs            []string
+	addressOverrides map[string]string
+	mu               sync.Mutex
+	conns            map[string]*grpc.ClientConn
+	leader           string // address of who led when it was last heard
 
 	watched string // address of who is watched, or was last
 }
 
 // NewClient makes one; via gives other ways to processes, by name.
 func NewClient(fleet string, addrs []string, via map[string]string) *Client {
-	return &Client{fleet: fleet, addrs: addrs, via: via, conns: map[string]*grpc.ClientConn{}}
+	return &Client{fleet: fleet, addrs: addrs, addressOverrides: via, conns: map[string]*grpc.ClientConn{}}
 }
 
 // Close ends all its connections.
@@ -61,7 +61,7 @@
 	}
 	if len(c.conns) > 4*len(c.addrs)+16 { // addresses that leaders of the past had
 		for a, old := range c.conns {
-			if !slices.Contains(c.addrs, a) && a != c.lead {
+			if !slices.Contains(c.addrs, a) && a != c.leader {
 				old.Close()
 				delete(c.conns, a)
 			}
@@ -71,19 +71,19 @@
 	return conn, nil
 }
 
-// next gives the address to ask: of who leads, or any but those that just failed. Guards against a leader that gave no answer once
+// nextAddress gives the address to ask: of who leads, or any but those that just failed. Guards against a leader that gave no answer once
 // and is passed over for good, since the others, who never fail, go on to name it.
-func (c *Client) next(failed map[string]time.Time) string {
+func (c *Client) nextAddress(failed map[string]time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, at := range failed {
-		if time.Since(at) > oneTry {
+		if time.Since(at) > attemptTimeout {
 			delete(failed, a)
 		}
 	}
 	out := func(a string) bool { _, is := failed[a]; return is }
-	if c.lead != "" && !out(c.lead) {
-		return c.lead
+	if c.leader != "" && !out(c.leader) {
+		return c.leader
 	}
 	var left []string
 	for _, a := range c.addrs {
@@ -98,19 +98,19 @@
 	return left[rand.IntN(len(left))]
 }
 
-// leads notes who leads, and gives the way to it.
-func (c *Client) leads(name, addr string) string {
+// setLeader notes who leads, and gives the way to it.
+func (c *Client) setLeader(name, addr string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if via := c.via[name]; via != "" {
+	if via := c.addressOverrides[name]; via != "" {
 		addr = via
 	}
-	c.lead = addr
+	c.leader = addr
 	return addr
 }
 
-// final tells whether another try, or another process, can't bring another answer.
-func final(err error) bool {
+// isFinal tells whether another try, or another process, can't bring another answer.
+func isFinal(err error) bool {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.Unimplemented, codes.ResourceExhausted:
 		return true
@@ -118,26 +118,26 @@
 	return false
 }
 
-// ask calls f with one process after the other until it has answered, or ctx ends.
-func (c *Client) ask(ctx context.Context, f func(context.Context, fleetpb.CouncilClient) (moved bool, name, addr string, err error)) error {
+// call calls f with one process after the other until it has answered, or ctx ends.
+func (c *Client) call(ctx context.Context, f func(context.Context, fleetpb.CouncilClient) (moved bool, name, addr string, err error)) error {
 	failed := map[string]time.Time{}
 	var last error
 	for n := 0; ; n++ {
-		addr := c.next(failed)
+		addr := c.nextAddress(failed)
 		conn, err := c.conn(addr)
 		if err == nil {
 			var moved bool
 			var name, to string
-			one, cancel := context.WithTimeout(ctx, oneTry)
+			one, cancel := context.WithTimeout(ctx, attemptTimeout)
 			moved, name, to, err = f(one, fleetpb.NewCouncilClient(conn))
 			cancel()
 			switch {
 			case err == nil && !moved:
-				c.leads("", addr)
+				c.setLeader("", addr)
 				return nil
 			case err == nil && name != "":
-				if to = c.leads(name, to); to == addr { // it is sent to where it was sent from
-					c.leads("", "")
+				if to = c.setLeader(name, to); to == addr { // it is sent to where it was sent from
+					c.setLeader("", "")
 				}
 				delete(failed, to) // else who was slow once would never be asked again, as long as the others name it
 				last = nil
@@ -146,13 +146,13 @@
 			}
 		}
 		if err != nil {
-			over := final(err)
+			over := isFinal(err)
 			if err = fmt.Errorf("council at %s: %s", addr, status.Convert(err).Message()); over {
 				return err
 			}
 			last = err
 			failed[addr] = time.Now()
-			c.leads("", "")
+			c.setLeader("", "")
 		}
 		if ctx.Err() != nil {
 			break
@@ -202,7 +202,7 @@
 }
 
 func (c *Client) request(ctx context.Context, q *fleetpb.Request) (a *fleetpb.Answer, err error) {
-	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
+	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		var err error
 		if a, err = to.Do(ctx, q); err != nil {
 			return false, "", "", err
@@ -214,7 +214,7 @@
 
 // State gives the state as it is now.
 func (c *Client) State(ctx context.Context) (s *fleetpb.State, err error) {
-	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
+	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		var err error
 		if s, err = to.Look(ctx, &fleetpb.Empty{}); err != nil {
 			return false, "", "", err
@@ -226,7 +226,7 @@
 
 // ChangeMembership has processes join or leave the coordinator.
 func (c *Client) ChangeMembership(ctx context.Context, m *fleetpb.Members) (a leasestate.Result, err error) {
-	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
+	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		got, err := to.Change(ctx, m)
 		if err != nil {
 			return false, "", "", err
@@ -237,8 +237,8 @@
 	return a, err
 }
 
-// quiet is how long a watch may say nothing: an empty word comes each second.
-const quiet = 4 * time.Second
+// watchSilence is how long a watch may say nothing: an empty word comes each second.
+const watchSilence = 4 * time.Second
 
 // Watch hears of what changes from some coordinator node, until ctx ends or it falls silent. What it tells first is all
 // there is; without sessions, those of others are left out.
@@ -253,13 +253,13 @@
 	if err != nil {
 		return err
 	}
-	silent := time.AfterFunc(quiet, cancel)
+	silent := time.AfterFunc(watchSilence, cancel)
 	defer silent.Stop()
 	s, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{WithoutSessions: without})
 	for err == nil {
 		var u *fleetpb.Update
 		if u, err = s.Recv(); err == nil {
-			silent.Reset(quiet)
+			silent.Reset(watchSilence)
 			deliver(u)
 		}
 	}
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -22,33 +22,33 @@
 	"wayloft/internal/rpc"
 )
 
-// answering is a coordinator node that answers by a function.
-type answering struct {
+// fakeCoordinator is a coordinator node that answers by a function.
+type fakeCoordinator struct {
 	fleetpb.UnimplementedCouncilServer
 	do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)
 }
 
-func (a *answering) Do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+func (a *fakeCoordinator) Do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 	return a.do(ctx, q)
 }
 
-func serves(t *testing.T, do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)) string {
+func serveCoordinator(t *testing.T, do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	checks := rpc.Server("lab")
 	s := grpc.NewServer(grpc.ChainUnaryInterceptor(checks.Unary))
-	fleetpb.RegisterCouncilServer(s, &answering{do: do})
+	fleetpb.RegisterCouncilServer(s, &fakeCoordinator{do: do})
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
 	return l.Addr().String()
 }
 
 // Who leads is asked again though it was silent once, as long as the others say that it leads.
-func TestAsksTheLeaderAgain(t *testing.T) {
+func TestClient_AsksTheLeaderAgainAfterATimeout(t *testing.T) {
 	calls, leader := atomic.Int32{}, ""
-	leader = serves(t, func(ctx context.Context, _ *fleetpb.Request) (*fleetpb.Answer, error) {
+	leader = serveCoordinator(t, func(ctx context.Context, _ *fleetpb.Request) (*fleetpb.Answer, error) {
 		if calls.Add(1) == 1 {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -57,7 +57,7 @@
 	})
 	addrs := []string{leader}
 	for range 2 {
-		addrs = append(addrs, serves(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
+		addrs = append(addrs, serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
 			return &fleetpb.Answer{Moved: true, Leader: "c1", Address: leader}, nil
 		}))
 	}
@@ -72,9 +72,9 @@
 }
 
 // One call asks where many leases stand, and again as a whole where another process leads; what says less than that is no answer.
-func TestStandsInOneCall(t *testing.T) {
+func TestClient_LatestTokensTakesOneCall(t *testing.T) {
 	calls := atomic.Int32{}
-	leader := serves(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	leader := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		calls.Add(1)
 		a := &fleetpb.Answer{}
 		for _, duty := range q.Stands {
@@ -82,15 +82,15 @@
 		}
 		return a, nil
 	})
-	other := serves(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
+	other := serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
 		return &fleetpb.Answer{Moved: true, Leader: "c1", Address: leader}, nil
 	})
 	// Processes that don't know the question: one finds no entry in it, the other would answer as for nothing.
-	older := serves(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	older := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		_, err := leasestate.Decode(q.Entry)
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	})
-	empty := serves(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) { return &fleetpb.Answer{}, nil })
+	empty := serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) { return &fleetpb.Answer{}, nil })
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for _, addr := range []string{leader, other, older, empty} {
@@ -111,9 +111,9 @@
 }
 
 // A process that starts where there are 164 groups asks the coordinator where their leases stand in two calls, and goes by the answer.
-func TestAStartAsksInTwoCalls(t *testing.T) {
+func TestNode_StartLearnsAllTokensInTwoCalls(t *testing.T) {
 	asked := make(chan []string, 400)
-	council := serves(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	council := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		if len(q.Stands) == 0 && q.Stand == "" {
 			return &fleetpb.Answer{Held: true}, nil
 		}
@@ -126,7 +126,7 @@
 		asked <- q.Stands
 		return a, nil
 	})
-	r := &listing{groups: map[int][]Member{}, asked: make(chan bool, 100)}
+	r := &fakeRouter{groups: map[int][]Member{}, asked: make(chan bool, 100)}
 	for group := range 164 {
 		r.groups[group] = nil
 	}
@@ -153,7 +153,7 @@
 			}
 			for v := lease.Unknown; v == lease.Unknown; { // until the answer is in
 				l.post(func() {
-					v, _ := l.agent.Check(lease.Scope{Lease: duty, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
+					v, _ := l.leases.Check(lease.Scope{Lease: duty, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
 					took <- v
 				})
 				if v = <-took; v != lease.Old && v != lease.Unknown {
@@ -163,7 +163,7 @@
 		}
 	}
 	l.post(func() {
-		v, _ := l.agent.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
+		v, _ := l.leases.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
 		took <- v
 	})
 	if v := <-took; v != lease.Taken {
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -12,8 +12,8 @@
 	"wayloft/internal/rpc"
 )
 
-// sessions is a coordinator that keeps sessions alone, and lets time pass when it is told.
-type sessions struct {
+// sessionCoordinator is a coordinator that keeps sessions alone, and lets time pass when it is told.
+type sessionCoordinator struct {
 	mu      sync.Mutex
 	state   *leasestate.State
 	index   uint64
@@ -21,16 +21,16 @@
 	opened  chan uint64            // incarnations, of the same
 }
 
-func newSessions() *sessions {
-	return &sessions{state: leasestate.New("lab"), refused: make(chan leasestate.Result, 100), opened: make(chan uint64, 100)}
+func newSessions() *sessionCoordinator {
+	return &sessionCoordinator{state: leasestate.New("lab"), refused: make(chan leasestate.Result, 100), opened: make(chan uint64, 100)}
 }
 
-func (s *sessions) apply(e leasestate.Entry) leasestate.Result {
+func (s *sessionCoordinator) apply(e leasestate.Entry) leasestate.Result {
 	s.index++
 	return s.state.Apply(s.index, e)
 }
 
-func (s *sessions) do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+func (s *sessionCoordinator) do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 	if len(q.Stands) > 0 {
 		return &fleetpb.Answer{Fences: make([]*fleetpb.Fence, len(q.Stands))}, nil
 	}
@@ -49,8 +49,8 @@
 	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: rpc.EncodeToken(a.Fence)}, nil
 }
 
-// next is what comes out of a channel, or the test's end.
-func next[T any](t *testing.T, what string, from chan T) T {
+// receive is what comes out of a channel, or the test's end.
+func receive[T any](t *testing.T, what string, from chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
@@ -62,14 +62,14 @@
 }
 
 // start runs a process of the name "r" that was started when the wall clock said so.
-func (s *sessions) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
+func (s *sessionCoordinator) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &listing{asked: make(chan bool, 100)}
-	l := newLink(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeout: timeoutMs, SafetyMargin: timeoutMs / 10}, r, started)
+	r := &fakeRouter{asked: make(chan bool, 100)}
+	l := newNode(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeout: timeoutMs, SafetyMargin: timeoutMs / 10}, r, started)
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx, listener)
 	t.Cleanup(func() { cancel(); <-l.Ended() })
@@ -79,21 +79,21 @@
 // predecessor's never lapses here.
 func TestIncarnation_ProcessStartedAfterTheClockWasSteppedBack(t *testing.T) {
 	s := newSessions()
-	addr := serves(t, s.do)
+	addr := serveCoordinator(t, s.do)
 	s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "r", Incarnation: uint64(time.Now().UnixMilli()), Timeout: 2000, Role: "router"})
 	s.start(t, addr, time.Now().Add(-time.Hour), 60000) // no call is given up while the machine is busy
-	if refused := next(t, "the refusal", s.refused); refused.Number == 0 {
+	if refused := receive(t, "the refusal", s.refused); refused.Number == 0 {
 		t.Error("the refusal doesn't say which incarnation has the name")
 	}
-	next(t, "its session", s.opened)
+	receive(t, "its session", s.opened)
 }
 
 // A process whose session lapsed, and whose name another was given meanwhile by an earlier wall clock, finds it taken.
-func TestIncarnation_FormerProcessFindsItsNameTaken(t *testing.T) {
+func TestIncarnation_FormerProcessIsRejected(t *testing.T) {
 	s := newSessions()
-	addr := serves(t, s.do)
+	addr := serveCoordinator(t, s.do)
 	s.start(t, addr, time.Now(), 2000)
-	next(t, "its session", s.opened)
+	receive(t, "its session", s.opened)
 	s.mu.Lock()
 	s.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 2001})
 	later := uint64(time.Now().Add(-time.Hour).UnixMilli())
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -37,12 +37,12 @@
 )
 
 const (
-	inbox       = 1024
-	longest     = 1 << 20         // bytes of one order
-	connections = 1024            // of those who give orders
-	handshake   = 5 * time.Second // for one of them to begin to speak the protocol
-	again       = 500.0           // ms until the router is asked again which groups there are, where too much waited for it
-	farewell    = time.Second     // to tell the coordinator that this process leaves
+	queueSize        = 1024
+	maxOrderBytes    = 1 << 20         // bytes of one order
+	maxConnections   = 1024            // of those who give orders
+	handshakeTimeout = 5 * time.Second // for one of them to begin to speak the protocol
+	groupsRetryMs    = 500.0           // ms until the router is asked again which groups there are, where too much waited for it
+	leaveTimeout     = time.Second     // to tell the coordinator that this process leaves
 )
 
 // Router is what the fleet's part asks of a router. All but Post are called on the router's own loop.
@@ -70,8 +70,8 @@
 type Settings struct {
 	Fleet, Name, Kind            string
 	Coordinators                 []string
-	Via                          map[string]string // other ways to processes, by name
-	Listen                       string            // for orders; Address is what others are told, Listen where it is empty
+	AddressOverrides             map[string]string // other ways to processes, by name
+	ListenAddress                string            // for orders; Address is what others are told, Listen where it is empty
 	Address                      string
 	SessionTimeout, SafetyMargin float64
 	HealthSharePeriod            float64 // between two looks at a member, for who owns health sharing; 0: this process would not
@@ -80,7 +80,7 @@
 	Adapter                      *Adapter
 	MaxHold                      float64 // the most that writes wait here for one switchover
 	ClockOffset                  float64 // ms that this process's clock is ahead, for tests
-	Record                       *audit.Log
+	AuditLog                     *audit.Log
 	PolicyRate                   float64 // bytes a second that fetching the policy may take; 0: 2560
 	Store                        Store   // of the policy; nil: none
 }
@@ -88,57 +88,57 @@
 // Node is one process's way to its fleet.
 type Node struct {
 	fleetpb.UnimplementedReceiverServer
-	set     Settings
-	router  Router
-	client  *Client
-	agent   *leaseclient.Client
-	inbox   chan func()
-	ctx     context.Context
-	ended   chan struct{}
-	follow  *following
-	owns    atomic.Bool        // a lease: it needs the sessions of those whom it gives orders
-	rewatch context.CancelFunc // ends the watch that leaves them out; under mu
-	mu      sync.Mutex
-	groups  map[int][]Member
-	lookAt  float64                           // when the router is asked which groups there are
-	changed chan struct{}                     // they have changed
-	asked   int                               // how often it was asked
-	heard   int                               // the latest of these that it has answered
-	wanted  map[string]bool                   // leases that it would own, of groups that are listed
-	desks   map[string]*switchover.OrderState // by lease, while it is wanted
-	looks   map[string]*looker                // by lease, while it is held
-	hands   map[string]*handing               // by lease, while it is held
-	guests  *switchover.WriteHolds
-	ways    map[string]*grpc.ClientConn // to other processes, by address
-	hosted  chan func()                 // what the router's loop is to do, in order
-	dropped atomic.Int64                // reports for which there was no room
-	seen    atomic.Int64                // positions heard of from others
+	settings       Settings
+	router         Router
+	client         *Client
+	leases         *leaseclient.Client
+	inbox          chan func()
+	ctx            context.Context
+	ended          chan struct{}
+	policies       *policyState
+	givesOrders    atomic.Bool        // a lease: it needs the sessions of those whom it gives orders
+	restartWatch   context.CancelFunc // ends the watch that leaves them out; under mu
+	mu             sync.Mutex
+	groups         map[int][]Member
+	nextGroups     float64                           // when the router is asked which groups there are
+	groupsChanged  chan struct{}                     // they have changed
+	groupsAsked    int                               // how often it was asked
+	groupsReceived int                               // the latest of these that it has answered
+	wantedLeases   map[string]bool                   // leases that it would own, of groups that are listed
+	orderStates    map[string]*switchover.OrderState // by lease, while it is wanted
+	healthSharers  map[string]*healthSharer          // by lease, while it is held
+	switchovers    map[string]*switchoverTask        // by lease, while it is held
+	writeHolds     *switchover.WriteHolds
+	connections    map[string]*grpc.ClientConn // to other processes, by address
+	routerCalls    chan func()                 // what the router's loop is to do, in order
+	droppedCalls   atomic.Int64                // reports for which there was no room
+	reportsApplied atomic.Int64                // positions heard of from others
 }
 
-// looker is health sharing, held for a group.
-type looker struct {
-	group int
-	fence lease.Token
-	owner *healthshare.Prober
-	busy  map[string]bool // routers that have yet to answer the word before
+// healthSharer is health sharing, held for a group.
+type healthSharer struct {
+	group      int
+	token      lease.Token
+	prober     *healthshare.Prober
+	unanswered map[string]bool // routers that have yet to answer the word before
 }
 
 // New makes one; nothing happens until Run.
-func New(set Settings, router Router) *Node { return newLink(set, router, time.Now()) }
+func New(set Settings, router Router) *Node { return newNode(set, router, time.Now()) }
 
-// newLink is New by a wall clock that says started. Nothing but the number of the first session comes from it.
-func newLink(set Settings, router Router, started time.Time) *Node {
+// newNode is New by a wall clock that says started. Nothing but the number of the first session comes from it.
+func newNode(set Settings, router Router, started time.Time) *Node {
 	h := fnv.New64a()
 	h.Write([]byte(set.Name))
-	l := &Node{set: set, router: router, client: NewClient(set.Fleet, set.Coordinators, set.Via), inbox: make(chan func(), inbox),
-		ended: make(chan struct{}), groups: map[int][]Member{}, wanted: map[string]bool{}, desks: map[string]*switchover.OrderState{}, looks: map[string]*looker{},
-		hands: map[string]*handing{}, guests: switchover.NewWriteHolds(set.MaxHold), ways: map[string]*grpc.ClientConn{}, hosted: make(chan func(), inbox),
-		changed: make(chan struct{}, 1)}
+	l := &Node{settings: set, router: router, client: NewClient(set.Fleet, set.Coordinators, set.AddressOverrides), inbox: make(chan func(), queueSize),
+		ended: make(chan struct{}), groups: map[int][]Member{}, wantedLeases: map[string]bool{}, orderStates: map[string]*switchover.OrderState{}, healthSharers: map[string]*healthSharer{},
+		switchovers: map[string]*switchoverTask{}, writeHolds: switchover.NewWriteHolds(set.MaxHold), connections: map[string]*grpc.ClientConn{}, routerCalls: make(chan func(), queueSize),
+		groupsChanged: make(chan struct{}, 1)}
 	seed := h.Sum64() ^ rpc.UniqueID()
-	l.follow = follow(set, seed)
-	l.agent = leaseclient.New(leaseclient.Settings{Name: set.Name, Kind: set.Kind, Address: set.Address, SessionTimeout: set.SessionTimeout, SafetyMargin: set.SafetyMargin,
+	l.policies = newPolicyState(set, seed)
+	l.leases = leaseclient.New(leaseclient.Settings{Name: set.Name, Kind: set.Kind, Address: set.Address, SessionTimeout: set.SessionTimeout, SafetyMargin: set.SafetyMargin,
 		Incarnation: uint64(max(0, started.UnixMilli())), Seed: seed})
-	l.agent.Advance(l.now())
+	l.leases.Advance(l.now())
 	return l
 }
 
@@ -148,38 +148,38 @@
 	on, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.ctx = on
-	checks := rpc.Server(l.set.Fleet)
-	server := grpc.NewServer(grpc.MaxRecvMsgSize(longest), grpc.MaxConcurrentStreams(64), grpc.ConnectionTimeout(handshake),
+	checks := rpc.Server(l.settings.Fleet)
+	server := grpc.NewServer(grpc.MaxRecvMsgSize(maxOrderBytes), grpc.MaxConcurrentStreams(64), grpc.ConnectionTimeout(handshakeTimeout),
 		grpc.ChainUnaryInterceptor(checks.Unary), grpc.ChainStreamInterceptor(checks.Stream),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
 	fleetpb.RegisterReceiverServer(server, l)
-	go server.Serve(netutil.LimitListener(listener, connections))
+	go server.Serve(netutil.LimitListener(listener, maxConnections))
 	defer server.Stop()
 	defer l.client.Close()
 	defer func() {
-		for _, w := range l.ways {
+		for _, w := range l.connections {
 			w.Close()
 		}
 	}()
-	l.remember()
+	l.loadPolicy()
 	go l.watch()
 	go func() {
 		for {
 			select {
-			case f := <-l.hosted:
+			case f := <-l.routerCalls:
 				l.router.Post(f)
 			case <-on.Done():
 				return
 			}
 		}
 	}()
-	logrus.WithFields(logrus.Fields{"name": l.set.Name, "orders": listener.Addr().String(), "fleet": l.set.Fleet}).Info("fleet")
-	l.set.Record.Add("up", audit.Fields{"kind": l.set.Kind})
+	logrus.WithFields(logrus.Fields{"name": l.settings.Name, "orders": listener.Addr().String(), "fleet": l.settings.Fleet}).Info("fleet")
+	l.settings.AuditLog.Add("up", audit.Fields{"kind": l.settings.Kind})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	left := ctx.Done()
 	var late <-chan time.Time
-	for !l.agent.Left() {
+	for !l.leases.Left() {
 		select {
 		case f := <-l.inbox:
 			f()
@@ -187,18 +187,18 @@
 				(<-l.inbox)()
 			}
 		case <-timer.C:
-		case <-l.changed:
-			l.lookAt = 0
+		case <-l.groupsChanged:
+			l.nextGroups = 0
 		case <-left:
 			left = nil
-			late = time.After(farewell)
-			l.agent.Advance(l.now())
-			l.agent.Leave()
+			late = time.After(leaveTimeout)
+			l.leases.Advance(l.now())
+			l.leases.Leave()
 		case <-late:
 			return
 		}
-		l.turn()
-		timer.Reset(time.Duration(max(1, min(l.due()-l.now(), 1000)) * float64(time.Millisecond)))
+		l.advance()
+		timer.Reset(time.Duration(max(1, min(l.nextDeadline()-l.now(), 1000)) * float64(time.Millisecond)))
 	}
 }
 
@@ -208,12 +208,12 @@
 // Changed says that the router's list has changed. It never waits, and may be called on the router's loop.
 func (l *Node) Changed() {
 	select {
-	case l.changed <- struct{}{}:
+	case l.groupsChanged <- struct{}{}:
 	default: // it is yet to be looked at
 	}
 }
 
-func (l *Node) now() float64 { return rpc.Boottime() + l.set.ClockOffset }
+func (l *Node) now() float64 { return rpc.Boottime() + l.settings.ClockOffset }
 
 // post has the loop do something; it reports false where the loop has ended.
 func (l *Node) post(f func()) bool {
@@ -225,156 +225,156 @@
 	}
 }
 
-// host has the router's loop do something, in the order of these calls; false: too much waits there already.
-func (l *Node) host(f func()) bool {
+// callRouter has the router's loop do something, in the order of these calls; false: too much waits there already.
+func (l *Node) callRouter(f func()) bool {
 	select {
-	case l.hosted <- f:
+	case l.routerCalls <- f:
 		return true
 	default:
-		l.dropped.Add(1)
+		l.droppedCalls.Add(1)
 		return false
 	}
 }
 
-// due is when something may have to be done next if nothing comes in.
-func (l *Node) due() float64 {
-	due := min(l.agent.NextDeadline(), l.lookAt, l.follow.follower.NextDeadline())
-	if l.follow.adopt != nil {
+// nextDeadline is when something may have to be done next if nothing comes in.
+func (l *Node) nextDeadline() float64 {
+	due := min(l.leases.NextDeadline(), l.nextGroups, l.policies.follower.NextDeadline())
+	if l.policies.toApply != nil {
 		due = min(due, l.now()+20)
 	}
-	if l.follow.save != nil {
-		due = min(due, l.follow.retry.Due())
+	if l.policies.toSave != nil {
+		due = min(due, l.policies.saveRetry.Due())
 	}
-	for _, k := range l.looks {
-		due = min(due, k.owner.NextDeadline())
+	for _, k := range l.healthSharers {
+		due = min(due, k.prober.NextDeadline())
 	}
-	if len(l.hands) > 0 {
+	if len(l.switchovers) > 0 {
 		due = min(due, l.now()+20)
 	}
 	return due
 }
 
-// turn carries out what is decided.
-func (l *Node) turn() {
+// advance carries out what is decided.
+func (l *Node) advance() {
 	now := l.now()
-	l.agent.Advance(now)
-	if l.lookAt <= now {
-		l.asked++
-		n := l.asked
-		if l.lookAt = now + again; l.host(func() {
+	l.leases.Advance(now)
+	if l.nextGroups <= now {
+		l.groupsAsked++
+		n := l.groupsAsked
+		if l.nextGroups = now + groupsRetryMs; l.callRouter(func() {
 			g := l.router.Groups()
 			go l.post(func() {
-				if n > l.heard { // guards against a list that overtakes the one after it: nobody would ask again
-					l.heard = n
-					l.listed(g)
+				if n > l.groupsReceived { // guards against a list that overtakes the one after it: nobody would ask again
+					l.groupsReceived = n
+					l.groupsListed(g)
 				}
 			})
 		}) {
-			l.lookAt = math.Inf(1) // until they change
+			l.nextGroups = math.Inf(1) // until they change
 		}
 	}
-	l.goBy(now)
-	for d, more := l.agent.Next(); more; d, more = l.agent.Next() {
-		l.do(d)
+	l.advancePolicy(now)
+	for d, more := l.leases.Next(); more; d, more = l.leases.Next() {
+		l.carryOut(d)
 	}
-	for _, duty := range slices.Sorted(maps.Keys(l.looks)) {
-		l.look(duty, now)
+	for _, duty := range slices.Sorted(maps.Keys(l.healthSharers)) {
+		l.shareHealth(duty, now)
 	}
-	for _, duty := range slices.Sorted(maps.Keys(l.hands)) {
-		l.hand(duty, now)
+	for _, duty := range slices.Sorted(maps.Keys(l.switchovers)) {
+		l.runSwitchover(duty, now)
 	}
 }
 
-// listed takes in which groups there are.
-func (l *Node) listed(groups map[int][]Member) {
+// groupsListed takes in which groups there are.
+func (l *Node) groupsListed(groups map[int][]Member) {
 	l.groups = groups
 	wanted := map[string]bool{}
 	there := map[int]bool{}
 	for group := range groups {
 		there[group] = true
-		if l.set.HealthSharePeriod > 0 {
+		if l.settings.HealthSharePeriod > 0 {
 			wanted[healthshare.LeaseName(group)] = true
 		}
-		if l.set.SwitchoverEnabled {
+		if l.settings.SwitchoverEnabled {
 			wanted[switchover.LeaseName(group)] = true
 		}
 		for _, duty := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
-			l.agent.LearnToken(duty)
+			l.leases.LearnToken(duty)
 		}
 	}
-	l.guests.Forget(there)
-	for duty := range l.wanted {
+	l.writeHolds.RetainGroups(there)
+	for duty := range l.wantedLeases {
 		if !wanted[duty] {
-			delete(l.desks, duty)
-			l.agent.Release(duty)
+			delete(l.orderStates, duty)
+			l.leases.Release(duty)
 		}
 	}
-	l.wanted = wanted
+	l.wantedLeases = wanted
 	for _, duty := range slices.Sorted(maps.Keys(wanted)) {
-		l.agent.Acquire(duty)
+		l.leases.Acquire(duty)
 	}
-	for _, k := range l.looks {
-		l.members(k)
+	for _, k := range l.healthSharers {
+		l.setMembers(k)
 	}
 }
 
-func (l *Node) members(k *looker) {
+func (l *Node) setMembers(k *healthSharer) {
 	var ids []string
 	for _, m := range l.groups[k.group] {
 		ids = append(ids, m.ID)
 	}
-	k.owner.Members(ids)
+	k.prober.SetMembers(ids)
 }
 
-func (l *Node) do(d leaseclient.Decision) {
+func (l *Node) carryOut(d leaseclient.Decision) {
 	switch d.Action {
 	case leaseclient.Propose, leaseclient.QueryTokens:
-		go l.ask(d)
+		go l.request(d)
 	case leaseclient.Start:
-		l.set.Record.Add("start", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+		l.settings.AuditLog.Add("start", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
 		logrus.WithFields(logrus.Fields{"duty": d.Lease, "fence": d.Token}).Info("owns")
-		l.others()
+		l.watchSessions()
 		var group int
 		if _, err := fmt.Sscanf(d.Lease, "sight/%d", &group); err == nil {
-			k := &looker{group: group, fence: d.Token, owner: healthshare.NewProber(l.set.HealthSharePeriod), busy: map[string]bool{}}
-			k.owner.Advance(l.now())
-			l.members(k)
-			l.looks[d.Lease] = k
+			k := &healthSharer{group: group, token: d.Token, prober: healthshare.NewProber(l.settings.HealthSharePeriod), unanswered: map[string]bool{}}
+			k.prober.Advance(l.now())
+			l.setMembers(k)
+			l.healthSharers[d.Lease] = k
 		} else if _, err := fmt.Sscanf(d.Lease, "handover/%d", &group); err == nil {
-			if l.desks[d.Lease] == nil {
-				l.desks[d.Lease] = &switchover.OrderState{}
+			if l.orderStates[d.Lease] == nil {
+				l.orderStates[d.Lease] = &switchover.OrderState{}
 			}
-			l.desks[d.Lease].BeginLease(d.Token)
-			l.hands[d.Lease] = &handing{group: group, fence: d.Token, desk: l.desks[d.Lease]}
+			l.orderStates[d.Lease].BeginLease(d.Token)
+			l.switchovers[d.Lease] = &switchoverTask{group: group, token: d.Token, orders: l.orderStates[d.Lease]}
 		}
 	case leaseclient.Stop:
-		l.set.Record.Add("stop", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+		l.settings.AuditLog.Add("stop", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
 		logrus.WithFields(logrus.Fields{"duty": d.Lease, "fence": d.Token}).Info("owns no more")
-		delete(l.looks, d.Lease)
-		if h := l.hands[d.Lease]; h != nil && h.cancel != nil {
+		delete(l.healthSharers, d.Lease)
+		if h := l.switchovers[d.Lease]; h != nil && h.cancel != nil {
 			h.cancel()
 		}
-		delete(l.hands, d.Lease)
-		l.owns.Store(len(l.looks)+len(l.hands) > 0)
+		delete(l.switchovers, d.Lease)
+		l.givesOrders.Store(len(l.healthSharers)+len(l.switchovers) > 0)
 	}
 }
 
-// others has the watch tell the sessions of others from now on, since this process gives orders. The next watch leaves them out
+// watchSessions has the watch tell the sessions of others from now on, since this process gives orders. The next watch leaves them out
 // again, if it owns nothing by then.
-func (l *Node) others() {
-	if l.owns.Store(true); l.agent.SessionsComplete() {
+func (l *Node) watchSessions() {
+	if l.givesOrders.Store(true); l.leases.SessionsComplete() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.rewatch != nil {
-		l.rewatch()
+	if l.restartWatch != nil {
+		l.restartWatch()
 	}
 }
 
-// ask carries a request to the coordinator. A quarter of the session's length is enough for an answer, or for another try.
-func (l *Node) ask(d leaseclient.Decision) {
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.SessionTimeout/4*float64(time.Millisecond)))
+// request carries a request to the coordinator. A quarter of the session's length is enough for an answer, or for another try.
+func (l *Node) request(d leaseclient.Decision) {
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.settings.SessionTimeout/4*float64(time.Millisecond)))
 	defer cancel()
 	var a leasestate.Result
 	var fences []lease.Token
@@ -385,24 +385,24 @@
 		a, err = l.client.ProposeEntry(ctx, d.Entry)
 	}
 	l.post(func() {
-		l.agent.Advance(l.now())
+		l.leases.Advance(l.now())
 		if err != nil {
 			logrus.WithError(err).Debug("no answer of the council")
-			l.agent.Failed(d.Request)
+			l.leases.Failed(d.Request)
 			return
 		}
 		if d.Action == leaseclient.QueryTokens {
-			l.agent.TokensLearned(d.Request, fences)
+			l.leases.TokensLearned(d.Request, fences)
 			return
 		}
 		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.ReportToken && a.Why != "" {
 			logrus.WithFields(logrus.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token, "council": a.Fence}).Error(a.Why)
-			l.set.Record.Add("behind", audit.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token.String(), "council": a.Fence.String()})
+			l.settings.AuditLog.Add("behind", audit.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token.String(), "council": a.Fence.String()})
 		}
 		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.OpenSession {
-			l.set.Record.Add("session", audit.Fields{"held": a.Held, "why": a.Why, "incarnation": d.Entry.Incarnation})
+			l.settings.AuditLog.Add("session", audit.Fields{"held": a.Held, "why": a.Why, "incarnation": d.Entry.Incarnation})
 		}
-		l.agent.Answered(d.Request, a)
+		l.leases.Answered(d.Request, a)
 	})
 }
 
@@ -412,20 +412,20 @@
 	for l.ctx.Err() == nil {
 		ctx, cancel := context.WithCancel(l.ctx)
 		l.mu.Lock()
-		without := !l.owns.Load()
-		if l.rewatch = nil; without {
-			l.rewatch = cancel
+		without := !l.givesOrders.Load()
+		if l.restartWatch = nil; without {
+			l.restartWatch = cancel
 		}
 		l.mu.Unlock()
 		err := l.client.Watch(ctx, without, func(u *fleetpb.Update) {
 			told = ""
 			l.post(func() {
-				l.agent.Advance(l.now())
+				l.leases.Advance(l.now())
 				in := rpc.DecodeUpdate(u)
-				l.agent.Watched(in)
-				l.follow.follower.Advance(l.now())
+				l.leases.Watched(in)
+				l.policies.follower.Advance(l.now())
 				for _, p := range in.Policies {
-					l.follow.follower.VersionAnnounced(p.Version, p.Difference)
+					l.policies.follower.VersionAnnounced(p.Version, p.Difference)
 				}
 			})
 		})
@@ -448,52 +448,52 @@
 func (l *Node) Reported(r healthshare.Report) {
 	select {
 	case l.inbox <- func() {
-		for _, k := range l.looks {
-			k.owner.Reported(r) // of another group's it takes none
+		for _, k := range l.healthSharers {
+			k.prober.Reported(r) // of another group's it takes none
 		}
 	}:
 	default:
-		l.dropped.Add(1)
+		l.droppedCalls.Add(1)
 	}
 }
 
-// look does what health sharing of a group decides.
-func (l *Node) look(duty string, now float64) {
-	k := l.looks[duty]
-	k.owner.Advance(now)
-	for d, more := k.owner.Next(); more; d, more = k.owner.Next() {
+// shareHealth does what health sharing of a group decides.
+func (l *Node) shareHealth(duty string, now float64) {
+	k := l.healthSharers[duty]
+	k.prober.Advance(now)
+	for d, more := k.prober.Next(); more; d, more = k.prober.Next() {
 		switch d.Action {
 		case healthshare.Probe:
-			l.host(func() { l.router.HealthCheck(d.Member) })
+			l.callRouter(func() { l.router.HealthCheck(d.Member) })
 		case healthshare.Share:
-			l.spread(duty, k, d.Reports)
+			l.sendReports(duty, k, d.Reports)
 		}
 	}
 }
 
-// spread sends reports to all other routers; one that has yet to answer the word before is passed over: the next will do.
-func (l *Node) spread(duty string, k *looker, reports []healthshare.Report) {
-	order := &fleetpb.Order{Duty: duty, About: duty, Holder: l.set.Name, Fence: rpc.EncodeToken(k.fence)}
+// sendReports sends reports to all other routers; one that has yet to answer the word before is passed over: the next will do.
+func (l *Node) sendReports(duty string, k *healthSharer, reports []healthshare.Report) {
+	order := &fleetpb.Order{Duty: duty, About: duty, Holder: l.settings.Name, Fence: rpc.EncodeToken(k.token)}
 	for _, r := range reports {
 		order.Sightings = append(order.Sightings, &fleetpb.Sighting{Member: r.Member, Started: r.Started, Position: r.Position,
 			Primary: r.Primary, Replica: r.Replica, At: r.At})
 	}
-	for _, s := range l.agent.Sessions("router") {
-		if s.Name == l.set.Name || k.busy[s.Name] {
+	for _, s := range l.leases.Sessions("router") {
+		if s.Name == l.settings.Name || k.unanswered[s.Name] {
 			continue
 		}
-		if fence, may := l.agent.Valid(duty); !may || fence != k.fence { // the last look before it goes out
+		if fence, may := l.leases.Valid(duty); !may || fence != k.token { // the last look before it goes out
 			return
 		}
 		failpoint.Point("sight.looked") // between the look and the act
-		k.busy[s.Name] = true
-		l.order(s, order, func(v *fleetpb.Verdict, err error) { delete(k.busy, s.Name) })
+		k.unanswered[s.Name] = true
+		l.sendOrder(s, order, func(v *fleetpb.Verdict, err error) { delete(k.unanswered, s.Name) })
 	}
 }
 
-// order sends an act to another process; done hears of it on the loop, as does the agent where it was refused.
-func (l *Node) order(to leaseclient.Session, o *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
-	if to.Name == l.set.Name { // this very process
+// sendOrder sends an act to another process; done hears of it on the loop, as does the agent where it was refused.
+func (l *Node) sendOrder(to leaseclient.Session, o *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
+	if to.Name == l.settings.Name { // this very process
 		go func() {
 			v, err := l.Act(l.ctx, o)
 			l.post(func() { done(v, err) })
@@ -501,21 +501,21 @@
 		return
 	}
 	addr := to.Address
-	if via := l.set.Via[to.Name]; via != "" {
+	if via := l.settings.AddressOverrides[to.Name]; via != "" {
 		addr = via
 	}
-	conn := l.ways[addr]
+	conn := l.connections[addr]
 	if conn == nil {
 		var err error
-		if conn, err = rpc.Dial(addr, l.set.Fleet); err != nil {
+		if conn, err = rpc.Dial(addr, l.settings.Fleet); err != nil {
 			done(nil, err)
 			return
 		}
-		l.clean()
-		l.ways[addr] = conn
+		l.closeUnusedConnections()
+		l.connections[addr] = conn
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(l.ctx, failpoint.Duration("order.ends", time.Duration(l.set.SessionTimeout/2*float64(time.Millisecond))))
+		ctx, cancel := context.WithTimeout(l.ctx, failpoint.Duration("order.ends", time.Duration(l.settings.SessionTimeout/2*float64(time.Millisecond))))
 		defer cancel()
 		v, err := fleetpb.NewReceiverClient(conn).Act(ctx, o)
 		l.post(func() {
@@ -523,26 +523,26 @@
 				higher := rpc.DecodeToken(v.Highest)
 				logrus.WithFields(logrus.Fields{"duty": o.Duty, "fence": rpc.DecodeToken(o.Fence), "higher": higher, "by": to.Name}).
 					Warn("an act of ours was refused: the duty is another's")
-				l.set.Record.Add("refused", audit.Fields{"duty": o.Duty, "fence": rpc.DecodeToken(o.Fence).String(), "higher": higher.String(), "by": to.Name})
-				l.agent.Advance(l.now())
-				l.agent.Rejected(o.Duty, higher)
+				l.settings.AuditLog.Add("refused", audit.Fields{"duty": o.Duty, "fence": rpc.DecodeToken(o.Fence).String(), "higher": higher.String(), "by": to.Name})
+				l.leases.Advance(l.now())
+				l.leases.Rejected(o.Duty, higher)
 			}
 			done(v, err)
 		})
 	}()
 }
 
-// clean ends the ways to processes that have no session any more.
-func (l *Node) clean() {
+// closeUnusedConnections ends the ways to processes that have no session any more.
+func (l *Node) closeUnusedConnections() {
 	there := map[string]bool{}
-	for _, s := range l.agent.Sessions("router") {
+	for _, s := range l.leases.Sessions("router") {
 		there[s.Address] = true
-		there[l.set.Via[s.Name]] = true
+		there[l.settings.AddressOverrides[s.Name]] = true
 	}
-	for addr, conn := range l.ways {
+	for addr, conn := range l.connections {
 		if !there[addr] {
 			conn.Close()
-			delete(l.ways, addr)
+			delete(l.connections, addr)
 		}
 	}
 }
@@ -560,7 +560,7 @@
 		return nil, status.Errorf(codes.InvalidArgument, "the duty %.64q is none that this build knows", o.Duty)
 	}
 	result := make(chan *fleetpb.Verdict, 1)
-	if !l.post(func() { l.judge(o, func(v *fleetpb.Verdict) { result <- v }) }) {
+	if !l.post(func() { l.judgeOrder(o, func(v *fleetpb.Verdict) { result <- v }) }) {
 		return nil, status.Error(codes.Unavailable, "this process is ending")
 	}
 	select {
@@ -573,23 +573,23 @@
 	}
 }
 
-var verdicts = map[lease.Verdict]fleetpb.Verdict_Kind{lease.Taken: fleetpb.Verdict_TAKEN, lease.Old: fleetpb.Verdict_OLD,
+var verdictKinds = map[lease.Verdict]fleetpb.Verdict_Kind{lease.Taken: fleetpb.Verdict_TAKEN, lease.Old: fleetpb.Verdict_OLD,
 	lease.Unknown: fleetpb.Verdict_UNKNOWN, lease.Broken: fleetpb.Verdict_BROKEN}
 
-func (l *Node) judge(o *fleetpb.Order, done func(*fleetpb.Verdict)) {
-	l.agent.Advance(l.now())
+func (l *Node) judgeOrder(o *fleetpb.Order, done func(*fleetpb.Verdict)) {
+	l.leases.Advance(l.now())
 	fence := rpc.DecodeToken(o.Fence)
-	verdict, highest := l.agent.Check(lease.Scope{Lease: o.Duty, About: o.About}, o.Holder, fence)
-	v := &fleetpb.Verdict{Kind: verdicts[verdict], Highest: rpc.EncodeToken(highest)}
+	verdict, highest := l.leases.Check(lease.Scope{Lease: o.Duty, About: o.About}, o.Holder, fence)
+	v := &fleetpb.Verdict{Kind: verdictKinds[verdict], Highest: rpc.EncodeToken(highest)}
 	f := audit.Fields{"duty": o.Duty, "about": o.About, "holder": o.Holder, "fence": fence.String()}
 	switch verdict {
 	case lease.Taken:
-		l.set.Record.Add("taken", f)
-		l.obey(o, fence, v, done)
+		l.settings.AuditLog.Add("taken", f)
+		l.applyOrder(o, fence, v, done)
 		return
 	case lease.Old:
 		f["higher"] = highest.String()
-		l.set.Record.Add("late", f)
+		l.settings.AuditLog.Add("late", f)
 		logrus.WithFields(logrus.Fields{"duty": o.Duty, "holder": o.Holder, "fence": fence, "higher": highest}).Warn("refused an act of a former owner")
 	case lease.Broken:
 		invariant.Check(false, "one fence, one holder")
@@ -597,10 +597,10 @@
 	done(v)
 }
 
-// obey has the router do what an order says; what is unsound of it is passed over, with words.
-func (l *Node) obey(o *fleetpb.Order, fence lease.Token, v *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
+// applyOrder has the router do what an order says; what is unsound of it is passed over, with words.
+func (l *Node) applyOrder(o *fleetpb.Order, fence lease.Token, v *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
 	h := o.Hold
-	took := l.host(func() {
+	took := l.callRouter(func() {
 		now := l.router.Now()
 		for _, s := range o.Sightings {
 			r := healthshare.Report{Member: s.Member, Started: s.Started, Position: s.Position, Primary: s.Primary, Replica: s.Replica, At: s.At}
@@ -608,7 +608,7 @@
 				v.Kind, v.Why = fleetpb.Verdict_UNSOUND, err.Error()
 				continue
 			}
-			l.seen.Add(1)
+			l.reportsApplied.Add(1)
 			l.router.PeerReported(r)
 		}
 		if h == nil {
@@ -624,10 +624,10 @@
 		switch {
 		case h.Looks:
 		case h.Ends:
-			l.guests.Release(group, fence, h.Number)
+			l.writeHolds.Release(group, fence, h.Number)
 			l.router.HoldWrites(group, 0)
 		default:
-			l.router.HoldWrites(group, l.guests.Hold(group, fence, h.Number, h.MostMs, now))
+			l.router.HoldWrites(group, l.writeHolds.Hold(group, fence, h.Number, h.MostMs, now))
 		}
 		running, waiting := l.router.Writes(group)
 		v.Running, v.Held = int64(running), int64(waiting)
--- a/internal/fleet/link_test.go
+++ b/internal/fleet/link_test.go
@@ -9,42 +9,42 @@
 	"wayloft/internal/decide/policy"
 )
 
-// listing is a router whose list is looked at.
-type listing struct {
+// fakeRouter is a router whose list is looked at.
+type fakeRouter struct {
 	groups map[int][]Member
 	asked  chan bool
 }
 
-func (r *listing) Post(f func())                   { f() }
-func (r *listing) Now() float64                    { return 0 }
-func (r *listing) HealthCheck(string)              {}
-func (r *listing) PeerReported(healthshare.Report) {}
-func (r *listing) HoldWrites(int, float64)         {}
-func (r *listing) Writes(int) (int, int)           { return 0, 0 }
-func (r *listing) ApplyPolicy(policy.Version, policy.Document) error {
+func (r *fakeRouter) Post(f func())                   { f() }
+func (r *fakeRouter) Now() float64                    { return 0 }
+func (r *fakeRouter) HealthCheck(string)              {}
+func (r *fakeRouter) PeerReported(healthshare.Report) {}
+func (r *fakeRouter) HoldWrites(int, float64)         {}
+func (r *fakeRouter) Writes(int) (int, int)           { return 0, 0 }
+func (r *fakeRouter) ApplyPolicy(policy.Version, policy.Document) error {
 	return nil
 }
-func (r *listing) Groups() map[int][]Member {
+func (r *fakeRouter) Groups() map[int][]Member {
 	r.asked <- true
 	return r.groups
 }
 
 // Guards against a fleet's part that goes over all groups again and again, where the list has not changed.
-func TestTheListIsLookedAtWhereItChanges(t *testing.T) {
-	r := &listing{asked: make(chan bool, 100)}
+func TestNode_GroupsAreReadOnlyAfterAChange(t *testing.T) {
+	r := &fakeRouter{asked: make(chan bool, 100)}
 	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, r)
-	l.agent.Leave() // it asks nothing of a coordinator
+	l.leases.Leave() // it asks nothing of a coordinator
 	for range 20 {
-		l.set.ClockOffset += 1000
-		l.turn()
+		l.settings.ClockOffset += 1000
+		l.advance()
 	}
-	if n := len(l.hosted); n != 1 {
+	if n := len(l.routerCalls); n != 1 {
 		t.Fatalf("in 20 s without a change the router was asked %d times which groups there are, not once", n)
 	}
 	// What it was asked first comes in last.
-	l.lookAt = 0
-	l.turn()
-	first, second := <-l.hosted, <-l.hosted
+	l.nextGroups = 0
+	l.advance()
+	first, second := <-l.routerCalls, <-l.routerCalls
 	r.groups = map[int][]Member{2: nil}
 	second()
 	(<-l.inbox)()
@@ -57,8 +57,8 @@
 }
 
 // Guards against a change that is not heard of.
-func TestAChangeIsLookedAt(t *testing.T) {
-	r := &listing{asked: make(chan bool)}
+func TestNode_GroupsAreReadAfterEachChange(t *testing.T) {
+	r := &fakeRouter{asked: make(chan bool)}
 	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, r)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -161,7 +161,7 @@
 	fmt.Fprintf(out, "index %d whole %t without sessions %t", message.Index, u.Whole, u.WithoutSessions)
 	for _, s := range u.Sessions {
 		fmt.Fprintf(out, "\n  session %s kind %s address %s incarnation %d policy %s ended %t", s.Name, s.Kind, s.Address, s.Incarnation,
-			policy.MarkString(s.Policy), s.Ended)
+			policy.FormatPacked(s.Policy), s.Ended)
 	}
 	for _, d := range u.Leases {
 		fmt.Fprintf(out, "\n  lease %s holder %q token %d.%d open %d %q ended %d %q steps %d", d.Name, d.Holder, d.Token.Epoch, d.Token.Count, d.Open.Number,
@@ -187,7 +187,7 @@
 		fmt.Fprintf(out, "\n  node %s address %s leads %t applied %d level %t known %t", p.Name, p.Address, p.Leader, p.Applied, p.Level, p.Known)
 	}
 	for _, one := range s.State.Sessions {
-		fmt.Fprintf(out, "\n  session %s silent %d refused %d rejected %s why %q", one.Name, one.SilentMs, one.Refused, policy.MarkString(one.Wont), one.Why)
+		fmt.Fprintf(out, "\n  session %s silent %d refused %d rejected %s why %q", one.Name, one.SilentMs, one.Refused, policy.FormatPacked(one.Wont), one.Why)
 	}
 	for _, one := range s.State.Duties {
 		fmt.Fprintf(out, "\n  lease %s since %d queue %q barred %d.%d", one.Name, one.SinceMs, one.Queue, one.Barred.GetEpoch(), one.Barred.GetCount())
@@ -223,7 +223,7 @@
 }
 
 // A client of this version takes the responses of earlier coordinator nodes as the earlier client did, and asks who leads where it is told so.
-func TestRecordedResponses_AreTaken(t *testing.T) {
+func TestRecordedResponses_AreAccepted(t *testing.T) {
 	out := &strings.Builder{}
 	stands, others := splitAnswers(t)
 	do := clientOfEarlier(t, coordinator+"Do", others)
@@ -256,12 +256,12 @@
 	})
 	part := clientOfEarlier(t, coordinator+"Policy", readRecorded(t, "responses.jsonl", coordinator+"Policy"))
 	callAll(t, out, "part", func(ctx context.Context) (string, error) {
-		p, err := part.part(ctx, policy.Request{Most: 1024}, true)
+		p, err := part.policyPart(ctx, policy.Request{MaxBytes: 1024}, true)
 		if err != nil {
 			return "", err
 		}
-		text, err := rpc.Decompress(p.Bytes, policy.MostChanges)
-		return fmt.Sprintf("%s  whole %t offset %d total %d changes %x", describeStored(p.Version, nil), p.Whole, p.Offset, p.Total, text), err
+		text, err := rpc.Decompress(p.Bytes, policy.MaxHistoryBytes)
+		return fmt.Sprintf("%s  whole %t offset %d total %d changes %x", describeStored(p.Version, nil), p.Full, p.Offset, p.Total, text), err
 	})
 	compareGolden(t, filepath.Join(recordedBy, "responses.golden"), out.String())
 }
@@ -280,25 +280,25 @@
 	compareGolden(t, filepath.Join(recordedBy, "updates.golden"), out.String())
 }
 
-// ordered is a router of one group that lists what orders have it do.
-type ordered struct {
-	listing
+// recordingRouter is a router of one group that lists what orders have it do.
+type recordingRouter struct {
+	fakeRouter
 	now  float64
 	done chan string
 }
 
-func (r *ordered) Now() float64 { return r.now }
-func (r *ordered) Sighted(report healthshare.Report) {
+func (r *recordingRouter) Now() float64 { return r.now }
+func (r *recordingRouter) PeerReported(report healthshare.Report) {
 	r.done <- fmt.Sprintf("sighted %s started %g position %g primary %t replica %t at %g", report.Member, report.Started, report.Position, report.Primary,
 		report.Replica, report.At)
 }
-func (r *ordered) Hold(group int, until float64) {
+func (r *recordingRouter) HoldWrites(group int, until float64) {
 	if until > 0 {
 		until -= r.now
 	}
 	r.done <- fmt.Sprintf("group %d holds writes for %g ms", group, until)
 }
-func (r *ordered) Writes(int) (int, int) { return 3, 4 }
+func (r *recordingRouter) Writes(int) (int, int) { return 3, 4 }
 
 // respondToRouter answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed once it
 // was asked where both leases of the group stand.
@@ -362,8 +362,8 @@
 }
 
 // A receiver of this version takes the orders of an earlier lease holder, and its router does what they say.
-func TestRecordedOrders_AreObeyed(t *testing.T) {
-	router := &ordered{listing: listing{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
+func TestRecordedOrders_AreApplied(t *testing.T) {
+	router := &recordingRouter{fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
 	asked, respond := respondToRouter(t)
 	link := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeout: 2000, SafetyMargin: 200, MaxHold: 5000},
 		router)
@@ -399,7 +399,7 @@
 }
 
 // A lease holder of this version takes the verdict of an earlier receiver.
-func TestRecordedVerdict_IsTaken(t *testing.T) {
+func TestRecordedVerdict_IsAccepted(t *testing.T) {
 	verdicts := readRecorded(t, "responses.jsonl", receiver+"Act")
 	address := serveEarlier(t, func(method string, _ []byte) ([][]byte, error) {
 		if method != receiver+"Act" {
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -48,7 +48,7 @@
 // Policy gives the policy in force and its history, by the word of a majority.
 func (c *Client) Policy(ctx context.Context) (all Policies, err error) {
 	var got *fleetpb.PolicyBook
-	err = c.ask(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
+	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
 		var err error
 		if got, err = to.Policies(ctx, &fleetpb.Empty{}); err != nil {
 			return false, "", "", err
@@ -61,7 +61,7 @@
 	if all.Version, _, err = rpc.DecodePolicy(got.Version); err != nil {
 		return all, err
 	}
-	text, err := rpc.Decompress(got.Document, policy.MostBytes)
+	text, err := rpc.Decompress(got.Document, policy.MaxDocumentBytes)
 	if err != nil {
 		return all, fmt.Errorf("policy: %w", err)
 	}
@@ -71,15 +71,15 @@
 	if all.Version.Number > 0 && all.Document.Hash() != all.Version.Hash {
 		return all, policy.ErrMismatch
 	}
-	if text, err = rpc.Decompress(got.History, policy.MostChanges); err != nil {
+	if text, err = rpc.Decompress(got.History, policy.MaxHistoryBytes); err != nil {
 		return all, fmt.Errorf("policy: history: %w", err)
 	}
 	all.History, err = policy.DecodeChanges(text)
 	return all, err
 }
 
-// part asks one coordinator node for a part of the policy: the one that is watched first, since what it told it has.
-func (c *Client) part(ctx context.Context, q policy.Request, first bool) (p policy.Part, err error) {
+// policyPart asks one coordinator node for a part of the policy: the one that is watched first, since what it told it has.
+func (c *Client) policyPart(ctx context.Context, q policy.Request, first bool) (p policy.Part, err error) {
 	c.mu.Lock()
 	addr := c.watched
 	if !first || addr == "" {
@@ -90,8 +90,8 @@
 	if err != nil {
 		return p, err
 	}
-	a, err := fleetpb.NewCouncilClient(conn).Policy(ctx, &fleetpb.PolicyFrom{Have: q.Have, Hash: q.Hash[:], Want: q.Want, Whole: q.Whole,
-		Offset: uint64(q.Offset), Most: uint64(q.Most)})
+	a, err := fleetpb.NewCouncilClient(conn).Policy(ctx, &fleetpb.PolicyFrom{Have: q.Have, Hash: q.Hash[:], Want: q.Want, Whole: q.Full,
+		Offset: uint64(q.Offset), Most: uint64(q.MaxBytes)})
 	if err != nil {
 		return p, fmt.Errorf("council at %s: %s", addr, status.Convert(err).Message())
 	}
@@ -102,121 +102,121 @@
 	if a.Offset > 1<<30 || a.Total > 1<<30 {
 		return p, errors.New("unsound")
 	}
-	return policy.Part{Version: v, Whole: a.Whole, Offset: int(a.Offset), Total: int(a.Total), Bytes: a.Bytes}, nil
+	return policy.Part{Version: v, Full: a.Whole, Offset: int(a.Offset), Total: int(a.Total), Bytes: a.Bytes}, nil
 }
 
-// following is a router's part in the policy.
-type following struct {
-	follower *policy.Follower
-	adopt    *policy.Decision // what the router's loop had no room for yet
-	save     *policy.Decision // what is to be kept once the one before is
-	saving   bool
-	retry    backoff.Storage // of save, where the folder refuses
-	failed   bool            // the latest request has: the next goes to any process
+// policyState is a router's part in the policy.
+type policyState struct {
+	follower    *policy.Follower
+	toApply     *policy.Decision // what the router's loop had no room for yet
+	toSave      *policy.Decision // what is to be kept once the one before is
+	saving      bool
+	saveRetry   backoff.Storage // of save, where the folder refuses
+	fetchFailed bool            // the latest request has: the next goes to any process
 }
 
-func follow(set Settings, seed uint64) *following {
-	return &following{follower: policy.NewFollower(policy.Settings{Rate: set.PolicyRate, Seed: seed, Unpack: rpc.Decompress})}
+func newPolicyState(set Settings, seed uint64) *policyState {
+	return &policyState{follower: policy.NewFollower(policy.Settings{Rate: set.PolicyRate, Seed: seed, Decompress: rpc.Decompress})}
 }
 
-// remember begins with what was kept.
-func (l *Node) remember() {
-	l.follow.follower.Advance(l.now())
-	if l.set.Store == nil {
+// loadPolicy begins with what was kept.
+func (l *Node) loadPolicy() {
+	l.policies.follower.Advance(l.now())
+	if l.settings.Store == nil {
 		return
 	}
-	v, d, err := l.set.Store.Load()
+	v, d, err := l.settings.Store.Load()
 	if err != nil {
 		logrus.WithError(err).Warn("no policy of an earlier start")
 	}
-	if l.set.Record.Add("begins with", audit.Fields{"version": v.String()}); v.Number == 0 {
+	if l.settings.AuditLog.Add("begins with", audit.Fields{"version": v.String()}); v.Number == 0 {
 		return
 	}
-	l.follow.follower.Stored(v, d)
+	l.policies.follower.Stored(v, d)
 }
 
-// goBy does what is decided of the policy.
-func (l *Node) goBy(now float64) {
-	f := l.follow
+// advancePolicy does what is decided of the policy.
+func (l *Node) advancePolicy(now float64) {
+	f := l.policies
 	f.follower.Advance(now)
 	for d, more := f.follower.Next(); more; d, more = f.follower.Next() {
 		switch d.Action {
 		case policy.Fetch:
-			go l.fetch(d.Request, !f.failed)
+			go l.fetchPolicyPart(d.Request, !f.fetchFailed)
 		case policy.Apply:
-			f.adopt = &d
+			f.toApply = &d
 		case policy.Acknowledge:
-			l.set.Record.Add("goes by", audit.Fields{"version": policy.MarkString(d.Applied), "wont": policy.MarkString(d.Rejected), "why": d.Reason})
-			l.agent.PolicyApplied(d.Applied, d.Rejected, d.Reason)
+			l.settings.AuditLog.Add("goes by", audit.Fields{"version": policy.FormatPacked(d.Applied), "wont": policy.FormatPacked(d.Rejected), "why": d.Reason})
+			l.leases.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
-			f.save = &d
+			f.toSave = &d
 		}
 	}
-	if d := f.adopt; d != nil && l.host(func() { l.adopt(*d) }) {
-		f.adopt = nil
+	if d := f.toApply; d != nil && l.callRouter(func() { l.applyPolicy(*d) }) {
+		f.toApply = nil
 	}
-	l.keep(now)
+	l.savePolicy(now)
 }
 
-// keep has the latest version saved, off the loop, one call at a time; what fails is tried again until a later one takes its place.
-func (l *Node) keep(now float64) {
-	f := l.follow
-	if f.save == nil || f.saving || l.set.Store == nil || f.retry.Failing() && f.retry.Due() > now {
+// savePolicy has the latest version saved, off the loop, one call at a time; what fails is tried again until a later one takes its place.
+func (l *Node) savePolicy(now float64) {
+	f := l.policies
+	if f.toSave == nil || f.saving || l.settings.Store == nil || f.saveRetry.Failing() && f.saveRetry.Due() > now {
 		return
 	}
-	d := f.save
-	f.save, f.saving = nil, true
+	d := f.toSave
+	f.toSave, f.saving = nil, true
 	go func() {
-		err := l.set.Store.Save(d.Version, d.Document)
-		l.post(func() { l.kept(d, err) })
+		err := l.settings.Store.Save(d.Version, d.Document)
+		l.post(func() { l.policySaved(d, err) })
 	}()
 }
 
-// kept takes in what became of a version that was to be saved.
-func (l *Node) kept(d *policy.Decision, err error) {
-	f := l.follow
+// policySaved takes in what became of a version that was to be saved.
+func (l *Node) policySaved(d *policy.Decision, err error) {
+	f := l.policies
 	f.saving = false
 	if err == nil {
-		if f.retry.Succeed(l.now()) {
+		if f.saveRetry.Succeed(l.now()) {
 			logrus.WithField("version", d.Version).Info("the policy is kept for the next start again")
 		}
-		l.set.Record.Add("stored", audit.Fields{"version": d.Version.String()})
+		l.settings.AuditLog.Add("stored", audit.Fields{"version": d.Version.String()})
 		return
 	}
-	if f.save == nil {
-		f.save = d
+	if f.toSave == nil {
+		f.toSave = d
 	}
-	if f.retry.Fail(l.now()) {
+	if f.saveRetry.Fail(l.now()) {
 		logrus.WithError(err).WithField("version", d.Version).Error("the policy is not kept for the next start: trying again")
-		l.set.Record.Add("unsaved", audit.Fields{"version": d.Version.String(), "why": err.Error()})
+		l.settings.AuditLog.Add("unsaved", audit.Fields{"version": d.Version.String(), "why": err.Error()})
 	}
 }
 
-// adopt has the router go by a version, on its loop.
-func (l *Node) adopt(d policy.Decision) {
+// applyPolicy has the router go by a version, on its loop.
+func (l *Node) applyPolicy(d policy.Decision) {
 	failpoint.Point("policy.adopt")
 	err := l.router.ApplyPolicy(d.Version, d.Document)
 	go l.post(func() {
-		l.follow.follower.Advance(l.now())
+		l.policies.follower.Advance(l.now())
 		line := logrus.WithFields(logrus.Fields{"version": d.Version, "author": d.Version.Author, "reason": d.Version.Reason})
 		if err != nil {
 			line.WithError(err).Error("a policy that this router can't take")
-			l.follow.follower.ApplyFailed(d.Version, err.Error())
+			l.policies.follower.ApplyFailed(d.Version, err.Error())
 			return
 		}
 		line.Info("goes by policy")
-		l.follow.follower.Applied(d.Version)
+		l.policies.follower.Applied(d.Version)
 	})
 }
 
-func (l *Node) fetch(q policy.Request, first bool) {
-	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.set.SessionTimeout/2*float64(time.Millisecond)))
+func (l *Node) fetchPolicyPart(q policy.Request, first bool) {
+	ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.settings.SessionTimeout/2*float64(time.Millisecond)))
 	defer cancel()
-	p, err := l.client.part(ctx, q, first)
+	p, err := l.client.policyPart(ctx, q, first)
 	l.post(func() {
-		f := l.follow
+		f := l.policies
 		f.follower.Advance(l.now())
-		if f.failed = err != nil; err != nil {
+		if f.fetchFailed = err != nil; err != nil {
 			logrus.WithError(err).Debug("no part of the policy")
 			f.follower.FetchFailed()
 			return
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -153,7 +153,7 @@
 	for {
 		select {
 		case got := <-p.heard:
-			if got.Number64() >= v.Number64() {
+			if got.Packed() >= v.Packed() {
 				return
 			}
 		case <-late:
@@ -208,7 +208,7 @@
 	}
 	large := propose(t, ctx, client, func(d policy.Document) {
 		for n := range 2000 {
-			d[fmt.Sprintf("tenants.customer-%05d.rate", n)] = policy.Number(float64(n*7919%100000) / 10)
+			d[fmt.Sprintf("tenants.customer-%05d.rate", n)] = policy.FormatNumber(float64(n*7919%100000) / 10)
 		}
 	})
 	for n, p := range all {
@@ -233,7 +233,7 @@
 		}
 	}
 	for n := range all {
-		told(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Number64() && s.Wont == 0 })
+		told(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Packed() && s.Wont == 0 })
 	}
 
 	// A proposal from what is no longer in force, and one of fields that can't be changed.
@@ -241,7 +241,7 @@
 		a.Held || !strings.Contains(a.Why, "is in force") {
 		t.Error(a, err)
 	}
-	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Number64(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
+	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Packed(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
 		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(a.Why, "txn_types.order.level: ") || !strings.Contains(a.Why, "listen: ") {
 		t.Error(a, err)
 	}
@@ -257,14 +257,14 @@
 	next := propose(t, ctx, client, func(d policy.Document) { d["over_share_value"] = "0.4" })
 	all[2].until(t, next)
 	told("r2", func(s *fleetpb.Session) bool {
-		return s.Policy == large.Number64() && s.Wont == next.Number64() && s.Why == "no memory for this"
+		return s.Policy == large.Packed() && s.Wont == next.Packed() && s.Why == "no memory for this"
 	})
 	back, _ := h.join("r1", kept)
 	if v := <-back.heard; v != large {
 		t.Errorf("came back with %s, kept %s", v, large)
 	}
 	back.until(t, next)
-	told("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Number64() })
+	told("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
 }
 
 // deaf leads a coordinator, and gives no answer to the first that asks.
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	storeForm = 1                       // of the bytes; a build that doesn't know it begins with nothing
-	mostStore = policy.MostBytes + 8192 // bytes of one file
+	storeFormat   = 1                              // of the bytes; a build that doesn't know it begins with nothing
+	maxStoreBytes = policy.MaxDocumentBytes + 8192 // bytes of one file
 )
 
 // PolicyStore keeps a policy in a folder of this router's own, in two generations: "policy", and the one before it. Each is written
@@ -28,9 +28,9 @@
 // none. It says what to begin with; what is in force the coordinator says.
 type PolicyStore struct{ Dir, Fleet string }
 
-// kept is what a file holds, after the SHA-256 of its bytes.
-type kept struct {
-	Form     int             `cbor:"1,keyasint"`
+// storedPolicy is what a file holds, after the SHA-256 of its bytes.
+type storedPolicy struct {
+	Format   int             `cbor:"1,keyasint"`
 	Fleet    string          `cbor:"2,keyasint"`
 	Version  policy.Version  `cbor:"3,keyasint"`
 	Document policy.Document `cbor:"4,keyasint"`
@@ -39,44 +39,44 @@
 func (f *PolicyStore) path(name string) string { return filepath.Join(f.Dir, name) }
 
 const (
-	latest = "policy"
-	before = "policy.before"
-	begun  = "policy.new"
+	latestName   = "policy"
+	previousName = "policy.before"
+	newName      = "policy.new"
 )
 
-// errWrong is of a file that holds no policy of this fleet.
-var errWrong = errors.New("not a policy as it was written")
+// errCorrupt is of a file that holds no policy of this fleet.
+var errCorrupt = errors.New("not a policy as it was written")
 
 // read gives what a file holds. fs.ErrNotExist: there is none; errWrong: it can't be trusted.
-func (f *PolicyStore) read(name string) (k kept, err error) {
+func (f *PolicyStore) read(name string) (k storedPolicy, err error) {
 	file, err := os.Open(f.path(name))
 	if err != nil {
 		return k, err
 	}
 	defer file.Close()
-	b, err := io.ReadAll(io.LimitReader(file, mostStore+1))
+	b, err := io.ReadAll(io.LimitReader(file, maxStoreBytes+1))
 	if err != nil {
 		return k, err
 	}
-	if len(b) <= sha256.Size || len(b) > mostStore {
-		return k, fmt.Errorf("%s: %w: %d bytes", f.path(name), errWrong, len(b))
+	if len(b) <= sha256.Size || len(b) > maxStoreBytes {
+		return k, fmt.Errorf("%s: %w: %d bytes", f.path(name), errCorrupt, len(b))
 	}
 	if sum := sha256.Sum256(b[sha256.Size:]); !bytes.Equal(sum[:], b[:sha256.Size]) {
-		return k, fmt.Errorf("%s: %w: its sum doesn't fit", f.path(name), errWrong)
+		return k, fmt.Errorf("%s: %w: its sum doesn't fit", f.path(name), errCorrupt)
 	}
 	if err := cbor.Unmarshal(b[sha256.Size:], &k); err != nil {
-		return k, fmt.Errorf("%s: %w: %w", f.path(name), errWrong, err)
+		return k, fmt.Errorf("%s: %w: %w", f.path(name), errCorrupt, err)
 	}
 	err = errors.Join(k.Version.Check(), k.Document.Check())
 	switch {
-	case k.Form != storeForm:
-		return k, fmt.Errorf("%s: %w: form %d", f.path(name), errWrong, k.Form)
+	case k.Format != storeFormat:
+		return k, fmt.Errorf("%s: %w: form %d", f.path(name), errCorrupt, k.Format)
 	case k.Fleet != f.Fleet:
-		return k, fmt.Errorf("%s: %w: it is of the fleet %q", f.path(name), errWrong, k.Fleet)
+		return k, fmt.Errorf("%s: %w: it is of the fleet %q", f.path(name), errCorrupt, k.Fleet)
 	case err != nil:
-		return k, fmt.Errorf("%s: %w: %w", f.path(name), errWrong, err)
+		return k, fmt.Errorf("%s: %w: %w", f.path(name), errCorrupt, err)
 	case k.Document.Hash() != k.Version.Hash:
-		return k, fmt.Errorf("%s: %w: %w", f.path(name), errWrong, policy.ErrMismatch)
+		return k, fmt.Errorf("%s: %w: %w", f.path(name), errCorrupt, policy.ErrMismatch)
 	}
 	return k, nil
 }
@@ -84,13 +84,13 @@
 // Load gives the latest generation that can be trusted. The error tells of a folder or file that can't be read.
 func (f *PolicyStore) Load() (policy.Version, policy.Document, error) {
 	var wrong error
-	for _, name := range []string{latest, before} {
+	for _, name := range []string{latestName, previousName} {
 		k, err := f.read(name)
 		switch {
 		case err == nil:
 			return k.Version, k.Document, nil
 		case errors.Is(err, os.ErrNotExist):
-		case errors.Is(err, errWrong):
+		case errors.Is(err, errCorrupt):
 			logrus.WithError(err).Warn("a stored policy is set aside, and counts as none")
 			wrong = errors.Join(wrong, os.Rename(f.path(name), f.path(name+".wrong")))
 		default:
@@ -102,26 +102,26 @@
 
 // Save keeps a version. Whatever becomes of it, what was there before is there, or this.
 func (f *PolicyStore) Save(v policy.Version, d policy.Document) error {
-	body, err := cbor.Marshal(kept{storeForm, f.Fleet, v, d})
+	body, err := cbor.Marshal(storedPolicy{storeFormat, f.Fleet, v, d})
 	if err != nil {
 		return err
 	}
-	if err := f.make(); err != nil {
+	if err := f.createDirectory(); err != nil {
 		return err
 	}
 	sum := sha256.Sum256(body)
-	if err := writeSynced(f.path(begun), append(sum[:], body...)); err != nil {
-		os.Remove(f.path(begun)) // what there is of it takes room on a disk that is full
+	if err := writeSynced(f.path(newName), append(sum[:], body...)); err != nil {
+		os.Remove(f.path(newName)) // what there is of it takes room on a disk that is full
 		return err
 	}
 	failpoint.Point("policy.written")
-	if _, err := f.read(latest); err == nil { // else the one before is the better one
-		if err := f.rename(latest, before); err != nil {
+	if _, err := f.read(latestName); err == nil { // else the one before is the better one
+		if err := f.rename(latestName, previousName); err != nil {
 			return err
 		}
 	}
 	failpoint.Point("policy.between")
-	if err := f.rename(begun, latest); err != nil {
+	if err := f.rename(newName, latestName); err != nil {
 		return err
 	}
 	return syncDir(f.Dir)
@@ -134,8 +134,8 @@
 	return os.Rename(f.path(from), f.path(to))
 }
 
-// make makes the folder, and has its own name last.
-func (f *PolicyStore) make() error {
+// createDirectory makes the folder, and has its own name last.
+func (f *PolicyStore) createDirectory() error {
 	if _, err := os.Stat(f.Dir); err == nil {
 		return nil
 	}
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -46,7 +46,7 @@
 // describeStored lists a version and its document.
 func describeStored(v policy.Version, d policy.Document) string {
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "version %d.%d hash %x base %s size %d author %q reason %q\n", v.Epoch, v.Number, v.Hash, policy.MarkString(v.Base), v.Size, v.Author,
+	fmt.Fprintf(out, "version %d.%d hash %x base %s size %d author %q reason %q\n", v.Epoch, v.Number, v.Hash, policy.FormatPacked(v.Base), v.Size, v.Author,
 		v.Reason)
 	for _, field := range slices.Sorted(maps.Keys(d)) {
 		fmt.Fprintf(out, "  field %s = %s\n", field, d[field])
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -226,7 +226,7 @@
 			return err
 		}
 		for _, l := range lines {
-			if mark, err := policy.ParseMark(l.Text("version")); err == nil && l.Text("what") == "policy" {
+			if mark, err := policy.ParsePacked(l.Text("version")); err == nil && l.Text("what") == "policy" {
 				force = max(force, mark)
 			}
 		}
@@ -238,9 +238,9 @@
 		if p.Pid() == 0 {
 			continue
 		}
-		if err := Until(p.Name+" comes to "+policy.MarkString(force), func() (bool, error) {
+		if err := Until(p.Name+" comes to "+policy.FormatPacked(force), func() (bool, error) {
 			version, wont, err := f.GoesBy(p, p.Pid())
-			return version == policy.MarkString(force) || wont == policy.MarkString(force), err
+			return version == policy.FormatPacked(force) || wont == policy.FormatPacked(force), err
 		}); err != nil {
 			return err
 		}
@@ -260,7 +260,7 @@
 	}
 	hashes, given, top := map[string]string{}, map[string]bool{}, uint64(0)
 	mark := func(who, version string) uint64 {
-		m, err := policy.ParseMark(version)
+		m, err := policy.ParsePacked(version)
 		if err != nil {
 			add("%s: %v", who, err)
 		}
@@ -286,7 +286,7 @@
 			same(p.Name, version, l.Text("hash"))
 			m := mark(p.Name, version)
 			if m <= last && l["pid"] == pid {
-				add("%s: version %s became in force after %s", p.Name, version, policy.MarkString(last))
+				add("%s: version %s became in force after %s", p.Name, version, policy.FormatPacked(last))
 			}
 			given[version], last, pid, top = true, m, l["pid"], max(top, m)
 		}
@@ -331,7 +331,7 @@
 			}
 			says, wont = version, l.Text("wont")
 		}
-		if force := policy.MarkString(top); top > 0 && runs(p) && says != force && wont != force {
+		if force := policy.FormatPacked(top); top > 0 && runs(p) && says != force && wont != force {
 			add("%s ended at %s, %s is in force", p.Name, says, force)
 		}
 	}
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -484,7 +484,7 @@
 	case "order":
 		ctx, cancel := context.WithTimeout(context.Background(), Limit)
 		defer cancel()
-		a, err := r.client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.Order(w[0])})
+		a, err := r.client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.FormatOrder(w[0])})
 		if err == nil && !a.Held {
 			err = fmt.Errorf("%s", a.Why)
 		}
--- a/internal/lab/fleet/simulation/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -76,7 +76,7 @@
 func (w *World) order(to string, tries int) {
 	if l := w.Leader(); l != nil && !l.asleep {
 		w.number++
-		e := leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.Order(to)}
+		e := leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.FormatOrder(to)}
 		l.run(func() { l.node.Advance(l.clock()); l.node.Propose(w.number, e) })
 		w.planned.orders++
 		return
@@ -230,7 +230,7 @@
 		if !known || d.Holder != p.Name || d.Token != h.fence {
 			return
 		}
-		owner, err := p.desk.Take(switchover.Settings{Hold: holdFor, Wait: holdFor / 3, Step: 300}, d.Open, d.Steps, p.clock())
+		owner, err := p.desk.StartOrder(switchover.Settings{MaxHold: holdFor, DrainTimeout: holdFor / 3, StepTimeout: 300}, d.Open, d.Steps, p.clock())
 		if err != nil {
 			p.w.wrong("%s: %v", p.Name, err)
 		}
@@ -244,11 +244,11 @@
 		names = append(names, s.Name)
 	}
 	h.owner.Advance(p.clock())
-	h.owner.Routers(names)
+	h.owner.SetRouters(names)
 	for d, more := h.owner.Next(); more; d, more = h.owner.Next() {
 		p.step(h, d)
 	}
-	if p.desk.Update(h.owner, h.number); h.owner.Over() {
+	if p.desk.Update(h.owner, h.number); h.owner.Finished() {
 		h.owner = nil
 	}
 }
@@ -295,7 +295,7 @@
 		p.tell(h, o, d)
 	case switchover.CommandMember:
 		// Between the look and the act this process may be stopped.
-		to := w.byName[d.To]
+		to := w.byName[d.Target]
 		h.stepping = d.Step
 		p.later(w.rand.Float64()*20, func() {
 			h.stepping = ""
@@ -348,11 +348,11 @@
 }
 
 func (p *Proc) tell(h *handing, o *switchover.Executor, d switchover.Decision) {
-	w, to, over := p.w, p.w.byName[d.To], false
+	w, to, over := p.w, p.w.byName[d.Target], false
 	end := func(ok bool, running int) {
 		if !over {
 			over = true
-			p.still(h, o, func(o *switchover.Executor) { o.RouterAnswered(d.To, d.Word, ok, running) })
+			p.still(h, o, func(o *switchover.Executor) { o.RouterAnswered(d.Target, d.Command, ok, running) })
 		}
 	}
 	w.send(p, to, 80, func() {
@@ -362,13 +362,13 @@
 		case lease.Taken:
 			w.accept(to, switchover.LeaseName(0), p.Name, h.fence)
 			until := 0.0
-			switch d.Word {
+			switch d.Command {
 			case switchover.ReleaseWrites:
 				to.guests.Release(0, h.fence, h.number)
 			case switchover.HoldWrites:
-				until = to.guests.Hold(0, h.fence, h.number, d.Most, w.Now+1)
+				until = to.guests.Hold(0, h.fence, h.number, d.MaxHold, w.Now+1)
 			}
-			if d.Word != switchover.CountWrites {
+			if d.Command != switchover.CountWrites {
 				to.carrier.hear(func(r *router.Router) { r.HoldWrites(0, until) })
 			}
 			for txn, n := range to.carrier.out {
--- a/internal/lab/fleet/simulation/policy.go
+++ b/internal/lab/fleet/simulation/policy.go
@@ -124,7 +124,7 @@
 func (w *World) document(fields int) policy.Document {
 	d := policy.Document{"over_share_value": "0.2"}
 	for n := range fields {
-		d[fmt.Sprintf("tenants.customer-%05d.rate", n)] = policy.Number(float64(w.rand.IntN(100000)) / 100)
+		d[fmt.Sprintf("tenants.customer-%05d.rate", n)] = policy.FormatNumber(float64(w.rand.IntN(100000)) / 100)
 	}
 	return d
 }
@@ -135,7 +135,7 @@
 		d = policy.Document{}
 	}
 	for range w.ruling.Change {
-		d[fmt.Sprintf("tenants.customer-%05d.rate", w.rand.IntN(max(1, w.ruling.Fields)))] = policy.Number(float64(w.rand.IntN(100000)) / 100)
+		d[fmt.Sprintf("tenants.customer-%05d.rate", w.rand.IntN(max(1, w.ruling.Fields)))] = policy.FormatNumber(float64(w.rand.IntN(100000)) / 100)
 	}
 	return d
 }
@@ -182,8 +182,8 @@
 		if w.opt.Planted.Uncompared { // whatever is in force, the difference goes on top of it
 			b := to.node.State().Policy()
 			q := p
-			if d, err := b.Document.With(p.Difference); err == nil {
-				q.Base, q.Hash = b.Version.Number64(), d.Hash()
+			if d, err := b.Document.Apply(p.Difference); err == nil {
+				q.Base, q.Hash = b.Version.Packed(), d.Hash()
 			}
 			e.Proposal = &q
 		}
@@ -215,11 +215,11 @@
 func (w *World) stands(v policy.Version, d policy.Document, history []policy.Change) {
 	r := w.ruling
 	for _, c := range history {
-		if had, known := r.docs[c.Version.Number64()]; known && had != c.Version.Hash {
+		if had, known := r.docs[c.Version.Packed()]; known && had != c.Version.Hash {
 			w.wrong("version %s is two documents", c.Version)
 		}
 	}
-	mark := v.Number64()
+	mark := v.Packed()
 	had, known := r.docs[mark]
 	if known && had != v.Hash {
 		w.wrong("version %s is two documents", v)
@@ -228,7 +228,7 @@
 		return
 	}
 	for _, c := range history {
-		r.docs[c.Version.Number64()] = c.Version.Hash
+		r.docs[c.Version.Packed()] = c.Version.Hash
 	}
 	r.docs[mark], r.last = v.Hash, max(r.last, mark)
 	if d.Hash() != v.Hash {
@@ -250,20 +250,20 @@
 // went takes in that a router goes by a document from now on.
 func (w *World) went(p *Proc, v policy.Version, d policy.Document) {
 	r := w.ruling
-	if had, known := r.docs[v.Number64()]; known && had != d.Hash() && !(p.tampered && maps.Equal(d, p.kept.doc)) {
+	if had, known := r.docs[v.Packed()]; known && had != d.Hash() && !(p.tampered && maps.Equal(d, p.kept.doc)) {
 		w.wrong("%s goes by another document than the one of version %s", p.Name, v)
 	}
-	if v.Number64() < p.ruled.version.Number64() {
+	if v.Packed() < p.ruled.version.Packed() {
 		w.wrong("%s goes back from %s to %s", p.Name, p.ruled.version, v)
 	}
 	p.ruled.version, p.ruled.doc = v, d
 	r.went[p.Name+" "+v.String()] = true
 	w.Adopted++
-	if one, waits := r.waits[v.Number64()]; waits && one.left[p.Name] {
-		r.took[v.Number64()] = append(r.took[v.Number64()], w.Now-one.since)
+	if one, waits := r.waits[v.Packed()]; waits && one.left[p.Name] {
+		r.took[v.Packed()] = append(r.took[v.Packed()], w.Now-one.since)
 	}
 	for mark, one := range r.waits {
-		if mark <= v.Number64() && one.left[p.Name] {
+		if mark <= v.Packed() && one.left[p.Name] {
 			delete(one.left, p.Name)
 			if len(one.left) == 0 {
 				w.Everywhere = append(w.Everywhere, w.Now-one.since)
@@ -299,7 +299,7 @@
 
 func (p *Proc) startRuled() {
 	p.ruled = &ruled{follower: policy.NewFollower(policy.Settings{Seed: p.w.opt.Seed<<20 ^ uint64(p.tries)<<12 ^ uint64(slices.Index(p.w.Routers, p)),
-		Unpack: rpc.Decompress, SeededDefects: p.w.opt.Planted.Policy})}
+		Decompress: rpc.Decompress, SeededDefects: p.w.opt.Planted.Policy})}
 	p.ruled.follower.Advance(p.clock())
 	p.ruled.follower.Stored(p.kept.version, p.kept.doc)
 	p.subscribe()
@@ -421,8 +421,8 @@
 				r.follower.Applied(d.Version)
 			})
 		case policy.Acknowledge:
-			if d.Applied > r.version.Number64() {
-				w.wrong("%s says that it goes by %s, and goes by %s", p.Name, policy.MarkString(d.Applied), r.version)
+			if d.Applied > r.version.Packed() {
+				w.wrong("%s says that it goes by %s, and goes by %s", p.Name, policy.FormatPacked(d.Applied), r.version)
 			}
 			p.agent.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
@@ -484,7 +484,7 @@
 	var got *piece
 	for n := range p.pieces {
 		one := &p.pieces[n]
-		if q.Offset > 0 && one.version.Number64() == q.Want && one.whole == q.Whole && (one.whole || one.have == q.Have) {
+		if q.Offset > 0 && one.version.Packed() == q.Want && one.whole == q.Full && (one.whole || one.have == q.Have) {
 			got = one
 		}
 	}
@@ -511,8 +511,8 @@
 		q.Offset = 0
 	}
 	at := min(q.Offset, len(got.bytes))
-	end := min(at+q.Most, len(got.bytes))
-	return policy.Part{Version: got.version, Whole: got.whole, Offset: at, Total: len(got.bytes), Bytes: got.bytes[at:end]}, end > at
+	end := min(at+q.MaxBytes, len(got.bytes))
+	return policy.Part{Version: got.version, Full: got.whole, Offset: at, Total: len(got.bytes), Bytes: got.bytes[at:end]}, end > at
 }
 
 // drawRuling schedules faults by chance, as draw does, with those that concern a policy.
@@ -612,20 +612,20 @@
 			wrong = append(wrong, p.Name+" is down in the end")
 			continue
 		}
-		w.Older, w.Unfit = w.Older+p.ruled.follower.Stale, w.Unfit+p.ruled.follower.Wrong
-		if p.ruled.version.Number64() != b.Version.Number64() || p.ruled.doc.Hash() != b.Version.Hash {
+		w.Older, w.Unfit = w.Older+p.ruled.follower.Stale, w.Unfit+p.ruled.follower.HashMismatches
+		if p.ruled.version.Packed() != b.Version.Packed() || p.ruled.doc.Hash() != b.Version.Hash {
 			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end, %s is in force", p.Name, p.ruled.version, b.Version))
 		}
-		if s, open := l.node.State().Session(p.Name); !open || s.Policy != p.ruled.version.Number64() {
+		if s, open := l.node.State().Session(p.Name); !open || s.Policy != p.ruled.version.Packed() {
 			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end and is known to go by %s (session %v)", p.Name, p.ruled.version,
-				policy.MarkString(s.Policy), open))
+				policy.FormatPacked(s.Policy), open))
 		}
 	}
 	for _, number := range slices.Sorted(maps.Keys(r.intended)) {
 		for _, hash := range r.intended[number] {
 			found := false
 			for mark, had := range r.docs {
-				if _, n := policy.Marked(mark); n == number && had == hash {
+				if _, n := policy.SplitPacked(mark); n == number && had == hash {
 					found = true
 				}
 			}
--- a/internal/lab/fleet/simulation/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -143,7 +143,7 @@
 	since := w.Now
 	var look func()
 	look = func() {
-		if p.ruled != nil && p.ruled.version.Number64() == w.ruling.last && w.ruling.last != 0 && w.Now > since+1 {
+		if p.ruled != nil && p.ruled.version.Packed() == w.ruling.last && w.ruling.last != 0 && w.Now > since+1 {
 			*into = append(*into, w.Now-since)
 			return
 		}
@@ -188,11 +188,11 @@
 		schedule func(*World)
 		plant    func(*Planted)
 	}{
-		{"the hash is not checked", otherBytes, func(p *Planted) { p.Policy.Unhashed = true }},
-		{"a stale teller is believed", staleTellers, func(p *Planted) { p.Policy.Backward = true }},
-		{"a difference applied to another document", nil, func(p *Planted) { p.Policy.WrongBase = true }},
-		{"what was stored taken for what is in force", nil, func(p *Planted) { p.Policy.StoredWins = true }},
-		{"acknowledged before it is applied", nil, func(p *Planted) { p.Policy.EarlyWord = true }},
+		{"the hash is not checked", otherBytes, func(p *Planted) { p.Policy.SkipHashCheck = true }},
+		{"a stale teller is believed", staleTellers, func(p *Planted) { p.Policy.AcceptOlderVersions = true }},
+		{"a difference applied to another document", nil, func(p *Planted) { p.Policy.SkipBaseCheck = true }},
+		{"what was stored taken for what is in force", nil, func(p *Planted) { p.Policy.TrustStored = true }},
+		{"acknowledged before it is applied", nil, func(p *Planted) { p.Policy.AcknowledgeEarly = true }},
 		{"no compare and set", nil, func(p *Planted) { p.Uncompared = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/lab/fleet/simulation/sight.go
+++ b/internal/lab/fleet/simulation/sight.go
@@ -115,7 +115,7 @@
 	}
 	if period > 0 {
 		o := healthshare.NewProber(period)
-		o.Members(ids)
+		o.SetMembers(ids)
 		var turn func()
 		turn = func() {
 			o.Advance(now)
--- a/internal/lab/scale/routers.go
+++ b/internal/lab/scale/routers.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return nil, err
 		}
-		o.link = fleet.New(fleet.Settings{Fleet: s.Fleet, Name: name, Kind: "router", Coordinators: s.Council, Via: s.Via, Address: listener.Addr().String(),
+		o.link = fleet.New(fleet.Settings{Fleet: s.Fleet, Name: name, Kind: "router", Coordinators: s.Council, AddressOverrides: s.Via, Address: listener.Addr().String(),
 			SessionTimeout: s.SessionMs, SafetyMargin: s.SessionMs / 10, HealthSharePeriod: s.SightMs, MaxHold: 5000}, o)
 		r.all = append(r.all, o)
 		if s.PaceMs > 0 {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -24,10 +24,10 @@
 	if got, err := Decompress(packed, len(long)/2); err == nil {
 		t.Error(len(got), "bytes came of it")
 	}
-	noise := make([]byte, policy.MostChanges) // the most that is ever packed, of what packs worst
+	noise := make([]byte, policy.MaxHistoryBytes) // the most that is ever packed, of what packs worst
 	rand.NewChaCha8([32]byte{1}).Read(noise)
-	for _, n := range []int{1, policy.MostBytes - 1, policy.MostBytes, policy.MostChanges} {
-		if got, err := Decompress(Compress(noise[:n]), max(n, policy.MostBytes)); err != nil || !bytes.Equal(got, noise[:n]) {
+	for _, n := range []int{1, policy.MaxDocumentBytes - 1, policy.MaxDocumentBytes, policy.MaxHistoryBytes} {
+		if got, err := Decompress(Compress(noise[:n]), max(n, policy.MaxDocumentBytes)); err != nil || !bytes.Equal(got, noise[:n]) {
 			t.Errorf("%d bytes: %d, %v", n, len(got), err)
 		}
 	}
@@ -40,9 +40,9 @@
 
 func TestPolicies(t *testing.T) {
 	v := policy.Version{Epoch: 3, Number: 4, Hash: [32]byte{5}, Base: 6, Size: 7, Author: "a", Reason: "r"}
-	x := policy.Difference{Set: map[string]string{"over_share_value": "0.2"}, Gone: []string{"tenants.a.rate"}}
+	x := policy.Difference{Set: map[string]string{"over_share_value": "0.2"}, Removed: []string{"tenants.a.rate"}}
 	got, y, err := DecodePolicy(EncodePolicy(v, &x))
-	if err != nil || got != v || y.Set["over_share_value"] != "0.2" || len(y.Gone) != 1 {
+	if err != nil || got != v || y.Set["over_share_value"] != "0.2" || len(y.Removed) != 1 {
 		t.Error(got, y, err)
 	}
 	if _, y, err := DecodePolicy(EncodePolicy(v, nil)); y != nil || err != nil {
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -18,7 +18,7 @@
 	"wayloft/router"
 )
 
-const longestName = policy.LongestKey - 32 // bytes, so that a field's name has room for the rest
+const longestName = policy.MaxFieldNameBytes - 32 // bytes, so that a field's name has room for the rest
 
 // policyReader makes a document's fields of its text, and keeps all that is wrong with it.
 type policyReader struct {
@@ -38,8 +38,8 @@
 // Its error names everything that is wrong, a line each, with line and key. A strict field is read like any other: whether it
 // may differ from what is in force is policy.Judge's to say.
 func ReadPolicy(text []byte) (policy.Document, error) {
-	if len(text) > policy.MostBytes {
-		return nil, fmt.Errorf("policy: %d bytes, %d at most", len(text), policy.MostBytes)
+	if len(text) > policy.MaxDocumentBytes {
+		return nil, fmt.Errorf("policy: %d bytes, %d at most", len(text), policy.MaxDocumentBytes)
 	}
 	if at := invalid(text); at >= 0 {
 		return nil, fmt.Errorf("line %d: not UTF-8", line(text, at))
@@ -50,8 +50,8 @@
 	}
 	r := &policyReader{text: text, places: places(text), fields: policy.Document{}, at: map[string]string{}}
 	r.top(all)
-	for _, f := range policy.Judge(nil, r.fields) {
-		if class, _ := policy.Classify(f.Field); class == policy.Lenient || f.Field == "" {
+	for _, f := range policy.ValidateChange(nil, r.fields) {
+		if class, _ := policy.Classify(f.Field); class == policy.ClassLenient || f.Field == "" {
 			r.fail(r.at[f.Field], "%s", f.Reason)
 		}
 	}
@@ -213,7 +213,7 @@
 // field reads one key of a table; without a name it is looked at all the same, to tell what else is wrong.
 func (r *policyReader) field(table, name, key, path string, v any) {
 	field := table + "." + cmp.Or(name, "?") + "." + key
-	if class, _ := policy.Classify(field); class == policy.Unknown {
+	if class, _ := policy.Classify(field); class == policy.ClassUnknown {
 		r.fail(path, "%s", noSuchKey[ownKeys[table+"."+key]])
 		return
 	}
@@ -263,7 +263,7 @@
 		r.fail(path, "must be a number, without quotes or unit")
 		return 0, false
 	}
-	r.set(field, policy.Number(x), path)
+	r.set(field, policy.FormatNumber(x), path)
 	return x, true
 }
 
@@ -279,13 +279,13 @@
 	var wrong []error
 	fail := func(format string, args ...any) { wrong = append(wrong, fmt.Errorf(format, args...)) }
 	unsound := map[string]bool{}
-	for _, f := range policy.Judge(nil, d) {
+	for _, f := range policy.ValidateChange(nil, d) {
 		unsound[f.Field] = true
 		fail("%s: %s", f.Field, f.Reason)
 	}
 	missing := map[string]bool{}
 	for _, field := range slices.Sorted(maps.Keys(d)) {
-		table, name, key, _ := policy.Name(field)
+		table, name, key, _ := policy.SplitField(field)
 		if unsound[field] {
 			continue
 		}
@@ -350,11 +350,11 @@
 	var out written
 	types := map[string]*writtenType{}
 	for _, field := range slices.Sorted(maps.Keys(d)) {
-		table, name, key, _ := policy.Name(field)
+		table, name, key, _ := policy.SplitField(field)
 		x, err := strconv.ParseFloat(d[field], 64)
 		class, _ := policy.Classify(field)
 		switch {
-		case err != nil || class != policy.Lenient:
+		case err != nil || class != policy.ClassLenient:
 			return nil, fmt.Errorf("%s = %q: this build has no place for it", field, d[field])
 		case table == "tenants":
 			out.Tenants = append(out.Tenants, writtenRate{name, x})
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -132,7 +132,7 @@
 		if err := d.Check(); err != nil {
 			t.Error(err)
 		}
-		if len(policy.Judge(nil, d)) > 0 { // strict ones
+		if len(policy.ValidateChange(nil, d)) > 0 { // strict ones
 			return
 		}
 		again, err := WritePolicy(d)
