--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -66,7 +66,7 @@
 }
 
 // runStep does one step at a member, under a fencing token.
-func (a *Adapter) runStep(ctx context.Context, addr, step string, fence lease.Token, rank uint64) (switchover.Outcome, error) {
+func (a *Adapter) runStep(ctx context.Context, addr string, step switchover.MemberStep, fence lease.Token, rank uint64) (switchover.Outcome, error) {
 	number := int64(fence.Number()<<switchover.RankBits | rank)
 	c, err := a.connect(ctx, addr)
 	if err != nil {
@@ -91,7 +91,7 @@
 		}
 		return switchover.Fenced, fmt.Errorf("the member has seen the fence %s", seen)
 	}
-	statement := map[string]string{switchover.StepDown: a.StepDownStatement, switchover.Promote: a.PromoteStatement}[step]
+	statement := map[switchover.MemberStep]string{switchover.StepDown: a.StepDownStatement, switchover.Promote: a.PromoteStatement}[step]
 	if statement != "" {
 		if _, err := tx.Exec(ctx, statement); err != nil {
 			return switchover.Failed, fmt.Errorf("%s: %w", step, err)
@@ -243,13 +243,13 @@
 			}
 		}
 		go func() {
-			failpoint.Point("step." + d.Step) // between the look and the act
+			failpoint.Point("step." + string(d.Step)) // between the look and the act
 			how, err := switchover.Failed, fmt.Errorf("%s is not in the list", d.Target)
 			if addr != "" { // one that is begun goes on, whatever becomes of the lease: the member's guard row decides
 				ctx, cancel := context.WithTimeout(l.ctx, time.Duration(l.settings.Adapter.StepTimeoutMs*float64(time.Millisecond)))
 				how, err = l.settings.Adapter.runStep(ctx, addr, d.Step, fence, d.Rank)
 				cancel()
-				failpoint.Point("stepped." + d.Step)
+				failpoint.Point("stepped." + string(d.Step))
 			}
 			why := ""
 			if err != nil {
--- a/internal/lab/fleet/simulation/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -203,7 +203,7 @@
 	owner  *switchover.Executor
 	noteAt float64
 
-	stepping string // at a member, decided and not yet sent
+	stepping switchover.MemberStep // at a member, decided and not yet sent
 }
 
 // hand goes on with a switchover, as the program's fleet does.
