--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -1,7 +1,10 @@
-// Package healthshare decides how one process looks at the members of a group for the whole fleet, and what the others make of what
-// it says. It owns the turns in which members are asked and the bounds on a report; it must never tell a router who is
-// primary: a report stands for a position, which of one start never goes back, so that a late one is weak and not wrong, and
-// for whom to ask first.
+// Package healthshare decides shared health checking: one lease holder checks the members of a group for the whole fleet and sends its
+// reports to all routers. Prober decides when each member is checked and when reports are sent; CheckReport bounds what a router accepts.
+//
+// A report never tells a router which member is primary. It gives a position, which within one run of a member never goes back, so a late
+// report is weak and not wrong, and a hint which member to ask first.
+//
+// The package does no I/O and starts no timers; callers pass the time in and carry out its decisions.
 package healthshare
 
 import (
@@ -10,130 +13,135 @@
 	"slices"
 )
 
+// MaxReports is how many reports one message may hold, and how many members of one group are checked.
+const MaxReports = 1000
+
 const (
-	batchFraction     = 0.25   // of a period that reports wait for each other, so that one message carries several
-	maxMemberIDBytes  = 256    // bytes of a member's id
-	maxReports        = 1000   // reports in one message, and members of one group
-	maxPositionLeadMs = 1000.0 // ms that a position may lie ahead of this machine's clock, as for a router's own checks
+	batchFraction     = 0.25   // of the period: how long reports wait for each other, so that one message carries several
+	maxMemberIDBytes  = 256    // of a member's ID
+	maxPositionLeadMs = 1000.0 // how far a position may be ahead of this machine's clock, as for a router's own checks
 )
 
-// LeaseName names the lease of a group.
+// LeaseName gives the name of a group's lease for shared health checking as it is on the wire and in stored data.
 func LeaseName(group int) string { return fmt.Sprintf("sight/%d", group) }
 
-// Report is what a check told.
+// Report is the result of one health check. Times are Unix ms.
 type Report struct {
 	Member   string
-	Started  float64 // Unix ms, as the list has it; 0: long ago
-	Position float64 // Unix ms; 0: none was told
+	Started  float64 // when the member was started, as the list has it; 0: long ago
+	Position float64 // 0: the member told none
 	Primary  bool
 	Replica  bool
-	At       float64 // Unix ms, when it was told, by its owner's clock
+	At       float64 // when the check was answered, by the clock of the process that made it
 }
 
-// Action tells what the host is to do.
+// Action is the kind of a Decision.
 type Action int
 
+// Actions for the caller to carry out.
 const (
-	Probe Action = iota // check Member
-	Share               // Reports to all others
+	Probe Action = iota // check Member, then call Reported
+	Share               // send Reports to all other routers
 )
 
-// Decision is one thing for the host to do; only the fields of its verb are set.
+// Decision is one thing for the caller to do; only the fields of its Action are set.
 type Decision struct {
 	Action  Action
-	Member  string
-	Reports []Report
+	Member  string   // Probe
+	Reports []Report // Share
 }
 
-// Prober looks at one group. Times are ms on any clock that doesn't go back.
+// Prober decides the checks of one group. Times are ms by any clock that doesn't go back. It is not safe for concurrent use.
 type Prober struct {
 	periodMs     float64
 	now          float64
 	members      []string
-	nextMember   int
+	lastMember   int // index of the member that was probed last
 	nextProbe    float64
-	pending      map[string]Report
-	pendingSince float64 // when the first report that has yet to go came
+	pending      map[string]Report // by member, not yet shared
+	pendingSince float64           // when the first of them came
 }
 
-// NewProber makes one that asks each member once a period.
-func NewProber(period float64) *Prober {
-	return &Prober{periodMs: period, pending: map[string]Report{}}
+// NewProber makes a Prober that has each member checked once in a period, given in ms.
+func NewProber(periodMs float64) *Prober {
+	return &Prober{periodMs: periodMs, pending: map[string]Report{}}
 }
 
-// Advance sets the time; all that follows until the next call happens then.
-func (o *Prober) Advance(now float64) { o.now = math.Max(o.now, now) }
+// Advance sets the time in ms; all that follows until the next call happens then.
+func (p *Prober) Advance(now float64) { p.now = math.Max(p.now, now) }
 
-// SetMembers says who is in the group now.
-func (o *Prober) SetMembers(ids []string) {
-	o.members = slices.Clone(ids[:min(len(ids), maxReports)])
-	for id := range o.pending {
-		if !slices.Contains(o.members, id) {
-			delete(o.pending, id)
+// SetMembers takes in which members are in the group now, MaxReports of them at most.
+func (p *Prober) SetMembers(ids []string) {
+	p.members = slices.Clone(ids[:min(len(ids), MaxReports)])
+	for id := range p.pending {
+		if !slices.Contains(p.members, id) {
+			delete(p.pending, id)
 		}
 	}
 }
 
-// Reported takes in a report of a check, whoever asked for it.
-func (o *Prober) Reported(r Report) {
-	if !slices.Contains(o.members, r.Member) {
+// Reported takes in the result of a check, whoever asked for it; one of a member of another group is ignored.
+func (p *Prober) Reported(report Report) {
+	if !slices.Contains(p.members, report.Member) {
 		return
 	}
-	if len(o.pending) == 0 {
-		o.pendingSince = o.now
+	if len(p.pending) == 0 {
+		p.pendingSince = p.now
 	}
-	o.pending[r.Member] = r
+	p.pending[report.Member] = report
 }
 
 // Next gives the next decision; false: none is left.
-func (o *Prober) Next() (Decision, bool) {
-	if len(o.pending) > 0 && (o.now-o.pendingSince >= batchFraction*o.periodMs || len(o.pending) == len(o.members)) {
-		var all []Report
-		for _, id := range o.members {
-			if r, told := o.pending[id]; told {
-				all = append(all, r)
-			}
-		}
-		clear(o.pending)
-		return Decision{Action: Share, Reports: all}, true
+func (p *Prober) Next() (Decision, bool) {
+	if len(p.pending) > 0 && (p.now-p.pendingSince >= batchFraction*p.periodMs || len(p.pending) == len(p.members)) {
+		return Decision{Action: Share, Reports: p.takePending()}, true
 	}
-	if len(o.members) == 0 || o.nextProbe > o.now {
+	if len(p.members) == 0 || p.nextProbe > p.now {
 		return Decision{}, false
 	}
-	o.nextProbe = math.Max(o.nextProbe, o.now-o.periodMs) + o.periodMs/float64(len(o.members)) // one after the other, evenly
-	o.nextMember = (o.nextMember + 1) % len(o.members)
-	return Decision{Action: Probe, Member: o.members[o.nextMember]}, true
+	// Probes are spread evenly over the period. What was missed during a pause of more than a period isn't made up for.
+	p.nextProbe = math.Max(p.nextProbe, p.now-p.periodMs) + p.periodMs/float64(len(p.members))
+	p.lastMember = (p.lastMember + 1) % len(p.members)
+	return Decision{Action: Probe, Member: p.members[p.lastMember]}, true
 }
 
-// NextDeadline is when At must be called again at the latest.
-func (o *Prober) NextDeadline() float64 {
-	due := math.Inf(1)
-	if len(o.pending) > 0 {
-		due = o.pendingSince + batchFraction*o.periodMs
+// takePending gives the reports that are not yet shared, in the members' order.
+func (p *Prober) takePending() (reports []Report) {
+	for _, id := range p.members {
+		if report, found := p.pending[id]; found {
+			reports = append(reports, report)
+		}
 	}
-	if len(o.members) > 0 {
-		due = math.Min(due, o.nextProbe)
+	clear(p.pending)
+	return reports
+}
+
+// NextDeadline is when Advance must be called again at the latest; infinite: nothing waits for a time.
+func (p *Prober) NextDeadline() float64 {
+	deadline := math.Inf(1)
+	if len(p.pending) > 0 {
+		deadline = p.pendingSince + batchFraction*p.periodMs
+	}
+	if len(p.members) > 0 {
+		deadline = math.Min(deadline, p.nextProbe)
 	}
-	return due
+	return deadline
 }
 
-// CheckReport says what is wrong with a report that came from another process, at this Unix time in ms; nil: nothing.
-func CheckReport(r Report, now float64) error {
-	for what, x := range map[string]float64{"started": r.Started, "position": r.Position, "at": r.At} {
-		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-			return fmt.Errorf("%s: %v is no time", what, x)
+// CheckReport tells what is wrong with a report that came from another process, at this Unix time in ms; nil: nothing.
+func CheckReport(report Report, now float64) error {
+	for name, value := range map[string]float64{"started": report.Started, "position": report.Position, "at": report.At} {
+		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+			return fmt.Errorf("%s: %v is no time", name, value)
 		}
 	}
 	switch {
-	case r.Member == "" || len(r.Member) > maxMemberIDBytes:
-		return fmt.Errorf("member: an id of %d bytes", len(r.Member))
-	case r.Primary && r.Replica:
-		return fmt.Errorf("%s: both primary and replica", r.Member)
-	case r.Position > now+maxPositionLeadMs:
-		return fmt.Errorf("%s: position lies %.0f ms ahead", r.Member, r.Position-now)
+	case report.Member == "" || len(report.Member) > maxMemberIDBytes:
+		return fmt.Errorf("member: an id of %d bytes", len(report.Member))
+	case report.Primary && report.Replica:
+		return fmt.Errorf("%s: both primary and replica", report.Member)
+	case report.Position > now+maxPositionLeadMs:
+		return fmt.Errorf("%s: position lies %.0f ms ahead", report.Member, report.Position-now)
 	}
 	return nil
 }
-
-// MaxReports is how many reports one message may hold.
-func MaxReports() int { return maxReports }
--- a/internal/decide/healthshare/healthshare_test.go
+++ b/internal/decide/healthshare/healthshare_test.go
@@ -6,80 +6,82 @@
 	"testing"
 )
 
-// Each member is asked once a period, one after the other; reports go together, soon; a member that left is neither asked nor told of.
+// Each member is probed once in a period, one after the other; reports are batched and sent soon; a member that left is neither probed nor
+// reported.
 func TestProber_ProbesEvenlyAndBatchesReports(t *testing.T) {
-	o := NewProber(400)
-	o.SetMembers([]string{"a", "b", "c", "d"})
-	asked, told, last := map[string]int{}, map[string]int{}, 0.0
+	prober := NewProber(400)
+	prober.SetMembers([]string{"a", "b", "c", "d"})
+	probed, shared, lastProbe := map[string]int{}, map[string]int{}, 0.0
 	var gaps []float64
 	for at := 0.0; at < 4000; at += 10 {
 		if at == 2000 {
-			o.SetMembers([]string{"a", "b"})
-			o.Reported(Report{Member: "c"})
+			prober.SetMembers([]string{"a", "b"})
+			prober.Reported(Report{Member: "c"})
 		}
-		o.Advance(at)
-		for d, more := o.Next(); more; d, more = o.Next() {
+		prober.Advance(at)
+		for d, more := prober.Next(); more; d, more = prober.Next() {
 			switch d.Action {
 			case Probe:
-				asked[d.Member]++
-				gaps, last = append(gaps, at-last), at
-				o.Reported(Report{Member: d.Member, Position: at})
+				probed[d.Member]++
+				gaps, lastProbe = append(gaps, at-lastProbe), at
+				prober.Reported(Report{Member: d.Member, Position: at})
 			case Share:
 				for _, r := range d.Reports {
-					if told[r.Member]++; at-r.Position > 110 {
+					if shared[r.Member]++; at-r.Position > 110 {
 						t.Errorf("a report of %s waited for %v ms", r.Member, at-r.Position)
 					}
 					if at > 2000 && (r.Member == "c" || r.Member == "d") {
-						t.Error("told of a member that left")
+						t.Error("shared a report of a member that left")
 					}
 				}
 			}
 		}
 	}
-	if fmt.Sprint(asked) != "map[a:10 b:10 c:5 d:5]" || fmt.Sprint(told) != fmt.Sprint(asked) {
-		t.Errorf("asked %v, told %v", asked, told)
+	if fmt.Sprint(probed) != "map[a:10 b:10 c:5 d:5]" || fmt.Sprint(shared) != fmt.Sprint(probed) {
+		t.Errorf("probed %v, shared %v", probed, shared)
 	}
 	for _, g := range gaps[1:19] {
 		if g != 100 {
-			t.Errorf("asked after %v ms, not evenly", g)
+			t.Errorf("probed after %v ms, not evenly", g)
 		}
 	}
 }
 
-// One that stood still doesn't make up for the turns that it missed.
+// A process that was paused doesn't make up for the probes that it missed.
 func TestProber_DoesNotCatchUpAfterAPause(t *testing.T) {
-	o := NewProber(100)
-	o.SetMembers([]string{"a", "b"})
-	o.Advance(100000)
-	looks := 0
-	for d, more := o.Next(); more && looks < 100; d, more = o.Next() {
+	prober := NewProber(100)
+	prober.SetMembers([]string{"a", "b"})
+	prober.Advance(100000)
+	probes := 0
+	for d, more := prober.Next(); more && probes < 100; d, more = prober.Next() {
 		if d.Action == Probe {
-			looks++
+			probes++
 		}
 	}
-	if looks > 3 {
-		t.Errorf("%d looks at once", looks)
+	if probes > 3 {
+		t.Errorf("%d probes at once", probes)
 	}
 }
 
+// Reports of other processes are accepted within bounds alone.
 func TestCheckReport_Bounds(t *testing.T) {
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		r  Report
 		ok bool
 	}{
-		"one":           {Report{Member: "a", Position: 5000, At: 5000, Primary: true}, true},
-		"none told":     {Report{Member: "a", At: 5000}, true},
-		"a little":      {Report{Member: "a", Position: 5900, At: 5000}, true},
-		"ahead":         {Report{Member: "a", Position: 7000, At: 5000}, false},
-		"nobody":        {Report{Position: 5000}, false},
-		"both":          {Report{Member: "a", Primary: true, Replica: true}, false},
-		"no number":     {Report{Member: "a", Position: math.NaN()}, false},
-		"without end":   {Report{Member: "a", Started: math.Inf(1)}, false},
-		"before time":   {Report{Member: "a", At: -1}, false},
-		"a long member": {Report{Member: string(make([]byte, 300))}, false},
+		"sound":               {Report{Member: "a", Position: 5000, At: 5000, Primary: true}, true},
+		"no position":         {Report{Member: "a", At: 5000}, true},
+		"slightly ahead":      {Report{Member: "a", Position: 5900, At: 5000}, true},
+		"too far ahead":       {Report{Member: "a", Position: 7000, At: 5000}, false},
+		"no member":           {Report{Position: 5000}, false},
+		"primary and replica": {Report{Member: "a", Primary: true, Replica: true}, false},
+		"not a number":        {Report{Member: "a", Position: math.NaN()}, false},
+		"infinite":            {Report{Member: "a", Started: math.Inf(1)}, false},
+		"negative":            {Report{Member: "a", At: -1}, false},
+		"oversized member":    {Report{Member: string(make([]byte, 300))}, false},
 	} {
 		if err := CheckReport(c.r, 5000); (err == nil) != c.ok {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -553,7 +553,7 @@
 	if l.ctx == nil || ctx.Err() != nil {
 		return nil, status.Error(codes.Unavailable, "not up")
 	}
-	if len(o.Duty) > 256 || len(o.About) > 256 || len(o.Holder) > 256 || len(o.Sightings) > healthshare.MaxReports() {
+	if len(o.Duty) > 256 || len(o.About) > 256 || len(o.Holder) > 256 || len(o.Sightings) > healthshare.MaxReports {
 		return nil, status.Error(codes.InvalidArgument, "an order of unsound size")
 	}
 	if !strings.HasPrefix(o.Duty, "sight/") && !strings.HasPrefix(o.Duty, "handover/") {
