--- a/internal/decide/policy/fields.go
+++ b/internal/decide/policy/fields.go
@@ -8,123 +8,138 @@
 	"strings"
 )
 
-// FieldClass tells whether two versions of a field may be in force at different routers at one moment.
+// FieldClass tells whether two versions of a field may be in force at different routers at the same time.
 type FieldClass int
 
+// Classes of fields.
 const (
 	ClassUnknown FieldClass = iota // no field of a policy
-	ClassLenient                   // they may overlap, for a bounded time
-	ClassStrict                    // they may not; refused until changes of such fields can be made everywhere at once or nowhere
+	ClassLenient                   // they may, for a bounded time
+	ClassStrict                    // they may not; a change is rejected until it can be made at all routers at once or at none
 )
 
 func (c FieldClass) String() string { return [...]string{"unknown", "lenient", "strict"}[c] }
 
-// fieldRule is one kind of field: Table, then a name that the fleet gives, then Key; without Table it is Key alone.
+// fieldRule is one kind of field. Its name is the table, a name that the fleet gives and the key, with dots between; without a table it is
+// the key alone.
 type fieldRule struct {
 	table, key string
 	class      FieldClass
 	reason     string
-	validate   func(value string) error
+	validate   func(value string) error // of lenient fields
 }
 
-// fieldRules is the one account of what may change how. The reason of a lenient one says why an overlap does no harm; of a strict one,
-// what harm it does.
+// Reasons that several rules have.
+const (
+	reasonWeighedAtOneRouter = "it weighs one router's own txns against each other; each txn is weighed at one router"
+	reasonDoneTwice          = "a repeat by way of another router would be done twice"
+)
+
+// Largest values of fields that are numbers.
+const (
+	maxShare  = 1
+	maxAmount = 1e12
+)
+
+// fieldRules is the one list of what may change. The reason of a lenient field says why an overlap does no harm, that of a strict one what
+// harm it does. Operators see them, and they are part of responses on the wire.
 var fieldRules = []fieldRule{
-	{"", "over_share_value", ClassLenient, "it weighs one router's own txns against each other; each txn is weighed at one router", validateShare},
-	{"txn_types", "value", ClassLenient, "it weighs one router's own txns against each other; each txn is weighed at one router", validateAmount},
+	{"", "over_share_value", ClassLenient, reasonWeighedAtOneRouter, validateShare},
+	{"txn_types", "value", ClassLenient, reasonWeighedAtOneRouter, validateAmount},
 	{"txn_types", "late_value", ClassLenient, "it weighs one router's own late txns; each txn is weighed at one router", validateAmount},
 	{"tenants", "rate", ClassLenient, "each router counts its own part of a share: for as long as the versions overlap, the sum is between both", validateAmount},
 
 	{"txn_types", "effect", ClassStrict, "it says whether a txn may be sent twice: one router would repeat what another must not", nil},
 	{"txn_types", "level", ClassStrict, "it says which members may serve a read: one router would read from where another must not", nil},
 	{"txn_types", "bound", ClassStrict, "it says how old a read may be: a session that changes routers would see time go back", nil},
-	{"txn_types", "window", ClassStrict, "it says for how long a mark of what was done is looked for: a repeat by way of another router would be done twice", nil},
+	{"txn_types", "window", ClassStrict, "it says for how long a mark of what was done is looked for: " + reasonDoneTwice, nil},
 	{"txn_types", "expiry", ClassStrict, "it says for how long a txn may be under way: another router's window may be shorter than that", nil},
-	{"txn_types", "scope", ClassStrict, "it says among which txns a mark is looked for: a repeat by way of another router would be done twice", nil},
+	{"txn_types", "scope", ClassStrict, "it says among which txns a mark is looked for: " + reasonDoneTwice, nil},
 }
 
-func validateShare(value string) error  { return validateNumber(value, 1) }
-func validateAmount(value string) error { return validateNumber(value, 1e12) }
+// fieldNotKnown is the reason of fields without a rule.
+const fieldNotKnown = "no field of a policy"
+
+func validateShare(value string) error  { return validateNumber(value, maxShare) }
+func validateAmount(value string) error { return validateNumber(value, maxAmount) }
 
-// validateNumber takes a decimal from 0 in its shortest form, so that one value has one form.
-func validateNumber(value string, most float64) error {
+// validateNumber wants a decimal number from 0 to limit in its shortest form, so that one value has one form.
+func validateNumber(value string, limit float64) error {
 	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(x >= 0) || x > most || math.Signbit(x) {
-		return fmt.Errorf("must be a number from 0 to %g, not %.32q", most, value)
+	if err != nil || !(x >= 0) || x > limit || math.Signbit(x) {
+		return fmt.Errorf("must be a number from 0 to %g, not %.32q", limit, value)
 	}
-	if short := strconv.FormatFloat(x, 'g', -1, 64); short != value {
+	if short := FormatNumber(x); short != value {
 		return fmt.Errorf("must be written %s, not %.32q", short, value)
 	}
 	return nil
 }
 
-// FormatNumber writes a number as a field's value has it.
+// FormatNumber writes a number in the form that a field's value has.
 func FormatNumber(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
-// findRule gives a field's row. A name that the fleet gives may hold dots: the first part and the last tell the row.
-func findRule(field string) *fieldRule {
+// findRule gives a field's rule, and the name that the fleet gave within it; nil: it has none. Such a name may hold dots, so the first part
+// and the last tell the rule.
+func findRule(field string) (rule *fieldRule, name string) {
 	table, rest, dotted := strings.Cut(field, ".")
 	for n := range fieldRules {
-		r := &fieldRules[n]
-		if r.table == "" {
-			if field == r.key {
-				return r
+		rule := &fieldRules[n]
+		if rule.table == "" {
+			if field == rule.key {
+				return rule, ""
 			}
 			continue
 		}
-		if name, is := strings.CutSuffix(rest, "."+r.key); dotted && table == r.table && is && name != "" {
-			return r
+		if name, found := strings.CutSuffix(rest, "."+rule.key); dotted && table == rule.table && found && name != "" {
+			return rule, name
 		}
 	}
-	return nil
+	return nil, ""
 }
 
-// SplitField gives a field's parts: "txn_types.order.value" is of table "txn_types", name "order", key "value"; a field without a
-// table is key alone. false: no field of a policy.
+// SplitField gives a field's parts: "txn_types.order.value" is of table "txn_types", name "order", key "value"; a field without a table is
+// key alone. known is false for what is no field of a policy.
 func SplitField(field string) (table, name, key string, known bool) {
-	r := findRule(field)
-	if r == nil {
+	rule, name := findRule(field)
+	if rule == nil {
 		return "", "", "", false
 	}
-	if r.table == "" {
-		return "", "", r.key, true
-	}
-	return r.table, strings.TrimSuffix(strings.TrimPrefix(field, r.table+"."), "."+r.key), r.key, true
+	return rule.table, name, rule.key, true
 }
 
 // Classify tells how a field may change, and why.
 func Classify(field string) (FieldClass, string) {
-	if r := findRule(field); r != nil {
-		return r.class, r.reason
+	if rule, _ := findRule(field); rule != nil {
+		return rule.class, rule.reason
 	}
-	return ClassUnknown, "no field of a policy"
+	return ClassUnknown, fieldNotKnown
 }
 
-// Violation is one thing that keeps a change from being made.
+// Violation is one thing that keeps a change from being made; Field is empty where it is about the change as a whole.
 type Violation struct{ Field, Reason string }
 
-// ValidateChange tells everything that keeps one document from following another, by field; none: it may. Fields that both have alike are
-// not looked at.
-func ValidateChange(old, new Document) []Violation { return Diff(old, new).Validate() }
+// ValidateChange gives everything that keeps one document from following another, by field; none: it may. Fields that are the same in both
+// are not checked.
+func ValidateChange(current, next Document) []Violation { return Diff(current, next).Validate() }
 
-// Validate tells everything that is wrong with a difference, by field; none: it may be made.
-func (x Difference) Validate() (all []Violation) {
+// Validate gives everything that is wrong with a difference, by field; none: it may be made. The reasons are part of responses on the wire.
+func (x Difference) Validate() (violations []Violation) {
 	for _, field := range x.Fields() {
-		class, reason := Classify(field)
-		value, set := x.Set[field]
-		switch class {
-		case ClassUnknown:
-			all = append(all, Violation{field, reason})
-		case ClassStrict:
-			all = append(all, Violation{field, "can't be changed yet by a policy: " + reason})
-		case ClassLenient:
-			if err := findRule(field).validate(value); set && err != nil {
-				all = append(all, Violation{field, err.Error()})
+		rule, _ := findRule(field)
+		switch {
+		case rule == nil:
+			violations = append(violations, Violation{field, fieldNotKnown})
+		case rule.class == ClassStrict:
+			violations = append(violations, Violation{field, "can't be changed yet by a policy: " + rule.reason})
+		default:
+			value, set := x.Set[field]
+			if err := rule.validate(value); set && err != nil {
+				violations = append(violations, Violation{field, err.Error()})
 			}
 		}
 	}
 	if err := x.Check(); err != nil {
-		all = append(all, Violation{"", err.Error()})
+		violations = append(violations, Violation{"", err.Error()})
 	}
-	return slices.Clip(all)
+	return slices.Clip(violations)
 }
