--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -9,14 +9,15 @@
 	"testing"
 )
 
-func passThrough(b []byte, most int) ([]byte, error) {
-	if len(b) > most {
+// passThrough stands for decompression.
+func passThrough(b []byte, limit int) ([]byte, error) {
+	if len(b) > limit {
 		return nil, errors.New("too long")
 	}
 	return b, nil
 }
 
-// harness is a follower, the book that it follows, and the router that goes by what it says.
+// harness is a follower, the history that it follows, and the router that applies what it decides.
 type harness struct {
 	t            *testing.T
 	follower     *Follower
@@ -27,336 +28,345 @@
 	actions      []Action
 	fetched      int // bytes
 	last         Decision
-	rejectReason string // why the router takes nothing
-	tampered     bool   // what is fetched is changed on its way
-	failing      bool   // what is asked for fails
+	rejectReason string // why the router applies nothing; empty: it does
+	tampered     bool   // what is fetched is changed on the way
+	failing      bool   // requests fail
 }
 
 func newHarness(t *testing.T) *harness {
 	return &harness{t: t, follower: NewFollower(Settings{Seed: 1, Decompress: passThrough}), history: &History{}}
 }
 
-func (s *harness) propose(d Document) Version {
-	v, why := propose(s.history, 3, d)
-	if why != "" {
-		s.t.Fatal(why)
+// propose puts a change in force.
+func (h *harness) propose(d Document) Version {
+	h.t.Helper()
+	v, rejection := propose(h.history, 3, d)
+	if rejection != "" {
+		h.t.Fatal(rejection)
 	}
 	return v
 }
 
-func (s *harness) announce() { s.follower.VersionAnnounced(s.history.Version, nil) }
+// announce announces the version in force without the difference.
+func (h *harness) announce() { h.follower.VersionAnnounced(h.history.Version, nil) }
 
-// advanceTo lets time pass, in steps of 10 ms.
-func (s *harness) advanceTo(at float64) {
-	for ; s.now <= at; s.now += 10 {
-		s.follower.Advance(s.now)
-		for d, more := s.follower.Next(); more; d, more = s.follower.Next() {
-			s.actions = append(s.actions, d.Action)
-			switch s.last = d; d.Action {
+// advanceTo lets time pass, in steps of 10 ms, and carries decisions out.
+func (h *harness) advanceTo(at float64) {
+	h.t.Helper()
+	for ; h.now <= at; h.now += 10 {
+		h.follower.Advance(h.now)
+		for d, more := h.follower.Next(); more; d, more = h.follower.Next() {
+			h.actions = append(h.actions, d.Action)
+			switch h.last = d; d.Action {
 			case Apply:
 				if d.Document.Hash() != d.Version.Hash {
-					s.t.Fatalf("%s isn't of its hash", d.Version)
+					h.t.Fatalf("%s has a document of another hash", d.Version)
 				}
-				if d.Version.Packed() < s.applied.Packed() {
-					s.t.Fatalf("back from %s to %s", s.applied, d.Version)
+				if d.Version.Packed() < h.applied.Packed() {
+					h.t.Fatalf("went back from %s to %s", h.applied, d.Version)
 				}
-				if s.rejectReason != "" {
-					s.follower.ApplyFailed(d.Version, s.rejectReason)
+				if h.rejectReason != "" {
+					h.follower.ApplyFailed(d.Version, h.rejectReason)
 					continue
 				}
-				s.document, s.applied = d.Document, d.Version
-				s.follower.Applied(d.Version)
+				h.document, h.applied = d.Document, d.Version
+				h.follower.Applied(d.Version)
 			case Fetch:
-				if s.failing {
-					s.follower.FetchFailed()
+				if h.failing {
+					h.follower.FetchFailed()
 					continue
 				}
-				s.follower.PartReceived(s.servePart(d.Request))
+				h.follower.PartReceived(h.servePart(d.Request))
 			}
 		}
 	}
 }
 
-func (s *harness) servePart(q Request) Part {
-	raw, whole, known := s.history.Serve(q)
+// servePart answers a request as a coordinator node does.
+func (h *harness) servePart(request Request) Part {
+	content, full, known := h.history.Serve(request)
 	if !known {
 		return Part{}
 	}
-	if s.tampered && whole {
-		d := maps.Clone(s.history.Document)
+	if h.tampered && full {
+		d := maps.Clone(h.history.Document)
 		d["over_share_value"] = "0.99"
-		raw = d.Encode()
-	} else if s.tampered {
-		raw = EncodeChanges([]Change{{s.history.Version, Difference{Set: map[string]string{"over_share_value": "0.99"}}}})
+		content = d.Encode()
+	} else if h.tampered {
+		content = EncodeChanges([]Change{{h.history.Version, Difference{Set: map[string]string{"over_share_value": "0.99"}}}})
 	}
-	at := min(q.Offset, len(raw))
-	end := min(at+q.MaxBytes, len(raw))
-	s.fetched += end - at + requestOverhead
-	return Part{Version: s.history.Version, Full: whole, Offset: at, Total: len(raw), Bytes: raw[at:end]}
+	at := min(request.Offset, len(content))
+	end := min(at+request.MaxBytes, len(content))
+	h.fetched += end - at + requestOverhead
+	return Part{Version: h.history.Version, Full: full, Offset: at, Total: len(content), Bytes: content[at:end]}
 }
 
-func (s *harness) count(v Action) (n int) {
-	for _, one := range s.actions {
-		if one == v {
+// count tells how many decisions of a kind there were.
+func (h *harness) count(action Action) (n int) {
+	for _, one := range h.actions {
+		if one == action {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *harness) requireApplied(v Version) {
-	s.t.Helper()
-	if s.applied != v || s.document.Hash() != v.Hash {
-		s.t.Fatalf("goes by %s, not %s; %v", s.applied, v, s.actions)
+// requireApplied fails the test unless the router has applied this version.
+func (h *harness) requireApplied(v Version) {
+	h.t.Helper()
+	if h.applied != v || h.document.Hash() != v.Hash {
+		h.t.Fatalf("applied %s, not %s; %v", h.applied, v, h.actions)
 	}
 }
 
-func tenantRates(n int, by string) Document {
+// tenantRates is a document of n fields of one value.
+func tenantRates(n int, value string) Document {
 	d := Document{}
-	for m := range n {
-		d[fmt.Sprintf("tenants.customer-%05d.rate", m)] = by
+	for tenant := range n {
+		d[fmt.Sprintf("tenants.customer-%05d.rate", tenant)] = value
 	}
 	return d
 }
 
-// A change whose difference was told costs nothing more; it is gone by at once, then acknowledged, then stored.
+// A version whose difference was announced with it is applied at once, then acknowledged, then stored, without a fetch.
 func TestFollower_AnnouncedDifferenceIsAppliedWithoutFetch(t *testing.T) {
-	s := newHarness(t)
-	s.propose(Document{"over_share_value": "0.2"})
-	s.follower.VersionAnnounced(s.history.Version, &s.history.Changes[0].Difference)
-	s.advanceTo(0)
-	s.requireApplied(s.history.Version)
-	if fmt.Sprint(s.actions) != fmt.Sprint([]Action{Apply, Acknowledge, Store}) || s.follower.NextDeadline() != math.Inf(1) {
-		t.Error(s.actions, s.follower.NextDeadline())
+	h := newHarness(t)
+	h.propose(Document{"over_share_value": "0.2"})
+	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[0].Difference)
+	h.advanceTo(0)
+	h.requireApplied(h.history.Version)
+	if fmt.Sprint(h.actions) != fmt.Sprint([]Action{Apply, Acknowledge, Store}) || h.follower.NextDeadline() != math.Inf(1) {
+		t.Error(h.actions, h.follower.NextDeadline())
 	}
-	s.follower.VersionAnnounced(s.history.Version, nil) // once more
-	s.advanceTo(5000)
-	if len(s.actions) != 3 {
-		t.Error(s.actions)
+	h.follower.VersionAnnounced(h.history.Version, nil) // once more
+	h.advanceTo(5000)
+	if len(h.actions) != 3 {
+		t.Error(h.actions)
 	}
 }
 
-// What isn't told is fetched: the differences where they lead on, within the allowance.
+// What wasn't announced is fetched: the changes after the version that is here, where they lead on, in place of the full document.
 func TestFollower_FetchesDifferencesWhereTheyLeadOn(t *testing.T) {
-	s := newHarness(t)
-	s.propose(tenantRates(300, "1"))
-	s.announce()
-	s.advanceTo(20000)
-	s.requireApplied(s.history.Version)
-	whole := s.fetched
-	s.propose(tenantRates(30, "2"))
-	s.propose(Document{"over_share_value": "0.5"})
-	s.announce()
-	s.fetched = 0
-	begun := s.now
-	s.advanceTo(begun + 3000)
-	s.requireApplied(s.history.Version)
-	if s.fetched > whole/4 {
-		t.Errorf("%d bytes for the differences, %d for the whole", s.fetched, whole)
+	h := newHarness(t)
+	h.propose(tenantRates(300, "1"))
+	h.announce()
+	h.advanceTo(20000)
+	h.requireApplied(h.history.Version)
+	full := h.fetched
+	h.propose(tenantRates(30, "2"))
+	h.propose(Document{"over_share_value": "0.5"})
+	h.announce()
+	h.fetched = 0
+	started := h.now
+	h.advanceTo(started + 3000)
+	h.requireApplied(h.history.Version)
+	if h.fetched > full/4 {
+		t.Errorf("%d bytes for the differences, %d for the full document", h.fetched, full)
 	}
 }
 
+// A fetch takes no more bytes a second than the settings allow, and at least half of them.
 func TestFollower_FetchStaysWithinTheRate(t *testing.T) {
-	s := newHarness(t)
-	s.propose(tenantRates(2700, "123.45"))
-	s.announce()
-	s.advanceTo(10000)
-	if most := int(defaultRate*10) + partBytes + requestOverhead; s.fetched > most || s.fetched < most/2 {
-		t.Errorf("%d bytes in 10 s, %d may be", s.fetched, most)
+	h := newHarness(t)
+	h.propose(tenantRates(2700, "123.45"))
+	h.announce()
+	h.advanceTo(10000)
+	if most := int(defaultRate*10) + partBytes + requestOverhead; h.fetched > most || h.fetched < most/2 {
+		t.Errorf("%d bytes in 10 h, %d may be", h.fetched, most)
 	}
-	s.advanceTo(60000)
-	s.requireApplied(s.history.Version)
+	h.advanceTo(60000)
+	h.requireApplied(h.history.Version)
 }
 
-// Bytes that don't fit the hash are never gone by; the whole is asked for, again and again, less and less often.
+// A document whose hash doesn't fit is never applied; the full document is fetched, with a backoff.
 func TestFollower_HashMismatchIsNeverApplied(t *testing.T) {
-	s := newHarness(t)
-	s.propose(Document{"over_share_value": "0.2"})
-	s.announce()
-	s.advanceTo(2000)
-	had := s.history.Version
-	s.propose(Document{"over_share_value": "0.3"})
-	s.tampered = true
-	s.announce()
-	fetched := s.count(Fetch)
-	s.advanceTo(12000)
-	s.requireApplied(had)
-	if n := s.count(Fetch) - fetched; n < 4 || n > 20 || s.follower.HashMismatches != n || !s.last.Request.Full {
-		t.Errorf("%d tries, %d wrong, %+v", n, s.follower.HashMismatches, s.last.Request)
+	h := newHarness(t)
+	h.propose(Document{"over_share_value": "0.2"})
+	h.announce()
+	h.advanceTo(2000)
+	before := h.history.Version
+	h.propose(Document{"over_share_value": "0.3"})
+	h.tampered = true
+	h.announce()
+	fetched := h.count(Fetch)
+	h.advanceTo(12000)
+	h.requireApplied(before)
+	if n := h.count(Fetch) - fetched; n < 4 || n > 20 || h.follower.HashMismatches != n || !h.last.Request.Full {
+		t.Errorf("%d requests, %d mismatches, %+v", n, h.follower.HashMismatches, h.last.Request)
 	}
-	s.tampered = false
-	s.advanceTo(15000)
-	s.requireApplied(s.history.Version)
-	lie := Difference{Set: map[string]string{"over_share_value": "0.9"}} // a difference that was told, and isn't the one
-	s.propose(Document{"over_share_value": "0.4"})
-	s.follower.VersionAnnounced(s.history.Version, &lie)
-	s.advanceTo(18000)
-	s.requireApplied(s.history.Version)
+	h.tampered = false
+	h.advanceTo(15000)
+	h.requireApplied(h.history.Version)
+	other := Difference{Set: map[string]string{"over_share_value": "0.9"}} // announced, and not the one that led to the version
+	h.propose(Document{"over_share_value": "0.4"})
+	h.follower.VersionAnnounced(h.history.Version, &other)
+	h.advanceTo(18000)
+	h.requireApplied(h.history.Version)
 }
 
-// Older words say nothing, of whomever; a new epoch's first does.
+// Announcements of older versions are ignored, whichever node makes them; the first version of a new epoch is later than all before.
 func TestFollower_OlderVersionIsIgnored(t *testing.T) {
-	s := newHarness(t)
-	old := s.propose(Document{"over_share_value": "0.2"})
-	first := s.history.Changes[0].Difference
-	s.propose(Document{"over_share_value": "0.3"})
-	s.announce()
-	s.advanceTo(2000)
-	s.follower.VersionAnnounced(old, &first)
-	s.advanceTo(4000)
-	s.requireApplied(s.history.Version)
-	if s.follower.Stale != 1 {
-		t.Error(s.follower.Stale)
+	h := newHarness(t)
+	old := h.propose(Document{"over_share_value": "0.2"})
+	first := h.history.Changes[0].Difference
+	h.propose(Document{"over_share_value": "0.3"})
+	h.announce()
+	h.advanceTo(2000)
+	h.follower.VersionAnnounced(old, &first)
+	h.advanceTo(4000)
+	h.requireApplied(h.history.Version)
+	if h.follower.Stale != 1 {
+		t.Error(h.follower.Stale)
 	}
-	s.history = &History{}
-	if v, why := propose(s.history, 9, Document{"over_share_value": "0.2"}); why != "" || v.Number != 1 {
+	h.history = &History{}
+	if v, why := propose(h.history, 9, Document{"over_share_value": "0.2"}); why != "" || v.Number != 1 {
 		t.Fatal(v, why)
 	}
-	s.follower.VersionAnnounced(s.history.Version, &s.history.Changes[0].Difference)
-	s.advanceTo(8000)
-	s.requireApplied(s.history.Version)
+	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[0].Difference)
+	h.advanceTo(8000)
+	h.requireApplied(h.history.Version)
 }
 
-// Another document under a version that the coordinator has told already is never gone by.
+// Another document under a version that the coordinator has announced before is never applied.
 func TestFollower_ConflictingDocumentIsIgnored(t *testing.T) {
-	s := newHarness(t)
-	v := s.propose(Document{"over_share_value": "0.2"})
-	s.announce()
-	s.advanceTo(2000)
+	h := newHarness(t)
+	v := h.propose(Document{"over_share_value": "0.2"})
+	h.announce()
+	h.advanceTo(2000)
 	v.Hash[0]++
-	s.follower.VersionAnnounced(v, nil)
-	s.advanceTo(6000)
-	s.requireApplied(s.history.Version)
-	if s.follower.Conflicts != 1 || s.count(Fetch) != 1 {
-		t.Error(s.follower.Conflicts, s.actions)
+	h.follower.VersionAnnounced(v, nil)
+	h.advanceTo(6000)
+	h.requireApplied(h.history.Version)
+	if h.follower.Conflicts != 1 || h.count(Fetch) != 1 {
+		t.Error(h.follower.Conflicts, h.actions)
 	}
 }
 
-// What was kept is gone by from the start, acknowledged once the coordinator has told of it, and given up where the coordinator has another
-// document under its version; what doesn't fit its hash counts as nothing.
+// A stored version is applied from the start, acknowledged once the coordinator has announced it, and replaced where the coordinator has
+// another document under its version; one whose hash doesn't fit is ignored.
 func TestFollower_StoredVersion(t *testing.T) {
-	s := newHarness(t)
-	kept, doc := s.propose(Document{"over_share_value": "0.2"}), s.history.Document
-	s.follower.Stored(kept, doc)
-	s.advanceTo(5000)
-	s.requireApplied(kept)
-	if s.count(Acknowledge) != 0 || s.count(Fetch) != 0 {
-		t.Fatal(s.actions)
+	h := newHarness(t)
+	stored, document := h.propose(Document{"over_share_value": "0.2"}), h.history.Document
+	h.follower.Stored(stored, document)
+	h.advanceTo(5000)
+	h.requireApplied(stored)
+	if h.count(Acknowledge) != 0 || h.count(Fetch) != 0 {
+		t.Fatal(h.actions)
 	}
-	s.announce()
-	s.advanceTo(6000)
-	if s.last.Action != Store && s.last.Applied != kept.Packed() || s.count(Acknowledge) != 1 || s.count(Fetch) != 0 {
-		t.Error(s.actions)
+	h.announce()
+	h.advanceTo(6000)
+	if h.last.Action != Store && h.last.Applied != stored.Packed() || h.count(Acknowledge) != 1 || h.count(Fetch) != 0 {
+		t.Error(h.actions)
 	}
-	s.propose(Document{"over_share_value": "0.3"})
-	s.announce()
-	s.advanceTo(8000)
-	s.requireApplied(s.history.Version)
+	h.propose(Document{"over_share_value": "0.3"})
+	h.announce()
+	h.advanceTo(8000)
+	h.requireApplied(h.history.Version)
 
-	s = newHarness(t)
-	s.propose(Document{"over_share_value": "0.2"})
+	h = newHarness(t)
+	h.propose(Document{"over_share_value": "0.2"})
 	other := Document{"over_share_value": "0.7"}
-	v := s.history.Version
+	v := h.history.Version
 	v.Hash = other.Hash()
-	s.follower.Stored(v, other)
-	s.announce()
-	s.advanceTo(3000)
-	s.requireApplied(s.history.Version)
-	if s.last.Applied != s.history.Version.Packed() && s.last.Action != Store {
-		t.Error(s.actions)
+	h.follower.Stored(v, other)
+	h.announce()
+	h.advanceTo(3000)
+	h.requireApplied(h.history.Version)
+	if h.last.Applied != h.history.Version.Packed() && h.last.Action != Store {
+		t.Error(h.actions)
 	}
 
-	s = newHarness(t)
-	s.propose(Document{"over_share_value": "0.2"})
-	s.follower.Stored(s.history.Version, other)
-	s.advanceTo(1000)
-	if s.applied.Number != 0 || s.follower.HashMismatches != 1 {
-		t.Error(s.applied, s.follower.HashMismatches)
+	h = newHarness(t)
+	h.propose(Document{"over_share_value": "0.2"})
+	h.follower.Stored(h.history.Version, other)
+	h.advanceTo(1000)
+	if h.applied.Number != 0 || h.follower.HashMismatches != 1 {
+		t.Error(h.applied, h.follower.HashMismatches)
 	}
 }
 
-// A version that the router can't take is told so, with why; what it had is kept, and the next is taken.
+// A version that the router can't apply is reported, with the reason; the router keeps what it had, and applies the next.
 func TestFollower_ApplyFailureIsReported(t *testing.T) {
-	s := newHarness(t)
-	had := s.propose(Document{"over_share_value": "0.2"})
-	s.announce()
-	s.advanceTo(2000)
-	s.rejectReason = "no memory"
-	s.propose(Document{"over_share_value": "0.3"})
-	s.follower.VersionAnnounced(s.history.Version, &s.history.Changes[1].Difference)
-	s.advanceTo(4000)
-	s.requireApplied(had)
-	if d := s.last; d.Action != Acknowledge || d.Applied != had.Packed() || d.Rejected != s.history.Version.Packed() || d.Reason != "no memory" {
+	h := newHarness(t)
+	before := h.propose(Document{"over_share_value": "0.2"})
+	h.announce()
+	h.advanceTo(2000)
+	h.rejectReason = "no memory"
+	h.propose(Document{"over_share_value": "0.3"})
+	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[1].Difference)
+	h.advanceTo(4000)
+	h.requireApplied(before)
+	if d := h.last; d.Action != Acknowledge || d.Applied != before.Packed() || d.Rejected != h.history.Version.Packed() || d.Reason != "no memory" {
 		t.Errorf("%+v", d)
 	}
-	s.rejectReason = ""
-	s.propose(Document{"over_share_value": "0.4"})
-	s.follower.VersionAnnounced(s.history.Version, &s.history.Changes[2].Difference)
-	s.advanceTo(6000)
-	s.requireApplied(s.history.Version)
-	if s.last.Action != Store || s.follower.rejected != 0 {
-		t.Errorf("%+v", s.last)
+	h.rejectReason = ""
+	h.propose(Document{"over_share_value": "0.4"})
+	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[2].Difference)
+	h.advanceTo(6000)
+	h.requireApplied(h.history.Version)
+	if h.last.Action != Store || h.follower.rejected != 0 {
+		t.Errorf("%+v", h.last)
 	}
 }
 
-// While nobody answers each try comes later than the one before, up to a bound.
+// While requests fail, each retry comes later than the one before, up to a bound.
 func TestFollower_FailedFetchesBackOff(t *testing.T) {
-	s := newHarness(t)
-	s.propose(Document{"over_share_value": "0.2"})
-	s.failing = true
-	s.announce()
-	s.advanceTo(60000)
-	if n := s.count(Fetch); n < 30 || n > 70 {
-		t.Errorf("%d tries in a minute", n)
+	h := newHarness(t)
+	h.propose(Document{"over_share_value": "0.2"})
+	h.failing = true
+	h.announce()
+	h.advanceTo(60000)
+	if n := h.count(Fetch); n < 30 || n > 70 {
+		t.Errorf("%d requests in a minute", n)
 	}
-	s.failing = false
-	s.advanceTo(63000)
-	s.requireApplied(s.history.Version)
+	h.failing = false
+	h.advanceTo(63000)
+	h.requireApplied(h.history.Version)
 }
 
-// Changes that come faster than the whole can be read don't starve a router: what it began is read to its end.
+// Changes that come faster than the full document can be fetched don't starve a router: a fetch that was started is finished.
 func TestFollower_FrequentChangesDoNotStarveAFetch(t *testing.T) {
-	s := newHarness(t)
-	s.propose(tenantRates(200, "123.45"))
-	served := *s.history // what was lately begun to be given is kept as it was
-	read := func(q Request) Part {
-		if q.Offset > 0 && q.Want == served.Version.Packed() {
-			was := s.history
-			s.history = &served
-			defer func() { s.history = was }()
+	h := newHarness(t)
+	h.propose(tenantRates(200, "123.45"))
+	served := *h.history // the version that is being fetched, as it was when the fetch started
+	serve := func(request Request) Part {
+		if request.Offset > 0 && request.Want == served.Version.Packed() {
+			current := h.history
+			h.history = &served
+			defer func() { h.history = current }()
 		} else {
-			served = *s.history
-			served.Changes = slices.Clone(s.history.Changes)
+			served = *h.history
+			served.Changes = slices.Clone(h.history.Changes)
 		}
-		return s.servePart(q)
+		return h.servePart(request)
 	}
-	s.announce()
+	h.announce()
 	for n := range 150 {
-		s.propose(Document{"over_share_value": FormatNumber(float64(n) / 1000)})
-		s.announce()
-		for end := s.now + 200; s.now <= end; s.now += 10 {
-			s.follower.Advance(s.now)
-			for d, more := s.follower.Next(); more; d, more = s.follower.Next() {
+		h.propose(Document{"over_share_value": FormatNumber(float64(n) / 1000)})
+		h.announce()
+		for end := h.now + 200; h.now <= end; h.now += 10 {
+			h.follower.Advance(h.now)
+			for d, more := h.follower.Next(); more; d, more = h.follower.Next() {
 				switch d.Action {
 				case Apply:
-					s.document, s.applied = d.Document, d.Version
-					s.follower.Applied(d.Version)
+					h.document, h.applied = d.Document, d.Version
+					h.follower.Applied(d.Version)
 				case Fetch:
-					s.follower.PartReceived(read(d.Request))
+					h.follower.PartReceived(serve(d.Request))
 				}
 			}
 		}
 	}
-	if behind := s.history.Version.Number - s.applied.Number; s.applied.Number == 0 || behind > 10 {
-		t.Errorf("%s after half a minute, %s is in force", s.applied, s.history.Version)
+	if behind := h.history.Version.Number - h.applied.Number; h.applied.Number == 0 || behind > 10 {
+		t.Errorf("%s after half a minute, %s is in force", h.applied, h.history.Version)
 	}
 }
 
-// Parts that no sound process gives change nothing.
+// A malformed part is dropped, and so is one that wasn't requested.
 func TestFollower_MalformedPartsAreIgnored(t *testing.T) {
-	s := newHarness(t)
-	s.propose(tenantRates(300, "1"))
-	v := s.history.Version
+	h := newHarness(t)
+	h.propose(tenantRates(300, "1"))
+	v := h.history.Version
 	for n, p := range []Part{{}, {Version: v}, {Version: v, Total: 10}, {Version: v, Total: 10, Bytes: make([]byte, 11)}, {Version: v, Total: 1 << 30, Bytes: []byte{1}},
 		{Version: v, Total: 10, Offset: 5, Bytes: []byte{1}}, {Version: v, Total: 4000, Bytes: make([]byte, partBytes+1)}, {Version: v, Full: true, Total: 1, Bytes: []byte{0xff}}} {
 		f := NewFollower(Settings{Seed: 1, Decompress: passThrough})
@@ -366,7 +376,7 @@
 			t.Fatal(d, more)
 		}
 		f.PartReceived(p)
-		f.PartReceived(p) // nothing was asked for
+		f.PartReceived(p) // nothing was requested
 		if d, more := f.Next(); more {
 			t.Errorf("%d: %+v", n, d)
 		}
--- a/internal/decide/switchover/orders.go
+++ b/internal/decide/switchover/orders.go
@@ -12,7 +12,7 @@
 	token         lease.Token
 	rank          uint64
 	lastEnded     leasestate.Order // the order that ended last, and how
-	endUnreported bool             // the coordinator has yet to be told of that
+	endUnreported bool             // the coordinator has yet to record that
 }
 
 // BeginLease starts a spell of holding the lease under a fencing token; under the same token as before, the state goes on.
@@ -44,7 +44,7 @@
 	}
 }
 
-// UnreportedEnd gives the order whose end the coordinator has yet to be told of, if there is one: until it has been told, no other order
+// UnreportedEnd gives the order whose end the coordinator has yet to record, if there is one: until then no other order
 // can be given.
 func (s *OrderState) UnreportedEnd() (leasestate.Order, bool) { return s.lastEnded, s.endUnreported }
 
