--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -22,8 +22,11 @@
 	maxPositionLeadMs = 1000.0 // how far a position may be ahead of this machine's clock, as for a router's own checks
 )
 
-// LeaseName gives the name of a group's lease for shared health checking as it is on the wire and in stored data.
-func LeaseName(group int) string { return fmt.Sprintf("sight/%d", group) }
+// LeasePrefix starts the names of leases for shared health checking, as they are on the wire and in stored data.
+const LeasePrefix = "sight/"
+
+// LeaseName gives the name of a group's lease for shared health checking.
+func LeaseName(group int) string { return fmt.Sprintf("%s%d", LeasePrefix, group) }
 
 // Report is the result of one health check. Times are Unix ms.
 type Report struct {
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -17,8 +17,11 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// LeaseName gives the name of a group's switchover lease as it is on the wire and in stored data.
-func LeaseName(group int) string { return fmt.Sprintf("handover/%d", group) }
+// LeasePrefix starts the names of switchover leases, as they are on the wire and in stored data.
+const LeasePrefix = "handover/"
+
+// LeaseName gives the name of a group's switchover lease.
+func LeaseName(group int) string { return fmt.Sprintf("%s%d", LeasePrefix, group) }
 
 // RankBits is how many bits of a guard row's number, below the fencing token, hold a step's rank.
 const RankBits = 10
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -19,97 +19,129 @@
 	"wayloft/internal/rpc"
 )
 
-// attemptTimeout is how long one coordinator node has for an answer, before another is asked.
-const attemptTimeout = 600 * time.Millisecond
+const (
+	attemptTimeout = 600 * time.Millisecond // for one coordinator node's response, before another is asked
+	attemptPause   = 20 * time.Millisecond  // about, between two attempts
+	watchSilence   = 4 * time.Second        // after which a watch has failed: an empty update comes each second
 
-// Client asks the coordinator: whoever leads it, by way of whoever answers.
+	// Connections to addresses of former leaders are closed beyond this many.
+	spareConnections         = 16
+	connectionsPerConfigured = 4
+)
+
+// Client sends requests to the coordinator: to its leader, which any node names. It is safe for concurrent use.
 type Client struct {
 	fleet            string
-	addrs            []string
+	addresses        []string
 	addressOverrides map[string]string
-	mu               sync.Mutex
-	conns            map[string]*grpc.ClientConn
-	leader           string // address of who led when it was last heard
 
-	watched string // address of who is watched, or was last
+	mu      sync.Mutex
+	conns   map[string]*grpc.ClientConn // by address
+	leader  string                      // address of the leader, as was heard last
+	watched string                      // address of the node that is watched, or was last
 }
 
-// NewClient makes one; via gives other ways to processes, by name.
-func NewClient(fleet string, addrs []string, via map[string]string) *Client {
-	return &Client{fleet: fleet, addrs: addrs, addressOverrides: via, conns: map[string]*grpc.ClientConn{}}
+// NewClient makes a Client of a fleet's coordinator. The overrides are addresses to reach nodes by, by their names.
+func NewClient(fleet string, addresses []string, addressOverrides map[string]string) *Client {
+	return &Client{fleet: fleet, addresses: addresses, addressOverrides: addressOverrides, conns: map[string]*grpc.ClientConn{}}
 }
 
-// Close ends all its connections.
+// Close closes all connections. Calls in flight fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.conns {
-		conn.Close()
+	for address, conn := range c.conns {
+		closeConnection(address, conn)
 	}
 	clear(c.conns)
 }
 
-func (c *Client) conn(addr string) (*grpc.ClientConn, error) {
+// CoordinatorError is a failed request to a coordinator node.
+type CoordinatorError struct {
+	Address string
+	Err     error // usually a gRPC status
+}
+
+func (e *CoordinatorError) Error() string {
+	return fmt.Sprintf("council at %s: %s", e.Address, status.Convert(e.Err).Message())
+}
+
+// Unwrap gives the cause.
+func (e *CoordinatorError) Unwrap() error { return e.Err }
+
+var (
+	// ErrNoLeader means that a coordinator node knows no leader at the moment.
+	ErrNoLeader = errors.New("it knows no leader")
+	// ErrMalformedResponse means a response that no coordinator node of any build gives.
+	ErrMalformedResponse = errors.New("unsound")
+)
+
+// connection gives the connection to an address, which is made if there is none.
+func (c *Client) connection(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if conn := c.conns[addr]; conn != nil {
+	if conn := c.conns[address]; conn != nil {
 		return conn, nil
 	}
-	conn, err := rpc.Dial(addr, c.fleet)
+	conn, err := rpc.Dial(address, c.fleet)
 	if err != nil {
 		return nil, err
 	}
-	if len(c.conns) > 4*len(c.addrs)+16 { // addresses that leaders of the past had
-		for a, old := range c.conns {
-			if !slices.Contains(c.addrs, a) && a != c.leader {
-				old.Close()
-				delete(c.conns, a)
-			}
-		}
+	if len(c.conns) > connectionsPerConfigured*len(c.addresses)+spareConnections {
+		c.closeFormerLeaders()
 	}
-	c.conns[addr] = conn
+	c.conns[address] = conn
 	return conn, nil
 }
 
-// nextAddress gives the address to ask: of who leads, or any but those that just failed. Guards against a leader that gave no answer once
-// and is passed over for good, since the others, who never fail, go on to name it.
+// closeFormerLeaders closes the connections to addresses that aren't configured, except the leader's. The caller holds mu.
+func (c *Client) closeFormerLeaders() {
+	for address, conn := range c.conns {
+		if !slices.Contains(c.addresses, address) && address != c.leader {
+			closeConnection(address, conn)
+			delete(c.conns, address)
+		}
+	}
+}
+
+// nextAddress gives the address to ask: the leader's, or any of those that have not just failed. It guards against a leader that gave no
+// response once and is passed over for good, since the others, which never fail, go on to name it.
 func (c *Client) nextAddress(failed map[string]time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for a, at := range failed {
+	for address, at := range failed {
 		if time.Since(at) > attemptTimeout {
-			delete(failed, a)
+			delete(failed, address)
 		}
 	}
-	out := func(a string) bool { _, is := failed[a]; return is }
-	if c.leader != "" && !out(c.leader) {
+	if _, leaderFailed := failed[c.leader]; c.leader != "" && !leaderFailed {
 		return c.leader
 	}
-	var left []string
-	for _, a := range c.addrs {
-		if !out(a) {
-			left = append(left, a)
+	var candidates []string
+	for _, address := range c.addresses {
+		if _, found := failed[address]; !found {
+			candidates = append(candidates, address)
 		}
 	}
-	if len(left) == 0 {
+	if len(candidates) == 0 {
 		clear(failed)
-		left = c.addrs
+		candidates = c.addresses
 	}
-	return left[rand.IntN(len(left))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// setLeader notes who leads, and gives the way to it.
-func (c *Client) setLeader(name, addr string) string {
+// setLeader notes which node leads, and gives the address to reach it by.
+func (c *Client) setLeader(name, address string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if via := c.addressOverrides[name]; via != "" {
-		addr = via
+	if override := c.addressOverrides[name]; override != "" {
+		address = override
 	}
-	c.leader = addr
-	return addr
+	c.leader = address
+	return address
 }
 
-// isFinal tells whether another try, or another process, can't bring another answer.
+// isFinal tells whether neither a retry nor another node can give another response.
 func isFinal(err error) bool {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.Unimplemented, codes.ResourceExhausted:
@@ -118,150 +150,162 @@
 	return false
 }
 
-// call calls f with one process after the other until it has answered, or ctx ends.
-func (c *Client) call(ctx context.Context, f func(context.Context, fleetpb.CouncilClient) (moved bool, name, addr string, err error)) error {
+// redirect is the part of a response that says which node leads.
+type redirect interface {
+	GetMoved() bool // this node doesn't lead
+	GetLeader() string
+	GetAddress() string
+}
+
+// call sends a request to one node after the other until one has responded, or ctx ends. A final error ends it, too.
+func (c *Client) call(ctx context.Context, send func(context.Context, fleetpb.CouncilClient) (redirect, error)) error {
 	failed := map[string]time.Time{}
 	var last error
-	for n := 0; ; n++ {
-		addr := c.nextAddress(failed)
-		conn, err := c.conn(addr)
-		if err == nil {
-			var moved bool
-			var name, to string
-			one, cancel := context.WithTimeout(ctx, attemptTimeout)
-			moved, name, to, err = f(one, fleetpb.NewCouncilClient(conn))
-			cancel()
-			switch {
-			case err == nil && !moved:
-				c.setLeader("", addr)
-				return nil
-			case err == nil && name != "":
-				if to = c.setLeader(name, to); to == addr { // it is sent to where it was sent from
-					c.setLeader("", "")
-				}
-				delete(failed, to) // else who was slow once would never be asked again, as long as the others name it
-				last = nil
-			case err == nil:
-				err = errors.New("it knows no leader")
-			}
+	for attempts := 1; ; attempts++ {
+		address := c.nextAddress(failed)
+		done, err := c.attempt(ctx, address, failed, send)
+		if done {
+			return nil
 		}
+		last = nil
 		if err != nil {
-			over := isFinal(err)
-			if err = fmt.Errorf("council at %s: %s", addr, status.Convert(err).Message()); over {
-				return err
+			last = &CoordinatorError{Address: address, Err: err}
+			if isFinal(err) {
+				return last
 			}
-			last = err
-			failed[addr] = time.Now()
+			failed[address] = time.Now()
 			c.setLeader("", "")
 		}
-		if ctx.Err() != nil {
-			break
-		}
-		if n >= len(c.addrs) || last != nil {
+		if ctx.Err() == nil && (attempts > len(c.addresses) || last != nil) {
 			select {
 			case <-ctx.Done():
-			case <-time.After(rpc.Jitter(20 * time.Millisecond)):
+			case <-time.After(rpc.Jitter(attemptPause)):
 			}
 		}
 		if ctx.Err() != nil {
-			break
+			if last == nil {
+				last = ctx.Err()
+			}
+			return last
 		}
 	}
-	if last == nil {
-		last = ctx.Err()
+}
+
+// attempt sends a request to one node; done: it has responded. Neither done nor an error: another node leads.
+func (c *Client) attempt(ctx context.Context, address string, failed map[string]time.Time,
+	send func(context.Context, fleetpb.CouncilClient) (redirect, error)) (done bool, err error) {
+	conn, err := c.connection(address)
+	if err != nil {
+		return false, err
+	}
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+	defer cancel()
+	response, err := send(attemptCtx, fleetpb.NewCouncilClient(conn))
+	if err != nil {
+		return false, err
 	}
-	return last
+	if !response.GetMoved() {
+		c.setLeader("", address)
+		return true, nil
+	}
+	if response.GetLeader() == "" {
+		return false, ErrNoLeader
+	}
+	leader := c.setLeader(response.GetLeader(), response.GetAddress())
+	if leader == address { // it names itself
+		c.setLeader("", "")
+	}
+	delete(failed, leader) // else a leader that was slow once would not be asked as long as the others name it
+	return false, nil
 }
 
-// ProposeEntry has an entry proposed.
-func (c *Client) ProposeEntry(ctx context.Context, e leasestate.Entry) (a leasestate.Result, err error) {
-	got, err := c.request(ctx, &fleetpb.Request{Entry: leasestate.Encode(e)})
+// ProposeEntry proposes an entry to the coordinator's log, and gives what came of it.
+func (c *Client) ProposeEntry(ctx context.Context, entry leasestate.Entry) (leasestate.Result, error) {
+	answer, err := c.do(ctx, &fleetpb.Request{Entry: leasestate.Encode(entry)})
 	if err != nil {
-		return a, err
+		return leasestate.Result{}, err
 	}
-	return rpc.DecodeResult(got), nil
+	return rpc.DecodeResult(answer), nil
 }
 
-// LatestTokens asks where leases' fencing tokens stand now: one question, whose answer is by one word of a majority, at most agent.MostStands of them.
-// The fencing tokens are in the leases' order, never more, and none is left out in between. A process that doesn't know such a question finds
-// no entry in it and refuses it, so an older one is never taken to say that all stand at nothing: coordinator nodes are brought up
-// to date before routers.
-func (c *Client) LatestTokens(ctx context.Context, duties []string) ([]lease.Token, error) {
-	a, err := c.request(ctx, &fleetpb.Request{Stands: duties})
+// LatestTokens gives the latest fencing tokens of leases, confirmed by a majority, in the leases' order. All leases go into one request;
+// how many one may hold is the lease client's bound. A node of a build that doesn't know such a request finds no entry in it and rejects
+// it, so it is never taken to say that there are no tokens: coordinator nodes are upgraded before routers.
+func (c *Client) LatestTokens(ctx context.Context, leases []string) ([]lease.Token, error) {
+	answer, err := c.do(ctx, &fleetpb.Request{Stands: leases})
 	if err != nil {
 		return nil, err
 	}
-	if len(a.Fences) != len(duties) {
-		return nil, fmt.Errorf("the council answered with %d fences of %d", len(a.Fences), len(duties))
+	if len(answer.Fences) != len(leases) {
+		return nil, fmt.Errorf("the council answered with %d fences of %d", len(answer.Fences), len(leases))
 	}
-	fences := make([]lease.Token, 0, len(duties))
-	for _, f := range a.Fences {
-		fences = append(fences, rpc.DecodeToken(f))
+	tokens := make([]lease.Token, 0, len(leases))
+	for _, token := range answer.Fences {
+		tokens = append(tokens, rpc.DecodeToken(token))
 	}
-	return fences, nil
+	return tokens, nil
 }
 
-func (c *Client) request(ctx context.Context, q *fleetpb.Request) (a *fleetpb.Answer, err error) {
-	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
+func (c *Client) do(ctx context.Context, request *fleetpb.Request) (answer *fleetpb.Answer, err error) {
+	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
 		var err error
-		if a, err = to.Do(ctx, q); err != nil {
-			return false, "", "", err
-		}
-		return a.Moved, a.Leader, a.Address, nil
+		answer, err = node.Do(ctx, request)
+		return answer, err
 	})
-	return a, err
+	return answer, err
 }
 
-// State gives the state as it is now.
-func (c *Client) State(ctx context.Context) (s *fleetpb.State, err error) {
-	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
+// State gives the coordinator's state, confirmed by a majority.
+func (c *Client) State(ctx context.Context) (state *fleetpb.State, err error) {
+	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
 		var err error
-		if s, err = to.Look(ctx, &fleetpb.Empty{}); err != nil {
-			return false, "", "", err
-		}
-		return s.Moved, s.Leader, s.Address, nil
+		state, err = node.Look(ctx, &fleetpb.Empty{})
+		return state, err
 	})
-	return s, err
+	return state, err
 }
 
-// ChangeMembership has processes join or leave the coordinator.
-func (c *Client) ChangeMembership(ctx context.Context, m *fleetpb.Members) (a leasestate.Result, err error) {
-	err = c.call(ctx, func(ctx context.Context, to fleetpb.CouncilClient) (bool, string, string, error) {
-		got, err := to.Change(ctx, m)
-		if err != nil {
-			return false, "", "", err
-		}
-		a = rpc.DecodeResult(got)
-		return got.Moved, got.Leader, got.Address, nil
+// ChangeMembership has nodes join or leave the coordinator cluster.
+func (c *Client) ChangeMembership(ctx context.Context, members *fleetpb.Members) (leasestate.Result, error) {
+	var answer *fleetpb.Answer
+	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
+		var err error
+		answer, err = node.Change(ctx, members)
+		return answer, err
 	})
-	return a, err
+	if answer == nil {
+		return leasestate.Result{}, err
+	}
+	return rpc.DecodeResult(answer), err
 }
 
-// watchSilence is how long a watch may say nothing: an empty word comes each second.
-const watchSilence = 4 * time.Second
-
-// Watch hears of what changes from some coordinator node, until ctx ends or it falls silent. What it tells first is all
-// there is; without sessions, those of others are left out.
-func (c *Client) Watch(ctx context.Context, without bool, deliver func(*fleetpb.Update)) error {
+// Watch passes on a coordinator node's updates until ctx ends or the watch fails; the error is never nil. The first update is the complete
+// state; withoutSessions leaves out the sessions of other processes.
+func (c *Client) Watch(ctx context.Context, withoutSessions bool, deliver func(*fleetpb.Update)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.mu.Lock()
-	addr := c.addrs[rand.IntN(len(c.addrs))]
-	c.watched = addr
-	c.mu.Unlock()
-	conn, err := c.conn(addr)
+	address := c.chooseWatched()
+	conn, err := c.connection(address)
 	if err != nil {
 		return err
 	}
-	silent := time.AfterFunc(watchSilence, cancel)
-	defer silent.Stop()
-	s, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{WithoutSessions: without})
+	silence := time.AfterFunc(watchSilence, cancel)
+	defer silence.Stop()
+	stream, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{WithoutSessions: withoutSessions})
 	for err == nil {
-		var u *fleetpb.Update
-		if u, err = s.Recv(); err == nil {
-			silent.Reset(watchSilence)
-			deliver(u)
+		var update *fleetpb.Update
+		if update, err = stream.Recv(); err == nil {
+			silence.Reset(watchSilence)
+			deliver(update)
 		}
 	}
-	return fmt.Errorf("council at %s: %s", addr, status.Convert(err).Message())
+	return &CoordinatorError{Address: address, Err: err}
+}
+
+// chooseWatched draws the node to watch.
+func (c *Client) chooseWatched() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watched = c.addresses[rand.IntN(len(c.addresses))]
+	return c.watched
 }
--- /dev/null
+++ b/internal/fleet/groups.go
@@ -0,0 +1,71 @@
+package fleet
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/decide/switchover"
+)
+
+// Changed tells that the router's list has changed. It never waits, and may be called on any goroutine.
+func (n *Node) Changed() {
+	select {
+	case n.groupsChanged <- struct{}{}:
+	default: // an earlier change is yet to be handled, and this one with it
+	}
+}
+
+// askGroups asks the router for its groups, once for each change of its list.
+func (n *Node) askGroups(now float64) {
+	n.groupsAsked++
+	asked := n.groupsAsked
+	accepted := n.callRouter(func() {
+		groups := n.router.Groups()
+		go n.post(func() { // the router's loop never waits for this one
+			if asked > n.groupsReceived { // guards against a list that overtakes the one after it: nobody would ask again
+				n.groupsReceived = asked
+				n.groupsListed(groups)
+			}
+		})
+	})
+	if accepted {
+		n.nextGroups = math.Inf(1)
+	} else {
+		n.nextGroups = now + groupsRetryMs
+	}
+}
+
+// groupsListed takes in which groups there are: their leases are acquired, those of groups that are gone are released.
+func (n *Node) groupsListed(groups map[int][]Member) {
+	n.groups = groups
+	wanted := map[string]bool{}
+	listed := map[int]bool{}
+	for group := range groups {
+		listed[group] = true
+		if n.settings.HealthSharePeriod > 0 {
+			wanted[healthshare.LeaseName(group)] = true
+		}
+		if n.settings.SwitchoverEnabled {
+			wanted[switchover.LeaseName(group)] = true
+		}
+		for _, lease := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
+			n.leases.LearnToken(lease)
+		}
+	}
+	n.writeHolds.RetainGroups(listed)
+	for lease := range n.wantedLeases {
+		if !wanted[lease] {
+			delete(n.orderStates, lease)
+			n.leases.Release(lease)
+		}
+	}
+	n.wantedLeases = wanted
+	for _, lease := range slices.Sorted(maps.Keys(wanted)) {
+		n.leases.Acquire(lease)
+	}
+	for _, sharer := range n.healthSharers {
+		n.setMembers(sharer)
+	}
+}
--- /dev/null
+++ b/internal/fleet/policyclient.go
@@ -0,0 +1,98 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+// maxOffset bounds offsets and sizes in a response, so that they fit any int.
+const maxOffset = 1 << 30
+
+// Policies is what a coordinator keeps of the policy: the version in force with its document, and the latest changes.
+type Policies struct {
+	Version  policy.Version // Number 0: nothing was ever proposed
+	Document policy.Document
+	History  []policy.Change // the latest last
+}
+
+// Propose proposes a change of the policy. The result is Held, with the Number of its version, or has in Why the reasons of its rejection,
+// one a line. A proposal is accepted only while the version that it was made from is in force. Repeating it does no harm.
+func (c *Client) Propose(ctx context.Context, p policy.Proposal) (leasestate.Result, error) {
+	if err := p.Check(); err != nil {
+		return leasestate.Result{}, err
+	}
+	return c.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p})
+}
+
+// Policy gives the policy in force and its history, confirmed by a majority.
+func (c *Client) Policy(ctx context.Context) (Policies, error) {
+	var response *fleetpb.PolicyBook
+	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
+		var err error
+		response, err = node.Policies(ctx, &fleetpb.Empty{})
+		return response, err
+	})
+	if err != nil {
+		return Policies{}, err
+	}
+	return decodePolicies(response)
+}
+
+func decodePolicies(response *fleetpb.PolicyBook) (all Policies, err error) {
+	if all.Version, _, err = rpc.DecodePolicy(response.Version); err != nil {
+		return all, err
+	}
+	document, err := rpc.Decompress(response.Document, policy.MaxDocumentBytes)
+	if err != nil {
+		return all, fmt.Errorf("policy: %w", err)
+	}
+	if all.Document, err = policy.Decode(document); err != nil {
+		return all, err
+	}
+	if all.Version.Number > 0 && all.Document.Hash() != all.Version.Hash {
+		return all, policy.ErrMismatch
+	}
+	history, err := rpc.Decompress(response.History, policy.MaxHistoryBytes)
+	if err != nil {
+		return all, fmt.Errorf("policy: history: %w", err)
+	}
+	all.History, err = policy.DecodeChanges(history)
+	return all, err
+}
+
+// policyPart asks a coordinator node for a part of the policy: the watched one, which has what it announced, or any.
+func (c *Client) policyPart(ctx context.Context, request policy.Request, preferWatched bool) (policy.Part, error) {
+	address := c.partAddress(preferWatched)
+	conn, err := c.connection(address)
+	if err != nil {
+		return policy.Part{}, err
+	}
+	response, err := fleetpb.NewCouncilClient(conn).Policy(ctx, &fleetpb.PolicyFrom{Have: request.Have, Hash: request.Hash[:], Want: request.Want,
+		Whole: request.Full, Offset: uint64(request.Offset), Most: uint64(request.MaxBytes)})
+	if err != nil {
+		return policy.Part{}, &CoordinatorError{Address: address, Err: err}
+	}
+	version, _, err := rpc.DecodePolicy(response.Version)
+	if err != nil {
+		return policy.Part{}, fmt.Errorf("council at %s: %w", address, err)
+	}
+	if response.Offset > maxOffset || response.Total > maxOffset {
+		return policy.Part{}, ErrMalformedResponse
+	}
+	return policy.Part{Version: version, Full: response.Whole, Offset: int(response.Offset), Total: int(response.Total), Bytes: response.Bytes}, nil
+}
+
+func (c *Client) partAddress(preferWatched bool) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if preferWatched && c.watched != "" {
+		return c.watched
+	}
+	return c.addresses[rand.IntN(len(c.addresses))]
+}
--- /dev/null
+++ b/internal/fleet/receiver.go
@@ -0,0 +1,181 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"net"
+	"strings"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/net/netutil"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/keepalive"
+	"google.golang.org/grpc/status"
+
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/invariant"
+	"wayloft/internal/rpc"
+)
+
+const (
+	maxOrderBytes    = 1 << 20
+	maxNameBytes     = 256  // of the names in an order
+	maxSenders       = 1024 // connections of processes that send orders
+	maxStreams       = 64   // orders at a time on one connection
+	handshakeTimeout = 5 * time.Second
+	minPingInterval  = 5 * time.Second // between two pings of a sender
+)
+
+// serveOrders starts the server that receives orders of lease holders. Run waits for its end.
+func (n *Node) serveOrders(listener net.Listener) *grpc.Server {
+	checks := rpc.Server(n.settings.Fleet)
+	server := grpc.NewServer(
+		grpc.MaxRecvMsgSize(maxOrderBytes),
+		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.ConnectionTimeout(handshakeTimeout),
+		grpc.ChainUnaryInterceptor(checks.Unary),
+		grpc.ChainStreamInterceptor(checks.Stream),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
+	)
+	fleetpb.RegisterReceiverServer(server, &receiverServer{node: n})
+	n.background.Go(func() {
+		if err := server.Serve(netutil.LimitListener(listener, maxSenders)); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+			logrus.WithError(err).Warn("orders are no longer received")
+		}
+	})
+	return server
+}
+
+// receiverServer is the gRPC service Receiver.
+type receiverServer struct {
+	fleetpb.UnimplementedReceiverServer
+	node *Node
+}
+
+// Act implements the service Receiver.
+func (s *receiverServer) Act(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
+	return s.node.act(ctx, order)
+}
+
+// act takes in an order of a lease holder. Its fencing token is checked and its content is passed to the router's event loop in one step, so
+// that nothing under a lower token can come between. The errors are gRPC statuses.
+func (n *Node) act(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
+	if n.ctx == nil || ctx.Err() != nil {
+		return nil, status.Error(codes.Unavailable, "not up")
+	}
+	if err := checkOrder(order); err != nil {
+		return nil, err
+	}
+	result := make(chan *fleetpb.Verdict, 1)
+	if !n.post(func() { n.judgeOrder(order, func(verdict *fleetpb.Verdict) { result <- verdict }) }) {
+		return nil, errEnding
+	}
+	select {
+	case verdict := <-result:
+		return verdict, nil
+	case <-ctx.Done():
+		return nil, status.FromContextError(ctx.Err()).Err()
+	case <-n.stopped:
+		return nil, errEnding
+	}
+}
+
+// errEnding is what senders of orders get while the process ends.
+var errEnding = status.Error(codes.Unavailable, "this process is ending")
+
+// checkOrder tells whether an order is within the bounds, and of a lease that this build knows.
+func checkOrder(order *fleetpb.Order) error {
+	if len(order.Duty) > maxNameBytes || len(order.About) > maxNameBytes || len(order.Holder) > maxNameBytes ||
+		len(order.Sightings) > healthshare.MaxReports {
+		return status.Error(codes.InvalidArgument, "an order of unsound size")
+	}
+	if !strings.HasPrefix(order.Duty, healthshare.LeasePrefix) && !strings.HasPrefix(order.Duty, switchover.LeasePrefix) {
+		return status.Errorf(codes.InvalidArgument, "the duty %.64q is none that this build knows", order.Duty)
+	}
+	return nil
+}
+
+var verdictKinds = map[lease.Verdict]fleetpb.Verdict_Kind{
+	lease.Taken:   fleetpb.Verdict_TAKEN,
+	lease.Old:     fleetpb.Verdict_OLD,
+	lease.Unknown: fleetpb.Verdict_UNKNOWN,
+	lease.Broken:  fleetpb.Verdict_BROKEN,
+}
+
+// judgeOrder checks an order's fencing token, and has an order under a valid one applied. done is called once, on any goroutine.
+func (n *Node) judgeOrder(order *fleetpb.Order, done func(*fleetpb.Verdict)) {
+	n.leases.Advance(n.now())
+	token := rpc.DecodeToken(order.Fence)
+	judged, highest := n.leases.Check(lease.Scope{Lease: order.Duty, About: order.About}, order.Holder, token)
+	verdict := &fleetpb.Verdict{Kind: verdictKinds[judged], Highest: rpc.EncodeToken(highest)}
+	fields := audit.Fields{"duty": order.Duty, "about": order.About, "holder": order.Holder, "fence": token.String()}
+	switch judged {
+	case lease.Taken:
+		n.settings.AuditLog.Add("taken", fields)
+		n.applyOrder(order, token, verdict, done)
+		return
+	case lease.Old:
+		fields["higher"] = highest.String()
+		n.settings.AuditLog.Add("late", fields)
+		logrus.WithFields(logrus.Fields{"lease": order.Duty, "holder": order.Holder, "token": token, "higher_token": highest}).
+			Warn("rejected an order of a former lease holder")
+	case lease.Broken:
+		invariant.Check(false, "one fence, one holder")
+	}
+	done(verdict)
+}
+
+// applyOrder has the router's event loop do what an order says; what is malformed is passed over, and the verdict says so.
+func (n *Node) applyOrder(order *fleetpb.Order, token lease.Token, verdict *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
+	accepted := n.callRouter(func() {
+		now := n.router.Now()
+		n.applyReports(order.Sightings, now, verdict)
+		if order.Hold != nil {
+			n.applyHold(order, token, now, verdict)
+		}
+		done(verdict)
+	})
+	if !accepted {
+		verdict.Kind, verdict.Why = fleetpb.Verdict_UNKNOWN, "too busy"
+		done(verdict)
+	}
+}
+
+// applyReports passes reports of another process's health checks to the router, on its event loop.
+func (n *Node) applyReports(messages []*fleetpb.Sighting, now float64, verdict *fleetpb.Verdict) {
+	for _, message := range messages {
+		report := decodeReport(message)
+		if err := healthshare.CheckReport(report, now); err != nil {
+			verdict.Kind, verdict.Why = fleetpb.Verdict_UNSOUND, err.Error()
+			continue
+		}
+		n.reportsApplied.Add(1)
+		n.router.PeerReported(report)
+	}
+}
+
+// applyHold holds or releases a group's writes for a switchover, on the router's event loop, and counts them.
+func (n *Node) applyHold(order *fleetpb.Order, token lease.Token, now float64, verdict *fleetpb.Verdict) {
+	hold := order.Hold
+	group := int(hold.Group)
+	if order.Duty != switchover.LeaseName(group) {
+		verdict.Kind, verdict.Why = fleetpb.Verdict_UNSOUND, "an order about another group"
+		return
+	}
+	switch {
+	case hold.Looks: // writes are only counted
+	case hold.Ends:
+		n.writeHolds.Release(group, token, hold.Number)
+		n.router.HoldWrites(group, 0)
+	default:
+		n.router.HoldWrites(group, n.writeHolds.Hold(group, token, hold.Number, hold.MostMs, now))
+	}
+	running, waiting := n.router.Writes(group)
+	verdict.Running, verdict.Held = int64(running), int64(waiting)
+}
--- /dev/null
+++ b/internal/fleet/sender.go
@@ -0,0 +1,100 @@
+package fleet
+
+import (
+	"context"
+
+	"github.com/sirupsen/logrus"
+	"google.golang.org/grpc"
+
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+// routerKind is the kind of the sessions of routers.
+const routerKind = "router"
+
+// sendOrder sends an order to a process. done is called on the event loop with its answer; the lease client is told of a rejection.
+func (n *Node) sendOrder(to leaseclient.Session, order *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
+	if to.Name == n.settings.Name { // this process
+		go func() { // ends with the event loop at the latest
+			verdict, err := n.act(n.ctx, order)
+			n.post(func() { done(verdict, err) })
+		}()
+		return
+	}
+	conn, err := n.connectionTo(to)
+	if err != nil {
+		done(nil, err)
+		return
+	}
+	n.background.Go(func() {
+		ctx, cancel := context.WithTimeout(n.ctx, failpoint.Duration("order.ends", milliseconds(n.settings.SessionTimeout/2)))
+		defer cancel()
+		verdict, err := fleetpb.NewReceiverClient(conn).Act(ctx, order)
+		n.post(func() {
+			if err == nil && verdict.Kind == fleetpb.Verdict_OLD {
+				n.orderRejected(to.Name, order, verdict)
+			}
+			done(verdict, err)
+		})
+	})
+}
+
+// orderRejected takes in that a process has seen a higher fencing token than that of an order.
+func (n *Node) orderRejected(by string, order *fleetpb.Order, verdict *fleetpb.Verdict) {
+	token, higher := rpc.DecodeToken(order.Fence), rpc.DecodeToken(verdict.Highest)
+	logrus.WithFields(logrus.Fields{"lease": order.Duty, "token": token, "higher_token": higher, "router": by}).
+		Warn("order rejected: another process holds the lease")
+	n.settings.AuditLog.Add("refused", audit.Fields{"duty": order.Duty, "fence": token.String(), "higher": higher.String(), "by": by})
+	n.leases.Advance(n.now())
+	n.leases.Rejected(order.Duty, higher)
+}
+
+// connectionTo gives the connection to a process, which is made if there is none.
+func (n *Node) connectionTo(session leaseclient.Session) (*grpc.ClientConn, error) {
+	address := session.Address
+	if override := n.settings.AddressOverrides[session.Name]; override != "" {
+		address = override
+	}
+	if conn := n.connections[address]; conn != nil {
+		return conn, nil
+	}
+	conn, err := rpc.Dial(address, n.settings.Fleet)
+	if err != nil {
+		return nil, err
+	}
+	n.closeUnusedConnections()
+	n.connections[address] = conn
+	return conn, nil
+}
+
+// closeUnusedConnections closes the connections to processes that have no session any more.
+func (n *Node) closeUnusedConnections() {
+	used := map[string]bool{}
+	for _, session := range n.leases.Sessions(routerKind) {
+		used[session.Address] = true
+		used[n.settings.AddressOverrides[session.Name]] = true
+	}
+	for address, conn := range n.connections {
+		if !used[address] {
+			closeConnection(address, conn)
+			delete(n.connections, address)
+		}
+	}
+}
+
+func (n *Node) closeConnections() {
+	for address, conn := range n.connections {
+		closeConnection(address, conn)
+	}
+}
+
+// closeConnection closes a connection to a process; nothing depends on whether that succeeds.
+func closeConnection(address string, conn *grpc.ClientConn) {
+	if err := conn.Close(); err != nil {
+		logrus.WithError(err).WithField("address", address).Debug("connection not closed")
+	}
+}
--- /dev/null
+++ b/internal/fleet/session.go
@@ -0,0 +1,181 @@
+package fleet
+
+import (
+	"context"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+// watchRetry is about how long after a watch has ended the next one starts.
+const watchRetry = 300 * time.Millisecond
+
+// advanceLeases carries out what the lease client decides. Names of audit events and of their fields are read by checkers: they stay.
+func (n *Node) advanceLeases() {
+	for d, more := n.leases.Next(); more; d, more = n.leases.Next() {
+		switch d.Action {
+		case leaseclient.Propose, leaseclient.QueryTokens:
+			n.background.Go(func() { n.request(d) })
+		case leaseclient.Start:
+			n.settings.AuditLog.Add("start", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+			logrus.WithFields(logrus.Fields{"lease": d.Lease, "token": d.Token}).Info("lease acquired")
+			n.leaseAcquired(d.Lease, d.Token)
+		case leaseclient.Stop:
+			n.settings.AuditLog.Add("stop", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+			logrus.WithFields(logrus.Fields{"lease": d.Lease, "token": d.Token}).Info("lease ended")
+			n.leaseEnded(d.Lease)
+		}
+	}
+}
+
+// leaseAcquired starts the work that a lease is for.
+func (n *Node) leaseAcquired(name string, token lease.Token) {
+	n.watchSessions()
+	if group, found := groupOfLease(name, healthshare.LeasePrefix); found {
+		n.startHealthSharing(name, token, group)
+	} else if group, found := groupOfLease(name, switchover.LeasePrefix); found {
+		n.startSwitchovers(name, token, group)
+	}
+}
+
+// groupOfLease gives the group that a lease is of; false: its name has another prefix.
+func groupOfLease(name, prefix string) (group int, found bool) {
+	text, found := strings.CutPrefix(name, prefix)
+	if !found {
+		return 0, false
+	}
+	group, err := strconv.Atoi(text)
+	return group, err == nil
+}
+
+// leaseEnded ends the work that a lease was for.
+func (n *Node) leaseEnded(name string) {
+	delete(n.healthSharers, name)
+	if task := n.switchovers[name]; task != nil && task.cancel != nil {
+		task.cancel()
+	}
+	delete(n.switchovers, name)
+	n.givesOrders.Store(len(n.healthSharers)+len(n.switchovers) > 0)
+}
+
+// watchSessions has the watch report other processes' sessions from now on, since this process gives orders. The next watch leaves them
+// out again, if no lease is held by then.
+func (n *Node) watchSessions() {
+	n.givesOrders.Store(true)
+	if n.leases.SessionsComplete() {
+		return
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.restartWatch != nil {
+		n.restartWatch()
+	}
+}
+
+// request sends a request to the coordinator. A quarter of the session timeout leaves time for retries.
+func (n *Node) request(d leaseclient.Decision) {
+	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeout/4))
+	defer cancel()
+	if d.Action == leaseclient.QueryTokens {
+		tokens, err := n.client.LatestTokens(ctx, d.Leases)
+		n.post(func() {
+			if n.responded(d, err) {
+				n.leases.TokensLearned(d.Request, tokens)
+			}
+		})
+		return
+	}
+	result, err := n.client.ProposeEntry(ctx, d.Entry)
+	n.post(func() {
+		if n.responded(d, err) {
+			n.recordResult(d.Entry, result)
+			n.leases.Answered(d.Request, result)
+		}
+	})
+}
+
+// responded reports whether the coordinator has responded to a request; if not, the lease client is told so.
+func (n *Node) responded(d leaseclient.Decision, err error) bool {
+	n.leases.Advance(n.now())
+	if err != nil {
+		logrus.WithError(err).Debug("no response from the coordinator")
+		n.leases.Failed(d.Request)
+	}
+	return err == nil
+}
+
+// recordResult writes to the logs what the coordinator has made of an entry.
+func (n *Node) recordResult(e leasestate.Entry, result leasestate.Result) {
+	switch {
+	case e.Kind == leasestate.ReportToken && result.Why != "":
+		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Fence, "reason": result.Why}).
+			Error("the coordinator's state has regressed: a higher fencing token was seen")
+		n.settings.AuditLog.Add("behind", audit.Fields{"duty": e.Lease, "seen": e.Token.String(), "council": result.Fence.String()})
+	case e.Kind == leasestate.OpenSession:
+		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, "why": result.Why, "incarnation": e.Incarnation})
+	}
+}
+
+// watch follows the coordinator's changes, and starts again whenever a watch ends. A failure is logged once, until it is another one or an
+// update has come.
+func (n *Node) watch() {
+	logged := ""
+	for n.ctx.Err() == nil {
+		ctx, cancel, withoutSessions := n.startWatch()
+		err := n.client.Watch(ctx, withoutSessions, func(update *fleetpb.Update) {
+			logged = ""
+			n.post(func() { n.updated(update) })
+		})
+		restarted := ctx.Err() != nil
+		cancel()
+		if n.ctx.Err() != nil {
+			return
+		}
+		if restarted {
+			continue
+		}
+		if text := err.Error(); text != logged {
+			logged = text
+			logrus.WithError(err).Warn("coordinator unreachable")
+		}
+		select {
+		case <-n.ctx.Done():
+		case <-time.After(rpc.Jitter(watchRetry)):
+		}
+	}
+}
+
+// startWatch gives the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
+func (n *Node) startWatch() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
+	ctx, cancel = context.WithCancel(n.ctx)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	withoutSessions = !n.givesOrders.Load()
+	n.restartWatch = nil
+	if withoutSessions {
+		n.restartWatch = cancel
+	}
+	return ctx, cancel, withoutSessions
+}
+
+// updated takes in what a watch has reported.
+func (n *Node) updated(message *fleetpb.Update) {
+	n.leases.Advance(n.now())
+	update := rpc.DecodeUpdate(message)
+	n.leases.Watched(update)
+	n.policies.follower.Advance(n.now())
+	for _, p := range update.Policies {
+		n.policies.follower.VersionAnnounced(p.Version, p.Difference)
+	}
+}
--- a/internal/fleet/storage_test.go
+++ b/internal/fleet/storage_test.go
@@ -86,8 +86,8 @@
 		return nil
 	})()
 	f := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
-	l := &Node{settings: Settings{Store: f}, inbox: make(chan func()), ended: make(chan struct{}), policies: &policyState{}}
-	defer close(l.ended)
+	l := &Node{settings: Settings{Store: f}, inbox: make(chan func()), stopped: make(chan struct{}), policies: &policyState{}}
+	defer close(l.stopped)
 	turn := func(now float64) { // as the loop does
 		l.savePolicy(now)
 		if l.policies.saving {
--- /dev/null
+++ b/internal/fleet/switchover.go
@@ -0,0 +1,275 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+
+	"github.com/sirupsen/logrus"
+
+	"wayloft/internal/audit"
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leaseclient"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+const (
+	maxRecordedBytes  = 250 // of a text that the replicated state records
+	maxRecordAttempts = 7   // to record a step or an end
+)
+
+// switchoverTask is a held switchover lease of a group.
+type switchoverTask struct {
+	name        string // of the lease
+	group       int
+	token       lease.Token
+	orders      *switchover.OrderState
+	number      uint64               // of the order that is carried out
+	executor    *switchover.Executor // of that order; nil: none is carried out
+	reportEndAt float64              // when the coordinator may be told again how the last order ended
+	ctx         context.Context      // of the order that is carried out
+	cancel      context.CancelFunc
+}
+
+func (n *Node) startSwitchovers(name string, token lease.Token, group int) {
+	if n.orderStates[name] == nil {
+		n.orderStates[name] = &switchover.OrderState{}
+	}
+	n.orderStates[name].BeginLease(token)
+	n.switchovers[name] = &switchoverTask{name: name, group: group, token: token, orders: n.orderStates[name]}
+}
+
+func (n *Node) advanceSwitchovers(now float64) {
+	for _, name := range slices.Sorted(maps.Keys(n.switchovers)) {
+		n.runSwitchover(n.switchovers[name], now)
+	}
+}
+
+// runSwitchover goes on with a group's switchover, if one is ordered.
+func (n *Node) runSwitchover(task *switchoverTask, now float64) {
+	if task.executor == nil && !n.startOrder(task, now) {
+		return
+	}
+	if !n.leases.SessionsComplete() { // which routers must hold writes isn't known yet
+		return
+	}
+	var routers []string
+	for _, session := range n.leases.Sessions(routerKind) {
+		routers = append(routers, session.Name)
+	}
+	task.executor.Advance(now)
+	task.executor.SetRouters(routers)
+	for d, more := task.executor.Next(); more; d, more = task.executor.Next() {
+		n.carryOutSwitchover(task, d)
+	}
+	task.orders.Update(task.executor, task.number)
+	if task.executor.Finished() {
+		task.cancel()
+		task.executor = nil
+	}
+}
+
+// startOrder takes up the open order; false: there is none, or it can't be taken up now.
+func (n *Node) startOrder(task *switchoverTask, now float64) bool {
+	if ended, unreported := task.orders.UnreportedEnd(); unreported {
+		if task.reportEndAt <= now {
+			n.reportEnd(task, ended)
+		}
+		return false
+	}
+	if task.orders.NeedsNewToken() {
+		n.leases.Release(task.name)
+		n.leases.Acquire(task.name)
+		return false
+	}
+	known, found := n.leases.Lease(task.name)
+	if !found || known.Holder != n.settings.Name || known.Token != task.token {
+		return false
+	}
+	executor, err := task.orders.StartOrder(n.settings.Switchover, known.Open, known.Steps, now)
+	if err != nil {
+		logrus.WithError(err).WithField("lease", task.name).Error("switchover order can't be carried out")
+		return false
+	}
+	if executor == nil {
+		return false
+	}
+	task.executor, task.number = executor, known.Open.Number
+	task.ctx, task.cancel = context.WithCancel(n.ctx)
+	n.settings.AuditLog.Add("order", audit.Fields{"duty": task.name, "fence": task.token.String(), "number": task.number, "text": known.Open.Text,
+		"steps": len(known.Steps)})
+	return true
+}
+
+// reportEnd has the coordinator record how an order ended; if that fails, it is done again later.
+func (n *Node) reportEnd(task *switchoverTask, ended leasestate.Order) {
+	task.reportEndAt = math.Inf(1) // while it is under way
+	entry := leasestate.Entry{Kind: leasestate.CompleteOrder, Number: ended.Number, Text: truncateText(ended.Text)}
+	n.proposeNote(task, entry, func(recorded bool) {
+		n.post(func() {
+			task.reportEndAt = n.now() + n.settings.SessionTimeout/4
+			if recorded {
+				task.orders.EndReported(ended.Number)
+				task.reportEndAt = 0
+			}
+		})
+	})
+}
+
+// truncateText keeps a text within what the replicated state records.
+func truncateText(text string) string {
+	if len(text) > maxRecordedBytes {
+		text = text[:maxRecordedBytes]
+	}
+	return text
+}
+
+// ifCurrent passes an answer to an executor, if that is still the one that waits for it: the lease may have ended, or the order.
+func (n *Node) ifCurrent(task *switchoverTask, executor *switchover.Executor, f func()) {
+	if n.switchovers[task.name] == task && task.executor == executor {
+		executor.Advance(n.now())
+		f()
+	}
+}
+
+// proposeNote has the replicated state record a step or an end. done is called on another goroutine with whether it has. The goroutine ends
+// with Run's context.
+func (n *Node) proposeNote(task *switchoverTask, entry leasestate.Entry, done func(recorded bool)) {
+	entry.Lease, entry.Token = task.name, task.token
+	entry = n.leases.Entry(entry)
+	go func() {
+		var result leasestate.Result
+		var err error
+		for range maxRecordAttempts { // repeating does no harm: a step that is recorded twice says the same
+			ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeout))
+			result, err = n.client.ProposeEntry(ctx, entry)
+			cancel()
+			if err == nil || n.ctx.Err() != nil {
+				break
+			}
+		}
+		done(err == nil && result.Held)
+	}()
+}
+
+// carryOutSwitchover carries out a decision of a task's executor.
+func (n *Node) carryOutSwitchover(task *switchoverTask, d switchover.Decision) {
+	token, valid := n.leases.Valid(task.name) // the last check before anything is sent
+	if !valid || token != task.token {
+		return
+	}
+	switch d.Action {
+	case switchover.FindPrimary:
+		n.findPrimary(task)
+	case switchover.RecordStep:
+		n.recordStep(task, d.Text)
+	case switchover.CommandRouter:
+		n.commandRouter(task, d)
+	case switchover.CommandMember:
+		n.commandMember(task, d)
+	case switchover.EndOrder:
+		logrus.WithFields(logrus.Fields{"lease": task.name, "token": token, "order": task.number, "outcome": d.Text}).Info("switchover ended")
+		n.settings.AuditLog.Add("end", audit.Fields{"duty": task.name, "fence": token.String(), "number": task.number, "text": d.Text})
+	}
+}
+
+// findPrimary asks the group's members which one is primary.
+func (n *Node) findPrimary(task *switchoverTask) {
+	executor, ctx, members := task.executor, task.ctx, n.groups[task.group]
+	go func() { // ends with the order's context
+		found, err := n.settings.Adapter.findPrimary(ctx, members)
+		n.post(func() { n.ifCurrent(task, executor, func() { executor.PrimaryFound(found, err) }) })
+	}()
+}
+
+// recordStep has a step recorded in the replicated state.
+func (n *Node) recordStep(task *switchoverTask, text string) {
+	executor := task.executor
+	n.settings.AuditLog.Add("step", audit.Fields{"duty": task.name, "fence": task.token.String(), "number": task.number, "text": text})
+	logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "order": task.number, "step": text}).Info("switchover step")
+	n.proposeNote(task, leasestate.Entry{Kind: leasestate.RecordStep, Text: text}, func(recorded bool) {
+		failpoint.Point("noted." + strings.Fields(text)[0])
+		n.post(func() {
+			n.ifCurrent(task, executor, func() {
+				n.settings.AuditLog.Add("noted", audit.Fields{"duty": task.name, "fence": task.token.String(), "number": task.number, "text": text,
+					"ok": recorded})
+				executor.StepRecorded(recorded)
+			})
+		})
+	})
+}
+
+// commandRouter sends a command to a router.
+func (n *Node) commandRouter(task *switchoverTask, d switchover.Decision) {
+	executor := task.executor
+	sessions := n.leases.Sessions(routerKind)
+	target := slices.IndexFunc(sessions, func(s leaseclient.Session) bool { return s.Name == d.Target })
+	if target < 0 {
+		executor.RouterAnswered(d.Target, d.Command, false, 0)
+		return
+	}
+	order := &fleetpb.Order{Duty: task.name, About: task.name, Holder: n.settings.Name, Fence: rpc.EncodeToken(task.token), Hold: &fleetpb.Hold{
+		Group:  int64(task.group),
+		Number: task.number,
+		MostMs: d.MaxHold,
+		Ends:   d.Command == switchover.ReleaseWrites,
+		Looks:  d.Command == switchover.CountWrites,
+	}}
+	n.sendOrder(sessions[target], order, func(verdict *fleetpb.Verdict, err error) {
+		accepted := err == nil && verdict.Kind == fleetpb.Verdict_TAKEN
+		running := 0
+		if accepted {
+			running = int(min(verdict.Running, math.MaxInt32))
+		}
+		n.ifCurrent(task, executor, func() { executor.RouterAnswered(d.Target, d.Command, accepted, running) })
+	})
+}
+
+// commandMember has a member take a step. One that was started goes on whatever becomes of the lease: the member's guard row decides.
+func (n *Node) commandMember(task *switchoverTask, d switchover.Decision) {
+	executor := task.executor
+	address := ""
+	for _, member := range n.groups[task.group] {
+		if member.ID == d.Target {
+			address = member.Addr
+		}
+	}
+	go func() { // ends with Run's context, or the step's timeout
+		failpoint.Point("step." + string(d.Step)) // between the check and the step
+		outcome, err := switchover.Failed, fmt.Errorf("%s is not in the list", d.Target)
+		if address != "" {
+			ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.Adapter.StepTimeoutMs))
+			outcome, err = n.settings.Adapter.runStep(ctx, address, d.Step, task.token, d.Rank)
+			cancel()
+			failpoint.Point("stepped." + string(d.Step))
+		}
+		reason := ""
+		if err != nil {
+			reason = d.Target + ": " + err.Error()
+		}
+		n.post(func() {
+			n.recordOutcome(task, d, outcome, reason)
+			n.ifCurrent(task, executor, func() { executor.StepDone(outcome, reason) })
+		})
+	}()
+}
+
+// recordOutcome writes to the logs how a step at a member ended.
+func (n *Node) recordOutcome(task *switchoverTask, d switchover.Decision, outcome switchover.Outcome, reason string) {
+	n.settings.AuditLog.Add("done", audit.Fields{"duty": task.name, "fence": task.token.String(), "member": d.Target, "step": string(d.Step),
+		"how": int(outcome), "why": reason})
+	if outcome == switchover.Fenced {
+		n.leases.RejectedActs++ // by the member, which has nobody else to report it to
+	}
+	if outcome != switchover.Succeeded {
+		logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "member": d.Target, "step": string(d.Step), "error": reason}).
+			Warn("switchover step not taken")
+	}
+}
