--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"fmt"
+	"errors"
 	"net"
 	"slices"
+	"strconv"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -22,7 +23,7 @@
 	"wayloft/internal/rpc"
 )
 
-// fakeCoordinator is a coordinator node that answers by a function.
+// fakeCoordinator is a coordinator node that responds by a function.
 type fakeCoordinator struct {
 	fleetpb.UnimplementedCouncilServer
 	do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)
@@ -32,20 +33,41 @@
 	return a.do(ctx, q)
 }
 
+// serveCoordinator serves a fakeCoordinator until the test ends, and gives its address.
 func serveCoordinator(t *testing.T, do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	checks := rpc.Server("lab")
+	server := grpc.NewServer(grpc.ChainUnaryInterceptor(checks.Unary))
+	fleetpb.RegisterCouncilServer(server, &fakeCoordinator{do: do})
+	return serveUntilEnd(t, server)
+}
+
+// serveUntilEnd serves until the test ends, and gives the address.
+func serveUntilEnd(t *testing.T, server *grpc.Server) string {
+	t.Helper()
+	listener := listen(t)
+	ended := make(chan error, 1)
+	go func() { ended <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		server.Stop()
+		if err := <-ended; err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+			t.Error(err)
+		}
+	})
+	return listener.Addr().String()
+}
+
+// listen gives a listener at a free port.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	checks := rpc.Server("lab")
-	s := grpc.NewServer(grpc.ChainUnaryInterceptor(checks.Unary))
-	fleetpb.RegisterCouncilServer(s, &fakeCoordinator{do: do})
-	go s.Serve(l)
-	t.Cleanup(s.Stop)
-	return l.Addr().String()
+	return listener
 }
 
-// Who leads is asked again though it was silent once, as long as the others say that it leads.
+// The leader is asked again though it gave no response once, as long as the others say that it leads.
 func TestClient_AsksTheLeaderAgainAfterATimeout(t *testing.T) {
 	calls, leader := atomic.Int32{}, ""
 	leader = serveCoordinator(t, func(ctx context.Context, _ *fleetpb.Request) (*fleetpb.Answer, error) {
@@ -55,13 +77,13 @@
 		}
 		return &fleetpb.Answer{Held: true, Number: 7}, nil
 	})
-	addrs := []string{leader}
+	addresses := []string{leader}
 	for range 2 {
-		addrs = append(addrs, serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
+		addresses = append(addresses, serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
 			return &fleetpb.Answer{Moved: true, Leader: "c1", Address: leader}, nil
 		}))
 	}
-	c := NewClient("lab", addrs, nil)
+	c := NewClient("lab", addresses, nil)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -71,21 +93,22 @@
 	}
 }
 
-// One call asks where many leases stand, and again as a whole where another process leads; what says less than that is no answer.
+// One call asks for the latest tokens of many leases, and is repeated in full where another node leads; a response with fewer tokens is an
+// error.
 func TestClient_LatestTokensTakesOneCall(t *testing.T) {
 	calls := atomic.Int32{}
 	leader := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		calls.Add(1)
 		a := &fleetpb.Answer{}
-		for _, duty := range q.Stands {
-			a.Fences = append(a.Fences, &fleetpb.Fence{Epoch: 1, Count: uint64(len(duty))})
+		for _, name := range q.Stands {
+			a.Fences = append(a.Fences, &fleetpb.Fence{Epoch: 1, Count: uint64(len(name))})
 		}
 		return a, nil
 	})
 	other := serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
 		return &fleetpb.Answer{Moved: true, Leader: "c1", Address: leader}, nil
 	})
-	// Processes that don't know the question: one finds no entry in it, the other would answer as for nothing.
+	// Nodes that don't know the request: one finds no entry in it, the other would respond as to an empty one.
 	older := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		_, err := leasestate.Decode(q.Entry)
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -97,77 +120,75 @@
 		c := NewClient("lab", []string{addr}, nil)
 		defer c.Close()
 		calls.Store(0)
-		fences, err := c.LatestTokens(ctx, []string{"ccc", "a", "bb"})
+		tokens, err := c.LatestTokens(ctx, []string{"ccc", "a", "bb"})
 		if addr == older || addr == empty {
-			if err == nil || fences != nil {
-				t.Errorf("took %v for an answer", fences)
+			if err == nil || tokens != nil {
+				t.Errorf("accepted the response %v", tokens)
 			}
 			continue
 		}
-		if err != nil || calls.Load() != 1 || !slices.Equal(fences, []lease.Token{{Epoch: 1, Count: 3}, {Epoch: 1, Count: 1}, {Epoch: 1, Count: 2}}) {
-			t.Errorf("%v, %v after %d calls", fences, err, calls.Load())
+		if err != nil || calls.Load() != 1 || !slices.Equal(tokens, []lease.Token{{Epoch: 1, Count: 3}, {Epoch: 1, Count: 1}, {Epoch: 1, Count: 2}}) {
+			t.Errorf("%v, %v after %d calls", tokens, err, calls.Load())
 		}
 	}
 }
 
-// A process that starts where there are 164 groups asks the coordinator where their leases stand in two calls, and goes by the answer.
+// A process that starts where there are 164 groups asks for the latest tokens of their leases in two calls, and judges orders by them.
 func TestNode_StartLearnsAllTokensInTwoCalls(t *testing.T) {
 	asked := make(chan []string, 400)
-	council := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	coordinator := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		if len(q.Stands) == 0 && q.Stand == "" {
 			return &fleetpb.Answer{Held: true}, nil
 		}
 		a := &fleetpb.Answer{}
-		for _, duty := range q.Stands {
-			var group uint64
-			fmt.Sscanf(duty[strings.Index(duty, "/")+1:], "%d", &group)
+		for _, name := range q.Stands {
+			group, err := strconv.ParseUint(name[strings.Index(name, "/")+1:], 10, 64)
+			if err != nil {
+				return nil, err
+			}
 			a.Fences = append(a.Fences, &fleetpb.Fence{Epoch: 1, Count: 1000 + group})
 		}
 		asked <- q.Stands
 		return a, nil
 	})
-	r := &fakeRouter{groups: map[int][]Member{}, asked: make(chan bool, 100)}
+	router := &fakeRouter{groups: map[int][]Member{}, asked: make(chan bool, 100)}
 	for group := range 164 {
-		r.groups[group] = nil
-	}
-	// Its length is such that no call is given up while the machine is busy.
-	l := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{council}, SessionTimeout: 100000, SafetyMargin: 200}, r)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+		router.groups[group] = nil
 	}
+	// The session timeout is such that no call is given up while the machine is busy.
+	node := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{coordinator}, SessionTimeout: 100000, SafetyMargin: 200}, router)
 	ctx, cancel := context.WithCancel(context.Background())
-	go l.Run(ctx, listener)
-	defer func() { cancel(); <-l.Ended() }()
-	duties, calls := map[string]bool{}, 0
-	for ; len(duties) < 328; calls++ {
-		for _, duty := range <-asked {
-			duties[duty] = true
+	go node.Run(ctx, listen(t))
+	defer func() { cancel(); <-node.Ended() }()
+	leases, calls := map[string]bool{}, 0
+	for ; len(leases) < 328; calls++ {
+		for _, name := range <-asked {
+			leases[name] = true
 		}
 	}
-	took := make(chan lease.Verdict)
+	verdicts := make(chan lease.Verdict)
 	for group := range 164 {
-		for _, duty := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
-			if !duties[duty] {
-				t.Fatal("not asked:", duty)
+		for _, name := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
+			if !leases[name] {
+				t.Fatal("not asked:", name)
 			}
-			for v := lease.Unknown; v == lease.Unknown; { // until the answer is in
-				l.post(func() {
-					v, _ := l.leases.Check(lease.Scope{Lease: duty, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
-					took <- v
+			for v := lease.Unknown; v == lease.Unknown; { // until the response has come
+				node.post(func() {
+					v, _ := node.leases.Check(lease.Scope{Lease: name, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
+					verdicts <- v
 				})
-				if v = <-took; v != lease.Old && v != lease.Unknown {
-					t.Fatalf("%s: an act below where it stands was %v", duty, v)
+				if v = <-verdicts; v != lease.Old && v != lease.Unknown {
+					t.Fatalf("%s: an order under a token below the latest was %v", name, v)
 				}
 			}
 		}
 	}
-	l.post(func() {
-		v, _ := l.leases.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
-		took <- v
+	node.post(func() {
+		v, _ := node.leases.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
+		verdicts <- v
 	})
-	if v := <-took; v != lease.Taken {
-		t.Error("an act under where its duty stands was", v)
+	if v := <-verdicts; v != lease.Taken {
+		t.Error("an order under the latest token was", v)
 	}
 	if calls += len(asked); calls != 2 {
 		t.Errorf("asked in %d calls, not two", calls)
--- /dev/null
+++ b/internal/fleet/groups_test.go
@@ -0,0 +1,71 @@
+package fleet
+
+import (
+	"context"
+	"testing"
+
+	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/decide/policy"
+)
+
+// fakeRouter is a router that tells when its groups are read.
+type fakeRouter struct {
+	groups map[int][]Member
+	asked  chan bool
+}
+
+func (r *fakeRouter) Post(f func())                   { f() }
+func (r *fakeRouter) Now() float64                    { return 0 }
+func (r *fakeRouter) HealthCheck(string)              {}
+func (r *fakeRouter) PeerReported(healthshare.Report) {}
+func (r *fakeRouter) HoldWrites(int, float64)         {}
+func (r *fakeRouter) Writes(int) (int, int)           { return 0, 0 }
+func (r *fakeRouter) ApplyPolicy(policy.Version, policy.Document) error {
+	return nil
+}
+func (r *fakeRouter) Groups() map[int][]Member {
+	r.asked <- true
+	return r.groups
+}
+
+// The router is asked for its groups once for each change of its list, and an earlier answer never replaces a later one.
+func TestNode_GroupsAreReadOnlyAfterAChange(t *testing.T) {
+	router := &fakeRouter{asked: make(chan bool, 100)}
+	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, router)
+	node.leases.Leave() // it sends no requests to a coordinator
+	for range 20 {
+		node.settings.ClockOffset += 1000
+		node.advance()
+	}
+	if n := len(node.routerCalls); n != 1 {
+		t.Fatalf("in 20 s without a change the router was asked for its groups %d times, not once", n)
+	}
+	// The answer to the first question comes last.
+	node.nextGroups = 0
+	node.advance()
+	first, second := <-node.routerCalls, <-node.routerCalls
+	router.groups = map[int][]Member{2: nil}
+	second()
+	(<-node.inbox)()
+	router.groups = map[int][]Member{1: nil}
+	first()
+	(<-node.inbox)()
+	if _, there := node.groups[2]; !there || len(node.groups) != 1 {
+		t.Errorf("%v are its groups: an earlier list has taken the place of a later one", node.groups)
+	}
+}
+
+// Each change of the list is noticed.
+func TestNode_GroupsAreReadAfterEachChange(t *testing.T) {
+	router := &fakeRouter{asked: make(chan bool)}
+	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, router)
+	ctx, cancel := context.WithCancel(context.Background())
+	go node.Run(ctx, listen(t))
+	<-router.asked
+	for range 3 {
+		node.Changed()
+		<-router.asked
+	}
+	cancel()
+	<-node.Ended()
+}
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"sync"
 	"testing"
 	"time"
@@ -12,13 +11,13 @@
 	"wayloft/internal/rpc"
 )
 
-// sessionCoordinator is a coordinator that keeps sessions alone, and lets time pass when it is told.
+// sessionCoordinator is a coordinator that keeps sessions alone. Its time passes by entries only.
 type sessionCoordinator struct {
 	mu      sync.Mutex
 	state   *leasestate.State
 	index   uint64
 	refused chan leasestate.Result // of requests to open a session
-	opened  chan uint64            // incarnations, of the same
+	opened  chan uint64            // the incarnations of sessions that were opened
 }
 
 func newSessions() *sessionCoordinator {
@@ -30,7 +29,7 @@
 	return s.state.Apply(s.index, e)
 }
 
-func (s *sessionCoordinator) do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+func (s *sessionCoordinator) do(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 	if len(q.Stands) > 0 {
 		return &fleetpb.Answer{Fences: make([]*fleetpb.Fence, len(q.Stands))}, nil
 	}
@@ -49,7 +48,7 @@
 	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: rpc.EncodeToken(a.Fence)}, nil
 }
 
-// receive is what comes out of a channel, or the test's end.
+// receive gives what comes from a channel, or ends the test if nothing comes.
 func receive[T any](t *testing.T, what string, from chan T) T {
 	t.Helper()
 	select {
@@ -61,22 +60,18 @@
 	}
 }
 
-// start runs a process of the name "r" that was started when the wall clock said so.
+// start runs a process of the name "r" that was started at this time by the wall clock.
 func (s *sessionCoordinator) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &fakeRouter{asked: make(chan bool, 100)}
-	l := newNode(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeout: timeoutMs, SafetyMargin: timeoutMs / 10}, r, started)
+	router := &fakeRouter{asked: make(chan bool, 100)}
+	node := newNode(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeout: timeoutMs, SafetyMargin: timeoutMs / 10}, router, started)
 	ctx, cancel := context.WithCancel(context.Background())
-	go l.Run(ctx, listener)
-	t.Cleanup(func() { cancel(); <-l.Ended() })
+	go node.Run(ctx, listen(t))
+	t.Cleanup(func() { cancel(); <-node.Ended() })
 }
 
-// A process that is started after the wall clock was stepped back has its session at once: the coordinator's time stands still, so its
-// predecessor's never lapses here.
+// A process that is started after the wall clock was stepped back has its session at once: the coordinator's time doesn't pass, so its
+// predecessor's session never expires here.
 func TestIncarnation_ProcessStartedAfterTheClockWasSteppedBack(t *testing.T) {
 	s := newSessions()
 	addr := serveCoordinator(t, s.do)
@@ -88,7 +83,7 @@
 	receive(t, "its session", s.opened)
 }
 
-// A process whose session lapsed, and whose name another was given meanwhile by an earlier wall clock, finds it taken.
+// A process whose session has expired doesn't win its name back from one that was started later by an earlier wall clock.
 func TestIncarnation_FormerProcessIsRejected(t *testing.T) {
 	s := newSessions()
 	addr := serveCoordinator(t, s.do)
@@ -100,7 +95,7 @@
 	granted := s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "r", Incarnation: later, Timeout: 2000, Role: "router"})
 	s.mu.Unlock()
 	if !granted.Held {
-		t.Fatal("the former session has not lapsed:", granted)
+		t.Fatal("the former session has not expired:", granted)
 	}
 	select { // its next heartbeat tells it that it has no session
 	case a := <-s.refused:
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -78,13 +77,9 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// serveEarlier serves any method as a process of the earlier version: it wants the metadata that were recorded, and answers by respond.
+// serveEarlier serves any method as a process of the earlier version: it requires the metadata that were recorded, and responds by respond.
 func serveEarlier(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
 	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
 		sent, _ := metadata.FromIncomingContext(stream.Context())
 		if fleet, form := sent.Get("wayloft-fleet"), sent.Get("wayloft-form"); fmt.Sprint(fleet, form) != "[lab] [1]" {
@@ -104,13 +99,7 @@
 		}
 		return err
 	}))
-	ended := make(chan error)
-	go func() { ended <- server.Serve(listener) }()
-	t.Cleanup(func() {
-		server.Stop()
-		<-ended
-	})
-	return listener.Addr().String()
+	return serveUntilEnd(t, server)
 }
 
 // errNoMore ends a recording: the client asks no further.
@@ -154,7 +143,7 @@
 	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Fence.Epoch, a.Fence.Count, a.Why, a.Number)
 }
 
-// describeUpdate lists what a watch told, as a router takes it in.
+// describeUpdate lists what an update holds, as a router decodes it.
 func describeUpdate(message *fleetpb.Update) string {
 	u := rpc.DecodeUpdate(message)
 	out := &strings.Builder{}
@@ -179,7 +168,7 @@
 	return out.String()
 }
 
-// describeState lists the state that a coordinator node told.
+// describeState lists the state that a coordinator node gave.
 func describeState(s *fleetpb.State) string {
 	out := &strings.Builder{}
 	fmt.Fprintf(out, "epoch %d refused %d %s", s.Epoch, s.Refused, describeUpdate(s.State))
@@ -205,8 +194,8 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// splitAnswers parts the recorded answers of Do: of questions where leases stand, and all others.
-func splitAnswers(t *testing.T) (stands, others [][]byte) {
+// splitAnswers splits the recorded answers of Do: those to requests for the latest tokens, and all others.
+func splitAnswers(t *testing.T) (tokens, others [][]byte) {
 	t.Helper()
 	for _, b := range readRecorded(t, "responses.jsonl", coordinator+"Do") {
 		a := &fleetpb.Answer{}
@@ -214,27 +203,27 @@
 			t.Fatal(err)
 		}
 		if len(a.Fences) > 0 {
-			stands = append(stands, b)
+			tokens = append(tokens, b)
 		} else {
 			others = append(others, b)
 		}
 	}
-	return stands, others
+	return tokens, others
 }
 
-// A client of this version takes the responses of earlier coordinator nodes as the earlier client did, and asks who leads where it is told so.
+// A client of this version decodes the responses of earlier coordinator nodes as the earlier client did, and follows their redirects.
 func TestRecordedResponses_AreAccepted(t *testing.T) {
 	out := &strings.Builder{}
-	stands, others := splitAnswers(t)
+	tokens, others := splitAnswers(t)
 	do := clientOfEarlier(t, coordinator+"Do", others)
 	callAll(t, out, "do", func(ctx context.Context) (string, error) {
 		a, err := do.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "r", Incarnation: 1})
 		return describeAnswer(a), err
 	})
-	stand := clientOfEarlier(t, coordinator+"Do", stands)
+	latest := clientOfEarlier(t, coordinator+"Do", tokens)
 	callAll(t, out, "stands", func(ctx context.Context) (string, error) {
-		fences, err := stand.LatestTokens(ctx, []string{"handover/0", "sight/0"})
-		return fmt.Sprint(fences), err
+		tokens, err := latest.LatestTokens(ctx, []string{"handover/0", "sight/0"})
+		return fmt.Sprint(tokens), err
 	})
 	change := clientOfEarlier(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
 	callAll(t, out, "change", func(ctx context.Context) (string, error) {
@@ -266,7 +255,7 @@
 	compareGolden(t, filepath.Join(recordedBy, "responses.golden"), out.String())
 }
 
-// A watch of this version is told by an earlier coordinator node what the earlier watch was told.
+// A watch of this version gets from an earlier coordinator node the updates that the earlier watch got.
 func TestRecordedUpdates_AreWatched(t *testing.T) {
 	updates := readRecorded(t, "responses.jsonl", coordinator+"Watch")
 	address := serveEarlier(t, func(string, []byte) ([][]byte, error) { return updates, errNoMore })
@@ -280,7 +269,7 @@
 	compareGolden(t, filepath.Join(recordedBy, "updates.golden"), out.String())
 }
 
-// recordingRouter is a router of one group that lists what orders have it do.
+// recordingRouter is a router of one group that records what orders have it do.
 type recordingRouter struct {
 	fakeRouter
 	now  float64
@@ -300,13 +289,13 @@
 }
 func (r *recordingRouter) Writes(int) (int, int) { return 3, 4 }
 
-// respondToRouter answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed once it
-// was asked where both leases of the group stand.
+// respondToRouter answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed
+// once it was asked for the latest tokens of both leases of the group.
 func respondToRouter(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
 	t.Helper()
 	asked = make(chan bool)
 	once := sync.OnceFunc(func() { close(asked) })
-	stands, others := splitAnswers(t)
+	tokens, others := splitAnswers(t)
 	first := func(matches func(*fleetpb.Answer) bool) [][]byte {
 		for _, b := range others {
 			a := &fleetpb.Answer{}
@@ -329,7 +318,7 @@
 			}
 			if len(q.Stands) > 0 {
 				once()
-				return stands[:1], nil
+				return tokens[:1], nil
 			}
 			return held, nil
 		}
@@ -337,7 +326,7 @@
 	}
 }
 
-// actAsEarlier sends an order as an earlier lease holder did, until the receiver knows where leases stand.
+// actAsEarlier sends an order as an earlier lease holder did, until the receiver knows the latest tokens.
 func actAsEarlier(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, "wayloft-fleet", "lab", "wayloft-form", "1")
@@ -361,30 +350,27 @@
 	}
 }
 
-// A receiver of this version takes the orders of an earlier lease holder, and its router does what they say.
+// A receiver of this version accepts the orders of an earlier lease holder, and its router does what they say.
 func TestRecordedOrders_AreApplied(t *testing.T) {
 	router := &recordingRouter{fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
 	asked, respond := respondToRouter(t)
-	link := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeout: 2000, SafetyMargin: 200, MaxHold: 5000},
+	node := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeout: 2000, SafetyMargin: 200, MaxHold: 5000},
 		router)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := listen(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
 	running, end := context.WithCancel(context.Background())
-	go link.Run(running, listener)
-	defer func() { end(); <-link.Ended() }()
+	go node.Run(running, listener)
+	defer func() { end(); <-node.Ended() }()
 	conn, err := grpc.NewClient("passthrough:///"+listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeConnection(conn.Target(), conn)
 	select {
-	case <-asked: // an order that comes before has it ask for one lease alone
+	case <-asked: // an order that comes before makes it ask for one lease alone
 	case <-ctx.Done():
-		t.Fatal("it doesn't ask where leases stand")
+		t.Fatal("it doesn't ask for the latest tokens")
 	}
 	out := &strings.Builder{}
 	for n, order := range readRecorded(t, "orders.jsonl", receiver+"Act") {
@@ -398,7 +384,7 @@
 	compareGolden(t, filepath.Join(recordedBy, "orders.golden"), out.String())
 }
 
-// A lease holder of this version takes the verdict of an earlier receiver.
+// A lease holder of this version accepts the verdict of an earlier receiver.
 func TestRecordedVerdict_IsAccepted(t *testing.T) {
 	verdicts := readRecorded(t, "responses.jsonl", receiver+"Act")
 	address := serveEarlier(t, func(method string, _ []byte) ([][]byte, error) {
@@ -411,7 +397,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeConnection(conn.Target(), conn)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
 	v, err := fleetpb.NewReceiverClient(conn).Act(ctx, &fleetpb.Order{Duty: "sight/0"})
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -21,18 +21,20 @@
 	"wayloft/internal/fleetpb"
 )
 
-// patience is how long a test waits for what must come; it says nothing of how long that takes.
-const patience = 60 * time.Second
+// testTimeout is how long a test waits for what must come; it says nothing of how long that takes.
+const testTimeout = 60 * time.Second
 
-// house is a coordinator of three on sockets.
-type house struct {
-	t     *testing.T
-	addrs []string
-	ends  []func()
+// testCoordinator is a coordinator of three nodes on sockets.
+type testCoordinator struct {
+	t         *testing.T
+	addresses []string
+	stops     []func()
 }
 
-func found(t *testing.T) *house {
-	h := &house{t: t}
+// startCoordinator starts a coordinator until the test ends.
+func startCoordinator(t *testing.T) *testCoordinator {
+	t.Helper()
+	h := &testCoordinator{t: t}
 	var peers []decide.Peer
 	var listeners []net.Listener
 	for n := range 3 {
@@ -40,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		listeners, h.addrs = append(listeners, l), append(h.addrs, l.Addr().String())
+		listeners, h.addresses = append(listeners, l), append(h.addresses, l.Addr().String())
 		peers = append(peers, decide.Peer{Name: fmt.Sprint("c", n+1), Addr: l.Addr().String()})
 	}
 	for n, p := range peers {
@@ -48,87 +50,96 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.ends = append(h.ends, run(func(ctx context.Context) { c.Run(ctx, listeners[n]) }))
+		h.stops = append(h.stops, run(func(ctx context.Context) {
+			if err := c.Run(ctx, listeners[n]); err != nil {
+				t.Error(err)
+			}
+		}))
 	}
 	t.Cleanup(func() {
-		for _, end := range h.ends {
-			end()
+		for _, stop := range h.stops {
+			stop()
 		}
 	})
 	return h
 }
 
-// run has something run until the function that it gives is called, which waits for its end.
+// run runs f until the function that it returns is called, which waits for f's end.
 func run(f func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(ended)
 		f(ctx)
 	}()
 	return sync.OnceFunc(func() {
 		cancel()
-		<-over
+		<-ended
 	})
 }
 
-// plain is a router that has nothing but a policy.
-type plain struct {
-	loop  chan func()
-	heard chan policy.Version
-	mu    sync.Mutex
-	doc   policy.Document
-	wont  error
+// policyRouter is a router that has nothing but a policy.
+type policyRouter struct {
+	loop     chan func()
+	applied  chan policy.Version
+	mu       sync.Mutex
+	document policy.Document
+	failure  error // of ApplyPolicy
 }
 
-func (p *plain) Post(f func())                     { p.loop <- f }
-func (p *plain) Now() float64                      { return 0 }
-func (p *plain) Groups() map[int][]fleet.Member    { return nil }
-func (p *plain) HealthCheck(string)                {}
-func (p *plain) PeerReported(healthshare.Report)   {}
-func (p *plain) HoldWrites(int, float64)           {}
-func (p *plain) Writes(int) (running, waiting int) { return 0, 0 }
-func (p *plain) set(wont error)                    { p.mu.Lock(); p.wont = wont; p.mu.Unlock() }
-func (p *plain) ApplyPolicy(v policy.Version, d policy.Document) error {
+func (p *policyRouter) Post(f func())                     { p.loop <- f }
+func (p *policyRouter) Now() float64                      { return 0 }
+func (p *policyRouter) Groups() map[int][]fleet.Member    { return nil }
+func (p *policyRouter) HealthCheck(string)                {}
+func (p *policyRouter) PeerReported(healthshare.Report)   {}
+func (p *policyRouter) HoldWrites(int, float64)           {}
+func (p *policyRouter) Writes(int) (running, waiting int) { return 0, 0 }
+func (p *policyRouter) fail(err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failure = err
+}
+func (p *policyRouter) ApplyPolicy(v policy.Version, d policy.Document) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wont != nil {
-		return p.wont
+	if p.failure != nil {
+		return p.failure
 	}
-	p.doc = d
-	p.heard <- v
+	p.document = d
+	p.applied <- v
 	return nil
 }
 
-// shelf is a store in memory.
-type shelf struct {
-	mu      sync.Mutex
-	version policy.Version
-	doc     policy.Document
-	saved   chan policy.Version
+// memoryStore is a store in memory.
+type memoryStore struct {
+	mu       sync.Mutex
+	version  policy.Version
+	document policy.Document
+	saved    chan policy.Version
 }
 
-func (s *shelf) Load() (policy.Version, policy.Document, error) {
+func (s *memoryStore) Load() (policy.Version, policy.Document, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, maps.Clone(s.doc), nil
+	return s.version, maps.Clone(s.document), nil
 }
 
-func (s *shelf) Save(v policy.Version, d policy.Document) error {
+func (s *memoryStore) Save(v policy.Version, d policy.Document) error {
 	s.mu.Lock()
-	s.version, s.doc = v, d
+	s.version, s.document = v, d
 	s.mu.Unlock()
 	s.saved <- v
 	return nil
 }
 
-func (h *house) join(name string, s fleet.Store) (*plain, func()) {
-	p := &plain{loop: make(chan func(), 100), heard: make(chan policy.Version, 1000)}
+// join starts a router of this name, and gives what ends it.
+func (h *testCoordinator) join(name string, s fleet.Store) (*policyRouter, func()) {
+	p := &policyRouter{loop: make(chan func(), 100), applied: make(chan policy.Version, 1000)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	link := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addrs, Address: l.Addr().String(), SessionTimeout: 2000, SafetyMargin: 200,
+	node := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addresses, Address: l.Addr().String(), SessionTimeout: 2000, SafetyMargin: 200,
 		PolicyRate: 1 << 20, Store: s}, p)
 	loop := run(func(ctx context.Context) {
 		for {
@@ -140,37 +151,38 @@
 			}
 		}
 	})
-	work := run(func(ctx context.Context) { link.Run(ctx, l) })
+	work := run(func(ctx context.Context) { node.Run(ctx, l) })
 	end := sync.OnceFunc(func() { work(); loop() })
 	h.t.Cleanup(end)
 	return p, end
 }
 
-// until waits for a router to go by a version, or a later one.
-func (p *plain) until(t *testing.T, v policy.Version) {
+// until waits for a router to apply a version, or a later one.
+func (p *policyRouter) until(t *testing.T, v policy.Version) {
 	t.Helper()
-	late := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
-		case got := <-p.heard:
+		case got := <-p.applied:
 			if got.Packed() >= v.Packed() {
 				return
 			}
-		case <-late:
-			t.Fatalf("%s was never gone by", v)
+		case <-timeout:
+			t.Fatalf("%s was never applied", v)
 		}
 	}
 }
 
-func propose(t *testing.T, ctx context.Context, c *fleet.Client, change func(policy.Document)) policy.Version {
+// propose puts a change in force.
+func propose(ctx context.Context, t *testing.T, c *fleet.Client, change func(policy.Document)) policy.Version {
 	t.Helper()
-	now, err := c.Policy(ctx)
+	current, err := c.Policy(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := maps.Clone(now.Document)
+	next := maps.Clone(current.Document)
 	change(next)
-	a, err := c.Propose(ctx, policy.Propose(now.Version, now.Document, next, "tester", "a reason"))
+	a, err := c.Propose(ctx, policy.Propose(current.Version, current.Document, next, "tester", "a reason"))
 	if err != nil || !a.Held {
 		t.Fatal(a, err)
 	}
@@ -182,43 +194,43 @@
 	return after.Version
 }
 
-// Over sockets: a change comes to every router, small ones with the watch and large ones in parts; each says what it goes by; one
-// that can't says why; one that was away comes back with what it kept, and to what is in force.
-func TestPolicyOverSockets(t *testing.T) {
-	h := found(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Over sockets: a change is applied by every router, small ones with the watch and large ones in parts; each router acknowledges what it
+// has applied; one that can't apply it reports why; one that was down starts with what it stored, and comes to what is in force.
+func TestPolicy_OverSockets(t *testing.T) {
+	h := startCoordinator(t)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	client := fleet.NewClient("f", h.addrs, nil)
+	client := fleet.NewClient("f", h.addresses, nil)
 	defer client.Close()
 
-	kept := &shelf{saved: make(chan policy.Version, 1000)}
-	var all []*plain
-	var ends []func()
+	store := &memoryStore{saved: make(chan policy.Version, 1000)}
+	var routers []*policyRouter
+	var stops []func()
 	for n := range 4 {
 		var s fleet.Store
 		if n == 0 {
-			s = kept
+			s = store
 		}
-		p, end := h.join(fmt.Sprint("r", n+1), s)
-		all, ends = append(all, p), append(ends, end)
+		p, stop := h.join(fmt.Sprint("r", n+1), s)
+		routers, stops = append(routers, p), append(stops, stop)
 	}
-	first := propose(t, ctx, client, func(d policy.Document) { d["over_share_value"] = "0.2" })
-	for _, p := range all {
+	first := propose(ctx, t, client, func(d policy.Document) { d["over_share_value"] = "0.2" })
+	for _, p := range routers {
 		p.until(t, first)
 	}
-	large := propose(t, ctx, client, func(d policy.Document) {
+	large := propose(ctx, t, client, func(d policy.Document) {
 		for n := range 2000 {
 			d[fmt.Sprintf("tenants.customer-%05d.rate", n)] = policy.FormatNumber(float64(n*7919%100000) / 10)
 		}
 	})
-	for n, p := range all {
+	for n, p := range routers {
 		p.until(t, large)
-		if p.mu.Lock(); p.doc.Hash() != large.Hash {
-			t.Errorf("router %d goes by another document", n+1)
+		if p.mu.Lock(); p.document.Hash() != large.Hash {
+			t.Errorf("router %d has applied another document", n+1)
 		}
 		p.mu.Unlock()
 	}
-	told := func(name string, right func(*fleetpb.Session) bool) { // each look waits for a majority
+	acknowledged := func(name string, expected func(*fleetpb.Session) bool) { // each request waits for a majority
 		t.Helper()
 		for {
 			s, err := client.State(ctx)
@@ -226,17 +238,17 @@
 				t.Fatal(err)
 			}
 			for _, one := range s.State.Sessions {
-				if one.Name == name && right(one) {
+				if one.Name == name && expected(one) {
 					return
 				}
 			}
 		}
 	}
-	for n := range all {
-		told(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Packed() && s.Wont == 0 })
+	for n := range routers {
+		acknowledged(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Packed() && s.Wont == 0 })
 	}
 
-	// A proposal from what is no longer in force, and one of fields that can't be changed.
+	// A proposal made from a version that is no longer in force, and one of fields that can't be changed.
 	if a, err := client.Propose(ctx, policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")); err != nil ||
 		a.Held || !strings.Contains(a.Why, "is in force") {
 		t.Error(a, err)
@@ -246,34 +258,34 @@
 		t.Error(a, err)
 	}
 
-	// One is away while things change, and one can't take a version.
-	for v := range kept.saved {
+	// One router is down during a change, and one can't apply a version.
+	for v := range store.saved {
 		if v == large {
 			break
 		}
 	}
-	ends[0]()
-	all[1].set(errors.New("no memory for this"))
-	next := propose(t, ctx, client, func(d policy.Document) { d["over_share_value"] = "0.4" })
-	all[2].until(t, next)
-	told("r2", func(s *fleetpb.Session) bool {
+	stops[0]()
+	routers[1].fail(errors.New("no memory for this"))
+	next := propose(ctx, t, client, func(d policy.Document) { d["over_share_value"] = "0.4" })
+	routers[2].until(t, next)
+	acknowledged("r2", func(s *fleetpb.Session) bool {
 		return s.Policy == large.Packed() && s.Wont == next.Packed() && s.Why == "no memory for this"
 	})
-	back, _ := h.join("r1", kept)
-	if v := <-back.heard; v != large {
-		t.Errorf("came back with %s, kept %s", v, large)
+	back, _ := h.join("r1", store)
+	if v := <-back.applied; v != large {
+		t.Errorf("started with %s, stored %s", v, large)
 	}
 	back.until(t, next)
-	told("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
+	acknowledged("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
 }
 
-// deaf leads a coordinator, and gives no answer to the first that asks.
-type deaf struct {
+// slowLeader leads a coordinator, and gives no response to the first request.
+type slowLeader struct {
 	fleetpb.UnimplementedCouncilServer
 	asked chan bool
 }
 
-func (d *deaf) Look(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.State, error) {
+func (d *slowLeader) Look(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.State, error) {
 	select {
 	case <-d.asked:
 		return &fleetpb.State{Epoch: 7}, nil
@@ -284,33 +296,40 @@
 	}
 }
 
-// names is another process of it, who always says who leads.
-type names struct {
+// follower is another node of it, which always names the leader.
+type follower struct {
 	fleetpb.UnimplementedCouncilServer
 	leader string
 }
 
-func (n *names) Look(context.Context, *fleetpb.Empty) (*fleetpb.State, error) {
-	return &fleetpb.State{Moved: true, Leader: "c1", Address: n.leader}, nil
+func (f *follower) Look(context.Context, *fleetpb.Empty) (*fleetpb.State, error) {
+	return &fleetpb.State{Moved: true, Leader: "c1", Address: f.leader}, nil
 }
 
-// A leader that gave no answer once is asked again, though others answer meanwhile and say that it leads.
-func TestAsksAgain(t *testing.T) {
+// A leader that gave no response once is asked again, as long as the other nodes name it.
+func TestClient_StateAsksTheLeaderAgainAfterATimeout(t *testing.T) {
 	serve := func(c fleetpb.CouncilServer) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := grpc.NewServer()
-		fleetpb.RegisterCouncilServer(s, c)
-		go s.Serve(l)
-		t.Cleanup(s.Stop)
+		server := grpc.NewServer()
+		fleetpb.RegisterCouncilServer(server, c)
+		stop := run(func(context.Context) {
+			if err := server.Serve(l); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+				t.Error(err)
+			}
+		})
+		t.Cleanup(func() {
+			server.Stop()
+			stop()
+		})
 		return l.Addr().String()
 	}
-	leader := serve(&deaf{asked: make(chan bool)})
-	client := fleet.NewClient("f", []string{leader, serve(&names{leader: leader}), serve(&names{leader: leader})}, nil)
+	leader := serve(&slowLeader{asked: make(chan bool)})
+	client := fleet.NewClient("f", []string{leader, serve(&follower{leader: leader}), serve(&follower{leader: leader})}, nil)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if s, err := client.State(ctx); err != nil || s.Epoch != 7 {
 		t.Error(s, err)
--- /dev/null
+++ b/internal/fleet/storefailures_test.go
@@ -0,0 +1,126 @@
+//go:build debug
+
+package fleet
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/failpoint"
+)
+
+// copyStore gives a store as a process that is killed now leaves it.
+func copyStore(t *testing.T, store *PolicyStore) *PolicyStore {
+	t.Helper()
+	left := &PolicyStore{Dir: t.TempDir(), Fleet: store.Fleet}
+	names, err := filepath.Glob(store.path("*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		b, err := os.ReadFile(name)
+		if err == nil {
+			err = os.WriteFile(left.path(filepath.Base(name)), b, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return left
+}
+
+// Each write, sync and rename of a save fails, once and three times in a row, with ENOSPC and EIO: the version before is there, or this,
+// also after a kill in between; the next save succeeds.
+func TestPolicyStore_EachOperationFails(t *testing.T) {
+	// Syncs are of the file and of the directory, renames to the previous generation and to the latest.
+	for point, operations := range map[string]int{"policy.write": 1, "policy.sync": 2, "policy.rename": 2} {
+		for at := 1; at <= operations; at++ {
+			for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
+				for _, run := range []int{1, 3} {
+					t.Run(fmt.Sprint(point, " ", at, " ", refused, " ", run), func(t *testing.T) {
+						store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
+						saveVersions(t, store, 1, 2)
+						for range run {
+							count := 0
+							restore := failpoint.SetOperationError(point, func(string) error {
+								if count++; count == at {
+									return refused
+								}
+								return nil
+							})
+							d := policy.Document{"tenants.acme.rate": "3"}
+							err := store.Save(testVersion(3, d), d)
+							restore()
+							if err == nil && count >= at {
+								t.Fatal("a save that failed gave no error")
+							}
+							for _, left := range []*PolicyStore{copyStore(t, store), store} {
+								if v, got, err := left.Load(); err != nil || v.Number < 2 || v.Number > 3 || got["tenants.acme.rate"] != fmt.Sprint(v.Number) {
+									t.Fatalf("%v, %v, %v", v, got, err)
+								}
+							}
+						}
+						saveVersions(t, store, 4)
+						requireLoaded(t, copyStore(t, store), 4)
+					})
+				}
+			}
+		}
+	}
+}
+
+// A save that fails is retried until the store has the version, or a later one.
+func TestSavePolicy_RetriesUntilStored(t *testing.T) {
+	var failing atomic.Bool
+	tried := make(chan struct{}, 100)
+	defer failpoint.SetOperationError("policy.write", func(string) error {
+		tried <- struct{}{}
+		if failing.Load() {
+			return syscall.ENOSPC
+		}
+		return nil
+	})()
+	store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
+	node := &Node{settings: Settings{Store: store}, inbox: make(chan func()), stopped: make(chan struct{}), policies: &policyState{}}
+	defer close(node.stopped)
+	advance := func(now float64) { // as the event loop does
+		node.savePolicy(now)
+		if node.policies.saving {
+			<-tried
+			(<-node.inbox)()
+		}
+	}
+	decide := func(number uint64) {
+		d := policy.Document{"tenants.acme.rate": fmt.Sprint(number)}
+		node.policies.toSave = &policy.Decision{Version: testVersion(number, d), Document: d}
+	}
+	decide(1)
+	advance(node.now())
+	requireLoaded(t, store, 1)
+	failing.Store(true)
+	decide(2)
+	for range 3 {
+		advance(max(node.now(), node.policies.saveRetry.Due()))
+		if node.policies.toSave == nil || !node.policies.saveRetry.Failing() {
+			t.Fatal("the save is given up")
+		}
+		requireLoaded(t, store, 1)
+	}
+	node.savePolicy(node.policies.saveRetry.Due() - 1)
+	if node.policies.saving {
+		t.Error("retried before the backoff ended")
+	}
+	decide(3) // in place of the one that failed
+	advance(node.policies.saveRetry.Due())
+	failing.Store(false)
+	advance(node.policies.saveRetry.Due())
+	requireLoaded(t, store, 3)
+	if node.policies.toSave != nil || node.policies.saveRetry.Failing() {
+		t.Error("the save is not over")
+	}
+}
