--- a/cmd/wayloft/join.go
+++ b/cmd/wayloft/join.go
@@ -33,11 +33,11 @@
 	}
 	s.listed = map[string]discovery.Entry{}
 	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Council, AddressOverrides: f.Via, ListenAddress: f.Orders,
-		Address: cmp.Or(f.Known, listener.Addr().String()), SessionTimeout: float64(f.Session), SafetyMargin: float64(f.Margin), HealthSharePeriod: float64(f.Sight),
-		MaxHold: float64(f.MostHeld), ClockOffset: float64(f.ClockAhead), AuditLog: rec}
+		Address: cmp.Or(f.Known, listener.Addr().String()), SessionTimeoutMs: float64(f.Session), SafetyMarginMs: float64(f.Margin), HealthSharePeriodMs: float64(f.Sight),
+		MaxHoldMs: float64(f.MostHeld), ClockOffsetMs: float64(f.ClockAhead), AuditLog: rec}
 	if h := f.Handover; h != nil {
 		set.SwitchoverEnabled = true
-		set.Switchover = switchover.Settings{MaxHold: float64(h.Hold), DrainTimeout: float64(h.Wait), StepTimeout: float64(h.Step)}
+		set.Switchover = switchover.Settings{MaxHoldMs: float64(h.Hold), DrainTimeoutMs: float64(h.Wait), StepTimeoutMs: float64(h.Step)}
 		set.Adapter = adapter(h)
 	}
 	if f.Policy != "" {
--- a/internal/decide/policy/fetch.go
+++ b/internal/decide/policy/fetch.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	partBytes        = 1 << 10 // compressed: small, so that a second in which several parts come isn't far above any other
-	requestOverhead  = 300     // bytes that a request and its response take besides the part, headers included; assumed
-	firstFetchSpread = 500.0   // ms over which a first request is delayed at random: routers that start or see a change together must not ask together
-	minRetryDelay    = 200.0   // ms until the first retry; doubled with each
-	maxRetryDelay    = 2000.0  // ms
+	partBytes          = 1 << 10 // compressed: small, so that a second in which several parts come isn't far above any other
+	requestOverhead    = 300     // bytes that a request and its response take besides the part, headers included; assumed
+	firstFetchSpreadMs = 500.0   // ms over which a first request is delayed at random: routers that start or see a change together must not ask together
+	minRetryDelayMs    = 200.0   // ms until the first retry; doubled with each
+	maxRetryDelayMs    = 2000.0  // ms
 
 	// maxCompressedBytes bounds all parts together: compressing the longest content must not make more than this of it.
 	maxCompressedBytes = 2 * MaxHistoryBytes
@@ -25,7 +25,7 @@
 // scheduleFetch has the first part requested after a random delay, unless a request is in flight or due already.
 func (f *Follower) scheduleFetch() {
 	if !f.fetching && math.IsInf(f.nextFetch, 1) {
-		f.nextFetch = math.Max(f.now+firstFetchSpread*f.random.Next(), f.allowedAt)
+		f.nextFetch = math.Max(f.now+firstFetchSpreadMs*f.random.Next(), f.allowedAt)
 	}
 }
 
@@ -35,12 +35,12 @@
 		f.resetFetch()
 		return
 	}
-	f.retryDelay = math.Min(math.Max(2*f.retryDelay, minRetryDelay), maxRetryDelay)
-	f.nextFetch = math.Max(f.now+f.retryDelay*(1-f.random.Next()/2), f.allowedAt)
+	f.retryDelayMs = math.Min(math.Max(2*f.retryDelayMs, minRetryDelayMs), maxRetryDelayMs)
+	f.nextFetch = math.Max(f.now+f.retryDelayMs*(1-f.random.Next()/2), f.allowedAt)
 }
 
 // resetFetch forgets the parts fetched so far.
-func (f *Follower) resetFetch() { f.partial, f.nextFetch, f.retryDelay = Part{}, math.Inf(1), 0 }
+func (f *Follower) resetFetch() { f.partial, f.nextFetch, f.retryDelayMs = Part{}, math.Inf(1), 0 }
 
 // needsFetch tells whether the document of the latest announced version isn't here.
 func (f *Follower) needsFetch() bool {
@@ -88,7 +88,7 @@
 	if len(f.partial.Bytes) == f.partial.Total {
 		f.finishFetch()
 	} else {
-		f.retryDelay = 0
+		f.retryDelayMs = 0
 	}
 }
 
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -80,12 +80,12 @@
 	acknowledgePending bool
 	storePending       bool
 
-	fetching   bool    // a request is in flight
-	needsFull  bool    // the full document must be fetched
-	partial    Part    // the parts fetched so far
-	nextFetch  float64 // when the next request is due; infinite: none is
-	allowedAt  float64 // when the rate allows another request
-	retryDelay float64
+	fetching     bool    // a request is in flight
+	needsFull    bool    // the full document must be fetched
+	partial      Part    // the parts fetched so far
+	nextFetch    float64 // when the next request is due; infinite: none is
+	allowedAt    float64 // when the rate allows another request
+	retryDelayMs float64
 
 	Stale          int // announcements of versions older than a known one
 	HashMismatches int // documents that were dropped because their hash didn't fit
--- a/internal/decide/switchover/executor.go
+++ b/internal/decide/switchover/executor.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	countInterval       = 10.0 // ms between two commands to a router whose writes are still running
+	countIntervalMs     = 10.0 // ms between two commands to a router whose writes are still running
 	maxCommandFailures  = 3    // of a command to one router, which is passed over from then on
 	maxPriorFailures    = 6    // of the command before ReleaseWrites, beyond which a router isn't asked to release
 	maxRestoreAttempts  = 3    // of promoting the old primary again
@@ -147,9 +147,9 @@
 	switch {
 	case outcome == Failed && (e.phase == phaseStepDown || e.phase == phasePromote):
 		e.undo(why)
-	case e.phase == phasePromote && elapsed > promoteTimeout*e.settings.MaxHold, e.phase == phaseStepDown && elapsed > e.settings.MaxHold:
+	case e.phase == phasePromote && elapsed > promoteTimeout*e.settings.MaxHoldMs, e.phase == phaseStepDown && elapsed > e.settings.MaxHoldMs:
 		e.undo("not done in time: " + why)
-	case e.phase == phaseRollback && e.stage == stageFirst && elapsed > rollbackTimeout*e.settings.MaxHold:
+	case e.phase == phaseRollback && e.stage == stageFirst && elapsed > rollbackTimeout*e.settings.MaxHoldMs:
 		// Whether the new primary was promoted only it can tell: promoting the old one again might make two that accept writes.
 		e.end("stuck: nobody can tell whether " + e.newPrimary + " takes writes, and " + e.oldPrimary + " takes none; an operator must look: " + why)
 	case e.phase == phaseRollback && e.stage == stageSecond && e.attempts >= maxRestoreAttempts: // all that can be done has been
@@ -256,7 +256,7 @@
 
 // commandMember has a member take a step, unless its answer is awaited or the pause after an attempt isn't over.
 func (e *Executor) commandMember(member string, step MemberStep) {
-	if e.awaiting || e.attempts > 0 && e.now-e.stageStarted < e.settings.StepTimeout/retryPausesPerStep {
+	if e.awaiting || e.attempts > 0 && e.now-e.stageStarted < e.settings.StepTimeoutMs/retryPausesPerStep {
 		return
 	}
 	e.awaiting = true
--- a/internal/decide/switchover/executor_test.go
+++ b/internal/decide/switchover/executor_test.go
@@ -36,7 +36,7 @@
 func startExecutor(t testingT, c *cluster) {
 	t.Helper()
 	c.token++
-	executor, err := NewExecutor(Settings{MaxHold: 3000, DrainTimeout: 1000, StepTimeout: 300}, FormatOrder("m2"), c.steps, 0, c.now)
+	executor, err := NewExecutor(Settings{MaxHoldMs: 3000, DrainTimeoutMs: 1000, StepTimeoutMs: 300}, FormatOrder("m2"), c.steps, 0, c.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,8 +176,8 @@
 	}
 	commands := 0
 	at := play(func(c *cluster, d Decision) {
-		if d.Command == HoldWrites && d.MaxHold != 3000 {
-			t.Fatalf("asked to hold for %v", d.MaxHold)
+		if d.Command == HoldWrites && d.MaxHoldMs != 3000 {
+			t.Fatalf("asked to hold for %v", d.MaxHoldMs)
 		}
 		running := 3
 		if c.now > 200 {
--- a/internal/decide/switchover/holds.go
+++ b/internal/decide/switchover/holds.go
@@ -10,8 +10,8 @@
 // WriteHolds is a router's part in switchovers: which groups' writes it holds, and until when. A switchover is identified by its fencing
 // token's epoch and its order's number; for one switchover writes are never held longer than the bound, however often that is asked for.
 type WriteHolds struct {
-	maxHold float64
-	holds   map[int]writeHold // by group
+	maxHoldMs float64
+	holds     map[int]writeHold // by group
 }
 
 type writeHold struct {
@@ -22,7 +22,7 @@
 
 // NewWriteHolds makes a router's part; maxHold is the longest, in ms, that it holds writes for one switchover.
 func NewWriteHolds(maxHold float64) *WriteHolds {
-	return &WriteHolds{maxHold: maxHold, holds: map[int]writeHold{}}
+	return &WriteHolds{maxHoldMs: maxHold, holds: map[int]writeHold{}}
 }
 
 // Hold gives the time until which a group's writes are held, by the same clock as now; 0: they are not. A bound that is negative or not a
@@ -37,7 +37,7 @@
 	if math.IsNaN(bound) || bound < 0 {
 		bound = 0
 	}
-	until = now + math.Min(bound, w.maxHold)
+	until = now + math.Min(bound, w.maxHoldMs)
 	w.holds[group] = writeHold{epoch: token.Epoch, number: number, until: until}
 	return until
 }
--- a/internal/decide/switchover/orders_test.go
+++ b/internal/decide/switchover/orders_test.go
@@ -13,7 +13,7 @@
 func TestOrderState_OutlivesAGapUnderOneToken(t *testing.T) {
 	var state OrderState
 	token := lease.Token{Epoch: 1, Count: 4}
-	settings := Settings{MaxHold: 3000, DrainTimeout: 1000, StepTimeout: 300}
+	settings := Settings{MaxHoldMs: 3000, DrainTimeoutMs: 1000, StepTimeoutMs: 300}
 	state.BeginLease(token)
 	order := leasestate.Order{Number: 2, Text: FormatOrder("m2")}
 	executor, err := state.StartOrder(settings, order, []leasestate.Step{{Text: "yield m1 m2"}}, 0)
--- a/internal/decide/switchover/routers.go
+++ b/internal/decide/switchover/routers.go
@@ -41,7 +41,7 @@
 // long enough. The old primary itself rejects what still runs then.
 func (e *Executor) writesDrained() bool {
 	pending := 0
-	timedOut := e.now-e.stageStarted > e.settings.DrainTimeout
+	timedOut := e.now-e.stageStarted > e.settings.DrainTimeoutMs
 	for _, name := range slices.Sorted(maps.Keys(e.routers)) {
 		r := e.routers[name]
 		switch {
@@ -52,7 +52,7 @@
 			e.commandRouter(name, r, HoldWrites)
 		case r.holding && r.running > 0 && !timedOut:
 			pending++
-			if e.now-r.commandedAt >= countInterval {
+			if e.now-r.commandedAt >= countIntervalMs {
 				e.commandRouter(name, r, CountWrites)
 			}
 		}
@@ -83,5 +83,5 @@
 		r.failures = 0
 	}
 	r.command, r.awaiting, r.commandedAt = command, true, e.now
-	e.decisions = append(e.decisions, Decision{Action: CommandRouter, Target: name, Command: command, MaxHold: e.settings.MaxHold})
+	e.decisions = append(e.decisions, Decision{Action: CommandRouter, Target: name, Command: command, MaxHoldMs: e.settings.MaxHoldMs})
 }
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -31,9 +31,9 @@
 
 // Settings are the bounds of a switchover. Times are ms.
 type Settings struct {
-	MaxHold      float64 // the longest that a router holds writes
-	DrainTimeout float64 // the part of MaxHold for which running writes are waited for
-	StepTimeout  float64 // for one step at a member, or one command to a router
+	MaxHoldMs      float64 // the longest that a router holds writes
+	DrainTimeoutMs float64 // the part of MaxHold for which running writes are waited for
+	StepTimeoutMs  float64 // for one step at a member, or one command to a router
 }
 
 // Action is the kind of a Decision.
@@ -81,13 +81,13 @@
 
 // Decision is one thing for the caller to do; only the fields of its Action are set.
 type Decision struct {
-	Action  Action
-	Text    string        // RecordStep, EndOrder
-	Target  string        // CommandRouter: a router; CommandMember: a member
-	Command RouterCommand // CommandRouter
-	MaxHold float64       // CommandRouter: the longest that the router holds writes, in ms
-	Step    MemberStep    // CommandMember
-	Rank    uint64        // CommandMember: orders steps under one fencing token; the member refuses a lower rank as it does a lower token
+	Action    Action
+	Text      string        // RecordStep, EndOrder
+	Target    string        // CommandRouter: a router; CommandMember: a member
+	Command   RouterCommand // CommandRouter
+	MaxHoldMs float64       // CommandRouter: the longest that the router holds writes, in ms
+	Step      MemberStep    // CommandMember
+	Rank      uint64        // CommandMember: orders steps under one fencing token; the member refuses a lower rank as it does a lower token
 }
 
 // Phase is where a switchover is. Its text is how steps start in the replicated state, followed by the old and the new primary.
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -156,7 +156,7 @@
 		router.groups[group] = nil
 	}
 	// The session timeout is such that no call is given up while the machine is busy.
-	node := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{coordinator}, SessionTimeout: 100000, SafetyMargin: 200}, router)
+	node := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{coordinator}, SessionTimeoutMs: 100000, SafetyMarginMs: 200}, router)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
 	defer func() { cancel(); <-node.Ended() }()
--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -44,7 +44,7 @@
 	listed := map[int]bool{}
 	for group := range groups {
 		listed[group] = true
-		if n.settings.HealthSharePeriod > 0 {
+		if n.settings.HealthSharePeriodMs > 0 {
 			wanted[healthshare.LeaseName(group)] = true
 		}
 		if n.settings.SwitchoverEnabled {
--- a/internal/fleet/groups_test.go
+++ b/internal/fleet/groups_test.go
@@ -31,10 +31,10 @@
 // The router is asked for its groups once for each change of its list, and an earlier answer never replaces a later one.
 func TestNode_GroupsAreReadOnlyAfterAChange(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool, 100)}
-	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, router)
+	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}, router)
 	node.leases.Leave() // it sends no requests to a coordinator
 	for range 20 {
-		node.settings.ClockOffset += 1000
+		node.settings.ClockOffsetMs += 1000
 		node.advance()
 	}
 	if n := len(node.routerCalls); n != 1 {
@@ -58,7 +58,7 @@
 // Each change of the list is noticed.
 func TestNode_GroupsAreReadAfterEachChange(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool)}
-	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, router)
+	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}, router)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
 	<-router.asked
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -34,7 +34,7 @@
 }
 
 func (n *Node) startHealthSharing(name string, token lease.Token, group int) {
-	sharer := &healthSharer{group: group, token: token, prober: healthshare.NewProber(n.settings.HealthSharePeriod), unanswered: map[string]bool{}}
+	sharer := &healthSharer{group: group, token: token, prober: healthshare.NewProber(n.settings.HealthSharePeriodMs), unanswered: map[string]bool{}}
 	sharer.prober.Advance(n.now())
 	n.setMembers(sharer)
 	n.healthSharers[name] = sharer
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -64,7 +64,7 @@
 func (s *sessionCoordinator) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
 	t.Helper()
 	router := &fakeRouter{asked: make(chan bool, 100)}
-	node := newNode(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeout: timeoutMs, SafetyMargin: timeoutMs / 10}, router, started)
+	node := newNode(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeoutMs: timeoutMs, SafetyMarginMs: timeoutMs / 10}, router, started)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
 	t.Cleanup(func() { cancel(); <-node.Ended() })
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -354,7 +354,7 @@
 func TestRecordedOrders_AreApplied(t *testing.T) {
 	router := &recordingRouter{fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
 	asked, respond := respondToRouter(t)
-	node := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeout: 2000, SafetyMargin: 200, MaxHold: 5000},
+	node := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeoutMs: 2000, SafetyMarginMs: 200, MaxHoldMs: 5000},
 		router)
 	listener := listen(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -63,24 +63,24 @@
 
 // Settings of a Node.
 type Settings struct {
-	Fleet             string
-	Name              string              // of this process, unique in the fleet
-	Kind              string              // of this process: "router"
-	Coordinators      []string            // addresses of coordinator nodes
-	AddressOverrides  map[string]string   // addresses to reach processes by, by their names
-	ListenAddress     string              // for orders
-	Address           string              // for orders, as other processes are told; empty: ListenAddress
-	SessionTimeout    float64             // ms
-	SafetyMargin      float64             // ms that a lease holder stops before its lease ends
-	HealthSharePeriod float64             // ms between two checks of a member as lease holder; 0: this process acquires no lease for it
-	SwitchoverEnabled bool                // this process acquires switchover leases
-	Switchover        switchover.Settings // as lease holder
-	Adapter           *Adapter            // as lease holder of a switchover
-	MaxHold           float64             // ms that writes are held here for one switchover at the most
-	ClockOffset       float64             // ms that this process's clock is ahead, for tests
-	AuditLog          *audit.Log
-	PolicyRate        float64 // bytes a second that fetching the policy may take; 0: 2560
-	Store             Store   // of the policy; nil: none
+	Fleet               string
+	Name                string              // of this process, unique in the fleet
+	Kind                string              // of this process: "router"
+	Coordinators        []string            // addresses of coordinator nodes
+	AddressOverrides    map[string]string   // addresses to reach processes by, by their names
+	ListenAddress       string              // for orders; the listener itself is given to Run
+	Address             string              // for orders, as the session announces it to other processes
+	SessionTimeoutMs    float64             // after which a silent session ends
+	SafetyMarginMs      float64             // by which a lease holder stops before its lease ends
+	HealthSharePeriodMs float64             // between two checks of a member as lease holder; 0: this process acquires no lease for it
+	SwitchoverEnabled   bool                // this process acquires switchover leases
+	Switchover          switchover.Settings // as lease holder
+	Adapter             *Adapter            // as lease holder of a switchover
+	MaxHoldMs           float64             // the longest that writes are held here for one switchover
+	ClockOffsetMs       float64             // by which this process's clock is ahead, for tests
+	AuditLog            *audit.Log
+	PolicyRate          float64 // bytes a second that fetching the policy may take; 0: 2560
+	Store               Store   // of the policy; nil: none
 }
 
 // Node is a process's connection to its fleet. Its fields belong to its event loop, the goroutine of Run, unless they say otherwise.
@@ -143,14 +143,14 @@
 		orderStates:   map[string]*switchover.OrderState{},
 		connections:   map[string]*grpc.ClientConn{},
 		policies:      newPolicyState(settings, seed),
-		writeHolds:    switchover.NewWriteHolds(settings.MaxHold),
+		writeHolds:    switchover.NewWriteHolds(settings.MaxHoldMs),
 	}
 	n.leases = leaseclient.New(leaseclient.Settings{
 		Name:           settings.Name,
 		Kind:           settings.Kind,
 		Address:        settings.Address,
-		SessionTimeout: settings.SessionTimeout,
-		SafetyMargin:   settings.SafetyMargin,
+		SessionTimeout: settings.SessionTimeoutMs,
+		SafetyMargin:   settings.SafetyMarginMs,
 		Incarnation:    uint64(max(0, started.UnixMilli())),
 		Seed:           seed,
 	})
@@ -211,7 +211,7 @@
 func (n *Node) Ended() <-chan struct{} { return n.ended }
 
 // now is the time in ms by a clock that never goes back.
-func (n *Node) now() float64 { return rpc.Boottime() + n.settings.ClockOffset }
+func (n *Node) now() float64 { return rpc.Boottime() + n.settings.ClockOffsetMs }
 
 // milliseconds is a duration given in ms.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -133,7 +133,7 @@
 
 // fetchPolicyPart asks a coordinator node for a part of the policy.
 func (n *Node) fetchPolicyPart(request policy.Request, preferWatched bool) {
-	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeout/2))
+	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/2))
 	defer cancel()
 	part, err := n.client.policyPart(ctx, request, preferWatched)
 	n.post(func() {
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	node := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addresses, Address: l.Addr().String(), SessionTimeout: 2000, SafetyMargin: 200,
+	node := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addresses, Address: l.Addr().String(), SessionTimeoutMs: 2000, SafetyMarginMs: 200,
 		PolicyRate: 1 << 20, Store: s}, p)
 	loop := run(func(ctx context.Context) {
 		for {
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -31,7 +31,7 @@
 		return
 	}
 	n.background.Go(func() {
-		ctx, cancel := context.WithTimeout(n.ctx, failpoint.Duration("order.ends", milliseconds(n.settings.SessionTimeout/2)))
+		ctx, cancel := context.WithTimeout(n.ctx, failpoint.Duration("order.ends", milliseconds(n.settings.SessionTimeoutMs/2)))
 		defer cancel()
 		verdict, err := fleetpb.NewReceiverClient(conn).Act(ctx, order)
 		n.post(func() {
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -85,7 +85,7 @@
 
 // request sends a request to the coordinator. A quarter of the session timeout leaves time for retries.
 func (n *Node) request(d leaseclient.Decision) {
-	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeout/4))
+	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/4))
 	defer cancel()
 	if d.Action == leaseclient.QueryTokens {
 		tokens, err := n.client.LatestTokens(ctx, d.Leases)
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -114,7 +114,7 @@
 	entry := leasestate.Entry{Kind: leasestate.CompleteOrder, Number: ended.Number, Text: truncateText(ended.Text)}
 	n.proposeNote(task, entry, func(recorded bool) {
 		n.post(func() {
-			task.reportEndAt = n.now() + n.settings.SessionTimeout/4
+			task.reportEndAt = n.now() + n.settings.SessionTimeoutMs/4
 			if recorded {
 				task.orders.EndReported(ended.Number)
 				task.reportEndAt = 0
@@ -148,7 +148,7 @@
 		var result leasestate.Result
 		var err error
 		for range maxRecordAttempts { // repeating does no harm: a step that is recorded twice says the same
-			ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeout))
+			ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs))
 			result, err = n.client.ProposeEntry(ctx, entry)
 			cancel()
 			if err == nil || n.ctx.Err() != nil {
@@ -218,7 +218,7 @@
 	order := &fleetpb.Order{Duty: task.name, About: task.name, Holder: n.settings.Name, Fence: rpc.EncodeToken(task.token), Hold: &fleetpb.Hold{
 		Group:  int64(task.group),
 		Number: task.number,
-		MostMs: d.MaxHold,
+		MostMs: d.MaxHoldMs,
 		Ends:   d.Command == switchover.ReleaseWrites,
 		Looks:  d.Command == switchover.CountWrites,
 	}}
--- a/internal/lab/fleet/simulation/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -230,7 +230,7 @@
 		if !known || d.Holder != p.Name || d.Token != h.fence {
 			return
 		}
-		owner, err := p.desk.StartOrder(switchover.Settings{MaxHold: holdFor, DrainTimeout: holdFor / 3, StepTimeout: 300}, d.Open, d.Steps, p.clock())
+		owner, err := p.desk.StartOrder(switchover.Settings{MaxHoldMs: holdFor, DrainTimeoutMs: holdFor / 3, StepTimeoutMs: 300}, d.Open, d.Steps, p.clock())
 		if err != nil {
 			p.w.wrong("%s: %v", p.Name, err)
 		}
@@ -366,7 +366,7 @@
 			case switchover.ReleaseWrites:
 				to.guests.Release(0, h.fence, h.number)
 			case switchover.HoldWrites:
-				until = to.guests.Hold(0, h.fence, h.number, d.MaxHold, w.Now+1)
+				until = to.guests.Hold(0, h.fence, h.number, d.MaxHoldMs, w.Now+1)
 			}
 			if d.Command != switchover.CountWrites {
 				to.carrier.hear(func(r *router.Router) { r.HoldWrites(0, until) })
--- a/internal/lab/scale/routers.go
+++ b/internal/lab/scale/routers.go
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		o.link = fleet.New(fleet.Settings{Fleet: s.Fleet, Name: name, Kind: "router", Coordinators: s.Council, AddressOverrides: s.Via, Address: listener.Addr().String(),
-			SessionTimeout: s.SessionMs, SafetyMargin: s.SessionMs / 10, HealthSharePeriod: s.SightMs, MaxHold: 5000}, o)
+			SessionTimeoutMs: s.SessionMs, SafetyMarginMs: s.SessionMs / 10, HealthSharePeriodMs: s.SightMs, MaxHoldMs: 5000}, o)
 		r.all = append(r.all, o)
 		if s.PaceMs > 0 {
 			time.Sleep(time.Duration(s.PaceMs * float64(time.Millisecond)))
