--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -32,7 +32,7 @@
 type Report struct {
 	Member   string
 	Started  float64 // when the member was started, as the list has it; 0: long ago
-	Position float64 // 0: the member told none
+	Position float64 // 0: the member gave none
 	Primary  bool
 	Replica  bool
 	At       float64 // when the check was answered, by the clock of the process that made it
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -21,7 +21,7 @@
 // SeededDefects are defects that tests switch on to show that checkers find them. The program never sets one.
 type SeededDefects struct {
 	SkipHashCheck       bool // accepts a full document whatever its hash
-	AcceptOlderVersions bool // follows the coordinator node that was heard last
+	AcceptOlderVersions bool // follows whichever coordinator node announced last
 	SkipBaseCheck       bool // applies a difference to whatever document it has
 	TrustStored         bool // takes what was stored for what is in force
 	AcknowledgeEarly    bool // acknowledges a version before the router has applied it
--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// passThrough stands for decompression.
+// passThrough is a decompression that changes nothing.
 func passThrough(b []byte, limit int) ([]byte, error) {
 	if len(b) > limit {
 		return nil, errors.New("too long")
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -37,7 +37,7 @@
 
 	mu      sync.Mutex
 	conns   map[string]*grpc.ClientConn // by address
-	leader  string                      // address of the leader, as was heard last
+	leader  string                      // address of the leader, as far as is known
 	watched string                      // address of the node that is watched, or was last
 }
 
@@ -62,6 +62,7 @@
 	Err     error // usually a gRPC status
 }
 
+// Error gives the text that operators see; it has the word for the coordinator that commands and settings have.
 func (e *CoordinatorError) Error() string {
 	return fmt.Sprintf("council at %s: %s", e.Address, status.Convert(e.Err).Message())
 }
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -16,7 +16,8 @@
 // routerKind is the kind of the sessions of routers.
 const routerKind = "router"
 
-// sendOrder sends an order to a process. done is called on the event loop with its answer; the lease client is told of a rejection.
+// sendOrder sends an order to a process. done is called on the event loop with its answer; the lease client takes a rejection in. On the wire an
+// order names its lease Duty and its fencing token Fence.
 func (n *Node) sendOrder(to leaseclient.Session, order *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
 	if to.Name == n.settings.Name { // this process
 		go func() { // ends with the event loop at the latest
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// responded reports whether the coordinator has responded to a request; if not, the lease client is told so.
+// responded reports whether the coordinator has responded to a request; if not, the lease client takes that in.
 func (n *Node) responded(d leaseclient.Decision, err error) bool {
 	n.leases.Advance(n.now())
 	if err != nil {
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// A stored policy in which any one byte has changed is not gone by; the version before it is.
+// A stored policy in which any one byte has changed is not loaded; the version before it is.
 func TestStoredPolicy_CorruptedIsRefused(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join(storedBy, "loaded.golden"))
 	if err != nil {
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -33,7 +33,7 @@
 	orders      *switchover.OrderState
 	number      uint64               // of the order that is carried out
 	executor    *switchover.Executor // of that order; nil: none is carried out
-	reportEndAt float64              // when the coordinator may be told again how the last order ended
+	reportEndAt float64              // when the end of the last order may be reported again
 	ctx         context.Context      // of the order that is carried out
 	cancel      context.CancelFunc
 }
