--- a/internal/rpc/clock_test.go
+++ b/internal/rpc/clock_test.go
@@ -20,7 +20,7 @@
 // stepped. In the packages of the coordinator and its clients the wall clock is read in two places: for the number of a start, and for
 // the first epoch.
 func TestWallClockIsReadInTwoPlaces(t *testing.T) {
-	want := []string{"fleet.newLink: UnixMilli", "rpc.EpochAt: Unix"}
+	want := []string{"fleet.newNode: UnixMilli", "rpc.EpochAt: Unix"}
 	var got []string
 	for _, dir := range []string{".", "../fleet", "../coordinator", "../decide/leaseclient", "../decide/raftnode", "../decide/lease", "../decide/leasestate"} {
 		paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
