--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -28,8 +28,7 @@
 	}
 	select {
 	case n.inbox <- takeIn:
-	default:
-		n.droppedCalls.Add(1)
+	default: // too many calls wait: the next check will do
 	}
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -102,7 +102,6 @@
 	groupsAsked    int           // how often it was
 	groupsReceived int           // the latest of these that was answered
 	routerCalls    chan func()   // calls for the router's event loop, in order
-	droppedCalls   atomic.Int64  // calls that found no room; any goroutine
 
 	wantedLeases  map[string]bool                   // leases to acquire, of groups that are listed
 	healthSharers map[string]*healthSharer          // by lease, while it is held
@@ -111,8 +110,7 @@
 	connections   map[string]*grpc.ClientConn       // to other processes, by address
 	policies      *policyState
 
-	writeHolds     *switchover.WriteHolds // of this process as a receiver of orders
-	reportsApplied atomic.Int64           // reports that were received from other processes
+	writeHolds *switchover.WriteHolds // of this process as a receiver of orders
 
 	givesOrders  atomic.Bool // a lease is held: the sessions of those who receive orders must be known
 	mu           sync.Mutex
@@ -232,7 +230,6 @@
 	case n.routerCalls <- f:
 		return true
 	default:
-		n.droppedCalls.Add(1)
 		return false
 	}
 }
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -155,7 +155,6 @@
 			verdict.Kind, verdict.Why = fleetpb.Verdict_UNSOUND, err.Error()
 			continue
 		}
-		n.reportsApplied.Add(1)
 		n.router.PeerReported(report)
 	}
 }
