--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -36,7 +36,7 @@
 // serveCoordinator serves a fakeCoordinator until the test ends, and gives its address.
 func serveCoordinator(t *testing.T, do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)) string {
 	t.Helper()
-	checks := rpc.Server("lab")
+	checks := rpc.NewInterceptors("lab")
 	server := grpc.NewServer(grpc.ChainUnaryInterceptor(checks.Unary))
 	fleetpb.RegisterCouncilServer(server, &fakeCoordinator{do: do})
 	return serveUntilEnd(t, server)
@@ -172,22 +172,22 @@
 			if !leases[name] {
 				t.Fatal("not asked:", name)
 			}
-			for v := lease.Unknown; v == lease.Unknown; { // until the response has come
+			for v := lease.NotLearned; v == lease.NotLearned; { // until the response has come
 				node.post(func() {
-					v, _ := node.leases.Check(lease.Scope{Lease: name, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
+					v, _ := node.leases.Check(lease.Scope{Lease: name, Subject: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
 					verdicts <- v
 				})
-				if v = <-verdicts; v != lease.Old && v != lease.Unknown {
+				if v = <-verdicts; v != lease.Stale && v != lease.NotLearned {
 					t.Fatalf("%s: an order under a token below the latest was %v", name, v)
 				}
 			}
 		}
 	}
 	node.post(func() {
-		v, _ := node.leases.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
+		v, _ := node.leases.Check(lease.Scope{Lease: healthshare.LeaseName(163), Subject: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
 		verdicts <- v
 	})
-	if v := <-verdicts; v != lease.Taken {
+	if v := <-verdicts; v != lease.Accepted {
 		t.Error("an order under the latest token was", v)
 	}
 	if calls += len(asked); calls != 2 {
--- a/internal/fleet/groups_test.go
+++ b/internal/fleet/groups_test.go
@@ -32,7 +32,7 @@
 func TestNode_GroupsAreReadOnlyAfterAChange(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool, 100)}
 	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}, router)
-	node.leases.Leave() // it sends no requests to a coordinator
+	node.leases.Shutdown() // it sends no requests to a coordinator
 	for range 20 {
 		node.settings.ClockOffsetMs += 1000
 		node.advance()
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -45,7 +45,7 @@
 	} else if e.Kind == leasestate.OpenSession {
 		s.refused <- a
 	}
-	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: rpc.EncodeToken(a.Fence)}, nil
+	return &fleetpb.Answer{Held: a.Held, Why: a.Refusal, Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
 }
 
 // receive gives what comes from a channel, or ends the test if nothing comes.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -145,7 +145,7 @@
 	}
 	n.leases = leaseclient.New(leaseclient.Settings{
 		Name:           settings.Name,
-		Kind:           settings.Kind,
+		Role:           settings.Kind,
 		Address:        settings.Address,
 		SessionTimeout: settings.SessionTimeoutMs,
 		SafetyMargin:   settings.SafetyMarginMs,
@@ -182,7 +182,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var leaveTimedOut <-chan time.Time
-	for !n.leases.Left() {
+	for !n.leases.ShutdownComplete() {
 		select {
 		case f := <-n.inbox:
 			f()
@@ -196,7 +196,7 @@
 			leave = nil
 			leaveTimedOut = time.After(leaveTimeout)
 			n.leases.Advance(n.now())
-			n.leases.Leave()
+			n.leases.Shutdown()
 		case <-leaveTimedOut:
 			return
 		}
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -46,7 +46,7 @@
 		peers = append(peers, decide.Peer{Name: fmt.Sprint("c", n+1), Addr: l.Addr().String()})
 	}
 	for n, p := range peers {
-		c, err := coordinator.Open(coordinator.Settings{Fleet: "f", Name: p.Name, Dir: t.TempDir(), Address: p.Addr, Peers: peers, Tick: 20, Keep: 1000, Connections: 100})
+		c, err := coordinator.Open(coordinator.Settings{Fleet: "f", Name: p.Name, Dir: t.TempDir(), Address: p.Addr, Peers: peers, Tick: 20, SnapshotInterval: 1000, MaxConnections: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -250,11 +250,11 @@
 
 	// A proposal made from a version that is no longer in force, and one of fields that can't be changed.
 	if a, err := client.Propose(ctx, policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")); err != nil ||
-		a.Held || !strings.Contains(a.Why, "is in force") {
+		a.Held || !strings.Contains(a.Refusal, "is in force") {
 		t.Error(a, err)
 	}
 	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Packed(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
-		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(a.Why, "txn_types.order.level: ") || !strings.Contains(a.Why, "listen: ") {
+		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(a.Refusal, "txn_types.order.level: ") || !strings.Contains(a.Refusal, "listen: ") {
 		t.Error(a, err)
 	}
 
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -34,7 +34,7 @@
 
 // serveOrders starts the server that receives orders of lease holders. Run waits for its end.
 func (n *Node) serveOrders(listener net.Listener) *grpc.Server {
-	checks := rpc.Server(n.settings.Fleet)
+	checks := rpc.NewInterceptors(n.settings.Fleet)
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxOrderBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
@@ -102,30 +102,30 @@
 }
 
 var verdictKinds = map[lease.Verdict]fleetpb.Verdict_Kind{
-	lease.Taken:   fleetpb.Verdict_TAKEN,
-	lease.Old:     fleetpb.Verdict_OLD,
-	lease.Unknown: fleetpb.Verdict_UNKNOWN,
-	lease.Broken:  fleetpb.Verdict_BROKEN,
+	lease.Accepted:    fleetpb.Verdict_TAKEN,
+	lease.Stale:       fleetpb.Verdict_OLD,
+	lease.NotLearned:  fleetpb.Verdict_UNKNOWN,
+	lease.Conflicting: fleetpb.Verdict_BROKEN,
 }
 
 // judgeOrder checks an order's fencing token, and has an order under a valid one applied. done is called once, on any goroutine.
 func (n *Node) judgeOrder(order *fleetpb.Order, done func(*fleetpb.Verdict)) {
 	n.leases.Advance(n.now())
 	token := rpc.DecodeToken(order.Fence)
-	judged, highest := n.leases.Check(lease.Scope{Lease: order.Duty, About: order.About}, order.Holder, token)
+	judged, highest := n.leases.Check(lease.Scope{Lease: order.Duty, Subject: order.About}, order.Holder, token)
 	verdict := &fleetpb.Verdict{Kind: verdictKinds[judged], Highest: rpc.EncodeToken(highest)}
 	fields := audit.Fields{"duty": order.Duty, "about": order.About, "holder": order.Holder, "fence": token.String()}
 	switch judged {
-	case lease.Taken:
+	case lease.Accepted:
 		n.settings.AuditLog.Add("taken", fields)
 		n.applyOrder(order, token, verdict, done)
 		return
-	case lease.Old:
+	case lease.Stale:
 		fields["higher"] = highest.String()
 		n.settings.AuditLog.Add("late", fields)
 		logrus.WithFields(logrus.Fields{"lease": order.Duty, "holder": order.Holder, "token": token, "higher_token": highest}).
 			Warn("rejected an order of a former lease holder")
-	case lease.Broken:
+	case lease.Conflicting:
 		invariant.Check(false, "one fence, one holder")
 	}
 	done(verdict)
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -51,7 +51,7 @@
 		Warn("order rejected: another process holds the lease")
 	n.settings.AuditLog.Add("refused", audit.Fields{"duty": order.Duty, "fence": token.String(), "higher": higher.String(), "by": by})
 	n.leases.Advance(n.now())
-	n.leases.Rejected(order.Duty, higher)
+	n.leases.ActRejected(order.Duty, higher)
 }
 
 // connectionTo gives the connection to a process, which is made if there is none.
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -118,12 +118,12 @@
 // recordResult writes to the logs what the coordinator has made of an entry.
 func (n *Node) recordResult(e leasestate.Entry, result leasestate.Result) {
 	switch {
-	case e.Kind == leasestate.ReportToken && result.Why != "":
-		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Fence, "reason": result.Why}).
+	case e.Kind == leasestate.ReportToken && result.Refusal != "":
+		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
 			Error("the coordinator's state has regressed: a higher fencing token was seen")
-		n.settings.AuditLog.Add("behind", audit.Fields{"duty": e.Lease, "seen": e.Token.String(), "council": result.Fence.String()})
+		n.settings.AuditLog.Add("behind", audit.Fields{"duty": e.Lease, "seen": e.Token.String(), "council": result.Token.String()})
 	case e.Kind == leasestate.OpenSession:
-		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, "why": result.Why, "incarnation": e.Incarnation})
+		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, "why": result.Refusal, "incarnation": e.Incarnation})
 	}
 }
 
@@ -173,7 +173,7 @@
 func (n *Node) updated(message *fleetpb.Update) {
 	n.leases.Advance(n.now())
 	update := rpc.DecodeUpdate(message)
-	n.leases.Watched(update)
+	n.leases.UpdateReceived(update)
 	n.policies.follower.Advance(n.now())
 	for _, p := range update.Policies {
 		n.policies.follower.VersionAnnounced(p.Version, p.Difference)
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -143,7 +143,7 @@
 // with Run's context.
 func (n *Node) proposeNote(task *switchoverTask, entry leasestate.Entry, done func(recorded bool)) {
 	entry.Lease, entry.Token = task.name, task.token
-	entry = n.leases.Entry(entry)
+	entry = n.leases.Signed(entry)
 	go func() {
 		var result leasestate.Result
 		var err error
--- a/internal/storage/ledger_test.go
+++ b/internal/storage/ledger_test.go
@@ -14,20 +14,20 @@
 	"pgregory.net/rapid"
 )
 
-var drawn uint64
+var lastID uint64
 
-func draw() uint64 { drawn++; return drawn }
+func nextID() uint64 { lastID++; return lastID }
 
-func open(t *testing.T, dir string) *Store {
+func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
-	l, err := Open(dir, "f", "c1", draw)
+	l, err := Open(dir, "f", "c1", nextID)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-func store(t *testing.T, l *Store, b Batch) {
+func write(t *testing.T, l *Store, b Batch) {
 	t.Helper()
 	if err := l.Write(b); err != nil {
 		t.Fatal(err)
@@ -41,18 +41,18 @@
 	return all
 }
 
-func TestStoresAndCuts(t *testing.T) {
+func TestStore_WritesAndCompacts(t *testing.T) {
 	dir := t.TempDir()
-	l := open(t, dir)
-	store(t, l, Batch{Records: records(2, 9, "a"), Values: map[string][]byte{"state": []byte("x")}})
-	store(t, l, Batch{Records: records(7, 8, "b")}) // in place of 7 to 9
-	store(t, l, Batch{CompactBelow: 4, Values: map[string][]byte{"state": []byte("y")}})
+	l := openStore(t, dir)
+	write(t, l, Batch{Records: records(2, 9, "a"), Values: map[string][]byte{"state": []byte("x")}})
+	write(t, l, Batch{Records: records(7, 8, "b")}) // in place of 7 to 9
+	write(t, l, Batch{CompactBelow: 4, Values: map[string][]byte{"state": []byte("y")}})
 	folder := l.Identity.StorageID
-	if _, err := Open(dir, "f", "c1", draw); !errors.Is(err, ErrInUse) {
+	if _, err := Open(dir, "f", "c1", nextID); !errors.Is(err, ErrInUse) {
 		t.Errorf("opened twice: %v", err)
 	}
 	l.Close()
-	l = open(t, dir)
+	l = openStore(t, dir)
 	defer l.Close()
 	got, values, err := l.Read()
 	text := string(values["state"])
@@ -65,26 +65,26 @@
 	if len(l.Identity.Incarnations) != 2 || l.Identity.StorageID != folder {
 		t.Errorf("head %+v, folder was %d", l.Identity, folder)
 	}
-	store(t, l, Batch{ReplaceLog: true, Records: records(20, 20, "c")})
+	write(t, l, Batch{ReplaceLog: true, Records: records(20, 20, "c")})
 	if got, _, _ = l.Read(); len(got) != 1 || got[0].Number != 20 {
 		t.Errorf("begun anew: %v", got)
 	}
 }
 
 // A folder of another's, of a later build, cut short anywhere, or changed in its bits is refused with words, never half read.
-func TestRefuses(t *testing.T) {
+func TestOpen_RejectsForeignAndDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
-	l := open(t, dir)
+	l := openStore(t, dir)
 	for n := range uint64(40) {
-		store(t, l, Batch{Records: records(1+n*10, 10+n*10, "some text of a record "), Values: map[string][]byte{"v": bytes.Repeat([]byte{7}, 3000)}})
+		write(t, l, Batch{Records: records(1+n*10, 10+n*10, "some text of a record "), Values: map[string][]byte{"v": bytes.Repeat([]byte{7}, 3000)}})
 	}
 	l.Close()
 	for want, as := range map[string][2]string{`of fleet "f", not of "g"`: {"g", "c1"}, `of "c1", not of "c2"`: {"f", "c2"}} {
-		if _, err := Open(dir, as[0], as[1], draw); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Open(dir, as[0], as[1], nextID); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v", as, err)
 		}
 	}
-	path := filepath.Join(dir, file)
+	path := filepath.Join(dir, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 	damage := func(what string, b []byte) {
 		t.Helper()
 		other := t.TempDir()
-		os.WriteFile(filepath.Join(other, file), b, 0o600)
-		l, err := Open(other, "f", "c1", draw)
+		os.WriteFile(filepath.Join(other, fileName), b, 0o600)
+		l, err := Open(other, "f", "c1", nextID)
 		if err == nil { // what was hit may have been a page that nothing uses
 			got, values, err := l.Read()
 			if l.Close(); err != nil || len(got) != 400 || len(values["v"]) != 3000 || string(got[399].Bytes) != "some text of a record 400" {
@@ -122,20 +122,20 @@
 		b[at] ^= 0x40
 		damage(fmt.Sprint("a bit at ", at), b)
 	}
-	if l, err = Open(dir, "f", "c1", draw); err != nil {
+	if l, err = Open(dir, "f", "c1", nextID); err != nil {
 		t.Fatal("the folder that was refused is changed:", err)
 	}
 	l.Close()
 }
 
 // What is read is what a plain list would hold, whatever was stored in which order and however often it was opened anew.
-func TestAnyBatches(t *testing.T) {
+func TestStore_AnyBatches(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
 		if err != nil {
 			rt.Fatal(err)
 		}
-		l := open(t, dir)
+		l := openStore(t, dir)
 		defer func() { l.Close() }()
 		want := map[uint64]string{}
 		last := uint64(0)
@@ -145,7 +145,7 @@
 			if rapid.Bool().Draw(rt, "cuts") {
 				b.CompactBelow = uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "below"))
 			}
-			store(t, l, b)
+			write(t, l, b)
 			for n := range want {
 				if n >= from {
 					delete(want, n)
@@ -162,7 +162,7 @@
 			}
 			if rapid.Bool().Draw(rt, "reopen") {
 				l.Close()
-				l = open(t, dir)
+				l = openStore(t, dir)
 			}
 		}
 		got, _, err := l.Read()
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -39,19 +39,19 @@
 
 // faultyFile stands between bbolt and the file of an open store.
 type faultyFile struct {
-	t       *testing.T
-	fault   fault
-	count   int
-	struck  bool
-	file    *os.File
-	hook    *func([]byte, int64) (int, error) // that bbolt calls
-	real    func([]byte, int64) (int, error)
-	saved   int // a descriptor of the file while its own leads elsewhere
-	befores []image
+	t          *testing.T
+	fault      fault
+	count      int
+	occurred   bool
+	file       *os.File
+	hook       *func([]byte, int64) (int, error) // that bbolt calls
+	real       func([]byte, int64) (int, error)
+	saved      int // a descriptor of the file while its own leads elsewhere
+	overwrites []overwritten
 }
 
-// image is what stood in the file before it was written over.
-type image struct {
+// overwritten is what stood in the file before it was written over.
+type overwritten struct {
 	offset int64
 	bytes  []byte
 }
@@ -65,7 +65,7 @@
 	faulty := &faultyFile{t: t, fault: f, file: file, hook: writeAt, real: *writeAt, saved: -1}
 	*writeAt = faulty.writeAt
 	if f.kind == failedGrow {
-		faulty.struck = true
+		faulty.occurred = true
 		faulty.misdirect()
 	}
 	return faulty
@@ -103,23 +103,23 @@
 func (f *faultyFile) writeAt(b []byte, offset int64) (int, error) {
 	if f.saved >= 0 { // no sync, and no growth, came before this write
 		f.restore()
-		f.struck = false
+		f.occurred = false
 	}
 	f.count++
 	switch f.fault.kind {
 	case failedWrite:
-		if f.struck = f.count == f.fault.at; f.struck {
+		if f.occurred = f.count == f.fault.at; f.occurred {
 			return 0, f.fault.err
 		}
 	case shortWrite:
-		if f.struck = f.count == f.fault.at; f.struck {
+		if f.occurred = f.count == f.fault.at; f.occurred {
 			n, _ := f.write(b[:len(b)/2], offset)
 			return n, f.fault.err
 		}
 	case failedPageSync, failedRootSync:
 		n, err := f.write(b, offset)
 		if isRoot(offset) == (f.fault.kind == failedRootSync) {
-			f.struck = true
+			f.occurred = true
 			f.misdirect()
 		}
 		return n, err
@@ -133,7 +133,7 @@
 func (f *faultyFile) write(b []byte, offset int64) (int, error) {
 	before := make([]byte, len(b))
 	n, _ := f.file.ReadAt(before, offset)
-	f.befores = append(f.befores, image{offset, before[:n]})
+	f.overwrites = append(f.overwrites, overwritten{offset, before[:n]})
 	return f.real(b, offset)
 }
 
@@ -141,25 +141,25 @@
 func (f *faultyFile) finish() {
 	*f.hook = f.real
 	f.restore()
-	if !f.fault.dropped || !f.struck {
+	if !f.fault.dropped || !f.occurred {
 		return
 	}
-	for n := len(f.befores) - 1; n >= 0; n-- {
-		if f.fault.kind == failedRootSync && !isRoot(f.befores[n].offset) {
+	for n := len(f.overwrites) - 1; n >= 0; n-- {
+		if f.fault.kind == failedRootSync && !isRoot(f.overwrites[n].offset) {
 			break // the pages beneath the root were synced before it was written
 		}
-		if _, err := f.file.WriteAt(f.befores[n].bytes, f.befores[n].offset); err != nil {
+		if _, err := f.file.WriteAt(f.overwrites[n].bytes, f.overwrites[n].offset); err != nil {
 			f.t.Fatal(err)
 		}
 	}
 }
 
-// contents are what a store holds, as plain values.
-type contents map[string]string
+// storeContents are what a store holds, as plain values.
+type storeContents map[string]string
 
-func read(l *Store) (contents, error) {
+func read(l *Store) (storeContents, error) {
 	records, values, err := l.Read()
-	c := contents{}
+	c := storeContents{}
 	for _, r := range records {
 		c[fmt.Sprint(r.Number)] = string(r.Bytes)
 	}
@@ -169,15 +169,15 @@
 	return c, err
 }
 
-// history is the checker: what was acknowledged must be there, and of what was attempted all or nothing.
-type history struct {
+// writeHistory is the checker: what was acknowledged must be there, and of what was attempted all or nothing.
+type writeHistory struct {
 	number             uint64
-	acknowledged, with contents // with: also what was attempted last
-	earlyAcknowledge   bool     // the seeded defect
+	acknowledged, with storeContents // with: also what was attempted last
+	earlyAcknowledge   bool          // the seeded defect
 }
 
-// store stores one more batch, three records and a value that belong together, and in turn drops older ones.
-func (h *history) store(l *Store) error {
+// write stores one more batch, three records and a value that belong together, and in turn drops older ones.
+func (h *writeHistory) write(l *Store) error {
 	h.number++
 	from := h.number * 2 // the third record of the batch before is replaced
 	b := Batch{Records: records(from, from+2, fmt.Sprint("batch ", h.number, " ", string(make([]byte, 700)))), Values: map[string][]byte{"batch": fmt.Append(nil, h.number)}}
@@ -205,7 +205,7 @@
 }
 
 // check judges what is read, and goes on from it.
-func (h *history) check(got contents) error {
+func (h *writeHistory) check(got storeContents) error {
 	if !maps.Equal(got, h.acknowledged) && !maps.Equal(got, h.with) {
 		return fmt.Errorf("batch %s is there, acknowledged was %s; %d values", got["batch"], h.acknowledged["batch"], len(got))
 	}
@@ -213,18 +213,18 @@
 	return nil
 }
 
-// killed opens what a process that was killed at this moment has left.
-func (h *history) killed(t *testing.T, l *Store) error {
+// checkAfterKill opens what a process that was killed at this moment has left.
+func (h *writeHistory) checkAfterKill(t *testing.T, l *Store) error {
 	t.Helper()
 	b, err := os.ReadFile(l.path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, file), b, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fileName), b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	left, err := Open(dir, "f", "c1", draw)
+	left, err := Open(dir, "f", "c1", nextID)
 	if err != nil {
 		return fmt.Errorf("after a kill: %w", err)
 	}
@@ -240,23 +240,23 @@
 	return nil
 }
 
-// suffer has a run of as many commits fail by one fault, with a kill and an opening anew after each. struck: it came to pass.
-func (h *history) suffer(t *testing.T, f fault, run int) (struck bool, err error) {
+// run has a run of as many commits fail by one fault, with a kill and an opening anew after each. struck: it came to pass.
+func (h *writeHistory) run(t *testing.T, f fault, run int) (struck bool, err error) {
 	t.Helper()
 	dir := t.TempDir()
-	l := open(t, dir)
+	l := openStore(t, dir)
 	defer func() { l.Close() }()
 	for range 5 {
-		if err := h.store(l); err != nil {
+		if err := h.write(l); err != nil {
 			t.Fatal(err)
 		}
 	}
 	head := l.Identity
 	for range run {
 		faulty := inject(t, l, f)
-		err := h.store(l)
+		err := h.write(l)
 		faulty.finish()
-		if !faulty.struck { // it took fewer writes
+		if !faulty.occurred { // it took fewer writes
 			if err != nil {
 				return struck, err
 			}
@@ -269,7 +269,7 @@
 		if again := l.Write(Batch{}); !errors.Is(again, ErrUnavailable) {
 			return true, fmt.Errorf("stored on the file that failed: %v", again)
 		}
-		if err := h.killed(t, l); err != nil {
+		if err := h.checkAfterKill(t, l); err != nil {
 			return true, err
 		}
 		if err := l.Reopen(); err != nil {
@@ -283,13 +283,13 @@
 			return true, err
 		}
 	}
-	if err := h.store(l); err != nil {
+	if err := h.write(l); err != nil {
 		return true, err
 	}
 	if fmt.Sprint(l.Identity) != fmt.Sprint(head) {
 		return true, fmt.Errorf("head %+v, was %+v", l.Identity, head)
 	}
-	return struck, h.killed(t, l)
+	return struck, h.checkAfterKill(t, l)
 }
 
 // writeFaults gives each way in which one write of a commit fails.
@@ -320,7 +320,7 @@
 		met = false
 		for _, f := range writeFaults(at) {
 			for _, run := range runs {
-				struck, err := (&history{acknowledged: contents{}}).suffer(t, f, run)
+				struck, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run)
 				if err != nil || !struck && at <= fewest {
 					t.Errorf("%v, %d in a row: struck %v, %v", f, run, struck, err)
 				}
@@ -334,7 +334,7 @@
 func TestStorage_EachSyncFails(t *testing.T) {
 	for _, f := range syncFaults() {
 		for _, run := range runs {
-			if struck, err := (&history{acknowledged: contents{}}).suffer(t, f, run); err != nil || !struck {
+			if struck, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run); err != nil || !struck {
 				t.Errorf("%v, %d in a row: struck %v, %v", f, run, struck, err)
 			}
 		}
@@ -347,7 +347,7 @@
 		if f.kind == failedRootSync && !f.dropped {
 			continue // all of it has come through
 		}
-		if _, err := (&history{acknowledged: contents{}, earlyAcknowledge: true}).suffer(t, f, 1); err == nil {
+		if _, err := (&writeHistory{acknowledged: storeContents{}, earlyAcknowledge: true}).run(t, f, 1); err == nil {
 			t.Errorf("%v: not found", f)
 		}
 	}
@@ -355,13 +355,13 @@
 
 // A file that can't grow is the same.
 func TestStorage_FailsToGrow(t *testing.T) {
-	h := &history{acknowledged: contents{}}
-	l := open(t, t.TempDir())
+	h := &writeHistory{acknowledged: storeContents{}}
+	l := openStore(t, t.TempDir())
 	defer func() { l.Close() }()
 	met := 0
 	for range 60 {
 		faulty := inject(t, l, fault{kind: failedGrow})
-		err := h.store(l)
+		err := h.write(l)
 		faulty.finish()
 		if err == nil {
 			continue
@@ -370,7 +370,7 @@
 		if !errors.Is(err, ErrUnavailable) {
 			t.Fatal(err)
 		}
-		if err := h.killed(t, l); err != nil {
+		if err := h.checkAfterKill(t, l); err != nil {
 			t.Fatal(err)
 		}
 		if err := l.Reopen(); err != nil {
@@ -379,7 +379,7 @@
 		if got, err := read(l); err != nil || h.check(got) != nil {
 			t.Fatal(err, h.check(got))
 		}
-		if err := h.store(l); err != nil {
+		if err := h.write(l); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -391,22 +391,22 @@
 // A folder that somebody else had while it was closed is not gone on with.
 func TestReopen_RefusesAnothersFolder(t *testing.T) {
 	dir := t.TempDir()
-	l := open(t, dir)
-	store(t, l, Batch{Records: records(1, 3, "a")})
+	l := openStore(t, dir)
+	write(t, l, Batch{Records: records(1, 3, "a")})
 	l.close()
-	open(t, dir).Close()
+	openStore(t, dir).Close()
 	if err := l.Reopen(); !errors.Is(err, ErrReplaced) {
 		t.Errorf("after another start: %v", err)
 	}
 	if _, _, err := l.Read(); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("read of a closed one: %v", err)
 	}
-	other := open(t, dir)
+	other := openStore(t, dir)
 	if err := l.Reopen(); !errors.Is(err, ErrInUse) {
 		t.Errorf("while another has it: %v", err)
 	}
 	other.Close()
-	os.Remove(filepath.Join(dir, file))
+	os.Remove(filepath.Join(dir, fileName))
 	if err := l.Reopen(); !errors.Is(err, ErrReplaced) {
 		t.Errorf("after the folder was lost: %v", err)
 	}
