--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/coordinator.go
@@ -24,23 +24,23 @@
 
 // at names a coordinator, for the commands that ask it.
 type at struct {
-	Council []string `help:"Addresses of the council's processes." required:"" placeholder:"ADDR" env:"WAYLOFT_COUNCIL"`
+	Council []string `name:"coordinator" aliases:"council" help:"Addresses of the coordinator nodes." required:"" placeholder:"ADDR" env:"WAYLOFT_COUNCIL"`
 	Fleet   string   `help:"The fleet's name." default:"fleet" env:"WAYLOFT_FLEET"`
 }
 
 func (a *at) client() *fleet.Client { return fleet.NewClient(a.Fleet, a.Council, nil) }
 
 type councilCmd struct {
-	Run     councilRunCmd     `cmd:"" default:"withargs" help:"Serve as one process of the council, until SIGTERM."`
-	Add     councilAddCmd     `cmd:"" help:"Have a process join the council; start it with join = true."`
-	Remove  councilRemoveCmd  `cmd:"" help:"Have a process leave the council."`
-	Status  councilStatusCmd  `cmd:"" help:"Print the council's processes."`
-	Recover councilRecoverCmd `cmd:"" help:"Begin a new epoch, or begin again from one folder where the majority is lost."`
+	Run     councilRunCmd     `cmd:"" default:"withargs" help:"Serve as one coordinator node, until SIGTERM."`
+	Add     councilAddCmd     `cmd:"" help:"Have a node join the coordinator cluster; start it with join = true."`
+	Remove  councilRemoveCmd  `cmd:"" help:"Have a node leave the coordinator cluster."`
+	Status  councilStatusCmd  `cmd:"" help:"Print the coordinator nodes."`
+	Recover councilRecoverCmd `cmd:"" help:"Begin a new epoch, or begin again from one data directory where the quorum is lost."`
 }
 
 type councilRunCmd struct {
 	Config string `help:"Settings, TOML." required:"" type:"existingfile" placeholder:"FILE"`
-	Above  uint64 `help:"An epoch known to have been: a council that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
+	Above  uint64 `help:"An epoch known to have been: a coordinator that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
 }
 
 func readCouncil(path string) (*settings.Council, error) {
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -22,9 +22,9 @@
 const patience = 5 * time.Second
 
 type fleetCmd struct {
-	Status   fleetStatusCmd   `cmd:"" help:"Print who holds what, the sessions and the council."`
-	Release  fleetReleaseCmd  `cmd:"" help:"Have a duty taken from who holds it; the next in the queue gets it."`
-	Handover fleetHandoverCmd `cmd:"" help:"Have another member of a group become its primary, without an error for clients."`
+	Status   fleetStatusCmd   `cmd:"" help:"Print the leases with their holders, the sessions and the coordinator nodes."`
+	Release  fleetReleaseCmd  `cmd:"" help:"Take a lease from its holder; the next in the queue gets it."`
+	Handover fleetHandoverCmd `cmd:"" name:"switchover" aliases:"handover" help:"Have another member of a group become its primary, without an error for clients."`
 }
 
 type fleetStatusCmd struct {
--- a/cmd/wayloft/lab.go
+++ b/cmd/wayloft/lab.go
@@ -11,14 +11,14 @@
 )
 
 type labCmd struct {
-	Up     labUpCmd     `cmd:"" help:"Start a stand-in cluster and a router before it, until interrupted."`
-	Fleet  labFleetCmd  `cmd:"" help:"Start a fleet of processes, council, routers and stand-in members, until interrupted."`
-	Owners labOwnersCmd `cmd:"" help:"Print what owners cost and save: time without one, the council's work, checks, service."`
-	Member labMemberCmd `cmd:"" hidden:"" help:"One stand-in member, as a process."`
-	Idle   labIdleCmd   `cmd:"" help:"Print what a resting session costs in memory."`
-	Still  labStillCmd  `cmd:"" help:"Print what a router costs that nothing is asked of, by members listed and sessions resting."`
-	Fast   labFastCmd   `cmd:"" help:"Print what a router costs where members answer fast: direct and through it, in one run."`
-	Size   labSizeCmd   `cmd:"" help:"Print what each role of an installation costs, at a size: council, routers, sight, discovery, databases."`
+	Up     labUpCmd     `cmd:"" help:"Start a cluster of fake members and a router before it, until interrupted."`
+	Fleet  labFleetCmd  `cmd:"" help:"Start a fleet of processes, coordinator, routers and fake members, until interrupted."`
+	Owners labOwnersCmd `cmd:"" name:"leases" aliases:"owners" help:"Print what leases cost and save: time without a holder, the coordinator's work, health checks, service."`
+	Member labMemberCmd `cmd:"" hidden:"" help:"One fake member, as a process."`
+	Idle   labIdleCmd   `cmd:"" name:"idle-sessions" aliases:"idle" help:"Print what an idle session costs in memory."`
+	Still  labStillCmd  `cmd:"" name:"idle-router" aliases:"still" help:"Print what an idle router costs, by members listed and idle sessions."`
+	Fast   labFastCmd   `cmd:"" name:"latency" aliases:"fast" help:"Print what a router costs where members answer fast: direct and through it, in one run."`
+	Size   labSizeCmd   `cmd:"" name:"scale" aliases:"size" help:"Print what each role of an installation costs, at a size: coordinator, routers, shared health checks, discovery, databases."`
 	Hollow labHollowCmd `cmd:"" hidden:"" help:"Many hollow routers or databases, as one process."`
 }
 
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: ok: %s listens on %s, %d members known, %d txn types\n", c.Config, conf.name, conf.listen,
+	fmt.Printf("%s: ok: %s listens on %s, %d members known, %d request classes\n", c.Config, conf.name, conf.listen,
 		len(conf.known.Entries), len(conf.set.RequestClasses))
 	return nil
 }
@@ -47,12 +47,12 @@
 }
 
 var cli struct {
-	Serve   serveCmd   `cmd:"" help:"Serve until SIGTERM, then answer all that was taken and exit."`
+	Serve   serveCmd   `cmd:"" help:"Serve until SIGTERM, then answer all requests that were taken and exit."`
 	Check   checkCmd   `cmd:"" help:"Read the configuration and say what is wrong with it."`
-	Council councilCmd `cmd:"" help:"The processes that keep the fleet's small state."`
+	Council councilCmd `cmd:"" name:"coordinator" aliases:"council" help:"The coordinator nodes, which keep the fleet's small state."`
 	Fleet   fleetCmd   `cmd:"" help:"What processes of the fleet do as one."`
-	Policy  policyCmd  `cmd:"" help:"What all routers agree on: change it, and see who goes by it."`
-	Lab     labCmd     `cmd:"" help:"Try a router out on loopback, with a stand-in cluster."`
+	Policy  policyCmd  `cmd:"" help:"What all routers agree on: change it, and see which router has applied it."`
+	Lab     labCmd     `cmd:"" help:"Try a router out on loopback, with a cluster of fake members."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
