--- a/router/not_sent_test.go
+++ b/router/not_sent_test.go
@@ -54,7 +54,7 @@
 			if attempts, final = step(now); now < 1300 {
 				before += attempts
 			}
-			if final != nil && (final.Action != SendAttempt || now < 1300 || now > 1300+mostUnsent) {
+			if final != nil && (final.Action != SendAttempt || now < 1300 || now > 1300+maxNotSentPause) {
 				t.Errorf("%d members: decision %d at %.0f", members, final.Action, now)
 			}
 		}
@@ -84,7 +84,7 @@
 		if final == nil || final.Action != RejectRequest || end > 2000 {
 			t.Fatalf("%d members: final decision %v at %.0f", members, final, end)
 		}
-		if most := members * (4 + int((end-1000)/mostUnsent) + 1); all > most {
+		if most := members * (4 + int((end-1000)/maxNotSentPause) + 1); all > most {
 			t.Errorf("%d members: %d attempts in %.0f ms, want %d at most", members, all, end-1000, most)
 		}
 	}
@@ -101,18 +101,18 @@
 	r.ListMember("m", "z", 1, Up, 900)
 	r.EndList(true)
 	m := r.members["m"]
-	m.known, m.checkSent, m.doubted, m.doubtAt, m.passed = true, 1000, true, 900, true
-	bears := func() bool { return m.bucket.Allows(1000, 0, sla, window, 1, func() float64 { return 1 }) }
+	m.known, m.lastCheckSent, m.suspected, m.suspectedAt, m.trialReady = true, 1000, true, 900, true
+	bears := func() bool { return m.slowStartBudget.Allows(1000, 0, sla, window, 1, func() float64 { return 1 }) }
 	if !bears() {
 		t.Fatal("the budget does not bear one")
 	}
 	r.Arrive("t", "", "", "read", 1, 0, 3000, false)
-	if d, _ := r.Next(); d.Action != SendAttempt || bears() || m.passed {
-		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, bears(), m.passed)
+	if d, _ := r.Next(); d.Action != SendAttempt || bears() || m.trialReady {
+		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, bears(), m.trialReady)
 	}
 	r.AttemptEnded("t", 0, NotSent, 0, false, RoleUnknown, Never)
-	if !bears() || !m.passed || m.lastSent != Never || m.down || m.shut || m.bad.Sum != 0 || m.load != 0 {
-		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, shut: %v, failures: %v, load: %v", bears(), m.passed, m.lastSent,
-			m.down, m.shut, m.bad.Sum, m.load)
+	if !bears() || !m.trialReady || m.lastAttemptSent != Never || m.down || m.connectFailed || m.failures.Sum != 0 || m.load != 0 {
+		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, shut: %v, failures: %v, load: %v", bears(), m.trialReady, m.lastAttemptSent,
+			m.down, m.connectFailed, m.failures.Sum, m.load)
 	}
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -112,10 +112,10 @@
 		if p.r == nil {
 			p.r = New(p.set, 1)
 			if !p.unused {
-				p.r.use(p.r.group(1, true))
+				p.r.activate(p.r.findGroup(1, true))
 			}
 		}
-		if due := p.r.alarmAt; due < p.now { // it rang in time, unless the step says that the router stood still
+		if due := p.r.timerAt; due < p.now { // it rang in time, unless the step says that the router stood still
 			if _, paused := o["paused"]; paused {
 				due = p.now
 			}
@@ -170,7 +170,7 @@
 	case "hold":
 		p.r.HoldWrites(1, number(w[1], 0))
 	case "revalue":
-		next := *p.r.set
+		next := *p.r.settings
 		next.RequestClasses, next.Tenants = maps.Clone(next.RequestClasses), maps.Clone(next.Tenants)
 		_, gone := o["gone"]
 		if kind := next.RequestClasses[w[1]]; kind != nil {
@@ -209,8 +209,8 @@
 	}
 	p.r.EndList(w[0] == "whole")
 	if !p.unused { // traffic has had all that are listed asked
-		for _, m := range p.r.group(1, true).members {
-			m.prompt = m.prompt || m.checkSent == Never
+		for _, m := range p.r.findGroup(1, true).members {
+			m.checkRequested = m.checkRequested || m.lastCheckSent == Never
 		}
 	}
 	return nil
@@ -300,8 +300,8 @@
 		if _, ended := pull(at + 990); n > 0 && ended != 1 {
 			t.Fatalf("%d: %d ended, want the one without a group", n, ended)
 		}
-		for name, kept := range map[string]int{"members": len(r.members), "groups": len(r.groups), "used": r.used.Len(),
-			"txns": len(r.txns), "busy": len(r.busy), "waiting": len(r.waiting), "idle": len(r.idle)} {
+		for name, kept := range map[string]int{"members": len(r.members), "groups": len(r.groups), "used": r.activeGroups.Len(),
+			"txns": len(r.requests), "busy": len(r.busyMembers), "waiting": len(r.waiting), "idle": len(r.membersToClose)} {
 			if kept > 2 {
 				t.Fatalf("%d: %d %s are kept", n, kept, name)
 			}
@@ -350,7 +350,7 @@
 		t.Errorf("%d checks, %d with sight", len(alone), len(helped))
 	}
 	back := slices.IndexFunc(quiet, func(at float64) bool { return at > 5000 })
-	if back < 0 || quiet[back] > 4800+restCheck+100 {
+	if back < 0 || quiet[back] > 4800+restingCheckPeriod+100 {
 		t.Errorf("sight went quiet at 4,800; checks: %v", quiet)
 	}
 }
@@ -396,7 +396,7 @@
 			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
 			now := 0.0
 			watch := func() float64 {
-				for ; ; now += beat {
+				for ; ; now += tick {
 					r.Advance(now)
 					r.TimerFired()
 					for d, more := r.Next(); more; d, more = r.Next() {
@@ -419,11 +419,11 @@
 			now = 30000
 			silent := now
 			fail()
-			if asked := watch(); asked-silent > 4000-beat {
+			if asked := watch(); asked-silent > 4000-tick {
 				t.Errorf("within %.0f, seed %d: asked %.0f ms after the first silence", within, seed, asked-silent)
 			}
 			fail()
-			if asked := watch(); asked-silent > 6000-beat {
+			if asked := watch(); asked-silent > 6000-tick {
 				t.Errorf("within %.0f, seed %d: asked %.0f ms after two silences", within, seed, asked-silent)
 			}
 		}
@@ -459,12 +459,12 @@
 	r.Reported("c", Replica, 800)
 	r.HealthChecked("c", Succeeded)
 	for _, m := range r.members {
-		m.checkSent = 995
+		m.lastCheckSent = 995
 	}
 	for _, c := range []struct {
 		kind, to string
 		by       float64
-	}{{"read", "c", 800 + 700 - heldUp}, {"any", "c", math.Inf(1)}, {"put", "p", math.Inf(1)}} {
+	}{{"read", "c", 800 + 700 - maxStall}, {"any", "c", math.Inf(1)}, {"put", "p", math.Inf(1)}} {
 		r.Advance(1000)
 		r.Arrive(c.kind, "", "", c.kind, 1, 0, 2000, false)
 		if to, by := submit(c.kind); to != c.to || by != c.by {
@@ -476,8 +476,8 @@
 	}
 	r.Advance(1100)
 	r.AttemptEnded("put", 0, ServerError, 100, false, Primary, Never)
-	if _, by := submit("put"); by != 1000+900-heldUp {
-		t.Errorf("a repeat by %v, want %v", by, 1900-heldUp)
+	if _, by := submit("put"); by != 1000+900-maxStall {
+		t.Errorf("a repeat by %v, want %v", by, 1900-maxStall)
 	}
 }
 
@@ -545,17 +545,17 @@
 	r := New(set, 1)
 	r.Advance(1000)
 	r.Arrive("open", "acme", "", "dear", 1, 0, 1000, false)
-	open, use, share := r.txns["open"], r.uses[set.RequestClasses["dear"]], r.shares["acme"]
+	open, use, share := r.requests["open"], r.classes[set.RequestClasses["dear"]], r.tenantArrivals["acme"]
 	next := made(3, map[string]float64{"acme": 7, "new": 1})
 	next.RequestClasses["dear"].LateWeightShare = 0
 	r.UpdateSettings(next)
 	r.Arrive("later", "acme", "", "dear", 1, 0, 1000, false)
-	if later := r.txns["later"]; open.value != 100 || open.kind.LateWeightShare != 0.5 || later.value != 300 || later.kind.LateWeightShare != 0 {
-		t.Errorf("the open txn: %v, %v late; the later one: %v, %v", open.value, open.kind.LateWeightShare, later.value, later.kind.LateWeightShare)
+	if later := r.requests["later"]; open.weight != 100 || open.class.LateWeightShare != 0.5 || later.weight != 300 || later.class.LateWeightShare != 0 {
+		t.Errorf("the open txn: %v, %v late; the later one: %v, %v", open.weight, open.class.LateWeightShare, later.weight, later.class.LateWeightShare)
 	}
-	if r.uses[next.RequestClasses["dear"]] != use || r.shares["acme"] != share || r.shares["new"] == nil || r.shares["zeta"] != nil ||
-		len(r.uses) != 3 || len(r.shares) != 2 {
-		t.Errorf("uses %v, shares %v", r.uses, r.shares)
+	if r.classes[next.RequestClasses["dear"]] != use || r.tenantArrivals["acme"] != share || r.tenantArrivals["new"] == nil || r.tenantArrivals["zeta"] != nil ||
+		len(r.classes) != 3 || len(r.tenantArrivals) != 2 {
+		t.Errorf("uses %v, shares %v", r.classes, r.tenantArrivals)
 	}
 }
 
@@ -578,7 +578,7 @@
 		r.Reported("c", Replica, position)
 		r.HealthChecked("c", Succeeded)
 		for _, m := range r.members {
-			m.checkSent = 1000
+			m.lastCheckSent = 1000
 		}
 		return r
 	}
