--- /dev/null
+++ b/router/read.go
@@ -0,0 +1,144 @@
+package router
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+const (
+	askWaitShare     = 8    // a read waits this part of its latency objective for checks made on its behalf
+	spillLimitShare  = 2    // reads may use this part of the primary's limit where all replicas that would do are full
+	failureExponent  = 4    // of the share of successes, in the weight of a member
+	retryDiscount    = 10.0 // a member that has not answered a request is this many times less likely to get it again
+	sameZonePriority = 2.0  // crossing zones has a price; more would overload zones with few members
+)
+
+// readCandidates are the replicas that a read may go to, by what is known of their positions.
+type readCandidates struct {
+	trial     *member   // a suspected member whose trial is due
+	fresh     []*member // known to have the position
+	likely    []*member // seemed to have it, by their replication lag at the last check
+	others    []*member // neither
+	unsure    []*member // not eligible, but seemed to have the position
+	full      bool      // one that has the position is not eligible
+	unchecked bool      // one was never checked
+}
+
+// selectReadMember chooses a member for a request that does not need the primary; nil: it waits.
+func (r *Router) selectReadMember(req *request) *member {
+	found := r.readCandidates(req)
+	if found.trial != nil {
+		return found.trial
+	}
+	if len(found.fresh) > 0 {
+		return r.drawMember(req, found.fresh)
+	}
+	primary := r.primary(req.group)
+	if found.full {
+		// Guards against a shortage of replicas.
+		if found.unchecked || primary == nil || primary.load >= primary.concurrencyLimit/spillLimitShare {
+			return nil
+		}
+		return r.ifEligible(req, primary)
+	}
+	if r.settings.Lag != LagAnswers {
+		return r.selectByLag(req, found, primary)
+	}
+	if found.unchecked || r.waitsForChecks(req, found.unsure) {
+		return nil
+	}
+	return r.ifEligible(req, primary)
+}
+
+// readCandidates sorts the replicas of the request's group by their use for it.
+func (r *Router) readCandidates(req *request) readCandidates {
+	var found readCandidates
+	primary, needed := r.primary(req.group), r.provenPosition(req)
+	for _, m := range req.group.members {
+		eligible, seemsFresh := r.eligible(req, m), r.now-m.replicationLag >= needed
+		switch {
+		case eligible && m.suspected:
+			found.trial = m
+			return found
+		case m == primary || m.suspected || m.draining || m.down || req.misroutedBy(m):
+		case m.lastCheckSent == Never:
+			found.unchecked = r.settings.CanHealthCheck
+		case eligible && m.position >= needed:
+			found.fresh = append(found.fresh, m)
+		case eligible && seemsFresh:
+			found.likely = append(found.likely, m)
+		case eligible:
+			found.others = append(found.others, m)
+		case m.position >= needed:
+			found.full = true
+		case seemsFresh && m.known:
+			found.unsure = append(found.unsure, m)
+		}
+	}
+	return found
+}
+
+// selectByLag chooses where members see to the position themselves: those that seemed fresh enough, at the first attempt the
+// one that lagged least, then the primary.
+func (r *Router) selectByLag(req *request, found readCandidates, primary *member) *member {
+	switch {
+	case len(found.likely) > 0:
+		return r.drawMember(req, found.likely)
+	case found.unchecked:
+		return nil
+	case len(req.attempts) == 0 && len(found.others) > 0:
+		return slices.MinFunc(found.others, func(a, b *member) int { return cmp.Compare(a.replicationLag, b.replicationLag) })
+	}
+	return r.ifEligible(req, primary)
+}
+
+// waitsForChecks tells whether the request waits a moment for the health checks of two members that seemed fresh enough, as
+// waiting operations do (DESIGN). The first call requests the checks.
+func (r *Router) waitsForChecks(req *request, unsure []*member) bool {
+	if len(unsure) > 0 && r.settings.CanHealthCheck && req.checksRequestedAt == Never {
+		req.checksRequestedAt = r.now
+		r.drawMember(req, unsure).requestCheck()
+		r.drawMember(req, unsure).requestCheck()
+		return true
+	}
+	checkPending := func(m *member) bool { return m.checkInFlight && !m.suspected && !m.down }
+	return r.now-req.checksRequestedAt < req.class.LatencyObjective/askWaitShare &&
+		slices.ContainsFunc(req.group.members, checkPending)
+}
+
+// drawMember draws one member at random. The weight of each falls with the square of its smoothed latency times one plus its load.
+func (r *Router) drawMember(req *request, from []*member) *member {
+	var drawn *member
+	highest := Never
+	for _, m := range from {
+		key := math.Log(r.random.Next()) / r.drawWeight(req, m) // Efraimidis and Spirakis: the highest key wins
+		if drawn == nil || key > highest {
+			drawn, highest = m, key
+		}
+	}
+	return drawn
+}
+
+func (r *Router) drawWeight(req *request, m *member) float64 {
+	successes, failures := m.successes.Read(r.now, r.smoothingSpan), m.failures.Read(r.now, r.smoothingSpan)
+	cost := r.latencyRatio(m) * (1 + m.load)
+	// Guards against members that fail or reject quickly, whose latency would draw more requests to them.
+	weight := math.Pow((successes+1)/(successes+failures+1), failureExponent) / (cost * cost)
+	if req.triedAt(m) {
+		weight /= retryDiscount
+	}
+	if m.zone == r.settings.Zone {
+		weight *= sameZonePriority
+	}
+	return weight
+}
+
+// provenPosition is the position that a member must be known to have. Where members answer with whatever they hold, data must be
+// young enough even if this router is stalled before it writes.
+func (r *Router) provenPosition(req *request) float64 {
+	if req.class.Level == Bounded && r.settings.Lag == LagAnswers {
+		return req.minimumPosition(r.now) + maxStall
+	}
+	return req.minimumPosition(r.now)
+}
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -545,7 +545,7 @@
 	r := New(set, 1)
 	r.Advance(1000)
 	r.Arrive("open", "acme", "", "dear", 1, 0, 1000, false)
-	open, use, share := r.requests["open"], r.classes[set.RequestClasses["dear"]], r.tenantArrivals["acme"]
+	open, use, share := r.requests["open"], r.statsByClass[set.RequestClasses["dear"]], r.tenantArrivals["acme"]
 	next := made(3, map[string]float64{"acme": 7, "new": 1})
 	next.RequestClasses["dear"].LateWeightShare = 0
 	r.UpdateSettings(next)
@@ -553,9 +553,9 @@
 	if later := r.requests["later"]; open.weight != 100 || open.class.LateWeightShare != 0.5 || later.weight != 300 || later.class.LateWeightShare != 0 {
 		t.Errorf("the open txn: %v, %v late; the later one: %v, %v", open.weight, open.class.LateWeightShare, later.weight, later.class.LateWeightShare)
 	}
-	if r.classes[next.RequestClasses["dear"]] != use || r.tenantArrivals["acme"] != share || r.tenantArrivals["new"] == nil || r.tenantArrivals["zeta"] != nil ||
-		len(r.classes) != 3 || len(r.tenantArrivals) != 2 {
-		t.Errorf("uses %v, shares %v", r.classes, r.tenantArrivals)
+	if r.statsByClass[next.RequestClasses["dear"]] != use || r.tenantArrivals["acme"] != share || r.tenantArrivals["new"] == nil || r.tenantArrivals["zeta"] != nil ||
+		len(r.statsByClass) != 3 || len(r.tenantArrivals) != 2 {
+		t.Errorf("uses %v, shares %v", r.statsByClass, r.tenantArrivals)
 	}
 }
 
--- a/router/types.go
+++ b/router/types.go
@@ -1,133 +1,79 @@
 package router
 
-// Outcome tells how an attempt or a check ended.
-type Outcome int
-
-const (
-	Succeeded Outcome = iota
-	ServerError
-	Overloaded
-	TimedOut
-	ConnectFailed
-	Reset
-	Canceled
-	NotSent
-	Misrouted
-)
-
-// Effect tells what a repeat of a request does.
-type Effect int
+import "math"
 
-const (
-	Idempotent Effect = iota
-	IdempotentWithKey
-	NonIdempotent
-)
-
-// Level tells which members may take a request.
-type Level int
-
-const (
-	Any Level = iota
-	Bounded
-	Session
-	Fresh
-	Write
-)
+// Never is the time of an event that has not happened, and the position of a report that told none.
+var Never = math.Inf(-1)
 
-// Scope tells which members discard the repeat of a referenced request.
-type Scope int
+// Outcome is how an attempt or a health check ended.
+type Outcome int
 
+// The outcomes. Of an attempt, NotSent and ConnectFailed prove that it did not run, and so do Overloaded and Misrouted;
+// after ServerError, TimedOut, Reset and Canceled it may have run.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeGroup
+	Succeeded     Outcome = iota // the member did what was asked
+	ServerError                  // the member answered with an error
+	Overloaded                   // the member rejected it as one too many
+	TimedOut                     // no answer came in time
+	ConnectFailed                // no connection to the member could be opened
+	Reset                        // the connection broke after the request had been written
+	Canceled                     // taken back by a CancelAttempt decision
+	NotSent                      // ended before its last byte was written, for a cause on this host
+	Misrouted                    // the member is not the primary, or lags too far behind for this read
 )
 
-// Lag tells what a member does with a read that it is too far behind for.
-type Lag int
+// isAnswer tells whether the outcome is an answer of the member itself, whatever it said.
+func (o Outcome) isAnswer() bool {
+	return o == Succeeded || o == ServerError || o == Overloaded || o == Misrouted
+}
 
-const (
-	LagAnswers Lag = iota
-	LagRefuses
-	LagWaits
-)
+// mayHaveRun tells whether an attempt with this outcome may have taken effect though it did not succeed.
+func (o Outcome) mayHaveRun() bool {
+	return o == ServerError || o == TimedOut || o == Reset || o == Canceled
+}
 
-// Role is what an answer or a check says of the member that gave it.
+// Role is what an answer or a health check says of the member that gave it.
 type Role int
 
+// The roles of a member in its group.
 const (
-	RoleUnknown Role = iota
+	RoleUnknown Role = iota // nothing was told
 	Primary
 	Replica
 )
 
-// State is what the list says of a member.
+// State is what the endpoint list says of a member.
 type State int
 
+// The states of a member in the list.
 const (
-	Up State = iota
-	Draining
-	Removed
+	Up       State = iota
+	Draining       // takes no new requests, answers those it has
+	Removed        // takes no new requests and is about to go
 )
 
-// Settings are given at start; Revalue later takes others that differ in values and tenants alone. All times are
-// milliseconds.
-type Settings struct {
-	Routers            int
-	Zone               string
-	PollsList          bool // the list comes only when asked for
-	ListPollTimeout    float64
-	SoftRemoval        bool
-	SlowStartFloor     float64
-	SlowStartDuration  float64
-	OverloadMultiple   float64
-	OverloadWindow     float64
-	MaxAttempts        int // at most, for one request
-	CanHealthCheck     bool
-	CanCancel          bool
-	RetryAfter         float64 // longest wait a client follows; 0 where none may be told
-	Lag                Lag
-	ClientsMarkRetries bool // clients mark the repeats of a request
-	RemembersCommits   bool // session tokens are the router's own memory
-	OverQuotaWeight    float64
-	RequestClasses     map[string]*RequestClass
-	Tenants            map[string]float64 // requests per second within the share, all routers together
-}
-
-type RequestClass struct {
-	LatencyObjective  float64
-	Deadline          float64 // over all tries of a client
-	PriorityWeight    float64
-	LateWeightShare   float64 // share of the value
-	Effect            Effect
-	Scope             Scope
-	IdempotencyWindow float64
-	Level             Level
-	StalenessBound    float64
-}
-
-// Action tells what the host is to do.
+// Action is the kind of a Decision.
 type Action int
 
+// The actions, each with the fields of Decision that it sets.
 const (
-	SendAttempt Action = iota
-	CancelAttempt
-	RejectRequest
-	FailRequest
-	HealthCheck
-	RequestList
-	CloseIdleConnections // the idle connections to a member
-	SetTimer
+	SendAttempt          Action = iota // RequestID, Member, NotAfter, Wait: send the request to the member
+	CancelAttempt                      // RequestID, Attempt: give the attempt up; AttemptEnded follows
+	RejectRequest                      // RequestID, Wait: final response; a retry of the client does no harm
+	FailRequest                        // RequestID: final response; the request may have run
+	HealthCheck                        // Member: check it; HealthChecked follows
+	RequestList                        // ask for the endpoint list; EndList or ListFailed follows
+	CloseIdleConnections               // Member: close the idle connections to it
+	SetTimer                           // Time: call TimerFired then; replaces no earlier timer
 )
 
-// Decision is one thing for the host to do; only the fields of its verb are set.
+// Decision is one thing for the driver to do. Only the fields that its Action names are set.
 type Decision struct {
 	Action    Action
 	RequestID string
 	Member    string
-	Attempt   int     // Revoke: which attempt
-	Wait      float64 // Decline: when to come back; Submit: its time-out, 0 for none
-	NotAfter  float64 // Submit: not written after this
-	Time      float64 // Alarm
+	Attempt   int     // index of the attempt among those of the request, from 0
+	Wait      float64 // ms: RejectRequest: retry-after, 0 if none may be told; SendAttempt: its time-out, 0 for none
+	NotAfter  float64 // when the attempt must have been written at the latest, else it ends as NotSent; +Inf for no limit
+	Time      float64 // when the timer is to fire
 }
