--- a/internal/decide/lastcommit/lastcommit.go
+++ b/internal/decide/lastcommit/lastcommit.go
@@ -4,30 +4,30 @@
 
 import "maps"
 
-const least = 1000 // sessions, before any are looked at to be dropped
+const minPruneSize = 1000 // sessions, before any are looked at to be dropped
 
 // Commits is by session; its zero remembers nothing.
 type Commits struct {
-	at    map[string]float64
-	prune int
+	positions    map[string]float64
+	pruneAbove int
 }
 
-// Of gives a session's last commit, 0 for none.
-func (m *Commits) Of(session string) float64 { return m.at[session] }
+// Position gives a session's last commit, 0 for none.
+func (m *Commits) Position(session string) float64 { return m.positions[session] }
 
-// Full tells whether Drop should be called: it has doubled since the last time.
-func (m *Commits) Full() bool { return len(m.at) > m.prune }
+// PruneDue tells whether Drop should be called: it has doubled since the last time.
+func (m *Commits) PruneDue() bool { return len(m.positions) > m.pruneAbove }
 
-// Add notes a commit at a position.
-func (m *Commits) Add(session string, at float64) {
-	if m.at == nil {
-		m.at = map[string]float64{}
+// Record notes a commit at a position.
+func (m *Commits) Record(session string, at float64) {
+	if m.positions == nil {
+		m.positions = map[string]float64{}
 	}
-	m.at[session] = max(m.at[session], at)
+	m.positions[session] = max(m.positions[session], at)
 }
 
-// Drop forgets commits that every member has by now.
-func (m *Commits) Drop(upTo float64) {
-	maps.DeleteFunc(m.at, func(_ string, at float64) bool { return at <= upTo })
-	m.prune = 2*len(m.at) + least
+// Prune forgets commits that every member has by now.
+func (m *Commits) Prune(upTo float64) {
+	maps.DeleteFunc(m.positions, func(_ string, at float64) bool { return at <= upTo })
+	m.pruneAbove = 2*len(m.positions) + minPruneSize
 }
--- a/internal/decide/slowstart/slowstart.go
+++ b/internal/decide/slowstart/slowstart.go
@@ -5,9 +5,9 @@
 import "math"
 
 const (
-	lapse      = 4.0  // parts of the window, for one of which a share may be sent once it has added up
+	sharesPerWindow      = 4.0  // parts of the window, for one of which a share may be sent once it has added up
 	deviations = 3.8  // standard deviations between the mean and what the rule allows: one full window in ten thousand is over
-	fewCalls   = 30.0 // a budget under it has the wider tolerance
+	smallBudget   = 30.0 // a budget under it has the wider tolerance
 )
 
 // Bucket is what has added up. The zero value is of a member that has just started.
@@ -18,7 +18,7 @@
 
 // allowed is the most calls of mean work in a window that don't break the rule, where the settings allow budget of them.
 func allowed(budget float64) float64 {
-	if budget < fewCalls {
+	if budget < smallBudget {
 		return budget + 3*math.Sqrt(budget) + 3
 	}
 	return budget + 2*math.Sqrt(budget) + 2
@@ -44,8 +44,8 @@
 	if budget := rate * routers * window / size; budget > 0 {
 		rate *= planned(budget, routers) / budget
 	}
-	lasts := window / lapse
-	rate *= lapse / (lapse + 1)
+	lasts := window / sharesPerWindow
+	rate *= sharesPerWindow / (sharesPerWindow + 1)
 	b.level, b.filled = b.level+rate*(now-b.filled), now
 	if over := b.level - rate*lasts - size; over > 0 {
 		b.level -= size * math.Ceil(over/size)
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -66,7 +66,7 @@
 					if routers > 300 || budget > 20 && budget < 200 {
 						least = 0.73 // the tolerance is narrowest against what chance makes of so many that send so little
 					}
-					if mean := float64(sum) / plays; quiet == 0 && mean < 3*budget/(1+1/lapse)*least-1 {
+					if mean := float64(sum) / plays; quiet == 0 && mean < 3*budget/(1+1/sharesPerWindow)*least-1 {
 						t.Errorf("only %.1f in three windows", mean)
 					}
 				})
@@ -90,8 +90,8 @@
 // A share that nobody came for is gone; the next comes in its time.
 func TestAShareLapses(t *testing.T) {
 	none := func() float64 { return 0 }
-	rate := 0.05 * (1 + 1/lapse) // one in 10 s
-	lasts := window / lapse
+	rate := 0.05 * (1 + 1/sharesPerWindow) // one in 10 s
+	lasts := window / sharesPerWindow
 	for _, c := range []struct {
 		at   float64
 		want bool
--- a/internal/decide/timerqueue/turns.go
+++ b/internal/decide/timerqueue/fair.go
@@ -9,7 +9,7 @@
 	ready  Queue[*FairTimer[T]] // by order
 	joined float64
 
-	Taken int // how often the time of one has come
+	Expirations int // how often the time of one has come
 }
 
 // FairTimer is a thing's place; its zero value with Of set has joined nothing.
@@ -23,16 +23,16 @@
 // Len is how many have joined and not left.
 func (q *FairQueue[T]) Len() int { return q.later.Len() + q.ready.Len() }
 
-// Join has one wait for the time that it was set to last, behind all that joined before.
-func (q *FairQueue[T]) Join(t *FairTimer[T]) {
+// Add has one wait for the time that it was set to last, behind all that joined before.
+func (q *FairQueue[T]) Add(t *FairTimer[T]) {
 	q.joined++
 	t.all, t.order = q, q.joined
 	t.later.Of, t.ready.Of = t, t
 	q.later.Put(&t.later, t.at)
 }
 
-// Leave takes one out, if it is in.
-func (q *FairQueue[T]) Leave(t *FairTimer[T]) {
+// Remove takes one out, if it is in.
+func (q *FairQueue[T]) Remove(t *FairTimer[T]) {
 	q.later.Drop(&t.later)
 	q.ready.Drop(&t.ready)
 	t.all = nil
@@ -50,7 +50,7 @@
 // First is the one that joined first among those whose time has come, nil if none has. It stays until it is set anew.
 func (q *FairQueue[T]) First(now float64) *FairTimer[T] {
 	for i := q.later.First(); i != nil && i.At() <= now; i = q.later.First() {
-		q.Taken++
+		q.Expirations++
 		q.later.Drop(i)
 		q.ready.Put(&i.Of.ready, i.Of.order)
 	}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Soonest is the earliest time of all, Inf if there is none.
-func (q *FairQueue[T]) Soonest() float64 {
+// Earliest is the earliest time of all, Inf if there is none.
+func (q *FairQueue[T]) Earliest() float64 {
 	at := math.Inf(1)
 	if i := q.later.First(); i != nil {
 		at = i.At()
--- a/internal/decide/timerqueue/timerqueue_test.go
+++ b/internal/decide/timerqueue/timerqueue_test.go
@@ -65,11 +65,11 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				if at < 0 {
-					q.Join(one)
+					q.Add(one)
 					list = append(list, one)
 				}
 			case 1:
-				if q.Leave(one); at >= 0 {
+				if q.Remove(one); at >= 0 {
 					list = slices.Delete(list, at, at+1)
 				}
 			case 2, 3:
@@ -86,7 +86,7 @@
 				soonest = math.Min(soonest, o.At())
 			}
 			// Of those that are ready the one that joined first counts: they are all due.
-			if got := q.Soonest(); q.Len() != len(list) || got != soonest && (got > now || soonest > now) {
+			if got := q.Earliest(); q.Len() != len(list) || got != soonest && (got > now || soonest > now) {
 				t.Fatalf("%d, the soonest at %v; should be %d, %v", q.Len(), got, len(list), soonest)
 			}
 		}
--- a/router/admission.go
+++ b/router/admission.go
@@ -36,8 +36,8 @@
 // more. It guards against an overload of a few groups that has requests of all others rejected, or hides behind them.
 func (r *Router) relativeSlowShare(g *group, isPrimary bool) float64 {
 	all, own := r.slowResponses.of(isPrimary), g.slowResponses.of(isPrimary)
-	share := math.Max(targetSlowShare, all.All.Read(r.now, maxSmoothingSpan)/math.Max(1, all.Weight.Read(r.now, maxSmoothingSpan)))
-	return own.Value(r.now, maxSmoothingSpan, priorWeight, share) / share
+	share := math.Max(targetSlowShare, all.Total.Read(r.now, maxSmoothingSpan)/math.Max(1, all.Weight.Read(r.now, maxSmoothingSpan)))
+	return own.Estimate(r.now, maxSmoothingSpan, priorWeight, share) / share
 }
 
 // admits decides whether to admit a request, or to let it use a primary (load shedding): the larger its weight for its work
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -134,7 +134,7 @@
 		return
 	}
 	r.busyMembers = slices.DeleteFunc(r.busyMembers, func(other *member) bool { return other == m })
-	if r.refusedConnections.Read(r.now, maxSmoothingSpan) > math.Max(fewRefusals, r.arrivals.Sum/arrivalsPerRefusal) {
+	if r.refusedConnections.Read(r.now, maxSmoothingSpan) > math.Max(fewRefusals, r.arrivals.Value/arrivalsPerRefusal) {
 		r.membersToClose = append(r.membersToClose, m)
 	}
 }
--- a/router/classstats.go
+++ b/router/classstats.go
@@ -70,7 +70,7 @@
 // usualLatency is the smoothed latency of a request class over all members, in ms. Whoever sets a latency objective expects
 // answers well inside it: until some were measured, a quarter of it is assumed.
 func (r *Router) usualLatency(req *request) float64 {
-	return req.stats.latency.Value(r.now, r.smoothingSpan, priorWeight, req.class.LatencyObjective/latencyGuessFactor)
+	return req.stats.latency.Estimate(r.now, r.smoothingSpan, priorWeight, req.class.LatencyObjective/latencyGuessFactor)
 }
 
 // latencyRatio is the member's smoothed latency divided by what is usual.
--- a/router/idle_test.go
+++ b/router/idle_test.go
@@ -61,14 +61,14 @@
 	for len(pull(now)) > 0 { // what was due meanwhile
 		now++
 	}
-	before := r.activeGroups.Taken
+	before := r.activeGroups.Expirations
 	for n := range 50 {
 		now++
 		r.Advance(now)
 		r.Arrive(fmt.Sprint("x", n), "", "", "any", 7, 0, 1000, false)
 		pull(now)
 	}
-	if n := r.activeGroups.Taken - before; n > 100 { // its arrival, and at most one check's end
+	if n := r.activeGroups.Expirations - before; n > 100 { // its arrival, and at most one check's end
 		t.Errorf("50 txns of one group went over groups %d times, of %d in use", n, r.activeGroups.Len())
 	}
 }
--- a/router/membership.go
+++ b/router/membership.go
@@ -94,7 +94,7 @@
 func (r *Router) activate(g *group) {
 	if !g.active {
 		g.active = true
-		r.activeGroups.Join(&g.checkTimer)
+		r.activeGroups.Add(&g.checkTimer)
 	}
 }
 
@@ -165,7 +165,7 @@
 	maps.DeleteFunc(r.groups, func(_ int, g *group) bool {
 		empty := len(g.members) == 0
 		if empty {
-			r.activeGroups.Leave(&g.checkTimer)
+			r.activeGroups.Remove(&g.checkTimer)
 		}
 		return empty
 	})
--- a/router/not_sent_test.go
+++ b/router/not_sent_test.go
@@ -111,8 +111,8 @@
 		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, bears(), m.trialReady)
 	}
 	r.AttemptEnded("t", 0, NotSent, 0, false, RoleUnknown, Never)
-	if !bears() || !m.trialReady || m.lastAttemptSent != Never || m.down || m.connectFailed || m.failures.Sum != 0 || m.load != 0 {
+	if !bears() || !m.trialReady || m.lastAttemptSent != Never || m.down || m.connectFailed || m.failures.Value != 0 || m.load != 0 {
 		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, shut: %v, failures: %v, load: %v", bears(), m.trialReady, m.lastAttemptSent,
-			m.down, m.connectFailed, m.failures.Sum, m.load)
+			m.down, m.connectFailed, m.failures.Value, m.load)
 	}
 }
--- a/router/request.go
+++ b/router/request.go
@@ -63,8 +63,8 @@
 // requiredPosition is the position that a new request must see, whenever it is sent; Never for none.
 func (r *Router) requiredPosition(class *RequestClass, session string, tokenAge float64) float64 {
 	switch {
-	case class.Level == Session && r.settings.RemembersCommits && r.sessionCommits.Of(session) != 0:
-		return r.sessionCommits.Of(session)
+	case class.Level == Session && r.settings.RemembersCommits && r.sessionCommits.Position(session) != 0:
+		return r.sessionCommits.Position(session)
 	case class.Level == Session && tokenAge != 0: // an age below 0 is no error: a commit may be dated a little ahead
 		return r.now - tokenAge
 	case class.Level == Fresh:
@@ -78,7 +78,7 @@
 	class, g := req.class, req.group
 	r.arrivals.Add(r.now, maxSmoothingSpan, 1)
 	req.stats.arrivals.Add(r.now, maxSmoothingSpan, 1)
-	r.smoothingSpan = math.Max(minSmoothingSpan, math.Min(maxSmoothingSpan, smoothingSample*maxSmoothingSpan/r.arrivals.Sum))
+	r.smoothingSpan = math.Max(minSmoothingSpan, math.Min(maxSmoothingSpan, smoothingSample*maxSmoothingSpan/r.arrivals.Value))
 	g.arrivals.Add(r.now, r.smoothingSpan, 1)
 	g.checkTimer.Set(r.now)
 	r.activate(g)
@@ -137,8 +137,8 @@
 
 // rememberCommit keeps the position of a session's last commit, and at times drops those that every member has by now.
 func (r *Router) rememberCommit(session string, position float64) {
-	r.sessionCommits.Add(session, cmp.Or(math.Max(position, 0), r.now)) // no position was told: now
-	if !r.sessionCommits.Full() {
+	r.sessionCommits.Record(session, cmp.Or(math.Max(position, 0), r.now)) // no position was told: now
+	if !r.sessionCommits.PruneDue() {
 		return
 	}
 	least := math.Inf(1)
@@ -147,7 +147,7 @@
 			least = math.Min(least, m.position)
 		}
 	}
-	r.sessionCommits.Drop(least)
+	r.sessionCommits.Prune(least)
 }
 
 func (req *request) needsPrimary() bool { return req.class.Level == Write || req.class.Level == Fresh }
--- a/router/router.go
+++ b/router/router.go
@@ -123,7 +123,7 @@
 	}
 	r.settings, r.statsByClass, r.tenantArrivals = settings, stats, tenants
 	if oldWeight > 0 {
-		r.arrivedWeight.Sum *= newWeight / oldWeight
+		r.arrivedWeight.Value *= newWeight / oldWeight
 	}
 }
 
@@ -184,7 +184,7 @@
 		deadline = r.now
 	}
 	if r.settings.CanHealthCheck {
-		deadline = math.Min(deadline, r.activeGroups.Soonest())
+		deadline = math.Min(deadline, r.activeGroups.Earliest())
 	}
 	for _, m := range r.busyMembers {
 		for _, a := range m.inFlight {
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -43,6 +43,6 @@
 	work := req.class.LatencyObjective
 	r.completedWork.Add(r.now, maxSmoothingSpan, work)
 	span := maxSmoothingSpan * (1 - math.Exp(-math.Max(maxSmoothingSpan/3, r.now-r.startedAt)/maxSmoothingSpan))
-	sum := r.completedWork.Sum
+	sum := r.completedWork.Value
 	r.workRate = math.Max(r.workRate, sum/(1+math.Sqrt(work/sum))/span/r.mostMembersUp)
 }
