--- a/internal/decide/lastcommit/lastcommit.go
+++ b/internal/decide/lastcommit/lastcommit.go
@@ -1,33 +1,33 @@
-// Package lastcommit remembers each session's last commit, where tokens are the router's own memory. It owns that memory and its
-// bound; it must never decide which member has what.
+// Package lastcommit remembers the position of each session's last commit, where session tokens are the router's own memory. It
+// bounds that memory with Prune; which member has which position is for its caller to know.
 package lastcommit
 
 import "maps"
 
-const minPruneSize = 1000 // sessions, before any are looked at to be dropped
+const minPruneSize = 1000 // sessions up to which nothing is pruned
 
-// Commits is by session; its zero remembers nothing.
+// Commits holds positions by session. The zero value is empty.
 type Commits struct {
-	positions    map[string]float64
+	positions  map[string]float64
 	pruneAbove int
 }
 
-// Position gives a session's last commit, 0 for none.
-func (m *Commits) Position(session string) float64 { return m.positions[session] }
+// Position returns the position of a session's last commit, 0 for none.
+func (c *Commits) Position(session string) float64 { return c.positions[session] }
 
-// PruneDue tells whether Drop should be called: it has doubled since the last time.
-func (m *Commits) PruneDue() bool { return len(m.positions) > m.pruneAbove }
+// PruneDue tells whether Prune should be called: the sessions have doubled since the last time.
+func (c *Commits) PruneDue() bool { return len(c.positions) > c.pruneAbove }
 
-// Record notes a commit at a position.
-func (m *Commits) Record(session string, at float64) {
-	if m.positions == nil {
-		m.positions = map[string]float64{}
+// Record takes in a commit of the session. A session's position never goes back.
+func (c *Commits) Record(session string, position float64) {
+	if c.positions == nil {
+		c.positions = map[string]float64{}
 	}
-	m.positions[session] = max(m.positions[session], at)
+	c.positions[session] = max(c.positions[session], position)
 }
 
-// Prune forgets commits that every member has by now.
-func (m *Commits) Prune(upTo float64) {
-	maps.DeleteFunc(m.positions, func(_ string, at float64) bool { return at <= upTo })
-	m.pruneAbove = 2*len(m.positions) + minPruneSize
+// Prune forgets commits up to a position that every member has applied.
+func (c *Commits) Prune(appliedByAll float64) {
+	maps.DeleteFunc(c.positions, func(_ string, position float64) bool { return position <= appliedByAll })
+	c.pruneAbove = 2*len(c.positions) + minPruneSize
 }
--- a/internal/decide/lastcommit/lastcommit_test.go
+++ b/internal/decide/lastcommit/lastcommit_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-func TestRemembersAndDrops(t *testing.T) {
-	var m Commits
+func TestCommits_RecordAndPrune(t *testing.T) {
+	var commits Commits
 	for n := range 5000 {
-		m.Record(fmt.Sprint(n%3000), float64(n+1))
-		if m.PruneDue() {
-			m.Prune(float64(n - 500))
+		commits.Record(fmt.Sprint(n%3000), float64(n+1))
+		if commits.PruneDue() {
+			commits.Prune(float64(n - 500))
 		}
 	}
-	if m.Position("1999") != 5000 || m.Position("2999") != 3000 && m.Position("2999") != 0 {
-		t.Errorf("%v, %v", m.Position("1999"), m.Position("2999"))
+	if commits.Position("1999") != 5000 || commits.Position("2999") != 3000 && commits.Position("2999") != 0 {
+		t.Errorf("%v, %v", commits.Position("1999"), commits.Position("2999"))
 	}
-	if m.Prune(4990); len(m.positions) != 10 || m.Position("0") != 0 || m.PruneDue() {
-		t.Errorf("%d are kept", len(m.positions))
+	if commits.Prune(4990); len(commits.positions) != 10 || commits.Position("0") != 0 || commits.PruneDue() {
+		t.Errorf("%d are kept", len(commits.positions))
 	}
-	if m.Record("1999", 3); m.Position("1999") != 5000 {
+	if commits.Record("1999", 3); commits.Position("1999") != 5000 {
 		t.Error("it went back")
 	}
 }
--- a/internal/decide/random/random.go
+++ b/internal/decide/random/random.go
@@ -1,5 +1,5 @@
-// Package random draws what decisions leave to chance, from a seed and a counter, so that the same inputs give the same
-// decisions again. It owns the sequence; it must never read a clock or the system's randomness.
+// Package random provides a deterministic sequence of random numbers for decisions: the same seed and the same calls give the
+// same decisions again, in tests and simulations. It reads neither a clock nor the system's randomness, and is not for secrets.
 package random
 
 import (
@@ -7,19 +7,24 @@
 	"hash/fnv"
 )
 
-// Source is a sequence of draws; each owner of decisions has its own.
+const (
+	goldenRatio = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio (Fibonacci hashing)
+	mantissa    = 53                 // bits of a float64's mantissa
+)
+
+// Source is a sequence of random numbers. Each owner of decisions has its own; it is not safe for concurrent use.
 type Source struct {
 	Seed  uint64
 	draws uint64
 }
 
-// Next draws a number from 0 up to, but not including, 1.
+// Next returns the next number, uniformly distributed in [0, 1).
 func (s *Source) Next() float64 {
 	s.draws++
-	h := fnv.New64a()
-	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.Seed), s.draws))
-	x := h.Sum64()
-	x ^= x >> 32 // FNV leaves its high bits poor on short inputs
-	x *= 0x9e3779b97f4a7c15
-	return float64(x>>11) / (1 << 53)
+	hash := fnv.New64a()
+	hash.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.Seed), s.draws))
+	bits := hash.Sum64()
+	bits ^= bits >> 32 // FNV leaves its high bits poor on short inputs
+	bits *= goldenRatio
+	return float64(bits>>(64-mantissa)) / (1 << mantissa)
 }
--- a/internal/decide/random/random_test.go
+++ b/internal/decide/random/random_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// The same seed gives the same sequence, another seed another, and draws are spread evenly over 0 to 1.
-func TestNext(t *testing.T) {
-	a, b, c := Source{Seed: 1}, Source{Seed: 1}, Source{Seed: 2}
+// The same seed gives the same sequence, another seed another, and numbers are spread evenly over 0 to 1.
+func TestNext_IsReproducibleAndUniform(t *testing.T) {
+	first, same, other := Source{Seed: 1}, Source{Seed: 1}, Source{Seed: 2}
 	var tenths [10]int
-	same := 0
+	equal := 0
 	for range 10000 {
-		x := a.Next()
-		if x < 0 || x >= 1 || x != b.Next() {
+		x := first.Next()
+		if x < 0 || x >= 1 || x != same.Next() {
 			t.Fatalf("drew %v", x)
 		}
-		if x == c.Next() {
-			same++
+		if x == other.Next() {
+			equal++
 		}
 		tenths[int(x*10)]++
 	}
@@ -25,7 +25,7 @@
 			t.Errorf("%d of 10,000 in tenth %d", drawn, n)
 		}
 	}
-	if same > 0 {
-		t.Errorf("%d draws alike from two seeds", same)
+	if equal > 0 {
+		t.Errorf("%d equal numbers from two seeds", equal)
 	}
 }
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -8,15 +8,15 @@
 	"wayloft/internal/decide/random"
 )
 
-// play has routers spend all that they may, after a time in which none came; it tells the most in a window, and all.
-func play(seed uint64, routers int, budget, quiet float64) (most, all int) {
-	draw := random.Source{Seed: seed}
+// simulate has routers send all that they may, after a quiet time of so many ms; it returns the most calls in a window, and all.
+func simulate(seed uint64, routers int, budget, quiet float64) (most, all int) {
+	source := random.Source{Seed: seed}
 	buckets := make([]Bucket, routers)
 	rate := budget * size / window / float64(routers)
 	var sent []float64
 	for now := 1.0; now < quiet+3*window; now += 10 {
 		for n := range buckets {
-			for (now == 1 || now >= quiet) && buckets[n].Allows(now, rate, size, window, float64(routers), draw.Next) {
+			for (now == 1 || now >= quiet) && buckets[n].Allows(now, rate, size, window, float64(routers), source.Next) {
 				buckets[n].Spend(size)
 				sent = append(sent, now)
 			}
@@ -34,12 +34,12 @@
 
 const window, size = 2000.0, 500.0
 
-// Whenever requests come, and however long none came before, no window of any play sees more than its budget and the tolerance of
-// the rule (STANDING: N + 2 roots + 2; under 30: N + 3 roots + 3), though each play spends all that there is. The narrow
-// tolerance, which bound for small budgets before, is passed in one play of twenty at the most. One that always asks gets its
-// rate, as far as the tolerance leaves room for chance.
-func TestNoWindowSeesMoreThanItsBudget(t *testing.T) {
-	const plays = 20
+// Whenever requests come, and however long none came before, no window of any simulation has more than its budget and the
+// tolerance of the rule (N + 2 sqrt(N) + 2; under 30: N + 3 sqrt(N) + 3), though each simulation spends all that there is. The
+// narrow tolerance, which once held for small budgets too, is exceeded in one simulation of twenty at the most. Where requests
+// always wait, the rate is used up, as far as the tolerance leaves room for chance.
+func TestBucket_NoWindowExceedsItsBudget(t *testing.T) {
+	const simulations = 20
 	for _, routers := range []int{1, 7, 30, 300, 900} {
 		for _, budget := range []float64{2, 5, 20, 29, 30, 60, 200} { // requests in a window, by all
 			for _, quiet := range []float64{0, 900, 20000} { // ms without a request before all come at once
@@ -50,8 +50,8 @@
 					if budget < 30 {
 						allowed = budget + 3*math.Sqrt(budget) + 3
 					}
-					for seed := uint64(1); seed <= plays; seed++ {
-						most, all := play(seed, routers, budget, quiet)
+					for seed := uint64(1); seed <= simulations; seed++ {
+						most, all := simulate(seed, routers, budget, quiet)
 						if sum += all; float64(most) > narrow {
 							over++
 						}
@@ -60,13 +60,13 @@
 						}
 					}
 					if over > 1 {
-						t.Errorf("%d of %d plays went over %.1f", over, plays, narrow)
+						t.Errorf("%d of %d simulations exceeded %.1f", over, simulations, narrow)
 					}
 					least := 0.9 // of the rate
 					if routers > 300 || budget > 20 && budget < 200 {
 						least = 0.73 // the tolerance is narrowest against what chance makes of so many that send so little
 					}
-					if mean := float64(sum) / plays; quiet == 0 && mean < 3*budget/(1+1/sharesPerWindow)*least-1 {
+					if mean := float64(sum) / simulations; quiet == 0 && mean < 3*budget/(1+1/sharesPerWindow)*least-1 {
 						t.Errorf("only %.1f in three windows", mean)
 					}
 				})
@@ -75,8 +75,8 @@
 	}
 }
 
-// What is planned leaves room for chance in fleets of any size, and is the whole budget where few routers share it.
-func TestPlanned(t *testing.T) {
+// The planned mean leaves room for chance in fleets of any size, and is the whole budget where few routers share it.
+func TestPlanned_LeavesRoomForChance(t *testing.T) {
 	for _, c := range []struct{ budget, routers, least, most float64 }{
 		{2, 1, 2, 2}, {30, 1, 30, 30}, {200, 1, 200, 200}, {30, 7, 30, 30}, {200, 100, 200, 200},
 		{29, 900, 26, 27}, {30, 900, 22, 24}, {200, 900, 177, 180}, {30, 1e6, 22, 24}, {0.01, 900, 0.01, 0.01},
@@ -87,27 +87,27 @@
 	}
 }
 
-// A share that nobody came for is gone; the next comes in its time.
-func TestAShareLapses(t *testing.T) {
-	none := func() float64 { return 0 }
+// Tokens that no request used expire; the next ones come in their time.
+func TestBucket_TokensExpire(t *testing.T) {
+	zero := func() float64 { return 0 }
 	rate := 0.05 * (1 + 1/sharesPerWindow) // one in 10 s
-	lasts := window / sharesPerWindow
+	lifetime := window / sharesPerWindow
 	for _, c := range []struct {
 		at   float64
 		want bool
-	}{{9900, false}, {10010, true}, {10000 + lasts - 10, true}, {10000 + lasts + 10, false}, {19900, false}, {20010, true}} {
-		var b Bucket
-		b.Allows(0, rate, size, window, 1, none)
-		if got := b.Allows(c.at, rate, size, window, 1, none); got != c.want {
+	}{{9900, false}, {10010, true}, {10000 + lifetime - 10, true}, {10000 + lifetime + 10, false}, {19900, false}, {20010, true}} {
+		var bucket Bucket
+		bucket.Allows(0, rate, size, window, 1, zero)
+		if got := bucket.Allows(c.at, rate, size, window, 1, zero); got != c.want {
 			t.Errorf("at %.0f: %v", c.at, got)
 		}
 	}
-	var b Bucket
-	b.Allows(0, rate, size, window, 1, none)
-	if b.Allows(10010, rate, size, window, 1, none); b.level < size {
-		t.Fatal("none has come")
+	var bucket Bucket
+	bucket.Allows(0, rate, size, window, 1, zero)
+	if bucket.Allows(10010, rate, size, window, 1, zero); bucket.tokens < size {
+		t.Fatal("no tokens after their time")
 	}
-	if b.Spend(size); b.Allows(10010, rate, size, window, 1, none) {
-		t.Error("it is there twice")
+	if bucket.Spend(size); bucket.Allows(10010, rate, size, window, 1, zero) {
+		t.Error("tokens were spent twice")
 	}
 }
--- a/internal/decide/timerqueue/fair.go
+++ b/internal/decide/timerqueue/fair.go
@@ -2,72 +2,76 @@
 
 import "math"
 
-// FairQueue has things wait, each for its time. Those whose time has come are taken in the order in which they joined, however
-// long they have waited, as a walk over a list of all would take them. Its zero value is empty.
+// FairQueue holds timers, and returns those that are due in the order in which they were added, however long they have been due,
+// as a walk over a list of all would find them. The zero value is empty.
 type FairQueue[T any] struct {
-	later  Queue[*FairTimer[T]] // by time
-	ready  Queue[*FairTimer[T]] // by order
-	joined float64
+	pending Queue[*FairTimer[T]] // by deadline
+	due     Queue[*FairTimer[T]] // by order
+	added   float64
 
-	Expirations int // how often the time of one has come
+	Expirations int // how often a timer became due
 }
 
-// FairTimer is a thing's place; its zero value with Of set has joined nothing.
+// FairTimer is an entry of a FairQueue, for a value of its owner. The zero value, with Of set, is in none.
 type FairTimer[T any] struct {
-	Of           T
-	at, order    float64
-	all          *FairQueue[T]
-	later, ready Timer[*FairTimer[T]]
+	Of              T
+	deadline, order float64
+	queue           *FairQueue[T]
+	pending, due    Timer[*FairTimer[T]]
 }
 
-// Len is how many have joined and not left.
-func (q *FairQueue[T]) Len() int { return q.later.Len() + q.ready.Len() }
+// Len returns the number of timers.
+func (q *FairQueue[T]) Len() int { return q.pending.Len() + q.due.Len() }
 
-// Add has one wait for the time that it was set to last, behind all that joined before.
+// Add adds a timer, with the deadline that was set last, behind all that were added before.
 func (q *FairQueue[T]) Add(t *FairTimer[T]) {
-	q.joined++
-	t.all, t.order = q, q.joined
-	t.later.Of, t.ready.Of = t, t
-	q.later.Put(&t.later, t.at)
+	q.added++
+	t.queue, t.order = q, q.added
+	t.pending.Of, t.due.Of = t, t
+	q.pending.Put(&t.pending, t.deadline)
 }
 
-// Remove takes one out, if it is in.
+// Remove removes a timer, if it is in the queue.
 func (q *FairQueue[T]) Remove(t *FairTimer[T]) {
-	q.later.Drop(&t.later)
-	q.ready.Drop(&t.ready)
-	t.all = nil
+	q.pending.Drop(&t.pending)
+	q.due.Drop(&t.due)
+	t.queue = nil
 }
 
-// Set says for which time it waits; Inf is none. At is that time.
-func (t *FairTimer[T]) Set(at float64) {
-	if t.at = at; t.all != nil {
-		t.all.ready.Drop(&t.ready)
-		t.all.later.Put(&t.later, at)
+// Set sets the deadline, +Inf for none, whether the timer is in a queue or not.
+func (t *FairTimer[T]) Set(deadline float64) {
+	t.deadline = deadline
+	if t.queue != nil {
+		t.queue.due.Drop(&t.due)
+		t.queue.pending.Put(&t.pending, deadline)
 	}
 }
-func (t *FairTimer[T]) At() float64 { return t.at }
 
-// First is the one that joined first among those whose time has come, nil if none has. It stays until it is set anew.
+// At returns the deadline.
+func (t *FairTimer[T]) At() float64 { return t.deadline }
+
+// First returns the timer that was added first among those that are due, nil if none is. It stays due until it is set again.
 func (q *FairQueue[T]) First(now float64) *FairTimer[T] {
-	for i := q.later.First(); i != nil && i.At() <= now; i = q.later.First() {
+	for t := q.pending.First(); t != nil && t.At() <= now; t = q.pending.First() {
 		q.Expirations++
-		q.later.Drop(i)
-		q.ready.Put(&i.Of.ready, i.Of.order)
+		q.pending.Drop(t)
+		q.due.Put(&t.Of.due, t.Of.order)
 	}
-	if i := q.ready.First(); i != nil {
-		return i.Of
+	if t := q.due.First(); t != nil {
+		return t.Of
 	}
 	return nil
 }
 
-// Earliest is the earliest time of all, Inf if there is none.
+// Earliest returns the earliest deadline of all that are pending and of the due timer that was added first; +Inf if there is
+// none.
 func (q *FairQueue[T]) Earliest() float64 {
-	at := math.Inf(1)
-	if i := q.later.First(); i != nil {
-		at = i.At()
+	deadline := math.Inf(1)
+	if t := q.pending.First(); t != nil {
+		deadline = t.At()
 	}
-	if i := q.ready.First(); i != nil {
-		at = math.Min(at, i.Of.at)
+	if t := q.due.First(); t != nil {
+		deadline = math.Min(deadline, t.Of.deadline)
 	}
-	return at
+	return deadline
 }
--- a/internal/decide/timerqueue/timerqueue.go
+++ b/internal/decide/timerqueue/timerqueue.go
@@ -1,75 +1,78 @@
-// Package timerqueue keeps things by when something is to be done about them, so that whoever looks finds what is due without
-// going over what is not. It owns their order alone; it must never read a clock or know what they are.
+// Package timerqueue orders timers by deadline, so that their owner finds what is due without visiting what is not. It reads no
+// clock: times are float64 in the unit of the caller.
 //
-// It is a binary heap (J. W. J. Williams, Algorithm 232, 1964): to put or drop one of n takes log n steps, to see the
-// first one. A thing has an Item of its own for each queue that it may be in.
+// Queue is a binary heap (J. W. J. Williams, Algorithm 232, 1964): putting or dropping one of n timers takes log n steps, finding
+// the first takes one. FairQueue returns due timers in the order in which they were added.
 package timerqueue
 
 import "container/heap"
 
-// Timer is a thing's place in a queue; its zero value with Of set is in none.
+// Timer is an entry of a Queue, for a value of its owner. A value has one Timer for each queue that it may be in. The zero value,
+// with Of set, is in none.
 type Timer[T any] struct {
-	Of T
-	at float64
-	n  int // its place and one; 0: none
+	Of       T
+	deadline float64
+	place    int // its index in the heap plus one; 0: it is in none
 }
 
-// At is when it is due; it counts only while it is In a queue.
-func (i *Timer[T]) At() float64 { return i.at }
+// At returns the deadline. It counts only while the timer is In a queue.
+func (t *Timer[T]) At() float64 { return t.deadline }
 
-// In tells whether it is in its queue.
-func (i *Timer[T]) In() bool { return i.n > 0 }
+// In tells whether the timer is in its queue.
+func (t *Timer[T]) In() bool { return t.place > 0 }
 
-// Queue has the item that is due first in front. Its zero value is empty.
-type Queue[T any] struct{ all items[T] }
+// Queue holds timers, the one with the earliest deadline in front. The zero value is empty.
+type Queue[T any] struct{ timers timerHeap[T] }
 
-// Len is how many there are.
-func (q *Queue[T]) Len() int { return len(q.all) }
+// Len returns the number of timers.
+func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// First is the one that is due first, nil if there is none.
+// First returns the timer with the earliest deadline, nil if there is none.
 func (q *Queue[T]) First() *Timer[T] {
-	if len(q.all) == 0 {
+	if len(q.timers) == 0 {
 		return nil
 	}
-	return q.all[0]
+	return q.timers[0]
 }
 
-// Put takes an item in, or moves it where it is in already.
-func (q *Queue[T]) Put(i *Timer[T], at float64) {
-	if i.at = at; i.In() {
-		heap.Fix(&q.all, i.n-1)
+// Put adds a timer, or moves it if it is in the queue already.
+func (q *Queue[T]) Put(t *Timer[T], deadline float64) {
+	t.deadline = deadline
+	if t.In() {
+		heap.Fix(&q.timers, t.place-1)
 	} else {
-		heap.Push(&q.all, i)
+		heap.Push(&q.timers, t)
 	}
 }
 
-// Drop takes an item out, if it is in.
-func (q *Queue[T]) Drop(i *Timer[T]) {
-	if i.In() {
-		heap.Remove(&q.all, i.n-1)
+// Drop removes a timer, if it is in the queue.
+func (q *Queue[T]) Drop(t *Timer[T]) {
+	if t.In() {
+		heap.Remove(&q.timers, t.place-1)
 	}
 }
 
-type items[T any] []*Timer[T]
+// timerHeap implements heap.Interface.
+type timerHeap[T any] []*Timer[T]
 
-func (s items[T]) Len() int           { return len(s) }
-func (s items[T]) Less(n, m int) bool { return s[n].at < s[m].at }
-func (s items[T]) Swap(n, m int) {
-	s[n], s[m] = s[m], s[n]
-	s[n].n, s[m].n = n+1, m+1
+func (h timerHeap[T]) Len() int           { return len(h) }
+func (h timerHeap[T]) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
+func (h timerHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].place, h[j].place = i+1, j+1
 }
 
-func (s *items[T]) Push(x any) {
-	i := x.(*Timer[T])
-	*s = append(*s, i)
-	i.n = len(*s)
+func (h *timerHeap[T]) Push(x any) {
+	t := x.(*Timer[T])
+	*h = append(*h, t)
+	t.place = len(*h)
 }
 
-func (s *items[T]) Pop() any {
-	last := len(*s) - 1
-	i := (*s)[last]
-	(*s)[last] = nil
-	*s = (*s)[:last]
-	i.n = 0
-	return i
+func (h *timerHeap[T]) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	t.place = 0
+	return t
 }
--- a/internal/decide/timerqueue/timerqueue_test.go
+++ b/internal/decide/timerqueue/timerqueue_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whatever is put, moved and dropped: the first is the one that a sorted list has in front, and all come out in order.
-func TestAsASortedList(t *testing.T) {
+func TestQueue_MatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
 		all := make([]*Timer[int], 12)
@@ -49,8 +49,8 @@
 	return in
 }
 
-// Whatever joins, leaves and is set: the first is the one that a walk over a list in order finds due.
-func TestTurnsAsAWalkOverAList(t *testing.T) {
+// Whatever is added, removed and set: the first is the one that a walk over a list in order finds due.
+func TestFairQueue_MatchesWalkOverList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FairQueue[int]
 		var list []*FairTimer[int]
@@ -81,13 +81,13 @@
 			if got := q.First(now); (got == nil) != (first < 0) || got != nil && got != list[first] {
 				t.Fatalf("the first due is %v, the list has %d", got, first)
 			}
-			soonest := math.Inf(1)
+			earliest := math.Inf(1)
 			for _, o := range list {
-				soonest = math.Min(soonest, o.At())
+				earliest = math.Min(earliest, o.At())
 			}
-			// Of those that are ready the one that joined first counts: they are all due.
-			if got := q.Earliest(); q.Len() != len(list) || got != soonest && (got > now || soonest > now) {
-				t.Fatalf("%d, the soonest at %v; should be %d, %v", q.Len(), got, len(list), soonest)
+			// Of those that are due the one that was added first counts.
+			if got := q.Earliest(); q.Len() != len(list) || got != earliest && (got > now || earliest > now) {
+				t.Fatalf("%d, the earliest at %v; should be %d, %v", q.Len(), got, len(list), earliest)
 			}
 		}
 	})
