--- a/router/idle_test.go
+++ b/router/activegroups_test.go
@@ -5,10 +5,12 @@
 	"testing"
 )
 
-// spread is a router before so many groups of one member, each of which has had a request.
-func spread(groups int) (r *Router, pull func(now float64) (out []Decision)) {
-	r = New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5,
-		OverloadWindow: 2000, ListPollTimeout: 10000, RequestClasses: map[string]*RequestClass{"any": {LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Any}}}, 1)
+// routerWithGroups returns a router with so many groups of one member, each of which has had a request, and a function that
+// carries out all decisions at a time.
+func routerWithGroups(groups int) (r *Router, pull func(now float64) (out []Decision)) {
+	r = New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000,
+		OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000, RequestClasses: map[string]*RequestClass{
+			"any": {LatencyObjective: 100, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Any}}}, 1)
 	r.Advance(1)
 	r.BeginList()
 	for n := range groups {
@@ -41,7 +43,7 @@
 func BenchmarkGroupsInUse(b *testing.B) {
 	for _, groups := range []int{1, 100, 820} {
 		b.Run(fmt.Sprint(groups), func(b *testing.B) {
-			r, pull := spread(groups)
+			r, pull := routerWithGroups(groups)
 			now := 5000.0
 			for n := range b.N {
 				now += 0.36 // 2,790 a second
@@ -54,9 +56,9 @@
 	}
 }
 
-// Guards against inputs that cost by how many groups are in use, and not by what is due.
-func TestOneGroupsTxnsTouchNoOther(t *testing.T) {
-	r, pull := spread(820)
+// Guards against inputs whose cost grows with the number of active groups, and not with what is due.
+func TestArrive_VisitsNoOtherGroup(t *testing.T) {
+	r, pull := routerWithGroups(820)
 	now := 1e6
 	for len(pull(now)) > 0 { // what was due meanwhile
 		now++
@@ -69,6 +71,6 @@
 		pull(now)
 	}
 	if n := r.activeGroups.Expirations - before; n > 100 { // its arrival, and at most one check's end
-		t.Errorf("50 txns of one group went over groups %d times, of %d in use", n, r.activeGroups.Len())
+		t.Errorf("50 requests of one group visited groups %d times, of %d active ones", n, r.activeGroups.Len())
 	}
 }
--- /dev/null
+++ b/router/membership_test.go
@@ -0,0 +1,132 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Memory follows what is there now: members that come and go, with their groups, and requests, some for groups that were never
+// listed, leave nothing behind, while attempts in flight at a member that left still end.
+func TestRouter_MemoryLevelsOff(t *testing.T) {
+	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Any}
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 1, SlowStartDuration: 1, OverloadMultiple: 2,
+		OverloadWindow: 1000, RequestClasses: map[string]*RequestClass{"read": read}}, 1)
+	pull := func(at float64) (sent []Decision, ended int) {
+		r.Advance(at)
+		for d, more := r.Next(); more; d, more = r.Next() {
+			switch d.Action {
+			case SendAttempt:
+				sent = append(sent, d)
+			case HealthCheck:
+				r.HealthChecked(d.Member, Succeeded)
+			case RejectRequest, FailRequest:
+				ended++
+			}
+		}
+		return sent, ended
+	}
+	var late []Decision
+	for n := range 500 {
+		at := float64(n) * 1000
+		r.Advance(at)
+		r.BeginList()
+		r.ListMember(fmt.Sprint("m", n), "z", n, Up, at)
+		if n > 0 {
+			r.ListMember(fmt.Sprint("m", n-1), "z", n-1, Removed, at-1000)
+		}
+		r.EndList(n%2 == 0)
+		for _, d := range late {
+			r.AttemptEnded(d.RequestID, 0, TimedOut, 900, true, RoleUnknown, Never)
+		}
+		r.Arrive(fmt.Sprint("t", n), "", "", "read", n, 0, 1000, false)
+		r.Arrive(fmt.Sprint("u", n), "", "", "read", -n, 0, 1000, false)
+		pull(at)
+		if late, _ = pull(at + 1); len(late) != 1 || late[0].Member != fmt.Sprint("m", n) {
+			t.Fatalf("%d: sent %v", n, late)
+		}
+		if _, ended := pull(at + 990); n > 0 && ended != 1 {
+			t.Fatalf("%d: %d ended, want the one without a group", n, ended)
+		}
+		for name, kept := range map[string]int{"members": len(r.members), "groups": len(r.groups), "active groups": r.activeGroups.Len(),
+			"requests": len(r.requests), "busy members": len(r.busyMembers), "waiting": len(r.waiting), "members to close": len(r.membersToClose)} {
+			if kept > 2 {
+				t.Fatalf("%d: %d %s are kept", n, kept, name)
+			}
+		}
+	}
+}
+
+// Where lists are asked for, a failed call is followed by another within 1.5 s and not in the same instant, whatever time
+// the settings leave: the watch is given up after 2.5 s of silence, and a change must be known after 6 s, also if one more
+// call is refused.
+func TestListFailed_NextRequestInTime(t *testing.T) {
+	for _, within := range []float64{2000, 10000, 40000} {
+		for seed := uint64(1); seed <= 50; seed++ {
+			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
+			watches := func(now float64) (asked bool) {
+				r.Advance(now)
+				r.TimerFired()
+				for d, more := r.Next(); more; d, more = r.Next() {
+					asked = asked || d.Action == RequestList
+				}
+				return asked
+			}
+			if !watches(1) {
+				t.Fatal("no call at first")
+			}
+			r.Advance(50)
+			r.ListFailed()
+			if watches(50) {
+				t.Errorf("within %.0f, seed %d: asked again at once", within, seed)
+			}
+			for now := 60.0; !watches(now); now += 10 {
+				if now > 50+1500 {
+					t.Fatalf("within %.0f, seed %d: not asked after %.0f ms", within, seed, now-50)
+				}
+			}
+		}
+	}
+}
+
+// Where lists are asked for, what a watch that fell silent misses is asked for within 6 s, also where the next call hangs too;
+// and within 4 s of a call that was made by itself, at a move, and hangs. Each hangs for the 2.5 s after which it is given up.
+func TestListFailed_TwoSilentWatchesInARow(t *testing.T) {
+	const hang = 2500
+	for _, within := range []float64{2000, 10000, 40000} {
+		for seed := uint64(1); seed <= 200; seed++ {
+			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
+			now := 0.0
+			watch := func() float64 {
+				for ; ; now += tick {
+					r.Advance(now)
+					r.TimerFired()
+					for d, more := r.Next(); more; d, more = r.Next() {
+						if d.Action == RequestList {
+							return now
+						}
+					}
+				}
+			}
+			fail := func() {
+				now += hang
+				r.Advance(now)
+				r.ListFailed()
+			}
+			watch()
+			now = 50
+			r.Advance(now)
+			r.BeginList()
+			r.EndList(false) // the first is answered
+			now = 30000
+			silent := now
+			fail()
+			if asked := watch(); asked-silent > 4000-tick {
+				t.Errorf("within %.0f, seed %d: asked %.0f ms after the first silence", within, seed, asked-silent)
+			}
+			fail()
+			if asked := watch(); asked-silent > 6000-tick {
+				t.Errorf("within %.0f, seed %d: asked %.0f ms after two silences", within, seed, asked-silent)
+			}
+		}
+	}
+}
--- a/router/not_sent_test.go
+++ b/router/notsent_test.go
@@ -6,7 +6,7 @@
 )
 
 // notSentRouter has one request arrive at 1000 with a second to live, in a group whose members are up, and gives what runs one
-// step: each attempt then comes back not sent until the time free, and committed from then on.
+// step: each attempt then ends as not sent until the time free, and succeeds from then on.
 func notSentRouter(members int, free float64) (step func(now float64) (attempts int, final *Decision)) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 1}}}, 1)
@@ -44,7 +44,7 @@
 
 // Attempts that come back not sent, since this host had no connection left for a moment, are no attempts at all: the request is
 // answered once there is one, however many came back before.
-func TestNotSent_AConnectionComesFreeInAMoment(t *testing.T) {
+func TestNotSent_ConnectionComesFree(t *testing.T) {
 	for _, members := range []int{1, 3, 7} {
 		step := notSentRouter(members, 1300)
 		var final *Decision
@@ -67,7 +67,7 @@
 	}
 }
 
-// Where no connection ever comes free, each member is asked once at an instant and at growing intervals, and the request has its
+// Where no connection ever comes free, each member is tried once at an instant and at growing intervals, and the request has its
 // one final answer before its time is over.
 func TestNotSent_NoConnectionComesFree(t *testing.T) {
 	for _, members := range []int{1, 3, 7} {
@@ -90,29 +90,71 @@
 	}
 }
 
-// What an attempt that was not sent has counted for is taken back: the budget of a member in slow start, the trial of one that is
-// suspected, and when it was sent something last.
-func TestNotSent_LeavesTheMembersRecordClean(t *testing.T) {
-	const sla, window = 500.0, 2000.0
-	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5, OverloadWindow: window,
-		RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: sla, Deadline: 3000, PriorityWeight: 1, LateWeightShare: 1}}}, 1)
+// What an attempt that was not sent has counted for is undone: the budget of a member in slow start, the trial of one that is
+// suspected, and the time of the last attempt.
+func TestNotSent_RestoresMemberRecord(t *testing.T) {
+	const objective, window = 500.0, 2000.0
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 0.2, SlowStartDuration: 10000,
+		OverloadMultiple: 2.5, OverloadWindow: window,
+		RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: objective, Deadline: 3000, PriorityWeight: 1, LateWeightShare: 1}}}, 1)
 	r.Advance(1000)
 	r.BeginList()
 	r.ListMember("m", "z", 1, Up, 900)
 	r.EndList(true)
 	m := r.members["m"]
 	m.known, m.lastCheckSent, m.suspected, m.suspectedAt, m.trialReady = true, 1000, true, 900, true
-	bears := func() bool { return m.slowStartBudget.Allows(1000, 0, sla, window, 1, func() float64 { return 1 }) }
-	if !bears() {
-		t.Fatal("the budget does not bear one")
+	allowed := func() bool {
+		return m.slowStartBudget.Allows(1000, 0, objective, window, 1, func() float64 { return 1 })
+	}
+	if !allowed() {
+		t.Fatal("the budget does not allow one")
 	}
 	r.Arrive("t", "", "", "read", 1, 0, 3000, false)
-	if d, _ := r.Next(); d.Action != SendAttempt || bears() || m.trialReady {
-		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, bears(), m.trialReady)
+	if d, _ := r.Next(); d.Action != SendAttempt || allowed() || m.trialReady {
+		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, allowed(), m.trialReady)
 	}
 	r.AttemptEnded("t", 0, NotSent, 0, false, RoleUnknown, Never)
-	if !bears() || !m.trialReady || m.lastAttemptSent != Never || m.down || m.connectFailed || m.failures.Value != 0 || m.load != 0 {
-		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, shut: %v, failures: %v, load: %v", bears(), m.trialReady, m.lastAttemptSent,
+	if !allowed() || !m.trialReady || m.lastAttemptSent != Never || m.down || m.connectFailed || m.failures.Value != 0 || m.load != 0 {
+		t.Errorf("budget: %v, trial: %v, last sent at %v, down: %v, connect failed: %v, failures: %v, load: %v", allowed(), m.trialReady, m.lastAttemptSent,
 			m.down, m.connectFailed, m.failures.Value, m.load)
 	}
 }
+
+// Where no connection is left on this host, each attempt ends as not sent at once. Guards against trying one member after the other
+// for as long as the request lives, in one instant: no other event would be handled meanwhile.
+func TestNotSent_AttemptsInOneInstantAreBounded(t *testing.T) {
+	for _, members := range []int{1, 2, 5} {
+		r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: map[string]*RequestClass{
+			"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1}}}, 1)
+		r.Advance(1000)
+		r.BeginList()
+		for n := range members {
+			r.ListMember(fmt.Sprint("m", n), "z", 1, Up, Never)
+		}
+		r.EndList(true)
+		sent, first := 0, 0
+		step := func(now float64) {
+			r.Advance(now)
+			r.TimerFired()
+			for d, more := r.Next(); more; d, more = r.Next() {
+				switch d.Action {
+				case HealthCheck:
+					r.HealthChecked(d.Member, Succeeded)
+				case SendAttempt:
+					if sent++; sent-first > 6 {
+						t.Fatalf("%d members: sent %d times in one instant", members, sent-first)
+					}
+					r.AttemptEnded("t", sent-1, NotSent, 0, false, RoleUnknown, Never)
+				}
+			}
+			first = sent
+		}
+		r.Arrive("t", "", "", "read", 1, 0, 1000, false)
+		for now := 1000.; now < 2100; now += 5 {
+			step(now)
+		}
+		if sent == 0 {
+			t.Errorf("%d members: never sent", members)
+		}
+	}
+}
--- a/router/ramp_test.go
+++ b/router/slowstart_test.go
@@ -9,19 +9,19 @@
 )
 
 // fleet is many routers of the same group that know nothing of each other. Members answer after a fixed time whatever
-// they hold, so that nothing but the ramp holds routers back.
+// they hold, so that nothing but slow start holds routers back.
 type fleet struct {
-	t       *testing.T
-	set     *Settings
-	now     float64
-	routers []*Router
-	shares  []float64 // of the traffic
-	draw    random.Source
-	rate    float64 // requests a ms over all
-	ids     int
-	due     []answer
-	sent    map[string][]float64 // to a member, by time
-	primary string
+	t        *testing.T
+	settings *Settings
+	now      float64
+	routers  []*Router
+	shares   []float64 // of the traffic
+	random   random.Source
+	rate     float64 // requests a ms over all
+	ids      int
+	due      []answer
+	sent     map[string][]float64 // to a member, by time
+	primary  string
 }
 
 type answer struct {
@@ -33,18 +33,19 @@
 }
 
 const (
-	rampTick, rampTook = 5.0, 20.0
-	rampMembers        = 4
+	fleetTick, fleetLatency = 5.0, 20.0
+	fleetMembers            = 4
 )
 
 func newFleet(t *testing.T, routers int, rate float64, seed uint64) *fleet {
-	f := &fleet{t: t, rate: rate, draw: random.Source{Seed: seed}, sent: map[string][]float64{}, primary: "m0",
-		set: &Settings{Routers: routers, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000, OverloadMultiple: 2.5,
-			OverloadWindow: 2000, ListPollTimeout: 10000, Lag: LagRefuses, RequestClasses: map[string]*RequestClass{"x": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, LateWeightShare: 0.2, Level: Any}}}}
+	f := &fleet{t: t, rate: rate, random: random.Source{Seed: seed}, sent: map[string][]float64{}, primary: "m0",
+		settings: &Settings{Routers: routers, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000,
+			OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000, Lag: LagRefuses, RequestClasses: map[string]*RequestClass{
+				"x": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, LateWeightShare: 0.2, Level: Any}}}}
 	sum := 0.0
 	for n := range routers { // uneven: some get several times the mean
-		f.routers = append(f.routers, New(f.set, seed+uint64(n)*7919))
-		f.shares = append(f.shares, math.Exp(1.0*math.Sqrt(-2*math.Log(f.draw.Next()))*math.Cos(2*math.Pi*f.draw.Next())))
+		f.routers = append(f.routers, New(f.settings, seed+uint64(n)*7919))
+		f.shares = append(f.shares, math.Exp(1.0*math.Sqrt(-2*math.Log(f.random.Next()))*math.Cos(2*math.Pi*f.random.Next())))
 		sum += f.shares[n]
 	}
 	for n := range f.shares {
@@ -53,15 +54,15 @@
 	return f
 }
 
-// list tells all routers of each member its state and start.
+// list gives all routers a list with each member's state and start.
 func (f *fleet) list(states map[string]State, started map[string]float64) {
 	for _, r := range f.routers {
 		r.Advance(f.now)
 		r.BeginList()
-		for n := range rampMembers {
+		for n := range fleetMembers {
 			id := fmt.Sprint("m", n)
 			at := Never
-			if x, told := started[id]; told {
+			if x, listed := started[id]; listed {
 				at = x
 			}
 			r.ListMember(id, "z", 1, states[id], at)
@@ -72,8 +73,7 @@
 
 func (f *fleet) run(ms float64) {
 	for end := f.now + ms; f.now < end; {
-		f.now += rampTick
-		woken := map[int]bool{}
+		f.now += fleetTick
 		for n := range f.routers {
 			f.routers[n].Advance(f.now)
 		}
@@ -91,16 +91,15 @@
 				r.Reported(a.member, role, f.now)
 				r.HealthChecked(a.member, Succeeded)
 			} else {
-				r.AttemptEnded(a.id, 0, Succeeded, rampTook, true, role, f.now)
+				r.AttemptEnded(a.id, 0, Succeeded, fleetLatency, true, role, f.now)
 			}
 		}
 		f.due = append([]answer(nil), later...)
 		for n, r := range f.routers {
-			for x := f.rate * rampTick * f.shares[n]; x > 0; x-- {
-				if x >= 1 || f.draw.Next() < x {
+			for x := f.rate * fleetTick * f.shares[n]; x > 0; x-- {
+				if x >= 1 || f.random.Next() < x {
 					f.ids++
 					r.Arrive(fmt.Sprint(f.ids), "", "", "x", 1, 0, 2000, false)
-					woken[n] = true
 				}
 			}
 			r.TimerFired()
@@ -108,18 +107,18 @@
 				switch d.Action {
 				case SendAttempt:
 					f.sent[d.Member] = append(f.sent[d.Member], f.now)
-					f.due = append(f.due, answer{f.now + rampTook, n, d.RequestID, d.Member, false})
+					f.due = append(f.due, answer{f.now + fleetLatency, n, d.RequestID, d.Member, false})
 				case HealthCheck:
-					f.due = append(f.due, answer{f.now + rampTick, n, "", d.Member, true})
+					f.due = append(f.due, answer{f.now + fleetTick, n, "", d.Member, true})
 				}
 			}
 		}
 	}
 }
 
-// The ramp holds for the fleet (STANDING, LETTER-7): whatever a cold member is sent by all processes together, in each
-// window that the settings name, stays under what they allow it then, but for what chance explains.
-func TestTheRampHoldsForTheFleet(t *testing.T) {
+// The budget of slow start holds for the fleet: what a member in slow start is sent by all routers together, in each window that
+// the settings name, stays under what they allow it then, but for what chance explains.
+func TestSlowStart_BudgetHoldsForTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		routers int
 		rate    float64 // requests a second
@@ -132,38 +131,39 @@
 				up := map[string]State{}
 				f.list(up, nil)
 				f.run(20000)
-				can := c.rate / rampMembers / c.load / 1000 // what one member can do, requests a ms
+				capacity := c.rate / fleetMembers / c.load / 1000 // what one member can do, requests a ms
 				start := f.now
 				f.list(map[string]State{"m1": Removed}, nil)
 				f.run(1000)
-				f.list(up, map[string]float64{"m1": start}) // cold
+				f.list(up, map[string]float64{"m1": start}) // in slow start
 				f.run(6500)
-				f.list(map[string]State{"m2": Draining, "m3": Draining}, map[string]float64{"m1": start}) // all of their reads are left to it
+				f.list(map[string]State{"m2": Draining, "m3": Draining}, map[string]float64{"m1": start}) // all their reads are left to it
 				f.rate *= 2
 				f.run(3500)
 				var all []float64
 				for _, at := range f.sent["m1"] {
-					if at >= start && at < start+f.set.SlowStartDuration { // after that it is cold no more
+					if at >= start && at < start+f.settings.SlowStartDuration { // after that its slow start is over
 						all = append(all, at)
 					}
 				}
 				worst, where, most, allowed := math.Inf(-1), 0.0, 0, 0.0
 				for n, last := 0, 0; n < len(all); n++ {
-					for last < len(all) && all[last] < all[n]+f.set.OverloadWindow {
+					for last < len(all) && all[last] < all[n]+f.settings.OverloadWindow {
 						last++
 					}
-					w := f.set.SlowStartFloor + (1-f.set.SlowStartFloor)*(all[n]+f.set.OverloadWindow/2-start)/f.set.SlowStartDuration // in the middle of it
-					N := f.set.OverloadMultiple * w * can * f.set.OverloadWindow
-					if over := (float64(last-n) - N) / math.Sqrt(N); over > worst {
-						worst, where, most, allowed = over, all[n]-start, last-n, N
+					inMiddle := all[n] + f.settings.OverloadWindow/2 - start
+					share := f.settings.SlowStartFloor + (1-f.settings.SlowStartFloor)*inMiddle/f.settings.SlowStartDuration
+					budget := f.settings.OverloadMultiple * share * capacity * f.settings.OverloadWindow
+					if over := (float64(last-n) - budget) / math.Sqrt(budget); over > worst {
+						worst, where, most, allowed = over, all[n]-start, last-n, budget
 					}
 				}
-				t.Logf("most at %.0f ms: %d of %.1f, %.2f roots over; %d in all", where, most, allowed, worst, len(all))
+				t.Logf("most at %.0f ms: %d of %.1f, %.2f standard deviations over; %d in all", where, most, allowed, worst, len(all))
 				if float64(most) > allowed+2*math.Sqrt(allowed)+2 {
 					t.Errorf("%d sent from %.0f ms after its start on, %.1f allowed and %.1f for chance", most, where, allowed, 2*math.Sqrt(allowed)+2)
 				}
-				if float64(len(all)) < 0.1*can*10000 {
-					t.Errorf("only %d sent while it was warming up: the ramp is shut", len(all))
+				if float64(len(all)) < 0.1*capacity*10000 {
+					t.Errorf("only %d sent while it was warming up: slow start lets nothing through", len(all))
 				}
 			})
 		}
