--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -147,7 +147,7 @@
 func (r *Router) retryForbidden(req *request) bool {
 	class := req.class
 	return req.effect == NonIdempotent ||
-		class.Level == Write && req.lastOutcome == Reset || // DESIGN: a write that met a reset ends in an error
+		class.Level == Write && req.lastOutcome == Reset || // docs/design.md: a write that met a reset ends in an error
 		class.Effect == IdempotentWithKey && r.now-req.mayHaveRunSince > class.IdempotencyWindow-maxStall
 }
 
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	restingCheckPeriod = 1000.0 // ms: the shortest check period where nothing presses (DESIGN)
+	restingCheckPeriod = 1000.0 // ms: the shortest check period where nothing presses (docs/design.md)
 	requestsPerCheck   = 4.0    // requests that pay for a resting check: few enough to notice a change; checks have a cost
-	recheckPeriod      = 500.0  // ms: check period while a group has no primary (DESIGN); also between two trials
+	recheckPeriod      = 500.0  // ms: check period while a group has no primary (docs/design.md); also between two trials
 )
 
 // requestCheck has the member checked as soon as the least gap between two checks allows.
--- a/router/read.go
+++ b/router/read.go
@@ -94,7 +94,7 @@
 }
 
 // waitsForChecks tells whether the request waits a moment for the health checks of two members that seemed fresh enough, as
-// waiting operations do (DESIGN). The first call requests the checks.
+// waiting operations do (docs/design.md). The first call requests the checks.
 func (r *Router) waitsForChecks(req *request, unsure []*member) bool {
 	if len(unsure) > 0 && r.settings.CanHealthCheck && req.checksRequestedAt == Never {
 		req.checksRequestedAt = r.now
--- a/router/router.go
+++ b/router/router.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	tick                = 10.0     // ms between two looks at what waits, and least between two checks of one member (DESIGN)
+	tick                = 10.0     // ms between two looks at what waits, and least between two checks of one member (docs/design.md)
 	minSmoothingSpan    = 3000.0   // ms over which measurements decay, at the least: a few latency objectives
 	maxSmoothingSpan    = 30000.0  // and at the most: faults come and go in tens of seconds
 	smoothingSample     = 30.0     // requests that a smoothing span should hold, so that one answer does not swing it
@@ -60,7 +60,7 @@
 	slowResponses      byRole[decay.Mean] // share of responses that were slow
 	arrivals           decay.Sum          // requests
 	arrivedWeight      decay.Sum          // weight by work of the requests that arrived
-	completedWork      decay.Sum          // latency objectives of requests that succeeded; unlike latency it holds still under overload
+	completedWork      decay.Sum          // latency objectives of requests that succeeded: unlike latency, steady under overload
 	workRate           float64            // the most of it in a ms for each member
 	refusedConnections decay.Sum          // by members whose checks went on passing
 	answeredAttempts   decay.Sum
@@ -127,7 +127,8 @@
 	}
 }
 
-// Advance sets the time; all inputs and decisions until the next call happen then. It must not go back.
+// Advance sets the time; all inputs and decisions until the next call happen then. Drivers pass a clock that
+// does not go back.
 func (r *Router) Advance(now float64) {
 	r.now, r.startedAt = now, cmp.Or(r.startedAt, now)
 	r.cursor, r.waitingSorted, r.suspicionsUpdated, r.lastUnplaced = 0, false, false, nil
--- a/router/types.go
+++ b/router/types.go
@@ -64,7 +64,7 @@
 	HealthCheck                        // Member: check it; HealthChecked follows
 	RequestList                        // ask for the endpoint list; EndList or ListFailed follows
 	CloseIdleConnections               // Member: close the idle connections to it
-	SetTimer                           // Time: call TimerFired then; replaces no earlier timer
+	SetTimer                           // Time: call TimerFired then; replaces the timer of an earlier SetTimer
 )
 
 // Decision is one thing for the driver to do. Only the fields that its Action names are set.
