--- a/internal/decide/lastcommit/lastcommit.go
+++ b/internal/decide/lastcommit/lastcommit.go
@@ -1,33 +1,33 @@
-// Package lastcommit remembers each session's last commit, where tokens are the router's own memory. It owns that memory and its
-// bound; it must never decide which member has what.
+// Package lastcommit remembers the position of each session's last commit, where session tokens are the router's own memory. It
+// bounds that memory with Prune; which member has which position is for its caller to know.
 package lastcommit
 
 import "maps"
 
-const least = 1000 // sessions, before any are looked at to be dropped
+const minPruneSize = 1000 // sessions up to which nothing is pruned
 
-// Commits is by session; its zero remembers nothing.
+// Commits holds positions by session. The zero value is empty.
 type Commits struct {
-	at    map[string]float64
-	prune int
+	positions  map[string]float64
+	pruneAbove int
 }
 
-// Of gives a session's last commit, 0 for none.
-func (m *Commits) Of(session string) float64 { return m.at[session] }
+// Position returns the position of a session's last commit, 0 for none.
+func (c *Commits) Position(session string) float64 { return c.positions[session] }
 
-// Full tells whether Drop should be called: it has doubled since the last time.
-func (m *Commits) Full() bool { return len(m.at) > m.prune }
+// PruneDue tells whether Prune should be called: the sessions have doubled since the last time.
+func (c *Commits) PruneDue() bool { return len(c.positions) > c.pruneAbove }
 
-// Add notes a commit at a position.
-func (m *Commits) Add(session string, at float64) {
-	if m.at == nil {
-		m.at = map[string]float64{}
+// Record takes in a commit of the session. A session's position never goes back.
+func (c *Commits) Record(session string, position float64) {
+	if c.positions == nil {
+		c.positions = map[string]float64{}
 	}
-	m.at[session] = max(m.at[session], at)
+	c.positions[session] = max(c.positions[session], position)
 }
 
-// Drop forgets commits that every member has by now.
-func (m *Commits) Drop(upTo float64) {
-	maps.DeleteFunc(m.at, func(_ string, at float64) bool { return at <= upTo })
-	m.prune = 2*len(m.at) + least
+// Prune forgets commits up to a position that every member has applied.
+func (c *Commits) Prune(appliedByAll float64) {
+	maps.DeleteFunc(c.positions, func(_ string, position float64) bool { return position <= appliedByAll })
+	c.pruneAbove = 2*len(c.positions) + minPruneSize
 }
