--- a/internal/eventloop/cancelled_test.go
+++ b/internal/eventloop/cancelled_test.go
@@ -15,10 +15,10 @@
 	submitted []string
 }
 
-func (m *taken) Submit(t *request.Request, _ int, _ string, _, _ float64) {
+func (m *taken) SendAttempt(t *request.Request, _ int, _ string, _, _ float64) {
 	m.submitted = append(m.submitted, t.ID)
 }
-func (m *taken) Check(id string) {
+func (m *taken) HealthCheck(id string) {
 	m.host.Defer(func() { m.host.HealthChecked(id, router.Succeeded) })
 }
 func (m *taken) CloseIdle(string) {}
--- a/internal/eventloop/clusterclock_test.go
+++ b/internal/eventloop/clusterclock_test.go
@@ -129,7 +129,7 @@
 	checked []string
 }
 
-func (c *checking) Check(member string) { c.checked = append(c.checked, member) }
+func (c *checking) HealthCheck(member string) { c.checked = append(c.checked, member) }
 
 // A primary that contradicts the wall clock is checked again soon, unless it has gone meanwhile; one that confirms it is not.
 func TestContradictionIsConfirmed(t *testing.T) {
