--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -139,9 +139,9 @@
 	}
 	s.side = backend.New(s.host, limits, connpool.New(connpool.Settings{All: conf.links, Member: conf.perMember, Seed: conf.seed, Pools: bounds}))
 	s.host.SetBackend(s.side)
-	s.host.OnSettled(s.translateStarts)
+	s.host.OnClockSettled(s.translateStarts)
 	if conf.set.CanHealthCheck && conf.host.Reports {
-		s.host.MayCheck()
+		s.host.EnablePositionChecks()
 	}
 	if conf.set.Lag != router.LagAnswers {
 		s.host.MembersCheckStaleness()
@@ -216,7 +216,7 @@
 // translated.
 func (s *service) keepStarts(l *discovery.List) {
 	if l.Whole {
-		s.starts.Keep(l.IDs())
+		s.starts.Retain(l.IDs())
 		if s.entries != nil {
 			clear(s.entries)
 		}
--- a/internal/backend/attempts_test.go
+++ b/internal/backend/attempts_test.go
@@ -22,14 +22,14 @@
 type caller struct{ session *session.Session }
 
 func (c *caller) Session() *session.Session { return c.session }
-func (c *caller) Hear(ms []pg.Message) {
+func (c *caller) DeliverMessages(ms []pg.Message) {
 	for n := range ms {
 		c.session.Heard(&ms[n])
 	}
 }
-func (c *caller) Parameters(*iradix.Tree[string]) {}
-func (c *caller) Keep(request.BackendSide)        {}
-func (c *caller) Ended(*pg.Error)                 {}
+func (c *caller) ServerParameters(*iradix.Tree[string]) {}
+func (c *caller) Reserve(request.BackendConn)           {}
+func (c *caller) Terminate(*pg.Error)                   {}
 
 // talk makes a request of a session, which begins with this statement; its session has something set, if that is wanted.
 func talkOf(t *testing.T, e *ear, id string, wait float64, set bool) *request.Request {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -416,7 +416,7 @@
 
 // take writes the job's query, unless it is withheld; it tells whether it did.
 func (l *link) take(j *job) bool {
-	invariant.Check(j.txn == nil || j.txn.Stream != nil || !j.txn.Over(), "nothing is sent for a client that has gone")
+	invariant.Check(j.txn == nil || j.txn.Stream != nil || !j.txn.Finished(), "nothing is sent for a client that has gone")
 	if l.talk != nil && j.key == nil {
 		l.heard = 0
 		return l.carry(j)
@@ -466,7 +466,7 @@
 	if j := l.job; j != nil {
 		l.all.end(j, l.broken())
 	} else if l.talk != nil && l.keeper != nil {
-		l.keeper.Ended(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
+		l.keeper.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
 	}
 	l.drop()
 }
--- a/internal/backend/talk.go
+++ b/internal/backend/talk.go
@@ -27,12 +27,12 @@
 	key      pg.Key
 	tainted  bool // not to be used again
 	bound    *session.Prepared
-	again    bool                 // a plan was invalid once in this request already
-	stale    *session.Prepared    // whose plan it was, where nothing has run: it is asked once more
-	params   *iradix.Tree[string] // what the member has reported
-	copying  bool                 // it takes what is copied in
-	begun    bool                 // of what its client has said, a part is written
-	keeper   request.ClientSide   // whose session keeps the connection between its requests
+	again    bool                  // a plan was invalid once in this request already
+	stale    *session.Prepared     // whose plan it was, where nothing has run: it is asked once more
+	params   *iradix.Tree[string]  // what the member has reported
+	copying  bool                  // it takes what is copied in
+	begun    bool                  // of what its client has said, a part is written
+	keeper   request.ClientSession // whose session keeps the connection between its requests
 }
 
 // due is one answer that must come.
@@ -84,7 +84,7 @@
 	t := j.txn.Stream
 	l.keeper = nil
 	l.turn(j, true)
-	t.Client.Parameters(l.params)
+	t.Client.ServerParameters(l.params)
 	s := t.Client.Session()
 	s.On(l.has)
 	var out []byte
@@ -126,8 +126,8 @@
 // Member tells where the connection leads.
 func (l *link) Member() string { return l.to.id }
 
-// Ask says more. It waits while the hidden part is not answered, since what comes after must not run without it.
-func (l *link) Ask(ops []session.Op) {
+// Send says more. It waits while the hidden part is not answered, since what comes after must not run without it.
+func (l *link) Send(ops []session.Op) {
 	if l.job == nil {
 		return
 	}
@@ -284,7 +284,7 @@
 			l.params, _, _ = l.params.Insert([]byte(m.Name), m.Text)
 			l.all.known[l.login] = l.params
 			if l.job != nil {
-				l.job.txn.Stream.Client.Parameters(l.params)
+				l.job.txn.Stream.Client.ServerParameters(l.params)
 			}
 		}
 		return true
@@ -487,7 +487,7 @@
 		l.status = m.Status
 		ops := l.queue
 		l.queue = nil
-		l.Ask(ops)
+		l.Send(ops)
 	}
 	return true
 }
@@ -540,13 +540,13 @@
 // goingDown ends a session whose connection leads to a member that drains or is gone, now that nothing of it is open.
 func (l *link) goingDown() {
 	k := l.keeper
-	l.all.host.Defer(func() { k.Ended(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"}) })
+	l.all.host.Defer(func() { k.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"}) })
 }
 
 // end tells the client that its time is up.
 func (l *link) end(code, text string) {
 	if j := l.job; j != nil {
-		j.txn.Stream.Client.Ended(&pg.Error{Code: code, Text: text})
+		j.txn.Stream.Client.Terminate(&pg.Error{Code: code, Text: text})
 	}
 }
 
@@ -562,7 +562,7 @@
 		t.Position = l.gtid
 	}
 	if how != router.ServerError { // only an error that the member has got over tells what became of the request
-		defer func() { t.Fault = nil }()
+		defer func() { t.LastError = nil }()
 	}
 	if j.turned > 0 {
 		j.worked += l.all.host.Now() - j.turned
@@ -580,7 +580,7 @@
 		l.drop()
 	case how == router.Succeeded && s.Kept():
 		l.keeper = t.Client
-		if t.Client.Keep(l); l.to.barred {
+		if t.Client.Reserve(l); l.to.barred {
 			l.goingDown()
 		}
 	default:
--- a/internal/eventloop/alarm_test.go
+++ b/internal/eventloop/alarm_test.go
@@ -27,13 +27,13 @@
 	if err := h.Arrive(request.New(s, begun, func(request.Response) { answers++ })); err != nil {
 		t.Fatal(err)
 	}
-	h.settle()
+	h.carryOutDecisions()
 	rings := func() {
 		t.Helper()
 		select {
-		case f := <-h.mail:
+		case f := <-h.mailbox:
 			f()
-			h.settle()
+			h.carryOutDecisions()
 		case <-time.After(20 * time.Second):
 			t.Fatal("no alarm rings any more, and a txn waits")
 		}
--- a/internal/eventloop/cancelled_test.go
+++ b/internal/eventloop/cancelled_test.go
@@ -28,10 +28,10 @@
 func settle(h *Driver) {
 	for range 10 {
 		h.now += 50
-		h.hear().TimerFired()
-		h.settle()
-		now := h.soon
-		h.soon = nil
+		h.routerInput().TimerFired()
+		h.carryOutDecisions()
+		now := h.deferred
+		h.deferred = nil
 		for _, f := range now {
 			f()
 		}
--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -17,13 +17,13 @@
 // RecordPosition takes in a position that a member told, for the estimate of the cluster's clock. sent is when the member was
 // asked, on the loop's clock; router.Never if it isn't known. It goes before Returned and Reported, which convey it.
 func (l *Loop) RecordPosition(member string, role router.Role, position, sent float64) {
-	l.cluster.Add(clockoffset.Sample{Member: member, Primary: role == router.Primary, Position: position, Sent: sent,
+	l.clusterClock.Add(clockoffset.Sample{Member: member, Primary: role == router.Primary, Position: position, Sent: sent,
 		Received: l.Clock()})
 }
 
 // Forget drops what a member that is gone has told.
 func (l *Loop) Forget(member string) {
-	l.cluster.Forget(member)
+	l.clusterClock.Forget(member)
 }
 
 // Possible tells whether a position is one that a member can have by now.
@@ -31,15 +31,15 @@
 	if !(position > 0 && position < latestPosition) {
 		return false
 	}
-	return !l.cluster.Settled(l.Clock()) || position <= l.ClusterNow()+MaxPositionAhead
+	return !l.clusterClock.Settled(l.Clock()) || position <= l.ClusterNow()+MaxPositionAhead
 }
 
 // ClusterNow is the cluster's present, as far as it is known.
-func (l *Loop) ClusterNow() float64 { return l.now + l.cluster.Offset() }
+func (l *Loop) ClusterNow() float64 { return l.now + l.clusterClock.Offset() }
 
 // ToLoop translates a time on the cluster's clock, FromLoop one on the loop's.
-func (l *Loop) ToLoop(at float64) float64   { return at - l.cluster.Offset() }
-func (l *Loop) FromLoop(at float64) float64 { return at + l.cluster.Offset() }
+func (l *Loop) ToLoop(at float64) float64   { return at - l.clusterClock.Offset() }
+func (l *Loop) FromLoop(at float64) float64 { return at + l.clusterClock.Offset() }
 
 // heldReport is a member's report that came before the cluster's clock was settled.
 type heldReport struct {
@@ -48,23 +48,23 @@
 	position float64
 }
 
-// position translates a member's position for the module: Never where none was told or it can't be judged yet.
-func (h *Driver) position(position float64) float64 {
-	if position == router.Never || !h.settled() {
+// positionOnLoop translates a member's position for the module: Never where none was told or it can't be judged yet.
+func (h *Driver) positionOnLoop(position float64) float64 {
+	if position == router.Never || !h.clockSettled() {
 		return router.Never
 	}
 	return h.ToLoop(position)
 }
 
-// settled tells whether positions can be judged, and conveys what was held until they could.
-func (h *Driver) settled() bool {
-	if !h.cluster.Settled(h.Clock()) {
+// clockSettled tells whether positions can be judged, and conveys what was held until they could.
+func (h *Driver) clockSettled() bool {
+	if !h.clusterClock.Settled(h.Clock()) {
 		return false
 	}
-	if h.announced {
+	if h.settledNotified {
 		return true
 	}
-	h.announced = true
+	h.settledNotified = true
 	if h.onSettled != nil {
 		h.onSettled()
 	}
@@ -72,7 +72,7 @@
 	h.heldReports = nil
 	for _, r := range held {
 		if h.Possible(r.position) {
-			h.conveyReport(r)
+			h.forwardReport(r)
 		}
 	}
 	return true
@@ -81,27 +81,27 @@
 // RecordPosition takes in a position as the loop does, and has its member checked again where that helps to settle the clock.
 func (h *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
 	h.Loop.RecordPosition(member, role, position, sent)
-	if wait, wanted := h.cluster.Confirm(member); wanted && h.mayCheck && !h.confirming[member] {
+	if wait, wanted := h.clusterClock.Confirm(member); wanted && h.confirmsPositions && !h.confirming[member] {
 		h.confirming[member] = true
-		h.After(wait, func() { h.confirm(member) })
+		h.After(wait, func() { h.confirmPosition(member) })
 	}
 }
 
-func (h *Driver) confirm(member string) {
+func (h *Driver) confirmPosition(member string) {
 	delete(h.confirming, member)
-	if _, wanted := h.cluster.Confirm(member); wanted {
-		h.members.HealthCheck(member)
+	if _, wanted := h.clusterClock.Confirm(member); wanted {
+		h.backend.HealthCheck(member)
 	}
 }
 
 // MembersCheckStaleness says that members themselves refuse a read, or have it wait, where they lag behind its position.
-func (h *Driver) MembersCheckStaleness() { h.membersJudge = true }
+func (h *Driver) MembersCheckStaleness() { h.membersCheckStaleness = true }
 
-// MayCheck allows checks of members on the host's own behalf; a check has to bring a report.
-func (h *Driver) MayCheck() { h.mayCheck = true }
+// EnablePositionChecks allows checks of members on the host's own behalf; a check has to bring a report.
+func (h *Driver) EnablePositionChecks() { h.confirmsPositions = true }
 
-// OnSettled names who hears, once, that times on the cluster's clock can be translated.
-func (h *Driver) OnSettled(f func()) { h.onSettled = f }
+// OnClockSettled names who hears, once, that times on the cluster's clock can be translated.
+func (h *Driver) OnClockSettled(f func()) { h.onSettled = f }
 
 // holdReport keeps a member's latest report until it can be judged; there is one a member at most.
 func (h *Driver) holdReport(r heldReport) {
@@ -120,7 +120,7 @@
 // recheckSettled looks again later: replicas alone may settle it by the time that has passed.
 func (h *Driver) recheckSettled() {
 	h.After(settleCheckInterval, func() {
-		if !h.settled() {
+		if !h.clockSettled() {
 			h.recheckSettled()
 		}
 	})
@@ -129,21 +129,21 @@
 // settleCheckInterval is how often, in ms, it is looked whether reports that are held can be judged.
 const settleCheckInterval = 250.0
 
-func (h *Driver) conveyReport(r heldReport) {
-	h.hear().Reported(r.member, r.role, h.ToLoop(r.position))
-	if h.reports != nil {
-		h.reports(r.member, r.role, r.position)
+func (h *Driver) forwardReport(r heldReport) {
+	h.routerInput().Reported(r.member, r.role, h.ToLoop(r.position))
+	if h.onReport != nil {
+		h.onReport(r.member, r.role, r.position)
 	}
 }
 
-// tokenAge is how old the position is that a session's read must see, as the module is told: 0 for none.
-func (h *Driver) tokenAge(after, now float64) float64 {
+// positionAge is how old the position is that a session's read must see, as the module is told: 0 for none.
+func (h *Driver) positionAge(after, now float64) float64 {
 	if after == 0 {
 		return 0
 	}
 	// Until positions can be judged, only what holds everything up to now will do, unless members judge.
 	age := 0.0
-	if h.settled() || h.membersJudge {
+	if h.clockSettled() || h.membersCheckStaleness {
 		age = now - h.ToLoop(after)
 	}
 	if age == 0 { // the module reads 0 as no position, and now - age is exactly the position
@@ -155,30 +155,30 @@
 // StartTimes translates when members last started. A start is translated once, so that a correction of the estimate
 // doesn't pass for a restart.
 type StartTimes struct {
-	loop  *Loop
-	known map[string]startTime
+	loop       *Loop
+	translated map[string]startTime
 }
 
 type startTime struct{ told, at float64 }
 
 // NewStartTimes makes one for a loop.
 func NewStartTimes(l *Loop) *StartTimes {
-	return &StartTimes{loop: l, known: map[string]startTime{}}
+	return &StartTimes{loop: l, translated: map[string]startTime{}}
 }
 
 // Of gives a member's start on the loop's clock; router.Never: long ago.
 func (s *StartTimes) Of(member string, told float64) float64 {
 	if told == router.Never {
-		delete(s.known, member)
+		delete(s.translated, member)
 		return told
 	}
-	if known, there := s.known[member]; there && known.told == told {
+	if known, there := s.translated[member]; there && known.told == told {
 		return known.at
 	}
 	// A member that the list has as started in the future has started by now.
 	at := min(s.loop.ToLoop(told), s.loop.Now())
-	if s.loop.cluster.Settled(s.loop.Clock()) {
-		s.known[member] = startTime{told, at}
+	if s.loop.clusterClock.Settled(s.loop.Clock()) {
+		s.translated[member] = startTime{told, at}
 	}
 	return at
 }
@@ -188,16 +188,16 @@
 	if told == 0 {
 		return router.Never
 	}
-	if known, there := s.known[member]; there && known.told == told {
+	if known, there := s.translated[member]; there && known.told == told {
 		return known.at
 	}
 	return s.loop.ToLoop(told)
 }
 
-// Keep drops all members but those named.
-func (s *StartTimes) Keep(members map[string]bool) {
-	maps.DeleteFunc(s.known, func(id string, _ startTime) bool { return !members[id] })
+// Retain drops all members but those named.
+func (s *StartTimes) Retain(members map[string]bool) {
+	maps.DeleteFunc(s.translated, func(id string, _ startTime) bool { return !members[id] })
 }
 
 // Forget drops a member that is gone.
-func (s *StartTimes) Forget(member string) { delete(s.known, member) }
+func (s *StartTimes) Forget(member string) { delete(s.translated, member) }
--- a/internal/eventloop/clusterclock_test.go
+++ b/internal/eventloop/clusterclock_test.go
@@ -44,7 +44,7 @@
 func TestPositionsWaitForAPrimary(t *testing.T) {
 	h, told := hostAt(-600 * time.Millisecond)
 	h.report("replica", router.Replica, 700)
-	if h.position(present()) != router.Never || len(*told) != 0 {
+	if h.positionOnLoop(present()) != router.Never || len(*told) != 0 {
 		t.Errorf("a position is believed on the word of a replica: %v", *told)
 	}
 	h.report("primary", router.Primary, 0)
@@ -84,7 +84,7 @@
 		if err := arrive("unsettled", present()); err != nil {
 			t.Errorf("ahead by %v, before any report: %v", ahead, err)
 		}
-		for from := time.Now(); !h.settled(); { // an hour ahead takes a second of steady reports
+		for from := time.Now(); !h.clockSettled(); { // an hour ahead takes a second of steady reports
 			if h.report("primary", router.Primary, 0); time.Since(from) > 20*time.Second {
 				t.Fatal("never settled")
 			}
@@ -92,7 +92,7 @@
 		if err := arrive("settled", present()); err != nil {
 			t.Errorf("ahead by %v: %v", ahead, err)
 		}
-		if err := arrive("future", present()+3*MaxPositionAhead); !errors.Is(err, ErrAfter) {
+		if err := arrive("future", present()+3*MaxPositionAhead); !errors.Is(err, ErrFuturePosition) {
 			t.Errorf("ahead by %v, a position of the future: got %v", ahead, err)
 		}
 	}
@@ -118,8 +118,8 @@
 	if starts.Of("b", router.Never) != router.Never || starts.Compare("b", 0) != router.Never {
 		t.Error("long ago is a time")
 	}
-	if starts.Keep(map[string]bool{"b": true}); len(starts.known) != 0 {
-		t.Errorf("%d are kept", len(starts.known))
+	if starts.Retain(map[string]bool{"b": true}); len(starts.translated) != 0 {
+		t.Errorf("%d are kept", len(starts.translated))
 	}
 }
 
@@ -144,7 +144,7 @@
 			h, _ := hostAt(c.ahead)
 			members := &checking{}
 			h.SetBackend(members)
-			h.MayCheck()
+			h.EnablePositionChecks()
 			h.report("primary", router.Primary, 0)
 			if c.gone {
 				h.Forget("primary")
@@ -154,7 +154,7 @@
 			}
 			for len(h.confirming) > 0 {
 				select {
-				case f := <-h.mail:
+				case f := <-h.mailbox:
 					f()
 				case <-time.After(20 * time.Second):
 					t.Fatal("no check comes")
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -48,15 +48,15 @@
 // A request that the poller has read, and not yet counted, when its connection is about to end: it is heard, and the
 // connection stays. Held at the point between the two, an end can't be decided.
 func TestEndWhileThePollerReads(t *testing.T) {
-	for name, end := range map[string]func(*Conn) bool{"finish": (*Conn).FinishQuiet, "drop": (*Conn).DropQuiet} {
+	for name, end := range map[string]func(*Conn) bool{"finish": (*Conn).FinishIfQuiescent, "drop": (*Conn).DropIfQuiescent} {
 		t.Run(name, func(t *testing.T) {
 			l, c, peer, h := pair(t, 1<<20)
 			ended := make(chan bool, 1)
 			ask := func() { l.Post(func() { ended <- end(c) }) }
 			apart := false
 			clear := failpoint.Set("host.read", sync.OnceFunc(func() {
-				if apart = c.order.TryLock(); apart { // nothing keeps the end out: let it happen now
-					c.order.Unlock()
+				if apart = c.readMu.TryLock(); apart { // nothing keeps the end out: let it happen now
+					c.readMu.Unlock()
 					ask()
 					ended <- <-ended
 					return
@@ -89,8 +89,8 @@
 	defer clear()
 	free := false
 	defer failpoint.Set("host.quietly", func() {
-		if free = c.order.TryLock(); free {
-			c.order.Unlock()
+		if free = c.readMu.TryLock(); free {
+			c.readMu.Unlock()
 		}
 		if _, err := peer.Write([]byte("request")); err != nil { // it is with this side's system when this returns
 			t.Error(err)
@@ -98,7 +98,7 @@
 		note("ending")
 	})()
 	ended := make(chan bool, 1)
-	l.Post(func() { c.Write([]byte("answer")); ended <- c.FinishQuiet() })
+	l.Post(func() { c.Write([]byte("answer")); ended <- c.FinishIfQuiescent() })
 	if !<-ended {
 		t.Fatal("a quiet connection did not end")
 	}
@@ -127,7 +127,7 @@
 	l, c, peer, _ := pair(t, 64<<20)
 	long := make([]byte, 32<<20)
 	ended := make(chan bool, 1)
-	l.Post(func() { c.Write(long); ended <- c.FinishQuiet() })
+	l.Post(func() { c.Write(long); ended <- c.FinishIfQuiescent() })
 	if <-ended {
 		t.Error("ended though not all was written")
 	}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -47,13 +47,13 @@
 		return nil, &DialError{syscallerror.Register, err}
 	}
 	failpoint.Hit("host.connected")
-	l.adding.Lock()
-	defer l.adding.Unlock()
-	if l.stopped {
+	l.engineMu.Lock()
+	defer l.engineMu.Unlock()
+	if l.engineStopped {
 		nb.Close()
 		return nil, &DialError{syscallerror.Register, net.ErrClosed}
 	}
-	c := l.own(nb, false)
+	c := l.attach(nb, false)
 	if _, err = l.engine.AddConn(nb); err != nil {
 		return nil, &DialError{syscallerror.Register, err}
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	mailbox   = 256     // events that wait at most; whoever posts more waits instead
-	readSize  = 1 << 14 // bytes read at once; with the mailbox they bound what waits for the loop
-	reads     = 64      // in a row from one connection, before others have their turn
-	lingering = time.Second
+	mailboxCapacity = 256     // events that wait at most; whoever posts more waits instead
+	readSize        = 1 << 14 // bytes read at once; with the mailbox they bound what waits for the loop
+	maxReadsPerTurn = 64      // in a row from one connection, before others have their turn
+	lingerTimeout   = time.Second
 
 	retryPause = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
 )
 
 // Loop is the goroutine and all that wakes it.
 type Loop struct {
-	mail   chan func()
-	soon   []func() // what the goroutine leaves for itself
-	start  time.Time
-	wall   float64 // the machine's wall clock at start: the origin of Clock, and nothing else
-	now    float64
-	batch  int64 // counts the batches of events
-	ended  bool
-	engine *nbio.Engine
-
-	cluster clockoffset.Estimate // on the loop
-	buf     []byte               // the poller's, for what it reads
-
-	mostLeft int64 // bytes that a peer may leave unread; 0: any number
-
-	adding  sync.Mutex // held while the poller gets a connection that was dialled
-	stopped bool       // under adding: it gets no more
+	mailbox     chan func()
+	deferred    []func() // what the goroutine leaves for itself
+	start       time.Time
+	wallAtStart float64 // the machine's wall clock at start: the origin of Clock, and nothing else
+	now         float64
+	batch       int64 // counts the batches of events
+	stopping    bool
+	engine      *nbio.Engine
+
+	clusterClock clockoffset.Estimate // on the loop
+	readBuffer   []byte               // the poller's, for what it reads
+
+	maxUnsent int64 // bytes that a peer may leave unread; 0: any number
+
+	engineMu      sync.Mutex // held while the poller gets a connection that was dialled
+	engineStopped bool       // under adding: it gets no more
 }
 
 // Handler hears of its connection's bytes and its end, on the loop.
@@ -56,22 +56,22 @@
 
 // Conn is a connection. But for what the poller calls it belongs to the loop.
 type Conn struct {
-	loop    *Loop
-	nb      *nbio.Conn
-	handler Handler
-	asked   int64
-	written atomic.Int64
-	order   sync.Mutex   // held while the poller reads and counts, and while the loop asks what came and ends the connection
-	read    atomic.Int64 // under order
-	handled int64
-	looked  int64        // the batch in which the system was last asked about it
-	was     int16        // and what it said
-	after   atomic.Int64 // end once so many bytes are written; 0: don't
-	deaf    atomic.Bool  // what still comes is thrown away by the poller, uncopied
-	closed  bool
-	came    bool     // it came in, and was not made here
-	early   [][]byte // what came before anyone handled it; the mailbox bounds it
-	delayed []byte   // to be written once this host has memory for it; mostLeft bounds it
+	loop         *Loop
+	nb           *nbio.Conn
+	handler      Handler
+	submitted    int64
+	written      atomic.Int64
+	readMu       sync.Mutex   // held while the poller reads and counts, and while the loop asks what came and ends the connection
+	received     atomic.Int64 // under order
+	handled      int64
+	polledBatch  int64        // the batch in which the system was last asked about it
+	polledEvents int16        // and what it said
+	finishAt     atomic.Int64 // end once so many bytes are written; 0: don't
+	discarding   atomic.Bool  // what still comes is thrown away by the poller, uncopied
+	closed       bool
+	inbound      bool     // it came in, and was not made here
+	unhandled    [][]byte // what came before anyone handled it; the mailbox bounds it
+	delayedWrite []byte   // to be written once this host has memory for it; mostLeft bounds it
 }
 
 // NewLoop makes a loop that can hold this many descriptors.
@@ -79,8 +79,8 @@
 
 // NewLoopAt makes a loop on a machine whose wall clock shows this time.
 func NewLoopAt(descriptors int, wall time.Time) *Loop {
-	l := &Loop{mail: make(chan func(), mailbox), start: time.Now(), wall: float64(wall.UnixMicro()) / 1000, buf: make([]byte, readSize)}
-	l.now = l.wall
+	l := &Loop{mailbox: make(chan func(), mailboxCapacity), start: time.Now(), wallAtStart: float64(wall.UnixMicro()) / 1000, readBuffer: make([]byte, readSize)}
+	l.now = l.wallAtStart
 	nbio.MaxOpenFiles = 2*descriptors + 1024 // the size of its table; the platform's limit is what binds
 	return l
 }
@@ -91,7 +91,9 @@
 
 // Clock is the time in ms at this very moment, a batch of events may be long: one reading of the wall at the start, and
 // the monotonic clock since.
-func (l *Loop) Clock() float64 { return l.wall + float64(time.Since(l.start).Microseconds())/1000 }
+func (l *Loop) Clock() float64 {
+	return l.wallAtStart + float64(time.Since(l.start).Microseconds())/1000
+}
 
 // tick moves the batch's time.
 func (l *Loop) tick() {
@@ -100,10 +102,10 @@
 }
 
 // Post has f run on the loop; it waits while the mailbox is full and must not be called on the loop.
-func (l *Loop) Post(f func()) { l.mail <- f }
+func (l *Loop) Post(f func()) { l.mailbox <- f }
 
 // Defer has f run on the loop after what is running; it must be called on the loop.
-func (l *Loop) Defer(f func()) { l.soon = append(l.soon, f) }
+func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
 // After has f run on the loop in so many ms, unless it is stopped. One that is stopped late may still run.
 func (l *Loop) After(ms float64, f func()) *time.Timer {
@@ -111,47 +113,47 @@
 }
 
 // Stop has Run return.
-func (l *Loop) Stop() { l.ended = true }
+func (l *Loop) Stop() { l.stopping = true }
 
 // Run handles events in batches, each followed by settle, until End.
 func (l *Loop) Run(settle func()) {
-	for !l.ended {
-		if len(l.soon) == 0 {
-			f := <-l.mail
+	for !l.stopping {
+		if len(l.deferred) == 0 {
+			f := <-l.mailbox
 			l.tick()
 			f()
 		} else {
 			l.tick()
 		}
-		for n := len(l.mail); n > 0; n-- {
-			(<-l.mail)()
+		for n := len(l.mailbox); n > 0; n-- {
+			(<-l.mailbox)()
 		}
-		for len(l.soon) > 0 {
-			now := l.soon
-			l.soon = nil
+		for len(l.deferred) > 0 {
+			now := l.deferred
+			l.deferred = nil
 			for _, f := range now {
 				f()
 			}
 		}
 		settle()
 	}
-	l.stop()
+	l.stopEngine()
 }
 
-// stop closes the listener and what connections are left. Nobody hears of that any more.
-func (l *Loop) stop() {
+// stopEngine closes the listener and what connections are left. Nobody hears of that any more.
+func (l *Loop) stopEngine() {
 	if l.engine == nil {
 		return
 	}
 	// Guards against a dial that is made just now: the poller must not get another connection while it ends.
-	l.adding.Lock()
-	l.stopped = true
-	l.adding.Unlock()
+	l.engineMu.Lock()
+	l.engineStopped = true
+	l.engineMu.Unlock()
 	stopped := make(chan struct{})
 	go func() { l.engine.Stop(); close(stopped) }()
-	for late := time.After(lingering); ; {
+	for late := time.After(lingerTimeout); ; {
 		select {
-		case <-l.mail:
+		case <-l.mailbox:
 		case <-stopped:
 			return
 		case <-late:
@@ -173,41 +175,41 @@
 		if nb.Session() != nil {
 			return // dialled
 		}
-		c := l.own(nb, true)
+		c := l.attach(nb, true)
 		l.Post(func() { accept(c) })
 	})
 	e.OnRead(func(nb *nbio.Conn) {
-		if c := owner(nb); c != nil {
+		if c := connOf(nb); c != nil {
 			c.receive()
 		}
 	})
 	e.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
 		if c, ok := nb.Session().(*Conn); ok {
-			if c.count(n) {
-				l.engine.Async(func() { l.Post(c.finish) })
+			if c.recordWritten(n) {
+				l.engine.Async(func() { l.Post(c.shutdownWrite) })
 			}
 		}
 	})
 	e.OnClose(func(nb *nbio.Conn, _ error) {
-		if c := owner(nb); c != nil {
-			l.Post(c.gone)
+		if c := connOf(nb); c != nil {
+			l.Post(c.notifyClosed)
 		}
 	})
-	l.engine, l.mostLeft = e, int64(mostLeft)
+	l.engine, l.maxUnsent = e, int64(mostLeft)
 	return e.Start()
 }
 
-// own makes the connection's other half, and owner finds it. The lock orders the two for the poller, which learns of
+// attach makes the connection's other half, and owner finds it. The lock orders the two for the poller, which learns of
 // a connection by way of the system alone.
-func (l *Loop) own(nb *nbio.Conn, came bool) *Conn {
-	c := &Conn{loop: l, nb: nb, came: came}
+func (l *Loop) attach(nb *nbio.Conn, came bool) *Conn {
+	c := &Conn{loop: l, nb: nb, inbound: came}
 	nb.Lock()
 	nb.SetSession(c)
 	nb.Unlock()
 	return c
 }
 
-func owner(nb *nbio.Conn) *Conn {
+func connOf(nb *nbio.Conn) *Conn {
 	nb.Lock()
 	defer nb.Unlock()
 	c, _ := nb.Session().(*Conn)
@@ -218,13 +220,13 @@
 // with the end that is there behind them: guards against a request that waited to be read for longer than its client did,
 // and goes on before the loop hears that the client has gone.
 func (c *Conn) receive() {
-	buf := c.loop.buf
+	buf := c.loop.readBuffer
 	var data []byte // read, and not told yet
-	defer func() { c.tell(data, false) }()
-	for range reads {
-		n, heard, err := c.take(buf)
+	defer func() { c.postData(data, false) }()
+	for range maxReadsPerTurn {
+		n, heard, err := c.readOnce(buf)
 		if data != nil {
-			c.tell(data, n == 0 && err == nil || broken(err))
+			c.postData(data, n == 0 && err == nil || endsConnection(err))
 			data = nil
 		}
 		if heard {
@@ -234,53 +236,53 @@
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
 			return
-		case broken(err):
+		case endsConnection(err):
 			c.nb.CloseWithError(err)
 			return
 		case err != nil: // memory is short: the poller comes back, since what came is still there
 			time.Sleep(retryPause)
 			return
-		case n == 0 || n < len(buf) && !c.came:
+		case n == 0 || n < len(buf) && !c.inbound:
 			return
 		}
 	}
 }
 
-// broken tells that a read's error is the end of its connection.
-func broken(err error) bool {
+// endsConnection tells that a read's error is the end of its connection.
+func endsConnection(err error) bool {
 	return err != nil && syscallerror.Of(syscallerror.Read, err) == syscallerror.Peer
 }
 
-// tell has the loop hear of bytes, if there are any, and of the end behind them.
-func (c *Conn) tell(data []byte, ended bool) {
+// postData has the loop hear of bytes, if there are any, and of the end behind them.
+func (c *Conn) postData(data []byte, ended bool) {
 	if data == nil {
 		return
 	}
 	c.loop.Post(func() {
 		c.handled += int64(len(data))
 		if c.handler == nil {
-			c.early = append(c.early, data)
+			c.unhandled = append(c.unhandled, data)
 		} else if !c.closed {
 			c.handler.Data(data)
 		}
 		if ended {
-			c.gone()
+			c.notifyClosed()
 		}
 	})
 	failpoint.Hit("host.told")
 }
 
-// take reads and counts in one step, against who asks what is unread. Guards against an end that is decided between the
+// readOnce reads and counts in one step, against who asks what is unread. Guards against an end that is decided between the
 // two: bytes that were read before it would be thrown away after it, and their sender can't know.
-func (c *Conn) take(buf []byte) (n int, heard bool, err error) {
-	c.order.Lock()
-	defer c.order.Unlock()
+func (c *Conn) readOnce(buf []byte) (n int, heard bool, err error) {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if err = failpoint.Error("host.read"); err == nil {
 		n, err = c.nb.Read(buf[:failpoint.Limit("host.read", len(buf))])
 	}
 	failpoint.Hit("host.read")
-	if heard = n > 0 && !c.deaf.Load(); heard {
-		c.read.Add(int64(n))
+	if heard = n > 0 && !c.discarding.Load(); heard {
+		c.received.Add(int64(n))
 	}
 	return n, heard, err
 }
@@ -303,8 +305,8 @@
 // Handle names who hears of the connection from now on, and of what has come so far. Guards against a peer that speaks, or
 // ends the connection, before whoever had it made is told of it: it would wait for either until its time-out.
 func (c *Conn) Handle(h Handler) {
-	early, ended := c.early, c.closed
-	c.handler, c.early = h, nil
+	early, ended := c.unhandled, c.closed
+	c.handler, c.unhandled = h, nil
 	if early == nil && !ended {
 		return
 	}
@@ -320,15 +322,15 @@
 
 // Write sends b, now or as the peer takes it. If it can't, Closed follows.
 func (c *Conn) Write(b []byte) {
-	if c.closed || c.after.Load() > 0 {
+	if c.closed || c.finishAt.Load() > 0 {
 		return
 	}
-	c.asked += int64(len(b))
+	c.submitted += int64(len(b))
 	var err error
-	if c.looked != c.loop.batch {
-		c.was, c.looked = c.state(), c.loop.batch
+	if c.polledBatch != c.loop.batch {
+		c.polledEvents, c.polledBatch = c.pollReadable(), c.loop.batch
 	}
-	if c.was&(unix.POLLERR|unix.POLLHUP) != 0 {
+	if c.polledEvents&(unix.POLLERR|unix.POLLHUP) != 0 {
 		err = net.ErrClosed
 	} else {
 		err = c.send(b)
@@ -341,18 +343,18 @@
 // fail ends the connection, so that the peer hears of it too, whatever was wrong.
 func (c *Conn) fail() {
 	c.Drop()
-	c.loop.Defer(c.gone)
+	c.loop.Defer(c.notifyClosed)
 }
 
-// state asks the system whether something can be read, or the connection has ended. Guards against nbio closing a descriptor in a failing write: the number is used again at
+// pollReadable asks the system whether something can be read, or the connection has ended. Guards against nbio closing a descriptor in a failing write: the number is used again at
 // once, and an event for the old connection that the poller still holds then closes the new one. Only the poller
 // may close.
-func (c *Conn) state() int16 { return c.poll(unix.POLLIN) }
+func (c *Conn) pollReadable() int16 { return c.poll(unix.POLLIN) }
 
 // poll asks the system about these events, and whether the connection is broken.
 func (c *Conn) poll(events int16) (state int16) {
 	err := c.control(func(fd int) error {
-		state = polled(fd, events)
+		state = pollDescriptor(fd, events)
 		return nil
 	})
 	if err != nil { // it is closed
@@ -361,9 +363,9 @@
 	return state
 }
 
-// polled asks until a call is not interrupted. One that fails for want of memory is no sign of an end: something may be there
+// pollDescriptor asks until a call is not interrupted. One that fails for want of memory is no sign of an end: something may be there
 // to be read.
-func polled(fd int, events int16) int16 {
+func pollDescriptor(fd int, events int16) int16 {
 	for {
 		poll := []unix.PollFd{{Fd: int32(fd), Events: events}}
 		err := failpoint.Error("host.poll")
@@ -381,14 +383,14 @@
 
 // Unread tells whether something has come that the handler has not heard of yet: bytes, or the end.
 func (c *Conn) Unread() bool {
-	c.order.Lock()
-	defer c.order.Unlock()
-	return c.unread()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	return c.unreadLocked()
 }
 
-func (c *Conn) unread() bool {
-	c.was, c.looked = c.state(), c.loop.batch
-	return c.read.Load() != c.handled || c.was != 0
+func (c *Conn) unreadLocked() bool {
+	c.polledEvents, c.polledBatch = c.pollReadable(), c.loop.batch
+	return c.received.Load() != c.handled || c.polledEvents != 0
 }
 
 // PeerClosed tells whether the peer has ended the connection, or its sending on it, also where the handler has not heard
@@ -402,12 +404,12 @@
 func (c *Conn) Written() int64 { return c.written.Load() }
 
 // Unsent tells how many bytes the system has not taken yet, since the peer is slow to read.
-func (c *Conn) Unsent() int64 { return c.asked - c.written.Load() }
+func (c *Conn) Unsent() int64 { return c.submitted - c.written.Load() }
 
 // Sent tells whether the system has taken the last byte of all that was written.
-func (c *Conn) Sent() bool { return c.written.Load() == c.asked }
+func (c *Conn) Sent() bool { return c.written.Load() == c.submitted }
 
-func (c *Conn) gone() {
+func (c *Conn) notifyClosed() {
 	if !c.closed {
 		c.closed = true
 		if c.handler != nil {
@@ -425,23 +427,23 @@
 
 // Drop ends the connection at once; Closed follows.
 func (c *Conn) Drop() {
-	c.deaf.Store(true)
-	c.end(unix.SHUT_RDWR)
+	c.discarding.Store(true)
+	c.shutdown(unix.SHUT_RDWR)
 }
 
-// end shuts one or both directions down. The poller closes a connection that is shut down both ways.
-func (c *Conn) end(how int) { c.control(func(fd int) error { return unix.Shutdown(fd, how) }) }
+// shutdown shuts one or both directions down. The poller closes a connection that is shut down both ways.
+func (c *Conn) shutdown(how int) { c.control(func(fd int) error { return unix.Shutdown(fd, how) }) }
 
-// DropQuiet and FinishQuiet do as Drop and Finish, unless something has come that the handler has not heard of yet, or
+// DropIfQuiescent and FinishQuiet do as Drop and Finish, unless something has come that the handler has not heard of yet, or
 // not all is written; they tell whether they did. Asking and ending are one step against the poller: what it reads
 // after that came after the end, as its sender can tell.
-func (c *Conn) DropQuiet() bool   { return c.quietly(c.Drop) }
-func (c *Conn) FinishQuiet() bool { return c.quietly(c.Finish) }
+func (c *Conn) DropIfQuiescent() bool   { return c.ifQuiescent(c.Drop) }
+func (c *Conn) FinishIfQuiescent() bool { return c.ifQuiescent(c.Finish) }
 
-func (c *Conn) quietly(end func()) bool {
-	c.order.Lock()
-	defer c.order.Unlock()
-	if c.closed || !c.Sent() || c.unread() {
+func (c *Conn) ifQuiescent(end func()) bool {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if c.closed || !c.Sent() || c.unreadLocked() {
 		return false
 	}
 	failpoint.Hit("host.quietly")
@@ -453,19 +455,19 @@
 // before all of its bytes are read would reset the connection and take the last answer away from it. A peer that does
 // not even read is not waited for much longer.
 func (c *Conn) Finish() {
-	c.deaf.Store(true)
-	if c.closed || c.after.Load() > 0 {
+	c.discarding.Store(true)
+	if c.closed || c.finishAt.Load() > 0 {
 		return
 	}
-	c.after.Store(c.asked)
+	c.finishAt.Store(c.submitted)
 	if c.Sent() {
-		c.finish()
+		c.shutdownWrite()
 	} else {
-		c.loop.After(3*float64(lingering.Milliseconds()), c.Drop)
+		c.loop.After(3*float64(lingerTimeout.Milliseconds()), c.Drop)
 	}
 }
 
-func (c *Conn) finish() {
-	c.end(unix.SHUT_WR)
-	c.loop.After(float64(lingering.Milliseconds()), c.Drop)
+func (c *Conn) shutdownWrite() {
+	c.shutdown(unix.SHUT_WR)
+	c.loop.After(float64(lingerTimeout.Milliseconds()), c.Drop)
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -84,7 +84,7 @@
 	}()
 	defer close(stop)
 	for n := range 100000 {
-		if state := c.state(); state != 0 {
+		if state := c.pollReadable(); state != 0 {
 			t.Fatalf("call %d: state %#x of a connection that is up", n, state)
 		}
 	}
@@ -194,7 +194,7 @@
 				t.Fatal(err)
 			}
 			defer nb.Close()
-			conn := l.own(nb, true)
+			conn := l.attach(nb, true)
 			if c.does == nil {
 				conn.Close()
 			} else {
@@ -229,7 +229,7 @@
 		b.Fatal(err)
 	}
 	defer nb.Close()
-	c := l.own(nb, true)
+	c := l.attach(nb, true)
 	for b.Loop() {
 		if c.PeerClosed() {
 			b.Fatal("a connection that is up")
--- a/internal/eventloop/syscall_test.go
+++ b/internal/eventloop/syscall_test.go
@@ -118,7 +118,7 @@
 			_, clear := cycle("host.poll", unix.EINTR, errno)
 			defer clear()
 			quiet := make(chan bool, 1)
-			l.Post(func() { c.Write([]byte("answer")); quiet <- c.DropQuiet() })
+			l.Post(func() { c.Write([]byte("answer")); quiet <- c.DropIfQuiescent() })
 			if <-quiet {
 				t.Error("ended though nobody knows what has come")
 			}
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -9,16 +9,16 @@
 	"wayloft/internal/failpoint"
 )
 
-var errUnread = errors.New("the peer leaves too much unread")
+var errTooMuchUnsent = errors.New("the peer leaves too much unread")
 
 // send writes what the system takes now, and leaves the rest to the poller. Guards against nbio's own first write and its
 // bound, which both close the descriptor at once where they fail: only the poller may.
 func (c *Conn) send(b []byte) error {
-	if most := c.loop.mostLeft; most > 0 && c.Unsent() > most {
-		return errUnread
+	if most := c.loop.maxUnsent; most > 0 && c.Unsent() > most {
+		return errTooMuchUnsent
 	}
-	if c.delayed != nil { // b comes behind it
-		c.delayed = append(c.delayed, b...)
+	if c.delayedWrite != nil { // b comes behind it
+		c.delayedWrite = append(c.delayedWrite, b...)
 		return nil
 	}
 	if c.Unsent() > int64(len(b)) { // the poller has some to write first
@@ -26,14 +26,14 @@
 		return err
 	}
 	n, err := c.writeOnce(b)
-	if c.count(n) {
-		c.loop.Defer(c.finish)
+	if c.recordWritten(n) {
+		c.loop.Defer(c.shutdownWrite)
 	}
 	switch b = b[n:]; {
 	case len(b) == 0:
 		return nil
 	case err != nil && syscallerror.Of(syscallerror.Write, err) == syscallerror.HostResources:
-		c.delayed = slices.Clone(b)
+		c.delayedWrite = slices.Clone(b)
 		c.loop.After(syscallerror.RetryPauseMs, c.resend)
 		return nil
 	case err != nil && !errors.Is(err, syscall.EAGAIN):
@@ -45,8 +45,8 @@
 
 // resend writes what was delayed.
 func (c *Conn) resend() {
-	b := c.delayed
-	if c.delayed = nil; c.closed {
+	b := c.delayedWrite
+	if c.delayedWrite = nil; c.closed {
 		return
 	}
 	if err := c.send(b); err != nil {
@@ -71,7 +71,7 @@
 	return n, err
 }
 
-// count adds to what the system has taken, and tells whether that was the last before the connection is to end.
-func (c *Conn) count(n int) (last bool) {
-	return n > 0 && c.written.Add(int64(n)) == c.after.Load()
+// recordWritten adds to what the system has taken, and tells whether that was the last before the connection is to end.
+func (c *Conn) recordWritten(n int) (last bool) {
+	return n > 0 && c.written.Add(int64(n)) == c.finishAt.Load()
 }
--- a/internal/frontend/closed_test.go
+++ b/internal/frontend/closed_test.go
@@ -63,7 +63,7 @@
 					t.Error("closed, when it sends more")
 				}
 				c.Close()
-				if !one.Abandoned() || one.Over() {
+				if !one.Abandoned() || one.Finished() {
 					t.Error("not closed, before the loop has heard of it")
 				}
 			})
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -141,9 +141,9 @@
 func (s *session) retire() bool {
 	ended := false
 	if s.asked {
-		ended = s.conn.FinishQuiet()
+		ended = s.conn.FinishIfQuiescent()
 	} else {
-		ended = s.conn.DropQuiet()
+		ended = s.conn.DropIfQuiescent()
 	}
 	if ended {
 		s.end()
@@ -441,7 +441,7 @@
 		s.txn, s.size = t, len(text)
 		return
 	case errors.As(err, &bad):
-	case errors.Is(err, eventloop.ErrID):
+	case errors.Is(err, eventloop.ErrDuplicateID):
 		bad = &pg.Error{Code: pg.Taken, Text: err.Error()}
 	default:
 		bad = &pg.Error{Code: pg.Invalid, Text: err.Error()}
@@ -487,8 +487,8 @@
 			e.Detail = strconv.Itoa(int(a.RetryAfter))
 		}
 		s.fail(e)
-	case a.Fault != nil:
-		s.mistake(a.Fault)
+	case a.StatementError != nil:
+		s.mistake(a.StatementError)
 	default:
 		s.fail(&pg.Error{Code: pg.Unresolved, Text: "rolled back, it may have taken effect"})
 	}
--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -64,7 +64,7 @@
 	key  pg.Key
 	told *iradix.Tree[string] // what the client knows of its server
 	txn  *request.Request
-	held request.BackendSide // the connection that stays with the session
+	held request.BackendConn // the connection that stays with the session
 
 	ops     []decide.Op // of the unit that is not whole yet
 	queue   []item      // what came while one is on its way
@@ -371,7 +371,7 @@
 		p.txn, p.held = nil, t.Stream.Reserved
 		p.d.Lost(false)
 		code := pg.Invalid
-		if errors.Is(err, eventloop.ErrID) {
+		if errors.Is(err, eventloop.ErrDuplicateID) {
 			code = pg.Taken
 		}
 		a.Bad++
@@ -392,7 +392,7 @@
 // Session, Hear, Parameters, Keep and Ended make it the caller of its talks.
 func (p *pooled) Session() *decide.Session { return p.d }
 
-func (p *pooled) Hear(ms []pg.Message) {
+func (p *pooled) DeliverMessages(ms []pg.Message) {
 	var out []byte
 	for n := range ms {
 		m := &ms[n]
@@ -415,7 +415,7 @@
 	p.s.conn.Write(out)
 }
 
-func (p *pooled) Parameters(of *iradix.Tree[string]) {
+func (p *pooled) ServerParameters(of *iradix.Tree[string]) {
 	if of == p.told || p.over {
 		return
 	}
@@ -431,14 +431,14 @@
 	}
 }
 
-func (p *pooled) Keep(c request.BackendSide) {
+func (p *pooled) Reserve(c request.BackendConn) {
 	if p.held = c; p.over {
 		p.held = nil
 		p.s.all.host.Defer(c.Release)
 	}
 }
 
-func (p *pooled) Ended(e *pg.Error) {
+func (p *pooled) Terminate(e *pg.Error) {
 	if !p.over {
 		p.s.refuse(e)
 	}
@@ -458,12 +458,12 @@
 		}
 		return
 	}
-	kept, started, fault := t.Stream.Reserved, t.Stream.Started(), t.Stream.Fault
-	may := p.d.Lost(!a.Rejected && a.Fault == nil)
+	kept, started, fault := t.Stream.Reserved, t.Stream.Started(), t.Stream.LastError
+	may := p.d.Lost(!a.Rejected && a.StatementError == nil)
 	var e *pg.Error
 	switch {
-	case a.Fault != nil:
-		e = a.Fault
+	case a.StatementError != nil:
+		e = a.StatementError
 	case a.Rejected:
 		e = &pg.Error{Code: pg.Refused, Text: "declined, a retry does no harm"}
 		if a.RetryAfter > 0 {
@@ -479,7 +479,7 @@
 		e = &pg.Error{Code: pg.Broken, Text: "the connection was lost before the commit: nothing took effect"}
 	}
 	if kept != nil && (started || !a.Rejected) { // what it kept there is gone
-		p.Ended(&pg.Error{Code: pg.GoingDown, Text: e.Text + "; the connection that this session kept has ended"})
+		p.Terminate(&pg.Error{Code: pg.GoingDown, Text: e.Text + "; the connection that this session kept has ended"})
 		return
 	}
 	p.held = kept // it was rejected, and stays where it was
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -9,10 +9,10 @@
 
 // Response is how a request ended.
 type Response struct {
-	Rows       []byte    // what a member answered, whole and byte for byte; nil where it was not committed
-	Fault      *pg.Error // what is wrong with the statement itself
-	Rejected   bool      // else failed
-	RetryAfter float64
+	Rows           []byte    // what a member answered, whole and byte for byte; nil where it was not committed
+	StatementError *pg.Error // what is wrong with the statement itself
+	Rejected       bool      // else failed
+	RetryAfter     float64
 }
 
 // Request is one request on its way.
@@ -24,8 +24,8 @@
 	// ClientClosed asks the system whether the client's connection has ended; nil: nothing can be asked.
 	ClientClosed func() bool
 
-	over    bool
-	deliver func(Response)
+	finished bool
+	deliver  func(Response)
 }
 
 // New takes a request in; deliver is called once, unless its client leaves first.
@@ -39,20 +39,20 @@
 	t.Deadline = t.Arrived + t.Wait
 }
 
-// Over tells whether nothing is owed any more.
-func (t *Request) Over() bool { return t.over }
+// Finished tells whether nothing is owed any more.
+func (t *Request) Finished() bool { return t.finished }
 
 // Abandoned tells that no attempt may begin any more, asked right before one is written: nothing is owed, or the client
 // has closed its connection, whether or not the loop has heard of that. Guards against an attempt for a client
 // that left while the router was held up, or behind the batch of events in which the attempt was decided.
 func (t *Request) Abandoned() bool {
-	return t.over || t.ClientClosed != nil && t.ClientClosed()
+	return t.finished || t.ClientClosed != nil && t.ClientClosed()
 }
 
 func (t *Request) finish(a Response) {
-	invariant.Check(!t.over, "one final answer for a txn")
-	if !t.over {
-		t.over = true
+	invariant.Check(!t.finished, "one final answer for a txn")
+	if !t.finished {
+		t.finished = true
 		t.deliver(a)
 	}
 }
@@ -69,14 +69,14 @@
 func (t *Request) Reject(wait float64) { t.finish(Response{Rejected: true, RetryAfter: wait}) }
 
 // StatementError says what is wrong with the statement itself; it did not take effect.
-func (t *Request) StatementError(e *pg.Error) { t.finish(Response{Fault: e}) }
+func (t *Request) StatementError(e *pg.Error) { t.finish(Response{StatementError: e}) }
 
 // Fail promises nothing.
 func (t *Request) Fail() { t.finish(Response{}) }
 
 // ClientGone says that the client has gone away; it reports whether an answer was still owed.
 func (t *Request) ClientGone() bool {
-	owed := !t.over
-	t.over = true
+	owed := !t.finished
+	t.finished = true
 	return owed
 }
