--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,6 @@
-// Package request is where the two sides meet: one request, what its client said, until when it waits, and its one
-// final answer. It owns the rule that there is exactly one; it must never know a socket of either side.
+// Package request holds one client request from its arrival to its final response. It is the only place where the
+// frontend (client sessions) and the backend (member connections) meet, and it guarantees that a request gets at most
+// one final response. It uses no sockets. Nothing here is safe for concurrent use: all of it belongs to the event loop.
 package request
 
 import (
@@ -7,76 +8,84 @@
 	"wayloft/internal/pg"
 )
 
-// Response is how a request ended.
+// Response is the final response to a request. It succeeded if Rows is not nil. Otherwise StatementError, if set, says what is
+// wrong with the statement, Rejected says that it did not run, and a response with neither says that it may have run.
 type Response struct {
-	Rows           []byte    // what a member answered, whole and byte for byte; nil where it was not committed
-	StatementError *pg.Error // what is wrong with the statement itself
-	Rejected       bool      // else failed
-	RetryAfter     float64
+	Rows           []byte    // the member's answer, complete and byte for byte
+	StatementError *pg.Error // an error of the statement itself, which did not take effect
+	Rejected       bool      // it did not run; a retry is harmless
+	RetryAfter     float64   // ms until a rejected client may come back; 0: not told
 }
 
-// Request is one request on its way.
+// Request is one client request for which at most one final response is owed.
 type Request struct {
 	*pg.Statement
-	Arrived, Deadline float64 // ms; Arrived: when its last byte came, which may be before its turn
-	Stream            *Stream // of a request that takes more than one question; else nil
+	Arrived  float64 // ms on the loop's clock: when its last byte came, which may be before it was read
+	Deadline float64 // ms on the loop's clock
+	Stream   *Stream // set for a request of several messages; else nil
 
-	// ClientClosed asks the system whether the client's connection has ended; nil: nothing can be asked.
+	// ClientClosed asks the operating system whether the client's connection has ended; nil: it can't be asked.
 	ClientClosed func() bool
 
 	finished bool
 	deliver  func(Response)
 }
 
-// New takes a request in; deliver is called once, unless its client leaves first.
-func New(s *pg.Statement, arrived float64, deliver func(Response)) *Request {
-	return &Request{Statement: s, Arrived: arrived, Deadline: arrived + s.Wait, deliver: deliver}
+// New returns a request that arrived at this time, in ms on the loop's clock. deliver is called once with the final response,
+// unless the client goes away first.
+func New(statement *pg.Statement, arrived float64, deliver func(Response)) *Request {
+	return &Request{Statement: statement, Arrived: arrived, Deadline: arrived + statement.Wait, deliver: deliver}
 }
 
-// LimitWait limits the time that the client may wait. Guards against requests that are held for as long as a client likes.
-func (t *Request) LimitWait(most float64) {
-	t.Wait = min(t.Wait, most)
-	t.Deadline = t.Arrived + t.Wait
+// LimitWait shortens the time that the client may wait to at most maxWait ms. It guards against requests that stay in memory
+// for as long as a client asks for.
+func (r *Request) LimitWait(maxWait float64) {
+	r.Wait = min(r.Wait, maxWait)
+	r.Deadline = r.Arrived + r.Wait
 }
 
-// Finished tells whether nothing is owed any more.
-func (t *Request) Finished() bool { return t.finished }
+// Finished reports whether no response is owed any more.
+func (r *Request) Finished() bool { return r.finished }
 
-// Abandoned tells that no attempt may begin any more, asked right before one is written: nothing is owed, or the client
-// has closed its connection, whether or not the loop has heard of that. Guards against an attempt for a client
-// that left while the router was held up, or behind the batch of events in which the attempt was decided.
-func (t *Request) Abandoned() bool {
-	return t.finished || t.ClientClosed != nil && t.ClientClosed()
+// Abandoned reports whether no attempt may begin any more: the request is finished, or its client has closed the connection.
+// It asks the operating system, since the event loop may not have handled the end of the connection yet. It must be called
+// right before an attempt is written. It guards against an attempt for a client that left while the router was busy, or while
+// earlier events of the same batch were handled.
+func (r *Request) Abandoned() bool {
+	return r.finished || r.ClientClosed != nil && r.ClientClosed()
 }
 
-func (t *Request) finish(a Response) {
-	invariant.Check(!t.finished, "one final answer for a txn")
-	if !t.finished {
-		t.finished = true
-		t.deliver(a)
+func (r *Request) finish(response Response) {
+	invariant.Check(!r.finished, "one final answer for a txn")
+	if !r.finished {
+		r.finished = true
+		r.deliver(response)
 	}
 }
 
-// Succeed passes on what a member answered; of a talk the client has heard it already.
-func (t *Request) Succeed(rows []byte) {
-	if t.Stream != nil {
+// Succeed finishes the request with the member's answer. The client of a stream has received the answer already: its
+// response has Rows that are empty, but not nil.
+func (r *Request) Succeed(rows []byte) {
+	if r.Stream != nil {
 		rows = []byte{}
 	}
-	t.finish(Response{Rows: rows})
+	r.finish(Response{Rows: rows})
 }
 
-// Reject says that trying again is harmless, after so many ms if that is more than 0.
-func (t *Request) Reject(wait float64) { t.finish(Response{Rejected: true, RetryAfter: wait}) }
+// Reject finishes a request that did not run. retryAfter is in ms; 0 tells the client nothing.
+func (r *Request) Reject(retryAfter float64) {
+	r.finish(Response{Rejected: true, RetryAfter: retryAfter})
+}
 
-// StatementError says what is wrong with the statement itself; it did not take effect.
-func (t *Request) StatementError(e *pg.Error) { t.finish(Response{StatementError: e}) }
+// StatementError finishes the request with an error of the statement itself, which did not take effect.
+func (r *Request) StatementError(e *pg.Error) { r.finish(Response{StatementError: e}) }
 
-// Fail promises nothing.
-func (t *Request) Fail() { t.finish(Response{}) }
+// Fail finishes a request that may have run.
+func (r *Request) Fail() { r.finish(Response{}) }
 
-// ClientGone says that the client has gone away; it reports whether an answer was still owed.
-func (t *Request) ClientGone() bool {
-	owed := !t.finished
-	t.finished = true
+// ClientGone records that the client has gone away. It reports whether a response was still owed.
+func (r *Request) ClientGone() bool {
+	owed := !r.finished
+	r.finished = true
 	return owed
 }
