--- a/internal/backend/shortage_test.go
+++ b/internal/backend/shortage_test.go
@@ -70,7 +70,7 @@
 						}).Addr)
 					}
 					var dials atomic.Int64
-					defer failpoint.SetError("host.connect", func() error {
+					defer failpoint.SetError("eventloop.connect", func() error {
 						if dials.Add(1) <= failing {
 							return dialError("connect", errno)
 						}
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -29,11 +29,11 @@
 		point, call string
 		own, peer   []unix.Errno
 	}{
-		{"host.connect", "socket", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES}, nil},
-		{"host.connect", "connect", []unix.Errno{unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM,
+		{"eventloop.connect", "socket", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES}, nil},
+		{"eventloop.connect", "connect", []unix.Errno{unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM,
 			unix.ENETUNREACH, unix.ENETDOWN, unix.EPERM, unix.EINTR},
 			[]unix.Errno{unix.ECONNREFUSED, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH}},
-		{"host.adopt", "dup", []unix.Errno{unix.EMFILE, unix.ENFILE}, nil},
+		{"eventloop.adopt", "dup", []unix.Errno{unix.EMFILE, unix.ENFILE}, nil},
 	} {
 		for n, errno := range append(c.own, c.peer...) {
 			t.Run(fmt.Sprint(c.call, " ", unix.ErrnoName(errno)), func(t *testing.T) {
@@ -77,7 +77,7 @@
 	e, side := start(t, 10)
 	m := fakes.NewMember(t, nil, nil)
 	var dials atomic.Int64
-	defer failpoint.SetError("host.connect", func() error {
+	defer failpoint.SetError("eventloop.connect", func() error {
 		dials.Add(1)
 		return dialError("connect", unix.EADDRNOTAVAIL)
 	})()
@@ -103,7 +103,7 @@
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			e, side := start(t, 10)
 			var broken atomic.Bool
-			defer failpoint.SetError("host.read", func() error {
+			defer failpoint.SetError("eventloop.read", func() error {
 				if broken.Load() {
 					return errno
 				}
@@ -130,8 +130,8 @@
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "17") })
 	var reads atomic.Int64
 	between := []error{0: unix.EINTR, 1: unix.EINTR, 2: unix.EAGAIN, 10: unix.ENOMEM, 49: nil}
-	defer failpoint.SetError("host.read", func() error { return between[reads.Add(1)%int64(len(between))] })()
-	defer failpoint.SetLimit("host.read", 1)()
+	defer failpoint.SetError("eventloop.read", func() error { return between[reads.Add(1)%int64(len(between))] })()
+	defer failpoint.SetLimit("eventloop.read", 1)()
 	e.do(func() {
 		side.List(list(m.Addr, router.Up))
 		side.SendAttempt(txn(e, "1", 60000), 0, "a", 0, math.Inf(1))
--- a/internal/eventloop/crossing_test.go
+++ b/internal/eventloop/crossing_test.go
@@ -54,7 +54,7 @@
 			ended := make(chan bool, 1)
 			ask := func() { l.Post(func() { ended <- end(c) }) }
 			apart := false
-			clear := failpoint.Set("host.read", sync.OnceFunc(func() {
+			clear := failpoint.Set("eventloop.read", sync.OnceFunc(func() {
 				if apart = c.readMu.TryLock(); apart { // nothing keeps the end out: let it happen now
 					c.readMu.Unlock()
 					ask()
@@ -85,10 +85,10 @@
 	var order []string
 	var mu sync.Mutex
 	note := func(what string) { mu.Lock(); order = append(order, what); mu.Unlock() }
-	clear := failpoint.Set("host.read", func() { note("read") })
+	clear := failpoint.Set("eventloop.read", func() { note("read") })
 	defer clear()
 	free := false
-	defer failpoint.Set("host.quietly", func() {
+	defer failpoint.Set("eventloop.quiescent", func() {
 		if free = c.readMu.TryLock(); free {
 			c.readMu.Unlock()
 		}
@@ -151,8 +151,8 @@
 			}
 			defer front.Close()
 			gone := make(chan bool, 10)
-			defer failpoint.Set("host.gone", func() { gone <- true })()
-			defer failpoint.Set("host.dialled", func() { // it is with the poller, and the loop has not heard of it
+			defer failpoint.Set("eventloop.closed", func() { gone <- true })()
+			defer failpoint.Set("eventloop.dialed", func() { // it is with the poller, and the loop has not heard of it
 				peer, err := front.Accept()
 				if err != nil {
 					t.Error(err)
@@ -242,9 +242,9 @@
 		<-accepted
 	}
 	held, release := make(chan bool), make(chan bool)
-	defer failpoint.Set("host.read", sync.OnceFunc(func() { held <- true; <-release }))()
+	defer failpoint.Set("eventloop.read", sync.OnceFunc(func() { held <- true; <-release }))()
 	told := 0
-	defer failpoint.Set("host.told", func() {
+	defer failpoint.Set("eventloop.posted", func() {
 		if told++; told == 2 { // the request; the first is the other's
 			<-o.over
 		}
@@ -282,7 +282,7 @@
 	}
 	defer there.Close()
 	ended, dialled := make(chan bool), make(chan error)
-	defer failpoint.Set("host.connected", func() { <-ended })()
+	defer failpoint.Set("eventloop.connected", func() { <-ended })()
 	go func() { _, err := l.dial(there.Addr().String(), 10*time.Second); dialled <- err }()
 	go func() { l.Run(func() {}); close(ended) }()
 	peer, err := there.Accept()
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -31,7 +31,7 @@
 func (l *Loop) Dial(addr string, ms float64, done func(*Conn, error)) {
 	go func() {
 		c, err := l.dial(addr, time.Duration(ms*float64(time.Millisecond)))
-		failpoint.Hit("host.dialled")
+		failpoint.Hit("eventloop.dialed")
 		l.Post(func() { done(c, err) })
 	}()
 }
@@ -46,7 +46,7 @@
 		std.Close()
 		return nil, &DialError{syscallerror.Register, err}
 	}
-	failpoint.Hit("host.connected")
+	failpoint.Hit("eventloop.connected")
 	l.engineMu.Lock()
 	defer l.engineMu.Unlock()
 	if l.engineStopped {
@@ -61,7 +61,7 @@
 }
 
 func connect(addr string, within time.Duration) (net.Conn, error) {
-	if err := failpoint.Error("host.connect"); err != nil {
+	if err := failpoint.Error("eventloop.connect"); err != nil {
 		return nil, err
 	}
 	return net.DialTimeout("tcp", addr, within)
@@ -78,7 +78,7 @@
 
 // adopt makes a connection the poller's form. Where that fails, std is still the caller's.
 func adopt(std net.Conn) (*nbio.Conn, error) {
-	if err := failpoint.Error("host.adopt"); err != nil {
+	if err := failpoint.Error("eventloop.adopt"); err != nil {
 		return nil, err
 	}
 	return nbio.NBConn(std)
--- /dev/null
+++ b/internal/eventloop/poller.go
@@ -0,0 +1,89 @@
+package eventloop
+
+import (
+	"net"
+	"time"
+
+	"github.com/lesismal/nbio"
+	"github.com/lesismal/nbio/logging"
+)
+
+// Listen starts the poller. accept is called on the loop with each connection that comes in on the listener, before any of its
+// bytes. A peer that leaves more than maxUnsent bytes unread loses its connection. Listen must be called once, before Run.
+func (l *Loop) Listen(listener net.Listener, maxUnsent int, accept func(*Conn)) error {
+	logging.SetLevel(logging.LevelNone)
+	engine := nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{listener.Addr().String()}, NPoller: 1,
+		ReadBufferSize: readSize, MaxWriteBufferSize: maxUnsent,
+		// Level-triggered: edge-triggered, nbio reads one connection for as long as its peer goes on sending.
+		EpollMod: nbio.EPOLLLT,
+		Listen:   func(string, string) (net.Listener, error) { return listener, nil }})
+	engine.OnOpen(func(nb *nbio.Conn) {
+		if nb.Session() != nil {
+			return // dialled
+		}
+		c := l.attach(nb, true)
+		l.Post(func() { accept(c) })
+	})
+	engine.OnRead(func(nb *nbio.Conn) {
+		if c := connOf(nb); c != nil {
+			c.receive()
+		}
+	})
+	engine.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
+		if c, ok := nb.Session().(*Conn); ok {
+			if c.recordWritten(n) {
+				l.engine.Async(func() { l.Post(c.shutdownWrite) })
+			}
+		}
+	})
+	engine.OnClose(func(nb *nbio.Conn, _ error) {
+		if c := connOf(nb); c != nil {
+			l.Post(c.notifyClosed)
+		}
+	})
+	l.engine, l.maxUnsent = engine, int64(maxUnsent)
+	return engine.Start()
+}
+
+// attach makes the Conn of a connection of nbio's, and connOf finds it. The lock orders the two for the poller, which learns of
+// a connection only from the operating system.
+func (l *Loop) attach(nb *nbio.Conn, inbound bool) *Conn {
+	c := &Conn{loop: l, nb: nb, inbound: inbound}
+	nb.Lock()
+	nb.SetSession(c)
+	nb.Unlock()
+	return c
+}
+
+func connOf(nb *nbio.Conn) *Conn {
+	nb.Lock()
+	defer nb.Unlock()
+	c, _ := nb.Session().(*Conn)
+	return c
+}
+
+// stopEngine closes the listener and the connections that are left, without calling their handlers. It discards what is posted
+// meanwhile, and waits for the poller for lingerTimeout at most.
+func (l *Loop) stopEngine() {
+	if l.engine == nil {
+		return
+	}
+	// Guards against a dial that succeeds just now: the poller must not be given another connection while it stops.
+	l.engineMu.Lock()
+	l.engineStopped = true
+	l.engineMu.Unlock()
+	stopped := make(chan struct{})
+	go func() {
+		l.engine.Stop()
+		close(stopped)
+	}()
+	for timeout := time.After(lingerTimeout); ; {
+		select {
+		case <-l.mailbox:
+		case <-stopped:
+			return
+		case <-timeout:
+			return
+		}
+	}
+}
--- a/internal/eventloop/syscall_test.go
+++ b/internal/eventloop/syscall_test.go
@@ -23,9 +23,9 @@
 // its order, and then the end.
 func TestWritesAreInterruptedAndShort(t *testing.T) {
 	l, c, peer, _ := pair(t, 1<<20)
-	calls, clear := cycle("host.write", unix.EINTR, unix.ENOBUFS, unix.EINTR, nil, unix.EAGAIN, unix.ENOMEM)
+	calls, clear := cycle("eventloop.write", unix.EINTR, unix.ENOBUFS, unix.EINTR, nil, unix.EAGAIN, unix.ENOMEM)
 	defer clear()
-	defer failpoint.SetLimit("host.write", 3)()
+	defer failpoint.SetLimit("eventloop.write", 3)()
 	for n := range 30 {
 		want := bytes.Repeat([]byte{byte(n)}, 1000)
 		l.Post(func() { c.Write(want[:500]); c.Write(want[500:]) })
@@ -47,9 +47,9 @@
 // Reads that are interrupted, find nothing, lack memory for a moment or take one byte: all is heard, in its order, and the end.
 func TestReadsAreInterruptedAndShort(t *testing.T) {
 	l, _, peer, h := pair(t, 1<<20)
-	_, clear := cycle("host.read", unix.EINTR, unix.EAGAIN, nil, unix.ENOBUFS, nil, nil, unix.EINTR)
+	_, clear := cycle("eventloop.read", unix.EINTR, unix.EAGAIN, nil, unix.ENOBUFS, nil, nil, unix.EINTR)
 	defer clear()
-	defer failpoint.SetLimit("host.read", 1)()
+	defer failpoint.SetLimit("eventloop.read", 1)()
 	const text = "a request in some parts"
 	if _, err := peer.Write([]byte(text)); err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	for _, errno := range []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ENETDOWN} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			_, _, peer, h := pair(t, 1<<20)
-			_, clear := cycle("host.read", errno)
+			_, clear := cycle("eventloop.read", errno)
 			defer clear()
 			if _, err := peer.Write([]byte("x")); err != nil {
 				t.Fatal(err)
@@ -91,8 +91,8 @@
 			const most = 1 << 20
 			l, c, _, h := pair(t, most)
 			release := make(chan bool)
-			defer failpoint.Set("host.read", func() { <-release })()
-			_, clear := cycle("host.write", errno)
+			defer failpoint.Set("eventloop.read", func() { <-release })()
+			_, clear := cycle("eventloop.write", errno)
 			defer clear()
 			closed := make(chan bool)
 			l.Post(func() {
@@ -115,7 +115,7 @@
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.EAGAIN} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			l, c, peer, _ := pair(t, 1<<20)
-			_, clear := cycle("host.poll", unix.EINTR, errno)
+			_, clear := cycle("eventloop.poll", unix.EINTR, errno)
 			defer clear()
 			quiet := make(chan bool, 1)
 			l.Post(func() { c.Write([]byte("answer")); quiet <- c.DropIfQuiescent() })
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -2,22 +2,47 @@
 
 import (
 	"errors"
+	"net"
 	"slices"
 	"syscall"
 
+	"golang.org/x/sys/unix"
+
 	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/failpoint"
 )
 
-var errTooMuchUnsent = errors.New("the peer leaves too much unread")
+var errTooMuchUnsent = errors.New("write: the peer leaves too much unread")
+
+// Write sends b, now or as the peer reads. If it can't be sent, the handler's Closed follows. It polls the connection before its
+// first write in a batch. This guards against nbio closing the descriptor in a write that fails: the number would be used again at
+// once, and an event for the old connection that the poller still holds would close the new one. Only the poller may close.
+func (c *Conn) Write(b []byte) {
+	if c.closed || c.finishAt.Load() > 0 {
+		return
+	}
+	c.submitted += int64(len(b))
+	var err error
+	if c.polledBatch != c.loop.batch {
+		c.polledEvents, c.polledBatch = c.pollReadable(), c.loop.batch
+	}
+	if c.polledEvents&(unix.POLLERR|unix.POLLHUP) != 0 {
+		err = net.ErrClosed
+	} else {
+		err = c.send(b)
+	}
+	if err != nil {
+		c.fail()
+	}
+}
 
-// send writes what the system takes now, and leaves the rest to the poller. Guards against nbio's own first write and its
-// bound, which both close the descriptor at once where they fail: only the poller may.
+// send writes what the operating system takes now, and leaves the rest to the poller. It guards against nbio's own first write and
+// its bound, which both close the descriptor at once if they fail: only the poller may.
 func (c *Conn) send(b []byte) error {
-	if most := c.loop.maxUnsent; most > 0 && c.Unsent() > most {
+	if limit := c.loop.maxUnsent; limit > 0 && c.Unsent() > limit {
 		return errTooMuchUnsent
 	}
-	if c.delayedWrite != nil { // b comes behind it
+	if c.delayedWrite != nil { // b goes behind it
 		c.delayedWrite = append(c.delayedWrite, b...)
 		return nil
 	}
@@ -43,7 +68,7 @@
 	return err
 }
 
-// resend writes what was delayed.
+// resend writes what was delayed for want of memory.
 func (c *Conn) resend() {
 	b := c.delayedWrite
 	if c.delayedWrite = nil; c.closed {
@@ -54,13 +79,13 @@
 	}
 }
 
-// writeOnce makes one write that is not interrupted, and tells how many bytes the system has taken.
+// writeOnce makes one write that is not interrupted. It returns how many bytes the operating system has taken.
 func (c *Conn) writeOnce(b []byte) (n int, err error) {
 	err = c.control(func(fd int) error {
 		for {
-			err := failpoint.Error("host.write")
+			err := failpoint.Error("eventloop.write")
 			if err == nil {
-				n, err = syscall.Write(fd, b[:failpoint.Limit("host.write", len(b))])
+				n, err = syscall.Write(fd, b[:failpoint.Limit("eventloop.write", len(b))])
 			}
 			if !errors.Is(err, syscall.EINTR) {
 				n = max(0, n)
@@ -71,7 +96,17 @@
 	return n, err
 }
 
-// recordWritten adds to what the system has taken, and tells whether that was the last before the connection is to end.
+// recordWritten counts bytes that the operating system has taken. It reports whether they are the last before the connection is to
+// be finished.
 func (c *Conn) recordWritten(n int) (last bool) {
 	return n > 0 && c.written.Add(int64(n)) == c.finishAt.Load()
 }
+
+// Written returns how many bytes the operating system has taken.
+func (c *Conn) Written() int64 { return c.written.Load() }
+
+// Unsent returns how many bytes the operating system has not taken yet, since the peer is slow to read.
+func (c *Conn) Unsent() int64 { return c.submitted - c.written.Load() }
+
+// Sent reports whether the operating system has taken all that was written.
+func (c *Conn) Sent() bool { return c.written.Load() == c.submitted }
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -49,7 +49,7 @@
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			f := newFront(t, 10)
-			calls, clear := failures("host.adopt", 3, os.NewSyscallError("dup", errno))
+			calls, clear := failures("eventloop.adopt", 3, os.NewSyscallError("dup", errno))
 			defer clear()
 			for range 2 {
 				f.dial("plain", true).Close()
@@ -72,7 +72,7 @@
 	f := newFront(t, 10)
 	var ends atomic.Int64 // times that the process would have ended
 	defer failpoint.Set("clients.last", func() { ends.Add(1) })()
-	defer failpoint.SetError("host.adopt", func() error {
+	defer failpoint.SetError("eventloop.adopt", func() error {
 		if ends.Load() < 3 {
 			return os.NewSyscallError("dup", unix.EMFILE)
 		}
