--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -1,44 +1,50 @@
 package eventloop
 
 import (
-	"maps"
 	"math"
 
 	"wayloft/internal/decide/clockoffset"
 	"wayloft/router"
 )
 
-// This file is the one edge between the cluster's clock, on which positions and starts are dated (Unix ms), and the
-// loop's clock, on which the module runs.
+// Positions and members' start times are on the cluster's clock (Unix ms); the decision module runs on the loop's clock. They are
+// translated in this file and in starttimes.go, and nowhere else.
 
-// latestPosition bounds what can be a Unix time in ms at all.
-const latestPosition = 1e15
+const (
+	// maxPosition is more than any Unix time in ms.
+	maxPosition = 1e15
+	// settleCheckInterval is how often, in ms, the driver looks whether held reports can be judged.
+	settleCheckInterval = 250.0
+)
 
-// RecordPosition takes in a position that a member told, for the estimate of the cluster's clock. sent is when the member was
-// asked, on the loop's clock; router.Never if it isn't known. It goes before Returned and Reported, which convey it.
+// RecordPosition adds a position that a member reported to the estimate of the cluster's clock. sent is when the member was asked,
+// on the loop's clock; router.Never if that isn't known. It must be called before the position is passed on by
+// Driver.AttemptEnded or Driver.Reported.
 func (l *Loop) RecordPosition(member string, role router.Role, position, sent float64) {
 	l.clusterClock.Add(clockoffset.Sample{Member: member, Primary: role == router.Primary, Position: position, Sent: sent,
 		Received: l.Clock()})
 }
 
-// Forget drops what a member that is gone has told.
+// Forget drops what a member that is gone has reported.
 func (l *Loop) Forget(member string) {
 	l.clusterClock.Forget(member)
 }
 
-// Possible tells whether a position is one that a member can have by now.
+// Possible reports whether a member can have this position by now.
 func (l *Loop) Possible(position float64) bool {
-	if !(position > 0 && position < latestPosition) {
+	if !(position > 0 && position < maxPosition) {
 		return false
 	}
 	return !l.clusterClock.Settled(l.Clock()) || position <= l.ClusterNow()+MaxPositionAhead
 }
 
-// ClusterNow is the cluster's present, as far as it is known.
+// ClusterNow returns the present time on the cluster's clock, as far as it is known.
 func (l *Loop) ClusterNow() float64 { return l.now + l.clusterClock.Offset() }
 
-// ToLoop translates a time on the cluster's clock, FromLoop one on the loop's.
-func (l *Loop) ToLoop(at float64) float64   { return at - l.clusterClock.Offset() }
+// ToLoop translates a time on the cluster's clock to one on the loop's clock.
+func (l *Loop) ToLoop(at float64) float64 { return at - l.clusterClock.Offset() }
+
+// FromLoop translates a time on the loop's clock to one on the cluster's clock.
 func (l *Loop) FromLoop(at float64) float64 { return at + l.clusterClock.Offset() }
 
 // heldReport is a member's report that came before the cluster's clock was settled.
@@ -48,156 +54,104 @@
 	position float64
 }
 
-// positionOnLoop translates a member's position for the module: Never where none was told or it can't be judged yet.
-func (h *Driver) positionOnLoop(position float64) float64 {
-	if position == router.Never || !h.clockSettled() {
+// positionOnLoop translates a member's position for the module: Never if there is none, or if it can't be judged yet.
+func (d *Driver) positionOnLoop(position float64) float64 {
+	if position == router.Never || !d.clockSettled() {
 		return router.Never
 	}
-	return h.ToLoop(position)
+	return d.ToLoop(position)
 }
 
-// clockSettled tells whether positions can be judged, and conveys what was held until they could.
-func (h *Driver) clockSettled() bool {
-	if !h.clusterClock.Settled(h.Clock()) {
+// clockSettled reports whether positions can be judged. The first time that they can, it passes on the reports that were held.
+func (d *Driver) clockSettled() bool {
+	if !d.clusterClock.Settled(d.Clock()) {
 		return false
 	}
-	if h.settledNotified {
+	if d.settledNotified {
 		return true
 	}
-	h.settledNotified = true
-	if h.onSettled != nil {
-		h.onSettled()
+	d.settledNotified = true
+	if d.onClockSettled != nil {
+		d.onClockSettled()
 	}
-	held := h.heldReports
-	h.heldReports = nil
-	for _, r := range held {
-		if h.Possible(r.position) {
-			h.forwardReport(r)
+	reports := d.heldReports
+	d.heldReports = nil
+	for _, report := range reports {
+		if d.Possible(report.position) {
+			d.forwardReport(report)
 		}
 	}
 	return true
 }
 
-// RecordPosition takes in a position as the loop does, and has its member checked again where that helps to settle the clock.
-func (h *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
-	h.Loop.RecordPosition(member, role, position, sent)
-	if wait, wanted := h.clusterClock.Confirm(member); wanted && h.confirmsPositions && !h.confirming[member] {
-		h.confirming[member] = true
-		h.After(wait, func() { h.confirmPosition(member) })
+// RecordPosition does what Loop.RecordPosition does, and has the member checked again if that helps to settle the clock.
+func (d *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
+	d.Loop.RecordPosition(member, role, position, sent)
+	if wait, wanted := d.clusterClock.Confirm(member); wanted && d.confirmsPositions && !d.confirming[member] {
+		d.confirming[member] = true
+		d.After(wait, func() { d.confirmPosition(member) })
 	}
 }
 
-func (h *Driver) confirmPosition(member string) {
-	delete(h.confirming, member)
-	if _, wanted := h.clusterClock.Confirm(member); wanted {
-		h.backend.HealthCheck(member)
+func (d *Driver) confirmPosition(member string) {
+	delete(d.confirming, member)
+	if _, wanted := d.clusterClock.Confirm(member); wanted {
+		d.backend.HealthCheck(member)
 	}
 }
 
-// MembersCheckStaleness says that members themselves refuse a read, or have it wait, where they lag behind its position.
-func (h *Driver) MembersCheckStaleness() { h.membersCheckStaleness = true }
+// MembersCheckStaleness tells the driver that members themselves refuse a read, or have it wait, if they lag behind its position.
+func (d *Driver) MembersCheckStaleness() { d.membersCheckStaleness = true }
 
-// EnablePositionChecks allows checks of members on the host's own behalf; a check has to bring a report.
-func (h *Driver) EnablePositionChecks() { h.confirmsPositions = true }
+// EnablePositionChecks allows the driver to check members again to settle the cluster's clock. It must be called only if a health
+// check brings a report.
+func (d *Driver) EnablePositionChecks() { d.confirmsPositions = true }
 
-// OnClockSettled names who hears, once, that times on the cluster's clock can be translated.
-func (h *Driver) OnClockSettled(f func()) { h.onSettled = f }
+// OnClockSettled sets a function that is called once, as soon as times on the cluster's clock can be translated.
+func (d *Driver) OnClockSettled(f func()) { d.onClockSettled = f }
 
-// holdReport keeps a member's latest report until it can be judged; there is one a member at most.
-func (h *Driver) holdReport(r heldReport) {
-	for n, old := range h.heldReports {
-		if old.member == r.member {
-			h.heldReports[n] = r
+// holdReport keeps the latest report of a member until it can be judged.
+func (d *Driver) holdReport(report heldReport) {
+	for i, earlier := range d.heldReports {
+		if earlier.member == report.member {
+			d.heldReports[i] = report
 			return
 		}
 	}
-	h.heldReports = append(h.heldReports, r)
-	if len(h.heldReports) == 1 {
-		h.recheckSettled()
+	d.heldReports = append(d.heldReports, report)
+	if len(d.heldReports) == 1 {
+		d.recheckSettled()
 	}
 }
 
-// recheckSettled looks again later: replicas alone may settle it by the time that has passed.
-func (h *Driver) recheckSettled() {
-	h.After(settleCheckInterval, func() {
-		if !h.clockSettled() {
-			h.recheckSettled()
+// recheckSettled checks periodically whether the clock is settled: reports of replicas alone may settle it as time passes.
+func (d *Driver) recheckSettled() {
+	d.After(settleCheckInterval, func() {
+		if !d.clockSettled() {
+			d.recheckSettled()
 		}
 	})
 }
 
-// settleCheckInterval is how often, in ms, it is looked whether reports that are held can be judged.
-const settleCheckInterval = 250.0
-
-func (h *Driver) forwardReport(r heldReport) {
-	h.routerInput().Reported(r.member, r.role, h.ToLoop(r.position))
-	if h.onReport != nil {
-		h.onReport(r.member, r.role, r.position)
+func (d *Driver) forwardReport(report heldReport) {
+	d.routerInput().Reported(report.member, report.role, d.ToLoop(report.position))
+	if d.onReport != nil {
+		d.onReport(report.member, report.role, report.position)
 	}
 }
 
-// positionAge is how old the position is that a session's read must see, as the module is told: 0 for none.
-func (h *Driver) positionAge(after, now float64) float64 {
+// positionAge returns the age in ms of the position that a session's read must see, as the module takes it: 0 for no position.
+func (d *Driver) positionAge(after, now float64) float64 {
 	if after == 0 {
 		return 0
 	}
-	// Until positions can be judged, only what holds everything up to now will do, unless members judge.
+	// Until positions can be judged, the read needs a member that has everything up to now, unless members check it themselves.
 	age := 0.0
-	if h.clockSettled() || h.membersCheckStaleness {
-		age = now - h.ToLoop(after)
+	if d.clockSettled() || d.membersCheckStaleness {
+		age = now - d.ToLoop(after)
 	}
-	if age == 0 { // the module reads 0 as no position, and now - age is exactly the position
+	if age == 0 { // the module reads 0 as no position, and now - age is still exactly the position
 		age = math.SmallestNonzeroFloat64
 	}
 	return age
 }
-
-// StartTimes translates when members last started. A start is translated once, so that a correction of the estimate
-// doesn't pass for a restart.
-type StartTimes struct {
-	loop       *Loop
-	translated map[string]startTime
-}
-
-type startTime struct{ told, at float64 }
-
-// NewStartTimes makes one for a loop.
-func NewStartTimes(l *Loop) *StartTimes {
-	return &StartTimes{loop: l, translated: map[string]startTime{}}
-}
-
-// Of gives a member's start on the loop's clock; router.Never: long ago.
-func (s *StartTimes) Of(member string, told float64) float64 {
-	if told == router.Never {
-		delete(s.translated, member)
-		return told
-	}
-	if known, there := s.translated[member]; there && known.told == told {
-		return known.at
-	}
-	// A member that the list has as started in the future has started by now.
-	at := min(s.loop.ToLoop(told), s.loop.Now())
-	if s.loop.clusterClock.Settled(s.loop.Clock()) {
-		s.translated[member] = startTime{told, at}
-	}
-	return at
-}
-
-// Compare gives a start that another router has told (0: long ago), so that it compares with what Of gave.
-func (s *StartTimes) Compare(member string, told float64) float64 {
-	if told == 0 {
-		return router.Never
-	}
-	if known, there := s.translated[member]; there && known.told == told {
-		return known.at
-	}
-	return s.loop.ToLoop(told)
-}
-
-// Retain drops all members but those named.
-func (s *StartTimes) Retain(members map[string]bool) {
-	maps.DeleteFunc(s.translated, func(id string, _ startTime) bool { return !members[id] })
-}
-
-// Forget drops a member that is gone.
-func (s *StartTimes) Forget(member string) { delete(s.translated, member) }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -20,7 +20,7 @@
 	unsentLingerFactor = 3
 )
 
-// Handler receives a connection's bytes and its end, on the loop. Neither method is called after Closed.
+// Handler receives a connection's bytes and its end, on the loop.
 type Handler interface {
 	// Data receives bytes; the handler may keep them.
 	Data(data []byte)
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"os"
 	"time"
@@ -12,45 +13,45 @@
 	"wayloft/internal/failpoint"
 )
 
-// DialError is the failure of a dial, and the call that failed.
+// DialError is the failure of a dial. Unwrap returns its cause.
 type DialError struct {
-	Call syscallerror.Call
+	Call syscallerror.Call // the system call that failed
 	Err  error
 }
 
-func (e *DialError) Error() string { return "dial: " + e.Err.Error() }
+func (e *DialError) Error() string { return fmt.Sprintf("dial: %v", e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Cause tells whom the failure is about.
+// Cause returns whether the failure is about the peer or about this host.
 func (e *DialError) Cause() syscallerror.Cause { return syscallerror.Of(e.Call, e.Err) }
 
-// Dial connects within so many ms; done hears of it once, and gets a *DialError where it failed. The poller's own way to dial
-// is not used: nbio 1.6.8 takes the first four of sixteen bytes for an IPv4 address and connects to 0.0.0.0.
-func (l *Loop) Dial(addr string, ms float64, done func(*Conn, error)) {
+// Dial connects to addr within timeout ms. done is called once, on the loop; a failure is a *DialError. The poller's own dialler is
+// not used: nbio 1.6.8 takes the first four of an address's sixteen bytes for an IPv4 address, and connects to 0.0.0.0.
+func (l *Loop) Dial(addr string, timeout float64, done func(*Conn, error)) {
 	go func() {
-		c, err := l.dial(addr, time.Duration(ms*float64(time.Millisecond)))
+		c, err := l.dial(addr, time.Duration(timeout*float64(time.Millisecond)))
 		failpoint.Hit("eventloop.dialed")
 		l.Post(func() { done(c, err) })
 	}()
 }
 
-func (l *Loop) dial(addr string, within time.Duration) (*Conn, error) {
-	std, err := connect(addr, within)
+func (l *Loop) dial(addr string, timeout time.Duration) (*Conn, error) {
+	std, err := connect(addr, timeout)
 	if err != nil {
-		return nil, &DialError{callOf(err), err}
+		return nil, &DialError{failedCall(err), err}
 	}
 	nb, err := adopt(std)
 	if err != nil {
-		std.Close()
+		_ = std.Close() // nothing was sent on it, and the dial's error is what the caller needs
 		return nil, &DialError{syscallerror.Register, err}
 	}
 	failpoint.Hit("eventloop.connected")
 	l.engineMu.Lock()
 	defer l.engineMu.Unlock()
 	if l.engineStopped {
-		nb.Close()
+		_ = nb.Close() // nothing was sent on it, and the loop has ended
 		return nil, &DialError{syscallerror.Register, net.ErrClosed}
 	}
 	c := l.attach(nb, false)
@@ -60,15 +61,15 @@
 	return c, nil
 }
 
-func connect(addr string, within time.Duration) (net.Conn, error) {
+func connect(addr string, timeout time.Duration) (net.Conn, error) {
 	if err := failpoint.Error("eventloop.connect"); err != nil {
 		return nil, err
 	}
-	return net.DialTimeout("tcp", addr, within)
+	return net.DialTimeout("tcp", addr, timeout)
 }
 
-// callOf tells which call of net's dial failed.
-func callOf(err error) syscallerror.Call {
+// failedCall returns which system call of net's dial failed.
+func failedCall(err error) syscallerror.Call {
 	var call *os.SyscallError
 	if errors.As(err, &call) && (call.Syscall == "socket" || call.Syscall == "setsockopt") {
 		return syscallerror.Socket
@@ -76,7 +77,7 @@
 	return syscallerror.Connect
 }
 
-// adopt makes a connection the poller's form. Where that fails, std is still the caller's.
+// adopt converts a connection to the poller's type. If that fails, std is still open and the caller's.
 func adopt(std net.Conn) (*nbio.Conn, error) {
 	if err := failpoint.Error("eventloop.adopt"); err != nil {
 		return nil, err
@@ -84,8 +85,8 @@
 	return nbio.NBConn(std)
 }
 
-// Adopt makes a connection that came in ready for the poller. Where that fails, which is for want of a descriptor, the
-// connection is still open and its caller's.
+// Adopt converts a connection that was accepted to the poller's type. It fails for want of a descriptor; the connection is then still
+// open and the caller's. It may be called on any goroutine.
 func Adopt(std net.Conn) (net.Conn, error) {
 	nb, err := adopt(std)
 	if err != nil {
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -10,45 +10,52 @@
 	"wayloft/router"
 )
 
-// Backend carries attempts and checks to members. How each ended comes back by Returned and Checked. Abandon gives
-// up what of a request may not have run yet.
+// Backend carries attempts and health checks to members. It reports the end of each by Driver.AttemptEnded,
+// Driver.StatementFailed and Driver.HealthChecked.
 type Backend interface {
-	Abandon(txn string)
-	SendAttempt(txn *request.Request, seq int, member string, wait, by float64)
-	CancelAttempt(txn string, seq int)
+	// SendAttempt sends a request to a member. The attempt times out after timeout ms, if that isn't 0, and must not be written
+	// after the time notAfter.
+	SendAttempt(req *request.Request, attempt int, member string, timeout, notAfter float64)
+	// CancelAttempt gives up on an attempt, which may have run if it was written.
+	CancelAttempt(requestID string, attempt int)
+	// Abandon gives up whatever of a request may not have run yet: its client has gone.
+	Abandon(requestID string)
+	// HealthCheck asks a member for its role and position.
 	HealthCheck(member string)
+	// CloseIdle closes the idle connections to a member.
 	CloseIdle(member string)
 }
 
-// Driver drives one module: events go in, decisions are pulled and carried out, and an timer is kept for it. It
-// carries out, it must never decide.
+// Driver drives a decision module: it feeds events in, carries out the decisions, and keeps the module's timer. It makes no
+// decisions of its own. All methods but Run must be called on the loop's goroutine.
 type Driver struct {
 	*Loop
 	router      *router.Router
 	backend     Backend
 	classes     map[string]*router.RequestClass
 	requestList func()
-	onReport    func(member string, role router.Role, gtid float64)
-	requests    map[string]*openRequest
-	hasInput    bool // the module has heard something
+	onReport    func(member string, role router.Role, position float64)
+	requests    map[string]*openRequest // by request id
+	hasInput    bool                    // the module has had an input in this batch
 	timer       *time.Timer
 
-	settledNotified   bool // who waits for the cluster's clock to be settled was told
-	onSettled         func()
-	heldReports       []heldReport // one a listed member
-	confirmsPositions bool
+	onClockSettled    func()
+	settledNotified   bool            // onClockSettled was called
+	heldReports       []heldReport    // one a listed member at most
+	confirmsPositions bool            // members may be checked again to settle the clock
 	confirming        map[string]bool // members that are to be checked again soon
 
 	membersCheckStaleness bool
 }
 
-// openRequest is a request that is not over, or has an attempt out.
+// openRequest is a request that is not finished, or has an attempt in flight.
 type openRequest struct {
-	request            *request.Request
-	attempts, inFlight int
+	request  *request.Request
+	attempts int // so far
+	inFlight int
 }
 
-// What Arrive finds wrong.
+// The errors of Driver.Arrive. Their texts are what clients are told.
 var (
 	ErrRequestClass   = errors.New("txn type is not in the settings")
 	ErrDuplicateID    = errors.New("id is in use")
@@ -58,196 +65,213 @@
 // MaxPositionAhead is how many ms a position may lie ahead of the cluster's clock, whoever names it.
 const MaxPositionAhead = 1000.0
 
-// New makes a host; watch asks for the list.
-func New(loop *Loop, r *router.Router, kinds map[string]*router.RequestClass, watch func()) *Driver {
-	return &Driver{Loop: loop, router: r, classes: kinds, requestList: watch, requests: map[string]*openRequest{}, confirming: map[string]bool{}}
+// New returns a driver of a decision module. classes are the request classes of the settings; requestList is called when the module
+// wants the member list.
+func New(loop *Loop, module *router.Router, classes map[string]*router.RequestClass, requestList func()) *Driver {
+	return &Driver{
+		Loop:        loop,
+		router:      module,
+		classes:     classes,
+		requestList: requestList,
+		requests:    map[string]*openRequest{},
+		confirming:  map[string]bool{},
+	}
 }
 
-// SetBackend names who carries attempts.
-func (h *Driver) SetBackend(m Backend) { h.backend = m }
+// SetBackend sets what carries attempts and health checks. It must be called before Run.
+func (d *Driver) SetBackend(b Backend) { d.backend = b }
 
-// Run runs the loop until it ends.
-func (h *Driver) Run() { h.Loop.Run(h.carryOutDecisions) }
+// Run runs the loop until it is stopped.
+func (d *Driver) Run() { d.Loop.Run(d.carryOutDecisions) }
 
-// routerInput tells the module the time before the first input of a batch.
-func (h *Driver) routerInput() *router.Router {
-	if !h.hasInput {
-		h.hasInput = true
-		h.router.Advance(h.Now())
+// routerInput returns the module for an input. It tells it the time before the first input of a batch.
+func (d *Driver) routerInput() *router.Router {
+	if !d.hasInput {
+		d.hasInput = true
+		d.router.Advance(d.Now())
 	}
-	return h.router
+	return d.router
 }
 
-// Arrive takes a request in.
-func (h *Driver) Arrive(t *request.Request) error {
-	if h.requests[t.ID] != nil {
+// Arrive takes in a request. An error means that it was not taken in: ErrRequestClass, ErrDuplicateID or ErrFuturePosition.
+func (d *Driver) Arrive(req *request.Request) error {
+	if d.requests[req.ID] != nil {
 		return ErrDuplicateID
 	}
-	kind := h.classes[t.TxnType]
-	if kind == nil {
+	class := d.classes[req.TxnType]
+	if class == nil {
 		return ErrRequestClass
 	}
-	t.LimitWait(kind.Deadline)
-	now := h.Now()
-	if t.After > 0 && !h.Possible(t.After) {
+	req.LimitWait(class.Deadline)
+	now := d.Now()
+	if req.After > 0 && !d.Possible(req.After) {
 		return ErrFuturePosition
 	}
-	h.routerInput().Arrive(t.ID, t.Tenant, t.Session, t.TxnType, t.Group, h.positionAge(t.After, now), t.Wait, t.Marked)
-	if t.Arrived < now {
-		h.routerInput().Queued(t.ID, now-t.Arrived)
+	d.routerInput().Arrive(req.ID, req.Tenant, req.Session, req.TxnType, req.Group, d.positionAge(req.After, now), req.Wait, req.Marked)
+	if req.Arrived < now {
+		d.routerInput().Queued(req.ID, now-req.Arrived)
 	}
-	if t.Stream != nil && t.Stream.Reserved != nil {
-		h.routerInput().Pin(t.ID, t.Stream.Reserved.Member())
+	if req.Stream != nil && req.Stream.Reserved != nil {
+		d.routerInput().Pin(req.ID, req.Stream.Reserved.Member())
 	}
-	h.requests[t.ID] = &openRequest{request: t}
+	d.requests[req.ID] = &openRequest{request: req}
 	return nil
 }
 
-// ClientGone says that the client of a request has left: nothing is owed any more, and what is not written yet isn't written. Guards
-// against an attempt that waits for a connection to come up, and goes out long after.
-func (h *Driver) ClientGone(t *request.Request) {
-	if t.ClientGone() {
-		h.routerInput().ClientGone(t.ID)
-		h.dropIfDone(t.ID)
-		h.backend.Abandon(t.ID)
+// ClientGone records that the client of a request has gone away: no response is owed any more, and what is not written yet is not
+// written. It guards against an attempt that waits for a connection to come up, and is sent long after.
+func (d *Driver) ClientGone(req *request.Request) {
+	if req.ClientGone() {
+		d.routerInput().ClientGone(req.ID)
+		d.dropIfDone(req.ID)
+		d.backend.Abandon(req.ID)
 	}
 }
 
-// AttemptEnded says how an attempt ended; rows is what the member answered, where it committed.
-func (h *Driver) AttemptEnded(t *request.Request, seq int, member string, how router.Outcome, took float64,
-	role router.Role, gtid float64, rows []byte) {
-	// Its client has had a part, or has cancelled it: it can't begin anew.
-	cut := t.Stream != nil && (t.Stream.Started() || t.Stream.Cancelled())
-	done := t.Finished() || how == router.Succeeded || cut
-	h.routerInput().AttemptEnded(t.ID, seq, how, took, done, role, h.positionOnLoop(gtid))
-	if how == router.Succeeded && !t.Finished() {
-		t.Succeed(rows)
-	} else if cut && !t.Finished() {
-		t.Fail()
+// AttemptEnded records how an attempt ended. took is how many ms the member took; role and position are what it reported of itself,
+// or RoleUnknown and Never; rows is the answer of an attempt that succeeded.
+func (d *Driver) AttemptEnded(req *request.Request, attempt int, _ string, outcome router.Outcome, took float64,
+	role router.Role, position float64, rows []byte) {
+	// Its client has received a part of the answer, or has cancelled it: no further attempt may begin.
+	noRetry := req.Stream != nil && (req.Stream.Started() || req.Stream.Cancelled())
+	done := req.Finished() || outcome == router.Succeeded || noRetry
+	d.routerInput().AttemptEnded(req.ID, attempt, outcome, took, done, role, d.positionOnLoop(position))
+	if outcome == router.Succeeded && !req.Finished() {
+		req.Succeed(rows)
+	} else if noRetry && !req.Finished() {
+		req.Fail()
 	}
-	h.requests[t.ID].inFlight--
-	h.dropIfDone(t.ID)
+	d.requests[req.ID].inFlight--
+	d.dropIfDone(req.ID)
 }
 
-// TurnChanged says whose turn it is in a request of several questions: the member's, or its client's or the pool's, who have it
-// rest.
-func (h *Driver) TurnChanged(t *request.Request, seq int, rests bool) {
-	h.routerInput().TurnChanged(t.ID, seq, rests, t.Stream != nil && t.Stream.Started())
+// TurnChanged records who must act next in a request of several messages: the member, or, where waiting is set, the client or the
+// connection pool.
+func (d *Driver) TurnChanged(req *request.Request, attempt int, waiting bool) {
+	d.routerInput().TurnChanged(req.ID, attempt, waiting, req.Stream != nil && req.Stream.Started())
 }
 
-// StatementFailed says that a member found an attempt's statement at fault: it did not run, and tells nothing of the member.
-func (h *Driver) StatementFailed(t *request.Request, seq int, member string, e *pg.Error) {
-	h.routerInput().AttemptEnded(t.ID, seq, router.NotSent, 0, true, router.RoleUnknown, router.Never)
-	if !t.Finished() {
-		t.StatementError(e)
+// StatementFailed records that a member found an error in the statement of an attempt. The statement did not run, and the error says
+// nothing about the member.
+func (d *Driver) StatementFailed(req *request.Request, attempt int, _ string, e *pg.Error) {
+	d.routerInput().AttemptEnded(req.ID, attempt, router.NotSent, 0, true, router.RoleUnknown, router.Never)
+	if !req.Finished() {
+		req.StatementError(e)
 	}
-	h.requests[t.ID].inFlight--
-	h.dropIfDone(t.ID)
+	d.requests[req.ID].inFlight--
+	d.dropIfDone(req.ID)
 }
 
-// HealthChecked says how a check ended.
-func (h *Driver) HealthChecked(member string, how router.Outcome) {
-	h.routerInput().HealthChecked(member, how)
+// HealthChecked records how a health check ended.
+func (d *Driver) HealthChecked(member string, outcome router.Outcome) {
+	d.routerInput().HealthChecked(member, outcome)
 }
 
-// Reported conveys a member's report, once its position can be judged.
-func (h *Driver) Reported(member string, role router.Role, gtid float64) {
-	r := heldReport{member, role, gtid}
-	if !h.clockSettled() {
-		h.holdReport(r)
+// Reported passes a member's report of its role and position on to the module, once its position can be judged.
+func (d *Driver) Reported(member string, role router.Role, position float64) {
+	report := heldReport{member, role, position}
+	if !d.clockSettled() {
+		d.holdReport(report)
 		return
 	}
-	h.forwardReport(r)
+	d.forwardReport(report)
 }
 
-// OnReport names who hears of members' reports, too, with positions on the cluster's clock; it must not wait.
-func (h *Driver) OnReport(f func(member string, role router.Role, gtid float64)) { h.onReport = f }
+// OnReport sets a function that is also called with members' reports, their positions on the cluster's clock. It must not block.
+func (d *Driver) OnReport(f func(member string, role router.Role, position float64)) { d.onReport = f }
 
-// HealthCheck checks a member on behalf of others; what it tells, the module hears as well.
-func (h *Driver) HealthCheck(member string) { h.backend.HealthCheck(member) }
+// HealthCheck checks a member on behalf of other routers. The module is told the result, too.
+func (d *Driver) HealthCheck(member string) { d.backend.HealthCheck(member) }
 
-// PeerReported conveys what another router's check told, its position on the cluster's clock. It tells nothing before
+// PeerReported passes on what another router's health check found; position is on the cluster's clock. It does nothing before
 // positions can be judged.
-func (h *Driver) PeerReported(member string, started float64, role router.Role, gtid float64) {
-	if !h.clockSettled() || gtid != router.Never && !h.Possible(gtid) {
+func (d *Driver) PeerReported(member string, started float64, role router.Role, position float64) {
+	if !d.clockSettled() || position != router.Never && !d.Possible(position) {
 		return
 	}
-	h.routerInput().PeerReported(member, started, role, h.positionOnLoop(gtid))
+	d.routerInput().PeerReported(member, started, role, d.positionOnLoop(position))
 }
 
-// HoldWrites has writes of a group wait until then; an earlier time lets them go.
-func (h *Driver) HoldWrites(group int, until float64) { h.routerInput().HoldWrites(group, until) }
+// HoldWrites has writes of a group wait until this time; an earlier time releases them.
+func (d *Driver) HoldWrites(group int, until float64) { d.routerInput().HoldWrites(group, until) }
 
-// UpdateSettings conveys settings with other values and tenants; which request classes there are, and what else is fixed of them, stays.
-func (h *Driver) UpdateSettings(set *router.Settings) { h.routerInput().UpdateSettings(set) }
+// UpdateSettings passes on settings with other values and tenants. The request classes that there are, and what is fixed of them,
+// stay as they are.
+func (d *Driver) UpdateSettings(set *router.Settings) { d.routerInput().UpdateSettings(set) }
 
-// Writes counts the requests of a group that need its primary: those that are out there, and those that wait.
-func (h *Driver) Writes(group int) (out, waiting int) {
-	for _, e := range h.requests {
-		kind := h.classes[e.request.TxnType]
-		if e.request.Group != group || kind.Level != router.Write && kind.Level != router.Fresh {
+// Writes counts the requests of a group that need its primary: those with an attempt in flight, and those that wait.
+func (d *Driver) Writes(group int) (inFlight, waiting int) {
+	for _, open := range d.requests {
+		class := d.classes[open.request.TxnType]
+		if open.request.Group != group || class.Level != router.Write && class.Level != router.Fresh {
 			continue
 		}
-		if e.inFlight > 0 {
-			out++
+		if open.inFlight > 0 {
+			inFlight++
 		} else {
 			waiting++
 		}
 	}
-	return out, waiting
+	return inFlight, waiting
 }
 
-// List gives the module to be told of the list.
-func (h *Driver) List() *router.Router { return h.routerInput() }
+// List returns the module, to be told of the member list.
+func (d *Driver) List() *router.Router { return d.routerInput() }
 
-// dropIfDone drops a request once nothing can come of it; until then its id is in use.
-func (h *Driver) dropIfDone(id string) {
-	if e := h.requests[id]; e.request.Finished() && e.inFlight == 0 {
-		delete(h.requests, id)
+// dropIfDone drops a request that is finished and has nothing in flight; until then its id is in use.
+func (d *Driver) dropIfDone(id string) {
+	if open := d.requests[id]; open.request.Finished() && open.inFlight == 0 {
+		delete(d.requests, id)
 	}
 }
 
-func (h *Driver) carryOutDecisions() {
-	if !h.hasInput {
+// carryOutDecisions carries out the module's decisions at the end of a batch, if the batch had an input.
+func (d *Driver) carryOutDecisions() {
+	if !d.hasInput {
 		return
 	}
-	h.hasInput = false
-	for d, more := h.router.Next(); more; d, more = h.router.Next() {
-		h.carryOut(d)
+	d.hasInput = false
+	for decision, more := d.router.Next(); more; decision, more = d.router.Next() {
+		d.carryOut(decision)
 	}
 }
 
-func (h *Driver) carryOut(d router.Decision) {
-	switch d.Action {
+func (d *Driver) carryOut(decision router.Decision) {
+	switch decision.Action {
 	case router.SendAttempt, router.RejectRequest, router.FailRequest:
-		e := h.requests[d.RequestID]
-		invariant.Check(e != nil && !e.request.Finished() && e.inFlight == 0, "decisions are for open txns with nothing out")
-		if e == nil || e.request.Finished() {
-			return
-		}
-		switch d.Action {
-		case router.SendAttempt:
-			e.attempts++
-			e.inFlight++
-			h.backend.SendAttempt(e.request, e.attempts-1, d.Member, d.Wait, d.NotAfter)
-		case router.RejectRequest:
-			e.request.Reject(d.Wait)
-		case router.FailRequest:
-			e.request.Fail()
-		}
-		h.dropIfDone(d.RequestID)
+		d.carryOutForRequest(decision)
 	case router.CancelAttempt:
-		h.backend.CancelAttempt(d.RequestID, d.Attempt)
+		d.backend.CancelAttempt(decision.RequestID, decision.Attempt)
 	case router.HealthCheck:
-		h.backend.HealthCheck(d.Member)
+		d.backend.HealthCheck(decision.Member)
 	case router.RequestList:
-		h.requestList()
+		d.requestList()
 	case router.CloseIdleConnections:
-		h.backend.CloseIdle(d.Member)
+		d.backend.CloseIdle(decision.Member)
 	case router.SetTimer:
-		if h.timer != nil {
-			h.timer.Stop()
+		if d.timer != nil {
+			d.timer.Stop()
 		}
-		h.timer = h.After(d.Time-h.Now(), func() { h.routerInput().TimerFired() })
+		d.timer = d.After(decision.Time-d.Now(), func() { d.routerInput().TimerFired() })
+	}
+}
+
+// carryOutForRequest carries out a decision for a request that must be open and have nothing in flight.
+func (d *Driver) carryOutForRequest(decision router.Decision) {
+	open := d.requests[decision.RequestID]
+	invariant.Check(open != nil && !open.request.Finished() && open.inFlight == 0, "decisions are for open txns with nothing out")
+	if open == nil || open.request.Finished() {
+		return
+	}
+	switch decision.Action {
+	case router.SendAttempt:
+		open.attempts++
+		open.inFlight++
+		d.backend.SendAttempt(open.request, open.attempts-1, decision.Member, decision.Wait, decision.NotAfter)
+	case router.RejectRequest:
+		open.request.Reject(decision.Wait)
+	case router.FailRequest:
+		open.request.Fail()
 	}
+	d.dropIfDone(decision.RequestID)
 }
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -41,7 +41,7 @@
 		case errors.Is(err, syscall.EAGAIN):
 			return
 		case endsConnection(err):
-			// Its result is nil; whoever handles the connection is told of the end by the poller's OnClose.
+			// Its result can't matter: the descriptor is closed either way, and the poller's OnClose reports the end.
 			_ = c.nb.CloseWithError(err)
 			return
 		case err != nil: // the host is short of memory: the poller comes back, since what came is still there
