--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -111,20 +111,20 @@
 	})
 	longest := conf.memory / 32 // bytes of one message of either side
 	s.front = frontend.New(s.host, conf.sessions, conf.memory/6, longest)
-	limits := backend.Limits{DialTimeout: conf.host.DialTimeout, Reports: conf.host.Reports, Longest: longest,
-		Budget: conf.memory / 6, Keep: conf.set.SoftRemoval, Statements: session.MostPrepared, Writes: map[string]bool{},
-		Logins: map[string]backend.Login{backend.Platform: {User: conf.user, Database: conf.database}}}
-	bounds := map[string]connpool.Bounds{backend.Platform: connpool.Statements(conf.host.IdleClose),
-		backend.Cancels: connpool.Cancels(conf.host.DialTimeout)}
+	limits := backend.Limits{DialTimeout: conf.host.DialTimeout, HealthReports: conf.host.Reports, MaxResponse: longest,
+		ResponseBudget: conf.memory / 6, KeepRemoved: conf.set.SoftRemoval, MaxPrepared: session.MostPrepared, PrimaryClasses: map[string]bool{},
+		Logins: map[string]backend.Login{backend.PlatformPool: {User: conf.user, Database: conf.database}}}
+	bounds := map[string]connpool.Bounds{backend.PlatformPool: connpool.Statements(conf.host.IdleClose),
+		backend.CancelPool: connpool.Cancels(conf.host.DialTimeout)}
 	if conf.sessions > conf.links { // not on the platform: there each session has a connection for its statement
-		limits.Queue = true
-		b := bounds[backend.Platform]
+		limits.QueueStatements = true
+		b := bounds[backend.PlatformPool]
 		b.Wait = conf.host.DialTimeout
-		bounds[backend.Platform] = b
+		bounds[backend.PlatformPool] = b
 	}
-	pooling := &frontend.Pooling{Seed: conf.seed, Again: map[string]bool{}, Write: limits.Writes}
+	pooling := &frontend.Pooling{Seed: conf.seed, Again: map[string]bool{}, Write: limits.PrimaryClasses}
 	for name, kind := range conf.set.RequestClasses {
-		limits.Writes[name] = kind.Level == router.Write || kind.Level == router.Fresh
+		limits.PrimaryClasses[name] = kind.Level == router.Write || kind.Level == router.Fresh
 		pooling.Again[name] = kind.Effect == router.Idempotent
 	}
 	for _, p := range conf.pools {
@@ -132,7 +132,7 @@
 		bounds[p.Name] = p.Bounds
 		pooling.Pools = append(pooling.Pools, &frontend.Pool{Name: p.Name, User: p.User, Database: p.Database, Plain: p.Plain,
 			Policy: p.Policy, Group: p.Group, Fallback: settings.Fallback,
-			Known: func() *iradix.Tree[string] { return s.side.Known(p.Name) }})
+			Known: func() *iradix.Tree[string] { return s.side.KnownParameters(p.Name) }})
 	}
 	if conf.pools != nil {
 		s.front.Pooled(pooling)
@@ -287,8 +287,8 @@
 func (s *service) status(what string) {
 	all, busy := s.front.Sessions()
 	entry := logrus.WithFields(logrus.Fields{"sessions": all, "busy": busy, "links": s.side.Connections(),
-		"bad": s.front.Bad, "refused": s.front.Refused, "unsent": s.side.Unsent,
-		"unheld": s.side.Unheld, "waiting": s.side.Waiting(), "waited": s.side.Late, "idle_ended": s.side.Idle, "spoilt": s.side.Spoilt, "late": s.front.Late, "crowded": s.front.Crowded})
+		"bad": s.front.Bad, "refused": s.front.Refused, "unsent": s.side.NoConnection,
+		"unheld": s.side.OverBudget, "waiting": s.side.Waiting(), "waited": s.side.QueueTimeouts, "idle_ended": s.side.IdleTransactions, "spoilt": s.side.ProtocolErrors, "late": s.front.Late, "crowded": s.front.Crowded})
 	if broken := invariant.Violations(); len(broken) > 0 {
 		entry.WithField("broken", broken).Error(what)
 		return
--- a/internal/backend/attempts_test.go
+++ b/internal/backend/attempts_test.go
@@ -107,7 +107,7 @@
 				return nil
 			})
 			e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
-			side.limits.Queue = true
+			side.limits.QueueStatements = true
 			e.do(func() { side.List(list(m.Addr, router.Up)) })
 			if !c.cold && !c.behind {
 				e.do(func() { side.SendAttempt(c.of(t, e, "warms"), 0, "a", 0, math.Inf(1)) })
@@ -193,7 +193,7 @@
 		side.SendAttempt(talkOf(t, e, "late", 60000, true), 0, "a", 0, math.Inf(1))
 	})
 	<-set
-	e.do(func() { side.jobs["late"].by = e.Clock() - 1 }) // it has passed since
+	e.do(func() { side.attempts["late"].notAfter = e.Clock() - 1 }) // it has passed since
 	goOn <- true
 	if got := e.hear(t); got != "0 moot 0 0 false" {
 		t.Errorf("got %q", got)
@@ -269,7 +269,7 @@
 				return nil
 			})
 			e, side := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
-			side.limits.Queue = true
+			side.limits.QueueStatements = true
 			e.do(func() { side.List(list(m.Addr, router.Up)) })
 			before := "warms"
 			if c.behind {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -23,23 +23,23 @@
 	"wayloft/router"
 )
 
-// Platform and Cancels are the pools that are always there: of statements with comments, and checks; of cancels.
-const Platform, Cancels = "platform", "cancels"
+// Platform and CancelPool are the pools that are always there: of statements with comments, and checks; of cancels.
+const PlatformPool, CancelPool = "platform", "cancels"
 
 // Login is who a pool's connections are for.
 type Login struct{ User, Database string }
 
 // Limits are the platform's.
 type Limits struct {
-	DialTimeout float64 // ms, until a connection is up, and for a check
-	Reports     bool    // a check asks for a report
-	Longest     int     // bytes of one answer
-	Budget      int     // bytes that all answers may hold that are not whole yet
-	Queue       bool    // statements wait for a connection where there are fewer than clients
-	Keep        bool    // members that are gone may still be used
-	Statements  int     // prepared statements that a connection keeps
-	Logins      map[string]Login
-	Writes      map[string]bool // request classes that need the primary
+	DialTimeout     float64 // ms, until a connection is up, and for a check
+	HealthReports   bool    // a check asks for a report
+	MaxResponse     int     // bytes of one answer
+	ResponseBudget  int     // bytes that all answers may hold that are not whole yet
+	QueueStatements bool    // statements wait for a connection where there are fewer than clients
+	KeepRemoved     bool    // members that are gone may still be used
+	MaxPrepared     int     // prepared statements that a connection keeps
+	Logins          map[string]Login
+	PrimaryClasses  map[string]bool // request classes that need the primary
 }
 
 // Driver is what runs the loop, and hears how attempts and checks end.
@@ -63,83 +63,83 @@
 
 // Backend holds all connections.
 type Backend struct {
-	host    Driver
-	limits  Limits
-	pool    *connpool.Pool
-	byID    map[string]*member
-	links   map[int]*link                   // by the pool's numbers; those that are dialled have none yet
-	jobs    map[string]*job                 // the attempt that is out for a request
-	wants   map[string]*job                 // who waits for a connection, by the pool's ids
-	known   map[string]*iradix.Tree[string] // what members of a pool report, as it was heard last
-	asked   int                             // wants so far
-	pulling bool                            // decisions are being pulled
-	armed   float64                         // when the pool may decide something by itself; the timer then rings
-	alarm   *time.Timer
-
-	Unsent int // attempts and checks for which no connection was left
-	held   int // bytes
-	Unheld int // answers given up since together they held too much
-	Spoilt int // connections that ended since what came on them can't be an answer
-	Late   int // attempts that waited for a connection for as long as their pool lets them
-	Idle   int // transactions whose clients kept a connection and asked nothing
+	driver       Driver
+	limits       Limits
+	pool         *connpool.Pool
+	members      map[string]*member
+	conns        map[int]*memberConn             // by the pool's numbers; those that are dialled have none yet
+	attempts     map[string]*job                 // the attempt that is out for a request
+	waiting      map[string]*job                 // who waits for a connection, by the pool's ids
+	parameters   map[string]*iradix.Tree[string] // what members of a pool report, as it was heard last
+	poolRequests int                             // wants so far
+	carryingOut  bool                            // decisions are being pulled
+	timerAt      float64                         // when the pool may decide something by itself; the timer then rings
+	timer        *time.Timer
+
+	NoConnection     int // attempts and checks for which no connection was left
+	buffered         int // bytes
+	OverBudget       int // answers given up since together they held too much
+	ProtocolErrors   int // connections that ended since what came on them can't be an answer
+	QueueTimeouts    int // attempts that waited for a connection for as long as their pool lets them
+	IdleTransactions int // transactions whose clients kept a connection and asked nothing
 }
 
 type member struct {
-	id, addr string
-	barred   bool
-	started  float64
+	id, addr    string
+	unavailable bool
+	started     float64
 }
 
 // job is one attempt, check or cancel.
 type job struct {
-	txn    *request.Request // nil: a check
-	key    *pg.Key          // of what is to be cancelled
-	seq    int
-	to     *member
-	at     float64
-	until  float64
-	by     float64 // not written after this
-	sent   float64 // when its query was written, or had begun to be
-	worked float64 // ms that the member has had to answer, where the client has turns too
-	turned float64 // since when it is the member's turn; 0: it is not
-	timer  *time.Timer
-	want   string
-	link   *link // nil while it waits for one
-	over   bool
-	rests  bool // the module knows that it waits for a connection
-}
-
-// link is one connection to a member; one job at a time travels on it.
-type link struct {
-	all   *Backend
-	id    int // the pool's
-	login string
-	to    *member
-	conn  *eventloop.Conn
-	in    *pg.Reader
-	job   *job
-	ready bool // it is let in
-	asked bool // the job's query has been written
-	fence int  // an empty query went first: 2 until its answer, 1 until the readiness after it
-
-	rows  []byte // what came of the answer
-	stage int    // how far the answer has come
-	cell  []byte
-	err   *pg.Error
-	role  router.Role
-	gtid  float64
-	vital string
-	held  int
-	heard int // bytes that have come since its last job began
-
-	*talk // of pools whose requests take more than one question
+	request         *request.Request // nil: a check
+	cancelKey       *pg.Key          // of what is to be cancelled
+	attempt         int
+	member          *member
+	started         float64
+	deadline        float64
+	notAfter        float64 // not written after this
+	writtenAt       float64 // when its query was written, or had begun to be
+	memberMs        float64 // ms that the member has had to answer, where the client has turns too
+	memberTurnSince float64 // since when it is the member's turn; 0: it is not
+	timer           *time.Timer
+	poolRequest     string
+	conn            *memberConn // nil while it waits for one
+	ended           bool
+	waitingReported bool // the module knows that it waits for a connection
+}
+
+// memberConn is one connection to a member; one job at a time travels on it.
+type memberConn struct {
+	backend      *Backend
+	id           int // the pool's
+	pool         string
+	member       *member
+	conn         *eventloop.Conn
+	reader       *pg.Reader
+	job          *job
+	ready        bool // it is let in
+	queryWritten bool // the job's query has been written
+	fence        int  // an empty query went first: 2 until its answer, 1 until the readiness after it
+
+	rows          []byte // what came of the answer
+	stage         int    // how far the answer has come
+	value         []byte
+	queryError    *pg.Error
+	role          router.Role
+	position      float64
+	report        string
+	buffered      int
+	receivedBytes int // bytes that have come since its last job began
+
+	*streamState // of pools whose requests take more than one question
 }
 
 // New makes the side.
 func New(h Driver, l Limits, p *connpool.Pool) *Backend {
-	m := &Backend{host: h, limits: l, pool: p, byID: map[string]*member{}, links: map[int]*link{}, jobs: map[string]*job{},
-		wants: map[string]*job{}, known: map[string]*iradix.Tree[string]{}, armed: math.Inf(1)}
-	h.Defer(m.pull)
+	m := &Backend{driver: h, limits: l, pool: p, members: map[string]*member{}, conns: map[int]*memberConn{}, attempts: map[string]*job{},
+		waiting: map[string]*job{}, parameters: map[string]*iradix.Tree[string]{}, timerAt: math.Inf(1)}
+	h.Defer(m.carryOutDecisions)
 	return m
 }
 
@@ -149,38 +149,38 @@
 	here := map[string]bool{}
 	for _, e := range l.Entries {
 		here[e.ID] = e.State != router.Removed
-		m := a.byID[e.ID]
+		m := a.members[e.ID]
 		if m == nil {
 			m = &member{id: e.ID}
-			a.byID[e.ID] = m
+			a.members[e.ID] = m
 		} else if m.addr != e.Addr || m.started != e.Started {
-			a.hear().Renew(e.ID)
+			a.poolInput().Renew(e.ID)
 		}
-		m.addr, m.started, m.barred = e.Addr, e.Started, e.State != router.Up
-		a.hear().Listed(e.ID, !m.barred)
+		m.addr, m.started, m.unavailable = e.Addr, e.Started, e.State != router.Up
+		a.poolInput().Listed(e.ID, !m.unavailable)
 	}
-	for id, m := range a.byID {
+	for id, m := range a.members {
 		listed, told := here[id]
 		gone := !listed && (told || l.Whole)
-		if m.barred = m.barred || gone; gone {
-			a.hear().Listed(id, a.limits.Keep)
+		if m.unavailable = m.unavailable || gone; gone {
+			a.poolInput().Listed(id, a.limits.KeepRemoved)
 		}
-		if gone && !a.limits.Keep { // what is out to it keeps it until it is back
-			delete(a.byID, id)
-			a.host.Forget(id)
+		if gone && !a.limits.KeepRemoved { // what is out to it keeps it until it is back
+			delete(a.members, id)
+			a.driver.Forget(id)
 		}
 	}
-	for _, j := range a.jobs {
-		if j.to.barred && (j.link == nil || !j.link.asked) {
-			a.host.Defer(func() { a.end(j, router.NotSent) })
+	for _, j := range a.attempts {
+		if j.member.unavailable && (j.conn == nil || !j.conn.queryWritten) {
+			a.driver.Defer(func() { a.endJob(j, router.NotSent) })
 		}
 	}
-	for _, l := range a.links {
-		if l.to.barred && l.talk != nil && l.keeper != nil {
-			l.goingDown()
+	for _, l := range a.conns {
+		if l.member.unavailable && l.streamState != nil && l.reservedFor != nil {
+			l.terminateReserved()
 		}
 	}
-	a.host.Defer(a.pull)
+	a.driver.Defer(a.carryOutDecisions)
 }
 
 // Connections tells how many connections there are, or are being made; Waiting, how many jobs wait for one.
@@ -189,71 +189,71 @@
 
 // CloseIdle closes the idle connections to a member.
 func (a *Backend) CloseIdle(id string) {
-	a.hear().CloseIdle(id)
-	a.host.Defer(a.pull)
+	a.poolInput().CloseIdle(id)
+	a.driver.Defer(a.carryOutDecisions)
 }
 
-// hear gives the pool to be told something.
-func (a *Backend) hear() *connpool.Pool {
-	a.pool.Advance(a.host.Now())
-	a.arm(a.pool.Sweep())
+// poolInput gives the pool to be told something.
+func (a *Backend) poolInput() *connpool.Pool {
+	a.pool.Advance(a.driver.Now())
+	a.setTimer(a.pool.Sweep())
 	return a.pool
 }
 
-// arm has decisions pulled at a time, unless they are sooner.
-func (a *Backend) arm(at float64) {
-	if at >= a.armed {
+// setTimer has decisions pulled at a time, unless they are sooner.
+func (a *Backend) setTimer(at float64) {
+	if at >= a.timerAt {
 		return
 	}
-	if a.alarm != nil {
-		a.alarm.Stop()
+	if a.timer != nil {
+		a.timer.Stop()
 	}
-	a.armed = at
-	a.alarm = a.host.After(at-a.host.Now(), func() {
-		if a.armed == at { // one that is stopped late may still ring
-			a.armed = math.Inf(1)
-			a.pull()
+	a.timerAt = at
+	a.timer = a.driver.After(at-a.driver.Now(), func() {
+		if a.timerAt == at { // one that is stopped late may still ring
+			a.timerAt = math.Inf(1)
+			a.carryOutDecisions()
 		}
 	})
 }
 
-// pull carries out what the pool decides, until it has nothing left.
-func (a *Backend) pull() {
-	if a.pulling {
+// carryOutDecisions carries out what the pool decides, until it has nothing left.
+func (a *Backend) carryOutDecisions() {
+	if a.carryingOut {
 		return
 	}
-	a.pulling = true
-	a.pool.Advance(a.host.Now())
+	a.carryingOut = true
+	a.pool.Advance(a.driver.Now())
 	for d, more := a.pool.Next(); more; d, more = a.pool.Next() {
-		a.do(d)
+		a.carryOut(d)
 	}
-	a.pulling = false
-	a.arm(a.pool.NextDeadline())
+	a.carryingOut = false
+	a.setTimer(a.pool.NextDeadline())
 }
 
-func (a *Backend) do(d connpool.Decision) {
-	l, j := a.links[d.Conn], a.wants[d.Want]
+func (a *Backend) carryOut(d connpool.Decision) {
+	l, j := a.conns[d.Conn], a.waiting[d.Want]
 	switch d.Action {
 	case connpool.Open:
-		a.open(d)
+		a.dial(d)
 	case connpool.Use:
-		delete(a.wants, d.Want)
-		invariant.Check(l != nil && j != nil && !j.over, "a connection is given to who waits for it")
+		delete(a.waiting, d.Want)
+		invariant.Check(l != nil && j != nil && !j.ended, "a connection is given to who waits for it")
 		if l == nil || j == nil {
 			a.pool.Gone(d.Conn)
 			return
 		}
 		if l.conn.Unread() { // its end, or what doesn't belong there: a query would meet a reset
 			l.drop()
-			a.want(j)
+			a.requestConn(j)
 			return
 		}
-		if l.fence = 0; d.Fresh && l.talk == nil {
+		if l.fence = 0; d.Fresh && l.streamState == nil {
 			l.fence = 2
 		}
-		if !l.take(j) {
+		if !l.begin(j) {
 			l.fence = 0
-			a.hear().Free(d.Conn, l.like())
+			a.poolInput().Free(d.Conn, l.settingsID())
 		}
 	case connpool.Close:
 		if l != nil {
@@ -261,142 +261,142 @@
 			l.forget()
 		}
 	case connpool.Refuse:
-		delete(a.wants, d.Want)
+		delete(a.waiting, d.Want)
 		if j == nil {
 			return
 		}
 		how := router.NotSent
 		switch d.Reason {
 		case connpool.NoRoom:
-			if a.Unsent++; j.to.barred {
-				a.Unsent--
+			if a.NoConnection++; j.member.unavailable {
+				a.NoConnection--
 			}
 		case connpool.Late:
-			a.Late++
+			a.QueueTimeouts++
 		case connpool.Unconnected:
 			how = router.ConnectFailed
 		}
-		a.host.Defer(func() { a.end(j, how) })
+		a.driver.Defer(func() { a.endJob(j, how) })
 	case connpool.End:
-		if l != nil && l.job != nil && l.talk != nil {
-			a.Idle++
-			a.host.Defer(func() { l.end(pg.IdleInside, "a transaction was left open and idle for too long") })
+		if l != nil && l.job != nil && l.streamState != nil {
+			a.IdleTransactions++
+			a.driver.Defer(func() { l.terminateClient(pg.IdleInside, "a transaction was left open and idle for too long") })
 		}
 	}
 }
 
 // SendAttempt sends a request to a member, with its own time-out if wait is more than 0; it is not written after by.
 func (a *Backend) SendAttempt(t *request.Request, seq int, id string, wait, by float64) {
-	j := &job{txn: t, seq: seq, at: a.host.Now(), until: t.Deadline, by: by}
+	j := &job{request: t, attempt: seq, started: a.driver.Now(), deadline: t.Deadline, notAfter: by}
 	if wait > 0 {
-		j.until = min(j.until, j.at+wait)
+		j.deadline = min(j.deadline, j.started+wait)
 	}
-	a.jobs[t.ID] = j
-	a.begin(j, id)
+	a.attempts[t.ID] = j
+	a.start(j, id)
 }
 
 // HealthCheck asks a member how it is.
 func (a *Backend) HealthCheck(id string) {
-	now := a.host.Now()
-	a.begin(&job{at: now, until: now + a.limits.DialTimeout, by: math.Inf(1)}, id)
+	now := a.driver.Now()
+	a.start(&job{started: now, deadline: now + a.limits.DialTimeout, notAfter: math.Inf(1)}, id)
 }
 
 // CancelAttempt gives an attempt up.
 func (a *Backend) CancelAttempt(txn string, seq int) {
-	if j := a.jobs[txn]; j != nil && j.seq == seq {
-		a.host.Defer(func() { a.end(j, router.Canceled) })
+	if j := a.attempts[txn]; j != nil && j.attempt == seq {
+		a.driver.Defer(func() { a.endJob(j, router.Canceled) })
 	}
 }
 
 // Abandon gives an attempt up whose client has gone, unless it may run already. A talk ends by its own way.
 func (a *Backend) Abandon(txn string) {
-	if j := a.jobs[txn]; j != nil && j.txn.Stream == nil && (j.link == nil || !j.link.sent()) {
-		a.end(j, router.Canceled)
+	if j := a.attempts[txn]; j != nil && j.request.Stream == nil && (j.conn == nil || !j.conn.querySent()) {
+		a.endJob(j, router.Canceled)
 	}
 }
 
-func (a *Backend) begin(j *job, id string) {
-	m := a.byID[id]
+func (a *Backend) start(j *job, id string) {
+	m := a.members[id]
 	invariant.Check(m != nil, "submissions and checks go to listed members")
-	if m == nil || j.until <= j.at {
-		j.to = &member{id: id}
-		a.host.Defer(func() { a.end(j, router.NotSent) })
+	if m == nil || j.deadline <= j.started {
+		j.member = &member{id: id}
+		a.driver.Defer(func() { a.endJob(j, router.NotSent) })
 		return
 	}
-	j.to = m
-	j.timer = a.host.After(j.until-a.host.Clock(), func() { a.end(j, router.TimedOut) }) // the batch may be long
-	if j.txn != nil && j.txn.Stream != nil {
-		a.beginTalk(j)
+	j.member = m
+	j.timer = a.driver.After(j.deadline-a.driver.Clock(), func() { a.endJob(j, router.TimedOut) }) // the batch may be long
+	if j.request != nil && j.request.Stream != nil {
+		a.startStream(j)
 		return
 	}
-	a.want(j)
-	a.pull()
-	if a.limits.Queue && j.txn != nil && j.link == nil && !j.over { // it is the pool's turn, not the member's
-		a.host.Defer(func() { a.rests(j) })
+	a.requestConn(j)
+	a.carryOutDecisions()
+	if a.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended { // it is the pool's turn, not the member's
+		a.driver.Defer(func() { a.reportWaiting(j) })
 	}
 }
 
-// rests tells the module that an attempt waits for a connection.
-func (a *Backend) rests(j *job) {
-	if j.link == nil && !j.over {
-		j.rests = true
-		a.host.TurnChanged(j.txn, j.seq, true)
+// reportWaiting tells the module that an attempt waits for a connection.
+func (a *Backend) reportWaiting(j *job) {
+	if j.conn == nil && !j.ended {
+		j.waitingReported = true
+		a.driver.TurnChanged(j.request, j.attempt, true)
 	}
 }
 
-// want asks the pool for a connection.
-func (a *Backend) want(j *job) {
-	a.asked++
-	j.want = strconv.Itoa(a.asked)
-	a.wants[j.want] = j
-	w := connpool.Request{ID: j.want, Key: connpool.Key{Member: j.to.id, Pool: Platform}}
+// requestConn asks the pool for a connection.
+func (a *Backend) requestConn(j *job) {
+	a.poolRequests++
+	j.poolRequest = strconv.Itoa(a.poolRequests)
+	a.waiting[j.poolRequest] = j
+	w := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: PlatformPool}}
 	switch {
-	case j.key != nil:
-		w.Key.Pool = Cancels
-	case j.txn != nil && j.txn.Stream != nil:
-		w.Key.Pool, w.Tenant, w.Like = j.txn.Stream.Pool, j.txn.Tenant, j.txn.Stream.Client.Session().Settings().ID()
+	case j.cancelKey != nil:
+		w.Key.Pool = CancelPool
+	case j.request != nil && j.request.Stream != nil:
+		w.Key.Pool, w.Tenant, w.Like = j.request.Stream.Pool, j.request.Tenant, j.request.Stream.Client.Session().Settings().ID()
 	}
-	a.hear().Request(w)
+	a.poolInput().Request(w)
 }
 
-// open makes a connection. It is up once the member has let it in; until then nothing has been asked.
-func (a *Backend) open(d connpool.Decision) {
-	m := a.byID[d.Key.Member]
+// dial makes a connection. It is up once the member has let it in; until then nothing has been asked.
+func (a *Backend) dial(d connpool.Decision) {
+	m := a.members[d.Key.Member]
 	if m == nil {
-		a.hear().Gone(d.Conn)
+		a.poolInput().Gone(d.Conn)
 		return
 	}
-	at := a.host.Now()
-	a.host.Dial(m.addr, a.limits.DialTimeout, func(c *eventloop.Conn, err error) {
-		defer a.pull()
+	at := a.driver.Now()
+	a.driver.Dial(m.addr, a.limits.DialTimeout, func(c *eventloop.Conn, err error) {
+		defer a.carryOutDecisions()
 		if err != nil {
-			a.hear().Failed(d.Conn, failure(err))
+			a.poolInput().Failed(d.Conn, failureCause(err))
 			return
 		}
-		l := &link{all: a, id: d.Conn, login: d.Key.Pool, to: m, conn: c, in: pg.NewReader(true, a.limits.Longest)}
-		a.links[l.id] = l
+		l := &memberConn{backend: a, id: d.Conn, pool: d.Key.Pool, member: m, conn: c, reader: pg.NewReader(true, a.limits.MaxResponse)}
+		a.conns[l.id] = l
 		c.Handle(l)
-		if d.Key.Pool == Cancels {
+		if d.Key.Pool == CancelPool {
 			l.ready = true
-			a.hear().Opened(l.id)
+			a.poolInput().Opened(l.id)
 			return
 		}
-		if d.Key.Pool != Platform {
-			l.in.Widen()
-			l.talk = newTalk(a.limits.Statements)
+		if d.Key.Pool != PlatformPool {
+			l.reader.Widen()
+			l.streamState = newStreamState(a.limits.MaxPrepared)
 		}
 		who := a.limits.Logins[d.Key.Pool]
 		c.Write(pg.AppendStartup(nil, who.User, who.Database))
-		a.host.After(at+a.limits.DialTimeout-a.host.Now(), func() {
+		a.driver.After(at+a.limits.DialTimeout-a.driver.Now(), func() {
 			if !l.ready {
-				l.refused(connpool.Down)
+				l.connectFailed(connpool.Down)
 			}
 		})
 	})
 }
 
-// failure tells the pool why a dial failed: unless it is the member, its record stays clean.
-func failure(err error) connpool.FailureCause {
+// failureCause tells the pool why a dial failed: unless it is the member, its record stays clean.
+func failureCause(err error) connpool.FailureCause {
 	var dial *eventloop.DialError
 	if errors.As(err, &dial) && dial.Cause() != syscallerror.Peer {
 		return connpool.NoLocalResources
@@ -404,36 +404,36 @@
 	return connpool.Down
 }
 
-// refused ends a connection that has not come up.
-func (l *link) refused(why connpool.FailureCause) {
-	if l.all.links[l.id] == l {
-		l.all.hear().Failed(l.id, why)
+// connectFailed ends a connection that has not come up.
+func (l *memberConn) connectFailed(why connpool.FailureCause) {
+	if l.backend.conns[l.id] == l {
+		l.backend.poolInput().Failed(l.id, why)
 		l.conn.Close()
 		l.forget()
-		l.all.pull()
+		l.backend.carryOutDecisions()
 	}
 }
 
-// take writes the job's query, unless it is withheld; it tells whether it did.
-func (l *link) take(j *job) bool {
-	invariant.Check(j.txn == nil || j.txn.Stream != nil || !j.txn.Finished(), "nothing is sent for a client that has gone")
-	if l.talk != nil && j.key == nil {
-		l.heard = 0
-		return l.carry(j)
+// begin writes the job's query, unless it is withheld; it tells whether it did.
+func (l *memberConn) begin(j *job) bool {
+	invariant.Check(j.request == nil || j.request.Stream != nil || !j.request.Finished(), "nothing is sent for a client that has gone")
+	if l.streamState != nil && j.cancelKey == nil {
+		l.receivedBytes = 0
+		return l.beginStream(j)
 	}
-	out := l.query(j)
-	if l.all.withheld(j) {
+	out := l.buildQuery(j)
+	if l.backend.withheld(j) {
 		return false
 	}
-	l.job, j.link, l.asked, l.heard = j, l, true, 0
-	j.sent = l.all.host.Clock()
-	l.rows, l.stage, l.cell, l.err, l.role, l.gtid, l.vital = nil, 0, nil, nil, router.RoleUnknown,
+	l.job, j.conn, l.queryWritten, l.receivedBytes = j, l, true, 0
+	j.writtenAt = l.backend.driver.Clock()
+	l.rows, l.stage, l.value, l.queryError, l.role, l.position, l.report = nil, 0, nil, nil, router.RoleUnknown,
 		router.Never, ""
-	if j.rests {
-		j.rests = false
-		l.all.host.Defer(func() {
-			if !j.over {
-				l.all.host.TurnChanged(j.txn, j.seq, false)
+	if j.waitingReported {
+		j.waitingReported = false
+		l.backend.driver.Defer(func() {
+			if !j.ended {
+				l.backend.driver.TurnChanged(j.request, j.attempt, false)
 			}
 		})
 	}
@@ -442,181 +442,181 @@
 }
 
 // drop closes the connection; a job on it must have been taken off it.
-func (l *link) drop() {
-	if l.all.links[l.id] == l {
-		l.all.hear().Gone(l.id)
+func (l *memberConn) drop() {
+	if l.backend.conns[l.id] == l {
+		l.backend.poolInput().Gone(l.id)
 		l.conn.Close()
 		l.forget()
-		l.all.host.Defer(l.all.pull) // its place is free
+		l.backend.driver.Defer(l.backend.carryOutDecisions) // its place is free
 	}
 }
 
-func (l *link) forget() {
-	delete(l.all.links, l.id)
-	l.all.held -= l.held
-	l.held = 0
+func (l *memberConn) forget() {
+	delete(l.backend.conns, l.id)
+	l.backend.buffered -= l.buffered
+	l.buffered = 0
 }
 
 // Closed says that the connection has ended by itself.
-func (l *link) Closed() {
+func (l *memberConn) Closed() {
 	if !l.ready {
-		l.refused(connpool.Down)
+		l.connectFailed(connpool.Down)
 		return
 	}
 	if j := l.job; j != nil {
-		l.all.end(j, l.broken())
-	} else if l.talk != nil && l.keeper != nil {
-		l.keeper.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
+		l.backend.endJob(j, l.outcomeOfClose())
+	} else if l.streamState != nil && l.reservedFor != nil {
+		l.reservedFor.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
 	}
 	l.drop()
 }
 
-// broken tells what an end of the connection means for its job: it never ran if its last byte was not written, and
+// outcomeOfClose tells what an end of the connection means for its job: it never ran if its last byte was not written, and
 // a value or an error that came before the end is still an answer.
-func (l *link) broken() router.Outcome {
+func (l *memberConn) outcomeOfClose() router.Outcome {
 	switch {
-	case l.talk != nil && l.sent() && l.hidden == 0 && !l.quiet():
+	case l.streamState != nil && l.querySent() && l.internalPending == 0 && !l.nothingExpected():
 		return router.Reset
-	case l.talk != nil: // it was its client's turn, or nothing but settings had gone
+	case l.streamState != nil: // it was its client's turn, or nothing but settings had gone
 		return router.ConnectFailed
-	case l.err != nil:
-		return outcome(l.err.Code)
-	case l.stage == whole:
+	case l.queryError != nil:
+		return errorOutcome(l.queryError.Code)
+	case l.stage == stageComplete:
 		return router.Succeeded
-	case l.sent():
+	case l.querySent():
 		return router.Reset
 	}
 	return router.ConnectFailed
 }
 
-// sent tells whether the last byte of the job's query is written, so that it may run.
-func (l *link) sent() bool { return l.asked && l.conn.Sent() }
+// querySent tells whether the last byte of the job's query is written, so that it may run.
+func (l *memberConn) querySent() bool { return l.queryWritten && l.conn.Sent() }
 
-// unsent tells that it is not, and never will be. Guards against the poller, which may be writing the rest just now: the
+// closeIfUnsent tells that it is not, and never will be. Guards against the poller, which may be writing the rest just now: the
 // connection is closed first and asked then, after which nothing more goes out.
-func (l *link) unsent() bool {
-	if l.sent() {
+func (l *memberConn) closeIfUnsent() bool {
+	if l.querySent() {
 		return false
 	}
 	failpoint.Hit("members.unsent")
 	l.conn.Close()
-	return !l.sent()
+	return !l.querySent()
 }
 
-// end gives a job its outcome, once. A connection whose answer is not through is closed before anyone hears of it.
-func (a *Backend) end(j *job, how router.Outcome) {
-	if j.over {
+// endJob gives a job its outcome, once. A connection whose answer is not through is closed before anyone hears of it.
+func (a *Backend) endJob(j *job, how router.Outcome) {
+	if j.ended {
 		return
 	}
-	j.over = true
+	j.ended = true
 	if j.timer != nil {
 		j.timer.Stop()
 	}
-	if l := j.link; l == nil {
-		a.hear().Cancel(j.want)
-		delete(a.wants, j.want)
+	if l := j.conn; l == nil {
+		a.poolInput().Cancel(j.poolRequest)
+		delete(a.waiting, j.poolRequest)
 	}
-	l := j.link
-	if j.key != nil {
+	l := j.conn
+	if j.cancelKey != nil {
 		if l != nil {
 			l.drop()
 		}
 		return
 	}
-	if j.txn != nil && (how == router.TimedOut || how == router.Canceled) && (l == nil || l.unsent()) {
+	if j.request != nil && (how == router.TimedOut || how == router.Canceled) && (l == nil || l.closeIfUnsent()) {
 		how = router.NotSent // given up before it was written: that says nothing of the member
 	}
 	var rows, cell []byte
 	var fault *pg.Error
 	role, gtid, vital := router.RoleUnknown, router.Never, ""
-	if l != nil && l.talk != nil {
-		role, gtid = l.role, a.position(j, l.role, l.gtid)
-		fault = l.settle(j, how)
+	if l != nil && l.streamState != nil {
+		role, gtid = l.role, a.acceptPosition(j, l.role, l.position)
+		fault = l.endStream(j, how)
 	} else if l != nil {
-		l.job, l.asked = nil, false
-		if l.err != nil && l.err.OfStatement() {
-			fault = l.err
+		l.job, l.queryWritten = nil, false
+		if l.queryError != nil && l.queryError.OfStatement() {
+			fault = l.queryError
 		}
-		if l.stage == through || how == router.Succeeded {
-			rows, cell, role, vital = l.rows, l.cell, l.role, l.vital
-			gtid = a.position(j, role, l.gtid)
+		if l.stage == stageReady || how == router.Succeeded {
+			rows, cell, role, vital = l.rows, l.value, l.role, l.report
+			gtid = a.acceptPosition(j, role, l.position)
 		}
-		if l.stage == through {
-			l.rest()
+		if l.stage == stageReady {
+			l.returnToPool()
 		} else {
 			l.drop()
 		}
 	}
 	// DESIGN: the pool is cleared with the mark. Connections to what vanished stay open and silent otherwise.
-	if how == router.Reset || how == router.ConnectFailed || how == router.TimedOut && j.txn == nil {
-		a.CloseIdle(j.to.id)
+	if how == router.Reset || how == router.ConnectFailed || how == router.TimedOut && j.request == nil {
+		a.CloseIdle(j.member.id)
 	}
-	if j.txn == nil {
-		if read := a.reported(j, string(cell)); how == router.Succeeded && a.limits.Reports && !read {
+	if j.request == nil {
+		if read := a.acceptReport(j, string(cell)); how == router.Succeeded && a.limits.HealthReports && !read {
 			how = router.ServerError // it is there, and nothing is told
 		}
-		a.host.HealthChecked(j.to.id, how)
+		a.driver.HealthChecked(j.member.id, how)
 		return
 	}
-	invariant.Check(a.jobs[j.txn.ID] == j, "one submission of a txn at a time")
-	delete(a.jobs, j.txn.ID)
-	took := a.host.Now() - j.at
-	if j.txn.Stream != nil {
-		j.txn.Stream.OnClientGone(nil)
-		took = j.worked
+	invariant.Check(a.attempts[j.request.ID] == j, "one submission of a txn at a time")
+	delete(a.attempts, j.request.ID)
+	took := a.driver.Now() - j.started
+	if j.request.Stream != nil {
+		j.request.Stream.OnClientGone(nil)
+		took = j.memberMs
 	}
 	if how == router.ServerError && fault != nil {
-		a.host.StatementFailed(j.txn, j.seq, j.to.id, fault)
+		a.driver.StatementFailed(j.request, j.attempt, j.member.id, fault)
 		return
 	}
-	a.host.AttemptEnded(j.txn, j.seq, j.to.id, how, took, role, gtid, rows)
-	a.reported(j, vital)
+	a.driver.AttemptEnded(j.request, j.attempt, j.member.id, how, took, role, gtid, rows)
+	a.acceptReport(j, vital)
 }
 
-// rest keeps the connection for the next job.
-func (l *link) rest() {
-	if l.in.Pending() > 0 {
+// returnToPool keeps the connection for the next job.
+func (l *memberConn) returnToPool() {
+	if l.reader.Pending() > 0 {
 		l.drop()
 		return
 	}
-	l.rows, l.cell = nil, nil
-	l.in.Shrink()
-	l.count()
-	l.all.hear().Free(l.id, l.like())
-	l.all.host.Defer(l.all.pull)
+	l.rows, l.value = nil, nil
+	l.reader.Shrink()
+	l.countBuffered()
+	l.backend.poolInput().Free(l.id, l.settingsID())
+	l.backend.driver.Defer(l.backend.carryOutDecisions)
 }
 
-// like is what the connection was left as, for the pool.
-func (l *link) like() any {
-	if l.talk == nil {
+// settingsID is what the connection was left as, for the pool.
+func (l *memberConn) settingsID() any {
+	if l.streamState == nil {
 		return nil
 	}
-	return l.has.ID()
+	return l.settings.ID()
 }
 
-// position takes in the position that came with an answer, and gives it back if the member can have it.
-func (a *Backend) position(j *job, role router.Role, gtid float64) float64 {
+// acceptPosition takes in the position that came with an answer, and gives it back if the member can have it.
+func (a *Backend) acceptPosition(j *job, role router.Role, gtid float64) float64 {
 	if gtid == router.Never {
 		return gtid
 	}
-	a.heard(j, role, gtid)
-	if !a.host.Possible(gtid) {
+	a.recordPosition(j, role, gtid)
+	if !a.driver.Possible(gtid) {
 		return router.Never
 	}
 	return gtid
 }
 
-// heard has a position count for the estimate of the cluster's clock. Guards against an answer of a member that has gone
+// recordPosition has a position count for the estimate of the cluster's clock. Guards against an answer of a member that has gone
 // meanwhile: nothing would drop what it told.
-func (a *Backend) heard(j *job, role router.Role, position float64) {
-	if a.byID[j.to.id] == j.to {
-		a.host.RecordPosition(j.to.id, role, position, j.sent)
+func (a *Backend) recordPosition(j *job, role router.Role, position float64) {
+	if a.members[j.member.id] == j.member {
+		a.driver.RecordPosition(j.member.id, role, position, j.writtenAt)
 	}
 }
 
-// reported reads a report, name=value by commas: the position in seconds, and whether it is from a primary. One that
+// acceptReport reads a report, name=value by commas: the position in seconds, and whether it is from a primary. One that
 // can't be read as a whole tells nothing.
-func (a *Backend) reported(j *job, vitals string) bool {
+func (a *Backend) acceptReport(j *job, vitals string) bool {
 	role, at := router.Replica, 0.0
 	for pair := range strings.SplitSeq(vitals, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -634,10 +634,10 @@
 	if at <= 0 {
 		return false
 	}
-	a.heard(j, role, at)
-	if !a.host.Possible(at) {
+	a.recordPosition(j, role, at)
+	if !a.driver.Possible(at) {
 		return false
 	}
-	a.host.Reported(j.to.id, role, at)
+	a.driver.Reported(j.member.id, role, at)
 	return true
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -67,9 +67,9 @@
 	}
 	statements := connpool.Statements(60000)
 	statements.Wait = sessions.Wait
-	side := New(e, Limits{DialTimeout: dial, Reports: true, Longest: longest, Budget: 4 * longest,
-		Logins: map[string]Login{Platform: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{All: links,
-		Pools: map[string]connpool.Bounds{Platform: statements, Cancels: connpool.Cancels(1000), "sessions": sessions}}))
+	side := New(e, Limits{DialTimeout: dial, HealthReports: true, MaxResponse: longest, ResponseBudget: 4 * longest,
+		Logins: map[string]Login{PlatformPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{All: links,
+		Pools: map[string]connpool.Bounds{PlatformPool: statements, CancelPool: connpool.Cancels(1000), "sessions": sessions}}))
 	ended := make(chan bool)
 	go func() { e.Run(func() {}); close(ended) }()
 	t.Cleanup(func() { e.Post(e.Stop); <-ended })
@@ -181,7 +181,7 @@
 			fakes.Until(t, fmt.Sprint("its connection is kept: ", c.again), func() (settled bool) {
 				e.do(func() {
 					idle := side.pool.Idle("a")
-					settled = (idle > 0) == c.again && side.Connections() == idle && len(side.jobs) == 0
+					settled = (idle > 0) == c.again && side.Connections() == idle && len(side.attempts) == 0
 				})
 				return settled
 			})
@@ -306,7 +306,7 @@
 	}
 	fakes.Until(t, "four are held", func() (held bool) {
 		e.do(func() {
-			held = side.held > 3*longest && side.held <= 4*longest && side.Unheld == 2 && side.Connections() == 4
+			held = side.buffered > 3*longest && side.buffered <= 4*longest && side.OverBudget == 2 && side.Connections() == 4
 		})
 		return held
 	})
@@ -314,7 +314,7 @@
 		e.do(func() { side.CancelAttempt(fmt.Sprint(n), 0) })
 	}
 	fakes.Until(t, "nothing is held", func() (none bool) {
-		e.do(func() { none = side.held == 0 && side.Connections() == 0 })
+		e.do(func() { none = side.buffered == 0 && side.Connections() == 0 })
 		return none
 	})
 }
@@ -340,8 +340,8 @@
 			t.Errorf("got %q", got)
 		}
 		e.do(func() {
-			if len(side.byID)+len(side.jobs)+side.Connections() > 0 {
-				t.Errorf("%d: kept: %d members, %d jobs, %d links", n, len(side.byID), len(side.jobs), side.Connections())
+			if len(side.members)+len(side.attempts)+side.Connections() > 0 {
+				t.Errorf("%d: kept: %d members, %d jobs, %d links", n, len(side.members), len(side.attempts), side.Connections())
 			}
 		})
 	}
@@ -375,8 +375,8 @@
 		t.Errorf("got %q", got)
 	}
 	e.do(func() {
-		if side.Connections() != 1 || side.Unsent != 1 {
-			t.Errorf("%d connections, %d unsent; want 1 of each", side.Connections(), side.Unsent)
+		if side.Connections() != 1 || side.NoConnection != 1 {
+			t.Errorf("%d connections, %d unsent; want 1 of each", side.Connections(), side.NoConnection)
 		}
 	})
 }
@@ -461,12 +461,12 @@
 	e, side := start(t, 10)
 	e.do(func() { side.List(list("127.0.0.1:1", router.Up)) })
 	for rests := false; !rests; { // the sweep after the list
-		e.do(func() { rests = math.IsInf(side.armed, 1) })
+		e.do(func() { rests = math.IsInf(side.timerAt, 1) })
 	}
 	e.do(func() {
-		side.hear()
-		if at := side.pool.Sweep(); side.armed != at {
-			t.Errorf("the pool has heard something, its next sweep is at %v and the timer at %v", at, side.armed)
+		side.poolInput()
+		if at := side.pool.Sweep(); side.timerAt != at {
+			t.Errorf("the pool has heard something, its next sweep is at %v and the timer at %v", at, side.timerAt)
 		}
 	})
 }
--- a/internal/backend/crossing_test.go
+++ b/internal/backend/crossing_test.go
@@ -55,7 +55,7 @@
 	}{
 		{"revoked", "0 revoked 0 0 false", func(a *Backend, _ *ear) { a.CancelAttempt("1", 0) }},
 		{"its client leaves", "0 revoked 0 0 false", func(a *Backend, _ *ear) { a.Abandon("1") }},
-		{"timed out", "0 timed out 0 0 false", func(a *Backend, e *ear) { e.Defer(func() { a.end(a.jobs["1"], router.TimedOut) }) }},
+		{"timed out", "0 timed out 0 0 false", func(a *Backend, e *ear) { e.Defer(func() { a.endJob(a.attempts["1"], router.TimedOut) }) }},
 	} {
 		for _, drained := range []bool{true, false} {
 			t.Run(fmt.Sprint(c.name, ", read meanwhile: ", drained), func(t *testing.T) {
@@ -73,15 +73,15 @@
 				defer peer.Close()
 				fakes.Until(t, "a part of it is out", func() (out bool) {
 					e.do(func() {
-						for _, l := range side.links {
-							out = l.asked && l.conn.Unsent() > 0
+						for _, l := range side.conns {
+							out = l.queryWritten && l.conn.Unsent() > 0
 						}
 					})
 					return out
 				})
-				var l *link
+				var l *memberConn
 				e.do(func() {
-					for _, one := range side.links {
+					for _, one := range side.conns {
 						l = one
 					}
 				})
--- a/internal/backend/shortage_test.go
+++ b/internal/backend/shortage_test.go
@@ -26,8 +26,8 @@
 	t.Helper()
 	h := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: kinds}, 1), kinds, func() {})
-	side := New(h, Limits{DialTimeout: 5000, Longest: longest, Budget: 4 * longest, Logins: map[string]Login{Platform: {"api", "ledger"}}},
-		connpool.New(connpool.Settings{All: 10, Pools: map[string]connpool.Bounds{Platform: connpool.Statements(60000), Cancels: connpool.Cancels(1000)}}))
+	side := New(h, Limits{DialTimeout: 5000, MaxResponse: longest, ResponseBudget: 4 * longest, Logins: map[string]Login{PlatformPool: {"api", "ledger"}}},
+		connpool.New(connpool.Settings{All: 10, Pools: map[string]connpool.Bounds{PlatformPool: connpool.Statements(60000), CancelPool: connpool.Cancels(1000)}}))
 	h.SetBackend(side)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
