--- a/internal/backend/answer.go
+++ b/internal/backend/answer.go
@@ -22,8 +22,8 @@
 
 // errorOutcome is what an error's code says; whatever the protocol doesn't name may have run.
 func errorOutcome(code string) router.Outcome {
-	if how, known := errorOutcomes[code]; known {
-		return how
+	if outcome, known := errorOutcomes[code]; known {
+		return outcome
 	}
 	return router.ServerError
 }
@@ -31,142 +31,142 @@
 var rolesOnWire = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
 
 // Data takes bytes in. An answer is kept until it is whole; whatever breaks the protocol breaks the connection.
-func (l *memberConn) Data(b []byte) {
-	if l.pool == CancelPool { // a server says nothing to a cancel
-		l.failProtocol()
+func (c *memberConn) Data(b []byte) {
+	if c.pool == CancelPool { // a server says nothing to a cancel
+		c.failProtocol()
 		return
 	}
 	// Guards against messages without end that are passed over one by one, on a connection that rests too.
-	if l.receivedBytes += len(b); l.streamState == nil && l.receivedBytes > 2*l.backend.limits.MaxResponse {
-		l.failProtocol()
+	if c.receivedBytes += len(b); c.streamState == nil && c.receivedBytes > 2*c.backend.limits.MaxResponse {
+		c.failProtocol()
 		return
 	}
-	l.reader.Feed(b)
-	for l.backend.conns[l.id] == l {
-		m, ok, err := l.reader.Next()
-		if l.countBuffered(); !ok && err == nil {
-			if l.backend.buffered > l.backend.limits.ResponseBudget && l.job != nil && l.ready {
-				l.backend.OverBudget++ // it may have run, and nothing is left to hear the rest with
-				l.failProtocol()
+	c.reader.Feed(b)
+	for c.backend.conns[c.id] == c {
+		m, ok, err := c.reader.Next()
+		if c.countBuffered(); !ok && err == nil {
+			if c.backend.buffered > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
+				c.backend.OverBudget++ // it may have run, and nothing is left to hear the rest with
+				c.failProtocol()
 			}
 			return
 		}
-		if err != nil || l.streamState == nil && !l.handleMessage(m) || l.streamState != nil && !l.handleStreamMessage(&m) {
-			l.failProtocol()
+		if err != nil || c.streamState == nil && !c.handleMessage(m) || c.streamState != nil && !c.handleStreamMessage(&m) {
+			c.failProtocol()
 			return
 		}
 	}
 }
 
 // countBuffered keeps the sum of what all connections hold of answers.
-func (l *memberConn) countBuffered() {
-	held := len(l.rows) + l.reader.Pending()
-	l.backend.buffered += held - l.buffered
-	l.buffered = held
+func (c *memberConn) countBuffered() {
+	held := len(c.rows) + c.reader.Pending()
+	c.backend.buffered += held - c.buffered
+	c.buffered = held
 }
 
 // failProtocol ends a connection on which something came that can't be an answer. Its job has failed and may have run, and
 // none of what came can be trusted. Guards against taking noise for the loss of a member that is there.
-func (l *memberConn) failProtocol() {
-	l.backend.ProtocolErrors++
-	l.stage, l.queryError = stageNone, nil
-	if j := l.job; j != nil && !l.closeIfUnsent() {
-		l.backend.endJob(j, router.ServerError)
+func (c *memberConn) failProtocol() {
+	c.backend.ProtocolErrors++
+	c.stage, c.queryError = stageNone, nil
+	if j := c.job; j != nil && !c.closeIfUnsent() {
+		c.backend.endJob(j, router.ServerError)
 	}
-	l.Closed()
+	c.Closed()
 }
 
 // handleMessage takes one message in; false: it does not belong here.
-func (l *memberConn) handleMessage(m pg.Message) bool {
+func (c *memberConn) handleMessage(m pg.Message) bool {
 	switch m.Kind {
 	case pg.Skip, pg.AuthOK:
 		return true
 	case pg.Parameter:
-		l.recordParameter(m.Name, m.Text)
+		c.recordParameter(m.Name, m.Text)
 		return true
 	case pg.Empty:
-		l.fence--
-		return l.fence == 1
+		c.fence--
+		return c.fence == 1
 	case pg.Failure:
-		if !l.ready {
-			return l.loginRefused(m.Failure)
+		if !c.ready {
+			return c.loginRefused(m.Failure)
 		}
-		if l.job == nil || l.fence > 0 {
+		if c.job == nil || c.fence > 0 {
 			return false
 		}
-		l.queryError = m.Failure
+		c.queryError = m.Failure
 		return true
 	case pg.Ready:
-		if l.fence > 0 {
-			l.fence--
-			return l.fence == 0
+		if c.fence > 0 {
+			c.fence--
+			return c.fence == 0
 		}
-		return l.becomeReady() || l.finishResponse()
+		return c.becomeReady() || c.finishResponse()
 	}
-	if l.job == nil || !l.ready || l.queryError != nil || l.fence > 0 || len(l.rows)+len(m.Raw) > l.backend.limits.MaxResponse {
+	if c.job == nil || !c.ready || c.queryError != nil || c.fence > 0 || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
 		return false
 	}
 	switch {
-	case m.Kind == pg.Columns && l.stage == stageNone && m.Count == 1:
-		l.stage = stageColumns
-	case m.Kind == pg.Row && l.stage == stageColumns && m.Count == 1:
-		if l.stage = stageRow; l.job.request == nil {
-			l.value = append([]byte{}, m.Cell...)
+	case m.Kind == pg.Columns && c.stage == stageNone && m.Count == 1:
+		c.stage = stageColumns
+	case m.Kind == pg.Row && c.stage == stageColumns && m.Count == 1:
+		if c.stage = stageRow; c.job.request == nil {
+			c.value = append([]byte{}, m.Cell...)
 		}
-	case m.Kind == pg.Complete && l.stage == stageRow:
-		l.stage = stageComplete
+	case m.Kind == pg.Complete && c.stage == stageRow:
+		c.stage = stageComplete
 	default:
 		return false
 	}
-	l.rows = append(l.rows, m.Raw...)
+	c.rows = append(c.rows, m.Raw...)
 	return true
 }
 
 // becomeReady takes the first readiness, after which the connection can be used.
-func (l *memberConn) becomeReady() bool {
-	if l.ready {
+func (c *memberConn) becomeReady() bool {
+	if c.ready {
 		return false
 	}
-	l.ready = true
-	l.backend.poolInput().Opened(l.id)
-	l.backend.carryOutDecisions()
+	c.ready = true
+	c.backend.poolInput().Opened(c.id)
+	c.backend.carryOutDecisions()
 	return true
 }
 
 // loginRefused takes an error before the member has let the connection in.
-func (l *memberConn) loginRefused(e *pg.Error) bool {
-	why := connpool.Down
+func (c *memberConn) loginRefused(e *pg.Error) bool {
+	cause := connpool.Down
 	if e.Code == pg.Refused {
-		why = connpool.Full
+		cause = connpool.Full
 	}
-	l.connectFailed(why)
+	c.connectFailed(cause)
 	return true
 }
 
 // finishResponse takes the readiness after an answer.
-func (l *memberConn) finishResponse() bool {
-	j := l.job
-	if j == nil || l.queryError == nil && l.stage != stageComplete {
+func (c *memberConn) finishResponse() bool {
+	j := c.job
+	if j == nil || c.queryError == nil && c.stage != stageComplete {
 		return false
 	}
-	how := router.Succeeded
-	if l.queryError != nil {
-		l.rows, how = nil, errorOutcome(l.queryError.Code)
+	outcome := router.Succeeded
+	if c.queryError != nil {
+		c.rows, outcome = nil, errorOutcome(c.queryError.Code)
 	}
-	l.stage = stageReady
-	l.backend.endJob(j, how)
+	c.stage = stageReady
+	c.backend.endJob(j, outcome)
 	return true
 }
 
-func (l *memberConn) recordParameter(name, value string) {
+func (c *memberConn) recordParameter(name, value string) {
 	switch name {
 	case "rank":
-		l.role = rolesOnWire[value]
+		c.role = rolesOnWire[value]
 	case "as_of":
 		if x, err := strconv.ParseFloat(value, 64); err == nil && x > 0 {
-			l.position = x
+			c.position = x
 		}
 	case "vitals":
-		l.report = value
+		c.report = value
 	}
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -54,11 +54,11 @@
 	ClientGone(t *request.Request)
 	Defer(f func())
 	Dial(addr string, ms float64, done func(*eventloop.Conn, error))
-	AttemptEnded(t *request.Request, seq int, member string, how router.Outcome, took float64, role router.Role,
-		gtid float64, rows []byte)
+	AttemptEnded(t *request.Request, seq int, member string, outcome router.Outcome, took float64, role router.Role,
+		position float64, rows []byte)
 	StatementFailed(t *request.Request, seq int, member string, e *pg.Error)
-	HealthChecked(member string, how router.Outcome)
-	Reported(member string, role router.Role, gtid float64)
+	HealthChecked(member string, outcome router.Outcome)
+	Reported(member string, role router.Role, position float64)
 }
 
 // Backend holds all connections.
@@ -136,219 +136,219 @@
 }
 
 // New makes the side.
-func New(h Driver, l Limits, p *connpool.Pool) *Backend {
-	m := &Backend{driver: h, limits: l, pool: p, members: map[string]*member{}, conns: map[int]*memberConn{}, attempts: map[string]*job{},
+func New(driver Driver, limits Limits, pool *connpool.Pool) *Backend {
+	b := &Backend{driver: driver, limits: limits, pool: pool, members: map[string]*member{}, conns: map[int]*memberConn{}, attempts: map[string]*job{},
 		waiting: map[string]*job{}, parameters: map[string]*iradix.Tree[string]{}, timerAt: math.Inf(1)}
-	h.Defer(m.carryOutDecisions)
-	return m
+	driver.Defer(b.carryOutDecisions)
+	return b
 }
 
 // List takes a list in, whole or of changes. Attempts that are out go on; unsent ones to a member that drains or
 // is gone end, since what was decided before the list told so must not go out long after.
-func (a *Backend) List(l *discovery.List) {
+func (b *Backend) List(list *discovery.List) {
 	here := map[string]bool{}
-	for _, e := range l.Entries {
-		here[e.ID] = e.State != router.Removed
-		m := a.members[e.ID]
+	for _, entry := range list.Entries {
+		here[entry.ID] = entry.State != router.Removed
+		m := b.members[entry.ID]
 		if m == nil {
-			m = &member{id: e.ID}
-			a.members[e.ID] = m
-		} else if m.addr != e.Addr || m.started != e.Started {
-			a.poolInput().Renew(e.ID)
+			m = &member{id: entry.ID}
+			b.members[entry.ID] = m
+		} else if m.addr != entry.Addr || m.started != entry.Started {
+			b.poolInput().Renew(entry.ID)
 		}
-		m.addr, m.started, m.unavailable = e.Addr, e.Started, e.State != router.Up
-		a.poolInput().Listed(e.ID, !m.unavailable)
+		m.addr, m.started, m.unavailable = entry.Addr, entry.Started, entry.State != router.Up
+		b.poolInput().Listed(entry.ID, !m.unavailable)
 	}
-	for id, m := range a.members {
+	for id, m := range b.members {
 		listed, told := here[id]
-		gone := !listed && (told || l.Whole)
+		gone := !listed && (told || list.Whole)
 		if m.unavailable = m.unavailable || gone; gone {
-			a.poolInput().Listed(id, a.limits.KeepRemoved)
+			b.poolInput().Listed(id, b.limits.KeepRemoved)
 		}
-		if gone && !a.limits.KeepRemoved { // what is out to it keeps it until it is back
-			delete(a.members, id)
-			a.driver.Forget(id)
+		if gone && !b.limits.KeepRemoved { // what is out to it keeps it until it is back
+			delete(b.members, id)
+			b.driver.Forget(id)
 		}
 	}
-	for _, j := range a.attempts {
+	for _, j := range b.attempts {
 		if j.member.unavailable && (j.conn == nil || !j.conn.queryWritten) {
-			a.driver.Defer(func() { a.endJob(j, router.NotSent) })
+			b.driver.Defer(func() { b.endJob(j, router.NotSent) })
 		}
 	}
-	for _, l := range a.conns {
-		if l.member.unavailable && l.streamState != nil && l.reservedFor != nil {
-			l.terminateReserved()
+	for _, c := range b.conns {
+		if c.member.unavailable && c.streamState != nil && c.reservedFor != nil {
+			c.terminateReserved()
 		}
 	}
-	a.driver.Defer(a.carryOutDecisions)
+	b.driver.Defer(b.carryOutDecisions)
 }
 
 // Connections tells how many connections there are, or are being made; Waiting, how many jobs wait for one.
-func (a *Backend) Connections() int { return a.pool.Open() }
-func (a *Backend) Waiting() int     { return a.pool.Waiting() }
+func (b *Backend) Connections() int { return b.pool.Open() }
+func (b *Backend) Waiting() int     { return b.pool.Waiting() }
 
 // CloseIdle closes the idle connections to a member.
-func (a *Backend) CloseIdle(id string) {
-	a.poolInput().CloseIdle(id)
-	a.driver.Defer(a.carryOutDecisions)
+func (b *Backend) CloseIdle(id string) {
+	b.poolInput().CloseIdle(id)
+	b.driver.Defer(b.carryOutDecisions)
 }
 
 // poolInput gives the pool to be told something.
-func (a *Backend) poolInput() *connpool.Pool {
-	a.pool.Advance(a.driver.Now())
-	a.setTimer(a.pool.Sweep())
-	return a.pool
+func (b *Backend) poolInput() *connpool.Pool {
+	b.pool.Advance(b.driver.Now())
+	b.setTimer(b.pool.Sweep())
+	return b.pool
 }
 
 // setTimer has decisions pulled at a time, unless they are sooner.
-func (a *Backend) setTimer(at float64) {
-	if at >= a.timerAt {
+func (b *Backend) setTimer(at float64) {
+	if at >= b.timerAt {
 		return
 	}
-	if a.timer != nil {
-		a.timer.Stop()
+	if b.timer != nil {
+		b.timer.Stop()
 	}
-	a.timerAt = at
-	a.timer = a.driver.After(at-a.driver.Now(), func() {
-		if a.timerAt == at { // one that is stopped late may still ring
-			a.timerAt = math.Inf(1)
-			a.carryOutDecisions()
+	b.timerAt = at
+	b.timer = b.driver.After(at-b.driver.Now(), func() {
+		if b.timerAt == at { // one that is stopped late may still ring
+			b.timerAt = math.Inf(1)
+			b.carryOutDecisions()
 		}
 	})
 }
 
 // carryOutDecisions carries out what the pool decides, until it has nothing left.
-func (a *Backend) carryOutDecisions() {
-	if a.carryingOut {
+func (b *Backend) carryOutDecisions() {
+	if b.carryingOut {
 		return
 	}
-	a.carryingOut = true
-	a.pool.Advance(a.driver.Now())
-	for d, more := a.pool.Next(); more; d, more = a.pool.Next() {
-		a.carryOut(d)
+	b.carryingOut = true
+	b.pool.Advance(b.driver.Now())
+	for d, more := b.pool.Next(); more; d, more = b.pool.Next() {
+		b.carryOut(d)
 	}
-	a.carryingOut = false
-	a.setTimer(a.pool.NextDeadline())
+	b.carryingOut = false
+	b.setTimer(b.pool.NextDeadline())
 }
 
-func (a *Backend) carryOut(d connpool.Decision) {
-	l, j := a.conns[d.Conn], a.waiting[d.Want]
+func (b *Backend) carryOut(d connpool.Decision) {
+	c, j := b.conns[d.Conn], b.waiting[d.Want]
 	switch d.Action {
 	case connpool.Open:
-		a.dial(d)
+		b.dial(d)
 	case connpool.Use:
-		delete(a.waiting, d.Want)
-		invariant.Check(l != nil && j != nil && !j.ended, "a connection is given to who waits for it")
-		if l == nil || j == nil {
-			a.pool.Gone(d.Conn)
+		delete(b.waiting, d.Want)
+		invariant.Check(c != nil && j != nil && !j.ended, "a connection is given to who waits for it")
+		if c == nil || j == nil {
+			b.pool.Gone(d.Conn)
 			return
 		}
-		if l.conn.Unread() { // its end, or what doesn't belong there: a query would meet a reset
-			l.drop()
-			a.requestConn(j)
+		if c.conn.Unread() { // its end, or what doesn't belong there: a query would meet a reset
+			c.drop()
+			b.requestConn(j)
 			return
 		}
-		if l.fence = 0; d.Fresh && l.streamState == nil {
-			l.fence = 2
+		if c.fence = 0; d.Fresh && c.streamState == nil {
+			c.fence = 2
 		}
-		if !l.begin(j) {
-			l.fence = 0
-			a.poolInput().Free(d.Conn, l.settingsID())
+		if !c.begin(j) {
+			c.fence = 0
+			b.poolInput().Free(d.Conn, c.settingsID())
 		}
 	case connpool.Close:
-		if l != nil {
-			l.conn.Close()
-			l.forget()
+		if c != nil {
+			c.conn.Close()
+			c.forget()
 		}
 	case connpool.Refuse:
-		delete(a.waiting, d.Want)
+		delete(b.waiting, d.Want)
 		if j == nil {
 			return
 		}
-		how := router.NotSent
+		outcome := router.NotSent
 		switch d.Reason {
 		case connpool.NoRoom:
-			if a.NoConnection++; j.member.unavailable {
-				a.NoConnection--
+			if b.NoConnection++; j.member.unavailable {
+				b.NoConnection--
 			}
 		case connpool.Late:
-			a.QueueTimeouts++
+			b.QueueTimeouts++
 		case connpool.Unconnected:
-			how = router.ConnectFailed
+			outcome = router.ConnectFailed
 		}
-		a.driver.Defer(func() { a.endJob(j, how) })
+		b.driver.Defer(func() { b.endJob(j, outcome) })
 	case connpool.End:
-		if l != nil && l.job != nil && l.streamState != nil {
-			a.IdleTransactions++
-			a.driver.Defer(func() { l.terminateClient(pg.IdleInside, "a transaction was left open and idle for too long") })
+		if c != nil && c.job != nil && c.streamState != nil {
+			b.IdleTransactions++
+			b.driver.Defer(func() { c.terminateClient(pg.IdleInside, "a transaction was left open and idle for too long") })
 		}
 	}
 }
 
 // SendAttempt sends a request to a member, with its own time-out if wait is more than 0; it is not written after by.
-func (a *Backend) SendAttempt(t *request.Request, seq int, id string, wait, by float64) {
-	j := &job{request: t, attempt: seq, started: a.driver.Now(), deadline: t.Deadline, notAfter: by}
+func (b *Backend) SendAttempt(t *request.Request, seq int, id string, wait, by float64) {
+	j := &job{request: t, attempt: seq, started: b.driver.Now(), deadline: t.Deadline, notAfter: by}
 	if wait > 0 {
 		j.deadline = min(j.deadline, j.started+wait)
 	}
-	a.attempts[t.ID] = j
-	a.start(j, id)
+	b.attempts[t.ID] = j
+	b.start(j, id)
 }
 
 // HealthCheck asks a member how it is.
-func (a *Backend) HealthCheck(id string) {
-	now := a.driver.Now()
-	a.start(&job{started: now, deadline: now + a.limits.DialTimeout, notAfter: math.Inf(1)}, id)
+func (b *Backend) HealthCheck(id string) {
+	now := b.driver.Now()
+	b.start(&job{started: now, deadline: now + b.limits.DialTimeout, notAfter: math.Inf(1)}, id)
 }
 
 // CancelAttempt gives an attempt up.
-func (a *Backend) CancelAttempt(txn string, seq int) {
-	if j := a.attempts[txn]; j != nil && j.attempt == seq {
-		a.driver.Defer(func() { a.endJob(j, router.Canceled) })
+func (b *Backend) CancelAttempt(txn string, seq int) {
+	if j := b.attempts[txn]; j != nil && j.attempt == seq {
+		b.driver.Defer(func() { b.endJob(j, router.Canceled) })
 	}
 }
 
 // Abandon gives an attempt up whose client has gone, unless it may run already. A talk ends by its own way.
-func (a *Backend) Abandon(txn string) {
-	if j := a.attempts[txn]; j != nil && j.request.Stream == nil && (j.conn == nil || !j.conn.querySent()) {
-		a.endJob(j, router.Canceled)
+func (b *Backend) Abandon(txn string) {
+	if j := b.attempts[txn]; j != nil && j.request.Stream == nil && (j.conn == nil || !j.conn.querySent()) {
+		b.endJob(j, router.Canceled)
 	}
 }
 
-func (a *Backend) start(j *job, id string) {
-	m := a.members[id]
+func (b *Backend) start(j *job, id string) {
+	m := b.members[id]
 	invariant.Check(m != nil, "submissions and checks go to listed members")
 	if m == nil || j.deadline <= j.started {
 		j.member = &member{id: id}
-		a.driver.Defer(func() { a.endJob(j, router.NotSent) })
+		b.driver.Defer(func() { b.endJob(j, router.NotSent) })
 		return
 	}
 	j.member = m
-	j.timer = a.driver.After(j.deadline-a.driver.Clock(), func() { a.endJob(j, router.TimedOut) }) // the batch may be long
+	j.timer = b.driver.After(j.deadline-b.driver.Clock(), func() { b.endJob(j, router.TimedOut) }) // the batch may be long
 	if j.request != nil && j.request.Stream != nil {
-		a.startStream(j)
+		b.startStream(j)
 		return
 	}
-	a.requestConn(j)
-	a.carryOutDecisions()
-	if a.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended { // it is the pool's turn, not the member's
-		a.driver.Defer(func() { a.reportWaiting(j) })
+	b.requestConn(j)
+	b.carryOutDecisions()
+	if b.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended { // it is the pool's turn, not the member's
+		b.driver.Defer(func() { b.reportWaiting(j) })
 	}
 }
 
 // reportWaiting tells the module that an attempt waits for a connection.
-func (a *Backend) reportWaiting(j *job) {
+func (b *Backend) reportWaiting(j *job) {
 	if j.conn == nil && !j.ended {
 		j.waitingReported = true
-		a.driver.TurnChanged(j.request, j.attempt, true)
+		b.driver.TurnChanged(j.request, j.attempt, true)
 	}
 }
 
 // requestConn asks the pool for a connection.
-func (a *Backend) requestConn(j *job) {
-	a.poolRequests++
-	j.poolRequest = strconv.Itoa(a.poolRequests)
-	a.waiting[j.poolRequest] = j
+func (b *Backend) requestConn(j *job) {
+	b.poolRequests++
+	j.poolRequest = strconv.Itoa(b.poolRequests)
+	b.waiting[j.poolRequest] = j
 	w := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: PlatformPool}}
 	switch {
 	case j.cancelKey != nil:
@@ -356,40 +356,40 @@
 	case j.request != nil && j.request.Stream != nil:
 		w.Key.Pool, w.Tenant, w.Like = j.request.Stream.Pool, j.request.Tenant, j.request.Stream.Client.Session().Settings().ID()
 	}
-	a.poolInput().Request(w)
+	b.poolInput().Request(w)
 }
 
 // dial makes a connection. It is up once the member has let it in; until then nothing has been asked.
-func (a *Backend) dial(d connpool.Decision) {
-	m := a.members[d.Key.Member]
+func (b *Backend) dial(d connpool.Decision) {
+	m := b.members[d.Key.Member]
 	if m == nil {
-		a.poolInput().Gone(d.Conn)
+		b.poolInput().Gone(d.Conn)
 		return
 	}
-	at := a.driver.Now()
-	a.driver.Dial(m.addr, a.limits.DialTimeout, func(c *eventloop.Conn, err error) {
-		defer a.carryOutDecisions()
+	at := b.driver.Now()
+	b.driver.Dial(m.addr, b.limits.DialTimeout, func(socket *eventloop.Conn, err error) {
+		defer b.carryOutDecisions()
 		if err != nil {
-			a.poolInput().Failed(d.Conn, failureCause(err))
+			b.poolInput().Failed(d.Conn, failureCause(err))
 			return
 		}
-		l := &memberConn{backend: a, id: d.Conn, pool: d.Key.Pool, member: m, conn: c, reader: pg.NewReader(true, a.limits.MaxResponse)}
-		a.conns[l.id] = l
-		c.Handle(l)
+		c := &memberConn{backend: b, id: d.Conn, pool: d.Key.Pool, member: m, conn: socket, reader: pg.NewReader(true, b.limits.MaxResponse)}
+		b.conns[c.id] = c
+		socket.Handle(c)
 		if d.Key.Pool == CancelPool {
-			l.ready = true
-			a.poolInput().Opened(l.id)
+			c.ready = true
+			b.poolInput().Opened(c.id)
 			return
 		}
 		if d.Key.Pool != PlatformPool {
-			l.reader.Widen()
-			l.streamState = newStreamState(a.limits.MaxPrepared)
+			c.reader.Widen()
+			c.streamState = newStreamState(b.limits.MaxPrepared)
 		}
-		who := a.limits.Logins[d.Key.Pool]
-		c.Write(pg.AppendStartup(nil, who.User, who.Database))
-		a.driver.After(at+a.limits.DialTimeout-a.driver.Now(), func() {
-			if !l.ready {
-				l.connectFailed(connpool.Down)
+		who := b.limits.Logins[d.Key.Pool]
+		socket.Write(pg.AppendStartup(nil, who.User, who.Database))
+		b.driver.After(at+b.limits.DialTimeout-b.driver.Now(), func() {
+			if !c.ready {
+				c.connectFailed(connpool.Down)
 			}
 		})
 	})
@@ -405,106 +405,106 @@
 }
 
 // connectFailed ends a connection that has not come up.
-func (l *memberConn) connectFailed(why connpool.FailureCause) {
-	if l.backend.conns[l.id] == l {
-		l.backend.poolInput().Failed(l.id, why)
-		l.conn.Close()
-		l.forget()
-		l.backend.carryOutDecisions()
+func (c *memberConn) connectFailed(cause connpool.FailureCause) {
+	if c.backend.conns[c.id] == c {
+		c.backend.poolInput().Failed(c.id, cause)
+		c.conn.Close()
+		c.forget()
+		c.backend.carryOutDecisions()
 	}
 }
 
 // begin writes the job's query, unless it is withheld; it tells whether it did.
-func (l *memberConn) begin(j *job) bool {
+func (c *memberConn) begin(j *job) bool {
 	invariant.Check(j.request == nil || j.request.Stream != nil || !j.request.Finished(), "nothing is sent for a client that has gone")
-	if l.streamState != nil && j.cancelKey == nil {
-		l.receivedBytes = 0
-		return l.beginStream(j)
+	if c.streamState != nil && j.cancelKey == nil {
+		c.receivedBytes = 0
+		return c.beginStream(j)
 	}
-	out := l.buildQuery(j)
-	if l.backend.withheld(j) {
+	out := c.buildQuery(j)
+	if c.backend.withheld(j) {
 		return false
 	}
-	l.job, j.conn, l.queryWritten, l.receivedBytes = j, l, true, 0
-	j.writtenAt = l.backend.driver.Clock()
-	l.rows, l.stage, l.value, l.queryError, l.role, l.position, l.report = nil, 0, nil, nil, router.RoleUnknown,
+	c.job, j.conn, c.queryWritten, c.receivedBytes = j, c, true, 0
+	j.writtenAt = c.backend.driver.Clock()
+	c.rows, c.stage, c.value, c.queryError, c.role, c.position, c.report = nil, 0, nil, nil, router.RoleUnknown,
 		router.Never, ""
 	if j.waitingReported {
 		j.waitingReported = false
-		l.backend.driver.Defer(func() {
+		c.backend.driver.Defer(func() {
 			if !j.ended {
-				l.backend.driver.TurnChanged(j.request, j.attempt, false)
+				c.backend.driver.TurnChanged(j.request, j.attempt, false)
 			}
 		})
 	}
-	l.conn.Write(out)
+	c.conn.Write(out)
 	return true
 }
 
 // drop closes the connection; a job on it must have been taken off it.
-func (l *memberConn) drop() {
-	if l.backend.conns[l.id] == l {
-		l.backend.poolInput().Gone(l.id)
-		l.conn.Close()
-		l.forget()
-		l.backend.driver.Defer(l.backend.carryOutDecisions) // its place is free
+func (c *memberConn) drop() {
+	if c.backend.conns[c.id] == c {
+		c.backend.poolInput().Gone(c.id)
+		c.conn.Close()
+		c.forget()
+		c.backend.driver.Defer(c.backend.carryOutDecisions) // its place is free
 	}
 }
 
-func (l *memberConn) forget() {
-	delete(l.backend.conns, l.id)
-	l.backend.buffered -= l.buffered
-	l.buffered = 0
+func (c *memberConn) forget() {
+	delete(c.backend.conns, c.id)
+	c.backend.buffered -= c.buffered
+	c.buffered = 0
 }
 
 // Closed says that the connection has ended by itself.
-func (l *memberConn) Closed() {
-	if !l.ready {
-		l.connectFailed(connpool.Down)
+func (c *memberConn) Closed() {
+	if !c.ready {
+		c.connectFailed(connpool.Down)
 		return
 	}
-	if j := l.job; j != nil {
-		l.backend.endJob(j, l.outcomeOfClose())
-	} else if l.streamState != nil && l.reservedFor != nil {
-		l.reservedFor.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
+	if j := c.job; j != nil {
+		c.backend.endJob(j, c.outcomeOfClose())
+	} else if c.streamState != nil && c.reservedFor != nil {
+		c.reservedFor.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
 	}
-	l.drop()
+	c.drop()
 }
 
 // outcomeOfClose tells what an end of the connection means for its job: it never ran if its last byte was not written, and
 // a value or an error that came before the end is still an answer.
-func (l *memberConn) outcomeOfClose() router.Outcome {
+func (c *memberConn) outcomeOfClose() router.Outcome {
 	switch {
-	case l.streamState != nil && l.querySent() && l.internalPending == 0 && !l.nothingExpected():
+	case c.streamState != nil && c.querySent() && c.internalPending == 0 && !c.nothingExpected():
 		return router.Reset
-	case l.streamState != nil: // it was its client's turn, or nothing but settings had gone
+	case c.streamState != nil: // it was its client's turn, or nothing but settings had gone
 		return router.ConnectFailed
-	case l.queryError != nil:
-		return errorOutcome(l.queryError.Code)
-	case l.stage == stageComplete:
+	case c.queryError != nil:
+		return errorOutcome(c.queryError.Code)
+	case c.stage == stageComplete:
 		return router.Succeeded
-	case l.querySent():
+	case c.querySent():
 		return router.Reset
 	}
 	return router.ConnectFailed
 }
 
 // querySent tells whether the last byte of the job's query is written, so that it may run.
-func (l *memberConn) querySent() bool { return l.queryWritten && l.conn.Sent() }
+func (c *memberConn) querySent() bool { return c.queryWritten && c.conn.Sent() }
 
 // closeIfUnsent tells that it is not, and never will be. Guards against the poller, which may be writing the rest just now: the
 // connection is closed first and asked then, after which nothing more goes out.
-func (l *memberConn) closeIfUnsent() bool {
-	if l.querySent() {
+func (c *memberConn) closeIfUnsent() bool {
+	if c.querySent() {
 		return false
 	}
 	failpoint.Hit("members.unsent")
-	l.conn.Close()
-	return !l.querySent()
+	c.conn.Close()
+	return !c.querySent()
 }
 
 // endJob gives a job its outcome, once. A connection whose answer is not through is closed before anyone hears of it.
-func (a *Backend) endJob(j *job, how router.Outcome) {
+func (b *Backend) endJob(j *job, outcome router.Outcome) {
 	if j.ended {
 		return
 	}
@@ -512,111 +512,111 @@
 	if j.timer != nil {
 		j.timer.Stop()
 	}
-	if l := j.conn; l == nil {
-		a.poolInput().Cancel(j.poolRequest)
-		delete(a.waiting, j.poolRequest)
+	if c := j.conn; c == nil {
+		b.poolInput().Cancel(j.poolRequest)
+		delete(b.waiting, j.poolRequest)
 	}
-	l := j.conn
+	c := j.conn
 	if j.cancelKey != nil {
-		if l != nil {
-			l.drop()
+		if c != nil {
+			c.drop()
 		}
 		return
 	}
-	if j.request != nil && (how == router.TimedOut || how == router.Canceled) && (l == nil || l.closeIfUnsent()) {
-		how = router.NotSent // given up before it was written: that says nothing of the member
+	if j.request != nil && (outcome == router.TimedOut || outcome == router.Canceled) && (c == nil || c.closeIfUnsent()) {
+		outcome = router.NotSent // given up before it was written: that says nothing of the member
 	}
 	var rows, cell []byte
 	var fault *pg.Error
-	role, gtid, vital := router.RoleUnknown, router.Never, ""
-	if l != nil && l.streamState != nil {
-		role, gtid = l.role, a.acceptPosition(j, l.role, l.position)
-		fault = l.endStream(j, how)
-	} else if l != nil {
-		l.job, l.queryWritten = nil, false
-		if l.queryError != nil && l.queryError.OfStatement() {
-			fault = l.queryError
+	role, position, vital := router.RoleUnknown, router.Never, ""
+	if c != nil && c.streamState != nil {
+		role, position = c.role, b.acceptPosition(j, c.role, c.position)
+		fault = c.endStream(j, outcome)
+	} else if c != nil {
+		c.job, c.queryWritten = nil, false
+		if c.queryError != nil && c.queryError.OfStatement() {
+			fault = c.queryError
 		}
-		if l.stage == stageReady || how == router.Succeeded {
-			rows, cell, role, vital = l.rows, l.value, l.role, l.report
-			gtid = a.acceptPosition(j, role, l.position)
+		if c.stage == stageReady || outcome == router.Succeeded {
+			rows, cell, role, vital = c.rows, c.value, c.role, c.report
+			position = b.acceptPosition(j, role, c.position)
 		}
-		if l.stage == stageReady {
-			l.returnToPool()
+		if c.stage == stageReady {
+			c.returnToPool()
 		} else {
-			l.drop()
+			c.drop()
 		}
 	}
 	// DESIGN: the pool is cleared with the mark. Connections to what vanished stay open and silent otherwise.
-	if how == router.Reset || how == router.ConnectFailed || how == router.TimedOut && j.request == nil {
-		a.CloseIdle(j.member.id)
+	if outcome == router.Reset || outcome == router.ConnectFailed || outcome == router.TimedOut && j.request == nil {
+		b.CloseIdle(j.member.id)
 	}
 	if j.request == nil {
-		if read := a.acceptReport(j, string(cell)); how == router.Succeeded && a.limits.HealthReports && !read {
-			how = router.ServerError // it is there, and nothing is told
+		if read := b.acceptReport(j, string(cell)); outcome == router.Succeeded && b.limits.HealthReports && !read {
+			outcome = router.ServerError // it is there, and nothing is told
 		}
-		a.driver.HealthChecked(j.member.id, how)
+		b.driver.HealthChecked(j.member.id, outcome)
 		return
 	}
-	invariant.Check(a.attempts[j.request.ID] == j, "one submission of a txn at a time")
-	delete(a.attempts, j.request.ID)
-	took := a.driver.Now() - j.started
+	invariant.Check(b.attempts[j.request.ID] == j, "one submission of a txn at a time")
+	delete(b.attempts, j.request.ID)
+	took := b.driver.Now() - j.started
 	if j.request.Stream != nil {
 		j.request.Stream.OnClientGone(nil)
 		took = j.memberMs
 	}
-	if how == router.ServerError && fault != nil {
-		a.driver.StatementFailed(j.request, j.attempt, j.member.id, fault)
+	if outcome == router.ServerError && fault != nil {
+		b.driver.StatementFailed(j.request, j.attempt, j.member.id, fault)
 		return
 	}
-	a.driver.AttemptEnded(j.request, j.attempt, j.member.id, how, took, role, gtid, rows)
-	a.acceptReport(j, vital)
+	b.driver.AttemptEnded(j.request, j.attempt, j.member.id, outcome, took, role, position, rows)
+	b.acceptReport(j, vital)
 }
 
 // returnToPool keeps the connection for the next job.
-func (l *memberConn) returnToPool() {
-	if l.reader.Pending() > 0 {
-		l.drop()
+func (c *memberConn) returnToPool() {
+	if c.reader.Pending() > 0 {
+		c.drop()
 		return
 	}
-	l.rows, l.value = nil, nil
-	l.reader.Shrink()
-	l.countBuffered()
-	l.backend.poolInput().Free(l.id, l.settingsID())
-	l.backend.driver.Defer(l.backend.carryOutDecisions)
+	c.rows, c.value = nil, nil
+	c.reader.Shrink()
+	c.countBuffered()
+	c.backend.poolInput().Free(c.id, c.settingsID())
+	c.backend.driver.Defer(c.backend.carryOutDecisions)
 }
 
 // settingsID is what the connection was left as, for the pool.
-func (l *memberConn) settingsID() any {
-	if l.streamState == nil {
+func (c *memberConn) settingsID() any {
+	if c.streamState == nil {
 		return nil
 	}
-	return l.settings.ID()
+	return c.settings.ID()
 }
 
 // acceptPosition takes in the position that came with an answer, and gives it back if the member can have it.
-func (a *Backend) acceptPosition(j *job, role router.Role, gtid float64) float64 {
-	if gtid == router.Never {
-		return gtid
+func (b *Backend) acceptPosition(j *job, role router.Role, position float64) float64 {
+	if position == router.Never {
+		return position
 	}
-	a.recordPosition(j, role, gtid)
-	if !a.driver.Possible(gtid) {
+	b.recordPosition(j, role, position)
+	if !b.driver.Possible(position) {
 		return router.Never
 	}
-	return gtid
+	return position
 }
 
 // recordPosition has a position count for the estimate of the cluster's clock. Guards against an answer of a member that has gone
 // meanwhile: nothing would drop what it told.
-func (a *Backend) recordPosition(j *job, role router.Role, position float64) {
-	if a.members[j.member.id] == j.member {
-		a.driver.RecordPosition(j.member.id, role, position, j.writtenAt)
+func (b *Backend) recordPosition(j *job, role router.Role, position float64) {
+	if b.members[j.member.id] == j.member {
+		b.driver.RecordPosition(j.member.id, role, position, j.writtenAt)
 	}
 }
 
 // acceptReport reads a report, name=value by commas: the position in seconds, and whether it is from a primary. One that
 // can't be read as a whole tells nothing.
-func (a *Backend) acceptReport(j *job, vitals string) bool {
+func (b *Backend) acceptReport(j *job, vitals string) bool {
 	role, at := router.Replica, 0.0
 	for pair := range strings.SplitSeq(vitals, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -634,10 +634,10 @@
 	if at <= 0 {
 		return false
 	}
-	a.recordPosition(j, role, at)
-	if !a.driver.Possible(at) {
+	b.recordPosition(j, role, at)
+	if !b.driver.Possible(at) {
 		return false
 	}
-	a.driver.Reported(j.member.id, role, at)
+	b.driver.Reported(j.member.id, role, at)
 	return true
 }
--- a/internal/backend/talk.go
+++ b/internal/backend/talk.go
@@ -46,139 +46,139 @@
 }
 
 func newStreamState(statements int) *streamState {
-	c, err := simplelru.NewLRU[uint64, *session.Prepared](1<<30, nil) // trimmed between requests
+	prepared, err := simplelru.NewLRU[uint64, *session.Prepared](1<<30, nil) // trimmed between requests
 	invariant.Check(err == nil, "a cache can be made")
-	return &streamState{settings: session.None, prepared: c, maxPrepared: statements, transactionStatus: 'I', parameters: iradix.New[string]()}
+	return &streamState{settings: session.None, prepared: prepared, maxPrepared: statements, transactionStatus: 'I', parameters: iradix.New[string]()}
 }
 
 // statementName is what a statement is called at its member.
 func statementName(s *session.Prepared) string { return "wl_" + strconv.FormatUint(s.Hash, 36) }
 
 // startStream gives a request the connection that its session keeps, or has it wait for one.
-func (a *Backend) startStream(j *job) {
-	t := j.request.Stream
-	t.OnClientGone(func() { a.endJob(j, router.NotSent) })
-	if l, ok := t.Reserved.(*memberConn); ok {
-		if a.conns[l.id] != l || l.job != nil {
-			a.driver.Defer(func() { a.endJob(j, router.ConnectFailed) })
+func (b *Backend) startStream(j *job) {
+	stream := j.request.Stream
+	stream.OnClientGone(func() { b.endJob(j, router.NotSent) })
+	if c, ok := stream.Reserved.(*memberConn); ok {
+		if b.conns[c.id] != c || c.job != nil {
+			b.driver.Defer(func() { b.endJob(j, router.ConnectFailed) })
 			return
 		}
-		l.beginStream(j)
+		c.beginStream(j)
 		return
 	}
-	a.driver.Defer(func() { a.reportWaiting(j) })
-	a.requestConn(j)
-	a.carryOutDecisions()
+	b.driver.Defer(func() { b.reportWaiting(j) })
+	b.requestConn(j)
+	b.carryOutDecisions()
 }
 
 // beginStream begins a request on the connection, unless it is withheld: first its settings, then what its client has said. It
 // tells whether it did.
-func (l *memberConn) beginStream(j *job) bool {
-	if l.backend.withheld(j) {
+func (c *memberConn) beginStream(j *job) bool {
+	if c.backend.withheld(j) {
 		return false
 	}
-	l.clientPartWritten = false
-	l.job, j.conn, l.queryWritten, j.writtenAt = j, l, true, l.backend.driver.Clock()
-	l.role, l.position, l.report = router.RoleUnknown, router.Never, ""
-	l.replayed, l.staleStatement, l.copyingIn = false, nil, false
-	t := j.request.Stream
-	l.reservedFor = nil
-	l.setTurn(j, true)
-	t.Client.ServerParameters(l.parameters)
-	s := t.Client.Session()
-	s.On(l.settings)
+	c.clientPartWritten = false
+	c.job, j.conn, c.queryWritten, j.writtenAt = j, c, true, c.backend.driver.Clock()
+	c.role, c.position, c.report = router.RoleUnknown, router.Never, ""
+	c.replayed, c.staleStatement, c.copyingIn = false, nil, false
+	stream := j.request.Stream
+	c.reservedFor = nil
+	c.setTurn(j, true)
+	stream.Client.ServerParameters(c.parameters)
+	s := stream.Client.Session()
+	s.On(c.settings)
 	var out []byte
-	for _, text := range session.Difference(l.settings, s.Settings()) {
+	for _, text := range session.Difference(c.settings, s.Settings()) {
 		out = pg.AppendQuery(out, text)
-		l.expected = append(l.expected, expectedReply{kind: pg.Query})
-		l.internalPending++
+		c.expected = append(c.expected, expectedReply{kind: pg.Query})
+		c.internalPending++
 	}
 	if len(out) > 0 {
-		l.conn.Write(out)
+		c.conn.Write(out)
 	} else {
 		s.Brought(true)
 	}
-	t.Attach(l)
+	stream.Attach(c)
 	return true
 }
 
 // setTurn begins the member's turn, or the client's.
-func (l *memberConn) setTurn(j *job, members bool) {
-	now := l.backend.driver.Now()
+func (c *memberConn) setTurn(j *job, members bool) {
+	now := c.backend.driver.Now()
 	if members && j.memberTurnSince == 0 {
 		j.memberTurnSince = now
-		l.backend.poolInput().Turn(l.id, false)
+		c.backend.poolInput().Turn(c.id, false)
 	} else if !members && j.memberTurnSince > 0 {
 		j.memberMs += now - j.memberTurnSince
 		j.memberTurnSince = 0
-		l.backend.poolInput().Turn(l.id, l.transactionStatus != 'I')
+		c.backend.poolInput().Turn(c.id, c.transactionStatus != 'I')
 	}
-	l.backend.driver.Defer(func() {
-		if l.job == j && !j.ended && (j.memberTurnSince > 0) == members {
-			l.backend.driver.TurnChanged(j.request, j.attempt, !members)
+	c.backend.driver.Defer(func() {
+		if c.job == j && !j.ended && (j.memberTurnSince > 0) == members {
+			c.backend.driver.TurnChanged(j.request, j.attempt, !members)
 		}
 	})
 }
 
 // nothingExpected tells that the member owes nothing.
-func (l *memberConn) nothingExpected() bool { return len(l.expected) == 0 && len(l.queued) == 0 }
+func (c *memberConn) nothingExpected() bool { return len(c.expected) == 0 && len(c.queued) == 0 }
 
 // Member tells where the connection leads.
-func (l *memberConn) Member() string { return l.member.id }
+func (c *memberConn) Member() string { return c.member.id }
 
 // Send says more. It waits while the hidden part is not answered, since what comes after must not run without it.
-func (l *memberConn) Send(ops []session.Op) {
-	if l.job == nil {
+func (c *memberConn) Send(ops []session.Op) {
+	if c.job == nil {
 		return
 	}
 	for _, op := range ops {
-		l.copyingIn = l.copyingIn && op.Kind != pg.CopyDone && op.Kind != pg.CopyFail
+		c.copyingIn = c.copyingIn && op.Kind != pg.CopyDone && op.Kind != pg.CopyFail
 	}
-	l.setTurn(l.job, !l.copyingIn) // while it takes what is copied in it has nothing to answer
-	if l.internalPending > 0 {
-		l.queued = append(l.queued, ops...)
+	c.setTurn(c.job, !c.copyingIn) // while it takes what is copied in it has nothing to answer
+	if c.internalPending > 0 {
+		c.queued = append(c.queued, ops...)
 		return
 	}
 	var out []byte
 	for n, op := range ops {
 		if op.Do == session.Hidden {
 			out = append(out, op.Raw...)
-			l.expected = append(l.expected, expectedReply{kind: pg.Query})
-			if l.internalPending++; n+1 == len(ops) || ops[n+1].Do != session.Hidden {
-				l.queued = append(l.queued, ops[n+1:]...)
+			c.expected = append(c.expected, expectedReply{kind: pg.Query})
+			if c.internalPending++; n+1 == len(ops) || ops[n+1].Do != session.Hidden {
+				c.queued = append(c.queued, ops[n+1:]...)
 				break
 			}
 			continue
 		}
-		out = l.encode(out, op)
+		out = c.encode(out, op)
 	}
-	if !l.clientPartWritten && l.backend.withheld(l.job) { // its settings may have taken a while
+	if !c.clientPartWritten && c.backend.withheld(c.job) { // its settings may have taken a while
 		return
 	}
-	l.clientPartWritten = l.clientPartWritten || l.internalPending == 0
-	l.conn.Write(out)
-	l.answerLocally()
+	c.clientPartWritten = c.clientPartWritten || c.internalPending == 0
+	c.conn.Write(out)
+	c.answerLocally()
 }
 
 // encode appends what an op is at this member.
-func (l *memberConn) encode(out []byte, op session.Op) []byte {
-	add := func(d expectedReply) { l.expected = append(l.expected, d) }
+func (c *memberConn) encode(out []byte, op session.Op) []byte {
+	add := func(d expectedReply) { c.expected = append(c.expected, d) }
 	switch op.Do {
 	case session.Prepare:
-		if l.hasPrepared(op.Statement) {
+		if c.hasPrepared(op.Statement) {
 			add(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendPlain(nil, '1')})
 			return out
 		}
-		return l.prepare(out, op.Statement, true)
+		return c.prepare(out, op.Statement, true)
 	case session.Bind:
-		if !l.hasPrepared(op.Statement) {
-			out = l.prepare(out, op.Statement, false)
+		if !c.hasPrepared(op.Statement) {
+			out = c.prepare(out, op.Statement, false)
 		}
 		add(expectedReply{kind: pg.Bind, forClient: true, statement: op.Statement})
 		return pg.AppendBind(out, op.Portal, statementName(op.Statement), op.Raw)
 	case session.About:
-		if !l.hasPrepared(op.Statement) {
-			out = l.prepare(out, op.Statement, false)
+		if !c.hasPrepared(op.Statement) {
+			out = c.prepare(out, op.Statement, false)
 		}
 		add(expectedReply{kind: pg.Describe, forClient: true, statement: op.Statement})
 		return pg.AppendDescribe(out, 'S', statementName(op.Statement))
@@ -197,73 +197,73 @@
 		add(expectedReply{kind: op.Kind, forClient: true})
 	}
 	if op.Kind == pg.Query {
-		return l.appendQuery(out, op.Raw)
+		return c.appendQuery(out, op.Raw)
 	}
 	return append(out, op.Raw...)
 }
 
 // hasPrepared tells whether the member has the statement prepared.
-func (l *memberConn) hasPrepared(s *session.Prepared) bool {
-	has, ok := l.prepared.Get(s.Hash)
-	return ok && has.Tail == s.Tail || session.Planted == "names" && l.prepared.Len() > 0
+func (c *memberConn) hasPrepared(s *session.Prepared) bool {
+	has, ok := c.prepared.Get(s.Hash)
+	return ok && has.Tail == s.Tail || session.Planted == "names" && c.prepared.Len() > 0
 }
 
-func (l *memberConn) prepare(out []byte, s *session.Prepared, seen bool) []byte {
-	if old, ok := l.prepared.Peek(s.Hash); ok { // two texts of one hash
-		out = l.closePrepared(out, old)
+func (c *memberConn) prepare(out []byte, s *session.Prepared, seen bool) []byte {
+	if old, ok := c.prepared.Peek(s.Hash); ok { // two texts of one hash
+		out = c.closePrepared(out, old)
 	}
-	l.prepared.Add(s.Hash, s)
-	l.expected = append(l.expected, expectedReply{kind: pg.Parse, forClient: seen, statement: s})
+	c.prepared.Add(s.Hash, s)
+	c.expected = append(c.expected, expectedReply{kind: pg.Parse, forClient: seen, statement: s})
 	return pg.AppendParse(out, statementName(s), []byte(s.Tail.Value()))
 }
 
-func (l *memberConn) closePrepared(out []byte, s *session.Prepared) []byte {
-	l.prepared.Remove(s.Hash)
-	l.expected = append(l.expected, expectedReply{kind: pg.CloseName, closing: s})
+func (c *memberConn) closePrepared(out []byte, s *session.Prepared) []byte {
+	c.prepared.Remove(s.Hash)
+	c.expected = append(c.expected, expectedReply{kind: pg.CloseName, closing: s})
 	return pg.AppendClose(out, 'S', statementName(s))
 }
 
 // trimPrepared closes what has not been used for longest beyond what the connection may keep. Only between requests: what is bound
 // must not be closed.
-func (l *memberConn) trimPrepared() {
-	if l.prepared.Len() <= l.maxPrepared {
+func (c *memberConn) trimPrepared() {
+	if c.prepared.Len() <= c.maxPrepared {
 		return
 	}
 	var out []byte
-	for l.prepared.Len() > l.maxPrepared {
-		_, old, _ := l.prepared.GetOldest()
-		out = l.closePrepared(out, old)
-	}
-	l.expected = append(l.expected, expectedReply{kind: pg.Sync})
-	l.internalPending++
-	l.conn.Write(pg.AppendSync(out))
-	l.dropUnlessAnswered()
+	for c.prepared.Len() > c.maxPrepared {
+		_, old, _ := c.prepared.GetOldest()
+		out = c.closePrepared(out, old)
+	}
+	c.expected = append(c.expected, expectedReply{kind: pg.Sync})
+	c.internalPending++
+	c.conn.Write(pg.AppendSync(out))
+	c.dropUnlessAnswered()
 }
 
 // answerLocally answers what stands first and needs no member.
-func (l *memberConn) answerLocally() {
-	for len(l.expected) > 0 && l.expected[0].localReply != nil {
-		d := l.expected[0]
-		l.expected = l.expected[1:]
-		if l.job != nil && d.forClient {
+func (c *memberConn) answerLocally() {
+	for len(c.expected) > 0 && c.expected[0].localReply != nil {
+		d := c.expected[0]
+		c.expected = c.expected[1:]
+		if c.job != nil && d.forClient {
 			kind := pg.ParseDone
 			if d.kind == pg.CloseName {
 				kind = pg.CloseDone
 			}
-			l.job.request.Stream.Receive(pg.Message{Kind: kind, Raw: d.localReply})
+			c.job.request.Stream.Receive(pg.Message{Kind: kind, Raw: d.localReply})
 		}
 	}
 }
 
 // popExpected takes the first due answer off if it answers one of these.
-func (l *memberConn) popExpected(kinds ...pg.Kind) (d expectedReply, ok bool) {
-	if len(l.expected) == 0 {
+func (c *memberConn) popExpected(kinds ...pg.Kind) (d expectedReply, ok bool) {
+	if len(c.expected) == 0 {
 		return d, false
 	}
 	for _, k := range kinds {
-		if l.expected[0].kind == k {
-			d = l.expected[0]
-			l.expected = l.expected[1:]
+		if c.expected[0].kind == k {
+			d = c.expected[0]
+			c.expected = c.expected[1:]
 			return d, true
 		}
 	}
@@ -271,73 +271,73 @@
 }
 
 // handleStreamMessage takes one message of the member's in; false: it does not belong here.
-func (l *memberConn) handleStreamMessage(m *pg.Message) bool {
+func (c *memberConn) handleStreamMessage(m *pg.Message) bool {
 	switch m.Kind {
 	case pg.AuthOK, pg.Skip:
 		return true
 	case pg.KeyData:
-		l.cancelKey = m.Key
+		c.cancelKey = m.Key
 		return true
 	case pg.Parameter:
-		l.recordParameter(m.Name, m.Text)
+		c.recordParameter(m.Name, m.Text)
 		if !isRouterParameter(m.Name) {
-			l.parameters, _, _ = l.parameters.Insert([]byte(m.Name), m.Text)
-			l.backend.parameters[l.pool] = l.parameters
-			if l.job != nil {
-				l.job.request.Stream.Client.ServerParameters(l.parameters)
+			c.parameters, _, _ = c.parameters.Insert([]byte(m.Name), m.Text)
+			c.backend.parameters[c.pool] = c.parameters
+			if c.job != nil {
+				c.job.request.Stream.Client.ServerParameters(c.parameters)
 			}
 		}
 		return true
 	case pg.Notice:
-		if l.job != nil && len(l.expected) > 0 && l.expected[0].forClient {
-			l.job.request.Stream.Receive(*m)
+		if c.job != nil && len(c.expected) > 0 && c.expected[0].forClient {
+			c.job.request.Stream.Receive(*m)
 		}
 		return true
 	case pg.Notification:
-		if l.job != nil {
-			l.job.request.Stream.Receive(*m)
+		if c.job != nil {
+			c.job.request.Stream.Receive(*m)
 		}
 		return true
 	case pg.Failure:
-		if !l.ready {
-			return l.loginRefused(m.Failure)
+		if !c.ready {
+			return c.loginRefused(m.Failure)
 		}
-		return l.handleStreamError(m)
+		return c.handleStreamError(m)
 	case pg.Ready:
-		if !l.ready {
-			return l.becomeReady()
+		if !c.ready {
+			return c.becomeReady()
 		}
-		return l.handleStreamReady(m)
+		return c.handleStreamReady(m)
 	}
-	if !l.ready || len(l.expected) == 0 {
+	if !c.ready || len(c.expected) == 0 {
 		return false
 	}
-	d, ok := l.expected[0], true
+	d, ok := c.expected[0], true
 	switch m.Kind {
 	case pg.ParseDone:
-		d, ok = l.popExpected(pg.Parse)
+		d, ok = c.popExpected(pg.Parse)
 	case pg.BindDone:
-		if d, ok = l.popExpected(pg.Bind); ok {
-			l.lastBound = d.statement
+		if d, ok = c.popExpected(pg.Bind); ok {
+			c.lastBound = d.statement
 		}
 	case pg.CloseDone:
-		d, ok = l.popExpected(pg.CloseName)
+		d, ok = c.popExpected(pg.CloseName)
 	case pg.NoData:
-		d, ok = l.popExpected(pg.Describe)
+		d, ok = c.popExpected(pg.Describe)
 	case pg.Suspended:
-		d, ok = l.popExpected(pg.Execute)
+		d, ok = c.popExpected(pg.Execute)
 	case pg.Complete, pg.Empty:
 		if d.kind == pg.Execute {
-			d, ok = l.popExpected(pg.Execute)
+			d, ok = c.popExpected(pg.Execute)
 		} else {
 			ok = d.kind == pg.Query
 		}
 		if m.Kind == pg.Complete && (m.Text == "DISCARD ALL" || m.Text == "DEALLOCATE ALL") {
-			l.prepared.Purge()
+			c.prepared.Purge()
 		}
 	case pg.Columns:
 		if d.kind == pg.Describe {
-			d, ok = l.popExpected(pg.Describe)
+			d, ok = c.popExpected(pg.Describe)
 		} else {
 			ok = d.kind == pg.Query || d.kind == pg.Execute
 		}
@@ -351,14 +351,14 @@
 	if !ok {
 		return false
 	}
-	if d.forClient && l.job != nil {
+	if d.forClient && c.job != nil {
 		if m.Kind == pg.CopyIn {
-			l.copyingIn = true
-			l.setTurn(l.job, false)
+			c.copyingIn = true
+			c.setTurn(c.job, false)
 		}
-		l.job.request.Stream.Receive(*m)
+		c.job.request.Stream.Receive(*m)
 	}
-	l.answerLocally()
+	c.answerLocally()
 	return true
 }
 
@@ -367,36 +367,36 @@
 }
 
 // handleStreamError takes an error: all that was asked up to the next readiness is passed over by the member.
-func (l *memberConn) handleStreamError(m *pg.Message) bool {
-	if l.job == nil && len(l.expected) == 0 { // it ends the connection, which nobody uses
-		l.drop()
+func (c *memberConn) handleStreamError(m *pg.Message) bool {
+	if c.job == nil && len(c.expected) == 0 { // it ends the connection, which nobody uses
+		c.drop()
 		return true
 	}
-	if len(l.expected) == 0 || l.job == nil {
-		l.unusable = true
+	if len(c.expected) == 0 || c.job == nil {
+		c.unusable = true
 		return true
 	}
-	d := l.expected[0]
-	for len(l.expected) > 0 && l.expected[0].kind != pg.Query && l.expected[0].kind != pg.Sync {
-		if x := l.expected[0]; x.kind == pg.Parse && x.statement != nil {
-			l.prepared.Remove(x.statement.Hash)
+	d := c.expected[0]
+	for len(c.expected) > 0 && c.expected[0].kind != pg.Query && c.expected[0].kind != pg.Sync {
+		if x := c.expected[0]; x.kind == pg.Parse && x.statement != nil {
+			c.prepared.Remove(x.statement.Hash)
 		} else if x.closing != nil {
-			l.prepared.Add(x.closing.Hash, x.closing)
+			c.prepared.Add(x.closing.Hash, x.closing)
 		}
-		l.expected = l.expected[1:]
+		c.expected = c.expected[1:]
 	}
-	t := l.job.request.Stream
+	t := c.job.request.Stream
 	if !d.forClient && d.kind == pg.Query { // settings that its member does not take, or a BEGIN
-		l.unusable = true
+		c.unusable = true
 	}
 	if d.replyError != nil {
 		m.Failure, m.Raw = d.replyError, pg.AppendError(nil, d.replyError, false)
 	}
 	stale := !t.Cancelled() && m.Failure.Code == pg.NoStatement && d.replyError == nil ||
 		!t.Cancelled() && m.Failure.Code == pg.Unsupported && d.kind != pg.Query && d.kind != pg.Parse
-	if stale && !t.Started() && !l.replayed && l.transactionStatus == 'I' {
-		if l.replayed, l.staleStatement = true, d.statement; l.staleStatement == nil {
-			l.staleStatement = l.lastBound
+	if stale && !t.Started() && !c.replayed && c.transactionStatus == 'I' {
+		if c.replayed, c.staleStatement = true, d.statement; c.staleStatement == nil {
+			c.staleStatement = c.lastBound
 		}
 	}
 	t.Receive(*m)
@@ -404,53 +404,53 @@
 }
 
 // handleStreamReady takes a readiness: of what was hidden, or of what the client asked.
-func (l *memberConn) handleStreamReady(m *pg.Message) bool {
-	if _, ok := l.popExpected(pg.Query, pg.Sync); !ok {
+func (c *memberConn) handleStreamReady(m *pg.Message) bool {
+	if _, ok := c.popExpected(pg.Query, pg.Sync); !ok {
 		return false
 	}
-	if l.internalPending > 0 {
-		l.internalPending--
-		return l.internalDone(m)
+	if c.internalPending > 0 {
+		c.internalPending--
+		return c.internalDone(m)
 	}
-	j := l.job
+	j := c.job
 	if j == nil {
 		return false
 	}
 	t := j.request.Stream
-	l.transactionStatus = m.Status
-	stale := l.staleStatement
-	if l.staleStatement = nil; stale != nil && m.Status == 'I' { // nothing has run: the statement is prepared anew
-		if l.hasPrepared(stale) {
-			out := l.closePrepared(nil, stale)
-			l.expected = append(l.expected, expectedReply{kind: pg.Sync})
-			l.internalPending++
-			l.conn.Write(pg.AppendSync(out))
+	c.transactionStatus = m.Status
+	stale := c.staleStatement
+	if c.staleStatement = nil; stale != nil && m.Status == 'I' { // nothing has run: the statement is prepared anew
+		if c.hasPrepared(stale) {
+			out := c.closePrepared(nil, stale)
+			c.expected = append(c.expected, expectedReply{kind: pg.Sync})
+			c.internalPending++
+			c.conn.Write(pg.AppendSync(out))
 		}
 		t.Replay()
 		return true
 	}
-	if how, ours := l.memberOutcome(); ours {
-		l.backend.endJob(j, how)
+	if outcome, ours := c.memberOutcome(); ours {
+		c.backend.endJob(j, outcome)
 		return true
 	}
 	t.Receive(*m)
 	t.Flush()
 	t.NextQuery()
-	if l.job != j { // its client had nothing more to say, and left
+	if c.job != j { // its client had nothing more to say, and left
 		return true
 	}
-	if m.Status == 'I' && l.nothingExpected() {
-		l.backend.endJob(j, router.Succeeded)
-	} else if l.nothingExpected() {
-		l.setTurn(j, false)
+	if m.Status == 'I' && c.nothingExpected() {
+		c.backend.endJob(j, router.Succeeded)
+	} else if c.nothingExpected() {
+		c.setTurn(j, false)
 	}
 	return true
 }
 
 // memberOutcome tells whether an error is about the member rather than the statement, so that the module hears of it before
 // the client does.
-func (l *memberConn) memberOutcome() (router.Outcome, bool) {
-	t := l.job.request.Stream
+func (c *memberConn) memberOutcome() (router.Outcome, bool) {
+	t := c.job.request.Stream
 	e := t.Failure()
 	if e == nil || t.Started() {
 		return 0, false
@@ -465,7 +465,7 @@
 	case pg.TooOld:
 		return router.Misrouted, true
 	case pg.NoPrimary: // else it is the transaction that is read only, not the member
-		if l.backend.limits.PrimaryClasses[l.job.request.TxnType] && l.role != router.Primary {
+		if c.backend.limits.PrimaryClasses[c.job.request.TxnType] && c.role != router.Primary {
 			return router.Misrouted, true
 		}
 	}
@@ -473,135 +473,135 @@
 }
 
 // internalDone goes on once the hidden part is answered.
-func (l *memberConn) internalDone(m *pg.Message) bool {
+func (c *memberConn) internalDone(m *pg.Message) bool {
 	switch {
-	case l.job == nil && l.unusable:
-		l.drop()
-	case l.job == nil:
-		l.returnUnlessPending()
-	case l.unusable: // the client gets what its member said of its settings or its BEGIN
-		if l.queryError == nil {
-			l.queryError = l.job.request.Stream.Failure()
+	case c.job == nil && c.unusable:
+		c.drop()
+	case c.job == nil:
+		c.returnUnlessPending()
+	case c.unusable: // the client gets what its member said of its settings or its BEGIN
+		if c.queryError == nil {
+			c.queryError = c.job.request.Stream.Failure()
 		}
-		l.backend.endJob(l.job, router.ServerError)
-	case l.internalPending == 0:
-		l.job.request.Stream.Client.Session().Brought(true)
-		l.transactionStatus = m.Status
-		ops := l.queued
-		l.queued = nil
-		l.Send(ops)
+		c.backend.endJob(c.job, router.ServerError)
+	case c.internalPending == 0:
+		c.job.request.Stream.Client.Session().Brought(true)
+		c.transactionStatus = m.Status
+		ops := c.queued
+		c.queued = nil
+		c.Send(ops)
 	}
 	return true
 }
 
 // Cancel has the member told to stop what runs here. The connection is not used again, so the cancel can't meet the
 // next client's statement, however late it comes.
-func (l *memberConn) Cancel() {
-	if l.job == nil || l.nothingExpected() || l.unusable {
+func (c *memberConn) Cancel() {
+	if c.job == nil || c.nothingExpected() || c.unusable {
 		return
 	}
-	l.job.request.Stream.MarkCancelled()
-	if l.internalPending > 0 { // nothing of it has run
-		l.unusable = true
-		l.queryError = &pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"}
+	c.job.request.Stream.MarkCancelled()
+	if c.internalPending > 0 { // nothing of it has run
+		c.unusable = true
+		c.queryError = &pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"}
 	}
-	if l.cancelKey == (pg.Key{}) { // its member has named none
+	if c.cancelKey == (pg.Key{}) { // its member has named none
 		return
 	}
-	l.unusable = true
-	now := l.backend.driver.Now()
-	key := l.cancelKey
-	j := &job{cancelKey: &key, member: l.member, started: now, deadline: now + l.backend.limits.DialTimeout, notAfter: math.Inf(1)}
-	j.timer = l.backend.driver.After(j.deadline-now, func() { l.backend.endJob(j, router.TimedOut) })
-	l.backend.requestConn(j)
-	l.backend.carryOutDecisions()
+	c.unusable = true
+	now := c.backend.driver.Now()
+	key := c.cancelKey
+	j := &job{cancelKey: &key, member: c.member, started: now, deadline: now + c.backend.limits.DialTimeout, notAfter: math.Inf(1)}
+	j.timer = c.backend.driver.After(j.deadline-now, func() { c.backend.endJob(j, router.TimedOut) })
+	c.backend.requestConn(j)
+	c.backend.carryOutDecisions()
 }
 
 // Release says that the session which kept the connection has no more use for it. What it left there goes.
-func (l *memberConn) Release() {
-	if l.reservedFor = nil; l.job != nil || l.backend.conns[l.id] != l {
+func (c *memberConn) Release() {
+	if c.reservedFor = nil; c.job != nil || c.backend.conns[c.id] != c {
 		return
 	}
-	l.settings = session.None
-	l.expected = append(l.expected, expectedReply{kind: pg.Query})
-	l.internalPending++
-	l.conn.Write(pg.AppendQuery(nil, "DISCARD ALL"))
-	l.dropUnlessAnswered()
+	c.settings = session.None
+	c.expected = append(c.expected, expectedReply{kind: pg.Query})
+	c.internalPending++
+	c.conn.Write(pg.AppendQuery(nil, "DISCARD ALL"))
+	c.dropUnlessAnswered()
 }
 
 // dropUnlessAnswered ends the connection unless the member answers what is asked between two requests. Guards against one that is kept
 // for nobody.
-func (l *memberConn) dropUnlessAnswered() {
-	l.backend.driver.After(l.backend.limits.DialTimeout, func() {
-		if l.job == nil && l.internalPending > 0 {
-			l.drop()
+func (c *memberConn) dropUnlessAnswered() {
+	c.backend.driver.After(c.backend.limits.DialTimeout, func() {
+		if c.job == nil && c.internalPending > 0 {
+			c.drop()
 		}
 	})
 }
 
 // terminateReserved ends a session whose connection leads to a member that drains or is gone, now that nothing of it is open.
-func (l *memberConn) terminateReserved() {
-	k := l.reservedFor
-	l.backend.driver.Defer(func() { k.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"}) })
+func (c *memberConn) terminateReserved() {
+	k := c.reservedFor
+	c.backend.driver.Defer(func() { k.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"}) })
 }
 
 // terminateClient tells the client that its time is up.
-func (l *memberConn) terminateClient(code, text string) {
-	if j := l.job; j != nil {
+func (c *memberConn) terminateClient(code, text string) {
+	if j := c.job; j != nil {
 		j.request.Stream.Client.Terminate(&pg.Error{Code: code, Text: text})
 	}
 }
 
 // endStream takes a request off the connection, which goes on to the next, stays with its session, or ends. It gives the
 // member's word on the statement, where that is what ended it.
-func (l *memberConn) endStream(j *job, how router.Outcome) (fault *pg.Error) {
-	t := j.request.Stream
-	s := t.Client.Session()
-	if how == router.ServerError && l.queryError != nil && l.unusable {
-		fault = l.queryError
+func (c *memberConn) endStream(j *job, outcome router.Outcome) (fault *pg.Error) {
+	stream := j.request.Stream
+	s := stream.Client.Session()
+	if outcome == router.ServerError && c.queryError != nil && c.unusable {
+		fault = c.queryError
 	}
-	if how == router.Succeeded && l.position > 0 && l.backend.driver.Possible(l.position) {
-		t.Position = l.position
+	if outcome == router.Succeeded && c.position > 0 && c.backend.driver.Possible(c.position) {
+		stream.Position = c.position
 	}
-	if how != router.ServerError { // only an error that the member has got over tells what became of the request
-		defer func() { t.LastError = nil }()
+	if outcome != router.ServerError { // only an error that the member has got over tells what became of the request
+		defer func() { stream.LastError = nil }()
 	}
 	if j.memberTurnSince > 0 {
-		j.memberMs += l.backend.driver.Now() - j.memberTurnSince
+		j.memberMs += c.backend.driver.Now() - j.memberTurnSince
 	}
-	clean := l.nothingExpected() && l.internalPending == 0 && l.transactionStatus == 'I' && !l.unusable
-	l.job, l.queryWritten, l.queryError = nil, false, nil
-	if t.Backend() == l {
+	clean := c.nothingExpected() && c.internalPending == 0 && c.transactionStatus == 'I' && !c.unusable
+	c.job, c.queryWritten, c.queryError = nil, false, nil
+	if stream.Backend() == c {
 		if clean {
-			l.settings = s.There()
+			c.settings = s.There()
 		}
-		t.Detach()
+		stream.Detach()
 	}
 	switch {
-	case !clean || how != router.Succeeded && s.Kept():
-		l.drop()
-	case how == router.Succeeded && s.Kept():
-		l.reservedFor = t.Client
-		if t.Client.Reserve(l); l.member.unavailable {
-			l.terminateReserved()
+	case !clean || outcome != router.Succeeded && s.Kept():
+		c.drop()
+	case outcome == router.Succeeded && s.Kept():
+		c.reservedFor = stream.Client
+		if stream.Client.Reserve(c); c.member.unavailable {
+			c.terminateReserved()
 		}
 	default:
-		l.trimPrepared()
-		l.returnUnlessPending()
+		c.trimPrepared()
+		c.returnUnlessPending()
 	}
 	return fault
 }
 
 // returnUnlessPending gives the connection back once nothing is due on it.
-func (l *memberConn) returnUnlessPending() {
-	if l.internalPending == 0 {
-		l.returnToPool()
+func (c *memberConn) returnUnlessPending() {
+	if c.internalPending == 0 {
+		c.returnToPool()
 	}
 }
 
 // KnownParameters is what members of a pool have reported of themselves, as a client that comes in is told.
-func (a *Backend) KnownParameters(pool string) *iradix.Tree[string] {
-	if t := a.parameters[pool]; t != nil {
+func (b *Backend) KnownParameters(pool string) *iradix.Tree[string] {
+	if t := b.parameters[pool]; t != nil {
 		return t
 	}
 	return iradix.New[string]()
