--- a/internal/backend/crossing_test.go
+++ b/internal/backend/crossing_test.go
@@ -86,7 +86,7 @@
 					}
 				})
 				if drained {
-					defer failpoint.Set("members.unsent", sync.OnceFunc(func() {
+					defer failpoint.Set("backend.unsent", sync.OnceFunc(func() {
 						go io.Copy(io.Discard, peer)
 						for !l.conn.Sent() {
 							runtime.Gosched()
--- /dev/null
+++ b/internal/backend/pool.go
@@ -0,0 +1,181 @@
+package backend
+
+import (
+	"errors"
+	"math"
+	"strconv"
+
+	"wayloft/internal/decide/connpool"
+	"wayloft/internal/decide/syscallerror"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/invariant"
+	"wayloft/internal/pg"
+	"wayloft/router"
+)
+
+// CloseIdle closes the idle connections to a member.
+func (b *Backend) CloseIdle(memberID string) {
+	b.poolInput().CloseIdle(memberID)
+	b.driver.Defer(b.carryOutDecisions)
+}
+
+// poolInput returns the pool for an input, at the present time.
+func (b *Backend) poolInput() *connpool.Pool {
+	b.pool.Advance(b.driver.Now())
+	b.setTimer(b.pool.Sweep())
+	return b.pool
+}
+
+// setTimer has decisions carried out at this time, unless a timer is set for an earlier one.
+func (b *Backend) setTimer(at float64) {
+	if at >= b.timerAt {
+		return
+	}
+	if b.timer != nil {
+		b.timer.Stop()
+	}
+	b.timerAt = at
+	b.timer = b.driver.After(at-b.driver.Now(), func() {
+		if b.timerAt == at { // a timer that is stopped late may still fire
+			b.timerAt = math.Inf(1)
+			b.carryOutDecisions()
+		}
+	})
+}
+
+// carryOutDecisions carries out what the pool decides, until it has no more decisions.
+func (b *Backend) carryOutDecisions() {
+	if b.carryingOut {
+		return
+	}
+	b.carryingOut = true
+	b.pool.Advance(b.driver.Now())
+	for d, more := b.pool.Next(); more; d, more = b.pool.Next() {
+		b.carryOut(d)
+	}
+	b.carryingOut = false
+	b.setTimer(b.pool.NextDeadline())
+}
+
+func (b *Backend) carryOut(d connpool.Decision) {
+	c, j := b.conns[d.Conn], b.waiting[d.Want]
+	switch d.Action {
+	case connpool.Open:
+		b.dial(d)
+	case connpool.Use:
+		delete(b.waiting, d.Want)
+		b.use(d, c, j)
+	case connpool.Close:
+		if c != nil {
+			c.conn.Close()
+			c.forget()
+		}
+	case connpool.Refuse:
+		delete(b.waiting, d.Want)
+		if j != nil {
+			b.refuse(d.Reason, j)
+		}
+	case connpool.End:
+		if c != nil && c.job != nil && c.streamState != nil {
+			b.IdleTransactions++
+			b.driver.Defer(func() { c.terminateClient(pg.IdleInside, "a transaction was left open and idle for too long") })
+		}
+	}
+}
+
+// use begins a job on the connection that the pool gives it.
+func (b *Backend) use(d connpool.Decision, c *memberConn, j *job) {
+	invariant.Check(c != nil && j != nil && !j.ended, "a connection is given to who waits for it")
+	if c == nil || j == nil {
+		b.pool.Gone(d.Conn)
+		return
+	}
+	if c.conn.Unread() { // its end, or bytes that don't belong there: a query would be answered by a reset
+		c.drop()
+		b.requestConn(j)
+		return
+	}
+	if c.fence = fenceNone; d.Fresh && c.streamState == nil {
+		c.fence = fenceSent
+	}
+	if !c.begin(j) {
+		c.fence = fenceNone
+		b.poolInput().Free(d.Conn, c.settingsID())
+	}
+}
+
+// refuse ends a job that the pool has no connection for.
+func (b *Backend) refuse(reason connpool.RefusalReason, j *job) {
+	outcome := router.NotSent
+	switch reason {
+	case connpool.NoRoom:
+		if !j.member.unavailable {
+			b.NoConnection++
+		}
+	case connpool.Late:
+		b.QueueTimeouts++
+	case connpool.Unconnected:
+		outcome = router.ConnectFailed
+	}
+	b.driver.Defer(func() { b.endJob(j, outcome) })
+}
+
+// requestConn asks the pool for a connection.
+func (b *Backend) requestConn(j *job) {
+	b.poolRequests++
+	j.poolRequest = strconv.Itoa(b.poolRequests)
+	b.waiting[j.poolRequest] = j
+	wanted := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: PlatformPool}}
+	switch {
+	case j.cancelKey != nil:
+		wanted.Key.Pool = CancelPool
+	case j.request != nil && j.request.Stream != nil:
+		wanted.Key.Pool, wanted.Tenant, wanted.Like = j.request.Stream.Pool, j.request.Tenant, j.request.Stream.Client.Session().Settings().ID()
+	}
+	b.poolInput().Request(wanted)
+}
+
+// dial opens a connection. It can be used once the member has accepted the login.
+func (b *Backend) dial(d connpool.Decision) {
+	m := b.members[d.Key.Member]
+	if m == nil {
+		b.poolInput().Gone(d.Conn)
+		return
+	}
+	started := b.driver.Now()
+	b.driver.Dial(m.addr, b.limits.DialTimeout, func(socket *eventloop.Conn, err error) {
+		defer b.carryOutDecisions()
+		if err != nil {
+			b.poolInput().Failed(d.Conn, failureCause(err))
+			return
+		}
+		c := &memberConn{backend: b, id: d.Conn, pool: d.Key.Pool, member: m, conn: socket, reader: pg.NewReader(true, b.limits.MaxResponse)}
+		b.conns[c.id] = c
+		socket.Handle(c)
+		if d.Key.Pool == CancelPool {
+			c.ready = true
+			b.poolInput().Opened(c.id)
+			return
+		}
+		if d.Key.Pool != PlatformPool {
+			c.reader.Widen()
+			c.streamState = newStreamState(b.limits.MaxPrepared)
+		}
+		login := b.limits.Logins[d.Key.Pool]
+		socket.Write(pg.AppendStartup(nil, login.User, login.Database))
+		b.driver.After(started+b.limits.DialTimeout-b.driver.Now(), func() {
+			if !c.ready {
+				c.connectFailed(connpool.Down)
+			}
+		})
+	})
+}
+
+// failureCause returns why a dial failed. A failure of this host's own must not count against the member.
+func failureCause(err error) connpool.FailureCause {
+	var dial *eventloop.DialError
+	if errors.As(err, &dial) && dial.Cause() != syscallerror.Peer {
+		return connpool.NoLocalResources
+	}
+	return connpool.Down
+}
--- /dev/null
+++ b/internal/backend/report.go
@@ -0,0 +1,88 @@
+package backend
+
+import (
+	"math"
+	"strconv"
+	"strings"
+
+	"wayloft/router"
+)
+
+// The names on the wire by which a member reports its role, its position and its state, and the names within the state.
+const (
+	roleParameter     = "rank"
+	positionParameter = "as_of"
+	reportParameter   = "vitals"
+
+	reportPosition = "x0" // in seconds
+	reportPrimary  = "x1" // 1 for a primary
+)
+
+// rolesOnWire are the roles by their names on the wire.
+var rolesOnWire = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
+
+// isRouterParameter reports whether a parameter is for the router and not for the client.
+func isRouterParameter(name string) bool {
+	return name == roleParameter || name == positionParameter || name == reportParameter
+}
+
+func (c *memberConn) recordParameter(name, value string) {
+	switch name {
+	case roleParameter:
+		c.role = rolesOnWire[value]
+	case positionParameter:
+		if x, err := strconv.ParseFloat(value, 64); err == nil && x > 0 {
+			c.position = x
+		}
+	case reportParameter:
+		c.report = value
+	}
+}
+
+// acceptPosition records the position that came with a response. It returns the position if the member can have it, or else router.Never.
+func (b *Backend) acceptPosition(j *job, role router.Role, position float64) float64 {
+	if position == router.Never {
+		return position
+	}
+	b.recordPosition(j, role, position)
+	if !b.driver.Possible(position) {
+		return router.Never
+	}
+	return position
+}
+
+// recordPosition adds a position to the estimate of the cluster's clock. It guards against a response of a member that was removed meanwhile:
+// nothing would drop what it reported.
+func (b *Backend) recordPosition(j *job, role router.Role, position float64) {
+	if b.members[j.member.id] == j.member {
+		b.driver.RecordPosition(j.member.id, role, position, j.writtenAt)
+	}
+}
+
+// acceptReport takes in a report: pairs name=value, separated by commas. It returns false, and tells the driver of no report, if the
+// report can't be read as a whole or has no position that the member can have.
+func (b *Backend) acceptReport(j *job, report string) bool {
+	role, position := router.Replica, 0.0
+	for pair := range strings.SplitSeq(report, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		x, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+			return false
+		}
+		switch {
+		case name == reportPosition:
+			position = x * 1000
+		case name == reportPrimary && x >= 0.5:
+			role = router.Primary
+		}
+	}
+	if position <= 0 {
+		return false
+	}
+	b.recordPosition(j, role, position)
+	if !b.driver.Possible(position) {
+		return false
+	}
+	b.driver.Reported(j.member.id, role, position)
+	return true
+}
--- a/internal/backend/answer.go
+++ b/internal/backend/response.go
@@ -1,26 +1,34 @@
 package backend
 
 import (
-	"strconv"
-
 	"wayloft/internal/decide/connpool"
 	"wayloft/internal/pg"
 	"wayloft/router"
 )
 
-// How far an answer has come.
+// responseStage is how far a response has come.
+type responseStage int
+
 const (
-	stageNone = iota
+	stageNone responseStage = iota
 	stageColumns
 	stageRow
-	stageComplete // its last message but readiness is there
-	stageReady    // and the connection is ready for the next
+	stageComplete // all but the readiness after it has come
+	stageReady    // the connection is ready for the next query
 )
 
-var errorOutcomes = map[string]router.Outcome{pg.NoPrimary: router.Misrouted, pg.TooOld: router.Misrouted, pg.Refused: router.Overloaded,
-	pg.NotNow: router.Overloaded}
+// maxUnsolicitedFactor times Limits.MaxResponse is how many bytes may come on a connection since its last job began.
+const maxUnsolicitedFactor = 2
+
+// errorOutcomes are the error codes that say that the statement did not run.
+var errorOutcomes = map[string]router.Outcome{
+	pg.NoPrimary: router.Misrouted,
+	pg.TooOld:    router.Misrouted,
+	pg.Refused:   router.Overloaded,
+	pg.NotNow:    router.Overloaded,
+}
 
-// errorOutcome is what an error's code says; whatever the protocol doesn't name may have run.
+// errorOutcome returns the outcome that an error code stands for. After a code that the protocol doesn't name, the statement may have run.
 func errorOutcome(code string) router.Outcome {
 	if outcome, known := errorOutcomes[code]; known {
 		return outcome
@@ -28,16 +36,14 @@
 	return router.ServerError
 }
 
-var rolesOnWire = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
-
-// Data takes bytes in. An answer is kept until it is whole; whatever breaks the protocol breaks the connection.
+// Data implements eventloop.Handler. A response is kept until it is complete; bytes that violate the protocol end the connection.
 func (c *memberConn) Data(b []byte) {
-	if c.pool == CancelPool { // a server says nothing to a cancel
+	if c.pool == CancelPool { // a server sends nothing in reply to a cancel request
 		c.failProtocol()
 		return
 	}
-	// Guards against messages without end that are passed over one by one, on a connection that rests too.
-	if c.receivedBytes += len(b); c.streamState == nil && c.receivedBytes > 2*c.backend.limits.MaxResponse {
+	// Guards against an endless row of messages that are skipped one by one, on an idle connection, too.
+	if c.receivedBytes += len(b); c.streamState == nil && c.receivedBytes > maxUnsolicitedFactor*c.backend.limits.MaxResponse {
 		c.failProtocol()
 		return
 	}
@@ -46,7 +52,7 @@
 		m, ok, err := c.reader.Next()
 		if c.countBuffered(); !ok && err == nil {
 			if c.backend.buffered > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
-				c.backend.OverBudget++ // it may have run, and nothing is left to hear the rest with
+				c.backend.OverBudget++ // the statement may have run, and there is no memory for the rest of its response
 				c.failProtocol()
 			}
 			return
@@ -58,15 +64,15 @@
 	}
 }
 
-// countBuffered keeps the sum of what all connections hold of answers.
+// countBuffered updates the sum of what all connections hold of responses.
 func (c *memberConn) countBuffered() {
-	held := len(c.rows) + c.reader.Pending()
-	c.backend.buffered += held - c.buffered
-	c.buffered = held
+	buffered := len(c.rows) + c.reader.Pending()
+	c.backend.buffered += buffered - c.buffered
+	c.buffered = buffered
 }
 
-// failProtocol ends a connection on which something came that can't be an answer. Its job has failed and may have run, and
-// none of what came can be trusted. Guards against taking noise for the loss of a member that is there.
+// failProtocol ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
+// the response can be trusted. It guards against taking garbage for the loss of a member that is up.
 func (c *memberConn) failProtocol() {
 	c.backend.ProtocolErrors++
 	c.stage, c.queryError = stageNone, nil
@@ -76,7 +82,7 @@
 	c.Closed()
 }
 
-// handleMessage takes one message in; false: it does not belong here.
+// handleMessage takes in one message; false: it is a protocol violation.
 func (c *memberConn) handleMessage(m pg.Message) bool {
 	switch m.Kind {
 	case pg.Skip, pg.AuthOK:
@@ -85,25 +91,29 @@
 		c.recordParameter(m.Name, m.Text)
 		return true
 	case pg.Empty:
-		c.fence--
-		return c.fence == 1
+		if c.fence != fenceSent {
+			return false
+		}
+		c.fence = fenceAnswered
+		return true
 	case pg.Failure:
 		if !c.ready {
 			return c.loginRefused(m.Failure)
 		}
-		if c.job == nil || c.fence > 0 {
+		if c.job == nil || c.fence != fenceNone {
 			return false
 		}
 		c.queryError = m.Failure
 		return true
 	case pg.Ready:
-		if c.fence > 0 {
-			c.fence--
-			return c.fence == 0
+		if c.fence != fenceNone {
+			answered := c.fence == fenceAnswered
+			c.fence = fenceNone
+			return answered
 		}
 		return c.becomeReady() || c.finishResponse()
 	}
-	if c.job == nil || !c.ready || c.queryError != nil || c.fence > 0 || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
+	if c.job == nil || !c.ready || c.queryError != nil || c.fence != fenceNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
 		return false
 	}
 	switch {
@@ -122,7 +132,7 @@
 	return true
 }
 
-// becomeReady takes the first readiness, after which the connection can be used.
+// becomeReady takes in the first readiness, after which the connection can be used.
 func (c *memberConn) becomeReady() bool {
 	if c.ready {
 		return false
@@ -133,7 +143,7 @@
 	return true
 }
 
-// loginRefused takes an error before the member has let the connection in.
+// loginRefused takes in an error that came before the member accepted the login.
 func (c *memberConn) loginRefused(e *pg.Error) bool {
 	cause := connpool.Down
 	if e.Code == pg.Refused {
@@ -143,7 +153,7 @@
 	return true
 }
 
-// finishResponse takes the readiness after an answer.
+// finishResponse takes in the readiness after a response.
 func (c *memberConn) finishResponse() bool {
 	j := c.job
 	if j == nil || c.queryError == nil && c.stage != stageComplete {
@@ -157,16 +167,3 @@
 	c.backend.endJob(j, outcome)
 	return true
 }
-
-func (c *memberConn) recordParameter(name, value string) {
-	switch name {
-	case "rank":
-		c.role = rolesOnWire[value]
-	case "as_of":
-		if x, err := strconv.ParseFloat(value, 64); err == nil && x > 0 {
-			c.position = x
-		}
-	case "vitals":
-		c.report = value
-	}
-}
--- /dev/null
+++ b/internal/backend/stream_reply.go
@@ -0,0 +1,266 @@
+package backend
+
+import (
+	"wayloft/internal/pg"
+	"wayloft/router"
+)
+
+// answerLocally gives the replies at the head of the queue that need no member.
+func (c *memberConn) answerLocally() {
+	for len(c.expected) > 0 && c.expected[0].localReply != nil {
+		reply := c.expected[0]
+		c.expected = c.expected[1:]
+		if c.job != nil && reply.forClient {
+			kind := pg.ParseDone
+			if reply.kind == pg.CloseName {
+				kind = pg.CloseDone
+			}
+			c.job.request.Stream.Receive(pg.Message{Kind: kind, Raw: reply.localReply})
+		}
+	}
+}
+
+// popExpected takes off the first expected reply, if it replies to one of these.
+func (c *memberConn) popExpected(kinds ...pg.Kind) (reply expectedReply, ok bool) {
+	if len(c.expected) == 0 {
+		return reply, false
+	}
+	for _, kind := range kinds {
+		if c.expected[0].kind == kind {
+			reply = c.expected[0]
+			c.expected = c.expected[1:]
+			return reply, true
+		}
+	}
+	return reply, false
+}
+
+// handleStreamMessage takes in one message of the member; false: it is a protocol violation.
+func (c *memberConn) handleStreamMessage(m *pg.Message) bool {
+	switch m.Kind {
+	case pg.AuthOK, pg.Skip:
+		return true
+	case pg.KeyData:
+		c.cancelKey = m.Key
+		return true
+	case pg.Parameter:
+		c.recordParameter(m.Name, m.Text)
+		if !isRouterParameter(m.Name) {
+			c.parameters, _, _ = c.parameters.Insert([]byte(m.Name), m.Text)
+			c.backend.parameters[c.pool] = c.parameters
+			if c.job != nil {
+				c.job.request.Stream.Client.ServerParameters(c.parameters)
+			}
+		}
+		return true
+	case pg.Notice:
+		if c.job != nil && len(c.expected) > 0 && c.expected[0].forClient {
+			c.job.request.Stream.Receive(*m)
+		}
+		return true
+	case pg.Notification:
+		if c.job != nil {
+			c.job.request.Stream.Receive(*m)
+		}
+		return true
+	case pg.Failure:
+		if !c.ready {
+			return c.loginRefused(m.Failure)
+		}
+		return c.handleStreamError(m)
+	case pg.Ready:
+		if !c.ready {
+			return c.becomeReady()
+		}
+		return c.handleStreamReady(m)
+	}
+	return c.handleReply(m)
+}
+
+// handleReply takes in a message that belongs to the first expected reply; false: it is a protocol violation.
+func (c *memberConn) handleReply(m *pg.Message) bool {
+	if !c.ready || len(c.expected) == 0 {
+		return false
+	}
+	reply, ok := c.matchExpected(m)
+	if !ok {
+		return false
+	}
+	if reply.forClient && c.job != nil {
+		if m.Kind == pg.CopyIn {
+			c.copyingIn = true
+			c.setTurn(c.job, false)
+		}
+		c.job.request.Stream.Receive(*m)
+	}
+	c.answerLocally()
+	return true
+}
+
+// matchExpected returns the first expected reply, and whether the message may be a part of it. It takes the reply off the queue if the
+// message completes it.
+func (c *memberConn) matchExpected(m *pg.Message) (reply expectedReply, ok bool) {
+	first := c.expected[0]
+	inResult := first.kind == pg.Query || first.kind == pg.Execute
+	switch m.Kind {
+	case pg.ParseDone:
+		return c.popExpected(pg.Parse)
+	case pg.BindDone:
+		if reply, ok = c.popExpected(pg.Bind); ok {
+			c.lastBound = reply.statement
+		}
+		return reply, ok
+	case pg.CloseDone:
+		return c.popExpected(pg.CloseName)
+	case pg.NoData:
+		return c.popExpected(pg.Describe)
+	case pg.Suspended:
+		return c.popExpected(pg.Execute)
+	case pg.Complete, pg.Empty:
+		if m.Kind == pg.Complete && (m.Text == "DISCARD ALL" || m.Text == "DEALLOCATE ALL") {
+			c.prepared.Purge()
+		}
+		if first.kind == pg.Execute {
+			return c.popExpected(pg.Execute)
+		}
+		return first, first.kind == pg.Query
+	case pg.Columns:
+		if first.kind == pg.Describe {
+			return c.popExpected(pg.Describe)
+		}
+		return first, inResult
+	case pg.ParameterTypes:
+		return first, first.kind == pg.Describe
+	case pg.Row, pg.CopyIn, pg.CopyOut, pg.CopyData, pg.CopyDone:
+		return first, inResult
+	}
+	return first, false
+}
+
+// handleStreamError takes in an error. The member passes over all that was sent up to the next Sync.
+func (c *memberConn) handleStreamError(m *pg.Message) bool {
+	if c.job == nil && len(c.expected) == 0 { // the member ends the connection, which nobody uses
+		c.drop()
+		return true
+	}
+	if len(c.expected) == 0 || c.job == nil {
+		c.unusable = true
+		return true
+	}
+	failed := c.expected[0]
+	for len(c.expected) > 0 && c.expected[0].kind != pg.Query && c.expected[0].kind != pg.Sync {
+		if skipped := c.expected[0]; skipped.kind == pg.Parse && skipped.statement != nil {
+			c.prepared.Remove(skipped.statement.Hash)
+		} else if skipped.closing != nil {
+			c.prepared.Add(skipped.closing.Hash, skipped.closing)
+		}
+		c.expected = c.expected[1:]
+	}
+	stream := c.job.request.Stream
+	if !failed.forClient && failed.kind == pg.Query { // settings that the member does not accept, or a BEGIN
+		c.unusable = true
+	}
+	if failed.replyError != nil {
+		m.Failure, m.Raw = failed.replyError, pg.AppendError(nil, failed.replyError, false)
+	}
+	stale := !stream.Cancelled() && m.Failure.Code == pg.NoStatement && failed.replyError == nil ||
+		!stream.Cancelled() && m.Failure.Code == pg.Unsupported && failed.kind != pg.Query && failed.kind != pg.Parse
+	if stale && !stream.Started() && !c.replayed && c.transactionStatus == idleStatus {
+		if c.replayed, c.staleStatement = true, failed.statement; c.staleStatement == nil {
+			c.staleStatement = c.lastBound
+		}
+	}
+	stream.Receive(*m)
+	return true
+}
+
+// handleStreamReady takes in a readiness, after an internal query or after what the client sent.
+func (c *memberConn) handleStreamReady(m *pg.Message) bool {
+	if _, ok := c.popExpected(pg.Query, pg.Sync); !ok {
+		return false
+	}
+	if c.internalPending > 0 {
+		c.internalPending--
+		return c.internalDone(m)
+	}
+	j := c.job
+	if j == nil {
+		return false
+	}
+	stream := j.request.Stream
+	c.transactionStatus = m.Status
+	stale := c.staleStatement
+	if c.staleStatement = nil; stale != nil && m.Status == idleStatus { // nothing has run: the statement is prepared again
+		if c.hasPrepared(stale) {
+			out := c.closePrepared(nil, stale)
+			c.expected = append(c.expected, expectedReply{kind: pg.Sync})
+			c.internalPending++
+			c.conn.Write(pg.AppendSync(out))
+		}
+		stream.Replay()
+		return true
+	}
+	if outcome, ours := c.memberOutcome(); ours {
+		c.backend.endJob(j, outcome)
+		return true
+	}
+	stream.Receive(*m)
+	stream.Flush()
+	stream.NextQuery()
+	if c.job != j { // the client has terminated its session
+		return true
+	}
+	if m.Status == idleStatus && c.nothingExpected() {
+		c.backend.endJob(j, router.Succeeded)
+	} else if c.nothingExpected() {
+		c.setTurn(j, false)
+	}
+	return true
+}
+
+// memberOutcome returns the outcome that an error stands for if it is about the member rather than the statement. The driver is then told
+// before the client, so that the request can be retried.
+func (c *memberConn) memberOutcome() (router.Outcome, bool) {
+	stream := c.job.request.Stream
+	e := stream.Failure()
+	if e == nil || stream.Started() {
+		return 0, false
+	}
+	switch e.Code[:min(2, len(e.Code))] {
+	case "XX", "58", "F0":
+		return router.ServerError, true
+	}
+	switch e.Code {
+	case pg.Refused, pg.NotNow:
+		return router.Overloaded, true
+	case pg.TooOld:
+		return router.Misrouted, true
+	case pg.NoPrimary: // otherwise the transaction is read-only, not the member
+		if c.backend.limits.PrimaryClasses[c.job.request.TxnType] && c.role != router.Primary {
+			return router.Misrouted, true
+		}
+	}
+	return 0, false
+}
+
+// internalDone goes on after an internal query was answered.
+func (c *memberConn) internalDone(m *pg.Message) bool {
+	switch {
+	case c.job == nil && c.unusable:
+		c.drop()
+	case c.job == nil:
+		c.returnUnlessPending()
+	case c.unusable: // the client receives the member's error about its settings or its BEGIN
+		if c.queryError == nil {
+			c.queryError = c.job.request.Stream.Failure()
+		}
+		c.backend.endJob(c.job, router.ServerError)
+	case c.internalPending == 0:
+		c.job.request.Stream.Client.Session().Brought(true)
+		c.transactionStatus = m.Status
+		ops := c.queued
+		c.queued = nil
+		c.Send(ops)
+	}
+	return true
+}
--- /dev/null
+++ b/internal/backend/stream_send.go
@@ -0,0 +1,142 @@
+package backend
+
+import (
+	"strconv"
+	"strings"
+
+	"wayloft/internal/decide/session"
+	"wayloft/internal/pg"
+)
+
+// Send implements request.BackendConn. Operations wait while internal queries are pending, since they must not run without these.
+func (c *memberConn) Send(ops []session.Op) {
+	if c.job == nil {
+		return
+	}
+	for _, op := range ops {
+		c.copyingIn = c.copyingIn && op.Kind != pg.CopyDone && op.Kind != pg.CopyFail
+	}
+	c.setTurn(c.job, !c.copyingIn) // the member owes no reply while the client sends the data of a COPY
+	if c.internalPending > 0 {
+		c.queued = append(c.queued, ops...)
+		return
+	}
+	var out []byte
+	for n, op := range ops {
+		if op.Do == session.Hidden {
+			out = append(out, op.Raw...)
+			c.expected = append(c.expected, expectedReply{kind: pg.Query})
+			if c.internalPending++; n+1 == len(ops) || ops[n+1].Do != session.Hidden {
+				c.queued = append(c.queued, ops[n+1:]...)
+				break
+			}
+			continue
+		}
+		out = c.encode(out, op)
+	}
+	if !c.clientPartWritten && c.backend.withheld(c.job) { // the internal queries may have taken a while
+		return
+	}
+	c.clientPartWritten = c.clientPartWritten || c.internalPending == 0
+	c.conn.Write(out)
+	c.answerLocally()
+}
+
+// encode appends an operation as it is sent to this member.
+func (c *memberConn) encode(out []byte, op session.Op) []byte {
+	expect := func(reply expectedReply) { c.expected = append(c.expected, reply) }
+	switch op.Do {
+	case session.Prepare:
+		if c.hasPrepared(op.Statement) {
+			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendPlain(nil, '1')})
+			return out
+		}
+		return c.prepare(out, op.Statement, true)
+	case session.Bind:
+		if !c.hasPrepared(op.Statement) {
+			out = c.prepare(out, op.Statement, false)
+		}
+		expect(expectedReply{kind: pg.Bind, forClient: true, statement: op.Statement})
+		return pg.AppendBind(out, op.Portal, statementName(op.Statement), op.Raw)
+	case session.About:
+		if !c.hasPrepared(op.Statement) {
+			out = c.prepare(out, op.Statement, false)
+		}
+		expect(expectedReply{kind: pg.Describe, forClient: true, statement: op.Statement})
+		return pg.AppendDescribe(out, 'S', statementName(op.Statement))
+	case session.Local:
+		expect(expectedReply{kind: op.Kind, forClient: true, localReply: op.Raw})
+		return out
+	case session.Reject: // the member must fail too, so that nothing before it takes effect
+		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Fault})
+		if op.Kind == pg.Query {
+			return pg.AppendQuery(out, "refused by wayloft")
+		}
+		return pg.AppendBind(out, "", "wl_refused", []byte{0, 0, 0, 0, 0, 0})
+	}
+	switch op.Kind {
+	case pg.Query, pg.Sync, pg.Execute, pg.Describe, pg.CloseName:
+		expect(expectedReply{kind: op.Kind, forClient: true})
+	}
+	if op.Kind == pg.Query {
+		return c.appendQuery(out, op.Raw)
+	}
+	return append(out, op.Raw...)
+}
+
+// appendQuery appends a simple query. A statement with a comment tells its member how much of its client's time is left right now, since the
+// client may have sent it long ago.
+func (c *memberConn) appendQuery(out, raw []byte) []byte {
+	const header, end = 5, 1 // the kind and length before the text; the zero behind it
+	if len(raw) < header+end {
+		return append(out, raw...)
+	}
+	statement, err := pg.ParseStatement(strings.TrimSpace(string(raw[header : len(raw)-end])))
+	if err != nil {
+		return append(out, raw...)
+	}
+	return statement.AppendQuery(out, min(statement.Wait, c.job.deadline-c.backend.driver.Clock()))
+}
+
+// statementName returns what a statement is called at the member.
+func statementName(s *session.Prepared) string { return "wl_" + strconv.FormatUint(s.Hash, 36) }
+
+// hasPrepared reports whether the member has the statement prepared.
+func (c *memberConn) hasPrepared(s *session.Prepared) bool {
+	prepared, ok := c.prepared.Get(s.Hash)
+	return ok && prepared.Tail == s.Tail || session.Planted == "names" && c.prepared.Len() > 0
+}
+
+// prepare appends the preparation of a statement. forClient is set if the client is to receive the reply.
+func (c *memberConn) prepare(out []byte, s *session.Prepared, forClient bool) []byte {
+	if old, ok := c.prepared.Peek(s.Hash); ok { // two statements with the same hash
+		out = c.closePrepared(out, old)
+	}
+	c.prepared.Add(s.Hash, s)
+	c.expected = append(c.expected, expectedReply{kind: pg.Parse, forClient: forClient, statement: s})
+	return pg.AppendParse(out, statementName(s), []byte(s.Tail.Value()))
+}
+
+// closePrepared appends the closing of a prepared statement, whose reply the client does not receive.
+func (c *memberConn) closePrepared(out []byte, s *session.Prepared) []byte {
+	c.prepared.Remove(s.Hash)
+	c.expected = append(c.expected, expectedReply{kind: pg.CloseName, closing: s})
+	return pg.AppendClose(out, 'S', statementName(s))
+}
+
+// trimPrepared closes the least recently used statements beyond what the connection may keep. It must be called only between requests:
+// a bound statement must not be closed.
+func (c *memberConn) trimPrepared() {
+	if c.prepared.Len() <= c.maxPrepared {
+		return
+	}
+	var out []byte
+	for c.prepared.Len() > c.maxPrepared {
+		_, old, _ := c.prepared.GetOldest()
+		out = c.closePrepared(out, old)
+	}
+	c.expected = append(c.expected, expectedReply{kind: pg.Sync})
+	c.internalPending++
+	c.conn.Write(pg.AppendSync(out))
+	c.dropUnlessAnswered()
+}
