--- /dev/null
+++ b/internal/backend/dial_shortage_test.go
@@ -0,0 +1,108 @@
+//go:build debug
+
+package backend
+
+import (
+	"fmt"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"wayloft/internal/decide/connpool"
+	"wayloft/internal/discovery"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
+	"wayloft/internal/pg"
+	"wayloft/internal/request"
+	"wayloft/router"
+)
+
+// startRouter runs a decision module, its event loop and its backend, with members of one group.
+func startRouter(t *testing.T, classes map[string]*router.RequestClass, addrs ...string) *eventloop.Driver {
+	t.Helper()
+	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
+		RequestClasses: classes}, 1), classes, func() {})
+	backend := New(driver, Limits{DialTimeout: 5000, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse, Logins: map[string]Login{PlatformPool: {"api", "ledger"}}},
+		connpool.New(connpool.Settings{All: 10, Pools: map[string]connpool.Bounds{PlatformPool: connpool.Statements(60000), CancelPool: connpool.Cancels(1000)}}))
+	driver.SetBackend(backend)
+	front, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := driver.Listen(front, 1<<20, func(*eventloop.Conn) {}); err != nil {
+		t.Fatal(err)
+	}
+	list := &discovery.List{Whole: true}
+	for n, addr := range addrs {
+		list.Entries = append(list.Entries, discovery.Entry{ID: fmt.Sprint("m", n), Addr: addr, Group: 1, State: router.Up, Started: router.Never})
+	}
+	driver.Defer(func() {
+		backend.List(list)
+		module := driver.List()
+		module.BeginList()
+		for _, e := range list.Entries {
+			module.ListMember(e.ID, e.Zone, e.Group, e.State, e.Started)
+		}
+		module.EndList(true)
+	})
+	ended := make(chan bool)
+	go func() { driver.Run(); close(ended) }()
+	t.Cleanup(func() { driver.Post(driver.Stop); <-ended })
+	return driver
+}
+
+// This host has no port or no route for a while, or for longer than a request's deadline: the request has one final response in time, it
+// succeeds as soon as a dial does, and dials are few however long the shortage lasts.
+func TestRouter_ShortageOfThisHost(t *testing.T) {
+	const deadline, forever = 3000.0, 1 << 40
+	for _, errno := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
+		for _, failing := range []int64{1, 8, forever} {
+			for _, members := range []int{1, 3} {
+				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", dials that fail: ", failing, ", members: ", members), func(t *testing.T) {
+					var addrs []string
+					for range members {
+						addrs = append(addrs, fakes.NewMember(t, nil, func(string) *fakes.Reply {
+							return fakes.Row("v", "source", "1")
+						}).Addr)
+					}
+					var dials atomic.Int64
+					defer failpoint.SetError("eventloop.connect", func() error {
+						if dials.Add(1) <= failing {
+							return dialError("connect", errno)
+						}
+						return nil
+					})()
+					driver := startRouter(t, map[string]*router.RequestClass{"x": {LatencyObjective: deadline, Deadline: deadline, PriorityWeight: 1, LateWeightShare: 1}}, addrs...)
+					statement, err := pg.ParseStatement(fmt.Sprintf("/* id=1,c=x,g=1,d=%.0f */ SELECT blob", deadline))
+					if err != nil {
+						t.Fatal(err)
+					}
+					statement.Group = 1
+					responses := make(chan request.Response, 2)
+					started := time.Now()
+					driver.Post(func() {
+						if err := driver.Arrive(request.New(statement, driver.Now(), func(response request.Response) { responses <- response })); err != nil {
+							t.Error(err)
+						}
+					})
+					response := <-responses
+					took := time.Since(started)
+					if want := failing < forever; (response.Rows != nil) != want || response.Rejected == want {
+						t.Errorf("responded %+v after %v", response, took)
+					}
+					if took > time.Duration(deadline)*time.Millisecond {
+						t.Errorf("responded after %v", took)
+					}
+					if most := int64(members) * (6 + took.Milliseconds()/100); failing == forever && dials.Load() > most {
+						t.Errorf("%d dials in %v, want %d at most", dials.Load(), took, most)
+					}
+					t.Logf("%d dials in %v", dials.Load(), took)
+				})
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/backend/race_test.go
@@ -0,0 +1,267 @@
+//go:build debug
+
+package backend
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
+	"wayloft/internal/pg"
+	"wayloft/internal/request"
+	"wayloft/router"
+)
+
+// closeSocket closes a socket of the test's own, whose end the test does not depend on.
+func closeSocket(c io.Closer) { _ = c.Close() }
+
+// drain reads a connection until it ends, however it does.
+func drain(c io.Reader) { _, _ = io.Copy(io.Discard, c) }
+
+// stalledMember is a member that accepts a login and then reads nothing.
+type stalledMember struct {
+	addr  string
+	conns chan net.Conn
+}
+
+func newStalledMember(t *testing.T) *stalledMember {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &stalledMember{l.Addr().String(), make(chan net.Conn, 1)}
+	t.Cleanup(func() { closeSocket(l) })
+	go func() {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		if _, err := io.ReadFull(c, make([]byte, len(pg.AppendStartup(nil, "api", "ledger")))); err != nil {
+			t.Error(err)
+		}
+		if _, err := c.Write(pg.AppendGreeting(nil, 0)); err != nil {
+			t.Error(err)
+		}
+		m.conns <- c
+	}()
+	return m
+}
+
+// The rest of a query is written just while its attempt is given up: whether it was sent is decided after the connection is closed, so
+// that an attempt whose last byte was written is never reported as not sent.
+func TestEndJob_LastByteIsWrittenMeanwhile(t *testing.T) {
+	long := strings.Repeat("x", 16<<20)
+	for _, c := range []struct {
+		name, want string
+		giveUp     func(*Backend, *testDriver)
+	}{
+		{"cancelled", "0 canceled 0 0 false", func(b *Backend, _ *testDriver) { b.CancelAttempt("1", 0) }},
+		{"client gone", "0 canceled 0 0 false", func(b *Backend, _ *testDriver) { b.Abandon("1") }},
+		{"timed out", "0 timed out 0 0 false", func(b *Backend, driver *testDriver) {
+			driver.Defer(func() { b.endJob(b.attempts["1"], router.TimedOut) })
+		}},
+	} {
+		for _, drained := range []bool{true, false} {
+			t.Run(fmt.Sprint(c.name, ", read meanwhile: ", drained), func(t *testing.T) {
+				driver, backend := start(t, 10)
+				m := newStalledMember(t)
+				statement, err := pg.ParseStatement("/* id=1,c=x,d=60000 */ SELECT " + long)
+				if err != nil {
+					t.Fatal(err)
+				}
+				driver.runOnLoop(func() {
+					backend.List(listOf(m.addr, router.Up))
+					backend.SendAttempt(request.New(statement, driver.Now(), func(request.Response) {}), 0, "a", 0, math.Inf(1))
+				})
+				peer := <-m.conns
+				defer closeSocket(peer)
+				fakes.Until(t, "a part of the query is written", func() (written bool) {
+					driver.runOnLoop(func() {
+						for _, c := range backend.conns {
+							written = c.queryWritten && c.conn.Unsent() > 0
+						}
+					})
+					return written
+				})
+				var conn *memberConn
+				driver.runOnLoop(func() {
+					for _, c := range backend.conns {
+						conn = c
+					}
+				})
+				if drained {
+					defer failpoint.Set("backend.unsent", sync.OnceFunc(func() {
+						go drain(peer)
+						for !conn.conn.Sent() {
+							runtime.Gosched()
+						}
+					}))()
+				}
+				want := c.want
+				if !drained {
+					want = "0 not sent 0 0 false"
+				}
+				driver.runOnLoop(func() { c.giveUp(backend, driver) })
+				if got := driver.nextEvent(t); got != want {
+					t.Errorf("got %q, want %q", got, want)
+				}
+			})
+		}
+	}
+}
+
+// A client goes away while its attempt waits for a connection to come up: nothing is sent for it, and the connection serves the next
+// request.
+func TestAbandon_BeforeQueryIsWritten(t *testing.T) {
+	driver, backend := start(t, 1)
+	greet := make(chan bool)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeSocket(l)
+	asked := make(chan string, 10)
+	go func() {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		defer closeSocket(c)
+		in := pg.NewReader(false, 1<<20)
+		buf := make([]byte, 1<<12)
+		for {
+			n, err := c.Read(buf)
+			if err != nil {
+				return
+			}
+			in.Feed(buf[:n])
+			for m, ok, _ := in.Next(); ok; m, ok, _ = in.Next() {
+				if m.Kind == pg.Startup {
+					<-greet
+					if _, err := c.Write(pg.AppendGreeting(nil, 0)); err != nil {
+						t.Error(err)
+					}
+					continue
+				}
+				asked <- m.Text
+				if _, err := c.Write(fakes.Row("v", "source", "1").Bytes); err != nil {
+					t.Error(err)
+				}
+			}
+		}
+	}()
+	driver.runOnLoop(func() {
+		backend.limits.DialTimeout = 20000
+		backend.List(listOf(l.Addr().String(), router.Up))
+		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
+	})
+	driver.runOnLoop(func() { backend.Abandon("1") })
+	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
+		t.Errorf("got %q", got)
+	}
+	driver.runOnLoop(func() { backend.Abandon("1") }) // a second time
+	close(greet)
+	fakes.Until(t, "the connection is kept", func() (idle bool) {
+		driver.runOnLoop(func() { idle = backend.pool.Idle("a") == 1 })
+		return idle
+	})
+	driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, "2", 60000), 0, "a", 0, math.Inf(1)) })
+	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+		t.Errorf("got %q", got)
+	}
+	if got := <-asked; !strings.Contains(got, "id=2") {
+		t.Errorf("asked %q first", got)
+	}
+}
+
+// A client goes away while its query may be running: the attempt goes on to its end, which says something about the member.
+func TestAbandon_WhileQueryRuns(t *testing.T) {
+	driver, backend := start(t, 1)
+	answer := make(chan bool)
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
+	driver.runOnLoop(func() {
+		backend.List(listOf(m.Addr, router.Up))
+		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
+	})
+	fakes.Until(t, "the query has arrived", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
+	driver.runOnLoop(func() { backend.Abandon("1") })
+	close(answer)
+	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+		t.Errorf("got %q", got)
+	}
+}
+
+// The time after which an attempt must not be written passes before its connection is up: it is not written, and the connection serves the
+// next request.
+func TestSendAttempt_TooLate(t *testing.T) {
+	driver, backend := start(t, 1)
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	driver.runOnLoop(func() {
+		backend.List(listOf(m.Addr, router.Up))
+		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, driver.Clock()) // the time that a connection takes is later
+	})
+	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
+		t.Errorf("got %q", got)
+	}
+	driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, "2", 60000), 0, "a", 0, driver.Clock()+60000) })
+	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+		t.Errorf("got %q", got)
+	}
+	if accepted, asked := m.Seen(); accepted != 1 || strings.Contains(strings.Join(asked, ""), "id=1") {
+		t.Errorf("%d connections, asked %q", accepted, asked)
+	}
+}
+
+// A batch of events takes long, and an attempt is decided at its end: its member is told at most what its client has left by then, and the
+// attempt times out when the client's time is over, not that much later.
+func TestSendAttempt_DeadlineAfterLongBatch(t *testing.T) {
+	const lag, left, later = 1500.0, 2000.0, 750.0
+	driver, backend := start(t, 4)
+	received := make(chan string, 10)
+	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
+		received <- sql
+		if strings.Contains(sql, "id=warm") {
+			return fakes.Row("v", "source", "1")
+		}
+		return nil
+	})
+	driver.runOnLoop(func() {
+		backend.List(listOf(m.Addr, router.Up))
+		backend.SendAttempt(newRequest(driver, "warm", 60000), 0, "a", 0, math.Inf(1))
+	})
+	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+		t.Fatalf("got %q", got)
+	}
+	<-received
+	var began float64
+	driver.runOnLoop(func() {
+		began = driver.Now()
+		for driver.Clock() < began+lag {
+			runtime.Gosched()
+		}
+		backend.SendAttempt(newRequest(driver, "first", left), 0, "a", 0, math.Inf(1))
+	})
+	driver.runOnLoop(func() {
+		backend.SendAttempt(newRequest(driver, "second", began+left+later-driver.Now()), 1, "a", 0, math.Inf(1))
+	})
+	for range 2 {
+		sql := <-received
+		d := deadlineOf(t, sql)
+		if strings.Contains(sql, "id=first") && d > left-lag {
+			t.Errorf("%.0f ms are told, %.0f at most are left", d, left-lag)
+		}
+	}
+	for _, want := range []string{"0 timed out 0 0 false", "1 timed out 0 0 false"} {
+		if got := driver.nextEvent(t); got != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	}
+}
