--- a/internal/failpoint/points_release.go
+++ b/internal/failpoint/points_release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-// Package failpoint has the points at which a test stops or kills a process from inside. In a release build there is none of it.
+// Package failpoint marks points at which a test may interfere. In a release build all of them do nothing.
 package failpoint
 
 import "time"
@@ -8,11 +8,11 @@
 // Point does nothing.
 func Point(string) {}
 
-// Duration is the span itself.
+// Duration returns d.
 func Duration(_ string, d time.Duration) time.Duration { return d }
 
 // Hit does nothing.
 func Hit(string) {}
 
-// OperationError is nil.
+// OperationError returns nil.
 func OperationError(_, _ string) error { return nil }
--- a/internal/failpoint/errors_release.go
+++ b/internal/failpoint/syscalls_release.go
@@ -2,8 +2,8 @@
 
 package failpoint
 
-// Error is nil.
+// Error returns nil.
 func Error(string) error { return nil }
 
-// Limit is n.
+// Limit returns n.
 func Limit(_ string, n int) int { return n }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,4 @@
-// Package invariant states what always holds. It owns the counts of what did not; it must never change what the program
-// does in a release build.
+// Package invariant checks conditions that must always hold. A violation stops a debug build; a release build counts it and goes on.
 package invariant
 
 import (
@@ -8,11 +7,11 @@
 )
 
 var (
-	mu     sync.Mutex
-	broken = map[string]int{}
+	mu         sync.Mutex
+	violations = map[string]int{}
 )
 
-// Check panics in a debug build where ok is false, and counts it under its name otherwise.
+// Check panics in a debug build if ok is false. A release build counts the violation under its name. It is safe for concurrent use.
 func Check(ok bool, name string) {
 	if ok {
 		return
@@ -22,12 +21,12 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	broken[name]++
+	violations[name]++
 }
 
-// Violations tells how often each thing did not hold.
+// Violations returns how often each invariant was violated, by name. It is safe for concurrent use.
 func Violations() map[string]int {
 	mu.Lock()
 	defer mu.Unlock()
-	return maps.Clone(broken)
+	return maps.Clone(violations)
 }
