--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -25,7 +25,7 @@
 	return out.String(), err
 }
 
-func TestReplies(t *testing.T) {
+func TestRun_Decisions(t *testing.T) {
 	out, err := run(open, begin, rows, whole, job, end,
 		`{"op":"BATCH","wall":5004000,"frame":2}`,
 		`{"op":"ECHO","router":"router/1","node":"n:1","how":200,"rtt":4000,"load":{"x0":4.002,"x1":1}}`, end,
@@ -52,18 +52,18 @@
 }
 
 // A list number that is used again within a batch stands for the newer list from there on.
-func TestListNumberUsedAgain(t *testing.T) {
+func TestRun_ListNumberUsedAgain(t *testing.T) {
 	out, err := run(open, begin, rows, whole,
 		strings.Replace(rows, "n:1", "n:2", 1), strings.Replace(whole, `"C"`, `"F"`, 1), job, end)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(out, "n:1") || !strings.Contains(out, "n:2") {
-		t.Errorf("checks sent to a member that is gone, or not to the new one:\n%s", out)
+		t.Errorf("health checks for a member that was removed, or none for the new one:\n%s", out)
 	}
 }
 
-func TestErrorsNameTheLine(t *testing.T) {
+func TestRun_ErrorsNameLine(t *testing.T) {
 	for _, c := range []struct {
 		lines []string
 		want  string
--- /dev/null
+++ b/internal/simadapter/lists.go
@@ -0,0 +1,89 @@
+package simadapter
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/valyala/fastjson"
+
+	"wayloft/internal/settings"
+	"wayloft/router"
+)
+
+// Modes of a list change, as the wire has them.
+const (
+	listFailed  = "X" // the list could not be had
+	listChanges = "D" // the rows that have changed
+	listFull    = "F"
+	listCurrent = "C" // the same as listFull here
+)
+
+// states are the states of listed members by their names on the wire.
+var states = map[string]router.State{"up": router.Up, "draining": router.Draining, "removed": router.Removed}
+
+// defineList keeps the rows of a member list under its number. A number that is used again stands for the newer list from there on.
+func (a *adapter) defineList(fields *settings.Fields) error {
+	number := int(fields.Number("ref"))
+	hosts := fields.V.Get("hosts")
+	if fields.Err == nil && (number < 0 || number >= len(a.lists)) {
+		return fmt.Errorf("ref %d: must be 0 to %d", number, len(a.lists)-1)
+	}
+	if fields.Err == nil && (hosts == nil || hosts.Type() != fastjson.TypeArray) {
+		return errors.New("hosts: must be an array")
+	}
+	if fields.Err == nil {
+		a.lists[number] = hosts.MarshalTo(nil)
+	}
+	return fields.Err
+}
+
+// applyList passes a member list on to an instance.
+func (a *adapter) applyList(i *instance, fields *settings.Fields) error {
+	mode := fields.Text("mode")
+	switch mode {
+	case listFailed:
+		i.router.ListFailed()
+		return fields.Err
+	case listChanges, listFull, listCurrent:
+	default:
+		if fields.Err == nil {
+			return fmt.Errorf("mode: unknown %q", mode)
+		}
+	}
+	number := int(fields.Number("ref"))
+	if fields.Err != nil {
+		return fields.Err
+	}
+	if number < 0 || number >= len(a.lists) || a.lists[number] == nil {
+		return fmt.Errorf("ref: list %d was never set", number)
+	}
+	rows, err := a.listParser.ParseBytes(a.lists[number])
+	if err != nil {
+		return err
+	}
+	i.router.BeginList()
+	for _, row := range rows.GetArray() {
+		if err := listMember(i, &settings.Fields{V: row}); err != nil {
+			return fmt.Errorf("ref: list %d: %w", number, err)
+		}
+	}
+	i.router.EndList(mode != listChanges)
+	return nil
+}
+
+func listMember(i *instance, row *settings.Fields) error {
+	id, zone, group, stateName := row.Text("node"), row.Maybe("dc"), int(row.OrZero("group")), row.Text("state")
+	started := router.Never
+	if at := row.OrZero("startTime"); at > 0 {
+		started = at / microsecondsPerMs
+	}
+	if row.Err != nil {
+		return row.Err
+	}
+	state, known := states[stateName]
+	if !known {
+		return fmt.Errorf("state: unknown %q", stateName)
+	}
+	i.router.ListMember(id, zone, group, state, started)
+	return nil
+}
