--- a/cmd/wayloft/ahead_test.go
+++ b/cmd/wayloft/ahead_test.go
@@ -63,7 +63,7 @@
 func TestTimeRunsBeforeItsTurnInAPool(t *testing.T) {
 	out, answer := make(chan bool, 1), make(chan bool)
 	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
-		s.Fail = func(_ int, m *pg.Message) *pgserver.Fault {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
 			if strings.Contains(m.Text, "before") {
 				out <- true
 				<-answer
--- a/cmd/wayloft/astray_test.go
+++ b/cmd/wayloft/astray_test.go
@@ -307,9 +307,9 @@
 func mixedRun(t *testing.T, a *astray, transactions int) (*lab.Cluster, map[string]int, []string) {
 	var asked atomic.Int64
 	addr, cluster := pooledRouter(t, 2, lab.Pool{PerMember: 4, Extra: "statements = 50\n"}, func(s *pgserver.Server) {
-		s.Record = a.record
+		s.OnStatement = a.record
 		s.Lag = 3 * time.Millisecond
-		s.Fail = func(_ int, m *pg.Message) *pgserver.Fault {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
 			if m.Kind != pg.Query && m.Kind != pg.Execute || m.Text == "SHOW vitals" {
 				return nil
 			}
--- a/cmd/wayloft/hard_test.go
+++ b/cmd/wayloft/hard_test.go
@@ -56,14 +56,14 @@
 			}
 			one.Send(c.last)
 			if c.last != "" && len(c.ask) == 0 {
-				made := cluster.Servers[0].Counts().Made
+				made := cluster.Servers[0].Counts().Accepted
 				fakes.Until(t, "it has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && made > 0 })
 			}
 			one.Close()
 			if got := alone(t, addr, "SELECT blob FROM rows WHERE handle = 'left'"); got != "ok ready" {
 				t.Errorf("the next client: %q", got)
 			}
-			fakes.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().Inside == 0 })
+			fakes.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().InTransaction == 0 })
 		})
 	}
 }
@@ -74,7 +74,7 @@
 	var at pg.Kind
 	fail := func(kind pg.Kind) { mu.Lock(); at = kind; mu.Unlock() }
 	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
-		s.Fail = func(_ int, m *pg.Message) *pgserver.Fault {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if m.Kind == at && !strings.HasPrefix(m.Text, "SHOW") {
@@ -289,8 +289,8 @@
 	}
 	cluster.Promote(cluster.Servers[1])
 	fakes.Until(t, "nothing is left there", func() bool { return cluster.Servers[0].Counts().Open == 0 })
-	if n := cluster.Servers[0].Counts(); n.Made != before.Made {
-		t.Errorf("%d connections were made to a member that drains", n.Made-before.Made)
+	if n := cluster.Servers[0].Counts(); n.Accepted != before.Accepted {
+		t.Errorf("%d connections were made to a member that drains", n.Accepted-before.Accepted)
 	}
 }
 
@@ -317,8 +317,8 @@
 	if got := idle.Answer(); got != "25P03 closed" {
 		t.Errorf("the idle one: %q", got)
 	}
-	if n := cluster.Servers[0].Counts(); n.Made > 4+1+1 { // one for checks, one in place of the ended
-		t.Errorf("%d connections", n.Made)
+	if n := cluster.Servers[0].Counts(); n.Accepted > 4+1+1 { // one for checks, one in place of the ended
+		t.Errorf("%d connections", n.Accepted)
 	}
 	if got := alone(t, addr, "SELECT blob FROM rows WHERE handle = 'idle'"); got != "ok ready" {
 		t.Errorf("its write: %q", got)
@@ -379,7 +379,7 @@
 // A member that holds twenty connections, and four hundred clients at once: no more than it takes are tried again and
 // again, and all are served.
 func TestLoginStorm(t *testing.T) {
-	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 100}, func(s *pgserver.Server) { s.Most = 20 })
+	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 100}, func(s *pgserver.Server) { s.MaxConnections = 20 })
 	var wg sync.WaitGroup
 	for n := range 400 {
 		c := fakes.NewClient(t, addr, true)
@@ -394,10 +394,10 @@
 		}()
 	}
 	wg.Wait()
-	if n := cluster.Servers[0].Counts(); n.Made > 20+100 {
-		t.Errorf("%d connections were tried", n.Made)
+	if n := cluster.Servers[0].Counts(); n.Accepted > 20+100 {
+		t.Errorf("%d connections were tried", n.Accepted)
 	} else {
-		t.Logf("%d connections were tried, %d at once", n.Made, n.Peak)
+		t.Logf("%d connections were tried, %d at once", n.Accepted, n.Peak)
 	}
 }
 
@@ -423,11 +423,11 @@
 		t.Errorf("after it left: %q", got)
 	}
 	told(other, "LISTEN a")
-	made := cluster.Servers[0].Counts().Made
+	made := cluster.Servers[0].Counts().Accepted
 	if made > 3 {
 		t.Errorf("%d connections", made)
 	}
-	cluster.Servers[0].Drop()
+	cluster.Servers[0].CloseConnections()
 	if got := other.Answer(); got != "57P01 closed" {
 		t.Errorf("its connection has ended: %q", got)
 	}
@@ -495,7 +495,7 @@
 	var mu sync.Mutex
 	var codes []string
 	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 1}, func(s *pgserver.Server) {
-		s.Fail = func(_ int, m *pg.Message) *pgserver.Fault {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if m.Kind != pg.Bind || len(codes) == 0 {
--- a/cmd/wayloft/labfleet.go
+++ b/cmd/wayloft/labfleet.go
@@ -107,11 +107,11 @@
 func (c *labMemberCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cluster, err := pgserver.Shared(c.Folder, c.Name)
+	cluster, err := pgserver.OpenShared(c.Folder, c.Name)
 	if err != nil {
 		return err
 	}
-	if err := cluster.Begin(c.Primary, !c.NoGuard); err != nil {
+	if err := cluster.Initialize(c.Primary, !c.NoGuard); err != nil {
 		return err
 	}
 	s, err := pgserver.NewServer(cluster, func(s *pgserver.Server) {
--- a/cmd/wayloft/pooled_test.go
+++ b/cmd/wayloft/pooled_test.go
@@ -112,7 +112,7 @@
 	}); err != nil || got != "v1" {
 		t.Fatalf("read only: %q, %v", got, err)
 	}
-	if reads := cluster.Servers[1].Counts().Made + cluster.Servers[2].Counts().Made; reads == 0 {
+	if reads := cluster.Servers[1].Counts().Accepted + cluster.Servers[2].Counts().Accepted; reads == 0 {
 		t.Error("no replica was asked")
 	}
 	b := &pgx.Batch{}
--- a/internal/fakes/pgserver/server.go
+++ b/internal/fakes/pgserver/server.go
@@ -29,7 +29,7 @@
 	Commits int
 	Order   []string // handles as they were committed, once for each effect, where Keep is set
 	Keep    bool
-	shared  *shared // where its members are processes
+	shared  *sharedCluster // where its members are processes
 }
 
 type version struct {
@@ -103,25 +103,25 @@
 // Server is a small PostgreSQL server over a cluster's rows: transactions, settings, prepared statements, COPY and
 // cancels as the public protocol describes them. It records what each connection is told.
 type Server struct {
-	Listen  string // where it is to listen, on loopback; any port if nothing is said
-	Addr    string // where it does
-	Cluster *Cluster
-	Lag     time.Duration // of a replica
-	Delay   func() time.Duration
-	Most    int // connections; 0: any number
-	Fail    func(conn int, m *pg.Message) *Fault
-	Record  func(Event) // one at a time
+	Listen         string // where it is to listen, on loopback; any port if nothing is said
+	Addr           string // where it does
+	Cluster        *Cluster
+	Lag            time.Duration // of a replica
+	Delay          func() time.Duration
+	MaxConnections int // connections; 0: any number
+	InjectFault    func(conn int, m *pg.Message) *Fault
+	OnStatement    func(Event) // one at a time
 
-	listen net.Listener
-	mu     sync.Mutex
-	conns  map[int]*served
-	last   int
-	peak   int
-	made   int
-	parses int
-	inside int // transactions that are open
-	stray  int // cancels that found nothing running
-	hits   int // cancels that did
+	listen           net.Listener
+	mu               sync.Mutex
+	conns            map[int]*connection
+	lastID           int
+	peak             int
+	accepted         int
+	parses           int
+	inTransaction    int // transactions that are open
+	strayCancels     int // cancels that found nothing running
+	deliveredCancels int // cancels that did
 }
 
 func message(typ byte, body string) []byte {
@@ -130,7 +130,7 @@
 
 // NewServer starts one on loopback; it stops with Close.
 func NewServer(c *Cluster, set func(*Server)) (*Server, error) {
-	s := &Server{Cluster: c, Listen: "127.0.0.1:0", conns: map[int]*served{}}
+	s := &Server{Cluster: c, Listen: "127.0.0.1:0", conns: map[int]*connection{}}
 	if set != nil {
 		set(s)
 	}
@@ -161,8 +161,8 @@
 	}
 }
 
-// Drop ends all its connections; it goes on listening.
-func (s *Server) Drop() {
+// CloseConnections ends all its connections; it goes on listening.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -171,7 +171,7 @@
 }
 
 // Counts are what a server has seen.
-type Counts struct{ Open, Peak, Made, Parses, Prepared, Running, Copying, Inside, Hits, Stray int }
+type Counts struct{ Open, Peak, Accepted, Parses, Prepared, Running, Copying, InTransaction, DeliveredCancels, StrayCancels int }
 
 // Counts tells how many connections are open, were at most and in all, and the like.
 func (s *Server) Counts() Counts {
@@ -179,20 +179,20 @@
 	defer s.mu.Unlock()
 	most, running, copying := 0, 0, 0
 	for _, c := range s.conns {
-		most = max(most, int(c.keeps.Load()))
+		most = max(most, int(c.preparedCount.Load()))
 		if c.running {
 			running++
 		}
-		if c.takes.Load() {
+		if c.copyingIn.Load() {
 			copying++
 		}
 	}
-	return Counts{len(s.conns), s.peak, s.made, s.parses, most, running, copying, s.inside, s.hits, s.stray}
+	return Counts{len(s.conns), s.peak, s.accepted, s.parses, most, running, copying, s.inTransaction, s.deliveredCancels, s.strayCancels}
 }
 
 func (s *Server) isPrimary() bool {
 	if own := s.Cluster.shared; own != nil {
-		return own.takes(own.name)
+		return own.isPrimary(own.name)
 	}
 	s.Cluster.mu.Lock()
 	defer s.Cluster.mu.Unlock()
@@ -207,36 +207,36 @@
 	return millis() - float64(s.Lag.Microseconds())/1000
 }
 
-// served is one connection.
-type served struct {
-	s        *Server
-	id       int
-	conn     net.Conn
-	key      pg.Key
-	out      []byte
-	startup  map[string]string
-	settings map[string]string
-	undo     []undo // [0]: at the transaction's start
-	status   byte
-	implicit bool
-	mark     int    // where the implicit one's answers begin
-	staged   change // what is done beside rows when it commits
-	skips    bool
-	readOnly bool
-	writes   [][2]string
-	prepared map[string]string
-	named    map[string]string // by SQL's PREPARE
-	portals  map[string]portal
-	copying  *copying
-	reports  map[string]string
-	cancel   chan bool
-	running  bool
-	failing  bool
-	keeps    atomic.Int64 // prepared statements
-	takes    atomic.Bool  // what is copied in
+// connection is one connection.
+type connection struct {
+	server           *Server
+	id               int
+	conn             net.Conn
+	key              pg.Key
+	out              []byte
+	startup          map[string]string
+	settings         map[string]string
+	savepoints       []savepoint // [0]: at the transaction's start
+	status           byte
+	implicit         bool
+	implicitStart    int          // where the implicit one's answers begin
+	staged           stagedChange // what is done beside rows when it commits
+	skipToSync       bool
+	readOnly         bool
+	writes           [][2]string
+	prepared         map[string]string
+	sqlPrepared      map[string]string // by SQL's PREPARE
+	portals          map[string]portal
+	copying          *copyData
+	reportedSettings map[string]string
+	cancel           chan bool
+	running          bool
+	failed           bool
+	preparedCount    atomic.Int64 // prepared statements
+	copyingIn        atomic.Bool  // what is copied in
 }
 
-type undo struct {
+type savepoint struct {
 	name     string
 	settings map[string]string
 	writes   int
@@ -247,7 +247,7 @@
 	args []string
 }
 
-type copying struct {
+type copyData struct {
 	binary bool
 	data   []byte
 	simple bool
@@ -255,11 +255,11 @@
 
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
-	c := &served{s: s, conn: conn, settings: map[string]string{}, startup: map[string]string{}, status: 'I', prepared: map[string]string{},
-		named: map[string]string{}, portals: map[string]portal{}, reports: map[string]string{}, cancel: make(chan bool, 1)}
+	c := &connection{server: s, conn: conn, settings: map[string]string{}, startup: map[string]string{}, status: 'I', prepared: map[string]string{},
+		sqlPrepared: map[string]string{}, portals: map[string]portal{}, reportedSettings: map[string]string{}, cancel: make(chan bool, 1)}
 	r := pg.NewReader(false, 64<<20)
 	buf := make([]byte, 1<<14)
-	defer c.end()
+	defer c.unregister()
 	for {
 		for {
 			m, ok, err := r.Next()
@@ -290,33 +290,33 @@
 	}
 }
 
-func (c *served) end() {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
+func (c *connection) unregister() {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	if c.id > 0 {
-		delete(c.s.conns, c.id)
+		delete(c.server.conns, c.id)
 	}
 	if c.status != 'I' && c.id > 0 {
-		c.s.inside--
+		c.server.inTransaction--
 	}
 }
 
-func (c *served) handle(r *pg.Reader, m *pg.Message) bool {
+func (c *connection) handle(r *pg.Reader, m *pg.Message) bool {
 	switch m.Kind {
 	case pg.AskTLS:
 		c.out = append(c.out, 'N')
 		return true
 	case pg.Cancel:
-		c.s.cancel(m.Key)
+		c.server.cancel(m.Key)
 		return false
 	case pg.Startup:
 		r.Widen()
-		return c.start(m)
+		return c.logIn(m)
 	case pg.Terminate:
 		return false
 	}
-	if c.s.Fail != nil && !c.skips {
-		if f := c.s.Fail(c.id, m); f != nil {
+	if c.server.InjectFault != nil && !c.skipToSync {
+		if f := c.server.InjectFault(c.id, m); f != nil {
 			c.out = append(c.out, f.Bytes...)
 			if f.Hang {
 				c.conn.Write(c.out)
@@ -328,19 +328,19 @@
 				return false
 			}
 			if f.Error != "" {
-				c.broken(f.Error, "as it was told to")
+				c.fail(f.Error, "as it was told to")
 				if m.Kind == pg.Query || m.Kind == pg.Sync {
-					c.ready()
+					c.writeReady()
 				} else {
-					c.skips = true
+					c.skipToSync = true
 				}
 			}
 			return true
 		}
 	}
-	c.message(m)
-	c.keeps.Store(int64(len(c.prepared)))
-	c.takes.Store(c.copying != nil)
+	c.handleMessage(m)
+	c.preparedCount.Store(int64(len(c.prepared)))
+	c.copyingIn.Store(c.copying != nil)
 	return true
 }
 
@@ -350,9 +350,9 @@
 	for _, c := range s.conns {
 		if c.key == k {
 			if !c.running {
-				s.stray++
+				s.strayCancels++
 			} else {
-				s.hits++
+				s.deliveredCancels++
 			}
 			select {
 			case c.cancel <- true:
@@ -362,17 +362,17 @@
 	}
 }
 
-func (c *served) start(m *pg.Message) bool {
-	s := c.s
+func (c *connection) logIn(m *pg.Message) bool {
+	s := c.server
 	s.mu.Lock()
-	s.made++
-	if s.Most > 0 && len(s.conns) >= s.Most {
+	s.accepted++
+	if s.MaxConnections > 0 && len(s.conns) >= s.MaxConnections {
 		s.mu.Unlock()
 		c.out = pg.AppendError(c.out, &pg.Error{Code: pg.Refused, Text: "too many connections"}, true)
 		return false
 	}
-	s.last++
-	c.id = s.last
+	s.lastID++
+	c.id = s.lastID
 	s.conns[c.id] = c
 	s.peak = max(s.peak, len(s.conns))
 	c.key = pg.Key{Process: uint32(c.id), Secret: rand.Uint32()}
@@ -388,109 +388,109 @@
 		{"standard_conforming_strings", "on"}, {"in_hot_standby", map[bool]string{true: "off", false: "on"}[s.isPrimary()]}} {
 		c.out = pg.AppendParameter(c.out, p[0], p[1])
 	}
-	c.report()
+	c.writeSettings()
 	c.out = pg.AppendReady(pg.AppendKey(c.out, c.key))
 	return true
 }
 
-var reported = map[string][2]string{"client_encoding": {"client_encoding", "UTF8"}, "datestyle": {"DateStyle", "ISO, MDY"},
+var reportedParameters = map[string][2]string{"client_encoding": {"client_encoding", "UTF8"}, "datestyle": {"DateStyle", "ISO, MDY"},
 	"timezone": {"TimeZone", "UTC"}, "application_name": {"application_name", ""}}
 
-// report tells the settings that a server reports, as far as they have changed.
-func (c *served) report() {
-	for _, key := range slices.Sorted(maps.Keys(reported)) {
-		p := reported[key]
+// writeSettings tells the settings that a server reports, as far as they have changed.
+func (c *connection) writeSettings() {
+	for _, key := range slices.Sorted(maps.Keys(reportedParameters)) {
+		p := reportedParameters[key]
 		v, set := c.settings[key]
 		if !set {
 			v = p[1]
 		}
-		if was, told := c.reports[key]; !told || was != v {
-			c.reports[key] = v
+		if was, told := c.reportedSettings[key]; !told || was != v {
+			c.reportedSettings[key] = v
 			c.out = pg.AppendParameter(c.out, p[0], v)
 		}
 	}
 }
 
 // fail reports an error, after which a transaction has failed; broken, whatever it is called.
-func (c *served) fail(code, text string) { c.broken(code, text) }
+func (c *connection) fail(code, text string) { c.broken(code, text) }
 
-func (c *served) broken(code, text string) {
+func (c *connection) broken(code, text string) {
 	c.out = pg.AppendError(c.out, &pg.Error{Code: code, Text: text}, false)
-	if c.failing = true; c.status == 'T' {
+	if c.failed = true; c.status == 'T' {
 		c.status = 'E'
 	}
 }
 
-func (c *served) position(at float64) {
+func (c *connection) writePosition(at float64) {
 	role := "copy"
-	if c.s.isPrimary() {
+	if c.server.isPrimary() {
 		role = "source"
 	}
 	c.out = pg.AppendParameter(c.out, "rank", role)
 	c.out = pg.AppendParameter(c.out, "as_of", strconv.FormatFloat(at, 'f', 3, 64))
 }
 
-// commits makes what a transaction did last; where it can't, all that its statements said is taken back and an error stands
+// commitWrites makes what a transaction did last; where it can't, all that its statements said is taken back and an error stands
 // in its place.
-func (c *served) commits() bool {
+func (c *connection) commitWrites() bool {
 	ch := c.staged
-	c.staged = change{}
-	if c.s.Cluster.shared == nil {
+	c.staged = stagedChange{}
+	if c.server.Cluster.shared == nil {
 		if len(c.writes) > 0 {
-			c.position(c.s.Cluster.commit(c.writes))
+			c.writePosition(c.server.Cluster.commit(c.writes))
 		}
 		return true
 	}
-	if len(c.writes) == 0 && ch == (change{}) {
+	if len(c.writes) == 0 && ch == (stagedChange{}) {
 		return true
 	}
-	at, err := c.s.Cluster.apply(c.writes, ch)
+	at, err := c.server.Cluster.apply(c.writes, ch)
 	if err != nil {
 		if c.implicit {
-			c.out = c.out[:min(c.mark, len(c.out))]
+			c.out = c.out[:min(c.implicitStart, len(c.out))]
 		}
 		c.fail(pg.NoPrimary, err.Error())
 		return false
 	}
 	if at > 0 {
-		c.position(at)
+		c.writePosition(at)
 	}
 	return true
 }
 
-// ready ends an implicit transaction and tells where things stand.
-func (c *served) ready() {
+// writeReady ends an implicit transaction and tells where things stand.
+func (c *connection) writeReady() {
 	if c.implicit {
 		c.implicit = false
-		if c.failing {
-			c.restore(0)
-			c.staged = change{}
+		if c.failed {
+			c.rollBackTo(0)
+			c.staged = stagedChange{}
 		} else {
-			c.commits()
+			c.commitWrites()
 		}
-		c.writes, c.undo = nil, nil
+		c.writes, c.savepoints = nil, nil
 	}
-	c.failing = false
+	c.failed = false
 	if c.status == 'I' {
 		clear(c.portals)
 	}
-	c.report()
+	c.writeSettings()
 	c.out = pg.AppendStatus(c.out, c.status)
 }
 
-func (c *served) restore(n int) {
-	if n < len(c.undo) {
-		c.settings = maps.Clone(c.undo[n].settings)
-		c.writes = c.writes[:c.undo[n].writes]
+func (c *connection) rollBackTo(n int) {
+	if n < len(c.savepoints) {
+		c.settings = maps.Clone(c.savepoints[n].settings)
+		c.writes = c.writes[:c.savepoints[n].writes]
 	}
 }
 
-func (c *served) message(m *pg.Message) {
+func (c *connection) handleMessage(m *pg.Message) {
 	if c.copying != nil {
 		c.copyIn(m)
 		return
 	}
-	if c.skips && m.Kind != pg.Sync {
+	if c.skipToSync && m.Kind != pg.Sync {
 		return
 	}
 	switch m.Kind {
@@ -500,33 +500,33 @@
 			c.out = pg.AppendEmpty(c.out)
 		}
 		for _, text := range texts {
-			if c.run(text, nil, true); c.failing {
+			if c.runStatement(text, nil, true); c.failed {
 				break
 			}
 			if c.copying != nil {
 				return
 			}
 		}
-		c.ready()
+		c.writeReady()
 	case pg.Sync:
-		c.skips = false
-		c.ready()
+		c.skipToSync = false
+		c.writeReady()
 	case pg.Parse:
 		if _, taken := c.prepared[m.Name]; taken && m.Name != "" {
 			c.fail(pg.InUse, "prepared statement "+m.Name+" already exists")
-			c.skips = true
+			c.skipToSync = true
 			return
 		}
-		c.s.mu.Lock()
-		c.s.parses++
-		c.s.mu.Unlock()
+		c.server.mu.Lock()
+		c.server.parses++
+		c.server.mu.Unlock()
 		c.prepared[m.Name] = m.Text
 		c.out = pg.AppendPlain(c.out, '1')
 	case pg.Bind:
 		sql, ok := c.prepared[m.Name]
 		if !ok {
 			c.fail(pg.NoStatement, "prepared statement "+m.Name+" does not exist")
-			c.skips = true
+			c.skipToSync = true
 			return
 		}
 		c.portals[m.Portal] = portal{sql, values(m.Tail)}
@@ -537,20 +537,20 @@
 			var ok bool
 			if sql, ok = c.prepared[m.Name]; !ok {
 				c.fail(pg.NoStatement, "prepared statement "+m.Name+" does not exist")
-				c.skips = true
+				c.skipToSync = true
 				return
 			}
 			c.out = parameters(c.out, strings.Count(sql, "$"))
 		}
-		c.describe(sql)
+		c.describeStatement(sql)
 	case pg.Execute:
 		p, ok := c.portals[m.Portal]
 		if !ok {
 			c.fail(pg.NoPortal, "portal does not exist")
 		} else {
-			c.run(p.sql, p.args, false)
+			c.runStatement(p.sql, p.args, false)
 		}
-		c.skips = c.failing
+		c.skipToSync = c.failed
 	case pg.CloseName:
 		if m.Of == 'S' {
 			delete(c.prepared, m.Name)
@@ -601,7 +601,7 @@
 	return nil
 }
 
-func (c *served) describe(sql string) {
+func (c *connection) describeStatement(sql string) {
 	names := columns(sql)
 	if names == nil {
 		c.out = pg.AppendPlain(c.out, 'n')
@@ -619,7 +619,7 @@
 	return append(out, message('T', string(body))...)
 }
 
-func (c *served) row(simple bool, name string, value string) {
+func (c *connection) writeRow(simple bool, name string, value string) {
 	if simple {
 		c.out = describe(c.out, []string{name})
 	}
@@ -627,20 +627,20 @@
 	c.out = append(c.out, message('D', string(body)+value)...)
 }
 
-func (c *served) tag(tag string) { c.out = pg.AppendComplete(c.out, tag) }
+func (c *connection) writeTag(tag string) { c.out = pg.AppendComplete(c.out, tag) }
 
-// pause stands for the work of a statement; it reports a cancel.
-func (c *served) pause(d time.Duration) bool {
+// work stands for the work of a statement; it reports a cancel.
+func (c *connection) work(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
-	c.s.mu.Lock()
+	c.server.mu.Lock()
 	c.running = true
-	c.s.mu.Unlock()
+	c.server.mu.Unlock()
 	defer func() {
-		c.s.mu.Lock()
+		c.server.mu.Lock()
 		c.running = false
-		c.s.mu.Unlock()
+		c.server.mu.Unlock()
 	}()
 	c.conn.Write(c.out)
 	c.out = c.out[:0]
@@ -655,74 +655,74 @@
 	}
 }
 
-func (c *served) run(sql string, args []string, simple bool) {
+func (c *connection) runStatement(sql string, args []string, simple bool) {
 	cmd := pg.ParseCommand(sql)
 	if c.status == 'E' && cmd.Act != pg.Commit && cmd.Act != pg.RollBack && cmd.Act != pg.BackTo {
 		c.fail(pg.Failed, "current transaction is aborted")
 		return
 	}
 	if c.status == 'I' && !c.implicit && cmd.Act != pg.Begin {
-		c.implicit, c.mark = true, len(c.out)
-		c.undo = []undo{{settings: maps.Clone(c.settings)}}
+		c.implicit, c.implicitStart = true, len(c.out)
+		c.savepoints = []savepoint{{settings: maps.Clone(c.settings)}}
 	}
-	if c.s.Delay != nil && !c.pause(c.s.Delay()) {
+	if c.server.Delay != nil && !c.work(c.server.Delay()) {
 		return
 	}
-	if c.s.Record != nil {
+	if c.server.OnStatement != nil {
 		e := Event{Conn: c.id, SQL: sql, Args: args, Settings: maps.Clone(c.settings)}
 		if strings.Contains(sql, "note(") {
-			e.Note = c.arg(sql, "note(", args)
+			e.Note = c.argument(sql, "note(", args)
 		}
-		c.s.mu.Lock()
-		c.s.Record(e)
-		c.s.mu.Unlock()
+		c.server.mu.Lock()
+		c.server.OnStatement(e)
+		c.server.mu.Unlock()
 	}
 	switch cmd.Act {
 	case pg.Plain, pg.Show:
-		c.plain(sql, cmd, args, simple)
+		c.runQuery(sql, cmd, args, simple)
 		return
 	}
-	c.act(cmd)
+	c.runCommand(cmd)
 }
 
-// act does what changes the session.
-func (c *served) act(cmd pg.Command) {
+// runCommand does what changes the session.
+func (c *connection) runCommand(cmd pg.Command) {
 	inside := func(n int) {
-		c.s.mu.Lock()
-		c.s.inside += n
-		c.s.mu.Unlock()
+		c.server.mu.Lock()
+		c.server.inTransaction += n
+		c.server.mu.Unlock()
 	}
 	switch cmd.Act {
 	case pg.Begin:
 		if c.status == 'I' {
 			c.status, c.implicit, c.readOnly = 'T', false, cmd.ReadOnly
-			c.undo, c.writes = []undo{{settings: maps.Clone(c.settings)}}, nil
+			c.savepoints, c.writes = []savepoint{{settings: maps.Clone(c.settings)}}, nil
 			inside(1)
 		}
-		c.tag("BEGIN")
+		c.writeTag("BEGIN")
 	case pg.Access:
 		c.readOnly = cmd.ReadOnly
-		c.tag("SET")
+		c.writeTag("SET")
 	case pg.Commit, pg.RollBack:
 		back := cmd.Act == pg.RollBack || c.status == 'E'
 		if c.status == 'I' { // it ends the implicit one
 			if back {
-				c.restore(0)
-			} else if !c.commits() {
+				c.rollBackTo(0)
+			} else if !c.commitWrites() {
 				back = true
 			}
-			c.writes, c.undo = nil, []undo{{settings: maps.Clone(c.settings)}}
-			c.tag(map[bool]string{true: "ROLLBACK", false: "COMMIT"}[back])
+			c.writes, c.savepoints = nil, []savepoint{{settings: maps.Clone(c.settings)}}
+			c.writeTag(map[bool]string{true: "ROLLBACK", false: "COMMIT"}[back])
 			return
 		}
 		if c.status, c.readOnly = 'I', false; back {
-			c.staged = change{}
-			c.restore(0)
-			c.tag("ROLLBACK")
+			c.staged = stagedChange{}
+			c.rollBackTo(0)
+			c.writeTag("ROLLBACK")
 		} else {
 			for k := range c.settings { // SET LOCAL ends here
 				if name, local := strings.CutPrefix(k, "local:"); local {
-					if was, had := c.undo[0].settings[name]; c.settings[k] != "" {
+					if was, had := c.savepoints[0].settings[name]; c.settings[k] != "" {
 						c.settings[name] = c.settings[k][1:]
 					} else if had {
 						c.settings[name] = was
@@ -732,26 +732,26 @@
 					delete(c.settings, k)
 				}
 			}
-			if c.commits() {
-				c.tag("COMMIT")
+			if c.commitWrites() {
+				c.writeTag("COMMIT")
 			}
 		}
-		c.undo, c.writes = nil, nil
+		c.savepoints, c.writes = nil, nil
 		inside(-1)
 	case pg.Savepoint:
-		c.undo = append(c.undo, undo{cmd.Name, maps.Clone(c.settings), len(c.writes)})
-		c.tag("SAVEPOINT")
+		c.savepoints = append(c.savepoints, savepoint{cmd.Name, maps.Clone(c.settings), len(c.writes)})
+		c.writeTag("SAVEPOINT")
 	case pg.BackTo, pg.Release:
-		for n := len(c.undo) - 1; n > 0; n-- {
-			if c.undo[n].name == cmd.Name {
+		for n := len(c.savepoints) - 1; n > 0; n-- {
+			if c.savepoints[n].name == cmd.Name {
 				if cmd.Act == pg.BackTo {
-					c.restore(n)
-					c.undo = c.undo[:n+1]
+					c.rollBackTo(n)
+					c.savepoints = c.savepoints[:n+1]
 					c.status = 'T'
-					c.tag("ROLLBACK")
+					c.writeTag("ROLLBACK")
 				} else {
-					c.undo = c.undo[:n]
-					c.tag("RELEASE")
+					c.savepoints = c.savepoints[:n]
+					c.writeTag("RELEASE")
 				}
 				return
 			}
@@ -773,7 +773,7 @@
 			if key := "local:" + p[0]; cmd.Local {
 				if _, had := c.settings[key]; !had {
 					c.settings[key] = ""
-					if was, set := c.settings[p[0]]; set && was != c.undo[0].settings[p[0]] {
+					if was, set := c.settings[p[0]]; set && was != c.savepoints[0].settings[p[0]] {
 						c.settings[key] = "=" + was
 					}
 				}
@@ -786,17 +786,17 @@
 				c.settings[p[0]] = value
 			}
 		}
-		c.tag("SET")
+		c.writeTag("SET")
 	case pg.Unset:
 		if v, set := c.startup[cmd.Name]; set {
 			c.settings[cmd.Name] = v
 		} else {
 			delete(c.settings, cmd.Name)
 		}
-		c.tag("RESET")
+		c.writeTag("RESET")
 	case pg.UnsetAll:
 		c.settings = maps.Clone(c.startup)
-		c.tag("RESET")
+		c.writeTag("RESET")
 	case pg.DiscardAll:
 		if c.status != 'I' {
 			c.fail("25001", "DISCARD ALL cannot run inside a transaction block")
@@ -804,24 +804,24 @@
 		}
 		c.settings = maps.Clone(c.startup)
 		clear(c.prepared)
-		clear(c.named)
-		c.tag("DISCARD ALL")
+		clear(c.sqlPrepared)
+		c.writeTag("DISCARD ALL")
 	case pg.Unprepare:
 		if cmd.Name == "" {
 			clear(c.prepared)
-			clear(c.named)
-			c.tag("DEALLOCATE ALL")
-		} else if _, had := c.named[cmd.Name]; had {
-			delete(c.named, cmd.Name)
-			c.tag("DEALLOCATE")
+			clear(c.sqlPrepared)
+			c.writeTag("DEALLOCATE ALL")
+		} else if _, had := c.sqlPrepared[cmd.Name]; had {
+			delete(c.sqlPrepared, cmd.Name)
+			c.writeTag("DEALLOCATE")
 		} else {
 			c.fail(pg.NoStatement, "prepared statement does not exist")
 		}
 	}
 }
 
-// arg reads what follows a mark: a parameter or a literal.
-func (c *served) arg(sql, mark string, args []string) string {
+// argument reads what follows a mark: a parameter or a literal.
+func (c *connection) argument(sql, mark string, args []string) string {
 	_, rest, ok := strings.Cut(sql, mark)
 	if !ok {
 		return ""
@@ -853,32 +853,32 @@
 	return strings.TrimSpace(word)
 }
 
-// plain runs what its table takes.
-func (c *served) plain(sql string, cmd pg.Command, args []string, simple bool) {
+// runQuery runs what its table takes.
+func (c *connection) runQuery(sql string, cmd pg.Command, args []string, simple bool) {
 	flat := strings.Join(strings.Fields(sql), " ")
 	if end := strings.Index(flat, "*/"); strings.HasPrefix(flat, "/*") && end >= 0 {
 		flat = strings.TrimSpace(flat[end+2:])
 	}
 	flat = strings.TrimRight(flat, "; ")
 	low := strings.ToLower(flat)
-	if c.control(flat, args, simple) {
+	if c.runSwitchoverQuery(flat, args, simple) {
 		return
 	}
 	switch {
 	case cmd.Act == pg.Show && cmd.Name == "vitals":
-		at, role := c.s.applied(), 0
-		if c.s.isPrimary() {
+		at, role := c.server.applied(), 0
+		if c.server.isPrimary() {
 			role = 1
 			at = millis()
 		}
-		c.row(simple, "vitals", fmt.Sprintf("x0=%.6f,x1=%d", at/1000, role))
-		c.tag("SHOW")
+		c.writeRow(simple, "vitals", fmt.Sprintf("x0=%.6f,x1=%d", at/1000, role))
+		c.writeTag("SHOW")
 	case cmd.Act == pg.Show:
-		c.row(simple, cmd.Name, c.settings[cmd.Name])
-		c.tag("SHOW")
+		c.writeRow(simple, cmd.Name, c.settings[cmd.Name])
+		c.writeTag("SHOW")
 	case strings.HasPrefix(low, "insert into rows"):
-		if !c.s.isPrimary() {
-			c.position(c.s.applied())
+		if !c.server.isPrimary() {
+			c.writePosition(c.server.applied())
 			c.fail(pg.NoPrimary, "cannot execute INSERT in a read-only transaction")
 			return
 		}
@@ -892,14 +892,14 @@
 		handle, blob := literal(first, args), literal(second, args)
 		c.writes = append(c.writes, [2]string{handle, blob})
 		if strings.Contains(low, "returning") {
-			c.row(simple, "blob", blob)
+			c.writeRow(simple, "blob", blob)
 		}
-		c.tag("INSERT 0 1")
+		c.writeTag("INSERT 0 1")
 	case strings.HasPrefix(low, "select blob from rows where handle ="):
 		handle := literal(strings.TrimSpace(flat[len("select blob from rows where handle ="):]), args)
-		at := c.s.applied()
-		c.position(at)
-		value, found := c.s.Cluster.read(handle, at)
+		at := c.server.applied()
+		c.writePosition(at)
+		value, found := c.server.Cluster.read(handle, at)
 		for _, w := range c.writes {
 			if w[0] == handle {
 				value, found = w[1], true
@@ -909,53 +909,53 @@
 			c.out = describe(c.out, []string{"blob"})
 		}
 		if found {
-			c.row(false, "", value)
-			c.tag("SELECT 1")
+			c.writeRow(false, "", value)
+			c.writeTag("SELECT 1")
 		} else {
-			c.tag("SELECT 0")
+			c.writeTag("SELECT 0")
 		}
 	case strings.HasPrefix(low, "prepare "):
 		name, body, _ := strings.Cut(flat[len("prepare "):], " ")
-		c.named[strings.ToLower(name)] = strings.TrimSpace(body[len("as "):])
-		c.tag("PREPARE")
+		c.sqlPrepared[strings.ToLower(name)] = strings.TrimSpace(body[len("as "):])
+		c.writeTag("PREPARE")
 	case strings.Contains(low, "note("):
-		c.row(simple, "note", c.arg(flat, "note(", args))
-		c.tag("SELECT 1")
+		c.writeRow(simple, "note", c.argument(flat, "note(", args))
+		c.writeTag("SELECT 1")
 	case strings.HasPrefix(low, "select current_setting("):
-		c.row(simple, "current_setting", c.settings[strings.ToLower(c.arg(flat, "current_setting(", args))])
-		c.tag("SELECT 1")
+		c.writeRow(simple, "current_setting", c.settings[strings.ToLower(c.argument(flat, "current_setting(", args))])
+		c.writeTag("SELECT 1")
 	case strings.HasPrefix(low, "select pg_sleep("):
-		x, _ := strconv.ParseFloat(c.arg(flat, "pg_sleep(", args), 64)
-		if c.pause(time.Duration(x * float64(time.Second))) {
-			c.row(simple, "pg_sleep", "")
-			c.tag("SELECT 1")
+		x, _ := strconv.ParseFloat(c.argument(flat, "pg_sleep(", args), 64)
+		if c.work(time.Duration(x * float64(time.Second))) {
+			c.writeRow(simple, "pg_sleep", "")
+			c.writeTag("SELECT 1")
 		}
 	case strings.HasPrefix(low, "select pg_backend_pid()"):
-		c.row(simple, "pg_backend_pid", strconv.Itoa(c.id))
-		c.tag("SELECT 1")
+		c.writeRow(simple, "pg_backend_pid", strconv.Itoa(c.id))
+		c.writeTag("SELECT 1")
 	case low == "select 1":
-		c.row(simple, "?column?", "1")
-		c.tag("SELECT 1")
+		c.writeRow(simple, "?column?", "1")
+		c.writeTag("SELECT 1")
 	case strings.HasPrefix(low, "select long("):
-		n, _ := strconv.Atoi(c.arg(flat, "long(", args))
+		n, _ := strconv.Atoi(c.argument(flat, "long(", args))
 		if simple {
 			c.out = describe(c.out, []string{"long"})
 		}
 		for range n {
-			c.row(false, "", strings.Repeat("x", 1000))
+			c.writeRow(false, "", strings.Repeat("x", 1000))
 		}
-		c.tag("SELECT " + strconv.Itoa(n))
+		c.writeTag("SELECT " + strconv.Itoa(n))
 	case strings.HasPrefix(low, "copy"):
 		c.copy(low, simple)
 	case strings.HasPrefix(low, "execute "):
-		text, had := c.named[strings.TrimSpace(low[len("execute "):])]
+		text, had := c.sqlPrepared[strings.TrimSpace(low[len("execute "):])]
 		if !had {
 			c.fail(pg.NoStatement, "prepared statement does not exist")
 			return
 		}
-		c.plain(text, pg.ParseCommand(text), nil, simple)
+		c.runQuery(text, pg.ParseCommand(text), nil, simple)
 	case strings.HasPrefix(low, "create"), strings.HasPrefix(low, "listen"), strings.HasPrefix(low, "set constraints"):
-		c.tag(strings.ToUpper(strings.Fields(low)[0]))
+		c.writeTag(strings.ToUpper(strings.Fields(low)[0]))
 	default:
 		c.fail("42601", "syntax error at or near \""+strings.Fields(low + " ?")[0]+"\"")
 	}
@@ -974,22 +974,22 @@
 	return s, ""
 }
 
-func (c *served) copy(low string, simple bool) {
+func (c *connection) copy(low string, simple bool) {
 	if strings.Contains(low, "to stdout") {
 		c.out = append(c.out, message('H', "\x00\x00\x02\x00\x00\x00\x00")...)
 		for n := range 3 {
 			c.out = append(c.out, message('d', fmt.Sprintf("h%d\tv%d\n", n, n))...)
 		}
 		c.out = pg.AppendPlain(c.out, 'c')
-		c.tag("COPY 3")
+		c.writeTag("COPY 3")
 		return
 	}
-	if !c.s.isPrimary() {
-		c.position(c.s.applied())
+	if !c.server.isPrimary() {
+		c.writePosition(c.server.applied())
 		c.fail(pg.NoPrimary, "cannot execute COPY FROM in a read-only transaction")
 		return
 	}
-	c.copying = &copying{binary: strings.Contains(low, "binary"), simple: simple}
+	c.copying = &copyData{binary: strings.Contains(low, "binary"), simple: simple}
 	format := "\x00\x00\x02\x00\x00\x00\x00"
 	if c.copying.binary {
 		format = "\x01\x00\x02\x00\x01\x00\x01"
@@ -997,7 +997,7 @@
 	c.out = append(c.out, message('G', format)...)
 }
 
-func (c *served) copyIn(m *pg.Message) {
+func (c *connection) copyIn(m *pg.Message) {
 	switch m.Kind {
 	case pg.CopyData:
 		c.copying.data = append(c.copying.data, m.Raw[5:]...)
@@ -1012,16 +1012,16 @@
 	} else {
 		rows := done.rows()
 		c.writes = append(c.writes, rows...)
-		c.tag("COPY " + strconv.Itoa(len(rows)))
+		c.writeTag("COPY " + strconv.Itoa(len(rows)))
 	}
 	if done.simple {
-		c.ready()
+		c.writeReady()
 	} else {
-		c.skips = c.failing
+		c.skipToSync = c.failed
 	}
 }
 
-func (c *copying) rows() (out [][2]string) {
+func (c *copyData) rows() (out [][2]string) {
 	if !c.binary {
 		for _, line := range strings.Split(strings.TrimRight(string(c.data), "\n"), "\n") {
 			handle, blob, _ := strings.Cut(line, "\t")
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -99,7 +99,7 @@
 // CheckWrites looks at the cluster's own log: what clients heard of as committed is there, exactly once; nothing is there twice; and
 // who wrote had taken over last.
 func CheckWrites(members string, load *Load) (wrong []string) {
-	lines, err := pgserver.Lines(members)
+	lines, err := pgserver.ReadLog(members)
 	if err != nil {
 		return []string{err.Error()}
 	}
--- a/internal/lab/fleet/check_test.go
+++ b/internal/lab/fleet/check_test.go
@@ -58,23 +58,23 @@
 }
 
 func TestCheckWrites(t *testing.T) {
-	line := func(by, part string, writes ...string) pgserver.Line {
-		l := pgserver.Line{By: by, Part: part}
+	line := func(by, part string, writes ...string) pgserver.LogEntry {
+		l := pgserver.LogEntry{By: by, Part: part}
 		for _, w := range writes {
 			l.Writes = append(l.Writes, [2]string{w, "x"})
 		}
 		return l
 	}
-	good := []pgserver.Line{line("m1", "takes"), line("m1", "", "a"), line("m1", "yields"), line("m2", "takes"), line("m2", "", "b")}
+	good := []pgserver.LogEntry{line("m1", "takes"), line("m1", "", "a"), line("m1", "yields"), line("m2", "takes"), line("m2", "", "b")}
 	for want, c := range map[string]struct {
-		more []pgserver.Line
+		more []pgserver.LogEntry
 		load *Load
 	}{
 		"":                                       {nil, &Load{Committed: []string{"a", "b"}, Declined: []string{"c"}, Doubtful: []string{"d"}}},
-		"a is there 2 times":                     {[]pgserver.Line{line("m2", "", "a")}, &Load{}},
+		"a is there 2 times":                     {[]pgserver.LogEntry{line("m2", "", "a")}, &Load{}},
 		"z was told to be committed and is lost": {nil, &Load{Committed: []string{"z"}}},
 		"a was told to be declined":              {nil, &Load{Declined: []string{"a"}}},
-		"m1 committed [c x] while m2 had":        {[]pgserver.Line{line("m1", "", "c")}, &Load{}},
+		"m1 committed [c x] while m2 had":        {[]pgserver.LogEntry{line("m1", "", "c")}, &Load{}},
 	} {
 		dir := t.TempDir()
 		var text []byte
--- a/internal/lab/fleet/manage.go
+++ b/internal/lab/fleet/manage.go
@@ -32,17 +32,17 @@
 // Promote makes a member the primary in place of one whose process has ended, as a cluster's manager would: it can't ask the old
 // one, whose part it takes away.
 func (f *Fleet) Promote(old, to string) error {
-	c, err := pgserver.Shared(filepath.Join(f.Dir, "members"), old)
+	c, err := pgserver.OpenShared(filepath.Join(f.Dir, "members"), old)
 	if err != nil {
 		return err
 	}
-	if err := c.Part(false); err != nil {
+	if err := c.SetPrimary(false); err != nil {
 		return err
 	}
-	if c, err = pgserver.Shared(filepath.Join(f.Dir, "members"), to); err != nil {
+	if c, err = pgserver.OpenShared(filepath.Join(f.Dir, "members"), to); err != nil {
 		return err
 	}
-	return c.Part(true)
+	return c.SetPrimary(true)
 }
 
 // Manage watches over the members until ctx ends: where the primary's process is gone for a second, another becomes primary.
--- a/internal/simadapter/lists.go
+++ b/internal/simadapter/lists.go
@@ -14,8 +14,8 @@
 const (
 	listFailed  = "X" // the list could not be had
 	listChanges = "D" // the rows that have changed
-	listFull    = "F"
-	listCurrent = "C" // the same as listFull here
+	listFull    = "F" // all rows
+	listCached  = "C" // a full list from a cache
 )
 
 // states are the states of listed members by their names on the wire.
@@ -44,7 +44,7 @@
 	case listFailed:
 		i.router.ListFailed()
 		return fields.Err
-	case listChanges, listFull, listCurrent:
+	case listChanges, listFull, listCached:
 	default:
 		if fields.Err == nil {
 			return fmt.Errorf("mode: unknown %q", mode)
