--- /dev/null
+++ b/internal/fakes/client.go
@@ -0,0 +1,84 @@
+package fakes
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"wayloft/internal/pg"
+)
+
+// Client is a fake client with one session.
+type Client struct {
+	t *testing.T
+	net.Conn
+	reader *pg.Reader
+	Key    pg.Key // the cancel key that the server sent
+}
+
+// NewClient connects, and starts a session if start is set. The connection is closed when the test is over.
+func NewClient(t *testing.T, addr string, start bool) *Client {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeSocket(c) })
+	client := &Client{t: t, Conn: c, reader: pg.NewReader(true, maxMessage)}
+	client.reader.Widen()
+	if start {
+		client.Send(string(pg.AppendStartup(nil, "api", "ledger")))
+		if got := client.Answer(); got != "ready" {
+			t.Fatalf("greeting: %s", got)
+		}
+	}
+	return client
+}
+
+// Send writes bytes; a failure fails the test.
+func (c *Client) Send(b string) {
+	c.t.Helper()
+	if _, err := c.Write([]byte(b)); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// Ask sends a query.
+func (c *Client) Ask(sql string) {
+	c.t.Helper()
+	c.Send(string(pg.AppendQuery(nil, sql)))
+}
+
+// Answer reads up to ReadyForQuery or the end of the connection. It returns what came in words: "VALUE ok ready", "CODE ready",
+// "empty ready", "CODE closed" and so on.
+func (c *Client) Answer() string {
+	var out []string
+	buffer := make([]byte, readSize)
+	_ = c.SetReadDeadline(time.Now().Add(waitLimit)) // it fails only for a closed connection, which the read reports
+	for {
+		m, ok, err := c.reader.Next()
+		switch {
+		case err != nil:
+			return strings.Join(append(out, err.Error()), " ")
+		case !ok:
+			n, err := c.Read(buffer)
+			if err != nil {
+				return strings.Join(append(out, "closed"), " ")
+			}
+			c.reader.Feed(buffer[:n])
+		case m.Kind == pg.KeyData:
+			c.Key = m.Key
+		case m.Kind == pg.Row:
+			out = append(out, string(m.Cell))
+		case m.Kind == pg.Complete:
+			out = append(out, "ok")
+		case m.Kind == pg.Empty:
+			out = append(out, "empty")
+		case m.Kind == pg.Failure:
+			out = append(out, m.Failure.Code)
+		case m.Kind == pg.Ready:
+			return strings.Join(append(out, "ready"), " ")
+		}
+	}
+}
--- /dev/null
+++ b/internal/fakes/member.go
@@ -0,0 +1,144 @@
+package fakes
+
+import (
+	"encoding/binary"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"wayloft/internal/pg"
+)
+
+// Reply is what a member answers to a query.
+type Reply struct {
+	Bytes []byte
+	Close bool // close the connection afterwards
+}
+
+// Member is a fake member that answers queries by a function.
+type Member struct {
+	Addr   string
+	Empty  func() *Reply // answers empty queries; nil: as any server does
+	listen net.Listener
+
+	greeting *Reply
+	answer   func(sql string) *Reply
+	mu       sync.Mutex
+	accepted int
+	queries  []string
+}
+
+// NewMember starts a member that stops when the test is over. greeting is its answer to a startup message; nil: it accepts the login.
+// answer gives its answer to a query; nil: none.
+func NewMember(t *testing.T, greeting *Reply, answer func(sql string) *Reply) *Member {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &Member{Addr: l.Addr().String(), listen: l, greeting: greeting, answer: answer}
+	t.Cleanup(func() { closeSocket(l) })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { closeSocket(c) })
+			go m.serve(c)
+		}
+	}()
+	return m
+}
+
+func (m *Member) serve(c net.Conn) {
+	reader := pg.NewReader(false, maxMessage)
+	buffer := make([]byte, readSize)
+	for {
+		n, err := c.Read(buffer)
+		if err != nil {
+			closeSocket(c)
+			return
+		}
+		reader.Feed(buffer[:n])
+		for {
+			msg, ok, err := reader.Next()
+			if err != nil || msg.Kind == pg.Terminate {
+				closeSocket(c)
+				return
+			}
+			if !ok {
+				break
+			}
+			reply := m.reply(msg)
+			if reply == nil {
+				continue
+			}
+			_, _ = c.Write(reply.Bytes) // the peer may have gone: the next read sees that
+			if reply.Close {
+				closeSocket(c)
+				return
+			}
+		}
+	}
+}
+
+// reply records a message and returns what is answered to it.
+func (m *Member) reply(msg pg.Message) *Reply {
+	m.mu.Lock()
+	if msg.Kind == pg.Startup {
+		m.accepted++
+	} else {
+		m.queries = append(m.queries, msg.Text)
+	}
+	m.mu.Unlock()
+	switch {
+	case msg.Kind != pg.Startup:
+		if msg.Text == "" && m.Empty == nil {
+			return &Reply{Bytes: pg.AppendReady(pg.AppendEmpty(nil))}
+		} else if msg.Text == "" {
+			return m.Empty()
+		}
+		return m.answer(msg.Text)
+	case m.greeting != nil:
+		return m.greeting
+	}
+	return &Reply{Bytes: pg.AppendGreeting(nil, 0)}
+}
+
+// Stop ends listening; connections go on.
+func (m *Member) Stop() { closeSocket(m.listen) }
+
+// Seen returns how many logins the member has received, and its queries.
+func (m *Member) Seen() (accepted int, queries []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.accepted, append([]string(nil), m.queries...)
+}
+
+// message encodes a message of the protocol.
+func message(typ byte, body string) []byte {
+	return append(binary.BigEndian.AppendUint32([]byte{typ}, uint32(len(body)+4)), body...)
+}
+
+// Param returns a ParameterStatus message.
+func Param(name, value string) []byte { return message('S', name+"\x00"+value+"\x00") }
+
+// Rows returns a complete result of one row with one column.
+func Rows(value string) []byte {
+	cell := string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
+	return append(append(message('T', "\x00\x01blob\x00"+strings.Repeat("\x00", 18)), message('D', "\x00\x01"+cell)...),
+		message('C', "SELECT 1\x00")...)
+}
+
+// Row returns an answer with a value, a role and a position.
+func Row(value, role, position string) *Reply {
+	out := append(Rows(value), Param("rank", role)...)
+	return &Reply{Bytes: pg.AppendReady(append(out, Param("as_of", position)...))}
+}
+
+// Fail returns an answer with an error of this code.
+func Fail(code string) *Reply {
+	return &Reply{Bytes: pg.AppendReady(pg.AppendError(nil, &pg.Error{Code: code, Text: "no"}, false))}
+}
--- /dev/null
+++ b/internal/fakes/pgserver/query.go
@@ -0,0 +1,249 @@
+package pgserver
+
+import (
+	"fmt"
+	"maps"
+	"strconv"
+	"strings"
+	"time"
+
+	"wayloft/internal/pg"
+)
+
+const (
+	selectRow = "select blob from rows where handle ="
+	// longRow is the size of each row of the function long.
+	longRow = 1000
+)
+
+// work takes the time of a statement. It returns false if the statement is cancelled meanwhile.
+func (c *connection) work(d time.Duration) bool {
+	if d <= 0 {
+		return true
+	}
+	c.server.mu.Lock()
+	c.running = true
+	c.server.mu.Unlock()
+	defer func() {
+		c.server.mu.Lock()
+		c.running = false
+		c.server.mu.Unlock()
+	}()
+	_ = c.flush() // the next read sees that the connection has ended
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	case <-c.cancel:
+		c.fail(pg.Cancelled, "canceling statement due to user request")
+		return false
+	}
+}
+
+func (c *connection) runStatement(sql string, args []string, simple bool) {
+	cmd := pg.ParseCommand(sql)
+	if c.status == failedStatus && cmd.Act != pg.Commit && cmd.Act != pg.RollBack && cmd.Act != pg.BackTo {
+		c.fail(pg.Failed, "current transaction is aborted")
+		return
+	}
+	if c.status == idleStatus && !c.implicit && cmd.Act != pg.Begin {
+		c.implicit, c.implicitStart = true, len(c.out)
+		c.savepoints = []savepoint{{settings: maps.Clone(c.settings)}}
+	}
+	if c.server.Delay != nil && !c.work(c.server.Delay()) {
+		return
+	}
+	if c.server.OnStatement != nil {
+		e := Event{Conn: c.id, SQL: sql, Args: args, Settings: maps.Clone(c.settings)}
+		if strings.Contains(sql, "note(") {
+			e.Note = c.argument(sql, "note(", args)
+		}
+		c.server.mu.Lock()
+		c.server.OnStatement(e)
+		c.server.mu.Unlock()
+	}
+	switch cmd.Act {
+	case pg.Plain, pg.Show:
+		c.runQuery(sql, cmd, args, simple)
+		return
+	}
+	c.runCommand(cmd)
+}
+
+// argument returns what follows a mark in a statement: a parameter or a literal.
+func (c *connection) argument(sql, mark string, args []string) string {
+	_, rest, ok := strings.Cut(sql, mark)
+	if !ok {
+		return ""
+	}
+	rest = strings.TrimLeft(rest, " (")
+	return literal(rest, args)
+}
+
+// literal returns the value of the parameter or literal at the start of s.
+func literal(s string, args []string) string {
+	if n := 0; strings.HasPrefix(s, "$") {
+		if _, err := fmt.Sscanf(s, "$%d", &n); err != nil {
+			return ""
+		}
+		if n >= 1 && n <= len(args) {
+			return args[n-1]
+		}
+		return ""
+	}
+	if strings.HasPrefix(s, "'") || strings.HasPrefix(s, " '") {
+		s = strings.TrimSpace(s)
+		for n := 1; n < len(s); n++ {
+			if s[n] == '\'' && n+1 < len(s) && s[n+1] == '\'' {
+				n++
+			} else if s[n] == '\'' {
+				return strings.ReplaceAll(s[1:n], "''", "'")
+			}
+		}
+	}
+	word, _, _ := strings.Cut(s, ")")
+	word, _, _ = strings.Cut(word, ",")
+	return strings.TrimSpace(word)
+}
+
+// runQuery runs a query or another statement on the table.
+func (c *connection) runQuery(sql string, cmd pg.Command, args []string, simple bool) {
+	flat := strings.Join(strings.Fields(sql), " ")
+	if end := strings.Index(flat, "*/"); strings.HasPrefix(flat, "/*") && end >= 0 {
+		flat = strings.TrimSpace(flat[end+2:])
+	}
+	flat = strings.TrimRight(flat, "; ")
+	low := strings.ToLower(flat)
+	if c.runSwitchoverQuery(flat, args, simple) {
+		return
+	}
+	switch {
+	case cmd.Act == pg.Show && cmd.Name == "vitals":
+		c.showVitals(simple)
+	case cmd.Act == pg.Show:
+		c.writeRow(simple, cmd.Name, c.settings[cmd.Name])
+		c.writeTag("SHOW")
+	case strings.HasPrefix(low, "insert into rows"):
+		c.insert(flat, low, args, simple)
+	case strings.HasPrefix(low, selectRow):
+		c.selectRow(literal(strings.TrimSpace(flat[len(selectRow):]), args), simple)
+	case strings.HasPrefix(low, "prepare "):
+		name, body, _ := strings.Cut(flat[len("prepare "):], " ")
+		c.sqlPrepared[strings.ToLower(name)] = strings.TrimSpace(body[len("as "):])
+		c.writeTag("PREPARE")
+	case strings.Contains(low, "note("):
+		c.writeRow(simple, "note", c.argument(flat, "note(", args))
+		c.writeTag("SELECT 1")
+	case strings.HasPrefix(low, "copy"):
+		c.copy(low, simple)
+	case strings.HasPrefix(low, "execute "):
+		text, had := c.sqlPrepared[strings.TrimSpace(low[len("execute "):])]
+		if !had {
+			c.fail(pg.NoStatement, "prepared statement does not exist")
+			return
+		}
+		c.runQuery(text, pg.ParseCommand(text), nil, simple)
+	case strings.HasPrefix(low, "create"), strings.HasPrefix(low, "listen"), strings.HasPrefix(low, "set constraints"):
+		c.writeTag(strings.ToUpper(strings.Fields(low)[0]))
+	default:
+		c.runFunction(flat, low, args, simple)
+	}
+}
+
+// showVitals answers a health check: the position in seconds, and whether the server is the primary.
+func (c *connection) showVitals(simple bool) {
+	at, role := c.server.applied(), 0
+	if c.server.isPrimary() {
+		role = 1
+		at = millis()
+	}
+	c.writeRow(simple, "vitals", fmt.Sprintf("x0=%.6f,x1=%d", at/1000, role))
+	c.writeTag("SHOW")
+}
+
+// runFunction runs a SELECT of a function.
+func (c *connection) runFunction(flat, low string, args []string, simple bool) {
+	switch {
+	case strings.HasPrefix(low, "select current_setting("):
+		c.writeRow(simple, "current_setting", c.settings[strings.ToLower(c.argument(flat, "current_setting(", args))])
+		c.writeTag("SELECT 1")
+	case strings.HasPrefix(low, "select pg_sleep("):
+		seconds, _ := strconv.ParseFloat(c.argument(flat, "pg_sleep(", args), 64)
+		if c.work(time.Duration(seconds * float64(time.Second))) {
+			c.writeRow(simple, "pg_sleep", "")
+			c.writeTag("SELECT 1")
+		}
+	case strings.HasPrefix(low, "select pg_backend_pid()"):
+		c.writeRow(simple, "pg_backend_pid", strconv.Itoa(c.id))
+		c.writeTag("SELECT 1")
+	case low == "select 1":
+		c.writeRow(simple, "?column?", "1")
+		c.writeTag("SELECT 1")
+	case strings.HasPrefix(low, "select long("):
+		n, _ := strconv.Atoi(c.argument(flat, "long(", args))
+		if simple {
+			c.out = describe(c.out, []string{"long"})
+		}
+		for range n {
+			c.writeRow(false, "", strings.Repeat("x", longRow))
+		}
+		c.writeTag("SELECT " + strconv.Itoa(n))
+	default:
+		c.fail("42601", "syntax error at or near \""+strings.Fields(low + " ?")[0]+"\"")
+	}
+}
+
+func (c *connection) insert(flat, low string, args []string, simple bool) {
+	if !c.server.isPrimary() {
+		c.writePosition(c.server.applied())
+		c.fail(pg.NoPrimary, "cannot execute INSERT in a read-only transaction")
+		return
+	}
+	if c.readOnly {
+		c.fail(pg.NoPrimary, "cannot execute INSERT in a read-only transaction")
+		return
+	}
+	_, afterValues, _ := strings.Cut(low, "values")
+	from := len(flat) - len(afterValues)
+	first, second := twoValues(strings.TrimLeft(flat[from:], " ("))
+	handle, blob := literal(first, args), literal(second, args)
+	c.writes = append(c.writes, [2]string{handle, blob})
+	if strings.Contains(low, "returning") {
+		c.writeRow(simple, "blob", blob)
+	}
+	c.writeTag("INSERT 0 1")
+}
+
+func (c *connection) selectRow(handle string, simple bool) {
+	at := c.server.applied()
+	c.writePosition(at)
+	value, found := c.server.Cluster.read(handle, at)
+	for _, write := range c.writes {
+		if write[0] == handle {
+			value, found = write[1], true
+		}
+	}
+	if simple {
+		c.out = describe(c.out, []string{"blob"})
+	}
+	if found {
+		c.writeRow(false, "", value)
+		c.writeTag("SELECT 1")
+	} else {
+		c.writeTag("SELECT 0")
+	}
+}
+
+// twoValues splits the two values of an INSERT.
+func twoValues(s string) (a, b string) {
+	quoted := false
+	for n := 0; n < len(s); n++ {
+		if s[n] == '\'' {
+			quoted = !quoted
+		} else if s[n] == ',' && !quoted {
+			return s[:n], strings.TrimSpace(s[n+1:])
+		}
+	}
+	return s, ""
+}
--- a/internal/fakes/pgserver/shared.go
+++ b/internal/fakes/pgserver/shared.go
@@ -13,24 +13,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// sharedCluster is a cluster whose members are processes: one log in a folder, a file for each member's part. Nothing but the members'
-// own parts says who takes writes, so that two may, as in a real cluster that went wrong; the log tells who wrote what.
+// sharedCluster is a cluster whose members are processes: a log in a directory, and a file for each member's role. Only the members'
+// own files say who accepts writes, so that two members may, as in a real cluster that has split; the log shows which member wrote what.
 type sharedCluster struct {
 	dir, name string
 	lock      *os.File
-	logRead   int64 // bytes of the log that are known
+	logRead   int64 // bytes of the log that were read
 }
 
-// LogEntry is one of the log's: a commit, or a change of a member's part.
+// LogEntry is one line of the log: a commit, or a change of a member's role.
 type LogEntry struct {
-	At     float64     `json:"at"`
+	At     float64     `json:"at"` // Unix ms
 	By     string      `json:"by"`
 	Writes [][2]string `json:"writes,omitempty"`
-	Part   string      `json:"part,omitempty"` // takes, yields
+	Part   string      `json:"part,omitempty"` // takes: the member accepts writes now; yields: it no longer does
 	Fence  uint64      `json:"fence,omitempty"`
 }
 
-// OpenShared opens one member's end of a cluster of processes. The folder holds the cluster; it is made if it isn't there.
+// OpenShared opens one member's end of a cluster of processes. It creates the cluster's directory if there is none.
 func OpenShared(dir, name string) (*Cluster, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -46,22 +46,22 @@
 
 func (s *sharedCluster) path(what string) string { return filepath.Join(s.dir, what) }
 
-// exclusively does something while no other member does.
+// exclusively calls f while no other member is in such a call.
 func (s *sharedCluster) exclusively(f func() error) error {
 	if err := unix.Flock(int(s.lock.Fd()), unix.LOCK_EX); err != nil {
 		return err
 	}
-	defer unix.Flock(int(s.lock.Fd()), unix.LOCK_UN)
+	defer func() { _ = unix.Flock(int(s.lock.Fd()), unix.LOCK_UN) }() // unlocking a file that is open does not fail
 	return f()
 }
 
-// catchUp reads what others have logged; the cluster's lock is held.
+// catchUp reads what others have logged. The cluster's lock must be held.
 func (c *Cluster) catchUp() {
 	f, err := os.Open(c.shared.path("log"))
 	if err != nil {
 		return
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	size, err := f.Seek(0, 2)
 	if err != nil || size <= c.shared.logRead {
 		return
@@ -70,7 +70,7 @@
 	if _, err := f.ReadAt(b, c.shared.logRead); err != nil {
 		return
 	}
-	end := bytes.LastIndexByte(b, '\n') + 1 // one that was killed may have left half a line
+	end := bytes.LastIndexByte(b, '\n') + 1 // a member that was killed may have left half a line
 	c.shared.logRead += int64(end)
 	for _, text := range bytes.Split(b[:end], []byte("\n")) {
 		var l LogEntry
@@ -84,13 +84,13 @@
 	}
 }
 
-// appendLog appends a line; who does is alone. What a killed member left half written is cut off first.
+// appendLog appends a line; the caller must be in a call of exclusively. It cuts off what a killed member left half written.
 func (c *Cluster) appendLog(l LogEntry) error {
 	f, err := os.OpenFile(c.shared.path("log"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // the error of the write counts
 	if err := f.Truncate(c.shared.logRead); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	return string(b) == "primary"
 }
 
-// guardRow gives the member's guard row; false: there is none.
+// guardRow returns the member's guard row; false if it has none.
 func (s *sharedCluster) guardRow() (uint64, bool) {
 	b, err := os.ReadFile(s.path("guard-" + s.name))
 	if err != nil {
@@ -117,7 +117,7 @@
 	return n, err == nil
 }
 
-// Initialize gives a member its part and its guard row, where it has none yet.
+// Initialize gives a member its role and its guard row, if it has none yet.
 func (c *Cluster) Initialize(primary, guarded bool) error {
 	return c.shared.exclusively(func() error {
 		if _, err := os.Stat(c.shared.path("part-" + c.shared.name)); err == nil {
@@ -132,26 +132,33 @@
 	})
 }
 
-// setRole changes whether this member takes writes, and logs it.
+// setRole changes whether this member accepts writes, and logs it.
 func (c *Cluster) setRole(primary bool, fence uint64) error {
 	c.catchUp()
 	part, does := "replica", "yields"
 	if primary {
 		part, does = "primary", "takes"
 	}
-	c.last = max(millis(), c.last+0.001)
+	c.last = max(millis(), c.last+minPositionStep)
 	if err := c.appendLog(LogEntry{At: c.last, By: c.shared.name, Part: does, Fence: fence}); err != nil {
 		return err
 	}
 	return os.WriteFile(c.shared.path("part-"+c.shared.name), []byte(part), 0o600)
 }
 
-// errNoPrimary is of a commit at a member that takes no writes any more.
+// SetPrimary changes whether this member accepts writes, as an administrator of the cluster does.
+func (c *Cluster) SetPrimary(primary bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.shared.exclusively(func() error { return c.setRole(primary, 0) })
+}
+
+// errNoPrimary is the error of a commit at a member that accepts no writes any more.
 var errNoPrimary = errors.New("cannot commit in a member that takes no writes")
 
-// stagedChange is what a transaction has staged beside its rows.
+// stagedChange is what a transaction commits besides its rows.
 type stagedChange struct {
-	guard    uint64 // to be the guard row's
+	guard    uint64 // the new value of the guard row
 	guardSet bool
 	step     string // yield, take
 }
@@ -179,7 +186,7 @@
 		if len(writes) == 0 {
 			return nil
 		}
-		c.last = max(millis(), c.last+0.001)
+		c.last = max(millis(), c.last+minPositionStep)
 		at = c.last
 		if err := c.appendLog(LogEntry{At: at, By: c.shared.name, Writes: writes}); err != nil {
 			return err
@@ -207,7 +214,7 @@
 	return all, nil
 }
 
-// runSwitchoverQuery answers the statements of a planned change; false: it is none of them.
+// runSwitchoverQuery answers the statements of a planned switchover; false: it is none of them.
 func (c *connection) runSwitchoverQuery(flat string, args []string, simple bool) bool {
 	low := strings.ToLower(flat)
 	s := c.server.Cluster.shared
@@ -248,10 +255,3 @@
 	}
 	return true
 }
-
-// SetPrimary has this member take writes, or not, by the word of who manages the cluster.
-func (c *Cluster) SetPrimary(primary bool) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.shared.exclusively(func() error { return c.setRole(primary, 0) })
-}
--- /dev/null
+++ b/internal/fakes/pgserver/transaction.go
@@ -0,0 +1,225 @@
+package pgserver
+
+import (
+	"maps"
+	"strings"
+
+	"wayloft/internal/pg"
+)
+
+// localPrefix marks a setting that SET LOCAL has changed. Its value is empty, or "=" and what a SET in the transaction had made it.
+const localPrefix = "local:"
+
+// runCommand runs a command that changes the session.
+func (c *connection) runCommand(command pg.Command) {
+	switch command.Act {
+	case pg.Begin:
+		c.begin(command)
+	case pg.Access:
+		c.readOnly = command.ReadOnly
+		c.writeTag("SET")
+	case pg.Commit, pg.RollBack:
+		c.endTransaction(command.Act == pg.RollBack || c.status == failedStatus)
+	case pg.Savepoint:
+		c.savepoints = append(c.savepoints, savepoint{command.Name, maps.Clone(c.settings), len(c.writes)})
+		c.writeTag("SAVEPOINT")
+	case pg.BackTo, pg.Release:
+		c.endSavepoint(command)
+	case pg.Set:
+		c.set(command)
+	case pg.Unset:
+		if value, set := c.startup[command.Name]; set {
+			c.settings[command.Name] = value
+		} else {
+			delete(c.settings, command.Name)
+		}
+		c.writeTag("RESET")
+	case pg.UnsetAll:
+		c.settings = maps.Clone(c.startup)
+		c.writeTag("RESET")
+	case pg.DiscardAll:
+		if c.status != idleStatus {
+			c.fail("25001", "DISCARD ALL cannot run inside a transaction block")
+			return
+		}
+		c.settings = maps.Clone(c.startup)
+		clear(c.prepared)
+		clear(c.sqlPrepared)
+		c.writeTag("DISCARD ALL")
+	case pg.Unprepare:
+		c.deallocate(command.Name)
+	}
+}
+
+// addInTransaction counts connections with an open transaction.
+func (c *connection) addInTransaction(n int) {
+	c.server.mu.Lock()
+	c.server.inTransaction += n
+	c.server.mu.Unlock()
+}
+
+func (c *connection) begin(command pg.Command) {
+	if c.status == idleStatus {
+		c.status, c.implicit, c.readOnly = transactionStatus, false, command.ReadOnly
+		c.savepoints, c.writes = []savepoint{{settings: maps.Clone(c.settings)}}, nil
+		c.addInTransaction(1)
+	}
+	c.writeTag("BEGIN")
+}
+
+// endTransaction commits the transaction or rolls it back.
+func (c *connection) endTransaction(rollBack bool) {
+	if c.status == idleStatus {
+		c.endImplicit(rollBack)
+		return
+	}
+	if c.status, c.readOnly = idleStatus, false; rollBack {
+		c.staged = stagedChange{}
+		c.rollBackTo(0)
+		c.writeTag("ROLLBACK")
+	} else {
+		c.endLocalSettings()
+		if c.commitWrites() {
+			c.writeTag("COMMIT")
+		}
+	}
+	c.savepoints, c.writes = nil, nil
+	c.addInTransaction(-1)
+}
+
+// endImplicit ends the implicit transaction of a simple query that has a COMMIT or ROLLBACK outside of a transaction block.
+func (c *connection) endImplicit(rollBack bool) {
+	if rollBack {
+		c.rollBackTo(0)
+	} else if !c.commitWrites() {
+		rollBack = true
+	}
+	c.writes, c.savepoints = nil, []savepoint{{settings: maps.Clone(c.settings)}}
+	c.writeTag(map[bool]string{true: "ROLLBACK", false: "COMMIT"}[rollBack])
+}
+
+// endLocalSettings restores the settings that SET LOCAL has changed.
+func (c *connection) endLocalSettings() {
+	for key := range c.settings {
+		name, local := strings.CutPrefix(key, localPrefix)
+		if !local {
+			continue
+		}
+		if before, had := c.savepoints[0].settings[name]; c.settings[key] != "" {
+			c.settings[name] = c.settings[key][1:]
+		} else if had {
+			c.settings[name] = before
+		} else {
+			delete(c.settings, name)
+		}
+		delete(c.settings, key)
+	}
+}
+
+// endSavepoint rolls back to a savepoint or releases it.
+func (c *connection) endSavepoint(command pg.Command) {
+	for n := len(c.savepoints) - 1; n > 0; n-- {
+		if c.savepoints[n].name != command.Name {
+			continue
+		}
+		if command.Act == pg.BackTo {
+			c.rollBackTo(n)
+			c.savepoints = c.savepoints[:n+1]
+			c.status = transactionStatus
+			c.writeTag("ROLLBACK")
+		} else {
+			c.savepoints = c.savepoints[:n]
+			c.writeTag("RELEASE")
+		}
+		return
+	}
+	c.fail("3B001", "savepoint does not exist")
+}
+
+func (c *connection) set(command pg.Command) {
+	for _, pair := range command.Pairs {
+		name, text := pair[0], pair[1]
+		if strings.HasPrefix(name, "no_such") {
+			c.fail("42704", "unrecognized configuration parameter")
+			return
+		}
+		value := pg.Plainly(text)
+		if text == "" {
+			value = c.startup[name]
+		}
+		if command.Local && c.status != transactionStatus {
+			continue
+		}
+		if key := localPrefix + name; command.Local {
+			c.noteLocal(key, name)
+		} else {
+			delete(c.settings, key)
+		}
+		if value == "" && text == "" {
+			delete(c.settings, name)
+		} else {
+			c.settings[name] = value
+		}
+	}
+	c.writeTag("SET")
+}
+
+// noteLocal remembers what a setting is to be after the transaction, before the first SET LOCAL changes it.
+func (c *connection) noteLocal(key, name string) {
+	if _, noted := c.settings[key]; noted {
+		return
+	}
+	c.settings[key] = ""
+	if value, set := c.settings[name]; set && value != c.savepoints[0].settings[name] {
+		c.settings[key] = "=" + value
+	}
+}
+
+func (c *connection) deallocate(name string) {
+	if name == "" {
+		clear(c.prepared)
+		clear(c.sqlPrepared)
+		c.writeTag("DEALLOCATE ALL")
+	} else if _, had := c.sqlPrepared[name]; had {
+		delete(c.sqlPrepared, name)
+		c.writeTag("DEALLOCATE")
+	} else {
+		c.fail(pg.NoStatement, "prepared statement does not exist")
+	}
+}
+
+// commitWrites commits what the transaction has written. If it can't, the answers of an implicit transaction are taken back, and an
+// error takes their place.
+func (c *connection) commitWrites() bool {
+	ch := c.staged
+	c.staged = stagedChange{}
+	if c.server.Cluster.shared == nil {
+		if len(c.writes) > 0 {
+			c.writePosition(c.server.Cluster.commit(c.writes))
+		}
+		return true
+	}
+	if len(c.writes) == 0 && ch == (stagedChange{}) {
+		return true
+	}
+	at, err := c.server.Cluster.apply(c.writes, ch)
+	if err != nil {
+		if c.implicit {
+			c.out = c.out[:min(c.implicitStart, len(c.out))]
+		}
+		c.fail(pg.NoPrimary, err.Error())
+		return false
+	}
+	if at > 0 {
+		c.writePosition(at)
+	}
+	return true
+}
+
+// rollBackTo undoes what was done since a savepoint.
+func (c *connection) rollBackTo(n int) {
+	if n < len(c.savepoints) {
+		c.settings = maps.Clone(c.savepoints[n].settings)
+		c.writes = c.writes[:c.savepoints[n].writes]
+	}
+}
--- a/internal/fakes/scenario/scenario.go
+++ b/internal/fakes/scenario/scenario.go
@@ -1,5 +1,4 @@
-// Package scenario plays text files against a decision module: one step a line, # starts a comment. It owns the reading
-// of the files; it must never know what a step means.
+// Package scenario runs text files against a decision module: one step a line, # starts a comment. It knows nothing of what a step means.
 package scenario
 
 import (
@@ -9,8 +8,10 @@
 	"testing"
 )
 
-// Play runs each file of testdata with a player of its own, whose error names the line.
+// Play runs each file testdata/*.txt as a subtest, with a step function of its own that begin returns. An error fails the subtest and
+// names the line.
 func Play(t *testing.T, begin func() (step func(line string) error)) {
+	t.Helper()
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no scenarios: %v", err)
