--- /dev/null
+++ b/internal/backend/response.go
@@ -0,0 +1,169 @@
+package backend
+
+import (
+	"wayloft/internal/decide/connpool"
+	"wayloft/internal/pg"
+	"wayloft/router"
+)
+
+// responseStage is how far a response has come.
+type responseStage int
+
+const (
+	stageNone responseStage = iota
+	stageColumns
+	stageRow
+	stageComplete // all but the readiness after it has come
+	stageReady    // the connection is ready for the next query
+)
+
+// maxUnsolicitedFactor times Limits.MaxResponse is how many bytes may come on a connection since its last job began.
+const maxUnsolicitedFactor = 2
+
+// errorOutcomes are the error codes that say that the statement did not run.
+var errorOutcomes = map[string]router.Outcome{
+	pg.NoPrimary: router.Misrouted,
+	pg.TooOld:    router.Misrouted,
+	pg.Refused:   router.Overloaded,
+	pg.NotNow:    router.Overloaded,
+}
+
+// errorOutcome returns the outcome that an error code stands for. After a code that the protocol doesn't name, the statement may have run.
+func errorOutcome(code string) router.Outcome {
+	if outcome, known := errorOutcomes[code]; known {
+		return outcome
+	}
+	return router.ServerError
+}
+
+// Data implements eventloop.Handler. A response is kept until it is complete; bytes that violate the protocol end the connection.
+func (c *memberConn) Data(b []byte) {
+	if c.pool == CancelPool { // a server sends nothing in reply to a cancel request
+		c.failProtocol()
+		return
+	}
+	// Guards against an endless row of messages that are skipped one by one, on an idle connection, too.
+	if c.receivedBytes += len(b); c.streamState == nil && c.receivedBytes > maxUnsolicitedFactor*c.backend.limits.MaxResponse {
+		c.failProtocol()
+		return
+	}
+	c.reader.Feed(b)
+	for c.backend.conns[c.id] == c {
+		m, ok, err := c.reader.Next()
+		if c.countBuffered(); !ok && err == nil {
+			if c.backend.buffered > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
+				c.backend.OverBudget++ // the statement may have run, and there is no memory for the rest of its response
+				c.failProtocol()
+			}
+			return
+		}
+		if err != nil || c.streamState == nil && !c.handleMessage(m) || c.streamState != nil && !c.handleStreamMessage(&m) {
+			c.failProtocol()
+			return
+		}
+	}
+}
+
+// countBuffered updates the sum of what all connections hold of responses.
+func (c *memberConn) countBuffered() {
+	buffered := len(c.rows) + c.reader.Pending()
+	c.backend.buffered += buffered - c.buffered
+	c.buffered = buffered
+}
+
+// failProtocol ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
+// the response can be trusted. It guards against taking garbage for the loss of a member that is up.
+func (c *memberConn) failProtocol() {
+	c.backend.ProtocolErrors++
+	c.stage, c.queryError = stageNone, nil
+	if j := c.job; j != nil && !c.closeIfUnsent() {
+		c.backend.endJob(j, router.ServerError)
+	}
+	c.Closed()
+}
+
+// handleMessage takes in one message; false: it is a protocol violation.
+func (c *memberConn) handleMessage(m pg.Message) bool {
+	switch m.Kind {
+	case pg.Skip, pg.AuthOK:
+		return true
+	case pg.Parameter:
+		c.recordParameter(m.Name, m.Text)
+		return true
+	case pg.Empty:
+		if c.fence != fenceSent {
+			return false
+		}
+		c.fence = fenceAnswered
+		return true
+	case pg.Failure:
+		if !c.ready {
+			return c.loginRefused(m.Failure)
+		}
+		if c.job == nil || c.fence != fenceNone {
+			return false
+		}
+		c.queryError = m.Failure
+		return true
+	case pg.Ready:
+		if c.fence != fenceNone {
+			answered := c.fence == fenceAnswered
+			c.fence = fenceNone
+			return answered
+		}
+		return c.becomeReady() || c.finishResponse()
+	}
+	if c.job == nil || !c.ready || c.queryError != nil || c.fence != fenceNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
+		return false
+	}
+	switch {
+	case m.Kind == pg.Columns && c.stage == stageNone && m.Count == 1:
+		c.stage = stageColumns
+	case m.Kind == pg.Row && c.stage == stageColumns && m.Count == 1:
+		if c.stage = stageRow; c.job.request == nil {
+			c.value = append([]byte{}, m.Cell...)
+		}
+	case m.Kind == pg.Complete && c.stage == stageRow:
+		c.stage = stageComplete
+	default:
+		return false
+	}
+	c.rows = append(c.rows, m.Raw...)
+	return true
+}
+
+// becomeReady takes in the first readiness, after which the connection can be used.
+func (c *memberConn) becomeReady() bool {
+	if c.ready {
+		return false
+	}
+	c.ready = true
+	c.backend.poolInput().Opened(c.id)
+	c.backend.carryOutDecisions()
+	return true
+}
+
+// loginRefused takes in an error that came before the member accepted the login.
+func (c *memberConn) loginRefused(e *pg.Error) bool {
+	cause := connpool.Down
+	if e.Code == pg.Refused {
+		cause = connpool.Full
+	}
+	c.connectFailed(cause)
+	return true
+}
+
+// finishResponse takes in the readiness after a response.
+func (c *memberConn) finishResponse() bool {
+	j := c.job
+	if j == nil || c.queryError == nil && c.stage != stageComplete {
+		return false
+	}
+	outcome := router.Succeeded
+	if c.queryError != nil {
+		c.rows, outcome = nil, errorOutcome(c.queryError.Code)
+	}
+	c.stage = stageReady
+	c.backend.endJob(j, outcome)
+	return true
+}
