--- a/internal/decide/syscallerror/syscallerror.go
+++ b/internal/decide/syscallerror/syscallerror.go
@@ -12,6 +12,7 @@
 // Call is the system call that failed.
 type Call int
 
+// The calls that a router makes on its sockets.
 const (
 	Accept   Call = iota
 	Socket        // socket and the options that are set on it before connect
@@ -25,6 +26,7 @@
 // Cause tells whom a failure is about.
 type Cause int
 
+// The causes of a failure.
 const (
 	Peer          Cause = iota // the other end, or the path to it alone
 	Transient                  // nobody: the call is made again
