--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -471,7 +471,7 @@
 	if len(stands) > 0 {
 		return &fleetpb.Answer{Fence: fences[0]}, nil
 	}
-	return &fleetpb.Answer{Held: d.Result.Held, Fence: rpc.EncodeToken(d.Result.Fence), Why: d.Result.Why, Number: d.Result.Number}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Fence: rpc.EncodeToken(d.Result.Token), Why: string(d.Result.Refusal), Number: d.Result.Number}, nil
 }
 
 // Watch is the service's.
@@ -686,7 +686,7 @@
 	if d.Action == raftnode.Redirect {
 		return &fleetpb.Answer{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}, nil
 	}
-	return &fleetpb.Answer{Held: d.Result.Held, Why: d.Result.Why}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Why: string(d.Result.Refusal)}, nil
 }
 
 // Carry is the service's: what another coordinator node says, for as long as it goes on.
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -324,7 +324,7 @@
 			sessions = append(sessions, m.Bytes)
 		}
 		answer := doRecorded(ctx, t, conn, m.Bytes)
-		for answer.Why == leasestate.ReasonNoSession { // the test was slower than a session's length
+		for answer.Why == string(leasestate.RefusedNoSession) { // the test was slower than a session's length
 			for _, open := range sessions {
 				doRecorded(ctx, t, conn, open)
 			}
--- a/internal/decide/raftnode/beats_test.go
+++ b/internal/decide/raftnode/beats_test.go
@@ -178,7 +178,7 @@
 	t.Run("nobody's", func(t *testing.T) {
 		c := began(t, 1, 2000)
 		c.at(c.leader().NextDeadline())
-		if number := c.beat(7); c.done[number].Why != leasestate.ReasonNoSession {
+		if number := c.beat(7); c.done[number].Refusal != leasestate.RefusedNoSession {
 			t.Errorf("%+v", c.done[number])
 		}
 	})
--- a/internal/decide/raftnode/epoch_test.go
+++ b/internal/decide/raftnode/epoch_test.go
@@ -29,13 +29,13 @@
 // A coordinator that is begun anew after its wall clock went back comes into an epoch of the past. Receivers refuse what it grants and say
 // so; it then grants nothing until an operator has begun an epoch above the one that they saw.
 func TestEpoch_BegunAnewAfterClockWentBack(t *testing.T) {
-	scope, receiver := lease.Scope{Lease: "d", About: "d"}, lease.NewReceiver()
-	was := begin(t, 5000, 0).take().Fence
+	scope, receiver := lease.Scope{Lease: "d", Subject: "d"}, lease.NewReceiver()
+	was := begin(t, 5000, 0).take().Token
 	receiver.TokenLearned("d", was)
 	anew := begin(t, 1400, 0)
 	granted := anew.take()
-	verdict, seen := receiver.Take(scope, "s", granted.Fence)
-	if !granted.Held || granted.Fence.Epoch != 1400 || verdict != lease.Old || seen != was {
+	verdict, seen := receiver.Check(scope, "s", granted.Token)
+	if !granted.Held || granted.Token.Epoch != 1400 || verdict != lease.Stale || seen != was {
 		t.Fatalf("granted %+v, which the receiver judges %v, %v", granted, verdict, seen)
 	}
 	anew.do(leasestate.Entry{Kind: leasestate.ReportToken, Lease: "d", Token: seen})
@@ -45,7 +45,7 @@
 	d, _ := anew.n.State().Lease("d")
 	anew.do(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as coordinator recover does
 	granted = anew.take()
-	if verdict, _ := receiver.Take(scope, "s", granted.Fence); !granted.Held || verdict != lease.Taken {
+	if verdict, _ := receiver.Check(scope, "s", granted.Token); !granted.Held || verdict != lease.Accepted {
 		t.Errorf("granted %+v, which the receiver judges %v", granted, verdict)
 	}
 }
@@ -53,7 +53,7 @@
 // Whoever begins it may say which epoch has been: then it is above from the start.
 func TestEpoch_BegunAboveAnother(t *testing.T) {
 	for _, c := range []struct{ clock, above, want uint64 }{{1400, 5000, 5001}, {5000, 1400, 5000}, {5000, 5000, 5001}, {5000, 0, 5000}} {
-		if got := begin(t, c.clock, c.above).take().Fence; got != (lease.Token{Epoch: c.want, Count: 1}) {
+		if got := begin(t, c.clock, c.above).take().Token; got != (lease.Token{Epoch: c.want, Count: 1}) {
 			t.Errorf("%+v: granted under %v", c, got)
 		}
 	}
--- a/internal/decide/raftnode/raftnode.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -181,10 +181,10 @@
 
 func unpack(fleet string, snapshot *raftpb.Snapshot) (i image, reg *leasestate.State, err error) {
 	if err := cbor.Unmarshal(snapshot.GetData(), &i); err != nil {
-		return i, nil, fmt.Errorf("snapshot: %w: %w", leasestate.ErrUnsound, err)
+		return i, nil, fmt.Errorf("snapshot: %w: %w", leasestate.ErrMalformed, err)
 	}
 	if i.Format > format {
-		return i, nil, fmt.Errorf("snapshot: %w: format %d, this build knows %d", leasestate.ErrUnknown, i.Format, format)
+		return i, nil, fmt.Errorf("snapshot: %w: format %d, this build knows %d", leasestate.ErrNewerVersion, i.Format, format)
 	}
 	reg, err = leasestate.Restore(fleet, i.Register)
 	return i, reg, err
@@ -374,7 +374,7 @@
 			n.hurry = true
 		}
 	case e.Kind == leasestate.ProposePolicy && refused(e) != "":
-		n.out = append(n.out, Decision{Action: Done, Request: number, Result: leasestate.Result{Why: refused(e)}})
+		n.out = append(n.out, Decision{Action: Done, Request: number, Result: leasestate.Result{Refusal: leasestate.Refusal(refused(e))}})
 	default:
 		n.flush() // what came before it counts before it
 		n.pending[number] = true
@@ -405,7 +405,7 @@
 func (n *Node) preview(e leasestate.Entry) leasestate.Result {
 	r, err := leasestate.Restore(n.set.Fleet, n.reg.Snapshot())
 	if err != nil {
-		return leasestate.Result{Why: err.Error()}
+		return leasestate.Result{Refusal: leasestate.Refusal(err.Error())}
 	}
 	return r.Apply(r.Index()+1, e)
 }
@@ -504,7 +504,7 @@
 		}
 	}
 	if why != "" {
-		n.out = append(n.out, Decision{Action: Done, Request: number, Result: leasestate.Result{Why: why}})
+		n.out = append(n.out, Decision{Action: Done, Request: number, Result: leasestate.Result{Refusal: leasestate.Refusal(why)}})
 		return
 	}
 	n.pending[number] = true
@@ -640,7 +640,7 @@
 	if s, open := n.reg.Session(name.Session); open && s.Incarnation == name.Incarnation {
 		return leasestate.Result{Held: true}
 	}
-	return leasestate.Result{Why: leasestate.ReasonNoSession}
+	return leasestate.Result{Refusal: leasestate.RefusedNoSession}
 }
 
 func (n *Node) done(number uint64, a leasestate.Result) {
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -103,7 +103,7 @@
 	}
 	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	got := a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
-	if !got.Held || got.Fence.Epoch != 7 || got.Fence.Count != 1 {
+	if !got.Held || got.Token.Epoch != 7 || got.Token.Count != 1 {
 		t.Fatalf("%+v", got)
 	}
 	for range 300 {
@@ -119,8 +119,8 @@
 		t.Error("another state after a restart")
 	}
 	b.pass(500)
-	if again := b.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); again.Fence != got.Fence {
-		t.Errorf("a repeat gets %v, not %v", again.Fence, got.Fence)
+	if again := b.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); again.Token != got.Token {
+		t.Errorf("a repeat gets %v, not %v", again.Token, got.Token)
 	}
 	b.number++
 	b.n.Read(b.number)
@@ -176,8 +176,8 @@
 	} {
 		a.number++
 		change(a.number)
-		if a.pass(20); !strings.Contains(a.done[a.number].Why, want) {
-			t.Errorf("%q, want %q", a.done[a.number].Why, want)
+		if a.pass(20); !strings.Contains(string(a.done[a.number].Refusal), want) {
+			t.Errorf("%q, want %q", a.done[a.number].Refusal, want)
 		}
 	}
 	// Another fleet's folder, one that lacks what it said was agreed, and an entry of a later build.
@@ -202,7 +202,7 @@
 	a := one(t, Stored{})
 	a.pass(500)
 	a.do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
-	was := a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Fence
+	was := a.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Token
 	three := a.disk
 	three.Snapshot = proto.Clone(three.Snapshot).(*raftpb.Snapshot)
 	_, reg, err := DecodeSnapshot("f", three.Snapshot)
@@ -219,12 +219,12 @@
 	}
 	b := one(t, Stored{HardState: r.Store.HardState, Snapshot: r.Store.Snapshot})
 	b.pass(500)
-	if got := b.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Fence.Compare(was) <= 0 || got.Fence.Epoch != 13 {
+	if got := b.do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Token.Compare(was) <= 0 || got.Token.Epoch != 13 {
 		t.Errorf("%+v after %v", got, was)
 	}
 	b.number++
 	b.n.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
-	if b.pass(20); !strings.Contains(b.done[b.number].Why, "was of this council before") {
+	if b.pass(20); !strings.Contains(string(b.done[b.number].Refusal), "was of this council before") {
 		t.Errorf("a process that was given up came back: %+v", b.done[b.number])
 	}
 	three.Entries = append(three.Entries[:1:1], three.Entries[2:]...)
@@ -282,7 +282,7 @@
 	}
 	at := a.n.Applied()
 	got := propose(policy.Document{"txn_types.order.effect": "idempotent", "memory": "1", "over_share_value": "0.2"})
-	if got.Held || !strings.Contains(got.Why, "txn_types.order.effect: can't be changed yet") || !strings.Contains(got.Why, "memory: no field") || a.n.Applied() != at {
+	if got.Held || !strings.Contains(string(got.Refusal), "txn_types.order.effect: can't be changed yet") || !strings.Contains(string(got.Refusal), "memory: no field") || a.n.Applied() != at {
 		t.Fatal(got, a.n.Applied(), at)
 	}
 	if got = propose(policy.Document{"over_share_value": "0.2"}); !got.Held || got.Number != 1 {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -130,12 +130,12 @@
 }
 
 func EncodeUpdate(u leaseclient.Update) *fleetpb.Update {
-	out := &fleetpb.Update{Whole: u.Whole, WithoutSessions: u.WithoutSessions}
+	out := &fleetpb.Update{Whole: u.Complete, WithoutSessions: u.WithoutSessions}
 	for _, p := range u.Policies {
 		out.Policies = append(out.Policies, EncodePolicy(p.Version, p.Difference))
 	}
 	for _, s := range u.Sessions {
-		out.Sessions = append(out.Sessions, &fleetpb.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
+		out.Sessions = append(out.Sessions, &fleetpb.Session{Name: s.Name, Kind: s.Role, Address: s.Address, Incarnation: s.Incarnation,
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, d := range u.Leases {
@@ -150,14 +150,14 @@
 
 // DecodeUpdate passes over a version whose form is not sound, as if it had not been told.
 func DecodeUpdate(in *fleetpb.Update) leaseclient.Update {
-	u := leaseclient.Update{Whole: in.Whole, WithoutSessions: in.WithoutSessions}
+	u := leaseclient.Update{Complete: in.Whole, WithoutSessions: in.WithoutSessions}
 	for _, p := range in.Policies {
 		if v, x, err := DecodePolicy(p); err == nil {
 			u.Policies = append(u.Policies, leaseclient.Policy{Version: v, Difference: x})
 		}
 	}
 	for _, s := range in.Sessions {
-		u.Sessions = append(u.Sessions, leaseclient.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
+		u.Sessions = append(u.Sessions, leaseclient.Session{Name: s.Name, Role: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, d := range in.Duties {
@@ -226,5 +226,5 @@
 
 // DecodeResult reads an answer of the coordinator.
 func DecodeResult(a *fleetpb.Answer) leasestate.Result {
-	return leasestate.Result{Held: a.Held, Fence: DecodeToken(a.Fence), Why: a.Why, Number: a.Number}
+	return leasestate.Result{Held: a.Held, Token: DecodeToken(a.Fence), Refusal: leasestate.Refusal(a.Why), Number: a.Number}
 }
