--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	renewAt   = 1.0 / 3 // of a lease: two more renewals may fail before it ends
-	spread    = 1.0 / 6 // of a lease by which renewals are drawn earlier, so that a fleet's don't come together
-	retryPart = 1.0 / 8 // of a lease until an unanswered request is sent again
-	queued    = 8.0     // leases until a candidate asks again though it was told to wait: its turn may have been missed
+	renewAfterShare = 1.0 / 3 // of a lease's duration until it is renewed: two more requests may fail before it ends
+	jitterShare     = 1.0 / 6 // of it by which renewals are drawn earlier, so that those of a fleet don't come together
+	retryAfterShare = 1.0 / 8 // of it until an unanswered request is sent again
+	queuedDurations = 8.0     // lease durations until a queued candidate asks again: the notice of its turn may have been lost
 )
 
-// Settings are given once. Times are ms.
+// Settings of a holder; they don't change. Times are ms.
 type Settings struct {
 	Duration     float64 // of a lease, as the coordinator counts it
-	SafetyMargin float64 // before its end, from which the holder no longer acts: what an act takes, and the clocks' difference
-	Seed         uint64
+	SafetyMargin float64 // before the lease ends, in which the holder no longer acts: the time that an act takes, and the clocks' drift
+	Seed         uint64  // of the jitter
 }
 
-// Action tells what the host is to do.
+// Action is the kind of a decision.
 type Action int
 
+// What the driver of a holder has to do.
 const (
-	RequestLease  Action = iota // ask for the lease, or for more time, as request Number
-	ReleaseLease                // tell the coordinator that the lease is free, under Fence
-	TransferLease               // tell the coordinator to grant it to To next, under Fence
-	Stop                        // what acts under Fence must end now: nothing more may go out
-	Start                       // may act under Fence
+	RequestLease  Action = iota // send a request for the lease, or to renew it, with the number Request
+	ReleaseLease                // tell the coordinator that the lease held under Token is given back
+	TransferLease               // tell the coordinator to grant the lease held under Token to To next
+	Stop                        // end what acts under Token: nothing more may go out
+	Start                       // begin to act under Token
 )
 
-// Decision is one thing for the host to do; only the fields of its verb are set.
+// Decision is one thing that the driver has to do; only the fields of its action are set.
 type Decision struct {
 	Action  Action
 	Request uint64
@@ -40,163 +41,182 @@
 	To      string
 }
 
-// Holder is one process's part in one lease: candidate, then owner, then neither.
+// Holder is one process's part in one lease, as a candidate and as its holder. While it is valid nobody else is granted the lease, as
+// long as the clocks of holder and coordinator drift by less than the safety margin over a lease. It isn't safe for concurrent use.
 type Holder struct {
-	set    Settings
-	now    float64
-	wanted bool
-	acting bool
-	to     string  // whom it is to be passed on to
-	fence  Token   // of the lease that is held, or was last
-	until  float64 // no act from then on
-	number uint64
-	asked  map[uint64]float64 // requests without an answer yet, and when they went out
-	askAt  float64
-	chance random.Source
-	out    []Decision
-	others Token // the highest that is known to be not this process's
-	higher Token // the highest that a receiver knew: its own next one, maybe
-}
-
-// NewHolder makes one that wants nothing yet.
-func NewHolder(set Settings) *Holder {
-	return &Holder{set: set, chance: random.Source{Seed: set.Seed}, asked: map[uint64]float64{}, until: math.Inf(-1)}
-}
-
-// Advance sets the time; all that follows until the next call happens then. A holder that slept finds its lease over.
+	settings       Settings
+	now            float64
+	wanted         bool               // the process would hold the lease
+	acting         bool               // Start was decided, and no Stop since
+	token          Token              // of the latest grant
+	validUntil     float64            // end of the grant, less the safety margin
+	latestRequest  uint64             // number of the latest request
+	unanswered     map[uint64]float64 // when each request without an answer was sent, by number
+	nextRequestAt  float64
+	random         random.Source
+	decisions      []Decision // not yet pulled by Next
+	highestForeign Token      // the highest that is known to be another process's, or nobody's
+	highestSeen    Token      // the highest that a receiver named: it may be this process's own next one
+}
+
+// NewHolder returns a holder that doesn't want the lease yet.
+func NewHolder(settings Settings) *Holder {
+	return &Holder{
+		settings:   settings,
+		random:     random.Source{Seed: settings.Seed},
+		unanswered: map[uint64]float64{},
+		validUntil: math.Inf(-1),
+	}
+}
+
+// Advance sets the time of all that follows until the next call. A holder whose machine slept finds its lease over.
 func (h *Holder) Advance(now float64) {
 	h.now = math.Max(h.now, now) // a clock that goes back must not lengthen a lease
-	if h.acting && h.now >= h.until {
+	if h.acting && h.now >= h.validUntil {
 		h.stop()
 	}
-	// What is older than a lease can bring none.
-	maps.DeleteFunc(h.asked, func(_ uint64, at float64) bool { return at <= h.now-h.set.Duration })
+	// A grant counts from its request: an answer to one that is older than a lease brings no time.
+	maps.DeleteFunc(h.unanswered, func(_ uint64, sentAt float64) bool { return sentAt <= h.now-h.settings.Duration })
 }
 
-// Acquire says that this process would hold the lease.
+// Acquire says that the process would hold the lease.
 func (h *Holder) Acquire() {
 	if !h.wanted {
-		h.wanted, h.askAt = true, h.now
+		h.wanted, h.nextRequestAt = true, h.now
 	}
 }
 
-// Release ends it: what is held is given back, or passed on to the process named. No grant that is still on its way counts.
-func (h *Holder) Release(to string) {
+// Release says that the process would no longer hold the lease: what it holds is given back, or transferred to the process named.
+// Grants that are still on their way no longer count.
+func (h *Holder) Release(successor string) {
 	if !h.wanted {
 		return
 	}
-	h.wanted, h.to = false, to
-	clear(h.asked)
-	if h.acting {
-		h.stop()
-		if to != "" {
-			h.out = append(h.out, Decision{Action: TransferLease, Token: h.fence, To: to})
-		} else {
-			h.out = append(h.out, Decision{Action: ReleaseLease, Token: h.fence})
-		}
+	h.wanted = false
+	clear(h.unanswered)
+	if !h.acting {
+		return
+	}
+	h.stop()
+	if successor != "" {
+		h.decide(Decision{Action: TransferLease, Token: h.token, To: successor})
+	} else {
+		h.decide(Decision{Action: ReleaseLease, Token: h.token})
 	}
 }
 
-// Granted says that request number was answered with a grant or more time under fencing token. The time counts from when the
-// request went out: when the coordinator counted it, nobody here can know.
-func (h *Holder) Granted(number uint64, fence Token) {
-	at, known := h.asked[number]
-	if !known || !h.wanted || fence.Compare(h.fence) < 0 || fence.Compare(h.higher) < 0 ||
-		fence.Compare(h.others) <= 0 && h.others != (Token{}) {
+// Granted says that a request was answered with a grant, or with more time, under a token. The time counts from when the request was
+// sent: when the coordinator counted it, the holder can't know.
+func (h *Holder) Granted(request uint64, token Token) {
+	sentAt, pending := h.unanswered[request]
+	if !pending || !h.wanted || h.overtaken(token) {
 		return
 	}
-	delete(h.asked, number)
-	if h.acting && fence != h.fence { // it was somebody else's in between: what was begun under the old fencing token must end
+	delete(h.unanswered, request)
+	if h.acting && token != h.token { // another held the lease in between: what began under the old token must end
 		h.stop()
 	}
-	until := at + h.set.Duration - h.set.SafetyMargin
-	if fence == h.fence {
-		until = math.Max(until, h.until)
+	validUntil := sentAt + h.settings.Duration - h.settings.SafetyMargin
+	if token == h.token {
+		validUntil = math.Max(validUntil, h.validUntil)
 	}
-	h.fence, h.until = fence, until
-	h.askAt = math.Min(at+h.set.Duration*(renewAt-spread*h.chance.Next()), math.Max(until, h.now))
-	if !h.acting && h.now < h.until {
+	h.token, h.validUntil = token, validUntil
+	renewAt := sentAt + h.settings.Duration*(renewAfterShare-jitterShare*h.random.Next())
+	h.nextRequestAt = math.Min(renewAt, math.Max(validUntil, h.now))
+	if !h.acting && h.now < h.validUntil {
 		h.acting = true
-		h.out = append(h.out, Decision{Action: Start, Token: fence})
+		h.decide(Decision{Action: Start, Token: token})
 	}
 }
 
-// Denied says that somebody else holds the lease; this process is in the queue, and is told when it is its turn.
-// It asks again after many leases only: a herd of candidates must not weigh on the coordinator.
-func (h *Holder) Denied(number uint64) {
-	_, known := h.asked[number]
-	if delete(h.asked, number); known && number == h.number { // else its turn may have come since
-		if h.askAt = h.now + h.set.Duration*queued*(1-spread*h.chance.Next()); h.acting {
-			h.stop() // the coordinator has it otherwise
-		}
+// overtaken tells whether a grant under a token is known to be over.
+func (h *Holder) overtaken(token Token) bool {
+	notAboveForeign := h.highestForeign != (Token{}) && token.Compare(h.highestForeign) <= 0
+	return token.Compare(h.token) < 0 || token.Compare(h.highestSeen) < 0 || notAboveForeign
+}
+
+// Denied says that a request was answered with another's hold: the process is in the lease's queue and is notified of its turn. It asks
+// again after many leases only, since a fleet of candidates must not weigh on the coordinator.
+func (h *Holder) Denied(request uint64) {
+	_, pending := h.unanswered[request]
+	delete(h.unanswered, request)
+	if !pending || request != h.latestRequest { // its turn may have come since
+		return
+	}
+	h.nextRequestAt = h.now + h.settings.Duration*queuedDurations*(1-jitterShare*h.random.Next())
+	if h.acting { // the coordinator has another holder
+		h.stop()
 	}
 }
 
-// ActRejected says that a receiver knows a higher fencing token: this one is over, whatever the clock says. Whose the higher one is, it doesn't
-// say: a grant under it may be on its way here.
+// ActRejected says that a receiver rejected an act and named a higher token: the grant is over, whatever the clock says. Whose the higher
+// token is the receiver doesn't say: a grant under it may be on its way here.
 func (h *Holder) ActRejected(higher Token) {
-	if higher.Compare(h.fence) > 0 {
-		if higher.Compare(h.higher) > 0 {
-			h.higher = higher
-		}
-		if h.acting {
-			h.stop()
-		}
+	if higher.Compare(h.token) <= 0 {
+		return
+	}
+	if higher.Compare(h.highestSeen) > 0 {
+		h.highestSeen = higher
+	}
+	if h.acting {
+		h.stop()
 	}
 }
 
-// Lost says that the coordinator has this fencing token, or none that is higher, as somebody else's or nobody's.
-func (h *Holder) Lost(fence Token) {
-	if fence.Compare(h.fence) < 0 { // told before this process's own grant
+// Lost says that the coordinator has the lease under a token as another's, or as nobody's.
+func (h *Holder) Lost(token Token) {
+	if token.Compare(h.token) < 0 { // from before this process's own grant
 		return
 	}
-	if fence.Compare(h.others) > 0 {
-		h.others = fence
+	if token.Compare(h.highestForeign) > 0 {
+		h.highestForeign = token
 	}
 	if h.acting {
 		h.stop()
 	}
 }
 
-// RequestNow says that the coordinator has this process's turn come: it asks at once.
+// RequestNow says that a grant is to be had, since it is this process's turn: it sends a request at once.
 func (h *Holder) RequestNow() {
 	if h.wanted {
-		h.askAt = h.now
+		h.nextRequestAt = h.now
 	}
 }
 
 func (h *Holder) stop() {
-	h.acting, h.until = false, math.Min(h.until, h.now)
-	h.out = append(h.out, Decision{Action: Stop, Token: h.fence})
+	h.acting, h.validUntil = false, math.Min(h.validUntil, h.now)
+	h.decide(Decision{Action: Stop, Token: h.token})
 }
 
-// Valid tells whether an act may go out now, and the fencing token that goes with it. Ask it last, right before the act.
-func (h *Holder) Valid() (Token, bool) { return h.fence, h.acting && h.now < h.until }
+func (h *Holder) decide(decision Decision) { h.decisions = append(h.decisions, decision) }
+
+// Valid tells whether an act may go out now, and the token that goes with it. Call it right before the act.
+func (h *Holder) Valid() (Token, bool) { return h.token, h.acting && h.now < h.validUntil }
 
-// NextDeadline is when At must be called again at the latest.
+// NextDeadline returns when Advance must be called next at the latest; +Inf: not because of time.
 func (h *Holder) NextDeadline() float64 {
-	due := math.Inf(1)
+	deadline := math.Inf(1)
 	if h.acting {
-		due = h.until
+		deadline = h.validUntil
 	}
 	if h.wanted {
-		due = math.Min(due, h.askAt)
+		deadline = math.Min(deadline, h.nextRequestAt)
 	}
-	return due
+	return deadline
 }
 
-// Next gives the next decision; false: none is left.
+// Next returns the next decision, or false if none is left. All must be pulled after each input.
 func (h *Holder) Next() (Decision, bool) {
-	if len(h.out) > 0 {
-		d := h.out[0]
-		h.out = h.out[1:]
-		return d, true
-	}
-	if h.wanted && h.askAt <= h.now {
-		h.number++
-		h.asked[h.number] = h.now
-		h.askAt = h.now + h.set.Duration*retryPart*(1+h.chance.Next())
-		return Decision{Action: RequestLease, Request: h.number}, true
-	}
-	return Decision{}, false
+	if len(h.decisions) > 0 {
+		decision := h.decisions[0]
+		h.decisions = h.decisions[1:]
+		return decision, true
+	}
+	if !h.wanted || h.nextRequestAt > h.now {
+		return Decision{}, false
+	}
+	h.latestRequest++
+	h.unanswered[h.latestRequest] = h.now
+	h.nextRequestAt = h.now + h.settings.Duration*retryAfterShare*(1+h.random.Next())
+	return Decision{Action: RequestLease, Request: h.latestRequest}, true
 }
--- a/internal/decide/lease/receiver.go
+++ b/internal/decide/lease/receiver.go
@@ -2,105 +2,117 @@
 
 import "wayloft/internal/invariant"
 
-// Scope is what acts of one lease are about: one group, say. Each has a memory of its own.
+// Scope is what the acts of a lease are about, a group for example. A receiver remembers tokens by scope.
 type Scope struct{ Lease, Subject string }
 
-// Verdict is what a receiver makes of an act.
+// Verdict is a receiver's decision on an act.
 type Verdict int
 
+// Verdicts: an act is carried out only where it is Accepted.
 const (
-	Accepted   Verdict = iota
-	Stale             // a higher fencing token has been seen, which goes into the answer
-	NotLearned         // this receiver has yet to hear from the coordinator which fencing token is in force, and takes nothing
-	Conflicting          // the same fencing token from two holders: a promise is broken, and nothing more is taken under it
+	Accepted    Verdict = iota
+	Stale               // a higher token has been seen; it goes into the answer
+	NotLearned          // the coordinator has not yet said which token is in force
+	Conflicting         // the same token came from two holders: the fleet's state is broken, and nothing more is accepted under it
 )
 
-// Receiver remembers, for each scope, the highest fencing token that it has seen. It begins knowing nothing and takes no act of
-// a lease until Learned says where the lease's fencing tokens stand: what it saw before it restarted may have been higher.
+// Receiver remembers the highest fencing token that it has seen of each scope, and accepts no act under a lower one. It begins knowing
+// nothing, and accepts no act of a lease before TokenLearned: what it saw before it restarted may have been higher. It isn't safe for
+// concurrent use.
 type Receiver struct {
-	learned map[string]Token           // by lease
-	seen    map[string]map[string]seen // by lease and what the act was about
-	Rejected    int                        // acts refused for their fencing token, since the start
-	ScopesExamined  int                        // scopes gone over for what is known of a lease, since the start
+	learned map[string]Token              // the latest token known to the coordinator, by lease
+	seen    map[string]map[string]seenAct // the latest act accepted, by lease and subject
+
+	Rejected       int // acts rejected for their token since the start
+	ScopesExamined int // scopes gone over to find what is known of a lease, since the start
 }
 
-type seen struct {
-	fence  Token
-	holder string
-	broken bool
+// seenAct is what a receiver remembers of a scope.
+type seenAct struct {
+	token       Token
+	holder      string
+	conflicting bool // two holders acted under the token
 }
 
-// NewReceiver makes one that takes nothing yet.
+// NewReceiver returns a receiver that knows no token.
 func NewReceiver() *Receiver {
-	return &Receiver{learned: map[string]Token{}, seen: map[string]map[string]seen{}}
+	return &Receiver{learned: map[string]Token{}, seen: map[string]map[string]seenAct{}}
 }
 
-// TokenLearned says which fencing token the coordinator knows to be the latest granted of a lease. It never lowers what is known.
-func (r *Receiver) TokenLearned(duty string, fence Token) {
-	if known, ok := r.learned[duty]; !ok || fence.Compare(known) > 0 {
-		r.learned[duty] = fence
+// TokenLearned says which token is the latest that the coordinator has granted of a lease. It never lowers what is known.
+func (r *Receiver) TokenLearned(lease string, token Token) {
+	if known, ok := r.learned[lease]; !ok || token.Compare(known) > 0 {
+		r.learned[lease] = token
 	}
 }
 
-// Forget drops what is kept of a lease that the fleet no longer has; until it is learned again nothing of it is taken.
-func (r *Receiver) Forget(duty string) {
-	delete(r.learned, duty)
-	delete(r.seen, duty)
+// Forget drops what is known of a lease that the fleet no longer has; until it is learned again no act of it is accepted.
+func (r *Receiver) Forget(lease string) {
+	delete(r.learned, lease)
+	delete(r.seen, lease)
 }
 
-// CloseScope drops what is kept of a scope that is gone; the lease's own fencing token still holds for it.
-func (r *Receiver) CloseScope(s Scope) {
-	if was, ok := r.seen[s.Lease][s.Subject]; ok {
-		if delete(r.seen[s.Lease], s.Subject); len(r.seen[s.Lease]) == 0 {
-			delete(r.seen, s.Lease)
-		}
-		r.TokenLearned(s.Lease, was.fence)
+// CloseScope drops the memory of a scope that is gone; its token still holds for the lease's other scopes.
+func (r *Receiver) CloseScope(scope Scope) {
+	subjects := r.seen[scope.Lease]
+	last, found := subjects[scope.Subject]
+	if !found {
+		return
 	}
+	delete(subjects, scope.Subject)
+	if len(subjects) == 0 {
+		delete(r.seen, scope.Lease)
+	}
+	r.TokenLearned(scope.Lease, last.token)
 }
 
-// Check judges an act. highest is the fencing token to answer with where it is Old.
-func (r *Receiver) Check(s Scope, holder string, fence Token) (v Verdict, highest Token) {
-	least, known := r.learned[s.Lease]
-	if !known {
+// Check decides on an act of a holder under a token. It also returns the highest token known of the scope.
+func (r *Receiver) Check(scope Scope, holder string, token Token) (verdict Verdict, highest Token) {
+	highest, learned := r.learned[scope.Lease]
+	if !learned {
 		return NotLearned, Token{}
 	}
-	was := r.seen[s.Lease][s.Subject]
-	if highest = least; was.fence.Compare(least) > 0 {
-		highest = was.fence
+	last := r.seen[scope.Lease][scope.Subject]
+	if last.token.Compare(highest) > 0 {
+		highest = last.token
 	}
-	if fence.Compare(highest) < 0 {
+	if token.Compare(highest) < 0 {
 		r.Rejected++
 		return Stale, highest
 	}
-	if fence == was.fence && was.holder != "" && was.holder != holder {
+	if token == last.token && last.holder != "" && last.holder != holder {
 		invariant.Check(false, "one fence, one holder")
-		was.broken = true
+		last.conflicting = true
 	}
-	if was.broken && fence == was.fence {
-		r.see(s, was)
+	if last.conflicting && token == last.token {
+		r.remember(scope, last)
 		return Conflicting, highest
 	}
-	r.see(s, seen{fence: fence, holder: holder})
-	return Accepted, fence
+	r.remember(scope, seenAct{token: token, holder: holder})
+	return Accepted, token
 }
 
-func (r *Receiver) see(s Scope, what seen) {
-	if r.seen[s.Lease] == nil {
-		r.seen[s.Lease] = map[string]seen{}
+func (r *Receiver) remember(scope Scope, act seenAct) {
+	if r.seen[scope.Lease] == nil {
+		r.seen[scope.Lease] = map[string]seenAct{}
 	}
-	r.seen[s.Lease][s.Subject] = what
+	r.seen[scope.Lease][scope.Subject] = act
 }
 
-// Learned tells whether anything of a lease may be taken yet.
-func (r *Receiver) Learned(duty string) bool { _, known := r.learned[duty]; return known }
+// Learned tells whether acts of a lease may be accepted yet.
+func (r *Receiver) Learned(lease string) bool {
+	_, learned := r.learned[lease]
+	return learned
+}
 
-// Highest is the highest fencing token known of a lease, over all its scopes, and who acted under it, if somebody did; a coordinator that
-// knows a lower one, or another holder, must not grant it.
-func (r *Receiver) Highest(duty string) (highest Token, holder string) {
-	highest = r.learned[duty]
-	for _, was := range r.seen[duty] {
-		if r.ScopesExamined++; was.fence.Compare(highest) >= 0 {
-			highest, holder = was.fence, was.holder
+// Highest returns the highest token known of a lease, over all its scopes, and who acted under it, if somebody did. A coordinator that
+// knows only a lower one, or another holder, must not grant the lease.
+func (r *Receiver) Highest(lease string) (highest Token, holder string) {
+	highest = r.learned[lease]
+	for _, last := range r.seen[lease] {
+		r.ScopesExamined++
+		if last.token.Compare(highest) >= 0 {
+			highest, holder = last.token, last.holder
 		}
 	}
 	return highest, holder
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -2,11 +2,8 @@
 
 import (
 	"cmp"
-	"flag"
 	"fmt"
 	"slices"
-	"strings"
-	"testing"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -14,379 +11,319 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-var deep = flag.Int("deep", 7, "steps that the small world is explored for")
-
 // defects are seeded in the world, each to be found.
 type defects struct {
-	unchecked  bool    // the receiver takes whatever comes
-	forgets    bool    // a receiver that restarted takes orders without having asked
-	sameEpoch  bool    // a coordinator that lost its state begins again in the same epoch
-	epochless  bool    // a restarted receiver learns the latest grant, which a new epoch may not have
-	overstayed float64 // ms that a holder acts beyond its lease
+	acceptsAll       bool    // the receiver accepts whatever comes
+	forgets          bool    // a receiver that restarted accepts acts without having asked
+	sameEpoch        bool    // a coordinator that lost its state begins again in the same epoch
+	tellsLatestGrant bool    // a restarted receiver learns the latest grant's token, which a new epoch may not have
+	overstayMs       float64 // ms that a holder acts beyond its lease
 }
 
+// Of the world's lease, in ms.
+const (
+	duration = 3
+	margin   = 1
+	tickMs   = 2
+)
+
+const leaseName = "d"
+
+var scope = lease.Scope{Lease: leaseName, Subject: "g"}
+
+// messageKind is what a message of the world's network is.
+type messageKind string
+
+const (
+	requestMessage  messageKind = "request"  // of an owner for the lease
+	responseMessage messageKind = "response" // of the coordinator to it
+	actMessage      messageKind = "act"      // of an owner, to the receiver
+	queryMessage    messageKind = "query"    // of a receiver for the token in force, and its answer
+)
+
+type message struct {
+	kind     messageKind
+	owner    int
+	number   uint64
+	token    lease.Token
+	answered bool // granted, or the answer of a query
+}
+
+// stepKind is what may happen in the world.
+type stepKind string
+
+const (
+	stepTick    stepKind = "tick"    // time passes
+	stepSleep   stepKind = "sleep"   // an owner is stopped
+	stepWake    stepKind = "wake"    // it runs on
+	stepCheck   stepKind = "check"   // it finds that it may act
+	stepSend    stepKind = "send"    // it sends the act for which it checked
+	stepDeliver stepKind = "deliver" // a message arrives
+	stepLose    stepKind = "lose"    // a message is lost
+	stepRestart stepKind = "restart" // the receiver restarts
+	stepWipe    stepKind = "wipe"    // the coordinator's state is lost
+	stepLead    stepKind = "lead"    // the coordinator has a new leader
+)
+
+// step is one thing that happens, to an owner or to a message of the network by index.
+type step struct {
+	kind  stepKind
+	index int
+}
+
+func (s step) String() string { return fmt.Sprint(string(s.kind), " ", s.index) }
+
+// most is how often each of these may happen.
+var most = map[stepKind]int{stepTick: 3, stepSleep: 1, stepSend: 3, stepLose: 1, stepRestart: 1, stepWipe: 1, stepLead: 1}
+
 // world is two owners, a receiver and a coordinator, with a network that delays and loses, pauses, restarts and one loss of
-// the coordinator's state. Times are ms; a lease is 3 long and its margin 1.
+// the coordinator's state.
 type world struct {
 	defects
 	now      float64
 	owners   [2]*lease.Holder
 	asleep   [2]bool
-	checked  [2]lease.Token // what the owner has found that it may do, and not yet sent
-	council  *leasestate.State
+	checked  [2]lease.Token // under which the owner has found that it may act, and has not yet sent the act
+	state    *leasestate.State
 	index    uint64
 	epoch    uint64
 	receiver *lease.Receiver
 	restarts int
-	net      []message
-	done     map[string]int // how often what happens once or twice has happened
-	accepted lease.Token    // the highest, by any incarnation of the receiver
-	refused  int
+	network  []message
+	done     map[stepKind]int
+	accepted lease.Token // the highest, by any incarnation of the receiver
+	rejected int
 	wrong    string
 }
 
-type message struct {
-	kind   string // ask, answer, act, stand
-	owner  int
-	number uint64
-	fence  lease.Token
-	held   bool
-}
-
-const duty = "d"
-
-var scope = lease.Scope{Lease: duty, Subject: "g"}
-
-func begin(d defects) *world {
-	w := &world{defects: d, council: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[string]int{}}
-	w.receiver.TokenLearned(duty, w.council.LatestToken(duty))
+func newWorld(d defects) *world {
+	w := &world{defects: d, state: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[stepKind]int{}}
+	w.receiver.TokenLearned(leaseName, w.state.LatestToken(leaseName))
 	for n := range w.owners {
-		w.owners[n] = lease.NewHolder(lease.Settings{Duration: 3, SafetyMargin: 1 - d.overstayed, Seed: uint64(n)})
+		w.owners[n] = lease.NewHolder(lease.Settings{Duration: duration, SafetyMargin: margin - d.overstayMs, Seed: uint64(n)})
 		w.owners[n].Acquire()
 		w.pull(n)
 	}
 	return w
 }
 
-func (w *world) apply(e leasestate.Entry) leasestate.Result {
+func ownerName(owner int) string { return fmt.Sprint(owner) }
+
+func (w *world) apply(entry leasestate.Entry) leasestate.Result {
 	w.index++
-	return w.council.Apply(w.index, e)
+	return w.state.Apply(w.index, entry)
 }
 
-func (w *world) pull(n int) {
-	for d, more := w.owners[n].Next(); more; d, more = w.owners[n].Next() {
+func (w *world) send(m message) { w.network = append(w.network, m) }
+
+// pull carries out an owner's decisions.
+func (w *world) pull(owner int) {
+	for d, more := w.owners[owner].Next(); more; d, more = w.owners[owner].Next() {
 		switch d.Action {
 		case lease.RequestLease: // one goes in place of the one before, if that is still on its way
-			w.net = slices.DeleteFunc(w.net, func(m message) bool { return m.kind == "ask" && m.owner == n })
-			w.net = append(w.net, message{kind: "ask", owner: n, number: d.Request})
+			w.network = slices.DeleteFunc(w.network, func(m message) bool { return m.kind == requestMessage && m.owner == owner })
+			w.send(message{kind: requestMessage, owner: owner, number: d.Request})
 		case lease.Stop:
-			w.checked[n] = lease.Token{} // it ends what it was about to do, if it is awake to hear of it
+			w.checked[owner] = lease.Token{} // it ends what it was about to do, if it is awake to hear of it
 		}
 	}
 }
 
-// bounded is how often each of these may happen.
-var bounded = map[string]int{"tick": 3, "sleep": 1, "send": 3, "lose": 1, "restart": 1, "wiped": 1, "lead": 1}
-
-// once tells whether something may happen once more.
-func (w *world) once(what string) bool { return w.done[what] < bounded[what] }
+// may tells whether something may happen once more.
+func (w *world) may(kind stepKind) bool { return w.done[kind] < most[kind] }
 
-// steps names what may happen next.
-func (w *world) steps() (s []string) {
-	if w.once("tick") {
-		s = append(s, "tick")
+// steps returns what may happen next.
+func (w *world) steps() (all []step) {
+	if w.may(stepTick) {
+		all = append(all, step{kind: stepTick})
 	}
-	for n := range w.owners {
-		name := fmt.Sprint(" ", n)
-		if w.asleep[n] {
-			s = append(s, "wake"+name)
-			continue
-		}
-		if w.once("sleep") {
-			s = append(s, "sleep"+name)
-		}
-		if _, may := w.owners[n].Valid(); may && w.checked[n] == (lease.Token{}) {
-			s = append(s, "check"+name)
-		} else if w.checked[n] != (lease.Token{}) && w.once("send") {
-			s = append(s, "send"+name)
-		}
+	for owner := range w.owners {
+		all = append(all, w.ownerSteps(owner)...)
 	}
-	for n, m := range w.net {
-		if (m.kind == "answer") && w.asleep[m.owner] {
+	for n, m := range w.network {
+		if m.kind == responseMessage && w.asleep[m.owner] {
 			continue
 		}
-		s = append(s, fmt.Sprint("deliver ", n))
-		if m.kind != "act" && w.once("lose") {
-			s = append(s, fmt.Sprint("lose ", n))
+		all = append(all, step{stepDeliver, n})
+		if m.kind != actMessage && w.may(stepLose) {
+			all = append(all, step{stepLose, n})
 		}
 	}
-	for _, what := range []string{"restart", "wiped", "lead"} {
-		if w.once(what) {
-			s = append(s, what)
+	for _, kind := range []stepKind{stepRestart, stepWipe, stepLead} {
+		if w.may(kind) {
+			all = append(all, step{kind: kind})
 		}
 	}
-	return s
+	return all
 }
 
-func (w *world) step(what string) {
-	var n int
-	verb, arg, _ := strings.Cut(what, " ")
-	fmt.Sscan(arg, &n)
-	if _, most := bounded[verb]; most {
-		w.done[verb]++
+func (w *world) ownerSteps(owner int) (all []step) {
+	if w.asleep[owner] {
+		return []step{{stepWake, owner}}
 	}
-	switch verb {
-	case "tick":
-		w.now += 2
-		w.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 2})
-		for n := range w.owners {
-			if !w.asleep[n] {
-				w.owners[n].Advance(w.now)
-				w.pull(n)
-			}
-		}
-	case "sleep":
-		w.asleep[n] = true
-	case "wake": // it goes on where it stood: what it has checked may go out before it looks at its clock
-		w.asleep[n] = false
-		if w.checked[n] != (lease.Token{}) {
-			w.net = append(w.net, message{kind: "act", owner: n, fence: w.checked[n]})
-		}
-		w.owners[n].Advance(w.now)
-		w.pull(n)
-	case "check":
-		w.checked[n], _ = w.owners[n].Valid()
-		if d, _ := w.council.Lease(duty); d.Holder != fmt.Sprint(n) && w.done["wiped"] == 0 {
-			w.wrong = fmt.Sprintf("owner %d may act under %v while the council has %q at %v", n, w.checked[n], d.Holder, d.Token)
-		}
-	case "send":
-		w.net = append(w.net, message{kind: "act", owner: n, fence: w.checked[n]})
-		w.checked[n] = lease.Token{}
-	case "lose":
-		w.net = append(w.net[:n:n], w.net[n+1:]...)
-	case "restart":
-		w.receiver = lease.NewReceiver()
-		if w.restarts++; w.forgets {
-			w.receiver.TokenLearned(duty, lease.Token{})
-		} else {
-			w.net = append(w.net, message{kind: "stand", number: uint64(w.restarts)})
-		}
-	case "wiped":
-		w.council = leasestate.New("f")
-		if w.epoch++; w.sameEpoch {
-			w.epoch--
-		} else {
-			w.apply(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: w.epoch})
-		}
-	case "lead":
-		w.apply(leasestate.Entry{Kind: leasestate.BeginTerm})
-	case "deliver":
-		m := w.net[n]
-		w.net = append(w.net[:n:n], w.net[n+1:]...)
-		w.deliver(m)
+	if w.may(stepSleep) {
+		all = append(all, step{stepSleep, owner})
+	}
+	hasChecked := w.checked[owner] != lease.Token{}
+	if _, valid := w.owners[owner].Valid(); valid && !hasChecked {
+		all = append(all, step{stepCheck, owner})
+	} else if hasChecked && w.may(stepSend) {
+		all = append(all, step{stepSend, owner})
 	}
+	return all
 }
 
-func (w *world) deliver(m message) {
-	name := fmt.Sprint(m.owner)
-	switch m.kind {
-	case "ask":
-		if _, open := w.council.Session(name); !open {
-			w.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: 3})
-		}
-		a := w.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: duty})
-		w.net = append(w.net, message{kind: "answer", owner: m.owner, number: m.number, fence: a.Token, held: a.Held})
-	case "answer":
-		if m.held {
-			w.owners[m.owner].Granted(m.number, m.fence)
-		} else {
-			w.owners[m.owner].Denied(m.number)
-		}
-		w.pull(m.owner)
-	case "stand":
-		if m.held {
-			w.receiver.TokenLearned(duty, m.fence)
-			return
-		}
-		if m.held, m.fence = true, w.council.LatestToken(duty); w.epochless {
-			d, _ := w.council.Lease(duty)
-			m.fence = d.Token
-		}
-		w.net = append(w.net, m)
-	case "act":
-		verdict, highest := lease.Accepted, m.fence
-		if !w.unchecked {
-			verdict, highest = w.receiver.Check(scope, name, m.fence)
-		}
-		switch {
-		case verdict == lease.Stale:
-			w.refused++
-			w.owners[m.owner].ActRejected(highest)
-			if !w.asleep[m.owner] {
-				w.pull(m.owner)
-			}
-		case verdict == lease.Conflicting:
-			w.wrong = "one fence, one holder"
-		case verdict == lease.Accepted && m.fence.Compare(w.accepted) < 0:
-			w.wrong = fmt.Sprintf("an act under %v was taken after one under %v", m.fence, w.accepted)
-		case verdict == lease.Accepted:
-			w.accepted = m.fence
-		}
+func (w *world) step(s step) {
+	if _, bounded := most[s.kind]; bounded {
+		w.done[s.kind]++
+	}
+	switch s.kind {
+	case stepTick:
+		w.tick()
+	case stepSleep:
+		w.asleep[s.index] = true
+	case stepWake:
+		w.wake(s.index)
+	case stepCheck:
+		w.check(s.index)
+	case stepSend:
+		w.send(message{kind: actMessage, owner: s.index, token: w.checked[s.index]})
+		w.checked[s.index] = lease.Token{}
+	case stepLose:
+		w.takeMessage(s.index)
+	case stepRestart:
+		w.restartReceiver()
+	case stepWipe:
+		w.wipe()
+	case stepLead:
+		w.apply(leasestate.Entry{Kind: leasestate.BeginTerm})
+	case stepDeliver:
+		w.deliver(w.takeMessage(s.index))
 	}
 }
 
-func (w *world) key() uint64 {
-	h := xxhash.New()
-	net := slices.SortedFunc(slices.Values(w.net), func(a, b message) int {
-		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.owner, b.owner), cmp.Compare(a.number, b.number), a.fence.Compare(b.fence))
-	})
-	fmt.Fprintf(h, "%v %+v %+v %v %v %v %v %v %+v %v", w.now, *w.owners[0], *w.owners[1], w.asleep, w.checked, w.epoch, net, w.done,
-		*w.receiver, w.accepted)
-	h.Write(w.council.Snapshot())
-	return h.Sum64()
+func (w *world) takeMessage(n int) message {
+	m := w.network[n]
+	w.network = append(w.network[:n:n], w.network[n+1:]...)
+	return m
 }
 
-// explore plays every order of steps up to a depth and gives the first path to something wrong, how many states there
-// were, and in how many a late act had been refused.
-func explore(d defects, depth int) (path []string, wrong string, states, late int) {
-	// It begins where the first owner has acted, has checked that it may act again, and the other has asked in vain.
-	begin := func(d defects) *world {
-		w := begin(d)
-		w.granted()
-		w.pass("ask", 1)
-		w.pass("answer", 1)
-		return w
-	}
-	seen := map[uint64]bool{}
-	paths := [][]string{nil}
-	for range depth {
-		var next [][]string
-		for _, path := range paths {
-			w := begin(d)
-			for _, s := range path {
-				w.step(s)
-			}
-			for _, s := range w.steps() {
-				w := begin(d)
-				for _, before := range path {
-					w.step(before)
-				}
-				w.step(s)
-				to := append(path[:len(path):len(path)], s)
-				if w.wrong != "" {
-					return to, w.wrong, states, late
-				}
-				if k := w.key(); !seen[k] {
-					seen[k] = true
-					states++
-					if w.refused > 0 {
-						late++
-					}
-					next = append(next, to)
-				}
-			}
+func (w *world) tick() {
+	w.now += tickMs
+	w.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: tickMs})
+	for owner := range w.owners {
+		if !w.asleep[owner] {
+			w.owners[owner].Advance(w.now)
+			w.pull(owner)
 		}
-		paths = next
 	}
-	return nil, "", states, late
 }
 
-// Every order of messages, losses, pauses, restarts and one loss of the coordinator's state, up to a depth: no act is taken
-// under a fencing token lower than one that was taken before, and nobody may act while the coordinator has another.
-func TestSmallWorld(t *testing.T) {
-	path, wrong, states, late := explore(defects{}, *deep)
-	if wrong != "" {
-		t.Fatalf("%s\nafter %s", wrong, strings.Join(path, "; "))
+// wake has an owner go on where it stood: what it has checked may go out before it looks at its clock.
+func (w *world) wake(owner int) {
+	w.asleep[owner] = false
+	if w.checked[owner] != (lease.Token{}) {
+		w.send(message{kind: actMessage, owner: owner, token: w.checked[owner]})
 	}
-	t.Logf("%d states in %d steps, a late act refused in %d of them", states, *deep, late)
-	if states < 1000 || late == 0 {
-		t.Errorf("only %d states, %d with a late act", states, late)
+	w.owners[owner].Advance(w.now)
+	w.pull(owner)
+}
+
+func (w *world) check(owner int) {
+	w.checked[owner], _ = w.owners[owner].Valid()
+	if held, _ := w.state.Lease(leaseName); held.Holder != ownerName(owner) && w.done[stepWipe] == 0 {
+		w.wrong = fmt.Sprintf("owner %d may act under %v while the coordinator has %q at %v", owner, w.checked[owner], held.Holder, held.Token)
 	}
 }
 
-// pass delivers the latest message of a kind from or to an owner.
-func (w *world) pass(kind string, owner int) {
-	for n := len(w.net) - 1; n >= 0; n-- {
-		if w.net[n].kind == kind && w.net[n].owner == owner {
-			w.step(fmt.Sprint("deliver ", n))
-			return
-		}
+func (w *world) restartReceiver() {
+	w.receiver = lease.NewReceiver()
+	w.restarts++
+	if w.forgets {
+		w.receiver.TokenLearned(leaseName, lease.Token{})
+		return
 	}
+	w.send(message{kind: queryMessage, number: uint64(w.restarts)})
 }
 
-// granted has owner 0 granted the lease, act, and check that it may act again.
-func (w *world) granted() {
-	w.pass("ask", 0)
-	w.pass("answer", 0)
-	w.step("check 0")
-	w.step("send 0")
-	w.pass("act", 0)
-	w.step("check 0")
+func (w *world) wipe() {
+	w.state = leasestate.New("f")
+	if w.sameEpoch {
+		return
+	}
+	w.epoch++
+	w.apply(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: w.epoch})
 }
 
-// late plays the hard case: owner 0 has checked that it may act and is stopped; owner 1 is granted the lease and acts; the
-// receiver restarts; owner 0 wakes and sends.
-func late(d defects, between string) (wrong string, w *world) {
-	defer func() {
-		if p := recover(); p != nil { // must, in a debug build
-			wrong = fmt.Sprint(p)
+func (w *world) deliver(m message) {
+	switch m.kind {
+	case requestMessage:
+		w.answerRequest(m)
+	case responseMessage:
+		if m.answered {
+			w.owners[m.owner].Granted(m.number, m.token)
+		} else {
+			w.owners[m.owner].Denied(m.number)
 		}
-	}()
-	w = begin(d)
-	w.granted()
-	if d.overstayed == 0 {
-		w.step("sleep 0")
+		w.pull(m.owner)
+	case queryMessage:
+		w.answerQuery(m)
+	case actMessage:
+		w.judge(m)
 	}
-	if between == "wiped" {
-		w.step("wiped")
+}
+
+func (w *world) answerRequest(m message) {
+	name := ownerName(m.owner)
+	if _, open := w.state.Session(name); !open {
+		w.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: duration})
 	}
-	w.step("tick")
-	w.step("tick")
-	if d.overstayed > 0 {
-		w.step("check 0")
+	result := w.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: leaseName})
+	w.send(message{kind: responseMessage, owner: m.owner, number: m.number, token: result.Token, answered: result.Held})
+}
+
+// answerQuery has the coordinator answer a query, or the receiver learn from the answer.
+func (w *world) answerQuery(m message) {
+	if m.answered {
+		w.receiver.TokenLearned(leaseName, m.token)
+		return
 	}
-	w.pass("ask", 1)
-	w.pass("answer", 1)
-	w.step("check 1")
-	w.step("send 1")
-	w.pass("act", 1)
-	if between == "restart after a loss" {
-		w.step("wiped")
+	m.answered, m.token = true, w.state.LatestToken(leaseName)
+	if w.tellsLatestGrant {
+		held, _ := w.state.Lease(leaseName)
+		m.token = held.Token
 	}
-	if strings.HasPrefix(between, "restart") {
-		w.step("restart")
-		w.pass("stand", 0)
-		w.pass("stand", 0)
+	w.send(m)
+}
+
+// judge has the receiver decide on an act, and the world on the decision.
+func (w *world) judge(m message) {
+	verdict, highest := lease.Accepted, m.token
+	if !w.acceptsAll {
+		verdict, highest = w.receiver.Check(scope, ownerName(m.owner), m.token)
 	}
-	if w.asleep[0] {
-		w.step("wake 0")
+	switch {
+	case verdict == lease.Stale:
+		w.rejected++
+		w.owners[m.owner].ActRejected(highest)
+		if !w.asleep[m.owner] {
+			w.pull(m.owner)
+		}
+	case verdict == lease.Conflicting:
+		w.wrong = "one fence, one holder"
+	case verdict == lease.Accepted && m.token.Compare(w.accepted) < 0:
+		w.wrong = fmt.Sprintf("an act under %v was accepted after one under %v", m.token, w.accepted)
+	case verdict == lease.Accepted:
+		w.accepted = m.token
 	}
-	w.pass("act", 0)
-	return w.wrong, w
 }
 
-func TestPlanted(t *testing.T) {
-	for name, c := range map[string]struct {
-		d             defects
-		between, want string
-	}{
-		"no check of the fence":                {defects{unchecked: true}, "", "was taken after one under"},
-		"a receiver that forgets":              {defects{forgets: true}, "restart", "was taken after one under"},
-		"a new epoch that nobody is told of":   {defects{epochless: true}, "restart after a loss", "was taken after one under"},
-		"a lease that is counted for too long": {defects{overstayed: 4}, "", "may act under"},
-		"the epoch is not raised":              {defects{sameEpoch: true}, "wiped", "one fence, one holder"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			if got, _ := late(c.d, c.between); !strings.Contains(got, c.want) {
-				t.Errorf("not found: %q", got)
-			}
-			got, w := late(defects{}, c.between)
-			if got != "" || w.refused != 1 {
-				t.Errorf("without it: %q, %d late acts refused", got, w.refused)
-			}
-			if _, may := w.owners[0].Valid(); may {
-				t.Error("the owner that woke up goes on")
-			}
-		})
-	}
+// key tells states of the world apart.
+func (w *world) key() uint64 {
+	network := slices.SortedFunc(slices.Values(w.network), func(a, b message) int {
+		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.owner, b.owner), cmp.Compare(a.number, b.number), a.token.Compare(b.token))
+	})
+	state := fmt.Sprintf("%v %+v %+v %v %v %v %v %v %+v %v", w.now, *w.owners[0], *w.owners[1], w.asleep, w.checked, w.epoch, network,
+		w.done, *w.receiver, w.accepted)
+	return xxhash.Sum64(append([]byte(state), w.state.Snapshot()...))
 }
