--- a/internal/decide/leaseclient/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -4,114 +4,108 @@
 	"maps"
 	"slices"
 
-	"wayloft/internal/decide/lease"
 	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
 )
 
-// Session and Lease are what the coordinator's watch tells.
-type Session struct {
-	Name, Role, Address string
-	Incarnation, Policy uint64
-	Ended               bool
-}
-
-type Lease struct {
-	Name, Holder string
-	Token        lease.Token
-	Open, Ended  leasestate.Order
-	Steps        []leasestate.Step
-}
+const (
+	maxPolicyBytes = 1 << 10 // of versions and their differences in one update
+	versionBytes   = 80      // of a version with its hash, without its texts
+)
 
-// Update is one word of the watch: all there is, or what has changed.
-type Update struct {
-	Complete           bool
-	WithoutSessions bool // they were not asked for
-	Sessions        []Session
-	Leases          []Lease
-	Policies        []Policy // versions of the policy, the one in force last
+// Changes returns the update for a watcher that knows everything up to an entry of the log, and the index up to which it knows everything
+// then: what has changed, or the whole state where the changes are no longer kept or the watcher is ahead of this state. Without sessions
+// those of others are left out: a process that acts on no others needs none, and there may be hundreds.
+func Changes(state *leasestate.State, since uint64, withoutSessions bool) (Update, uint64) {
+	events, kept := state.Since(since)
+	if since == 0 || since > state.Index() || !kept {
+		return completeUpdate(state, withoutSessions), state.Index()
+	}
+	return updateOf(state, events, withoutSessions), state.Index()
 }
 
-// Policy is a version of the policy, and what led to it, where that is short enough to be told with it.
-type Policy struct {
-	Version    policy.Version
-	Difference *policy.Difference
+// completeUpdate returns the whole state.
+func completeUpdate(state *leasestate.State, withoutSessions bool) Update {
+	update := Update{Complete: true, WithoutSessions: withoutSessions, Policies: latestPolicies(state.Policy(), 1)}
+	if !withoutSessions {
+		update.Sessions = describeSessions(state, state.Sessions())
+	}
+	update.Leases = describeLeases(state, state.Leases())
+	return update
 }
 
-// inline is the most that versions and their differences take in one word of the watch, in bytes; versionSize is a version's, with
-// its hash, but without its texts.
-const (
-	inline      = 1 << 10
-	versionSize = 80
-)
-
-// Changes gives what a watcher who has heard of everything up to an entry has to hear now: what has changed, or the whole
-// state where that is no longer kept or the watcher is ahead, since this state is an older one. Without sessions, what becomes of
-// others' is left out: who gives no orders needs none of them, and hundreds of routers are told of hundreds otherwise.
-func Changes(r *leasestate.State, since uint64, without bool) (Update, uint64) {
-	events, all := r.Since(since)
-	if since == 0 || since > r.Index() || !all {
-		u := Update{Complete: true, WithoutSessions: without, Policies: policies(r.Policy(), 1)}
-		if !without {
-			for _, name := range r.Sessions() {
-				u.Sessions = append(u.Sessions, session(r, name))
-			}
-		}
-		for _, name := range r.Leases() {
-			u.Leases = append(u.Leases, duty(r, name))
-		}
-		return u, r.Index()
-	}
-	sessions, duties, versions := map[string]bool{}, map[string]bool{}, 0
-	for _, e := range events {
+// updateOf returns what has become of all that the events name.
+func updateOf(state *leasestate.State, events []leasestate.Event, withoutSessions bool) Update {
+	sessions, leases, versions := map[string]bool{}, map[string]bool{}, 0
+	for _, event := range events {
 		switch {
-		case e.Policy != 0:
+		case event.Policy != 0:
 			versions++
-		case e.Lease != "":
-			duties[e.Lease] = true
-		case !without:
-			sessions[e.Session] = true
+		case event.Lease != "":
+			leases[event.Lease] = true
+		case !withoutSessions:
+			sessions[event.Session] = true
 		}
 	}
-	u := Update{WithoutSessions: without}
-	if versions > 0 {
-		u.Policies = policies(r.Policy(), versions)
+	update := Update{
+		WithoutSessions: withoutSessions,
+		Sessions:        describeSessions(state, slices.Sorted(maps.Keys(sessions))),
+		Leases:          describeLeases(state, slices.Sorted(maps.Keys(leases))),
 	}
-	for _, name := range slices.Sorted(maps.Keys(sessions)) {
-		u.Sessions = append(u.Sessions, session(r, name))
-	}
-	for _, name := range slices.Sorted(maps.Keys(duties)) {
-		u.Leases = append(u.Leases, duty(r, name))
+	if versions > 0 {
+		update.Policies = latestPolicies(state.Policy(), versions)
 	}
-	return u, r.Index()
+	return update
 }
 
-// policies gives the latest versions, the one in force last, with as many of the differences as fit, from the latest back.
-func policies(b *policy.History, versions int) (all []Policy) {
-	if b.Version.Number == 0 {
+// latestPolicies returns the latest versions, the one in force last, with as many of the differences as fit, from the latest back.
+func latestPolicies(history *policy.History, versions int) (latest []Policy) {
+	if history.Version.Number == 0 {
 		return nil
 	}
-	left := inline
-	for n := len(b.Changes) - 1; n >= max(0, len(b.Changes)-versions); n-- {
-		c := b.Changes[n]
-		if left -= c.Difference.Size() + len(c.Version.Author) + len(c.Version.Reason) + versionSize; left < 0 {
+	room := maxPolicyBytes
+	oldest := max(0, len(history.Changes)-versions)
+	for n := len(history.Changes) - 1; n >= oldest; n-- {
+		change := history.Changes[n]
+		room -= change.Difference.Size() + len(change.Version.Author) + len(change.Version.Reason) + versionBytes
+		if room < 0 {
 			break
 		}
-		all = append(all, Policy{c.Version, &c.Difference})
+		latest = append(latest, Policy{change.Version, &change.Difference})
 	}
-	if len(all) == 0 {
-		return []Policy{{Version: b.Version}}
+	if len(latest) == 0 {
+		return []Policy{{Version: history.Version}}
 	}
-	slices.Reverse(all)
-	return all
+	slices.Reverse(latest)
+	return latest
 }
 
-func session(r *leasestate.State, name string) Session {
-	s, open := r.Session(name)
-	return Session{Name: name, Role: s.Role, Address: s.Address, Incarnation: s.Incarnation, Policy: s.Policy, Ended: !open}
+func describeSessions(state *leasestate.State, names []string) (all []Session) {
+	for _, name := range names {
+		session, open := state.Session(name)
+		all = append(all, Session{
+			Name:        name,
+			Role:        session.Role,
+			Address:     session.Address,
+			Incarnation: session.Incarnation,
+			Policy:      session.Policy,
+			Ended:       !open,
+		})
+	}
+	return all
 }
 
-func duty(r *leasestate.State, name string) Lease {
-	d, _ := r.Lease(name)
-	return Lease{Name: name, Holder: d.Holder, Token: d.Token, Open: d.Open, Ended: d.Ended, Steps: d.Steps}
+func describeLeases(state *leasestate.State, names []string) (all []Lease) {
+	for _, name := range names {
+		stored, _ := state.Lease(name)
+		all = append(all, Lease{
+			Name:   name,
+			Holder: stored.Holder,
+			Token:  stored.Token,
+			Open:   stored.Open,
+			Ended:  stored.Ended,
+			Steps:  stored.Steps,
+		})
+	}
+	return all
 }
--- /dev/null
+++ b/internal/decide/leaseclient/helpers_test.go
@@ -0,0 +1,96 @@
+package leaseclient
+
+import (
+	"testing"
+
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/policy"
+)
+
+// harness is a client and a lease state that answers it at once.
+type harness struct {
+	t      *testing.T
+	client *Client
+	state  *leasestate.State
+	index  uint64
+	now    float64
+	log    []leasestate.Kind // of the entries proposed
+}
+
+func newHarness(t *testing.T, leases ...string) *harness {
+	t.Helper()
+	return &harness{t: t, state: leasestate.New("f"), client: New(Settings{
+		Name: "p", Role: "router", Incarnation: 1, SessionTimeout: 1000, SafetyMargin: 100, Leases: leases, Seed: 1,
+	})}
+}
+
+func (h *harness) apply(entry leasestate.Entry) leasestate.Result {
+	h.index++
+	return h.state.Apply(h.index, entry)
+}
+
+func (h *harness) latestTokens(names []string) (tokens []lease.Token) {
+	for _, name := range names {
+		tokens = append(tokens, h.state.LatestToken(name))
+	}
+	return tokens
+}
+
+// runUntil lets time pass, in steps of 10 ms, with requests answered or not.
+func (h *harness) runUntil(end float64, answers bool) (starts, stops int) {
+	for ; h.now < end; h.now += 10 {
+		h.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
+		h.client.Advance(h.now)
+		for d, more := h.client.Next(); more; d, more = h.client.Next() {
+			switch d.Action {
+			case Propose:
+				if h.log = append(h.log, d.Entry.Kind); answers {
+					h.client.Answered(d.Request, h.apply(d.Entry))
+				} else {
+					h.client.Failed(d.Request)
+				}
+			case QueryTokens:
+				h.client.TokensLearned(d.Request, h.latestTokens(d.Leases))
+			case Start:
+				starts++
+			case Stop:
+				stops++
+			}
+		}
+	}
+	return starts, stops
+}
+
+func (h *harness) count(k leasestate.Kind) (n int) {
+	for _, one := range h.log {
+		if one == k {
+			n++
+		}
+	}
+	return n
+}
+
+// propose has the replicated state take a document of one field.
+func (h *harness) propose(share string) policy.Version {
+	b := h.state.Policy()
+	p := policy.Propose(b.Version, b.Document, policy.Document{"over_share_value": share}, "a", "to "+share)
+	if a := h.apply(leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p}); !a.Held {
+		h.t.Fatal(a)
+	}
+	return h.state.Policy().Version
+}
+
+// tokenQueries pulls the token queries that are due, and has all else answered.
+func (h *harness) tokenQueries() (all []Decision) {
+	h.client.Advance(h.now)
+	for d, more := h.client.Next(); more; d, more = h.client.Next() {
+		switch d.Action {
+		case Propose:
+			h.client.Answered(d.Request, h.apply(d.Entry))
+		case QueryTokens:
+			all = append(all, d)
+		}
+	}
+	return all
+}
--- a/internal/decide/leaseclient/incarnation.go
+++ b/internal/decide/leaseclient/incarnation.go
@@ -11,21 +11,21 @@
 //   - A process whose very first request meets an incarnation that no start since its own can have drawn, unless the wall clock was
 //     stepped in between, has found its predecessor, and takes a number above it, once.
 const (
-	reopenedBelow = 1 << 40 // numbers of first sessions, Unix ms of any clock after November 2004, are above
-	reopenedPart  = 4       // what a first number is divided by for the lower class: order among processes is kept, until 2109
-	apart         = 1 << 20 // numbers over which two processes that do the same at once are spread
-	startingFor   = 4.0     // session timeouts after which a process counts as started: a predecessor's session has lapsed
-	pausedFor     = 1.0     // session timeouts between two looks at the clock after which the process must have been stopped
+	reopenedBelow    = 1 << 40 // numbers of first sessions, Unix ms of any clock after November 2004, are above
+	reopenedDivisor  = 4       // what a first number is divided by for the lower class: order among processes is kept, until 2109
+	claimSpread      = 1 << 20 // numbers over which two processes that do the same at once are spread
+	startingTimeouts = 4.0     // session timeouts after which a process counts as started: a predecessor's session has lapsed
+	pausedTimeouts   = 1.0     // session timeouts between two looks at the clock after which the process must have been stopped
 )
 
 // incarnation is the number under which a process opens its sessions.
 type incarnation struct {
-	current  uint64 // of the present session, or of the next
-	highest  uint64 // of those it has used
-	starting bool   // no session yet, and no doubt that whoever has a higher number was there before
-	late     bool   // it has taken too long to count as starting; current changes when no request is on its way
-	unknown  bool   // a request to open the first session brought no answer: it may have been granted, and have ended since
-	claimed  bool   // it took a number above its predecessor's
+	current        uint64 // of the present session, or of the next
+	highest        uint64 // of those it has used
+	starting       bool   // no session yet, and whoever has a higher number was surely there before
+	late           bool   // it has taken too long to count as starting; current changes when no request is on its way
+	outcomeUnknown bool   // a request to open the first session brought no answer: it may have been granted, and have ended since
+	claimed        bool   // it took a number above its predecessor's
 }
 
 func newIncarnation(started uint64) incarnation {
@@ -62,32 +62,33 @@
 	i.current++
 }
 
-// refused takes in that a session of another number has the name; 0: the coordinator didn't say which. It reports whether a request
+// refused takes in that a session of another number has the name; 0: the coordinator did not say which. It reports whether a request
 // under a number above may follow at once: not where the other's may be that of a start in the age, in ms, of this one, by a wall clock
 // that went on meanwhile.
 func (i *incarnation) refused(other uint64, age float64, draw *random.Source) bool {
 	ahead := float64(other) > float64(i.current)+age
-	if i.starting && !i.late && ahead && !i.unknown && !i.claimed {
+	if i.starting && !i.late && ahead && !i.outcomeUnknown && !i.claimed {
 		i.claimed = true
-		i.current = other + 1 + uint64(apart*draw.Next())
+		i.current = other + 1 + uint64(claimSpread*draw.Next())
 		i.highest = i.current
 		return true
 	}
 	i.started()
 	if other != 0 && other != i.highest {
-		i.yield(other, draw)
+		i.placeBelow(other, draw)
 	}
 	return false
 }
 
-// yield places this process below one that was started later, for good: also where both have to open a session again.
-func (i *incarnation) yield(other uint64, draw *random.Source) {
+// placeBelow places this process below one that was started later, for good: also where both have to open a session again.
+func (i *incarnation) placeBelow(other uint64, draw *random.Source) {
 	if other >= reopenedBelow {
 		other = reopened(other)
 	}
-	if below := 1 + uint64(apart*draw.Next()); below < other {
-		i.current = min(i.current, other-below)
+	distance := 1 + uint64(claimSpread*draw.Next())
+	if distance < other {
+		i.current = min(i.current, other-distance)
 	}
 }
 
-func reopened(first uint64) uint64 { return first / reopenedPart }
+func reopened(first uint64) uint64 { return first / reopenedDivisor }
--- a/internal/decide/leaseclient/incarnation_test.go
+++ b/internal/decide/leaseclient/incarnation_test.go
@@ -1,7 +1,6 @@
 package leaseclient
 
 import (
-	"fmt"
 	"testing"
 
 	"wayloft/internal/decide/leasestate"
@@ -13,48 +12,49 @@
 	today = 1_796_000_000_000 // Unix ms
 )
 
-// namesakes are processes of one name, each with an agent of its own, before one state machine. Each call of tick lets 10 ms go by for
+// namesakes are processes of one name, each with a client of its own, before one state machine. Each call of tick lets 10 ms go by for
 // all; a stopped one is fed nothing.
 type namesakes struct {
 	t        *testing.T
-	r        *leasestate.State
+	state    *leasestate.State
 	index    uint64
 	now      float64
-	agents   []*Client
+	clients  []*Client
 	stopped  map[*Client]bool
 	cut      map[*Client]bool // requests bring no answer and arrive nowhere
 	silenced map[*Client]bool // requests arrive, and their answers are lost
 }
 
 func newNamesakes(t *testing.T) *namesakes {
-	return &namesakes{t: t, r: leasestate.New("f"), stopped: map[*Client]bool{}, cut: map[*Client]bool{}, silenced: map[*Client]bool{}}
+	t.Helper()
+	return &namesakes{t: t, state: leasestate.New("f"), stopped: map[*Client]bool{}, cut: map[*Client]bool{}, silenced: map[*Client]bool{}}
 }
 
 const sessionTimeout = 1000
 
-func (n *namesakes) begin(wall uint64) *Client {
+func (n *namesakes) start(wall uint64) *Client {
 	a := New(Settings{Name: "p", Role: "router", Incarnation: wall, SessionTimeout: sessionTimeout, SafetyMargin: 100, Seed: wall})
 	a.Advance(n.now)
-	n.agents = append(n.agents, a)
+	n.clients = append(n.clients, a)
 	return a
 }
 
 func (n *namesakes) apply(e leasestate.Entry) leasestate.Result {
 	n.index++
-	return n.r.Apply(n.index, e)
+	return n.state.Apply(n.index, e)
 }
 
 func (n *namesakes) tick() {
 	n.now += 10
 	n.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
-	for _, a := range n.agents {
+	for _, a := range n.clients {
 		if !n.stopped[a] {
-			n.turn(a)
+			n.carryOut(a)
 		}
 	}
 }
 
-func (n *namesakes) turn(a *Client) {
+func (n *namesakes) carryOut(a *Client) {
 	a.Advance(n.now)
 	for d, more := a.Next(); more; d, more = a.Next() {
 		switch {
@@ -69,37 +69,37 @@
 	}
 }
 
-func (n *namesakes) pass(ms float64) {
+func (n *namesakes) run(ms float64) {
 	for end := n.now + ms; n.now < end; {
 		n.tick()
 	}
 }
 
-// has tells whether the name's session is this process's.
-func (n *namesakes) has(a *Client) bool {
-	s, open := n.r.Session("p")
-	return open && s.Incarnation == a.self.current && a.HasSession()
+// hasSession tells whether the name's session is this process's.
+func (n *namesakes) hasSession(a *Client) bool {
+	s, open := n.state.Session("p")
+	return open && s.Incarnation == a.incarnation.current && a.HasSession()
 }
 
-func (n *namesakes) want(a *Client, what string) {
+func (n *namesakes) requireSessionOf(a *Client, what string) {
 	n.t.Helper()
-	if !n.has(a) {
-		s, open := n.r.Session("p")
-		n.t.Fatalf("%s: the session is %d (open: %v), not the expected process's (%d, open: %v)", what, s.Incarnation, open, a.self.current, a.HasSession())
+	if !n.hasSession(a) {
+		s, open := n.state.Session("p")
+		n.t.Fatalf("%s: the session is %d (open: %v), not the expected process's (%d, open: %v)", what, s.Incarnation, open, a.incarnation.current, a.HasSession())
 	}
 }
 
 // A process that is started after the wall clock went back takes its predecessor's name at once.
 func TestIncarnation_StartAfterClockWentBack(t *testing.T) {
 	n := newNamesakes(t)
-	first := n.begin(today)
-	n.pass(100)
-	n.want(first, "first start")
+	first := n.start(today)
+	n.run(100)
+	n.requireSessionOf(first, "first start")
 	n.stopped[first] = true // killed
 	for start := range uint64(3) {
-		next := n.begin(today - (start+1)*hour)
+		next := n.start(today - (start+1)*hour)
 		n.tick()
-		n.want(next, "start after the clock went back")
+		n.requireSessionOf(next, "start after the clock went back")
 		n.stopped[next] = true
 	}
 }
@@ -109,17 +109,17 @@
 func TestIncarnation_StoppedProcessDoesNotWinItsNameBack(t *testing.T) {
 	for _, back := range []uint64{hour, 3000} {
 		n := newNamesakes(t)
-		former := n.begin(today)
-		n.pass(100)
+		former := n.start(today)
+		n.run(100)
 		n.stopped[former] = true
-		n.pass(3 * sessionTimeout)
-		later := n.begin(today - back)
-		n.pass(100)
-		n.want(later, "later process")
+		n.run(3 * sessionTimeout)
+		later := n.start(today - back)
+		n.run(100)
+		n.requireSessionOf(later, "later process")
 		n.stopped[former] = false
 		for range 2000 {
 			n.tick()
-			n.want(later, "the former process runs again")
+			n.requireSessionOf(later, "the former process runs again")
 		}
 		if later.Reopened != 0 {
 			t.Error("the later process lost its session", later.Reopened, "times")
@@ -127,18 +127,18 @@
 	}
 }
 
-// What was stopped before its first session was opened has met nobody, and still is the former one.
+// What was stopped before its first session was opened has met no other process, and still is the former one.
 func TestIncarnation_StoppedBeforeItsFirstSession(t *testing.T) {
 	n := newNamesakes(t)
-	former := n.begin(today)
+	former := n.start(today)
 	n.stopped[former] = true
-	n.pass(1.5 * sessionTimeout)
-	later := n.begin(today - hour)
-	n.pass(100)
-	n.want(later, "later process")
+	n.run(1.5 * sessionTimeout)
+	later := n.start(today - hour)
+	n.run(100)
+	n.requireSessionOf(later, "later process")
 	n.stopped[former] = false
-	n.pass(20 * sessionTimeout)
-	n.want(later, "the former process runs again")
+	n.run(20 * sessionTimeout)
+	n.requireSessionOf(later, "the former process runs again")
 	if later.Reopened != 0 {
 		t.Error("the later process lost its session")
 	}
@@ -147,86 +147,86 @@
 // The same where the refusal of its first request is what it was stopped before.
 func TestIncarnation_StoppedBeforeItsFirstAnswer(t *testing.T) {
 	n := newNamesakes(t)
-	killed := n.begin(today + hour)
-	n.pass(100)
+	killed := n.start(today + hour)
+	n.run(100)
 	n.stopped[killed] = true
-	former := n.begin(today)
+	former := n.start(today)
 	former.Advance(n.now)
 	d, _ := former.Next()
 	refusal := n.apply(d.Entry)
 	n.stopped[former] = true
-	n.pass(1.5 * sessionTimeout)
-	later := n.begin(today - hour)
-	n.pass(100)
-	n.want(later, "later process")
+	n.run(1.5 * sessionTimeout)
+	later := n.start(today - hour)
+	n.run(100)
+	n.requireSessionOf(later, "later process")
 	n.stopped[former] = false
 	former.Advance(n.now)
 	former.Answered(d.Request, refusal)
-	n.pass(20 * sessionTimeout)
-	n.want(later, "the former process runs again")
+	n.run(20 * sessionTimeout)
+	n.requireSessionOf(later, "the former process runs again")
 }
 
 // A process that once met a later one of its name stays below it, also where both must open a session again.
-func TestIncarnation_FormerProcessYieldsForGood(t *testing.T) {
+func TestIncarnation_FormerProcessStaysBelowLaterOne(t *testing.T) {
 	n := newNamesakes(t)
-	former := n.begin(today)
-	n.pass(100)
+	former := n.start(today)
+	n.run(100)
 	n.stopped[former] = true
-	n.pass(3 * sessionTimeout)
-	later := n.begin(today - hour)
-	n.pass(100)
+	n.run(3 * sessionTimeout)
+	later := n.start(today - hour)
+	n.run(100)
 	n.stopped[former] = false
-	n.pass(10 * sessionTimeout)
-	n.want(later, "before")
+	n.run(10 * sessionTimeout)
+	n.requireSessionOf(later, "before")
 	n.cut[later] = true
-	n.pass(10 * sessionTimeout)
-	n.want(former, "the later process is cut off for long: the name is free")
+	n.run(10 * sessionTimeout)
+	n.requireSessionOf(former, "the later process is cut off for long: the name is free")
 	n.cut[later] = false
-	n.pass(10 * sessionTimeout)
-	n.want(later, "the later process is back")
+	n.run(10 * sessionTimeout)
+	n.requireSessionOf(later, "the later process is back")
 }
 
 // With a clock that goes on, the process that was started last has the name, whoever loses sessions.
 func TestIncarnation_LastStartedHasTheName(t *testing.T) {
 	n := newNamesakes(t)
-	former := n.begin(today)
-	n.pass(100)
-	later := n.begin(today + 5000)
-	n.pass(5 * sessionTimeout)
-	n.want(later, "both run")
+	former := n.start(today)
+	n.run(100)
+	later := n.start(today + 5000)
+	n.run(5 * sessionTimeout)
+	n.requireSessionOf(later, "both run")
 	n.cut[later], n.cut[former] = true, true
-	n.pass(5 * sessionTimeout)
+	n.run(5 * sessionTimeout)
 	n.cut[former] = false
-	n.pass(5 * sessionTimeout)
-	n.want(former, "the later one is cut off")
+	n.run(5 * sessionTimeout)
+	n.requireSessionOf(former, "the later one is cut off")
 	n.cut[later] = false
-	n.pass(5 * sessionTimeout)
-	n.want(later, "it is back")
+	n.run(5 * sessionTimeout)
+	n.requireSessionOf(later, "it is back")
 }
 
 // A request whose answer was lost may have been granted: who meets a higher incarnation after it can't tell whether that one was there
 // before, and waits.
 func TestIncarnation_UnknownOutcomeClaimsNothing(t *testing.T) {
 	n := newNamesakes(t)
-	former := n.begin(today - hour)
+	former := n.start(today - hour)
 	n.silenced[former] = true
 	n.tick() // granted, and it doesn't know
-	n.someSession()
-	later := n.begin(today)
+	n.requireSomeSession()
+	later := n.start(today)
 	n.tick()
-	n.want(later, "later process")
+	n.requireSessionOf(later, "later process")
 	n.silenced[former] = false
-	n.pass(20 * sessionTimeout)
-	n.want(later, "the former process asks again")
+	n.run(20 * sessionTimeout)
+	n.requireSessionOf(later, "the former process asks again")
 	if later.Reopened != 0 {
 		t.Error("the later process lost its session")
 	}
 }
 
-// someSession fails unless some session is open.
-func (n *namesakes) someSession() {
+// requireSomeSession fails unless some session is open.
+func (n *namesakes) requireSomeSession() {
 	n.t.Helper()
-	if _, open := n.r.Session("p"); !open {
+	if _, open := n.state.Session("p"); !open {
 		n.t.Fatal("no session")
 	}
 }
@@ -234,31 +234,31 @@
 // A process that comes to a coordinator which restored an older state, with its own first session in it, gets its name back.
 func TestIncarnation_OwnOlderSession(t *testing.T) {
 	n := newNamesakes(t)
-	a := n.begin(today)
-	n.pass(100)
-	older := n.r.Snapshot()
+	a := n.start(today)
+	n.run(100)
+	older := n.state.Snapshot()
 	n.cut[a] = true
-	n.pass(3 * sessionTimeout)
+	n.run(3 * sessionTimeout)
 	n.cut[a] = false
-	n.pass(3 * sessionTimeout)
-	n.want(a, "opened again")
-	below := a.self.current
+	n.run(3 * sessionTimeout)
+	n.requireSessionOf(a, "opened again")
+	below := a.incarnation.current
 	restored, err := leasestate.Restore("f", older)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.r = restored
-	n.pass(5 * sessionTimeout)
-	n.want(a, "after the restore")
-	if a.self.current-below > 10 {
-		t.Errorf("it took its own session for another's: %d after %d", a.self.current, below)
+	n.state = restored
+	n.run(5 * sessionTimeout)
+	n.requireSessionOf(a, "after the restore")
+	if a.incarnation.current-below > 10 {
+		t.Errorf("it took its own session for another's: %d after %d", a.incarnation.current, below)
 	}
 }
 
 // Who is told nothing of the incarnation that has the name, by a coordinator of an earlier build, waits for its end.
 func TestIncarnation_RefusedWithoutNumber(t *testing.T) {
 	i, draw := newIncarnation(today), random.Source{Seed: 1}
-	if i.refused(0, 10, &draw) || i.current != today/reopenedPart {
+	if i.refused(0, 10, &draw) || i.current != today/reopenedDivisor {
 		t.Errorf("%+v", i)
 	}
 }
@@ -266,15 +266,15 @@
 // Of two that are started together, the later one may ask first: it keeps the name.
 func TestIncarnation_TwoStartsTogether(t *testing.T) {
 	n := newNamesakes(t)
-	former := n.begin(today)
+	former := n.start(today)
 	n.stopped[former] = true
-	n.pass(500)
-	later := n.begin(today + 500)
+	n.run(500)
+	later := n.start(today + 500)
 	n.tick()
-	n.want(later, "later process")
+	n.requireSessionOf(later, "later process")
 	n.stopped[former] = false
-	n.pass(20 * sessionTimeout)
-	n.want(later, "the former process asks, too")
+	n.run(20 * sessionTimeout)
+	n.requireSessionOf(later, "the former process asks, too")
 	if later.Reopened != 0 {
 		t.Error("the later process lost its session")
 	}
@@ -283,7 +283,7 @@
 // A number is taken above a predecessor's once: who has the name at the second refusal came after the first request.
 func TestIncarnation_ClaimsOnce(t *testing.T) {
 	i, draw := newIncarnation(today), random.Source{Seed: 1}
-	if !i.refused(today+hour, 10, &draw) || i.current <= today+hour || i.current > today+hour+1+apart {
+	if !i.refused(today+hour, 10, &draw) || i.current <= today+hour || i.current > today+hour+1+claimSpread {
 		t.Errorf("%+v", i)
 	}
 	if i.refused(today+2*hour, 10, &draw) || i.current >= reopenedBelow {
@@ -311,20 +311,3 @@
 		t.Error("out of order")
 	}
 }
-
-// A process's clock is its own: where one machine was booted years before another, its sessions and leases are as long.
-func TestClocksOfTwoMachinesHaveNothingInCommon(t *testing.T) {
-	var log []string
-	for _, booted := range []float64{0, 1e11} {
-		s := sit(t, "d")
-		s.a.Advance(booted)
-		s.now = booted
-		starts, stops := s.to(booted+5000, true)
-		_, may := s.a.Valid("d")
-		_, ended := s.to(booted+7000, false)
-		log = append(log, fmt.Sprint(starts, stops, may, ended, s.log))
-	}
-	if log[0] != log[1] {
-		t.Errorf("%s\n%s", log[0], log[1])
-	}
-}
--- /dev/null
+++ b/internal/decide/leaseclient/leases.go
@@ -0,0 +1,154 @@
+package leaseclient
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/timerqueue"
+)
+
+const (
+	requestSpreadShare = 0.5  // of a session's timeout, over which processes come to request a lease
+	maxHolders         = 1000 // leases that one process requests
+)
+
+// holder is this process's part in one lease.
+type holder struct {
+	*lease.Holder
+	lease string
+	timer timerqueue.Timer[*holder]
+}
+
+// Acquire says that this process would hold a lease, too. It requests it from a drawn time on, so that the first process that starts
+// doesn't get all leases.
+func (c *Client) Acquire(name string) {
+	_, candidate := c.candidates[name]
+	full := len(c.holders)+len(c.candidates) >= maxHolders
+	if candidate || c.holders[name] != nil || c.shuttingDown || full {
+		return
+	}
+	c.candidates[name] = c.now + c.settings.SessionTimeout*requestSpreadShare*c.random.Next()
+}
+
+func (c *Client) startRequesting(name string) {
+	h := &holder{
+		Holder: lease.NewHolder(lease.Settings{
+			Duration:     c.settings.SessionTimeout,
+			SafetyMargin: c.settings.SafetyMargin,
+			Seed:         c.settings.Seed + uint64(len(c.holders)),
+		}),
+		lease: name,
+	}
+	h.timer.Of = h
+	h.Advance(c.now)
+	h.Acquire()
+	c.holders[name] = h
+	c.deadlines.Put(&h.timer, h.NextDeadline())
+}
+
+// Release gives a lease up, held or not.
+func (c *Client) Release(name string) {
+	delete(c.candidates, name)
+	// An answer to this holder's request must not be taken for one to the request of a later holder of the lease.
+	maps.DeleteFunc(c.pending, func(_ uint64, request pendingRequest) bool {
+		return request.kind == leasestate.AcquireLease && request.lease == name
+	})
+	if h := c.holder(name); h != nil {
+		h.Release("")
+		c.pullDecisions(h)
+		delete(c.holders, name)
+		c.deadlines.Drop(&h.timer)
+	}
+}
+
+// Transfer hands a lease that this process holds on to the session named; this process requests it no more.
+func (c *Client) Transfer(name, successor string) {
+	if h := c.holder(name); h != nil {
+		h.Release(successor)
+		c.pullDecisions(h)
+	}
+}
+
+// Valid tells whether this process may act for a lease now, and the fencing token that goes with the act. Call it right before the act.
+func (c *Client) Valid(name string) (lease.Token, bool) {
+	if h := c.holder(name); h != nil {
+		return h.Valid()
+	}
+	return lease.Token{}, false
+}
+
+// ActRejected says that a receiver rejected an act of this process and named a higher token.
+func (c *Client) ActRejected(name string, higher lease.Token) {
+	if h := c.holder(name); h != nil {
+		h.ActRejected(higher)
+		c.pullDecisions(h)
+	}
+}
+
+// holder returns the part in a lease, advanced to the present time; nil: there is none.
+func (c *Client) holder(name string) *holder {
+	h := c.holders[name]
+	if h != nil {
+		h.Advance(c.now)
+	}
+	return h
+}
+
+// advanceDueHolders advances the holders that time has something to decide. The others are advanced when they are next used.
+func (c *Client) advanceDueHolders() {
+	var due []*holder
+	for timer := c.deadlines.First(); timer != nil && timer.At() <= c.now; timer = c.deadlines.First() {
+		c.deadlines.Drop(timer)
+		due = append(due, timer.Of)
+	}
+	slices.SortFunc(due, func(a, b *holder) int { return cmp.Compare(a.lease, b.lease) })
+	for _, h := range due {
+		c.holdersAdvanced++
+		h.Advance(c.now)
+		c.pullDecisions(h)
+	}
+}
+
+// pullDecisions carries out what a holder decides, and sets its timer.
+func (c *Client) pullDecisions(h *holder) {
+	for decision, more := h.Next(); more; decision, more = h.Next() {
+		c.carryOut(h, decision)
+	}
+	c.deadlines.Put(&h.timer, h.NextDeadline())
+}
+
+func (c *Client) carryOut(h *holder, decision lease.Decision) {
+	switch decision.Action {
+	case lease.RequestLease:
+		if c.sessionOpen { // else it is requested again once there is a session
+			request := pendingRequest{kind: leasestate.AcquireLease, lease: h.lease, holderRequest: decision.Request}
+			c.proposeAs(request, c.Signed(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
+		}
+	case lease.ReleaseLease:
+		c.propose(leasestate.Entry{Kind: leasestate.ReleaseLease, Lease: h.lease, Token: decision.Token})
+	case lease.TransferLease:
+		c.propose(leasestate.Entry{Kind: leasestate.TransferLease, Lease: h.lease, Token: decision.Token, To: decision.To})
+	case lease.Start:
+		c.receiver.TokenLearned(h.lease, decision.Token) // acts of a former holder are stale here from now on
+		c.decide(Decision{Action: Start, Lease: h.lease, Token: decision.Token})
+	case lease.Stop:
+		c.decide(Decision{Action: Stop, Lease: h.lease, Token: decision.Token})
+	}
+}
+
+// leaseAnswered takes in the answer to a request for a lease.
+func (c *Client) leaseAnswered(request pendingRequest, result leasestate.Result) {
+	h := c.holder(request.lease)
+	if h == nil {
+		return
+	}
+	if result.Held {
+		h.Granted(request.holderRequest, result.Token)
+	} else {
+		h.Denied(request.holderRequest)
+	}
+	c.pullDecisions(h)
+}
--- /dev/null
+++ b/internal/decide/leaseclient/tokens_test.go
@@ -0,0 +1,138 @@
+package leaseclient
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leasestate"
+)
+
+// A receiver asks for the latest token before it accepts any act, and accepts no lower one then; a holder knows the token of its own lease.
+func TestCheck_LearnsTokenFirstAndRejectsLower(t *testing.T) {
+	h := newHarness(t, "d")
+	scope := lease.Scope{Lease: "e", Subject: "g"}
+	old := lease.Token{Epoch: 1, Count: 2}
+	if v, _ := h.client.Check(scope, "q", old); v != lease.NotLearned {
+		t.Fatal("accepted an act of a lease that it knows nothing of:", v)
+	}
+	h.runUntil(500, true)
+	if v, _ := h.client.Check(scope, "q", old); v != lease.Accepted {
+		t.Fatal(v)
+	}
+	h.client.UpdateReceived(Update{Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 5}}}})
+	if v, highest := h.client.Check(scope, "q", old); v != lease.Stale || highest.Count != 5 || h.client.RejectedActs != 1 {
+		t.Error("the watch has a higher token:", v, highest)
+	}
+	if v, _ := h.client.Check(lease.Scope{Lease: "d", Subject: "g"}, "q", lease.Token{Epoch: 1}); v != lease.Stale {
+		t.Error("its own lease's former holder:", v)
+	}
+}
+
+// A coordinator whose state regressed is told, with the holder whose act was accepted, and again while that lasts.
+func TestClient_ReportsHigherTokenAgain(t *testing.T) {
+	h := newHarness(t)
+	h.client.LearnToken("e")
+	h.runUntil(500, true)
+	h.client.Check(lease.Scope{Lease: "e", Subject: "g"}, "q", lease.Token{Epoch: 1, Count: 7})
+	h.client.UpdateReceived(Update{Complete: true, Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 2}}}})
+	h.runUntil(1000, true)
+	if d, _ := h.state.Lease("e"); d.ForeignToken.Count != 7 {
+		t.Fatalf("the coordinator knows nothing of it: %+v, %v", d, h.log)
+	}
+	if h.runUntil(9000, true); h.count(leasestate.ReportToken) < 2 || h.count(leasestate.ReportToken) > 4 {
+		t.Errorf("reported %d times in 9 s", h.count(leasestate.ReportToken))
+	}
+}
+
+// Guards against a start that asks the coordinator once a lease: what is due together goes in one query, as many as one carries; what
+// brought no answer, or a part of one, is asked for again together, later.
+func TestQueryTokens_DueLeasesShareQueries(t *testing.T) {
+	h := newHarness(t)
+	learn := func(n int) {
+		for i := range n {
+			h.client.LearnToken(fmt.Sprintf("d/%03d", i))
+		}
+	}
+	learn(328)
+	all := h.tokenQueries()
+	if len(all) != 2 || len(all[0].Leases) != 256 || len(all[1].Leases) != 72 || all[0].Leases[0] != "d/000" || all[1].Leases[71] != "d/327" {
+		t.Fatalf("%d queries for 328 leases, not 2 of 256 and 72", len(all))
+	}
+	if learn(328); len(h.tokenQueries()) != 0 {
+		t.Fatal("asked again what is being asked")
+	}
+	// The answer has the tokens of the first ten alone, and the query for those after 256 fails.
+	h.client.TokensLearned(all[0].Request, h.latestTokens(all[0].Leases)[:10])
+	h.client.Failed(all[1].Request)
+	if n := len(h.tokenQueries()); n != 0 {
+		t.Fatalf("asked again at once, %d times", n)
+	}
+	known := func() (n int) {
+		for i := range 328 {
+			if h.client.receiver.Learned(fmt.Sprintf("d/%03d", i)) {
+				n++
+			}
+		}
+		return n
+	}
+	if n := known(); n != 10 {
+		t.Fatalf("knows the tokens of %d leases, not 10", n)
+	}
+	h.now = 1000 // both are due again
+	if all = h.tokenQueries(); len(all) != 2 || len(all[0].Leases) != 256 || len(all[1].Leases) != 62 || all[0].Leases[0] != "d/010" {
+		t.Fatalf("%d queries again, not 2 of 256 and 62", len(all))
+	}
+	// An answer with more tokens than were asked for, or without any, counts as none.
+	h.client.TokensLearned(all[0].Request, make([]lease.Token, 257))
+	h.client.Answered(all[1].Request, leasestate.Result{})
+	h.client.TokensLearned(all[1].Request, h.latestTokens(all[1].Leases)) // late: it was given up
+	if n := known(); n != 10 {
+		t.Fatalf("knows the tokens of %d leases, not 10", n)
+	}
+	if h.runUntil(10000, true); known() != 328 {
+		t.Errorf("knows the tokens of %d leases in the end, not 328", known())
+	}
+}
+
+// While no answer comes, leases that were asked about together stay together, and each attempt comes later than the one before.
+func TestQueryTokens_BacksOffTogether(t *testing.T) {
+	h := newHarness(t)
+	for i := range 100 {
+		h.client.LearnToken(fmt.Sprint(i))
+	}
+	n := 0
+	for ; h.now < 60000; h.now += 10 {
+		h.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
+		for _, d := range h.tokenQueries() {
+			if n++; len(d.Leases) != 100 {
+				t.Fatalf("attempt %d is about %d leases", n, len(d.Leases))
+			}
+			h.client.Failed(d.Request)
+		}
+	}
+	if n < 25 || n > 80 {
+		t.Errorf("%d attempts in a minute", n)
+	}
+}
+
+// Each lease in a query is learned with its own token; long names go in queries of their own.
+func TestQueryTokens_AnswersInOrderAndLongNamesAlone(t *testing.T) {
+	h := newHarness(t)
+	long := strings.Repeat("b", maxQueryBytes+1)
+	for _, name := range []string{"c", long, "a", "d"} {
+		h.client.LearnToken(name)
+	}
+	all := h.tokenQueries()
+	if len(all) != 3 || !slices.Equal(all[0].Leases, []string{"a"}) || !slices.Equal(all[1].Leases, []string{long}) || !slices.Equal(all[2].Leases, []string{"c", "d"}) {
+		t.Fatalf("%d queries", len(all))
+	}
+	h.client.TokensLearned(all[2].Request, []lease.Token{{Epoch: 1, Count: 7}, {Epoch: 1, Count: 3}})
+	for name, count := range map[string]uint64{"c": 7, "d": 3} {
+		if highest, _ := h.client.receiver.Highest(name); highest.Count != count {
+			t.Errorf("%s has token %v, not %d", name, highest, count)
+		}
+	}
+}
--- a/internal/lab/fleet/simulation/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -330,7 +330,7 @@
 
 // note has the replicated state note a step, again until there is an answer.
 func (p *Proc) note(h *handing, e leasestate.Entry, tries int, done func(bool)) {
-	p.entry(p.agent.Entry(e), func(ans leasestate.Result, ok bool) {
+	p.entry(p.agent.Signed(e), func(ans leasestate.Result, ok bool) {
 		if !ok && tries < 6 {
 			p.note(h, e, tries+1, done)
 			return
