--- a/internal/decide/lease/exploration_test.go
+++ b/internal/decide/lease/exploration_test.go
@@ -10,17 +10,17 @@
 
 var deep = flag.Int("deep", 7, "steps that the small world is explored for")
 
-// deliverLatest delivers the latest message of a kind from or to an owner.
-func (w *world) deliverLatest(kind messageKind, owner int) {
+// deliverLatest delivers the latest message of a kind from or to a holder.
+func (w *world) deliverLatest(kind messageKind, holder int) {
 	for n, m := range slices.Backward(w.network) {
-		if m.kind == kind && m.owner == owner {
+		if m.kind == kind && m.holder == holder {
 			w.step(step{stepDeliver, n})
 			return
 		}
 	}
 }
 
-// grantFirst has owner 0 granted the lease, act, and check that it may act again.
+// grantFirst has holder 0 granted the lease, act, and check that it may act again.
 func (w *world) grantFirst() {
 	w.deliverLatest(requestMessage, 0)
 	w.deliverLatest(responseMessage, 0)
@@ -30,7 +30,7 @@
 	w.step(step{stepCheck, 0})
 }
 
-// contended is a world in which owner 0 has acted and checked that it may act again, and owner 1 has requested the lease in vain.
+// contended is a world in which holder 0 has acted and checked that it may act again, and holder 1 has requested the lease in vain.
 func contended(d defects) *world {
 	w := newWorld(d)
 	w.grantFirst()
@@ -109,8 +109,8 @@
 	receiverRestartedAfterLoss
 )
 
-// playLateAct plays the hard case: owner 0 has checked that it may act and is stopped; owner 1 is granted the lease and acts; the
-// receiver restarts; owner 0 wakes and sends.
+// playLateAct plays the hard case: holder 0 has checked that it may act and is stopped; holder 1 is granted the lease and acts; the
+// receiver restarts; holder 0 wakes and sends.
 func playLateAct(d defects, between interruption) (wrong string, w *world) {
 	defer func() {
 		if failure := recover(); failure != nil { // an invariant's, in a debug build
@@ -170,8 +170,8 @@
 			if wrong != "" || w.rejected != 1 {
 				t.Errorf("without it: %q, %d late acts rejected", wrong, w.rejected)
 			}
-			if _, valid := w.owners[0].Valid(); valid {
-				t.Error("the owner that woke up goes on")
+			if _, valid := w.holders[0].Valid(); valid {
+				t.Error("the holder that woke up goes on")
 			}
 		})
 	}
--- a/internal/decide/lease/token.go
+++ b/internal/decide/lease/token.go
@@ -7,7 +7,7 @@
 
 // Token is the fencing token of a grant: it orders all grants of one lease. The zero Token is older than any grant.
 type Token struct {
-	Epoch uint64 `cbor:"1,keyasint" json:"epoch"` // of the coordinator's state: it grows when that was begun anew
+	Epoch uint64 `cbor:"1,keyasint" json:"epoch"` // of the coordinator's state: it grows when that state is created again
 	Count uint64 `cbor:"2,keyasint" json:"count"` // of the grants within the epoch
 }
 
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -35,15 +35,15 @@
 type messageKind string
 
 const (
-	requestMessage  messageKind = "request"  // of an owner for the lease
+	requestMessage  messageKind = "request"  // of a holder for the lease
 	responseMessage messageKind = "response" // of the coordinator to it
-	actMessage      messageKind = "act"      // of an owner, to the receiver
+	actMessage      messageKind = "act"      // of a holder, to the receiver
 	queryMessage    messageKind = "query"    // of a receiver for the token in force, and its answer
 )
 
 type message struct {
 	kind     messageKind
-	owner    int
+	holder   int
 	number   uint64
 	token    lease.Token
 	answered bool // granted, or the answer of a query
@@ -54,7 +54,7 @@
 
 const (
 	stepTick    stepKind = "tick"    // time passes
-	stepSleep   stepKind = "sleep"   // an owner is stopped
+	stepSleep   stepKind = "sleep"   // a holder is stopped
 	stepWake    stepKind = "wake"    // it runs on
 	stepCheck   stepKind = "check"   // it finds that it may act
 	stepSend    stepKind = "send"    // it sends the act for which it checked
@@ -65,7 +65,7 @@
 	stepLead    stepKind = "lead"    // the coordinator has a new leader
 )
 
-// step is one thing that happens, to an owner or to a message of the network by index.
+// step is one thing that happens, to a holder or to a message of the network by index.
 type step struct {
 	kind  stepKind
 	index int
@@ -76,14 +76,14 @@
 // most is how often each of these may happen.
 var most = map[stepKind]int{stepTick: 3, stepSleep: 1, stepSend: 3, stepLose: 1, stepRestart: 1, stepWipe: 1, stepLead: 1}
 
-// world is two owners, a receiver and a coordinator, with a network that delays and loses, pauses, restarts and one loss of
+// world is two holders, a receiver and a coordinator, with a network that delays and loses, pauses, restarts and one loss of
 // the coordinator's state.
 type world struct {
 	defects
 	now      float64
-	owners   [2]*lease.Holder
+	holders  [2]*lease.Holder
 	asleep   [2]bool
-	checked  [2]lease.Token // under which the owner has found that it may act, and has not yet sent the act
+	checked  [2]lease.Token // under which the holder has found that it may act, and has not yet sent the act
 	state    *leasestate.State
 	index    uint64
 	epoch    uint64
@@ -99,15 +99,15 @@
 func newWorld(d defects) *world {
 	w := &world{defects: d, state: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[stepKind]int{}}
 	w.receiver.TokenLearned(leaseName, w.state.LatestToken(leaseName))
-	for n := range w.owners {
-		w.owners[n] = lease.NewHolder(lease.Settings{Duration: duration, SafetyMargin: margin - d.overstayMs, Seed: uint64(n)})
-		w.owners[n].Acquire()
+	for n := range w.holders {
+		w.holders[n] = lease.NewHolder(lease.Settings{Duration: duration, SafetyMargin: margin - d.overstayMs, Seed: uint64(n)})
+		w.holders[n].Acquire()
 		w.pull(n)
 	}
 	return w
 }
 
-func ownerName(owner int) string { return fmt.Sprint(owner) }
+func holderName(holder int) string { return fmt.Sprint(holder) }
 
 func (w *world) apply(entry leasestate.Entry) leasestate.Result {
 	w.index++
@@ -116,15 +116,15 @@
 
 func (w *world) send(m message) { w.network = append(w.network, m) }
 
-// pull carries out an owner's decisions.
-func (w *world) pull(owner int) {
-	for d, more := w.owners[owner].Next(); more; d, more = w.owners[owner].Next() {
+// pull carries out a holder's decisions.
+func (w *world) pull(holder int) {
+	for d, more := w.holders[holder].Next(); more; d, more = w.holders[holder].Next() {
 		switch d.Action {
 		case lease.RequestLease: // one goes in place of the one before, if that is still on its way
-			w.network = slices.DeleteFunc(w.network, func(m message) bool { return m.kind == requestMessage && m.owner == owner })
-			w.send(message{kind: requestMessage, owner: owner, number: d.Request})
+			w.network = slices.DeleteFunc(w.network, func(m message) bool { return m.kind == requestMessage && m.holder == holder })
+			w.send(message{kind: requestMessage, holder: holder, number: d.Request})
 		case lease.Stop:
-			w.checked[owner] = lease.Token{} // it ends what it was about to do, if it is awake to hear of it
+			w.checked[holder] = lease.Token{} // it ends what it was about to do, if it is awake to hear of it
 		}
 	}
 }
@@ -137,11 +137,11 @@
 	if w.may(stepTick) {
 		all = append(all, step{kind: stepTick})
 	}
-	for owner := range w.owners {
-		all = append(all, w.ownerSteps(owner)...)
+	for holder := range w.holders {
+		all = append(all, w.holderSteps(holder)...)
 	}
 	for n, m := range w.network {
-		if m.kind == responseMessage && w.asleep[m.owner] {
+		if m.kind == responseMessage && w.asleep[m.holder] {
 			continue
 		}
 		all = append(all, step{stepDeliver, n})
@@ -157,18 +157,18 @@
 	return all
 }
 
-func (w *world) ownerSteps(owner int) (all []step) {
-	if w.asleep[owner] {
-		return []step{{stepWake, owner}}
+func (w *world) holderSteps(holder int) (all []step) {
+	if w.asleep[holder] {
+		return []step{{stepWake, holder}}
 	}
 	if w.may(stepSleep) {
-		all = append(all, step{stepSleep, owner})
+		all = append(all, step{stepSleep, holder})
 	}
-	hasChecked := w.checked[owner] != lease.Token{}
-	if _, valid := w.owners[owner].Valid(); valid && !hasChecked {
-		all = append(all, step{stepCheck, owner})
+	hasChecked := w.checked[holder] != lease.Token{}
+	if _, valid := w.holders[holder].Valid(); valid && !hasChecked {
+		all = append(all, step{stepCheck, holder})
 	} else if hasChecked && w.may(stepSend) {
-		all = append(all, step{stepSend, owner})
+		all = append(all, step{stepSend, holder})
 	}
 	return all
 }
@@ -187,7 +187,7 @@
 	case stepCheck:
 		w.check(s.index)
 	case stepSend:
-		w.send(message{kind: actMessage, owner: s.index, token: w.checked[s.index]})
+		w.send(message{kind: actMessage, holder: s.index, token: w.checked[s.index]})
 		w.checked[s.index] = lease.Token{}
 	case stepLose:
 		w.takeMessage(s.index)
@@ -211,28 +211,28 @@
 func (w *world) tick() {
 	w.now += tickMs
 	w.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: tickMs})
-	for owner := range w.owners {
-		if !w.asleep[owner] {
-			w.owners[owner].Advance(w.now)
-			w.pull(owner)
+	for holder := range w.holders {
+		if !w.asleep[holder] {
+			w.holders[holder].Advance(w.now)
+			w.pull(holder)
 		}
 	}
 }
 
-// wake has an owner go on where it stood: what it has checked may go out before it looks at its clock.
-func (w *world) wake(owner int) {
-	w.asleep[owner] = false
-	if w.checked[owner] != (lease.Token{}) {
-		w.send(message{kind: actMessage, owner: owner, token: w.checked[owner]})
+// wake has a holder go on where it stood: what it has checked may go out before it looks at its clock.
+func (w *world) wake(holder int) {
+	w.asleep[holder] = false
+	if w.checked[holder] != (lease.Token{}) {
+		w.send(message{kind: actMessage, holder: holder, token: w.checked[holder]})
 	}
-	w.owners[owner].Advance(w.now)
-	w.pull(owner)
+	w.holders[holder].Advance(w.now)
+	w.pull(holder)
 }
 
-func (w *world) check(owner int) {
-	w.checked[owner], _ = w.owners[owner].Valid()
-	if held, _ := w.state.Lease(leaseName); held.Holder != ownerName(owner) && w.done[stepWipe] == 0 {
-		w.wrong = fmt.Sprintf("owner %d may act under %v while the coordinator has %q at %v", owner, w.checked[owner], held.Holder, held.Token)
+func (w *world) check(holder int) {
+	w.checked[holder], _ = w.holders[holder].Valid()
+	if held, _ := w.state.Lease(leaseName); held.Holder != holderName(holder) && w.done[stepWipe] == 0 {
+		w.wrong = fmt.Sprintf("holder %d may act under %v while the coordinator has %q at %v", holder, w.checked[holder], held.Holder, held.Token)
 	}
 }
 
@@ -261,11 +261,11 @@
 		w.answerRequest(m)
 	case responseMessage:
 		if m.answered {
-			w.owners[m.owner].Granted(m.number, m.token)
+			w.holders[m.holder].Granted(m.number, m.token)
 		} else {
-			w.owners[m.owner].Denied(m.number)
+			w.holders[m.holder].Denied(m.number)
 		}
-		w.pull(m.owner)
+		w.pull(m.holder)
 	case queryMessage:
 		w.answerQuery(m)
 	case actMessage:
@@ -274,12 +274,12 @@
 }
 
 func (w *world) answerRequest(m message) {
-	name := ownerName(m.owner)
+	name := holderName(m.holder)
 	if _, open := w.state.Session(name); !open {
 		w.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: duration})
 	}
 	result := w.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: leaseName})
-	w.send(message{kind: responseMessage, owner: m.owner, number: m.number, token: result.Token, answered: result.Held})
+	w.send(message{kind: responseMessage, holder: m.holder, number: m.number, token: result.Token, answered: result.Held})
 }
 
 // answerQuery has the coordinator answer a query, or the receiver learn from the answer.
@@ -300,14 +300,14 @@
 func (w *world) judge(m message) {
 	verdict, highest := lease.Accepted, m.token
 	if !w.acceptsAll {
-		verdict, highest = w.receiver.Check(scope, ownerName(m.owner), m.token)
+		verdict, highest = w.receiver.Check(scope, holderName(m.holder), m.token)
 	}
 	switch {
 	case verdict == lease.Stale:
 		w.rejected++
-		w.owners[m.owner].ActRejected(highest)
-		if !w.asleep[m.owner] {
-			w.pull(m.owner)
+		w.holders[m.holder].ActRejected(highest)
+		if !w.asleep[m.holder] {
+			w.pull(m.holder)
 		}
 	case verdict == lease.Conflicting:
 		w.wrong = "one fence, one holder"
@@ -321,9 +321,9 @@
 // key tells states of the world apart.
 func (w *world) key() uint64 {
 	network := slices.SortedFunc(slices.Values(w.network), func(a, b message) int {
-		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.owner, b.owner), cmp.Compare(a.number, b.number), a.token.Compare(b.token))
+		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.holder, b.holder), cmp.Compare(a.number, b.number), a.token.Compare(b.token))
 	})
-	state := fmt.Sprintf("%v %+v %+v %v %v %v %v %v %+v %v", w.now, *w.owners[0], *w.owners[1], w.asleep, w.checked, w.epoch, network,
+	state := fmt.Sprintf("%v %+v %+v %v %v %v %v %v %+v %v", w.now, *w.holders[0], *w.holders[1], w.asleep, w.checked, w.epoch, network,
 		w.done, *w.receiver, w.accepted)
 	return xxhash.Sum64(append([]byte(state), w.state.Snapshot()...))
 }
