--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/council.go
@@ -76,9 +76,9 @@
 		}
 		peers = append(peers, decide.Peer{Name: p.Name, Addr: p.Address})
 	}
-	process, err := coordinator.Open(coordinator.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Folder, Address: addr, Peers: peers, Via: set.Via,
-		Tick: float64(set.Tick), Keep: uint64(set.Keep), Connections: set.Connections, ClockOffset: float64(set.ClockAhead),
-		Above: c.Above, Record: rec})
+	process, err := coordinator.Open(coordinator.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Folder, Address: addr, Peers: peers, PeerAddresses: set.Via,
+		Tick: float64(set.Tick), SnapshotInterval: uint64(set.Keep), MaxConnections: set.Connections, ClockOffset: float64(set.ClockAhead),
+		KnownEpoch: c.Above, AuditLog: rec})
 	if err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 		return err
 	}
 	defer l.Close()
-	had, _, err := coordinator.Read(l)
+	had, _, err := coordinator.ReadStored(l)
 	if err != nil {
 		return err
 	}
@@ -239,15 +239,15 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", set.Folder, err)
 	}
-	fmt.Printf("%s becomes a council of its own, with entries up to %d (agreed for sure: %d), in epoch %d in place of %d.\n", set.Name, r.Index, r.Committed, r.Epoch, r.Was)
-	for _, p := range r.GivenUp {
+	fmt.Printf("%s becomes a council of its own, with entries up to %d (agreed for sure: %d), in epoch %d in place of %d.\n", set.Name, r.LastIndex, r.CommittedIndex, r.Epoch, r.PreviousEpoch)
+	for _, p := range r.RemovedPeers {
 		fmt.Printf("Given up: %s at %s, and whatever only it knew. It must not be started again; add processes under new names.\n", p.Name, p.Addr)
 	}
 	fmt.Println("Every owner loses its duties; acts of theirs that are still on their way will be refused.")
 	if err := c.meant(); err != nil {
 		return err
 	}
-	if err := coordinator.Store(l, r.Store); err != nil {
+	if err := coordinator.WriteDecision(l, r.Decision); err != nil {
 		return err
 	}
 	fmt.Printf("epoch %d begins when %s is started\n", r.Epoch, set.Name)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -54,13 +54,13 @@
 	Dir           string
 	Address       string            // where others reach it
 	Peers         []raftnode.Peer   // who begins the coordinator; empty: it joins one that has begun
-	Via           map[string]string // ways to others by name, in place of the addresses that the coordinator knows
+	PeerAddresses           map[string]string // ways to others by name, in place of the addresses that the coordinator knows
 	Tick          float64           // ms
-	Keep          uint64            // entries until the log is cut
-	Connections   int               // at once
+	SnapshotInterval          uint64            // entries until the log is cut
+	MaxConnections   int               // at once
 	ClockOffset   float64           // ms that this process's clock is ahead, for tests
-	Above         uint64            // an epoch known to have been: a coordinator that begins takes a later one, whatever its wall clock says
-	Record        *audit.Log
+	KnownEpoch         uint64            // an epoch known to have been: a coordinator that begins takes a later one, whatever its wall clock says
+	AuditLog        *audit.Log
 	SeededDefects SeededDefects
 }
 
@@ -72,27 +72,27 @@
 // Server is one process.
 type Server struct {
 	fleetpb.UnimplementedCouncilServer
-	set     Settings
+	settings     Settings
 	node    *raftnode.Node // nil: suspended, until the storage works
-	disk    *storage.Store // nil: it could not be opened yet
+	store    *storage.Store // nil: it could not be opened yet
 	durable raftnode.Durable
 	backoff backoff.Storage
-	told    uint64 // index up to which events were recorded before it was suspended
-	met     *raftnode.KnownIncarnations
-	self    raftnode.Identity
+	auditedIndex    uint64 // index up to which events were recorded before it was suspended
+	incarnations     *raftnode.KnownIncarnations
+	identity    raftnode.Identity
 	inbox   chan func()
 	ctx     context.Context
-	number  uint64
-	asked   map[uint64]func(raftnode.Decision)
-	ways    map[uint64]*way
-	callers map[uint64]raftnode.Peer // who talked to this process while it knew of nobody
+	lastRequest  uint64
+	pending   map[uint64]func(raftnode.Decision)
+	peerStreams    map[uint64]*way
+	joiningPeers map[uint64]raftnode.Peer // who talked to this process while it knew of nobody
 	mu      sync.Mutex
-	moved   chan struct{} // closed when the replicated state has changed
-	index   uint64
-	packed  []packed            // what was lately asked for of the policy, the latest last
-	book    *fleetpb.PolicyBook // what was last told of all of it, packed once for each version
-	version policy.Version      // of book
-	ended   error
+	stateChanged   chan struct{} // closed when the replicated state has changed
+	watchedIndex   uint64
+	policyCache  []packed            // what was lately asked for of the policy, the latest last
+	policyBook    *fleetpb.PolicyBook // what was last told of all of it, packed once for each version
+	policyVersion policy.Version      // of book
+	err   error
 }
 
 // packed is something of the policy, ready to be given in parts.
@@ -105,8 +105,8 @@
 
 var stored = struct{ hard, snapshot, met string }{"hard", "snapshot", "met"}
 
-// Read gives what a store holds of a coordinator node.
-func Read(l *storage.Store) (s raftnode.Stored, met *raftnode.KnownIncarnations, err error) {
+// ReadStored gives what a store holds of a coordinator node.
+func ReadStored(l *storage.Store) (s raftnode.Stored, met *raftnode.KnownIncarnations, err error) {
 	records, values, err := l.Read()
 	if err != nil {
 		return s, nil, err
@@ -139,8 +139,8 @@
 	return s, met, nil
 }
 
-// Store writes what a decision holds.
-func Store(l *storage.Store, d raftnode.Decision) error {
+// WriteDecision writes what a decision holds.
+func WriteDecision(l *storage.Store, d raftnode.Decision) error {
 	b := storage.Batch{Values: map[string][]byte{}, CompactBelow: d.CompactBelow}
 	put := func(name string, m proto.Message) error {
 		text, err := proto.Marshal(m)
@@ -170,13 +170,13 @@
 
 // Open makes a process from its folder. It does nothing until Run. Where the disk refuses for now, Run tries again.
 func Open(set Settings) (*Server, error) {
-	c := &Server{set: set, inbox: make(chan func(), inbox), asked: map[uint64]func(raftnode.Decision){}, ways: map[uint64]*way{},
-		callers: map[uint64]raftnode.Peer{}, moved: make(chan struct{}), number: firstNumber()}
+	c := &Server{settings: set, inbox: make(chan func(), inbox), pending: map[uint64]func(raftnode.Decision){}, peerStreams: map[uint64]*way{},
+		joiningPeers: map[uint64]raftnode.Peer{}, stateChanged: make(chan struct{}), lastRequest: firstNumber()}
 	err := c.load()
 	if errors.Is(err, storage.ErrUnavailable) {
 		c.suspend(err)
 	} else if err != nil {
-		c.closeDisk()
+		c.closeStore()
 		return nil, err
 	}
 	return c, nil
@@ -189,17 +189,17 @@
 	log.SetOutput(logrus.StandardLogger().Out)
 	log.SetFormatter(logrus.StandardLogger().Formatter)
 	log.SetLevel(logrus.ErrorLevel)
-	set := c.set
+	set := c.settings
 	return raftnode.New(raftnode.Settings{Fleet: set.Fleet, Name: set.Name, Peers: set.Peers, Epoch: rpc.EpochAt(time.Now()),
-		Above: set.Above, Tick: set.Tick, Keep: set.Keep, Log: log}, had)
+		KnownEpoch: set.KnownEpoch, Tick: set.Tick, SnapshotInterval: set.SnapshotInterval, Logger: log}, had)
 }
 
 // identify notes what this process says of its folder.
 func (c *Server) identify(had raftnode.Stored) {
-	c.self = raftnode.Identity{Name: c.set.Name, Folder: c.disk.Identity.StorageID, Starts: c.disk.Identity.Incarnations, Term: had.HardState.GetTerm(),
-		Last: had.Snapshot.GetMetadata().GetIndex()}
+	c.identity = raftnode.Identity{Name: c.settings.Name, StorageID: c.store.Identity.StorageID, Incarnations: c.store.Identity.Incarnations, Term: had.HardState.GetTerm(),
+		LastIndex: had.Snapshot.GetMetadata().GetIndex()}
 	if n := len(had.Entries); n > 0 {
-		c.self.Last = had.Entries[n-1].GetIndex()
+		c.identity.LastIndex = had.Entries[n-1].GetIndex()
 	}
 }
 
@@ -211,26 +211,26 @@
 func (c *Server) Run(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.closeDisk()
+	defer c.closeStore()
 	c.ctx = ctx
-	checks := rpc.Server(c.set.Fleet)
+	checks := rpc.NewInterceptors(c.settings.Fleet)
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(longest), grpc.MaxConcurrentStreams(streams), grpc.ConnectionTimeout(handshake),
 		grpc.ChainUnaryInterceptor(checks.Unary), grpc.ChainStreamInterceptor(checks.Stream),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: alive / 2, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 5 * time.Second, Timeout: 5 * time.Second}))
 	fleetpb.RegisterCouncilServer(server, c)
-	go server.Serve(netutil.LimitListener(listener, c.set.Connections))
+	go server.Serve(netutil.LimitListener(listener, c.settings.MaxConnections))
 	defer server.Stop()
 	var applied, epoch uint64
 	if !c.suspended() {
 		applied, epoch = c.node.Applied(), c.node.State().Epoch()
 	}
-	logrus.WithFields(logrus.Fields{"name": c.set.Name, "listen": listener.Addr().String(), "fleet": c.set.Fleet, "folder": c.set.Dir,
+	logrus.WithFields(logrus.Fields{"name": c.settings.Name, "listen": listener.Addr().String(), "fleet": c.settings.Fleet, "folder": c.settings.Dir,
 		"applied": applied, "epoch": epoch}).Info("council")
-	c.set.Record.Add("up", audit.Fields{"applied": applied, "epoch": epoch})
+	c.settings.AuditLog.Add("up", audit.Fields{"applied": applied, "epoch": epoch})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for c.ended == nil {
+	for c.err == nil {
 		select {
 		case <-ctx.Done():
 			return nil
@@ -243,17 +243,17 @@
 		}
 		timer.Reset(time.Duration((c.turn() - c.now()) * float64(time.Millisecond)))
 	}
-	return c.ended
+	return c.err
 }
 
 // turn carries out what is due and gives when it must be called again at the latest.
 func (c *Server) turn() (due float64) {
 	if c.suspended() && c.backoff.Due() <= c.now() {
-		c.ended = c.resume()
+		c.err = c.resume()
 	}
-	if !c.suspended() && c.ended == nil {
+	if !c.suspended() && c.err == nil {
 		c.node.Advance(c.now())
-		c.settle()
+		c.carryOutDecisions()
 	}
 	if c.suspended() {
 		return c.backoff.Due()
@@ -261,61 +261,61 @@
 	return c.node.NextDeadline()
 }
 
-func (c *Server) now() float64 { return rpc.Boottime() + c.set.ClockOffset }
+func (c *Server) now() float64 { return rpc.Boottime() + c.settings.ClockOffset }
 
-// settle carries out what the node decides.
-func (c *Server) settle() {
+// carryOutDecisions carries out what the node decides.
+func (c *Server) carryOutDecisions() {
 	var late []raftnode.Decision // the seeded defect's
 	for d, more := c.node.Next(); more; d, more = c.node.Next() {
 		switch d.Action {
 		case raftnode.Save:
 			failpoint.Point("council.save")
-			if c.set.SeededDefects.EarlyAcknowledge {
+			if c.settings.SeededDefects.EarlyAcknowledge {
 				late = append(late, d)
 				c.node.Saved()
 				continue
 			}
-			if !c.store(d) { // what it would say next rests on this: it must say nothing more
+			if !c.save(d) { // what it would say next rests on this: it must say nothing more
 				return
 			}
 			c.node.Saved()
 		case raftnode.Compact:
-			if !c.store(d) {
+			if !c.save(d) {
 				return
 			}
 		case raftnode.Send:
 			c.send(d.Message)
 		case raftnode.Done, raftnode.Redirect, raftnode.ResultUnknown:
-			if f := c.asked[d.Request]; f != nil {
-				delete(c.asked, d.Request)
+			if f := c.pending[d.Request]; f != nil {
+				delete(c.pending, d.Request)
 				f(d)
 			}
 		case raftnode.LeaderChanged:
 			_, term := c.node.IsLeader()
 			logrus.WithFields(logrus.Fields{"leader": d.Leader.Name, "term": term}).Info("leads")
-			c.set.Record.Add("leads", audit.Fields{"leader": d.Leader.Name, "term": term})
+			c.settings.AuditLog.Add("leads", audit.Fields{"leader": d.Leader.Name, "term": term})
 		case raftnode.Applied:
 			if leads, _ := c.node.IsLeader(); leads && d.Event.Lease != "" && !d.Event.Ended {
 				failpoint.Point("council.granted") // agreed, and not yet answered
 			} else if leads && d.Event.Policy > 0 {
 				failpoint.Point("council.policy") // the same
 			}
-			if d.Event.Index > c.told { // else it is replayed from the folder that was opened anew
-				c.past(d.Event)
+			if d.Event.Index > c.auditedIndex { // else it is replayed from the folder that was opened anew
+				c.auditEvent(d.Event)
 			}
 		}
 	}
 	for _, d := range late {
-		if !c.store(d) {
+		if !c.save(d) {
 			return
 		}
 	}
 	if err := c.node.Err(); err != nil {
-		c.ended = err
+		c.err = err
 		return
 	}
-	if at := c.node.State().Index(); at != c.index {
-		c.index = at
+	if at := c.node.State().Index(); at != c.watchedIndex {
+		c.watchedIndex = at
 		c.wakeWatchers()
 	}
 }
@@ -323,13 +323,13 @@
 // wakeWatchers has watchers look at the replicated state again.
 func (c *Server) wakeWatchers() {
 	c.mu.Lock()
-	close(c.moved)
-	c.moved = make(chan struct{})
+	close(c.stateChanged)
+	c.stateChanged = make(chan struct{})
 	c.mu.Unlock()
 }
 
-// past writes what has become so; each coordinator node does, so that its record is whole.
-func (c *Server) past(e leasestate.Event) {
+// auditEvent writes what has become so; each coordinator node does, so that its record is whole.
+func (c *Server) auditEvent(e leasestate.Event) {
 	leads, _ := c.node.IsLeader()
 	if e.Policy > 0 {
 		b := c.node.State().Policy()
@@ -339,7 +339,7 @@
 				v = was.Version
 			}
 		}
-		c.set.Record.Add("policy", audit.Fields{"index": e.Index, "version": policy.MarkString(e.Policy), "hash": hex.EncodeToString(v.Hash[:]),
+		c.settings.AuditLog.Add("policy", audit.Fields{"index": e.Index, "version": policy.MarkString(e.Policy), "hash": hex.EncodeToString(v.Hash[:]),
 			"author": v.Author, "reason": v.Reason})
 		if leads {
 			logrus.WithFields(logrus.Fields{"version": v, "author": v.Author, "reason": v.Reason}).Info("policy in force")
@@ -351,7 +351,7 @@
 	if e.Lease != "" {
 		what = "duty"
 	}
-	c.set.Record.Add(what, f)
+	c.settings.AuditLog.Add(what, f)
 	if !leads || e.Lease == "" {
 		return
 	}
@@ -367,8 +367,8 @@
 	}
 }
 
-// ask has the loop do something that ends by a decision under a new number.
-func (c *Server) ask(ctx context.Context, begin func(number uint64)) (raftnode.Decision, error) {
+// request has the loop do something that ends by a decision under a new number.
+func (c *Server) request(ctx context.Context, begin func(number uint64)) (raftnode.Decision, error) {
 	answer := make(chan raftnode.Decision, 1)
 	suspended := make(chan struct{})
 	var number uint64
@@ -377,9 +377,9 @@
 			close(suspended)
 			return
 		}
-		c.number++
-		number = c.number
-		c.asked[number] = func(d raftnode.Decision) { answer <- d }
+		c.lastRequest++
+		number = c.lastRequest
+		c.pending[number] = func(d raftnode.Decision) { answer <- d }
 		c.node.Advance(c.now())
 		begin(number)
 	}); err != nil {
@@ -394,7 +394,7 @@
 	case <-suspended:
 		return raftnode.Decision{}, errStorage
 	case <-ctx.Done():
-		c.post(c.ctx, func() { delete(c.asked, number) })
+		c.post(c.ctx, func() { delete(c.pending, number) })
 		return raftnode.Decision{}, status.FromContextError(ctx.Err()).Err()
 	case <-c.ctx.Done():
 		return raftnode.Decision{}, status.Error(codes.Unavailable, "this process is ending")
@@ -430,9 +430,9 @@
 		return nil, status.Errorf(codes.InvalidArgument, "stands: %d duties, %d at most", len(stands), leaseclient.MaxTokenQuery)
 	}
 	if len(stands) > 0 {
-		d, err = c.ask(ctx, func(number uint64) {
-			then := c.asked[number]
-			c.asked[number] = func(d raftnode.Decision) {
+		d, err = c.request(ctx, func(number uint64) {
+			then := c.pending[number]
+			c.pending[number] = func(d raftnode.Decision) {
 				if d.Action == raftnode.Done { // all by the one word of a majority, under one state
 					for _, duty := range stands {
 						fences = append(fences, rpc.EncodeToken(c.node.State().LatestToken(duty)))
@@ -455,7 +455,7 @@
 		} else if e.Kind == leasestate.ProposePolicy {
 			failpoint.Point("policy.asked") // the same
 		}
-		if d, err = c.ask(ctx, func(number uint64) { c.node.Propose(number, e) }); e.Kind == leasestate.ProposePolicy {
+		if d, err = c.request(ctx, func(number uint64) { c.node.Propose(number, e) }); e.Kind == leasestate.ProposePolicy {
 			failpoint.Point("policy.answers") // agreed and watchers told, and who asked not yet answered
 		}
 	}
@@ -479,7 +479,7 @@
 	since, first, said := from.Index, true, time.Now()
 	for {
 		c.mu.Lock()
-		moved := c.moved
+		moved := c.stateChanged
 		c.mu.Unlock()
 		got := make(chan *fleetpb.Update, 1)
 		if err := c.post(stream.Context(), func() {
@@ -530,9 +530,9 @@
 // Look is the service's.
 func (c *Server) Look(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.State, error) {
 	var out *fleetpb.State
-	d, err := c.ask(ctx, func(number uint64) {
-		then := c.asked[number]
-		c.asked[number] = func(d raftnode.Decision) {
+	d, err := c.request(ctx, func(number uint64) {
+		then := c.pending[number]
+		c.pending[number] = func(d raftnode.Decision) {
 			if d.Action == raftnode.Done {
 				out = c.state()
 			}
@@ -563,7 +563,7 @@
 		one.SinceMs, one.Queue, one.Barred = r.Now()-d.Since, d.Queue, rpc.EncodeToken(d.ForeignToken)
 	}
 	for _, p := range c.node.Peers() {
-		s.Council = append(s.Council, &fleetpb.Peer{Name: p.Name, Address: p.Addr, Leader: p.Leader, Applied: p.Applied, Level: p.Level, Known: p.Known})
+		s.Council = append(s.Council, &fleetpb.Peer{Name: p.Name, Address: p.Addr, Leader: p.Leader, Applied: p.Applied, Level: p.CaughtUp, Known: p.Known})
 	}
 	return s
 }
@@ -610,11 +610,11 @@
 // long as it is kept.
 func (c *Server) pack(q policy.Request) (packed, bool) {
 	b := c.node.State().Policy()
-	for n := len(c.packed) - 1; n >= 0; n-- {
-		p := c.packed[n]
+	for n := len(c.policyCache) - 1; n >= 0; n-- {
+		p := c.policyCache[n]
 		if mark := p.version.Number64(); p.whole == q.Whole && (p.whole || p.have == q.Have) &&
 			(mark == b.Version.Number64() && q.Want <= mark && q.Have <= mark || q.Offset > 0 && mark == q.Want) {
-			c.packed = append(slices.Delete(c.packed, n, n+1), p)
+			c.policyCache = append(slices.Delete(c.policyCache, n, n+1), p)
 			return p, true
 		}
 	}
@@ -627,11 +627,11 @@
 		return c.pack(q)
 	}
 	p := packed{q.Have, whole, b.Version, rpc.Compress(text)}
-	c.packed = append(c.packed, p)
+	c.policyCache = append(c.policyCache, p)
 	bytes := 0
-	for n := len(c.packed) - 1; n >= 0; n-- {
-		if bytes += len(c.packed[n].bytes); bytes > readyFor || len(c.packed)-n > ready {
-			c.packed = slices.Delete(c.packed, 0, n+1)
+	for n := len(c.policyCache) - 1; n >= 0; n-- {
+		if bytes += len(c.policyCache[n].bytes); bytes > readyFor || len(c.policyCache)-n > ready {
+			c.policyCache = slices.Delete(c.policyCache, 0, n+1)
 			break
 		}
 	}
@@ -641,11 +641,11 @@
 // Policies is the service's.
 func (c *Server) Policies(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.PolicyBook, error) {
 	var out *fleetpb.PolicyBook
-	d, err := c.ask(ctx, func(number uint64) {
-		then := c.asked[number]
-		c.asked[number] = func(d raftnode.Decision) {
+	d, err := c.request(ctx, func(number uint64) {
+		then := c.pending[number]
+		c.pending[number] = func(d raftnode.Decision) {
 			if d.Action == raftnode.Done {
-				out = c.policyBook()
+				out = c.encodePolicyBook()
 			}
 			then(d)
 		}
@@ -660,14 +660,14 @@
 	return out, nil
 }
 
-// policyBook gives all of the policy, packed once for each version.
-func (c *Server) policyBook() *fleetpb.PolicyBook {
-	if b := c.node.State().Policy(); c.book == nil || c.version != b.Version {
-		c.version = b.Version
-		c.book = &fleetpb.PolicyBook{Version: rpc.EncodePolicy(b.Version, nil), Document: rpc.Compress(b.Document.Encode()),
+// encodePolicyBook gives all of the policy, packed once for each version.
+func (c *Server) encodePolicyBook() *fleetpb.PolicyBook {
+	if b := c.node.State().Policy(); c.policyBook == nil || c.policyVersion != b.Version {
+		c.policyVersion = b.Version
+		c.policyBook = &fleetpb.PolicyBook{Version: rpc.EncodePolicy(b.Version, nil), Document: rpc.Compress(b.Document.Encode()),
 			History: rpc.Compress(policy.EncodeChanges(b.Changes))}
 	}
-	return c.book
+	return c.policyBook
 }
 
 // Change is the service's.
@@ -679,7 +679,7 @@
 		}
 		add = append(add, raftnode.Peer{Name: p.Name, Addr: p.Address})
 	}
-	d, err := c.ask(ctx, func(number uint64) { c.node.ChangeMembership(number, add, m.Remove) })
+	d, err := c.request(ctx, func(number uint64) { c.node.ChangeMembership(number, add, m.Remove) })
 	if err != nil {
 		return nil, err
 	}
@@ -720,7 +720,7 @@
 			if c.suspended() { // as if the network had dropped it
 				return
 			}
-			c.met.MessageReceived(from, m, c.node.Applied())
+			c.incarnations.MessageReceived(from, m, c.node.Applied())
 			if err := c.node.Step(m); err != nil {
 				logrus.WithError(err).WithField("from", from).Debug("message passed over")
 			}
@@ -738,37 +738,37 @@
 			result <- errStorage
 			return
 		}
-		news, err := c.met.Handshake(raftnode.Identity{Name: p.Name, Folder: p.Folder, Starts: p.Starts, Term: p.Term, Last: p.Last})
+		news, err := c.incarnations.Handshake(raftnode.Identity{Name: p.Name, StorageID: p.Folder, Incarnations: p.Starts, Term: p.Term, LastIndex: p.Last})
 		if err != nil {
 			logrus.WithField("from", p.Name).WithError(err).Error("not taken")
-			c.set.Record.Add("stranger", audit.Fields{"from": p.Name, "why": err.Error()})
+			c.settings.AuditLog.Add("stranger", audit.Fields{"from": p.Name, "why": err.Error()})
 			result <- status.Error(codes.FailedPrecondition, err.Error())
 			return
 		}
-		if id := raftnode.ID(p.Name); len(c.node.Peers()) == 0 && len(c.callers) < 16 {
-			c.callers[id] = raftnode.Peer{ID: id, Name: p.Name, Addr: p.Address}
+		if id := raftnode.ID(p.Name); len(c.node.Peers()) == 0 && len(c.joiningPeers) < 16 {
+			c.joiningPeers[id] = raftnode.Peer{ID: id, Name: p.Name, Addr: p.Address}
 		} else if len(c.node.Peers()) > 0 {
-			clear(c.callers)
+			clear(c.joiningPeers)
 		}
 		if news {
 			in := map[string]bool{p.Name: true}
 			for _, o := range c.node.Peers() {
 				in[o.Name] = true
 			}
-			for _, o := range c.set.Peers {
+			for _, o := range c.settings.Peers {
 				in[o.Name] = true
 			}
-			c.met.Forget(in)
-			b, err := cbor.Marshal(c.met.Known)
+			c.incarnations.Forget(in)
+			b, err := cbor.Marshal(c.incarnations.Known)
 			if err == nil {
-				err = c.disk.Write(storage.Batch{Values: map[string][]byte{stored.met: b}})
+				err = c.store.Write(storage.Batch{Values: map[string][]byte{stored.met: b}})
 			}
 			if err != nil {
 				c.suspend(err)
 				result <- errStorage
 				return
 			}
-			c.stored()
+			c.storageWorks()
 		}
 		result <- nil
 	}); err != nil {
@@ -793,15 +793,15 @@
 func (c *Server) send(m *raftpb.Message) {
 	peer, known := c.node.Peer(m.GetTo())
 	if !known { // one that joins is talked to before it knows who there is
-		if peer, known = c.callers[m.GetTo()]; !known {
+		if peer, known = c.joiningPeers[m.GetTo()]; !known {
 			return
 		}
 	}
 	addr := peer.Addr
-	if via := c.set.Via[peer.Name]; via != "" {
+	if via := c.settings.PeerAddresses[peer.Name]; via != "" {
 		addr = via
 	}
-	w := c.ways[peer.ID]
+	w := c.peerStreams[peer.ID]
 	if w != nil && w.addr != addr {
 		w.stop()
 		w = nil
@@ -809,13 +809,13 @@
 	if w == nil {
 		ctx, cancel := context.WithCancel(c.ctx)
 		w = &way{messages: make(chan *raftpb.Message, perPeer), addr: addr, stop: cancel}
-		c.ways[peer.ID] = w
+		c.peerStreams[peer.ID] = w
 		go c.carry(ctx, w, peer)
-		for id, other := range c.ways { // of those that left
+		for id, other := range c.peerStreams { // of those that left
 			_, still := c.node.Peer(id)
-			if _, calls := c.callers[id]; !still && !calls {
+			if _, calls := c.joiningPeers[id]; !still && !calls {
 				other.stop()
-				delete(c.ways, id)
+				delete(c.peerStreams, id)
 			}
 		}
 	}
@@ -846,7 +846,7 @@
 
 // carry keeps a stream to one process and begins another whenever it ends.
 func (c *Server) carry(ctx context.Context, w *way, peer raftnode.Peer) {
-	conn, err := rpc.Dial(w.addr, c.set.Fleet)
+	conn, err := rpc.Dial(w.addr, c.settings.Fleet)
 	if err != nil {
 		logrus.WithError(err).WithField("to", peer.Name).Error("no way to another process of the council")
 		return
@@ -861,11 +861,11 @@
 		if why := status.Convert(err).Message(); status.Code(err) == codes.FailedPrecondition && why != told {
 			told = why
 			logrus.WithField("to", peer.Name).Error(why)
-			c.set.Record.Add("refused", audit.Fields{"by": peer.Name, "why": why})
+			c.settings.AuditLog.Add("refused", audit.Fields{"by": peer.Name, "why": why})
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rpc.Jitter(time.Duration(c.set.Tick * float64(time.Millisecond)))):
+		case <-time.After(rpc.Jitter(time.Duration(c.settings.Tick * float64(time.Millisecond)))):
 		}
 	}
 }
@@ -878,8 +878,8 @@
 		c.drain(w)
 		return err
 	}
-	id := &fleetpb.Identity{Name: c.self.Name, Folder: c.self.Folder, Starts: c.self.Starts, Term: c.self.Term, Last: c.self.Last,
-		Address: c.set.Address}
+	id := &fleetpb.Identity{Name: c.identity.Name, Folder: c.identity.StorageID, Starts: c.identity.Incarnations, Term: c.identity.Term, Last: c.identity.LastIndex,
+		Address: c.settings.Address}
 	for first := true; ; first = false {
 		var m *raftpb.Message
 		select {
--- a/internal/decide/raftnode/met.go
+++ b/internal/decide/raftnode/incarnations.go
@@ -10,10 +10,10 @@
 // Identity is what a process says of its folder when it begins to talk.
 type Identity struct {
 	Name   string   `cbor:"1,keyasint"`
-	Folder uint64   `cbor:"2,keyasint"` // drawn when it was made
-	Starts []uint64 `cbor:"3,keyasint"` // drawn at each start, the latest last
+	StorageID uint64   `cbor:"2,keyasint"` // drawn when it was made
+	Incarnations []uint64 `cbor:"3,keyasint"` // drawn at each start, the latest last
 	Term   uint64   `cbor:"4,keyasint"` // what it held at this start
-	Last   uint64   `cbor:"5,keyasint"`
+	LastIndex   uint64   `cbor:"5,keyasint"`
 }
 
 // KnownIncarnations remembers the folders of the coordinator's other processes. Raft rests on a process remembering what it voted for and what
@@ -21,40 +21,40 @@
 // it can't tell: a copy that is as old as the latest start, if this process started since and heard nothing in between.
 type KnownIncarnations struct {
 	Known  map[string]StorageIdentity `cbor:"1,keyasint"` // to be stored whenever Hello says so
-	surely map[string]uint64          // entries that it acknowledged and that are committed
-	term   map[string]uint64
+	acknowledged map[string]uint64          // entries that it acknowledged and that are committed
+	terms   map[string]uint64
 }
 
 // StorageIdentity is a folder as it was met last.
 type StorageIdentity struct {
-	Folder uint64 `cbor:"1,keyasint"`
-	Start  uint64 `cbor:"2,keyasint"`
+	StorageID uint64 `cbor:"1,keyasint"`
+	Incarnation  uint64 `cbor:"2,keyasint"`
 }
 
 // NewKnownIncarnations makes one that has met nobody.
 func NewKnownIncarnations() *KnownIncarnations {
-	return &KnownIncarnations{Known: map[string]StorageIdentity{}, surely: map[string]uint64{}, term: map[string]uint64{}}
+	return &KnownIncarnations{Known: map[string]StorageIdentity{}, acknowledged: map[string]uint64{}, terms: map[string]uint64{}}
 }
 
 // Handshake judges who begins to talk; news: what is known has changed and must be stored before its first message is taken.
 func (m *KnownIncarnations) Handshake(id Identity) (news bool, err error) {
-	if len(id.Starts) == 0 || id.Name == "" {
+	if len(id.Incarnations) == 0 || id.Name == "" {
 		return false, fmt.Errorf("it doesn't say who it is")
 	}
-	last := id.Starts[len(id.Starts)-1]
+	last := id.Incarnations[len(id.Incarnations)-1]
 	was, known := m.Known[id.Name]
 	switch {
-	case known && was.Folder != id.Folder:
+	case known && was.StorageID != id.StorageID:
 		return false, fmt.Errorf("%s has another folder than before: one that was lost can't vote again; remove %s from the council and add a process under a new name", id.Name, id.Name)
-	case known && was.Start == last: // it runs on: what it held at its start is less than what it has said since
+	case known && was.Incarnation == last: // it runs on: what it held at its start is less than what it has said since
 		return false, nil
-	case known && !slices.Contains(id.Starts, was.Start),
-		id.Term < m.term[id.Name], id.Last < m.surely[id.Name]:
+	case known && !slices.Contains(id.Incarnations, was.Incarnation),
+		id.Term < m.terms[id.Name], id.LastIndex < m.acknowledged[id.Name]:
 		return false, fmt.Errorf("the folder of %s is an older copy: it has forgotten what it acknowledged; remove %s from the council and add a process under a new name", id.Name, id.Name)
 	case !known && len(m.Known) >= 4*mostPeers:
 		return false, fmt.Errorf("too many processes have been met")
 	}
-	m.Known[id.Name] = StorageIdentity{id.Folder, last}
+	m.Known[id.Name] = StorageIdentity{id.StorageID, last}
 	return true, nil
 }
 
@@ -65,10 +65,10 @@
 		return // these carry a term that nobody has stored
 	case raftpb.MsgAppResp:
 		if !msg.GetReject() {
-			m.surely[name] = max(m.surely[name], min(msg.GetIndex(), committed))
+			m.acknowledged[name] = max(m.acknowledged[name], min(msg.GetIndex(), committed))
 		}
 	}
-	m.term[name] = max(m.term[name], msg.GetTerm())
+	m.terms[name] = max(m.terms[name], msg.GetTerm())
 }
 
 // Forget drops all but those named.
@@ -76,8 +76,8 @@
 	for name := range m.Known {
 		if !but[name] {
 			delete(m.Known, name)
-			delete(m.surely, name)
-			delete(m.term, name)
+			delete(m.acknowledged, name)
+			delete(m.terms, name)
 		}
 	}
 }
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -148,7 +148,7 @@
 	on, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.ctx = on
-	checks := rpc.Server(l.set.Fleet)
+	checks := rpc.NewInterceptors(l.set.Fleet)
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(longest), grpc.MaxConcurrentStreams(64), grpc.ConnectionTimeout(handshake),
 		grpc.ChainUnaryInterceptor(checks.Unary), grpc.ChainStreamInterceptor(checks.Stream),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -412,7 +412,7 @@
 			peers = append(peers, raftnode.Peer{Name: o.Name})
 		}
 	}
-	node, fresh, err := raftnode.New(raftnode.Settings{Fleet: "f", Name: p.Name, Peers: peers, Epoch: p.w.epoch(), Tick: tick, Keep: 200, Log: p.w.log,
+	node, fresh, err := raftnode.New(raftnode.Settings{Fleet: "f", Name: p.Name, Peers: peers, Epoch: p.w.epoch(), Tick: tick, SnapshotInterval: 200, Logger: p.w.log,
 		SeededDefects: p.w.opt.Planted.Council}, p.disk)
 	if err != nil {
 		p.w.wrong("%s does not start: %v", p.Name, err)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -29,13 +29,13 @@
 	"wayloft/internal/fleetpb"
 )
 
-// form is the version of what is said; it goes up when an older process can't understand a newer one any more.
-const form = 1
+// protocolVersion is the version of what is said; it goes up when an older process can't understand a newer one any more.
+const protocolVersion = 1
 
 const (
-	nameKey = "wayloft-fleet"
-	formKey = "wayloft-form"
-	longest = 4 << 20 // bytes of one message
+	fleetKey = "wayloft-fleet"
+	versionKey = "wayloft-form"
+	MaxMessageSize = 4 << 20 // bytes of one message
 )
 
 // Boottime is a clock in ms that never goes back and also runs while the machine sleeps.
@@ -65,10 +65,10 @@
 // Dial makes the way to a process of the fleet; it connects when it is first used, and again after it has failed.
 func Dial(addr, fleet string) (*grpc.ClientConn, error) {
 	with := func(ctx context.Context) context.Context {
-		return metadata.AppendToOutgoingContext(ctx, nameKey, fleet, formKey, strconv.Itoa(form))
+		return metadata.AppendToOutgoingContext(ctx, fleetKey, fleet, versionKey, strconv.Itoa(protocolVersion))
 	}
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy(),
-		grpc.WithDisableServiceConfig(), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(longest)),
+		grpc.WithDisableServiceConfig(), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageSize)),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 			Backoff: backoff.Config{BaseDelay: 30 * time.Millisecond, Multiplier: 1.6, Jitter: 0.4, MaxDelay: time.Second}}),
 		// A peer that vanished says nothing: the transport must notice.
@@ -81,32 +81,32 @@
 		}))
 }
 
-// Checks refuse calls of another fleet, or of a form that this build doesn't speak.
-type Checks struct {
+// Interceptors refuse calls of another fleet, or of a form that this build doesn't speak.
+type Interceptors struct {
 	Unary  grpc.UnaryServerInterceptor
 	Stream grpc.StreamServerInterceptor
 }
 
-// Server gives the checks of one fleet's process.
-func Server(fleet string) Checks {
+// NewInterceptors gives the checks of one fleet's process.
+func NewInterceptors(fleet string) Interceptors {
 	check := func(ctx context.Context) error {
 		md, _ := metadata.FromIncomingContext(ctx)
 		name, spoken := "", ""
-		if v := md.Get(nameKey); len(v) == 1 {
+		if v := md.Get(fleetKey); len(v) == 1 {
 			name = v[0]
 		}
-		if v := md.Get(formKey); len(v) == 1 {
+		if v := md.Get(versionKey); len(v) == 1 {
 			spoken = v[0]
 		}
 		switch {
 		case name != fleet:
 			return status.Errorf(codes.FailedPrecondition, "this is fleet %q, not %q", fleet, name)
-		case spoken != strconv.Itoa(form):
-			return status.Errorf(codes.FailedPrecondition, "this process speaks form %d, not %q", form, spoken)
+		case spoken != strconv.Itoa(protocolVersion):
+			return status.Errorf(codes.FailedPrecondition, "this process speaks form %d, not %q", protocolVersion, spoken)
 		}
 		return nil
 	}
-	return Checks{
+	return Interceptors{
 		Unary: func(ctx context.Context, q any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
 			if err := check(ctx); err != nil {
 				return nil, err
@@ -139,7 +139,7 @@
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, d := range u.Leases {
-		one := &fleetpb.Duty{Name: d.Name, Holder: d.Holder, Fence: EncodeToken(d.Token), Open: wish(d.Open), Ended: wish(d.Ended)}
+		one := &fleetpb.Duty{Name: d.Name, Holder: d.Holder, Fence: EncodeToken(d.Token), Open: encodeOrder(d.Open), Ended: encodeOrder(d.Ended)}
 		for _, s := range d.Steps {
 			one.Steps = append(one.Steps, &fleetpb.Step{Fence: EncodeToken(s.Token), Text: s.Text})
 		}
@@ -161,7 +161,7 @@
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, d := range in.Duties {
-		one := leaseclient.Lease{Name: d.Name, Holder: d.Holder, Token: DecodeToken(d.Fence), Open: fromWish(d.Open), Ended: fromWish(d.Ended)}
+		one := leaseclient.Lease{Name: d.Name, Holder: d.Holder, Token: DecodeToken(d.Fence), Open: decodeOrder(d.Open), Ended: decodeOrder(d.Ended)}
 		for _, s := range d.Steps {
 			one.Steps = append(one.Steps, leasestate.Step{Token: DecodeToken(s.Fence), Text: s.Text})
 		}
@@ -199,9 +199,9 @@
 
 // Compress and Unpack are zstd (RFC 8878). What comes of Unpack is at most so many bytes, or an error: a few bytes may unpack to a
 // great many.
-func Compress(b []byte) []byte { return packer().EncodeAll(b, nil) }
+func Compress(b []byte) []byte { return encoder().EncodeAll(b, nil) }
 
-var packer = sync.OnceValue(func() *zstd.Encoder { // a process that only unpacks makes none
+var encoder = sync.OnceValue(func() *zstd.Encoder { // a process that only unpacks makes none
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		panic(err) // of its options alone
@@ -218,9 +218,9 @@
 	return d.DecodeAll(b, nil)
 }
 
-func wish(w leasestate.Order) *fleetpb.Wish { return &fleetpb.Wish{Number: w.Number, Text: w.Text} }
+func encodeOrder(w leasestate.Order) *fleetpb.Wish { return &fleetpb.Wish{Number: w.Number, Text: w.Text} }
 
-func fromWish(w *fleetpb.Wish) leasestate.Order {
+func decodeOrder(w *fleetpb.Wish) leasestate.Order {
 	return leasestate.Order{Number: w.GetNumber(), Text: w.GetText()}
 }
 
