--- a/internal/storage/faults_test.go
+++ b/internal/storage/faults_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// fault is what befalls one operation of a commit: the write that is the at-th of it, or one of its two syncs.
+// fault is one operation of a commit that fails: its at-th write, or one of its two syncs.
 type fault struct {
 	kind    faultKind
 	err     error
@@ -39,14 +39,14 @@
 
 // faultyFile stands between bbolt and the file of an open store.
 type faultyFile struct {
-	t       *testing.T
-	fault   fault
-	count   int
-	occurred  bool
-	file    *os.File
-	hook    *func([]byte, int64) (int, error) // that bbolt calls
-	real    func([]byte, int64) (int, error)
-	saved   int // a descriptor of the file while its own leads elsewhere
+	t          *testing.T
+	fault      fault
+	count      int
+	occurred   bool
+	file       *os.File
+	hook       *func([]byte, int64) (int, error) // that bbolt calls
+	real       func([]byte, int64) (int, error)
+	saved      int // a descriptor of the file while its own leads elsewhere
 	overwrites []overwritten
 }
 
@@ -57,9 +57,9 @@
 }
 
 // inject has one fault come at the store's next commit. bbolt has no seam for it: its own for tests is not exported.
-func inject(t *testing.T, l *Store, f fault) *faultyFile {
+func inject(t *testing.T, store *Store, f fault) *faultyFile {
 	t.Helper()
-	db := reflect.ValueOf(l.db).Elem()
+	db := reflect.ValueOf(store.db).Elem()
 	file := *(**os.File)(unsafe.Pointer(db.FieldByName("file").UnsafeAddr()))
 	writeAt := (*func([]byte, int64) (int, error))(unsafe.Pointer(db.FieldByName("ops").FieldByName("writeAt").UnsafeAddr()))
 	faulty := &faultyFile{t: t, fault: f, file: file, hook: writeAt, real: *writeAt, saved: -1}
@@ -84,8 +84,15 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	unix.Close(pipe[0])
-	unix.Close(pipe[1])
+	f.closeDescriptor(pipe[0])
+	f.closeDescriptor(pipe[1])
+}
+
+func (f *faultyFile) closeDescriptor(descriptor int) {
+	f.t.Helper()
+	if err := unix.Close(descriptor); err != nil {
+		f.t.Fatal(err)
+	}
 }
 
 // restore gives the descriptor back its file.
@@ -96,7 +103,7 @@
 	if err := unix.Dup3(f.saved, int(f.file.Fd()), unix.O_CLOEXEC); err != nil {
 		f.t.Fatal(err)
 	}
-	unix.Close(f.saved)
+	f.closeDescriptor(f.saved)
 	f.saved = -1
 }
 
@@ -157,8 +164,8 @@
 // storeContents are what a store holds, as plain values.
 type storeContents map[string]string
 
-func read(l *Store) (storeContents, error) {
-	records, values, err := l.Read()
+func read(store *Store) (storeContents, error) {
+	records, values, err := store.Read()
 	c := storeContents{}
 	for _, r := range records {
 		c[fmt.Sprint(r.Number)] = string(r.Bytes)
@@ -173,11 +180,11 @@
 type writeHistory struct {
 	number             uint64
 	acknowledged, with storeContents // with: also what was attempted last
-	earlyAcknowledge   bool     // the seeded defect
+	earlyAcknowledge   bool          // the seeded defect
 }
 
 // write stores one more batch, three records and a value that belong together, and in turn drops older ones.
-func (h *writeHistory) write(l *Store) error {
+func (h *writeHistory) write(store *Store) error {
 	h.number++
 	from := h.number * 2 // the third record of the batch before is replaced
 	b := Batch{Records: records(from, from+2, fmt.Sprint("batch ", h.number, " ", string(make([]byte, 700)))), Values: map[string][]byte{"batch": fmt.Append(nil, h.number)}}
@@ -197,7 +204,7 @@
 	if h.earlyAcknowledge {
 		h.acknowledged = h.with
 	}
-	err := l.Write(b)
+	err := store.Write(b)
 	if err == nil {
 		h.acknowledged = h.with
 	}
@@ -207,16 +214,16 @@
 // check judges what is read, and goes on from it.
 func (h *writeHistory) check(got storeContents) error {
 	if !maps.Equal(got, h.acknowledged) && !maps.Equal(got, h.with) {
-		return fmt.Errorf("batch %s is there, acknowledged was %s; %d values", got["batch"], h.acknowledged["batch"], len(got))
+		return fmt.Errorf("batch %s is stored, acknowledged was %s; %d values", got["batch"], h.acknowledged["batch"], len(got))
 	}
 	h.acknowledged, h.with = got, got
 	return nil
 }
 
 // checkAfterKill opens what a process that was killed at this moment has left.
-func (h *writeHistory) checkAfterKill(t *testing.T, l *Store) error {
+func (h *writeHistory) checkAfterKill(t *testing.T, store *Store) error {
 	t.Helper()
-	b, err := os.ReadFile(l.path)
+	b, err := os.ReadFile(store.path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +235,7 @@
 	if err != nil {
 		return fmt.Errorf("after a kill: %w", err)
 	}
-	defer left.Close()
+	defer closeStore(t, left)
 	got, err := read(left)
 	if err != nil {
 		return fmt.Errorf("after a kill: %w", err)
@@ -240,42 +247,42 @@
 	return nil
 }
 
-// run has a run of as many commits fail by one fault, with a kill and an opening anew after each. struck: it came to pass.
-func (h *writeHistory) run(t *testing.T, f fault, run int) (struck bool, err error) {
+// run has a run of as many commits fail by one fault, with a kill and an opening anew after each. occurred: it came to pass.
+func (h *writeHistory) run(t *testing.T, f fault, run int) (occurred bool, err error) {
 	t.Helper()
 	dir := t.TempDir()
-	l := openStore(t, dir)
-	defer func() { l.Close() }()
+	store := openStore(t, dir)
+	defer func() { closeStore(t, store) }()
 	for range 5 {
-		if err := h.write(l); err != nil {
+		if err := h.write(store); err != nil {
 			t.Fatal(err)
 		}
 	}
-	head := l.Identity
+	identity := store.Identity
 	for range run {
-		faulty := inject(t, l, f)
-		err := h.write(l)
+		faulty := inject(t, store, f)
+		err := h.write(store)
 		faulty.finish()
 		if !faulty.occurred { // it took fewer writes
 			if err != nil {
-				return struck, err
+				return occurred, err
 			}
 			continue
 		}
-		struck = true
+		occurred = true
 		if !errors.Is(err, ErrUnavailable) {
-			return true, fmt.Errorf("store: %v", err)
+			return true, fmt.Errorf("write: %w, want %w", err, ErrUnavailable)
 		}
-		if again := l.Write(Batch{}); !errors.Is(again, ErrUnavailable) {
-			return true, fmt.Errorf("stored on the file that failed: %v", again)
+		if again := store.Write(Batch{}); !errors.Is(again, ErrUnavailable) {
+			return true, fmt.Errorf("write to the file that failed: %w, want %w", again, ErrUnavailable)
 		}
-		if err := h.checkAfterKill(t, l); err != nil {
+		if err := h.checkAfterKill(t, store); err != nil {
 			return true, err
 		}
-		if err := l.Reopen(); err != nil {
+		if err := store.Reopen(); err != nil {
 			return true, err
 		}
-		got, err := read(l)
+		got, err := read(store)
 		if err != nil {
 			return true, err
 		}
@@ -283,13 +290,13 @@
 			return true, err
 		}
 	}
-	if err := h.write(l); err != nil {
+	if err := h.write(store); err != nil {
 		return true, err
 	}
-	if fmt.Sprint(l.Identity) != fmt.Sprint(head) {
-		return true, fmt.Errorf("head %+v, was %+v", l.Identity, head)
+	if fmt.Sprint(store.Identity) != fmt.Sprint(identity) {
+		return true, fmt.Errorf("identity %+v, was %+v", store.Identity, identity)
 	}
-	return struck, h.checkAfterKill(t, l)
+	return occurred, h.checkAfterKill(t, store)
 }
 
 // writeFaults gives each way in which one write of a commit fails.
@@ -311,38 +318,38 @@
 // runs are how often in a row a fault comes.
 var runs = []int{1, 3}
 
-// Each write of a commit fails, one time and three times in a row: what was acknowledged is there, also after a kill, nothing is
-// half there, and the store stores again once it is opened anew.
-func TestStorage_EachWriteFails(t *testing.T) {
+// Each write of a commit fails, once and three times in a row: what was acknowledged is there, also after a kill, no batch is there in
+// part, and the store accepts writes again once it is reopened.
+func TestStore_EachWriteFails(t *testing.T) {
 	const fewest = 4 // pages of the records, the values and the free list, and the root
-	met := true
-	for at := 1; met || at <= fewest; at++ {
-		met = false
+	reached := true // some commit had as many writes
+	for at := 1; reached || at <= fewest; at++ {
+		reached = false
 		for _, f := range writeFaults(at) {
 			for _, run := range runs {
-				struck, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run)
-				if err != nil || !struck && at <= fewest {
-					t.Errorf("%v, %d in a row: struck %v, %v", f, run, struck, err)
+				occurred, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run)
+				if err != nil || !occurred && at <= fewest {
+					t.Errorf("%v, %d in a row: occurred %v, %v", f, run, occurred, err)
 				}
-				met = met || struck
+				reached = reached || occurred
 			}
 		}
 	}
 }
 
-// The same where a sync fails, whether the kernel keeps what it couldn't write or drops it.
-func TestStorage_EachSyncFails(t *testing.T) {
+// The same holds where a sync fails, whether the kernel keeps what it couldn't write or drops it.
+func TestStore_EachSyncFails(t *testing.T) {
 	for _, f := range syncFaults() {
 		for _, run := range runs {
-			if struck, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run); err != nil || !struck {
-				t.Errorf("%v, %d in a row: struck %v, %v", f, run, struck, err)
+			if occurred, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run); err != nil || !occurred {
+				t.Errorf("%v, %d in a row: occurred %v, %v", f, run, occurred, err)
 			}
 		}
 	}
 }
 
 // The seeded defect, an acknowledgement before the sync, is found.
-func TestStorage_FindsEarlyAcknowledgement(t *testing.T) {
+func TestStore_FindsEarlyAcknowledgement(t *testing.T) {
 	for _, f := range append(writeFaults(1), syncFaults()...) {
 		if f.kind == failedRootSync && !f.dropped {
 			continue // all of it has come through
@@ -353,61 +360,63 @@
 	}
 }
 
-// A file that can't grow is the same.
-func TestStorage_FailsToGrow(t *testing.T) {
+// The same holds for a file that can't grow.
+func TestStore_FailsToGrow(t *testing.T) {
 	h := &writeHistory{acknowledged: storeContents{}}
-	l := openStore(t, t.TempDir())
-	defer func() { l.Close() }()
-	met := 0
+	store := openStore(t, t.TempDir())
+	defer func() { closeStore(t, store) }()
+	failures := 0
 	for range 60 {
-		faulty := inject(t, l, fault{kind: failedGrow})
-		err := h.write(l)
+		faulty := inject(t, store, fault{kind: failedGrow})
+		err := h.write(store)
 		faulty.finish()
 		if err == nil {
 			continue
 		}
-		met++
+		failures++
 		if !errors.Is(err, ErrUnavailable) {
 			t.Fatal(err)
 		}
-		if err := h.checkAfterKill(t, l); err != nil {
+		if err := h.checkAfterKill(t, store); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Reopen(); err != nil {
+		if err := store.Reopen(); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := read(l); err != nil || h.check(got) != nil {
+		if got, err := read(store); err != nil || h.check(got) != nil {
 			t.Fatal(err, h.check(got))
 		}
-		if err := h.write(l); err != nil {
+		if err := h.write(store); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if met == 0 {
+	if failures == 0 {
 		t.Error("the file never grew")
 	}
 }
 
-// A folder that somebody else had while it was closed is not gone on with.
-func TestReopen_RefusesAnothersFolder(t *testing.T) {
+// Reopen rejects a directory that another process used while it was closed.
+func TestReopen_RejectsDirectoryOfAnother(t *testing.T) {
 	dir := t.TempDir()
-	l := openStore(t, dir)
-	write(t, l, Batch{Records: records(1, 3, "a")})
-	l.close()
-	openStore(t, dir).Close()
-	if err := l.Reopen(); !errors.Is(err, ErrReplaced) {
+	store := openStore(t, dir)
+	write(t, store, Batch{Records: records(1, 3, "a")})
+	closeStore(t, store)
+	closeStore(t, openStore(t, dir))
+	if err := store.Reopen(); !errors.Is(err, ErrReplaced) {
 		t.Errorf("after another start: %v", err)
 	}
-	if _, _, err := l.Read(); !errors.Is(err, ErrUnavailable) {
+	if _, _, err := store.Read(); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("read of a closed one: %v", err)
 	}
 	other := openStore(t, dir)
-	if err := l.Reopen(); !errors.Is(err, ErrInUse) {
+	if err := store.Reopen(); !errors.Is(err, ErrInUse) {
 		t.Errorf("while another has it: %v", err)
 	}
-	other.Close()
-	os.Remove(filepath.Join(dir, fileName))
-	if err := l.Reopen(); !errors.Is(err, ErrReplaced) {
-		t.Errorf("after the folder was lost: %v", err)
+	closeStore(t, other)
+	if err := os.Remove(filepath.Join(dir, fileName)); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.Reopen(); !errors.Is(err, ErrReplaced) {
+		t.Errorf("after the directory was lost: %v", err)
 	}
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,15 +1,15 @@
-// Package storage keeps what a process stores in a folder: a log of numbered records, named values, and a head that says whose
-// folder it is. It owns the file, its lock and its sums; it must never know what a record means, or answer before it is on
-// disk. It is bbolt beneath (copy on write, two roots), so that a process killed at any moment finds all or nothing of what
-// it was writing; each record has a sum of its own, so that a disk that changes a bit is noticed.
+// Package storage keeps the durable state of one process in its data directory: a log of numbered records, named values, and the
+// identity of the directory itself. It owns the database file, the lock on it and the checksums of what it holds.
+//
+// A write that has returned nil is on disk. The file is a bbolt database (copy on write, two root pages), so a process that is killed at
+// any moment finds all of a batch or nothing of it; each record has a checksum of its own, so that a disk that changes a bit is
+// noticed. The package doesn't interpret what it stores.
 package storage
 
 import (
 	"cmp"
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"runtime/debug"
@@ -17,7 +17,6 @@
 	"syscall"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/bbolt"
 	bolterr "go.etcd.io/bbolt/errors"
@@ -26,378 +25,253 @@
 )
 
 const (
-	fileName    = "state.db"
-	formatVersion = 1
-	lockTimeout = 200 * time.Millisecond // with a lock that somebody else holds
-	maxIncarnations    = 64                     // starts that are remembered
+	fileName        = "state.db"
+	fileMode        = 0o600
+	directoryMode   = 0o700
+	formatVersion   = 1
+	lockTimeout     = 200 * time.Millisecond // how long Open waits for a lock that another process holds
+	maxIncarnations = 64                     // older ones are forgotten
 )
 
-var buckets = struct{ head, log, values []byte }{[]byte("head"), []byte("log"), []byte("values")}
+// Names of the database's buckets. The identity is stored in the first, under the bucket's own name.
+var (
+	identityBucket = []byte("head")
+	logBucket      = []byte("log")
+	valuesBucket   = []byte("values")
+)
 
-// Identity says whose folder it is. Folder is drawn when it is made, Starts at each start from it, the latest last: others who
-// have heard them can tell an older copy that was put back.
+// Identity tells whose data directory it is.
 type Identity struct {
-	Version      int      `cbor:"1,keyasint"`
-	Fleet        string   `cbor:"2,keyasint"`
-	Name         string   `cbor:"3,keyasint"`
-	StorageID    uint64   `cbor:"4,keyasint"`
+	Version   int    `cbor:"1,keyasint"` // of the format
+	Fleet     string `cbor:"2,keyasint"`
+	Name      string `cbor:"3,keyasint"` // of the process
+	StorageID uint64 `cbor:"4,keyasint"` // drawn when the directory was created
+	// Incarnations has a number drawn at each start, the latest last. Peers that remember the latest can tell that an older copy of the
+	// directory was put in its place.
 	Incarnations []uint64 `cbor:"5,keyasint"`
 }
 
-// Store is an open folder.
+// Store is an open data directory. Its methods must not be called at the same time.
 type Store struct {
 	db       *bbolt.DB // nil: closed
 	dir      string
 	path     string
-	writeErr   error // the write or sync that failed; Reopen clears it
-	Identity Identity
+	writeErr error    // of the write or sync that failed; Reopen clears it
+	Identity Identity // read or created by Open; must not be changed
 }
 
 var (
-	// ErrInUse is of a folder that another process has open.
+	// ErrInUse is returned for a data directory that another process has open.
 	ErrInUse = errors.New("another process has this folder open")
-	// ErrUnavailable is of a disk that refuses a write, a sync or to open a file. What was stored before stands; whether what
-	// was being written is stored, nobody knows. Reopen, or Open, may work later.
+	// ErrUnavailable is returned when the system refuses a write, a sync or to open a file. What was stored before is kept; whether the
+	// write that failed is stored is not known. Reopen, or Open, may succeed later.
 	ErrUnavailable = errors.New("storage unavailable")
-	// ErrReplaced is of a folder that Reopen finds changed: another process has had it, or another copy was put in its place.
+	// ErrReplaced is returned by Reopen when the directory was used by another process meanwhile, or replaced by another copy.
 	ErrReplaced = errors.New("the folder was replaced or used by another process meanwhile")
 )
 
-// transientErrors are the system's errors of a disk that may be well again later.
+// transientErrors are the system's errors after which the disk may work again later.
 var transientErrors = []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, syscall.EIO, syscall.EROFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
+// classify wraps a transient error in ErrUnavailable.
 func classify(err error) error {
-	if slices.ContainsFunc(transientErrors, func(e error) bool { return errors.Is(err, e) }) {
+	if slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) }) {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return err
 }
 
-// Open opens a folder, or makes one that belongs to this name of this fleet. draw gives a number that no other folder or
-// start has. A folder of another's, or of a later build, is refused and left as it is.
-func Open(dir, fleet, name string, draw func() uint64) (*Store, error) {
-	l := &Store{dir: dir, path: filepath.Join(dir, fileName)}
-	if err := l.open(func() error { return l.addIncarnation(fleet, name, draw) }); err != nil {
+// Open opens a data directory, or creates one for this process of this fleet, and adds an incarnation to its identity. nextID returns a
+// number that no other directory or incarnation has. A directory of another process, or of a later format, is rejected and left as it is.
+// The error matches ErrInUse or ErrUnavailable where Open may succeed later.
+func Open(dir, fleet, name string, nextID func() uint64) (*Store, error) {
+	s := &Store{dir: dir, path: filepath.Join(dir, fileName)}
+	if err := s.open(func() error { return s.addIncarnation(fleet, name, nextID) }); err != nil {
 		return nil, err
 	}
-	return l, nil
+	return s, nil
 }
 
-// Reopen closes the folder and opens it anew after a write or a sync failed: the kernel may have dropped what it couldn't write,
-// so that neither the open file nor what is in memory of it can be trusted. It goes on as the same start. What is read after it
-// is durable, also what the write that failed may have left: Reopen commits once more, by the other root, with syncs of its own.
-// The lock is given back and taken again; ErrReplaced if somebody else had the folder in between. After an error it may be called
+// Reopen closes the directory and opens it again after a write or a sync has failed: the kernel may have dropped pages that it couldn't
+// write, so neither the open file nor what is mapped of it can be trusted. The incarnation stays the same. What is read afterwards is
+// durable, also what the failed write may have left, because Reopen commits once more, to the other root page and with its own syncs.
+// The lock is released in between: the error is ErrReplaced if another process used the directory. After an error Reopen may be called
 // again.
-func (l *Store) Reopen() error {
-	l.close() // its error is of a file that is given up in any case
-	return l.open(l.confirmIdentity)
+func (s *Store) Reopen() error {
+	_ = s.Close() // the file is given up in any case
+	return s.open(s.confirmIdentity)
 }
 
-// open opens the file, looks at all of it, and commits the head by start.
-func (l *Store) open(start func() error) (err error) {
+// Close releases the directory. A closed Store may be closed again.
+func (s *Store) Close() error {
+	if s.db == nil {
+		return nil
+	}
+	db := s.db
+	s.db = nil
+	return db.Close()
+}
+
+// open opens and verifies the file and has commitIdentity write the identity.
+func (s *Store) open(commitIdentity func() error) (err error) {
 	defer func() {
 		if err != nil {
-			l.close()
-			err = fmt.Errorf("%s: %w", l.path, err)
+			_ = s.Close() // err tells why it is closed
+			err = fmt.Errorf("%s: %w", s.path, err)
 		}
 	}()
-	if err := failpoint.OperationError("storage.open", l.path); err != nil {
+	if err := failpoint.OperationError("storage.open", s.path); err != nil {
 		return classify(err)
 	}
-	if err := os.MkdirAll(l.dir, 0o700); err != nil {
+	if err := os.MkdirAll(s.dir, directoryMode); err != nil {
 		return classify(err)
 	}
-	// Guards against a file that was cut short: reading beyond its end is a fault of memory.
+	// Guards against a file that was truncated: reading a mapped page beyond its end is a memory fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("cut short or overwritten: %v", p)
+		if fault := recover(); fault != nil {
+			err = fmt.Errorf("cut short or overwritten: %v", fault)
 		}
 	}()
-	l.db, err = bbolt.Open(l.path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+	s.db, err = bbolt.Open(s.path, fileMode, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, bolterr.ErrTimeout) {
 		return ErrInUse
-	} else if err != nil {
+	}
+	if err != nil {
 		return classify(err)
 	}
-	l.writeErr = nil
-	if err := l.verify(); err != nil {
+	s.writeErr = nil
+	if err := s.verify(); err != nil {
 		return err
 	}
-	if err := start(); err != nil {
+	if err := commitIdentity(); err != nil {
 		return err
 	}
-	return syncDir(l.dir) // else a file that was just made may be gone with the machine
+	return syncDir(s.dir)
 }
 
+// syncDir makes the directory's entries durable: without it, a file that was just created may be lost with the machine.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return classify(err)
 	}
-	defer d.Close()
-	if err := d.Sync(); err != nil {
+	err = d.Sync()
+	_ = d.Close() // it was open for reading alone: nothing can be lost
+	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return nil
 }
 
-func (l *Store) close() error {
-	if l.db == nil {
-		return nil
+// update commits what change does; once it has returned nil that is on disk. After a commit has failed nothing more is written to the
+// file: a second sync may succeed although the kernel has dropped what the first one couldn't write.
+func (s *Store) update(change func(*bbolt.Tx) error) error {
+	if s.writeErr != nil || s.db == nil {
+		return fmt.Errorf("%w: it must be opened again", cmp.Or(s.writeErr, ErrUnavailable))
 	}
-	db := l.db
-	l.db = nil
-	return db.Close()
-}
-
-// Close gives the folder back.
-func (l *Store) Close() error { return l.close() }
-
-// update commits what f changes; once it has returned nil that is on disk. After a commit that failed the file is used no
-// more: a second sync may succeed though the kernel has dropped what the first one couldn't write.
-func (l *Store) update(f func(*bbolt.Tx) error) error {
-	if l.writeErr != nil || l.db == nil {
-		return fmt.Errorf("%w: it must be opened again", cmp.Or(l.writeErr, ErrUnavailable))
-	}
-	if err := failpoint.OperationError("storage.write", l.path); err != nil {
-		return l.fail(err)
+	if err := failpoint.OperationError("storage.write", s.path); err != nil {
+		return s.writeFailed(err)
 	}
-	var refused error // by f itself: nothing was written
-	err := l.db.Update(func(tx *bbolt.Tx) error {
-		refused = f(tx)
-		return refused
+	var changeErr error // nothing was written
+	err := s.db.Update(func(tx *bbolt.Tx) error {
+		changeErr = change(tx)
+		return changeErr
 	})
-	if refused != nil {
-		return refused
+	if changeErr != nil {
+		return changeErr
 	}
 	if err == nil {
-		err = failpoint.OperationError("storage.sync", l.path)
+		err = failpoint.OperationError("storage.sync", s.path)
 	}
 	if err != nil {
-		return l.fail(err)
+		return s.writeFailed(err)
 	}
 	return nil
 }
 
-func (l *Store) fail(err error) error {
-	l.writeErr = fmt.Errorf("%w: %w", ErrUnavailable, err)
-	return l.writeErr
-}
-
-// verify looks at every page and every sum before anything is believed.
-func (l *Store) verify() error {
-	return l.db.View(func(tx *bbolt.Tx) error {
-		if s, err := os.Stat(l.path); err != nil {
-			return err
-		} else if s.Size() < tx.Size() {
-			return fmt.Errorf("cut short: %d bytes of %d", s.Size(), tx.Size())
-		}
-		var first error
-		for err := range tx.Check() { // to its end: it reads the file beside us, which is unmapped once it is refused
-			first = cmp.Or(first, err)
-		}
-		if first != nil {
-			return first
-		}
-		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error {
-				if _, err := verifyChecksum(v); err != nil {
-					return fmt.Errorf("%s %x: %w", bucket, k, err)
-				}
-				return nil
-			})
-		})
-	})
-}
-
-func addChecksum(b []byte) []byte { return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(b)), b...) }
-
-func verifyChecksum(v []byte) ([]byte, error) {
-	if len(v) < 8 || binary.BigEndian.Uint64(v) != xxhash.Sum64(v[8:]) {
-		return nil, errors.New("its sum is wrong")
-	}
-	return v[8:], nil
+func (s *Store) writeFailed(err error) error {
+	s.writeErr = fmt.Errorf("%w: %w", ErrUnavailable, err)
+	return s.writeErr
 }
 
-func recordKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
-
-// confirmIdentity commits the head as it is, having made sure that it is this process's own.
-func (l *Store) confirmIdentity() error {
-	return l.update(func(tx *bbolt.Tx) error {
-		bucket := tx.Bucket(buckets.head)
+// confirmIdentity commits the identity as it is, after checking that it is still this process's own.
+func (s *Store) confirmIdentity() error {
+	return s.update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(identityBucket)
 		if bucket == nil {
 			return ErrReplaced
 		}
-		b, err := verifyChecksum(bucket.Get(buckets.head))
+		stored, err := decodeIdentity(bucket.Get(identityBucket))
 		if err != nil {
-			return fmt.Errorf("head: %w", err)
-		}
-		var h Identity
-		if err := cbor.Unmarshal(b, &h); err != nil {
-			return fmt.Errorf("head: %w", err)
+			return err
 		}
-		if h.StorageID != l.Identity.StorageID || !slices.Equal(h.Incarnations, l.Identity.Incarnations) {
+		if stored.StorageID != s.Identity.StorageID || !slices.Equal(stored.Incarnations, s.Identity.Incarnations) {
 			return ErrReplaced
 		}
-		return bucket.Put(buckets.head, addChecksum(b))
+		return putIdentity(bucket, stored)
 	})
 }
 
-// addIncarnation reads the head, or writes a new one, and adds this start to it.
-func (l *Store) addIncarnation(fleet, name string, draw func() uint64) error {
-	return l.update(func(tx *bbolt.Tx) error {
-		var made [3]*bbolt.Bucket
-		for n, bucket := range [][]byte{buckets.head, buckets.log, buckets.values} {
-			b, err := tx.CreateBucketIfNotExists(bucket)
-			if err != nil {
+// addIncarnation reads the identity, or creates one, and adds this start to it.
+func (s *Store) addIncarnation(fleet, name string, nextID func() uint64) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		for _, bucket := range [][]byte{identityBucket, logBucket, valuesBucket} {
+			if _, err := tx.CreateBucketIfNotExists(bucket); err != nil {
 				return err
 			}
-			made[n] = b
 		}
-		h := Identity{Version: formatVersion, Fleet: fleet, Name: name}
-		if v := made[0].Get(buckets.head); v != nil {
-			b, err := verifyChecksum(v)
-			if err != nil {
-				return fmt.Errorf("head: %w", err)
-			}
-			if err := cbor.Unmarshal(b, &h); err != nil {
-				return fmt.Errorf("head: %w", err)
+		bucket := tx.Bucket(identityBucket)
+		identity := Identity{Version: formatVersion, Fleet: fleet, Name: name}
+		if stored := bucket.Get(identityBucket); stored != nil {
+			var err error
+			if identity, err = decodeIdentity(stored); err != nil {
+				return err
 			}
-			switch {
-			case h.Version > formatVersion:
-				return fmt.Errorf("version %d, this build knows %d", h.Version, formatVersion)
-			case h.Fleet != fleet:
-				return fmt.Errorf("of fleet %q, not of %q", h.Fleet, fleet)
-			case h.Name != name:
-				return fmt.Errorf("of %q, not of %q", h.Name, name)
+			if err := identity.check(fleet, name); err != nil {
+				return err
 			}
 		} else {
-			h.StorageID = draw()
+			identity.StorageID = nextID()
 		}
-		if h.Incarnations = append(h.Incarnations, draw()); len(h.Incarnations) > maxIncarnations {
-			h.Incarnations = h.Incarnations[len(h.Incarnations)-maxIncarnations:]
+		identity.Incarnations = append(identity.Incarnations, nextID())
+		if surplus := len(identity.Incarnations) - maxIncarnations; surplus > 0 {
+			identity.Incarnations = identity.Incarnations[surplus:]
 		}
-		l.Identity = h
-		b, err := cbor.Marshal(h)
-		if err != nil {
-			return err
-		}
-		return made[0].Put(buckets.head, addChecksum(b))
+		s.Identity = identity
+		return putIdentity(bucket, identity)
 	})
 }
 
-// Record is one of the log.
-type Record struct {
-	Number uint64
-	Bytes  []byte
-}
-
-// Batch is what is stored at once, or not at all.
-type Batch struct {
-	Records      []Record          // in place of all from the first of them on
-	Values       map[string][]byte // by name
-	CompactBelow uint64            // what lies before it is dropped
-	ReplaceLog   bool              // the whole log is dropped before
-}
-
-// Write writes a batch and returns once it is on disk. After an error it isn't known whether it is, and nothing more is taken
-// until Reopen.
-func (l *Store) Write(b Batch) error {
-	err := l.update(func(tx *bbolt.Tx) error {
-		log, values := tx.Bucket(buckets.log), tx.Bucket(buckets.values)
-		if b.ReplaceLog {
-			if err := tx.DeleteBucket(buckets.log); err != nil {
-				return err
-			}
-			var err error
-			if log, err = tx.CreateBucket(buckets.log); err != nil {
-				return err
-			}
-		}
-		if len(b.Records) > 0 {
-			c := log.Cursor()
-			for k, _ := c.Seek(recordKey(b.Records[0].Number)); k != nil; k, _ = c.Seek(recordKey(b.Records[0].Number)) {
-				if err := c.Delete(); err != nil {
-					return err
-				}
-			}
-			for _, r := range b.Records {
-				if err := log.Put(recordKey(r.Number), addChecksum(r.Bytes)); err != nil {
-					return err
-				}
-			}
-		}
-		if b.CompactBelow > 0 {
-			c := log.Cursor()
-			for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) < b.CompactBelow; k, _ = c.First() {
-				if err := c.Delete(); err != nil {
-					return err
-				}
-			}
-		}
-		for name, v := range b.Values {
-			if err := values.Put([]byte(name), addChecksum(v)); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-	if err != nil {
-		return fmt.Errorf("%s: %w", l.path, err)
+// check returns an error if the directory isn't that of this process, or of a format that this build doesn't know.
+func (i Identity) check(fleet, name string) error {
+	switch {
+	case i.Version > formatVersion:
+		return fmt.Errorf("version %d, this build knows %d", i.Version, formatVersion)
+	case i.Fleet != fleet:
+		return fmt.Errorf("of fleet %q, not of %q", i.Fleet, fleet)
+	case i.Name != name:
+		return fmt.Errorf("of %q, not of %q", i.Name, name)
 	}
 	return nil
 }
 
-// Read gives the log and the values.
-func (l *Store) Read() (records []Record, values map[string][]byte, err error) {
-	values = map[string][]byte{}
-	if l.db == nil {
-		return nil, nil, fmt.Errorf("%s: %w: it is closed", l.path, ErrUnavailable)
+func decodeIdentity(stored []byte) (Identity, error) {
+	var identity Identity
+	encoded, err := verifyChecksum(stored)
+	if err == nil {
+		err = cbor.Unmarshal(encoded, &identity)
 	}
-	err = l.db.View(func(tx *bbolt.Tx) error {
-		err := tx.Bucket(buckets.log).ForEach(func(k, v []byte) error {
-			b, err := verifyChecksum(v)
-			if len(k) != 8 {
-				err = errors.New("its number is no number")
-			}
-			if err != nil {
-				return fmt.Errorf("log %x: %w", k, err)
-			}
-			records = append(records, Record{binary.BigEndian.Uint64(k), append([]byte(nil), b...)})
-			return nil
-		})
-		if err != nil {
-			return err
-		}
-		return tx.Bucket(buckets.values).ForEach(func(k, v []byte) error {
-			b, err := verifyChecksum(v)
-			if err != nil {
-				return fmt.Errorf("%s: %w", k, err)
-			}
-			values[string(k)] = append([]byte(nil), b...)
-			return nil
-		})
-	})
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", l.path, err)
+		return Identity{}, fmt.Errorf("head: %w", err)
 	}
-	return records, values, nil
-}
-
-// Copy writes the whole file as it is at one moment, for a copy to keep.
-func (l *Store) Copy(w io.Writer) error {
-	return l.db.View(func(tx *bbolt.Tx) error {
-		_, err := tx.WriteTo(w)
-		return err
-	})
+	return identity, nil
 }
 
-// Size tells how many bytes the file has.
-func (l *Store) Size() int64 {
-	s, err := os.Stat(l.path)
+func putIdentity(bucket *bbolt.Bucket, identity Identity) error {
+	encoded, err := cbor.Marshal(identity)
 	if err != nil {
-		return 0
+		return err
 	}
-	return s.Size()
+	return bucket.Put(identityBucket, addChecksum(encoded))
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -20,16 +20,23 @@
 
 func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
-	l, err := Open(dir, "f", "c1", nextID)
+	store, err := Open(dir, "f", "c1", nextID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return store
 }
 
-func write(t *testing.T, l *Store, b Batch) {
+func closeStore(t *testing.T, store *Store) {
 	t.Helper()
-	if err := l.Write(b); err != nil {
+	if err := store.Close(); err != nil {
+		t.Errorf("close: %v", err)
+	}
+}
+
+func write(t *testing.T, store *Store, b Batch) {
+	t.Helper()
+	if err := store.Write(b); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -43,18 +50,18 @@
 
 func TestStore_WritesAndCompacts(t *testing.T) {
 	dir := t.TempDir()
-	l := openStore(t, dir)
-	write(t, l, Batch{Records: records(2, 9, "a"), Values: map[string][]byte{"state": []byte("x")}})
-	write(t, l, Batch{Records: records(7, 8, "b")}) // in place of 7 to 9
-	write(t, l, Batch{CompactBelow: 4, Values: map[string][]byte{"state": []byte("y")}})
-	folder := l.Identity.StorageID
+	store := openStore(t, dir)
+	write(t, store, Batch{Records: records(2, 9, "a"), Values: map[string][]byte{"state": []byte("x")}})
+	write(t, store, Batch{Records: records(7, 8, "b")}) // in place of 7 to 9
+	write(t, store, Batch{CompactBelow: 4, Values: map[string][]byte{"state": []byte("y")}})
+	storageID := store.Identity.StorageID
 	if _, err := Open(dir, "f", "c1", nextID); !errors.Is(err, ErrInUse) {
 		t.Errorf("opened twice: %v", err)
 	}
-	l.Close()
-	l = openStore(t, dir)
-	defer l.Close()
-	got, values, err := l.Read()
+	closeStore(t, store)
+	store = openStore(t, dir)
+	defer closeStore(t, store)
+	got, values, err := store.Read()
 	text := string(values["state"])
 	for _, r := range got {
 		text += fmt.Sprintf(" %d:%s", r.Number, r.Bytes)
@@ -62,23 +69,24 @@
 	if err != nil || text != "y 4:a4 5:a5 6:a6 7:b7 8:b8" {
 		t.Errorf("%s, %v", text, err)
 	}
-	if len(l.Identity.Incarnations) != 2 || l.Identity.StorageID != folder {
-		t.Errorf("head %+v, folder was %d", l.Identity, folder)
+	if len(store.Identity.Incarnations) != 2 || store.Identity.StorageID != storageID {
+		t.Errorf("identity %+v, storage ID was %d", store.Identity, storageID)
 	}
-	write(t, l, Batch{ReplaceLog: true, Records: records(20, 20, "c")})
-	if got, _, _ = l.Read(); len(got) != 1 || got[0].Number != 20 {
-		t.Errorf("begun anew: %v", got)
+	write(t, store, Batch{ReplaceLog: true, Records: records(20, 20, "c")})
+	if got, _, _ = store.Read(); len(got) != 1 || got[0].Number != 20 {
+		t.Errorf("replaced log: %v", got)
 	}
 }
 
-// A folder of another's, of a later build, cut short anywhere, or changed in its bits is refused with words, never half read.
+// A directory of another process or a later build, and a file that was truncated or has changed bits, is rejected with an error that names
+// the file; it is never read in part.
 func TestOpen_RejectsForeignAndDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
-	l := openStore(t, dir)
+	store := openStore(t, dir)
 	for n := range uint64(40) {
-		write(t, l, Batch{Records: records(1+n*10, 10+n*10, "some text of a record "), Values: map[string][]byte{"v": bytes.Repeat([]byte{7}, 3000)}})
+		write(t, store, Batch{Records: records(1+n*10, 10+n*10, "some text of a record "), Values: map[string][]byte{"v": bytes.Repeat([]byte{7}, 3000)}})
 	}
-	l.Close()
+	closeStore(t, store)
 	for want, as := range map[string][2]string{`of fleet "f", not of "g"`: {"g", "c1"}, `of "c1", not of "c2"`: {"f", "c2"}} {
 		if _, err := Open(dir, as[0], as[1], nextID); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v", as, err)
@@ -92,25 +100,27 @@
 	damage := func(what string, b []byte) {
 		t.Helper()
 		other := t.TempDir()
-		os.WriteFile(filepath.Join(other, fileName), b, 0o600)
-		l, err := Open(other, "f", "c1", nextID)
+		if err := os.WriteFile(filepath.Join(other, fileName), b, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		store, err := Open(other, "f", "c1", nextID)
 		if err == nil { // what was hit may have been a page that nothing uses
-			got, values, err := l.Read()
-			if l.Close(); err != nil || len(got) != 400 || len(values["v"]) != 3000 || string(got[399].Bytes) != "some text of a record 400" {
+			got, values, err := store.Read()
+			if closeStore(t, store); err != nil || len(got) != 400 || len(values["v"]) != 3000 || string(got[399].Bytes) != "some text of a record 400" {
 				t.Errorf("%s: read as %d records, %v", what, len(got), err)
 			}
 		} else if !strings.HasPrefix(err.Error(), other) {
-			t.Errorf("%s: the error doesn't name the place: %v", what, err)
+			t.Errorf("%s: the error doesn't name the file: %v", what, err)
 		}
 	}
-	reads := func() bool { // something still reads a file that was refused, and is unmapped
+	checking := func() bool { // a goroutine still reads a file that was rejected, and is unmapped
 		all := make([]byte, 1<<20)
 		return bytes.Contains(all[:runtime.Stack(all, true)], []byte("bbolt.(*Tx).check"))
 	}
 	defer func() {
-		for late := time.Now().Add(10 * time.Second); reads(); runtime.Gosched() {
+		for late := time.Now().Add(10 * time.Second); checking(); runtime.Gosched() {
 			if time.Now().After(late) {
-				t.Fatal("a file that was refused is still being read")
+				t.Fatal("a file that was rejected is still being read")
 			}
 		}
 	}()
@@ -122,21 +132,21 @@
 		b[at] ^= 0x40
 		damage(fmt.Sprint("a bit at ", at), b)
 	}
-	if l, err = Open(dir, "f", "c1", nextID); err != nil {
-		t.Fatal("the folder that was refused is changed:", err)
+	if store, err = Open(dir, "f", "c1", nextID); err != nil {
+		t.Fatal("the directory that was rejected is changed:", err)
 	}
-	l.Close()
+	closeStore(t, store)
 }
 
-// What is read is what a plain list would hold, whatever was stored in which order and however often it was opened anew.
+// What is read is what a plain list would hold, whatever was written in which order and however often the store was opened again.
 func TestStore_AnyBatches(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
 		if err != nil {
 			rt.Fatal(err)
 		}
-		l := openStore(t, dir)
-		defer func() { l.Close() }()
+		store := openStore(t, dir)
+		defer func() { closeStore(t, store) }()
 		want := map[uint64]string{}
 		last := uint64(0)
 		for range rapid.IntRange(1, 8).Draw(rt, "batches") {
@@ -145,7 +155,7 @@
 			if rapid.Bool().Draw(rt, "cuts") {
 				b.CompactBelow = uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "below"))
 			}
-			write(t, l, b)
+			write(t, store, b)
 			for n := range want {
 				if n >= from {
 					delete(want, n)
@@ -161,11 +171,11 @@
 				}
 			}
 			if rapid.Bool().Draw(rt, "reopen") {
-				l.Close()
-				l = openStore(t, dir)
+				closeStore(t, store)
+				store = openStore(t, dir)
 			}
 		}
-		got, _, err := l.Read()
+		got, _, err := store.Read()
 		if err != nil || len(got) != len(want) {
 			rt.Fatalf("%d records, %d wanted, %v", len(got), len(want), err)
 		}
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -37,7 +37,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
+	defer func() {
+		if err := packed.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	unpacked, err := gzip.NewReader(packed)
 	if err != nil {
 		t.Fatal(err)
@@ -50,15 +54,15 @@
 }
 
 // describe lists all that a data directory holds.
-func describe(t *testing.T, l *Store) string {
+func describe(t *testing.T, store *Store) string {
 	t.Helper()
-	records, values, err := l.Read()
+	records, values, err := store.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d\nfleet %s\nname %s\nfolder %016x\n", l.Identity.Version, l.Identity.Fleet, l.Identity.Name, l.Identity.StorageID)
-	for _, start := range l.Identity.Incarnations {
+	fmt.Fprintf(&out, "version %d\nfleet %s\nname %s\nfolder %016x\n", store.Identity.Version, store.Identity.Fleet, store.Identity.Name, store.Identity.StorageID)
+	for _, start := range store.Identity.Incarnations {
 		fmt.Fprintf(&out, "start %016x\n", start)
 	}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -72,43 +76,43 @@
 
 // A data directory of the earlier program opens, with all that it holds: identity, starts, named values and records.
 func TestStoredDirectory_Opens(t *testing.T) {
-	l, err := openStored(t, readStored(t))
+	store, err := openStored(t, readStored(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer closeStore(t, store)
 	golden, err := os.ReadFile(filepath.Join(storedBy, "content.golden"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := describe(t, l); got != string(golden) {
+	if got := describe(t, store); got != string(golden) {
 		t.Errorf("the directory holds\n%s\nwant\n%s", got, golden)
 	}
 }
 
 // What is appended to a directory of the earlier program is there after it is closed and opened again, beside what was there.
 func TestStoredDirectory_TakesMore(t *testing.T) {
-	l, err := openStored(t, readStored(t))
+	store, err := openStored(t, readStored(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _, err := l.Read()
+	before, _, err := store.Read()
 	if err != nil || len(before) == 0 {
 		t.Fatalf("%d records: %v", len(before), err)
 	}
 	next := Record{Number: before[len(before)-1].Number + 1, Bytes: []byte("more")}
-	if err := l.Write(Batch{Records: []Record{next}}); err != nil {
+	if err := store.Write(Batch{Records: []Record{next}}); err != nil {
 		t.Fatal(err)
 	}
-	dir := filepath.Dir(l.path)
-	if err := l.Close(); err != nil {
+	dir := filepath.Dir(store.path)
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(dir, "lab", "c3", func() uint64 { return testIncarnation + 1 }); err != nil {
+	if store, err = Open(dir, "lab", "c3", func() uint64 { return testIncarnation + 1 }); err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	after, _, err := l.Read()
+	defer closeStore(t, store)
+	after, _, err := store.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,15 +124,15 @@
 // A directory of the earlier program in which one bit of any record or value has changed is refused.
 func TestStoredDirectory_CorruptedIsRefused(t *testing.T) {
 	database := readStored(t)
-	l, err := openStored(t, database)
+	store, err := openStored(t, database)
 	if err != nil {
 		t.Fatal(err)
 	}
-	records, values, err := l.Read()
+	records, values, err := store.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
+	closeStore(t, store)
 	contents := map[string][]byte{}
 	for name, value := range values {
 		contents["value "+name] = value
@@ -144,8 +148,8 @@
 			t.Errorf("%s: its bytes are not in the file", name)
 			continue
 		}
-		if l, err := openStored(t, damaged); err == nil {
-			l.Close()
+		if store, err := openStored(t, damaged); err == nil {
+			closeStore(t, store)
 			t.Errorf("%s: opened with a bit that changed", name)
 		}
 	}
@@ -163,9 +167,9 @@
 		if err := os.WriteFile(path, database, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, err := Open(dir, c.fleet, c.name, func() uint64 { return testIncarnation })
+		store, err := Open(dir, c.fleet, c.name, func() uint64 { return testIncarnation })
 		if err == nil {
-			l.Close()
+			closeStore(t, store)
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s/%s: %v, want %q", c.fleet, c.name, err, c.want)
