--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,7 +1,7 @@
-// Package audit is what a process writes of its acts in the fleet, a JSON object a line, in a file that outlives it: what it
-// held, took, refused and was granted, so that a checker can tell later what happened, whatever became of the process. It owns
-// the file; it must never keep the process from its work: a line that can't be written waits for the next one, up to a bound
-// beyond which the oldest are counted as lost.
+// Package audit writes the audit log of one process: a JSON object a line for each act of the process in the fleet (what it held,
+// rejected and was granted), in a file that outlives it, so that a checker can tell later what happened whatever became of the process.
+// It owns the file. It must never keep the process from its work: a line that can't be written waits for the next one, up to a bound
+// beyond which the oldest lines are counted as lost.
 package audit
 
 import (
@@ -9,6 +9,7 @@
 	"encoding/json"
 	"errors"
 	"io"
+	"maps"
 	"os"
 	"sync"
 	"time"
@@ -18,69 +19,84 @@
 	"wayloft/internal/failpoint"
 )
 
-const maxWaiting = 1024 // lines that wait for a file that refuses
+const (
+	maxWaiting    = 1024 // lines that wait while writes fail
+	fileMode      = 0o600
+	readBlockSize = 4096
+)
+
+// Names of the fields that each line has.
+const (
+	numberField  = "n"
+	pidField     = "pid"
+	processField = "who"
+	eventField   = "what"
+	timeField    = "at" // ms on the Unix clock
+)
 
-// Fields are what a line holds beside its number, its time and what happened.
+// Fields are what a line holds besides its number, its time, its process and its event.
 type Fields map[string]any
 
-// Log is an open file. A nil or a zero one takes nothing.
+// Log is an open audit log. A nil or a zero Log accepts lines and drops them. Its methods may be called at the same time.
 type Log struct {
-	mu      sync.Mutex
-	file       *os.File
+	mu          sync.Mutex
+	file        *os.File
 	process     string
 	lines       int
-	lost    int
-	waiting [][]byte // whole lines, the oldest first; empty: the file takes what it is given
-	partialLine    bool     // the file ends in part of a line
+	lost        int
+	waiting     [][]byte // encoded lines, the oldest first; empty while writes succeed
+	partialLine bool     // the file ends in part of a line
 }
 
-// Open begins or goes on with a process's record. What a kill has left of a line, or a disk that refused the rest of it, is cut off.
-func Open(path, who string) (*Log, error) {
+// Open opens the audit log of a process, or creates it. A partial line at its end, as a kill or a disk that refused the rest leaves it,
+// is truncated. An empty path gives a nil Log.
+func Open(path, process string) (*Log, error) {
 	if path == "" {
 		return nil, nil
 	}
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
-	r := &Log{file: f, process: who, partialLine: true}
-	if err := r.truncatePartialLine(); err != nil {
-		logrus.WithError(err).WithField("file", path).Warn("record: the end of the last line is not known")
+	l := &Log{file: file, process: process, partialLine: true}
+	if err := l.truncatePartialLine(); err != nil {
+		logrus.WithError(err).WithField("file", path).Warn("audit log: partial last line not truncated")
 	}
-	return r, nil
+	return l, nil
 }
 
-// truncatePartialLine cuts off a line that has no end.
-func (r *Log) truncatePartialLine() error {
-	if !r.partialLine {
+func (l *Log) truncatePartialLine() error {
+	if !l.partialLine {
 		return nil
 	}
-	end, err := lastLineEnd(r.file)
+	end, err := lastLineEnd(l.file)
 	if err != nil {
 		return err
 	}
-	if s, err := r.file.Stat(); err != nil {
+	info, err := l.file.Stat()
+	if err != nil {
 		return err
-	} else if s.Size() > end {
-		if err := r.file.Truncate(end); err != nil {
+	}
+	if info.Size() > end {
+		if err := l.file.Truncate(end); err != nil {
 			return err
 		}
 	}
-	r.partialLine = false
+	l.partialLine = false
 	return nil
 }
 
-// lastLineEnd finds the end of a file's last whole line, from its end.
-func lastLineEnd(f *os.File) (int64, error) {
-	s, err := f.Stat()
-	if err != nil || !s.Mode().IsRegular() {
+// lastLineEnd returns the offset after a file's last complete line, searching from its end; 0 for what isn't a regular file.
+func lastLineEnd(file *os.File) (int64, error) {
+	info, err := file.Stat()
+	if err != nil || !info.Mode().IsRegular() {
 		return 0, err
 	}
-	b := make([]byte, 4096)
-	for end := s.Size(); end > 0; {
-		from := max(0, end-int64(len(b)))
-		part := b[:end-from]
-		if _, err := f.ReadAt(part, from); err != nil && !errors.Is(err, io.EOF) {
+	block := make([]byte, readBlockSize)
+	for end := info.Size(); end > 0; {
+		from := max(0, end-readBlockSize)
+		part := block[:end-from]
+		if _, err := file.ReadAt(part, from); err != nil && !errors.Is(err, io.EOF) {
 			return 0, err
 		}
 		if n := bytes.LastIndexByte(part, '\n'); n >= 0 {
@@ -91,78 +107,78 @@
 	return 0, nil
 }
 
-// Add writes one line, at once and whole: what it says has happened when it returns. Where the file refuses, the line waits for
-// the next one.
-func (r *Log) Add(what string, f Fields) {
-	if r == nil || r.file == nil {
+// Add writes one line and returns once the file has it. If the write fails the line waits for the next Add or Close.
+func (l *Log) Add(event string, fields Fields) {
+	if l == nil || l.file == nil {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	line, err := r.encode(what, f)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	line, err := l.encode(event, fields)
 	if err != nil {
-		r.lost++
+		l.lost++
 		return
 	}
-	if r.waiting = append(r.waiting, line); len(r.waiting) > maxWaiting {
-		r.waiting = r.waiting[1:]
-		r.lost++
+	if l.waiting = append(l.waiting, line); len(l.waiting) > maxWaiting {
+		l.waiting = l.waiting[1:]
+		l.lost++
 	}
-	failed := len(r.waiting) > 1
-	err = r.flush()
+	failedBefore := len(l.waiting) > 1
+	err = l.flush()
 	switch {
-	case err != nil && !failed:
-		logrus.WithError(err).WithField("file", r.file.Name()).Error("record: not written, lines wait")
-	case err == nil && failed:
-		logrus.WithFields(logrus.Fields{"file": r.file.Name(), "lost": r.lost}).Info("record: written again")
+	case err != nil && !failedBefore:
+		logrus.WithError(err).WithField("file", l.file.Name()).Error("audit log: write failed, lines wait")
+	case err == nil && failedBefore:
+		logrus.WithFields(logrus.Fields{"file": l.file.Name(), "lost": l.lost}).Info("audit log: writes succeed again")
 	}
 }
 
 // encode numbers and encodes a line.
-func (r *Log) encode(what string, f Fields) ([]byte, error) {
-	r.lines++
-	line := Fields{"n": r.lines, "pid": os.Getpid(), "who": r.process, "what": what, "at": float64(time.Now().UnixMicro()) / 1000}
-	for k, v := range f {
-		line[k] = v
-	}
-	b, err := json.Marshal(line)
-	return append(b, '\n'), err
+func (l *Log) encode(event string, fields Fields) ([]byte, error) {
+	l.lines++
+	line := Fields{numberField: l.lines, pidField: os.Getpid(), processField: l.process, eventField: event,
+		timeField: float64(time.Now().UnixMicro()) / 1000}
+	maps.Copy(line, fields)
+	encoded, err := json.Marshal(line)
+	return append(encoded, '\n'), err
 }
 
-// flush writes what waits, in its order.
-func (r *Log) flush() error {
-	for len(r.waiting) > 0 {
-		if err := r.truncatePartialLine(); err != nil {
+// flush writes the waiting lines in their order.
+func (l *Log) flush() error {
+	for len(l.waiting) > 0 {
+		if err := l.truncatePartialLine(); err != nil {
 			return err
 		}
-		if err := r.write(r.waiting[0]); err != nil {
+		if err := l.write(l.waiting[0]); err != nil {
 			return err
 		}
-		r.waiting = r.waiting[1:]
+		l.waiting = l.waiting[1:]
 	}
-	r.waiting = nil
+	l.waiting = nil
 	return nil
 }
 
-func (r *Log) write(line []byte) error {
-	part, refused := line, failpoint.OperationError("audit.write", r.file.Name())
-	if refused != nil { // half of it is there, as where a disk is full
+func (l *Log) write(line []byte) error {
+	part, injected := line, failpoint.OperationError("audit.write", l.file.Name())
+	if injected != nil { // as a full disk does, it takes the first half
 		part = line[:len(line)/2]
 	}
-	n, err := r.file.Write(part)
-	r.partialLine = n > 0 && n < len(line)
-	return errors.Join(refused, err)
+	n, err := l.file.Write(part)
+	l.partialLine = n > 0 && n < len(line)
+	return errors.Join(injected, err)
 }
 
-// Close ends it.
-func (r *Log) Close() {
-	if r == nil || r.file == nil {
+// Close writes the lines that wait, if the file takes them now, and closes it. What is lost is logged.
+func (l *Log) Close() {
+	if l == nil || l.file == nil {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if err := r.flush(); err != nil {
-		logrus.WithError(err).WithFields(logrus.Fields{"file": r.file.Name(), "lost": r.lost + len(r.waiting)}).Error("record: lines are lost")
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if err := l.flush(); err != nil {
+		logrus.WithError(err).WithFields(logrus.Fields{"file": l.file.Name(), "lost": l.lost + len(l.waiting)}).Error("audit log: lines lost")
+	}
+	if err := l.file.Close(); err != nil {
+		logrus.WithError(err).WithField("file", l.file.Name()).Error("audit log: close failed")
 	}
-	r.file.Close()
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -48,63 +48,63 @@
 
 func openLog(t *testing.T, path string) *Log {
 	t.Helper()
-	r, err := Open(path, "r1")
+	log, err := Open(path, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return log
 }
 
-func addNumbers(r *Log, from, to int) {
+func addNumbers(log *Log, from, to int) {
 	for n := from; n <= to; n++ {
-		r.Add("act", Fields{"number": n})
+		log.Add("act", Fields{"number": n})
 	}
 }
 
-// A file that refuses lines, after part of each, gets them whole and in order once it takes them again, and says so once each way.
+// A file that refuses lines, after part of each, gets them complete and in order once it takes them again; each change is logged once.
 func TestLog_LinesWaitWhileWritesFail(t *testing.T) {
 	hook := logtest.NewGlobal()
 	defer hook.Reset()
-	path := filepath.Join(t.TempDir(), "record")
-	r := openLog(t, path)
-	addNumbers(r, 1, 3)
+	path := filepath.Join(t.TempDir(), "audit.log")
+	log := openLog(t, path)
+	addNumbers(log, 1, 3)
 	for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
 		hook.Reset()
 		from := len(readNumbers(t, path)) + 1
-		clear := failpoint.SetOperationError("audit.write", func(string) error { return refused })
-		addNumbers(r, from, from+9)
-		clear()
-		addNumbers(r, from+10, from+10)
+		clearFailure := failpoint.SetOperationError("audit.write", func(string) error { return refused })
+		addNumbers(log, from, from+9)
+		clearFailure()
+		addNumbers(log, from+10, from+10)
 		wantNumbers(t, path, 1, from+10)
 		if lines := hook.AllEntries(); len(lines) != 2 {
 			t.Errorf("%d log lines", len(lines))
 		}
 	}
-	if r.Close(); r.lost != 0 {
-		t.Errorf("%d lost", r.lost)
+	if log.Close(); log.lost != 0 {
+		t.Errorf("%d lost", log.lost)
 	}
 }
 
 // What waits is bounded; the oldest lines go first and are counted.
 func TestLog_WaitingLinesAreBounded(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "record")
-	r := openLog(t, path)
-	clear := failpoint.SetOperationError("audit.write", func(string) error { return syscall.ENOSPC })
-	addNumbers(r, 1, maxWaiting+10)
-	if len(r.waiting) != maxWaiting || r.lost != 10 {
-		t.Errorf("%d wait, %d lost", len(r.waiting), r.lost)
+	path := filepath.Join(t.TempDir(), "audit.log")
+	log := openLog(t, path)
+	clearFailure := failpoint.SetOperationError("audit.write", func(string) error { return syscall.ENOSPC })
+	addNumbers(log, 1, maxWaiting+10)
+	if len(log.waiting) != maxWaiting || log.lost != 10 {
+		t.Errorf("%d wait, %d lost", len(log.waiting), log.lost)
 	}
-	clear()
-	r.Close() // the last moment to write them
+	clearFailure()
+	log.Close() // the last moment to write them
 	wantNumbers(t, path, 11, maxWaiting+10)
 }
 
-// What a kill has left of a line is cut off at the next start, wherever it came.
+// A partial line that a kill has left is truncated at the next start, wherever the kill came.
 func TestLog_PartialLineIsTruncated(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "record")
-	r := openLog(t, path)
-	addNumbers(r, 1, 3)
-	r.Close()
+	path := filepath.Join(t.TempDir(), "audit.log")
+	log := openLog(t, path)
+	addNumbers(log, 1, 3)
+	log.Close()
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -113,26 +113,29 @@
 		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		r := openLog(t, path)
+		log := openLog(t, path)
 		left := bytes.Count(whole[:cut], []byte("\n"))
-		addNumbers(r, left+1, left+1)
-		r.Close()
+		addNumbers(log, left+1, left+1)
+		log.Close()
 		wantNumbers(t, path, 1, left+1)
 	}
-	long := append(whole, bytes.Repeat([]byte{'x'}, 10000)...)
+	long := append(bytes.Clone(whole), bytes.Repeat([]byte{'x'}, 10000)...)
 	if err := os.WriteFile(path, long, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r = openLog(t, path)
-	addNumbers(r, 4, 4)
-	r.Close()
+	log = openLog(t, path)
+	addNumbers(log, 4, 4)
+	log.Close()
 	wantNumbers(t, path, 1, 4)
 }
 
-// One that was never opened takes nothing.
+// A Log that was never opened accepts lines and drops them.
 func TestLog_UnopenedTakesNothing(t *testing.T) {
-	for _, r := range []*Log{nil, {}} {
-		addNumbers(r, 1, 2)
-		r.Close()
+	for _, log := range []*Log{nil, {}} {
+		addNumbers(log, 1, 2)
+		log.Close()
+		if log != nil && (log.lines != 0 || len(log.waiting) != 0) {
+			t.Errorf("%d lines, %d wait", log.lines, len(log.waiting))
+		}
 	}
 }
