--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -14,26 +14,28 @@
 	"wayloft/internal/fleetpb"
 )
 
-// What is packed comes back; what would unpack to more than it may is refused, as is what isn't packed.
+// Compressed content comes back; what would exceed the limit is rejected, as is what isn't zstd.
 func TestCompress_RoundTripAndLimits(t *testing.T) {
 	long := bytes.Repeat([]byte("tenants.acme.rate"), 20000)
-	packed := Compress(long)
-	if got, err := Decompress(packed, len(long)); err != nil || !bytes.Equal(got, long) || len(packed) > len(long)/100 {
-		t.Error(len(got), len(packed), err)
+	compressed := Compress(long)
+	if got, err := Decompress(compressed, len(long)); err != nil || !bytes.Equal(got, long) || len(compressed) > len(long)/100 {
+		t.Error(len(got), len(compressed), err)
 	}
-	if got, err := Decompress(packed, len(long)/2); err == nil {
+	if got, err := Decompress(compressed, len(long)/2); err == nil {
 		t.Error(len(got), "bytes came of it")
 	}
-	noise := make([]byte, policy.MostChanges) // the most that is ever packed, of what packs worst
-	rand.NewChaCha8([32]byte{1}).Read(noise)
+	noise := make([]byte, policy.MostChanges) // the most that is ever compressed, of what compresses worst
+	if _, err := rand.NewChaCha8([32]byte{1}).Read(noise); err != nil {
+		t.Fatal(err)
+	}
 	for _, n := range []int{1, policy.MostBytes - 1, policy.MostBytes, policy.MostChanges} {
 		if got, err := Decompress(Compress(noise[:n]), max(n, policy.MostBytes)); err != nil || !bytes.Equal(got, noise[:n]) {
 			t.Errorf("%d bytes: %d, %v", n, len(got), err)
 		}
 	}
-	for _, bad := range [][]byte{[]byte("not packed at all"), packed[:len(packed)/2]} {
+	for _, bad := range [][]byte{[]byte("not compressed at all"), compressed[:len(compressed)/2]} {
 		if _, err := Decompress(bad, 1<<20); err == nil {
-			t.Errorf("%d bytes that are not sound are taken", len(bad))
+			t.Errorf("%d bytes that are not sound are accepted", len(bad))
 		}
 	}
 }
@@ -56,8 +58,8 @@
 	}
 }
 
-// What a watch tells at its beginning, in a fleet of 610 routers and 164 groups with two leases each: sessions are two thirds of it,
-// and it is what a router that gives no orders need not hear. The rest has to be heard within a few seconds of an allowance of 6 KB.
+// The first update of a watch in a fleet of 610 routers and 164 groups with two leases each: sessions are two thirds of it, and a router that
+// places no orders needs none of them. The rest has to arrive within a few seconds of an allowance of 6 KB a second.
 func TestUpdate_SizeForAFleet(t *testing.T) {
 	r := leasestate.New("f")
 	at := uint64(0)
