--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -758,7 +758,7 @@
 			for _, o := range c.settings.Peers {
 				in[o.Name] = true
 			}
-			c.incarnations.Forget(in)
+			c.incarnations.Retain(in)
 			b, err := cbor.Marshal(c.incarnations.Known)
 			if err == nil {
 				err = c.store.Write(storage.Batch{Values: map[string][]byte{stored.met: b}})
--- a/internal/decide/raftnode/durable.go
+++ b/internal/decide/raftnode/durable.go
@@ -5,68 +5,69 @@
 	"fmt"
 )
 
-// ErrDataLoss is of a folder that lacks what this process had stored and may have acknowledged.
+// ErrDataLoss is returned for a data directory that lacks what this node had stored and may have acknowledged.
 var ErrDataLoss = errors.New("council: the folder has lost what was acknowledged")
 
-// Durable is what a process knows to be on its disk, as far as others may count on it. It judges what is read after a write failed:
-// that is what was stored before, or with what was being written.
+// Durable tracks what of this node is on its disk, as far as others may rely on it. After a write has failed it judges what is read
+// again: that must be what was stored before, with or without the write that failed.
 type Durable struct {
 	stored    durableState
-	attempted durableState // with the write that is on, or has failed
+	attempted durableState // with the write that is in progress, or has failed
 }
 
-// durableState is the term and vote, what is committed, and the end of the log.
+// durableState is the vote, the commit index and the end of the log.
 type durableState struct {
 	term, vote, commit, last uint64
 }
 
-// Loaded takes in what was read.
-func (d *Durable) Loaded(s Stored) {
-	d.stored = durableStateOf(s)
+// Loaded passes in what was read.
+func (d *Durable) Loaded(stored Stored) {
+	d.stored = durableStateOf(stored)
 	d.attempted = d.stored
 }
 
-// Attempt takes in a decision that is about to be stored.
+// Attempt passes in a decision that is about to be stored.
 func (d *Durable) Attempt(decision Decision) {
-	m := d.stored
-	if h := decision.HardState; h != nil {
-		m.term, m.vote, m.commit = h.GetTerm(), h.GetVote(), h.GetCommit()
+	next := d.stored
+	if hardState := decision.HardState; hardState != nil {
+		next.term, next.vote, next.commit = hardState.GetTerm(), hardState.GetVote(), hardState.GetCommit()
 	}
-	if decision.Action == Save && decision.Snapshot.GetMetadata().GetIndex() > 0 {
-		m.last = decision.Snapshot.GetMetadata().GetIndex()
+	if index := decision.Snapshot.GetMetadata().GetIndex(); decision.Action == Save && index > 0 {
+		next.last = index
 	}
-	if n := len(decision.Entries); n > 0 {
-		m.last = decision.Entries[n-1].GetIndex()
+	if count := len(decision.Entries); count > 0 {
+		next.last = decision.Entries[count-1].GetIndex()
 	}
-	d.attempted = m
+	d.attempted = next
 }
 
-// Confirm says that the decision of the latest Attempt is on disk.
+// Confirm passes in that the decision of the latest Attempt is on disk.
 func (d *Durable) Confirm() { d.stored = d.attempted }
 
-// Check tells what is wrong with what is read again.
-func (d *Durable) Check(s Stored) error {
-	got := durableStateOf(s)
+// Check returns ErrDataLoss, wrapped, if what is read again lacks something that was stored.
+func (d *Durable) Check(read Stored) error {
+	got := durableStateOf(read)
 	if got.covers(d.stored) || got.covers(d.attempted) {
 		return nil
 	}
 	return fmt.Errorf("%w: it holds %s, and held %s", ErrDataLoss, got, d.stored)
 }
 
-func durableStateOf(s Stored) durableState {
-	m := durableState{term: s.HardState.GetTerm(), vote: s.HardState.GetVote(), commit: s.HardState.GetCommit(), last: s.Snapshot.GetMetadata().GetIndex()}
-	if n := len(s.Entries); n > 0 {
-		m.last = max(m.last, s.Entries[n-1].GetIndex())
+func durableStateOf(stored Stored) durableState {
+	state := durableState{term: stored.HardState.GetTerm(), vote: stored.HardState.GetVote(), commit: stored.HardState.GetCommit(),
+		last: stored.Snapshot.GetMetadata().GetIndex()}
+	if count := len(stored.Entries); count > 0 {
+		state.last = max(state.last, stored.Entries[count-1].GetIndex())
 	}
-	return m
+	return state
 }
 
-// covers tells whether nothing is lost of another; a vote counts in its own term alone.
-func (m durableState) covers(o durableState) bool {
-	keepsVote := m.term > o.term || o.vote == 0 || m.vote == o.vote
-	return m.term >= o.term && keepsVote && m.commit >= o.commit && m.last >= o.last
+// covers returns whether nothing of another state is lost. A vote counts in its own term alone.
+func (s durableState) covers(other durableState) bool {
+	keepsVote := s.term > other.term || other.vote == 0 || s.vote == other.vote
+	return s.term >= other.term && keepsVote && s.commit >= other.commit && s.last >= other.last
 }
 
-func (m durableState) String() string {
-	return fmt.Sprintf("term %d with a vote for %x, %d entries, %d of them committed", m.term, m.vote, m.last, m.commit)
+func (s durableState) String() string {
+	return fmt.Sprintf("term %d with a vote for %x, %d entries, %d of them committed", s.term, s.vote, s.last, s.commit)
 }
--- a/internal/decide/raftnode/heartbeats_test.go
+++ b/internal/decide/raftnode/heartbeats_test.go
@@ -17,7 +17,7 @@
 	now      float64
 	number   uint64
 	done     map[uint64]leasestate.Result
-	unknown     int
+	unknown  int
 	messages map[raftpb.MessageType]int
 	bytes    map[raftpb.MessageType]int
 	entries  int               // as stored by the leader
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -20,13 +20,13 @@
 
 // singleNode is a coordinator of one over a disk in memory.
 type singleNode struct {
-	t      *testing.T
-	node      *Node
-	disk   Stored
-	now    float64
-	number uint64
-	done   map[uint64]leasestate.Result
-	redirected  int
+	t          *testing.T
+	node       *Node
+	disk       Stored
+	now        float64
+	number     uint64
+	done       map[uint64]leasestate.Result
+	redirected int
 }
 
 func newSingleNode(t *testing.T, disk Stored) *singleNode {
@@ -266,7 +266,7 @@
 	other.StorageID = 6
 	hello("another folder", other, false, "another folder")
 	hello("nobody", Identity{}, false, "doesn't say")
-	m.Forget(map[string]bool{})
+	m.Retain(map[string]bool{})
 	hello("after it left", other, true, "")
 }
 
--- a/internal/decide/raftnode/recovery.go
+++ b/internal/decide/raftnode/recovery.go
@@ -6,70 +6,83 @@
 	"maps"
 	"slices"
 
-	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
 	"wayloft/internal/decide/leasestate"
 )
 
-// Recovery is what beginning a coordinator again from one folder comes to.
+// ErrNothingStored is returned by Recover for a data directory without a snapshot.
+var ErrNothingStored = errors.New("nothing is stored here")
+
+// Recovery is the result of Recover.
 type Recovery struct {
-	Decision     Decision // in place of all that is stored
-	Epoch     uint64   // that begins
-	PreviousEpoch       uint64
-	LastIndex     uint64 // of the last entry that is kept
-	CommittedIndex uint64 // of the last one known to be agreed; those after it may or may not have been
-	RemovedPeers   []Peer // processes that are no more of the coordinator
+	Decision       Decision // a Save that replaces all that is stored
+	Epoch          uint64   // the new one
+	PreviousEpoch  uint64
+	LastIndex      uint64 // of the last entry that is kept
+	CommittedIndex uint64 // of the last entry known to be committed; those after it may or may not have been
+	RemovedPeers   []Peer
 }
 
-// Recover begins a coordinator of one from what one of its processes had stored, in a later epoch. All its entries are kept, also
-// those that it doesn't know to be agreed: the ones who knew are lost. What only they had is given up; the later epoch
-// keeps it from doing harm.
-func Recover(fleet, name, addr string, stored Stored, above uint64) (Recovery, error) {
+// Recover makes a cluster of one from what one node of a cluster had stored, in an epoch above both the previous one and knownEpoch. All
+// entries of the node are kept, also those that it doesn't know to be committed, because the nodes that knew are lost. What only those had
+// is lost too; the later epoch keeps that from doing harm, since receivers reject tokens of earlier ones.
+func Recover(fleet, name, addr string, stored Stored, knownEpoch uint64) (Recovery, error) {
 	if stored.Snapshot == nil {
-		return Recovery{}, errors.New("nothing is stored here")
+		return Recovery{}, ErrNothingStored
+	}
+	data, state, err := decodeSnapshot(fleet, stored.Snapshot)
+	if err != nil {
+		return Recovery{}, err
 	}
-	i, reg, err := decodeSnapshot(fleet, stored.Snapshot)
+	last, term, err := replay(state, stored)
 	if err != nil {
 		return Recovery{}, err
 	}
-	r := Recovery{PreviousEpoch: reg.Epoch(), LastIndex: stored.Snapshot.GetMetadata().GetIndex(), CommittedIndex: stored.HardState.GetCommit()}
-	term := stored.Snapshot.GetMetadata().GetTerm()
-	for _, e := range stored.Entries {
-		if e.GetIndex() <= r.LastIndex {
+	self := Peer{ID: ID(name), Name: name, Addr: addr}
+	recovery := Recovery{PreviousEpoch: state.Epoch(), Epoch: max(state.Epoch(), knownEpoch) + 1, LastIndex: last,
+		CommittedIndex: stored.HardState.GetCommit()}
+	for _, id := range slices.Sorted(maps.Keys(data.Peers)) {
+		if id != self.ID {
+			recovery.RemovedPeers = append(recovery.RemovedPeers, data.Peers[id])
+			data.RemovedPeers = append(data.RemovedPeers, id)
+		}
+	}
+	index := last + 1
+	state.Apply(index, leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: recovery.Epoch})
+	recovery.Decision = Decision{
+		Action: Save,
+		HardState: &raftpb.HardState{Term: proto.Uint64(max(term, stored.HardState.GetTerm()) + 1), Vote: proto.Uint64(0),
+			Commit: proto.Uint64(index)},
+		Snapshot: &raftpb.Snapshot{
+			Data: EncodeSnapshot(map[uint64]Peer{self.ID: self}, data.RemovedPeers, state),
+			Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}}, Index: proto.Uint64(index),
+				Term: proto.Uint64(max(term, 1))},
+		},
+	}
+	return recovery, nil
+}
+
+// replay applies the stored entries to the state of the stored snapshot and returns the index and term of the last one.
+func replay(state *leasestate.State, stored Stored) (last, term uint64, err error) {
+	last, term = stored.Snapshot.GetMetadata().GetIndex(), stored.Snapshot.GetMetadata().GetTerm()
+	for _, entry := range stored.Entries {
+		if entry.GetIndex() <= last {
 			continue
 		}
-		if e.GetIndex() != r.LastIndex+1 {
-			return Recovery{}, fmt.Errorf("entry %d is missing", r.LastIndex+1)
+		if entry.GetIndex() != last+1 {
+			return 0, 0, fmt.Errorf("entry %d is missing", last+1)
 		}
-		r.LastIndex, term = e.GetIndex(), e.GetTerm()
-		if e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
+		last, term = entry.GetIndex(), entry.GetTerm()
+		if entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 {
 			continue
 		}
-		var rec proposal
-		if err := cbor.Unmarshal(e.GetData(), &rec); err != nil {
-			return Recovery{}, fmt.Errorf("entry %d: %w", r.LastIndex, err)
-		}
-		entry, err := leasestate.Decode(rec.Entry)
+		_, change, err := decodeProposal(entry)
 		if err != nil {
-			return Recovery{}, fmt.Errorf("entry %d: %w", r.LastIndex, err)
-		}
-		reg.Apply(r.LastIndex, entry)
-	}
-	r.PreviousEpoch = reg.Epoch()
-	r.Epoch = max(r.PreviousEpoch, above) + 1
-	self := Peer{ID: ID(name), Name: name, Addr: addr}
-	for _, id := range slices.Sorted(maps.Keys(i.Peers)) {
-		if id != self.ID {
-			r.RemovedPeers = append(r.RemovedPeers, i.Peers[id])
-			i.RemovedPeers = append(i.RemovedPeers, id)
+			return 0, 0, err
 		}
+		state.Apply(last, change)
 	}
-	reg.Apply(r.LastIndex+1, leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: r.Epoch})
-	r.Decision = Decision{Action: Save,
-		HardState: &raftpb.HardState{Term: proto.Uint64(max(term, stored.HardState.GetTerm()) + 1), Vote: proto.Uint64(0), Commit: proto.Uint64(r.LastIndex + 1)},
-		Snapshot: &raftpb.Snapshot{Data: EncodeSnapshot(map[uint64]Peer{self.ID: self}, i.RemovedPeers, reg), Metadata: &raftpb.SnapshotMetadata{
-			ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}}, Index: proto.Uint64(r.LastIndex + 1), Term: proto.Uint64(max(term, 1))}}}
-	return r, nil
+	return last, term, nil
 }
