--- a/internal/decide/raftnode/epoch_test.go
+++ b/internal/decide/raftnode/epoch_test.go
@@ -26,25 +26,25 @@
 	return a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
 }
 
-// A coordinator that is begun anew after its wall clock went back comes into an epoch of the past. Receivers refuse what it grants and say
-// so; it then grants nothing until an operator has begun an epoch above the one that they saw.
+// A new cluster that is begun after the wall clock was stepped back has an epoch that is lower than the previous one. Receivers reject the
+// tokens that it grants and report theirs; it then grants none until an operator has begun an epoch above the one that they know.
 func TestEpoch_LowerAfterWallClockSteppedBack(t *testing.T) {
 	scope, receiver := lease.Scope{Lease: "d", About: "d"}, lease.NewReceiver()
-	was := beginWithSession(t, 5000, 0).acquire().Fence
-	receiver.TokenLearned("d", was)
-	anew := beginWithSession(t, 1400, 0)
-	granted := anew.acquire()
+	previous := beginWithSession(t, 5000, 0).acquire().Fence
+	receiver.TokenLearned("d", previous)
+	restarted := beginWithSession(t, 1400, 0)
+	granted := restarted.acquire()
 	verdict, seen := receiver.Take(scope, "s", granted.Fence)
-	if !granted.Held || granted.Fence.Epoch != 1400 || verdict != lease.Old || seen != was {
+	if !granted.Held || granted.Fence.Epoch != 1400 || verdict != lease.Old || seen != previous {
 		t.Fatalf("granted %+v, which the receiver judges %v, %v", granted, verdict, seen)
 	}
-	anew.propose(leasestate.Entry{Kind: leasestate.ReportToken, Lease: "d", Token: seen})
-	if a := anew.acquire(); a.Held {
+	restarted.propose(leasestate.Entry{Kind: leasestate.ReportToken, Lease: "d", Token: seen})
+	if a := restarted.acquire(); a.Held {
 		t.Fatalf("granted again in an epoch of the past: %+v", a)
 	}
-	d, _ := anew.node.State().Lease("d")
-	anew.propose(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as coordinator recover does
-	granted = anew.acquire()
+	d, _ := restarted.node.State().Lease("d")
+	restarted.propose(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as coordinator recover does
+	granted = restarted.acquire()
 	if verdict, _ := receiver.Take(scope, "s", granted.Fence); !granted.Held || verdict != lease.Taken {
 		t.Errorf("granted %+v, which the receiver judges %v", granted, verdict)
 	}
@@ -104,7 +104,7 @@
 			at(c.now + 10)
 		}
 		if a := do(leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1}); !a.Held {
-			t.Fatalf("the session ended where another began to lead: %+v", a)
+			t.Fatalf("the session ended when another node became the leader: %+v", a)
 		}
 		if passed, took := float64(to.State().Now()-counted), c.now-began; passed > took+100 {
 			t.Fatalf("%v ms are counted for %v", passed, took)
@@ -113,11 +113,11 @@
 	if len(led) != len(c.nodes) {
 		t.Errorf("%d of %d led", len(led), len(c.nodes))
 	}
-	heard := c.now
+	lastHeartbeat := c.now
 	for _, open := c.leader().State().Session("s"); open; _, open = c.leader().State().Session("s") {
 		at(c.now + 10)
 	}
-	if took := c.now - heard; took < length || took > length+500 {
+	if took := c.now - lastHeartbeat; took < length || took > length+500 {
 		t.Errorf("a silent session ended after %v ms, not %d", took, length)
 	}
 }
--- a/internal/decide/raftnode/heartbeats_test.go
+++ b/internal/decide/raftnode/heartbeats_test.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// settle carries out what the three decide until none has anything more to say: messages take no time.
+// settle carries out what the three decide until none has another decision: messages take no time.
 func (c *threeNodes) settle() {
 	for again := true; again; {
 		again = false
@@ -128,15 +128,15 @@
 	return c.propose(leasestate.Entry{Kind: leasestate.KeepAlive, Session: sessionName(n), Incarnation: 1})
 }
 
-// Each session's beat comes alone, at a time of its own, as those of hundreds of routers do: what the three write and say goes by
-// their ticks and not by the number of beats, and all are answered.
-func TestHeartbeats_AreBatchedByTick(t *testing.T) {
+// Each session's heartbeat comes alone, at a time of its own, as those of hundreds of routers do: what the three nodes write and send grows
+// with their ticks and not with the number of heartbeats, and all are answered.
+func TestHeartheartbeats_AreBatchedByTick(t *testing.T) {
 	const sessions, seconds = 600, 2
 	c := threeNodesWithSessions(t, sessions, 2000)
-	begun, beats, before := c.now, 0, len(c.done)
-	for ; c.now < begun+seconds*1000; beats++ { // a beat each ms: each session beats each 600 ms
+	start, heartbeats, before := c.now, 0, len(c.done)
+	for ; c.now < start+seconds*1000; heartbeats++ { // one each ms: each session sends one each 600 ms
 		c.advance(c.now + 1)
-		c.heartbeat(beats % sessions)
+		c.heartbeat(heartbeats % sessions)
 	}
 	c.advance(c.now + 100)
 	all, twice, messages := 0, 0, 0
@@ -148,52 +148,53 @@
 			twice++
 		}
 	}
-	t.Logf("%d beats: %d entries, %d bytes (%.0f a beat); by kind: messages %v, bytes %v; %d entries sent twice to one process", beats, c.entries,
-		all, float64(all)/float64(beats), c.messages, c.bytes, twice)
+	t.Logf("%d heartbeats: %d entries, %d bytes (%.0f a heartbeat); by kind: messages %v, bytes %v; %d entries sent twice to one node", heartbeats, c.entries,
+		all, float64(all)/float64(heartbeats), c.messages, c.bytes, twice)
 	if most := seconds*10 + 2; c.entries > most {
-		t.Errorf("%d entries for %d beats in %d ticks", c.entries, beats, seconds*10)
+		t.Errorf("%d entries for %d heartbeats in %d ticks", c.entries, heartbeats, seconds*10)
 	}
-	if messages > beats/4 || all > 60*beats || twice > 0 { // a name in an entry has some 20 bytes, and goes to two
-		t.Errorf("%d messages of %d bytes for %d beats, %d entries sent twice", messages, all, beats, twice)
+	if messages > heartbeats/4 || all > 60*heartbeats || twice > 0 { // a name in an entry has some 20 bytes, and goes to two
+		t.Errorf("%d messages of %d bytes for %d heartbeats, %d entries sent twice", messages, all, heartbeats, twice)
 	}
-	for n := range beats {
+	for n := range heartbeats {
 		if a := c.done[uint64(sessions+n+1)]; !a.Held {
-			t.Fatalf("beat %d: %+v", n, a)
+			t.Fatalf("heartbeat %d: %+v", n, a)
 		}
 	}
-	if len(c.done)-before != beats || c.unknown > 0 {
-		t.Errorf("%d answers for %d beats, %d lost", len(c.done)-before, beats, c.unknown)
+	if len(c.done)-before != heartbeats || c.unknown > 0 {
+		t.Errorf("%d answers for %d heartbeats, %d with an unknown result", len(c.done)-before, heartbeats, c.unknown)
 	}
 }
 
-// A beat waits neither where that is long beside its session, nor until its session is over, nor behind what came after it.
-func TestHeartbeats_AreProposedEarlyWhereTheyMustBe(t *testing.T) {
+// A heartbeat doesn't wait for the tick where that is long against its session's timeout or where the session would expire, and it is proposed
+// before what came after it.
+func TestHeartheartbeats_AreProposedEarlyWhereTheyMustBe(t *testing.T) {
 	t.Run("a short session", func(t *testing.T) {
 		c := threeNodesWithSessions(t, 1, 1500)
 		c.advance(c.leader().NextDeadline()) // the whole of a tick is left
 		if number := c.heartbeat(0); !c.done[number].Held {
-			t.Error("waits though its asker has a quarter of its length")
+			t.Error("waits although its sender waits for a quarter of the timeout alone")
 		}
 	})
-	t.Run("nobody's", func(t *testing.T) {
+	t.Run("no session", func(t *testing.T) {
 		c := threeNodesWithSessions(t, 1, 2000)
 		c.advance(c.leader().NextDeadline())
 		if number := c.heartbeat(7); c.done[number].Why != leasestate.ReasonNoSession {
 			t.Errorf("%+v", c.done[number])
 		}
 	})
-	t.Run("near its end", func(t *testing.T) {
-		for ms := range 300 { // at each ms up to its end and beyond: heard while it stands, it stays
+	t.Run("near its expiry", func(t *testing.T) {
+		for ms := range 300 { // at each ms up to its expiry and beyond: a heartbeat that comes while it is open keeps it open
 			c := threeNodesWithSessions(t, 1, 2000)
-			heard := c.now
-			for to := heard + 1750 + float64(ms); c.now < to; {
+			lastHeartbeat := c.now
+			for to := lastHeartbeat + 1750 + float64(ms); c.now < to; {
 				c.advance(min(to, c.leader().NextDeadline()))
 			}
 			_, open := c.leader().State().Session(sessionName(0))
 			number := c.heartbeat(0)
 			c.advance(c.leader().NextDeadline())
 			if a, answered := c.done[number]; a.Held != open || !answered {
-				t.Fatalf("%d ms silent, stands %v: %+v, answered %v", 1750+ms, open, a, answered)
+				t.Fatalf("%d ms without a heartbeat, open %v: %+v, answered %v", 1750+ms, open, a, answered)
 			}
 		}
 	})
@@ -202,7 +203,7 @@
 		c.advance(c.leader().NextDeadline())
 		first := c.heartbeat(0)
 		if _, answered := c.done[first]; answered {
-			t.Fatal("it didn't wait")
+			t.Fatal("it did not wait")
 		}
 		at := c.leader().Applied()
 		then := c.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: sessionName(1), Incarnation: 1, Lease: "d"})
@@ -210,7 +211,7 @@
 			t.Errorf("%+v, %+v, %d entries", c.done[first], c.done[then], c.leader().Applied()-at)
 		}
 	})
-	t.Run("and is lost with the lead", func(t *testing.T) {
+	t.Run("unknown when leadership is lost", func(t *testing.T) {
 		c := threeNodesWithSessions(t, 1, 2000)
 		c.advance(c.leader().NextDeadline())
 		c.heartbeat(0)
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -95,11 +95,11 @@
 func TestNode_SingleNodeCluster(t *testing.T) {
 	a := newSingleNode(t, Stored{})
 	if a.node.Propose(99, leasestate.Entry{Kind: leasestate.AdvanceTime}); a.redirected != 0 {
-		t.Fatal("answered before it was pulled")
+		t.Fatal("a decision before it was pulled")
 	}
 	a.pass(500)
 	if a.redirected != 1 {
-		t.Error("who doesn't lead must say so")
+		t.Error("a node that does not lead must redirect")
 	}
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	got := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
@@ -180,29 +180,29 @@
 			t.Errorf("%q, want %q", a.done[a.number].Why, want)
 		}
 	}
-	// Another fleet's folder, one that lacks what it said was agreed, and an entry of a later build.
+	// Data of another fleet, data that lacks committed entries, and an entry of a later build.
 	if _, _, err := New(Settings{Fleet: "g", Name: "c1", Tick: 10, SnapshotInterval: 100, Logger: quietLogger()}, a.disk); err == nil {
-		t.Error("another fleet's folder was taken")
+		t.Error("data of another fleet was accepted")
 	}
 	short := a.disk
 	short.HardState = &raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(0), Commit: proto.Uint64(1000)}
 	if _, _, err := New(Settings{Fleet: "f", Name: "c1", Tick: 10, SnapshotInterval: 100, Logger: quietLogger()}, short); err == nil {
-		t.Error("a folder that lacks entries was taken")
+		t.Error("data that lacks entries was accepted")
 	}
 	if a.node.raftNode.Propose(encode(proposal{Proposer: 1, Request: 1, Entry: encode(map[int]any{1: "merge"})})) != nil {
 		t.Fatal("not proposed")
 	}
 	if a.pass(30); a.node.Err() == nil {
-		t.Error("an entry of a later build was passed over")
+		t.Error("an entry of a later build was skipped")
 	}
 }
 
-// From one folder a coordinator of one begins again, in a later epoch, with all that it held.
+// From the data of one node a cluster of one begins, in a later epoch, with all that the node had.
 func TestRecover_SingleNodeInLaterEpoch(t *testing.T) {
 	a := newSingleNode(t, Stored{})
 	a.pass(500)
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
-	was := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Fence
+	previous := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Fence
 	three := a.disk
 	three.Snapshot = proto.Clone(three.Snapshot).(*raftpb.Snapshot)
 	_, reg, err := DecodeSnapshot("f", three.Snapshot)
@@ -219,13 +219,13 @@
 	}
 	b := newSingleNode(t, Stored{HardState: r.Decision.HardState, Snapshot: r.Decision.Snapshot})
 	b.pass(500)
-	if got := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Fence.Compare(was) <= 0 || got.Fence.Epoch != 13 {
-		t.Errorf("%+v after %v", got, was)
+	if got := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Fence.Compare(previous) <= 0 || got.Fence.Epoch != 13 {
+		t.Errorf("%+v after %v", got, previous)
 	}
 	b.number++
 	b.node.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
 	if b.pass(20); !strings.Contains(b.done[b.number].Why, "was of this council before") {
-		t.Errorf("a process that was given up came back: %+v", b.done[b.number])
+		t.Errorf("a node that was removed joined again: %+v", b.done[b.number])
 	}
 	three.Entries = append(three.Entries[:1:1], three.Entries[2:]...)
 	if _, err := Recover("f", "c1", "a", three, 0); err == nil {
@@ -236,42 +236,42 @@
 func TestKnownIncarnations_Handshake(t *testing.T) {
 	m := NewKnownIncarnations()
 	id := Identity{Name: "c2", StorageID: 5, Incarnations: []uint64{10}, Term: 3, LastIndex: 40}
-	hello := func(what string, id Identity, news bool, words string) {
+	handshake := func(condition string, id Identity, wantChanged bool, wantError string) {
 		t.Helper()
-		got, err := m.Handshake(id)
-		if got != news || (err == nil) != (words == "") || err != nil && !strings.Contains(err.Error(), words) {
-			t.Errorf("%s: news %v, %v", what, got, err)
+		changed, err := m.Handshake(id)
+		if changed != wantChanged || (err == nil) != (wantError == "") || err != nil && !strings.Contains(err.Error(), wantError) {
+			t.Errorf("%s: changed %v, %v", condition, changed, err)
 		}
 	}
-	hello("first", id, true, "")
-	hello("again", id, false, "")
+	handshake("first", id, true, "")
+	handshake("again", id, false, "")
 	id.Incarnations = []uint64{10, 11}
-	hello("started again", id, true, "")
+	handshake("started again", id, true, "")
 	m.MessageReceived("c2", &raftpb.Message{Type: raftpb.MsgAppResp.Enum(), Index: proto.Uint64(90), Term: proto.Uint64(4)}, 80)
-	hello("by another connection, of the same start", id, false, "")
+	handshake("by another connection, of the same start", id, false, "")
 	older := id
 	older.Incarnations = []uint64{10, 12}
-	hello("an older copy, by its starts", older, false, "older copy")
+	handshake("an older copy, by its starts", older, false, "older copy")
 	older = id
 	older.Incarnations = []uint64{10, 11, 13}
 	older.Term, older.LastIndex = 4, 79
-	hello("an older copy, by what it acknowledged", older, false, "older copy")
+	handshake("an older copy, by what it acknowledged", older, false, "older copy")
 	older.LastIndex, older.Term = 80, 3
-	hello("an older copy, by its term", older, false, "older copy")
+	handshake("an older copy, by its term", older, false, "older copy")
 	older.Term = 4
-	hello("whole", older, true, "")
+	handshake("complete", older, true, "")
 	m.MessageReceived("c2", &raftpb.Message{Type: raftpb.MsgPreVote.Enum(), Term: proto.Uint64(99)}, 80)
-	hello("a term that nobody stored counts for nothing", older, false, "")
+	handshake("a term that nobody stored counts for nothing", older, false, "")
 	other := id
 	other.StorageID = 6
-	hello("another folder", other, false, "another folder")
-	hello("nobody", Identity{}, false, "doesn't say")
+	handshake("another data directory", other, false, "another folder")
+	handshake("nobody", Identity{}, false, "doesn't say")
 	m.Retain(map[string]bool{})
-	hello("after it left", other, true, "")
+	handshake("after it left", other, true, "")
 }
 
-// A proposal of fields that can't be changed gets into no log, and hears all that is wrong at once; one that may comes back after a
-// restart; beats that carry what a session goes by are still one entry for many.
+// A policy proposal with fields that can't be changed gets into no log, and its answer tells all that is wrong; one that is accepted is there
+// after a restart; heartbeats that carry a policy version are still batched.
 func TestPolicy_ProposalsAndHeartbeats(t *testing.T) {
 	a := newSingleNode(t, Stored{})
 	a.pass(500)
