--- /dev/null
+++ b/internal/coordinator/policy.go
@@ -0,0 +1,146 @@
+package coordinator
+
+import (
+	"context"
+	"slices"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+const (
+	maxCachedContents   = 64
+	maxCachedBytes      = 4 << 20
+	maxPolicyPartSize   = 64 << 10
+	maxPolicyHashSize   = 64
+	maxPolicyPartOffset = 1 << 30
+)
+
+// policyContent is a policy document, or the changes that lead to it, compressed and ready to be sent in parts.
+type policyContent struct {
+	have       uint64 // number of the version that the changes start from; not used for a whole document
+	whole      bool
+	version    policy.Version // that it leads to; zero: not known here
+	compressed []byte
+}
+
+// Policy returns a part of what leads a router to the version in force, as this node knows it. It may lag behind the leader; routers never
+// go back to an earlier version. It implements the gRPC service.
+func (s *Server) Policy(ctx context.Context, request *fleetpb.PolicyFrom) (*fleetpb.PolicyPart, error) {
+	if len(request.Hash) > maxPolicyHashSize || request.Most == 0 {
+		return nil, status.Error(codes.InvalidArgument, "unsound")
+	}
+	result := make(chan policyContent, 1)
+	if err := s.post(ctx, func() {
+		if s.suspended() {
+			close(result)
+			return
+		}
+		content, _ := s.policyContent(policy.Request{Have: request.Have, Want: request.Want, Whole: request.Whole,
+			Offset: int(min(request.Offset, maxPolicyPartOffset))})
+		result <- content
+	}); err != nil {
+		return nil, err
+	}
+	select {
+	case content, ok := <-result:
+		if !ok {
+			return nil, errStorage
+		}
+		if content.version.Number == 0 {
+			return nil, status.Error(codes.NotFound, "this process knows of no such version: it may lag, ask another")
+		}
+		return content.part(request), nil
+	case <-s.ctx.Done():
+		return nil, errEnding
+	}
+}
+
+// part returns the part that a request asks for, or the first one where the request was for a part of another version or past the end.
+func (c policyContent) part(request *fleetpb.PolicyFrom) *fleetpb.PolicyPart {
+	total := uint64(len(c.compressed))
+	start := min(request.Offset, total)
+	if c.version.Number64() != request.Want || start == total {
+		start = 0
+	}
+	end := min(start+min(request.Most, maxPolicyPartSize), total)
+	return &fleetpb.PolicyPart{Version: rpc.EncodePolicy(c.version, nil), Whole: c.whole, Offset: start, Total: total,
+		Bytes: c.compressed[start:end]}
+}
+
+// policyContent returns what a request asks for; false, with a zero content, if its version isn't known here. What a router has read in
+// part is served to its end although another version is in force by now, as long as it is cached.
+func (s *Server) policyContent(request policy.Request) (policyContent, bool) {
+	history := s.node.State().Policy()
+	if content, cached := s.cachedContent(request, history.Version.Number64()); cached {
+		return content, true
+	}
+	encoded, whole, known := history.Serve(request)
+	if !known {
+		return policyContent{}, false
+	}
+	if whole && !request.Whole {
+		request.Whole, request.Offset = true, 0
+		return s.policyContent(request)
+	}
+	content := policyContent{request.Have, whole, history.Version, rpc.Compress(encoded)}
+	s.cacheContent(content)
+	return content, true
+}
+
+// cachedContent returns a cached content that answers a request, and marks it as the latest used.
+func (s *Server) cachedContent(request policy.Request, inForce uint64) (policyContent, bool) {
+	for i, content := range slices.Backward(s.policyCache) {
+		number := content.version.Number64()
+		sameStart := content.whole == request.Whole && (content.whole || content.have == request.Have)
+		isInForce := number == inForce && request.Want <= number && request.Have <= number
+		isContinued := request.Offset > 0 && number == request.Want
+		if sameStart && (isInForce || isContinued) {
+			s.policyCache = append(slices.Delete(s.policyCache, i, i+1), content)
+			return content, true
+		}
+	}
+	return policyContent{}, false
+}
+
+// cacheContent adds a content to the cache and drops those that were not used for longest, down to its bounds.
+func (s *Server) cacheContent(content policyContent) {
+	s.policyCache = append(s.policyCache, content)
+	size := 0
+	for i, cached := range slices.Backward(s.policyCache) {
+		size += len(cached.compressed)
+		if size > maxCachedBytes || len(s.policyCache)-i > maxCachedContents {
+			s.policyCache = slices.Delete(s.policyCache, 0, i+1)
+			return
+		}
+	}
+}
+
+// Policies returns the policy in force and its history by a linearizable read. It implements the gRPC service.
+func (s *Server) Policies(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.PolicyBook, error) {
+	var book *fleetpb.PolicyBook
+	d, err := s.read(ctx, func() { book = s.encodePolicyBook() })
+	if err != nil {
+		return nil, err
+	}
+	if d.Action == raftnode.Redirect {
+		return &fleetpb.PolicyBook{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}, nil
+	}
+	return book, nil
+}
+
+// encodePolicyBook returns the policy and its history, which is compressed once for each version.
+func (s *Server) encodePolicyBook() *fleetpb.PolicyBook {
+	history := s.node.State().Policy()
+	if s.policyBook == nil || s.policyVersion != history.Version {
+		s.policyVersion = history.Version
+		s.policyBook = &fleetpb.PolicyBook{Version: rpc.EncodePolicy(history.Version, nil), Document: rpc.Compress(history.Document.Encode()),
+			History: rpc.Compress(policy.EncodeChanges(history.Changes))}
+	}
+	return s.policyBook
+}
--- a/internal/coordinator/storage.go
+++ b/internal/coordinator/storage.go
@@ -3,10 +3,9 @@
 import (
 	"errors"
 	"fmt"
+	"time"
 
 	"github.com/sirupsen/logrus"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 
 	"wayloft/internal/audit"
 	"wayloft/internal/decide/raftnode"
@@ -14,121 +13,136 @@
 	"wayloft/internal/storage"
 )
 
-// errStorage is the answer while this process can't store: nothing was begun here, another process may answer.
-var errStorage = status.Error(codes.Unavailable, "the storage of this process fails: ask another, or ask again")
+// suspended returns whether this node takes part in nothing, because what it holds in memory may not be on its disk.
+func (s *Server) suspended() bool { return s.node == nil }
 
-// errUnknown is the answer to what was begun and can't be followed to its end.
-var errUnknown = status.Error(codes.Aborted, "it may have been taken or not: ask again")
-
-// suspended tells whether this process takes part in nothing, since what it holds in memory may not be on its disk.
-func (c *Server) suspended() bool { return c.node == nil }
+// suspend gives the node up after a storage failure: it sends nothing more that rests on what could not be stored, neither votes nor
+// acknowledgements. Requests that wait end with an unknown result.
+func (s *Server) suspend(err error) {
+	if s.node != nil {
+		s.auditedIndex = max(s.auditedIndex, s.node.State().Index())
+	}
+	s.node = nil
+	s.closePeerStreams()
+	for request, deliver := range s.pending {
+		delete(s.pending, request)
+		deliver(raftnode.Decision{Action: raftnode.ResultUnknown, Request: request})
+	}
+	s.wakeWatchers()
+	if s.backoff.Fail(s.now()) {
+		logrus.WithError(err).WithField("directory", s.settings.Dir).Error("storage failed: standing down until it works again")
+		s.settings.AuditLog.Add("suspended", audit.Fields{"why": err.Error()})
+	}
+}
 
-// suspend has this process stand down: it says nothing more that rests on what could not be stored, neither votes nor
-// acknowledgements, and its node is given up. What waits for an answer learns that it isn't known.
-func (c *Server) suspend(err error) {
-	if c.node != nil {
-		c.auditedIndex = max(c.auditedIndex, c.node.State().Index())
-	}
-	c.node = nil
-	c.closePeerStreams()
-	for number, answer := range c.pending {
-		delete(c.pending, number)
-		answer(raftnode.Decision{Action: raftnode.ResultUnknown, Request: number})
-	}
-	c.wakeWatchers()
-	if c.backoff.Fail(c.now()) {
-		logrus.WithError(err).WithField("folder", c.settings.Dir).Error("storage failed: standing down until it works again")
-		c.settings.AuditLog.Add("suspended", audit.Fields{"why": err.Error()})
+// resume reopens the data directory and builds the node from what is there. It returns an error if this process can't go on.
+func (s *Server) resume() error {
+	err := s.load()
+	if errors.Is(err, storage.ErrUnavailable) || errors.Is(err, storage.ErrInUse) && s.store != nil {
+		s.backoff.Fail(s.now())
+		return nil
 	}
+	return err
 }
 
-// closePeerStreams drops what waits to be sent. It rests on what was stored, but the process to which it goes may answer it before this one
-// is back.
-func (c *Server) closePeerStreams() {
-	for id, w := range c.peerStreams {
-		w.stop()
-		delete(c.peerStreams, id)
+// load opens the data directory, for the first time or again, and builds the node from what is there.
+func (s *Server) load() error {
+	if err := s.openStore(); err != nil {
+		return err
 	}
+	if err := s.loadNode(); err != nil {
+		return fmt.Errorf("%s: %w", s.settings.Dir, err)
+	}
+	return nil
 }
 
-// resume opens the folder anew and builds the node from what is there. It returns an error if this process can't go on.
-func (c *Server) resume() error {
-	err := c.load()
-	switch {
-	case err == nil:
-		return nil
-	case errors.Is(err, storage.ErrUnavailable), errors.Is(err, storage.ErrInUse) && c.store != nil:
-		c.backoff.Fail(c.now())
-		return nil
+func (s *Server) openStore() (err error) {
+	if s.store != nil {
+		return s.store.Reopen()
 	}
+	s.store, err = storage.Open(s.settings.Dir, s.settings.Fleet, s.settings.Name, rpc.UniqueID)
 	return err
 }
 
-// load opens the folder, for the first time or anew, and builds the node from what is there.
-func (c *Server) load() (err error) {
-	if c.store == nil {
-		c.store, err = storage.Open(c.settings.Dir, c.settings.Fleet, c.settings.Name, rpc.UniqueID)
-	} else {
-		err = c.store.Reopen()
-	}
+func (s *Server) loadNode() error {
+	stored, incarnations, err := ReadStored(s.store)
 	if err != nil {
 		return err
 	}
-	had, met, err := ReadStored(c.store)
-	if err != nil {
-		return fmt.Errorf("%s: %w", c.settings.Dir, err)
-	}
-	if err := c.durable.Check(had); err != nil {
-		return fmt.Errorf("%s: %w", c.settings.Dir, err)
-	}
-	node, fresh, err := c.build(had)
-	if err == nil && fresh != nil {
-		err = WriteDecision(c.store, *fresh)
+	if err := s.durable.Check(stored); err != nil {
+		return err
 	}
+	node, initial, err := s.newNode(stored)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.settings.Dir, err)
+		return err
+	}
+	if initial != nil {
+		if err := WriteDecision(s.store, *initial); err != nil {
+			return err
+		}
 	}
-	c.durable.Loaded(had)
-	if fresh != nil {
-		c.durable.Attempt(*fresh)
-		c.durable.Confirm()
+	s.durable.Loaded(stored)
+	if initial != nil {
+		s.durable.Attempt(*initial)
+		s.durable.Confirm()
 	}
-	if c.node = node; c.incarnations == nil {
-		c.incarnations = met
+	s.node = node
+	if s.incarnations == nil {
+		s.incarnations = incarnations
 	}
-	c.incarnations.Known = met.Known // what it has heard beside counts on
-	if c.identity.Name == "" {  // it goes on as the same start
-		c.identify(had)
+	s.incarnations.Known = incarnations.Known // what messages have proved beside that still counts
+	if s.identity.Name == "" {                // a store that was reopened goes on as the same incarnation
+		s.setIdentity(stored)
 	}
 	return nil
 }
 
-// save has a decision on disk, or suspends this process; false: it is suspended.
-func (c *Server) save(d raftnode.Decision) bool {
-	c.durable.Attempt(d)
-	if err := WriteDecision(c.store, d); err != nil {
-		c.suspend(err)
+func (s *Server) newNode(stored raftnode.Stored) (*raftnode.Node, *raftnode.Decision, error) {
+	// Raft's own lines are about its internals: only its errors are logged.
+	log := logrus.New()
+	log.SetOutput(logrus.StandardLogger().Out)
+	log.SetFormatter(logrus.StandardLogger().Formatter)
+	log.SetLevel(logrus.ErrorLevel)
+	return raftnode.New(raftnode.Settings{
+		Fleet: s.settings.Fleet, Name: s.settings.Name, Peers: s.settings.Peers,
+		Epoch: rpc.EpochAt(time.Now()), KnownEpoch: s.settings.KnownEpoch,
+		Tick: s.settings.Tick, SnapshotInterval: s.settings.SnapshotInterval, Logger: log,
+	}, stored)
+}
+
+// setIdentity notes what this node tells its peers about its data directory.
+func (s *Server) setIdentity(stored raftnode.Stored) {
+	s.identity = raftnode.Identity{Name: s.settings.Name, StorageID: s.store.Identity.StorageID, Incarnations: s.store.Identity.Incarnations,
+		Term: stored.HardState.GetTerm(), LastIndex: stored.Snapshot.GetMetadata().GetIndex()}
+	if count := len(stored.Entries); count > 0 {
+		s.identity.LastIndex = stored.Entries[count-1].GetIndex()
+	}
+}
+
+// save stores a decision, or suspends this node; false: it is suspended.
+func (s *Server) save(d raftnode.Decision) bool {
+	s.durable.Attempt(d)
+	if err := WriteDecision(s.store, d); err != nil {
+		s.suspend(err)
 		return false
 	}
-	c.durable.Confirm()
-	c.storageWorks()
+	s.durable.Confirm()
+	s.writeSucceeded()
 	return true
 }
 
-// storageWorks notes a write that came through.
-func (c *Server) storageWorks() {
-	if c.backoff.Succeed(c.now()) {
-		logrus.WithFields(logrus.Fields{"folder": c.settings.Dir, "applied": c.node.Applied()}).Info("storage works again")
-		c.settings.AuditLog.Add("resumed", audit.Fields{"applied": c.node.Applied()})
+func (s *Server) writeSucceeded() {
+	if s.backoff.Succeed(s.now()) {
+		logrus.WithFields(logrus.Fields{"directory": s.settings.Dir, "applied": s.node.Applied()}).Info("storage works again")
+		s.settings.AuditLog.Add("resumed", audit.Fields{"applied": s.node.Applied()})
 	}
 }
 
-// closeStore gives the folder back.
-func (c *Server) closeStore() {
-	if c.store == nil {
+func (s *Server) closeStore() {
+	if s.store == nil {
 		return
 	}
-	if err := c.store.Close(); err != nil {
-		logrus.WithError(err).WithField("folder", c.settings.Dir).Debug("folder not closed")
+	if err := s.store.Close(); err != nil {
+		logrus.WithError(err).WithField("directory", s.settings.Dir).Debug("storage not closed")
 	}
 }
--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -32,10 +32,10 @@
 
 // failingStores are the folders of a test's processes, each of which may fail for as long as the test wants.
 type failingStores struct {
-	mu      sync.Mutex
-	failing map[string]error // by process
-	attempts   map[string]int
-	changed chan struct{} // closed when a try has failed
+	mu       sync.Mutex
+	failing  map[string]error // by process
+	attempts map[string]int
+	changed  chan struct{} // closed when a try has failed
 }
 
 func newFailingStores() *failingStores {
--- /dev/null
+++ b/internal/coordinator/stored.go
@@ -0,0 +1,96 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/storage"
+)
+
+// Names of the values in the store. The log's records are Raft entries, numbered by their index.
+const (
+	hardStateValue    = "hard"
+	snapshotValue     = "snapshot"
+	incarnationsValue = "met"
+)
+
+var errEntryNumber = errors.New("its index is not its record's number")
+
+// ReadStored returns what a store holds of a coordinator node. The error says which value or entry can't be decoded.
+func ReadStored(store *storage.Store) (raftnode.Stored, *raftnode.KnownIncarnations, error) {
+	var stored raftnode.Stored
+	records, values, err := store.Read()
+	if err != nil {
+		return stored, nil, err
+	}
+	incarnations := raftnode.NewKnownIncarnations()
+	if encoded := values[incarnationsValue]; encoded != nil {
+		if err := cbor.Unmarshal(encoded, &incarnations.Known); err != nil {
+			return stored, nil, fmt.Errorf("%s: %w", incarnationsValue, err)
+		}
+	}
+	if encoded := values[hardStateValue]; encoded != nil {
+		stored.HardState = &raftpb.HardState{}
+		if err := proto.Unmarshal(encoded, stored.HardState); err != nil {
+			return stored, nil, fmt.Errorf("state: %w", err)
+		}
+	}
+	if encoded := values[snapshotValue]; encoded != nil {
+		stored.Snapshot = &raftpb.Snapshot{}
+		if err := proto.Unmarshal(encoded, stored.Snapshot); err != nil {
+			return stored, nil, fmt.Errorf("%s: %w", snapshotValue, err)
+		}
+	}
+	for _, record := range records {
+		entry := &raftpb.Entry{}
+		err := proto.Unmarshal(record.Bytes, entry)
+		if err == nil && entry.GetIndex() != record.Number {
+			err = errEntryNumber
+		}
+		if err != nil {
+			return stored, nil, fmt.Errorf("entry %d: not sound: %w", record.Number, err)
+		}
+		stored.Entries = append(stored.Entries, entry)
+	}
+	return stored, incarnations, nil
+}
+
+// WriteDecision stores what a Save or Compact decision holds, and returns once it is on disk. The error matches storage.ErrUnavailable if
+// it is not known whether it is.
+func WriteDecision(store *storage.Store, decision raftnode.Decision) error {
+	batch := storage.Batch{Values: map[string][]byte{}, CompactBelow: decision.CompactBelow}
+	if decision.HardState != nil {
+		if err := putValue(batch, hardStateValue, decision.HardState); err != nil {
+			return err
+		}
+	}
+	if decision.Snapshot.GetMetadata().GetIndex() > 0 {
+		if err := putValue(batch, snapshotValue, decision.Snapshot); err != nil {
+			return err
+		}
+		// A saved snapshot is the first, or another node's: the entries that are stored are no part of it.
+		batch.ReplaceLog = decision.Action == raftnode.Save
+	}
+	for _, entry := range decision.Entries {
+		encoded, err := proto.Marshal(entry)
+		if err != nil {
+			return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+		}
+		batch.Records = append(batch.Records, storage.Record{Number: entry.GetIndex(), Bytes: encoded})
+	}
+	return store.Write(batch)
+}
+
+func putValue(batch storage.Batch, name string, value proto.Message) error {
+	encoded, err := proto.Marshal(value)
+	if err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	batch.Values[name] = encoded
+	return nil
+}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -488,7 +488,7 @@
 	}
 }
 
-var serving = map[string]string{"council": "msg=council", "router": "msg=serving", "member": "msg=member"}
+var serving = map[string]string{"council": `msg="coordinator started"`, "router": "msg=serving", "member": "msg=member"}
 
 // Serves waits until the process says that it does, this time.
 func (p *Process) Serves() error {
