--- a/internal/coordinator/clock_test.go
+++ b/internal/coordinator/clock_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"net"
 	"testing"
 	"time"
 
+	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -27,12 +30,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() {
+		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) { // a server closes its own
+			t.Error(err)
+		}
+	})
 	return listener
 }
 
-// Guards against numbers of requests that come from the wall clock: after a step back those of the start before are given once more,
-// and an entry that it left in the log would answer another request.
+// dial connects to a node until the test ends.
+func dial(t *testing.T, address string) *grpc.ClientConn {
+	t.Helper()
+	conn, err := rpc.Dial(address, "lab")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAndCheck(t, conn) })
+	return conn
+}
+
+func closeAndCheck(t *testing.T, conn io.Closer) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Errorf("close: %v", err)
+	}
+}
+
+// Guards against request numbers that come from the wall clock: after a step back those of the previous start would be used again, and an
+// entry that it left in the log would answer another request.
 func TestClock_RequestNumbersOfAnotherStart(t *testing.T) {
 	const starts = 8
 	dir, listener := t.TempDir(), loopback(t)
@@ -57,7 +82,7 @@
 	}
 }
 
-// A coordinator that is begun when the wall clock was stepped back by an hour is above the epoch that it is told.
+// A new cluster whose wall clock was stepped back by an hour takes an epoch above the known one.
 func TestClock_EpochAboveTheKnownOne(t *testing.T) {
 	listener := loopback(t)
 	set := settings(t, t.TempDir(), listener)
@@ -67,13 +92,9 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error)
-	go func() { over <- c.Run(ctx, listener) }()
-	conn, err := rpc.Dial(listener.Addr().String(), "lab")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
+	ended := make(chan error)
+	go func() { ended <- c.Run(ctx, listener) }()
+	conn := dial(t, listener.Addr().String())
 	asking, end := context.WithTimeout(ctx, time.Minute)
 	defer end()
 	for {
@@ -82,12 +103,12 @@
 			continue
 		}
 		if err != nil || state.Epoch != set.KnownEpoch+1 {
-			t.Errorf("epoch %d, told of %d: %v", state.GetEpoch(), set.KnownEpoch, err)
+			t.Errorf("epoch %d, known was %d: %v", state.GetEpoch(), set.KnownEpoch, err)
 		}
 		break
 	}
 	cancel()
-	if err := <-over; err != nil {
+	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"testing"
 	"time"
 
@@ -18,13 +17,10 @@
 	"wayloft/internal/rpc"
 )
 
-// One question asks where several leases stand and is answered in their order; as routers ask that know of one to a question alone, it
-// is answered as before; more than one carries are refused.
+// A query for the latest tokens of several leases is answered in their order. The older form, for one lease, is answered as before. A query for
+// too many leases is rejected.
 func TestDo_LatestTokens(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := loopback(t)
 	c, err := Open(Settings{Fleet: "lab", Name: "c", Dir: t.TempDir(), Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10,
 		SnapshotInterval: 1000, MaxConnections: 8, AuditLog: &audit.Log{}})
 	if err != nil {
@@ -32,16 +28,16 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	over := make(chan error)
+	ended := make(chan error)
 	running, end := context.WithCancel(context.Background())
-	go func() { over <- c.Run(running, listener) }()
-	defer func() { end(); <-over }()
-	conn, err := rpc.Dial(listener.Addr().String(), "lab")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	service := fleetpb.NewCouncilClient(conn)
+	go func() { ended <- c.Run(running, listener) }()
+	defer func() {
+		end()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}()
+	service := fleetpb.NewCouncilClient(dial(t, listener.Addr().String()))
 	do := func(q *fleetpb.Request) *fleetpb.Answer {
 		for {
 			a, err := service.Do(ctx, q)
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -145,17 +144,10 @@
 	}
 }
 
-// startNode starts a node on loopback, with ways to its peers that lead to a listener where nobody answers, and ends it with the test.
+// startNode starts a node on loopback whose peers are reached at a listener that nobody serves, and stops it with the test.
 func startNode(t *testing.T, set Settings) (*Server, *grpc.ClientConn) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener, silent := loopback(t), loopback(t)
 	set.Fleet, set.Dir, set.Address, set.MaxConnections = "lab", t.TempDir(), listener.Addr().String(), 16
 	set.PeerAddresses = map[string]string{}
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
@@ -170,12 +162,11 @@
 	go func() { ended <- node.Run(ctx, listener) }()
 	conn := dialEarlier(t, listener.Addr().String())
 	t.Cleanup(func() {
-		conn.Close()
+		closeAndCheck(t, conn)
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		silent.Close()
 	})
 	return node, conn
 }
@@ -233,7 +224,7 @@
 	for at := uint64(0); at < index; {
 		update, err := watch.Recv()
 		if err != nil {
-			t.Fatalf("it is at %d of %d: %v", at, index, err)
+			t.Fatalf("at index %d of %d: %v", at, index, err)
 		}
 		at = update.Index
 	}
@@ -302,7 +293,7 @@
 	}
 }
 
-// Requests of earlier routers and operators have the answers that they had, as far as tokens don't tell by when the coordinator began.
+// Requests of earlier routers and operators have the answers that they had, except for what tokens tell about when the coordinator began.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
 	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, SnapshotInterval: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
@@ -324,7 +315,7 @@
 			sessions = append(sessions, m.Bytes)
 		}
 		answer := doRecorded(ctx, t, conn, m.Bytes)
-		for answer.Why == leasestate.ReasonNoSession { // the test was slower than a session's length
+		for answer.Why == leasestate.ReasonNoSession { // the test was slower than a session's timeout
 			for _, open := range sessions {
 				doRecorded(ctx, t, conn, open)
 			}
--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -44,11 +44,12 @@
 
 // failStores has writes, syncs or openings of the folders fail.
 func failStores(t *testing.T, points ...string) *failingStores {
-	d := newFailingStores()
+	t.Helper()
+	stores := newFailingStores()
 	for _, point := range points {
-		t.Cleanup(failpoint.SetOperationError(point, d.fail))
+		t.Cleanup(failpoint.SetOperationError(point, stores.fail))
 	}
-	return d
+	return stores
 }
 
 func (d *failingStores) fail(path string) error {
@@ -80,13 +81,13 @@
 		d.mu.Lock()
 		tried, changed := maps.Clone(d.attempts), d.changed
 		d.mu.Unlock()
-		met := 0
+		reached := 0
 		for _, n := range tried {
 			if n >= times {
-				met++
+				reached++
 			}
 		}
-		if met >= processes {
+		if reached >= processes {
 			return
 		}
 		select {
@@ -97,13 +98,12 @@
 	}
 }
 
-// cluster is a coordinator of processes in this one.
+// cluster is a coordinator cluster whose nodes run in the test's process.
 type cluster struct {
 	t     *testing.T
 	dir   string
 	peers []raftnode.Peer
 	nodes map[string]*runningNode
-	next  int
 }
 
 type runningNode struct {
@@ -114,13 +114,14 @@
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
+	t.Helper()
 	c := &cluster{t: t, dir: t.TempDir(), nodes: map[string]*runningNode{}}
 	for _, name := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer closeAndCheck(t, l)
 		c.peers = append(c.peers, raftnode.Peer{Name: name, Addr: l.Addr().String()})
 	}
 	t.Cleanup(func() {
@@ -131,7 +132,7 @@
 	return c
 }
 
-func (c *cluster) start(name string, planted SeededDefects) {
+func (c *cluster) start(name string, defects SeededDefects) {
 	c.t.Helper()
 	var addr string
 	for _, p := range c.peers {
@@ -144,7 +145,7 @@
 		c.t.Fatal(err)
 	}
 	process, err := Open(Settings{Fleet: "lab", Name: name, Dir: filepath.Join(c.dir, name), Address: addr, Peers: c.peers, Tick: 20, SnapshotInterval: 1000,
-		MaxConnections: 32, AuditLog: rec, SeededDefects: planted})
+		MaxConnections: 32, AuditLog: rec, SeededDefects: defects})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -177,7 +178,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer conn.Close()
+	defer closeAndCheck(c.t, conn)
 	a, err := fleetpb.NewCouncilClient(conn).Do(ctx, q)
 	if err != nil {
 		return nil, err
@@ -213,26 +214,26 @@
 	return nil, nil
 }
 
-func entry(kind leasestate.Kind, duty string) *fleetpb.Request {
-	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: duty})}
+func entry(kind leasestate.Kind, lease string) *fleetpb.Request {
+	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: lease})}
 }
 
 // acquire has a lease taken and gives its fencing token, the proof of what was acknowledged.
-func (c *cluster) acquire(duty string) (fence *fleetpb.Fence, by *runningNode) {
+func (c *cluster) acquire(lease string) (token *fleetpb.Fence, by *runningNode) {
 	c.t.Helper()
 	c.do(entry(leasestate.OpenSession, ""))
-	a, by := c.do(entry(leasestate.AcquireLease, duty))
+	a, by := c.do(entry(leasestate.AcquireLease, lease))
 	if !a.Held {
-		c.t.Fatalf("%s: %v", duty, a)
+		c.t.Fatalf("%s: %v", lease, a)
 	}
 	return a.Fence, by
 }
 
 // checkToken wants a lease under the fencing token under which it was granted.
-func (c *cluster) checkToken(duty string, want *fleetpb.Fence) error {
+func (c *cluster) checkToken(lease string, want *fleetpb.Fence) error {
 	c.t.Helper()
-	if a, _ := c.do(&fleetpb.Request{Stand: duty}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
-		return fmt.Errorf("%s is held under %v, was granted under %v", duty, a.Fence, want)
+	if a, _ := c.do(&fleetpb.Request{Stand: lease}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
+		return fmt.Errorf("%s is held under %v, was granted under %v", lease, a.Fence, want)
 	}
 	return nil
 }
@@ -248,13 +249,14 @@
 }
 
 func globalHook(t *testing.T) *logtest.Hook {
+	t.Helper()
 	hook := logtest.NewGlobal()
 	t.Cleanup(func() { logrus.StandardLogger().ReplaceHooks(logrus.LevelHooks{}) })
 	return hook
 }
 
-// All disks of a cluster fail for a while, at the write, at the sync, or with the folder that can't be opened either: no process
-// ends, none answers, each says so once and once when it is back, and what was acknowledged before is still held.
+// All disks of a cluster fail for a while, at the write, at the sync, or with the data directory that can't be opened either: no node ends and
+// none answers, each logs the failure once and its end once, and what was acknowledged before is still held.
 func TestStorage_AllDisksFailForAWhile(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -267,14 +269,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			hook := globalHook(t)
-			d := failStores(t, c.points...)
+			stores := failStores(t, c.points...)
 			names := []string{"c1", "c2", "c3"}
 			cluster := newCluster(t, names...)
 			for _, name := range names {
 				cluster.start(name, SeededDefects{})
 			}
-			fence, leader := cluster.acquire("a")
-			d.set(c.err, names...)
+			token, leader := cluster.acquire("a")
+			stores.set(c.err, names...)
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if a, err := cluster.try(ctx, leader, entry(leasestate.AcquireLease, "b")); err == nil {
@@ -282,7 +284,7 @@
 			} else if code := status.Code(err); code != codes.Aborted && code != codes.Unavailable {
 				t.Errorf("an answer that isn't asked again: %v", err)
 			}
-			d.waitForFailures(t, 2, 4) // the third stores nothing while nobody leads or can be elected
+			stores.waitForFailures(t, 2, 4) // the third stores nothing while nobody leads or can be elected
 			for _, p := range cluster.nodes {
 				if a, err := cluster.try(ctx, p, entry(leasestate.AcquireLease, "b")); err == nil {
 					t.Errorf("%s answered: %v", p.settings.Name, a)
@@ -291,8 +293,8 @@
 			if n := countLogLines(hook, "storage failed"); n < 2 || n > 3 {
 				t.Errorf("%d lines of as many failures", n)
 			}
-			d.set(nil, names...)
-			if err := cluster.checkToken("a", fence); err != nil {
+			stores.set(nil, names...)
+			if err := cluster.checkToken("a", token); err != nil {
 				t.Error(err)
 			}
 			cluster.acquire("b")
@@ -307,72 +309,72 @@
 	}
 }
 
-// A leader whose disk fails hands over by its silence, and is a follower that catches up once the disk works.
+// A leader whose disk fails sends nothing more and is replaced by an election; once the disk works it catches up as a follower.
 func TestStorage_LeaderStandsDown(t *testing.T) {
-	d := failStores(t, "storage.write")
+	stores := failStores(t, "storage.write")
 	cluster := newCluster(t, "c1", "c2", "c3")
 	for _, p := range cluster.peers {
 		cluster.start(p.Name, SeededDefects{})
 	}
-	fence, leader := cluster.acquire("a")
-	d.set(syscall.ENOSPC, leader.settings.Name)
+	token, leader := cluster.acquire("a")
+	stores.set(syscall.ENOSPC, leader.settings.Name)
 	_, next := cluster.acquire("b")
 	if next == leader {
 		t.Fatal("it answered though it stores nothing")
 	}
-	d.waitForFailures(t, 1, 2)
-	d.set(nil, leader.settings.Name)
+	stores.waitForFailures(t, 1, 2)
+	stores.set(nil, leader.settings.Name)
 	for name := range cluster.nodes { // it is one of the two that are left
 		if name != leader.settings.Name && name != next.settings.Name {
 			cluster.stop(name)
 		}
 	}
-	if err := cluster.checkToken("a", fence); err != nil {
+	if err := cluster.checkToken("a", token); err != nil {
 		t.Error(err)
 	}
 	cluster.acquire("c")
 }
 
-// A process that is started while its disk refuses waits for it.
+// A node that is started while its disk refuses waits for it.
 func TestStorage_StartsOnAFullDisk(t *testing.T) {
-	d := failStores(t, "storage.open")
+	stores := failStores(t, "storage.open")
 	cluster := newCluster(t, "c1")
-	d.set(syscall.ENOSPC, "c1")
+	stores.set(syscall.ENOSPC, "c1")
 	cluster.start("c1", SeededDefects{})
-	d.waitForFailures(t, 1, 3)
-	d.set(nil, "c1")
+	stores.waitForFailures(t, 1, 3)
+	stores.set(nil, "c1")
 	cluster.acquire("a")
 }
 
 // restartKilled has a process taken down while its disk refuses, with nothing more stored, and started again.
-func (c *cluster) restartKilled(d *failingStores, name string, planted SeededDefects) {
+func (c *cluster) restartKilled(stores *failingStores, name string, defects SeededDefects) {
 	c.t.Helper()
 	c.stop(name)
-	d.set(nil, name)
-	c.start(name, planted)
+	stores.set(nil, name)
+	c.start(name, defects)
 }
 
 // What was acknowledged while the disk began to fail is there after a kill; the seeded defect, an acknowledgement before the
 // sync, is found.
 func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
-	lost := func(t *testing.T, planted SeededDefects) error {
-		d := failStores(t, "storage.write")
+	lost := func(t *testing.T, defects SeededDefects) error {
+		stores := failStores(t, "storage.write")
 		cluster := newCluster(t, "c1")
-		cluster.start("c1", planted)
+		cluster.start("c1", defects)
 		cluster.acquire("a")
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		set := make(chan struct{})
 		if err := cluster.nodes["c1"].post(ctx, func() { // nothing is half stored then
-			d.set(syscall.ENOSPC, "c1")
+			stores.set(syscall.ENOSPC, "c1")
 			close(set)
 		}); err != nil {
 			t.Fatal(err)
 		}
 		<-set
 		a, err := cluster.try(ctx, cluster.nodes["c1"], entry(leasestate.AcquireLease, "b"))
-		d.waitForFailures(t, 1, 1)
-		cluster.restartKilled(d, "c1", SeededDefects{})
+		stores.waitForFailures(t, 1, 1)
+		cluster.restartKilled(stores, "c1", SeededDefects{})
 		if err != nil {
 			return nil // not acknowledged
 		}
@@ -397,29 +399,29 @@
 	_, leader := cluster.acquire("first")
 	round := 0
 	for _, point := range []string{"storage.write", "storage.sync"} {
-		for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
+		for _, failure := range []error{syscall.ENOSPC, syscall.EIO} {
 			for _, kill := range []bool{false, true} {
 				round++
-				d := newFailingStores()
-				clear := failpoint.SetOperationError(point, d.fail)
+				stores := newFailingStores()
+				clearFailure := failpoint.SetOperationError(point, stores.fail)
 				name := leader.settings.Name
-				d.set(refused, name)
-				duty := fmt.Sprint("duty ", round)
-				granted[duty], leader = cluster.acquire(duty)
+				stores.set(failure, name)
+				lease := fmt.Sprint("lease ", round)
+				granted[lease], leader = cluster.acquire(lease)
 				if leader.settings.Name == name {
 					t.Fatalf("%s answered though its disk fails at %s", name, point)
 				}
-				d.waitForFailures(t, 1, 2)
+				stores.waitForFailures(t, 1, 2)
 				if kill {
-					cluster.restartKilled(d, name, SeededDefects{})
+					cluster.restartKilled(stores, name, SeededDefects{})
 				}
-				d.set(nil, name)
-				clear()
+				stores.set(nil, name)
+				clearFailure()
 			}
 		}
 	}
-	for duty, fence := range granted {
-		if err := cluster.checkToken(duty, fence); err != nil {
+	for lease, token := range granted {
+		if err := cluster.checkToken(lease, token); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/coordinator/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
+	defer closeAndCheck(t, packed)
 	unpacked, err := gzip.NewReader(packed)
 	if err != nil {
 		t.Fatal(err)
@@ -56,16 +56,16 @@
 // readStored opens a node's stored data directory and reads it.
 func readStored(t *testing.T, node string) (storage.Identity, raftnode.Stored, *raftnode.KnownIncarnations) {
 	t.Helper()
-	storage, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
+	store, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer storage.Close()
-	stored, met, err := ReadStored(storage)
+	defer closeAndCheck(t, store)
+	stored, incarnations, err := ReadStored(store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return storage.Identity, stored, met
+	return store.Identity, stored, incarnations
 }
 
 // compareGolden compares a text with the file that holds what it must be.
@@ -163,12 +163,12 @@
 // describeStored lists all that a node's data directory holds.
 func describeStored(t *testing.T, node string) string {
 	t.Helper()
-	head, stored, met := readStored(t, node)
+	identity, stored, incarnations := readStored(t, node)
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "fleet %s node %s directory %016x starts %016x\n", head.Fleet, head.Name, head.StorageID, head.Incarnations)
+	fmt.Fprintf(out, "fleet %s node %s directory %016x starts %016x\n", identity.Fleet, identity.Name, identity.StorageID, identity.Incarnations)
 	fmt.Fprintf(out, "term %d vote %d commit %d\n", stored.HardState.GetTerm(), stored.HardState.GetVote(), stored.HardState.GetCommit())
-	for _, name := range slices.Sorted(maps.Keys(met.Known)) {
-		fmt.Fprintf(out, "met %s directory %016x start %016x\n", name, met.Known[name].StorageID, met.Known[name].Incarnation)
+	for _, name := range slices.Sorted(maps.Keys(incarnations.Known)) {
+		fmt.Fprintf(out, "met %s directory %016x start %016x\n", name, incarnations.Known[name].StorageID, incarnations.Known[name].Incarnation)
 	}
 	meta := stored.Snapshot.GetMetadata()
 	fmt.Fprintf(out, "snapshot index %d term %d voters %d learners %d\n", meta.GetIndex(), meta.GetTerm(), meta.GetConfState().GetVoters(),
@@ -206,19 +206,19 @@
 // what this one writes, and nothing of it was lost.
 func TestStoredNode_IsWrittenAsItWas(t *testing.T) {
 	for _, node := range storedNodes {
-		storage, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
+		store, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, values, err := storage.Read()
+		_, values, err := store.Read()
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, met, err := ReadStored(storage)
+		read, incarnations, err := ReadStored(store)
 		if err != nil {
 			t.Fatal(err)
 		}
-		storage.Close()
+		closeAndCheck(t, store)
 		_, state, err := raftnode.DecodeSnapshot("lab", read.Snapshot)
 		if err != nil {
 			t.Fatal(err)
@@ -237,7 +237,7 @@
 		if err != nil || !bytes.Equal(hard, values["hard"]) {
 			t.Errorf("%s: the hard state is written as %x, not as %x: %v", node, hard, values["hard"], err)
 		}
-		known, err := cbor.Marshal(met.Known)
+		known, err := cbor.Marshal(incarnations.Known)
 		if err != nil || len(known) != len(values["met"]) { // a map: its order is free
 			t.Errorf("%s: who was met is written as %x, not as %x: %v", node, known, values["met"], err)
 		}
@@ -258,7 +258,7 @@
 		out := &strings.Builder{}
 		describeState(out, c.node.State())
 		fmt.Fprintf(out, "applied %d\n", c.node.Applied())
-		c.store.Close()
+		closeAndCheck(t, c.store)
 		compareGolden(t, filepath.Join(storedBy, node+".applied.golden"), out.String())
 	}
 }
@@ -266,15 +266,15 @@
 // A data directory of the earlier program in which one bit of a named value has changed opens at no node.
 func TestStoredNode_CorruptedIsRefused(t *testing.T) {
 	for _, node := range storedNodes {
-		storage, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
+		store, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, values, err := storage.Read()
+		_, values, err := store.Read()
 		if err != nil {
 			t.Fatal(err)
 		}
-		storage.Close()
+		closeAndCheck(t, store)
 		for name, value := range values {
 			dir := unpackStored(t, node)
 			path := filepath.Join(dir, "state.db")
@@ -289,7 +289,7 @@
 			}
 			c, err := Open(Settings{Fleet: "lab", Name: node, Dir: dir, Tick: 10, SnapshotInterval: 100})
 			if err == nil {
-				c.store.Close()
+				closeAndCheck(t, c.store)
 				t.Errorf("%s: opened though a bit of %s has changed", node, name)
 			}
 		}
--- a/internal/decide/raftnode/heartbeats_test.go
+++ b/internal/decide/raftnode/heartbeats_test.go
@@ -130,7 +130,7 @@
 
 // Each session's heartbeat comes alone, at a time of its own, as those of hundreds of routers do: what the three nodes write and send grows
 // with their ticks and not with the number of heartbeats, and all are answered.
-func TestHeartheartbeats_AreBatchedByTick(t *testing.T) {
+func TestHeartbeats_AreBatchedByTick(t *testing.T) {
 	const sessions, seconds = 600, 2
 	c := threeNodesWithSessions(t, sessions, 2000)
 	start, heartbeats, before := c.now, 0, len(c.done)
@@ -168,7 +168,7 @@
 
 // A heartbeat doesn't wait for the tick where that is long against its session's timeout or where the session would expire, and it is proposed
 // before what came after it.
-func TestHeartheartbeats_AreProposedEarlyWhereTheyMustBe(t *testing.T) {
+func TestHeartbeats_AreProposedEarlyWhereTheyMustBe(t *testing.T) {
 	t.Run("a short session", func(t *testing.T) {
 		c := threeNodesWithSessions(t, 1, 1500)
 		c.advance(c.leader().NextDeadline()) // the whole of a tick is left
