--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/clients_test.go
@@ -4,15 +4,12 @@
 	"context"
 	"fmt"
 	"testing"
-	"time"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/audit"
 	"wayloft/internal/decide/leaseclient"
 	"wayloft/internal/decide/leasestate"
-	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/rpc"
 )
@@ -21,23 +18,13 @@
 // too many leases is rejected.
 func TestDo_LatestTokens(t *testing.T) {
 	listener := loopback(t)
-	c, err := Open(Settings{Fleet: "lab", Name: "c", Dir: t.TempDir(), Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10,
-		SnapshotInterval: 1000, MaxConnections: 8, AuditLog: &audit.Log{}})
+	c, err := Open(settings(t, t.TempDir(), listener))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
-	ended := make(chan error)
-	running, end := context.WithCancel(context.Background())
-	go func() { ended <- c.Run(running, listener) }()
-	defer func() {
-		end()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	}()
-	service := fleetpb.NewCouncilClient(dial(t, listener.Addr().String()))
+	service := serve(t, c, listener)
 	do := func(q *fleetpb.Request) *fleetpb.Answer {
 		for {
 			a, err := service.Do(ctx, q)
--- a/internal/decide/raftnode/heartbeats_test.go
+++ b/internal/decide/raftnode/heartbeats_test.go
@@ -166,69 +166,74 @@
 	}
 }
 
-// A heartbeat doesn't wait for the tick where that is long against its session's timeout or where the session would expire, and it is proposed
-// before what came after it.
-func TestHeartbeats_AreProposedEarlyWhereTheyMustBe(t *testing.T) {
-	t.Run("a short session", func(t *testing.T) {
-		c := threeNodesWithSessions(t, 1, 1500)
-		c.advance(c.leader().NextDeadline()) // the whole of a tick is left
-		if number := c.heartbeat(0); !c.done[number].Held {
-			t.Error("waits although its sender waits for a quarter of the timeout alone")
-		}
-	})
-	t.Run("no session", func(t *testing.T) {
+// A heartbeat doesn't wait for the tick where that is long against its session's timeout.
+func TestHeartbeat_OfShortSessionIsProposedAtOnce(t *testing.T) {
+	c := threeNodesWithSessions(t, 1, 1500)
+	c.advance(c.leader().NextDeadline()) // the whole of a tick is left
+	if number := c.heartbeat(0); !c.done[number].Held {
+		t.Error("waits although its sender waits for a quarter of the timeout alone")
+	}
+}
+
+// A heartbeat of a session that is not open is rejected without waiting for the tick.
+func TestHeartbeat_WithoutSessionIsRejectedAtOnce(t *testing.T) {
+	c := threeNodesWithSessions(t, 1, 2000)
+	c.advance(c.leader().NextDeadline())
+	if number := c.heartbeat(7); c.done[number].Why != leasestate.ReasonNoSession {
+		t.Errorf("%+v", c.done[number])
+	}
+}
+
+// A heartbeat that comes while its session is open keeps it open, however near its expiry.
+func TestHeartbeat_NearExpiryKeepsSessionOpen(t *testing.T) {
+	for ms := range 300 { // at each ms up to its expiry and beyond: a heartbeat that comes while it is open keeps it open
 		c := threeNodesWithSessions(t, 1, 2000)
-		c.advance(c.leader().NextDeadline())
-		if number := c.heartbeat(7); c.done[number].Why != leasestate.ReasonNoSession {
-			t.Errorf("%+v", c.done[number])
+		lastHeartbeat := c.now
+		for to := lastHeartbeat + 1750 + float64(ms); c.now < to; {
+			c.advance(min(to, c.leader().NextDeadline()))
 		}
-	})
-	t.Run("near its expiry", func(t *testing.T) {
-		for ms := range 300 { // at each ms up to its expiry and beyond: a heartbeat that comes while it is open keeps it open
-			c := threeNodesWithSessions(t, 1, 2000)
-			lastHeartbeat := c.now
-			for to := lastHeartbeat + 1750 + float64(ms); c.now < to; {
-				c.advance(min(to, c.leader().NextDeadline()))
-			}
-			_, open := c.leader().State().Session(sessionName(0))
-			number := c.heartbeat(0)
-			c.advance(c.leader().NextDeadline())
-			if a, answered := c.done[number]; a.Held != open || !answered {
-				t.Fatalf("%d ms without a heartbeat, open %v: %+v, answered %v", 1750+ms, open, a, answered)
-			}
-		}
-	})
-	t.Run("before what comes after it", func(t *testing.T) {
-		c := threeNodesWithSessions(t, 2, 2000)
+		_, open := c.leader().State().Session(sessionName(0))
+		number := c.heartbeat(0)
 		c.advance(c.leader().NextDeadline())
-		first := c.heartbeat(0)
-		if _, answered := c.done[first]; answered {
-			t.Fatal("it did not wait")
-		}
-		at := c.leader().Applied()
-		then := c.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: sessionName(1), Incarnation: 1, Lease: "d"})
-		if !c.done[first].Held || !c.done[then].Held || c.leader().Applied() != at+2 {
-			t.Errorf("%+v, %+v, %d entries", c.done[first], c.done[then], c.leader().Applied()-at)
+		if a, answered := c.done[number]; a.Held != open || !answered {
+			t.Fatalf("%d ms without a heartbeat, open %v: %+v, answered %v", 1750+ms, open, a, answered)
 		}
-	})
-	t.Run("unknown when leadership is lost", func(t *testing.T) {
-		c := threeNodesWithSessions(t, 1, 2000)
-		c.advance(c.leader().NextDeadline())
-		c.heartbeat(0)
-		l := c.leader()
-		for c.unknown == 0 && l == c.leader() { // nobody hears it any more
-			l.Advance(l.NextDeadline())
-			for d, more := l.Next(); more; d, more = l.Next() {
-				switch d.Action {
-				case Save:
-					l.Saved()
-				case ResultUnknown:
-					c.unknown++
-				}
+	}
+}
+
+// A heartbeat that waits is proposed before a request that comes after it.
+func TestHeartbeat_IsAppliedBeforeLaterRequests(t *testing.T) {
+	c := threeNodesWithSessions(t, 2, 2000)
+	c.advance(c.leader().NextDeadline())
+	first := c.heartbeat(0)
+	if _, answered := c.done[first]; answered {
+		t.Fatal("it did not wait")
+	}
+	at := c.leader().Applied()
+	then := c.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: sessionName(1), Incarnation: 1, Lease: "d"})
+	if !c.done[first].Held || !c.done[then].Held || c.leader().Applied() != at+2 {
+		t.Errorf("%+v, %+v, %d entries", c.done[first], c.done[then], c.leader().Applied()-at)
+	}
+}
+
+// A heartbeat that waits when its node stops leading has an unknown result.
+func TestHeartbeat_IsUnknownWhenLeadershipIsLost(t *testing.T) {
+	c := threeNodesWithSessions(t, 1, 2000)
+	c.advance(c.leader().NextDeadline())
+	c.heartbeat(0)
+	l := c.leader()
+	for c.unknown == 0 && l == c.leader() { // nobody hears it any more
+		l.Advance(l.NextDeadline())
+		for d, more := l.Next(); more; d, more = l.Next() {
+			switch d.Action {
+			case Save:
+				l.Saved()
+			case ResultUnknown:
+				c.unknown++
 			}
 		}
-		if c.unknown != 1 {
-			t.Errorf("%d lost", c.unknown)
-		}
-	})
+	}
+	if c.unknown != 1 {
+		t.Errorf("%d lost", c.unknown)
+	}
 }
