--- a/internal/coordinator/decisions.go
+++ b/internal/coordinator/decisions.go
@@ -104,13 +104,14 @@
 	}
 }
 
-// auditLease writes what became of a session or a lease to the audit log. The leader logs what became of a lease.
+// auditLease writes what became of a session or a lease to the audit log, whose events and fields keep their first names: a lease is a duty
+// there and a token a fence. The leader logs what became of a lease.
 func (s *Server) auditLease(event leasestate.Event, leads bool) {
-	what := "session"
+	eventName := "session"
 	if event.Lease != "" {
-		what = "duty"
+		eventName = "duty"
 	}
-	s.settings.AuditLog.Add(what, audit.Fields{"index": event.Index, "session": event.Session, "duty": event.Lease,
+	s.settings.AuditLog.Add(eventName, audit.Fields{"index": event.Index, "session": event.Session, "duty": event.Lease,
 		"fence": event.Token.String(), "ended": event.Ended, "why": event.Reason})
 	if !leads || event.Lease == "" {
 		return
--- a/internal/decide/raftnode/incarnations.go
+++ b/internal/decide/raftnode/incarnations.go
@@ -51,7 +51,8 @@
 	Node   string
 }
 
-// Error returns a text that the rejected node receives and logs.
+// Error returns the text that the rejected node receives and logs. It is on the wire, so it keeps the words of the settings: a folder is a
+// data directory and the council the coordinator cluster.
 func (e *HandshakeError) Error() string {
 	switch e.Reason {
 	case IdentityMissing:
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -1,6 +1,7 @@
 package raftnode
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -233,6 +234,32 @@
 	}
 }
 
+func TestKnownIncarnations_RejectionReasons(t *testing.T) {
+	known := NewKnownIncarnations()
+	if _, err := known.Handshake(Identity{Name: "c2", StorageID: 5, Incarnations: []uint64{10}}); err != nil {
+		t.Fatal(err)
+	}
+	for want, identity := range map[HandshakeReason]Identity{
+		IdentityMissing: {Name: "c2", StorageID: 5},
+		StorageReplaced: {Name: "c2", StorageID: 6, Incarnations: []uint64{10}},
+		StorageOutdated: {Name: "c2", StorageID: 5, Incarnations: []uint64{11}},
+	} {
+		_, err := known.Handshake(identity)
+		var rejection *HandshakeError
+		if !errors.As(err, &rejection) || rejection.Reason != want || rejection.Node != "c2" {
+			t.Errorf("%v, want reason %d", err, want)
+		}
+	}
+	for n := len(known.Known); n < maxKnownIncarnations; n++ {
+		known.Known[string(rune('a'+n))] = StorageIdentity{}
+	}
+	_, err := known.Handshake(Identity{Name: "new", Incarnations: []uint64{1}})
+	var rejection *HandshakeError
+	if !errors.As(err, &rejection) || rejection.Reason != TooManyNodes {
+		t.Errorf("%v, want reason %d", err, TooManyNodes)
+	}
+}
+
 func TestKnownIncarnations_Handshake(t *testing.T) {
 	m := NewKnownIncarnations()
 	id := Identity{Name: "c2", StorageID: 5, Incarnations: []uint64{10}, Term: 3, LastIndex: 40}
