--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/council.go
@@ -123,7 +123,7 @@
 		return err
 	}
 	if !ans.Held {
-		return errors.New(ans.Why)
+		return errors.New(ans.Refusal)
 	}
 	fmt.Println("agreed")
 	return nil
@@ -204,8 +204,8 @@
 	if err != nil {
 		return err
 	}
-	if ans.Why != "" {
-		return errors.New(ans.Why)
+	if ans.Refusal != "" {
+		return errors.New(ans.Refusal)
 	}
 	fmt.Printf("epoch %d has begun\n", epoch)
 	return nil
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -181,8 +181,8 @@
 			if err != nil {
 				return err
 			}
-			if a.Why != "" {
-				return errors.New(a.Why)
+			if a.Refusal != "" {
+				return errors.New(a.Refusal)
 			}
 			fmt.Printf("%s is taken from %s, which held it under %s\n", c.Duty, one.Name, fence(d.Fence))
 			return nil
@@ -209,7 +209,7 @@
 		return err
 	}
 	if !a.Held {
-		return errors.New(a.Why)
+		return errors.New(a.Refusal)
 	}
 	fmt.Printf("order %d\n", a.Number)
 	over, last := make(chan string, 1), ""
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -218,7 +218,7 @@
 		return exit{fmt.Errorf("it is not known whether this was agreed (policy history tells, and asking again does no harm): %w", err), notEverywhere}
 	}
 	if !a.Held {
-		return fmt.Errorf("nothing was changed: %s", a.Why)
+		return fmt.Errorf("nothing was changed: %s", a.Refusal)
 	}
 	agreed := time.Now()
 	all, err := c.inForce(client, c.Wait)
--- a/internal/coordinator/clients.go
+++ b/internal/coordinator/clients.go
@@ -79,7 +79,7 @@
 	if d.Action == raftnode.Redirect {
 		return redirectAnswer(d), nil
 	}
-	return &fleetpb.Answer{Held: d.Result.Held, Fence: rpc.EncodeToken(d.Result.Fence), Why: d.Result.Why, Number: d.Result.Number}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Fence: rpc.EncodeToken(d.Result.Token), Why: d.Result.Refusal, Number: d.Result.Number}, nil
 }
 
 // latestTokens returns the latest token of each lease, all by one read, or where to ask instead.
@@ -156,5 +156,5 @@
 	if d.Action == raftnode.Redirect {
 		return redirectAnswer(d), nil
 	}
-	return &fleetpb.Answer{Held: d.Result.Held, Why: d.Result.Why}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Why: d.Result.Refusal}, nil
 }
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -315,7 +315,7 @@
 			sessions = append(sessions, m.Bytes)
 		}
 		answer := doRecorded(ctx, t, conn, m.Bytes)
-		for answer.Why == leasestate.ReasonNoSession { // the test was slower than a session's timeout
+		for answer.Why == leasestate.RefusedNoSession { // the test was slower than a session's timeout
 			for _, open := range sessions {
 				doRecorded(ctx, t, conn, open)
 			}
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// Refused says that a receiver knows a higher fencing token: this one is over, whatever the clock says. Whose the higher one is, it doesn't
+// ActRejected says that a receiver knows a higher fencing token: this one is over, whatever the clock says. Whose the higher one is, it doesn't
 // say: a grant under it may be on its way here.
-func (h *Holder) Refused(higher Token) {
+func (h *Holder) ActRejected(higher Token) {
 	if higher.Compare(h.fence) > 0 {
 		if higher.Compare(h.higher) > 0 {
 			h.higher = higher
@@ -158,8 +158,8 @@
 	}
 }
 
-// Turn says that the coordinator has this process's turn come: it asks at once.
-func (h *Holder) Turn() {
+// RequestNow says that the coordinator has this process's turn come: it asks at once.
+func (h *Holder) RequestNow() {
 	if h.wanted {
 		h.askAt = h.now
 	}
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -31,7 +31,7 @@
 
 var (
 	verbs    = map[Action]string{RequestLease: "ask", ReleaseLease: "give", TransferLease: "pass", Stop: "stop", Start: "start"}
-	verdicts = map[Verdict]string{Taken: "taken", Old: "old", Unknown: "unknown", Broken: "broken"}
+	verdicts = map[Verdict]string{Accepted: "taken", Stale: "old", NotLearned: "unknown", Conflicting: "broken"}
 )
 
 func fence(s string) (f Token) {
@@ -54,7 +54,7 @@
 	case "leaves":
 		p.h.Release(strings.Join(w[1:], ""))
 	case "turn":
-		p.h.Turn()
+		p.h.RequestNow()
 	case "granted":
 		p.h.Granted(number(1), fence(w[2]))
 	case "denied":
@@ -62,7 +62,7 @@
 	case "lost":
 		p.h.Lost(fence(w[1]))
 	case "refused":
-		p.h.Refused(fence(w[1]))
+		p.h.ActRejected(fence(w[1]))
 	case "may":
 		f, may := p.h.Valid()
 		if got := map[bool]string{true: f.String(), false: "not"}[may]; got != w[1] {
@@ -95,9 +95,9 @@
 	case "restarts":
 		p.r = NewReceiver()
 	case "closes":
-		p.r.Close(Scope{w[1], w[2]})
+		p.r.CloseScope(Scope{w[1], w[2]})
 	case "act":
-		v, highest := p.r.Take(Scope{w[1], w[2]}, w[3], fence(w[4]))
+		v, highest := p.r.Check(Scope{w[1], w[2]}, w[3], fence(w[4]))
 		if verdicts[v] != w[5] || len(w) > 6 && highest != fence(w[6]) {
 			return fmt.Errorf("%s, highest %v", verdicts[v], highest)
 		}
@@ -133,14 +133,14 @@
 	for n := range 820 {
 		duty := fmt.Sprint("sight/", n)
 		r.TokenLearned(duty, Token{Epoch: 1})
-		r.Take(Scope{Lease: duty, About: duty}, "a", Token{Epoch: 1, Count: uint64(n)})
+		r.Check(Scope{Lease: duty, Subject: duty}, "a", Token{Epoch: 1, Count: uint64(n)})
 	}
 	for n := range 820 {
 		if fence, holder := r.Highest(fmt.Sprint("sight/", n)); fence.Count != uint64(n) || holder != "a" {
 			t.Fatalf("duty %d: %v of %q", n, fence, holder)
 		}
 	}
-	if r.Looked != 820 {
-		t.Errorf("%d scopes were gone over for 820 duties of one scope each", r.Looked)
+	if r.ScopesExamined != 820 {
+		t.Errorf("%d scopes were gone over for 820 duties of one scope each", r.ScopesExamined)
 	}
 }
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -55,7 +55,7 @@
 
 const duty = "d"
 
-var scope = lease.Scope{Lease: duty, About: "g"}
+var scope = lease.Scope{Lease: duty, Subject: "g"}
 
 func begin(d defects) *world {
 	w := &world{defects: d, council: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[string]int{}}
@@ -195,7 +195,7 @@
 			w.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: 3})
 		}
 		a := w.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: duty})
-		w.net = append(w.net, message{kind: "answer", owner: m.owner, number: m.number, fence: a.Fence, held: a.Held})
+		w.net = append(w.net, message{kind: "answer", owner: m.owner, number: m.number, fence: a.Token, held: a.Held})
 	case "answer":
 		if m.held {
 			w.owners[m.owner].Granted(m.number, m.fence)
@@ -214,22 +214,22 @@
 		}
 		w.net = append(w.net, m)
 	case "act":
-		verdict, highest := lease.Taken, m.fence
+		verdict, highest := lease.Accepted, m.fence
 		if !w.unchecked {
-			verdict, highest = w.receiver.Take(scope, name, m.fence)
+			verdict, highest = w.receiver.Check(scope, name, m.fence)
 		}
 		switch {
-		case verdict == lease.Old:
+		case verdict == lease.Stale:
 			w.refused++
-			w.owners[m.owner].Refused(highest)
+			w.owners[m.owner].ActRejected(highest)
 			if !w.asleep[m.owner] {
 				w.pull(m.owner)
 			}
-		case verdict == lease.Broken:
+		case verdict == lease.Conflicting:
 			w.wrong = "one fence, one holder"
-		case verdict == lease.Taken && m.fence.Compare(w.accepted) < 0:
+		case verdict == lease.Accepted && m.fence.Compare(w.accepted) < 0:
 			w.wrong = fmt.Sprintf("an act under %v was taken after one under %v", m.fence, w.accepted)
-		case verdict == lease.Taken:
+		case verdict == lease.Accepted:
 			w.accepted = m.fence
 		}
 	}
--- a/internal/decide/leaseclient/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -11,7 +11,7 @@
 
 // Session and Lease are what the coordinator's watch tells.
 type Session struct {
-	Name, Kind, Address string
+	Name, Role, Address string
 	Incarnation, Policy uint64
 	Ended               bool
 }
@@ -25,7 +25,7 @@
 
 // Update is one word of the watch: all there is, or what has changed.
 type Update struct {
-	Whole           bool
+	Complete        bool
 	WithoutSessions bool // they were not asked for
 	Sessions        []Session
 	Leases          []Lease
@@ -51,7 +51,7 @@
 func Changes(r *leasestate.State, since uint64, without bool) (Update, uint64) {
 	events, all := r.Since(since)
 	if since == 0 || since > r.Index() || !all {
-		u := Update{Whole: true, WithoutSessions: without, Policies: policies(r.Policy(), 1)}
+		u := Update{Complete: true, WithoutSessions: without, Policies: policies(r.Policy(), 1)}
 		if !without {
 			for _, name := range r.Sessions() {
 				u.Sessions = append(u.Sessions, session(r, name))
@@ -108,7 +108,7 @@
 
 func session(r *leasestate.State, name string) Session {
 	s, open := r.Session(name)
-	return Session{Name: name, Kind: s.Role, Address: s.Address, Incarnation: s.Incarnation, Policy: s.Policy, Ended: !open}
+	return Session{Name: name, Role: s.Role, Address: s.Address, Incarnation: s.Incarnation, Policy: s.Policy, Ended: !open}
 }
 
 func duty(r *leasestate.State, name string) Lease {
--- a/internal/decide/leaseclient/incarnation_test.go
+++ b/internal/decide/leaseclient/incarnation_test.go
@@ -33,7 +33,7 @@
 const sessionTimeout = 1000
 
 func (n *namesakes) begin(wall uint64) *Client {
-	a := New(Settings{Name: "p", Kind: "router", Incarnation: wall, SessionTimeout: sessionTimeout, SafetyMargin: 100, Seed: wall})
+	a := New(Settings{Name: "p", Role: "router", Incarnation: wall, SessionTimeout: sessionTimeout, SafetyMargin: 100, Seed: wall})
 	a.Advance(n.now)
 	n.agents = append(n.agents, a)
 	return a
--- a/internal/decide/leaseclient/leaseclient.go
+++ b/internal/decide/leaseclient/leaseclient.go
@@ -30,7 +30,7 @@
 
 // Settings are given once. Times are ms.
 type Settings struct {
-	Name, Kind, Address          string
+	Name, Role, Address          string
 	Incarnation                  uint64 // Unix ms of the start, as the wall clock has it
 	SessionTimeout, SafetyMargin float64
 	Leases                       []string // that it would hold
@@ -207,8 +207,8 @@
 	a.out = append(a.out, Decision{Action: Propose, Request: a.number, Entry: e})
 }
 
-// Entry signs an entry of this process's own: a note of a step, say.
-func (a *Client) Entry(e leasestate.Entry) leasestate.Entry {
+// Signed signs an entry of this process's own: a note of a step, say.
+func (a *Client) Signed(e leasestate.Entry) leasestate.Entry {
 	e.Session, e.Incarnation = a.set.Name, a.self.current
 	return e
 }
@@ -243,7 +243,7 @@
 		return
 	}
 	delete(a.asked, number)
-	if ans.Why == leasestate.ReasonNoSession && of.kind != leasestate.OpenSession {
+	if ans.Refusal == leasestate.RefusedNoSession && of.kind != leasestate.OpenSession {
 		a.lost()
 		return
 	}
@@ -264,7 +264,7 @@
 		a.open, a.opening = true, retry{at: math.Inf(1)}
 		a.beaten()
 		for _, duty := range slices.Sorted(maps.Keys(a.holders)) {
-			a.holder(duty).Turn()
+			a.holder(duty).RequestNow()
 			a.pull(duty)
 		}
 	case leasestate.KeepAlive:
@@ -275,7 +275,7 @@
 			return
 		}
 		if ans.Held {
-			h.Granted(of.number, ans.Fence)
+			h.Granted(of.number, ans.Token)
 		} else {
 			h.Denied(of.number)
 		}
@@ -325,10 +325,10 @@
 	}
 }
 
-// Watched takes in what the coordinator tells. It may be old: a higher fencing token is true whenever it is heard, a lower one says only
+// UpdateReceived takes in what the coordinator tells. It may be old: a higher fencing token is true whenever it is heard, a lower one says only
 // that somebody should look.
-func (a *Client) Watched(u Update) {
-	if u.Whole {
+func (a *Client) UpdateReceived(u Update) {
+	if u.Complete {
 		clear(a.sessions)
 		clear(a.duties)
 		a.others = !u.WithoutSessions
@@ -348,11 +348,11 @@
 			if d.Holder != a.set.Name {
 				h.Lost(d.Token)
 			} else if fence, may := h.Valid(); !may || fence != d.Token {
-				h.Turn()
+				h.RequestNow()
 			}
 			a.pull(d.Name)
 		}
-		if a.behind(d); a.receiver.Knows(d.Name) && d.Holder != "" {
+		if a.behind(d); a.receiver.Learned(d.Name) && d.Holder != "" {
 			a.receiver.TokenLearned(d.Name, d.Token) // before its holder's first act gets here
 		}
 	}
@@ -376,23 +376,23 @@
 
 // Check judges another's act. Of a lease that this receiver knows nothing of it takes none, and asks the coordinator.
 func (a *Client) Check(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
-	v, highest := a.receiver.Take(s, holder, fence)
+	v, highest := a.receiver.Check(s, holder, fence)
 	switch v {
-	case lease.Unknown:
+	case lease.NotLearned:
 		a.LearnToken(s.Lease)
-	case lease.Old:
+	case lease.Stale:
 		a.RejectedActs++
 	}
 	return v, highest
 }
 
-// Close forgets a scope that is gone.
-func (a *Client) Close(s lease.Scope) { a.receiver.Close(s) }
+// CloseScope forgets a scope that is gone.
+func (a *Client) CloseScope(s lease.Scope) { a.receiver.CloseScope(s) }
 
-// Rejected says that a receiver turned an act of this process away.
-func (a *Client) Rejected(duty string, higher lease.Token) {
+// ActRejected says that a receiver turned an act of this process away.
+func (a *Client) ActRejected(duty string, higher lease.Token) {
 	if h := a.holder(duty); h != nil {
-		h.Refused(higher)
+		h.ActRejected(higher)
 		a.pull(duty)
 	}
 }
@@ -424,8 +424,8 @@
 	}
 }
 
-// Leave ends it: nothing more is done for the fleet, and the coordinator is told. Left tells when it has been, or can't be.
-func (a *Client) Leave() {
+// Shutdown ends it: nothing more is done for the fleet, and the coordinator is told. Left tells when it has been, or can't be.
+func (a *Client) Shutdown() {
 	if a.leaving {
 		return
 	}
@@ -446,8 +446,8 @@
 	a.call(asked{kind: leasestate.CloseSession}, leasestate.Entry{Kind: leasestate.CloseSession, RejectedActs: uint64(a.RejectedActs)})
 }
 
-// Left tells whether nothing is left to do.
-func (a *Client) Left() bool { return a.left }
+// ShutdownComplete tells whether nothing is left to do.
+func (a *Client) ShutdownComplete() bool { return a.left }
 
 // Next gives the next decision; false: none is left.
 func (a *Client) Next() (Decision, bool) {
@@ -456,7 +456,7 @@
 	case !a.open && a.opening.at <= a.now:
 		a.opening.at = math.Inf(1)
 		a.self.prepare()
-		a.call(asked{kind: leasestate.OpenSession}, leasestate.Entry{Kind: leasestate.OpenSession, Role: a.set.Kind, Address: a.set.Address,
+		a.call(asked{kind: leasestate.OpenSession}, leasestate.Entry{Kind: leasestate.OpenSession, Role: a.set.Role, Address: a.set.Address,
 			Timeout: uint64(a.set.SessionTimeout), Policy: a.policy, RejectedPolicy: a.wont, Reason: a.why})
 	case a.open && a.beating.at <= a.now:
 		a.beating.at = math.Inf(1)
@@ -493,7 +493,7 @@
 // Sessions gives the sessions of a kind that the coordinator told of, by name.
 func (a *Client) Sessions(kind string) (all []Session) {
 	for _, name := range slices.Sorted(maps.Keys(a.sessions)) {
-		if a.sessions[name].Kind == kind {
+		if a.sessions[name].Role == kind {
 			all = append(all, a.sessions[name])
 		}
 	}
--- a/internal/decide/leaseclient/leaseclient_test.go
+++ b/internal/decide/leaseclient/leaseclient_test.go
@@ -22,7 +22,7 @@
 }
 
 func sit(t *testing.T, duties ...string) *table {
-	return &table{t: t, r: leasestate.New("f"), a: New(Settings{Name: "p", Kind: "router", Incarnation: 1, SessionTimeout: 1000, SafetyMargin: 100, Leases: duties, Seed: 1})}
+	return &table{t: t, r: leasestate.New("f"), a: New(Settings{Name: "p", Role: "router", Incarnation: 1, SessionTimeout: 1000, SafetyMargin: 100, Leases: duties, Seed: 1})}
 }
 
 func (s *table) apply(e leasestate.Entry) leasestate.Result {
@@ -105,20 +105,20 @@
 // A receiver asks where fencing tokens stand before it takes anything, and takes no lower one then; who holds a lease knows its own fencing token.
 func TestReceives(t *testing.T) {
 	s := sit(t, "d")
-	scope := lease.Scope{Lease: "e", About: "g"}
+	scope := lease.Scope{Lease: "e", Subject: "g"}
 	old := lease.Token{Epoch: 1, Count: 2}
-	if v, _ := s.a.Check(scope, "q", old); v != lease.Unknown {
+	if v, _ := s.a.Check(scope, "q", old); v != lease.NotLearned {
 		t.Fatal("took an act of a duty that it knows nothing of:", v)
 	}
 	s.to(500, true)
-	if v, _ := s.a.Check(scope, "q", old); v != lease.Taken {
+	if v, _ := s.a.Check(scope, "q", old); v != lease.Accepted {
 		t.Fatal(v)
 	}
-	s.a.Watched(Update{Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 5}}}})
-	if v, highest := s.a.Check(scope, "q", old); v != lease.Old || highest.Count != 5 || s.a.RejectedActs != 1 {
+	s.a.UpdateReceived(Update{Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 5}}}})
+	if v, highest := s.a.Check(scope, "q", old); v != lease.Stale || highest.Count != 5 || s.a.RejectedActs != 1 {
 		t.Error("the watch told of a higher fence:", v, highest)
 	}
-	if v, _ := s.a.Check(lease.Scope{Lease: "d", About: "g"}, "q", lease.Token{Epoch: 1}); v != lease.Old {
+	if v, _ := s.a.Check(lease.Scope{Lease: "d", Subject: "g"}, "q", lease.Token{Epoch: 1}); v != lease.Stale {
 		t.Error("its own duty's former owner:", v)
 	}
 }
@@ -128,8 +128,8 @@
 	s := sit(t)
 	s.a.LearnToken("e")
 	s.to(500, true)
-	s.a.Check(lease.Scope{Lease: "e", About: "g"}, "q", lease.Token{Epoch: 1, Count: 7})
-	s.a.Watched(Update{Whole: true, Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 2}}}})
+	s.a.Check(lease.Scope{Lease: "e", Subject: "g"}, "q", lease.Token{Epoch: 1, Count: 7})
+	s.a.UpdateReceived(Update{Complete: true, Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 2}}}})
 	s.to(1000, true)
 	if d, _ := s.r.Lease("e"); d.ForeignToken.Count != 7 {
 		t.Fatalf("the council knows nothing of it: %+v, %v", d, s.log)
@@ -144,10 +144,10 @@
 	for _, answers := range []bool{true, false} {
 		s := sit(t, "d")
 		s.to(500, true)
-		s.a.Leave()
+		s.a.Shutdown()
 		_, stops := s.to(600, answers)
-		if _, may := s.a.Valid("d"); may || stops != 1 || !s.a.Left() {
-			t.Errorf("answered %v: may %v, %d stops, left %v", answers, may, stops, s.a.Left())
+		if _, may := s.a.Valid("d"); may || stops != 1 || !s.a.ShutdownComplete() {
+			t.Errorf("answered %v: may %v, %d stops, left %v", answers, may, stops, s.a.ShutdownComplete())
 		}
 		if _, open := s.r.Session("p"); open == answers {
 			t.Errorf("answered %v: its session is there: %v", answers, open)
@@ -160,14 +160,14 @@
 	s := sit(t, "d")
 	s.to(500, true)
 	u, at := Changes(s.r, 0, false)
-	if !u.Whole || len(u.Sessions) != 1 || len(u.Leases) != 1 || u.Leases[0].Holder != "p" {
+	if !u.Complete || len(u.Sessions) != 1 || len(u.Leases) != 1 || u.Leases[0].Holder != "p" {
 		t.Fatalf("%+v", u)
 	}
 	s.apply(leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: "d", Text: "x"})
-	if u, _ = Changes(s.r, at, false); u.Whole || len(u.Sessions) != 0 || len(u.Leases) != 1 || u.Leases[0].Open.Text != "x" {
+	if u, _ = Changes(s.r, at, false); u.Complete || len(u.Sessions) != 0 || len(u.Leases) != 1 || u.Leases[0].Open.Text != "x" {
 		t.Errorf("%+v", u)
 	}
-	if u, _ = Changes(s.r, at+1000, false); !u.Whole {
+	if u, _ = Changes(s.r, at+1000, false); !u.Complete {
 		t.Error("who is ahead of this state must hear all of it")
 	}
 }
@@ -224,7 +224,7 @@
 	if u, _ := Changes(s.r, next, false); len(u.Sessions) != 1 || u.Sessions[0].Name != "q" {
 		t.Errorf("only the new session is news: %+v", u)
 	}
-	if u, _ := Changes(s.r, 0, true); !u.Whole || len(u.Sessions) != 0 || len(u.Policies) != 1 || u.Policies[0].Version != second {
+	if u, _ := Changes(s.r, 0, true); !u.Complete || len(u.Sessions) != 0 || len(u.Policies) != 1 || u.Policies[0].Version != second {
 		t.Errorf("%+v", u)
 	}
 	at = s.r.Index()
@@ -269,11 +269,11 @@
 // A watch that leaves sessions out says nothing of who there is.
 func TestOthers(t *testing.T) {
 	s := sit(t)
-	s.a.Watched(Update{Whole: true, Sessions: []Session{{Name: "q", Kind: "router"}}})
+	s.a.UpdateReceived(Update{Complete: true, Sessions: []Session{{Name: "q", Role: "router"}}})
 	if !s.a.SessionsComplete() || len(s.a.Sessions("router")) != 1 {
 		t.Error("it was told of all")
 	}
-	s.a.Watched(Update{Whole: true, WithoutSessions: true})
+	s.a.UpdateReceived(Update{Complete: true, WithoutSessions: true})
 	if s.a.SessionsComplete() || len(s.a.Sessions("router")) != 0 {
 		t.Error("it was told of none")
 	}
@@ -318,7 +318,7 @@
 	}
 	known := func() (n int) {
 		for i := range 328 {
-			if s.a.receiver.Knows(fmt.Sprintf("d/%03d", i)) {
+			if s.a.receiver.Learned(fmt.Sprintf("d/%03d", i)) {
 				n++
 			}
 		}
--- a/internal/decide/leaseclient/stands.go
+++ b/internal/decide/leaseclient/stands.go
@@ -14,7 +14,7 @@
 
 // LearnToken has the coordinator asked where a lease's fencing tokens stand, unless that is known.
 func (a *Client) LearnToken(duty string) {
-	if !a.receiver.Knows(duty) && a.stands[duty] == nil && len(a.stands) < mostKnown {
+	if !a.receiver.Learned(duty) && a.stands[duty] == nil && len(a.stands) < mostKnown {
 		a.stands[duty] = &retry{at: a.now}
 	}
 }
--- a/internal/decide/leasestate/leasestate.go
+++ b/internal/decide/leasestate/leasestate.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	version    = 2     // 1 until something is proposed for the first time: what an earlier build can read it gets to read
-	longest    = 256   // bytes of a name or a note
-	mostSteps  = 16    // notes kept of one lease: the latest
-	mostEvents = 1000  // kept for those who watch; who is further behind reads the whole state again
-	mostNames  = 10000 // sessions, and leases: these stay for good, since their fencing tokens must
-	mostPassed = 60000 // ms in one entry: more than that and the leader should have resigned
+	formatVersion = 2     // 1 until something is proposed for the first time: what an earlier build can read it gets to read
+	maxTextBytes  = 256   // bytes of a name or a note
+	maxSteps      = 16    // notes kept of one lease: the latest
+	maxEvents     = 1000  // kept for those who watch; who is further behind reads the whole state again
+	maxNames      = 10000 // sessions, and leases: these stay for good, since their fencing tokens must
+	maxElapsedMs  = 60000 // ms in one entry: more than that and the leader should have resigned
 )
 
 // Kind tells what an entry does.
@@ -134,44 +134,44 @@
 }
 
 type snapshot struct {
-	Version  uint64              `cbor:"1,keyasint"`
-	Fleet    string              `cbor:"2,keyasint"`
-	Epoch    uint64              `cbor:"3,keyasint"`
-	Now      uint64              `cbor:"4,keyasint"` // ms that have passed by the leaders' clocks
-	Index    uint64              `cbor:"5,keyasint"`
-	Sessions map[string]*Session `cbor:"6,keyasint"`
-	Duties   map[string]*Lease   `cbor:"7,keyasint"`
-	Events   []Event             `cbor:"8,keyasint"`
-	Refused  uint64              `cbor:"9,keyasint"`            // by sessions that are over
-	Policy   *policy.History     `cbor:"10,keyasint,omitempty"` // nil: nothing was ever proposed
+	Version      uint64              `cbor:"1,keyasint"`
+	Fleet        string              `cbor:"2,keyasint"`
+	Epoch        uint64              `cbor:"3,keyasint"`
+	Now          uint64              `cbor:"4,keyasint"` // ms that have passed by the leaders' clocks
+	Index        uint64              `cbor:"5,keyasint"`
+	Sessions     map[string]*Session `cbor:"6,keyasint"`
+	Leases       map[string]*Lease   `cbor:"7,keyasint"`
+	Events       []Event             `cbor:"8,keyasint"`
+	RejectedActs uint64              `cbor:"9,keyasint"`            // by sessions that are over
+	Policy       *policy.History     `cbor:"10,keyasint,omitempty"` // nil: nothing was ever proposed
 }
 
 // State is the state after the entries so far.
-type State struct{ s snapshot }
+type State struct{ data snapshot }
 
 // New makes an empty one in the first epoch.
 func New(fleet string) *State {
-	return &State{snapshot{Version: 1, Fleet: fleet, Epoch: 1, Sessions: map[string]*Session{}, Duties: map[string]*Lease{}}}
+	return &State{snapshot{Version: 1, Fleet: fleet, Epoch: 1, Sessions: map[string]*Session{}, Leases: map[string]*Lease{}}}
 }
 
 // NewUninitialized makes one that grants nothing until its first leader has said in which epoch it begins. Guards against a coordinator
 // that is started anew by mistake: what it grants is above all that was granted before.
 func NewUninitialized(fleet string) *State {
 	r := New(fleet)
-	r.s.Epoch = 0
+	r.data.Epoch = 0
 	return r
 }
 
-const behind = "a receiver knows a higher fence than this council"
+const refusedStateBehind = "a receiver knows a higher fence than this council"
 
-// ReasonNoSession is why a session that must be opened first is refused.
-const ReasonNoSession = "no such session"
+// RefusedNoSession is why a session that must be opened first is refused.
+const RefusedNoSession = "no such session"
 
 var (
-	// ErrUnknown is of an entry, or a snapshot, that a later build wrote: it must not be passed over.
-	ErrUnknown = errors.New("written by a later version")
-	// ErrUnsound is of bytes that no build writes.
-	ErrUnsound = errors.New("unsound")
+	// ErrNewerVersion is of an entry, or a snapshot, that a later build wrote: it must not be passed over.
+	ErrNewerVersion = errors.New("written by a later version")
+	// ErrMalformed is of bytes that no build writes.
+	ErrMalformed = errors.New("unsound")
 )
 
 var coding = func() (m struct {
@@ -202,42 +202,42 @@
 	var e Entry
 	if err := coding.DecMode.Unmarshal(b, &e); err != nil {
 		if unknown := (*cbor.UnknownFieldError)(nil); errors.As(err, &unknown) {
-			return e, fmt.Errorf("entry: %w: %w", ErrUnknown, err)
+			return e, fmt.Errorf("entry: %w: %w", ErrNewerVersion, err)
 		}
-		return e, fmt.Errorf("entry: %w: %w", ErrUnsound, err)
+		return e, fmt.Errorf("entry: %w: %w", ErrMalformed, err)
 	}
 	switch e.Kind {
 	case BeginTerm, AdvanceTime, OpenSession, KeepAlive, CloseSession, AcquireLease, ReleaseLease, TransferLease, RecordStep, ReportToken, BeginEpoch, KeepAliveAll, PlaceOrder, CompleteOrder, ProposePolicy:
 	default:
-		return e, fmt.Errorf("entry: %w: kind %.32q", ErrUnknown, e.Kind)
+		return e, fmt.Errorf("entry: %w: kind %.32q", ErrNewerVersion, e.Kind)
 	}
 	for _, text := range []string{e.Session, e.Role, e.Lease, e.To, e.Text, e.Address, e.Reason} {
-		if len(text) > longest {
-			return e, fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrUnsound, len(text), longest)
+		if len(text) > maxTextBytes {
+			return e, fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrMalformed, len(text), maxTextBytes)
 		}
 	}
 	for _, n := range e.Heartbeats {
-		if n := max(len(n.Session), len(n.Reason)); n > longest {
-			return e, fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrUnsound, n, longest)
+		if n := max(len(n.Session), len(n.Reason)); n > maxTextBytes {
+			return e, fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrMalformed, n, maxTextBytes)
 		}
 	}
 	if (e.Kind == ProposePolicy) != (e.Proposal != nil) {
-		return e, fmt.Errorf("entry: %w: %q with or without a proposal", ErrUnsound, e.Kind)
+		return e, fmt.Errorf("entry: %w: %q with or without a proposal", ErrMalformed, e.Kind)
 	}
 	if e.Proposal != nil {
 		if err := e.Proposal.Check(); err != nil {
-			return e, fmt.Errorf("entry: %w: %w", ErrUnsound, err)
+			return e, fmt.Errorf("entry: %w: %w", ErrMalformed, err)
 		}
 	}
-	if e.Elapsed > mostPassed || e.Timeout > mostPassed {
-		return e, fmt.Errorf("entry: %w: %d ms passed, a length of %d ms, %d at most", ErrUnsound, e.Elapsed, e.Timeout, mostPassed)
+	if e.Elapsed > maxElapsedMs || e.Timeout > maxElapsedMs {
+		return e, fmt.Errorf("entry: %w: %d ms passed, a length of %d ms, %d at most", ErrMalformed, e.Elapsed, e.Timeout, maxElapsedMs)
 	}
 	return e, nil
 }
 
 // Snapshot gives the whole state as bytes, the same for the same entries.
 func (r *State) Snapshot() []byte {
-	b, err := coding.EncMode.Marshal(r.s)
+	b, err := coding.EncMode.Marshal(r.data)
 	if err != nil {
 		panic(err)
 	}
@@ -251,31 +251,31 @@
 		Fleet   string `cbor:"2,keyasint"`
 	}
 	if err := cbor.Unmarshal(b, &head); err != nil {
-		return nil, fmt.Errorf("snapshot: %w: %w", ErrUnsound, err)
+		return nil, fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
-	if head.Version > version {
-		return nil, fmt.Errorf("snapshot: %w: version %d, this build knows %d", ErrUnknown, head.Version, version)
+	if head.Version > formatVersion {
+		return nil, fmt.Errorf("snapshot: %w: version %d, this build knows %d", ErrNewerVersion, head.Version, formatVersion)
 	}
 	if head.Fleet != fleet {
 		return nil, fmt.Errorf("snapshot: of fleet %.64q, not of %q", head.Fleet, fleet)
 	}
 	r := New(fleet)
-	if err := coding.DecMode.Unmarshal(b, &r.s); err != nil {
-		return nil, fmt.Errorf("snapshot: %w: %w", ErrUnsound, err)
+	if err := coding.DecMode.Unmarshal(b, &r.data); err != nil {
+		return nil, fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
-	for name, d := range r.s.Duties {
-		if d == nil || d.Holder != "" && r.s.Sessions[d.Holder] == nil {
-			return nil, fmt.Errorf("snapshot: %w: the holder of %q has no session", ErrUnsound, name)
+	for name, d := range r.data.Leases {
+		if d == nil || d.Holder != "" && r.data.Sessions[d.Holder] == nil {
+			return nil, fmt.Errorf("snapshot: %w: the holder of %q has no session", ErrMalformed, name)
 		}
 	}
-	for name, s := range r.s.Sessions {
+	for name, s := range r.data.Sessions {
 		if s == nil {
-			return nil, fmt.Errorf("snapshot: %w: session %q is empty", ErrUnsound, name)
+			return nil, fmt.Errorf("snapshot: %w: session %q is empty", ErrMalformed, name)
 		}
 	}
-	if b := r.s.Policy; b != nil {
+	if b := r.data.Policy; b != nil {
 		if err := b.Check(); err != nil {
-			return nil, fmt.Errorf("snapshot: %w: %w", ErrUnsound, err)
+			return nil, fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 		}
 	}
 	return r, nil
@@ -283,25 +283,25 @@
 
 // Result is what the process that brought an entry hears.
 type Result struct {
-	Held   bool        // it holds the lease, under Fence
-	Fence  lease.Token // of its grant; else the highest known
-	Why    string      // where it was refused
-	Number uint64      // of the order; of a session that was refused: the incarnation that has its name
+	Held    bool        // it holds the lease, under Fence
+	Token   lease.Token // of its grant; else the highest known
+	Refusal string      // where it was refused
+	Number  uint64      // of the order; of a session that was refused: the incarnation that has its name
 }
 
 // Apply takes one entry in. index is its place in the log; one that is in already is passed over.
 func (r *State) Apply(index uint64, e Entry) Result {
-	if index <= r.s.Index {
-		return Result{Why: "applied before"}
+	if index <= r.data.Index {
+		return Result{Refusal: "applied before"}
 	}
-	r.s.Index = index
-	r.s.Now += e.Elapsed
+	r.data.Index = index
+	r.data.Now += e.Elapsed
 	if e.Kind == BeginTerm {
-		if r.s.Epoch == 0 {
-			r.s.Epoch = e.Epoch
+		if r.data.Epoch == 0 {
+			r.data.Epoch = e.Epoch
 		}
-		for _, s := range r.s.Sessions {
-			s.LastHeartbeat = r.s.Now
+		for _, s := range r.data.Sessions {
+			s.LastHeartbeat = r.data.Now
 		}
 	}
 	r.expire()
@@ -312,8 +312,8 @@
 		return r.of(e)
 	case KeepAliveAll:
 		for _, n := range e.Heartbeats {
-			if s := r.s.Sessions[n.Session]; s != nil && s.Incarnation == n.Incarnation {
-				s.LastHeartbeat, s.RejectedActs = r.s.Now, max(s.RejectedActs, n.RejectedActs)
+			if s := r.data.Sessions[n.Session]; s != nil && s.Incarnation == n.Incarnation {
+				s.LastHeartbeat, s.RejectedActs = r.data.Now, max(s.RejectedActs, n.RejectedActs)
 				r.goesBy(s, n.Policy, n.RejectedPolicy, n.Reason)
 			}
 		}
@@ -324,15 +324,15 @@
 	case ReportToken:
 		return r.told(e)
 	case BeginEpoch:
-		if e.Epoch <= r.s.Epoch {
-			return Result{Why: fmt.Sprintf("epoch %d has begun already", r.s.Epoch)}
+		if e.Epoch <= r.data.Epoch {
+			return Result{Refusal: fmt.Sprintf("epoch %d has begun already", r.data.Epoch)}
 		}
-		r.s.Epoch = e.Epoch
-		for _, name := range slices.Sorted(maps.Keys(r.s.Duties)) {
+		r.data.Epoch = e.Epoch
+		for _, name := range slices.Sorted(maps.Keys(r.data.Leases)) {
 			r.free(name)
 		}
-		if r.s.Policy != nil && r.s.Policy.BeginEpoch(e.Epoch) {
-			r.tell(Event{Policy: r.s.Policy.Version.Number64()})
+		if r.data.Policy != nil && r.data.Policy.BeginEpoch(e.Epoch) {
+			r.tell(Event{Policy: r.data.Policy.Version.Number64()})
 		}
 	}
 	return Result{}
@@ -343,9 +343,9 @@
 func (r *State) propose(e Entry) Result {
 	b := r.book()
 	was := b.Version
-	v, why := b.Propose(r.s.Epoch, *e.Proposal)
+	v, why := b.Propose(r.data.Epoch, *e.Proposal)
 	if why != "" {
-		return Result{Why: why, Number: was.Number}
+		return Result{Refusal: why, Number: was.Number}
 	}
 	if v != was {
 		r.tell(Event{Policy: v.Number64()})
@@ -355,10 +355,10 @@
 
 // book gives what is kept of policies. From the first on that concerns them, the snapshot is one that earlier builds refuse.
 func (r *State) book() *policy.History {
-	if r.s.Policy == nil {
-		r.s.Policy, r.s.Version = &policy.History{}, version
+	if r.data.Policy == nil {
+		r.data.Policy, r.data.Version = &policy.History{}, formatVersion
 	}
-	return r.s.Policy
+	return r.data.Policy
 }
 
 // goesBy notes down by which version a session goes. Nobody is told: hundreds would hear of hundreds; who wants to know looks.
@@ -372,8 +372,8 @@
 // expire ends the sessions that have been silent for longer than their length.
 func (r *State) expire() {
 	var over []string
-	for name, s := range r.s.Sessions {
-		if r.s.Now-s.LastHeartbeat > s.Timeout {
+	for name, s := range r.data.Sessions {
+		if r.data.Now-s.LastHeartbeat > s.Timeout {
 			over = append(over, name)
 		}
 	}
@@ -385,8 +385,8 @@
 
 // UntilExpiry is how many ms of the leader's time may go by until some session ends, if none is heard from; false: there is none.
 func (r *State) UntilExpiry() (ms uint64, any bool) {
-	for _, s := range r.s.Sessions {
-		if left := s.LastHeartbeat + s.Timeout - min(r.s.Now, s.LastHeartbeat+s.Timeout); !any || left < ms {
+	for _, s := range r.data.Sessions {
+		if left := s.LastHeartbeat + s.Timeout - min(r.data.Now, s.LastHeartbeat+s.Timeout); !any || left < ms {
 			ms, any = left, true
 		}
 	}
@@ -394,23 +394,23 @@
 }
 
 func (r *State) open(e Entry) Result {
-	s := r.s.Sessions[e.Session]
+	s := r.data.Sessions[e.Session]
 	switch {
 	case e.Session == "" || e.Timeout == 0:
-		return Result{Why: "a session needs a name and a length"}
-	case s == nil && len(r.s.Sessions) >= mostNames:
-		return Result{Why: "too many sessions"}
+		return Result{Refusal: "a session needs a name and a length"}
+	case s == nil && len(r.data.Sessions) >= maxNames:
+		return Result{Refusal: "too many sessions"}
 	case s != nil && e.Incarnation < s.Incarnation:
-		return Result{Why: "a later incarnation has this name", Number: s.Incarnation}
+		return Result{Refusal: "a later incarnation has this name", Number: s.Incarnation}
 	case s != nil && e.Incarnation == s.Incarnation:
-		s.LastHeartbeat = r.s.Now // the same request once more
+		s.LastHeartbeat = r.data.Now // the same request once more
 		r.goesBy(s, e.Policy, e.RejectedPolicy, e.Reason)
 		return Result{Held: true}
 	case s != nil:
 		r.end(e.Session, "anew") // its process started anew and knows nothing of what it held
 	}
-	s = &Session{Incarnation: e.Incarnation, Role: e.Role, Timeout: e.Timeout, LastHeartbeat: r.s.Now, Address: e.Address}
-	r.s.Sessions[e.Session] = s
+	s = &Session{Incarnation: e.Incarnation, Role: e.Role, Timeout: e.Timeout, LastHeartbeat: r.data.Now, Address: e.Address}
+	r.data.Sessions[e.Session] = s
 	r.goesBy(s, e.Policy, e.RejectedPolicy, e.Reason)
 	r.tell(Event{Session: e.Session})
 	return Result{Held: true}
@@ -418,11 +418,11 @@
 
 // of takes in what a session does. One that is not there, or of another incarnation, hears that it must open one first.
 func (r *State) of(e Entry) Result {
-	s := r.s.Sessions[e.Session]
+	s := r.data.Sessions[e.Session]
 	if s == nil || s.Incarnation != e.Incarnation {
-		return Result{Why: ReasonNoSession}
+		return Result{Refusal: RefusedNoSession}
 	}
-	s.LastHeartbeat, s.RejectedActs = r.s.Now, max(s.RejectedActs, e.RejectedActs)
+	s.LastHeartbeat, s.RejectedActs = r.data.Now, max(s.RejectedActs, e.RejectedActs)
 	switch e.Kind {
 	case KeepAlive:
 		r.goesBy(s, e.Policy, e.RejectedPolicy, e.Reason)
@@ -433,11 +433,11 @@
 	case AcquireLease:
 		return r.take(e)
 	}
-	d := r.s.Duties[e.Lease]
+	d := r.data.Leases[e.Lease]
 	if d == nil || d.Holder != e.Session || d.Token != e.Token {
-		a := Result{Why: "not the holder"}
+		a := Result{Refusal: "not the holder"}
 		if d != nil {
-			a.Fence = d.Token
+			a.Token = d.Token
 		}
 		return a
 	}
@@ -445,32 +445,32 @@
 	case ReleaseLease:
 		r.free(e.Lease)
 	case TransferLease:
-		if r.s.Sessions[e.To] == nil {
-			return Result{Held: true, Fence: d.Token, Why: "the successor has no session"}
+		if r.data.Sessions[e.To] == nil {
+			return Result{Held: true, Token: d.Token, Refusal: "the successor has no session"}
 		}
 		d.Queue = append([]string{e.To}, slices.DeleteFunc(d.Queue, func(q string) bool { return q == e.To })...)
 		r.free(e.Lease)
 	case RecordStep:
-		if d.Steps = append(d.Steps, Step{d.Token, e.Text}); len(d.Steps) > mostSteps {
-			d.Steps = slices.Delete(d.Steps, 0, len(d.Steps)-mostSteps)
+		if d.Steps = append(d.Steps, Step{d.Token, e.Text}); len(d.Steps) > maxSteps {
+			d.Steps = slices.Delete(d.Steps, 0, len(d.Steps)-maxSteps)
 		}
 		r.tell(Event{Lease: e.Lease, Token: d.Token, Session: d.Holder})
-		return Result{Held: true, Fence: d.Token}
+		return Result{Held: true, Token: d.Token}
 	case CompleteOrder:
 		if e.Number == d.Open.Number && e.Number > 0 {
 			d.Ended, d.Open, d.Steps = Order{e.Number, e.Text}, Order{}, nil
 			r.tell(Event{Lease: e.Lease, Token: d.Token, Session: d.Holder})
 		}
-		return Result{Held: true, Fence: d.Token, Number: d.Ended.Number}
+		return Result{Held: true, Token: d.Token, Number: d.Ended.Number}
 	}
-	return Result{Fence: d.Token}
+	return Result{Token: d.Token}
 }
 
 // take grants a lease that nobody holds, to the first of its queue; a holder's repeat gets the same fencing token.
 func (r *State) take(e Entry) Result {
 	d, why := r.duty(e.Lease)
 	if d == nil {
-		return Result{Why: why}
+		return Result{Refusal: why}
 	}
 	if d.Holder != e.Session && !slices.Contains(d.Queue, e.Session) {
 		d.Queue = append(d.Queue, e.Session)
@@ -479,12 +479,12 @@
 		r.grant(e.Lease)
 	}
 	if d.Holder == e.Session {
-		return Result{Held: true, Fence: d.Token}
+		return Result{Held: true, Token: d.Token}
 	}
 	if why = "held by " + d.Holder; d.Holder == "" {
-		why = behind
+		why = refusedStateBehind
 	}
-	return Result{Fence: d.Token, Why: why}
+	return Result{Token: d.Token, Refusal: why}
 }
 
 // order notes down what an operator wants; the same words again, while it is open, are the same order.
@@ -492,28 +492,28 @@
 	d, why := r.duty(e.Lease)
 	switch {
 	case d == nil:
-		return Result{Why: why}
+		return Result{Refusal: why}
 	case e.Text == "":
-		return Result{Why: "an order needs words"}
+		return Result{Refusal: "an order needs words"}
 	case d.Open.Number == 0:
 		d.Open, d.Steps = Order{d.Ended.Number + 1, e.Text}, nil
 		r.tell(Event{Lease: e.Lease, Token: d.Token, Session: d.Holder})
 	case d.Open.Text != e.Text:
-		return Result{Why: fmt.Sprintf("order %d is open: %s", d.Open.Number, d.Open.Text), Number: d.Open.Number}
+		return Result{Refusal: fmt.Sprintf("order %d is open: %s", d.Open.Number, d.Open.Text), Number: d.Open.Number}
 	}
-	return Result{Held: true, Fence: d.Token, Number: d.Open.Number}
+	return Result{Held: true, Token: d.Token, Number: d.Open.Number}
 }
 
 // lease finds a lease, or makes one that nobody holds yet.
 func (r *State) duty(name string) (d *Lease, why string) {
-	if d = r.s.Duties[name]; d != nil {
+	if d = r.data.Leases[name]; d != nil {
 		return d, ""
 	}
-	if name == "" || len(r.s.Duties) >= mostNames {
+	if name == "" || len(r.data.Leases) >= maxNames {
 		return nil, "no duty named, or too many"
 	}
 	d = &Lease{}
-	r.s.Duties[name] = d
+	r.data.Leases[name] = d
 	return d, ""
 }
 
@@ -521,42 +521,42 @@
 // receiver has seen a fencing token that this state knows nothing of, there may have been more in that epoch: nobody gets the
 // lease until an operator has begun another.
 func (r *State) grant(name string) {
-	d := r.s.Duties[name]
+	d := r.data.Leases[name]
 	if len(d.Queue) == 0 || d.Holder != "" {
 		return
 	}
-	next := lease.Token{Epoch: r.s.Epoch, Count: 1}
-	if d.Token.Epoch == r.s.Epoch {
+	next := lease.Token{Epoch: r.data.Epoch, Count: 1}
+	if d.Token.Epoch == r.data.Epoch {
 		next.Count = d.Token.Count + 1
 	}
 	if next.Count > lease.MaxCount {
-		r.s.Epoch++
-		next = lease.Token{Epoch: r.s.Epoch, Count: 1}
+		r.data.Epoch++
+		next = lease.Token{Epoch: r.data.Epoch, Count: 1}
 	}
 	if next.Epoch <= d.ForeignToken.Epoch {
 		return
 	}
-	d.Holder, d.Token, d.Since = d.Queue[0], next, r.s.Now
+	d.Holder, d.Token, d.Since = d.Queue[0], next, r.data.Now
 	d.Queue = slices.Delete(d.Queue, 0, 1)
 	r.tell(Event{Lease: name, Token: next, Session: d.Holder})
 }
 
 // free takes a lease from its holder; the next of the queue gets it at once.
 func (r *State) free(name string) {
-	d := r.s.Duties[name]
+	d := r.data.Leases[name]
 	if d.Holder != "" {
 		r.tell(Event{Lease: name, Token: d.Token, Session: d.Holder, Ended: true})
-		d.Holder, d.Since = "", r.s.Now
+		d.Holder, d.Since = "", r.data.Now
 	}
 	r.grant(name)
 }
 
 func (r *State) end(session, why string) {
-	r.s.Refused += r.s.Sessions[session].RejectedActs
-	delete(r.s.Sessions, session)
+	r.data.RejectedActs += r.data.Sessions[session].RejectedActs
+	delete(r.data.Sessions, session)
 	r.tell(Event{Session: session, Ended: true, Reason: why})
-	for _, name := range slices.Sorted(maps.Keys(r.s.Duties)) {
-		d := r.s.Duties[name]
+	for _, name := range slices.Sorted(maps.Keys(r.data.Leases)) {
+		d := r.data.Leases[name]
 		d.Queue = slices.DeleteFunc(d.Queue, func(q string) bool { return q == session })
 		if d.Holder == session {
 			r.free(name)
@@ -570,38 +570,38 @@
 func (r *State) told(e Entry) Result {
 	d, why := r.duty(e.Lease)
 	if d == nil {
-		return Result{Why: why}
+		return Result{Refusal: why}
 	}
 	order := e.Token.Compare(d.Token)
 	known := order < 0 || order == 0 && (d.Holder == "" || e.Session == "" || d.Holder == e.Session)
 	if known || e.Token.Compare(d.ForeignToken) <= 0 {
-		return Result{Fence: d.Token}
+		return Result{Token: d.Token}
 	}
 	d.ForeignToken = e.Token
 	r.tell(Event{Lease: e.Lease, Token: d.Token})
 	r.free(e.Lease)
-	return Result{Fence: d.Token, Why: behind}
+	return Result{Token: d.Token, Refusal: refusedStateBehind}
 }
 
 func (r *State) tell(e Event) {
-	e.Index = r.s.Index
-	if r.s.Events = append(r.s.Events, e); len(r.s.Events) > mostEvents {
-		r.s.Events = slices.Delete(r.s.Events, 0, len(r.s.Events)-mostEvents)
+	e.Index = r.data.Index
+	if r.data.Events = append(r.data.Events, e); len(r.data.Events) > maxEvents {
+		r.data.Events = slices.Delete(r.data.Events, 0, len(r.data.Events)-maxEvents)
 	}
 }
 
 // Since gives the events after an index, or false where some of them are no longer kept: then all must be read anew.
 func (r *State) Since(index uint64) ([]Event, bool) {
-	if len(r.s.Events) == mostEvents && index < r.s.Events[0].Index {
+	if len(r.data.Events) == maxEvents && index < r.data.Events[0].Index {
 		return nil, false
 	}
-	n, _ := slices.BinarySearchFunc(r.s.Events, index+1, func(e Event, at uint64) int { return cmp.Compare(e.Index, at) })
-	return slices.Clone(r.s.Events[n:]), true
+	n, _ := slices.BinarySearchFunc(r.data.Events, index+1, func(e Event, at uint64) int { return cmp.Compare(e.Index, at) })
+	return slices.Clone(r.data.Events[n:]), true
 }
 
 // Lease and Session give what is kept of one; false: nothing. Leases and Sessions name them, in order.
 func (r *State) Lease(name string) (Lease, bool) {
-	d := r.s.Duties[name]
+	d := r.data.Leases[name]
 	if d == nil {
 		return Lease{}, false
 	}
@@ -613,8 +613,8 @@
 // LatestToken is the fencing token under which nothing of a lease is in force any more: what a receiver that knows nothing learns. In an
 // epoch without a grant so far that is the epoch's beginning, since those before it are over.
 func (r *State) LatestToken(name string) lease.Token {
-	stands := lease.Token{Epoch: r.s.Epoch}
-	if d := r.s.Duties[name]; d != nil && d.Token.Compare(stands) > 0 {
+	stands := lease.Token{Epoch: r.data.Epoch}
+	if d := r.data.Leases[name]; d != nil && d.Token.Compare(stands) > 0 {
 		stands = d.Token
 	}
 	return stands
@@ -622,24 +622,24 @@
 
 // Policy gives what is kept of policies; it must not be changed, nor kept. Before the first proposal it is empty.
 func (r *State) Policy() *policy.History {
-	if r.s.Policy == nil {
+	if r.data.Policy == nil {
 		return &policy.History{}
 	}
-	return r.s.Policy
+	return r.data.Policy
 }
 
 func (r *State) Session(name string) (Session, bool) {
-	s := r.s.Sessions[name]
+	s := r.data.Sessions[name]
 	if s == nil {
 		return Session{}, false
 	}
 	return *s, true
 }
 
-func (r *State) Leases() []string     { return slices.Sorted(maps.Keys(r.s.Duties)) }
-func (r *State) Sessions() []string   { return slices.Sorted(maps.Keys(r.s.Sessions)) }
-func (r *State) Index() uint64        { return r.s.Index }
-func (r *State) Now() uint64          { return r.s.Now }
-func (r *State) RejectedActs() uint64 { return r.s.Refused }
-func (r *State) Fleet() string        { return r.s.Fleet }
-func (r *State) Epoch() uint64        { return r.s.Epoch }
+func (r *State) Leases() []string     { return slices.Sorted(maps.Keys(r.data.Leases)) }
+func (r *State) Sessions() []string   { return slices.Sorted(maps.Keys(r.data.Sessions)) }
+func (r *State) Index() uint64        { return r.data.Index }
+func (r *State) Now() uint64          { return r.data.Now }
+func (r *State) RejectedActs() uint64 { return r.data.RejectedActs }
+func (r *State) Fleet() string        { return r.data.Fleet }
+func (r *State) Epoch() uint64        { return r.data.Epoch }
--- a/internal/decide/leasestate/leasestate_test.go
+++ b/internal/decide/leasestate/leasestate_test.go
@@ -46,8 +46,8 @@
 
 func TestGrantQueueAndEnd(t *testing.T) {
 	f := begin("a", "b", "c")
-	want(t, "first", f.do(take("a")).Fence, fence(1, 1))
-	want(t, "a repeat gets the same", f.do(take("a")).Fence, fence(1, 1))
+	want(t, "first", f.do(take("a")).Token, fence(1, 1))
+	want(t, "a repeat gets the same", f.do(take("a")).Token, fence(1, 1))
 	want(t, "taken", f.do(take("b")).Held, false)
 	f.do(take("c"))
 	f.do(Entry{Kind: KeepAlive, Session: "b", Incarnation: 1, Elapsed: 90})
@@ -58,10 +58,10 @@
 	d, _ = f.Lease("d")
 	want(t, "next of the queue", d.Holder, "b")
 	want(t, "fence", d.Token, fence(1, 2))
-	want(t, "who ended", f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1)}).Why, "no such session")
+	want(t, "who ended", f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1)}).Refusal, "no such session")
 	a := f.do(Entry{Kind: TransferLease, Session: "b", Incarnation: 1, Lease: "d", Token: fence(1, 2), To: "c"})
 	d, _ = f.Lease("d")
-	want(t, "passed on", d.Holder+a.Why, "c")
+	want(t, "passed on", d.Holder+a.Refusal, "c")
 	events, all := f.Since(0)
 	if last := events[len(events)-1]; !all || last.Session != "c" || last.Token != fence(1, 3) {
 		t.Fatalf("events %+v", events)
@@ -88,9 +88,9 @@
 	f.do(Entry{Kind: OpenSession, Session: "a", Incarnation: 2, Timeout: 100})
 	d, _ := f.Lease("d")
 	want(t, "freed", d.Holder, "")
-	want(t, "the former self", f.do(take("a")).Why, "no such session")
+	want(t, "the former self", f.do(take("a")).Refusal, "no such session")
 	want(t, "an older one", f.do(Entry{Kind: OpenSession, Session: "a", Incarnation: 1, Timeout: 100}).Held, false)
-	want(t, "fence", f.do(Entry{Kind: AcquireLease, Session: "a", Incarnation: 2, Lease: "d"}).Fence, fence(1, 2))
+	want(t, "fence", f.do(Entry{Kind: AcquireLease, Session: "a", Incarnation: 2, Lease: "d"}).Token, fence(1, 2))
 }
 
 // A coordinator whose state was lost grants nothing under fencing tokens that receivers have seen, until its epoch is above.
@@ -99,12 +99,12 @@
 	f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(1, 7)})
 	a := f.do(take("a"))
 	want(t, "grant", a.Held, false)
-	want(t, "why", a.Why, behind)
-	want(t, "an old epoch", f.do(Entry{Kind: BeginEpoch, Epoch: 1}).Why, "epoch 1 has begun already")
+	want(t, "why", a.Refusal, refusedStateBehind)
+	want(t, "an old epoch", f.do(Entry{Kind: BeginEpoch, Epoch: 1}).Refusal, "epoch 1 has begun already")
 	f.do(Entry{Kind: BeginEpoch, Epoch: 2})
-	want(t, "above", f.do(take("a")).Fence, fence(2, 1))
+	want(t, "above", f.do(take("a")).Token, fence(2, 1))
 	// An older copy put back grants the same fencing token to another; who has seen the first says so.
-	want(t, "its own", f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "a"}).Why, "")
+	want(t, "its own", f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "a"}).Refusal, "")
 	f.do(Entry{Kind: ReportToken, Lease: "d", Token: fence(2, 1), Session: "z"})
 	d, _ := f.Lease("d")
 	want(t, "taken away", d.Holder, "")
@@ -117,12 +117,12 @@
 func TestManyGrants(t *testing.T) {
 	f := begin("a")
 	f.do(take("a"))
-	f.s.Duties["d"].Token.Count = lease.MaxCount
-	before := f.s.Duties["d"].Token.Number()
+	f.data.Leases["d"].Token.Count = lease.MaxCount
+	before := f.data.Leases["d"].Token.Number()
 	f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, lease.MaxCount)})
 	a := f.do(take("a"))
-	want(t, "fence", a.Fence, fence(2, 1))
-	want(t, "grows", a.Fence.Number() > before, true)
+	want(t, "fence", a.Token, fence(2, 1))
+	want(t, "grows", a.Token.Number() > before, true)
 }
 
 func TestSteps(t *testing.T) {
@@ -133,12 +133,12 @@
 	f.do(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1)})
 	f.do(take("b"))
 	note.Text = "late"
-	want(t, "a former holder's", f.do(note).Fence, fence(1, 2))
+	want(t, "a former holder's", f.do(note).Token, fence(1, 2))
 	for range 40 {
 		f.do(Entry{Kind: RecordStep, Session: "b", Incarnation: 1, Lease: "d", Token: fence(1, 2), Text: "go"})
 	}
 	d, _ := f.Lease("d")
-	want(t, "kept", len(d.Steps), mostSteps)
+	want(t, "kept", len(d.Steps), maxSteps)
 	for _, s := range d.Steps {
 		want(t, "step", s.Text, "go")
 	}
@@ -150,13 +150,13 @@
 	order := Entry{Kind: PlaceOrder, Lease: "d", Text: "to m2"}
 	want(t, "number", f.do(order).Number, uint64(1))
 	want(t, "again", f.do(order).Number, uint64(1))
-	want(t, "another", f.do(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Why, "order 1 is open: to m2")
+	want(t, "another", f.do(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Refusal, "order 1 is open: to m2")
 	f.do(take("a"))
 	f.do(Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1), Text: "hold"})
 	did := Entry{Kind: CompleteOrder, Session: "a", Incarnation: 1, Lease: "d", Token: fence(1, 1), Number: 1, Text: "done"}
 	f.do(take("b"))
 	f.do(Entry{Kind: CloseSession, Session: "a", Incarnation: 1})
-	want(t, "a former owner's word", f.do(did).Why, "no such session")
+	want(t, "a former owner's word", f.do(did).Refusal, "no such session")
 	d, _ := f.Lease("d")
 	want(t, "steps that the next owner finds", len(d.Steps), 1)
 	did.Session, did.Token = "b", fence(1, 2)
@@ -185,12 +185,12 @@
 func TestRefusedWhole(t *testing.T) {
 	later, _ := cbor.Marshal(map[int]any{1: "take", 2: 5, 99: "what a later build means"})
 	kind, _ := cbor.Marshal(map[int]any{1: "merge"})
-	long, _ := cbor.Marshal(map[int]any{1: "take", 7: strings.Repeat("x", longest+1)})
+	long, _ := cbor.Marshal(map[int]any{1: "take", 7: strings.Repeat("x", maxTextBytes+1)})
 	for name, c := range map[string]struct {
 		bytes []byte
 		err   error
-	}{"a field": {later, ErrUnknown}, "a kind": {kind, ErrUnknown}, "a long name": {long, ErrUnsound},
-		"nothing": {nil, ErrUnsound}, "half": {Encode(take("a"))[:5], ErrUnsound}} {
+	}{"a field": {later, ErrNewerVersion}, "a kind": {kind, ErrNewerVersion}, "a long name": {long, ErrMalformed},
+		"nothing": {nil, ErrMalformed}, "half": {Encode(take("a"))[:5], ErrMalformed}} {
 		if _, err := Decode(c.bytes); !errors.Is(err, c.err) {
 			t.Errorf("%s: %v, want %v", name, err, c.err)
 		}
@@ -206,8 +206,8 @@
 			t.Fatalf("%d of %d bytes read as %v", n, len(whole), r.Leases())
 		}
 	}
-	f.s.Version = version + 1
-	if _, err := Restore("f", f.Snapshot()); !errors.Is(err, ErrUnknown) {
+	f.data.Version = formatVersion + 1
+	if _, err := Restore("f", f.Snapshot()); !errors.Is(err, ErrNewerVersion) {
 		t.Error("a later snapshot:", err)
 	}
 }
@@ -259,7 +259,7 @@
 		t.Fatal(events)
 	}
 	stale := policy.Propose(policy.Version{}, nil, policy.Document{"over_share_value": "0.5"}, "b", "")
-	if a := f.do(Entry{Kind: ProposePolicy, Proposal: &stale}); a.Held || a.Number != 1 || !strings.Contains(a.Why, "1.1 is in force, this was made from none") {
+	if a := f.do(Entry{Kind: ProposePolicy, Proposal: &stale}); a.Held || a.Number != 1 || !strings.Contains(a.Refusal, "1.1 is in force, this was made from none") {
 		t.Error(a)
 	}
 	mark := f.Policy().Version.Number64()
@@ -284,11 +284,11 @@
 	want(t, "above all before", f.Policy().Version.String(), "4.2")
 	want(t, "the next", f.change("0.3"), Result{Held: true, Number: 3})
 	f.do(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Number64()})
-	if a := f.change("0.4"); a.Held || !strings.Contains(a.Why, "4.9") {
+	if a := f.change("0.4"); a.Held || !strings.Contains(a.Refusal, "4.9") {
 		t.Error("a router knows more than this council:", a)
 	}
-	f.s.Policy.Document = policy.Document{"over_share_value": "0.9"}
-	if _, err := Restore("f", f.Snapshot()); !errors.Is(err, ErrUnsound) {
+	f.data.Policy.Document = policy.Document{"over_share_value": "0.9"}
+	if _, err := Restore("f", f.Snapshot()); !errors.Is(err, ErrMalformed) {
 		t.Error("a document of another hash:", err)
 	}
 }
@@ -303,8 +303,8 @@
 	for name, e := range map[string]Entry{"none": {Kind: ProposePolicy}, "of another kind": {Kind: AdvanceTime, Proposal: p},
 		"a long reason": {Kind: ProposePolicy, Proposal: &policy.Proposal{Reason: strings.Repeat("x", 201)}},
 		"too large":     {Kind: ProposePolicy, Proposal: &policy.Proposal{Difference: policy.Difference{Set: large}}},
-		"why":           {Kind: KeepAlive, Reason: strings.Repeat("x", longest+1)}} {
-		if _, err := Decode(Encode(e)); !errors.Is(err, ErrUnsound) {
+		"why":           {Kind: KeepAlive, Reason: strings.Repeat("x", maxTextBytes+1)}} {
+		if _, err := Decode(Encode(e)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/decide/raftnode/epoch_test.go
+++ b/internal/decide/raftnode/epoch_test.go
@@ -29,13 +29,13 @@
 // A new cluster that is begun after the wall clock was stepped back has an epoch that is lower than the previous one. Receivers reject the
 // tokens that it grants and report theirs; it then grants none until an operator has begun an epoch above the one that they know.
 func TestEpoch_LowerAfterWallClockSteppedBack(t *testing.T) {
-	scope, receiver := lease.Scope{Lease: "d", About: "d"}, lease.NewReceiver()
-	previous := beginWithSession(t, 5000, 0).acquire().Fence
+	scope, receiver := lease.Scope{Lease: "d", Subject: "d"}, lease.NewReceiver()
+	previous := beginWithSession(t, 5000, 0).acquire().Token
 	receiver.TokenLearned("d", previous)
 	restarted := beginWithSession(t, 1400, 0)
 	granted := restarted.acquire()
-	verdict, seen := receiver.Take(scope, "s", granted.Fence)
-	if !granted.Held || granted.Fence.Epoch != 1400 || verdict != lease.Old || seen != previous {
+	verdict, seen := receiver.Check(scope, "s", granted.Token)
+	if !granted.Held || granted.Token.Epoch != 1400 || verdict != lease.Stale || seen != previous {
 		t.Fatalf("granted %+v, which the receiver judges %v, %v", granted, verdict, seen)
 	}
 	restarted.propose(leasestate.Entry{Kind: leasestate.ReportToken, Lease: "d", Token: seen})
@@ -45,7 +45,7 @@
 	d, _ := restarted.node.State().Lease("d")
 	restarted.propose(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as coordinator recover does
 	granted = restarted.acquire()
-	if verdict, _ := receiver.Take(scope, "s", granted.Fence); !granted.Held || verdict != lease.Taken {
+	if verdict, _ := receiver.Check(scope, "s", granted.Token); !granted.Held || verdict != lease.Accepted {
 		t.Errorf("granted %+v, which the receiver judges %v", granted, verdict)
 	}
 }
@@ -53,7 +53,7 @@
 // Whoever begins it may say which epoch has been: then it is above from the start.
 func TestEpoch_AboveKnownEpoch(t *testing.T) {
 	for _, c := range []struct{ clock, above, want uint64 }{{1400, 5000, 5001}, {5000, 1400, 5000}, {5000, 5000, 5001}, {5000, 0, 5000}} {
-		if got := beginWithSession(t, c.clock, c.above).acquire().Fence; got != (lease.Token{Epoch: c.want, Count: 1}) {
+		if got := beginWithSession(t, c.clock, c.above).acquire().Token; got != (lease.Token{Epoch: c.want, Count: 1}) {
 			t.Errorf("%+v: granted under %v", c, got)
 		}
 	}
--- a/internal/decide/raftnode/membership.go
+++ b/internal/decide/raftnode/membership.go
@@ -79,7 +79,7 @@
 		err = n.raftNode.ProposeConfChange(change)
 	}
 	if err != nil { // its text is the reason that the operator is told
-		n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Why: err.Error()}})
+		n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: err.Error()}})
 		return
 	}
 	n.pending[request] = true
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -42,7 +42,7 @@
 	default:
 		if entry.Kind == leasestate.ProposePolicy {
 			if reason := rejectionReason(entry); reason != "" {
-				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Why: reason}})
+				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: reason}})
 				return
 			}
 		}
@@ -78,7 +78,7 @@
 func (n *Node) preview(entry leasestate.Entry) leasestate.Result {
 	state, err := leasestate.Restore(n.settings.Fleet, n.state.Snapshot())
 	if err != nil {
-		return leasestate.Result{Why: err.Error()}
+		return leasestate.Result{Refusal: err.Error()}
 	}
 	return state.Apply(state.Index()+1, entry)
 }
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -104,7 +104,7 @@
 	}
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	got := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
-	if !got.Held || got.Fence.Epoch != 7 || got.Fence.Count != 1 {
+	if !got.Held || got.Token.Epoch != 7 || got.Token.Count != 1 {
 		t.Fatalf("%+v", got)
 	}
 	for range 300 {
@@ -120,8 +120,8 @@
 		t.Error("another state after a restart")
 	}
 	b.pass(500)
-	if again := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); again.Fence != got.Fence {
-		t.Errorf("a repeat gets %v, not %v", again.Fence, got.Fence)
+	if again := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); again.Token != got.Token {
+		t.Errorf("a repeat gets %v, not %v", again.Token, got.Token)
 	}
 	b.number++
 	b.node.Read(b.number)
@@ -177,8 +177,8 @@
 	} {
 		a.number++
 		change(a.number)
-		if a.pass(20); !strings.Contains(a.done[a.number].Why, want) {
-			t.Errorf("%q, want %q", a.done[a.number].Why, want)
+		if a.pass(20); !strings.Contains(a.done[a.number].Refusal, want) {
+			t.Errorf("%q, want %q", a.done[a.number].Refusal, want)
 		}
 	}
 	// Data of another fleet, data that lacks committed entries, and an entry of a later build.
@@ -203,7 +203,7 @@
 	a := newSingleNode(t, Stored{})
 	a.pass(500)
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
-	previous := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Fence
+	previous := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Token
 	three := a.disk
 	three.Snapshot = proto.Clone(three.Snapshot).(*raftpb.Snapshot)
 	_, reg, err := DecodeSnapshot("f", three.Snapshot)
@@ -220,12 +220,12 @@
 	}
 	b := newSingleNode(t, Stored{HardState: r.Decision.HardState, Snapshot: r.Decision.Snapshot})
 	b.pass(500)
-	if got := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Fence.Compare(previous) <= 0 || got.Fence.Epoch != 13 {
+	if got := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Token.Compare(previous) <= 0 || got.Token.Epoch != 13 {
 		t.Errorf("%+v after %v", got, previous)
 	}
 	b.number++
 	b.node.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
-	if b.pass(20); !strings.Contains(b.done[b.number].Why, "was of this council before") {
+	if b.pass(20); !strings.Contains(b.done[b.number].Refusal, "was of this council before") {
 		t.Errorf("a node that was removed joined again: %+v", b.done[b.number])
 	}
 	three.Entries = append(three.Entries[:1:1], three.Entries[2:]...)
@@ -309,7 +309,7 @@
 	}
 	at := a.node.Applied()
 	got := propose(policy.Document{"txn_types.order.effect": "idempotent", "memory": "1", "over_share_value": "0.2"})
-	if got.Held || !strings.Contains(got.Why, "txn_types.order.effect: can't be changed yet") || !strings.Contains(got.Why, "memory: no field") || a.node.Applied() != at {
+	if got.Held || !strings.Contains(got.Refusal, "txn_types.order.effect: can't be changed yet") || !strings.Contains(got.Refusal, "memory: no field") || a.node.Applied() != at {
 		t.Fatal(got, a.node.Applied(), at)
 	}
 	if got = propose(policy.Document{"over_share_value": "0.2"}); !got.Held || got.Number != 1 {
--- a/internal/decide/raftnode/ready.go
+++ b/internal/decide/raftnode/ready.go
@@ -179,5 +179,5 @@
 	if session, open := n.state.Session(heartbeat.Session); open && session.Incarnation == heartbeat.Incarnation {
 		return leasestate.Result{Held: true}
 	}
-	return leasestate.Result{Why: leasestate.ReasonNoSession}
+	return leasestate.Result{Refusal: leasestate.RefusedNoSession}
 }
--- a/internal/decide/raftnode/snapshot.go
+++ b/internal/decide/raftnode/snapshot.go
@@ -49,10 +49,10 @@
 func decodeSnapshot(fleet string, snapshot *raftpb.Snapshot) (snapshotData, *leasestate.State, error) {
 	var data snapshotData
 	if err := cbor.Unmarshal(snapshot.GetData(), &data); err != nil {
-		return data, nil, fmt.Errorf("snapshot: %w: %w", leasestate.ErrUnsound, err)
+		return data, nil, fmt.Errorf("snapshot: %w: %w", leasestate.ErrMalformed, err)
 	}
 	if data.Format > snapshotFormat {
-		return data, nil, fmt.Errorf("snapshot: %w: format %d, this build knows %d", leasestate.ErrUnknown, data.Format, snapshotFormat)
+		return data, nil, fmt.Errorf("snapshot: %w: format %d, this build knows %d", leasestate.ErrNewerVersion, data.Format, snapshotFormat)
 	}
 	state, err := leasestate.Restore(fleet, data.State)
 	return data, state, err
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -151,22 +151,22 @@
 			if !duties[duty] {
 				t.Fatal("not asked:", duty)
 			}
-			for v := lease.Unknown; v == lease.Unknown; { // until the answer is in
+			for v := lease.NotLearned; v == lease.NotLearned; { // until the answer is in
 				l.post(func() {
-					v, _ := l.agent.Check(lease.Scope{Lease: duty, About: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
+					v, _ := l.agent.Check(lease.Scope{Lease: duty, Subject: "x"}, "q", lease.Token{Epoch: 1, Count: 999 + uint64(group)})
 					took <- v
 				})
-				if v = <-took; v != lease.Old && v != lease.Unknown {
+				if v = <-took; v != lease.Stale && v != lease.NotLearned {
 					t.Fatalf("%s: an act below where it stands was %v", duty, v)
 				}
 			}
 		}
 	}
 	l.post(func() {
-		v, _ := l.agent.Check(lease.Scope{Lease: healthshare.LeaseName(163), About: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
+		v, _ := l.agent.Check(lease.Scope{Lease: healthshare.LeaseName(163), Subject: "x"}, "q", lease.Token{Epoch: 1, Count: 1163})
 		took <- v
 	})
-	if v := <-took; v != lease.Taken {
+	if v := <-took; v != lease.Accepted {
 		t.Error("an act under where its duty stands was", v)
 	}
 	if calls += len(asked); calls != 2 {
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -192,7 +192,7 @@
 // note has the replicated state note a step, or the end.
 func (l *Node) note(duty string, h *handing, e leasestate.Entry, done func(ok bool)) {
 	e.Lease, e.Token = duty, h.fence
-	e = l.agent.Entry(e)
+	e = l.agent.Signed(e)
 	go func() {
 		var a leasestate.Result
 		var err error
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -46,7 +46,7 @@
 	} else if e.Kind == leasestate.OpenSession {
 		s.refused <- a
 	}
-	return &fleetpb.Answer{Held: a.Held, Why: a.Why, Number: a.Number, Fence: rpc.EncodeToken(a.Fence)}, nil
+	return &fleetpb.Answer{Held: a.Held, Why: a.Refusal, Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
 }
 
 // next is what comes out of a channel, or the test's end.
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -136,7 +136,7 @@
 		changed: make(chan struct{}, 1)}
 	seed := h.Sum64() ^ rpc.UniqueID()
 	l.follow = follow(set, seed)
-	l.agent = leaseclient.New(leaseclient.Settings{Name: set.Name, Kind: set.Kind, Address: set.Address, SessionTimeout: set.SessionTimeout, SafetyMargin: set.SafetyMargin,
+	l.agent = leaseclient.New(leaseclient.Settings{Name: set.Name, Role: set.Kind, Address: set.Address, SessionTimeout: set.SessionTimeout, SafetyMargin: set.SafetyMargin,
 		Incarnation: uint64(max(0, started.UnixMilli())), Seed: seed})
 	l.agent.Advance(l.now())
 	return l
@@ -179,7 +179,7 @@
 	defer timer.Stop()
 	left := ctx.Done()
 	var late <-chan time.Time
-	for !l.agent.Left() {
+	for !l.agent.ShutdownComplete() {
 		select {
 		case f := <-l.inbox:
 			f()
@@ -193,7 +193,7 @@
 			left = nil
 			late = time.After(farewell)
 			l.agent.Advance(l.now())
-			l.agent.Leave()
+			l.agent.Shutdown()
 		case <-late:
 			return
 		}
@@ -395,12 +395,12 @@
 			l.agent.TokensLearned(d.Request, fences)
 			return
 		}
-		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.ReportToken && a.Why != "" {
-			logrus.WithFields(logrus.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token, "council": a.Fence}).Error(a.Why)
-			l.set.Record.Add("behind", audit.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token.String(), "council": a.Fence.String()})
+		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.ReportToken && a.Refusal != "" {
+			logrus.WithFields(logrus.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token, "council": a.Token}).Error(a.Refusal)
+			l.set.Record.Add("behind", audit.Fields{"duty": d.Entry.Lease, "seen": d.Entry.Token.String(), "council": a.Token.String()})
 		}
 		if d.Action == leaseclient.Propose && d.Entry.Kind == leasestate.OpenSession {
-			l.set.Record.Add("session", audit.Fields{"held": a.Held, "why": a.Why, "incarnation": d.Entry.Incarnation})
+			l.set.Record.Add("session", audit.Fields{"held": a.Held, "why": a.Refusal, "incarnation": d.Entry.Incarnation})
 		}
 		l.agent.Answered(d.Request, a)
 	})
@@ -422,7 +422,7 @@
 			l.post(func() {
 				l.agent.Advance(l.now())
 				in := rpc.DecodeUpdate(u)
-				l.agent.Watched(in)
+				l.agent.UpdateReceived(in)
 				l.follow.follower.Advance(l.now())
 				for _, p := range in.Policies {
 					l.follow.follower.VersionAnnounced(p.Version, p.Difference)
@@ -525,7 +525,7 @@
 					Warn("an act of ours was refused: the duty is another's")
 				l.set.Record.Add("refused", audit.Fields{"duty": o.Duty, "fence": rpc.DecodeToken(o.Fence).String(), "higher": higher.String(), "by": to.Name})
 				l.agent.Advance(l.now())
-				l.agent.Rejected(o.Duty, higher)
+				l.agent.ActRejected(o.Duty, higher)
 			}
 			done(v, err)
 		})
@@ -573,25 +573,25 @@
 	}
 }
 
-var verdicts = map[lease.Verdict]fleetpb.Verdict_Kind{lease.Taken: fleetpb.Verdict_TAKEN, lease.Old: fleetpb.Verdict_OLD,
-	lease.Unknown: fleetpb.Verdict_UNKNOWN, lease.Broken: fleetpb.Verdict_BROKEN}
+var verdicts = map[lease.Verdict]fleetpb.Verdict_Kind{lease.Accepted: fleetpb.Verdict_TAKEN, lease.Stale: fleetpb.Verdict_OLD,
+	lease.NotLearned: fleetpb.Verdict_UNKNOWN, lease.Conflicting: fleetpb.Verdict_BROKEN}
 
 func (l *Node) judge(o *fleetpb.Order, done func(*fleetpb.Verdict)) {
 	l.agent.Advance(l.now())
 	fence := rpc.DecodeToken(o.Fence)
-	verdict, highest := l.agent.Check(lease.Scope{Lease: o.Duty, About: o.About}, o.Holder, fence)
+	verdict, highest := l.agent.Check(lease.Scope{Lease: o.Duty, Subject: o.About}, o.Holder, fence)
 	v := &fleetpb.Verdict{Kind: verdicts[verdict], Highest: rpc.EncodeToken(highest)}
 	f := audit.Fields{"duty": o.Duty, "about": o.About, "holder": o.Holder, "fence": fence.String()}
 	switch verdict {
-	case lease.Taken:
+	case lease.Accepted:
 		l.set.Record.Add("taken", f)
 		l.obey(o, fence, v, done)
 		return
-	case lease.Old:
+	case lease.Stale:
 		f["higher"] = highest.String()
 		l.set.Record.Add("late", f)
 		logrus.WithFields(logrus.Fields{"duty": o.Duty, "holder": o.Holder, "fence": fence, "higher": highest}).Warn("refused an act of a former owner")
-	case lease.Broken:
+	case lease.Conflicting:
 		invariant.Check(false, "one fence, one holder")
 	}
 	done(v)
--- a/internal/fleet/link_test.go
+++ b/internal/fleet/link_test.go
@@ -33,7 +33,7 @@
 func TestTheListIsLookedAtWhereItChanges(t *testing.T) {
 	r := &listing{asked: make(chan bool, 100)}
 	l := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeout: 2000, SafetyMargin: 200}, r)
-	l.agent.Leave() // it asks nothing of a coordinator
+	l.agent.Shutdown() // it asks nothing of a coordinator
 	for range 20 {
 		l.set.ClockOffset += 1000
 		l.turn()
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -151,16 +151,16 @@
 }
 
 func describeAnswer(a leasestate.Result) string {
-	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Fence.Epoch, a.Fence.Count, a.Why, a.Number)
+	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Refusal, a.Number)
 }
 
 // describeUpdate lists what a watch told, as a router takes it in.
 func describeUpdate(message *fleetpb.Update) string {
 	u := rpc.DecodeUpdate(message)
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "index %d whole %t without sessions %t", message.Index, u.Whole, u.WithoutSessions)
+	fmt.Fprintf(out, "index %d whole %t without sessions %t", message.Index, u.Complete, u.WithoutSessions)
 	for _, s := range u.Sessions {
-		fmt.Fprintf(out, "\n  session %s kind %s address %s incarnation %d policy %s ended %t", s.Name, s.Kind, s.Address, s.Incarnation,
+		fmt.Fprintf(out, "\n  session %s kind %s address %s incarnation %d policy %s ended %t", s.Name, s.Role, s.Address, s.Incarnation,
 			policy.MarkString(s.Policy), s.Ended)
 	}
 	for _, d := range u.Leases {
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -238,11 +238,11 @@
 
 	// A proposal from what is no longer in force, and one of fields that can't be changed.
 	if a, err := client.Propose(ctx, policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")); err != nil ||
-		a.Held || !strings.Contains(a.Why, "is in force") {
+		a.Held || !strings.Contains(a.Refusal, "is in force") {
 		t.Error(a, err)
 	}
 	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Number64(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
-		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(a.Why, "txn_types.order.level: ") || !strings.Contains(a.Why, "listen: ") {
+		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(a.Refusal, "txn_types.order.level: ") || !strings.Contains(a.Refusal, "listen: ") {
 		t.Error(a, err)
 	}
 
--- a/internal/lab/fleet/measure.go
+++ b/internal/lab/fleet/measure.go
@@ -221,7 +221,7 @@
 	c := client.NewClient(fleet, addrs, via)
 	defer c.Close()
 	length := float64(session.Milliseconds())
-	a := leaseclient.New(leaseclient.Settings{Name: name, Kind: "router", Incarnation: 1, SessionTimeout: length, SafetyMargin: length / 10, Seed: rand.Uint64()})
+	a := leaseclient.New(leaseclient.Settings{Name: name, Role: "router", Incarnation: 1, SessionTimeout: length, SafetyMargin: length / 10, Seed: rand.Uint64()})
 	inbox := make(chan func(), 64)
 	post := func(f func()) {
 		select {
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -183,7 +183,7 @@
 	}
 	a, err = r.client.Propose(ctx, policy.Propose(from.Version, from.Document, d, "lab", ""))
 	if err == nil && !a.Held {
-		err = errors.New(a.Why)
+		err = errors.New(a.Refusal)
 	}
 	return a, err
 }
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -55,7 +55,7 @@
 			op.Kind = "stand"
 			var fences []lease.Token
 			if fences, err = c.LatestTokens(one, []string{probed}); err == nil {
-				a.Fence = fences[0]
+				a.Token = fences[0]
 			}
 		case 3:
 			if last := p.held(name); last.Held {
@@ -64,8 +64,8 @@
 			}
 		}
 		cancel()
-		if op.Kind != "" && err == nil && a.Why != leasestate.ReasonNoSession {
-			op.Ended, op.Held, op.Fence = now(), a.Held, a.Fence
+		if op.Kind != "" && err == nil && a.Refusal != leasestate.RefusedNoSession {
+			op.Ended, op.Held, op.Fence = now(), a.Held, a.Token
 			p.mu.Lock()
 			p.ops = append(p.ops, op)
 			p.mu.Unlock()
--- a/internal/lab/fleet/script.go
+++ b/internal/lab/fleet/script.go
@@ -486,7 +486,7 @@
 		defer cancel()
 		a, err := r.client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: switchover.LeaseName(0), Text: switchover.Order(w[0])})
 		if err == nil && !a.Held {
-			err = fmt.Errorf("%s", a.Why)
+			err = fmt.Errorf("%s", a.Refusal)
 		}
 		r.order = a.Number
 		return err
--- a/internal/lab/fleet/simulation/handing.go
+++ b/internal/lab/fleet/simulation/handing.go
@@ -330,7 +330,7 @@
 
 // note has the replicated state note a step, again until there is an answer.
 func (p *Proc) note(h *handing, e leasestate.Entry, tries int, done func(bool)) {
-	p.entry(p.agent.Entry(e), func(ans leasestate.Result, ok bool) {
+	p.entry(p.agent.Signed(e), func(ans leasestate.Result, ok bool) {
 		if !ok && tries < 6 {
 			p.note(h, e, tries+1, done)
 			return
@@ -356,10 +356,10 @@
 		}
 	}
 	w.send(p, to, 80, func() {
-		verdict, highest := to.judge(lease.Scope{Lease: switchover.LeaseName(0), About: "g"}, p.Name, h.fence)
+		verdict, highest := to.judge(lease.Scope{Lease: switchover.LeaseName(0), Subject: "g"}, p.Name, h.fence)
 		running := 0
 		switch verdict {
-		case lease.Taken:
+		case lease.Accepted:
 			w.accept(to, switchover.LeaseName(0), p.Name, h.fence)
 			until := 0.0
 			switch d.Word {
@@ -376,14 +376,14 @@
 					running++
 				}
 			}
-		case lease.Old:
+		case lease.Stale:
 			w.Late++
 		}
 		w.send(to, p, 40, func() {
-			if verdict == lease.Old {
-				p.agent.Rejected(switchover.LeaseName(0), highest)
+			if verdict == lease.Stale {
+				p.agent.ActRejected(switchover.LeaseName(0), highest)
 			}
-			end(verdict == lease.Taken, running)
+			end(verdict == lease.Accepted, running)
 		})
 	})
 	p.later(500, func() { end(false, 0) })
--- a/internal/lab/fleet/simulation/policy.go
+++ b/internal/lab/fleet/simulation/policy.go
@@ -339,7 +339,7 @@
 // inform gives one watcher what is new; a word that is empty only each second.
 func (p *Proc) inform(one *watcher) {
 	u, index := leaseclient.Changes(p.node.State(), one.since, true)
-	if one.since = index; !u.Whole && len(u.Leases)+len(u.Policies) == 0 {
+	if one.since = index; !u.Complete && len(u.Leases)+len(u.Policies) == 0 {
 		return
 	}
 	p.word(one, u)
@@ -397,7 +397,7 @@
 			r.broken = stream
 			p.later(150+p.w.rand.Float64()*300, p.subscribe)
 		} else if seq == r.seq+1 {
-			p.agent.Watched(u)
+			p.agent.UpdateReceived(u)
 		}
 		r.seq = max(r.seq, seq)
 	}
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -554,7 +554,7 @@
 	if p.w.opt.Planted.Overstays {
 		margin = -1000 // as if it were counted from a late answer
 	}
-	p.agent = leaseclient.New(leaseclient.Settings{Name: p.Name, Kind: "router", Address: p.Name, Incarnation: uint64(p.tries) * 1000, SessionTimeout: Length,
+	p.agent = leaseclient.New(leaseclient.Settings{Name: p.Name, Role: "router", Address: p.Name, Incarnation: uint64(p.tries) * 1000, SessionTimeout: Length,
 		SafetyMargin: margin, Leases: p.duties, Seed: p.w.opt.Seed + uint64(len(p.Name)) + uint64(p.tries)<<8 + uint64(p.Name[len(p.Name)-1])<<16})
 	p.agent.Advance(p.clock())
 	for d := range p.w.opt.Duties {
@@ -580,7 +580,7 @@
 		w.send(c, p, 16+48*(len(u.Sessions)+len(u.Leases)), func() {
 			if p.life == life && p.watch == since {
 				p.watch = index
-				p.agent.Watched(u)
+				p.agent.UpdateReceived(u)
 			}
 		})
 	})
@@ -693,7 +693,7 @@
 		delete(p.calls, number)
 		for i, n := range c.ops {
 			op := &p.w.Ops[n]
-			if op.Ended, op.Held, op.Fence = p.w.Now, ans.Held, ans.Fence; fences != nil {
+			if op.Ended, op.Held, op.Fence = p.w.Now, ans.Held, ans.Token; fences != nil {
 				op.Fence = fences[i]
 			}
 		}
@@ -738,16 +738,16 @@
 	w := p.w
 	life := p.life
 	w.send(p, to, 80, func() {
-		verdict, highest := to.judge(lease.Scope{Lease: duty, About: "g"}, p.Name, fence)
+		verdict, highest := to.judge(lease.Scope{Lease: duty, Subject: "g"}, p.Name, fence)
 		switch verdict {
-		case lease.Taken:
+		case lease.Accepted:
 			w.accept(to, duty, p.Name, fence)
-		case lease.Old:
+		case lease.Stale:
 			w.Late++
 		}
 		w.send(to, p, 32, func() {
-			if p.life == life && verdict == lease.Old {
-				p.agent.Rejected(duty, highest)
+			if p.life == life && verdict == lease.Stale {
+				p.agent.ActRejected(duty, highest)
 			}
 		})
 	})
@@ -757,13 +757,13 @@
 func (p *Proc) judge(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
 	switch {
 	case p.w.opt.Planted.Unchecked:
-		return lease.Taken, fence
+		return lease.Accepted, fence
 	case p.w.opt.Planted.Forgets:
 		if fence.Compare(p.seen[s.Lease]) < 0 {
-			return lease.Old, p.seen[s.Lease]
+			return lease.Stale, p.seen[s.Lease]
 		}
 		p.seen[s.Lease] = fence
-		return lease.Taken, fence
+		return lease.Accepted, fence
 	}
 	return p.agent.Check(s, holder, fence)
 }
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -384,7 +384,7 @@
 		return nil, err
 	}
 	if !a.Held {
-		return nil, errors.New(a.Why)
+		return nil, errors.New(a.Refusal)
 	}
 	agreed := unixMs()
 	parts, err := in.heard(at, map[string]int{"policies": in.Routers}, nil)
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -25,12 +25,12 @@
 
 // EncodeUpdate returns the protocol's form of an update of the lease state.
 func EncodeUpdate(update leaseclient.Update) *fleetpb.Update {
-	out := &fleetpb.Update{Whole: update.Whole, WithoutSessions: update.WithoutSessions}
+	out := &fleetpb.Update{Whole: update.Complete, WithoutSessions: update.WithoutSessions}
 	for _, p := range update.Policies {
 		out.Policies = append(out.Policies, EncodePolicy(p.Version, p.Difference))
 	}
 	for _, s := range update.Sessions {
-		out.Sessions = append(out.Sessions, &fleetpb.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
+		out.Sessions = append(out.Sessions, &fleetpb.Session{Name: s.Name, Kind: s.Role, Address: s.Address, Incarnation: s.Incarnation,
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, l := range update.Leases {
@@ -49,14 +49,14 @@
 
 // DecodeUpdate reverses EncodeUpdate. A policy version that is malformed is left out.
 func DecodeUpdate(in *fleetpb.Update) leaseclient.Update {
-	update := leaseclient.Update{Whole: in.Whole, WithoutSessions: in.WithoutSessions}
+	update := leaseclient.Update{Complete: in.Whole, WithoutSessions: in.WithoutSessions}
 	for _, p := range in.Policies {
 		if version, difference, err := DecodePolicy(p); err == nil {
 			update.Policies = append(update.Policies, leaseclient.Policy{Version: version, Difference: difference})
 		}
 	}
 	for _, s := range in.Sessions {
-		update.Sessions = append(update.Sessions, leaseclient.Session{Name: s.Name, Kind: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
+		update.Sessions = append(update.Sessions, leaseclient.Session{Name: s.Name, Role: s.Kind, Address: s.Address, Incarnation: s.Incarnation,
 			Policy: s.Policy, Ended: s.Ended})
 	}
 	for _, duty := range in.Duties {
@@ -116,5 +116,5 @@
 
 // DecodeResult returns the result that an answer of the coordinator holds.
 func DecodeResult(answer *fleetpb.Answer) leasestate.Result {
-	return leasestate.Result{Held: answer.Held, Fence: DecodeToken(answer.Fence), Why: answer.Why, Number: answer.Number}
+	return leasestate.Result{Held: answer.Held, Token: DecodeToken(answer.Fence), Refusal: answer.Why, Number: answer.Number}
 }
--- a/internal/storage/faults_test.go
+++ b/internal/storage/faults_test.go
@@ -322,7 +322,7 @@
 // part, and the store accepts writes again once it is reopened.
 func TestStore_EachWriteFails(t *testing.T) {
 	const fewest = 4 // pages of the records, the values and the free list, and the root
-	reached := true // some commit had as many writes
+	reached := true  // some commit had as many writes
 	for at := 1; reached || at <= fewest; at++ {
 		reached = false
 		for _, f := range writeFaults(at) {
