--- a/cmd/wayloft/council.go
+++ b/cmd/wayloft/council.go
@@ -123,7 +123,7 @@
 		return err
 	}
 	if !ans.Held {
-		return errors.New(ans.Refusal)
+		return ans.Refusal
 	}
 	fmt.Println("agreed")
 	return nil
@@ -205,7 +205,7 @@
 		return err
 	}
 	if ans.Refusal != "" {
-		return errors.New(ans.Refusal)
+		return ans.Refusal
 	}
 	fmt.Printf("epoch %d has begun\n", epoch)
 	return nil
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -177,7 +177,7 @@
 	} {
 		a.number++
 		change(a.number)
-		if a.pass(20); !strings.Contains(a.done[a.number].Refusal, want) {
+		if a.pass(20); !strings.Contains(string(a.done[a.number].Refusal), want) {
 			t.Errorf("%q, want %q", a.done[a.number].Refusal, want)
 		}
 	}
@@ -225,7 +225,7 @@
 	}
 	b.number++
 	b.node.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
-	if b.pass(20); !strings.Contains(b.done[b.number].Refusal, "was of this council before") {
+	if b.pass(20); !strings.Contains(string(b.done[b.number].Refusal), "was of this council before") {
 		t.Errorf("a node that was removed joined again: %+v", b.done[b.number])
 	}
 	three.Entries = append(three.Entries[:1:1], three.Entries[2:]...)
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -116,5 +116,5 @@
 
 // DecodeResult returns the result that an answer of the coordinator holds.
 func DecodeResult(answer *fleetpb.Answer) leasestate.Result {
-	return leasestate.Result{Held: answer.Held, Token: DecodeToken(answer.Fence), Refusal: answer.Why, Number: answer.Number}
+	return leasestate.Result{Held: answer.Held, Token: DecodeToken(answer.Fence), Refusal: leasestate.Refusal(answer.Why), Number: answer.Number}
 }
