--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -309,7 +309,7 @@
 	}
 	at := a.node.Applied()
 	got := propose(policy.Document{"txn_types.order.effect": "idempotent", "memory": "1", "over_share_value": "0.2"})
-	if got.Held || !strings.Contains(got.Refusal, "txn_types.order.effect: can't be changed yet") || !strings.Contains(got.Refusal, "memory: no field") || a.node.Applied() != at {
+	if got.Held || !strings.Contains(string(got.Refusal), "txn_types.order.effect: can't be changed yet") || !strings.Contains(got.Refusal, "memory: no field") || a.node.Applied() != at {
 		t.Fatal(got, a.node.Applied(), at)
 	}
 	if got = propose(policy.Document{"over_share_value": "0.2"}); !got.Held || got.Number != 1 {
