--- a/internal/coordinator/clock_test.go
+++ b/internal/coordinator/clock_test.go
@@ -2,37 +2,18 @@
 
 import (
 	"context"
-	"net"
 	"testing"
 	"time"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/audit"
-	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/rpc"
 )
 
-func settings(t *testing.T, dir string, listener net.Listener) Settings {
-	t.Helper()
-	return Settings{Fleet: "lab", Name: "c", Dir: dir, Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10, Keep: 1000,
-		Connections: 8, Record: &audit.Log{}}
-}
-
-func loopback(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	return listener
-}
-
-// Guards against numbers of requests that come from the wall clock: after a step back those of the start before are given once more,
-// and an entry that it left in the log would answer another request.
+// Guards against request numbers that come from the wall clock: after a step back those of the previous start would be used again, and an
+// entry that it left in the log would answer another request.
 func TestClock_RequestNumbersOfAnotherStart(t *testing.T) {
 	const starts = 8
 	dir, listener := t.TempDir(), loopback(t)
@@ -42,8 +23,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		numbers = append(numbers, c.number)
-		if err := c.disk.Close(); err != nil {
+		numbers = append(numbers, c.lastRequest)
+		if err := c.store.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -57,37 +38,26 @@
 	}
 }
 
-// A coordinator that is begun when the wall clock was stepped back by an hour is above the epoch that it is told.
-func TestClock_EpochAboveTheOneGiven(t *testing.T) {
+// A new cluster whose wall clock was stepped back by an hour takes an epoch above the known one.
+func TestClock_EpochAboveTheKnownOne(t *testing.T) {
 	listener := loopback(t)
 	set := settings(t, t.TempDir(), listener)
-	set.Above = rpc.EpochAt(time.Now().Add(time.Hour))
+	set.KnownEpoch = rpc.EpochAt(time.Now().Add(time.Hour))
 	c, err := Open(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error)
-	go func() { over <- c.Run(ctx, listener) }()
-	conn, err := rpc.Dial(listener.Addr().String(), "lab")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	asking, end := context.WithTimeout(ctx, time.Minute)
-	defer end()
+	client := serve(t, c, listener)
+	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
+	defer cancel()
 	for {
-		state, err := fleetpb.NewCouncilClient(conn).Look(asking, &fleetpb.Empty{})
+		state, err := client.Look(ctx, &fleetpb.Empty{})
 		if status.Code(err) == codes.Aborted || err == nil && state.Moved { // it has yet to lead
 			continue
 		}
-		if err != nil || state.Epoch != set.Above+1 {
-			t.Errorf("epoch %d, told of %d: %v", state.GetEpoch(), set.Above, err)
+		if err != nil || state.Epoch != set.KnownEpoch+1 {
+			t.Errorf("epoch %d, known was %d: %v", state.GetEpoch(), set.KnownEpoch, err)
 		}
 		break
 	}
-	cancel()
-	if err := <-over; err != nil {
-		t.Error(err)
-	}
 }
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -145,21 +144,14 @@
 	}
 }
 
-// startNode starts a node on loopback, with ways to its peers that lead to a listener where nobody answers, and ends it with the test.
+// startNode starts a node on loopback whose peers are reached at a listener that nobody serves, and stops it with the test.
 func startNode(t *testing.T, set Settings) (*Server, *grpc.ClientConn) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	set.Fleet, set.Dir, set.Address, set.Connections = "lab", t.TempDir(), listener.Addr().String(), 16
-	set.Via = map[string]string{}
+	listener, silent := loopback(t), loopback(t)
+	set.Fleet, set.Dir, set.Address, set.MaxConnections = "lab", t.TempDir(), listener.Addr().String(), 16
+	set.PeerAddresses = map[string]string{}
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
-		set.Via[name] = silent.Addr().String()
+		set.PeerAddresses[name] = silent.Addr().String()
 	}
 	node, err := Open(set)
 	if err != nil {
@@ -170,12 +162,11 @@
 	go func() { ended <- node.Run(ctx, listener) }()
 	conn := dialEarlier(t, listener.Addr().String())
 	t.Cleanup(func() {
-		conn.Close()
+		closeAndCheck(t, conn)
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		silent.Close()
 	})
 	return node, conn
 }
@@ -212,7 +203,7 @@
 // follow feeds a node the stream that the leader of an earlier version sent to the node of this name, and gives the state that it came to.
 func follow(t *testing.T, set Settings, stream string, index uint64) string {
 	t.Helper()
-	set.Tick, set.Keep = 10000, 1000 // it begins no election of its own
+	set.Tick, set.SnapshotInterval = 10000, 1000 // it begins no election of its own
 	node, conn := startNode(t, set)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
@@ -233,14 +224,14 @@
 	for at := uint64(0); at < index; {
 		update, err := watch.Recv()
 		if err != nil {
-			t.Fatalf("it is at %d of %d: %v", at, index, err)
+			t.Fatalf("at index %d of %d: %v", at, index, err)
 		}
 		at = update.Index
 	}
 	state := make(chan string, 1)
 	if err := node.post(ctx, func() {
 		out := &strings.Builder{}
-		describeRegister(out, node.node.State())
+		describeState(out, node.node.State())
 		state <- out.String()
 	}); err != nil {
 		t.Fatal(err)
@@ -302,9 +293,9 @@
 	}
 }
 
-// Requests of earlier routers and operators have the answers that they had, as far as tokens don't tell by when the coordinator began.
+// Requests of earlier routers and operators have the answers that they had, except for what tokens tell about when the coordinator began.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
-	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, Keep: 1000})
+	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, SnapshotInterval: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
 	want := map[string]string{"open r1": "held:true", "open r2": "held:true", "stands": "fences 2", "take r1": "held:true count 1",
@@ -324,7 +315,7 @@
 			sessions = append(sessions, m.Bytes)
 		}
 		answer := doRecorded(ctx, t, conn, m.Bytes)
-		for answer.Why == string(leasestate.RefusedNoSession) { // the test was slower than a session's length
+		for answer.Why == string(leasestate.RefusedNoSession) { // the test was slower than a session's timeout
 			for _, open := range sessions {
 				doRecorded(ctx, t, conn, open)
 			}
--- a/internal/coordinator/storage.go
+++ b/internal/coordinator/storage.go
@@ -3,10 +3,9 @@
 import (
 	"errors"
 	"fmt"
+	"time"
 
 	"github.com/sirupsen/logrus"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 
 	"wayloft/internal/audit"
 	"wayloft/internal/decide/raftnode"
@@ -14,121 +13,136 @@
 	"wayloft/internal/storage"
 )
 
-// errStorage is the answer while this process can't store: nothing was begun here, another process may answer.
-var errStorage = status.Error(codes.Unavailable, "the storage of this process fails: ask another, or ask again")
+// suspended returns whether this node takes part in nothing, because what it holds in memory may not be on its disk.
+func (s *Server) suspended() bool { return s.node == nil }
 
-// errUnknown is the answer to what was begun and can't be followed to its end.
-var errUnknown = status.Error(codes.Aborted, "it may have been taken or not: ask again")
-
-// suspended tells whether this process takes part in nothing, since what it holds in memory may not be on its disk.
-func (c *Server) suspended() bool { return c.node == nil }
+// suspend gives the node up after a storage failure: it sends nothing more that rests on what could not be stored, neither votes nor
+// acknowledgements. Requests that wait end with an unknown result.
+func (s *Server) suspend(err error) {
+	if s.node != nil {
+		s.auditedIndex = max(s.auditedIndex, s.node.State().Index())
+	}
+	s.node = nil
+	s.closePeerStreams()
+	for request, deliver := range s.pending {
+		delete(s.pending, request)
+		deliver(raftnode.Decision{Action: raftnode.ResultUnknown, Request: request})
+	}
+	s.wakeWatchers()
+	if s.backoff.Fail(s.now()) {
+		logrus.WithError(err).WithField("directory", s.settings.Dir).Error("storage failed: standing down until it works again")
+		s.settings.AuditLog.Add("suspended", audit.Fields{"why": err.Error()})
+	}
+}
 
-// suspend has this process stand down: it says nothing more that rests on what could not be stored, neither votes nor
-// acknowledgements, and its node is given up. What waits for an answer learns that it isn't known.
-func (c *Server) suspend(err error) {
-	if c.node != nil {
-		c.told = max(c.told, c.node.State().Index())
-	}
-	c.node = nil
-	c.pause()
-	for number, answer := range c.asked {
-		delete(c.asked, number)
-		answer(raftnode.Decision{Action: raftnode.ResultUnknown, Request: number})
-	}
-	c.wakeWatchers()
-	if c.backoff.Fail(c.now()) {
-		logrus.WithError(err).WithField("folder", c.set.Dir).Error("storage failed: standing down until it works again")
-		c.set.Record.Add("suspended", audit.Fields{"why": err.Error()})
+// resume reopens the data directory and builds the node from what is there. It returns an error if this process can't go on.
+func (s *Server) resume() error {
+	err := s.load()
+	if errors.Is(err, storage.ErrUnavailable) || errors.Is(err, storage.ErrInUse) && s.store != nil {
+		s.backoff.Fail(s.now())
+		return nil
 	}
+	return err
 }
 
-// pause drops what waits to be sent. It rests on what was stored, but the process to which it goes may answer it before this one
-// is back.
-func (c *Server) pause() {
-	for id, w := range c.ways {
-		w.stop()
-		delete(c.ways, id)
+// load opens the data directory, for the first time or again, and builds the node from what is there.
+func (s *Server) load() error {
+	if err := s.openStore(); err != nil {
+		return err
 	}
+	if err := s.loadNode(); err != nil {
+		return fmt.Errorf("%s: %w", s.settings.Dir, err)
+	}
+	return nil
 }
 
-// resume opens the folder anew and builds the node from what is there. It returns an error if this process can't go on.
-func (c *Server) resume() error {
-	err := c.load()
-	switch {
-	case err == nil:
-		return nil
-	case errors.Is(err, storage.ErrUnavailable), errors.Is(err, storage.ErrInUse) && c.disk != nil:
-		c.backoff.Fail(c.now())
-		return nil
+func (s *Server) openStore() (err error) {
+	if s.store != nil {
+		return s.store.Reopen()
 	}
+	s.store, err = storage.Open(s.settings.Dir, s.settings.Fleet, s.settings.Name, rpc.UniqueID)
 	return err
 }
 
-// load opens the folder, for the first time or anew, and builds the node from what is there.
-func (c *Server) load() (err error) {
-	if c.disk == nil {
-		c.disk, err = storage.Open(c.set.Dir, c.set.Fleet, c.set.Name, rpc.UniqueID)
-	} else {
-		err = c.disk.Reopen()
-	}
+func (s *Server) loadNode() error {
+	stored, incarnations, err := ReadStored(s.store)
 	if err != nil {
 		return err
 	}
-	had, met, err := Read(c.disk)
-	if err != nil {
-		return fmt.Errorf("%s: %w", c.set.Dir, err)
-	}
-	if err := c.durable.Check(had); err != nil {
-		return fmt.Errorf("%s: %w", c.set.Dir, err)
-	}
-	node, fresh, err := c.build(had)
-	if err == nil && fresh != nil {
-		err = Store(c.disk, *fresh)
+	if err := s.durable.Check(stored); err != nil {
+		return err
 	}
+	node, initial, err := s.newNode(stored)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.set.Dir, err)
+		return err
+	}
+	if initial != nil {
+		if err := WriteDecision(s.store, *initial); err != nil {
+			return err
+		}
 	}
-	c.durable.Loaded(had)
-	if fresh != nil {
-		c.durable.Attempt(*fresh)
-		c.durable.Confirm()
+	s.durable.Loaded(stored)
+	if initial != nil {
+		s.durable.Attempt(*initial)
+		s.durable.Confirm()
 	}
-	if c.node = node; c.met == nil {
-		c.met = met
+	s.node = node
+	if s.incarnations == nil {
+		s.incarnations = incarnations
 	}
-	c.met.Known = met.Known // what it has heard beside counts on
-	if c.self.Name == "" {  // it goes on as the same start
-		c.identify(had)
+	s.incarnations.Known = incarnations.Known // what messages have proved beside that still counts
+	if s.identity.Name == "" {                // a store that was reopened goes on as the same incarnation
+		s.setIdentity(stored)
 	}
 	return nil
 }
 
-// store has a decision on disk, or suspends this process; false: it is suspended.
-func (c *Server) store(d raftnode.Decision) bool {
-	c.durable.Attempt(d)
-	if err := Store(c.disk, d); err != nil {
-		c.suspend(err)
+func (s *Server) newNode(stored raftnode.Stored) (*raftnode.Node, *raftnode.Decision, error) {
+	// Raft's own lines are about its internals: only its errors are logged.
+	log := logrus.New()
+	log.SetOutput(logrus.StandardLogger().Out)
+	log.SetFormatter(logrus.StandardLogger().Formatter)
+	log.SetLevel(logrus.ErrorLevel)
+	return raftnode.New(raftnode.Settings{
+		Fleet: s.settings.Fleet, Name: s.settings.Name, Peers: s.settings.Peers,
+		Epoch: rpc.EpochAt(time.Now()), KnownEpoch: s.settings.KnownEpoch,
+		Tick: s.settings.Tick, SnapshotInterval: s.settings.SnapshotInterval, Logger: log,
+	}, stored)
+}
+
+// setIdentity notes what this node tells its peers about its data directory.
+func (s *Server) setIdentity(stored raftnode.Stored) {
+	s.identity = raftnode.Identity{Name: s.settings.Name, StorageID: s.store.Identity.StorageID, Incarnations: s.store.Identity.Incarnations,
+		Term: stored.HardState.GetTerm(), LastIndex: stored.Snapshot.GetMetadata().GetIndex()}
+	if count := len(stored.Entries); count > 0 {
+		s.identity.LastIndex = stored.Entries[count-1].GetIndex()
+	}
+}
+
+// save stores a decision, or suspends this node; false: it is suspended.
+func (s *Server) save(d raftnode.Decision) bool {
+	s.durable.Attempt(d)
+	if err := WriteDecision(s.store, d); err != nil {
+		s.suspend(err)
 		return false
 	}
-	c.durable.Confirm()
-	c.stored()
+	s.durable.Confirm()
+	s.writeSucceeded()
 	return true
 }
 
-// stored notes a write that came through.
-func (c *Server) stored() {
-	if c.backoff.Succeed(c.now()) {
-		logrus.WithFields(logrus.Fields{"folder": c.set.Dir, "applied": c.node.Applied()}).Info("storage works again")
-		c.set.Record.Add("resumed", audit.Fields{"applied": c.node.Applied()})
+func (s *Server) writeSucceeded() {
+	if s.backoff.Succeed(s.now()) {
+		logrus.WithFields(logrus.Fields{"directory": s.settings.Dir, "applied": s.node.Applied()}).Info("storage works again")
+		s.settings.AuditLog.Add("resumed", audit.Fields{"applied": s.node.Applied()})
 	}
 }
 
-// closeDisk gives the folder back.
-func (c *Server) closeDisk() {
-	if c.disk == nil {
+func (s *Server) closeStore() {
+	if s.store == nil {
 		return
 	}
-	if err := c.disk.Close(); err != nil {
-		logrus.WithError(err).WithField("folder", c.set.Dir).Debug("folder not closed")
+	if err := s.store.Close(); err != nil {
+		logrus.WithError(err).WithField("directory", s.settings.Dir).Debug("storage not closed")
 	}
 }
--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -28,65 +28,66 @@
 	"wayloft/internal/rpc"
 )
 
-const patience = time.Minute // until a test has failed; nothing waits for it
+const testTimeout = time.Minute // until a test has failed; nothing waits for it
 
-// disks are the folders of a test's processes, each of which may fail for as long as the test wants.
-type disks struct {
-	mu      sync.Mutex
-	failing map[string]error // by process
-	tried   map[string]int
-	changed chan struct{} // closed when a try has failed
+// failingStores are the folders of a test's processes, each of which may fail for as long as the test wants.
+type failingStores struct {
+	mu       sync.Mutex
+	failing  map[string]error // by process
+	attempts map[string]int
+	changed  chan struct{} // closed when a try has failed
 }
 
-func newDisks() *disks {
-	return &disks{failing: map[string]error{}, tried: map[string]int{}, changed: make(chan struct{})}
+func newFailingStores() *failingStores {
+	return &failingStores{failing: map[string]error{}, attempts: map[string]int{}, changed: make(chan struct{})}
 }
 
-// failures has writes, syncs or openings of the folders fail.
-func failures(t *testing.T, points ...string) *disks {
-	d := newDisks()
+// failStores has writes, syncs or openings of the folders fail.
+func failStores(t *testing.T, points ...string) *failingStores {
+	t.Helper()
+	stores := newFailingStores()
 	for _, point := range points {
-		t.Cleanup(failpoint.SetOperationError(point, d.fail))
+		t.Cleanup(failpoint.SetOperationError(point, stores.fail))
 	}
-	return d
+	return stores
 }
 
-func (d *disks) fail(path string) error {
+func (d *failingStores) fail(path string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	name := filepath.Base(filepath.Dir(path))
 	err := d.failing[name]
 	if err != nil {
-		d.tried[name]++
+		d.attempts[name]++
 		close(d.changed)
 		d.changed = make(chan struct{})
 	}
 	return err
 }
 
-func (d *disks) set(err error, names ...string) {
+func (d *failingStores) set(err error, names ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range names {
-		d.failing[name], d.tried[name] = err, 0
+		d.failing[name], d.attempts[name] = err, 0
 	}
 }
 
-// until waits until the disks of so many processes have refused so often.
-func (d *disks) until(t *testing.T, processes, times int) {
+// waitForFailures waits until the disks of so many processes have refused so often.
+func (d *failingStores) waitForFailures(t *testing.T, processes, times int) {
 	t.Helper()
-	late := time.After(patience)
+	late := time.After(testTimeout)
 	for {
 		d.mu.Lock()
-		tried, changed := maps.Clone(d.tried), d.changed
+		tried, changed := maps.Clone(d.attempts), d.changed
 		d.mu.Unlock()
-		met := 0
+		reached := 0
 		for _, n := range tried {
 			if n >= times {
-				met++
+				reached++
 			}
 		}
-		if met >= processes {
+		if reached >= processes {
 			return
 		}
 		select {
@@ -97,16 +98,15 @@
 	}
 }
 
-// cluster is a coordinator of processes in this one.
+// cluster is a coordinator cluster whose nodes run in the test's process.
 type cluster struct {
 	t     *testing.T
 	dir   string
 	peers []raftnode.Peer
-	procs map[string]*proc
-	next  int
+	nodes map[string]*runningNode
 }
 
-type proc struct {
+type runningNode struct {
 	*Server
 	address string
 	end     context.CancelFunc
@@ -114,24 +114,25 @@
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
-	c := &cluster{t: t, dir: t.TempDir(), procs: map[string]*proc{}}
+	t.Helper()
+	c := &cluster{t: t, dir: t.TempDir(), nodes: map[string]*runningNode{}}
 	for _, name := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer closeAndCheck(t, l)
 		c.peers = append(c.peers, raftnode.Peer{Name: name, Addr: l.Addr().String()})
 	}
 	t.Cleanup(func() {
-		for name := range c.procs {
+		for name := range c.nodes {
 			c.stop(name)
 		}
 	})
 	return c
 }
 
-func (c *cluster) start(name string, planted SeededDefects) {
+func (c *cluster) start(name string, defects SeededDefects) {
 	c.t.Helper()
 	var addr string
 	for _, p := range c.peers {
@@ -143,8 +144,8 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	process, err := Open(Settings{Fleet: "lab", Name: name, Dir: filepath.Join(c.dir, name), Address: addr, Peers: c.peers, Tick: 20, Keep: 1000,
-		Connections: 32, Record: rec, SeededDefects: planted})
+	process, err := Open(Settings{Fleet: "lab", Name: name, Dir: filepath.Join(c.dir, name), Address: addr, Peers: c.peers, Tick: 20, SnapshotInterval: 1000,
+		MaxConnections: 32, AuditLog: rec, SeededDefects: defects})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -153,18 +154,18 @@
 		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &proc{Server: process, address: addr, end: cancel, ended: make(chan error, 1)}
+	p := &runningNode{Server: process, address: addr, end: cancel, ended: make(chan error, 1)}
 	go func() {
 		p.ended <- process.Run(ctx, listener)
 		rec.Close()
 	}()
-	c.procs[name] = p
+	c.nodes[name] = p
 }
 
 func (c *cluster) stop(name string) {
 	c.t.Helper()
-	p := c.procs[name]
-	delete(c.procs, name)
+	p := c.nodes[name]
+	delete(c.nodes, name)
 	p.end()
 	if err := <-p.ended; err != nil {
 		c.t.Errorf("%s: %v", name, err)
@@ -172,12 +173,12 @@
 }
 
 // try asks one process; what it refuses for now, or can't tell, is an error.
-func (c *cluster) try(ctx context.Context, p *proc, q *fleetpb.Request) (*fleetpb.Answer, error) {
+func (c *cluster) try(ctx context.Context, p *runningNode, q *fleetpb.Request) (*fleetpb.Answer, error) {
 	conn, err := rpc.Dial(p.address, "lab")
 	if err != nil {
 		return nil, err
 	}
-	defer conn.Close()
+	defer closeAndCheck(c.t, conn)
 	a, err := fleetpb.NewCouncilClient(conn).Do(ctx, q)
 	if err != nil {
 		return nil, err
@@ -189,13 +190,13 @@
 }
 
 // do asks all processes in turn until one has answered.
-func (c *cluster) do(q *fleetpb.Request) (answer *fleetpb.Answer, by *proc) {
+func (c *cluster) do(q *fleetpb.Request) (answer *fleetpb.Answer, by *runningNode) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var last error
 	for ctx.Err() == nil {
-		for _, p := range c.procs {
+		for _, p := range c.nodes {
 			one, end := context.WithTimeout(ctx, time.Second)
 			a, err := c.try(one, p, q)
 			end()
@@ -213,32 +214,32 @@
 	return nil, nil
 }
 
-func entry(kind leasestate.Kind, duty string) *fleetpb.Request {
-	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: duty})}
+func entry(kind leasestate.Kind, lease string) *fleetpb.Request {
+	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: lease})}
 }
 
-// take has a lease taken and gives its fencing token, the proof of what was acknowledged.
-func (c *cluster) take(duty string) (fence *fleetpb.Fence, by *proc) {
+// acquire has a lease taken and gives its fencing token, the proof of what was acknowledged.
+func (c *cluster) acquire(lease string) (token *fleetpb.Fence, by *runningNode) {
 	c.t.Helper()
 	c.do(entry(leasestate.OpenSession, ""))
-	a, by := c.do(entry(leasestate.AcquireLease, duty))
+	a, by := c.do(entry(leasestate.AcquireLease, lease))
 	if !a.Held {
-		c.t.Fatalf("%s: %v", duty, a)
+		c.t.Fatalf("%s: %v", lease, a)
 	}
 	return a.Fence, by
 }
 
-// holds wants a lease under the fencing token under which it was granted.
-func (c *cluster) holds(duty string, want *fleetpb.Fence) error {
+// checkToken wants a lease under the fencing token under which it was granted.
+func (c *cluster) checkToken(lease string, want *fleetpb.Fence) error {
 	c.t.Helper()
-	if a, _ := c.do(&fleetpb.Request{Stand: duty}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
-		return fmt.Errorf("%s is held under %v, was granted under %v", duty, a.Fence, want)
+	if a, _ := c.do(&fleetpb.Request{Stand: lease}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
+		return fmt.Errorf("%s is held under %v, was granted under %v", lease, a.Fence, want)
 	}
 	return nil
 }
 
-// logged gives how often a line came since the hook was set.
-func logged(hook *logtest.Hook, text string) (n int) {
+// countLogLines gives how often a line came since the hook was set.
+func countLogLines(hook *logtest.Hook, text string) (n int) {
 	for _, e := range hook.AllEntries() {
 		if strings.HasPrefix(e.Message, text) {
 			n++
@@ -248,54 +249,55 @@
 }
 
 func globalHook(t *testing.T) *logtest.Hook {
+	t.Helper()
 	hook := logtest.NewGlobal()
 	t.Cleanup(func() { logrus.StandardLogger().ReplaceHooks(logrus.LevelHooks{}) })
 	return hook
 }
 
-// All disks of a cluster fail for a while, at the write, at the sync, or with the folder that can't be opened either: no process
-// ends, none answers, each says so once and once when it is back, and what was acknowledged before is still held.
+// All disks of a cluster fail for a while, at the write, at the sync, or with the data directory that can't be opened either: no node ends and
+// none answers, each logs the failure once and its end once, and what was acknowledged before is still held.
 func TestStorage_AllDisksFailForAWhile(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		points []string
 		err    error
 	}{
-		{"write", []string{"ledger.write"}, syscall.ENOSPC},
-		{"sync", []string{"ledger.sync"}, syscall.EIO},
-		{"write and open", []string{"ledger.write", "ledger.open"}, syscall.EIO},
+		{"write", []string{"storage.write"}, syscall.ENOSPC},
+		{"sync", []string{"storage.sync"}, syscall.EIO},
+		{"write and open", []string{"storage.write", "storage.open"}, syscall.EIO},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			hook := globalHook(t)
-			d := failures(t, c.points...)
+			stores := failStores(t, c.points...)
 			names := []string{"c1", "c2", "c3"}
 			cluster := newCluster(t, names...)
 			for _, name := range names {
 				cluster.start(name, SeededDefects{})
 			}
-			fence, leader := cluster.take("a")
-			d.set(c.err, names...)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			token, leader := cluster.acquire("a")
+			stores.set(c.err, names...)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if a, err := cluster.try(ctx, leader, entry(leasestate.AcquireLease, "b")); err == nil {
 				t.Errorf("answered though nobody stores: %v", a)
 			} else if code := status.Code(err); code != codes.Aborted && code != codes.Unavailable {
 				t.Errorf("an answer that isn't asked again: %v", err)
 			}
-			d.until(t, 2, 4) // the third stores nothing while nobody leads or can be elected
-			for _, p := range cluster.procs {
+			stores.waitForFailures(t, 2, 4) // the third stores nothing while nobody leads or can be elected
+			for _, p := range cluster.nodes {
 				if a, err := cluster.try(ctx, p, entry(leasestate.AcquireLease, "b")); err == nil {
-					t.Errorf("%s answered: %v", p.set.Name, a)
+					t.Errorf("%s answered: %v", p.settings.Name, a)
 				}
 			}
-			if n := logged(hook, "storage failed"); n < 2 || n > 3 {
+			if n := countLogLines(hook, "storage failed"); n < 2 || n > 3 {
 				t.Errorf("%d lines of as many failures", n)
 			}
-			d.set(nil, names...)
-			if err := cluster.holds("a", fence); err != nil {
+			stores.set(nil, names...)
+			if err := cluster.checkToken("a", token); err != nil {
 				t.Error(err)
 			}
-			cluster.take("b")
+			cluster.acquire("b")
 			for _, name := range names {
 				cluster.stop(name)
 				b, err := os.ReadFile(filepath.Join(cluster.dir, name+".record"))
@@ -307,76 +309,76 @@
 	}
 }
 
-// A leader whose disk fails hands over by its silence, and is a follower that catches up once the disk works.
+// A leader whose disk fails sends nothing more and is replaced by an election; once the disk works it catches up as a follower.
 func TestStorage_LeaderStandsDown(t *testing.T) {
-	d := failures(t, "ledger.write")
+	stores := failStores(t, "storage.write")
 	cluster := newCluster(t, "c1", "c2", "c3")
 	for _, p := range cluster.peers {
 		cluster.start(p.Name, SeededDefects{})
 	}
-	fence, leader := cluster.take("a")
-	d.set(syscall.ENOSPC, leader.set.Name)
-	_, next := cluster.take("b")
+	token, leader := cluster.acquire("a")
+	stores.set(syscall.ENOSPC, leader.settings.Name)
+	_, next := cluster.acquire("b")
 	if next == leader {
 		t.Fatal("it answered though it stores nothing")
 	}
-	d.until(t, 1, 2)
-	d.set(nil, leader.set.Name)
-	for name := range cluster.procs { // it is one of the two that are left
-		if name != leader.set.Name && name != next.set.Name {
+	stores.waitForFailures(t, 1, 2)
+	stores.set(nil, leader.settings.Name)
+	for name := range cluster.nodes { // it is one of the two that are left
+		if name != leader.settings.Name && name != next.settings.Name {
 			cluster.stop(name)
 		}
 	}
-	if err := cluster.holds("a", fence); err != nil {
+	if err := cluster.checkToken("a", token); err != nil {
 		t.Error(err)
 	}
-	cluster.take("c")
+	cluster.acquire("c")
 }
 
-// A process that is started while its disk refuses waits for it.
+// A node that is started while its disk refuses waits for it.
 func TestStorage_StartsOnAFullDisk(t *testing.T) {
-	d := failures(t, "ledger.open")
+	stores := failStores(t, "storage.open")
 	cluster := newCluster(t, "c1")
-	d.set(syscall.ENOSPC, "c1")
+	stores.set(syscall.ENOSPC, "c1")
 	cluster.start("c1", SeededDefects{})
-	d.until(t, 1, 3)
-	d.set(nil, "c1")
-	cluster.take("a")
+	stores.waitForFailures(t, 1, 3)
+	stores.set(nil, "c1")
+	cluster.acquire("a")
 }
 
-// killed has a process taken down while its disk refuses, with nothing more stored, and started again.
-func (c *cluster) killed(d *disks, name string, planted SeededDefects) {
+// restartKilled has a process taken down while its disk refuses, with nothing more stored, and started again.
+func (c *cluster) restartKilled(stores *failingStores, name string, defects SeededDefects) {
 	c.t.Helper()
 	c.stop(name)
-	d.set(nil, name)
-	c.start(name, planted)
+	stores.set(nil, name)
+	c.start(name, defects)
 }
 
 // What was acknowledged while the disk began to fail is there after a kill; the seeded defect, an acknowledgement before the
 // sync, is found.
 func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
-	lost := func(t *testing.T, planted SeededDefects) error {
-		d := failures(t, "ledger.write")
+	lost := func(t *testing.T, defects SeededDefects) error {
+		stores := failStores(t, "storage.write")
 		cluster := newCluster(t, "c1")
-		cluster.start("c1", planted)
-		cluster.take("a")
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		cluster.start("c1", defects)
+		cluster.acquire("a")
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		set := make(chan struct{})
-		if err := cluster.procs["c1"].post(ctx, func() { // nothing is half stored then
-			d.set(syscall.ENOSPC, "c1")
+		if err := cluster.nodes["c1"].post(ctx, func() { // nothing is half stored then
+			stores.set(syscall.ENOSPC, "c1")
 			close(set)
 		}); err != nil {
 			t.Fatal(err)
 		}
 		<-set
-		a, err := cluster.try(ctx, cluster.procs["c1"], entry(leasestate.AcquireLease, "b"))
-		d.until(t, 1, 1)
-		cluster.killed(d, "c1", SeededDefects{})
+		a, err := cluster.try(ctx, cluster.nodes["c1"], entry(leasestate.AcquireLease, "b"))
+		stores.waitForFailures(t, 1, 1)
+		cluster.restartKilled(stores, "c1", SeededDefects{})
 		if err != nil {
 			return nil // not acknowledged
 		}
-		return cluster.holds("b", a.Fence)
+		return cluster.checkToken("b", a.Fence)
 	}
 	if err := lost(t, SeededDefects{}); err != nil {
 		t.Error(err)
@@ -394,32 +396,32 @@
 		cluster.start(p.Name, SeededDefects{})
 	}
 	granted := map[string]*fleetpb.Fence{}
-	_, leader := cluster.take("first")
+	_, leader := cluster.acquire("first")
 	round := 0
-	for _, point := range []string{"ledger.write", "ledger.sync"} {
-		for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
+	for _, point := range []string{"storage.write", "storage.sync"} {
+		for _, failure := range []error{syscall.ENOSPC, syscall.EIO} {
 			for _, kill := range []bool{false, true} {
 				round++
-				d := newDisks()
-				clear := failpoint.SetOperationError(point, d.fail)
-				name := leader.set.Name
-				d.set(refused, name)
-				duty := fmt.Sprint("duty ", round)
-				granted[duty], leader = cluster.take(duty)
-				if leader.set.Name == name {
+				stores := newFailingStores()
+				clearFailure := failpoint.SetOperationError(point, stores.fail)
+				name := leader.settings.Name
+				stores.set(failure, name)
+				lease := fmt.Sprint("lease ", round)
+				granted[lease], leader = cluster.acquire(lease)
+				if leader.settings.Name == name {
 					t.Fatalf("%s answered though its disk fails at %s", name, point)
 				}
-				d.until(t, 1, 2)
+				stores.waitForFailures(t, 1, 2)
 				if kill {
-					cluster.killed(d, name, SeededDefects{})
+					cluster.restartKilled(stores, name, SeededDefects{})
 				}
-				d.set(nil, name)
-				clear()
+				stores.set(nil, name)
+				clearFailure()
 			}
 		}
 	}
-	for duty, fence := range granted {
-		if err := cluster.holds(duty, fence); err != nil {
+	for lease, token := range granted {
+		if err := cluster.checkToken(lease, token); err != nil {
 			t.Error(err)
 		}
 	}
