--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/clients_test.go
@@ -3,45 +3,28 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"testing"
-	"time"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/audit"
 	"wayloft/internal/decide/leaseclient"
 	"wayloft/internal/decide/leasestate"
-	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/rpc"
 )
 
-// One question asks where several leases stand and is answered in their order; as routers ask that know of one to a question alone, it
-// is answered as before; more than one carries are refused.
+// A query for the latest tokens of several leases is answered in their order. The older form, for one lease, is answered as before. A query for
+// too many leases is rejected.
 func TestDo_LatestTokens(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener := loopback(t)
+	c, err := Open(settings(t, t.TempDir(), listener))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Open(Settings{Fleet: "lab", Name: "c", Dir: t.TempDir(), Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10,
-		SnapshotInterval: 1000, MaxConnections: 8, AuditLog: &audit.Log{}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
-	over := make(chan error)
-	running, end := context.WithCancel(context.Background())
-	go func() { over <- c.Run(running, listener) }()
-	defer func() { end(); <-over }()
-	conn, err := rpc.Dial(listener.Addr().String(), "lab")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	service := fleetpb.NewCouncilClient(conn)
+	service := serve(t, c, listener)
 	do := func(q *fleetpb.Request) *fleetpb.Answer {
 		for {
 			a, err := service.Do(ctx, q)
--- a/internal/decide/lastcommit/lastcommit_test.go
+++ b/internal/decide/lastcommit/lastcommit_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-func TestRemembersAndDrops(t *testing.T) {
-	var m Commits
+func TestCommits_RecordAndPrune(t *testing.T) {
+	var commits Commits
 	for n := range 5000 {
-		m.Add(fmt.Sprint(n%3000), float64(n+1))
-		if m.Full() {
-			m.Drop(float64(n - 500))
+		commits.Record(fmt.Sprint(n%3000), float64(n+1))
+		if commits.PruneDue() {
+			commits.Prune(float64(n - 500))
 		}
 	}
-	if m.Of("1999") != 5000 || m.Of("2999") != 3000 && m.Of("2999") != 0 {
-		t.Errorf("%v, %v", m.Of("1999"), m.Of("2999"))
+	if commits.Position("1999") != 5000 || commits.Position("2999") != 3000 && commits.Position("2999") != 0 {
+		t.Errorf("%v, %v", commits.Position("1999"), commits.Position("2999"))
 	}
-	if m.Drop(4990); len(m.at) != 10 || m.Of("0") != 0 || m.Full() {
-		t.Errorf("%d are kept", len(m.at))
+	if commits.Prune(4990); len(commits.positions) != 10 || commits.Position("0") != 0 || commits.PruneDue() {
+		t.Errorf("%d are kept", len(commits.positions))
 	}
-	if m.Add("1999", 3); m.Of("1999") != 5000 {
+	if commits.Record("1999", 3); commits.Position("1999") != 5000 {
 		t.Error("it went back")
 	}
 }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -36,7 +36,7 @@
 //	[[tenants]]                # name, and rate
 //
 // Its error names everything that is wrong, a line each, with line and key. A strict field is read like any other: whether it
-// may differ from what is in force is policy.Judge's to say.
+// may differ from what is in force is policy.ValidateChange's to say.
 func ReadPolicy(text []byte) (policy.Document, error) {
 	if len(text) > policy.MaxDocumentBytes {
 		return nil, fmt.Errorf("policy: %d bytes, %d at most", len(text), policy.MaxDocumentBytes)
