--- a/internal/coordinator/decisions.go
+++ b/internal/coordinator/decisions.go
@@ -93,11 +93,11 @@
 	history := s.node.State().Policy()
 	version := history.Version
 	for _, change := range history.Changes { // a later one may be in force by now
-		if change.Version.Number64() == event.Policy {
+		if change.Version.Packed() == event.Policy {
 			version = change.Version
 		}
 	}
-	s.settings.AuditLog.Add("policy", audit.Fields{"index": event.Index, "version": policy.MarkString(event.Policy),
+	s.settings.AuditLog.Add("policy", audit.Fields{"index": event.Index, "version": policy.FormatPacked(event.Policy),
 		"hash": hex.EncodeToString(version.Hash[:]), "author": version.Author, "reason": version.Reason})
 	if leads {
 		logrus.WithFields(logrus.Fields{"version": version, "author": version.Author, "reason": version.Reason}).Info("policy in force")
--- a/internal/coordinator/policy.go
+++ b/internal/coordinator/policy.go
@@ -41,7 +41,7 @@
 			close(result)
 			return
 		}
-		content, _ := s.policyContent(policy.Request{Have: request.Have, Want: request.Want, Whole: request.Whole,
+		content, _ := s.policyContent(policy.Request{Have: request.Have, Want: request.Want, Full: request.Whole,
 			Offset: int(min(request.Offset, maxPolicyPartOffset))})
 		result <- content
 	}); err != nil {
@@ -65,7 +65,7 @@
 func (c policyContent) part(request *fleetpb.PolicyFrom) *fleetpb.PolicyPart {
 	total := uint64(len(c.compressed))
 	start := min(request.Offset, total)
-	if c.version.Number64() != request.Want || start == total {
+	if c.version.Packed() != request.Want || start == total {
 		start = 0
 	}
 	end := min(start+min(request.Most, maxPolicyPartSize), total)
@@ -77,15 +77,15 @@
 // part is served to its end although another version is in force by now, as long as it is cached.
 func (s *Server) policyContent(request policy.Request) (policyContent, bool) {
 	history := s.node.State().Policy()
-	if content, cached := s.cachedContent(request, history.Version.Number64()); cached {
+	if content, cached := s.cachedContent(request, history.Version.Packed()); cached {
 		return content, true
 	}
 	encoded, whole, known := history.Serve(request)
 	if !known {
 		return policyContent{}, false
 	}
-	if whole && !request.Whole {
-		request.Whole, request.Offset = true, 0
+	if whole && !request.Full {
+		request.Full, request.Offset = true, 0
 		return s.policyContent(request)
 	}
 	content := policyContent{request.Have, whole, history.Version, rpc.Compress(encoded)}
@@ -96,8 +96,8 @@
 // cachedContent returns a cached content that answers a request, and marks it as the latest used.
 func (s *Server) cachedContent(request policy.Request, inForce uint64) (policyContent, bool) {
 	for i, content := range slices.Backward(s.policyCache) {
-		number := content.version.Number64()
-		sameStart := content.whole == request.Whole && (content.whole || content.have == request.Have)
+		number := content.version.Packed()
+		sameStart := content.whole == request.Full && (content.whole || content.have == request.Have)
 		isInForce := number == inForce && request.Want <= number && request.Have <= number
 		isContinued := request.Offset > 0 && number == request.Want
 		if sameStart && (isInForce || isContinued) {
--- a/internal/decide/leaseclient/changes_test.go
+++ b/internal/decide/leaseclient/changes_test.go
@@ -39,10 +39,10 @@
 		update.Policies[1].Difference.Set["over_share_value"] != "0.3" {
 		t.Fatalf("%+v", update)
 	}
-	h.client.PolicyApplied(second.Number64(), 0, "")
+	h.client.PolicyApplied(second.Packed(), 0, "")
 	h.runUntil(1000, true)
 	h.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "q", Incarnation: 1, Timeout: 60000})
-	if session, _ := h.state.Session("p"); session.Policy != second.Number64() {
+	if session, _ := h.state.Session("p"); session.Policy != second.Packed() {
 		t.Error("the coordinator doesn't know of it:", session)
 	}
 	if update, _ := Changes(h.state, next, true); len(update.Sessions)+len(update.Policies) != 0 || !update.WithoutSessions {
--- a/internal/decide/leaseclient/client_test.go
+++ b/internal/decide/leaseclient/client_test.go
@@ -80,15 +80,15 @@
 	h.runUntil(500, true)
 	version := h.propose("0.2")
 	h.log = nil
-	h.client.PolicyApplied(0, version.Number64(), "no memory")
+	h.client.PolicyApplied(0, version.Packed(), "no memory")
 	h.runUntil(h.now+11, true)
 	session, _ := h.state.Session("p")
-	if session.RejectedPolicy != version.Number64() || session.Reason != "no memory" || h.count(leasestate.KeepAlive) != 1 {
+	if session.RejectedPolicy != version.Packed() || session.Reason != "no memory" || h.count(leasestate.KeepAlive) != 1 {
 		t.Fatal(session, h.log)
 	}
-	h.client.PolicyApplied(version.Number64(), 0, "")
+	h.client.PolicyApplied(version.Packed(), 0, "")
 	h.runUntil(h.now+11, true)
-	if session, _ := h.state.Session("p"); session.Policy != version.Number64() || session.RejectedPolicy != 0 || session.Reason != "" {
+	if session, _ := h.state.Session("p"); session.Policy != version.Packed() || session.RejectedPolicy != 0 || session.Reason != "" {
 		t.Fatal(session)
 	}
 	h.runUntil(h.now+4000, false)
@@ -96,7 +96,7 @@
 		t.Fatal("its session was to end")
 	}
 	h.runUntil(h.now+6000, true)
-	if session, _ := h.state.Session("p"); session.Policy != version.Number64() || h.client.Reopened != 1 {
+	if session, _ := h.state.Session("p"); session.Policy != version.Packed() || h.client.Reopened != 1 {
 		t.Error(session, h.client.Reopened)
 	}
 }
--- a/internal/decide/leasestate/policy.go
+++ b/internal/decide/leasestate/policy.go
@@ -12,7 +12,7 @@
 		return Result{Refusal: Refusal(why), Number: before.Number}
 	}
 	if version != before {
-		s.emit(Event{Policy: version.Number64()})
+		s.emit(Event{Policy: version.Packed()})
 	}
 	return Result{Held: true, Number: version.Number}
 }
--- a/internal/decide/leasestate/policy_test.go
+++ b/internal/decide/leasestate/policy_test.go
@@ -29,7 +29,7 @@
 	}
 	at := state.Index()
 	events, _ := state.Since(at - 1)
-	if len(events) != 1 || events[0].Policy != state.Policy().Version.Number64() {
+	if len(events) != 1 || events[0].Policy != state.Policy().Version.Packed() {
 		t.Fatal(events)
 	}
 	stale := policy.Propose(policy.Version{}, nil, policy.Document{"over_share_value": "0.5"}, "b", "")
@@ -37,7 +37,7 @@
 	if result.Held || result.Number != 1 || !strings.Contains(string(result.Refusal), "1.1 is in force, this was made from none") {
 		t.Error(result)
 	}
-	version := state.Policy().Version.Number64()
+	version := state.Policy().Version.Packed()
 	state.apply(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: version})
 	state.apply(Entry{Kind: KeepAliveAll, Heartbeats: []Heartbeat{{Session: "b", Incarnation: 1, RejectedPolicy: version, Reason: "no memory"}}})
 	if events, _ := state.Since(at); len(events) != 0 {
@@ -58,7 +58,7 @@
 	state.apply(Entry{Kind: BeginEpoch, Epoch: 4})
 	requireEqual(t, "above all before", state.Policy().Version.String(), "4.2")
 	requireEqual(t, "the next", state.proposeShare("0.3"), Result{Held: true, Number: 3})
-	state.apply(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Number64()})
+	state.apply(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Packed()})
 	if result := state.proposeShare("0.4"); result.Held || !strings.Contains(string(result.Refusal), "4.9") {
 		t.Error("a router knows more than this coordinator:", result)
 	}
--- a/internal/decide/leasestate/state.go
+++ b/internal/decide/leasestate/state.go
@@ -102,7 +102,7 @@
 		s.freeLease(name)
 	}
 	if s.data.Policy != nil && s.data.Policy.BeginEpoch(epoch) {
-		s.emit(Event{Policy: s.data.Policy.Version.Number64()})
+		s.emit(Event{Policy: s.data.Policy.Version.Packed()})
 	}
 	return Result{}
 }
--- a/internal/decide/leasestate/state_test.go
+++ b/internal/decide/leasestate/state_test.go
@@ -31,7 +31,7 @@
 		Text:        "x",
 		Number:      number("number", 0, 2),
 	}
-	version := policy.Version{Epoch: number("version epoch", 1, 3), Number: number("version number", 0, 3)}.Number64()
+	version := policy.Version{Epoch: number("version epoch", 1, 3), Number: number("version number", 0, 3)}.Packed()
 	if entry.Kind != ProposePolicy {
 		entry.Policy = version
 		return entry
@@ -52,9 +52,9 @@
 func (i *invariants) check(t *rapid.T, state *testState) {
 	t.Helper()
 	now := state.Policy().Version
-	version := now.Number64()
+	version := now.Packed()
 	if hash, known := i.hashes[version]; known && hash != now.Hash || version < i.policyVersion {
-		t.Fatalf("policy %s after %s", now, policy.MarkString(i.policyVersion))
+		t.Fatalf("policy %s after %s", now, policy.FormatPacked(i.policyVersion))
 	}
 	i.hashes[version], i.policyVersion = now.Hash, version
 	for _, name := range state.Leases() {
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -64,7 +64,7 @@
 // into the log, because there every build must apply it in the same way, whichever fields it knows.
 func rejectionReason(entry leasestate.Entry) string {
 	var lines []string
-	for _, finding := range entry.Proposal.Difference.Judge() {
+	for _, finding := range entry.Proposal.Difference.Validate() {
 		lines = append(lines, finding.Field+": "+finding.Reason)
 		if len(lines) == maxPolicyFindings {
 			lines = append(lines, "and more")
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -323,10 +323,10 @@
 	at = a.node.Applied()
 	for range 20 {
 		a.number++
-		a.node.Propose(a.number, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1, Policy: version.Number64()})
+		a.node.Propose(a.number, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1, Policy: version.Packed()})
 	}
 	a.pass(20)
-	if s, _ := a.node.State().Session("s"); s.Policy != version.Number64() || a.node.Applied() > at+2 {
+	if s, _ := a.node.State().Session("s"); s.Policy != version.Packed() || a.node.Applied() > at+2 {
 		t.Errorf("%+v, %d entries", s, a.node.Applied()-at)
 	}
 	b := newSingleNode(t, a.disk)
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -46,7 +46,7 @@
 // describeStored lists a version and its document.
 func describeStored(v policy.Version, d policy.Document) string {
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "version %d.%d hash %x base %s size %d author %q reason %q\n", v.Epoch, v.Number, v.Hash, policy.MarkString(v.Base), v.Size, v.Author,
+	fmt.Fprintf(out, "version %d.%d hash %x base %s size %d author %q reason %q\n", v.Epoch, v.Number, v.Hash, policy.FormatPacked(v.Base), v.Size, v.Author,
 		v.Reason)
 	for _, field := range slices.Sorted(maps.Keys(d)) {
 		fmt.Fprintf(out, "  field %s = %s\n", field, d[field])
@@ -99,7 +99,7 @@
 	}
 }
 
-// A stored policy in which any one byte has changed is not gone by; the version before it is.
+// A stored policy in which any one byte has changed is not loaded; the version before it is.
 func TestStoredPolicy_CorruptedIsRefused(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join(storedBy, "loaded.golden"))
 	if err != nil {
