--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -9,6 +9,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"runtime"
 	"strings"
 	"sync"
 	"syscall"
@@ -364,15 +365,17 @@
 		cluster.acquire("a")
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		set := make(chan struct{})
-		if err := cluster.nodes["c1"].post(ctx, func() { // nothing is half stored then
+		node := cluster.nodes["c1"]
+		// Storage fails from the turn of the loop in which the request is taken, not before: an earlier entry would stop the node first.
+		if err := node.post(ctx, func() {
+			for len(node.inbox) == 0 {
+				runtime.Gosched()
+			}
 			stores.set(syscall.ENOSPC, "c1")
-			close(set)
 		}); err != nil {
 			t.Fatal(err)
 		}
-		<-set
-		a, err := cluster.try(ctx, cluster.nodes["c1"], entry(leasestate.AcquireLease, "b"))
+		a, err := cluster.try(ctx, node, entry(leasestate.AcquireLease, "b"))
 		stores.waitForFailures(t, 1, 1)
 		cluster.restartKilled(stores, "c1", SeededDefects{})
 		if err != nil {
