--- /dev/null
+++ b/internal/fleet/hold_debug_test.go
@@ -0,0 +1,19 @@
+//go:build debug
+
+package fleet_test
+
+import (
+	"sync"
+
+	"wayloft/internal/failpoint"
+)
+
+// holdUpdates holds back what coordinators' watches bring to any node of this process until release is called.
+func holdUpdates() (release func()) {
+	released := make(chan struct{})
+	clearPoint := failpoint.Set("fleet.updated", func() { <-released })
+	return sync.OnceFunc(func() {
+		clearPoint()
+		close(released)
+	})
+}
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -271,10 +271,12 @@
 	acknowledged("r2", func(s *fleetpb.Session) bool {
 		return s.Policy == large.Packed() && s.Wont == next.Packed() && s.Why == "no memory for this"
 	})
+	releaseUpdates := holdUpdates() // what was stored is applied first: a newer version that is heard before would take its place
 	back, _ := h.join("r1", store)
 	if v := <-back.applied; v != large {
 		t.Errorf("started with %s, stored %s", v, large)
 	}
+	releaseUpdates()
 	back.until(t, next)
 	acknowledged("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
 }
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -14,6 +14,7 @@
 	"wayloft/internal/decide/leaseclient"
 	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/switchover"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/rpc"
 )
@@ -135,6 +136,7 @@
 		ctx, cancel, withoutSessions := n.startWatch()
 		err := n.client.Watch(ctx, withoutSessions, func(update *fleetpb.Update) {
 			logged = ""
+			failpoint.Hit("fleet.updated")
 			n.post(func() { n.updated(update) })
 		})
 		restarted := ctx.Err() != nil
