--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -23,6 +23,7 @@
 	asked := n.groupsAsked
 	accepted := n.callRouter(func() {
 		groups := n.router.Groups()
+		n.retainWriteHolds(groups)
 		go n.post(func() { // the router's loop never waits for this one
 			if asked > n.groupsReceived { // guards against a list that overtakes the one after it: nobody would ask again
 				n.groupsReceived = asked
@@ -37,13 +38,21 @@
 	}
 }
 
+// retainWriteHolds forgets the write holds of groups that are gone. Like applyHold it runs on the router's event loop, which alone
+// touches them.
+func (n *Node) retainWriteHolds(groups map[int][]Member) {
+	listed := map[int]bool{}
+	for group := range groups {
+		listed[group] = true
+	}
+	n.writeHolds.RetainGroups(listed)
+}
+
 // groupsListed takes in which groups there are: their leases are acquired, those of groups that are gone are released.
 func (n *Node) groupsListed(groups map[int][]Member) {
 	n.groups = groups
 	wanted := map[string]bool{}
-	listed := map[int]bool{}
 	for group := range groups {
-		listed[group] = true
 		if n.settings.HealthSharePeriodMs > 0 {
 			wanted[healthshare.LeaseName(group)] = true
 		}
@@ -54,7 +63,6 @@
 			n.leases.LearnToken(lease)
 		}
 	}
-	n.writeHolds.RetainGroups(listed)
 	for lease := range n.wantedLeases {
 		if !wanted[lease] {
 			delete(n.orderStates, lease)
--- a/internal/fleet/groups_test.go
+++ b/internal/fleet/groups_test.go
@@ -5,7 +5,10 @@
 	"testing"
 
 	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/decide/lease"
 	"wayloft/internal/decide/policy"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/fleetpb"
 )
 
 // fakeRouter is a router that tells when its groups are read.
@@ -55,6 +58,32 @@
 	}
 }
 
+// A list is taken in on the node's event loop while the router's event loop carries an order out: the write holds belong to the latter
+// alone, as the race detector tells.
+func TestNode_WriteHoldsBelongToTheRoutersLoop(t *testing.T) {
+	router := &fakeRouter{asked: make(chan bool, 100), groups: map[int][]Member{1: nil}}
+	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200, MaxHoldMs: 1000}, router)
+	node.leases.Shutdown() // it sends no requests to a coordinator
+	hold := &fleetpb.Order{Duty: switchover.LeaseName(1), Hold: &fleetpb.Hold{Group: 1, Number: 1, MostMs: 500}}
+	token := lease.Token{Epoch: 1, Count: 1}
+	listed := make(chan struct{})
+	go func() {
+		defer close(listed)
+		node.groupsListed(router.groups)
+	}()
+	node.applyHold(hold, token, 0, &fleetpb.Verdict{})
+	<-listed
+	if until := node.writeHolds.Hold(1, token, 1, 500, 0); until == 0 {
+		t.Error("the hold of a group that is listed is forgotten")
+	}
+	router.groups = map[int][]Member{2: nil}
+	node.askGroups(0)
+	(<-node.routerCalls)()
+	if until := node.writeHolds.Hold(1, token, 1, 500, 2000); until != 2500 {
+		t.Errorf("held until %v: the hold of a group that was gone is remembered", until)
+	}
+}
+
 // Each change of the list is noticed.
 func TestNode_GroupsAreReadAfterEachChange(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool)}
