--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Drill runs router instances on the bench's wire.
+// Simadapter runs router instances on the bench's wire.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
