--- a/cmd/wayloft/crossing_test.go
+++ b/cmd/wayloft/crossing_test.go
@@ -446,3 +446,26 @@
 		t.Error(err)
 	}
 }
+
+// The watch brings a list in which a member drains before the loop's first turn: the list of the configuration, which is older, doesn't
+// undo it.
+func TestListBeforeTheLoopsFirstTurn(t *testing.T) {
+	drains, stays := member(t), member(t)
+	watch := newScript(t)
+	watch.watch <- fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"m0","host_port":"%s","locality":"z","cell":2,"phase":"terminating"}]}`+"\n",
+		drains.Addr)
+	posted := make(chan struct{}, 100)
+	defer failpoint.Set("serve.list_posted", func() { posted <- struct{}{} })()
+	defer failpoint.Set("eventloop.starting", func() { <-posted })()
+	addr, _, _ := start(t, watch.addr, 256, drains.Addr, stays.Addr)
+	client := fakes.NewClient(t, addr, true)
+	for n := range 30 { // none by chance: one in 2^30
+		client.Ask(look(fmt.Sprint(n), "x"))
+		if got := client.Answer(); got != "x ok ready" && got != "53300 ready" {
+			t.Fatal(got)
+		}
+	}
+	if _, asked := drains.Seen(); strings.Contains(strings.Join(asked, "|"), "c=look") {
+		t.Error("a member that drains was sent a request")
+	}
+}
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -20,6 +20,7 @@
 	"wayloft/internal/decide/session"
 	"wayloft/internal/discovery"
 	"wayloft/internal/eventloop"
+	"wayloft/internal/failpoint"
 	"wayloft/internal/fleet"
 	"wayloft/internal/frontend"
 	"wayloft/internal/invariant"
@@ -146,9 +147,16 @@
 	if conf.set.Lag != router.LagAnswers {
 		s.host.MembersCheckStaleness()
 	}
+	known := *conf.known
+	known.Whole = true
+	// The first in the mailbox: guards against a list that the watch brings before the loop's first turn, which the older one would undo.
+	s.host.Post(func() { s.list(&known) })
 	if conf.discovery != "" {
 		s.watcher = discovery.New(conf.discovery, conf.known.Revision,
-			func(l *discovery.List) { s.host.Post(func() { s.heard(l) }) },
+			func(l *discovery.List) {
+				s.host.Post(func() { s.heard(l) })
+				failpoint.Hit("serve.list_posted")
+			},
 			func(err error) { s.host.Post(func() { s.failed(err) }) })
 	}
 
@@ -158,9 +166,6 @@
 			return err
 		}
 	}
-	known := *conf.known
-	known.Whole = true
-	s.host.Defer(func() { s.list(&known) })
 	if err := s.host.Listen(s.front.Gate(listener), 2*longest, s.front.Accept); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -13,6 +13,7 @@
 	"github.com/lesismal/nbio"
 
 	"wayloft/internal/decide/clockoffset"
+	"wayloft/internal/failpoint"
 )
 
 // mailboxCapacity is how many events wait for the loop at most; whoever posts more is blocked meanwhile.
@@ -86,6 +87,7 @@
 
 // Run handles events in batches, each followed by a call of endBatch, until Stop is called. Then it stops the poller.
 func (l *Loop) Run(endBatch func()) {
+	failpoint.Hit("eventloop.starting")
 	for !l.stopping {
 		if len(l.deferred) == 0 {
 			f := <-l.mailbox
