--- /dev/null
+++ b/internal/decide/connpool/recorded_test.go
@@ -0,0 +1,161 @@
+package connpool
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"wayloft/internal/fakes/recording"
+)
+
+// recordedPool drives one pool by drawn inputs, and writes down what it decides.
+type recordedPool struct {
+	rand  *rand.Rand
+	pool  *Pool
+	now   float64
+	wants int
+	conns map[int]string // by number: opening, busy, or idle
+	order []int          // the numbers of conns, in the order in which they were opened
+	out   strings.Builder
+}
+
+// TestRecordedDecisions has the decisions on drawn inputs be the recorded ones.
+func TestRecordedDecisions(t *testing.T) {
+	var out strings.Builder
+	for seed := range uint64(16) {
+		set := Settings{All: 12, Seed: seed, Pools: map[string]Bounds{
+			"statements": Statements(4000),
+			"cancels":    Cancels(500),
+			"a":          {PerMember: 3, Total: 6, Warm: 1, Wait: 300, Idle: 2000, Age: 8000, Uses: 9, Settle: 2, IdleInside: 900},
+			"b":          {PerMember: 4, Wait: 800, Idle: 1000, IdleInside: 400},
+		}}
+		if seed%2 == 1 {
+			set.Member = 5
+		}
+		r := &recordedPool{rand: rand.New(rand.NewPCG(seed, 2)), pool: New(set), now: 1e6, conns: map[int]string{}}
+		for _, member := range recordedMembers {
+			r.pool.Listed(member, true)
+		}
+		for step := range 1000 {
+			fmt.Fprintf(&r.out, "%d %d ", seed, step)
+			r.step()
+		}
+		out.WriteString(r.out.String())
+	}
+	recording.Compare(t, "recorded-decisions.digest", out.String())
+}
+
+var recordedMembers = []string{"m1", "m2", "m3"}
+
+func (r *recordedPool) step() {
+	if r.rand.IntN(3) == 0 {
+		r.now += float64(r.rand.IntN(400))
+	} else {
+		r.now += float64(r.rand.IntN(4))
+	}
+	r.pool.Advance(r.now)
+	fmt.Fprintf(&r.out, "at %v ", r.now)
+	r.input()
+	for d, more := r.pool.Next(); more; d, more = r.pool.Next() {
+		fmt.Fprintf(&r.out, "[%d conn %d %v want %q reason %d fresh %v] ", d.Action, d.Conn, d.Key, d.Want, d.Reason, d.Fresh)
+		switch d.Action {
+		case Open:
+			r.conns[d.Conn] = "opening"
+			r.order = append(r.order, d.Conn)
+		case Use:
+			r.conns[d.Conn] = "busy"
+		case Close:
+			r.forget(d.Conn)
+		case End:
+			r.pool.Gone(d.Conn)
+			r.forget(d.Conn)
+		}
+	}
+	fmt.Fprintf(&r.out, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.Open(), r.pool.Waiting(), r.pool.Idle("m1"), r.pool.Idle("m2"),
+		r.pool.Idle("m3"), r.pool.NextDeadline(), r.pool.Sweep())
+}
+
+func (r *recordedPool) forget(conn int) {
+	delete(r.conns, conn)
+	for n, one := range r.order {
+		if one == conn {
+			r.order = append(r.order[:n:n], r.order[n+1:]...)
+			return
+		}
+	}
+}
+
+// one draws a connection in a state; 0: there is none.
+func (r *recordedPool) one(state string) int {
+	var all []int
+	for _, conn := range r.order {
+		if r.conns[conn] == state {
+			all = append(all, conn)
+		}
+	}
+	if len(all) == 0 {
+		return 0
+	}
+	return all[r.rand.IntN(len(all))]
+}
+
+func (r *recordedPool) input() {
+	member := recordedMembers[r.rand.IntN(3)]
+	switch draw := r.rand.IntN(100); {
+	case draw < 35:
+		r.wants++
+		request := Request{ID: fmt.Sprint("w", r.wants), Key: Key{member, []string{"statements", "cancels", "a", "b", "a", "b"}[r.rand.IntN(6)]},
+			Tenant: fmt.Sprint("t", r.rand.IntN(3))}
+		if r.rand.IntN(2) == 0 {
+			request.Like = r.rand.IntN(3)
+		}
+		r.pool.Request(request)
+		fmt.Fprintf(&r.out, "request %v ", request)
+	case draw < 39:
+		id := fmt.Sprint("w", max(1, r.wants-r.rand.IntN(4)))
+		r.pool.Cancel(id)
+		fmt.Fprintf(&r.out, "cancel %s ", id)
+	case draw < 58:
+		conn := r.one("opening")
+		r.pool.Opened(conn)
+		if conn > 0 {
+			r.conns[conn] = "idle"
+		}
+		fmt.Fprintf(&r.out, "opened %d ", conn)
+	case draw < 65:
+		conn, why := r.one("opening"), FailureCause(r.rand.IntN(3))
+		r.pool.Failed(conn, why)
+		r.forget(conn)
+		fmt.Fprintf(&r.out, "failed %d %d ", conn, why)
+	case draw < 84:
+		conn, like := r.one("busy"), r.rand.IntN(3)
+		if conn > 0 {
+			r.conns[conn] = "idle"
+		}
+		r.pool.Free(conn, like)
+		fmt.Fprintf(&r.out, "free %d %d ", conn, like)
+	case draw < 88:
+		conn, clients := r.one("busy"), r.rand.IntN(2) == 0
+		r.pool.Turn(conn, clients)
+		fmt.Fprintf(&r.out, "turn %d %v ", conn, clients)
+	case draw < 92:
+		conn := r.one([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
+		r.pool.Gone(conn)
+		r.forget(conn)
+		fmt.Fprintf(&r.out, "gone %d ", conn)
+	case draw < 94:
+		up := r.rand.IntN(3) > 0
+		r.pool.Listed(member, up)
+		fmt.Fprintf(&r.out, "listed %s %v ", member, up)
+	case draw < 95:
+		r.pool.Renew(member)
+		fmt.Fprintf(&r.out, "renew %s ", member)
+	case draw < 96:
+		r.pool.CloseIdle(member)
+		fmt.Fprintf(&r.out, "close idle %s ", member)
+	default:
+		r.pool.Listed(member, true)
+		fmt.Fprintf(&r.out, "wait ")
+	}
+}
--- /dev/null
+++ b/internal/decide/session/recorded_test.go
@@ -0,0 +1,162 @@
+package session
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"wayloft/internal/fakes/recording"
+	"wayloft/internal/pg"
+)
+
+var recordedQueries = []string{
+	"SELECT 1", "BEGIN", "BEGIN READ ONLY", "START TRANSACTION READ WRITE", "COMMIT", "ROLLBACK", "SAVEPOINT a", "SAVEPOINT b",
+	"ROLLBACK TO a", "RELEASE a", "RELEASE b", "SET work_mem = '1MB'", "SET work_mem = '2MB'", "SET LOCAL work_mem = '3MB'", "RESET work_mem",
+	"RESET ALL", "DISCARD ALL", "DEALLOCATE ALL", "DEALLOCATE s1", "SHOW wayloft.txn_type", "SET wayloft.txn_type = 'basket'",
+	"SET wayloft.tenant TO acme", "SET default_transaction_read_only = on", "SET TRANSACTION READ ONLY", "LISTEN x",
+	"CREATE TEMP TABLE t (a int)", "SELECT 1; SELECT 2", "BEGIN; INSERT INTO rows VALUES (1); COMMIT", "", ";",
+	"/* id=1,c=basket,t=acme,d=480 */ SELECT 1", "SET long = '" + strings.Repeat("x", 300) + "'", "PREPARE p AS SELECT 1",
+	"INSERT INTO rows VALUES (1)", "SELECT set_config('a', 'b', false)", "DECLARE c CURSOR WITH HOLD FOR SELECT 1", "BEGIN ISOLATION LEVEL SERIALIZABLE",
+}
+
+var recordedTags = []string{"SELECT 1", "BEGIN", "COMMIT", "ROLLBACK", "SET", "RESET", "SAVEPOINT", "RELEASE", "DISCARD ALL", "INSERT 0 1"}
+
+// recordedSession drives one session by drawn inputs, and writes down what it says to each.
+type recordedSession struct {
+	rand *rand.Rand
+	s    *Session
+	ops  []Op // of the unit that is not complete
+	out  strings.Builder
+}
+
+// TestRecordedDecisions has the decisions on drawn inputs be the recorded ones.
+func TestRecordedDecisions(t *testing.T) {
+	policies := []Policy{
+		{Settings: 200, Statements: 3},
+		{Read: "read", Write: "write", Pins: true, Settings: 400, Statements: 5},
+		{Read: "read", Pins: true, Holds: true, Settings: 100, Statements: 2},
+		{Write: "write", Settings: 1 << 12, Statements: 8},
+	}
+	var out strings.Builder
+	for seed := range uint64(16) {
+		r := &recordedSession{rand: rand.New(rand.NewPCG(seed, 1)), s: New(policies[seed%4], None.with(None, [2]string{"work_mem", "'4MB'"}))}
+		for step := range 1000 {
+			fmt.Fprintf(&r.out, "%d %d ", seed, step)
+			r.step()
+			r.state()
+		}
+		out.WriteString(r.out.String())
+	}
+	recording.Compare(t, "recorded-decisions.digest", out.String())
+}
+
+func (r *recordedSession) step() {
+	switch draw := r.rand.IntN(100); {
+	case draw < 25:
+		sql := r.query()
+		answer, ops := r.s.Query(sql, pg.AppendQuery(nil, sql), r.rand.IntN(2) == 0)
+		fmt.Fprintf(&r.out, "query %.40q answer %q ops %s", sql, answer, recordedOps(ops))
+	case draw < 50:
+		r.extended()
+	case draw < 80:
+		r.heard()
+	case draw < 84:
+		answer, ok := r.s.Here(r.ops)
+		fmt.Fprintf(&r.out, "here %q %v", answer, ok)
+		r.ops = nil
+	case draw < 87:
+		fmt.Fprintf(&r.out, "dead %q", r.s.Dead(r.ops))
+		r.ops = nil
+	case draw < 90:
+		fmt.Fprintf(&r.out, "begin %s", recordedOps(r.s.Begin()))
+	case draw < 93:
+		has := None.with(None, [2]string{"work_mem", fmt.Sprintf("'%dMB'", r.rand.IntN(5))})
+		fmt.Fprintf(&r.out, "on %q", Difference(has, r.s.Settings()))
+		r.s.On(has)
+	case draw < 97:
+		before := r.rand.IntN(2) == 0
+		fmt.Fprintf(&r.out, "brought %v %q", before, Difference(r.s.There(), r.s.Settings()))
+		r.s.Brought(before)
+	default:
+		sent := r.rand.IntN(2) == 0
+		fmt.Fprintf(&r.out, "lost %v %v", sent, r.s.Lost(sent))
+		r.ops = nil
+	}
+}
+
+func (r *recordedSession) query() string { return recordedQueries[r.rand.IntN(len(recordedQueries))] }
+
+func (r *recordedSession) extended() {
+	name, portal := []string{"", "s1", "s2", "s3"}[r.rand.IntN(4)], []string{"", "p1"}[r.rand.IntN(2)]
+	sql := r.query()
+	var b []byte
+	switch r.rand.IntN(10) {
+	case 0, 1:
+		b = pg.AppendParse(nil, name, []byte(sql+"\x00\x00\x00"))
+	case 2, 3:
+		b = pg.AppendBind(nil, portal, name, []byte{0, 0, 0, 0, 0, 0})
+	case 4:
+		b = pg.AppendDescribe(nil, "SP"[r.rand.IntN(2)], name)
+	case 5, 6:
+		b = pg.AppendExecute(nil, portal)
+	case 7:
+		b = pg.AppendClose(nil, "SP"[r.rand.IntN(2)], name)
+	case 8:
+		b = pg.AppendPlain(nil, 'H')
+	case 9:
+		b = pg.AppendSync(nil)
+	}
+	reader := pg.NewReader(false, 1<<16)
+	reader.Feed(pg.AppendStartup(nil, "a", "b"))
+	if _, _, err := reader.Next(); err != nil {
+		panic(err)
+	}
+	reader.Widen()
+	reader.Feed(b)
+	m, ok, err := reader.Next()
+	if !ok || err != nil {
+		panic(err)
+	}
+	ops, fail := r.s.Extended(m)
+	r.ops = append(r.ops, ops...)
+	fmt.Fprintf(&r.out, "extended %q ops %s fail %v", b[:min(len(b), 40)], recordedOps(ops), fail)
+}
+
+func (r *recordedSession) heard() {
+	m := &pg.Message{Kind: []pg.Kind{pg.ParseDone, pg.CloseDone, pg.Complete, pg.Complete, pg.Complete, pg.Empty, pg.Suspended, pg.Failure,
+		pg.Ready, pg.Ready, pg.Ready}[r.rand.IntN(11)]}
+	switch m.Kind {
+	case pg.Complete:
+		m.Text = recordedTags[r.rand.IntN(len(recordedTags))]
+	case pg.Failure:
+		m.Failure = &pg.Error{Code: "42601", Text: "syntax error"}
+	case pg.Ready:
+		m.Status = "IITTE"[r.rand.IntN(5)]
+	}
+	r.s.Heard(m)
+	fmt.Fprintf(&r.out, "heard %d %q %d", m.Kind, m.Text, m.Status)
+}
+
+// state writes down all that the session can be asked.
+func (r *recordedSession) state() {
+	label, class, tenant, none := r.s.Label()
+	id := ""
+	if label != nil {
+		id = label.ID
+	}
+	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.s.Status(), r.s.Pinned(), r.s.Kept(),
+		r.s.Outside(), id, class, tenant, none, r.s.Own("tenant"), describe(r.s.Settings()), describe(r.s.There()))
+}
+
+func recordedOps(ops []Op) string {
+	var out []string
+	for _, op := range ops {
+		statement := ""
+		if op.Statement != nil {
+			statement = op.Statement.Tail.Value()
+		}
+		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", does[op.Do], op.Kind, op.Portal, statement, op.Raw, op.Fault))
+	}
+	return "[" + strings.Join(out, "; ") + "]"
+}
--- /dev/null
+++ b/internal/fakes/recording/recording.go
@@ -0,0 +1,97 @@
+// Package recording compares what a deterministic run says, line by line, with what an earlier one said.
+package recording
+
+import (
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update-recordings", false, "write recordings anew, where what is recorded is meant to change")
+
+// linesPerDigest is how many lines of a transcript one line of its recording stands for.
+const linesPerDigest = 100
+
+// Compare fails the test if a transcript is not the one recorded in testdata/NAME. The recording is kept as a digest of each
+// hundred lines; the transcript that differs is written to the test's artifact file so that two versions can be diffed.
+func Compare(t *testing.T, name, transcript string) {
+	t.Helper()
+	compare(t, name, transcript, digests(transcript))
+}
+
+// CompareText does so with a recording that is kept as it is.
+func CompareText(t *testing.T, name, transcript string) {
+	t.Helper()
+	compare(t, name, transcript, transcript)
+}
+
+func compare(t *testing.T, name, transcript, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for n := range min(len(gotLines), len(wantLines)) {
+		if gotLines[n] != wantLines[n] {
+			t.Errorf("line %d of %s: got %q, recorded %q", n+1, path, gotLines[n], wantLines[n])
+			break
+		}
+	}
+	file, err := os.CreateTemp("", strings.ReplaceAll(name, "/", "-")+".*.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	if _, err := file.WriteString(transcript); err != nil {
+		t.Fatal(err)
+	}
+	t.Fatalf("%s has %d lines, recorded are %d; the whole transcript is in %s", name, len(gotLines), len(wantLines), file.Name())
+}
+
+func digests(transcript string) string {
+	var out strings.Builder
+	lines := strings.Split(transcript, "\n")
+	for start := 0; start < len(lines); start += linesPerDigest {
+		end := min(start+linesPerDigest, len(lines))
+		sum := fnv.New64a()
+		sum.Write([]byte(strings.Join(lines[start:end], "\n")))
+		fmt.Fprintf(&out, "lines %d to %d: %016x\n", start+1, end, sum.Sum64())
+	}
+	return out.String()
+}
+
+// ComparePrefix does so line by line, as far as the transcript goes: the recording may have more lines.
+func ComparePrefix(t *testing.T, name, transcript string) {
+	t.Helper()
+	if *update {
+		compare(t, name, transcript, transcript)
+		return
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := strings.Split(string(want), "\n")
+	for n, line := range strings.Split(strings.TrimSuffix(transcript, "\n"), "\n") {
+		if n >= len(recorded) || recorded[n] != line {
+			t.Fatalf("line %d of %s: got %q", n+1, name, line)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/fleet/simulation/recorded_test.go
@@ -0,0 +1,55 @@
+package simulation
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"wayloft/internal/fakes/recording"
+)
+
+var recordedSeeds = flag.Int("recorded-seeds", 10, "seeds of each kind whose reports are compared with the recorded ones (200 are recorded)")
+
+// TestRecordedReports has the reports of drawn schedules be the recorded ones, value for value.
+func TestRecordedReports(t *testing.T) {
+	for _, kind := range []struct {
+		name    string
+		options func(uint64) Options
+	}{{"leases", common}, {"switchovers", changing}, {"policies", changed}} {
+		t.Run(kind.name, func(t *testing.T) {
+			var out strings.Builder
+			for seed := range uint64(*recordedSeeds) {
+				o := kind.options(seed)
+				o.For = 8000
+				fmt.Fprintf(&out, "seed %d: %x\n", seed, sha256.Sum256([]byte(recordedReport(Play(o)))))
+			}
+			recording.ComparePrefix(t, "recorded-"+kind.name+".digest", out.String())
+		})
+	}
+	t.Run("health sharing", func(t *testing.T) {
+		var out strings.Builder
+		for seed := range uint64(min(*recordedSeeds, 20)) {
+			fmt.Fprintf(&out, "seed %d: %v %v\n", seed, Sight(20, 0, seed), Sight(20, 100, seed))
+		}
+		recording.ComparePrefix(t, "recorded-health-sharing.txt", out.String())
+	})
+}
+
+// recordedReport has all values of a report. Times that a map gave in any order are sorted.
+func recordedReport(w *World) string {
+	r := w.Report
+	counts := func(m map[string]int) []int { return slices.Sorted(maps.Values(m)) }
+	text := fmt.Sprint(len(r.Wrong), r.Acts, r.Late, r.Grants, r.Elections, counts(r.Faults), r.Unowned, r.Entries, r.Bytes, r.Messages, r.Ended, r.Stuck,
+		r.Proposed, r.Accepted, r.Refused, r.Unknown, r.Adopted, slices.Sorted(slices.Values(r.Everywhere)), r.Most, r.Fetched, r.Older, r.Unfit, w.Now)
+	for _, op := range r.Ops {
+		text += fmt.Sprint(op.Client, op.Number, op.Session, op.Begun, op.Ended, op.Held, op.Fence)
+	}
+	if w.planned != nil {
+		text += fmt.Sprint(w.planned.orders, counts(w.planned.done), w.planned.number, w.planned.lateAt, len(w.planned.log), len(w.planned.told))
+	}
+	return text
+}
