--- a/cmd/wayloft/clock_test.go
+++ b/cmd/wayloft/clock_test.go
@@ -30,7 +30,7 @@
 		at := float64(time.Now().Add(-lag).UnixMicro()) / 1000
 		if sql == "SHOW vitals" {
 			defer m.checks.Add(1)
-			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%.6f,x1=%d", at/1000, x1)))}
+			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%.6f,x1=%d", at/1000, x1)))}
 		}
 		m.reads.Add(1)
 		return fakes.Row(name, role, fmt.Sprintf("%.3f", at))
--- a/cmd/wayloft/config.go
+++ b/cmd/wayloft/config.go
@@ -25,10 +25,10 @@
 	sockets                 int
 	known                   *discovery.List
 	set                     *router.Settings
-	host                    *settings.Host
+	host                    *settings.Runtime
 	sessions, links         int // most of each
 	perMember               int // connections; 0: any number
-	pools                   []settings.Pooled
+	pools                   []settings.PoolSettings
 	user, database          string            // of checks and of the platform's form
 	fleet                   *settings.Fleet   // its part in a fleet; nil: none
 	texts                   map[string]string // what only a restart puts in force, as it is in the file
@@ -92,10 +92,10 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("must be an object")
 	}
-	f := &settings.Fields{V: v}
+	f := &settings.Fields{Value: v}
 	c := &config{name: f.Text("name"), listen: f.Text("listen"), discovery: f.Text("discovery")}
 	seed := f.Text("seed")
-	f.Inner("limits", func(l *settings.Fields) {
+	f.Object("limits", func(l *settings.Fields) {
 		c.memory, c.sockets = int(l.Number("memory_mb")*(1<<20)), int(l.Number("sockets"))
 		if l.Err == nil && c.sockets < leastSockets {
 			l.Fail("sockets", fmt.Sprintf("%d at least", leastSockets))
@@ -117,7 +117,7 @@
 	if c.seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: must be 64 bits in hexadecimal, not %q", seed)
 	}
-	if c.known, err = discovery.Decode(v.Get("known")); err != nil {
+	if c.known, err = discovery.DecodeList(v.Get("known")); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	facts := v.Get("settings")
@@ -127,7 +127,7 @@
 	if c.set, c.host, err = settings.Decode(facts); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.host.DialTimeout <= 0 || c.host.IdleClose <= 0 {
+	if c.host.DialTimeoutMs <= 0 || c.host.ServerIdleTimeoutMs <= 0 {
 		return nil, errors.New("settings: permissions.dialTimeout, permissions.idleClose: must be more than 0")
 	}
 	c.texts = map[string]string{}
--- a/cmd/wayloft/config_toml.go
+++ b/cmd/wayloft/config_toml.go
@@ -31,7 +31,7 @@
 	}
 	c := &config{name: f.Name, listen: f.Listen, discovery: f.Discovery, memory: int(f.Limits.Memory),
 		sockets: f.Limits.Descriptors, sessions: f.Limits.Sessions, links: f.Limits.Connections, perMember: f.Limits.PerMember,
-		pools: f.Pooling(), known: &discovery.List{}}
+		pools: f.PoolSettings(), known: &discovery.List{}}
 	if f.Seed != "" {
 		if c.seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: must be 64 bits in hexadecimal, not %q", f.Seed)
@@ -44,8 +44,8 @@
 		c.known.Entries = append(c.known.Entries, discovery.Entry{ID: m.ID, Addr: m.Address, Zone: m.Zone, Group: m.Group,
 			Started: router.Never})
 	}
-	c.user, c.database = f.Fleet.User, f.Fleet.Database
-	if len(f.Fleet.Council) > 0 {
+	c.user, c.database = f.Fleet.CheckUser, f.Fleet.CheckDatabase
+	if len(f.Fleet.Coordinators) > 0 {
 		c.fleet = &f.Fleet
 	}
 	c.texts = map[string]string{}
--- a/cmd/wayloft/coordinator.go
+++ b/cmd/wayloft/coordinator.go
@@ -43,12 +43,12 @@
 	Above  uint64 `help:"An epoch known to have been: a coordinator that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
 }
 
-func readCouncil(path string) (*settings.Council, error) {
+func readCouncil(path string) (*settings.Coordinator, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	c, err := settings.ReadCouncil(text)
+	c, err := settings.ReadCoordinator(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -63,7 +63,7 @@
 	signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	rec, err := audit.Open(set.Record, set.Name)
+	rec, err := audit.Open(set.AuditLog, set.Name)
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
@@ -76,8 +76,8 @@
 		}
 		peers = append(peers, decide.Peer{Name: p.Name, Addr: p.Address})
 	}
-	process, err := coordinator.Open(coordinator.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Folder, Address: addr, Peers: peers, PeerAddresses: set.Via,
-		Tick: float64(set.Tick), SnapshotInterval: uint64(set.Keep), MaxConnections: set.Connections, ClockOffset: float64(set.ClockAhead),
+	process, err := coordinator.Open(coordinator.Settings{Fleet: set.Fleet, Name: set.Name, Dir: set.Dir, Address: addr, Peers: peers, PeerAddresses: set.PeerAddresses,
+		Tick: float64(set.Tick), SnapshotInterval: uint64(set.SnapshotInterval), MaxConnections: set.MaxConnections, ClockOffset: float64(set.ClockOffset),
 		KnownEpoch: c.Above, AuditLog: rec})
 	if err != nil {
 		return err
@@ -217,10 +217,10 @@
 	if err != nil {
 		return err
 	}
-	if _, err := os.Stat(set.Folder); err != nil {
+	if _, err := os.Stat(set.Dir); err != nil {
 		return fmt.Errorf("no folder is left to recover from: %w; start the council anew, its epoch is above the old one's unless the wall clock was stepped back: then give run --above EPOCH", err)
 	}
-	l, err := storage.Open(set.Folder, set.Fleet, set.Name, rpc.UniqueID)
+	l, err := storage.Open(set.Dir, set.Fleet, set.Name, rpc.UniqueID)
 	if err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 	}
 	r, err := decide.Recover(set.Fleet, set.Name, addr, had, c.Above)
 	if err != nil {
-		return fmt.Errorf("%s: %w", set.Folder, err)
+		return fmt.Errorf("%s: %w", set.Dir, err)
 	}
 	fmt.Printf("%s becomes a council of its own, with entries up to %d (agreed for sure: %d), in epoch %d in place of %d.\n", set.Name, r.LastIndex, r.CommittedIndex, r.Epoch, r.PreviousEpoch)
 	for _, p := range r.RemovedPeers {
--- a/cmd/wayloft/crossing_test.go
+++ b/cmd/wayloft/crossing_test.go
@@ -78,7 +78,7 @@
 					return
 				}
 			case m.Text == "":
-				out = pg.AppendReady(pg.AppendEmpty(nil))
+				out = pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
 			case m.Text == "SHOW vitals":
 				g.mu.Lock()
 				x1 := 0
@@ -86,7 +86,7 @@
 					x1 = 1
 				}
 				g.mu.Unlock()
-				out = pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))
+				out = pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))
 			default:
 				g.mu.Lock()
 				g.seen = append(g.seen, m.Text)
@@ -307,7 +307,7 @@
 	closes.Close()
 	wait()
 	key := fakes.NewClient(t, addr, false)
-	key.Send(string(pg.AppendCancel(nil, cancels.Key)))
+	key.Send(string(pg.AppendCancelRequest(nil, cancels.Key)))
 	if got := cancels.Answer(); got != "57014 ready" {
 		t.Errorf("the one that cancels: %q", got)
 	}
--- a/cmd/wayloft/fleet_node.go
+++ b/cmd/wayloft/fleet_node.go
@@ -22,27 +22,27 @@
 // join has the router take part in its fleet; leave gives back what it holds there.
 func (s *service) join(conf *config) (leave func(), err error) {
 	f := conf.fleet
-	listener, err := net.Listen("tcp", f.Orders)
+	listener, err := net.Listen("tcp", f.ReceiverListen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.orders: %w", err)
 	}
-	rec, err := audit.Open(f.Record, conf.name)
+	rec, err := audit.Open(f.AuditLog, conf.name)
 	if err != nil {
 		listener.Close()
 		return nil, fmt.Errorf("fleet.record: %w", err)
 	}
 	s.listed = map[string]discovery.Entry{}
-	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Council, AddressOverrides: f.Via, ListenAddress: f.Orders,
-		Address: cmp.Or(f.Known, listener.Addr().String()), SessionTimeoutMs: float64(f.Session), SafetyMarginMs: float64(f.Margin), HealthSharePeriodMs: float64(f.Sight),
-		MaxHoldMs: float64(f.MostHeld), ClockOffsetMs: float64(f.ClockAhead), AuditLog: rec}
-	if h := f.Handover; h != nil {
+	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Coordinators, AddressOverrides: f.PeerAddresses, ListenAddress: f.ReceiverListen,
+		Address: cmp.Or(f.ReceiverAddress, listener.Addr().String()), SessionTimeoutMs: float64(f.SessionTimeout), SafetyMarginMs: float64(f.SafetyMargin), HealthSharePeriodMs: float64(f.HealthShareInterval),
+		MaxHoldMs: float64(f.MaxWriteHold), ClockOffsetMs: float64(f.ClockOffset), AuditLog: rec}
+	if h := f.Switchover; h != nil {
 		set.SwitchoverEnabled = true
 		set.Switchover = switchover.Settings{MaxHoldMs: float64(h.Hold), DrainTimeoutMs: float64(h.Wait), StepTimeoutMs: float64(h.Step)}
 		set.Adapter = adapter(h)
 	}
-	if f.Policy != "" {
+	if f.PolicyDir != "" {
 		signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
-		set.Store = &fleet.PolicyStore{Dir: f.Policy, Fleet: f.Name}
+		set.Store = &fleet.PolicyStore{Dir: f.PolicyDir, Fleet: f.Name}
 	}
 	s.own, s.record = conf.set, rec
 	s.link = fleet.New(set, s)
@@ -57,9 +57,9 @@
 	}, nil
 }
 
-func adapter(h *settings.Handover) *fleet.Adapter {
-	return &fleet.Adapter{User: h.User, Database: h.Database, PrimaryQuery: h.Primary, GuardStatement: h.Guard, GuardQuery: h.Seen, StepDownStatement: h.Yield,
-		PromoteStatement: h.Take, StepTimeoutMs: float64(h.Step)}
+func adapter(h *settings.Switchover) *fleet.Adapter {
+	return &fleet.Adapter{User: h.User, Database: h.Database, PrimaryQuery: h.Primary, GuardStatement: h.Guard, GuardQuery: h.Seen, StepDownStatement: h.StepDown,
+		PromoteStatement: h.Promote, StepTimeoutMs: float64(h.Step)}
 }
 
 // keep notes the list for the fleet's part.
@@ -67,7 +67,7 @@
 	if s.listed == nil {
 		return
 	}
-	if l.Whole {
+	if l.Complete {
 		clear(s.listed)
 	}
 	for _, e := range l.Entries {
--- a/cmd/wayloft/hard_test.go
+++ b/cmd/wayloft/hard_test.go
@@ -42,7 +42,7 @@
 		{"within COPY", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN"))},
 		{"within COPY's data", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN")) + "d\x00\x00\x00\x0bleft\t1\n"},
 		{"within a pipeline", nil, string(pg.AppendParse(nil, "", []byte("SELECT pg_sleep(5)\x00\x00\x00"))) +
-			string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), "")) + string(pg.AppendPlain(nil, 'H'))},
+			string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), "")) + string(pg.AppendBodyless(nil, 'H'))},
 		{"within a statement", nil, string(pg.AppendQuery(nil, "SELECT pg_sleep(5)"))},
 		{"within half a message", []string{"BEGIN", "SELECT 1"}, "Q\x00\x00\x00\x20half"},
 		{"after BEGIN alone", []string{"BEGIN"}, ""},
@@ -209,9 +209,9 @@
 	}
 	close(stop)
 	others.Wait()
-	if key := (pg.Key{Process: 1, Secret: 2}); true { // of nobody
+	if key := (pg.CancelKey{Process: 1, Secret: 2}); true { // of nobody
 		c := fakes.NewClient(t, addr, false)
-		c.Send(string(pg.AppendCancel(nil, key)))
+		c.Send(string(pg.AppendCancelRequest(nil, key)))
 		if got := c.Answer(); got != "closed" {
 			t.Errorf("a wrong key: %q", got)
 		}
@@ -417,7 +417,7 @@
 		t.Errorf("the next: %q", got)
 	}
 	told(c, "PREPARE mine AS SELECT 1")
-	c.Send(string(pg.AppendPlain(nil, 'X')))
+	c.Send(string(pg.AppendBodyless(nil, 'X')))
 	c.Close()
 	if got := told(other, "EXECUTE mine", "SELECT 1"); got != "26000 ready; 1 ok ready" {
 		t.Errorf("after it left: %q", got)
@@ -570,7 +570,7 @@
 		t.Errorf("between: %q", got)
 	}
 	for n, c := range slow {
-		c.Send(string(pg.AppendCopy(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendPlain(nil, 'c')))
+		c.Send(string(pg.AppendCopyData(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendBodyless(nil, 'c')))
 		if got := c.Answer(); got != "ok ready" {
 			t.Errorf("%d: %q", n, got)
 		}
--- a/cmd/wayloft/pipelined_test.go
+++ b/cmd/wayloft/pipelined_test.go
@@ -30,7 +30,7 @@
 	answer := make(chan bool)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if sql == "SHOW vitals" {
-			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		} else if strings.Contains(sql, "before") {
 			<-answer
 		}
--- a/cmd/wayloft/pooled_test.go
+++ b/cmd/wayloft/pooled_test.go
@@ -202,7 +202,7 @@
 		if got := told(one, asks...); got != c.want {
 			t.Errorf("%d: %s: got %q, want %q", n, c.ask, got, c.want)
 		}
-		one.Send(string(pg.AppendPlain(nil, 'X')))
+		one.Send(string(pg.AppendBodyless(nil, 'X')))
 		one.Close()
 	}
 	if n := cluster.Servers[0].Counts(); n.Peak > 2 { // and one for checks
@@ -219,7 +219,7 @@
 	}
 	about := func(name string) string { return string(pg.AppendDescribe(nil, 'S', name)) }
 	closes := func(name string) string { return string(pg.AppendClose(nil, 'S', name)) }
-	sync, flush := string(pg.AppendSync(nil)), string(pg.AppendPlain(nil, 'H'))
+	sync, flush := string(pg.AppendSync(nil)), string(pg.AppendBodyless(nil, 'H'))
 	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	for n, c := range []struct {
 		who        *fakes.Client
--- a/cmd/wayloft/response_routing_test.go
+++ b/cmd/wayloft/response_routing_test.go
@@ -163,7 +163,7 @@
 			time.Sleep(time.Duration(m.r.IntN(30)) * time.Millisecond)
 		}
 		if c, err := net.Dial("tcp", m.c.RemoteAddr().String()); err == nil {
-			c.Write(pg.AppendCancel(nil, m.c.Key))
+			c.Write(pg.AppendCancelRequest(nil, m.c.Key))
 			c.Close()
 		}
 		if answer, ok := m.hear("a sleep"); ok && answer != " ok ready" {
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -112,47 +112,47 @@
 	})
 	longest := conf.memory / 32 // bytes of one message of either side
 	s.front = frontend.New(s.host, conf.sessions, conf.memory/6, longest)
-	limits := backend.Limits{DialTimeout: conf.host.DialTimeout, HealthReports: conf.host.Reports, MaxResponse: longest,
-		ResponseBudget: conf.memory / 6, KeepRemoved: conf.set.SoftRemoval, MaxPrepared: session.MostPrepared, PrimaryClasses: map[string]bool{},
+	limits := backend.Limits{DialTimeout: conf.host.DialTimeoutMs, HealthReports: conf.host.HealthReports, MaxResponse: longest,
+		ResponseBudget: conf.memory / 6, KeepRemoved: conf.set.SoftRemoval, MaxPrepared: session.MaxPreparedPerConnection, PrimaryClasses: map[string]bool{},
 		Logins: map[string]backend.Login{backend.PlatformPool: {User: conf.user, Database: conf.database}}}
-	bounds := map[string]connpool.Bounds{backend.PlatformPool: connpool.Statements(conf.host.IdleClose),
-		backend.CancelPool: connpool.Cancels(conf.host.DialTimeout)}
+	bounds := map[string]connpool.Bounds{backend.PlatformPool: connpool.StatementBounds(conf.host.ServerIdleTimeoutMs),
+		backend.CancelPool: connpool.CancelBounds(conf.host.DialTimeoutMs)}
 	if conf.sessions > conf.links { // not on the platform: there each session has a connection for its statement
 		limits.QueueStatements = true
 		b := bounds[backend.PlatformPool]
-		b.Wait = conf.host.DialTimeout
+		b.WaitTimeoutMs = conf.host.DialTimeoutMs
 		bounds[backend.PlatformPool] = b
 	}
-	pooling := &frontend.Pooling{Seed: conf.seed, Again: map[string]bool{}, Write: limits.PrimaryClasses}
+	pooling := &frontend.Pooling{Seed: conf.seed, IdempotentClasses: map[string]bool{}, PrimaryClasses: limits.PrimaryClasses}
 	for name, kind := range conf.set.RequestClasses {
 		limits.PrimaryClasses[name] = kind.Level == router.Write || kind.Level == router.Fresh
-		pooling.Again[name] = kind.Effect == router.Idempotent
+		pooling.IdempotentClasses[name] = kind.Effect == router.Idempotent
 	}
 	for _, p := range conf.pools {
 		limits.Logins[p.Name] = backend.Login{User: p.User, Database: p.Database}
 		bounds[p.Name] = p.Bounds
-		pooling.Pools = append(pooling.Pools, &frontend.Pool{Name: p.Name, User: p.User, Database: p.Database, Plain: p.Plain,
-			Policy: p.Policy, Group: p.Group, Fallback: settings.Fallback,
-			Known: func() *iradix.Tree[string] { return s.side.KnownParameters(p.Name) }})
+		pooling.Pools = append(pooling.Pools, &frontend.Pool{Name: p.Name, User: p.User, Database: p.Database, StatementMode: p.StatementMode,
+			Policy: p.Policy, Group: p.Group, DefaultClass: settings.UnlabelledClass,
+			KnownParameters: func() *iradix.Tree[string] { return s.side.KnownParameters(p.Name) }})
 	}
 	if conf.pools != nil {
-		s.front.Pooled(pooling)
+		s.front.SetPooling(pooling)
 	}
-	s.side = backend.New(s.host, limits, connpool.New(connpool.Settings{All: conf.links, Member: conf.perMember, Seed: conf.seed, Pools: bounds}))
+	s.side = backend.New(s.host, limits, connpool.New(connpool.Settings{MaxTotal: conf.links, MaxPerMember: conf.perMember, Seed: conf.seed, Pools: bounds}))
 	s.host.SetBackend(s.side)
 	s.host.OnClockSettled(s.translateStarts)
-	if conf.set.CanHealthCheck && conf.host.Reports {
+	if conf.set.CanHealthCheck && conf.host.HealthReports {
 		s.host.EnablePositionChecks()
 	}
 	if conf.set.Lag != router.LagAnswers {
 		s.host.MembersCheckStaleness()
 	}
 	known := *conf.known
-	known.Whole = true
+	known.Complete = true
 	// The first in the mailbox: guards against a list that the watch brings before the loop's first turn, which the older one would undo.
 	s.host.Post(func() { s.list(&known) })
 	if conf.discovery != "" {
-		s.watcher = discovery.New(conf.discovery, conf.known.Revision,
+		s.watcher = discovery.NewWatcher(conf.discovery, conf.known.Revision,
 			func(l *discovery.List) {
 				s.host.Post(func() { s.heard(l) })
 				failpoint.Hit("serve.list_posted")
@@ -174,9 +174,9 @@
 	if s.watcher == nil {
 		logrus.Info("no list is watched: the members are those of the configuration")
 	} else if conf.set.PollsList {
-		go s.watcher.Answer(ctx, asked)
+		go s.watcher.Poll(ctx, asked)
 	} else {
-		go s.watcher.Keep(ctx)
+		go s.watcher.Watch(ctx)
 	}
 	go s.follow(ctx, conf, signals)
 	s.host.After(everyNow, s.now)
@@ -195,7 +195,7 @@
 		return
 	}
 	if s.watcher != nil {
-		s.watcher.Move(conf.discovery)
+		s.watcher.ChangeAddress(conf.discovery)
 	}
 	entry := logrus.WithField("discovery", conf.discovery)
 	if wait := old.differs(conf); len(wait) > 0 {
@@ -214,13 +214,13 @@
 	for _, e := range l.Entries {
 		r.ListMember(e.ID, e.Zone, e.Group, e.State, s.starts.Of(e.ID, e.Started))
 	}
-	r.EndList(l.Whole)
+	r.EndList(l.Complete)
 }
 
 // keepStarts drops the starts of members that are gone, and notes entries to be listed once more when starts can be
 // translated.
 func (s *service) keepStarts(l *discovery.List) {
-	if l.Whole {
+	if l.Complete {
 		s.starts.Retain(l.IDs())
 		if s.entries != nil {
 			clear(s.entries)
@@ -275,7 +275,7 @@
 }
 
 func (s *service) failed(err error) {
-	var unsound discovery.Unsound // is named also where the list was out of reach before
+	var unsound discovery.InvalidListError // is named also where the list was out of reach before
 	if why := err.Error(); s.lost == "" || errors.As(err, &unsound) && s.lost != why {
 		s.lost = why
 		logrus.WithError(err).Warn("the list is out of reach, the last one stays in force")
@@ -290,10 +290,10 @@
 
 // status logs counts; all but the first three are since the start.
 func (s *service) status(what string) {
-	all, busy := s.front.Sessions()
+	all, busy := s.front.SessionCounts()
 	entry := logrus.WithFields(logrus.Fields{"sessions": all, "busy": busy, "links": s.side.Connections(),
-		"bad": s.front.Bad, "refused": s.front.Refused, "unsent": s.side.NoConnection,
-		"unheld": s.side.OverBudget, "waiting": s.side.Waiting(), "waited": s.side.QueueTimeouts, "idle_ended": s.side.IdleTransactions, "spoilt": s.side.ProtocolErrors, "late": s.front.Late, "crowded": s.front.Crowded})
+		"bad": s.front.ProtocolErrors, "refused": s.front.Rejected, "unsent": s.side.NoConnection,
+		"unheld": s.side.OverBudget, "waiting": s.side.Waiting(), "waited": s.side.QueueTimeouts, "idle_ended": s.side.IdleTransactions, "spoilt": s.side.ProtocolErrors, "late": s.front.TimedOut, "crowded": s.front.NoSessionSlot})
 	if broken := invariant.Violations(); len(broken) > 0 {
 		entry.WithField("broken", broken).Error(what)
 		return
--- a/cmd/wayloft/serve_test.go
+++ b/cmd/wayloft/serve_test.go
@@ -101,7 +101,7 @@
 	return fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		switch {
 		case sql == "SHOW vitals":
-			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))}
+			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))}
 		case strings.Contains(sql, "hang"):
 			return nil
 		case strings.Contains(sql, "error"):
@@ -182,7 +182,7 @@
 	answer := make(chan bool)
 	gone := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if sql == "SHOW vitals" {
-			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		}
 		<-answer
 		return fakes.Row("old", "source", "1")
@@ -468,7 +468,7 @@
 	slow := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		switch {
 		case sql == "SHOW vitals":
-			return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		case strings.Contains(sql, "slow"):
 			<-answer
 		}
--- a/cmd/wayloft/unanswered_test.go
+++ b/cmd/wayloft/unanswered_test.go
@@ -46,7 +46,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := fakes.NewMember(t, c.greet, func(sql string) *fakes.Reply {
 				if sql == "SHOW vitals" {
-					return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
+					return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 				}
 				return c.reply
 			})
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -123,16 +123,16 @@
 			m = &member{id: entry.ID}
 			b.members[entry.ID] = m
 		} else if m.addr != entry.Addr || m.started != entry.Started {
-			b.poolInput().Renew(entry.ID)
+			b.poolInput().RetireConnections(entry.ID)
 		}
 		m.addr, m.started, m.unavailable = entry.Addr, entry.Started, entry.State != router.Up
-		b.poolInput().Listed(entry.ID, !m.unavailable)
+		b.poolInput().MemberListed(entry.ID, !m.unavailable)
 	}
 	for id, m := range b.members {
 		up, changed := listed[id]
-		gone := !up && (changed || list.Whole)
+		gone := !up && (changed || list.Complete)
 		if m.unavailable = m.unavailable || gone; gone {
-			b.poolInput().Listed(id, b.limits.KeepRemoved)
+			b.poolInput().MemberListed(id, b.limits.KeepRemoved)
 		}
 		if gone && !b.limits.KeepRemoved { // jobs in flight to it still refer to it
 			delete(b.members, id)
@@ -153,10 +153,10 @@
 }
 
 // Connections returns how many connections there are or are being opened.
-func (b *Backend) Connections() int { return b.pool.Open() }
+func (b *Backend) Connections() int { return b.pool.OpenCount() }
 
 // Waiting returns how many jobs wait for a connection.
-func (b *Backend) Waiting() int { return b.pool.Waiting() }
+func (b *Backend) Waiting() int { return b.pool.WaitingCount() }
 
 // KnownParameters returns the parameters that members of a pool reported last, to be told to a client that connects.
 func (b *Backend) KnownParameters(pool string) *iradix.Tree[string] {
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -72,11 +72,11 @@
 	if err := driver.Listen(l, 64<<20, func(*eventloop.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
-	statements := connpool.Statements(60000)
-	statements.Wait = sessions.Wait
+	statements := connpool.StatementBounds(60000)
+	statements.WaitTimeoutMs = sessions.WaitTimeoutMs
 	backend := New(driver, Limits{DialTimeout: dialTimeout, HealthReports: true, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse,
-		Logins: map[string]Login{PlatformPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{All: maxConns,
-		Pools: map[string]connpool.Bounds{PlatformPool: statements, CancelPool: connpool.Cancels(1000), "sessions": sessions}}))
+		Logins: map[string]Login{PlatformPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{MaxTotal: maxConns,
+		Pools: map[string]connpool.Bounds{PlatformPool: statements, CancelPool: connpool.CancelBounds(1000), "sessions": sessions}}))
 	ended := make(chan bool)
 	go func() { driver.Run(func() {}); close(ended) }()
 	t.Cleanup(func() { driver.Post(driver.Stop); <-ended })
@@ -123,8 +123,8 @@
 
 // Each way in which an attempt can end, and whether its connection is used again.
 func TestSendAttempt_Outcomes(t *testing.T) {
-	ready := pg.AppendReady(nil)
-	refusal := pg.AppendError(nil, &pg.Error{Code: pg.Refused, Text: "no"}, true)
+	ready := pg.AppendReadyIdle(nil)
+	refusal := pg.AppendError(nil, &pg.Error{Code: pg.TooManyConnections, Text: "no"}, true)
 	for _, c := range []struct {
 		name   string
 		greet  *fakes.Reply
@@ -188,7 +188,7 @@
 			}
 			fakes.Until(t, fmt.Sprint("the connection is kept: ", c.reused), func() (settled bool) {
 				driver.runOnLoop(func() {
-					idle := backend.pool.Idle("a")
+					idle := backend.pool.IdleCount("a")
 					settled = (idle > 0) == c.reused && backend.Connections() == idle && len(backend.attempts) == 0
 				})
 				return settled
@@ -247,7 +247,7 @@
 		if sql != "SHOW vitals" {
 			return nil
 		}
-		return &fakes.Reply{Bytes: pg.AppendReady(fakes.Rows(report))}
+		return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(report))}
 	})
 	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 	for _, c := range []struct{ report, want string }{
@@ -277,7 +277,7 @@
 	duplicate := false
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	m.Empty = func() *fakes.Reply {
-		fence := pg.AppendReady(pg.AppendEmpty(nil))
+		fence := pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
 		if duplicate { // the response before comes once more
 			fence = append(fakes.Row("old", "source", "1").Bytes, fence...)
 		}
@@ -403,10 +403,10 @@
 		t.Errorf("unsent: got %q", got)
 	}
 	for n, l := range []*discovery.List{listOf(m.Addr, router.Up), listOf(silent.Addr, router.Up), listOf(m.Addr, router.Up),
-		{Entries: []discovery.Entry{{ID: "a", Addr: m.Addr, Started: 5}}}, {Whole: true}} {
+		{Entries: []discovery.Entry{{ID: "a", Addr: m.Addr, Started: 5}}}, {Complete: true}} {
 		driver.runOnLoop(func() { backend.List(l) })
 		driver.runOnLoop(func() {
-			if idle := backend.pool.Idle("a"); idle != 0 {
+			if idle := backend.pool.IdleCount("a"); idle != 0 {
 				t.Errorf("list %d: %d idle connections left", n, idle)
 			}
 		})
@@ -471,7 +471,7 @@
 	}
 	driver.runOnLoop(func() {
 		backend.poolInput()
-		if at := backend.pool.Sweep(); backend.timerAt != at {
+		if at := backend.pool.NextSweep(); backend.timerAt != at {
 			t.Errorf("the pool has had an input, its next sweep is at %v and the timer at %v", at, backend.timerAt)
 		}
 	})
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -49,7 +49,7 @@
 // connectFailed ends a connection that has not become ready.
 func (c *memberConn) connectFailed(cause connpool.FailureCause) {
 	if c.backend.conns[c.id] == c {
-		c.backend.poolInput().Failed(c.id, cause)
+		c.backend.poolInput().OpenFailed(c.id, cause)
 		c.conn.Close()
 		c.forget()
 		c.backend.carryOutDecisions()
@@ -91,7 +91,7 @@
 	}
 	switch {
 	case j.cancelKey != nil:
-		out = pg.AppendCancel(nil, *j.cancelKey)
+		out = pg.AppendCancelRequest(nil, *j.cancelKey)
 	case j.request != nil:
 		out = j.request.AppendQuery(out, j.deadline-c.backend.driver.Clock())
 	case c.backend.limits.HealthReports:
@@ -105,7 +105,7 @@
 // drop closes the connection. A job on it must have been taken off.
 func (c *memberConn) drop() {
 	if c.backend.conns[c.id] == c {
-		c.backend.poolInput().Gone(c.id)
+		c.backend.poolInput().ConnectionClosed(c.id)
 		c.conn.Close()
 		c.forget()
 		c.backend.driver.Defer(c.backend.carryOutDecisions) // the pool may open another
@@ -121,13 +121,13 @@
 // Closed implements eventloop.Handler: the connection has ended.
 func (c *memberConn) Closed() {
 	if !c.ready {
-		c.connectFailed(connpool.Down)
+		c.connectFailed(connpool.Unreachable)
 		return
 	}
 	if j := c.job; j != nil {
 		c.backend.endJob(j, c.outcomeOfClose())
 	} else if c.streamState != nil && c.reservedFor != nil {
-		c.reservedFor.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the connection that this session kept has ended"})
+		c.reservedFor.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: "the connection that this session kept has ended"})
 	}
 	c.drop()
 }
@@ -167,14 +167,14 @@
 
 // returnToPool keeps the connection for the next job.
 func (c *memberConn) returnToPool() {
-	if c.reader.Pending() > 0 {
+	if c.reader.Buffered() > 0 {
 		c.drop()
 		return
 	}
 	c.rows, c.value = nil, nil
 	c.reader.Shrink()
 	c.countBuffered()
-	c.backend.poolInput().Free(c.id, c.settingsID())
+	c.backend.poolInput().Release(c.id, c.settingsID())
 	c.backend.driver.Defer(c.backend.carryOutDecisions)
 }
 
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -27,7 +27,7 @@
 	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: classes}, 1), classes, func() {})
 	backend := New(driver, Limits{DialTimeout: 5000, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse, Logins: map[string]Login{PlatformPool: {"api", "ledger"}}},
-		connpool.New(connpool.Settings{All: 10, Pools: map[string]connpool.Bounds{PlatformPool: connpool.Statements(60000), CancelPool: connpool.Cancels(1000)}}))
+		connpool.New(connpool.Settings{MaxTotal: 10, Pools: map[string]connpool.Bounds{PlatformPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}}))
 	driver.SetBackend(backend)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	if err := driver.Listen(front, 1<<20, func(*eventloop.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
-	list := &discovery.List{Whole: true}
+	list := &discovery.List{Complete: true}
 	for n, addr := range addrs {
 		list.Entries = append(list.Entries, discovery.Entry{ID: fmt.Sprint("m", n), Addr: addr, Group: 1, State: router.Up, Started: router.Never})
 	}
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -13,7 +13,7 @@
 // job is one attempt, health check or cancel request.
 type job struct {
 	request         *request.Request // nil: a health check or cancel request
-	cancelKey       *pg.Key          // of the query that a cancel request is for
+	cancelKey       *pg.CancelKey    // of the query that a cancel request is for
 	attempt         int              // the attempt's number
 	member          *member
 	started         float64
@@ -186,7 +186,7 @@
 		return result
 	}
 	c.job, c.queryWritten = nil, false
-	if c.queryError != nil && c.queryError.OfStatement() {
+	if c.queryError != nil && c.queryError.IsStatementError() {
 		result.statementError = c.queryError
 	}
 	if c.stage == stageReady || outcome == router.Succeeded {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -22,7 +22,7 @@
 // poolInput returns the pool for an input, at the present time.
 func (b *Backend) poolInput() *connpool.Pool {
 	b.pool.Advance(b.driver.Now())
-	b.setTimer(b.pool.Sweep())
+	b.setTimer(b.pool.NextSweep())
 	return b.pool
 }
 
@@ -58,27 +58,29 @@
 }
 
 func (b *Backend) carryOut(d connpool.Decision) {
-	c, j := b.conns[d.Conn], b.waiting[d.Want]
+	c, j := b.conns[d.Conn], b.waiting[d.RequestID]
 	switch d.Action {
 	case connpool.Open:
 		b.dial(d)
-	case connpool.Use:
-		delete(b.waiting, d.Want)
+	case connpool.Assign:
+		delete(b.waiting, d.RequestID)
 		b.use(d, c, j)
 	case connpool.Close:
 		if c != nil {
 			c.conn.Close()
 			c.forget()
 		}
-	case connpool.Refuse:
-		delete(b.waiting, d.Want)
+	case connpool.Reject:
+		delete(b.waiting, d.RequestID)
 		if j != nil {
 			b.refuse(d.Reason, j)
 		}
-	case connpool.End:
+	case connpool.CloseIdleInTransaction:
 		if c != nil && c.job != nil && c.streamState != nil {
 			b.IdleTransactions++
-			b.driver.Defer(func() { c.terminateClient(pg.IdleInside, "a transaction was left open and idle for too long") })
+			b.driver.Defer(func() {
+				c.terminateClient(pg.IdleInTransactionSessionTimeout, "a transaction was left open and idle for too long")
+			})
 		}
 	}
 }
@@ -87,7 +89,7 @@
 func (b *Backend) use(d connpool.Decision, c *memberConn, j *job) {
 	invariant.Check(c != nil && j != nil && !j.ended, "a connection is given to who waits for it")
 	if c == nil || j == nil {
-		b.pool.Gone(d.Conn)
+		b.pool.ConnectionClosed(d.Conn)
 		return
 	}
 	if c.conn.Unread() { // its end, or bytes that don't belong there: a query would be answered by a reset
@@ -95,26 +97,26 @@
 		b.requestConn(j)
 		return
 	}
-	if c.fence = fenceNone; d.Fresh && c.streamState == nil {
+	if c.fence = fenceNone; d.Unsettled && c.streamState == nil {
 		c.fence = fenceSent
 	}
 	if !c.begin(j) {
 		c.fence = fenceNone
-		b.poolInput().Free(d.Conn, c.settingsID())
+		b.poolInput().Release(d.Conn, c.settingsID())
 	}
 }
 
 // refuse ends a job that the pool has no connection for.
-func (b *Backend) refuse(reason connpool.RefusalReason, j *job) {
+func (b *Backend) refuse(reason connpool.RejectReason, j *job) {
 	outcome := router.NotSent
 	switch reason {
-	case connpool.NoRoom:
+	case connpool.NoCapacity:
 		if !j.member.unavailable {
 			b.NoConnection++
 		}
-	case connpool.Late:
+	case connpool.WaitTimedOut:
 		b.QueueTimeouts++
-	case connpool.Unconnected:
+	case connpool.ConnectFailed:
 		outcome = router.ConnectFailed
 	}
 	b.driver.Defer(func() { b.endJob(j, outcome) })
@@ -130,7 +132,7 @@
 	case j.cancelKey != nil:
 		wanted.Key.Pool = CancelPool
 	case j.request != nil && j.request.Stream != nil:
-		wanted.Key.Pool, wanted.Tenant, wanted.Like = j.request.Stream.Pool, j.request.Tenant, j.request.Stream.Client.Session().Settings().ID()
+		wanted.Key.Pool, wanted.Tenant, wanted.Affinity = j.request.Stream.Pool, j.request.Tenant, j.request.Stream.Client.Session().Settings().ID()
 	}
 	b.poolInput().Request(wanted)
 }
@@ -139,14 +141,14 @@
 func (b *Backend) dial(d connpool.Decision) {
 	m := b.members[d.Key.Member]
 	if m == nil {
-		b.poolInput().Gone(d.Conn)
+		b.poolInput().ConnectionClosed(d.Conn)
 		return
 	}
 	started := b.driver.Now()
 	b.driver.Dial(m.addr, b.limits.DialTimeout, func(socket *eventloop.Conn, err error) {
 		defer b.carryOutDecisions()
 		if err != nil {
-			b.poolInput().Failed(d.Conn, failureCause(err))
+			b.poolInput().OpenFailed(d.Conn, failureCause(err))
 			return
 		}
 		c := &memberConn{backend: b, id: d.Conn, pool: d.Key.Pool, member: m, conn: socket, reader: pg.NewReader(true, b.limits.MaxResponse)}
@@ -158,14 +160,14 @@
 			return
 		}
 		if d.Key.Pool != PlatformPool {
-			c.reader.Widen()
+			c.reader.EnableExtended()
 			c.streamState = newStreamState(b.limits.MaxPrepared)
 		}
 		login := b.limits.Logins[d.Key.Pool]
 		socket.Write(pg.AppendStartup(nil, login.User, login.Database))
 		b.driver.After(started+b.limits.DialTimeout-b.driver.Now(), func() {
 			if !c.ready {
-				c.connectFailed(connpool.Down)
+				c.connectFailed(connpool.Unreachable)
 			}
 		})
 	})
@@ -177,5 +179,5 @@
 	if errors.As(err, &dial) && dial.Cause() != syscallerror.Peer {
 		return connpool.NoLocalResources
 	}
-	return connpool.Down
+	return connpool.Unreachable
 }
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -170,7 +170,7 @@
 	driver.runOnLoop(func() { backend.Abandon("1") }) // a second time
 	close(greet)
 	fakes.Until(t, "the connection is kept", func() (idle bool) {
-		driver.runOnLoop(func() { idle = backend.pool.Idle("a") == 1 })
+		driver.runOnLoop(func() { idle = backend.pool.IdleCount("a") == 1 })
 		return idle
 	})
 	driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, "2", 60000), 0, "a", 0, math.Inf(1)) })
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -22,10 +22,10 @@
 
 // errorOutcomes are the error codes that say that the statement did not run.
 var errorOutcomes = map[string]router.Outcome{
-	pg.NoPrimary: router.Misrouted,
-	pg.TooOld:    router.Misrouted,
-	pg.Refused:   router.Overloaded,
-	pg.NotNow:    router.Overloaded,
+	pg.ReadOnlySQLTransaction: router.Misrouted,
+	pg.SnapshotTooOld:         router.Misrouted,
+	pg.TooManyConnections:     router.Overloaded,
+	pg.CannotConnectNow:       router.Overloaded,
 }
 
 // errorOutcome returns the outcome that an error code stands for. After a code that the protocol doesn't name, the statement may have run.
@@ -66,7 +66,7 @@
 
 // countBuffered updates the sum of what all connections hold of responses.
 func (c *memberConn) countBuffered() {
-	buffered := len(c.rows) + c.reader.Pending()
+	buffered := len(c.rows) + c.reader.Buffered()
 	c.backend.buffered += buffered - c.buffered
 	c.buffered = buffered
 }
@@ -85,27 +85,27 @@
 // handleMessage takes in one message; false: it is a protocol violation.
 func (c *memberConn) handleMessage(m pg.Message) bool {
 	switch m.Kind {
-	case pg.Skip, pg.AuthOK:
+	case pg.Ignored, pg.AuthenticationOK:
 		return true
-	case pg.Parameter:
+	case pg.ParameterStatus:
 		c.recordParameter(m.Name, m.Text)
 		return true
-	case pg.Empty:
+	case pg.EmptyQuery:
 		if c.fence != fenceSent {
 			return false
 		}
 		c.fence = fenceAnswered
 		return true
-	case pg.Failure:
+	case pg.ErrorResponse:
 		if !c.ready {
-			return c.loginRefused(m.Failure)
+			return c.loginRefused(m.Error)
 		}
 		if c.job == nil || c.fence != fenceNone {
 			return false
 		}
-		c.queryError = m.Failure
+		c.queryError = m.Error
 		return true
-	case pg.Ready:
+	case pg.ReadyForQuery:
 		if c.fence != fenceNone {
 			answered := c.fence == fenceAnswered
 			c.fence = fenceNone
@@ -117,13 +117,13 @@
 		return false
 	}
 	switch {
-	case m.Kind == pg.Columns && c.stage == stageNone && m.Count == 1:
+	case m.Kind == pg.RowDescription && c.stage == stageNone && m.ColumnCount == 1:
 		c.stage = stageColumns
-	case m.Kind == pg.Row && c.stage == stageColumns && m.Count == 1:
+	case m.Kind == pg.DataRow && c.stage == stageColumns && m.ColumnCount == 1:
 		if c.stage = stageRow; c.job.request == nil {
-			c.value = append([]byte{}, m.Cell...)
+			c.value = append([]byte{}, m.FirstColumn...)
 		}
-	case m.Kind == pg.Complete && c.stage == stageRow:
+	case m.Kind == pg.CommandComplete && c.stage == stageRow:
 		c.stage = stageComplete
 	default:
 		return false
@@ -145,9 +145,9 @@
 
 // loginRefused takes in an error that came before the member accepted the login.
 func (c *memberConn) loginRefused(e *pg.Error) bool {
-	cause := connpool.Down
-	if e.Code == pg.Refused {
-		cause = connpool.Full
+	cause := connpool.Unreachable
+	if e.Code == pg.TooManyConnections {
+		cause = connpool.TooManyConnections
 	}
 	c.connectFailed(cause)
 	return true
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -19,40 +19,40 @@
 // streamState is what a connection needs to carry requests of several messages: what it was told to prepare and set, and which replies
 // its member still owes, in order. Queries of the router's own, such as settings, are internal: their replies aren't for the client.
 type streamState struct {
-	settings          session.Settings                          // what the connection has set
-	prepared          *simplelru.LRU[uint64, *session.Prepared] // by hash, from which the name at the member is made
+	settings          session.Settings                                   // what the connection has set
+	prepared          *simplelru.LRU[uint64, *session.PreparedStatement] // by hash, from which the name at the member is made
 	maxPrepared       int
 	expected          []expectedReply
-	queued            []session.Op // operations that wait until the internal queries are answered
-	internalPending   int          // internal queries that are not answered
+	queued            []session.Message // operations that wait until the internal queries are answered
+	internalPending   int               // internal queries that are not answered
 	transactionStatus byte
-	cancelKey         pg.Key
+	cancelKey         pg.CancelKey
 	unusable          bool // the connection must be closed after this request
-	lastBound         *session.Prepared
-	replayed          bool                  // the request was replayed already since a prepared plan was invalid
-	staleStatement    *session.Prepared     // the statement whose plan was invalid, if nothing has run: the request is replayed
-	parameters        *iradix.Tree[string]  // what the member has reported
-	copyingIn         bool                  // the client sends the data of a COPY
-	clientPartWritten bool                  // some of the client's operations were written
-	reservedFor       request.ClientSession // the session that the connection is reserved for, between its requests
+	lastBound         *session.PreparedStatement
+	replayed          bool                       // the request was replayed already since a prepared plan was invalid
+	staleStatement    *session.PreparedStatement // the statement whose plan was invalid, if nothing has run: the request is replayed
+	parameters        *iradix.Tree[string]       // what the member has reported
+	copyingIn         bool                       // the client sends the data of a COPY
+	clientPartWritten bool                       // some of the client's operations were written
+	reservedFor       request.ClientSession      // the session that the connection is reserved for, between its requests
 }
 
 // expectedReply is one reply that the member owes, or the router gives in its place.
 type expectedReply struct {
-	kind       pg.Kind           // the message that it replies to
-	forClient  bool              // it is delivered to the client
-	localReply []byte            // the reply itself; the member was not asked
-	statement  *session.Prepared // what is prepared, bound or described
-	closing    *session.Prepared // what a Close closes
-	replyError *pg.Error         // the reply whatever the member answers
+	kind       pg.Kind                    // the message that it replies to
+	forClient  bool                       // it is delivered to the client
+	localReply []byte                     // the reply itself; the member was not asked
+	statement  *session.PreparedStatement // what is prepared, bound or described
+	closing    *session.PreparedStatement // what a Close closes
+	replyError *pg.Error                  // the reply whatever the member answers
 }
 
 func newStreamState(maxPrepared int) *streamState {
 	const unlimited = 1 << 30 // it is trimmed between requests
-	prepared, err := simplelru.NewLRU[uint64, *session.Prepared](unlimited, nil)
+	prepared, err := simplelru.NewLRU[uint64, *session.PreparedStatement](unlimited, nil)
 	invariant.Check(err == nil, "a cache can be made")
 	return &streamState{
-		settings:          session.None,
+		settings:          session.NoSettings,
 		prepared:          prepared,
 		maxPrepared:       maxPrepared,
 		transactionStatus: idleStatus,
@@ -92,9 +92,9 @@
 	c.setTurn(j, true)
 	stream.Client.ServerParameters(c.parameters)
 	clientSession := stream.Client.Session()
-	clientSession.On(c.settings)
+	clientSession.AttachConnection(c.settings)
 	var out []byte
-	for _, text := range session.Difference(c.settings, clientSession.Settings()) {
+	for _, text := range session.SettingsStatements(c.settings, clientSession.Settings()) {
 		out = pg.AppendQuery(out, text)
 		c.expected = append(c.expected, expectedReply{kind: pg.Query})
 		c.internalPending++
@@ -102,7 +102,7 @@
 	if len(out) > 0 {
 		c.conn.Write(out)
 	} else {
-		clientSession.Brought(true)
+		clientSession.SettingsApplied(true)
 	}
 	stream.Attach(c)
 	return true
@@ -113,11 +113,11 @@
 	now := c.backend.driver.Now()
 	if membersTurn && j.memberTurnSince == 0 {
 		j.memberTurnSince = now
-		c.backend.poolInput().Turn(c.id, false)
+		c.backend.poolInput().SetTurn(c.id, false)
 	} else if !membersTurn && j.memberTurnSince > 0 {
 		j.memberMs += now - j.memberTurnSince
 		j.memberTurnSince = 0
-		c.backend.poolInput().Turn(c.id, c.transactionStatus != idleStatus)
+		c.backend.poolInput().SetTurn(c.id, c.transactionStatus != idleStatus)
 	}
 	c.backend.driver.Defer(func() {
 		if c.job == j && !j.ended && (j.memberTurnSince > 0) == membersTurn {
@@ -141,9 +141,9 @@
 	c.job.request.Stream.MarkCancelled()
 	if c.internalPending > 0 { // nothing of the client's has run
 		c.unusable = true
-		c.queryError = &pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"}
+		c.queryError = &pg.Error{Code: pg.QueryCanceled, Text: "canceling statement due to user request"}
 	}
-	if c.cancelKey == (pg.Key{}) { // the member has sent no cancel key
+	if c.cancelKey == (pg.CancelKey{}) { // the member has sent no cancel key
 		return
 	}
 	c.unusable = true
@@ -161,7 +161,7 @@
 	if c.reservedFor = nil; c.job != nil || c.backend.conns[c.id] != c {
 		return
 	}
-	c.settings = session.None
+	c.settings = session.NoSettings
 	c.expected = append(c.expected, expectedReply{kind: pg.Query})
 	c.internalPending++
 	c.conn.Write(pg.AppendQuery(nil, "DISCARD ALL"))
@@ -183,7 +183,7 @@
 func (c *memberConn) terminateReserved() {
 	client := c.reservedFor
 	c.backend.driver.Defer(func() {
-		client.Terminate(&pg.Error{Code: pg.GoingDown, Text: "the member of this session is going down"})
+		client.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: "the member of this session is going down"})
 	})
 }
 
@@ -215,14 +215,14 @@
 	c.job, c.queryWritten, c.queryError = nil, false, nil
 	if stream.Backend() == c {
 		if clean {
-			c.settings = clientSession.There()
+			c.settings = clientSession.ServerSettings()
 		}
 		stream.Detach()
 	}
 	switch {
-	case !clean || outcome != router.Succeeded && clientSession.Kept():
+	case !clean || outcome != router.Succeeded && clientSession.Sticky():
 		c.drop()
-	case outcome == router.Succeeded && clientSession.Kept():
+	case outcome == router.Succeeded && clientSession.Sticky():
 		c.reservedFor = stream.Client
 		if stream.Client.Reserve(c); c.member.unavailable {
 			c.terminateReserved()
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -11,9 +11,9 @@
 		reply := c.expected[0]
 		c.expected = c.expected[1:]
 		if c.job != nil && reply.forClient {
-			kind := pg.ParseDone
-			if reply.kind == pg.CloseName {
-				kind = pg.CloseDone
+			kind := pg.ParseComplete
+			if reply.kind == pg.Close {
+				kind = pg.CloseComplete
 			}
 			c.job.request.Stream.Receive(pg.Message{Kind: kind, Raw: reply.localReply})
 		}
@@ -38,12 +38,12 @@
 // handleStreamMessage takes in one message of the member; false: it is a protocol violation.
 func (c *memberConn) handleStreamMessage(m *pg.Message) bool {
 	switch m.Kind {
-	case pg.AuthOK, pg.Skip:
+	case pg.AuthenticationOK, pg.Ignored:
 		return true
-	case pg.KeyData:
+	case pg.BackendKeyData:
 		c.cancelKey = m.Key
 		return true
-	case pg.Parameter:
+	case pg.ParameterStatus:
 		c.recordParameter(m.Name, m.Text)
 		if !isRouterParameter(m.Name) {
 			c.parameters, _, _ = c.parameters.Insert([]byte(m.Name), m.Text)
@@ -53,22 +53,22 @@
 			}
 		}
 		return true
-	case pg.Notice:
+	case pg.NoticeResponse:
 		if c.job != nil && len(c.expected) > 0 && c.expected[0].forClient {
 			c.job.request.Stream.Receive(*m)
 		}
 		return true
-	case pg.Notification:
+	case pg.NotificationResponse:
 		if c.job != nil {
 			c.job.request.Stream.Receive(*m)
 		}
 		return true
-	case pg.Failure:
+	case pg.ErrorResponse:
 		if !c.ready {
-			return c.loginRefused(m.Failure)
+			return c.loginRefused(m.Error)
 		}
 		return c.handleStreamError(m)
-	case pg.Ready:
+	case pg.ReadyForQuery:
 		if !c.ready {
 			return c.becomeReady()
 		}
@@ -87,7 +87,7 @@
 		return false
 	}
 	if reply.forClient && c.job != nil {
-		if m.Kind == pg.CopyIn {
+		if m.Kind == pg.CopyInResponse {
 			c.copyingIn = true
 			c.setTurn(c.job, false)
 		}
@@ -103,35 +103,35 @@
 	first := c.expected[0]
 	inResult := first.kind == pg.Query || first.kind == pg.Execute
 	switch m.Kind {
-	case pg.ParseDone:
+	case pg.ParseComplete:
 		return c.popExpected(pg.Parse)
-	case pg.BindDone:
+	case pg.BindComplete:
 		if reply, ok = c.popExpected(pg.Bind); ok {
 			c.lastBound = reply.statement
 		}
 		return reply, ok
-	case pg.CloseDone:
-		return c.popExpected(pg.CloseName)
+	case pg.CloseComplete:
+		return c.popExpected(pg.Close)
 	case pg.NoData:
 		return c.popExpected(pg.Describe)
-	case pg.Suspended:
+	case pg.PortalSuspended:
 		return c.popExpected(pg.Execute)
-	case pg.Complete, pg.Empty:
-		if m.Kind == pg.Complete && (m.Text == "DISCARD ALL" || m.Text == "DEALLOCATE ALL") {
+	case pg.CommandComplete, pg.EmptyQuery:
+		if m.Kind == pg.CommandComplete && (m.Text == "DISCARD ALL" || m.Text == "DEALLOCATE ALL") {
 			c.prepared.Purge()
 		}
 		if first.kind == pg.Execute {
 			return c.popExpected(pg.Execute)
 		}
 		return first, first.kind == pg.Query
-	case pg.Columns:
+	case pg.RowDescription:
 		if first.kind == pg.Describe {
 			return c.popExpected(pg.Describe)
 		}
 		return first, inResult
-	case pg.ParameterTypes:
+	case pg.ParameterDescription:
 		return first, first.kind == pg.Describe
-	case pg.Row, pg.CopyIn, pg.CopyOut, pg.CopyData, pg.CopyDone:
+	case pg.DataRow, pg.CopyInResponse, pg.CopyOutResponse, pg.CopyData, pg.CopyDone:
 		return first, inResult
 	}
 	return first, false
@@ -161,10 +161,10 @@
 		c.unusable = true
 	}
 	if failed.replyError != nil {
-		m.Failure, m.Raw = failed.replyError, pg.AppendError(nil, failed.replyError, false)
+		m.Error, m.Raw = failed.replyError, pg.AppendError(nil, failed.replyError, false)
 	}
-	stale := !stream.Cancelled() && m.Failure.Code == pg.NoStatement && failed.replyError == nil ||
-		!stream.Cancelled() && m.Failure.Code == pg.Unsupported && failed.kind != pg.Query && failed.kind != pg.Parse
+	stale := !stream.Cancelled() && m.Error.Code == pg.InvalidSQLStatementName && failed.replyError == nil ||
+		!stream.Cancelled() && m.Error.Code == pg.FeatureNotSupported && failed.kind != pg.Query && failed.kind != pg.Parse
 	if stale && !stream.Started() && !c.replayed && c.transactionStatus == idleStatus {
 		if c.replayed, c.staleStatement = true, failed.statement; c.staleStatement == nil {
 			c.staleStatement = c.lastBound
@@ -231,12 +231,12 @@
 		return router.ServerError, true
 	}
 	switch e.Code {
-	case pg.Refused, pg.NotNow:
+	case pg.TooManyConnections, pg.CannotConnectNow:
 		return router.Overloaded, true
-	case pg.TooOld:
+	case pg.SnapshotTooOld:
 		return router.Misrouted, true
-	case pg.NoPrimary: // otherwise the transaction is read-only, not the member
-		if c.backend.limits.PrimaryClasses[c.job.request.TxnType] && c.role != router.Primary {
+	case pg.ReadOnlySQLTransaction: // otherwise the transaction is read-only, not the member
+		if c.backend.limits.PrimaryClasses[c.job.request.RequestClass] && c.role != router.Primary {
 			return router.Misrouted, true
 		}
 	}
@@ -256,7 +256,7 @@
 		}
 		c.backend.endJob(c.job, router.ServerError)
 	case c.internalPending == 0:
-		c.job.request.Stream.Client.Session().Brought(true)
+		c.job.request.Stream.Client.Session().SettingsApplied(true)
 		c.transactionStatus = m.Status
 		ops := c.queued
 		c.queued = nil
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -9,7 +9,7 @@
 )
 
 // Send implements request.BackendConn. Operations wait while internal queries are pending, since they must not run without these.
-func (c *memberConn) Send(ops []session.Op) {
+func (c *memberConn) Send(ops []session.Message) {
 	if c.job == nil {
 		return
 	}
@@ -23,10 +23,10 @@
 	}
 	var out []byte
 	for n, op := range ops {
-		if op.Do == session.Hidden {
+		if op.Action == session.ForwardDiscardReply {
 			out = append(out, op.Raw...)
 			c.expected = append(c.expected, expectedReply{kind: pg.Query})
-			if c.internalPending++; n+1 == len(ops) || ops[n+1].Do != session.Hidden {
+			if c.internalPending++; n+1 == len(ops) || ops[n+1].Action != session.ForwardDiscardReply {
 				c.queued = append(c.queued, ops[n+1:]...)
 				break
 			}
@@ -43,12 +43,12 @@
 }
 
 // encode appends an operation as it is sent to this member.
-func (c *memberConn) encode(out []byte, op session.Op) []byte {
+func (c *memberConn) encode(out []byte, op session.Message) []byte {
 	expect := func(reply expectedReply) { c.expected = append(c.expected, reply) }
-	switch op.Do {
+	switch op.Action {
 	case session.Prepare:
 		if c.hasPrepared(op.Statement) {
-			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendPlain(nil, '1')})
+			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendBodyless(nil, '1')})
 			return out
 		}
 		return c.prepare(out, op.Statement, true)
@@ -58,13 +58,13 @@
 		}
 		expect(expectedReply{kind: pg.Bind, forClient: true, statement: op.Statement})
 		return pg.AppendBind(out, op.Portal, statementName(op.Statement), op.Raw)
-	case session.About:
+	case session.DescribeStatement:
 		if !c.hasPrepared(op.Statement) {
 			out = c.prepare(out, op.Statement, false)
 		}
 		expect(expectedReply{kind: pg.Describe, forClient: true, statement: op.Statement})
 		return pg.AppendDescribe(out, 'S', statementName(op.Statement))
-	case session.Local:
+	case session.AnswerLocally:
 		expect(expectedReply{kind: op.Kind, forClient: true, localReply: op.Raw})
 		return out
 	case session.Reject: // the member must fail too, so that nothing before it takes effect
@@ -75,7 +75,7 @@
 		return pg.AppendBind(out, "", "wl_refused", []byte{0, 0, 0, 0, 0, 0})
 	}
 	switch op.Kind {
-	case pg.Query, pg.Sync, pg.Execute, pg.Describe, pg.CloseName:
+	case pg.Query, pg.Sync, pg.Execute, pg.Describe, pg.Close:
 		expect(expectedReply{kind: op.Kind, forClient: true})
 	}
 	if op.Kind == pg.Query {
@@ -95,20 +95,22 @@
 	if err != nil {
 		return append(out, raw...)
 	}
-	return statement.AppendQuery(out, min(statement.Wait, c.job.deadline-c.backend.driver.Clock()))
+	return statement.AppendQuery(out, min(statement.WaitMs, c.job.deadline-c.backend.driver.Clock()))
 }
 
 // statementName returns what a statement is called at the member.
-func statementName(s *session.Prepared) string { return "wl_" + strconv.FormatUint(s.Hash, 36) }
+func statementName(s *session.PreparedStatement) string {
+	return "wl_" + strconv.FormatUint(s.Hash, 36)
+}
 
 // hasPrepared reports whether the member has the statement prepared.
-func (c *memberConn) hasPrepared(s *session.Prepared) bool {
+func (c *memberConn) hasPrepared(s *session.PreparedStatement) bool {
 	prepared, ok := c.prepared.Get(s.Hash)
 	return ok && prepared.Tail == s.Tail || session.Planted == "names" && c.prepared.Len() > 0
 }
 
 // prepare appends the preparation of a statement. forClient is set if the client is to receive the reply.
-func (c *memberConn) prepare(out []byte, s *session.Prepared, forClient bool) []byte {
+func (c *memberConn) prepare(out []byte, s *session.PreparedStatement, forClient bool) []byte {
 	if old, ok := c.prepared.Peek(s.Hash); ok { // two statements with the same hash
 		out = c.closePrepared(out, old)
 	}
@@ -118,9 +120,9 @@
 }
 
 // closePrepared appends the closing of a prepared statement, whose reply the client does not receive.
-func (c *memberConn) closePrepared(out []byte, s *session.Prepared) []byte {
+func (c *memberConn) closePrepared(out []byte, s *session.PreparedStatement) []byte {
 	c.prepared.Remove(s.Hash)
-	c.expected = append(c.expected, expectedReply{kind: pg.CloseName, closing: s})
+	c.expected = append(c.expected, expectedReply{kind: pg.Close, closing: s})
 	return pg.AppendClose(out, 'S', statementName(s))
 }
 
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -24,7 +24,7 @@
 func (c *fakeSession) Session() *session.Session { return c.session }
 func (c *fakeSession) DeliverMessages(messages []pg.Message) {
 	for i := range messages {
-		c.session.Heard(&messages[i])
+		c.session.ServerMessage(&messages[i])
 	}
 }
 func (c *fakeSession) ServerParameters(*iradix.Tree[string]) {}
@@ -34,14 +34,14 @@
 // newStreamRequest returns a request of a session, with one statement. The session has a setting of its own if set is true.
 func newStreamRequest(t *testing.T, driver *testDriver, id string, wait float64, set bool) *request.Request {
 	t.Helper()
-	base := session.None
+	base := session.NoSettings
 	if set {
-		base, _ = session.Startup(pg.Startups{{"application_name", "x"}})
+		base, _ = session.StartupSettings(pg.StartupParameters{{"application_name", "x"}})
 	}
-	clientSession := session.New(session.Policy{Settings: 1 << 12, Statements: 8}, base)
+	clientSession := session.New(session.Policy{MaxSettingsBytes: 1 << 12, MaxStatements: 8}, base)
 	sql := fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait)
 	_, ops := clientSession.Query(sql, pg.AppendQuery(nil, sql), false)
-	req := request.New(&pg.Statement{ID: id, TxnType: "x", Wait: wait}, driver.Now(), func(request.Response) {})
+	req := request.New(&pg.Statement{ID: id, RequestClass: "x", WaitMs: wait}, driver.Now(), func(request.Response) {})
 	req.Stream = &request.Stream{Pool: "sessions", Client: &fakeSession{clientSession}}
 	req.Stream.Send(ops)
 	return req
@@ -57,7 +57,7 @@
 			return r
 		}
 		if strings.Contains(sql, "SET") || strings.Contains(sql, "DISCARD") || strings.Contains(sql, "RESET") {
-			return &fakes.Reply{Bytes: pg.AppendReady(pg.AppendComplete(nil, "SET"))}
+			return &fakes.Reply{Bytes: pg.AppendReadyIdle(pg.AppendCommandComplete(nil, "SET"))}
 		}
 		return fakes.Row("v", "source", "1")
 	})}
@@ -105,7 +105,7 @@
 				}
 				return nil
 			})
-			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			backend.limits.QueueStatements = true
 			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 			if !c.cold && !c.behind {
@@ -155,7 +155,7 @@
 		}
 		return nil
 	})
-	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	closed := false // the loop's
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
@@ -184,7 +184,7 @@
 		}
 		return nil
 	})
-	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newStreamRequest(t, driver, "late", 60000, true), 0, "a", 0, math.Inf(1))
@@ -210,7 +210,7 @@
 		}
 		return nil
 	})
-	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	var cancelled *request.Request
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
@@ -268,7 +268,7 @@
 				}
 				return nil
 			})
-			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			backend.limits.QueueStatements = true
 			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 			before := "warms"
@@ -335,7 +335,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newServer(t, func(string) *fakes.Reply { return nil })
-			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, Wait: 60000, Idle: 60000})
+			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			driver.runOnLoop(func() {
 				backend.List(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "warms", 60000), 0, "a", 0, math.Inf(1))
--- a/internal/decide/connpool/connpool.go
+++ b/internal/decide/connpool/connpool.go
@@ -31,30 +31,34 @@
 
 // Bounds are those of one pool. A value of 0 stands for no bound, unless it says otherwise.
 type Bounds struct {
-	PerMember  int     // connections to one member
-	Total      int     // to all members together
-	Warm       int     // kept up to each member that is up
-	Wait       float64 // ms that a want may wait for a connection; 0: one that can't have or open one is refused
-	Idle       float64 // ms after which an idle connection is closed
-	Age        float64 // ms after which a connection is not used again
-	Uses       int     // after which it is not used again
-	Settle     float64 // ms that a connection rests before its next use, where another can be had
-	IdleInside float64 // ms that a client may keep one and ask nothing
-}
-
-// Statements are the bounds of a pool whose requests are one statement each: none has to wait, since who can't be sent now
+	PerMember                  int     // connections to one member
+	Total                      int     // to all members together
+	MinIdle                    int     // kept up to each member that is up
+	WaitTimeoutMs              float64 // ms that a want may wait for a connection; 0: one that can't have or open one is refused
+	IdleTimeoutMs              float64 // ms after which an idle connection is closed
+	MaxAgeMs                   float64 // ms after which a connection is not used again
+	MaxUses                    int     // after which it is not used again
+	ReuseDelayMs               float64 // ms that a connection rests before its next use, where another can be had
+	IdleInTransactionTimeoutMs float64 // ms that a client may keep one and ask nothing
+}
+
+// StatementBounds are the bounds of a pool whose requests are one statement each: none has to wait, since who can't be sent now
 // may go elsewhere. idleClose is when a member closes an idle connection.
-func Statements(idleClose float64) Bounds { return Bounds{Idle: rest * idleClose, Settle: settled} }
+func StatementBounds(idleClose float64) Bounds {
+	return Bounds{IdleTimeoutMs: rest * idleClose, ReuseDelayMs: settled}
+}
 
-// Cancels are the bounds of the connections on which members are told to stop something.
-func Cancels(wait float64) Bounds { return Bounds{PerMember: atOnce, Wait: wait, Uses: 1} }
+// CancelBounds are the bounds of the connections on which members are told to stop something.
+func CancelBounds(wait float64) Bounds {
+	return Bounds{PerMember: atOnce, WaitTimeoutMs: wait, MaxUses: 1}
+}
 
 // Settings are given once; the pools' names are their host's.
 type Settings struct {
-	All    int // connections in all
-	Member int // to one member, over all pools
-	Seed   uint64
-	Pools  map[string]Bounds
+	MaxTotal     int // connections in all
+	MaxPerMember int // to one member, over all pools
+	Seed         uint64
+	Pools        map[string]Bounds
 }
 
 // Key tells which connections are alike.
@@ -62,49 +66,49 @@
 
 // Request is an attempt or a check that needs a connection.
 type Request struct {
-	ID     string
-	Key    Key
-	Tenant string
-	Like   any // connections that were freed like this are preferred; must be comparable
+	ID       string
+	Key      Key
+	Tenant   string
+	Affinity any // connections that were freed like this are preferred; must be comparable
 }
 
 // Action tells what the host is to do.
 type Action int
 
 const (
-	Open   Action = iota // a connection, numbered Conn
-	Use                  // Conn for Want
-	Close                // Conn
-	Refuse               // Want
-	End                  // Conn has been kept by a client that asks nothing, for too long
+	Open                   Action = iota // a connection, numbered Conn
+	Assign                               // Conn for Want
+	Close                                // Conn
+	Reject                               // Want
+	CloseIdleInTransaction               // Conn has been kept by a client that asks nothing, for too long
 )
 
-// RefusalReason a want is refused.
-type RefusalReason int
+// RejectReason a want is refused.
+type RejectReason int
 
 const (
-	NoRoom      RefusalReason = iota // this router has no connection left: that tells nothing of the member
-	Late                             // it has waited as long as it may
-	Unconnected                      // the connection that was opened for it failed to come up
+	NoCapacity    RejectReason = iota // this router has no connection left: that tells nothing of the member
+	WaitTimedOut                      // it has waited as long as it may
+	ConnectFailed                     // the connection that was opened for it failed to come up
 )
 
 // FailureCause is why a connection did not come up.
 type FailureCause int
 
 const (
-	Down             FailureCause = iota // the member can't be reached, or did not let it in
-	Full                                 // the member says that it holds too many
-	NoLocalResources                     // this host had no descriptor, port, memory or route for it: that tells nothing of the member
+	Unreachable        FailureCause = iota // the member can't be reached, or did not let it in
+	TooManyConnections                     // the member says that it holds too many
+	NoLocalResources                       // this host had no descriptor, port, memory or route for it: that tells nothing of the member
 )
 
 // Decision is one thing for the host to do; only the fields of its verb are set.
 type Decision struct {
-	Action Action
-	Conn   int
-	Key    Key
-	Want   string
-	Reason RefusalReason
-	Fresh  bool // Use: it has not rested; what comes behind its last answer may still be on its way
+	Action    Action
+	Conn      int
+	Key       Key
+	RequestID string
+	Reason    RejectReason
+	Unsettled bool // Use: it has not rested; what comes behind its last answer may still be on its way
 }
 
 type state int
@@ -230,23 +234,23 @@
 	return l
 }
 
-// Listed says whether a member is there for new work. One that is not keeps what is busy, and nothing else.
-func (p *Pool) Listed(member string, up bool) {
+// MemberListed says whether a member is there for new work. One that is not keeps what is busy, and nothing else.
+func (p *Pool) MemberListed(member string, up bool) {
 	m := p.place(member)
 	m.up = up
 	if !up {
-		p.Renew(member)
+		p.RetireConnections(member)
 		return
 	}
 	for name, b := range p.set.Pools {
-		if b.Warm > 0 {
+		if b.MinIdle > 0 {
 			p.lane(Key{member, name})
 		}
 	}
 }
 
-// Renew says that no connection made so far is to be used again: the member started anew, moved, or is gone.
-func (p *Pool) Renew(member string) {
+// RetireConnections says that no connection made so far is to be used again: the member started anew, moved, or is gone.
+func (p *Pool) RetireConnections(member string) {
 	p.CloseIdle(member)
 	for _, c := range p.conns {
 		c.stale = c.stale || c.lane.key.Member == member
@@ -348,15 +352,15 @@
 		c.opened.dialed, c.opened = false, nil
 	}
 	c.born = p.now
-	c.lastAge = c.lane.bounds.Age * (leastPart + (1-leastPart)*p.chance.Next())
-	c.lastUse = int(math.Ceil(float64(c.lane.bounds.Uses) * (leastPart + (1-leastPart)*p.chance.Next())))
+	c.lastAge = c.lane.bounds.MaxAgeMs * (leastPart + (1-leastPart)*p.chance.Next())
+	c.lastUse = int(math.Ceil(float64(c.lane.bounds.MaxUses) * (leastPart + (1-leastPart)*p.chance.Next())))
 	p.rest(c)
 }
 
-// Failed says that a connection did not come up. A member that has no room for it is supposed to hold no more than it
+// OpenFailed says that a connection did not come up. A member that has no room for it is supposed to hold no more than it
 // does; that recovers by one after a second, more slowly where it goes on refusing. A cause of this host's says nothing of
 // the member: dials to it go on, one after each pause.
-func (p *Pool) Failed(id int, why FailureCause) {
+func (p *Pool) OpenFailed(id int, why FailureCause) {
 	c := p.conns[id]
 	if c == nil || c.state != opening {
 		return
@@ -367,12 +371,12 @@
 		m.localFailures++
 		m.localUntil = p.now + m.localPause()
 		if c.opened != nil && c.opened.waits {
-			p.refuse(c.opened, NoRoom)
+			p.refuse(c.opened, NoCapacity)
 		}
 		return
 	}
 	m.localFailures = 0
-	if why == Full {
+	if why == TooManyConnections {
 		if m.bound > 0 {
 			m.step = math.Min(2*m.step, lastStep)
 		}
@@ -384,8 +388,8 @@
 	}
 	if w := c.opened; w == nil || !w.waits {
 		return
-	} else if why == Down || l.bounds.Wait == 0 { // else it waits on
-		p.refuse(w, Unconnected)
+	} else if why == Unreachable || l.bounds.WaitTimeoutMs == 0 { // else it waits on
+		p.refuse(w, ConnectFailed)
 	}
 }
 
@@ -394,13 +398,13 @@
 	return math.Min(localMost, localGap*math.Exp2(m.localFailures-1))
 }
 
-func (p *Pool) refuse(w *want, why RefusalReason) {
+func (p *Pool) refuse(w *want, why RejectReason) {
 	p.Cancel(w.ID)
-	p.out = append(p.out, Decision{Action: Refuse, Want: w.ID, Key: w.lane.key, Reason: why})
+	p.out = append(p.out, Decision{Action: Reject, RequestID: w.ID, Key: w.lane.key, Reason: why})
 }
 
-// Free says that a connection can be used again, and like what it was left.
-func (p *Pool) Free(id int, like any) {
+// Release says that a connection can be used again, and like what it was left.
+func (p *Pool) Release(id int, like any) {
 	c := p.conns[id]
 	if c == nil || c.state != busy {
 		return
@@ -427,7 +431,7 @@
 // over tells that a connection has served its time.
 func (c *conn) over(now float64) bool {
 	b := c.lane.bounds
-	return c.stale || b.Age > 0 && now-c.born > c.lastAge || b.Uses > 0 && c.uses >= c.lastUse
+	return c.stale || b.MaxAgeMs > 0 && now-c.born > c.lastAge || b.MaxUses > 0 && c.uses >= c.lastUse
 }
 
 // share is how many of a member's connections each pool has a right to, and whether one that waits has fewer.
@@ -456,31 +460,31 @@
 	return poor && c.lane.all > share
 }
 
-// Gone says that a connection has ended, whatever it was.
-func (p *Pool) Gone(id int) {
+// ConnectionClosed says that a connection has ended, whatever it was.
+func (p *Pool) ConnectionClosed(id int) {
 	if c := p.conns[id]; c != nil {
 		p.drop(c)
 	}
 }
 
-// Turn says whose turn it is on a connection that is in use: its client's, or the member's.
-func (p *Pool) Turn(id int, clients bool) {
+// SetTurn says whose turn it is on a connection that is in use: its client's, or the member's.
+func (p *Pool) SetTurn(id int, clients bool) {
 	if c := p.conns[id]; c != nil && c.state == busy {
 		c.rest, c.since = clients, p.now
-		if b := c.lane.bounds; clients && b.IdleInside > 0 {
-			p.resting.Put(&c.inside, p.now+b.IdleInside)
+		if b := c.lane.bounds; clients && b.IdleInTransactionTimeoutMs > 0 {
+			p.resting.Put(&c.inside, p.now+b.IdleInTransactionTimeoutMs)
 		} else {
 			p.resting.Drop(&c.inside)
 		}
 	}
 }
 
-// Open tells how many connections there are, those being opened among them; Waiting, how many wait for one.
-func (p *Pool) Open() int    { return len(p.conns) }
-func (p *Pool) Waiting() int { return len(p.wants) }
+// OpenCount tells how many connections there are, those being opened among them; Waiting, how many wait for one.
+func (p *Pool) OpenCount() int    { return len(p.conns) }
+func (p *Pool) WaitingCount() int { return len(p.wants) }
 
-// Idle tells how many of those to a member are.
-func (p *Pool) Idle(member string) (n int) {
+// IdleCount tells how many of those to a member are.
+func (p *Pool) IdleCount(member string) (n int) {
 	if m := p.places[member]; m != nil {
 		for _, l := range m.lanes {
 			n += len(l.idle)
@@ -492,12 +496,12 @@
 // bound is how many connections a member may have, 0 for any number.
 func (p *Pool) bound(m *place) int {
 	switch {
-	case m.bound > 0 && p.set.Member > 0:
-		return min(m.bound, p.set.Member)
+	case m.bound > 0 && p.set.MaxPerMember > 0:
+		return min(m.bound, p.set.MaxPerMember)
 	case m.bound > 0:
 		return m.bound
 	}
-	return p.set.Member
+	return p.set.MaxPerMember
 }
 
 // NextDeadline is when Next may have something although nothing came in; after an input, that may be as early as Sweep.
@@ -515,8 +519,8 @@
 	return math.Max(at, p.sweepAt)
 }
 
-// Sweep is when the next sweep may be at the earliest.
-func (p *Pool) Sweep() float64 { return p.sweepAt }
+// NextSweep is when the next sweep may be at the earliest.
+func (p *Pool) NextSweep() float64 { return p.sweepAt }
 
 // Next gives the next decision; false: none is left.
 func (p *Pool) Next() (Decision, bool) {
@@ -558,17 +562,17 @@
 		}
 		c := p.choose(l, w)
 		l.idle = slices.DeleteFunc(l.idle, func(o *conn) bool { return o == c })
-		fresh := c.uses > 0 && p.now-c.since < l.bounds.Settle
+		fresh := c.uses > 0 && p.now-c.since < l.bounds.ReuseDelayMs
 		c.state = busy
 		c.uses++
-		p.out = append(p.out, Decision{Action: Use, Conn: c.id, Want: w.ID, Key: l.key, Fresh: fresh})
+		p.out = append(p.out, Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: l.key, Unsettled: fresh})
 	}
 	for w := l.undialed(); w != nil && l.opening < l.waits && p.mayOpen(l); w = l.undialed() {
 		p.open(l, w)
 	}
-	if l.bounds.Wait == 0 || !l.place.up {
+	if l.bounds.WaitTimeoutMs == 0 || !l.place.up {
 		for w := l.undialed(); w != nil && (l.waits > l.opening || !l.place.up); w = l.undialed() {
-			p.refuse(w, NoRoom)
+			p.refuse(w, NoCapacity)
 		}
 	}
 }
@@ -578,10 +582,10 @@
 func (p *Pool) choose(l *lane, w *want) *conn {
 	var best *conn
 	rank := func(c *conn) (n int) {
-		if w.Like != nil && c.like == w.Like {
+		if w.Affinity != nil && c.like == w.Affinity {
 			n++
 		}
-		if c.uses == 0 || p.now-c.since >= l.bounds.Settle {
+		if c.uses == 0 || p.now-c.since >= l.bounds.ReuseDelayMs {
 			n += 2
 		}
 		return n
@@ -619,7 +623,7 @@
 		func(c *conn) bool { return c.lane.key.Pool == l.key.Pool }) {
 		return false
 	}
-	if b.Wait > 0 && m.all-m.opening == 0 && (p.now < m.tryAt || m.bound > 0 && m.opening > 0) {
+	if b.WaitTimeoutMs > 0 && m.all-m.opening == 0 && (p.now < m.tryAt || m.bound > 0 && m.opening > 0) {
 		return false
 	}
 	if bound := p.bound(m); bound > 0 {
@@ -630,7 +634,7 @@
 			return false
 		}
 	}
-	return len(p.conns) < p.set.All || p.yield(func(*conn) bool { return true })
+	return len(p.conns) < p.set.MaxTotal || p.yield(func(*conn) bool { return true })
 }
 
 // yield closes the connection that has been idle longest among those.
@@ -666,7 +670,7 @@
 	p.totals[l.key.Pool]++
 	d := Decision{Action: Open, Conn: c.id, Key: l.key}
 	if w != nil {
-		w.dialed, d.Want = true, w.ID
+		w.dialed, d.RequestID = true, w.ID
 	}
 	p.out = append(p.out, d)
 }
@@ -695,7 +699,7 @@
 		for _, name := range slices.Sorted(maps.Keys(m.lanes)) {
 			l := m.lanes[name]
 			p.sweepLane(l)
-			if l.all == 0 && l.waits == 0 && (!m.up || l.bounds.Warm == 0) {
+			if l.all == 0 && l.waits == 0 && (!m.up || l.bounds.MinIdle == 0) {
 				delete(m.lanes, name)
 			}
 		}
@@ -714,7 +718,7 @@
 	slices.SortFunc(over, func(c, o *conn) int { return c.id - o.id })
 	for _, c := range over {
 		c.rest = false
-		p.out = append(p.out, Decision{Action: End, Conn: c.id, Key: c.lane.key})
+		p.out = append(p.out, Decision{Action: CloseIdleInTransaction, Conn: c.id, Key: c.lane.key})
 	}
 }
 
@@ -726,19 +730,19 @@
 	}
 	for _, l := range m.lanes {
 		for _, c := range l.idle {
-			if l.bounds.Idle > 0 {
-				at = math.Min(at, c.since+l.bounds.Idle)
+			if l.bounds.IdleTimeoutMs > 0 {
+				at = math.Min(at, c.since+l.bounds.IdleTimeoutMs)
 			}
-			if l.bounds.Age > 0 {
+			if l.bounds.MaxAgeMs > 0 {
 				at = math.Min(at, c.born+c.lastAge)
 			}
 		}
 		for _, list := range l.waiting {
-			if l.bounds.Wait > 0 {
-				at = math.Min(at, list[0].at+l.bounds.Wait)
+			if l.bounds.WaitTimeoutMs > 0 {
+				at = math.Min(at, list[0].at+l.bounds.WaitTimeoutMs)
 			}
 		}
-		if l.all < l.bounds.Warm && l.opening == 0 {
+		if l.all < l.bounds.MinIdle && l.opening == 0 {
 			at = math.Min(at, max(now, m.tryAt, m.localUntil))
 		}
 	}
@@ -747,23 +751,23 @@
 
 func (p *Pool) sweepLane(l *lane) {
 	for _, c := range slices.Clone(l.idle) {
-		if l.bounds.Idle > 0 && p.now-c.since > l.bounds.Idle || c.over(p.now) {
+		if l.bounds.IdleTimeoutMs > 0 && p.now-c.since > l.bounds.IdleTimeoutMs || c.over(p.now) {
 			p.close(c)
 		}
 	}
-	for l.bounds.Wait > 0 {
+	for l.bounds.WaitTimeoutMs > 0 {
 		var first *want
 		for _, list := range l.waiting {
 			if first == nil || list[0].at < first.at || list[0].at == first.at && list[0].ID < first.ID {
 				first = list[0]
 			}
 		}
-		if first == nil || p.now-first.at < l.bounds.Wait {
+		if first == nil || p.now-first.at < l.bounds.WaitTimeoutMs {
 			break
 		}
-		p.refuse(first, Late)
+		p.refuse(first, WaitTimedOut)
 	}
-	if l.all < l.bounds.Warm && l.opening == 0 && p.now >= l.place.tryAt && p.mayOpen(l) {
+	if l.all < l.bounds.MinIdle && l.opening == 0 && p.now >= l.place.tryAt && p.mayOpen(l) {
 		p.open(l, nil)
 	}
 }
--- a/internal/decide/connpool/connpool_test.go
+++ b/internal/decide/connpool/connpool_test.go
@@ -24,7 +24,7 @@
 //	nothing                                  none is left
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
-		p := &play{set: Settings{All: 100, Pools: map[string]Bounds{}}}
+		p := &play{set: Settings{MaxTotal: 100, Pools: map[string]Bounds{}}}
 		return func(line string) error { return p.step(strings.Fields(line)) }
 	})
 }
@@ -51,14 +51,14 @@
 func told(d Decision) string {
 	s := verbs[d.Action]
 	switch d.Action {
-	case Refuse:
-		return s + " " + d.Want + " " + whys[d.Reason]
+	case Reject:
+		return s + " " + d.RequestID + " " + whys[d.Reason]
 	case Open:
 		s += " " + strconv.Itoa(d.Conn) + " " + d.Key.Member + "/" + d.Key.Pool
 	default:
 		s += " " + strconv.Itoa(d.Conn)
 	}
-	if s += " " + d.Want; d.Fresh {
+	if s += " " + d.RequestID; d.Unsettled {
 		s += " fresh"
 	}
 	return strings.TrimSpace(s)
@@ -68,11 +68,11 @@
 	o, x := options(w[1:])
 	switch w[0] {
 	case "set":
-		p.set.All, p.set.Member = int(x("all")), int(x("member"))
+		p.set.MaxTotal, p.set.MaxPerMember = int(x("all")), int(x("member"))
 		return nil
 	case "pool":
-		p.set.Pools[w[1]] = Bounds{PerMember: int(x("permember")), Total: int(x("total")), Warm: int(x("warm")), Wait: x("wait"),
-			Idle: x("idle"), Age: x("age"), Uses: int(x("uses")), Settle: x("settle"), IdleInside: x("inside")}
+		p.set.Pools[w[1]] = Bounds{PerMember: int(x("permember")), Total: int(x("total")), MinIdle: int(x("warm")), WaitTimeoutMs: x("wait"),
+			IdleTimeoutMs: x("idle"), MaxAgeMs: x("age"), MaxUses: int(x("uses")), ReuseDelayMs: x("settle"), IdleInTransactionTimeoutMs: x("inside")}
 		return nil
 	case "at":
 		if p.now, _ = strconv.ParseFloat(w[1], 64); p.p == nil {
@@ -110,26 +110,26 @@
 	}
 	switch w[0] {
 	case "up", "down":
-		p.p.Listed(w[1], w[0] == "up")
+		p.p.MemberListed(w[1], w[0] == "up")
 	case "renew":
-		p.p.Renew(w[1])
+		p.p.RetireConnections(w[1])
 	case "closeidle":
 		p.p.CloseIdle(w[1])
 	case "want":
 		member, name, _ := strings.Cut(w[2], "/")
-		p.p.Request(Request{ID: w[1], Key: Key{member, name}, Tenant: o["tenant"], Like: like})
+		p.p.Request(Request{ID: w[1], Key: Key{member, name}, Tenant: o["tenant"], Affinity: like})
 	case "leave":
 		p.p.Cancel(w[1])
 	case "opened":
 		p.p.Opened(conn)
 	case "failed", "full", "short":
-		p.p.Failed(conn, map[string]FailureCause{"failed": Down, "full": Full, "short": NoLocalResources}[w[0]])
+		p.p.OpenFailed(conn, map[string]FailureCause{"failed": Unreachable, "full": TooManyConnections, "short": NoLocalResources}[w[0]])
 	case "free":
-		p.p.Free(conn, like)
+		p.p.Release(conn, like)
 	case "gone":
-		p.p.Gone(conn)
+		p.p.ConnectionClosed(conn)
 	case "rest", "work":
-		p.p.Turn(conn, w[0] == "rest")
+		p.p.SetTurn(conn, w[0] == "rest")
 	default:
 		return fmt.Errorf("unknown step")
 	}
@@ -141,8 +141,8 @@
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perMember, member, all, wait = 3, 4, 6, 500.0
-		p := New(Settings{All: all, Member: member, Pools: map[string]Bounds{"x": {PerMember: perMember, Wait: wait, Idle: 900,
-			Age: 5000, Uses: 7, IdleInside: 300}, "y": {Wait: wait, Idle: 900, Warm: 1}, "z": {Settle: 2}}})
+		p := New(Settings{MaxTotal: all, MaxPerMember: member, Pools: map[string]Bounds{"x": {PerMember: perMember, WaitTimeoutMs: wait, IdleTimeoutMs: 900,
+			MaxAgeMs: 5000, MaxUses: 7, IdleInTransactionTimeoutMs: 300}, "y": {WaitTimeoutMs: wait, IdleTimeoutMs: 900, MinIdle: 1}, "z": {ReuseDelayMs: 2}}})
 		now, ids := 1000.0, 0
 		conns, keys := map[int]string{}, map[int]Key{} // how it stands; busy ones name their want
 		asked, since := map[string]Key{}, map[string]float64{}
@@ -151,23 +151,23 @@
 				switch d.Action {
 				case Open:
 					conns[d.Conn], keys[d.Conn] = "opening", d.Key
-				case Use:
-					if conns[d.Conn] != "idle" || keys[d.Conn] != asked[d.Want] {
-						t.Fatalf("%s for %v: it is %s of %v", told(d), asked[d.Want], conns[d.Conn], keys[d.Conn])
+				case Assign:
+					if conns[d.Conn] != "idle" || keys[d.Conn] != asked[d.RequestID] {
+						t.Fatalf("%s for %v: it is %s of %v", told(d), asked[d.RequestID], conns[d.Conn], keys[d.Conn])
 					}
 					conns[d.Conn] = "busy"
-					delete(asked, d.Want)
+					delete(asked, d.RequestID)
 				case Close:
 					if conns[d.Conn] == "busy" || conns[d.Conn] == "" {
 						t.Fatalf("%s, which is %s", told(d), conns[d.Conn])
 					}
 					delete(conns, d.Conn)
-				case Refuse:
-					if _, waits := asked[d.Want]; !waits {
+				case Reject:
+					if _, waits := asked[d.RequestID]; !waits {
 						t.Fatalf("%s, which does not wait", told(d))
 					}
-					delete(asked, d.Want)
-				case End:
+					delete(asked, d.RequestID)
+				case CloseIdleInTransaction:
 					if conns[d.Conn] != "busy" {
 						t.Fatalf("%s, which is %s", told(d), conns[d.Conn])
 					}
@@ -213,9 +213,9 @@
 			who := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "member")
 			switch rapid.IntRange(0, 11).Draw(t, "step") {
 			case 0:
-				p.Listed(who, rapid.Bool().Draw(t, "up"))
+				p.MemberListed(who, rapid.Bool().Draw(t, "up"))
 			case 1:
-				p.Renew(who)
+				p.RetireConnections(who)
 			case 2, 3, 4:
 				ids++
 				id := strconv.Itoa(ids)
@@ -230,17 +230,17 @@
 			case 7:
 				if c := some("opening"); c > 0 {
 					delete(conns, c)
-					p.Failed(c, FailureCause(rapid.IntRange(0, 2).Draw(t, "cause")))
+					p.OpenFailed(c, FailureCause(rapid.IntRange(0, 2).Draw(t, "cause")))
 				}
 			case 8, 9:
 				if c := some("busy"); c > 0 {
 					conns[c] = "idle"
-					p.Free(c, nil)
+					p.Release(c, nil)
 				}
 			case 10:
 				if c := some(rapid.SampledFrom([]string{"busy", "idle", "opening"}).Draw(t, "how")); c > 0 {
 					delete(conns, c)
-					p.Gone(c)
+					p.ConnectionClosed(c)
 				}
 			case 11:
 				for id := range asked {
@@ -252,11 +252,11 @@
 			}
 			pull()
 		}
-		p.Listed("a", false)
-		p.Listed("b", false)
+		p.MemberListed("a", false)
+		p.MemberListed("b", false)
 		pull()
 		for c := range conns {
-			p.Gone(c)
+			p.ConnectionClosed(c)
 			delete(conns, c)
 		}
 		for range 3 {
@@ -272,9 +272,9 @@
 }
 
 func BenchmarkTurn(b *testing.B) {
-	p := New(Settings{All: 100, Pools: map[string]Bounds{"x": {PerMember: 16, Wait: 1000}}})
+	p := New(Settings{MaxTotal: 100, Pools: map[string]Bounds{"x": {PerMember: 16, WaitTimeoutMs: 1000}}})
 	p.Advance(1)
-	p.Listed("a", true)
+	p.MemberListed("a", true)
 	b.ReportAllocs()
 	for n := range b.N {
 		p.Advance(float64(n))
@@ -283,8 +283,8 @@
 			if d.Action == Open {
 				p.Opened(d.Conn)
 				p.Advance(float64(n))
-			} else if d.Action == Use {
-				p.Free(d.Conn, nil)
+			} else if d.Action == Assign {
+				p.Release(d.Conn, nil)
 			}
 		}
 	}
--- a/internal/decide/connpool/recorded_test.go
+++ b/internal/decide/connpool/recorded_test.go
@@ -24,18 +24,18 @@
 func TestRecordedDecisions(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
-		set := Settings{All: 12, Seed: seed, Pools: map[string]Bounds{
-			"statements": Statements(4000),
-			"cancels":    Cancels(500),
-			"a":          {PerMember: 3, Total: 6, Warm: 1, Wait: 300, Idle: 2000, Age: 8000, Uses: 9, Settle: 2, IdleInside: 900},
-			"b":          {PerMember: 4, Wait: 800, Idle: 1000, IdleInside: 400},
+		set := Settings{MaxTotal: 12, Seed: seed, Pools: map[string]Bounds{
+			"statements": StatementBounds(4000),
+			"cancels":    CancelBounds(500),
+			"a":          {PerMember: 3, Total: 6, MinIdle: 1, WaitTimeoutMs: 300, IdleTimeoutMs: 2000, MaxAgeMs: 8000, MaxUses: 9, ReuseDelayMs: 2, IdleInTransactionTimeoutMs: 900},
+			"b":          {PerMember: 4, WaitTimeoutMs: 800, IdleTimeoutMs: 1000, IdleInTransactionTimeoutMs: 400},
 		}}
 		if seed%2 == 1 {
-			set.Member = 5
+			set.MaxPerMember = 5
 		}
 		r := &recordedPool{rand: rand.New(rand.NewPCG(seed, 2)), pool: New(set), now: 1e6, conns: map[int]string{}}
 		for _, member := range recordedMembers {
-			r.pool.Listed(member, true)
+			r.pool.MemberListed(member, true)
 		}
 		for step := range 1000 {
 			fmt.Fprintf(&r.out, "%d %d ", seed, step)
@@ -58,22 +58,22 @@
 	fmt.Fprintf(&r.out, "at %v ", r.now)
 	r.input()
 	for d, more := r.pool.Next(); more; d, more = r.pool.Next() {
-		fmt.Fprintf(&r.out, "[%d conn %d %v want %q reason %d fresh %v] ", d.Action, d.Conn, d.Key, d.Want, d.Reason, d.Fresh)
+		fmt.Fprintf(&r.out, "[%d conn %d %v want %q reason %d fresh %v] ", d.Action, d.Conn, d.Key, d.RequestID, d.Reason, d.Unsettled)
 		switch d.Action {
 		case Open:
 			r.conns[d.Conn] = "opening"
 			r.order = append(r.order, d.Conn)
-		case Use:
+		case Assign:
 			r.conns[d.Conn] = "busy"
 		case Close:
 			r.forget(d.Conn)
-		case End:
-			r.pool.Gone(d.Conn)
+		case CloseIdleInTransaction:
+			r.pool.ConnectionClosed(d.Conn)
 			r.forget(d.Conn)
 		}
 	}
-	fmt.Fprintf(&r.out, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.Open(), r.pool.Waiting(), r.pool.Idle("m1"), r.pool.Idle("m2"),
-		r.pool.Idle("m3"), r.pool.NextDeadline(), r.pool.Sweep())
+	fmt.Fprintf(&r.out, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.OpenCount(), r.pool.WaitingCount(), r.pool.IdleCount("m1"), r.pool.IdleCount("m2"),
+		r.pool.IdleCount("m3"), r.pool.NextDeadline(), r.pool.NextSweep())
 }
 
 func (r *recordedPool) forget(conn int) {
@@ -108,7 +108,7 @@
 		request := Request{ID: fmt.Sprint("w", r.wants), Key: Key{member, []string{"statements", "cancels", "a", "b", "a", "b"}[r.rand.IntN(6)]},
 			Tenant: fmt.Sprint("t", r.rand.IntN(3))}
 		if r.rand.IntN(2) == 0 {
-			request.Like = r.rand.IntN(3)
+			request.Affinity = r.rand.IntN(3)
 		}
 		r.pool.Request(request)
 		fmt.Fprintf(&r.out, "request %v ", request)
@@ -125,7 +125,7 @@
 		fmt.Fprintf(&r.out, "opened %d ", conn)
 	case draw < 65:
 		conn, why := r.one("opening"), FailureCause(r.rand.IntN(3))
-		r.pool.Failed(conn, why)
+		r.pool.OpenFailed(conn, why)
 		r.forget(conn)
 		fmt.Fprintf(&r.out, "failed %d %d ", conn, why)
 	case draw < 84:
@@ -133,29 +133,29 @@
 		if conn > 0 {
 			r.conns[conn] = "idle"
 		}
-		r.pool.Free(conn, like)
+		r.pool.Release(conn, like)
 		fmt.Fprintf(&r.out, "free %d %d ", conn, like)
 	case draw < 88:
 		conn, clients := r.one("busy"), r.rand.IntN(2) == 0
-		r.pool.Turn(conn, clients)
+		r.pool.SetTurn(conn, clients)
 		fmt.Fprintf(&r.out, "turn %d %v ", conn, clients)
 	case draw < 92:
 		conn := r.one([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
-		r.pool.Gone(conn)
+		r.pool.ConnectionClosed(conn)
 		r.forget(conn)
 		fmt.Fprintf(&r.out, "gone %d ", conn)
 	case draw < 94:
 		up := r.rand.IntN(3) > 0
-		r.pool.Listed(member, up)
+		r.pool.MemberListed(member, up)
 		fmt.Fprintf(&r.out, "listed %s %v ", member, up)
 	case draw < 95:
-		r.pool.Renew(member)
+		r.pool.RetireConnections(member)
 		fmt.Fprintf(&r.out, "renew %s ", member)
 	case draw < 96:
 		r.pool.CloseIdle(member)
 		fmt.Fprintf(&r.out, "close idle %s ", member)
 	default:
-		r.pool.Listed(member, true)
+		r.pool.MemberListed(member, true)
 		fmt.Fprintf(&r.out, "wait ")
 	}
 }
--- a/internal/decide/connpool/sweep_test.go
+++ b/internal/decide/connpool/sweep_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a sweep that costs by how many members and connections there are.
 func TestASweepPassesOverWhatRests(t *testing.T) {
-	p := New(Settings{All: 2000, Pools: map[string]Bounds{"x": {Idle: 60000, Age: 90000, Uses: 9, Wait: 500, IdleInside: 70000, Warm: 1}}})
+	p := New(Settings{MaxTotal: 2000, Pools: map[string]Bounds{"x": {IdleTimeoutMs: 60000, MaxAgeMs: 90000, MaxUses: 9, WaitTimeoutMs: 500, IdleInTransactionTimeoutMs: 70000, MinIdle: 1}}})
 	pull := func(now float64) (n int) {
 		p.Advance(now)
 		for _, more := p.Next(); more; _, more = p.Next() {
@@ -23,7 +23,7 @@
 	}
 	p.Advance(0)
 	for n := range 820 {
-		p.Listed(strconv.Itoa(n), true)
+		p.MemberListed(strconv.Itoa(n), true)
 	}
 	pull(0)
 	for id := 1; id <= 820; id++ {
@@ -31,7 +31,7 @@
 	}
 	p.Request(Request{ID: "w", Key: Key{"7", "x"}})
 	pull(100)
-	p.Turn(8, true)
+	p.SetTurn(8, true)
 	pull(200)
 	before := p.visited
 	for n := range 100 {
@@ -56,8 +56,8 @@
 // over everything, and Due is never later than the next of these decisions.
 func TestSweepsMissNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{All: 6, Member: 4, Pools: map[string]Bounds{"x": {PerMember: 3, Wait: 500, Idle: 900, Age: 5000, Uses: 7,
-			IdleInside: 300}, "y": {Wait: 500, Idle: 900, Warm: 1}, "z": {Settle: 2}}}
+		set := Settings{MaxTotal: 6, MaxPerMember: 4, Pools: map[string]Bounds{"x": {PerMember: 3, WaitTimeoutMs: 500, IdleTimeoutMs: 900, MaxAgeMs: 5000, MaxUses: 7,
+			IdleInTransactionTimeoutMs: 300}, "y": {WaitTimeoutMs: 500, IdleTimeoutMs: 900, MinIdle: 1}, "z": {ReuseDelayMs: 2}}}
 		p, all := New(set), New(set)
 		now, ids := 1000.0, 0
 		state, wants := map[int]Action{}, []string{}
@@ -105,7 +105,7 @@
 				}
 				return ids[rapid.IntRange(0, len(ids)-1).Draw(t, "which")]
 			}
-			opening, inUse := some(func(v Action) bool { return v == Open }), some(func(v Action) bool { return v == Use })
+			opening, inUse := some(func(v Action) bool { return v == Open }), some(func(v Action) bool { return v == Assign })
 			step := rapid.IntRange(0, 9).Draw(t, "step")
 			if step == 1 {
 				ids++
@@ -115,19 +115,19 @@
 				one.Advance(now)
 				switch step {
 				case 0:
-					one.Listed(who, yes)
+					one.MemberListed(who, yes)
 				case 1:
 					one.Request(Request{ID: strconv.Itoa(ids), Key: Key{who, name}, Tenant: tenant})
 				case 2, 3:
 					one.Opened(opening)
 				case 4:
-					one.Failed(opening, cause)
+					one.OpenFailed(opening, cause)
 				case 5, 6:
-					one.Free(inUse, nil)
+					one.Release(inUse, nil)
 				case 7:
-					one.Turn(inUse, yes)
+					one.SetTurn(inUse, yes)
 				case 8:
-					one.Gone(cmp.Or(inUse, opening))
+					one.ConnectionClosed(cmp.Or(inUse, opening))
 				case 9:
 					if len(wants) > 0 {
 						one.Cancel(wants[0])
@@ -169,7 +169,7 @@
 func note(ds []Decision, state map[int]Action) {
 	for _, d := range ds {
 		switch d.Action {
-		case Open, Use:
+		case Open, Assign:
 			state[d.Conn] = d.Action
 		case Close:
 			delete(state, d.Conn)
@@ -179,7 +179,7 @@
 
 // Guards against a member that was forgotten, whose last sweep forgets the one that has its name by then.
 func TestListedAnewAfterItWasForgotten(t *testing.T) {
-	p := New(Settings{All: 9, Pools: map[string]Bounds{"x": {Wait: 500}}})
+	p := New(Settings{MaxTotal: 9, Pools: map[string]Bounds{"x": {WaitTimeoutMs: 500}}})
 	expect := func(now float64, want ...Action) {
 		t.Helper()
 		p.Advance(now)
@@ -193,22 +193,22 @@
 	}
 	expect(0)
 	p.Request(Request{ID: "w", Key: Key{"a", "x"}})
-	expect(600, Refuse)
-	p.Listed("a", true)
+	expect(600, Reject)
+	p.MemberListed("a", true)
 	p.Request(Request{ID: "v", Key: Key{"a", "x"}})
 	expect(610, Open)
 	p.Opened(1)
-	expect(620, Use)
+	expect(620, Assign)
 	expect(800)
-	p.Free(1, nil)
-	p.Listed("a", false)
+	p.Release(1, nil)
+	p.MemberListed("a", false)
 	expect(810, Close)
 }
 
 // Guards against somebody who waits for a member that can be tried again, until something else wakes the pool.
 func TestWhoWaitsIsTriedAgainInTime(t *testing.T) {
-	p := New(Settings{All: 9, Pools: map[string]Bounds{"x": {Wait: 60000}}})
-	p.Listed("a", true)
+	p := New(Settings{MaxTotal: 9, Pools: map[string]Bounds{"x": {WaitTimeoutMs: 60000}}})
+	p.MemberListed("a", true)
 	p.Request(Request{ID: "w", Key: Key{"a", "x"}})
 	tries, now := 0, 0.0
 	for ; now < 2000; now = p.NextDeadline() {
@@ -216,7 +216,7 @@
 		for d, more := p.Next(); more; d, more = p.Next() {
 			if d.Action == Open {
 				tries++
-				p.Failed(d.Conn, Full)
+				p.OpenFailed(d.Conn, TooManyConnections)
 			}
 		}
 	}
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -26,21 +26,21 @@
 type recordedSession struct {
 	rand *rand.Rand
 	s    *Session
-	ops  []Op // of the unit that is not complete
+	ops  []Message // of the unit that is not complete
 	out  strings.Builder
 }
 
 // TestRecordedDecisions has the decisions on drawn inputs be the recorded ones.
 func TestRecordedDecisions(t *testing.T) {
 	policies := []Policy{
-		{Settings: 200, Statements: 3},
-		{Read: "read", Write: "write", Pins: true, Settings: 400, Statements: 5},
-		{Read: "read", Pins: true, Holds: true, Settings: 100, Statements: 2},
-		{Write: "write", Settings: 1 << 12, Statements: 8},
+		{MaxSettingsBytes: 200, MaxStatements: 3},
+		{ReadClass: "read", WriteClass: "write", AllowSticky: true, MaxSettingsBytes: 400, MaxStatements: 5},
+		{ReadClass: "read", AllowSticky: true, AlwaysSticky: true, MaxSettingsBytes: 100, MaxStatements: 2},
+		{WriteClass: "write", MaxSettingsBytes: 1 << 12, MaxStatements: 8},
 	}
 	var out strings.Builder
 	for seed := range uint64(16) {
-		r := &recordedSession{rand: rand.New(rand.NewPCG(seed, 1)), s: New(policies[seed%4], None.with(None, [2]string{"work_mem", "'4MB'"}))}
+		r := &recordedSession{rand: rand.New(rand.NewPCG(seed, 1)), s: New(policies[seed%4], NoSettings.with(NoSettings, [2]string{"work_mem", "'4MB'"}))}
 		for step := range 1000 {
 			fmt.Fprintf(&r.out, "%d %d ", seed, step)
 			r.step()
@@ -62,25 +62,25 @@
 	case draw < 80:
 		r.heard()
 	case draw < 84:
-		answer, ok := r.s.Here(r.ops)
+		answer, ok := r.s.LocalReply(r.ops)
 		fmt.Fprintf(&r.out, "here %q %v", answer, ok)
 		r.ops = nil
 	case draw < 87:
-		fmt.Fprintf(&r.out, "dead %q", r.s.Dead(r.ops))
+		fmt.Fprintf(&r.out, "dead %q", r.s.FailedTransactionReply(r.ops))
 		r.ops = nil
 	case draw < 90:
-		fmt.Fprintf(&r.out, "begin %s", recordedOps(r.s.Begin()))
+		fmt.Fprintf(&r.out, "begin %s", recordedOps(r.s.FlushDeferredBegin()))
 	case draw < 93:
-		has := None.with(None, [2]string{"work_mem", fmt.Sprintf("'%dMB'", r.rand.IntN(5))})
-		fmt.Fprintf(&r.out, "on %q", Difference(has, r.s.Settings()))
-		r.s.On(has)
+		has := NoSettings.with(NoSettings, [2]string{"work_mem", fmt.Sprintf("'%dMB'", r.rand.IntN(5))})
+		fmt.Fprintf(&r.out, "on %q", SettingsStatements(has, r.s.Settings()))
+		r.s.AttachConnection(has)
 	case draw < 97:
 		before := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "brought %v %q", before, Difference(r.s.There(), r.s.Settings()))
-		r.s.Brought(before)
+		fmt.Fprintf(&r.out, "brought %v %q", before, SettingsStatements(r.s.ServerSettings(), r.s.Settings()))
+		r.s.SettingsApplied(before)
 	default:
 		sent := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "lost %v %v", sent, r.s.Lost(sent))
+		fmt.Fprintf(&r.out, "lost %v %v", sent, r.s.ConnectionLost(sent))
 		r.ops = nil
 	}
 }
@@ -103,7 +103,7 @@
 	case 7:
 		b = pg.AppendClose(nil, "SP"[r.rand.IntN(2)], name)
 	case 8:
-		b = pg.AppendPlain(nil, 'H')
+		b = pg.AppendBodyless(nil, 'H')
 	case 9:
 		b = pg.AppendSync(nil)
 	}
@@ -112,7 +112,7 @@
 	if _, _, err := reader.Next(); err != nil {
 		panic(err)
 	}
-	reader.Widen()
+	reader.EnableExtended()
 	reader.Feed(b)
 	m, ok, err := reader.Next()
 	if !ok || err != nil {
@@ -124,39 +124,39 @@
 }
 
 func (r *recordedSession) heard() {
-	m := &pg.Message{Kind: []pg.Kind{pg.ParseDone, pg.CloseDone, pg.Complete, pg.Complete, pg.Complete, pg.Empty, pg.Suspended, pg.Failure,
-		pg.Ready, pg.Ready, pg.Ready}[r.rand.IntN(11)]}
+	m := &pg.Message{Kind: []pg.Kind{pg.ParseComplete, pg.CloseComplete, pg.CommandComplete, pg.CommandComplete, pg.CommandComplete, pg.EmptyQuery, pg.PortalSuspended, pg.ErrorResponse,
+		pg.ReadyForQuery, pg.ReadyForQuery, pg.ReadyForQuery}[r.rand.IntN(11)]}
 	switch m.Kind {
-	case pg.Complete:
+	case pg.CommandComplete:
 		m.Text = recordedTags[r.rand.IntN(len(recordedTags))]
-	case pg.Failure:
-		m.Failure = &pg.Error{Code: "42601", Text: "syntax error"}
-	case pg.Ready:
+	case pg.ErrorResponse:
+		m.Error = &pg.Error{Code: "42601", Text: "syntax error"}
+	case pg.ReadyForQuery:
 		m.Status = "IITTE"[r.rand.IntN(5)]
 	}
-	r.s.Heard(m)
+	r.s.ServerMessage(m)
 	fmt.Fprintf(&r.out, "heard %d %q %d", m.Kind, m.Text, m.Status)
 }
 
 // state writes down all that the session can be asked.
 func (r *recordedSession) state() {
-	label, class, tenant, none := r.s.Label()
+	label, class, tenant, none := r.s.RequestClass()
 	id := ""
 	if label != nil {
 		id = label.ID
 	}
-	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.s.Status(), r.s.Pinned(), r.s.Kept(),
-		r.s.Outside(), id, class, tenant, none, r.s.Own("tenant"), describe(r.s.Settings()), describe(r.s.There()))
+	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.s.TransactionStatus(), r.s.StickyReason(), r.s.Sticky(),
+		r.s.Idle(), id, class, tenant, none, r.s.RouterSetting("tenant"), describe(r.s.Settings()), describe(r.s.ServerSettings()))
 }
 
-func recordedOps(ops []Op) string {
+func recordedOps(ops []Message) string {
 	var out []string
 	for _, op := range ops {
 		statement := ""
 		if op.Statement != nil {
 			statement = op.Statement.Tail.Value()
 		}
-		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", does[op.Do], op.Kind, op.Portal, statement, op.Raw, op.Fault))
+		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", does[op.Action], op.Kind, op.Portal, statement, op.Raw, op.Fault))
 	}
 	return "[" + strings.Join(out, "; ") + "]"
 }
--- a/internal/decide/session/session.go
+++ b/internal/decide/session/session.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// MostKept is how many bytes of an answer are kept back so that its request may still go elsewhere: what is longer is
+	// MaxReplayBytes is how many bytes of an answer are kept back so that its request may still go elsewhere: what is longer is
 	// passed on as it comes.
-	MostKept = 16 << 10
-	// MostPrepared is how many statements a connection keeps prepared between two requests.
-	MostPrepared = 256
+	MaxReplayBytes = 16 << 10
+	// MaxPreparedPerConnection is how many statements a connection keeps prepared between two requests.
+	MaxPreparedPerConnection = 256
 )
 
 // Policy is what a pool says of its sessions.
 type Policy struct {
-	Read, Write string // request classes of what has no label: declared read only, and all else; Write may be none
-	Pins        bool   // a session may keep its connection for what can't follow it
-	Holds       bool   // it keeps it in any case, from its first statement on
-	Settings    int    // bytes of settings at most
-	Statements  int    // prepared statements at most
+	ReadClass, WriteClass string // request classes of what has no label: declared read only, and all else; Write may be none
+	AllowSticky           bool   // a session may keep its connection for what can't follow it
+	AlwaysSticky          bool   // it keeps it in any case, from its first statement on
+	MaxSettingsBytes      int    // bytes of settings at most
+	MaxStatements         int    // prepared statements at most
 }
 
-// Prepared is a statement's text with its parameters' types, shared by all that prepare the same.
-type Prepared struct {
+// PreparedStatement is a statement's text with its parameters' types, shared by all that prepare the same.
+type PreparedStatement struct {
 	Tail unique.Handle[string] // what a Parse holds from its statement on
 	Hash uint64
 	Command
@@ -47,25 +47,25 @@
 	Label *pg.Statement
 }
 
-// Do is what is to be said to a member.
-type Do int
+// Action is what is to be said to a member.
+type Action int
 
 const (
-	Forward Do = iota // Raw, as it came
-	Prepare           // Statement
-	Bind              // Portal, Statement, Raw from the formats on
-	About             // describe Statement
-	Local             // Raw answers it here, in its turn
-	Reject            // the member must refuse it too: Fault answers it
-	Hidden            // Raw, whose answer is for nobody
+	Forward             Action = iota // Raw, as it came
+	Prepare                           // Statement
+	Bind                              // Portal, Statement, Raw from the formats on
+	DescribeStatement                 // describe Statement
+	AnswerLocally                     // Raw answers it here, in its turn
+	Reject                            // the member must refuse it too: Fault answers it
+	ForwardDiscardReply               // Raw, whose answer is for nobody
 )
 
-// Op is one thing to be said.
-type Op struct {
-	Do        Do
+// Message is one thing to be said.
+type Message struct {
+	Action    Action
 	Kind      pg.Kind
 	Portal    string
-	Statement *Prepared
+	Statement *PreparedStatement
 	Raw       []byte
 	Fault     *pg.Error
 }
@@ -73,7 +73,7 @@
 // step is something that a member's answer will end.
 type step struct {
 	kind  pg.Kind // ParseDone, CloseDone or Complete
-	names *iradix.Tree[*Prepared]
+	names *iradix.Tree[*PreparedStatement]
 	Command
 }
 
@@ -84,61 +84,61 @@
 
 // Session is one client's.
 type Session struct {
-	policy      Policy
-	base        Settings // as it started
-	now, there  Settings // what the client has set; what its connection has
-	start       point    // where a transaction that fails goes back to
-	saves       []point
-	names, sure *iradix.Tree[*Prepared] // as asked for, as confirmed
-	portals     map[string]Command
-	steps       []step
-	status      byte     // as the client was last told
-	failed      bool     // an error has come since the last Ready
-	lazy        []string // BEGIN and the like that no member has heard yet
-	lazyOnly    bool     // and the access they ask for
-	lazyMore    bool
-	first       *Command // of the unit on its way: what tells where it goes
-	commits     bool     // something in it may commit
-	pinned      string
-	After       float64 // the position of its last commit
+	policy             Policy
+	base               Settings // as it started
+	now, there         Settings // what the client has set; what its connection has
+	start              point    // where a transaction that fails goes back to
+	saves              []point
+	names, sure        *iradix.Tree[*PreparedStatement] // as asked for, as confirmed
+	portals            map[string]Command
+	steps              []step
+	status             byte     // as the client was last told
+	failed             bool     // an error has come since the last Ready
+	lazy               []string // BEGIN and the like that no member has heard yet
+	lazyOnly           bool     // and the access they ask for
+	lazyMore           bool
+	first              *Command // of the unit on its way: what tells where it goes
+	commits            bool     // something in it may commit
+	pinned             string
+	LastCommitPosition float64 // the position of its last commit
 }
 
 // New begins a session that starts with these settings.
 func New(p Policy, base Settings) *Session {
-	none := iradix.New[*Prepared]()
-	s := &Session{policy: p, base: base, now: base, there: None, start: point{"", base, None}, names: none, sure: none,
+	none := iradix.New[*PreparedStatement]()
+	s := &Session{policy: p, base: base, now: base, there: NoSettings, start: point{"", base, NoSettings}, names: none, sure: none,
 		portals: map[string]Command{}, status: 'I'}
 	s.unpin()
 	return s
 }
 
 func (s *Session) unpin() {
-	if s.pinned = ""; s.policy.Holds {
+	if s.pinned = ""; s.policy.AlwaysSticky {
 		s.pinned = "its pool"
 	}
 }
 
-// Status is where the transaction stands for the client.
-func (s *Session) Status() byte { return s.status }
+// TransactionStatus is where the transaction stands for the client.
+func (s *Session) TransactionStatus() byte { return s.status }
 
-// Pinned tells what binds it to its connection, if anything.
-func (s *Session) Pinned() string { return s.pinned }
+// StickyReason tells what binds it to its connection, if anything.
+func (s *Session) StickyReason() string { return s.pinned }
 
-// Kept tells whether it keeps its connection between its transactions.
-func (s *Session) Kept() bool { return s.pinned != "" }
+// Sticky tells whether it keeps its connection between its transactions.
+func (s *Session) Sticky() bool { return s.pinned != "" }
 
 // Settings tells what its connection should have.
 func (s *Session) Settings() Settings { return s.now }
 
-// There tells what its connection has; On, that it goes on with one that has this.
-func (s *Session) There() Settings { return s.there }
-func (s *Session) On(has Settings) {
+// ServerSettings tells what its connection has; On, that it goes on with one that has this.
+func (s *Session) ServerSettings() Settings { return s.there }
+func (s *Session) AttachConnection(has Settings) {
 	s.there = has
 	s.start.there = has
 }
 
-// Brought says that its connection now has what it should; before: its transaction had not begun there.
-func (s *Session) Brought(before bool) {
+// SettingsApplied says that its connection now has what it should; before: its transaction had not begun there.
+func (s *Session) SettingsApplied(before bool) {
 	if s.there = s.now; before {
 		s.start.there = s.now
 	}
@@ -153,19 +153,19 @@
 }
 
 func tag(status byte, tag string) []byte {
-	return pg.AppendStatus(pg.AppendComplete(nil, tag), status)
+	return pg.AppendReadyForQuery(pg.AppendCommandComplete(nil, tag), status)
 }
 
 var failedText = "current transaction is aborted, commands ignored until end of transaction block"
 
 // Query takes a simple query: either its answer, or what to say. carried: a connection carries the transaction.
-func (s *Session) Query(sql string, raw []byte, carried bool) (answer []byte, ops []Op) {
-	texts := pg.Split(sql)
+func (s *Session) Query(sql string, raw []byte, carried bool) (answer []byte, ops []Message) {
+	texts := pg.SplitStatements(sql)
 	if len(texts) == 0 {
 		if carried {
-			return nil, []Op{{Kind: pg.Query, Raw: raw}}
+			return nil, []Message{{Kind: pg.Query, Raw: raw}}
 		}
-		return pg.AppendStatus(pg.AppendEmpty(nil), s.status), nil
+		return pg.AppendReadyForQuery(pg.AppendEmptyQuery(nil), s.status), nil
 	}
 	commands := make([]Command, len(texts))
 	for n, text := range texts {
@@ -173,16 +173,16 @@
 		if answer := s.forbidden(commands[n]); answer != nil && !carried {
 			return answer, nil
 		} else if answer != nil {
-			return nil, []Op{{Do: Reject, Kind: pg.Query, Fault: s.fault(commands[n])}}
+			return nil, []Message{{Action: Reject, Kind: pg.Query, Fault: s.fault(commands[n])}}
 		}
 	}
 	if s.status == 'E' && !carried { // its connection is lost, only its end will do
-		switch commands[0].Act {
-		case pg.Commit, pg.RollBack:
+		switch commands[0].Kind {
+		case pg.Commit, pg.Rollback:
 			s.status = 'I'
 			return tag('I', "ROLLBACK"), nil
 		}
-		return pg.AppendStatus(pg.AppendError(nil, &pg.Error{Code: pg.Failed, Text: failedText}, false), 'E'), nil
+		return pg.AppendReadyForQuery(pg.AppendError(nil, &pg.Error{Code: pg.InFailedSQLTransaction, Text: failedText}, false), 'E'), nil
 	}
 	if len(commands) == 1 {
 		if answer := s.local(commands[0], texts[0], carried); answer != nil {
@@ -193,20 +193,20 @@
 	for _, c := range commands {
 		s.expect(c)
 	}
-	return nil, append(ops, Op{Kind: pg.Query, Raw: raw})
+	return nil, append(ops, Message{Kind: pg.Query, Raw: raw})
 }
 
 func (s *Session) fault(c Command) *pg.Error {
-	if c.Pin != "" && !s.policy.Pins {
-		return &pg.Error{Code: pg.Unsupported, Text: c.Pin + " can't follow its client to another connection, and this pool pins none"}
+	if c.StickyReason != "" && !s.policy.AllowSticky {
+		return &pg.Error{Code: pg.FeatureNotSupported, Text: c.StickyReason + " can't follow its client to another connection, and this pool pins none"}
 	}
-	if c.Act == pg.Set {
+	if c.Kind == pg.Set {
 		size := s.now.size
 		for _, p := range c.Pairs {
 			size += len(p[0]) + len(p[1])
 		}
-		if size > s.policy.Settings {
-			return &pg.Error{Code: pg.TooLong, Text: "the settings of this session are too long"}
+		if size > s.policy.MaxSettingsBytes {
+			return &pg.Error{Code: pg.ProgramLimitExceeded, Text: "the settings of this session are too long"}
 		}
 	}
 	return nil
@@ -221,7 +221,7 @@
 		s.status = 'E'
 		s.lazy = nil
 	}
-	return pg.AppendStatus(pg.AppendError(nil, f, false), s.status)
+	return pg.AppendReadyForQuery(pg.AppendError(nil, f, false), s.status)
 }
 
 // local answers what no member need hear, or not yet: where a transaction begins nothing is known of it, so that it
@@ -229,42 +229,42 @@
 func (s *Session) local(c Command, text string, carried bool) []byte {
 	outside := s.status == 'I' && s.pinned == ""
 	switch {
-	case c.Act == pg.Begin && s.status == 'I' && c.Simple && c.Label == nil:
+	case c.Kind == pg.Begin && s.status == 'I' && c.Simple && c.Label == nil:
 		s.status, s.lazy = 'T', []string{text}
-		s.lazyOnly, s.lazyMore = c.ReadOnly, c.ReadMore
+		s.lazyOnly, s.lazyMore = c.ReadOnly, c.ReadWrite
 		return tag('T', map[bool]string{true: "START TRANSACTION", false: "BEGIN"}[strings.HasPrefix(
 			strings.ToLower(strings.TrimSpace(text)), "start")])
-	case len(s.lazy) > 0 && len(s.lazy) < 4 && c.Act == pg.Access && c.Simple:
+	case len(s.lazy) > 0 && len(s.lazy) < 4 && c.Kind == pg.SetTransaction && c.Simple:
 		s.lazy = append(s.lazy, text)
-		if c.ReadOnly || c.ReadMore {
-			s.lazyOnly, s.lazyMore = c.ReadOnly, c.ReadMore
+		if c.ReadOnly || c.ReadWrite {
+			s.lazyOnly, s.lazyMore = c.ReadOnly, c.ReadWrite
 		}
 		return tag('T', "SET")
-	case len(s.lazy) > 0 && (c.Act == pg.Commit || c.Act == pg.RollBack):
+	case len(s.lazy) > 0 && (c.Kind == pg.Commit || c.Kind == pg.Rollback):
 		s.status, s.lazy = 'I', nil
-		return tag('I', map[bool]string{true: "COMMIT", false: "ROLLBACK"}[c.Act == pg.Commit])
-	case c.Act == pg.Set && !c.Local && (s.status == 'I' || len(s.lazy) > 0) && Own(c.Pairs[0][0]):
+		return tag('I', map[bool]string{true: "COMMIT", false: "ROLLBACK"}[c.Kind == pg.Commit])
+	case c.Kind == pg.Set && !c.Local && (s.status == 'I' || len(s.lazy) > 0) && IsRouterSetting(c.Pairs[0][0]):
 		s.now = s.now.with(s.base, c.Pairs...)
 		s.start.now = s.now
 		return tag(s.status, "SET")
-	case c.Act == pg.Show && Own(c.Name) && !(carried && s.status != 'I'):
+	case c.Kind == pg.Show && IsRouterSetting(c.Name) && !(carried && s.status != 'I'):
 		value, _ := s.now.Get(c.Name)
-		return pg.AppendStatus(pg.AppendComplete(pg.AppendTextRow(nil, c.Name, pg.Plainly(value)), "SHOW"), s.status)
-	case c.Act == pg.Unset && outside:
+		return pg.AppendReadyForQuery(pg.AppendCommandComplete(pg.AppendTextRow(nil, c.Name, pg.Unquote(value)), "SHOW"), s.status)
+	case c.Kind == pg.Reset && outside:
 		s.now = s.now.with(s.base, [2]string{c.Name, ""})
 		s.start.now = s.now
 		return tag('I', "RESET")
-	case c.Act == pg.UnsetAll && outside:
+	case c.Kind == pg.ResetAll && outside:
 		s.now, s.start.now = s.base, s.base
 		return tag('I', "RESET")
-	case c.Act == pg.DiscardAll && outside:
+	case c.Kind == pg.DiscardAll && outside:
 		s.now, s.start.now = s.base, s.base
 		s.unprepare("")
 		return tag('I', "DISCARD ALL")
-	case c.Act == pg.Unprepare && outside && c.Name == "":
+	case c.Kind == pg.Deallocate && outside && c.Name == "":
 		s.unprepare("")
 		return tag('I', "DEALLOCATE ALL")
-	case c.Act == pg.Unprepare && s.status != 'E' && c.Name != "":
+	case c.Kind == pg.Deallocate && s.status != 'E' && c.Name != "":
 		if _, here := s.names.Get([]byte(c.Name)); here {
 			s.unprepare(c.Name)
 			return tag(s.status, "DEALLOCATE")
@@ -275,7 +275,7 @@
 
 func (s *Session) unprepare(name string) {
 	if name == "" {
-		s.names = iradix.New[*Prepared]()
+		s.names = iradix.New[*PreparedStatement]()
 	} else {
 		s.names, _, _ = s.names.Delete([]byte(name))
 	}
@@ -283,17 +283,17 @@
 }
 
 // begin gives what goes before the first statement of a transaction.
-func (s *Session) begin() []Op {
-	var ops []Op
+func (s *Session) begin() []Message {
+	var ops []Message
 	for _, text := range s.lazy {
-		ops = append(ops, Op{Do: Hidden, Kind: pg.Query, Raw: pg.AppendQuery(nil, text)})
+		ops = append(ops, Message{Action: ForwardDiscardReply, Kind: pg.Query, Raw: pg.AppendQuery(nil, text)})
 	}
 	if s.lazy != nil {
 		var label *pg.Statement
 		if s.first != nil {
 			label = s.first.Label
 		}
-		s.first = &Command{Label: label, Command: pg.Command{Act: pg.Begin, ReadOnly: s.lazyOnly, ReadMore: s.lazyMore}}
+		s.first = &Command{Label: label, Command: pg.Command{Kind: pg.Begin, ReadOnly: s.lazyOnly, ReadWrite: s.lazyMore}}
 		s.lazy = nil
 	}
 	return ops
@@ -302,130 +302,132 @@
 // expect notes what a statement will do once its member says so.
 func (s *Session) expect(c Command) {
 	s.note(c)
-	s.steps = append(s.steps, step{kind: pg.Complete, Command: c})
+	s.steps = append(s.steps, step{kind: pg.CommandComplete, Command: c})
 }
 
 func (s *Session) note(c Command) {
 	if s.first == nil {
 		s.first = &c
-	} else if s.first.Label == nil && c.Label != nil && s.first.Act == pg.Begin {
+	} else if s.first.Label == nil && c.Label != nil && s.first.Kind == pg.Begin {
 		s.first.Label = c.Label
 	}
-	if c.Pin != "" {
-		s.pinned = c.Pin
+	if c.StickyReason != "" {
+		s.pinned = c.StickyReason
 	}
-	s.commits = s.commits || c.Act == pg.Commit || s.status == 'I' && c.Act != pg.Begin
+	s.commits = s.commits || c.Kind == pg.Commit || s.status == 'I' && c.Kind != pg.Begin
 }
 
 // Extended takes one message of an extended query and says what to say; done: a unit has come to its end with it.
-func (s *Session) Extended(m pg.Message) (ops []Op, fail *pg.Error) {
-	raw := func(do Do) Op { return Op{Do: do, Kind: m.Kind, Portal: m.Portal, Raw: append([]byte(nil), m.Raw...)} }
-	reject := func(code, text string) []Op {
-		return []Op{{Do: Reject, Kind: m.Kind, Fault: &pg.Error{Code: code, Text: text}}}
+func (s *Session) Extended(m pg.Message) (ops []Message, fail *pg.Error) {
+	raw := func(do Action) Message {
+		return Message{Action: do, Kind: m.Kind, Portal: m.Portal, Raw: append([]byte(nil), m.Raw...)}
+	}
+	reject := func(code, text string) []Message {
+		return []Message{{Action: Reject, Kind: m.Kind, Fault: &pg.Error{Code: code, Text: text}}}
 	}
 	switch m.Kind {
 	case pg.Parse:
 		if _, taken := s.names.Get([]byte(m.Name)); taken && m.Name != "" {
-			return reject(pg.InUse, `prepared statement "`+m.Name+`" already exists`), nil
+			return reject(pg.DuplicatePreparedStatement, `prepared statement "`+m.Name+`" already exists`), nil
 		}
-		if s.names.Len() >= s.policy.Statements {
-			return reject(pg.TooLong, "too many prepared statements in this session"), nil
+		if s.names.Len() >= s.policy.MaxStatements {
+			return reject(pg.ProgramLimitExceeded, "too many prepared statements in this session"), nil
 		}
-		p := &Prepared{Tail: unique.Make(string(m.Tail)), Hash: xxhash.Sum64(m.Tail), Command: command(m.Text)}
+		p := &PreparedStatement{Tail: unique.Make(string(m.Tail)), Hash: xxhash.Sum64(m.Tail), Command: command(m.Text)}
 		if f := s.fault(p.Command); f != nil {
-			return []Op{{Do: Reject, Kind: m.Kind, Fault: f}}, nil
+			return []Message{{Action: Reject, Kind: m.Kind, Fault: f}}, nil
 		}
 		s.names, _, _ = s.names.Insert([]byte(m.Name), p)
-		s.steps = append(s.steps, step{kind: pg.ParseDone, names: s.names})
-		ops = []Op{{Do: Prepare, Kind: m.Kind, Statement: p}}
+		s.steps = append(s.steps, step{kind: pg.ParseComplete, names: s.names})
+		ops = []Message{{Action: Prepare, Kind: m.Kind, Statement: p}}
 		if s.first == nil {
 			s.first = &Command{Command: p.Command.Command, Label: p.Label}
 		}
 	case pg.Bind:
 		p, here := s.names.Get([]byte(m.Name))
 		if !here {
-			return reject(pg.NoStatement, `prepared statement "`+m.Name+`" does not exist`), nil
+			return reject(pg.InvalidSQLStatementName, `prepared statement "`+m.Name+`" does not exist`), nil
 		}
 		s.portals[m.Portal] = p.Command
-		ops = []Op{{Do: Bind, Kind: m.Kind, Portal: m.Portal, Statement: p, Raw: append([]byte(nil), m.Tail...)}}
+		ops = []Message{{Action: Bind, Kind: m.Kind, Portal: m.Portal, Statement: p, Raw: append([]byte(nil), m.Tail...)}}
 	case pg.Describe:
-		if m.Of == 'P' {
-			return []Op{raw(Forward)}, nil
+		if m.Target == 'P' {
+			return []Message{raw(Forward)}, nil
 		}
 		p, here := s.names.Get([]byte(m.Name))
 		if !here {
-			return reject(pg.NoStatement, `prepared statement "`+m.Name+`" does not exist`), nil
+			return reject(pg.InvalidSQLStatementName, `prepared statement "`+m.Name+`" does not exist`), nil
 		}
-		ops = []Op{{Do: About, Kind: m.Kind, Statement: p}}
+		ops = []Message{{Action: DescribeStatement, Kind: m.Kind, Statement: p}}
 	case pg.Execute:
 		c, here := s.portals[m.Portal]
 		if !here {
-			return reject(pg.NoPortal, `portal "`+m.Portal+`" does not exist`), nil
+			return reject(pg.InvalidCursorName, `portal "`+m.Portal+`" does not exist`), nil
 		}
 		s.expect(c)
-		ops = []Op{raw(Forward)}
-	case pg.CloseName:
-		if m.Of == 'P' {
+		ops = []Message{raw(Forward)}
+	case pg.Close:
+		if m.Target == 'P' {
 			delete(s.portals, m.Portal)
-			s.steps = append(s.steps, step{kind: pg.CloseDone, names: s.names})
-			return []Op{raw(Forward)}, nil
+			s.steps = append(s.steps, step{kind: pg.CloseComplete, names: s.names})
+			return []Message{raw(Forward)}, nil
 		}
 		s.names, _, _ = s.names.Delete([]byte(m.Name))
-		s.steps = append(s.steps, step{kind: pg.CloseDone, names: s.names})
-		ops = []Op{{Do: Local, Kind: m.Kind, Raw: pg.AppendPlain(nil, '3')}}
+		s.steps = append(s.steps, step{kind: pg.CloseComplete, names: s.names})
+		ops = []Message{{Action: AnswerLocally, Kind: m.Kind, Raw: pg.AppendBodyless(nil, '3')}}
 	case pg.Flush, pg.Sync, pg.CopyData, pg.CopyDone, pg.CopyFail:
-		ops = []Op{raw(Forward)}
+		ops = []Message{raw(Forward)}
 	}
 	return ops, nil
 }
 
-// Begin gives what goes before a unit of an extended query that no connection carries yet.
-func (s *Session) Begin() []Op { return s.begin() }
+// FlushDeferredBegin gives what goes before a unit of an extended query that no connection carries yet.
+func (s *Session) FlushDeferredBegin() []Message { return s.begin() }
 
-// Label tells the request that begins with the present unit: its label, else what the session has set, else what its pool
+// RequestClass tells the request that begins with the present unit: its label, else what the session has set, else what its pool
 // says. none: nothing tells, so that it is once-only and for the primary.
-func (s *Session) Label() (label *pg.Statement, txnType, tenant string, none bool) {
+func (s *Session) RequestClass() (label *pg.Statement, txnType, tenant string, none bool) {
 	if s.first != nil && s.first.Label != nil {
-		return s.first.Label, s.first.Label.TxnType, s.first.Label.Tenant, false
+		return s.first.Label, s.first.Label.RequestClass, s.first.Label.Tenant, false
 	}
 	tenant = s.own("wayloft.tenant")
 	if set := s.own("wayloft.txn_type"); set != "" {
 		return nil, set, tenant, false
 	}
 	only, _ := s.now.Get("default_transaction_read_only")
-	word := pg.Plainly(only)
+	word := pg.Unquote(only)
 	read := word == "on" || word == "true" || word == "yes" || word == "1"
-	if s.first != nil && (s.first.Act == pg.Begin || s.first.Act == pg.Access) {
-		read = s.first.ReadOnly || read && !s.first.ReadMore
+	if s.first != nil && (s.first.Kind == pg.Begin || s.first.Kind == pg.SetTransaction) {
+		read = s.first.ReadOnly || read && !s.first.ReadWrite
 	}
-	if read && s.policy.Read != "" {
-		return nil, s.policy.Read, tenant, false
+	if read && s.policy.ReadClass != "" {
+		return nil, s.policy.ReadClass, tenant, false
 	}
-	return nil, s.policy.Write, tenant, s.policy.Write == ""
+	return nil, s.policy.WriteClass, tenant, s.policy.WriteClass == ""
 }
 
 func (s *Session) own(name string) string {
 	v, _ := s.now.Get(name)
-	return pg.Plainly(v)
+	return pg.Unquote(v)
 }
 
-// Own gives a setting of the router's own.
-func (s *Session) Own(name string) string { return s.own("wayloft." + name) }
+// RouterSetting gives a setting of the router's own.
+func (s *Session) RouterSetting(name string) string { return s.own("wayloft." + name) }
 
-// Heard takes in a message of the member's that the client is given.
-func (s *Session) Heard(m *pg.Message) {
+// ServerMessage takes in a message of the member's that the client is given.
+func (s *Session) ServerMessage(m *pg.Message) {
 	switch m.Kind {
-	case pg.ParseDone, pg.CloseDone:
+	case pg.ParseComplete, pg.CloseComplete:
 		if n := s.pop(m.Kind); n != nil {
 			s.sure = n.names
 		}
-	case pg.Complete, pg.Empty, pg.Suspended:
-		if n := s.pop(pg.Complete); n != nil && m.Kind == pg.Complete {
+	case pg.CommandComplete, pg.EmptyQuery, pg.PortalSuspended:
+		if n := s.pop(pg.CommandComplete); n != nil && m.Kind == pg.CommandComplete {
 			s.done(n.Command, m.Text)
 		}
-	case pg.Failure:
+	case pg.ErrorResponse:
 		s.failed, s.steps, s.names = true, nil, s.sure
-	case pg.Ready:
+	case pg.ReadyForQuery:
 		s.ready(m.Status)
 	}
 }
@@ -441,20 +443,20 @@
 
 // done applies what a statement has done.
 func (s *Session) done(c Command, tag string) {
-	switch c.Act {
+	switch c.Kind {
 	case pg.Set:
 		if !c.Local {
-			s.now, s.there = s.now.with(s.base, c.Pairs...), s.there.with(None, c.Pairs...)
+			s.now, s.there = s.now.with(s.base, c.Pairs...), s.there.with(NoSettings, c.Pairs...)
 		}
-	case pg.Unset:
-		s.now, s.there = s.now.with(s.base, [2]string{c.Name, ""}), s.there.with(None, [2]string{c.Name, ""})
-	case pg.UnsetAll:
-		s.now, s.there = s.base, None
+	case pg.Reset:
+		s.now, s.there = s.now.with(s.base, [2]string{c.Name, ""}), s.there.with(NoSettings, [2]string{c.Name, ""})
+	case pg.ResetAll:
+		s.now, s.there = s.base, NoSettings
 	case pg.DiscardAll:
-		s.now, s.there = s.base, None
+		s.now, s.there = s.base, NoSettings
 		s.unpin()
 		s.unprepare("")
-	case pg.Unprepare:
+	case pg.Deallocate:
 		if c.Name == "" {
 			s.unprepare("")
 		}
@@ -463,18 +465,18 @@
 			s.saves = nil
 			s.start = point{"", s.now, s.there}
 		}
-	case pg.Commit, pg.RollBack:
+	case pg.Commit, pg.Rollback:
 		if tag == "ROLLBACK" && Planted != "rollback" {
 			s.now, s.there = s.start.now, s.start.there
 		}
 		s.start, s.saves = point{"", s.now, s.there}, nil
 	case pg.Savepoint:
 		s.saves = append(s.saves, point{c.Name, s.now, s.there})
-	case pg.BackTo:
+	case pg.RollbackTo:
 		if n := s.save(c.Name); n >= 0 {
 			s.now, s.there, s.saves = s.saves[n].now, s.saves[n].there, s.saves[:n+1]
 		}
-	case pg.Release:
+	case pg.ReleaseSavepoint:
 		if n := s.save(c.Name); n >= 0 {
 			s.saves = s.saves[:n]
 		}
@@ -506,15 +508,15 @@
 	s.names = s.sure
 }
 
-// Lost says that the connection that carried it has ended, or that it never got one; it tells whether the transaction
+// ConnectionLost says that the connection that carried it has ended, or that it never got one; it tells whether the transaction
 // may have taken effect all the same. Its session goes on as after a transaction that was failed.
-func (s *Session) Lost(sent bool) (may bool) {
+func (s *Session) ConnectionLost(sent bool) (may bool) {
 	may = sent && s.commits
 	if s.status != 'I' { // its client must end the transaction that it thinks it is in
 		s.status = 'E'
 	}
-	s.now, s.there = s.start.now, None
-	s.start, s.saves = point{"", s.now, None}, nil
+	s.now, s.there = s.start.now, NoSettings
+	s.start, s.saves = point{"", s.now, NoSettings}, nil
 	s.names = s.sure
 	clear(s.portals)
 	s.steps, s.failed, s.commits, s.first, s.lazy = nil, false, false, nil, nil
@@ -524,50 +526,50 @@
 	return may
 }
 
-// Dead answers a unit of an extended query in a transaction whose connection is lost: only its end will do.
-func (s *Session) Dead(ops []Op) []byte {
+// FailedTransactionReply answers a unit of an extended query in a transaction whose connection is lost: only its end will do.
+func (s *Session) FailedTransactionReply(ops []Message) []byte {
 	var out []byte
 	for _, op := range ops {
-		if op.Do != Prepare && op.Do != Bind {
+		if op.Action != Prepare && op.Action != Bind {
 			continue
 		}
-		if a := op.Statement.Act; a != pg.Commit && a != pg.RollBack {
+		if a := op.Statement.Kind; a != pg.Commit && a != pg.Rollback {
 			break
 		}
 		s.status = 'I'
 	}
 	s.steps, s.first, s.names = nil, nil, s.sure
 	if s.status == 'E' {
-		return pg.AppendStatus(pg.AppendError(nil, &pg.Error{Code: pg.Failed, Text: failedText}, false), 'E')
+		return pg.AppendReadyForQuery(pg.AppendError(nil, &pg.Error{Code: pg.InFailedSQLTransaction, Text: failedText}, false), 'E')
 	}
 	for _, op := range ops {
 		switch op.Kind {
 		case pg.Parse:
-			out = pg.AppendPlain(out, '1')
+			out = pg.AppendBodyless(out, '1')
 		case pg.Bind:
-			out = pg.AppendPlain(out, '2')
+			out = pg.AppendBodyless(out, '2')
 		case pg.Describe:
-			if op.Do == About {
+			if op.Action == DescribeStatement {
 				out = append(out, 't', 0, 0, 0, 6, 0, 0)
 			}
-			out = pg.AppendPlain(out, 'n')
+			out = pg.AppendBodyless(out, 'n')
 		case pg.Execute:
-			out = pg.AppendComplete(out, "ROLLBACK")
-		case pg.CloseName:
-			out = pg.AppendPlain(out, '3')
+			out = pg.AppendCommandComplete(out, "ROLLBACK")
+		case pg.Close:
+			out = pg.AppendBodyless(out, '3')
 		}
 	}
-	return pg.AppendStatus(out, 'I')
+	return pg.AppendReadyForQuery(out, 'I')
 }
 
-// Here answers a unit that needs no member; ok is false where it does.
-func (s *Session) Here(ops []Op) (answer []byte, ok bool) {
+// LocalReply answers a unit that needs no member; ok is false where it does.
+func (s *Session) LocalReply(ops []Message) (answer []byte, ok bool) {
 	for _, op := range ops {
 		switch {
-		case op.Do == Local:
+		case op.Action == AnswerLocally:
 			answer = append(answer, op.Raw...)
 		case op.Kind == pg.Sync:
-			answer = pg.AppendStatus(answer, s.status)
+			answer = pg.AppendReadyForQuery(answer, s.status)
 		case op.Kind != pg.Flush:
 			return nil, false
 		}
@@ -576,5 +578,5 @@
 	return answer, true
 }
 
-// Outside tells whether nothing is open: no transaction, no unit on its way.
-func (s *Session) Outside() bool { return s.status == 'I' && len(s.steps) == 0 && s.first == nil }
+// Idle tells whether nothing is open: no transaction, no unit on its way.
+func (s *Session) Idle() bool { return s.status == 'I' && len(s.steps) == 0 && s.first == nil }
--- a/internal/decide/session/session_test.go
+++ b/internal/decide/session/session_test.go
@@ -25,7 +25,9 @@
 //	lost / unsent                  its connection has ended, or it never had one; may / mayn't: have taken effect
 //	has name=value ... / label TYPE / status I / pinned WHY
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, func() func(string) error { return (&play{policy: Policy{Settings: 200, Statements: 3}}).step })
+	scenario.Play(t, func() func(string) error {
+		return (&play{policy: Policy{MaxSettingsBytes: 200, MaxStatements: 3}}).step
+	})
 }
 
 type play struct {
@@ -33,7 +35,7 @@
 	s       *Session
 	carried bool
 	here    string
-	ops     []Op
+	ops     []Message
 	may     bool
 }
 
@@ -48,7 +50,7 @@
 // heard puts messages made here in words.
 func heard(b []byte) string {
 	r := pg.NewReader(true, 1<<16)
-	r.Widen()
+	r.EnableExtended()
 	r.Feed(b)
 	var out []string
 	for {
@@ -56,15 +58,15 @@
 		switch {
 		case err != nil || !ok:
 			return strings.Join(out, " ")
-		case m.Kind == pg.Complete:
+		case m.Kind == pg.CommandComplete:
 			out = append(out, m.Text)
-		case m.Kind == pg.Failure:
-			out = append(out, m.Failure.Code)
-		case m.Kind == pg.Ready:
+		case m.Kind == pg.ErrorResponse:
+			out = append(out, m.Error.Code)
+		case m.Kind == pg.ReadyForQuery:
 			out = append(out, string(m.Status))
-		case m.Kind == pg.Row:
-			out = append(out, "row:"+string(m.Cell))
-		case m.Kind == pg.Empty:
+		case m.Kind == pg.DataRow:
+			out = append(out, "row:"+string(m.FirstColumn))
+		case m.Kind == pg.EmptyQuery:
 			out = append(out, "empty")
 		}
 	}
@@ -72,14 +74,14 @@
 
 var does = []string{"forward", "prepare", "bind", "about", "local", "reject", "hidden"}
 
-func said(ops []Op) string {
+func said(ops []Message) string {
 	var out []string
 	for _, op := range ops {
-		s := does[op.Do]
+		s := does[op.Action]
 		if op.Fault != nil {
 			s += ":" + op.Fault.Code
 		}
-		if op.Do == Hidden {
+		if op.Action == ForwardDiscardReply {
 			s += ":" + strings.TrimRight(string(op.Raw[5:]), "\x00")
 		}
 		out = append(out, s)
@@ -105,7 +107,7 @@
 		r := pg.NewReader(false, 1<<16)
 		r.Feed(pg.AppendStartup(nil, "a", "b"))
 		r.Next()
-		r.Widen()
+		r.EnableExtended()
 		r.Feed(b)
 		m, _, _ := r.Next()
 		return m
@@ -119,25 +121,25 @@
 		for _, o := range pairs(rest) {
 			switch o[0] {
 			case "read":
-				p.policy.Read = o[1]
+				p.policy.ReadClass = o[1]
 			case "write":
-				p.policy.Write = o[1]
+				p.policy.WriteClass = o[1]
 			case "pins":
-				p.policy.Pins = true
+				p.policy.AllowSticky = true
 			case "holds":
-				p.policy.Holds = true
+				p.policy.AlwaysSticky = true
 			}
 		}
 		return nil
 	case "start":
-		p.s = New(p.policy, None.with(None, pairs(rest)...))
+		p.s = New(p.policy, NoSettings.with(NoSettings, pairs(rest)...))
 		return nil
 	case "carried":
 		p.carried = rest == "yes"
 		return nil
 	}
 	if p.s == nil {
-		p.s = New(p.policy, None)
+		p.s = New(p.policy, NoSettings)
 	}
 	switch word {
 	case "query":
@@ -154,9 +156,9 @@
 		extended(pg.AppendClose(nil, 'S', rest))
 	case "sync":
 		extended(pg.AppendSync(nil))
-		p.ops = append(p.s.Begin(), p.ops...)
+		p.ops = append(p.s.FlushDeferredBegin(), p.ops...)
 	case "dead":
-		p.here, p.ops = heard(p.s.Dead(p.ops)), nil
+		p.here, p.ops = heard(p.s.FailedTransactionReply(p.ops)), nil
 	case "here":
 		return is(p.here, rest)
 	case "say":
@@ -168,29 +170,29 @@
 		m := pg.Message{Text: tag}
 		switch kind {
 		case "ok":
-			m.Kind = pg.Complete
+			m.Kind = pg.CommandComplete
 		case "prepared":
-			m.Kind = pg.ParseDone
+			m.Kind = pg.ParseComplete
 		case "closed":
-			m.Kind = pg.CloseDone
+			m.Kind = pg.CloseComplete
 		case "error":
-			m.Kind = pg.Failure
+			m.Kind = pg.ErrorResponse
 		case "ready":
-			m.Kind, m.Status = pg.Ready, tag[0]
+			m.Kind, m.Status = pg.ReadyForQuery, tag[0]
 		default:
 			return fmt.Errorf("unknown message")
 		}
-		p.s.Heard(&m)
+		p.s.ServerMessage(&m)
 	case "on":
-		p.s.On(None.with(None, pairs(rest)...))
+		p.s.AttachConnection(NoSettings.with(NoSettings, pairs(rest)...))
 	case "bring":
-		got := strings.Join(Difference(p.s.There(), p.s.Settings()), "; ")
-		p.s.Brought(true)
+		got := strings.Join(SettingsStatements(p.s.ServerSettings(), p.s.Settings()), "; ")
+		p.s.SettingsApplied(true)
 		return is(got, rest)
 	case "lost":
-		p.may = p.s.Lost(true)
+		p.may = p.s.ConnectionLost(true)
 	case "unsent":
-		p.may = p.s.Lost(false)
+		p.may = p.s.ConnectionLost(false)
 	case "may":
 		return is(fmt.Sprint(p.may), "true")
 	case "mayn't":
@@ -198,7 +200,7 @@
 	case "has":
 		return is(describe(p.s.Settings()), rest)
 	case "label":
-		label, txnType, tenant, none := p.s.Label()
+		label, txnType, tenant, none := p.s.RequestClass()
 		got := txnType
 		if label != nil {
 			got += " of " + label.ID
@@ -211,9 +213,9 @@
 		}
 		return is(got, rest)
 	case "status":
-		return is(string(p.s.Status()), rest)
+		return is(string(p.s.TransactionStatus()), rest)
 	case "pinned":
-		return is(p.s.Pinned(), rest)
+		return is(p.s.StickyReason(), rest)
 	default:
 		return fmt.Errorf("unknown step")
 	}
@@ -245,11 +247,11 @@
 // run runs one statement as a server would; ok is false for an error.
 func (m *model) run(sql string) (tag string, ok bool) {
 	c := pg.ParseCommand(sql)
-	if m.status == 'E' && c.Act != pg.Commit && c.Act != pg.RollBack && c.Act != pg.BackTo {
+	if m.status == 'E' && c.Kind != pg.Commit && c.Kind != pg.Rollback && c.Kind != pg.RollbackTo {
 		return "", false
 	}
-	switch c.Act {
-	case pg.Plain:
+	switch c.Kind {
+	case pg.OtherCommand:
 		return "SELECT 1", sql != "SELEKT"
 	case pg.Begin:
 		if m.status == 'I' {
@@ -257,9 +259,9 @@
 			m.save("")
 		}
 		return "BEGIN", true
-	case pg.Commit, pg.RollBack:
+	case pg.Commit, pg.Rollback:
 		tag = "COMMIT"
-		if m.status == 'E' || c.Act == pg.RollBack {
+		if m.status == 'E' || c.Kind == pg.Rollback {
 			if tag = "ROLLBACK"; m.status != 'I' {
 				m.back(0)
 			}
@@ -272,10 +274,10 @@
 		}
 		m.save(c.Name)
 		return "SAVEPOINT", true
-	case pg.BackTo, pg.Release:
+	case pg.RollbackTo, pg.ReleaseSavepoint:
 		for n := len(m.saves) - 1; n > 0; n-- {
 			if m.saves[n].name == c.Name {
-				if c.Act == pg.Release {
+				if c.Kind == pg.ReleaseSavepoint {
 					m.saves = m.saves[:n]
 					return "RELEASE", true
 				}
@@ -300,11 +302,11 @@
 			}
 		}
 		return "SET", true
-	case pg.Unset:
+	case pg.Reset:
 		delete(m.now, c.Name)
 		delete(m.local, c.Name)
 		return "RESET", true
-	case pg.UnsetAll:
+	case pg.ResetAll:
 		clear(m.now)
 		clear(m.local)
 		return "RESET", true
@@ -315,13 +317,13 @@
 // query runs a whole simple query, with what an implicit transaction takes back.
 func (m *model) query(sql string, hear func(pg.Message)) {
 	var implicit map[string]string
-	for _, text := range pg.Split(sql) {
+	for _, text := range pg.SplitStatements(sql) {
 		if m.status == 'I' && implicit == nil {
 			implicit = maps.Clone(m.now)
 		}
 		tag, ok := m.run(text)
 		if !ok {
-			if hear(pg.Message{Kind: pg.Failure}); m.status == 'T' {
+			if hear(pg.Message{Kind: pg.ErrorResponse}); m.status == 'T' {
 				m.status = 'E'
 			} else if m.status == 'I' {
 				m.now = implicit
@@ -331,11 +333,11 @@
 		if tag == "ROLLBACK" && implicit != nil { // it takes the implicit one back
 			m.now = implicit
 		}
-		if hear(pg.Message{Kind: pg.Complete, Text: tag}); m.status != 'I' || tag == "COMMIT" || tag == "ROLLBACK" {
+		if hear(pg.Message{Kind: pg.CommandComplete, Text: tag}); m.status != 'I' || tag == "COMMIT" || tag == "ROLLBACK" {
 			implicit = nil
 		}
 	}
-	hear(pg.Message{Kind: pg.Ready, Status: m.status})
+	hear(pg.Message{Kind: pg.ReadyForQuery, Status: m.status})
 }
 
 // Whatever a client sets, begins, saves and takes back, on whatever connection: after each transaction the connection
@@ -346,49 +348,49 @@
 		"SET a.x = '4'; SELECT 1", "SET a.y = '5'; SELEKT", "BEGIN; SET a.x = '6'; COMMIT", "SELECT 1; SET a.y = '7'; ROLLBACK"}
 	rapid.Check(t, func(t *rapid.T) {
 		fresh := func() *model { return &model{now: map[string]string{}, local: map[string]string{}, status: 'I'} }
-		one := fresh()                                                // a server that the client has to itself
-		pool := []*model{fresh(), fresh(), fresh()}                   // those that the router has
-		has := []Settings{None, None, None}                           // and what it thinks they have
-		s, on := New(Policy{Settings: 1000, Statements: 9}, None), -1 // on: which of them carries it
+		one := fresh()                                                                 // a server that the client has to itself
+		pool := []*model{fresh(), fresh(), fresh()}                                    // those that the router has
+		has := []Settings{NoSettings, NoSettings, NoSettings}                          // and what it thinks they have
+		s, on := New(Policy{MaxSettingsBytes: 1000, MaxStatements: 9}, NoSettings), -1 // on: which of them carries it
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			sql := rapid.SampledFrom(statements).Draw(t, "sql")
 			one.query(sql, func(pg.Message) {})
-			if one.status == 'E' && s.Status() == 'I' {
+			if one.status == 'E' && s.TransactionStatus() == 'I' {
 				t.Fatal("the session knows of no transaction")
 			}
 			_, ops := s.Query(sql, pg.AppendQuery(nil, sql), on >= 0)
 			if ops != nil && on < 0 {
 				on = rapid.IntRange(0, len(pool)-1).Draw(t, "connection")
-				s.On(has[on])
-				for _, text := range Difference(has[on], s.Settings()) {
+				s.AttachConnection(has[on])
+				for _, text := range SettingsStatements(has[on], s.Settings()) {
 					pool[on].query(text, func(m pg.Message) {
-						if m.Kind == pg.Failure {
+						if m.Kind == pg.ErrorResponse {
 							t.Fatalf("%s is refused", text)
 						}
 					})
 				}
-				s.Brought(true)
+				s.SettingsApplied(true)
 			}
 			for _, op := range ops {
 				text := strings.TrimRight(string(op.Raw[5:]), "\x00")
 				pool[on].query(text, func(m pg.Message) {
-					if op.Do != Hidden {
-						s.Heard(&m)
+					if op.Action != ForwardDiscardReply {
+						s.ServerMessage(&m)
 					}
 				})
 			}
-			if on >= 0 && s.Status() == 'I' {
-				has[on] = s.There()
+			if on >= 0 && s.TransactionStatus() == 'I' {
+				has[on] = s.ServerSettings()
 				want := fmt.Sprint(sorted(pool[on].now))
 				if got := describe(has[on]); "["+got+"]" != want || pool[on].status != 'I' {
 					t.Fatalf("after %q the connection has %s, the session thinks %s", sql, want, got)
 				}
 				on = -1
 			}
-			if s.Status() != one.status {
-				t.Fatalf("after %q: status %c, alone %c", sql, s.Status(), one.status)
+			if s.TransactionStatus() != one.status {
+				t.Fatalf("after %q: status %c, alone %c", sql, s.TransactionStatus(), one.status)
 			}
-			if got, want := "["+describe(s.Settings())+"]", fmt.Sprint(sorted(one.now)); s.Status() == 'I' && got != want {
+			if got, want := "["+describe(s.Settings())+"]", fmt.Sprint(sorted(one.now)); s.TransactionStatus() == 'I' && got != want {
 				t.Fatalf("after %q the session has %s, alone %s", sql, got, want)
 			}
 		}
@@ -404,14 +406,14 @@
 
 // Equal settings are the same, however they came about, and a difference costs what differs.
 func TestEqualSettingsAreOne(t *testing.T) {
-	a := None.with(None, [2]string{"x", "1"}, [2]string{"y", "2"})
-	b := None.with(None, [2]string{"y", "3"}).with(None, [2]string{"x", "1"}, [2]string{"y", "2"})
-	if a.ID() != b.ID() || a.with(None, [2]string{"x", ""}, [2]string{"y", ""}).ID() != None.ID() {
+	a := NoSettings.with(NoSettings, [2]string{"x", "1"}, [2]string{"y", "2"})
+	b := NoSettings.with(NoSettings, [2]string{"y", "3"}).with(NoSettings, [2]string{"x", "1"}, [2]string{"y", "2"})
+	if a.ID() != b.ID() || a.with(NoSettings, [2]string{"x", ""}, [2]string{"y", ""}).ID() != NoSettings.ID() {
 		t.Error("equal settings differ")
 	}
-	c := None.with(None, [2]string{"session_authorization", "bob"}, [2]string{"role", "r"}, [2]string{"wayloft.txn_type", "t"},
+	c := NoSettings.with(NoSettings, [2]string{"session_authorization", "bob"}, [2]string{"role", "r"}, [2]string{"wayloft.txn_type", "t"},
 		[2]string{"timezone", "'UTC'"}, [2]string{"x", "1"})
-	if got, want := strings.Join(Difference(a, c), "; "), `SET SESSION AUTHORIZATION bob; SET "role" TO r; SET TIME ZONE 'UTC'; `+
+	if got, want := strings.Join(SettingsStatements(a, c), "; "), `SET SESSION AUTHORIZATION bob; SET "role" TO r; SET TIME ZONE 'UTC'; `+
 		`RESET "y"; SET role TO r`; got != want {
 		t.Errorf("got %s", got)
 	}
@@ -423,7 +425,7 @@
 		{"options", `-c a.x=two\ words`, "a.x='two words'"}, {"options", "-x 1", "22023"}, {"options", "-c nothing", "22023"},
 		{"replication", "true", "0A000"}, {"replication", "off", ""}, {"TimeZone", "UTC", "timezone='UTC'"},
 	} {
-		s, fail := Startup(pg.Startups{{"user", "u"}, {c.name, c.value}})
+		s, fail := StartupSettings(pg.StartupParameters{{"user", "u"}, {c.name, c.value}})
 		got := describe(s)
 		if fail != nil {
 			got = fail.Code
@@ -435,24 +437,24 @@
 }
 
 func BenchmarkStatement(b *testing.B) {
-	s := New(Policy{Write: "w", Settings: 1000, Statements: 9}, None)
+	s := New(Policy{WriteClass: "w", MaxSettingsBytes: 1000, MaxStatements: 9}, NoSettings)
 	raw := pg.AppendQuery(nil, "SELECT blob FROM rows WHERE handle = 'h1'")
 	b.ReportAllocs()
 	for range b.N {
 		s.Query("SELECT blob FROM rows WHERE handle = 'h1'", raw, false)
-		s.Heard(&pg.Message{Kind: pg.Complete, Text: "SELECT 1"})
-		s.Heard(&pg.Message{Kind: pg.Ready, Status: 'I'})
+		s.ServerMessage(&pg.Message{Kind: pg.CommandComplete, Text: "SELECT 1"})
+		s.ServerMessage(&pg.Message{Kind: pg.ReadyForQuery, Status: 'I'})
 	}
 }
 
 func BenchmarkDifference(b *testing.B) {
-	a := None.with(None, [2]string{"a", "1"}, [2]string{"b", "2"}, [2]string{"c", "3"}, [2]string{"d", "4"})
-	c := a.with(None, [2]string{"b", "9"})
+	a := NoSettings.with(NoSettings, [2]string{"a", "1"}, [2]string{"b", "2"}, [2]string{"c", "3"}, [2]string{"d", "4"})
+	c := a.with(NoSettings, [2]string{"b", "9"})
 	for name, to := range map[string]Settings{"equal": a, "one": c} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				Difference(a, to)
+				SettingsStatements(a, to)
 			}
 		})
 	}
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -20,8 +20,8 @@
 // ID compares by pointer.
 func (s Settings) ID() any { return s.id }
 
-// None are the settings of a connection that has set nothing.
-var None = identify(iradix.New[string]())
+// NoSettings are the settings of a connection that has set nothing.
+var NoSettings = identify(iradix.New[string]())
 
 func identify(t *iradix.Tree[string]) Settings {
 	var b strings.Builder
@@ -57,12 +57,12 @@
 	return identify(t)
 }
 
-// Own tells whether a setting is the router's, and never goes to a member.
-func Own(name string) bool { return strings.HasPrefix(name, "wayloft.") }
+// IsRouterSetting tells whether a setting is the router's, and never goes to a member.
+func IsRouterSetting(name string) bool { return strings.HasPrefix(name, "wayloft.") }
 
-// Difference gives the statements that bring a connection from what it has to what it should have; they cost what
+// SettingsStatements gives the statements that bring a connection from what it has to what it should have; they cost what
 // differs, and are none where nothing does.
-func Difference(has, should Settings) []string {
+func SettingsStatements(has, should Settings) []string {
 	if has.id == should.id || Planted == "settings" {
 		return nil
 	}
@@ -70,7 +70,7 @@
 	authorized := false
 	add := func(name, value string) {
 		switch {
-		case Own(name):
+		case IsRouterSetting(name):
 		case name == "session_authorization":
 			authorized = true
 			if value == "" {
@@ -119,12 +119,12 @@
 	return strings.Join(parts, ".")
 }
 
-// Startup reads what a client sets as it connects: parameters, and options of the form -c name=value.
-func Startup(params pg.Startups) (Settings, *pg.Error) {
-	s := None
+// StartupSettings reads what a client sets as it connects: parameters, and options of the form -c name=value.
+func StartupSettings(params pg.StartupParameters) (Settings, *pg.Error) {
+	s := NoSettings
 	set := func(name, value string) {
 		if value != "" {
-			s = s.with(None, [2]string{strings.ToLower(name), pg.Literal(value)})
+			s = s.with(NoSettings, [2]string{strings.ToLower(name), pg.QuoteLiteral(value)})
 		}
 	}
 	for _, p := range params {
@@ -132,7 +132,7 @@
 		case name == "user" || name == "database" || strings.HasPrefix(name, "_pq_."):
 		case name == "replication":
 			if on := strings.ToLower(p[1]); on != "" && on != "false" && on != "off" && on != "no" && on != "0" {
-				return s, &pg.Error{Code: pg.Unsupported, Text: "replication does not go through a router"}
+				return s, &pg.Error{Code: pg.FeatureNotSupported, Text: "replication does not go through a router"}
 			}
 		case name == "options":
 			words := optionWords(p[1])
@@ -147,11 +147,11 @@
 				case strings.HasPrefix(word, "-c"):
 					word = word[2:]
 				default:
-					return s, &pg.Error{Code: pg.Invalid, Text: "options: only -c name=value is taken, not " + word}
+					return s, &pg.Error{Code: pg.InvalidParameterValue, Text: "options: only -c name=value is taken, not " + word}
 				}
 				key, value, ok := strings.Cut(word, "=")
 				if !ok {
-					return s, &pg.Error{Code: pg.Invalid, Text: "options: " + word + " is no name=value"}
+					return s, &pg.Error{Code: pg.InvalidParameterValue, Text: "options: " + word + " is no name=value"}
 				}
 				set(key, value)
 			}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -19,13 +19,13 @@
 	old := newPeer(t, says(changed+"\n"))
 	next := newPeer(t, func(c net.Conn) { says(`{"revision":5,"complete":true,"members":[]}`)(c); c.Close() }, says("\n"))
 	told := make(chan *List, 10)
-	w := New(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
-	once := sync.OnceFunc(func() { w.Move(next.Addr().String()) })
+	w := NewWatcher(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
+	once := sync.OnceFunc(func() { w.ChangeAddress(next.Addr().String()) })
 	defer failpoint.Set("discovery.tell", once)()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go w.Keep(ctx)
-	if l := <-told; l.Revision != 5 || !l.Whole {
+	go w.Watch(ctx)
+	if l := <-told; l.Revision != 5 || !l.Complete {
 		t.Errorf("told %+v first, want the new address's list", l)
 	}
 }
@@ -58,7 +58,7 @@
 					old := newPeer(t, on)
 					next := newPeer(t, f, func(c net.Conn) { says(drained)(c); c.Close() }, says("\n"))
 					told, requests := make(chan *List, 100), make(chan struct{}, 1)
-					w := New(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {
+					w := NewWatcher(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {
 						select {
 						case requests <- struct{}{}: // a router asks again
 						default:
@@ -70,20 +70,20 @@
 					ctx, cancel := context.WithCancel(context.Background())
 					defer cancel()
 					if ask {
-						go w.Answer(ctx, requests)
+						go w.Poll(ctx, requests)
 						requests <- struct{}{}
 					} else {
-						go w.Keep(ctx)
+						go w.Watch(ctx)
 					}
 					<-old.asked
-					w.Move(next.Addr().String())
+					w.ChangeAddress(next.Addr().String())
 					if got := <-next.asked; got != "/api/targets" {
 						t.Errorf("asked %s first", got)
 					}
 					for n := 0; ; n++ {
 						l := <-told
 						if l.Revision == 5 {
-							if !l.Whole || len(l.Entries) != 1 || l.Entries[0].State != router.Draining {
+							if !l.Complete || len(l.Entries) != 1 || l.Entries[0].State != router.Draining {
 								t.Errorf("told %+v", l)
 							}
 							break
@@ -109,17 +109,17 @@
 		next := newPeer(t, func(c net.Conn) { says(`{"revision":5,"complete":true,"members":[]}`)(c); c.Close() }, says("\n"))
 		told := make(chan *List, 100)
 		var w *Watcher
-		move := sync.OnceFunc(func() { w.Move(next.Addr().String()) })
-		w = New(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) { move() }) // the call has ended
+		move := sync.OnceFunc(func() { w.ChangeAddress(next.Addr().String()) })
+		w = NewWatcher(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) { move() }) // the call has ended
 		ctx, cancel := context.WithCancel(context.Background())
 		if ask {
 			requests := make(chan struct{}, 1)
-			go w.Answer(ctx, requests)
+			go w.Poll(ctx, requests)
 			requests <- struct{}{}
 		} else {
-			go w.Keep(ctx)
+			go w.Watch(ctx)
 		}
-		if l := <-told; l.Revision != 5 || !l.Whole {
+		if l := <-told; l.Revision != 5 || !l.Complete {
 			t.Errorf("told %+v", l)
 		}
 		if len(old.asked) != 1 {
@@ -134,11 +134,11 @@
 	old := newPeer(t, says("\n"))
 	never := newPeer(t, says(`{"revision":9,"complete":true,"members":[]}`))
 	told := make(chan *List, 100)
-	w := New(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
-	twice := sync.OnceFunc(func() { w.Move(never.Addr().String()); w.Move(old.Addr().String()) })
+	w := NewWatcher(old.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
+	twice := sync.OnceFunc(func() { w.ChangeAddress(never.Addr().String()); w.ChangeAddress(old.Addr().String()) })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go w.Keep(ctx)
+	go w.Watch(ctx)
 	if l := <-told; l.Revision != 41 {
 		t.Errorf("told %+v", l)
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -44,7 +44,7 @@
 // List is a whole list or what changed.
 type List struct {
 	Revision int64
-	Whole    bool
+	Complete bool
 	Entries  []Entry
 }
 
@@ -60,18 +60,18 @@
 var states = map[string]router.State{"in_service": router.Up, "terminating": router.Draining,
 	"terminated": router.Removed}
 
-// Decode reads a list.
-func Decode(v *fastjson.Value) (*List, error) {
+// DecodeList reads a list.
+func DecodeList(v *fastjson.Value) (*List, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil, errors.New("must be an object")
 	}
-	f := &settings.Fields{V: v}
-	l := &List{Revision: int64(f.Number("revision")), Whole: f.Flag("complete")}
+	f := &settings.Fields{Value: v}
+	l := &List{Revision: int64(f.Number("revision")), Complete: f.Bool("complete")}
 	for n, row := range f.Array("members") {
-		e := &settings.Fields{V: row}
-		one := Entry{ID: e.Text("id"), Addr: e.Text("host_port"), Zone: e.Maybe("locality"),
-			Group: int(e.OrZero("cell")), Started: router.Never}
-		if at := e.OrZero("up_since_ms"); at > 0 {
+		e := &settings.Fields{Value: row}
+		one := Entry{ID: e.Text("id"), Addr: e.Text("host_port"), Zone: e.OptionalText("locality"),
+			Group: int(e.OptionalNumber("cell")), Started: router.Never}
+		if at := e.OptionalNumber("up_since_ms"); at > 0 {
 			one.Started = at
 		}
 		word := e.Text("phase")
@@ -93,7 +93,7 @@
 // errMoved ends a watch whose address has changed, errSilent one on which nothing comes.
 var errMoved, errSilent = errors.New("discovery has moved"), errors.New("silent")
 
-var errTooLong = Unsound{errors.New("line or list too long")}
+var errTooLong = InvalidListError{errors.New("line or list too long")}
 
 // Watcher keeps a watch on the list.
 type Watcher struct {
@@ -110,15 +110,15 @@
 	moved chan struct{}
 }
 
-// New makes a watcher from a revision on. Both functions are called from its own goroutine.
-func New(addr string, revision int64, deliver func(*List), failed func(error)) *Watcher {
+// NewWatcher makes a watcher from a revision on. Both functions are called from its own goroutine.
+func NewWatcher(addr string, revision int64, deliver func(*List), failed func(error)) *Watcher {
 	return &Watcher{addr: addr, revision: revision, deliver: deliver, failed: failed, heartbeatTimeout: heartbeatTimeout,
 		moved: make(chan struct{}, 1), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// Move names another address. What is on with the old one ends, and the new one is asked at once; until it has
+// ChangeAddress names another address. What is on with the old one ends, and the new one is asked at once; until it has
 // answered, nothing that is known changes. It may be called from anywhere.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) ChangeAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if addr == w.addr {
@@ -134,11 +134,11 @@
 	}
 }
 
-// Keep watches until ctx ends, and asks again with backing off whenever a watch ends.
-func (w *Watcher) Keep(ctx context.Context) {
+// Watch watches until ctx ends, and asks again with backing off whenever a watch ends.
+func (w *Watcher) Watch(ctx context.Context) {
 	for wait := leastBackoff; ; wait = min(2*wait, mostBackoff) {
 		before := time.Now()
-		err := w.Once(ctx)
+		err := w.WatchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -158,8 +158,8 @@
 	}
 }
 
-// Answer watches once for each request and each move, for a router that says itself when to ask.
-func (w *Watcher) Answer(ctx context.Context, asked <-chan struct{}) {
+// Poll watches once for each request and each move, for a router that says itself when to ask.
+func (w *Watcher) Poll(ctx context.Context, asked <-chan struct{}) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -167,16 +167,16 @@
 		case <-w.moved:
 		case <-asked:
 		}
-		if err := w.Once(ctx); ctx.Err() == nil && !errors.Is(err, errMoved) {
+		if err := w.WatchOnce(ctx); ctx.Err() == nil && !errors.Is(err, errMoved) {
 			w.failed(err)
 		}
 	}
 }
 
-// Once watches until the connection ends, falls silent or tells something unsound, and says which. An address that
+// WatchOnce watches until the connection ends, falls silent or tells something unsound, and says which. An address that
 // is new is asked for the whole list first, which is taken for what it is whatever its revision; so is one whose
 // revisions have gone back, once and without a pause, since what it has counts as told.
-func (w *Watcher) Once(ctx context.Context) error {
+func (w *Watcher) WatchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	w.mu.Lock()
@@ -287,25 +287,25 @@
 	return nil
 }
 
-// Unsound is what is wrong with a list that came.
-type Unsound struct{ error }
+// InvalidListError is what is wrong with a list that came.
+type InvalidListError struct{ error }
 
 func decode(text []byte) (*List, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return nil, Unsound{fmt.Errorf("not JSON: %w", err)}
+		return nil, InvalidListError{fmt.Errorf("not JSON: %w", err)}
 	}
-	l, err := Decode(v)
+	l, err := DecodeList(v)
 	if err != nil {
-		return nil, Unsound{err}
+		return nil, InvalidListError{err}
 	}
 	return l, nil
 }
 
 // older is a list whose revision is lower than the last one's.
-type older struct{ Unsound }
+type older struct{ InvalidListError }
 
-func (o older) Unwrap() error { return o.Unsound }
+func (o older) Unwrap() error { return o.InvalidListError }
 
 // follow delivers each list that a watch tells.
 func (w *Watcher) follow(ctx context.Context, url string, p *pace) error {
@@ -339,7 +339,7 @@
 				return err
 			}
 			if l.Revision < w.revision {
-				return older{Unsound{fmt.Errorf("revision %d is older than %d", l.Revision, w.revision)}}
+				return older{InvalidListError{fmt.Errorf("revision %d is older than %d", l.Revision, w.revision)}}
 			}
 		}
 		if len(c.text) > 0 || !told {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -60,8 +60,8 @@
 			}))
 			defer s.Close()
 			var told []string
-			w := New(strings.TrimPrefix(s.URL, "http://"), 41, func(l *List) {
-				line := fmt.Sprint(l.Revision, " ", l.Whole)
+			w := NewWatcher(strings.TrimPrefix(s.URL, "http://"), 41, func(l *List) {
+				line := fmt.Sprint(l.Revision, " ", l.Complete)
 				for _, e := range l.Entries {
 					line += " " + e.ID
 				}
@@ -70,7 +70,7 @@
 			if w.heartbeatTimeout = time.Hour; c.want == "silent" { // none of the others ends because the machine is slow
 				w.heartbeatTimeout = 50 * time.Millisecond
 			}
-			err := w.Once(context.Background())
+			err := w.WatchOnce(context.Background())
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("ended with %v, want %q", err, c.want)
 			}
@@ -124,7 +124,7 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go New(strings.TrimPrefix(s.URL, "http://"), 41, func(*List) {}, func(error) {}).Keep(ctx)
+	go NewWatcher(strings.TrimPrefix(s.URL, "http://"), 41, func(*List) {}, func(error) {}).Watch(ctx)
 	for _, want := range []string{"41", "43", "43"} {
 		if got := <-asked; got != want {
 			t.Fatalf("asked from %s, want %s", got, want)
@@ -140,7 +140,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	failed, requests := make(chan error, 10), make(chan struct{}, 1)
-	go New(strings.TrimPrefix(s.URL, "http://"), 41, func(*List) {}, func(err error) { failed <- err }).Answer(ctx, requests)
+	go NewWatcher(strings.TrimPrefix(s.URL, "http://"), 41, func(*List) {}, func(err error) { failed <- err }).Poll(ctx, requests)
 	for range 2 {
 		requests <- struct{}{}
 		if err := <-failed; err == nil {
@@ -179,16 +179,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	told, failed := make(chan List, 10), make(chan error, 10)
-	w := New(strings.TrimPrefix(old.URL, "http://"), 41, func(l *List) { told <- *l }, func(err error) { failed <- err })
-	go w.Keep(ctx)
+	w := NewWatcher(strings.TrimPrefix(old.URL, "http://"), 41, func(l *List) { told <- *l }, func(err error) { failed <- err })
+	go w.Watch(ctx)
 	hear := func(revision int64, whole bool) {
 		t.Helper()
-		if l := <-told; l.Revision != revision || l.Whole != whole {
-			t.Fatalf("told revision %d, whole %v; want %d, %v", l.Revision, l.Whole, revision, whole)
+		if l := <-told; l.Revision != revision || l.Complete != whole {
+			t.Fatalf("told revision %d, whole %v; want %d, %v", l.Revision, l.Complete, revision, whole)
 		}
 	}
 	hear(43, false)
-	w.Move(strings.TrimPrefix(next.URL, "http://"))
+	w.ChangeAddress(strings.TrimPrefix(next.URL, "http://"))
 	if err := <-failed; !strings.Contains(err.Error(), "not JSON") {
 		t.Errorf("failed with %v", err)
 	}
@@ -281,9 +281,9 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				told := make(chan *List, 100)
-				w := New(p.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
+				w := NewWatcher(p.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
 				w.heartbeatTimeout = 30 * time.Millisecond
-				go w.Keep(ctx)
+				go w.Watch(ctx)
 				for l := range told {
 					if len(l.Entries) == 1 && l.Revision == 43 {
 						return
@@ -329,8 +329,8 @@
 			c.Close()
 		}, func(c net.Conn) { says(strings.Replace(changed, "43", "4", 1) + "\n")(c); c.Close() })
 		var told []string
-		w := New(p.Addr().String(), 41, func(l *List) { told = append(told, fmt.Sprint(l.Revision, l.Whole, len(l.Entries))) }, nil)
-		if err := w.Once(context.Background()); !errors.Is(err, io.EOF) {
+		w := NewWatcher(p.Addr().String(), 41, func(l *List) { told = append(told, fmt.Sprint(l.Revision, l.Complete, len(l.Entries))) }, nil)
+		if err := w.WatchOnce(context.Background()); !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %v", err)
 		}
 		if got := strings.Join(told, "; "); got != "3 true 1; 4 false 1" {
@@ -350,11 +350,11 @@
 	older := says(strings.Replace(changed, "43", "7", 1) + "\n")
 	p := newPeer(t, older, list, older, list, func(c net.Conn) { says("\n")(c); c.Close() })
 	var told []string
-	w := New(p.Addr().String(), 41, func(l *List) { told = append(told, fmt.Sprint(l.Revision, l.Whole)) }, nil)
-	if err := w.Once(context.Background()); err == nil || !strings.Contains(err.Error(), "revision 7 is older than 30") {
+	w := NewWatcher(p.Addr().String(), 41, func(l *List) { told = append(told, fmt.Sprint(l.Revision, l.Complete)) }, nil)
+	if err := w.WatchOnce(context.Background()); err == nil || !strings.Contains(err.Error(), "revision 7 is older than 30") {
 		t.Errorf("ended with %v", err)
 	}
-	if err := w.Once(context.Background()); !errors.Is(err, io.EOF) {
+	if err := w.WatchOnce(context.Background()); !errors.Is(err, io.EOF) {
 		t.Errorf("the next ended with %v", err)
 	}
 	if got := strings.Join(told, "; "); got != "30 true; 30 true; 30 false" {
@@ -376,7 +376,7 @@
 			p := newPeer(t, func(c net.Conn) { says("\n" + text[:cut])(c); fmt.Fprint(c, text[cut:]) }) // and stays
 			ctx, cancel := context.WithCancel(context.Background())
 			told := make(chan *List, 10)
-			go New(p.Addr().String(), 41, func(l *List) { told <- l }, func(error) {}).Keep(ctx)
+			go NewWatcher(p.Addr().String(), 41, func(l *List) { told <- l }, func(error) {}).Watch(ctx)
 			for want := 0; want <= 1; want++ {
 				select {
 				case l := <-told:
@@ -401,9 +401,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	told, requests := make(chan *List, 10), make(chan struct{}, 1)
-	w := New(p.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
+	w := NewWatcher(p.Addr().String(), 41, func(l *List) { told <- l }, func(error) {})
 	w.heartbeatTimeout = 30 * time.Millisecond
-	go w.Answer(ctx, requests)
+	go w.Poll(ctx, requests)
 	requests <- struct{}{}
 	<-p.asked
 	requests <- struct{}{} // while the first hangs
--- a/internal/discovery/syscall_test.go
+++ b/internal/discovery/syscall_test.go
@@ -42,7 +42,7 @@
 					t.Parallel()
 					p := newPeer(t, says(changed+"\n"))
 					told, requests, failed := make(chan *List, 100), make(chan struct{}, 1), make(chan error, 100)
-					w := New(p.Addr().String(), 41, func(l *List) { told <- l }, func(err error) {
+					w := NewWatcher(p.Addr().String(), 41, func(l *List) { told <- l }, func(err error) {
 						failed <- err
 						select {
 						case requests <- struct{}{}: // a router asks again
@@ -69,10 +69,10 @@
 					ctx, cancel := context.WithCancel(context.Background())
 					defer cancel()
 					if ask {
-						go w.Answer(ctx, requests)
+						go w.Poll(ctx, requests)
 						requests <- struct{}{}
 					} else {
-						go w.Keep(ctx)
+						go w.Watch(ctx)
 					}
 					if l := <-told; l.Revision != 43 {
 						t.Errorf("told %+v", l)
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -98,16 +98,16 @@
 	if d.requests[req.ID] != nil {
 		return ErrDuplicateID
 	}
-	class := d.classes[req.TxnType]
+	class := d.classes[req.RequestClass]
 	if class == nil {
 		return ErrRequestClass
 	}
 	req.LimitWait(class.Deadline)
 	now := d.Now()
-	if req.After > 0 && !d.Possible(req.After) {
+	if req.Position > 0 && !d.Possible(req.Position) {
 		return ErrFuturePosition
 	}
-	d.routerInput().Arrive(req.ID, req.Tenant, req.Session, req.TxnType, req.Group, d.positionAge(req.After, now), req.Wait, req.Marked)
+	d.routerInput().Arrive(req.ID, req.Tenant, req.IdempotencyKey, req.RequestClass, req.Group, d.positionAge(req.Position, now), req.WaitMs, req.IsRetry)
 	if req.Arrived < now {
 		d.routerInput().Queued(req.ID, now-req.Arrived)
 	}
@@ -202,7 +202,7 @@
 // Writes counts the requests of a group that need its primary: those with an attempt in flight, and those that wait.
 func (d *Driver) Writes(group int) (inFlight, waiting int) {
 	for _, open := range d.requests {
-		class := d.classes[open.request.TxnType]
+		class := d.classes[open.request.RequestClass]
 		if open.request.Group != group || class.Level != router.Write && class.Level != router.Fresh {
 			continue
 		}
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -14,7 +14,7 @@
 	t *testing.T
 	net.Conn
 	reader *pg.Reader
-	Key    pg.Key // the cancel key that the server sent
+	Key    pg.CancelKey // the cancel key that the server sent
 }
 
 // NewClient connects, and starts a session if start is set. The connection is closed when the test is over.
@@ -26,7 +26,7 @@
 	}
 	t.Cleanup(func() { closeSocket(c) })
 	client := &Client{t: t, Conn: c, reader: pg.NewReader(true, maxMessage)}
-	client.reader.Widen()
+	client.reader.EnableExtended()
 	if start {
 		client.Send(string(pg.AppendStartup(nil, "api", "ledger")))
 		if got := client.Answer(); got != "ready" {
@@ -67,17 +67,17 @@
 				return strings.Join(append(out, "closed"), " ")
 			}
 			c.reader.Feed(buffer[:n])
-		case m.Kind == pg.KeyData:
+		case m.Kind == pg.BackendKeyData:
 			c.Key = m.Key
-		case m.Kind == pg.Row:
-			out = append(out, string(m.Cell))
-		case m.Kind == pg.Complete:
+		case m.Kind == pg.DataRow:
+			out = append(out, string(m.FirstColumn))
+		case m.Kind == pg.CommandComplete:
 			out = append(out, "ok")
-		case m.Kind == pg.Empty:
+		case m.Kind == pg.EmptyQuery:
 			out = append(out, "empty")
-		case m.Kind == pg.Failure:
-			out = append(out, m.Failure.Code)
-		case m.Kind == pg.Ready:
+		case m.Kind == pg.ErrorResponse:
+			out = append(out, m.Error.Code)
+		case m.Kind == pg.ReadyForQuery:
 			return strings.Join(append(out, "ready"), " ")
 		}
 	}
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -96,7 +96,7 @@
 	switch {
 	case msg.Kind != pg.Startup:
 		if msg.Text == "" && m.Empty == nil {
-			return &Reply{Bytes: pg.AppendReady(pg.AppendEmpty(nil))}
+			return &Reply{Bytes: pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))}
 		} else if msg.Text == "" {
 			return m.Empty()
 		}
@@ -135,10 +135,10 @@
 // Row returns an answer with a value, a role and a position.
 func Row(value, role, position string) *Reply {
 	out := append(Rows(value), Param("rank", role)...)
-	return &Reply{Bytes: pg.AppendReady(append(out, Param("as_of", position)...))}
+	return &Reply{Bytes: pg.AppendReadyIdle(append(out, Param("as_of", position)...))}
 }
 
 // Fail returns an answer with an error of this code.
 func Fail(code string) *Reply {
-	return &Reply{Bytes: pg.AppendReady(pg.AppendError(nil, &pg.Error{Code: code, Text: "no"}, false))}
+	return &Reply{Bytes: pg.AppendReadyIdle(pg.AppendError(nil, &pg.Error{Code: code, Text: "no"}, false))}
 }
--- a/internal/fakes/pgserver/connection.go
+++ b/internal/fakes/pgserver/connection.go
@@ -29,7 +29,7 @@
 	server  *Server
 	id      int
 	conn    net.Conn
-	key     pg.Key
+	key     pg.CancelKey
 	out     []byte    // what is to be sent
 	cancel  chan bool // receives cancel requests
 	running bool      // a statement takes its time; guarded by the server's lock
@@ -97,7 +97,7 @@
 		for {
 			m, ok, err := r.Next()
 			if err != nil {
-				c.fail(pg.Violation, err.Error())
+				c.fail(pg.ProtocolViolation, err.Error())
 				_ = c.flush() // the connection ends in any case
 				return
 			}
@@ -143,14 +143,14 @@
 // handle answers a message, or injects a fault in its place. It returns false if the connection is to be closed.
 func (c *connection) handle(r *pg.Reader, m *pg.Message) bool {
 	switch m.Kind {
-	case pg.AskTLS:
+	case pg.SSLRequest:
 		c.out = append(c.out, 'N')
 		return true
-	case pg.Cancel:
+	case pg.CancelRequest:
 		c.server.cancel(m.Key)
 		return false
 	case pg.Startup:
-		r.Widen()
+		r.EnableExtended()
 		return c.logIn(m)
 	case pg.Terminate:
 		return false
@@ -189,14 +189,14 @@
 	s.accepted++
 	if s.MaxConnections > 0 && len(s.conns) >= s.MaxConnections {
 		s.mu.Unlock()
-		c.out = pg.AppendError(c.out, &pg.Error{Code: pg.Refused, Text: "too many connections"}, true)
+		c.out = pg.AppendError(c.out, &pg.Error{Code: pg.TooManyConnections, Text: "too many connections"}, true)
 		return false
 	}
 	s.lastID++
 	c.id = s.lastID
 	s.conns[c.id] = c
 	s.peak = max(s.peak, len(s.conns))
-	c.key = pg.Key{Process: uint32(c.id), Secret: rand.Uint32()}
+	c.key = pg.CancelKey{Process: uint32(c.id), Secret: rand.Uint32()}
 	s.mu.Unlock()
 	for _, p := range m.Startup {
 		if p[0] != "user" && p[0] != "database" && p[0] != "options" {
@@ -204,13 +204,13 @@
 		}
 	}
 	c.settings = maps.Clone(c.startup)
-	c.out = pg.AppendAuthOK(c.out)
+	c.out = pg.AppendAuthenticationOK(c.out)
 	for _, p := range [][2]string{{"server_version", "16.3"}, {"server_encoding", "UTF8"}, {"integer_datetimes", "on"},
 		{"standard_conforming_strings", "on"}, {"in_hot_standby", map[bool]string{true: "off", false: "on"}[s.isPrimary()]}} {
-		c.out = pg.AppendParameter(c.out, p[0], p[1])
+		c.out = pg.AppendParameterStatus(c.out, p[0], p[1])
 	}
 	c.writeSettings()
-	c.out = pg.AppendReady(pg.AppendKey(c.out, c.key))
+	c.out = pg.AppendReadyIdle(pg.AppendBackendKeyData(c.out, c.key))
 	return true
 }
 
@@ -224,7 +224,7 @@
 		}
 		if was, told := c.reportedSettings[key]; !told || was != v {
 			c.reportedSettings[key] = v
-			c.out = pg.AppendParameter(c.out, p[0], v)
+			c.out = pg.AppendParameterStatus(c.out, p[0], v)
 		}
 	}
 }
@@ -243,8 +243,8 @@
 	if c.server.isPrimary() {
 		role = "source"
 	}
-	c.out = pg.AppendParameter(c.out, "rank", role)
-	c.out = pg.AppendParameter(c.out, "as_of", strconv.FormatFloat(at, 'f', 3, 64))
+	c.out = pg.AppendParameterStatus(c.out, "rank", role)
+	c.out = pg.AppendParameterStatus(c.out, "as_of", strconv.FormatFloat(at, 'f', 3, 64))
 }
 
 // writeReady ends an implicit transaction and answers that the connection is ready.
@@ -264,5 +264,5 @@
 		clear(c.portals)
 	}
 	c.writeSettings()
-	c.out = pg.AppendStatus(c.out, c.status)
+	c.out = pg.AppendReadyForQuery(c.out, c.status)
 }
--- a/internal/fakes/pgserver/copy.go
+++ b/internal/fakes/pgserver/copy.go
@@ -25,13 +25,13 @@
 		for n := range 3 {
 			c.out = append(c.out, message('d', fmt.Sprintf("h%d\tv%d\n", n, n))...)
 		}
-		c.out = pg.AppendPlain(c.out, 'c')
+		c.out = pg.AppendBodyless(c.out, 'c')
 		c.writeTag("COPY 3")
 		return
 	}
 	if !c.server.isPrimary() {
 		c.writePosition(c.server.applied())
-		c.fail(pg.NoPrimary, "cannot execute COPY FROM in a read-only transaction")
+		c.fail(pg.ReadOnlySQLTransaction, "cannot execute COPY FROM in a read-only transaction")
 		return
 	}
 	c.copying = &copyData{binary: strings.Contains(low, "binary"), simple: simple}
--- a/internal/fakes/pgserver/extended.go
+++ b/internal/fakes/pgserver/extended.go
@@ -32,20 +32,20 @@
 		c.describeMessage(m)
 	case pg.Execute:
 		c.execute(m)
-	case pg.CloseName:
-		if m.Of == 'S' {
+	case pg.Close:
+		if m.Target == 'S' {
 			delete(c.prepared, m.Name)
 		} else {
 			delete(c.portals, m.Portal)
 		}
-		c.out = pg.AppendPlain(c.out, '3')
+		c.out = pg.AppendBodyless(c.out, '3')
 	}
 }
 
 func (c *connection) simpleQuery(m *pg.Message) {
-	texts := pg.Split(m.Text)
+	texts := pg.SplitStatements(m.Text)
 	if len(texts) == 0 {
-		c.out = pg.AppendEmpty(c.out)
+		c.out = pg.AppendEmptyQuery(c.out)
 	}
 	for _, text := range texts {
 		if c.runStatement(text, nil, true); c.failed {
@@ -66,32 +66,32 @@
 
 func (c *connection) parse(m *pg.Message) {
 	if _, taken := c.prepared[m.Name]; taken && m.Name != "" {
-		c.failExtended(pg.InUse, "prepared statement "+m.Name+" already exists")
+		c.failExtended(pg.DuplicatePreparedStatement, "prepared statement "+m.Name+" already exists")
 		return
 	}
 	c.server.mu.Lock()
 	c.server.parses++
 	c.server.mu.Unlock()
 	c.prepared[m.Name] = m.Text
-	c.out = pg.AppendPlain(c.out, '1')
+	c.out = pg.AppendBodyless(c.out, '1')
 }
 
 func (c *connection) bind(m *pg.Message) {
 	sql, ok := c.prepared[m.Name]
 	if !ok {
-		c.failExtended(pg.NoStatement, "prepared statement "+m.Name+" does not exist")
+		c.failExtended(pg.InvalidSQLStatementName, "prepared statement "+m.Name+" does not exist")
 		return
 	}
 	c.portals[m.Portal] = portal{sql, values(m.Tail)}
-	c.out = pg.AppendPlain(c.out, '2')
+	c.out = pg.AppendBodyless(c.out, '2')
 }
 
 func (c *connection) describeMessage(m *pg.Message) {
 	sql := c.portals[m.Portal].sql
-	if m.Of == 'S' {
+	if m.Target == 'S' {
 		var ok bool
 		if sql, ok = c.prepared[m.Name]; !ok {
-			c.failExtended(pg.NoStatement, "prepared statement "+m.Name+" does not exist")
+			c.failExtended(pg.InvalidSQLStatementName, "prepared statement "+m.Name+" does not exist")
 			return
 		}
 		c.out = parameters(c.out, strings.Count(sql, "$"))
@@ -102,7 +102,7 @@
 func (c *connection) execute(m *pg.Message) {
 	p, ok := c.portals[m.Portal]
 	if !ok {
-		c.fail(pg.NoPortal, "portal does not exist")
+		c.fail(pg.InvalidCursorName, "portal does not exist")
 	} else {
 		c.runStatement(p.sql, p.args, false)
 	}
@@ -153,7 +153,7 @@
 func (c *connection) describeStatement(sql string) {
 	names := columns(sql)
 	if names == nil {
-		c.out = pg.AppendPlain(c.out, 'n')
+		c.out = pg.AppendBodyless(c.out, 'n')
 		return
 	}
 	c.out = describe(c.out, names)
@@ -179,7 +179,7 @@
 }
 
 // writeTag answers that a command is complete.
-func (c *connection) writeTag(tag string) { c.out = pg.AppendComplete(c.out, tag) }
+func (c *connection) writeTag(tag string) { c.out = pg.AppendCommandComplete(c.out, tag) }
 
 // message encodes a message of the protocol.
 func message(typ byte, body string) []byte {
--- a/internal/fakes/pgserver/query.go
+++ b/internal/fakes/pgserver/query.go
@@ -36,18 +36,18 @@
 	case <-t.C:
 		return true
 	case <-c.cancel:
-		c.fail(pg.Cancelled, "canceling statement due to user request")
+		c.fail(pg.QueryCanceled, "canceling statement due to user request")
 		return false
 	}
 }
 
 func (c *connection) runStatement(sql string, args []string, simple bool) {
 	cmd := pg.ParseCommand(sql)
-	if c.status == failedStatus && cmd.Act != pg.Commit && cmd.Act != pg.RollBack && cmd.Act != pg.BackTo {
-		c.fail(pg.Failed, "current transaction is aborted")
+	if c.status == failedStatus && cmd.Kind != pg.Commit && cmd.Kind != pg.Rollback && cmd.Kind != pg.RollbackTo {
+		c.fail(pg.InFailedSQLTransaction, "current transaction is aborted")
 		return
 	}
-	if c.status == idleStatus && !c.implicit && cmd.Act != pg.Begin {
+	if c.status == idleStatus && !c.implicit && cmd.Kind != pg.Begin {
 		c.implicit, c.implicitStart = true, len(c.out)
 		c.savepoints = []savepoint{{settings: maps.Clone(c.settings)}}
 	}
@@ -63,8 +63,8 @@
 		c.server.OnStatement(e)
 		c.server.mu.Unlock()
 	}
-	switch cmd.Act {
-	case pg.Plain, pg.Show:
+	switch cmd.Kind {
+	case pg.OtherCommand, pg.Show:
 		c.runQuery(sql, cmd, args, simple)
 		return
 	}
@@ -119,9 +119,9 @@
 		return
 	}
 	switch {
-	case cmd.Act == pg.Show && cmd.Name == "vitals":
+	case cmd.Kind == pg.Show && cmd.Name == "vitals":
 		c.showVitals(simple)
-	case cmd.Act == pg.Show:
+	case cmd.Kind == pg.Show:
 		c.writeRow(simple, cmd.Name, c.settings[cmd.Name])
 		c.writeTag("SHOW")
 	case strings.HasPrefix(low, "insert into rows"):
@@ -140,7 +140,7 @@
 	case strings.HasPrefix(low, "execute "):
 		text, had := c.sqlPrepared[strings.TrimSpace(low[len("execute "):])]
 		if !had {
-			c.fail(pg.NoStatement, "prepared statement does not exist")
+			c.fail(pg.InvalidSQLStatementName, "prepared statement does not exist")
 			return
 		}
 		c.runQuery(text, pg.ParseCommand(text), nil, simple)
@@ -197,11 +197,11 @@
 func (c *connection) insert(flat, low string, args []string, simple bool) {
 	if !c.server.isPrimary() {
 		c.writePosition(c.server.applied())
-		c.fail(pg.NoPrimary, "cannot execute INSERT in a read-only transaction")
+		c.fail(pg.ReadOnlySQLTransaction, "cannot execute INSERT in a read-only transaction")
 		return
 	}
 	if c.readOnly {
-		c.fail(pg.NoPrimary, "cannot execute INSERT in a read-only transaction")
+		c.fail(pg.ReadOnlySQLTransaction, "cannot execute INSERT in a read-only transaction")
 		return
 	}
 	_, afterValues, _ := strings.Cut(low, "values")
--- a/internal/fakes/pgserver/server.go
+++ b/internal/fakes/pgserver/server.go
@@ -134,7 +134,7 @@
 }
 
 // cancel cancels what runs on the connection that has this key.
-func (s *Server) cancel(k pg.Key) {
+func (s *Server) cancel(k pg.CancelKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
--- a/internal/fakes/pgserver/transaction.go
+++ b/internal/fakes/pgserver/transaction.go
@@ -12,29 +12,29 @@
 
 // runCommand runs a command that changes the session.
 func (c *connection) runCommand(command pg.Command) {
-	switch command.Act {
+	switch command.Kind {
 	case pg.Begin:
 		c.begin(command)
-	case pg.Access:
+	case pg.SetTransaction:
 		c.readOnly = command.ReadOnly
 		c.writeTag("SET")
-	case pg.Commit, pg.RollBack:
-		c.endTransaction(command.Act == pg.RollBack || c.status == failedStatus)
+	case pg.Commit, pg.Rollback:
+		c.endTransaction(command.Kind == pg.Rollback || c.status == failedStatus)
 	case pg.Savepoint:
 		c.savepoints = append(c.savepoints, savepoint{command.Name, maps.Clone(c.settings), len(c.writes)})
 		c.writeTag("SAVEPOINT")
-	case pg.BackTo, pg.Release:
+	case pg.RollbackTo, pg.ReleaseSavepoint:
 		c.endSavepoint(command)
 	case pg.Set:
 		c.set(command)
-	case pg.Unset:
+	case pg.Reset:
 		if value, set := c.startup[command.Name]; set {
 			c.settings[command.Name] = value
 		} else {
 			delete(c.settings, command.Name)
 		}
 		c.writeTag("RESET")
-	case pg.UnsetAll:
+	case pg.ResetAll:
 		c.settings = maps.Clone(c.startup)
 		c.writeTag("RESET")
 	case pg.DiscardAll:
@@ -46,7 +46,7 @@
 		clear(c.prepared)
 		clear(c.sqlPrepared)
 		c.writeTag("DISCARD ALL")
-	case pg.Unprepare:
+	case pg.Deallocate:
 		c.deallocate(command.Name)
 	}
 }
@@ -122,7 +122,7 @@
 		if c.savepoints[n].name != command.Name {
 			continue
 		}
-		if command.Act == pg.BackTo {
+		if command.Kind == pg.RollbackTo {
 			c.rollBackTo(n)
 			c.savepoints = c.savepoints[:n+1]
 			c.status = transactionStatus
@@ -143,7 +143,7 @@
 			c.fail("42704", "unrecognized configuration parameter")
 			return
 		}
-		value := pg.Plainly(text)
+		value := pg.Unquote(text)
 		if text == "" {
 			value = c.startup[name]
 		}
@@ -184,7 +184,7 @@
 		delete(c.sqlPrepared, name)
 		c.writeTag("DEALLOCATE")
 	} else {
-		c.fail(pg.NoStatement, "prepared statement does not exist")
+		c.fail(pg.InvalidSQLStatementName, "prepared statement does not exist")
 	}
 }
 
@@ -207,7 +207,7 @@
 		if c.implicit {
 			c.out = c.out[:min(c.implicitStart, len(c.out))]
 		}
-		c.fail(pg.NoPrimary, err.Error())
+		c.fail(pg.ReadOnlySQLTransaction, err.Error())
 		return false
 	}
 	if at > 0 {
--- a/internal/frontend/closed_test.go
+++ b/internal/frontend/closed_test.go
@@ -25,8 +25,8 @@
 	}
 	h := eventloop.New(eventloop.NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: kinds}, 1), kinds, func() {})
 	f := &front{t: t, host: h, all: New(h, 10, 1<<20, 1<<16), addr: l.Addr().String()}
-	f.all.Pooled(&Pooling{Pools: []*Pool{{Name: "p", Database: "pooled", Policy: decide.Policy{Settings: 1 << 12, Statements: 8},
-		Fallback: "read", Known: iradix.New[string]}, {Name: "s", Database: "plain", Plain: true}}})
+	f.all.SetPooling(&Pooling{Pools: []*Pool{{Name: "p", Database: "pooled", Policy: decide.Policy{MaxSettingsBytes: 1 << 12, MaxStatements: 8},
+		DefaultClass: "read", KnownParameters: iradix.New[string]}, {Name: "s", Database: "plain", StatementMode: true}}})
 	h.SetBackend(nobody{})
 	if err := h.Listen(f.all.Gate(l), 1<<20, f.all.Accept); err != nil {
 		t.Fatal(err)
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -11,7 +11,7 @@
 	giveUpAfter = 100.0 // ms by which a final answer may miss the end of the drain before the request is given up
 )
 
-var goingDown = &pg.Error{Code: pg.Refused, Text: "the router is going down"}
+var goingDown = &pg.Error{Code: pg.TooManyConnections, Text: "the router is going down"}
 
 // Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last. The signal was
 // received at this time of the loop's clock, and within so many ms of it each request has its final answer, whatever members do:
@@ -61,7 +61,7 @@
 	case s.p == nil:
 		s.refuse(goingDown)
 	default:
-		s.refuse(&pg.Error{Code: pg.GoingDown, Text: goingDown.Text})
+		s.refuse(&pg.Error{Code: pg.AdminShutdown, Text: goingDown.Text})
 	}
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -43,7 +43,7 @@
 	gate     *gate
 	ending   int      // sessions whose connection ends, but has not ended yet
 	pooling  *Pooling // nil: all have the platform's form
-	keys     map[pg.Key]*pooled
+	keys     map[pg.CancelKey]*pooled
 	ids      uint64  // requests without an id of their client's
 	draining bool    // SIGTERM has come
 	answerBy float64 // by when each request has its final answer then
@@ -52,7 +52,7 @@
 
 	// Statements over the budget; sessions and statements that broke the protocol; sessions that took too long to
 	// ask, or found no room.
-	Refused, Bad, Late, Crowded int
+	Rejected, ProtocolErrors, TimedOut, NoSessionSlot int
 }
 
 // session is one client's connection: its messages are answered in order, one at a time.
@@ -88,16 +88,16 @@
 }
 
 var (
-	crowded   = &pg.Error{Code: pg.Refused, Text: "too many statements at once"}
-	noRoom    = &pg.Error{Code: pg.Refused, Text: "too many connections"}
-	sentAhead = &pg.Error{Code: pg.TooLong, Text: "too much sent ahead"}
-	late      = &pg.Error{Code: pg.Idle, Text: "a whole query took too long to come"}
+	crowded   = &pg.Error{Code: pg.TooManyConnections, Text: "too many statements at once"}
+	noRoom    = &pg.Error{Code: pg.TooManyConnections, Text: "too many connections"}
+	sentAhead = &pg.Error{Code: pg.ProgramLimitExceeded, Text: "too much sent ahead"}
+	late      = &pg.Error{Code: pg.IdleSessionTimeout, Text: "a whole query took too long to come"}
 )
 
 // New makes room for so many sessions, which together hold so many bytes of statements, none longer than longest.
 func New(h *eventloop.Driver, most, budget, longest int) *Frontend {
 	a := &Frontend{host: h, most: most, budget: budget, longest: longest, sessions: map[*session]bool{},
-		rota: rota{awake: map[*session]bool{}}, keys: map[pg.Key]*pooled{}, room: make(chan struct{}, most+spare)}
+		rota: rota{awake: map[*session]bool{}}, keys: map[pg.CancelKey]*pooled{}, room: make(chan struct{}, most+spare)}
 	return a
 }
 
@@ -115,7 +115,7 @@
 	}
 	a.makeRoom()
 	if len(a.sessions)-a.ending > a.most && !s.ends && !c.Unread() {
-		a.Crowded++
+		a.NoSessionSlot++
 		s.refuse(noRoom)
 	}
 }
@@ -133,7 +133,7 @@
 
 // idle tells that the session can end without taking an answer away.
 func (s *session) idle() bool {
-	return !s.ends && s.p == nil && s.answered() && s.conn.Sent() && (!s.asked || s.in.Pending() == 0)
+	return !s.ends && s.p == nil && s.answered() && s.conn.Sent() && (!s.asked || s.in.Buffered() == 0)
 }
 
 // retire ends a session of which nothing is owed, unless something of its client's has come meanwhile. One that may have
@@ -198,7 +198,7 @@
 		case now > s.moved+stalled:
 			s.drop()
 		case !s.deaf && s.unfinished() && now > s.until && !s.conn.Unread():
-			a.Late++
+			a.TimedOut++
 			s.refuse(late)
 		}
 		a.rota.lull(s)
@@ -209,8 +209,8 @@
 	}
 }
 
-// Sessions tells how many there are, and how many of them wait for an answer.
-func (a *Frontend) Sessions() (all, busy int) {
+// SessionCounts tells how many there are, and how many of them wait for an answer.
+func (a *Frontend) SessionCounts() (all, busy int) {
 	for s := range a.sessions {
 		if s.txn != nil || s.p != nil && s.p.txn != nil {
 			busy++
@@ -223,7 +223,7 @@
 func (s *session) answered() bool {
 	return s.txn == nil && len(s.queue) == 0 && (s.p == nil || s.p.quiet())
 }
-func (s *session) quiet() bool { return s.answered() && s.in.Pending() == 0 }
+func (s *session) quiet() bool { return s.answered() && s.in.Buffered() == 0 }
 
 // unfinished tells that nothing whole that has come is without its answer, and that the session waits for its client to ask, or for
 // the rest of what it asks.
@@ -231,7 +231,7 @@
 	if s.p != nil {
 		return s.p.unfinished()
 	}
-	return s.answered() && (!s.asked || s.in.Pending() > 0)
+	return s.answered() && (!s.asked || s.in.Buffered() > 0)
 }
 
 func (s *session) finish() {
@@ -277,7 +277,7 @@
 	}
 	s.all.rota.wake(s, s.all.host.Now())
 	s.all.lookSoon()
-	if s.asked && (s.in.Pending() == 0 || s.p != nil) {
+	if s.asked && (s.in.Buffered() == 0 || s.p != nil) {
 		s.until = s.all.host.Now() + hurry
 	}
 	s.in.Feed(b)
@@ -288,8 +288,8 @@
 			s.deaf = true
 			s.queue = append(s.queue, item{fail: broken, fatal: true})
 		} else if !ok {
-			s.hold(s.in.Pending() - s.partial)
-			s.partial = s.in.Pending()
+			s.hold(s.in.Buffered() - s.partial)
+			s.partial = s.in.Buffered()
 			if s.partial == 0 || !s.all.overfull(s.held) {
 				return
 			}
@@ -310,9 +310,9 @@
 		failpoint.Hit("clients.query")
 	}
 	switch {
-	case m.Kind == pg.AskTLS:
+	case m.Kind == pg.SSLRequest:
 		s.conn.Write([]byte("N"))
-	case m.Kind == pg.Cancel:
+	case m.Kind == pg.CancelRequest:
 		s.all.cancel(m.Key)
 		s.finish()
 	case s.p != nil:
@@ -320,7 +320,7 @@
 	case m.Kind == pg.Startup && s.all.pooling != nil && !s.all.platform(m):
 		s.enter(m)
 	case m.Kind == pg.Startup:
-		s.conn.Write(pg.AppendGreeting(nil, m.Minor))
+		s.conn.Write(pg.AppendGreeting(nil, m.MinorVersion))
 	case m.Kind == pg.Query && (len(s.queue) >= ahead || s.all.held+len(m.Text) > s.all.budget):
 		s.decline()
 	case len(s.queue) >= ahead: // of what is not looked at yet
@@ -335,7 +335,7 @@
 // rejection has one more query rejected at its turn. Guards against answers that are lost with the session's end: its client may have
 // meant all of them, and waits for each.
 func (s *session) decline() {
-	s.all.Refused++
+	s.all.Rejected++
 	if last := len(s.queue) - 1; last < 0 || s.queue[last].fail != crowded {
 		s.queue = append(s.queue, item{fail: crowded})
 	} else if s.queue[last].more < surplus {
@@ -403,33 +403,33 @@
 func (s *session) answer(i item) {
 	switch {
 	case i.fatal:
-		s.all.Bad++
+		s.all.ProtocolErrors++
 		s.refuse(i.fail)
 	case i.Kind == pg.Sync:
 		s.skips = false
-		s.conn.Write(pg.AppendReady(nil))
+		s.conn.Write(pg.AppendReadyIdle(nil))
 	case s.skips && i.fail == nil:
 		s.hold(-len(i.Text))
 	case i.fail != nil:
 		s.fail(i.fail)
 	case i.Kind == pg.Terminate:
 		s.finish()
-	case i.Kind == pg.Extended:
+	case i.Kind == pg.ExtendedQuery:
 		s.skips = true
-		s.all.Bad++
-		s.conn.Write(pg.AppendError(nil, &pg.Error{Code: pg.Unsupported, Text: "simple queries only"}, false))
-	case i.Kind == pg.Function:
-		s.fail(&pg.Error{Code: pg.Unsupported, Text: "simple queries only"})
+		s.all.ProtocolErrors++
+		s.conn.Write(pg.AppendError(nil, &pg.Error{Code: pg.FeatureNotSupported, Text: "simple queries only"}, false))
+	case i.Kind == pg.FunctionCall:
+		s.fail(&pg.Error{Code: pg.FeatureNotSupported, Text: "simple queries only"})
 	case strings.TrimSpace(strings.TrimRight(i.Text, "; \t\r\n")) == "":
 		s.hold(-len(i.Text))
-		s.conn.Write(pg.AppendReady(pg.AppendEmpty(nil)))
+		s.conn.Write(pg.AppendReadyIdle(pg.AppendEmptyQuery(nil)))
 	default:
 		s.take(i.Text, i.at)
 	}
 }
 
 func (s *session) fail(e *pg.Error) {
-	s.conn.Write(pg.AppendReady(pg.AppendError(nil, e, false)))
+	s.conn.Write(pg.AppendReadyIdle(pg.AppendError(nil, e, false)))
 }
 
 // take hands a request over.
@@ -442,9 +442,9 @@
 		return
 	case errors.As(err, &bad):
 	case errors.Is(err, eventloop.ErrDuplicateID):
-		bad = &pg.Error{Code: pg.Taken, Text: err.Error()}
+		bad = &pg.Error{Code: pg.DuplicateObject, Text: err.Error()}
 	default:
-		bad = &pg.Error{Code: pg.Invalid, Text: err.Error()}
+		bad = &pg.Error{Code: pg.InvalidParameterValue, Text: err.Error()}
 	}
 	s.hold(-len(text))
 	s.mistake(bad)
@@ -453,7 +453,7 @@
 // mistake tells a client what is wrong with its statement, and lets its session rest. Guards against clients that make
 // the same mistake again as soon as they hear of it.
 func (s *session) mistake(e *pg.Error) {
-	s.all.Bad++
+	s.all.ProtocolErrors++
 	s.fail(e)
 	if s.rests = !s.deaf; s.rests {
 		s.all.host.After(penance, func() {
@@ -480,9 +480,9 @@
 	s.hold(-size)
 	switch {
 	case a.Rows != nil:
-		s.conn.Write(pg.AppendReady(a.Rows))
+		s.conn.Write(pg.AppendReadyIdle(a.Rows))
 	case a.Rejected:
-		e := &pg.Error{Code: pg.Refused, Text: "declined, a retry does no harm"}
+		e := &pg.Error{Code: pg.TooManyConnections, Text: "declined, a retry does no harm"}
 		if a.RetryAfter > 0 {
 			e.Detail = strconv.Itoa(int(a.RetryAfter))
 		}
@@ -490,7 +490,7 @@
 	case a.StatementError != nil:
 		s.mistake(a.StatementError)
 	default:
-		s.fail(&pg.Error{Code: pg.Unresolved, Text: "rolled back, it may have taken effect"})
+		s.fail(&pg.Error{Code: pg.TransactionResolutionUnknown, Text: "rolled back, it may have taken effect"})
 	}
 	s.all.host.Defer(s.next)
 }
