--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -19,23 +19,23 @@
 // Pool is what clients of a user and database share.
 type Pool struct {
 	Name, User, Database string // User "": any
-	Plain                bool   // the platform's form: one statement with a comment, one request
+	StatementMode        bool   // the platform's form: one statement with a comment, one request
 	Policy               decide.Policy
 	Group                int
-	Fallback             string // request class of what neither a label nor a setting nor the policy tells
-	Known                func() *iradix.Tree[string]
+	DefaultClass         string // request class of what neither a label nor a setting nor the policy tells
+	KnownParameters      func() *iradix.Tree[string]
 }
 
 // Pooling is all that pools need; without it each client has the platform's form.
 type Pooling struct {
-	Pools []*Pool
-	Seed  uint64
-	Again map[string]bool // request classes that may run again
-	Write map[string]bool // request classes that change something
+	Pools             []*Pool
+	Seed              uint64
+	IdempotentClasses map[string]bool // request classes that may run again
+	PrimaryClasses    map[string]bool // request classes that change something
 }
 
-// Pooled gives clients pools; it is called before the first comes.
-func (a *Frontend) Pooled(p *Pooling) { a.pooling = p }
+// SetPooling gives clients pools; it is called before the first comes.
+func (a *Frontend) SetPooling(p *Pooling) { a.pooling = p }
 
 // find gives the pool of a client that comes in: one for its user first.
 func (p *Pooling) find(user, database string) *Pool {
@@ -53,7 +53,7 @@
 func (a *Frontend) platform(m pg.Message) bool {
 	user := m.Startup.Get("user")
 	p := a.pooling.find(user, cmp.Or(m.Startup.Get("database"), user))
-	return p != nil && p.Plain
+	return p != nil && p.StatementMode
 }
 
 // pooled is a session whose requests are transactions: what its client says, in order, up to where it must wait.
@@ -61,20 +61,20 @@
 	s    *session
 	pool *Pool
 	d    *decide.Session
-	key  pg.Key
+	key  pg.CancelKey
 	told *iradix.Tree[string] // what the client knows of its server
 	txn  *request.Request
 	held request.BackendConn // the connection that stays with the session
 
-	ops     []decide.Op // of the unit that is not whole yet
-	queue   []item      // what came while one is on its way
-	size    int         // bytes of both
-	said    int         // bytes of the unit on its way, which may have to be said again
-	asked   bool        // a whole unit is on its way, its readiness has not come
-	open    bool        // a part of one is, after a flush
-	skips   bool        // all up to Sync is passed over
-	copying bool        // the member takes what is copied in
-	lost    *pg.Error   // why a transaction ended while its client said nothing
+	ops     []decide.Message // of the unit that is not whole yet
+	queue   []item           // what came while one is on its way
+	size    int              // bytes of both
+	said    int              // bytes of the unit on its way, which may have to be said again
+	asked   bool             // a whole unit is on its way, its readiness has not come
+	open    bool             // a part of one is, after a flush
+	skips   bool             // all up to Sync is passed over
+	copying bool             // the member takes what is copied in
+	lost    *pg.Error        // why a transaction ended while its client said nothing
 	over    bool
 }
 
@@ -87,41 +87,41 @@
 	user := m.Startup.Get("user")
 	pool := s.all.pooling.find(user, cmp.Or(m.Startup.Get("database"), user))
 	if pool == nil {
-		s.all.Bad++
-		s.refuse(&pg.Error{Code: pg.NoDatabase, Text: "no pool for this user and database"})
+		s.all.ProtocolErrors++
+		s.refuse(&pg.Error{Code: pg.InvalidCatalogName, Text: "no pool for this user and database"})
 		return
 	}
-	base, fail := decide.Startup(m.Startup)
+	base, fail := decide.StartupSettings(m.Startup)
 	if fail != nil {
-		s.all.Bad++
+		s.all.ProtocolErrors++
 		s.refuse(fail)
 		return
 	}
-	p := &pooled{s: s, pool: pool, d: decide.New(pool.Policy, base), told: pool.Known()}
+	p := &pooled{s: s, pool: pool, d: decide.New(pool.Policy, base), told: pool.KnownParameters()}
 	s.p, s.asked = p, true
-	s.in.Widen()
-	for p.key == (pg.Key{}) || s.all.keys[p.key] != nil {
+	s.in.EnableExtended()
+	for p.key == (pg.CancelKey{}) || s.all.keys[p.key] != nil {
 		var b [8]byte
 		rand.Read(b[:])
-		p.key = pg.Key{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])}
+		p.key = pg.CancelKey{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])}
 	}
 	s.all.keys[p.key] = p
 	var out []byte
-	if m.Minor > 0 {
-		out = pg.AppendVersion(out)
+	if m.MinorVersion > 0 {
+		out = pg.AppendNegotiateProtocolVersion(out)
 	}
 	if p.told.Len() == 0 {
 		p.told = unheard
 	}
-	out = pg.AppendAuthOK(out)
+	out = pg.AppendAuthenticationOK(out)
 	p.told.Root().Walk(func(k []byte, v string) bool {
 		if own, set := base.Get(lower(string(k))); set {
-			v = pg.Plainly(own)
+			v = pg.Unquote(own)
 		}
-		out = pg.AppendParameter(out, string(k), v)
+		out = pg.AppendParameterStatus(out, string(k), v)
 		return false
 	})
-	s.conn.Write(pg.AppendReady(pg.AppendKey(out, p.key)))
+	s.conn.Write(pg.AppendReadyIdle(pg.AppendBackendKeyData(out, p.key)))
 }
 
 func lower(s string) string {
@@ -135,7 +135,7 @@
 }
 
 // cancel stops what runs for the client that has this key, if anything does. It is never told whether.
-func (a *Frontend) cancel(k pg.Key) {
+func (a *Frontend) cancel(k pg.CancelKey) {
 	p := a.keys[k]
 	if p == nil || p.txn == nil {
 		return
@@ -148,8 +148,8 @@
 	p.txn, p.held = nil, t.Stream.Reserved
 	a.host.ClientGone(t)
 	t.Stream.ClientGone()
-	p.d.Lost(false)
-	p.fail(&pg.Error{Code: pg.Cancelled, Text: "canceling statement due to user request"})
+	p.d.ConnectionLost(false)
+	p.fail(&pg.Error{Code: pg.QueryCanceled, Text: "canceling statement due to user request"})
 	a.host.Defer(p.next)
 }
 
@@ -236,7 +236,7 @@
 	if len(p.queue) > 0 || p.asked && !p.copying {
 		return false
 	}
-	return p.s.in.Pending() > 0 || len(p.ops) > 0
+	return p.s.in.Buffered() > 0 || len(p.ops) > 0
 }
 
 // handle takes one message, which came at that time, while nothing whole is on its way.
@@ -247,14 +247,14 @@
 		p.s.finish()
 	case m.Kind == pg.Sync && p.skips:
 		if p.skips = false; p.open {
-			p.dispatch([]decide.Op{{Kind: pg.Sync, Raw: pg.AppendSync(nil)}}, true, at)
+			p.dispatch([]decide.Message{{Kind: pg.Sync, Raw: pg.AppendSync(nil)}}, true, at)
 			return
 		}
-		p.s.conn.Write(pg.AppendStatus(nil, p.d.Status()))
+		p.s.conn.Write(pg.AppendReadyForQuery(nil, p.d.TransactionStatus()))
 	case p.skips || isCopy(m.Kind):
 	case m.Kind == pg.Query:
 		if p.lostFirst() {
-			p.s.conn.Write(pg.AppendStatus(nil, p.d.Status()))
+			p.s.conn.Write(pg.AppendReadyForQuery(nil, p.d.TransactionStatus()))
 			return
 		}
 		answer, ops := p.d.Query(m.Text, append([]byte(nil), m.Raw...), p.txn != nil)
@@ -263,9 +263,9 @@
 			return
 		}
 		p.dispatch(ops, true, at)
-	case m.Kind == pg.Function:
-		p.s.conn.Write(pg.AppendStatus(pg.AppendError(nil, &pg.Error{Code: pg.Unsupported, Text: "function calls do not go through a router"},
-			false), p.d.Status()))
+	case m.Kind == pg.FunctionCall:
+		p.s.conn.Write(pg.AppendReadyForQuery(pg.AppendError(nil, &pg.Error{Code: pg.FeatureNotSupported, Text: "function calls do not go through a router"},
+			false), p.d.TransactionStatus()))
 	default:
 		ops, _ := p.d.Extended(m)
 		p.ops = append(p.ops, ops...)
@@ -292,24 +292,24 @@
 }
 
 // dispatch sends a unit, or the part of one that a flush ends; its last byte came at that time.
-func (p *pooled) dispatch(ops []decide.Op, whole bool, at float64) {
+func (p *pooled) dispatch(ops []decide.Message, whole bool, at float64) {
 	if p.txn == nil {
-		switch answer, here := p.d.Here(ops); {
+		switch answer, here := p.d.LocalReply(ops); {
 		case here:
 			p.s.conn.Write(answer)
 			return
 		case p.lostFirst():
-			p.d.Lost(false)
+			p.d.ConnectionLost(false)
 			if p.skips = !whole; whole {
-				p.s.conn.Write(pg.AppendStatus(nil, p.d.Status()))
+				p.s.conn.Write(pg.AppendReadyForQuery(nil, p.d.TransactionStatus()))
 			}
 			return
-		case p.d.Status() == 'E':
-			p.s.conn.Write(p.d.Dead(ops))
+		case p.d.TransactionStatus() == 'E':
+			p.s.conn.Write(p.d.FailedTransactionReply(ops))
 			return
 		}
 		p.asked, p.open = whole, !whole
-		p.arrive(append(p.d.Begin(), ops...), at)
+		p.arrive(append(p.d.FlushDeferredBegin(), ops...), at)
 		return
 	}
 	p.asked, p.open = whole, !whole
@@ -318,7 +318,7 @@
 }
 
 // saying counts what is on its way, and answered what no longer is. Guards against many that wait with much.
-func (p *pooled) saying(ops []decide.Op) {
+func (p *pooled) saying(ops []decide.Message) {
 	n := 0
 	for _, op := range ops {
 		n += len(op.Raw)
@@ -334,32 +334,32 @@
 }
 
 // arrive hands a request over that begins with these, which came at that time.
-func (p *pooled) arrive(ops []decide.Op, at float64) {
+func (p *pooled) arrive(ops []decide.Message, at float64) {
 	a := p.s.all
 	if p.saying(ops); a.held > a.budget {
-		a.Refused++
-		p.d.Lost(false)
+		a.Rejected++
+		p.d.ConnectionLost(false)
 		p.fail(crowded)
 		return
 	}
-	label, txnType, tenant, none := p.d.Label()
+	label, txnType, tenant, none := p.d.RequestClass()
 	if none {
-		txnType = p.pool.Fallback
+		txnType = p.pool.DefaultClass
 	}
 	if decide.Planted == "position" {
-		p.d.After = 0
+		p.d.LastCommitPosition = 0
 	}
-	st := &pg.Statement{ID: a.nextID(), TxnType: txnType, Tenant: tenant, Wait: mostWait, Group: p.pool.Group,
-		After: min(p.d.After, a.host.ClusterNow()+eventloop.MaxPositionAhead)} // it may have been dated by an estimate that has fallen since
-	if w, err := strconv.ParseFloat(p.d.Own("wait"), 64); err == nil && w > 0 {
-		st.Wait = w
+	st := &pg.Statement{ID: a.nextID(), RequestClass: txnType, Tenant: tenant, WaitMs: mostWait, Group: p.pool.Group,
+		Position: min(p.d.LastCommitPosition, a.host.ClusterNow()+eventloop.MaxPositionAhead)} // it may have been dated by an estimate that has fallen since
+	if w, err := strconv.ParseFloat(p.d.RouterSetting("wait"), 64); err == nil && w > 0 {
+		st.WaitMs = w
 	}
-	if g, err := strconv.Atoi(p.d.Own("group")); err == nil {
+	if g, err := strconv.Atoi(p.d.RouterSetting("group")); err == nil {
 		st.Group = g
 	}
 	if label != nil {
-		st.ID, st.Wait, st.Group, st.Session, st.Marked = label.ID, label.Wait, label.Group, label.Session, label.Marked
-		st.After = max(st.After, label.After)
+		st.ID, st.WaitMs, st.Group, st.IdempotencyKey, st.IsRetry = label.ID, label.WaitMs, label.Group, label.IdempotencyKey, label.IsRetry
+		st.Position = max(st.Position, label.Position)
 	}
 	t := request.New(st, at, p.deliver)
 	t.ClientClosed = p.s.conn.PeerClosed
@@ -369,12 +369,12 @@
 	p.txn, p.held = t, nil // it comes back by Keep
 	if err := a.host.Arrive(t); err != nil {
 		p.txn, p.held = nil, t.Stream.Reserved
-		p.d.Lost(false)
-		code := pg.Invalid
+		p.d.ConnectionLost(false)
+		code := pg.InvalidParameterValue
 		if errors.Is(err, eventloop.ErrDuplicateID) {
-			code = pg.Taken
+			code = pg.DuplicateObject
 		}
-		a.Bad++
+		a.ProtocolErrors++
 		p.fail(&pg.Error{Code: code, Text: err.Error()})
 	}
 }
@@ -396,18 +396,18 @@
 	var out []byte
 	for n := range ms {
 		m := &ms[n]
-		p.d.Heard(m)
+		p.d.ServerMessage(m)
 		out = append(out, m.Raw...)
 		switch m.Kind {
-		case pg.CopyIn:
+		case pg.CopyInResponse:
 			p.copying = true
 			p.s.all.host.Defer(p.next)
-		case pg.Failure:
+		case pg.ErrorResponse:
 			p.copying = false
 			p.skips = p.skips || p.open
-		case pg.Complete:
+		case pg.CommandComplete:
 			p.copying = false
-		case pg.Ready:
+		case pg.ReadyForQuery:
 			p.answered()
 			p.s.all.host.Defer(p.next)
 		}
@@ -422,7 +422,7 @@
 	var out []byte
 	of.Root().Walk(func(k []byte, v string) bool {
 		if had, known := p.told.Get(k); !known || had != v {
-			out = pg.AppendParameter(out, string(k), v)
+			out = pg.AppendParameterStatus(out, string(k), v)
 		}
 		return false
 	})
@@ -453,33 +453,33 @@
 	p.txn = nil
 	defer p.s.all.host.Defer(p.next)
 	if a.Rows != nil {
-		if p.s.all.pooling.Write[t.TxnType] {
-			p.d.After = max(p.d.After, cmp.Or(t.Stream.Position, p.s.all.host.ClusterNow()))
+		if p.s.all.pooling.PrimaryClasses[t.RequestClass] {
+			p.d.LastCommitPosition = max(p.d.LastCommitPosition, cmp.Or(t.Stream.Position, p.s.all.host.ClusterNow()))
 		}
 		return
 	}
 	kept, started, fault := t.Stream.Reserved, t.Stream.Started(), t.Stream.LastError
-	may := p.d.Lost(!a.Rejected && a.StatementError == nil)
+	may := p.d.ConnectionLost(!a.Rejected && a.StatementError == nil)
 	var e *pg.Error
 	switch {
 	case a.StatementError != nil:
 		e = a.StatementError
 	case a.Rejected:
-		e = &pg.Error{Code: pg.Refused, Text: "declined, a retry does no harm"}
+		e = &pg.Error{Code: pg.TooManyConnections, Text: "declined, a retry does no harm"}
 		if a.RetryAfter > 0 {
 			e.Detail = strconv.Itoa(int(a.RetryAfter))
 		}
 	case fault != nil:
 		e = fault
-	case may && !p.s.all.pooling.Again[t.TxnType]:
-		e = &pg.Error{Code: pg.Unresolved, Text: "rolled back, it may have taken effect"}
-	case p.s.all.pooling.Again[t.TxnType]:
-		e = &pg.Error{Code: pg.Again, Text: "the connection was lost before the commit: the transaction may run again"}
+	case may && !p.s.all.pooling.IdempotentClasses[t.RequestClass]:
+		e = &pg.Error{Code: pg.TransactionResolutionUnknown, Text: "rolled back, it may have taken effect"}
+	case p.s.all.pooling.IdempotentClasses[t.RequestClass]:
+		e = &pg.Error{Code: pg.SerializationFailure, Text: "the connection was lost before the commit: the transaction may run again"}
 	default:
-		e = &pg.Error{Code: pg.Broken, Text: "the connection was lost before the commit: nothing took effect"}
+		e = &pg.Error{Code: pg.ConnectionFailure, Text: "the connection was lost before the commit: nothing took effect"}
 	}
 	if kept != nil && (started || !a.Rejected) { // what it kept there is gone
-		p.Terminate(&pg.Error{Code: pg.GoingDown, Text: e.Text + "; the connection that this session kept has ended"})
+		p.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: e.Text + "; the connection that this session kept has ended"})
 		return
 	}
 	p.held = kept // it was rejected, and stays where it was
@@ -490,7 +490,7 @@
 func (p *pooled) fail(e *pg.Error) {
 	switch {
 	case p.asked:
-		p.s.conn.Write(pg.AppendStatus(pg.AppendError(nil, e, false), p.d.Status()))
+		p.s.conn.Write(pg.AppendReadyForQuery(pg.AppendError(nil, e, false), p.d.TransactionStatus()))
 	case p.open:
 		p.skips = true
 		p.s.conn.Write(pg.AppendError(nil, e, false))
--- a/internal/frontend/resting_test.go
+++ b/internal/frontend/resting_test.go
@@ -30,8 +30,8 @@
 	}
 	h := eventloop.New(eventloop.NewLoop(256), router.New(&router.Settings{}, 1), nil, func() {})
 	f := &front{t: t, host: h, all: New(h, most, 1<<20, 1<<16), addr: l.Addr().String()}
-	f.all.Pooled(&Pooling{Pools: []*Pool{{Name: "p", Database: "pooled", Policy: decide.Policy{Settings: 1 << 12, Statements: 8},
-		Known: iradix.New[string]}, {Name: "s", Database: "plain", Plain: true}}})
+	f.all.SetPooling(&Pooling{Pools: []*Pool{{Name: "p", Database: "pooled", Policy: decide.Policy{MaxSettingsBytes: 1 << 12, MaxStatements: 8},
+		KnownParameters: iradix.New[string]}, {Name: "s", Database: "plain", StatementMode: true}}})
 	if err := h.Listen(f.all.Gate(l), 1<<20, f.all.Accept); err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		f.t.Fatal(err)
 	}
 	r, buf := pg.NewReader(true, 1<<16), make([]byte, 1<<12)
-	for r.Widen(); ready > 0; {
+	for r.EnableExtended(); ready > 0; {
 		m, ok, err := r.Next()
 		if err != nil {
 			f.t.Fatal(err)
@@ -80,7 +80,7 @@
 				f.t.Fatal(err)
 			}
 			r.Feed(buf[:n])
-		} else if m.Kind == pg.Ready {
+		} else if m.Kind == pg.ReadyForQuery {
 			ready--
 		}
 	}
@@ -287,8 +287,8 @@
 		_, err = of[3].Read(buf)
 	}
 	f.do(func() {
-		if f.all.Late != 1 {
-			t.Errorf("%d sessions were sent away for their silence, not 1", f.all.Late)
+		if f.all.TimedOut != 1 {
+			t.Errorf("%d sessions were sent away for their silence, not 1", f.all.TimedOut)
 		}
 	})
 }
--- a/internal/frontend/sessions_test.go
+++ b/internal/frontend/sessions_test.go
@@ -39,7 +39,7 @@
 			f.do(func() { f.all.held += 3 * f.all.budget })
 			ask := pg.AppendQuery(nil, "/* id=1,c=x,d=100 */ SELECT 1")
 			c.Write(ask[:9])
-			f.until("half of it has come", func() bool { return f.only().in.Pending() == 9 })
+			f.until("half of it has come", func() bool { return f.only().in.Buffered() == 9 })
 			f.do(func() {
 				if f.only().deaf {
 					t.Error("its session ends before the request is whole")
@@ -73,8 +73,8 @@
 	for _, one := range []struct{ at, wait, want float64 }{{0, 500, 500}, {comers + 1e6 - 100, 500, 100}, {comers + 1e6 + 100, 500, 0}} {
 		f.do(func() {
 			x := exchangeAt(signalled+one.at, one.wait)
-			if f.all.limitWait(x); x.Wait < one.want-0.01 || x.Wait > one.want+0.01 {
-				t.Errorf("at %v: it waits for %v, want %v", one.at, x.Wait, one.want)
+			if f.all.limitWait(x); x.WaitMs < one.want-0.01 || x.WaitMs > one.want+0.01 {
+				t.Errorf("at %v: it waits for %v, want %v", one.at, x.WaitMs, one.want)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 }
 
 func exchangeAt(at, wait float64) *request.Request {
-	return request.New(&pg.Statement{Wait: wait}, at, func(request.Response) {})
+	return request.New(&pg.Statement{WaitMs: wait}, at, func(request.Response) {})
 }
 
 // silent is a members' side from which nothing ever comes back.
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -96,7 +96,7 @@
 		case code == "":
 			l.Committed = append(l.Committed, handle)
 			l.times.RecordValue(min(time.Since(begun).Microseconds(), 60e6))
-		case code == pg.Refused:
+		case code == pg.TooManyConnections:
 			l.Declined = append(l.Declined, handle)
 		default:
 			l.Doubtful = append(l.Doubtful, handle)
@@ -144,9 +144,9 @@
 				return "", err
 			}
 			in.Feed(buf[:n])
-		case m.Kind == pg.Failure:
-			code = m.Failure.Code
-		case m.Kind == pg.Ready:
+		case m.Kind == pg.ErrorResponse:
+			code = m.Error.Code
+		case m.Kind == pg.ReadyForQuery:
 			return code, nil
 		}
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -105,7 +105,7 @@
 		s.CPU = used / time.Duration(count)
 	}
 	for c, n := range codes {
-		if c == pg.Refused {
+		if c == pg.TooManyConnections {
 			s.Declined += n
 		} else {
 			s.Failed += n
@@ -122,7 +122,7 @@
 	}
 	defer conn.Close()
 	r := pg.NewReader(true, 64<<20)
-	r.Widen()
+	r.EnableExtended()
 	buf := make([]byte, 1<<14)
 	answer := func(ready int) (code string, err error) {
 		conn.SetReadDeadline(time.Now().Add(30 * time.Second))
@@ -138,9 +138,9 @@
 					return code, err
 				}
 				r.Feed(buf[:n])
-			case m.Kind == pg.Failure && code == "":
-				code = m.Failure.Code
-			case m.Kind == pg.Ready:
+			case m.Kind == pg.ErrorResponse && code == "":
+				code = m.Error.Code
+			case m.Kind == pg.ReadyForQuery:
 				ready--
 			}
 		}
@@ -214,7 +214,7 @@
 			return err
 		}
 		r := pg.NewReader(true, 1<<20)
-		r.Widen()
+		r.EnableExtended()
 		buf := make([]byte, 1<<12)
 		for ready := 0; ready < 3; {
 			m, ok, err := r.Next()
@@ -227,9 +227,9 @@
 					return err
 				}
 				r.Feed(buf[:k])
-			} else if m.Failure != nil {
-				return m.Failure
-			} else if ready++; m.Kind != pg.Ready {
+			} else if m.Error != nil {
+				return m.Error
+			} else if ready++; m.Kind != pg.ReadyForQuery {
 				ready--
 			}
 		}
--- a/internal/lab/scale/databases.go
+++ b/internal/lab/scale/databases.go
@@ -93,10 +93,10 @@
 				out = pg.AppendGreeting(out, 0)
 			case m.Kind == pg.Query && m.Text == "":
 				d.checks.Add(1)
-				out = pg.AppendReady(pg.AppendEmpty(d.position(out, name)))
+				out = pg.AppendReadyIdle(pg.AppendEmptyQuery(d.position(out, name)))
 			default:
 				d.others.Add(1)
-				out = pg.AppendReady(pg.AppendError(out, &pg.Error{Code: pg.Failed, Text: "this database is hollow"}, false))
+				out = pg.AppendReadyIdle(pg.AppendError(out, &pg.Error{Code: pg.InFailedSQLTransaction, Text: "this database is hollow"}, false))
 			}
 		}
 		if _, err := c.Write(out); err != nil {
@@ -113,8 +113,8 @@
 	if primary {
 		role, at = "source", time.Now()
 	}
-	out = pg.AppendParameter(out, "rank", role)
-	return pg.AppendParameter(out, "as_of", strconv.FormatFloat(float64(at.UnixMicro())/1000, 'f', 3, 64))
+	out = pg.AppendParameterStatus(out, "rank", role)
+	return pg.AppendParameterStatus(out, "as_of", strconv.FormatFloat(float64(at.UnixMicro())/1000, 'f', 3, 64))
 }
 
 func (d *databases) answer(q Query) (Answer, error) {
--- a/internal/lab/scale/routers.go
+++ b/internal/lab/scale/routers.go
@@ -64,11 +64,11 @@
 		}
 		go o.loop()
 		go o.link.Run(context.Background(), listener)
-		w := discovery.New(s.Discovery, 0, func(l *discovery.List) { o.Post(func() { o.list(l) }) }, func(err error) {
+		w := discovery.NewWatcher(s.Discovery, 0, func(l *discovery.List) { o.Post(func() { o.list(l) }) }, func(err error) {
 			r.counts.failed.Add(1)
 			logrus.WithError(err).Warn("list")
 		})
-		go w.Keep(context.Background())
+		go w.Watch(context.Background())
 	}
 	return r, nil
 }
@@ -82,11 +82,11 @@
 // list keeps what discovery tells, as a router does for the fleet's part.
 func (o *one) list(l *discovery.List) {
 	c := &o.all.counts
-	if len(l.Entries) == 0 && !l.Whole {
+	if len(l.Entries) == 0 && !l.Complete {
 		c.alive.Add(1)
 		return
 	}
-	if l.Whole {
+	if l.Complete {
 		clear(o.listed)
 	}
 	for _, e := range l.Entries {
@@ -218,11 +218,11 @@
 				return r, err
 			}
 			in.Feed(buf[:n])
-		case m.Kind == pg.Parameter && m.Name == "rank":
+		case m.Kind == pg.ParameterStatus && m.Name == "rank":
 			r.Primary, r.Replica = m.Text == "source", m.Text == "copy"
-		case m.Kind == pg.Parameter && m.Name == "as_of":
+		case m.Kind == pg.ParameterStatus && m.Name == "as_of":
 			r.Position, _ = strconv.ParseFloat(m.Text, 64)
-		case m.Kind == pg.Ready:
+		case m.Kind == pg.ReadyForQuery:
 			r.At = o.Now()
 			return r, nil
 		}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -277,9 +277,9 @@
 		t.Fatal(err)
 	}
 	told := make(chan *discovery.List, 16)
-	w := discovery.New(d.addr, 0, func(l *discovery.List) { told <- l }, func(error) {})
-	go w.Keep(t.Context())
-	if l := <-told; !l.Whole || len(l.Entries) != 2 || l.Revision != 1 {
+	w := discovery.NewWatcher(d.addr, 0, func(l *discovery.List) { told <- l }, func(error) {})
+	go w.Watch(t.Context())
+	if l := <-told; !l.Complete || len(l.Entries) != 2 || l.Revision != 1 {
 		t.Fatalf("%+v", l)
 	}
 	if at := d.restarted([]string{"b"}, 5000); at != 2 {
@@ -289,7 +289,7 @@
 	for len(l.Entries) == 0 { // an empty line: nothing had changed yet
 		l = <-told
 	}
-	if l.Whole || len(l.Entries) != 1 || l.Entries[0].Started != 5000 || l.Revision != 2 {
+	if l.Complete || len(l.Entries) != 1 || l.Entries[0].Started != 5000 || l.Revision != 2 {
 		t.Fatalf("%+v", l)
 	}
 	a, err := d.answer(Query{Do: "count"})
--- a/internal/lab/still.go
+++ b/internal/lab/still.go
@@ -175,7 +175,7 @@
 			return err
 		}
 		r := pg.NewReader(true, 1<<20)
-		r.Widen()
+		r.EnableExtended()
 		for ready := false; !ready; {
 			m, ok, err := r.Next()
 			if err != nil {
@@ -188,10 +188,10 @@
 					return fmt.Errorf("session %d: %w", n, err)
 				}
 				r.Feed(buf[:k])
-			case m.Failure != nil:
-				return fmt.Errorf("session %d: %w", n, m.Failure)
+			case m.Error != nil:
+				return fmt.Errorf("session %d: %w", n, m.Error)
 			default:
-				ready = m.Kind == pg.Ready
+				ready = m.Kind == pg.ReadyForQuery
 			}
 		}
 	}
--- a/internal/pg/lex.go
+++ b/internal/pg/lex.go
@@ -2,36 +2,36 @@
 
 import "strings"
 
-// Act is what a statement does to its session, as far as its words alone tell.
-type Act int
+// CommandKind is what a statement does to its session, as far as its words alone tell.
+type CommandKind int
 
 const (
-	Plain    Act = iota
-	Set          // Pairs
-	Unset        // RESET: Name
-	UnsetAll     // RESET ALL
-	Begin        // Access
-	Access       // SET TRANSACTION: Access
+	OtherCommand   CommandKind = iota
+	Set                        // Pairs
+	Reset                      // RESET: Name
+	ResetAll                   // RESET ALL
+	Begin                      // Access
+	SetTransaction             // SET TRANSACTION: Access
 	Commit
-	RollBack
-	Savepoint  // Name
-	BackTo     // ROLLBACK TO: Name
-	Release    // Name
-	DiscardAll // DISCARD ALL
-	Unprepare  // DEALLOCATE: Name, none for all
-	Show       // Name
+	Rollback
+	Savepoint        // Name
+	RollbackTo       // ROLLBACK TO: Name
+	ReleaseSavepoint // Name
+	DiscardAll       // DISCARD ALL
+	Deallocate       // DEALLOCATE: Name, none for all
+	Show             // Name
 )
 
 // Command is one statement's act. Nothing is parsed for meaning: what its words don't show is Plain.
 type Command struct {
-	Act      Act
-	Name     string
-	Pairs    [][2]string // Set: names in lower case, values as they were written, none where it says DEFAULT
-	Local    bool        // Set: for the transaction alone
-	ReadOnly bool        // Begin, Access
-	ReadMore bool        // Begin, Access: READ WRITE
-	Simple   bool        // Begin: only words that any server takes
-	Pin      string      // why what it leaves behind can't follow its client to another connection
+	Kind         CommandKind
+	Name         string
+	Pairs        [][2]string // Set: names in lower case, values as they were written, none where it says DEFAULT
+	Local        bool        // Set: for the transaction alone
+	ReadOnly     bool        // Begin, Access
+	ReadWrite    bool        // Begin, Access: READ WRITE
+	Simple       bool        // Begin: only words that any server takes
+	StickyReason string      // why what it leaves behind can't follow its client to another connection
 }
 
 // lexer cuts a text into tokens: words, quoted names, strings, numbers and single marks; comments and blanks go.
@@ -136,8 +136,8 @@
 	return rest[:n]
 }
 
-// Split cuts a query into its statements; empty ones go.
-func Split(sql string) []string {
+// SplitStatements cuts a query into its statements; empty ones go.
+func SplitStatements(sql string) []string {
 	if strings.IndexByte(sql, ';') < 0 {
 		l := lexer{s: sql}
 		if l.blank(); l.at >= len(sql) {
@@ -185,24 +185,24 @@
 	case "commit", "end":
 		return ending(&l, Commit)
 	case "rollback", "abort":
-		return ending(&l, RollBack)
+		return ending(&l, Rollback)
 	case "savepoint":
-		return Command{Act: Savepoint, Name: name(l.next())}
+		return Command{Kind: Savepoint, Name: name(l.next())}
 	case "release":
 		tok := name(l.next())
 		if next := l.next(); tok == "savepoint" && next != "" {
 			tok = name(next)
 		}
-		return Command{Act: Release, Name: tok}
+		return Command{Kind: ReleaseSavepoint, Name: tok}
 	case "set":
 		return set(&l)
 	case "reset":
 		return reset(&l)
 	case "show":
-		return Command{Act: Show, Name: l.dotted()}
+		return Command{Kind: Show, Name: l.dotted()}
 	case "discard":
 		if strings.EqualFold(l.next(), "all") {
-			return Command{Act: DiscardAll}
+			return Command{Kind: DiscardAll}
 		}
 	case "deallocate":
 		tok := l.next()
@@ -212,18 +212,18 @@
 		if strings.EqualFold(tok, "all") {
 			tok = ""
 		}
-		return Command{Act: Unprepare, Name: name(tok)}
+		return Command{Kind: Deallocate, Name: name(tok)}
 	case "listen":
-		return Command{Pin: "LISTEN"}
+		return Command{StickyReason: "LISTEN"}
 	case "load":
-		return Command{Pin: "LOAD"}
+		return Command{StickyReason: "LOAD"}
 	case "prepare":
 		if !strings.EqualFold(l.next(), "transaction") {
-			return Command{Pin: "PREPARE"}
+			return Command{StickyReason: "PREPARE"}
 		}
 	case "create", "select", "with", "declare", "do", "call", "insert", "update", "delete", "execute", "explain", "values", "table",
 		"merge", "copy", "fetch":
-		return Command{Pin: l.pin(word)}
+		return Command{StickyReason: l.pin(word)}
 	}
 	return Command{}
 }
@@ -252,7 +252,7 @@
 }
 
 func begin(l *lexer, word string) Command {
-	c := Command{Act: Begin, Simple: true}
+	c := Command{Kind: Begin, Simple: true}
 	tok := strings.ToLower(l.next())
 	if word == "start" && tok != "transaction" {
 		return Command{}
@@ -274,9 +274,9 @@
 		case "read":
 			switch strings.ToLower(l.next()) {
 			case "only":
-				c.ReadOnly, c.ReadMore = true, false
+				c.ReadOnly, c.ReadWrite = true, false
 			case "write":
-				c.ReadOnly, c.ReadMore = false, true
+				c.ReadOnly, c.ReadWrite = false, true
 			case "committed", "uncommitted":
 			default:
 				c.Simple = false
@@ -287,7 +287,7 @@
 	}
 }
 
-func ending(l *lexer, act Act) Command {
+func ending(l *lexer, act CommandKind) Command {
 	tok := strings.ToLower(l.next())
 	if tok == "work" || tok == "transaction" {
 		tok = strings.ToLower(l.next())
@@ -295,15 +295,15 @@
 	switch {
 	case tok == "prepared": // of another transaction
 		return Command{}
-	case tok == "to" && act == RollBack:
+	case tok == "to" && act == Rollback:
 		if tok = l.next(); strings.EqualFold(tok, "savepoint") {
 			if next := l.next(); next != "" {
 				tok = next
 			}
 		}
-		return Command{Act: BackTo, Name: name(tok)}
+		return Command{Kind: RollbackTo, Name: name(tok)}
 	}
-	return Command{Act: act}
+	return Command{Kind: act}
 }
 
 // dotted reads a name that may have parts.
@@ -330,7 +330,7 @@
 }
 
 func set(l *lexer) Command {
-	c := Command{Act: Set}
+	c := Command{Kind: Set}
 	from := l.at
 	tok := strings.ToLower(l.next())
 	switch tok {
@@ -356,7 +356,7 @@
 	}
 	switch tok {
 	case "transaction":
-		c := Command{Act: Access, Simple: true}
+		c := Command{Kind: SetTransaction, Simple: true}
 		if strings.EqualFold(l.peek(), "snapshot") {
 			return Command{}
 		}
@@ -400,7 +400,7 @@
 
 // characteristics are defaults for the transactions to come.
 func characteristics(l *lexer) Command {
-	c := Command{Act: Set}
+	c := Command{Kind: Set}
 	if !strings.EqualFold(l.next(), "as") || !strings.EqualFold(l.next(), "transaction") {
 		return Command{}
 	}
@@ -430,25 +430,25 @@
 func reset(l *lexer) Command {
 	switch tok := strings.ToLower(l.peek()); tok {
 	case "all":
-		return Command{Act: UnsetAll}
+		return Command{Kind: ResetAll}
 	case "time":
-		return Command{Act: Unset, Name: "timezone"}
+		return Command{Kind: Reset, Name: "timezone"}
 	case "session":
-		return Command{Act: Unset, Name: "session_authorization"}
+		return Command{Kind: Reset, Name: "session_authorization"}
 	}
-	return Command{Act: Unset, Name: l.dotted()}
+	return Command{Kind: Reset, Name: l.dotted()}
 }
 
-// Plainly gives a setting's value without its quotes, for the router's own settings.
-func Plainly(value string) string {
+// Unquote gives a setting's value without its quotes, for the router's own settings.
+func Unquote(value string) string {
 	if len(value) >= 2 && value[0] == '\'' && quotedEnd(value, '\'', false) == len(value) {
 		return strings.ReplaceAll(value[1:len(value)-1], "''", "'")
 	}
 	return strings.ToLower(value)
 }
 
-// Literal quotes a text.
-func Literal(s string) string {
+// QuoteLiteral quotes a text.
+func QuoteLiteral(s string) string {
 	out := "'" + strings.ReplaceAll(s, "'", "''") + "'"
 	if strings.IndexByte(s, '\\') >= 0 {
 		return " E" + strings.ReplaceAll(out, `\`, `\\`)
--- a/internal/pg/lex_test.go
+++ b/internal/pg/lex_test.go
@@ -58,16 +58,16 @@
 		{"SELECT $a$ set_config $a$, E'\\' set_config', $1", "0"},
 	} {
 		got := ParseCommand(c.sql)
-		words := []string{fmt.Sprint(int(got.Act)), got.Name}
+		words := []string{fmt.Sprint(int(got.Kind)), got.Name}
 		if got.Pairs != nil {
 			words = append(words, fmt.Sprint(got.Pairs))
 		}
-		for word, on := range map[string]bool{"local": got.Local, "ro": got.ReadOnly, "rw": got.ReadMore} {
+		for word, on := range map[string]bool{"local": got.Local, "ro": got.ReadOnly, "rw": got.ReadWrite} {
 			if on {
 				words = append(words, word)
 			}
 		}
-		if words = append(words, got.Pin); got.Simple {
+		if words = append(words, got.StickyReason); got.Simple {
 			words = append(words, "simple")
 		}
 		if s := strings.Join(strings.Fields(strings.Join(words, " ")), " "); s != c.want {
@@ -83,7 +83,7 @@
 		{"E'a\\';b';c", "E'a\\';b'|c"}, {"'a''b;';c", "'a''b;'|c"}, {"$1;$x$;$x$;'open;", "$1|$x$;$x$|'open;"},
 		{"x$y$;z", "x$y$|z"},
 	} {
-		if got := strings.Join(Split(c.sql), "|"); got != c.want {
+		if got := strings.Join(SplitStatements(c.sql), "|"); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.sql, got, c.want)
 		}
 	}
@@ -96,14 +96,14 @@
 	}
 	f.Fuzz(func(t *testing.T, sql string) {
 		size := 0
-		for _, one := range Split(sql) {
+		for _, one := range SplitStatements(sql) {
 			ParseCommand(one)
 			size += len(one)
 		}
 		if size > len(sql) {
 			t.Fatal("more than there was")
 		}
-		if v := Literal(sql); strings.IndexByte(sql, '\\') < 0 && Plainly(v) != sql {
+		if v := QuoteLiteral(sql); strings.IndexByte(sql, '\\') < 0 && Unquote(v) != sql {
 			t.Fatalf("%q is quoted as %q", sql, v)
 		}
 	})
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -13,27 +13,27 @@
 
 // Codes that an ErrorResponse carries.
 const (
-	Violation   = "08P01"
-	Unsupported = "0A000"
-	Invalid     = "22023"
-	TooLong     = "54000"
-	Refused     = "53300"
-	NotNow      = "57P03"
-	NoPrimary   = "25006"
-	TooOld      = "72000"
-	Taken       = "42710"
-	Idle        = "57P05"
-	Unresolved  = "08007" // whether it took effect is not known
-	Broken      = "08006" // the connection ended, and it took no effect
-	Again       = "40001" // it took no effect, and the transaction may run again
-	Failed      = "25P02" // the transaction has failed, only its end will do
-	IdleInside  = "25P03" // a transaction was left open too long
-	Cancelled   = "57014"
-	GoingDown   = "57P01"
-	NoDatabase  = "3D000"
-	NoStatement = "26000"
-	NoPortal    = "34000"
-	InUse       = "42P05" // a prepared statement has this name
+	ProtocolViolation               = "08P01"
+	FeatureNotSupported             = "0A000"
+	InvalidParameterValue           = "22023"
+	ProgramLimitExceeded            = "54000"
+	TooManyConnections              = "53300"
+	CannotConnectNow                = "57P03"
+	ReadOnlySQLTransaction          = "25006"
+	SnapshotTooOld                  = "72000"
+	DuplicateObject                 = "42710"
+	IdleSessionTimeout              = "57P05"
+	TransactionResolutionUnknown    = "08007" // whether it took effect is not known
+	ConnectionFailure               = "08006" // the connection ended, and it took no effect
+	SerializationFailure            = "40001" // it took no effect, and the transaction may run again
+	InFailedSQLTransaction          = "25P02" // the transaction has failed, only its end will do
+	IdleInTransactionSessionTimeout = "25P03" // a transaction was left open too long
+	QueryCanceled                   = "57014"
+	AdminShutdown                   = "57P01"
+	InvalidCatalogName              = "3D000"
+	InvalidSQLStatementName         = "26000"
+	InvalidCursorName               = "34000"
+	DuplicatePreparedStatement      = "42P05" // a prepared statement has this name
 )
 
 // Error is what an ErrorResponse says.
@@ -41,9 +41,9 @@
 
 func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
-// OfStatement tells whether the statement itself is at fault: what it says, not who was asked.
-func (e *Error) OfStatement() bool {
-	return e.Code == Violation || len(e.Code) == 5 && slices.Contains([]string{"0A", "21", "22", "23", "42", "54"}, e.Code[:2])
+// IsStatementError tells whether the statement itself is at fault: what it says, not who was asked.
+func (e *Error) IsStatementError() bool {
+	return e.Code == ProtocolViolation || len(e.Code) == 5 && slices.Contains([]string{"0A", "21", "22", "23", "42", "54"}, e.Code[:2])
 }
 
 func fail(code, format string, args ...any) *Error {
@@ -54,73 +54,73 @@
 type Kind int
 
 const (
-	Startup Kind = iota
-	AskTLS       // for TLS or GSSAPI, before the startup message
-	Cancel
+	Startup    Kind = iota
+	SSLRequest      // for TLS or GSSAPI, before the startup message
+	CancelRequest
 	Query
 	Terminate
-	Extended // belongs to the extended protocol
-	Function
+	ExtendedQuery // belongs to the extended protocol
+	FunctionCall
 	Sync
-	AuthOK
-	Skip // a notice, key data
-	Parameter
-	Ready
-	Columns
-	Row
-	Complete
-	Empty
-	Failure
+	AuthenticationOK
+	Ignored // a notice, key data
+	ParameterStatus
+	ReadyForQuery
+	RowDescription
+	DataRow
+	CommandComplete
+	EmptyQuery
+	ErrorResponse
 
 	// What follows is told apart only by a reader that is widened.
 	Parse
 	Bind
 	Describe
 	Execute
-	CloseName // of a statement or a portal
+	Close // of a statement or a portal
 	Flush
 	CopyData
 	CopyDone
 	CopyFail
-	ParseDone
-	BindDone
-	CloseDone
+	ParseComplete
+	BindComplete
+	CloseComplete
 	NoData
-	Suspended
-	ParameterTypes
-	CopyIn
-	CopyOut
-	Notice
-	Notification
-	KeyData // of the server, for a cancel
+	PortalSuspended
+	ParameterDescription
+	CopyInResponse
+	CopyOutResponse
+	NoticeResponse
+	NotificationResponse
+	BackendKeyData // of the server, for a cancel
 )
 
 // Message is one message of either side; only the fields of its kind are set.
 type Message struct {
-	Kind    Kind
-	Text    string // Query, Parse: the statement; Parameter: the value; Complete: the tag
-	Name    string // Parameter; Parse, Bind, Describe, CloseName: the statement
-	Portal  string // Bind, Describe, Execute, CloseName
-	Of      byte   // Describe, CloseName: S for a statement, P for a portal
-	Status  byte   // Ready: I outside a transaction, T inside, E inside one that has failed
-	Tail    []byte // Parse: from its statement on; Bind: from its parameters' formats on; void like Raw
-	Startup Startups
-	Key     Key    // Cancel, KeyData
-	Minor   int    // Startup: the minor version
-	Count   int    // Columns, Row
-	Cell    []byte // Row: its first column; void once the reader is fed again
-	Raw     []byte // Columns, Row, Complete, and all that a widened reader gives: as it came; void once it is fed again
-	Failure *Error
-}
-
-// Key names one session to the server that gave it, so that it may be cancelled.
-type Key struct{ Process, Secret uint32 }
-
-// Startups are the parameters of a startup message, in their order: name, value.
-type Startups [][2]string
+	Kind         Kind
+	Text         string // Query, Parse: the statement; Parameter: the value; Complete: the tag
+	Name         string // Parameter; Parse, Bind, Describe, CloseName: the statement
+	Portal       string // Bind, Describe, Execute, CloseName
+	Target       byte   // Describe, CloseName: S for a statement, P for a portal
+	Status       byte   // Ready: I outside a transaction, T inside, E inside one that has failed
+	Tail         []byte // Parse: from its statement on; Bind: from its parameters' formats on; void like Raw
+	Startup      StartupParameters
+	Key          CancelKey // Cancel, KeyData
+	MinorVersion int       // Startup: the minor version
+	ColumnCount  int       // Columns, Row
+	FirstColumn  []byte    // Row: its first column; void once the reader is fed again
+	Raw          []byte    // Columns, Row, Complete, and all that a widened reader gives: as it came; void once it is fed again
+	Error        *Error
+}
+
+// CancelKey names one session to the server that gave it, so that it may be cancelled.
+type CancelKey struct{ Process, Secret uint32 }
+
+// StartupParameters are the parameters of a startup message, in their order: name, value.
+type StartupParameters [][2]string
 
 // Get finds a parameter.
-func (p Startups) Get(name string) string {
+func (p StartupParameters) Get(name string) string {
 	for _, one := range p {
 		if one[0] == name {
 			return one[1]
@@ -140,12 +140,12 @@
 	err    error
 }
 
-// Widen has the reader give extended queries, COPY and the like from now on, each with its bytes.
-func (r *Reader) Widen() { r.wide = true }
+// EnableExtended has the reader give extended queries, COPY and the like from now on, each with its bytes.
+func (r *Reader) EnableExtended() { r.wide = true }
 
 // Shrink gives room back that waits for nothing.
 func (r *Reader) Shrink() {
-	if r.Pending() == 0 {
+	if r.Buffered() == 0 {
 		r.buf, r.off = nil, 0
 	}
 }
@@ -162,8 +162,8 @@
 	r.buf = append(r.buf, b...)
 }
 
-// Pending tells how many bytes wait for the rest of their message, or to be read.
-func (r *Reader) Pending() int { return len(r.buf) - r.off }
+// Buffered tells how many bytes wait for the rest of their message, or to be read.
+func (r *Reader) Buffered() int { return len(r.buf) - r.off }
 
 // Next decodes the next message; ok is false where it is not whole yet. After an error framing is lost.
 func (r *Reader) Next() (m Message, ok bool, err error) {
@@ -204,14 +204,14 @@
 		r.err = err
 		return m, false, err
 	}
-	if r.wide || m.Kind == Columns || m.Kind == Row || m.Kind == Complete {
+	if r.wide || m.Kind == RowDescription || m.Kind == DataRow || m.Kind == CommandComplete {
 		m.Raw = raw
 	}
 	return m, true, nil
 }
 
-var fromClients = map[byte]Kind{'Q': Query, 'X': Terminate, 'S': Sync, 'F': Function, 'P': Extended, 'B': Extended,
-	'D': Extended, 'E': Extended, 'C': Extended, 'H': Extended}
+var fromClients = map[byte]Kind{'Q': Query, 'X': Terminate, 'S': Sync, 'F': FunctionCall, 'P': ExtendedQuery, 'B': ExtendedQuery,
+	'D': ExtendedQuery, 'E': ExtendedQuery, 'C': ExtendedQuery, 'H': ExtendedQuery}
 
 // Bodies of a server's messages: the least and the most bytes. A row is as long as any message may be.
 var fromServers = map[byte]struct{ least, most uint64 }{'R': {4, 4}, 'K': {8, 260}, 'N': {1, 1 << 13}, 'v': {8, 1 << 13},
@@ -219,15 +219,15 @@
 
 // What else a widened reader knows; a member's answers are as long as any message may be.
 var (
-	wideClients = map[byte]Kind{'P': Parse, 'B': Bind, 'D': Describe, 'E': Execute, 'C': CloseName, 'H': Flush,
+	wideClients = map[byte]Kind{'P': Parse, 'B': Bind, 'D': Describe, 'E': Execute, 'C': Close, 'H': Flush,
 		'd': CopyData, 'c': CopyDone, 'f': CopyFail}
 	wideServers = map[byte]struct {
 		kind        Kind
 		least, most uint64
-	}{'1': {ParseDone, 0, 0}, '2': {BindDone, 0, 0}, '3': {CloseDone, 0, 0}, 'n': {NoData, 0, 0}, 's': {Suspended, 0, 0},
-		't': {ParameterTypes, 2, 1 << 20}, 'G': {CopyIn, 3, 1 << 16}, 'H': {CopyOut, 3, 1 << 16}, 'd': {CopyData, 0, 1 << 32},
-		'c': {CopyDone, 0, 0}, 'A': {Notification, 6, 1 << 16}, 'T': {Columns, 2, 1 << 20}, 'N': {Notice, 1, 1 << 16},
-		'E': {Failure, 1, 1 << 16}}
+	}{'1': {ParseComplete, 0, 0}, '2': {BindComplete, 0, 0}, '3': {CloseComplete, 0, 0}, 'n': {NoData, 0, 0}, 's': {PortalSuspended, 0, 0},
+		't': {ParameterDescription, 2, 1 << 20}, 'G': {CopyInResponse, 3, 1 << 16}, 'H': {CopyOutResponse, 3, 1 << 16}, 'd': {CopyData, 0, 1 << 32},
+		'c': {CopyDone, 0, 0}, 'A': {NotificationResponse, 6, 1 << 16}, 'T': {RowDescription, 2, 1 << 20}, 'N': {NoticeResponse, 1, 1 << 16},
+		'E': {ErrorResponse, 1, 1 << 16}}
 )
 
 const (
@@ -253,21 +253,21 @@
 	}
 	switch { // first what the head tells, so that each split of the bytes gives the same
 	case size < uint64(head):
-		return fail(Violation, "message length %d is too small", size-uint64(head-4))
+		return fail(ProtocolViolation, "message length %d is too small", size-uint64(head-4))
 	case r.begun && !r.server && !isClients, r.server && !known:
-		return fail(Violation, "unknown message type %q", rest[0])
+		return fail(ProtocolViolation, "unknown message type %q", rest[0])
 	case size > most:
-		return fail(TooLong, "message of %d bytes is longer than %d", size, most)
+		return fail(ProgramLimitExceeded, "message of %d bytes is longer than %d", size, most)
 	case r.server && (body < limits.least || body > limits.most):
-		return fail(Violation, "message of type %q can't have %d bytes", rest[0], body)
+		return fail(ProtocolViolation, "message of type %q can't have %d bytes", rest[0], body)
 	case !r.begun && len(rest) >= startupStart:
 		if major := binary.BigEndian.Uint16(rest[4:]); size >= startupStart && major != 3 && major != 1234 {
-			return fail(Unsupported, "protocol version %d", major)
+			return fail(FeatureNotSupported, "protocol version %d", major)
 		}
 	case r.server && rest[0] == 'D' && len(rest) >= head+6: // its first value must fit
 		count, cell := binary.BigEndian.Uint16(rest[head:]), int64(int32(binary.BigEndian.Uint32(rest[head+2:])))
 		if left := int64(body) - 6 - max(0, cell); count > 0 && (left < 0 || count == 1 && left > 0) {
-			return fail(Violation, "a value of %d bytes in a message of %d", cell, size)
+			return fail(ProtocolViolation, "a value of %d bytes in a message of %d", cell, size)
 		}
 	}
 	return nil
@@ -275,25 +275,25 @@
 
 func (r *Reader) startup(body []byte) (Message, error) {
 	if len(body) < 4 {
-		return Message{}, fail(Violation, "startup message without a version")
+		return Message{}, fail(ProtocolViolation, "startup message without a version")
 	}
 	major, minor := binary.BigEndian.Uint16(body), binary.BigEndian.Uint16(body[2:])
 	switch {
 	case major == 1234 && (minor == 5679 || minor == 5680):
-		return Message{Kind: AskTLS}, nil
+		return Message{Kind: SSLRequest}, nil
 	case major == 1234 && minor == 5678:
-		m := Message{Kind: Cancel}
+		m := Message{Kind: CancelRequest}
 		if len(body) >= 12 {
-			m.Key = Key{binary.BigEndian.Uint32(body[4:]), binary.BigEndian.Uint32(body[8:])}
+			m.Key = CancelKey{binary.BigEndian.Uint32(body[4:]), binary.BigEndian.Uint32(body[8:])}
 		}
 		return m, nil
 	case major != 3:
-		return Message{}, fail(Unsupported, "protocol version %d.%d", major, minor)
+		return Message{}, fail(FeatureNotSupported, "protocol version %d.%d", major, minor)
 	}
 	if body = body[4:]; len(body) == 0 || body[len(body)-1] != 0 {
-		return Message{}, fail(Violation, "startup message without its end")
+		return Message{}, fail(ProtocolViolation, "startup message without its end")
 	}
-	m := Message{Kind: Startup, Minor: int(minor)}
+	m := Message{Kind: Startup, MinorVersion: int(minor)}
 	for len(body) > 1 {
 		name, rest, ok := cut(body)
 		value, rest, also := cut(rest)
@@ -314,7 +314,7 @@
 	}
 	text, rest, ok := cut(body)
 	if !ok || len(rest) > 0 {
-		return Message{}, fail(Violation, "query without its end")
+		return Message{}, fail(ProtocolViolation, "query without its end")
 	}
 	return Message{Kind: Query, Text: text}, nil
 }
@@ -342,11 +342,11 @@
 	case Execute:
 		m.Portal, rest, ok = cut(body)
 		also = len(rest) == 4
-	case Describe, CloseName:
+	case Describe, Close:
 		if ok = len(body) > 1 && (body[0] == 'S' || body[0] == 'P'); ok {
-			m.Of = body[0]
+			m.Target = body[0]
 			name := &m.Name
-			if m.Of == 'P' {
+			if m.Target == 'P' {
 				name = &m.Portal
 			}
 			*name, rest, ok = cut(body[1:])
@@ -403,7 +403,7 @@
 	if w, known := wideServers[typ]; wide && known {
 		switch typ {
 		case 'N':
-			return Message{Kind: Notice}, nil
+			return Message{Kind: NoticeResponse}, nil
 		case 'T', 'E':
 		default:
 			return Message{Kind: w.kind}, nil
@@ -412,31 +412,31 @@
 	switch typ {
 	case 'R':
 		if binary.BigEndian.Uint32(body) != 0 {
-			return Message{}, fail(Unsupported, "the server wants a password")
+			return Message{}, fail(FeatureNotSupported, "the server wants a password")
 		}
-		return Message{Kind: AuthOK}, nil
+		return Message{Kind: AuthenticationOK}, nil
 	case 'K':
-		m := Message{Kind: Skip}
+		m := Message{Kind: Ignored}
 		if wide {
-			m.Kind = KeyData
+			m.Kind = BackendKeyData
 		}
 		if len(body) == 8 {
-			m.Key = Key{binary.BigEndian.Uint32(body), binary.BigEndian.Uint32(body[4:])}
+			m.Key = CancelKey{binary.BigEndian.Uint32(body), binary.BigEndian.Uint32(body[4:])}
 		}
 		return m, nil
 	case 'N', 'v':
-		return Message{Kind: Skip}, nil
+		return Message{Kind: Ignored}, nil
 	case 'S':
 		name, rest, ok := cut(body)
 		value, rest, also := cut(rest)
 		if !ok || !also || len(rest) > 0 {
 			return Message{}, broken(typ)
 		}
-		return Message{Kind: Parameter, Name: name, Text: value}, nil
+		return Message{Kind: ParameterStatus, Name: name, Text: value}, nil
 	case 'Z':
-		return Message{Kind: Ready, Status: body[0]}, nil
+		return Message{Kind: ReadyForQuery, Status: body[0]}, nil
 	case 'T':
-		return Message{Kind: Columns, Count: int(binary.BigEndian.Uint16(body))}, nil
+		return Message{Kind: RowDescription, ColumnCount: int(binary.BigEndian.Uint16(body))}, nil
 	case 'D':
 		return row(body)
 	case 'C':
@@ -444,9 +444,9 @@
 		if !ok || len(rest) > 0 {
 			return Message{}, broken(typ)
 		}
-		return Message{Kind: Complete, Text: tag}, nil
+		return Message{Kind: CommandComplete, Text: tag}, nil
 	case 'I':
-		return Message{Kind: Empty}, nil
+		return Message{Kind: EmptyQuery}, nil
 	case 'E':
 		e := &Error{}
 		for len(body) > 1 {
@@ -468,18 +468,18 @@
 		if len(body) != 1 || body[0] != 0 || e.Code == "" {
 			return Message{}, broken(typ)
 		}
-		return Message{Kind: Failure, Failure: e}, nil
+		return Message{Kind: ErrorResponse, Error: e}, nil
 	}
-	return Message{}, fail(Violation, "unknown message type %q", typ)
+	return Message{}, fail(ProtocolViolation, "unknown message type %q", typ)
 }
 
 // broken is the error of a message that its type does not allow; made only where it is needed.
-func broken(typ byte) *Error { return fail(Violation, "broken message of type %q", typ) }
+func broken(typ byte) *Error { return fail(ProtocolViolation, "broken message of type %q", typ) }
 
 func row(body []byte) (Message, error) {
-	m := Message{Kind: Row, Count: int(binary.BigEndian.Uint16(body))}
+	m := Message{Kind: DataRow, ColumnCount: int(binary.BigEndian.Uint16(body))}
 	body = body[2:]
-	for n := range m.Count {
+	for n := range m.ColumnCount {
 		if len(body) < 4 {
 			return m, broken('D')
 		}
@@ -492,7 +492,7 @@
 			return m, broken('D')
 		}
 		if n == 0 {
-			m.Cell = body[:size]
+			m.FirstColumn = body[:size]
 		}
 		body = body[size:]
 	}
@@ -531,8 +531,8 @@
 	})
 }
 
-// AppendCancel asks a server to cancel what a session of its runs.
-func AppendCancel(out []byte, k Key) []byte {
+// AppendCancelRequest asks a server to cancel what a session of its runs.
+func AppendCancelRequest(out []byte, k CancelKey) []byte {
 	return message(out, 0, func(out []byte) []byte {
 		out = binary.BigEndian.AppendUint32(out, 1234<<16|5678)
 		return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(out, k.Process), k.Secret)
@@ -564,41 +564,41 @@
 }
 
 // AppendSync ends a pipeline; AppendPlain is a message without a body; AppendTag one that holds a text alone.
-func AppendSync(out []byte) []byte            { return message(out, 'S', nil) }
-func AppendPlain(out []byte, typ byte) []byte { return message(out, typ, nil) }
-func AppendComplete(out []byte, tag string) []byte {
+func AppendSync(out []byte) []byte               { return message(out, 'S', nil) }
+func AppendBodyless(out []byte, typ byte) []byte { return message(out, typ, nil) }
+func AppendCommandComplete(out []byte, tag string) []byte {
 	return message(out, 'C', func(out []byte) []byte { return text(out, tag) })
 }
 
-// AppendCopy sends a part of what is copied.
-func AppendCopy(out []byte, data string) []byte {
+// AppendCopyData sends a part of what is copied.
+func AppendCopyData(out []byte, data string) []byte {
 	return message(out, 'd', func(out []byte) []byte { return append(out, data...) })
 }
 
-// AppendParameter reports a setting.
-func AppendParameter(out []byte, name, value string) []byte {
+// AppendParameterStatus reports a setting.
+func AppendParameterStatus(out []byte, name, value string) []byte {
 	return message(out, 'S', func(out []byte) []byte { return text(text(out, name), value) })
 }
 
-// AppendKey gives a client what it may cancel by.
-func AppendKey(out []byte, k Key) []byte {
+// AppendBackendKeyData gives a client what it may cancel by.
+func AppendBackendKeyData(out []byte, k CancelKey) []byte {
 	return message(out, 'K', func(out []byte) []byte {
 		return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(out, k.Process), k.Secret)
 	})
 }
 
-// AppendAuthOK lets a client in without a password.
-func AppendAuthOK(out []byte) []byte {
+// AppendAuthenticationOK lets a client in without a password.
+func AppendAuthenticationOK(out []byte) []byte {
 	return message(out, 'R', func(out []byte) []byte { return append(out, 0, 0, 0, 0) })
 }
 
-// AppendVersion tells a client that asked for a later minor version that 3.0 it is.
-func AppendVersion(out []byte) []byte {
+// AppendNegotiateProtocolVersion tells a client that asked for a later minor version that 3.0 it is.
+func AppendNegotiateProtocolVersion(out []byte) []byte {
 	return message(out, 'v', func(out []byte) []byte { return append(out, 0, 3, 0, 0, 0, 0, 0, 0) })
 }
 
-// AppendStatus tells that the next query may come, and where the transaction stands.
-func AppendStatus(out []byte, status byte) []byte {
+// AppendReadyForQuery tells that the next query may come, and where the transaction stands.
+func AppendReadyForQuery(out []byte, status byte) []byte {
 	return message(out, 'Z', func(out []byte) []byte { return append(out, status) })
 }
 
@@ -615,21 +615,21 @@
 // AppendGreeting lets a client in that asked for this minor version.
 func AppendGreeting(out []byte, minor int) []byte {
 	if minor > 0 { // NegotiateProtocolVersion: 3.0 it is
-		out = AppendVersion(out)
+		out = AppendNegotiateProtocolVersion(out)
 	}
-	out = AppendAuthOK(out)
+	out = AppendAuthenticationOK(out)
 	for _, p := range [][2]string{{"server_version", "16.0"}, {"client_encoding", "UTF8"},
 		{"server_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
-		out = AppendParameter(out, p[0], p[1])
+		out = AppendParameterStatus(out, p[0], p[1])
 	}
-	return AppendReady(AppendKey(out, Key{}))
+	return AppendReadyIdle(AppendBackendKeyData(out, CancelKey{}))
 }
 
-// AppendReady tells that the next query may come.
-func AppendReady(out []byte) []byte { return AppendStatus(out, 'I') }
+// AppendReadyIdle tells that the next query may come.
+func AppendReadyIdle(out []byte) []byte { return AppendReadyForQuery(out, 'I') }
 
-// AppendEmpty answers an empty query.
-func AppendEmpty(out []byte) []byte { return message(out, 'I', nil) }
+// AppendEmptyQuery answers an empty query.
+func AppendEmptyQuery(out []byte) []byte { return message(out, 'I', nil) }
 
 // AppendError encodes an error; a fatal one ends the session.
 func AppendError(out []byte, e *Error, fatal bool) []byte {
--- a/internal/pg/pg_test.go
+++ b/internal/pg/pg_test.go
@@ -19,9 +19,9 @@
 		if !ok {
 			return strings.Join(out, "; ")
 		}
-		s := fmt.Sprintf("%d %s%s %d%d %s", m.Kind, m.Name, m.Text, m.Minor, m.Count, m.Cell)
-		if m.Failure != nil {
-			s += m.Failure.Error() + m.Failure.Detail
+		s := fmt.Sprintf("%d %s%s %d%d %s", m.Kind, m.Name, m.Text, m.MinorVersion, m.ColumnCount, m.FirstColumn)
+		if m.Error != nil {
+			s += m.Error.Error() + m.Error.Detail
 		}
 		out = append(out, strings.Join(strings.Fields(s), " "))
 	}
@@ -51,8 +51,8 @@
 		"8 00; 10 server_version16.0 00; 10 client_encodingUTF8 00; 10 server_encodingUTF8 00; " +
 			"10 standard_conforming_stringson 00; 9 00; 11 00"},
 	{"an answer", true, "T\x00\x00\x00\x06\x00\x01D\x00\x00\x00\x0c\x00\x01" + cell + "C\x00\x00\x00\x0dSELECT 1\x00" +
-		string(AppendReady(nil)), "12 01; 13 01 ok; 14 SELECT 1 00; 11 00"},
-	{"an error", true, string(AppendError(nil, &Error{Code: Refused, Text: "full", Detail: "20"}, true)),
+		string(AppendReadyIdle(nil)), "12 01; 13 01 ok; 14 SELECT 1 00; 11 00"},
+	{"an error", true, string(AppendError(nil, &Error{Code: TooManyConnections, Text: "full", Detail: "20"}, true)),
 		"16 00 53300: full20"},
 	{"a null", true, "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff", "13 01"},
 	{"a password", true, "R\x00\x00\x00\x08\x00\x00\x00\x03", "broken 0A000"},
@@ -103,7 +103,7 @@
 	f.Fuzz(func(t *testing.T, server bool, b []byte) {
 		const most = 1 << 8
 		if wide := NewReader(server, most); true { // all of the protocol: neither fails nor gives more than it was fed
-			wide.Widen()
+			wide.EnableExtended()
 			wide.Feed(b)
 			sum := 0
 			for m, ok, err := wide.Next(); ok && err == nil; m, ok, err = wide.Next() {
@@ -126,8 +126,8 @@
 			if r.err != nil {
 				break
 			}
-			if r.Pending() > most {
-				t.Fatalf("holds %d bytes", r.Pending())
+			if r.Buffered() > most {
+				t.Fatalf("holds %d bytes", r.Buffered())
 			}
 		}
 		if s := strings.Join(got, "; "); s != want {
@@ -144,8 +144,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Statement{ID: "9b1f", TxnType: "basket", Tenant: "acme", Session: "7f3a", Wait: 480, After: 1767225600123,
-		Group: 2, Marked: true, head: s.head, tail: s.tail}
+	want := Statement{ID: "9b1f", RequestClass: "basket", Tenant: "acme", IdempotencyKey: "7f3a", WaitMs: 480, Position: 1767225600123,
+		Group: 2, IsRetry: true, head: s.head, tail: s.tail}
 	if *s != want {
 		t.Errorf("got %+v, want %+v", *s, want)
 	}
@@ -161,7 +161,7 @@
 		"/* id=1,c=x,d=5,cluster=a */ x", "/* id=1,c=x,d=5,after=b */ x", "/* id=1,c=x,d=5,what */ x", "/* id=,c=x,d=5 */ x",
 		"/* id=1,c=x,d=5,d=6 */ x"} {
 		var broken *Error
-		if s, err := ParseStatement(sql); !errors.As(err, &broken) || broken.Code != Violation {
+		if s, err := ParseStatement(sql); !errors.As(err, &broken) || broken.Code != ProtocolViolation {
 			t.Errorf("%q: got %+v, %v", sql, s, err)
 		}
 	}
@@ -177,7 +177,7 @@
 		// What is passed on reads the same but for its time limit.
 		q := s.AppendQuery(nil, 7)
 		again, err := ParseStatement(string(q[5 : len(q)-1]))
-		if err != nil || again.ID != s.ID || again.TxnType != s.TxnType || again.Session != s.Session || again.Wait != 7 {
+		if err != nil || again.ID != s.ID || again.RequestClass != s.RequestClass || again.IdempotencyKey != s.IdempotencyKey || again.WaitMs != 7 {
 			t.Errorf("%q: passed on %q: %+v, %v", sql, q, again, err)
 		}
 	})
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -8,12 +8,12 @@
 
 // Statement is a request as its client worded it: the comment in front, decoded, and the text around its time limit.
 type Statement struct {
-	ID, TxnType, Tenant string
-	Session             string  // the quoted key
-	Wait                float64 // ms that the client waits
-	After               float64 // the position that it must see; 0 for none
-	Group               int
-	Marked              bool // the client says it is a repeat
+	ID, RequestClass, Tenant string
+	IdempotencyKey           string  // the quoted key
+	WaitMs                   float64 // ms that the client waits
+	Position                 float64 // the position that it must see; 0 for none
+	Group                    int
+	IsRetry                  bool // the client says it is a repeat
 
 	head, tail string
 }
@@ -23,15 +23,15 @@
 	body, ok := strings.CutPrefix(sql, "/*")
 	end := strings.Index(body, "*/")
 	if !ok || end < 0 {
-		return nil, fail(Violation, "a statement begins with a comment that names its id, c and d")
+		return nil, fail(ProtocolViolation, "a statement begins with a comment that names its id, c and d")
 	}
-	s := &Statement{Wait: -1}
+	s := &Statement{WaitMs: -1}
 	at := 2
 	for pair := range strings.SplitSeq(body[:end], ",") {
 		name, value, found := strings.Cut(pair, "=")
 		name = strings.TrimSpace(name)
 		if !found {
-			return nil, fail(Violation, "comment: %q is no name=value", strings.TrimSpace(pair))
+			return nil, fail(ProtocolViolation, "comment: %q is no name=value", strings.TrimSpace(pair))
 		}
 		start := at + len(pair) - len(value)
 		value = strings.TrimRight(value, " ")
@@ -40,30 +40,30 @@
 		case "id":
 			s.ID = value
 		case "c":
-			s.TxnType = value
+			s.RequestClass = value
 		case "t":
 			s.Tenant = value
 		case "d":
-			s.Wait, bad = number(value)
+			s.WaitMs, bad = number(value)
 			bad = bad || s.head != "" // one of two would pass on as it was
 			s.head, s.tail = sql[:start], sql[start+len(value):]
 		case "after":
-			s.After, bad = number(value)
+			s.Position, bad = number(value)
 		case "cluster":
 			n, err := strconv.Atoi(value)
 			s.Group, bad = n, err != nil
 		case "r":
-			s.Marked = value == "1"
+			s.IsRetry = value == "1"
 		}
 		if bad {
-			return nil, fail(Violation, "comment: %s must be a number, not %q", name, value)
+			return nil, fail(ProtocolViolation, "comment: %s must be a number, not %q", name, value)
 		}
 		at += len(pair) + 1
 	}
-	if s.ID == "" || s.TxnType == "" || s.Wait < 0 {
-		return nil, fail(Violation, "comment: id, c and d must be given")
+	if s.ID == "" || s.RequestClass == "" || s.WaitMs < 0 {
+		return nil, fail(ProtocolViolation, "comment: id, c and d must be given")
 	}
-	s.Session = quoted(body[end:])
+	s.IdempotencyKey = quoted(body[end:])
 	return s, nil
 }
 
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -34,14 +34,14 @@
 // New returns a request that arrived at this time, in ms on the loop's clock. deliver is called once with the final response,
 // unless the client goes away first.
 func New(statement *pg.Statement, arrived float64, deliver func(Response)) *Request {
-	return &Request{Statement: statement, Arrived: arrived, Deadline: arrived + statement.Wait, deliver: deliver}
+	return &Request{Statement: statement, Arrived: arrived, Deadline: arrived + statement.WaitMs, deliver: deliver}
 }
 
 // LimitWait shortens the time that the client may wait to at most maxWait ms. It guards against requests that stay in memory
 // for as long as a client asks for.
 func (r *Request) LimitWait(maxWait float64) {
-	r.Wait = min(r.Wait, maxWait)
-	r.Deadline = r.Arrived + r.Wait
+	r.WaitMs = min(r.WaitMs, maxWait)
+	r.Deadline = r.Arrived + r.WaitMs
 }
 
 // Finished reports whether no response is owed any more.
--- a/internal/request/stream.go
+++ b/internal/request/stream.go
@@ -21,7 +21,7 @@
 
 	backend        BackendConn
 	onClientGone   func()
-	replayLog      []session.Op
+	replayLog      []session.Message
 	buffered       []pg.Message
 	bufferedBytes  int
 	started        bool // the client has received something
@@ -32,7 +32,7 @@
 // BackendConn is a connection to a member, as a stream uses it.
 type BackendConn interface {
 	// Send passes operations of the client on to the member.
-	Send(ops []session.Op)
+	Send(ops []session.Message)
 	// Cancel asks the member to stop what runs on the connection, if anything does.
 	Cancel()
 	// Member returns the id of the member at the other end.
@@ -56,7 +56,7 @@
 }
 
 // Send passes operations of the client on, and keeps them for a replay while one is still possible.
-func (s *Stream) Send(ops []session.Op) {
+func (s *Stream) Send(ops []session.Message) {
 	if !s.started {
 		s.replayLog = append(s.replayLog, ops...)
 	}
@@ -106,8 +106,8 @@
 	message.Raw = append([]byte(nil), message.Raw...)
 	s.buffered = append(s.buffered, message)
 	s.bufferedBytes += len(message.Raw)
-	clientMustAct := message.Kind == pg.CopyIn || message.Kind == pg.CopyOut
-	if s.started || s.flushRequested || s.bufferedBytes > session.MostKept || clientMustAct {
+	clientMustAct := message.Kind == pg.CopyInResponse || message.Kind == pg.CopyOutResponse
+	if s.started || s.flushRequested || s.bufferedBytes > session.MaxReplayBytes || clientMustAct {
 		s.Flush()
 	}
 }
@@ -115,8 +115,8 @@
 // Failure returns the first error among the buffered messages, or nil.
 func (s *Stream) Failure() *pg.Error {
 	for _, message := range s.buffered {
-		if message.Failure != nil {
-			return message.Failure
+		if message.Error != nil {
+			return message.Error
 		}
 	}
 	return nil
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -17,16 +17,16 @@
 
 // File is our own form, TOML. Every key that it does not know is an error.
 type File struct {
-	Name      string   `toml:"name"`
-	Listen    string   `toml:"listen"`
-	Discovery string   `toml:"discovery"`
-	Seed      string   `toml:"seed"`
-	Limits    Limits   `toml:"limits"`
-	Fleet     Fleet    `toml:"fleet"`
-	Members   []Member `toml:"members"`
-	Types     []Type   `toml:"txn_types"`
-	Tenants   []Tenant `toml:"tenants"`
-	Pools     []Pool   `toml:"pools"`
+	Name           string         `toml:"name"`
+	Listen         string         `toml:"listen"`
+	Discovery      string         `toml:"discovery"`
+	Seed           string         `toml:"seed"`
+	Limits         Limits         `toml:"limits"`
+	Fleet          Fleet          `toml:"fleet"`
+	Members        []Member       `toml:"members"`
+	RequestClasses []RequestClass `toml:"txn_types"`
+	Tenants        []Tenant       `toml:"tenants"`
+	Pools          []Pool         `toml:"pools"`
 }
 
 type Limits struct {
@@ -39,40 +39,40 @@
 
 // Fleet is how members behave; what is not given has a value that harms nobody.
 type Fleet struct {
-	Routers     int      `toml:"routers"`
-	Zone        string   `toml:"zone"`
-	Lag         string   `toml:"lagging_reads"`
-	Reports     bool     `toml:"reports"`
-	Submissions int      `toml:"submissions"`
-	RetryAfter  Duration `toml:"retry_after"`
-	ListWithin  Duration `toml:"list_within"`
-	ColdFrom    float64  `toml:"cold_from"`
-	WarmUp      Duration `toml:"warm_up"`
-	Multiple    float64  `toml:"cold_multiple"`
-	Window      Duration `toml:"cold_window"`
-	Connect     Duration `toml:"connect_within"`
-	IdleClose   Duration `toml:"idle_close"`
-	User        string   `toml:"check_user"`
-	Database    string   `toml:"check_database"`
+	Routers           int      `toml:"routers"`
+	Zone              string   `toml:"zone"`
+	LaggingReads      string   `toml:"lagging_reads"`
+	HealthReports     bool     `toml:"reports"`
+	MaxAttempts       int      `toml:"submissions"`
+	RetryAfter        Duration `toml:"retry_after"`
+	ListTimeout       Duration `toml:"list_within"`
+	ColdFrom          float64  `toml:"cold_from"`
+	WarmUp            Duration `toml:"warm_up"`
+	ColdMultiple      float64  `toml:"cold_multiple"`
+	ColdWindow        Duration `toml:"cold_window"`
+	ConnectTimeout    Duration `toml:"connect_within"`
+	ServerIdleTimeout Duration `toml:"idle_close"`
+	CheckUser         string   `toml:"check_user"`
+	CheckDatabase     string   `toml:"check_database"`
 
 	// The fleet's part is off unless coordinator is given.
-	Name       string            `toml:"name"`
-	Council    []string          `toml:"council"` // addresses
-	Orders     string            `toml:"orders"`  // where this process hears leases' owners
-	Known      string            `toml:"orders_address"`
-	Session    Duration          `toml:"session"`
-	Margin     Duration          `toml:"margin"`
-	Sight      Duration          `toml:"sight"` // between two looks at a member, for who owns health sharing; 0: this process would not
-	Handover   *Handover         `toml:"handover"`
-	MostHeld   Duration          `toml:"most_held"` // that writes wait here for a planned change
-	Via        map[string]string `toml:"via"`
-	Record     string            `toml:"record"`
-	Policy     string            `toml:"policy_folder"` // where the policy is kept for the next start; "": nowhere
-	ClockAhead Duration          `toml:"clock_ahead"`
+	Name                string            `toml:"name"`
+	Coordinators        []string          `toml:"council"` // addresses
+	ReceiverListen      string            `toml:"orders"`  // where this process hears leases' owners
+	ReceiverAddress     string            `toml:"orders_address"`
+	SessionTimeout      Duration          `toml:"session"`
+	SafetyMargin        Duration          `toml:"margin"`
+	HealthShareInterval Duration          `toml:"sight"` // between two looks at a member, for who owns health sharing; 0: this process would not
+	Switchover          *Switchover       `toml:"handover"`
+	MaxWriteHold        Duration          `toml:"most_held"` // that writes wait here for a planned change
+	PeerAddresses       map[string]string `toml:"via"`
+	AuditLog            string            `toml:"record"`
+	PolicyDir           string            `toml:"policy_folder"` // where the policy is kept for the next start; "": nowhere
+	ClockOffset         Duration          `toml:"clock_ahead"`
 }
 
 // Switchover is how a planned change of a group's primary is done, for a process that would do it.
-type Handover struct {
+type Switchover struct {
 	Hold     Duration `toml:"hold"` // that routers are asked to have writes wait
 	Wait     Duration `toml:"wait"` // of it, for what runs
 	Step     Duration `toml:"step"` // for one statement
@@ -81,8 +81,8 @@
 	Primary  string   `toml:"primary"`
 	Guard    string   `toml:"guard"`
 	Seen     string   `toml:"seen"`
-	Yield    string   `toml:"yield"`
-	Take     string   `toml:"take"`
+	StepDown string   `toml:"yield"`
+	Promote  string   `toml:"take"`
 }
 
 type Member struct {
@@ -92,17 +92,17 @@
 	Group   int    `toml:"group"`
 }
 
-type Type struct {
-	Name   string   `toml:"name"`
-	SLA    Duration `toml:"sla"`
-	Expiry Duration `toml:"expiry"`
-	Value  float64  `toml:"value"`
-	Late   float64  `toml:"late_value"`
-	Effect string   `toml:"effect"`
-	Scope  string   `toml:"scope"`
-	Window Duration `toml:"window"`
-	Level  string   `toml:"level"`
-	Bound  Duration `toml:"bound"`
+type RequestClass struct {
+	Name              string   `toml:"name"`
+	LatencyObjective  Duration `toml:"sla"`
+	Deadline          Duration `toml:"expiry"`
+	PriorityWeight    float64  `toml:"value"`
+	LateWeight        float64  `toml:"late_value"`
+	Effect            string   `toml:"effect"`
+	Scope             string   `toml:"scope"`
+	IdempotencyWindow Duration `toml:"window"`
+	Level             string   `toml:"level"`
+	StalenessBound    Duration `toml:"bound"`
 }
 
 type Tenant struct {
@@ -111,23 +111,23 @@
 }
 
 type Pool struct {
-	User       string   `toml:"user"`
-	Database   string   `toml:"database"`
-	Form       string   `toml:"form"`
-	Read       string   `toml:"read"`
-	Write      string   `toml:"write"`
-	Group      int      `toml:"group"`
-	PerMember  int      `toml:"connections_per_member"`
-	Total      int      `toml:"connections"`
-	Warm       int      `toml:"warm"`
-	Wait       Duration `toml:"wait"`
-	Idle       Duration `toml:"idle"`
-	Age        Duration `toml:"age"`
-	Uses       int      `toml:"uses"`
-	IdleInside Duration `toml:"idle_in_transaction"`
-	Pins       *bool    `toml:"pins"`
-	Statements int      `toml:"statements"`
-	Settings   Size     `toml:"settings"`
+	User              string   `toml:"user"`
+	Database          string   `toml:"database"`
+	Mode              string   `toml:"form"`
+	Read              string   `toml:"read"`
+	Write             string   `toml:"write"`
+	Group             int      `toml:"group"`
+	PerMember         int      `toml:"connections_per_member"`
+	Total             int      `toml:"connections"`
+	MinIdle           int      `toml:"warm"`
+	WaitTimeout       Duration `toml:"wait"`
+	IdleTimeout       Duration `toml:"idle"`
+	MaxAge            Duration `toml:"age"`
+	MaxUses           int      `toml:"uses"`
+	IdleInTransaction Duration `toml:"idle_in_transaction"`
+	AllowSticky       *bool    `toml:"pins"`
+	MaxStatements     int      `toml:"statements"`
+	MaxSettings       Size     `toml:"settings"`
 }
 
 // Duration is a text like 250ms.
@@ -163,17 +163,17 @@
 	return fmt.Errorf("must be a size like 64MiB or 16KiB, not %q", b)
 }
 
-// Pooled are a file's pools, as the parts of a router need them.
-type Pooled struct {
+// PoolSettings are a file's pools, as the parts of a router need them.
+type PoolSettings struct {
 	Name, User, Database string
-	Plain                bool // the platform's form
+	StatementMode        bool // the platform's form
 	Policy               session.Policy
 	Bounds               connpool.Bounds
 	Group                int
 }
 
-// Fallback is the request class of what nothing tells: once-only, and for the primary.
-const Fallback = "unlabelled"
+// UnlabelledClass is the request class of what nothing tells: once-only, and for the primary.
+const UnlabelledClass = "unlabelled"
 
 // wrong names the place of a mistake in a file.
 func wrong(err error) error {
@@ -222,42 +222,42 @@
 
 // fleet fills in what is not given of the fleet's part, and says what is wrong with it.
 func (f *Fleet) check() error {
-	if len(f.Council) == 0 {
-		if f.Orders != "" || f.Sight > 0 || f.Handover != nil || f.Name != "" || f.Policy != "" {
+	if len(f.Coordinators) == 0 {
+		if f.ReceiverListen != "" || f.HealthShareInterval > 0 || f.Switchover != nil || f.Name != "" || f.PolicyDir != "" {
 			return errors.New("fleet.council: must be given where any of name, orders, sight, handover and policy_folder is")
 		}
 		return nil
 	}
-	for n, a := range f.Council {
+	for n, a := range f.Coordinators {
 		if err := address(fmt.Sprintf("fleet.council[%d]", n), a); err != nil {
 			return err
 		}
 	}
-	for name, a := range f.Via {
+	for name, a := range f.PeerAddresses {
 		if err := address("fleet.via."+name, a); err != nil {
 			return err
 		}
 	}
-	if err := address("fleet.orders", f.Orders); err != nil {
+	if err := address("fleet.orders", f.ReceiverListen); err != nil {
 		return err
 	}
 	or := func(d *Duration, otherwise float64) { *d = Duration(cmp.Or(float64(*d), otherwise)) }
 	f.Name = cmp.Or(f.Name, "fleet")
-	or(&f.Session, 2000)
-	or(&f.Margin, float64(f.Session)/10)
-	or(&f.MostHeld, 5000)
-	if f.Session < 200 || f.Session > 60000 || f.Margin >= f.Session/2 {
+	or(&f.SessionTimeout, 2000)
+	or(&f.SafetyMargin, float64(f.SessionTimeout)/10)
+	or(&f.MaxWriteHold, 5000)
+	if f.SessionTimeout < 200 || f.SessionTimeout > 60000 || f.SafetyMargin >= f.SessionTimeout/2 {
 		return errors.New("fleet: session must be from 200ms to 1m, margin less than half of it")
 	}
-	h := f.Handover
+	h := f.Switchover
 	if h == nil {
 		return nil
 	}
 	or(&h.Hold, 3000)
 	or(&h.Wait, float64(h.Hold)/3)
 	or(&h.Step, 1000)
-	h.User, h.Database = cmp.Or(h.User, f.User), cmp.Or(h.Database, f.Database)
-	for key, text := range map[string]string{"primary": h.Primary, "guard": h.Guard, "seen": h.Seen, "yield": h.Yield, "take": h.Take} {
+	h.User, h.Database = cmp.Or(h.User, f.CheckUser), cmp.Or(h.Database, f.CheckDatabase)
+	for key, text := range map[string]string{"primary": h.Primary, "guard": h.Guard, "seen": h.Seen, "yield": h.StepDown, "take": h.Promote} {
 		if text == "" {
 			return fmt.Errorf("fleet.handover.%s: the statement must be given", key)
 		}
@@ -278,13 +278,13 @@
 	if f.Limits.Sessions <= 0 || f.Limits.Connections <= 0 || f.Limits.Sessions+f.Limits.Connections > f.Limits.Descriptors {
 		return errors.New("limits: sessions and connections must be given, and together fit the descriptors")
 	}
-	types := map[string]bool{Fallback: true}
-	for n, t := range f.Types {
+	types := map[string]bool{UnlabelledClass: true}
+	for n, t := range f.RequestClasses {
 		if t.Name == "" || types[t.Name] {
 			return fmt.Errorf("txn_types[%d]: name: must be given, and only once", n)
 		}
 		types[t.Name] = true
-		if t.SLA <= 0 || t.Expiry < t.SLA {
+		if t.LatencyObjective <= 0 || t.Deadline < t.LatencyObjective {
 			return fmt.Errorf("txn_types[%d]: %s: sla must be more than 0, expiry not less", n, t.Name)
 		}
 	}
@@ -302,7 +302,7 @@
 			return fmt.Errorf("pools[%d]: database: must be given, and once for a user", n)
 		}
 		names[name] = true
-		if _, err := word(forms, "form", p.Form, "transaction"); err != nil {
+		if _, err := word(forms, "form", p.Mode, "transaction"); err != nil {
 			return fmt.Errorf("pools[%d]: %s: %w", n, name, err)
 		}
 		for _, t := range []string{p.Read, p.Write} {
@@ -310,10 +310,10 @@
 				return fmt.Errorf("pools[%d]: %s: no txn type %q", n, name, t)
 			}
 		}
-		if p.Form != "platform" && (p.PerMember <= 0 || p.Wait <= 0) {
+		if p.Mode != "platform" && (p.PerMember <= 0 || p.WaitTimeout <= 0) {
 			return fmt.Errorf("pools[%d]: %s: connections_per_member and wait must be more than 0", n, name)
 		}
-		if p.Warm > p.PerMember {
+		if p.MinIdle > p.PerMember {
 			return fmt.Errorf("pools[%d]: %s: warm: no more than connections_per_member", n, name)
 		}
 	}
@@ -321,21 +321,21 @@
 }
 
 // Settings gives what the module and the host are born with.
-func (f *File) Settings() (*router.Settings, *Host, error) {
+func (f *File) Settings() (*router.Settings, *Runtime, error) {
 	fl := f.Fleet
 	or := func(x, otherwise float64) float64 { return cmp.Or(x, otherwise) }
-	set := &router.Settings{Routers: cmp.Or(fl.Routers, 1), Zone: fl.Zone, ListPollTimeout: or(float64(fl.ListWithin), 10000),
-		SlowStartFloor: or(fl.ColdFrom, 0.2), SlowStartDuration: or(float64(fl.WarmUp), 10000), OverloadMultiple: or(fl.Multiple, 2.5),
-		OverloadWindow: or(float64(fl.Window), 2000), MaxAttempts: cmp.Or(fl.Submissions, 6), CanHealthCheck: true, CanCancel: true,
+	set := &router.Settings{Routers: cmp.Or(fl.Routers, 1), Zone: fl.Zone, ListPollTimeout: or(float64(fl.ListTimeout), 10000),
+		SlowStartFloor: or(fl.ColdFrom, 0.2), SlowStartDuration: or(float64(fl.WarmUp), 10000), OverloadMultiple: or(fl.ColdMultiple, 2.5),
+		OverloadWindow: or(float64(fl.ColdWindow), 2000), MaxAttempts: cmp.Or(fl.MaxAttempts, 6), CanHealthCheck: true, CanCancel: true,
 		RetryAfter: or(float64(fl.RetryAfter), 1000), RequestClasses: map[string]*router.RequestClass{}, Tenants: map[string]float64{}}
-	host := &Host{DialTimeout: or(float64(fl.Connect), 1000), IdleClose: or(float64(fl.IdleClose), 600000), Reports: fl.Reports}
+	host := &Runtime{DialTimeoutMs: or(float64(fl.ConnectTimeout), 1000), ServerIdleTimeoutMs: or(float64(fl.ServerIdleTimeout), 600000), HealthReports: fl.HealthReports}
 	var err error
-	if set.Lag, err = word(fileLags, "fleet.lagging_reads", fl.Lag, "answers"); err != nil {
+	if set.Lag, err = word(fileLags, "fleet.lagging_reads", fl.LaggingReads, "answers"); err != nil {
 		return nil, nil, err
 	}
-	for _, t := range f.Types {
-		kind := &router.RequestClass{LatencyObjective: float64(t.SLA), Deadline: float64(t.Expiry), PriorityWeight: or(t.Value, 1), LateWeightShare: t.Late,
-			IdempotencyWindow: float64(t.Window), StalenessBound: float64(t.Bound)}
+	for _, t := range f.RequestClasses {
+		kind := &router.RequestClass{LatencyObjective: float64(t.LatencyObjective), Deadline: float64(t.Deadline), PriorityWeight: or(t.PriorityWeight, 1), LateWeightShare: t.LateWeight,
+			IdempotencyWindow: float64(t.IdempotencyWindow), StalenessBound: float64(t.StalenessBound)}
 		var errs [3]error
 		kind.Effect, errs[0] = word(fileEffects, "effect", t.Effect, "once-only")
 		kind.Scope, errs[1] = word(fileScopes, "scope", t.Scope, "all")
@@ -346,8 +346,8 @@
 		set.RequestClasses[t.Name] = kind
 	}
 	for _, p := range f.Pools {
-		if p.Form != "platform" && p.Write == "" && set.RequestClasses[Fallback] == nil {
-			set.RequestClasses[Fallback] = &router.RequestClass{LatencyObjective: 1000, Deadline: 60000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent,
+		if p.Mode != "platform" && p.Write == "" && set.RequestClasses[UnlabelledClass] == nil {
+			set.RequestClasses[UnlabelledClass] = &router.RequestClass{LatencyObjective: 1000, Deadline: 60000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent,
 				Level: router.Write}
 		}
 	}
@@ -357,15 +357,15 @@
 	return set, host, nil
 }
 
-// Pooling gives the pools.
-func (f *File) Pooling() (out []Pooled) {
+// PoolSettings gives the pools.
+func (f *File) PoolSettings() (out []PoolSettings) {
 	for _, p := range f.Pools {
-		one := Pooled{Name: p.User + "/" + p.Database, User: p.User, Database: p.Database, Plain: p.Form == "platform", Group: p.Group}
-		one.Policy = session.Policy{Read: p.Read, Write: p.Write, Pins: p.Pins == nil || *p.Pins, Holds: p.Form == "session",
-			Settings: cmp.Or(int(p.Settings), 8<<10), Statements: cmp.Or(p.Statements, 1000)}
-		one.Bounds = connpool.Bounds{PerMember: p.PerMember, Total: p.Total, Warm: p.Warm, Wait: float64(p.Wait),
-			Idle: cmp.Or(float64(p.Idle), connpool.Statements(cmp.Or(float64(f.Fleet.IdleClose), 600000)).Idle), Age: float64(p.Age), Uses: p.Uses,
-			IdleInside: float64(p.IdleInside)}
+		one := PoolSettings{Name: p.User + "/" + p.Database, User: p.User, Database: p.Database, StatementMode: p.Mode == "platform", Group: p.Group}
+		one.Policy = session.Policy{ReadClass: p.Read, WriteClass: p.Write, AllowSticky: p.AllowSticky == nil || *p.AllowSticky, AlwaysSticky: p.Mode == "session",
+			MaxSettingsBytes: cmp.Or(int(p.MaxSettings), 8<<10), MaxStatements: cmp.Or(p.MaxStatements, 1000)}
+		one.Bounds = connpool.Bounds{PerMember: p.PerMember, Total: p.Total, MinIdle: p.MinIdle, WaitTimeoutMs: float64(p.WaitTimeout),
+			IdleTimeoutMs: cmp.Or(float64(p.IdleTimeout), connpool.StatementBounds(cmp.Or(float64(f.Fleet.ServerIdleTimeout), 600000)).IdleTimeoutMs), MaxAgeMs: float64(p.MaxAge), MaxUses: p.MaxUses,
+			IdleInTransactionTimeoutMs: float64(p.IdleInTransaction)}
 		out = append(out, one)
 	}
 	return out
--- a/internal/settings/file_test.go
+++ b/internal/settings/file_test.go
@@ -58,20 +58,20 @@
 		t.Fatal(err)
 	}
 	set, host, err := f.Settings()
-	if err != nil || set.RequestClasses["write"].LatencyObjective != 500 || set.RequestClasses["write"].Deadline != 3000 || host.DialTimeout != 1000 {
+	if err != nil || set.RequestClasses["write"].LatencyObjective != 500 || set.RequestClasses["write"].Deadline != 3000 || host.DialTimeoutMs != 1000 {
 		t.Errorf("got %+v, %+v, %v", set, host, err)
 	}
-	if set.RequestClasses[Fallback] != nil {
+	if set.RequestClasses[UnlabelledClass] != nil {
 		t.Error("a pool that has a txn type for all needs no other")
 	}
 	bare, err := Read([]byte(strings.Replace(whole, "write = \"write\"\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if set, _, _ := bare.Settings(); set.RequestClasses[Fallback] == nil {
+	if set, _, _ := bare.Settings(); set.RequestClasses[UnlabelledClass] == nil {
 		t.Error("a pool without one needs it")
 	}
-	if p := f.Pooling()[0]; p.Name != "api/ledger" || p.Bounds.PerMember != 4 || p.Bounds.Wait != 1000 || !p.Policy.Pins {
+	if p := f.PoolSettings()[0]; p.Name != "api/ledger" || p.Bounds.PerMember != 4 || p.Bounds.WaitTimeoutMs != 1000 || !p.Policy.AllowSticky {
 		t.Errorf("got %+v", p)
 	}
 }
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -10,29 +10,29 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// CouncilFile is the form of a coordinator node's settings.
-type CouncilFile struct {
-	Council Council `toml:"council"`
+// CoordinatorFile is the form of a coordinator node's settings.
+type CoordinatorFile struct {
+	Coordinator Coordinator `toml:"council"`
 }
 
 // Coordinator is one coordinator node. What is not given has a value that suits a fleet of hundreds.
-type Council struct {
-	Fleet       string            `toml:"fleet"`
-	Name        string            `toml:"name"`
-	Listen      string            `toml:"listen"`
-	Folder      string            `toml:"folder"`
-	Join        bool              `toml:"join"` // a coordinator that has begun, by `council add`
-	Peers       []CouncilPeer     `toml:"peers"`
-	Tick        Duration          `toml:"tick"`
-	Keep        int               `toml:"keep"` // entries until the log is cut
-	Connections int               `toml:"connections"`
-	Record      string            `toml:"record"` // a file of all that became so, for checkers
-	Via         map[string]string `toml:"via"`    // other ways to processes, by name
-	ClockAhead  Duration          `toml:"clock_ahead"`
+type Coordinator struct {
+	Fleet            string            `toml:"fleet"`
+	Name             string            `toml:"name"`
+	Listen           string            `toml:"listen"`
+	Dir              string            `toml:"folder"`
+	Join             bool              `toml:"join"` // a coordinator that has begun, by `council add`
+	Peers            []CoordinatorPeer `toml:"peers"`
+	Tick             Duration          `toml:"tick"`
+	SnapshotInterval int               `toml:"keep"` // entries until the log is cut
+	MaxConnections   int               `toml:"connections"`
+	AuditLog         string            `toml:"record"` // a file of all that became so, for checkers
+	PeerAddresses    map[string]string `toml:"via"`    // other ways to processes, by name
+	ClockOffset      Duration          `toml:"clock_ahead"`
 }
 
-// CouncilPeer is one of those who begin the coordinator.
-type CouncilPeer struct {
+// CoordinatorPeer is one of those who begin the coordinator.
+type CoordinatorPeer struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
@@ -50,15 +50,15 @@
 	return nil
 }
 
-// ReadCouncil decodes a coordinator node's file and says what is wrong with it.
-func ReadCouncil(text []byte) (*Council, error) {
-	f := &CouncilFile{}
+// ReadCoordinator decodes a coordinator node's file and says what is wrong with it.
+func ReadCoordinator(text []byte) (*Coordinator, error) {
+	f := &CoordinatorFile{}
 	if err := strict(text, f); err != nil {
 		return nil, err
 	}
-	c := &f.Council
+	c := &f.Coordinator
 	switch {
-	case c.Fleet == "" || c.Name == "" || c.Folder == "":
+	case c.Fleet == "" || c.Name == "" || c.Dir == "":
 		return nil, errors.New("council: fleet, name and folder must be given")
 	case c.Join && len(c.Peers) > 0:
 		return nil, errors.New("council: join: one that joins begins nothing, peers must not be given")
@@ -81,14 +81,14 @@
 	if !mine {
 		return nil, fmt.Errorf("council.peers: %q, this process, is not among them", c.Name)
 	}
-	for name, addr := range c.Via {
+	for name, addr := range c.PeerAddresses {
 		if err := address("council.via."+name, addr); err != nil {
 			return nil, err
 		}
 	}
 	c.Tick = Duration(cmp.Or(float64(c.Tick), 50))
-	c.Keep, c.Connections = cmp.Or(c.Keep, 10000), cmp.Or(c.Connections, 4096)
-	if c.Tick < 5 || c.Keep < 100 || c.Connections < 16 {
+	c.SnapshotInterval, c.MaxConnections = cmp.Or(c.SnapshotInterval, 10000), cmp.Or(c.MaxConnections, 4096)
+	if c.Tick < 5 || c.SnapshotInterval < 100 || c.MaxConnections < 16 {
 		return nil, errors.New("council: tick of 5ms, keep of 100 and connections of 16 are the least")
 	}
 	return c, nil
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/fleet_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := ReadCouncil(text)
-	if err != nil || c.Name != "c1" || len(c.Peers) != 3 || c.Tick != 50 || c.Keep != 10000 || c.Connections != 4096 {
+	c, err := ReadCoordinator(text)
+	if err != nil || c.Name != "c1" || len(c.Peers) != 3 || c.Tick != 50 || c.SnapshotInterval != 10000 || c.MaxConnections != 4096 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if text, err = os.ReadFile("../../deploy/fleet.toml"); err != nil {
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Fleet.Session != 2000 || f.Fleet.Margin != 200 || f.Fleet.MostHeld != 5000 || f.Fleet.Handover.Wait != 1000 || f.Fleet.Sight != 250 {
-		t.Errorf("%+v, %+v", f.Fleet, f.Fleet.Handover)
+	if f.Fleet.SessionTimeout != 2000 || f.Fleet.SafetyMargin != 200 || f.Fleet.MaxWriteHold != 5000 || f.Fleet.Switchover.Wait != 1000 || f.Fleet.HealthShareInterval != 250 {
+		t.Errorf("%+v, %+v", f.Fleet, f.Fleet.Switchover)
 	}
-	if f, err = Read([]byte(minimal)); err != nil || len(f.Fleet.Council) != 0 || f.Fleet.Session != 0 {
+	if f, err = Read([]byte(minimal)); err != nil || len(f.Fleet.Coordinators) != 0 || f.Fleet.SessionTimeout != 0 {
 		t.Errorf("without a council the fleet's part is off: %+v, %v", f.Fleet, err)
 	}
 }
@@ -78,7 +78,7 @@
 		}
 		text = strings.Replace(text, c.old, c.new, 1)
 		if c.of == "council" {
-			_, err = ReadCouncil([]byte(text))
+			_, err = ReadCoordinator([]byte(text))
 		} else {
 			_, err = Read([]byte(text))
 		}
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -92,12 +92,12 @@
 // Each key of a coordinator node's file is decoded, by the strict decoder.
 func TestCoordinatorKeys_AreDecoded(t *testing.T) {
 	text := readFile(t, keysDir, "council.toml")
-	node, err := settings.ReadCouncil(text)
+	node, err := settings.ReadCoordinator(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, _, _ := strings.Cut(string(text), "[[council.peers]]")
-	joining, err := settings.ReadCouncil([]byte(first + "join = true\n"))
+	joining, err := settings.ReadCoordinator([]byte(first + "join = true\n"))
 	if err != nil || !joining.Join {
 		t.Errorf("join: %+v, %v", joining, err)
 	}
@@ -177,7 +177,7 @@
 				set, host, err = file.Settings()
 			}
 			if err == nil {
-				decoded[fmt.Sprint(describe(set), describe(host), file.Pooling())] = word
+				decoded[fmt.Sprint(describe(set), describe(host), file.PoolSettings())] = word
 			}
 			if (err == nil) != (word != "other") {
 				t.Errorf("%s = %q: %v", key, word, err)
@@ -241,7 +241,7 @@
 
 // decodeList decodes discovery's list and writes what came of it.
 func decodeList(v *fastjson.Value) (string, error) {
-	list, err := discovery.Decode(v)
+	list, err := discovery.DecodeList(v)
 	return describe(list), err
 }
 
@@ -304,7 +304,7 @@
 		fmt.Sprintln("ask within", set.ListPollTimeout, "soft removal", set.SoftRemoval, "cold from", set.SlowStartFloor, "warm up", set.SlowStartDuration, "fall multiple",
 			set.OverloadMultiple, "fall window", set.OverloadWindow) +
 		fmt.Sprintln("attempts", set.MaxAttempts, "checks", set.CanHealthCheck, "revokes", set.CanCancel, "retry after", set.RetryAfter, "remembered", set.RemembersCommits) +
-		fmt.Sprintln("zero", host.Zero, "dial", host.DialTimeout, "idle close", host.IdleClose, "reports", host.Reports) +
+		fmt.Sprintln("zero", host.PositionOrigin, "dial", host.DialTimeoutMs, "idle close", host.ServerIdleTimeoutMs, "reports", host.HealthReports) +
 		fmt.Sprintln("read: sla", class.LatencyObjective, "expiry", class.Deadline, "value", class.PriorityWeight, "late", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
 			class.StalenessBound) +
 		fmt.Sprintln("acme", set.Tenants["acme"])
@@ -317,12 +317,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := discovery.Decode(document)
+	list, err := discovery.DecodeList(document)
 	if err != nil {
 		t.Fatal(err)
 	}
 	member := list.Entries[0]
-	got := fmt.Sprintln("revision", list.Revision, "complete", list.Whole, "member", member.ID, member.Addr, member.Zone, member.Group, member.Started)
+	got := fmt.Sprintln("revision", list.Revision, "complete", list.Complete, "member", member.ID, member.Addr, member.Zone, member.Group, member.Started)
 	compareGolden(t, "discovery-list.golden", got+withoutEachKey(t, document, decodeList))
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 
 // Fields reads the fields of one object and keeps the first thing found wrong.
 type Fields struct {
-	V   *fastjson.Value
-	Err error
+	Value *fastjson.Value
+	Err   error
 }
 
 func (f *Fields) Fail(key, want string) {
@@ -24,7 +24,7 @@
 }
 
 func (f *Fields) Get(key string) *fastjson.Value {
-	v := f.V.Get(key)
+	v := f.Value.Get(key)
 	if v != nil && v.Type() == fastjson.TypeNull {
 		return nil
 	}
@@ -40,8 +40,8 @@
 	return string(v.GetStringBytes())
 }
 
-// Maybe reads text that may be absent or 0.
-func (f *Fields) Maybe(key string) string {
+// OptionalText reads text that may be absent or 0.
+func (f *Fields) OptionalText(key string) string {
 	if v := f.Get(key); v == nil || v.Type() == fastjson.TypeNumber && v.GetFloat64() == 0 {
 		return ""
 	}
@@ -57,14 +57,14 @@
 	return v.GetFloat64()
 }
 
-func (f *Fields) OrZero(key string) float64 {
+func (f *Fields) OptionalNumber(key string) float64 {
 	if f.Get(key) == nil {
 		return 0
 	}
 	return f.Number(key)
 }
 
-func (f *Fields) Flag(key string) bool {
+func (f *Fields) Bool(key string) bool {
 	v := f.Get(key)
 	if v == nil {
 		return false
@@ -75,14 +75,14 @@
 	return v.GetBool()
 }
 
-// Inner reads an object within the object; its own failures are kept with f's under its key.
-func (f *Fields) Inner(key string, read func(*Fields)) {
+// Object reads an object within the object; its own failures are kept with f's under its key.
+func (f *Fields) Object(key string, read func(*Fields)) {
 	v := f.Get(key)
 	if v == nil || v.Type() != fastjson.TypeObject {
 		f.Fail(key, "an object")
 		return
 	}
-	in := &Fields{V: v}
+	in := &Fields{Value: v}
 	read(in)
 	if f.Err == nil && in.Err != nil {
 		f.Err = fmt.Errorf("%s.%w", key, in.Err)
@@ -120,57 +120,57 @@
 	own  = map[string]bool{"carried": false, "remembered": true}
 )
 
-// Host is what the settings hold for the host alone; times are milliseconds.
-type Host struct {
-	Zero        float64 // the bench's clock time from which positions are counted
-	DialTimeout float64
-	IdleClose   float64 // when a member closes an idle connection
-	Reports     bool    // members report on themselves when checked
+// Runtime is what the settings hold for the host alone; times are milliseconds.
+type Runtime struct {
+	PositionOrigin      float64 // the bench's clock time from which positions are counted
+	DialTimeoutMs       float64
+	ServerIdleTimeoutMs float64 // when a member closes an idle connection
+	HealthReports       bool    // members report on themselves when checked
 }
 
 // Decode decodes what an instance is born with.
-func Decode(facts *fastjson.Value) (*router.Settings, *Host, error) {
-	f := &Fields{V: facts}
-	host := &Host{}
-	set := &router.Settings{Routers: int(f.Number("balancers")), Zone: f.Maybe("locality"),
-		OverQuotaWeight: f.OrZero("overShareWorth"), RequestClasses: map[string]*router.RequestClass{},
+func Decode(facts *fastjson.Value) (*router.Settings, *Runtime, error) {
+	f := &Fields{Value: facts}
+	host := &Runtime{}
+	set := &router.Settings{Routers: int(f.Number("balancers")), Zone: f.OptionalText("locality"),
+		OverQuotaWeight: f.OptionalNumber("overShareWorth"), RequestClasses: map[string]*router.RequestClass{},
 		Tenants: map[string]float64{}}
 	set.PollsList = choice(f, "discovery", asks)
 	if f.Get("clientHabits") != nil {
-		f.Inner("clientHabits", func(c *Fields) { set.ClientsMarkRetries = c.Flag("marksRetry") })
+		f.Object("clientHabits", func(c *Fields) { set.ClientsMarkRetries = c.Bool("marksRetry") })
 	}
-	f.Inner("contract", func(c *Fields) {
-		if set.ListPollTimeout = c.OrZero("askWithin") / 1000; set.PollsList && set.ListPollTimeout <= 0 {
+	f.Object("contract", func(c *Fields) {
+		if set.ListPollTimeout = c.OptionalNumber("askWithin") / 1000; set.PollsList && set.ListPollTimeout <= 0 {
 			c.Fail("askWithin", "more than 0 where lists are asked for")
 		}
-		set.SoftRemoval = c.Flag("softRemoval")
+		set.SoftRemoval = c.Bool("softRemoval")
 		set.SlowStartFloor = c.Number("coldFrom")
 		set.SlowStartDuration = c.Number("warmUp") / 1000
 		set.OverloadMultiple = c.Number("fallMultiple")
 		set.OverloadWindow = c.Number("overloadFor") / 1000
 	})
-	f.Inner("permissions", func(c *Fields) {
+	f.Object("permissions", func(c *Fields) {
 		set.MaxAttempts = int(c.Number("attemptsCap"))
-		set.CanHealthCheck, set.CanCancel = c.Flag("probes"), c.Flag("cancel")
-		if c.Flag("retryAfter") {
-			set.RetryAfter = c.OrZero("maxRetryAfter") / 1000
+		set.CanHealthCheck, set.CanCancel = c.Bool("probes"), c.Bool("cancel")
+		if c.Bool("retryAfter") {
+			set.RetryAfter = c.OptionalNumber("maxRetryAfter") / 1000
 		}
-		host.DialTimeout, host.IdleClose = c.OrZero("dialTimeout")/1000, c.OrZero("idleClose")/1000
+		host.DialTimeoutMs, host.ServerIdleTimeoutMs = c.OptionalNumber("dialTimeout")/1000, c.OptionalNumber("idleClose")/1000
 	})
 	if f.Get("report") != nil {
-		f.Inner("report", func(c *Fields) { host.Reports = len(c.Array("columns")) > 0 })
+		f.Object("report", func(c *Fields) { host.HealthReports = len(c.Array("columns")) > 0 })
 	}
 	var reads, bounds []*fastjson.Value
-	f.Inner("familyInfo", func(c *Fields) {
+	f.Object("familyInfo", func(c *Fields) {
 		set.Lag = choice(c, "serverChecks", lags)
 		set.RemembersCommits = choice(c, "tokenMode", own)
-		host.Zero = c.Number("countedFrom") / 1000
+		host.PositionOrigin = c.Number("countedFrom") / 1000
 		reads, bounds = c.Array("readLevel"), c.Array("classBound")
 	})
 	for n, row := range f.Array("profiles") {
-		c := &Fields{V: row}
+		c := &Fields{Value: row}
 		kind := &router.RequestClass{LatencyObjective: c.Number("target") / 1000, Deadline: c.Number("deadline") / 1000,
-			PriorityWeight: c.Number("worth"), LateWeightShare: c.OrZero("lateWorth"), IdempotencyWindow: c.OrZero("window") / 1000}
+			PriorityWeight: c.Number("worth"), LateWeightShare: c.OptionalNumber("lateWorth"), IdempotencyWindow: c.OptionalNumber("window") / 1000}
 		if kind.Effect = choice(c, "idempotency", effects); kind.Effect == router.IdempotentWithKey {
 			kind.Scope = choice(c, "group", scopes)
 		}
@@ -191,7 +191,7 @@
 	}
 	if f.Get("orgs") != nil {
 		for n, row := range f.Array("orgs") {
-			c := &Fields{V: row}
+			c := &Fields{Value: row}
 			set.Tenants[c.Text("name")] = c.Number("quotaRps")
 			if c.Err != nil {
 				return nil, nil, fmt.Errorf("orgs[%d].%w", n, c.Err)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -82,7 +82,7 @@
 	if value.Type() != fastjson.TypeObject {
 		return errors.New("not an object")
 	}
-	fields := &settings.Fields{V: value}
+	fields := &settings.Fields{Value: value}
 	op := fields.Text("op")
 	if fields.Err != nil {
 		return fields.Err
@@ -156,8 +156,8 @@
 }
 
 func (a *adapter) beginInstance(fields *settings.Fields) error {
-	name, facts := fields.Text("router"), fields.V.Get("facts")
-	seed := fields.V.Get("rngSeed")
+	name, facts := fields.Text("router"), fields.Value.Get("facts")
+	seed := fields.Value.Get("rngSeed")
 	if fields.Err != nil {
 		return fields.Err
 	}
@@ -176,7 +176,7 @@
 	if err != nil {
 		seedNumber = uint64(int64(seed.GetFloat64()))
 	}
-	i := &instance{name: name, router: router.New(routerSettings, seedNumber), zero: host.Zero}
+	i := &instance{name: name, router: router.New(routerSettings, seedNumber), zero: host.PositionOrigin}
 	a.instances[name] = i
 	a.noteInput(i)
 	return nil
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -47,9 +47,9 @@
 }
 
 func (a *adapter) requestArrived(i *instance, fields *settings.Fields) error {
-	id, tenant, session, class := fields.Text("call"), fields.Maybe("userGroup"), fields.Maybe("clientKey"), fields.Text("class")
-	group, positionAge, wait := int(fields.Number("groupNo")), fields.OrZero("tokenAgeMs"), fields.Number("ttl")/microsecondsPerMs
-	marked := fields.Flag("retry")
+	id, tenant, session, class := fields.Text("call"), fields.OptionalText("userGroup"), fields.OptionalText("clientKey"), fields.Text("class")
+	group, positionAge, wait := int(fields.Number("groupNo")), fields.OptionalNumber("tokenAgeMs"), fields.Number("ttl")/microsecondsPerMs
+	marked := fields.Bool("retry")
 	if fields.Err == nil && !i.router.Arrive(id, tenant, session, class, group, positionAge, wait, marked) {
 		return fmt.Errorf("class: %q is not in the settings", class)
 	}
@@ -59,15 +59,15 @@
 func (a *adapter) attemptEnded(i *instance, fields *settings.Fields) error {
 	outcome := outcomeOf(fields)
 	role, position := router.RoleUnknown, router.Never
-	if mark := int64(fields.OrZero("mark")); mark != 0 {
+	if mark := int64(fields.OptionalNumber("mark")); mark != 0 {
 		role = router.Role(mark & roleMask)
 		if mark>>roleBits != 0 {
 			position = i.zero + float64(mark>>roleBits)
 		}
 	}
-	id, attempt, member := fields.Text("call"), int(fields.OrZero("seqNo")), fields.Text("node")
-	took := fields.OrZero("rtt") / microsecondsPerMs
-	if done := fields.Flag("terminal"); fields.Err == nil {
+	id, attempt, member := fields.Text("call"), int(fields.OptionalNumber("seqNo")), fields.Text("node")
+	took := fields.OptionalNumber("rtt") / microsecondsPerMs
+	if done := fields.Bool("terminal"); fields.Err == nil {
 		i.router.AttemptEnded(id, attempt, outcome, took, done, role, position)
 		a.loadReport(i, member, fields)
 	}
@@ -109,17 +109,17 @@
 
 // loadReport passes on the role and position in a member's load report, if the event has one.
 func (a *adapter) loadReport(i *instance, member string, fields *settings.Fields) {
-	load := &settings.Fields{V: fields.V.Get("load")}
-	if load.V == nil || load.V.Type() == fastjson.TypeNull {
+	load := &settings.Fields{Value: fields.Value.Get("load")}
+	if load.Value == nil || load.Value.Type() == fastjson.TypeNull {
 		return
 	}
-	if load.V.Type() != fastjson.TypeObject {
+	if load.Value.Type() != fastjson.TypeObject {
 		fields.Fail("load", "an object")
 		return
 	}
-	if load.V.Exists("x0") {
+	if load.Value.Exists("x0") {
 		role := router.Replica
-		if load.OrZero("x1") >= 0.5 {
+		if load.OptionalNumber("x1") >= 0.5 {
 			role = router.Primary
 		}
 		i.router.Reported(member, role, i.zero+load.Number("x0")*msPerSecond)
--- a/internal/simadapter/lists.go
+++ b/internal/simadapter/lists.go
@@ -24,7 +24,7 @@
 // defineList keeps the rows of a member list under its number. A number that is used again stands for the newer list from there on.
 func (a *adapter) defineList(fields *settings.Fields) error {
 	number := int(fields.Number("ref"))
-	hosts := fields.V.Get("hosts")
+	hosts := fields.Value.Get("hosts")
 	if fields.Err == nil && (number < 0 || number >= len(a.lists)) {
 		return fmt.Errorf("ref %d: must be 0 to %d", number, len(a.lists)-1)
 	}
@@ -63,7 +63,7 @@
 	}
 	i.router.BeginList()
 	for _, row := range rows.GetArray() {
-		if err := listMember(i, &settings.Fields{V: row}); err != nil {
+		if err := listMember(i, &settings.Fields{Value: row}); err != nil {
 			return fmt.Errorf("ref: list %d: %w", number, err)
 		}
 	}
@@ -72,9 +72,9 @@
 }
 
 func listMember(i *instance, row *settings.Fields) error {
-	id, zone, group, stateName := row.Text("node"), row.Maybe("dc"), int(row.OrZero("group")), row.Text("state")
+	id, zone, group, stateName := row.Text("node"), row.OptionalText("dc"), int(row.OptionalNumber("group")), row.Text("state")
 	started := router.Never
-	if at := row.OrZero("startTime"); at > 0 {
+	if at := row.OptionalNumber("startTime"); at > 0 {
 		started = at / microsecondsPerMs
 	}
 	if row.Err != nil {
