--- a/cmd/wayloft/lab.go
+++ b/cmd/wayloft/lab.go
@@ -31,7 +31,7 @@
 	if c.Members < 1 {
 		return fmt.Errorf("--members: one at least, not %d", c.Members)
 	}
-	cluster, err := lab.Start(c.Members, 0, nil)
+	cluster, err := lab.StartCluster(c.Members, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		return err
 	}
 	addr := listener.Addr().String()
-	conf, err := decodeTOML([]byte(cluster.Configuration(addr, lab.Pool{Form: "transaction"})))
+	conf, err := decodeTOML([]byte(cluster.Configuration(addr, lab.Pool{Mode: "transaction"})))
 	if err != nil {
 		return err
 	}
--- a/cmd/wayloft/lab_fleet.go
+++ b/cmd/wayloft/lab_fleet.go
@@ -49,8 +49,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	f, err := fleet.New(fleet.Options{Binary: binary, Dir: dir, Council: c.Council, Routers: c.Routers, Members: c.Members, Fleet: "fleet",
-		Sight: 250 * time.Millisecond, Handover: true})
+	f, err := fleet.New(fleet.Options{Binary: binary, Dir: dir, Coordinators: c.Council, Routers: c.Routers, Members: c.Members, FleetName: "fleet",
+		HealthShareInterval: 250 * time.Millisecond, Switchover: true})
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	}
 	fmt.Println("ready")
 	// Members that fail are replaced, as a cluster's own manager would.
-	f.Manage(ctx)
+	f.ManageMembers(ctx)
 	return nil
 }
 
@@ -87,7 +87,7 @@
 	if err != nil {
 		return "", err
 	}
-	out, err := f.Command("policy", "propose", path, "--reason", "the fleet begins", "--wait", fleet.Limit.String(), "--routers", fmt.Sprint(c.Routers))
+	out, err := f.RunCommand("policy", "propose", path, "--reason", "the fleet begins", "--wait", fleet.WaitLimit.String(), "--routers", fmt.Sprint(c.Routers))
 	if err != nil {
 		return "", fmt.Errorf("%s: %w: %s", path, err, out)
 	}
--- a/cmd/wayloft/lab_idle_router.go
+++ b/cmd/wayloft/lab_idle_router.go
@@ -37,11 +37,11 @@
 		}
 		c.Program = self
 	}
-	sweep := func(name string, of []int, make func(n int) lab.Still) error {
+	sweep := func(name string, of []int, make func(n int) lab.IdleRouter) error {
 		var cpu, mem line
 		for _, n := range of {
 			s := make(n)
-			s.Program, s.Memory, s.Settle, s.For, s.Looks = c.Program, c.Memory, c.Settle, c.For, c.Looks
+			s.Program, s.Memory, s.SettleTime, s.SampleDuration, s.Samples = c.Program, c.Memory, c.Settle, c.For, c.Looks
 			stood, err := s.Run()
 			if err != nil {
 				return fmt.Errorf("%s %d: %w", name, n, err)
@@ -60,13 +60,13 @@
 		}
 		return nil
 	}
-	if err := sweep("members ", c.Members, func(n int) lab.Still { return lab.Still{Members: n, Groups: (n + 3) / 4} }); err != nil {
+	if err := sweep("members ", c.Members, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: (n + 3) / 4} }); err != nil {
 		return err
 	}
-	if err := sweep("sessions", c.Sessions, func(n int) lab.Still { return lab.Still{Members: c.With, Groups: 1, Sessions: n} }); err != nil {
+	if err := sweep("sessions", c.Sessions, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: c.With, Groups: 1, Sessions: n} }); err != nil {
 		return err
 	}
-	return sweep("fleet   ", c.Fleet, func(n int) lab.Still { return lab.Still{Members: n, Groups: n, Fleet: true} })
+	return sweep("fleet   ", c.Fleet, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: n, Fleet: true} })
 }
 
 // line is the straight line through points by least squares.
--- a/cmd/wayloft/lab_idle_sessions.go
+++ b/cmd/wayloft/lab_idle_sessions.go
@@ -36,14 +36,14 @@
 		return err
 	}
 	addr := strings.TrimSpace(strings.TrimPrefix(line, "router "))
-	if err := lab.Rest(addr, 50, func() {}); err != nil { // its connections to members, and what it learns first
+	if err := lab.WithIdleSessions(addr, 50, func() {}); err != nil { // its connections to members, and what it learns first
 		return err
 	}
 	before, err := resident(child.Process.Pid)
 	if err != nil {
 		return err
 	}
-	return lab.Rest(addr, c.Clients, func() {
+	return lab.WithIdleSessions(addr, c.Clients, func() {
 		time.Sleep(2 * time.Second)
 		after, err := resident(child.Process.Pid)
 		if err != nil {
--- a/cmd/wayloft/lab_leases.go
+++ b/cmd/wayloft/lab_leases.go
@@ -34,23 +34,23 @@
 	next := func() string { at++; return filepath.Join(dir, strconv.Itoa(at)) }
 
 	fmt.Printf("ms without an owner, a session of %s, %d plays each: median, worst\n", c.Session, c.Plays)
-	if err := fleet.Gaps(binary, next(), c.Plays, c.Session, func(name string, s *hdrhistogram.Histogram) {
+	if err := fleet.MeasureLeaseGaps(binary, next(), c.Plays, c.Session, func(name string, s *hdrhistogram.Histogram) {
 		fmt.Printf("  %-32s %6d %6d\n", name, s.ValueAtQuantile(50), s.Max())
 	}); err != nil {
 		return err
 	}
 	fmt.Println("council of three, by sessions: CPU s/s, bytes/s, beats/s, sessions lost")
 	for _, n := range []int{10, 100, 600} {
-		cost, err := fleet.Costs(binary, next(), n, c.Session, c.During)
+		cost, err := fleet.MeasureCoordinatorCost(binary, next(), n, c.Session, c.During)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("  %4d %8.3f %10.0f %8.1f %3d\n", n, cost.CPU, cost.Bytes, cost.Beats, cost.Missed)
+		fmt.Printf("  %4d %8.3f %10.0f %8.1f %3d\n", n, cost.CPU, cost.Bytes, cost.Heartbeats, cost.LostSessions)
 	}
 	fmt.Println("checks, stepped: routers, checks a txn without and with sight, p99 age of positions in ms without and with, reads at the primary in % without and with")
 	for _, n := range []int{8, 40, 600} {
-		without, with := simulation.Sight(n, 0, 1), simulation.Sight(n, 250, 1)
-		fmt.Printf("  %4d %8.3f %8.3f %8.0f %8.0f %6.1f %6.1f\n", n, without.PerTxn, with.PerTxn, without.Age, with.Age, 100*without.Primary, 100*with.Primary)
+		without, with := simulation.RunHealthSharing(n, 0, 1), simulation.RunHealthSharing(n, 250, 1)
+		fmt.Printf("  %4d %8.3f %8.3f %8.0f %8.0f %6.1f %6.1f\n", n, without.ChecksPerRequest, with.ChecksPerRequest, without.PositionAgeMs, with.PositionAgeMs, 100*without.PrimaryShare, 100*with.PrimaryShare)
 	}
 	fmt.Println("service of three routers, twelve writers: writes/s, declined/s, p50 ms, p99 ms")
 	for range 2 {
@@ -58,7 +58,7 @@
 			name  string
 			alone bool
 			do    func(*fleet.Fleet, <-chan struct{})
-		}{{"no fleet", true, nil}, {"council there", false, nil}, {"council killed", false, fleet.KillCouncil}, {"council flaps", false, fleet.Flap}} {
+		}{{"no fleet", true, nil}, {"council there", false, nil}, {"council killed", false, fleet.KillCoordinators}, {"council flaps", false, fleet.PauseCoordinators}} {
 			got, err := fleet.Serve(binary, next(), s.alone, c.During, s.do)
 			if err != nil {
 				return err
--- a/cmd/wayloft/lab_scale.go
+++ b/cmd/wayloft/lab_scale.go
@@ -35,8 +35,8 @@
 }
 
 func (c *labSizeCmd) options() (o scale.Options, err error) {
-	o = scale.Options{Dir: c.Dir, Routers: c.Routers, Real: c.Real, Members: c.Members, Group: c.Group, Owners: c.Owners, Sight: c.Sight, For: c.For,
-		Session: c.Session, Pace: c.Pace, Say: func(text string) { logrus.Info(text) }}
+	o = scale.Options{Dir: c.Dir, Routers: c.Routers, RealRouters: c.Real, Members: c.Members, GroupSize: c.Group, Holders: c.Owners, HealthShareInterval: c.Sight, SampleDuration: c.For,
+		SessionTimeout: c.Session, StartInterval: c.Pace, Progress: func(text string) { logrus.Info(text) }}
 	switch {
 	case len(c.Sizes) > 0 && !c.Sweep:
 		return o, errors.New("--sizes: goes with --sweep")
@@ -44,7 +44,7 @@
 		return o, fmt.Errorf("--plays: from 1 to 100, not %d", c.Plays)
 	}
 	if c.Paired {
-		o.Real = 0
+		o.RealRouters = 0
 	}
 	if err := o.Check(); err != nil {
 		return o, err
@@ -76,7 +76,7 @@
 	case c.Sweep:
 		sizes := c.Sizes
 		if len(sizes) == 0 {
-			sizes = scale.Sizes(c.Routers)
+			sizes = scale.SweepSizes(c.Routers)
 		}
 		s, err := scale.Sweep(o, sizes, func(r *scale.Report) {
 			if !c.JSON {
@@ -88,13 +88,13 @@
 		}
 		return errors.Join(c.write(s, func(w io.Writer) { scale.PrintSlopes(w, s.Slopes) }), err) // what ran is told, whatever became of the rest
 	case c.Paired:
-		p, err := scale.Paired(o, c.Plays)
+		p, err := scale.MeasurePair(o, c.Plays)
 		if err != nil {
 			return err
 		}
 		return c.write(p, p.Print)
 	case c.Event != "":
-		h, err := scale.Play(c.Event, o)
+		h, err := scale.RunEvent(c.Event, o)
 		if err != nil {
 			return err
 		}
@@ -117,11 +117,11 @@
 }
 
 func (c *labSizeCmd) print(r *scale.Report) {
-	fmt.Printf("%d hollow and %d real routers, %d databases in %d groups; settled after %.1f s, looked at for %.1f s, %d looks spoilt\n", r.Routers, r.Real, r.Members,
-		r.Groups, r.StartS, r.Seconds, r.Spoilt)
-	scale.Print(os.Stdout, r.Rows)
+	fmt.Printf("%d hollow and %d real routers, %d databases in %d groups; settled after %.1f s, looked at for %.1f s, %d looks spoilt\n", r.Routers, r.RealRouters, r.Members,
+		r.Groups, r.StartS, r.Seconds, r.DiscardedSamples)
+	scale.PrintRows(os.Stdout, r.Rows)
 }
 
 type labHollowCmd struct{}
 
-func (labHollowCmd) Run() error { return scale.Hollow(os.Stdin, os.Stdout) }
+func (labHollowCmd) Run() error { return scale.RunHollow(os.Stdin, os.Stdout) }
--- a/internal/lab/fleet/manage.go
+++ b/internal/lab/fleet/manage.go
@@ -45,8 +45,8 @@
 	return c.SetPrimary(true)
 }
 
-// Manage watches over the members until ctx ends: where the primary's process is gone for a second, another becomes primary.
-func (f *Fleet) Manage(ctx context.Context) {
+// ManageMembers watches over the members until ctx ends: where the primary's process is gone for a second, another becomes primary.
+func (f *Fleet) ManageMembers(ctx context.Context) {
 	gone := map[string]time.Time{}
 	for {
 		select {
--- a/internal/lab/fleet/switch.go
+++ b/internal/lab/fleet/switch.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Switch is the link from one process to another: it passes on what comes, until it is told otherwise. It owns the connections
+// Link is the link from one process to another: it passes on what comes, until it is told otherwise. It owns the connections
 // on both sides; what it holds back it keeps in order.
-type Switch struct {
+type Link struct {
 	From, To string
 	Addr     string // where From connects
 	target   string
@@ -37,8 +37,8 @@
 	ports map[int]bool
 }
 
-// Free finds an address on loopback that nobody has, below those that the system gives away by itself.
-func Free() (net.Listener, error) {
+// ListenFree finds an address on loopback that nobody has, below those that the system gives away by itself.
+func ListenFree() (net.Listener, error) {
 	given.Lock()
 	defer given.Unlock()
 	if given.ports == nil || len(given.ports) > 6000 {
@@ -60,25 +60,25 @@
 }
 
 // NewSwitch makes a link to an address.
-func NewSwitch(from, to, target string) (*Switch, error) {
-	l, err := Free()
+func NewSwitch(from, to, target string) (*Link, error) {
+	l, err := ListenFree()
 	if err != nil {
 		return nil, err
 	}
-	s := &Switch{From: from, To: to, Addr: l.Addr().String(), target: target, after: -1, conns: map[net.Conn]bool{}, l: l}
+	s := &Link{From: from, To: to, Addr: l.Addr().String(), target: target, after: -1, conns: map[net.Conn]bool{}, l: l}
 	s.state = sync.NewCond(&s.mu)
 	go s.accept()
 	return s, nil
 }
 
 // Close ends it.
-func (s *Switch) Close() {
+func (s *Link) Close() {
 	s.set(func() { s.ended, s.cut = true, true })
 	s.l.Close()
 	s.reset()
 }
 
-func (s *Switch) set(f func()) {
+func (s *Link) set(f func()) {
 	s.mu.Lock()
 	f()
 	s.mu.Unlock()
@@ -86,29 +86,29 @@
 }
 
 // Hole holds back what goes there, what comes back, or both: nobody hears that anything is wrong.
-func (s *Switch) Hole(there, back bool) { s.set(func() { s.hole = [2]bool{there, back} }) }
+func (s *Link) Hole(there, back bool) { s.set(func() { s.hole = [2]bool{there, back} }) }
 
 // Held tells how many bytes wait to be passed on there, and back.
-func (s *Switch) Held() [2]int {
+func (s *Link) Held() [2]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held
 }
 
 // Cut ends all connections with RST, and each new one, until Heal.
-func (s *Switch) Cut() {
+func (s *Link) Cut() {
 	s.set(func() { s.cut = true })
 	s.reset()
 }
 
 // Delay holds each piece for so long, in both directions.
-func (s *Switch) Delay(d time.Duration) { s.set(func() { s.delay = d }) }
+func (s *Link) Delay(d time.Duration) { s.set(func() { s.delay = d }) }
 
 // CutAfter ends all with RST once so many more bytes have gone there.
-func (s *Switch) CutAfter(bytes int) { s.set(func() { s.after = bytes }) }
+func (s *Link) CutAfter(bytes int) { s.set(func() { s.after = bytes }) }
 
 // HalfClose ends what goes there, as an end of stream; what comes back still does.
-func (s *Switch) HalfClose() {
+func (s *Link) HalfClose() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -119,11 +119,11 @@
 }
 
 // Heal passes on everything again, what was held back first.
-func (s *Switch) Heal() {
+func (s *Link) Heal() {
 	s.set(func() { s.hole, s.cut, s.delay, s.after = [2]bool{}, false, 0, -1 })
 }
 
-func (s *Switch) reset() {
+func (s *Link) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *Switch) accept() {
+func (s *Link) accept() {
 	for {
 		in, err := s.l.Accept()
 		if err != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *Switch) carry(in net.Conn) {
+func (s *Link) carry(in net.Conn) {
 	// A way that is held back lets nobody see whether there is anybody: it connects when it is passed on again.
 	s.mu.Lock()
 	for s.hole[0] && !s.cut {
@@ -176,7 +176,7 @@
 	s.set(func() { delete(s.conns, in); delete(s.conns, out) })
 }
 
-func (s *Switch) pass(to, from net.Conn, way int) {
+func (s *Link) pass(to, from net.Conn, way int) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
--- a/internal/lab/scale/count.go
+++ b/internal/lab/scale/count.go
@@ -108,7 +108,7 @@
 type ear struct {
 	mu    sync.Mutex
 	mark  *Mark
-	heard Heard
+	heard ReceivedTimes
 }
 
 const mostHeard = 2 << 20 // times of each kind
@@ -116,7 +116,7 @@
 func (e *ear) set(m *Mark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.mark, e.heard = m, Heard{}
+	e.mark, e.heard = m, ReceivedTimes{}
 }
 
 func (e *ear) note(into *[]float64) {
@@ -153,7 +153,7 @@
 	return of
 }
 
-func (e *ear) tell() *Heard {
+func (e *ear) tell() *ReceivedTimes {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h := e.heard
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -15,8 +15,8 @@
 	Points    int     `json:"points"`
 }
 
-// Line fits y over x. It takes two points at least, of different x.
-func Line(x, y []float64) (Fit, error) {
+// FitLine fits y over x. It takes two points at least, of different x.
+func FitLine(x, y []float64) (Fit, error) {
 	if len(x) != len(y) || len(x) < 2 {
 		return Fit{}, fmt.Errorf("a line through %d and %d values", len(x), len(y))
 	}
