--- a/internal/lab/scale/talk.go
+++ b/internal/lab/scale/talk.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Spec is the first line that a process of hollow ones reads: what it is to be.
-type Spec struct {
+// ChildSpec is the first line that a process of hollow ones reads: what it is to be.
+type ChildSpec struct {
 	Role      string            `json:"role"` // routers, databases, discovery
 	Fleet     string            `json:"fleet,omitempty"`
 	Council   []string          `json:"council,omitempty"`
@@ -47,25 +47,25 @@
 	Policy   bool   `json:"policy,omitempty"`   // any other version
 }
 
-// Query is one line of what a process of hollow ones is asked.
-type Query struct {
+// ChildRequest is one line of what a process of hollow ones is asked.
+type ChildRequest struct {
 	Do      string   `json:"do"` // count, mark, heard, restarted, promote
 	Mark    *Mark    `json:"mark,omitempty"`
 	Members []string `json:"members,omitempty"`
 	At      float64  `json:"at,omitempty"` // Unix ms
 }
 
-// Answer is the line that comes back; the first says that the process is there.
-type Answer struct {
+// ChildResponse is the line that comes back; the first says that the process is there.
+type ChildResponse struct {
 	Addrs    []string         `json:"addrs,omitempty"`
 	Revision int64            `json:"revision,omitempty"`
 	Counts   map[string]int64 `json:"counts,omitempty"`
-	Heard    *Heard           `json:"heard,omitempty"`
+	Heard    *ReceivedTimes   `json:"heard,omitempty"`
 	Err      string           `json:"err,omitempty"`
 }
 
-// Heard are the times, Unix ms, at which what a mark names was heard: one for each router.
-type Heard struct {
+// ReceivedTimes are the times, Unix ms, at which what a mark names was heard: one for each router.
+type ReceivedTimes struct {
 	Policies  []float64 `json:"policies,omitempty"`
 	Lists     []float64 `json:"lists,omitempty"`
 	Primaries []float64 `json:"primaries,omitempty"`
@@ -76,7 +76,7 @@
 
 // Child is a process of hollow ones. It ends when its input does, so also when the process that started it is gone.
 type Child struct {
-	Spec  Spec
+	Spec  ChildSpec
 	Addrs []string
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -84,8 +84,8 @@
 	mu    sync.Mutex
 }
 
-// Spawn starts one and waits until it is there.
-func Spawn(binary, dir, name string, spec Spec) (*Child, error) {
+// StartChild starts one and waits until it is there.
+func StartChild(binary, dir, name string, spec ChildSpec) (*Child, error) {
 	log, err := os.OpenFile(filepath.Join(dir, "hollow-"+name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -124,9 +124,9 @@
 }
 
 // Ask has it answer a query.
-func (c *Child) Ask(q Query) (Answer, error) { return c.ask(q, patience) }
+func (c *Child) Ask(q ChildRequest) (ChildResponse, error) { return c.ask(q, patience) }
 
-func (c *Child) ask(q any, within time.Duration) (a Answer, err error) {
+func (c *Child) ask(q any, within time.Duration) (a ChildResponse, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := json.NewEncoder(c.in).Encode(q); err != nil {
