--- /dev/null
+++ b/cmd/wayloft/coordinator_recover.go
@@ -0,0 +1,141 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"wayloft/internal/coordinator"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/fleet"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+	"wayloft/internal/storage"
+)
+
+type coordinatorRecoverCmd struct {
+	Config       string   `help:"Settings of the one process that is left; it must not run." type:"existingfile" placeholder:"FILE" xor:"how"`
+	Coordinators []string `name:"council" aliases:"coordinator" help:"Addresses of a coordinator that runs but has lost its state." placeholder:"ADDR" xor:"how"`
+	Fleet        string   `help:"The fleet's name, with --council." default:"fleet"`
+	Above        uint64   `help:"The highest epoch that any receiver has seen."`
+	Word         string   `help:"The word that says you mean it, in place of being asked." placeholder:"WORD"`
+}
+
+// Help gives an example.
+func (*coordinatorRecoverCmd) Help() string {
+	return "Example: wayloft council recover --config c1.toml"
+}
+
+// confirmationWord is what an operator types to confirm a recovery, since it can't be undone.
+const confirmationWord = "give up"
+
+var (
+	errNotConfirmed    = errors.New("nothing was changed")
+	errNoRecoverSource = errors.New("--config, of the one process that is left, or --council, of one that runs, must be given")
+)
+
+func (c *coordinatorRecoverCmd) Run(out io.Writer) error {
+	switch {
+	case c.Config != "":
+		return c.recoverFromDirectory(out)
+	case len(c.Coordinators) > 0:
+		return c.beginEpoch(out)
+	}
+	return errNoRecoverSource
+}
+
+// confirm asks for the confirmation word, unless it was given as a flag.
+func (c *coordinatorRecoverCmd) confirm(out io.Writer) error {
+	word := c.Word
+	if word == "" {
+		fmt.Fprintf(out, "Type %q to go on: ", confirmationWord)
+		var err error
+		if word, err = bufio.NewReader(os.Stdin).ReadString('\n'); err != nil && !errors.Is(err, io.EOF) {
+			return err
+		}
+	}
+	if strings.TrimSpace(word) != confirmationWord {
+		return errNotConfirmed
+	}
+	return nil
+}
+
+// beginEpoch begins a new epoch in a coordinator that runs.
+func (c *coordinatorRecoverCmd) beginEpoch(out io.Writer) error {
+	client := fleet.NewClient(c.Fleet, c.Coordinators, nil)
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), coordinatorTimeout)
+	defer cancel()
+	s, err := client.State(ctx)
+	if err != nil {
+		return err
+	}
+	epoch := nextEpoch(s, c.Above)
+	fmt.Fprintf(out, "Epoch %d begins in place of %d. Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.\n", epoch, s.Epoch)
+	if err := c.confirm(out); err != nil {
+		return err
+	}
+	ctx, cancel = context.WithTimeout(context.Background(), coordinatorTimeout) // anew: the operator has taken time to answer
+	defer cancel()
+	result, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: epoch})
+	if err != nil {
+		return err
+	}
+	if result.Refusal != "" {
+		return result.Refusal
+	}
+	fmt.Fprintf(out, "epoch %d has begun\n", epoch)
+	return nil
+}
+
+// nextEpoch is above each epoch that the coordinator, a receiver or the operator knows of.
+func nextEpoch(s *fleetpb.State, known uint64) uint64 {
+	epoch := max(s.Epoch, known)
+	for _, lease := range s.State.Duties {
+		epoch = max(epoch, lease.Barred.GetEpoch(), lease.Fence.GetEpoch())
+	}
+	return epoch + 1
+}
+
+// recoverFromDirectory begins a coordinator of one node from the data directory that is left.
+func (c *coordinatorRecoverCmd) recoverFromDirectory(out io.Writer) (err error) {
+	set, err := readCoordinatorFile(c.Config)
+	if err != nil {
+		return err
+	}
+	if _, err := os.Stat(set.Dir); err != nil {
+		return fmt.Errorf("no data directory is left to recover from: %w; start the coordinator anew, its epoch is above the old one's unless the wall clock was stepped back: then give run --above EPOCH", err)
+	}
+	store, err := storage.Open(set.Dir, set.Fleet, set.Name, rpc.UniqueID)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, store.Close()) }()
+	stored, _, err := coordinator.ReadStored(store)
+	if err != nil {
+		return err
+	}
+	recovery, err := raftnode.Recover(set.Fleet, set.Name, advertisedAddress(set), stored, c.Above)
+	if err != nil {
+		return fmt.Errorf("%s: %w", set.Dir, err)
+	}
+	fmt.Fprintf(out, "%s becomes a coordinator cluster of its own, with entries up to %d (committed for sure: %d), in epoch %d in place of %d.\n",
+		set.Name, recovery.LastIndex, recovery.CommittedIndex, recovery.Epoch, recovery.PreviousEpoch)
+	for _, peer := range recovery.RemovedPeers {
+		fmt.Fprintf(out, "Given up: %s at %s, and whatever only it knew. It must not be started again; add nodes under new names.\n", peer.Name, peer.Addr)
+	}
+	fmt.Fprintln(out, "Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.")
+	if err := c.confirm(out); err != nil {
+		return err
+	}
+	if err := coordinator.WriteDecision(store, recovery.Decision); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "epoch %d begins when %s is started\n", recovery.Epoch, set.Name)
+	return nil
+}
--- /dev/null
+++ b/cmd/wayloft/coordinator_run.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"wayloft/internal/audit"
+	"wayloft/internal/coordinator"
+	"wayloft/internal/decide/raftnode"
+	"wayloft/internal/settings"
+)
+
+type coordinatorRunCmd struct {
+	Config string `help:"Settings, TOML." required:"" type:"existingfile" placeholder:"FILE"`
+	Above  uint64 `help:"An epoch known to have been: a coordinator that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
+}
+
+// Help gives an example.
+func (*coordinatorRunCmd) Help() string { return "Example: wayloft council --config c1.toml" }
+
+func (c *coordinatorRunCmd) Run() error {
+	set, err := readCoordinatorFile(c.Config)
+	if err != nil {
+		return err
+	}
+	signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	log, err := audit.Open(set.AuditLog, set.Name)
+	if err != nil {
+		return fmt.Errorf("record: %w", err)
+	}
+	defer log.Close()
+	node, err := coordinator.Open(c.coordinatorSettings(set, log))
+	if err != nil {
+		return err
+	}
+	listener, err := net.Listen("tcp", set.Listen)
+	if err != nil {
+		return err
+	}
+	return node.Run(ctx, listener)
+}
+
+func (c *coordinatorRunCmd) coordinatorSettings(set *settings.Coordinator, log *audit.Log) coordinator.Settings {
+	var peers []raftnode.Peer
+	for _, peer := range set.Peers {
+		peers = append(peers, raftnode.Peer{Name: peer.Name, Addr: peer.Address})
+	}
+	return coordinator.Settings{
+		Fleet:            set.Fleet,
+		Name:             set.Name,
+		Dir:              set.Dir,
+		Address:          advertisedAddress(set),
+		Peers:            peers,
+		PeerAddresses:    set.PeerAddresses,
+		Tick:             float64(set.Tick),
+		SnapshotInterval: uint64(set.SnapshotInterval),
+		MaxConnections:   set.MaxConnections,
+		ClockOffset:      float64(set.ClockOffset),
+		KnownEpoch:       c.Above,
+		AuditLog:         log,
+	}
+}
--- /dev/null
+++ b/cmd/wayloft/fleet_output.go
@@ -0,0 +1,172 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"strconv"
+	"text/tabwriter"
+	"time"
+
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+// fleetReport is what `fleet status --json` prints. The keys of this and of the following types are read by programs and don't change.
+type fleetReport struct {
+	Nodes    []nodeRow    `json:"council"`
+	Leases   []leaseRow   `json:"duties"`
+	Epoch    uint64       `json:"epoch"`
+	Index    uint64       `json:"index"`   // of the last entry that is applied
+	Rejected uint64       `json:"refused"` // acts, for their fencing tokens
+	Sessions []sessionRow `json:"sessions"`
+}
+
+// coordinatorReport is what `council status --json` prints.
+type coordinatorReport struct {
+	Nodes []nodeRow `json:"council"`
+	Epoch uint64    `json:"epoch"`
+}
+
+type nodeRow struct {
+	Address string `json:"address"`
+	Applied uint64 `json:"applied"` // index of the last entry
+	Leader  bool   `json:"leader"`
+	Level   bool   `json:"level"` // it has applied what the leader has
+	Name    string `json:"name"`
+}
+
+type leaseRow struct {
+	NotGranted string   `json:"barred"` // the token that keeps the lease from being granted
+	Lease      string   `json:"duty"`
+	LastOrder  string   `json:"ended"` // how the last order ended
+	Token      uint64   `json:"fence"`
+	Holder     string   `json:"holder"`
+	Order      string   `json:"order"` // the open one
+	Queue      []string `json:"queue"`
+	HeldMs     uint64   `json:"since_ms"`
+}
+
+type sessionRow struct {
+	Address     string `json:"address"`
+	Incarnation uint64 `json:"incarnation"`
+	Kind        string `json:"kind"`
+	Name        string `json:"name"`
+	Policy      uint64 `json:"policy"` // the version that it applies
+	Rejected    uint64 `json:"refused"`
+	SilentMs    uint64 `json:"silent_ms"`
+}
+
+func newFleetReport(s *fleetpb.State) fleetReport {
+	report := fleetReport{Nodes: nodeRows(s), Leases: []leaseRow{}, Epoch: s.Epoch, Index: s.State.Index, Rejected: s.Refused, Sessions: []sessionRow{}}
+	for _, lease := range s.State.Duties {
+		report.Leases = append(report.Leases, leaseRow{
+			NotGranted: blockingToken(s, lease),
+			Lease:      lease.Name,
+			LastOrder:  lease.Ended.GetText(),
+			Token:      rpc.DecodeToken(lease.Fence).Number(),
+			Holder:     lease.Holder,
+			Order:      lease.Open.GetText(),
+			Queue:      append([]string{}, lease.Queue...),
+			HeldMs:     lease.SinceMs,
+		})
+	}
+	for _, session := range s.State.Sessions {
+		report.Sessions = append(report.Sessions, sessionRow{
+			Address:     session.Address,
+			Incarnation: session.Incarnation,
+			Kind:        session.Kind,
+			Name:        session.Name,
+			Policy:      session.Policy,
+			Rejected:    session.Refused,
+			SilentMs:    session.SilentMs,
+		})
+		report.Rejected += session.Refused
+	}
+	return report
+}
+
+func nodeRows(s *fleetpb.State) []nodeRow {
+	rows := []nodeRow{}
+	for _, node := range s.Council {
+		rows = append(rows, nodeRow{Address: node.Address, Applied: node.Applied, Leader: node.Leader, Level: node.Level, Name: node.Name})
+	}
+	return rows
+}
+
+// blockingToken is the token that keeps a lease from being granted: a receiver has seen it, and this coordinator never issued it.
+// It is empty where there is none.
+func blockingToken(s *fleetpb.State, lease *fleetpb.Duty) string {
+	if lease.Barred.GetEpoch() >= s.Epoch && lease.Barred.GetEpoch() > 0 {
+		return formatToken(lease.Barred)
+	}
+	return ""
+}
+
+func formatToken(token *fleetpb.Fence) string { return rpc.DecodeToken(token).String() }
+
+func writeJSON(out io.Writer, value any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
+
+// newTable aligns columns that are separated by tabs; it is written by Flush.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
+
+// writeNodes prints the coordinator nodes.
+func writeNodes(out io.Writer, s *fleetpb.State) error {
+	table := newTable(out)
+	fmt.Fprintf(table, "coordinator (epoch %d)\taddress\trole\tapplied\n", s.Epoch)
+	for _, node := range s.Council {
+		role, applied := "", "not known"
+		if node.Leader {
+			role = "leader"
+		}
+		if node.Known {
+			applied = strconv.FormatUint(node.Applied, 10)
+			if !node.Level {
+				applied += ", behind or away"
+			}
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", node.Name, node.Address, role, applied)
+	}
+	return table.Flush()
+}
+
+// writeStatus prints the coordinator nodes, the leases and the sessions.
+func writeStatus(out io.Writer, s *fleetpb.State) error {
+	if err := writeNodes(out, s); err != nil {
+		return err
+	}
+	table := newTable(out)
+	fmt.Fprintln(table, "\nlease\tholder\ttoken\theld for\tqueued\torder")
+	for _, lease := range s.State.Duties {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n", lease.Name, formatHolder(s, lease), formatToken(lease.Fence),
+			time.Duration(lease.SinceMs)*time.Millisecond, len(lease.Queue), formatOrder(lease))
+	}
+	fmt.Fprintln(table, "\nsession\tkind\tpolicy\tsilent\taddress\trejected")
+	for _, session := range s.State.Sessions {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d ms\t%s\t%d\n", session.Name, session.Kind, session.Policy, session.SilentMs, session.Address, session.Refused)
+	}
+	return table.Flush()
+}
+
+func formatHolder(s *fleetpb.State, lease *fleetpb.Duty) string {
+	if lease.Holder != "" {
+		return lease.Holder
+	}
+	if token := blockingToken(s, lease); token != "" {
+		return "not granted: " + token + " was seen, begin a new epoch (council recover)"
+	}
+	return "nobody"
+}
+
+// formatOrder gives the open order and the step that it is at.
+func formatOrder(lease *fleetpb.Duty) string {
+	order := lease.Open.GetText()
+	if order == "" || len(lease.Steps) == 0 {
+		return order
+	}
+	return order + " (" + lease.Steps[len(lease.Steps)-1].Text + ")"
+}
--- /dev/null
+++ b/cmd/wayloft/fleet_switchover.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/decide/switchover"
+	"wayloft/internal/fleetpb"
+)
+
+type fleetSwitchoverCmd struct {
+	coordinatorFlags
+	Group int           `arg:"" help:"Number of the group."`
+	To    string        `help:"Member that is to be primary." required:"" placeholder:"MEMBER"`
+	Wait  time.Duration `help:"How long to wait for the end." default:"30s"`
+}
+
+// Help gives an example.
+func (*fleetSwitchoverCmd) Help() string {
+	return "Example: wayloft fleet switchover 0 --to m2 --council 10.0.0.1:7101"
+}
+
+var errPrimaryNotChanged = errors.New("the primary was not changed")
+
+const (
+	// donePrefix begins the result of an order that was carried out.
+	donePrefix = "done:"
+	// rewatchInterval is the pause before a watch that has ended is opened again.
+	rewatchInterval = 100 * time.Millisecond
+)
+
+func (c *fleetSwitchoverCmd) Run(out io.Writer) error {
+	client := c.client()
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
+	defer cancel()
+	name := switchover.LeaseName(c.Group)
+	result, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: name, Text: switchover.FormatOrder(c.To)})
+	if err != nil {
+		return err
+	}
+	if !result.Held {
+		return result.Refusal
+	}
+	fmt.Fprintf(out, "order %d\n", result.Number)
+	progress := &orderProgress{lease: name, order: result.Number, holder: "nobody", out: out}
+	for ctx.Err() == nil {
+		watch, stop := context.WithCancel(ctx)
+		err = client.Watch(watch, true, func(update *fleetpb.Update) {
+			if progress.observe(update) {
+				stop()
+			}
+		})
+		stop()
+		if progress.ended {
+			return progress.finish()
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(rewatchInterval):
+		}
+	}
+	return fmt.Errorf("no end within %s; the holder of %s goes on (fleet status shows it): %w", c.Wait, name, err)
+}
+
+// orderProgress prints the steps of an order as watch events bring them.
+type orderProgress struct {
+	lease    string
+	order    uint64
+	holder   string // the last one known
+	lastStep string // printed
+	ended    bool
+	result   string // of an order that has ended
+	out      io.Writer
+}
+
+// observe reports whether the order has ended.
+func (p *orderProgress) observe(update *fleetpb.Update) bool {
+	for _, lease := range update.Duties {
+		if lease.Name != p.lease || p.ended {
+			continue
+		}
+		if lease.Holder != "" {
+			p.holder = lease.Holder
+		}
+		if n := len(lease.Steps); n > 0 && lease.Steps[n-1].Text != p.lastStep && lease.Open.GetNumber() == p.order {
+			p.lastStep = lease.Steps[n-1].Text
+			fmt.Fprintf(p.out, "%s: %s\n", p.holder, p.lastStep)
+		}
+		if lease.Ended.GetNumber() >= p.order {
+			p.ended, p.result = true, lease.Ended.Text
+		}
+	}
+	return p.ended
+}
+
+// finish prints how the order ended.
+func (p *orderProgress) finish() error {
+	fmt.Fprintln(p.out, p.result)
+	if !strings.HasPrefix(p.result, donePrefix) {
+		return errPrimaryNotChanged
+	}
+	return nil
+}
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -6,6 +6,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"runtime/debug"
 	"strings"
@@ -47,13 +48,13 @@
 }
 
 var cli struct {
-	Serve   serveCmd   `cmd:"" help:"Serve until SIGTERM, then answer all requests that were taken and exit."`
-	Check   checkCmd   `cmd:"" help:"Read the configuration and say what is wrong with it."`
-	Council councilCmd `cmd:"" name:"coordinator" aliases:"council" help:"The coordinator nodes, which keep the fleet's small state."`
-	Fleet   fleetCmd   `cmd:"" help:"What processes of the fleet do as one."`
-	Policy  policyCmd  `cmd:"" help:"What all routers agree on: change it, and see which router has applied it."`
-	Lab     labCmd     `cmd:"" help:"Try a router out on loopback, with a cluster of fake members."`
-	Version versionCmd `cmd:"" help:"Print the version."`
+	Serve       serveCmd       `cmd:"" help:"Serve until SIGTERM, then answer all requests that were taken and exit."`
+	Check       checkCmd       `cmd:"" help:"Read the configuration and say what is wrong with it."`
+	Coordinator coordinatorCmd `cmd:"" name:"coordinator" aliases:"council" help:"The coordinator nodes, which keep the fleet's small state."`
+	Fleet       fleetCmd       `cmd:"" help:"What processes of the fleet do as one."`
+	Policy      policyCmd      `cmd:"" help:"What all routers agree on: change it, and see which router has applied it."`
+	Lab         labCmd         `cmd:"" help:"Try a router out on loopback, with a cluster of fake members."`
+	Version     versionCmd     `cmd:"" help:"Print the version."`
 }
 
 func main() {
@@ -62,9 +63,10 @@
 	logrus.SetOutput(os.Stderr)
 	logrus.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, DisableColors: true,
 		TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
+	ctx.BindTo(os.Stdout, (*io.Writer)(nil))
 	if err := ctx.Run(); err != nil {
 		status := 1
-		var e exit
+		var e statusError
 		if errors.As(err, &e) {
 			status = e.status
 		}
--- /dev/null
+++ b/cmd/wayloft/policy_status.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"encoding/hex"
+	"fmt"
+	"io"
+
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/fleet"
+)
+
+type policyStatusCmd struct {
+	coordinatorFlags
+	routerCount
+	JSON bool `help:"As JSON."`
+}
+
+// Help gives an example.
+func (*policyStatusCmd) Help() string {
+	return "Example: wayloft policy status --routers 610 --council 10.0.0.1:7101"
+}
+
+// policyReport is what `policy status --json` prints. The keys of this and of routerPolicyRow are read by programs and don't change.
+type policyReport struct {
+	Author     string            `json:"author"`
+	Everywhere bool              `json:"everywhere"`
+	Fields     int               `json:"fields"`
+	Hash       string            `json:"hash"`
+	Reason     string            `json:"reason"`
+	Routers    []routerPolicyRow `json:"routers"`
+	Version    string            `json:"version"`
+}
+
+type routerPolicyRow struct {
+	Name     string      `json:"name"`
+	SilentMs uint64      `json:"silent_ms"`
+	State    routerState `json:"state"`
+	Version  string      `json:"version"`
+	Reason   string      `json:"why"`
+}
+
+func (c *policyStatusCmd) Run(out io.Writer) error {
+	client := c.client()
+	defer client.Close()
+	current, err := c.policies(client, 0)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), coordinatorTimeout)
+	defer cancel()
+	s, err := client.State(ctx)
+	if err != nil {
+		return err
+	}
+	routers := routerPolicies(s, current.Version.Packed(), nil)
+	if c.JSON {
+		return writeJSON(out, newPolicyReport(current, routers, c.Routers))
+	}
+	return writePolicyStatus(out, current, routers, c.Routers)
+}
+
+func newPolicyReport(current fleet.Policies, routers []routerPolicy, expected int) policyReport {
+	report := policyReport{
+		Author:     current.Version.Author,
+		Everywhere: missingRouters(routers, expected) == "",
+		Fields:     len(current.Document),
+		Hash:       formatHash(current.Version),
+		Reason:     current.Version.Reason,
+		Routers:    []routerPolicyRow{},
+		Version:    current.Version.String(),
+	}
+	for _, r := range routers {
+		report.Routers = append(report.Routers, routerPolicyRow{Name: r.name, SilentMs: r.silentMs, State: r.state,
+			Version: policy.FormatPacked(r.version), Reason: r.reason})
+	}
+	return report
+}
+
+// writePolicyStatus prints the version in force and which version each router applies.
+func writePolicyStatus(out io.Writer, current fleet.Policies, routers []routerPolicy, expected int) error {
+	version := current.Version
+	if version.Number == 0 {
+		fmt.Fprintln(out, "no policy is in force: each router goes by its own file")
+	} else {
+		fmt.Fprintf(out, "version %s is in force: %d fields, %d bytes, hash %.12s, by %s: %s\n", version, len(current.Document), version.Size,
+			formatHash(version), formatAuthor(version), formatReason(version))
+	}
+	table := newTable(out)
+	fmt.Fprintln(table, "\nrouter\tgoes by\tsilent\tstate")
+	for _, r := range routers {
+		state := string(r.state)
+		if r.reason != "" {
+			state += ": " + oneLine(r.reason)
+		}
+		fmt.Fprintf(table, "%s\t%s\t%d ms\t%s\n", r.name, policy.FormatPacked(r.version), r.silentMs, state)
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	if missing := missingRouters(routers, expected); missing != "" {
+		fmt.Fprintf(out, "\nnot everywhere: %s\n", missing)
+		return nil
+	}
+	fmt.Fprintf(out, "\neverywhere: all %d routers that have a session\n", len(routers))
+	return nil
+}
+
+func formatHash(v policy.Version) string { return hex.EncodeToString(v.Hash[:]) }
+
+func formatAuthor(v policy.Version) string { return cmp.Or(v.Author, "nobody") }
+
+func formatReason(v policy.Version) string { return cmp.Or(v.Reason, "no reason given") }
--- /dev/null
+++ b/cmd/wayloft/policy_wait.go
@@ -0,0 +1,183 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"time"
+
+	"wayloft/internal/decide/policy"
+	"wayloft/internal/fleet"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+const (
+	// waitPollInterval is the time between two polls of which router applies which version.
+	waitPollInterval = 200 * time.Millisecond
+	// silentMs is how long a router may send nothing before an operator is told. Routers send heartbeats several times a second.
+	silentMs = 1000
+	// statusNotEverywhere is the exit status where a policy, or what became of a proposal, is not known to be in force everywhere.
+	statusNotEverywhere = 3
+)
+
+// routerState is how far a router is with a version of the policy. The texts are printed, and read by programs.
+type routerState string
+
+const (
+	routerApplied  routerState = "in force"
+	routerWaiting  routerState = "waits"
+	routerRejected routerState = "couldn't"
+	routerSilent   routerState = "silent"
+)
+
+// routerPolicy is a router and the version of the policy that it applies.
+type routerPolicy struct {
+	name     string
+	state    routerState
+	reason   string // of a rejection or a silence
+	version  uint64 // packed
+	silentMs uint64
+}
+
+// routerPolicies lists each router with a session, and those that had one before and have none now.
+func routerPolicies(s *fleetpb.State, wanted uint64, known map[string]bool) []routerPolicy {
+	var all []routerPolicy
+	connected := map[string]bool{}
+	for _, session := range s.State.Sessions {
+		if session.Kind != "router" {
+			continue
+		}
+		connected[session.Name] = true
+		all = append(all, newRouterPolicy(session, wanted))
+	}
+	for name := range known {
+		if !connected[name] {
+			all = append(all, routerPolicy{name: name, state: routerSilent, reason: "its session has ended"})
+		}
+	}
+	slices.SortFunc(all, func(a, b routerPolicy) int { return cmp.Compare(a.name, b.name) })
+	return all
+}
+
+func newRouterPolicy(session *fleetpb.Session, wanted uint64) routerPolicy {
+	r := routerPolicy{name: session.Name, version: session.Policy, silentMs: session.SilentMs, state: routerWaiting}
+	switch {
+	case session.Policy >= wanted:
+		r.state = routerApplied
+	case session.Wont >= wanted && wanted > 0:
+		r.state, r.reason = routerRejected, session.Why
+	case session.SilentMs >= silentMs:
+		r.state = routerSilent
+	}
+	return r
+}
+
+// missingRouters names the routers at which a version is not in force, and why; it is empty where there is none. Routers without a
+// session are not known by name: expected is how many routers there must be.
+func missingRouters(all []routerPolicy, expected int) string {
+	var missing []string
+	if n := max(1, expected) - len(all); n > 0 {
+		missing = append(missing, fmt.Sprintf("%d more (no session with the coordinator)", n))
+	}
+	for _, r := range all {
+		reason := string(r.state)
+		switch r.state {
+		case routerApplied:
+			continue
+		case routerRejected:
+			reason = "couldn't: " + oneLine(r.reason)
+		case routerWaiting:
+			reason = "goes by " + policy.FormatPacked(r.version)
+		}
+		missing = append(missing, fmt.Sprintf("%s (%s)", r.name, reason))
+	}
+	return strings.Join(missing, ", ")
+}
+
+func oneLine(text string) string { return strings.ReplaceAll(text, "\n", "; ") }
+
+// latestVersion is the version in force in a state.
+func latestVersion(s *fleetpb.State) policy.Version {
+	if n := len(s.State.Policies); n > 0 {
+		if v, _, err := rpc.DecodePolicy(s.State.Policies[n-1]); err == nil {
+			return v
+		}
+	}
+	return policy.Version{}
+}
+
+// notEverywhere prints how far a version is, and gives the exit status for it.
+func notEverywhere(out io.Writer, why string) error {
+	fmt.Fprintf(out, "not everywhere: %s\n", why)
+	return statusError{error: errors.New(""), status: statusNotEverywhere}
+}
+
+// versionWait waits for one version to be in force everywhere.
+type versionWait struct {
+	version policy.Version
+	agreed  time.Time       // when it was
+	routers int             // that there must be
+	known   map[string]bool // routers that had a session since the wait began
+	missing string          // as last polled
+	out     io.Writer
+}
+
+// wait prints which routers a version waits for, each time that changes, until it is in force everywhere or the time is over.
+func (c *policyProposeCmd) wait(out io.Writer, client *fleet.Client, version policy.Version, agreed time.Time) error {
+	if c.Wait <= 0 {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
+	defer cancel()
+	w := &versionWait{version: version, agreed: agreed, routers: c.Routers, known: map[string]bool{}, missing: "the coordinator gave no answer yet", out: out}
+	ticker := time.NewTicker(waitPollInterval)
+	defer ticker.Stop()
+	printed := ""
+	for {
+		if ended, err := w.poll(ctx, client); ended {
+			return err
+		}
+		if printed != w.missing && ctx.Err() == nil {
+			printed = w.missing
+			fmt.Fprintf(out, "waits for %s\n", w.missing)
+		}
+		select {
+		case <-ctx.Done():
+			return notEverywhere(out, w.missing)
+		case <-ticker.C:
+		}
+	}
+}
+
+// poll asks the coordinator once. It reports whether the wait has ended, and with which error.
+func (w *versionWait) poll(ctx context.Context, client *fleet.Client) (ended bool, err error) {
+	pollCtx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
+	defer cancel()
+	s, err := client.State(pollCtx)
+	if err != nil {
+		if ctx.Err() == nil {
+			w.missing = "the coordinator gives no answer: " + err.Error()
+		}
+		return false, nil
+	}
+	if now := latestVersion(s); now.Packed() > w.version.Packed() {
+		return true, notEverywhere(w.out, fmt.Sprintf("version %s followed and is in force, by %s: %s", now, now.Author, now.Reason))
+	}
+	all := routerPolicies(s, w.version.Packed(), w.known)
+	for _, r := range all {
+		w.known[r.name] = true
+	}
+	w.missing = missingRouters(all, w.routers)
+	if w.missing != "" {
+		return false, nil
+	}
+	now := time.Now()
+	fmt.Fprintf(w.out, "in force everywhere since %s: version %s at %d routers, seen %.2f s after it was agreed\n",
+		now.UTC().Format("2006-01-02T15:04:05.000Z"), w.version, len(all), now.Sub(w.agreed).Seconds())
+	return true, nil
+}
