--- a/cmd/wayloft/coordinator.go
+++ b/cmd/wayloft/coordinator.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"os"
 	"strings"
 
@@ -51,7 +50,7 @@
 	return "Example: wayloft council add c4=10.0.0.4:7101 --council 10.0.0.1:7101"
 }
 
-func (c *coordinatorAddCmd) Run(out io.Writer) error {
+func (c *coordinatorAddCmd) Run(out *printer) error {
 	members := &fleetpb.Members{}
 	for _, node := range c.Nodes {
 		name, addr, ok := strings.Cut(node, "=")
@@ -73,11 +72,11 @@
 	return "Example: wayloft council remove c2 --council 10.0.0.1:7101"
 }
 
-func (c *coordinatorRemoveCmd) Run(out io.Writer) error {
+func (c *coordinatorRemoveCmd) Run(out *printer) error {
 	return c.changeMembership(out, &fleetpb.Members{Remove: c.Nodes})
 }
 
-func (f *coordinatorFlags) changeMembership(out io.Writer, members *fleetpb.Members) error {
+func (f *coordinatorFlags) changeMembership(out *printer, members *fleetpb.Members) error {
 	client := f.client()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), coordinatorTimeout)
@@ -89,7 +88,7 @@
 	if !result.Held {
 		return result.Refusal
 	}
-	fmt.Fprintln(out, "agreed")
+	out.println("agreed")
 	return nil
 }
 
@@ -103,13 +102,14 @@
 	return "Example: wayloft council status --council 10.0.0.1:7101"
 }
 
-func (c *coordinatorStatusCmd) Run(out io.Writer) error {
+func (c *coordinatorStatusCmd) Run(out *printer) error {
 	s, err := c.state()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, coordinatorReport{Nodes: nodeRows(s), Epoch: s.Epoch})
+		return out.json(coordinatorReport{Nodes: nodeRows(s), Epoch: s.Epoch})
 	}
-	return writeNodes(out, s)
+	printNodes(out, s)
+	return nil
 }
--- a/cmd/wayloft/coordinator_recover.go
+++ b/cmd/wayloft/coordinator_recover.go
@@ -39,7 +39,7 @@
 	errNoRecoverSource = errors.New("--config, of the one process that is left, or --council, of one that runs, must be given")
 )
 
-func (c *coordinatorRecoverCmd) Run(out io.Writer) error {
+func (c *coordinatorRecoverCmd) Run(out *printer) error {
 	switch {
 	case c.Config != "":
 		return c.recoverFromDirectory(out)
@@ -50,10 +50,10 @@
 }
 
 // confirm asks for the confirmation word, unless it was given as a flag.
-func (c *coordinatorRecoverCmd) confirm(out io.Writer) error {
+func (c *coordinatorRecoverCmd) confirm(out *printer) error {
 	word := c.Word
 	if word == "" {
-		fmt.Fprintf(out, "Type %q to go on: ", confirmationWord)
+		out.printf("Type %q to go on: ", confirmationWord)
 		var err error
 		if word, err = bufio.NewReader(os.Stdin).ReadString('\n'); err != nil && !errors.Is(err, io.EOF) {
 			return err
@@ -66,7 +66,7 @@
 }
 
 // beginEpoch begins a new epoch in a coordinator that runs.
-func (c *coordinatorRecoverCmd) beginEpoch(out io.Writer) error {
+func (c *coordinatorRecoverCmd) beginEpoch(out *printer) error {
 	client := fleet.NewClient(c.Fleet, c.Coordinators, nil)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), coordinatorTimeout)
@@ -76,7 +76,7 @@
 		return err
 	}
 	epoch := nextEpoch(s, c.Above)
-	fmt.Fprintf(out, "Epoch %d begins in place of %d. Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.\n", epoch, s.Epoch)
+	out.printf("Epoch %d begins in place of %d. Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.\n", epoch, s.Epoch)
 	if err := c.confirm(out); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	if result.Refusal != "" {
 		return result.Refusal
 	}
-	fmt.Fprintf(out, "epoch %d has begun\n", epoch)
+	out.printf("epoch %d has begun\n", epoch)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 }
 
 // recoverFromDirectory begins a coordinator of one node from the data directory that is left.
-func (c *coordinatorRecoverCmd) recoverFromDirectory(out io.Writer) (err error) {
+func (c *coordinatorRecoverCmd) recoverFromDirectory(out *printer) (err error) {
 	set, err := readCoordinatorFile(c.Config)
 	if err != nil {
 		return err
@@ -124,18 +124,18 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", set.Dir, err)
 	}
-	fmt.Fprintf(out, "%s becomes a coordinator cluster of its own, with entries up to %d (committed for sure: %d), in epoch %d in place of %d.\n",
+	out.printf("%s becomes a coordinator cluster of its own, with entries up to %d (committed for sure: %d), in epoch %d in place of %d.\n",
 		set.Name, recovery.LastIndex, recovery.CommittedIndex, recovery.Epoch, recovery.PreviousEpoch)
 	for _, peer := range recovery.RemovedPeers {
-		fmt.Fprintf(out, "Given up: %s at %s, and whatever only it knew. It must not be started again; add nodes under new names.\n", peer.Name, peer.Addr)
+		out.printf("Given up: %s at %s, and whatever only it knew. It must not be started again; add nodes under new names.\n", peer.Name, peer.Addr)
 	}
-	fmt.Fprintln(out, "Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.")
+	out.println("Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.")
 	if err := c.confirm(out); err != nil {
 		return err
 	}
 	if err := coordinator.WriteDecision(store, recovery.Decision); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "epoch %d begins when %s is started\n", recovery.Epoch, set.Name)
+	out.printf("epoch %d begins when %s is started\n", recovery.Epoch, set.Name)
 	return nil
 }
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -35,7 +34,7 @@
 	return "Example: wayloft fleet status --council 10.0.0.1:7101"
 }
 
-func (c *fleetStatusCmd) Run(out io.Writer) error {
+func (c *fleetStatusCmd) Run(out *printer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	for {
@@ -44,7 +43,7 @@
 			return err
 		}
 		if err != nil {
-			fmt.Fprintln(out, err)
+			out.println(err)
 		}
 		select {
 		case <-ctx.Done():
@@ -54,15 +53,16 @@
 	}
 }
 
-func (c *fleetStatusCmd) printOnce(out io.Writer) error {
+func (c *fleetStatusCmd) printOnce(out *printer) error {
 	s, err := c.state()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, newFleetReport(s))
+		return out.json(newFleetReport(s))
 	}
-	return writeStatus(out, s)
+	printStatus(out, s)
+	return nil
 }
 
 type fleetReleaseCmd struct {
@@ -75,7 +75,7 @@
 	return "Example: wayloft fleet release sight/0 --council 10.0.0.1:7101"
 }
 
-func (c *fleetReleaseCmd) Run(out io.Writer) error {
+func (c *fleetReleaseCmd) Run(out *printer) error {
 	client := c.client()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), coordinatorTimeout)
@@ -107,7 +107,7 @@
 	return nil, nil, fmt.Errorf("there is no lease %q", name)
 }
 
-func releaseLease(ctx context.Context, out io.Writer, client *fleet.Client, lease *fleetpb.Duty, holder *fleetpb.Session) error {
+func releaseLease(ctx context.Context, out *printer, client *fleet.Client, lease *fleetpb.Duty, holder *fleetpb.Session) error {
 	result, err := client.ProposeEntry(ctx, leasestate.Entry{
 		Kind:        leasestate.ReleaseLease,
 		Session:     holder.Name,
@@ -121,6 +121,6 @@
 	if result.Refusal != "" {
 		return result.Refusal
 	}
-	fmt.Fprintf(out, "%s is taken from %s, which held it under %s\n", lease.Name, holder.Name, formatToken(lease.Fence))
+	out.printf("%s is taken from %s, which held it under %s\n", lease.Name, holder.Name, formatToken(lease.Fence))
 	return nil
 }
--- a/cmd/wayloft/fleet_output.go
+++ b/cmd/wayloft/fleet_output.go
@@ -1,11 +1,7 @@
 package main
 
 import (
-	"encoding/json"
-	"fmt"
-	"io"
 	"strconv"
-	"text/tabwriter"
 	"time"
 
 	"wayloft/internal/fleetpb"
@@ -105,51 +101,45 @@
 
 func formatToken(token *fleetpb.Fence) string { return rpc.DecodeToken(token).String() }
 
-func writeJSON(out io.Writer, value any) error {
-	encoder := json.NewEncoder(out)
-	encoder.SetIndent("", "  ")
-	return encoder.Encode(value)
-}
-
-// newTable aligns columns that are separated by tabs; it is written by Flush.
-func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
-
-// writeNodes prints the coordinator nodes.
-func writeNodes(out io.Writer, s *fleetpb.State) error {
-	table := newTable(out)
-	fmt.Fprintf(table, "coordinator (epoch %d)\taddress\trole\tapplied\n", s.Epoch)
-	for _, node := range s.Council {
-		role, applied := "", "not known"
-		if node.Leader {
-			role = "leader"
-		}
-		if node.Known {
-			applied = strconv.FormatUint(node.Applied, 10)
-			if !node.Level {
-				applied += ", behind or away"
+// printNodes prints the coordinator nodes.
+func printNodes(out *printer, s *fleetpb.State) {
+	out.table(func(rows *printer) {
+		rows.printf("coordinator (epoch %d)\taddress\trole\tapplied\n", s.Epoch)
+		for _, node := range s.Council {
+			role := ""
+			if node.Leader {
+				role = "leader"
 			}
+			rows.printf("%s\t%s\t%s\t%s\n", node.Name, node.Address, role, formatApplied(node))
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", node.Name, node.Address, role, applied)
-	}
-	return table.Flush()
+	})
 }
 
-// writeStatus prints the coordinator nodes, the leases and the sessions.
-func writeStatus(out io.Writer, s *fleetpb.State) error {
-	if err := writeNodes(out, s); err != nil {
-		return err
-	}
-	table := newTable(out)
-	fmt.Fprintln(table, "\nlease\tholder\ttoken\theld for\tqueued\torder")
-	for _, lease := range s.State.Duties {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n", lease.Name, formatHolder(s, lease), formatToken(lease.Fence),
-			time.Duration(lease.SinceMs)*time.Millisecond, len(lease.Queue), formatOrder(lease))
-	}
-	fmt.Fprintln(table, "\nsession\tkind\tpolicy\tsilent\taddress\trejected")
-	for _, session := range s.State.Sessions {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d ms\t%s\t%d\n", session.Name, session.Kind, session.Policy, session.SilentMs, session.Address, session.Refused)
+// formatApplied gives how far a node has applied the log.
+func formatApplied(node *fleetpb.Peer) string {
+	switch {
+	case !node.Known:
+		return "not known"
+	case !node.Level:
+		return strconv.FormatUint(node.Applied, 10) + ", behind or away"
 	}
-	return table.Flush()
+	return strconv.FormatUint(node.Applied, 10)
+}
+
+// printStatus prints the coordinator nodes, the leases and the sessions.
+func printStatus(out *printer, s *fleetpb.State) {
+	printNodes(out, s)
+	out.table(func(rows *printer) {
+		rows.println("\nlease\tholder\ttoken\theld for\tqueued\torder")
+		for _, lease := range s.State.Duties {
+			rows.printf("%s\t%s\t%s\t%s\t%d\t%s\n", lease.Name, formatHolder(s, lease), formatToken(lease.Fence),
+				time.Duration(lease.SinceMs)*time.Millisecond, len(lease.Queue), formatOrder(lease))
+		}
+		rows.println("\nsession\tkind\tpolicy\tsilent\taddress\trejected")
+		for _, session := range s.State.Sessions {
+			rows.printf("%s\t%s\t%d\t%d ms\t%s\t%d\n", session.Name, session.Kind, session.Policy, session.SilentMs, session.Address, session.Refused)
+		}
+	})
 }
 
 func formatHolder(s *fleetpb.State, lease *fleetpb.Duty) string {
--- a/cmd/wayloft/fleet_switchover.go
+++ b/cmd/wayloft/fleet_switchover.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"strings"
 	"time"
 
@@ -34,7 +33,7 @@
 	rewatchInterval = 100 * time.Millisecond
 )
 
-func (c *fleetSwitchoverCmd) Run(out io.Writer) error {
+func (c *fleetSwitchoverCmd) Run(out *printer) error {
 	client := c.client()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
@@ -47,7 +46,7 @@
 	if !result.Held {
 		return result.Refusal
 	}
-	fmt.Fprintf(out, "order %d\n", result.Number)
+	out.printf("order %d\n", result.Number)
 	progress := &orderProgress{lease: name, order: result.Number, holder: "nobody", out: out}
 	for ctx.Err() == nil {
 		watch, stop := context.WithCancel(ctx)
@@ -76,7 +75,7 @@
 	lastStep string // printed
 	ended    bool
 	result   string // of an order that has ended
-	out      io.Writer
+	out      *printer
 }
 
 // observe reports whether the order has ended.
@@ -90,7 +89,7 @@
 		}
 		if n := len(lease.Steps); n > 0 && lease.Steps[n-1].Text != p.lastStep && lease.Open.GetNumber() == p.order {
 			p.lastStep = lease.Steps[n-1].Text
-			fmt.Fprintf(p.out, "%s: %s\n", p.holder, p.lastStep)
+			p.out.printf("%s: %s\n", p.holder, p.lastStep)
 		}
 		if lease.Ended.GetNumber() >= p.order {
 			p.ended, p.result = true, lease.Ended.Text
@@ -101,7 +100,7 @@
 
 // finish prints how the order ended.
 func (p *orderProgress) finish() error {
-	fmt.Fprintln(p.out, p.result)
+	p.out.println(p.result)
 	if !strings.HasPrefix(p.result, donePrefix) {
 		return errPrimaryNotChanged
 	}
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -5,8 +5,6 @@
 
 import (
 	"errors"
-	"fmt"
-	"io"
 	"os"
 	"runtime/debug"
 	"strings"
@@ -21,19 +19,19 @@
 
 type checkCmd struct{ where }
 
-func (c *checkCmd) Run() error {
+func (c *checkCmd) Run(out *printer) error {
 	conf, err := load(c.Config)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: ok: %s listens on %s, %d members known, %d request classes\n", c.Config, conf.name, conf.listen,
+	out.printf("%s: ok: %s listens on %s, %d members known, %d request classes\n", c.Config, conf.name, conf.listen,
 		len(conf.known.Entries), len(conf.set.RequestClasses))
 	return nil
 }
 
 type versionCmd struct{}
 
-func (versionCmd) Run() error {
+func (versionCmd) Run(out *printer) error {
 	version, commit := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
@@ -43,7 +41,7 @@
 			}
 		}
 	}
-	fmt.Printf("wayloft %s%s\n", version, commit)
+	out.printf("wayloft %s%s\n", version, commit)
 	return nil
 }
 
@@ -63,8 +61,9 @@
 	logrus.SetOutput(os.Stderr)
 	logrus.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, DisableColors: true,
 		TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
-	ctx.BindTo(os.Stdout, (*io.Writer)(nil))
-	if err := ctx.Run(); err != nil {
+	out := &printer{out: os.Stdout}
+	ctx.Bind(out)
+	if err := errors.Join(ctx.Run(), out.err); err != nil {
 		status := 1
 		var e statusError
 		if errors.As(err, &e) {
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"time"
 
@@ -61,7 +60,7 @@
 	return "Example: wayloft policy check policy.toml --config wayloft.toml"
 }
 
-func (c *policyCheckCmd) Run(out io.Writer) error {
+func (c *policyCheckCmd) Run(out *printer) error {
 	document, err := c.read()
 	if err != nil {
 		return err
@@ -78,7 +77,7 @@
 			return fmt.Errorf("%s can't take it:\n%w", conf.name, err)
 		}
 	}
-	fmt.Fprintf(out, "%s: ok: %d fields, all of which may change while routers run\n", c.File, len(document))
+	out.printf("%s: ok: %d fields, all of which may change while routers run\n", c.File, len(document))
 	return nil
 }
 
@@ -100,19 +99,19 @@
 	return f.policies(client, 0)
 }
 
-// writeDifference prints a line for each field that changes.
-func writeDifference(out io.Writer, old policy.Document, difference policy.Difference) {
+// printDifference prints a line for each field that changes.
+func printDifference(out *printer, old policy.Document, difference policy.Difference) {
 	for _, field := range difference.Fields() {
 		class, _ := policy.Classify(field)
 		before, existed := old[field]
 		value, set := difference.Set[field]
 		switch {
 		case existed && set:
-			fmt.Fprintf(out, "~ %s: %s -> %s (%s)\n", field, before, value, class)
+			out.printf("~ %s: %s -> %s (%s)\n", field, before, value, class)
 		case set:
-			fmt.Fprintf(out, "+ %s: %s (%s)\n", field, value, class)
+			out.printf("+ %s: %s (%s)\n", field, value, class)
 		default:
-			fmt.Fprintf(out, "- %s: %s -> each router's own (%s)\n", field, before, class)
+			out.printf("- %s: %s -> each router's own (%s)\n", field, before, class)
 		}
 	}
 }
@@ -127,7 +126,7 @@
 	return "Example: wayloft policy diff policy.toml --council 10.0.0.1:7101"
 }
 
-func (c *policyDiffCmd) Run(out io.Writer) error {
+func (c *policyDiffCmd) Run(out *printer) error {
 	document, err := c.read()
 	if err != nil {
 		return err
@@ -136,11 +135,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "version %s is in force\n", current.Version)
+	out.printf("version %s is in force\n", current.Version)
 	difference := policy.Diff(current.Document, document)
 	if difference.Empty() {
-		fmt.Fprintln(out, "nothing changes")
+		out.println("nothing changes")
 	}
-	writeDifference(out, current.Document, difference)
+	printDifference(out, current.Document, difference)
 	return violations(difference.Validate())
 }
--- a/cmd/wayloft/policy_history.go
+++ b/cmd/wayloft/policy_history.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"maps"
 	"slices"
 	"strings"
@@ -33,15 +32,15 @@
 	Version string            `json:"version"`
 }
 
-func (c *policyHistoryCmd) Run(out io.Writer) error {
+func (c *policyHistoryCmd) Run(out *printer) error {
 	policies, err := c.askPolicies()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, changeRows(policies.History))
+		return out.json(changeRows(policies.History))
 	}
-	writeHistory(out, policies.History)
+	printHistory(out, policies.History)
 	return nil
 }
 
@@ -55,20 +54,20 @@
 	return rows
 }
 
-func writeHistory(out io.Writer, history []policy.Change) {
+func printHistory(out *printer, history []policy.Change) {
 	for _, change := range history {
 		v := change.Version
-		fmt.Fprintf(out, "%s after %s, by %s: %s\n", v, policy.FormatPacked(v.Base), formatAuthor(v), formatReason(v))
+		out.printf("%s after %s, by %s: %s\n", v, policy.FormatPacked(v.Base), formatAuthor(v), formatReason(v))
 		for _, field := range change.Difference.Fields() {
 			if value, set := change.Difference.Set[field]; set {
-				fmt.Fprintf(out, "    %s = %s\n", field, value)
+				out.printf("    %s = %s\n", field, value)
 			} else {
-				fmt.Fprintf(out, "    %s is each router's own again\n", field)
+				out.printf("    %s is each router's own again\n", field)
 			}
 		}
 	}
 	if len(history) == 0 {
-		fmt.Fprintln(out, "no policy was ever proposed")
+		out.println("no policy was ever proposed")
 	}
 }
 
@@ -82,7 +81,7 @@
 	return "Example: wayloft policy show 96185271.4 --council 10.0.0.1:7101 > old.toml"
 }
 
-func (c *policyShowCmd) Run(out io.Writer) error {
+func (c *policyShowCmd) Run(out *printer) error {
 	policies, err := c.askPolicies()
 	if err != nil {
 		return err
@@ -101,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "# version %s, by %s: %s\n%s", version, formatAuthor(version), strings.ReplaceAll(formatReason(version), "\n", " "), text)
+	out.printf("# version %s, by %s: %s\n%s", version, formatAuthor(version), strings.ReplaceAll(formatReason(version), "\n", " "), text)
 	return nil
 }
 
--- a/cmd/wayloft/policy_propose.go
+++ b/cmd/wayloft/policy_propose.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"os/user"
 	"time"
 
@@ -34,7 +33,7 @@
 
 var errEmptyPolicy = errors.New("it says nothing, and no policy is in force: nothing was changed")
 
-func (c *policyProposeCmd) Run(out io.Writer) error {
+func (c *policyProposeCmd) Run(out *printer) error {
 	document, err := c.read()
 	if err != nil {
 		return err
@@ -53,7 +52,7 @@
 		if current.Version.Number == 0 {
 			return errEmptyPolicy
 		}
-		fmt.Fprintf(out, "version %s, which is in force, says the same\n", current.Version)
+		out.printf("version %s, which is in force, says the same\n", current.Version)
 		return c.wait(out, client, current.Version, time.Now())
 	}
 	if err := violations(difference.Validate()); err != nil {
@@ -64,8 +63,8 @@
 		return err
 	}
 	agreed := time.Now()
-	writeDifference(out, current.Document, difference)
-	fmt.Fprintf(out, "version %s is agreed\n", version)
+	printDifference(out, current.Document, difference)
+	out.printf("version %s is agreed\n", version)
 	return c.wait(out, client, version, agreed)
 }
 
--- a/cmd/wayloft/policy_status.go
+++ b/cmd/wayloft/policy_status.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"context"
 	"encoding/hex"
-	"fmt"
-	"io"
 
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/fleet"
@@ -41,7 +39,7 @@
 	Reason   string      `json:"why"`
 }
 
-func (c *policyStatusCmd) Run(out io.Writer) error {
+func (c *policyStatusCmd) Run(out *printer) error {
 	client := c.client()
 	defer client.Close()
 	current, err := c.policies(client, 0)
@@ -56,9 +54,10 @@
 	}
 	routers := routerPolicies(s, current.Version.Packed(), nil)
 	if c.JSON {
-		return writeJSON(out, newPolicyReport(current, routers, c.Routers))
+		return out.json(newPolicyReport(current, routers, c.Routers))
 	}
-	return writePolicyStatus(out, current, routers, c.Routers)
+	printPolicyStatus(out, current, routers, c.Routers)
+	return nil
 }
 
 func newPolicyReport(current fleet.Policies, routers []routerPolicy, expected int) policyReport {
@@ -78,33 +77,30 @@
 	return report
 }
 
-// writePolicyStatus prints the version in force and which version each router applies.
-func writePolicyStatus(out io.Writer, current fleet.Policies, routers []routerPolicy, expected int) error {
+// printPolicyStatus prints the version in force and which version each router applies.
+func printPolicyStatus(out *printer, current fleet.Policies, routers []routerPolicy, expected int) {
 	version := current.Version
 	if version.Number == 0 {
-		fmt.Fprintln(out, "no policy is in force: each router goes by its own file")
+		out.println("no policy is in force: each router goes by its own file")
 	} else {
-		fmt.Fprintf(out, "version %s is in force: %d fields, %d bytes, hash %.12s, by %s: %s\n", version, len(current.Document), version.Size,
+		out.printf("version %s is in force: %d fields, %d bytes, hash %.12s, by %s: %s\n", version, len(current.Document), version.Size,
 			formatHash(version), formatAuthor(version), formatReason(version))
 	}
-	table := newTable(out)
-	fmt.Fprintln(table, "\nrouter\tgoes by\tsilent\tstate")
-	for _, r := range routers {
-		state := string(r.state)
-		if r.reason != "" {
-			state += ": " + oneLine(r.reason)
+	out.table(func(rows *printer) {
+		rows.println("\nrouter\tgoes by\tsilent\tstate")
+		for _, r := range routers {
+			state := string(r.state)
+			if r.reason != "" {
+				state += ": " + oneLine(r.reason)
+			}
+			rows.printf("%s\t%s\t%d ms\t%s\n", r.name, policy.FormatPacked(r.version), r.silentMs, state)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d ms\t%s\n", r.name, policy.FormatPacked(r.version), r.silentMs, state)
-	}
-	if err := table.Flush(); err != nil {
-		return err
-	}
+	})
 	if missing := missingRouters(routers, expected); missing != "" {
-		fmt.Fprintf(out, "\nnot everywhere: %s\n", missing)
-		return nil
+		out.printf("\nnot everywhere: %s\n", missing)
+		return
 	}
-	fmt.Fprintf(out, "\neverywhere: all %d routers that have a session\n", len(routers))
-	return nil
+	out.printf("\neverywhere: all %d routers that have a session\n", len(routers))
 }
 
 func formatHash(v policy.Version) string { return hex.EncodeToString(v.Hash[:]) }
--- a/cmd/wayloft/policy_wait.go
+++ b/cmd/wayloft/policy_wait.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"slices"
 	"strings"
 	"time"
@@ -112,8 +111,8 @@
 }
 
 // notEverywhere prints how far a version is, and gives the exit status for it.
-func notEverywhere(out io.Writer, why string) error {
-	fmt.Fprintf(out, "not everywhere: %s\n", why)
+func notEverywhere(out *printer, why string) error {
+	out.printf("not everywhere: %s\n", why)
 	return statusError{error: errors.New(""), status: statusNotEverywhere}
 }
 
@@ -124,11 +123,11 @@
 	routers int             // that there must be
 	known   map[string]bool // routers that had a session since the wait began
 	missing string          // as last polled
-	out     io.Writer
+	out     *printer
 }
 
 // wait prints which routers a version waits for, each time that changes, until it is in force everywhere or the time is over.
-func (c *policyProposeCmd) wait(out io.Writer, client *fleet.Client, version policy.Version, agreed time.Time) error {
+func (c *policyProposeCmd) wait(out *printer, client *fleet.Client, version policy.Version, agreed time.Time) error {
 	if c.Wait <= 0 {
 		return nil
 	}
@@ -144,7 +143,7 @@
 		}
 		if printed != w.missing && ctx.Err() == nil {
 			printed = w.missing
-			fmt.Fprintf(out, "waits for %s\n", w.missing)
+			out.printf("waits for %s\n", w.missing)
 		}
 		select {
 		case <-ctx.Done():
@@ -177,7 +176,7 @@
 		return false, nil
 	}
 	now := time.Now()
-	fmt.Fprintf(w.out, "in force everywhere since %s: version %s at %d routers, seen %.2f s after it was agreed\n",
+	w.out.printf("in force everywhere since %s: version %s at %d routers, seen %.2f s after it was agreed\n",
 		now.UTC().Format("2006-01-02T15:04:05.000Z"), w.version, len(all), now.Sub(w.agreed).Seconds())
 	return true, nil
 }
--- a/cmd/wayloft/recorded_test.go
+++ b/cmd/wayloft/recorded_test.go
@@ -1,8 +1,8 @@
 package main
 
 import (
+	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -15,28 +15,14 @@
 	"wayloft/internal/settings"
 )
 
-// printed gives what a function writes to the standard output.
-func printed(t *testing.T, f func() error) string {
-	t.Helper()
-	r, w, err := os.Pipe()
-	if err != nil {
-		t.Fatal(err)
+// printed gives what a command prints.
+func printed(run func(*printer) error) string {
+	var text strings.Builder
+	out := &printer{out: &text}
+	if err := errors.Join(run(out), out.err); err != nil {
+		return text.String() + "error: " + err.Error() + "\n"
 	}
-	was := os.Stdout
-	os.Stdout = w
-	read := make(chan string)
-	go func() {
-		all, _ := io.ReadAll(r) // it ends with the pipe
-		read <- string(all)
-	}()
-	err = f()
-	os.Stdout = was
-	w.Close()
-	text := <-read
-	if err != nil {
-		text += "error: " + err.Error() + "\n"
-	}
-	return text
+	return text.String()
 }
 
 func recordedState() *fleetpb.State {
@@ -61,11 +47,11 @@
 func TestRecordedOutput(t *testing.T) {
 	s := recordedState()
 	var out strings.Builder
-	say := func(what string, f func() error) { fmt.Fprintf(&out, "== %s\n%s", what, printed(t, f)) }
-	say("fleet status", func() error { return writeStatus(os.Stdout, s) })
-	say("fleet status --json", func() error { return writeJSON(os.Stdout, newFleetReport(s)) })
-	say("council status", func() error { return writeNodes(os.Stdout, s) })
-	say("council status --json", func() error { return writeJSON(os.Stdout, nodeRows(s)) })
+	say := func(what string, run func(*printer) error) { fmt.Fprintf(&out, "== %s\n%s", what, printed(run)) }
+	say("fleet status", func(p *printer) error { printStatus(p, s); return nil })
+	say("fleet status --json", func(p *printer) error { return p.json(newFleetReport(s)) })
+	say("council status", func(p *printer) error { printNodes(p, s); return nil })
+	say("council status --json", func(p *printer) error { return p.json(nodeRows(s)) })
 	all := routerPolicies(s, 7<<32|2, map[string]bool{"r0": true, "r1": true})
 	fmt.Fprintf(&out, "== waited for\n%s\n%s\n", missingRouters(all, 0), missingRouters(all, 9))
 	for _, one := range all {
@@ -74,17 +60,18 @@
 	old := policy.Document{"over_share_value": "0.2", "txn_types.a.value": "2", "tenants.acme.rate": "10"}
 	next := policy.Document{"over_share_value": "0.3", "txn_types.a.value": "2", "txn_types.b.value": "1", "txn_types.a.effect": "once-only"}
 	difference := policy.Diff(old, next)
-	say("policy difference", func() error { writeDifference(os.Stdout, old, difference); return violations(difference.Validate()) })
+	say("policy difference", func(p *printer) error {
+		printDifference(p, old, difference)
+		return violations(difference.Validate())
+	})
 	for _, c := range []struct {
 		name string
-		run  func() error
+		run  func(*printer) error
 	}{
 		{"check deploy/wayloft.toml", (&checkCmd{where{Config: "../../deploy/wayloft.toml"}}).Run},
 		{"check deploy/fleet.toml", (&checkCmd{where{Config: "../../deploy/fleet.toml"}}).Run},
 		{"check of a file that is not there", (&checkCmd{where{Config: "no-such-file.toml"}}).Run},
-		{"policy check", func() error {
-			return (&policyCheckCmd{policyFile: policyFile{File: "../../internal/settings/testdata/keys/policy.toml"}}).Run(os.Stdout)
-		}},
+		{"policy check", (&policyCheckCmd{policyFile: policyFile{File: "../../internal/settings/testdata/keys/policy.toml"}}).Run},
 	} {
 		say(c.name, c.run)
 	}
