--- a/cmd/wayloft/lab_fleet.go
+++ b/cmd/wayloft/lab_fleet.go
@@ -7,50 +7,51 @@
 	"os"
 	"os/signal"
 	"path/filepath"
+	"strconv"
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
-	"wayloft/internal/fakes/pgserver"
+	"wayloft/internal/decide/policy"
 	"wayloft/internal/lab/fleet"
 )
 
 type labFleetCmd struct {
-	Council int    `help:"Processes of the council: three or five." default:"3"`
-	Routers int    `help:"Routers." default:"4"`
-	Members int    `help:"Stand-in members of the one group; the first is the primary." default:"3"`
-	Policy  string `help:"A policy that it begins under: written to its folder, named, and in force everywhere before it is ready." type:"existingfile" placeholder:"FILE"`
-	Dir     string `help:"Folder for settings, logs, records and what the processes store; a temporary one if not given." type:"path"`
+	Coordinators int    `name:"council" aliases:"coordinators" help:"Coordinator nodes: three or five." default:"3"`
+	Routers      int    `help:"Routers." default:"4"`
+	Members      int    `help:"Fake members of the one group; the first is the primary." default:"3"`
+	Policy       string `help:"A policy that it begins under: written to its directory, named, and in force everywhere before it is ready." type:"existingfile" placeholder:"FILE"`
+	Dir          string `help:"Directory for settings, logs, audit logs and what the processes store; a temporary one if not given." type:"path"`
 }
 
-func (c *labFleetCmd) Run() error {
-	if c.Council < 1 || c.Routers < 1 || c.Members < 1 {
-		return errors.New("one process of each kind at least")
+// labHealthShareInterval is the time between two shared health checks of a member in the laboratory's fleets.
+const labHealthShareInterval = 250 * time.Millisecond
+
+var errEmptyFleet = errors.New("one process of each kind at least")
+
+// Help gives an example.
+func (*labFleetCmd) Help() string { return "Example: wayloft lab fleet --council 3 --routers 4" }
+
+func (c *labFleetCmd) Run(out *printer) (err error) {
+	if c.Coordinators < 1 || c.Routers < 1 || c.Members < 1 {
+		return errEmptyFleet
 	}
-	if c.Policy != "" { // before anything is started
-		if _, err := (&policyFile{File: c.Policy}).read(); err != nil {
-			return err
-		}
+	document, err := c.readPolicy() // before anything is started
+	if err != nil {
+		return err
 	}
-	dir := c.Dir
-	if dir == "" {
-		var err error
-		if dir, err = os.MkdirTemp("", "wayloft-fleet-"); err != nil {
-			return err
-		}
-		defer os.RemoveAll(dir)
-	} else if names, err := filepath.Glob(filepath.Join(dir, "*")); err != nil || len(names) > 0 {
-		return fmt.Errorf("%s: must be empty, or not be there yet", dir)
+	dir, remove, err := emptyDir(c.Dir, "wayloft-fleet-")
+	if err != nil {
+		return err
 	}
+	defer func() { err = errors.Join(err, remove()) }()
 	binary, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	f, err := fleet.New(fleet.Options{Binary: binary, Dir: dir, Coordinators: c.Council, Routers: c.Routers, Members: c.Members, FleetName: "fleet",
-		HealthShareInterval: 250 * time.Millisecond, Switchover: true})
+	f, err := fleet.New(fleet.Options{Binary: binary, Dir: dir, Coordinators: c.Coordinators, Routers: c.Routers, Members: c.Members, FleetName: "fleet",
+		HealthShareInterval: labHealthShareInterval, Switchover: true})
 	if err != nil {
 		return err
 	}
@@ -58,73 +59,56 @@
 	if err := f.Start(); err != nil {
 		return err
 	}
-	path, err := c.under(f)
+	path, err := c.applyPolicy(f, document)
 	if err != nil {
 		return err
 	}
 	for _, p := range f.Processes() {
-		fmt.Printf("%s %s %s pid %d\n", p.Kind, p.Name[1:], p.Addr, p.Pid())
+		out.printf("%s %s %s pid %d\n", p.Kind, p.Name[1:], p.Addr, p.Pid())
 	}
 	if path != "" {
-		fmt.Printf("policy %s\n", path)
+		out.printf("policy %s\n", path)
 	}
-	fmt.Println("ready")
+	out.println("ready")
 	// Members that fail are replaced, as a cluster's own manager would.
 	f.ManageMembers(ctx)
 	return nil
 }
 
-// under puts the policy in force and gives the path of its file; "": there is none.
-func (c *labFleetCmd) under(f *fleet.Fleet) (string, error) {
-	if c.Policy == "" {
-		return "", nil
-	}
-	d, err := (&policyFile{File: c.Policy}).read()
-	if err != nil {
-		return "", err
-	}
-	path, err := f.WritePolicy("policy", d)
-	if err != nil {
-		return "", err
+// emptyDir gives a directory to work in, and what removes it if it is a temporary one. One that is named must be empty.
+func emptyDir(named, pattern string) (dir string, remove func() error, err error) {
+	if named == "" {
+		dir, err = os.MkdirTemp("", pattern)
+		return dir, func() error { return os.RemoveAll(dir) }, err
 	}
-	out, err := f.RunCommand("policy", "propose", path, "--reason", "the fleet begins", "--wait", fleet.WaitLimit.String(), "--routers", fmt.Sprint(c.Routers))
-	if err != nil {
-		return "", fmt.Errorf("%s: %w: %s", path, err, out)
+	names, err := filepath.Glob(filepath.Join(named, "*"))
+	if err != nil || len(names) > 0 {
+		return "", nil, fmt.Errorf("%s: must be empty, or not be there yet", named)
 	}
-	return path, nil
+	return named, func() error { return nil }, nil
 }
 
-type labMemberCmd struct {
-	Folder  string        `help:"The cluster's folder." required:"" type:"path"`
-	Name    string        `help:"The member's name." required:""`
-	Listen  string        `help:"Address." required:""`
-	Primary bool          `help:"It begins as the primary."`
-	NoGuard bool          `help:"It has no guard row."`
-	Lag     time.Duration `help:"Of a replica." default:"5ms"`
-	Takes   time.Duration `help:"What a statement takes." default:"0s"`
+// readPolicy reads the policy that the fleet begins under; nil: none is given.
+func (c *labFleetCmd) readPolicy() (policy.Document, error) {
+	if c.Policy == "" {
+		return nil, nil
+	}
+	return (&policyFile{File: c.Policy}).read()
 }
 
-func (c *labMemberCmd) Run() error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	cluster, err := pgserver.OpenShared(c.Folder, c.Name)
-	if err != nil {
-		return err
+// applyPolicy puts the policy in force at all routers and gives the path of its file; "": there is none.
+func (c *labFleetCmd) applyPolicy(f *fleet.Fleet, document policy.Document) (string, error) {
+	if c.Policy == "" {
+		return "", nil
 	}
-	if err := cluster.Initialize(c.Primary, !c.NoGuard); err != nil {
-		return err
+	path, err := f.WritePolicy("policy", document)
+	if err != nil {
+		return "", err
 	}
-	s, err := pgserver.NewServer(cluster, func(s *pgserver.Server) {
-		s.Lag, s.Listen = c.Lag, c.Listen
-		if c.Takes > 0 {
-			s.Delay = func() time.Duration { return c.Takes }
-		}
-	})
+	text, err := f.RunCommand("policy", "propose", path, "--reason", "the fleet begins", "--wait", fleet.WaitLimit.String(),
+		"--routers", strconv.Itoa(c.Routers))
 	if err != nil {
-		return err
+		return "", fmt.Errorf("%s: %w: %s", path, err, text)
 	}
-	defer s.Close()
-	logrus.WithFields(logrus.Fields{"name": c.Name, "listen": s.Addr}).Info("member")
-	<-ctx.Done()
-	return nil
+	return path, nil
 }
--- a/cmd/wayloft/lab_idle_router.go
+++ b/cmd/wayloft/lab_idle_router.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -9,26 +10,28 @@
 	"wayloft/internal/lab"
 )
 
-type labStillCmd struct {
+type labIdleRouterCmd struct {
 	Members  []int         `help:"Members listed, one router after the other." default:"3,100,400,820"`
-	Sessions []int         `help:"Sessions that rest, one router after the other, with as many members as --with." default:"0,1000,3500,7050"`
+	Sessions []int         `help:"Idle sessions, one router after the other, with as many members as --with." default:"0,1000,3500,7050"`
 	With     int           `help:"Members while the sessions are varied." default:"3"`
-	Fleet    []int         `help:"Members, each a group of its own, of a router that has a council." default:"3,100,400,820"`
-	Looks    int           `help:"Looks at each." default:"3"`
-	For      time.Duration `help:"Of one look." default:"10s"`
-	Settle   time.Duration `help:"Until the first look." default:"3s"`
+	Fleet    []int         `help:"Members, each a group of its own, of a router that has a coordinator." default:"3,100,400,820"`
+	Samples  int           `name:"looks" aliases:"samples" help:"Samples of each." default:"3"`
+	For      time.Duration `help:"Length of one sample." default:"10s"`
+	Settle   time.Duration `help:"Until the first sample." default:"3s"`
 	Memory   string        `help:"The routers' limits.memory." default:"512MiB"`
 	Program  string        `help:"The wayloft to be measured, if not this one." type:"existingfile" placeholder:"FILE"`
 }
 
-func (c *labStillCmd) Run() error {
-	if c.Looks < 1 || c.For < time.Second || c.Settle < 0 || c.With < 0 {
-		return fmt.Errorf("--looks of 1 and --for of 1s are the least, --settle and --with must not be negative")
-	}
-	for _, n := range slices.Concat(c.Members, c.Sessions, c.Fleet) {
-		if n < 0 {
-			return fmt.Errorf("%d: counts must not be negative", n)
-		}
+var errIdleRouterFlags = errors.New("--looks of 1 and --for of 1s are the least, --settle and --with must not be negative")
+
+// Help gives an example.
+func (*labIdleRouterCmd) Help() string {
+	return "Example: wayloft lab idle-router --members 3,820 --sessions 0 --fleet 3"
+}
+
+func (c *labIdleRouterCmd) Run(out *printer) error {
+	if err := c.validate(); err != nil {
+		return err
 	}
 	if c.Program == "" {
 		self, err := os.Executable()
@@ -37,46 +40,72 @@
 		}
 		c.Program = self
 	}
-	sweep := func(name string, of []int, make func(n int) lab.IdleRouter) error {
-		var cpu, mem line
-		for _, n := range of {
-			s := make(n)
-			s.Program, s.Memory, s.SettleTime, s.SampleDuration, s.Samples = c.Program, c.Memory, c.Settle, c.For, c.Looks
-			stood, err := s.Run()
-			if err != nil {
-				return fmt.Errorf("%s %d: %w", name, n, err)
-			}
-			fmt.Printf("%s %5d: cpu_percent", name, n)
-			for _, x := range stood.CPU {
-				fmt.Printf(" %6.3f", x)
-				cpu.add(float64(n), x)
-			}
-			mem.add(float64(n), stood.Resident)
-			fmt.Printf("  bytes_per_s %6.0f..%.0f  memory_mb %6.1f (peak %.1f)  descriptors %d\n", slices.Min(stood.Bytes), slices.Max(stood.Bytes),
-				stood.Resident, stood.Peak, stood.Descriptors)
+	for _, sweep := range []struct {
+		name   string
+		sizes  []int
+		router func(size int) lab.IdleRouter
+	}{
+		{"members ", c.Members, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: (n + 3) / 4} }},
+		{"sessions", c.Sessions, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: c.With, Groups: 1, Sessions: n} }},
+		{"fleet   ", c.Fleet, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: n, Fleet: true} }},
+	} {
+		if err := c.sweep(out, sweep.name, sweep.sizes, sweep.router); err != nil {
+			return err
 		}
-		if len(of) > 1 {
-			fmt.Printf("%s slopes: cpu_percent %s; memory_mb %s\n", name, cpu, mem)
+	}
+	return nil
+}
+
+func (c *labIdleRouterCmd) validate() error {
+	if c.Samples < 1 || c.For < time.Second || c.Settle < 0 || c.With < 0 {
+		return errIdleRouterFlags
+	}
+	for _, n := range slices.Concat(c.Members, c.Sessions, c.Fleet) {
+		if n < 0 {
+			return fmt.Errorf("%d: counts must not be negative", n)
 		}
-		return nil
 	}
-	if err := sweep("members ", c.Members, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: (n + 3) / 4} }); err != nil {
-		return err
+	return nil
+}
+
+// sweep measures a router of each size and prints a line for each, then the slopes over all.
+func (c *labIdleRouterCmd) sweep(out *printer, name string, sizes []int, router func(size int) lab.IdleRouter) error {
+	var cpu, memory linearFit
+	for _, size := range sizes {
+		r := router(size)
+		r.Program, r.Memory, r.SettleTime, r.SampleDuration, r.Samples = c.Program, c.Memory, c.Settle, c.For, c.Samples
+		result, err := r.Run()
+		if err != nil {
+			return fmt.Errorf("%s %d: %w", name, size, err)
+		}
+		out.printf("%s %5d: cpu_percent", name, size)
+		for _, percent := range result.CPU {
+			out.printf(" %6.3f", percent)
+			cpu.add(float64(size), percent)
+		}
+		memory.add(float64(size), result.Resident)
+		out.printf("  bytes_per_s %6.0f..%.0f  memory_mb %6.1f (peak %.1f)  descriptors %d\n", slices.Min(result.Bytes), slices.Max(result.Bytes),
+			result.Resident, result.Peak, result.Descriptors)
 	}
-	if err := sweep("sessions", c.Sessions, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: c.With, Groups: 1, Sessions: n} }); err != nil {
-		return err
+	if len(sizes) > 1 {
+		out.printf("%s slopes: cpu_percent %s; memory_mb %s\n", name, cpu, memory)
 	}
-	return sweep("fleet   ", c.Fleet, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: n, Fleet: true} })
+	return nil
 }
 
-// line is the straight line through points by least squares.
-type line struct{ n, x, y, xx, xy float64 }
+// linearFit is the straight line through points by least squares, as sums over them.
+type linearFit struct{ n, x, y, xx, xy float64 }
 
-func (l *line) add(x, y float64) {
-	l.n, l.x, l.y, l.xx, l.xy = l.n+1, l.x+x, l.y+y, l.xx+x*x, l.xy+x*y
+func (f *linearFit) add(x, y float64) {
+	f.n++
+	f.x += x
+	f.y += y
+	f.xx += x * x
+	f.xy += x * y
 }
 
-func (l line) String() string {
-	slope := (l.n*l.xy - l.x*l.y) / (l.n*l.xx - l.x*l.x)
-	return fmt.Sprintf("%.3f + %.3f a thousand", (l.y-slope*l.x)/l.n, slope*1000)
+// String gives the intercept, and the slope for a thousand.
+func (f linearFit) String() string {
+	slope := (f.n*f.xy - f.x*f.y) / (f.n*f.xx - f.x*f.x)
+	return fmt.Sprintf("%.3f + %.3f a thousand", (f.y-slope*f.x)/f.n, slope*1000)
 }
--- a/cmd/wayloft/lab_idle_sessions.go
+++ b/cmd/wayloft/lab_idle_sessions.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -11,52 +12,76 @@
 	"wayloft/internal/lab"
 )
 
-type labIdleCmd struct {
-	Clients int `help:"Sessions that have asked once and then rest." default:"2000"`
+type labIdleSessionsCmd struct {
+	Clients int `help:"Sessions that have sent one request and are idle then." default:"2000"`
 }
 
+const (
+	// warmUpSessions come before the measurement: the router connects to members and learns their parameters.
+	warmUpSessions = 50
+	// idleSettleTime is how long sessions are idle before the memory is read.
+	idleSettleTime = 2 * time.Second
+)
+
+var errNoResidentMemory = errors.New("no VmRSS")
+
+// Help gives an example.
+func (*labIdleSessionsCmd) Help() string { return "Example: wayloft lab idle-sessions --clients 2000" }
+
 // Run measures another process, so that the clients' own memory does not count.
-func (c *labIdleCmd) Run() error {
-	self, err := os.Executable()
+func (c *labIdleSessionsCmd) Run(out *printer) error {
+	router, addr, err := startLabRouter()
 	if err != nil {
 		return err
 	}
-	child := exec.Command(self, "lab", "up")
-	out, err := child.StdoutPipe()
+	return errors.Join(c.measure(out, router.Process.Pid, addr), router.Process.Signal(os.Interrupt), router.Wait())
+}
+
+// startLabRouter starts `wayloft lab up` and gives the router's address.
+func startLabRouter() (router *exec.Cmd, addr string, err error) {
+	self, err := os.Executable()
 	if err != nil {
-		return err
+		return nil, "", err
 	}
-	if err := child.Start(); err != nil {
-		return err
+	router = exec.Command(self, "lab", "up")
+	stdout, err := router.StdoutPipe()
+	if err != nil {
+		return nil, "", err
+	}
+	if err := router.Start(); err != nil {
+		return nil, "", err
 	}
-	defer child.Wait()
-	defer child.Process.Signal(os.Interrupt)
-	line, err := bufio.NewReader(out).ReadString('\n')
+	line, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
-		return err
+		return nil, "", errors.Join(err, router.Process.Kill(), router.Wait())
 	}
-	addr := strings.TrimSpace(strings.TrimPrefix(line, "router "))
-	if err := lab.WithIdleSessions(addr, 50, func() {}); err != nil { // its connections to members, and what it learns first
+	return router, strings.TrimSpace(strings.TrimPrefix(line, "router ")), nil
+}
+
+func (c *labIdleSessionsCmd) measure(out *printer, pid int, addr string) error {
+	if err := lab.WithIdleSessions(addr, warmUpSessions, func() {}); err != nil {
 		return err
 	}
-	before, err := resident(child.Process.Pid)
+	before, err := residentKiB(pid)
 	if err != nil {
 		return err
 	}
-	return lab.WithIdleSessions(addr, c.Clients, func() {
-		time.Sleep(2 * time.Second)
-		after, err := resident(child.Process.Pid)
-		if err != nil {
-			fmt.Println(err)
-			return
-		}
-		fmt.Printf("%d sessions: resident memory from %.1f to %.1f MiB, %.1f KiB a session\n", c.Clients, before/1024, after/1024,
-			(after-before)/float64(c.Clients))
+	var after float64
+	var readErr error
+	err = lab.WithIdleSessions(addr, c.Clients, func() {
+		time.Sleep(idleSettleTime)
+		after, readErr = residentKiB(pid)
 	})
+	if err := errors.Join(err, readErr); err != nil {
+		return err
+	}
+	out.printf("%d sessions: resident memory from %.1f to %.1f MiB, %.1f KiB a session\n", c.Clients, before/1024, after/1024,
+		(after-before)/float64(c.Clients))
+	return nil
 }
 
-// resident is a process's memory in KiB.
-func resident(pid int) (kib float64, err error) {
+// residentKiB is a process's resident memory.
+func residentKiB(pid int) (kib float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, err
@@ -66,5 +91,5 @@
 			return kib, nil
 		}
 	}
-	return 0, fmt.Errorf("no VmRSS")
+	return 0, errNoResidentMemory
 }
--- a/cmd/wayloft/lab_latency.go
+++ b/cmd/wayloft/lab_latency.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -14,72 +15,81 @@
 	"wayloft/internal/lab"
 )
 
-type labFastCmd struct {
-	For     time.Duration   `help:"How long each run counts." default:"2s"`
-	Clients []int           `help:"Closed-loop clients." default:"1,16,64,200"`
-	Takes   []time.Duration `help:"How long a member takes for an answer." default:"0ms,1ms,5ms,20ms,60ms"`
-	Forms   []string        `help:"Of: direct, platform, plain (pooled by transaction), transaction, prepared." default:"direct,platform"`
-	Members int             `help:"Members." default:"1"`
-	Profile string          `help:"Write a CPU profile of the whole run there." type:"path" placeholder:"FILE"`
-	Links   int             `help:"Connections to a member, in the pooled forms." default:"16"`
+type labLatencyCmd struct {
+	For         time.Duration   `help:"How long each run counts." default:"2s"`
+	Clients     []int           `help:"Closed-loop clients." default:"1,16,64,200"`
+	Takes       []time.Duration `help:"How long a member takes for a response." default:"0ms,1ms,5ms,20ms,60ms"`
+	Modes       []string        `name:"forms" aliases:"modes" help:"Of: direct, platform, plain (pooled by transaction), transaction, prepared." default:"direct,platform"`
+	Members     int             `help:"Members." default:"1"`
+	Profile     string          `help:"Write a CPU profile of the whole run there." type:"path" placeholder:"FILE"`
+	Connections int             `name:"links" aliases:"connections" help:"Connections to a member, in the pooled modes." default:"16"`
 }
 
-func (c *labFastCmd) Run() error {
+// latencyWarmUp is how long each run lasts before anything counts.
+const latencyWarmUp = time.Second
+
+// Help gives an example.
+func (*labLatencyCmd) Help() string {
+	return "Example: wayloft lab latency --forms direct,platform,plain --clients 16 --takes 5ms"
+}
+
+func (c *labLatencyCmd) Run(out *printer) (err error) {
 	logrus.SetLevel(logrus.ErrorLevel)
 	if c.Profile != "" {
-		f, err := os.Create(c.Profile)
+		file, err := os.Create(c.Profile)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		if err := pprof.StartCPUProfile(f); err != nil {
+		defer func() { err = errors.Join(err, file.Close()) }()
+		if err := pprof.StartCPUProfile(file); err != nil {
 			return err
 		}
 		defer pprof.StopCPUProfile()
 	}
 	for _, takes := range c.Takes {
-		cluster, err := lab.StartCluster(c.Members, takes, func(s *pgserver.Server) { s.Lag = 0 })
-		if err != nil {
+		if err := c.runCluster(out, takes); err != nil {
 			return err
 		}
-		for _, clients := range c.Clients {
-			for _, form := range c.Forms {
-				seen, err := c.one(cluster, form, clients)
-				if err != nil {
-					return fmt.Errorf("%s, %d clients: %w", form, clients, err)
-				}
-				fmt.Printf("answers take %-5s %4d clients  %-11s %s  cpu %s\n", takes, clients, form, seen, seen.CPU.Round(time.Microsecond/10))
+	}
+	return nil
+}
+
+// runCluster plays each load against members that take a given time for a response.
+func (c *labLatencyCmd) runCluster(out *printer, takes time.Duration) error {
+	cluster, err := lab.StartCluster(c.Members, takes, func(s *pgserver.Server) { s.Lag = 0 })
+	if err != nil {
+		return err
+	}
+	defer cluster.Close()
+	for _, clients := range c.Clients {
+		for _, mode := range c.Modes {
+			result, err := c.runLoad(cluster, mode, clients)
+			if err != nil {
+				return fmt.Errorf("%s, %d clients: %w", mode, clients, err)
 			}
+			out.printf("answers take %-5s %4d clients  %-11s %s  cpu %s\n", takes, clients, mode, result, result.CPU.Round(time.Microsecond/10))
 		}
-		cluster.Close()
 	}
 	return nil
 }
 
-func (c *labFastCmd) one(cluster *lab.Cluster, form string, clients int) (lab.LoadResult, error) {
-	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.For, WarmUp: time.Second, Request: lab.StatementQuery}
-	p := lab.Pool{Mode: "transaction", PerMember: c.Links, MaxConnections: 1000}
-	switch form {
-	case "direct":
+// runLoad plays one load, directly or through a router of this process.
+func (c *labLatencyCmd) runLoad(cluster *lab.Cluster, mode string, clients int) (result lab.LoadResult, err error) {
+	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.For, WarmUp: latencyWarmUp, Request: lab.StatementQuery}
+	if mode == "direct" {
 		return load.Run()
-	case "platform":
-		p.Mode = "platform"
-	case "plain":
-		load.Request = lab.PlainQuery
-	case "transaction":
-		load.Request, load.ReadyCount = lab.TransactionQueries, 3
-	case "prepared":
-		load.Request = lab.PreparedQuery
-	default:
-		return lab.LoadResult{}, fmt.Errorf("no such form: %s", form)
+	}
+	pool := lab.Pool{Mode: "transaction", PerMember: c.Connections, MaxConnections: 1000}
+	if err := setMode(mode, &load, &pool); err != nil {
+		return lab.LoadResult{}, err
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return lab.LoadResult{}, err
 	}
 	load.Addr = listener.Addr().String()
-	text := cluster.Configuration(load.Addr, p)
-	if form == "plain" || form == "prepared" { // reads, that any member may answer
+	text := cluster.Configuration(load.Addr, pool)
+	if mode == "plain" || mode == "prepared" { // reads, that any member may serve
 		text = strings.Replace(text, `write = "write"`, `write = "look"`, 1)
 	}
 	conf, err := decodeTOML([]byte(text))
@@ -88,10 +98,24 @@
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- serve(conf, listener, signals) }()
-	seen, err := load.Run()
+	result, err = load.Run()
 	signals <- os.Interrupt
-	if e := <-ended; err == nil {
-		err = e
+	return result, errors.Join(err, <-ended)
+}
+
+// setMode has a load and the router's pool use a mode.
+func setMode(mode string, load *lab.Load, pool *lab.Pool) error {
+	switch mode {
+	case "platform":
+		pool.Mode = "platform"
+	case "plain":
+		load.Request = lab.PlainQuery
+	case "transaction":
+		load.Request, load.ReadyCount = lab.TransactionQueries, 3
+	case "prepared":
+		load.Request = lab.PreparedQuery
+	default:
+		return fmt.Errorf("no such form: %s", mode)
 	}
-	return seen, err
+	return nil
 }
--- a/cmd/wayloft/lab_leases.go
+++ b/cmd/wayloft/lab_leases.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"fmt"
+	"errors"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -13,57 +13,100 @@
 	"wayloft/internal/lab/fleet/simulation"
 )
 
-type labOwnersCmd struct {
-	Plays   int           `help:"How often each thing that takes an owner away is played." default:"10"`
-	Session time.Duration `help:"Length of a session." default:"2s"`
-	During  time.Duration `help:"Length of each look at cost and service." default:"8s"`
+type labLeasesCmd struct {
+	Plays   int           `help:"How often each event that takes a lease from its holder is played." default:"10"`
+	Session time.Duration `help:"Session timeout." default:"2s"`
+	During  time.Duration `help:"Length of each sample of cost and service." default:"8s"`
 }
 
-// Run prints what owners cost and save, all in one run.
-func (c *labOwnersCmd) Run() error {
+// sharedCheckPeriodMs is the time between two shared health checks of a member in the simulation.
+const sharedCheckPeriodMs = 250
+
+// Help gives an example.
+func (*labLeasesCmd) Help() string { return "Example: wayloft lab leases --plays 3 --during 4s" }
+
+// Run prints what leases cost and save, all in one run.
+func (c *labLeasesCmd) Run(out *printer) (err error) {
 	binary, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "wayloft-owners-")
+	dir, err := os.MkdirTemp("", "wayloft-leases-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	at := 0
-	next := func() string { at++; return filepath.Join(dir, strconv.Itoa(at)) }
-
-	fmt.Printf("ms without an owner, a session of %s, %d plays each: median, worst\n", c.Session, c.Plays)
-	if err := fleet.MeasureLeaseGaps(binary, next(), c.Plays, c.Session, func(name string, s *hdrhistogram.Histogram) {
-		fmt.Printf("  %-32s %6d %6d\n", name, s.ValueAtQuantile(50), s.Max())
-	}); err != nil {
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	runs := &labRuns{binary: binary, dir: dir}
+	if err := c.printGaps(out, runs); err != nil {
+		return err
+	}
+	if err := c.printCoordinatorCost(out, runs); err != nil {
 		return err
 	}
-	fmt.Println("council of three, by sessions: CPU s/s, bytes/s, beats/s, sessions lost")
-	for _, n := range []int{10, 100, 600} {
-		cost, err := fleet.MeasureCoordinatorCost(binary, next(), n, c.Session, c.During)
+	printHealthSharing(out)
+	return c.printService(out, runs)
+}
+
+// labRuns gives each fleet of a command a directory of its own.
+type labRuns struct {
+	binary string
+	dir    string
+	count  int
+}
+
+func (r *labRuns) nextDir() string {
+	r.count++
+	return filepath.Join(r.dir, strconv.Itoa(r.count))
+}
+
+func (c *labLeasesCmd) printGaps(out *printer, runs *labRuns) error {
+	out.printf("ms without a lease holder, a session timeout of %s, %d plays each: median, worst\n", c.Session, c.Plays)
+	return fleet.MeasureLeaseGaps(runs.binary, runs.nextDir(), c.Plays, c.Session, func(name string, gaps *hdrhistogram.Histogram) {
+		out.printf("  %-32s %6d %6d\n", name, gaps.ValueAtQuantile(50), gaps.Max())
+	})
+}
+
+func (c *labLeasesCmd) printCoordinatorCost(out *printer, runs *labRuns) error {
+	out.println("coordinator of three nodes, by sessions: CPU s/s, bytes/s, heartbeats/s, sessions lost")
+	for _, sessions := range []int{10, 100, 600} {
+		cost, err := fleet.MeasureCoordinatorCost(runs.binary, runs.nextDir(), sessions, c.Session, c.During)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("  %4d %8.3f %10.0f %8.1f %3d\n", n, cost.CPU, cost.Bytes, cost.Heartbeats, cost.LostSessions)
+		out.printf("  %4d %8.3f %10.0f %8.1f %3d\n", sessions, cost.CPU, cost.Bytes, cost.Heartbeats, cost.LostSessions)
 	}
-	fmt.Println("checks, stepped: routers, checks a txn without and with sight, p99 age of positions in ms without and with, reads at the primary in % without and with")
-	for _, n := range []int{8, 40, 600} {
-		without, with := simulation.RunHealthSharing(n, 0, 1), simulation.RunHealthSharing(n, 250, 1)
-		fmt.Printf("  %4d %8.3f %8.3f %8.0f %8.0f %6.1f %6.1f\n", n, without.ChecksPerRequest, with.ChecksPerRequest, without.PositionAgeMs, with.PositionAgeMs, 100*without.PrimaryShare, 100*with.PrimaryShare)
+	return nil
+}
+
+func printHealthSharing(out *printer) {
+	out.println("health checks, simulated: routers, checks a request without and with health sharing, p99 age of positions in ms without and with, " +
+		"reads at the primary in % without and with")
+	for _, routers := range []int{8, 40, 600} {
+		without := simulation.RunHealthSharing(routers, 0, 1)
+		with := simulation.RunHealthSharing(routers, sharedCheckPeriodMs, 1)
+		out.printf("  %4d %8.3f %8.3f %8.0f %8.0f %6.1f %6.1f\n", routers, without.ChecksPerRequest, with.ChecksPerRequest,
+			without.PositionAgeMs, with.PositionAgeMs, 100*without.PrimaryShare, 100*with.PrimaryShare)
 	}
-	fmt.Println("service of three routers, twelve writers: writes/s, declined/s, p50 ms, p99 ms")
+}
+
+func (c *labLeasesCmd) printService(out *printer, runs *labRuns) error {
+	out.println("service of three routers, twelve writers: writes/s, rejected/s, p50 ms, p99 ms")
 	for range 2 {
-		for _, s := range []struct {
-			name  string
-			alone bool
-			do    func(*fleet.Fleet, <-chan struct{})
-		}{{"no fleet", true, nil}, {"council there", false, nil}, {"council killed", false, fleet.KillCoordinators}, {"council flaps", false, fleet.PauseCoordinators}} {
-			got, err := fleet.Serve(binary, next(), s.alone, c.During, s.do)
+		for _, event := range []struct {
+			name       string
+			standalone bool
+			do         func(*fleet.Fleet, <-chan struct{})
+		}{
+			{"no coordinator", true, nil},
+			{"coordinator up", false, nil},
+			{"coordinator killed", false, fleet.KillCoordinators},
+			{"coordinator pauses", false, fleet.PauseCoordinators},
+		} {
+			got, err := fleet.Serve(runs.binary, runs.nextDir(), event.standalone, c.During, event.do)
 			if err != nil {
 				return err
 			}
-			fmt.Printf("  %-16s %8.0f %6.1f %6.2f %6.2f\n", s.name, got.Rate, got.Declined, got.P50, got.P99)
+			out.printf("  %-18s %8.0f %6.1f %6.2f %6.2f\n", event.name, got.Rate, got.Declined, got.P50, got.P99)
 		}
 	}
 	return nil
--- a/cmd/wayloft/lab_scale.go
+++ b/cmd/wayloft/lab_scale.go
@@ -15,33 +15,75 @@
 	"wayloft/internal/lab/scale"
 )
 
-type labSizeCmd struct {
-	Routers int           `help:"Hollow routers." default:"60"`
-	Real    int           `help:"Real routers among them." default:"3"`
-	Members int           `help:"Hollow databases." default:"100"`
-	Group   int           `help:"Databases of one group." default:"5"`
-	Owners  int           `help:"Owners of sight, one group each; 0: none." default:"1"`
-	Sight   time.Duration `help:"Between two looks of an owner at a database." default:"250ms"`
-	Session time.Duration `help:"Length of a router's session with the council." default:"2s"`
-	Pace    time.Duration `help:"Between the starts of two routers; 0: by how much each asks of the council." default:"0s"`
-	For     time.Duration `help:"Length of each look." default:"10s"`
-	Sweep   bool          `help:"One size after the other, up to --routers, and a line through each figure." xor:"what"`
-	Sizes   []int         `help:"Hollow routers of each size of the sweep." placeholder:"N,..."`
-	Paired  bool          `help:"What hollow routers cost the council beside as many real ones." xor:"what"`
-	Plays   int           `help:"Of each kind, with --paired." default:"3"`
-	Event   string        `help:"Have one happen, and tell when it was known everywhere: restart-zone, cut-regions, change, primary." xor:"what"`
-	JSON    bool          `help:"As JSON."`
-	Dir     string        `help:"Folder for settings, logs and what the council stores; a temporary one if not given." type:"path"`
+type labScaleCmd struct {
+	Routers             int           `help:"Hollow routers." default:"60"`
+	RealRouters         int           `name:"real" help:"Real routers among them." default:"3"`
+	Members             int           `help:"Hollow databases." default:"100"`
+	GroupSize           int           `name:"group" help:"Databases of one group." default:"5"`
+	Holders             int           `name:"owners" aliases:"holders" help:"Holders of health sharing leases, one group each; 0: none." default:"1"`
+	HealthShareInterval time.Duration `name:"sight" aliases:"health-share-interval" help:"Between two shared health checks of a database." default:"250ms"`
+	Session             time.Duration `help:"Timeout of a router's session with the coordinator." default:"2s"`
+	StartInterval       time.Duration `name:"pace" help:"Between the starts of two routers; 0: by how much each asks of the coordinator." default:"0s"`
+	For                 time.Duration `help:"Length of each sample." default:"10s"`
+	Sweep               bool          `help:"One size after the other, up to --routers, and a line through each figure." xor:"what"`
+	Sizes               []int         `help:"Hollow routers of each size of the sweep." placeholder:"N,..."`
+	Paired              bool          `help:"What hollow routers cost the coordinator beside as many real ones." xor:"what"`
+	Plays               int           `help:"Of each kind, with --paired." default:"3"`
+	Event               string        `help:"Have one happen, and tell when it was known everywhere: restart-zone, cut-regions, change, primary." xor:"what"`
+	JSON                bool          `help:"As JSON."`
+	Dir                 string        `help:"Directory for settings, logs and what the coordinator stores; a temporary one if not given." type:"path"`
 }
 
-func (c *labSizeCmd) options() (o scale.Options, err error) {
-	o = scale.Options{Dir: c.Dir, Routers: c.Routers, RealRouters: c.Real, Members: c.Members, GroupSize: c.Group, Holders: c.Owners, HealthShareInterval: c.Sight, SampleDuration: c.For,
-		SessionTimeout: c.Session, StartInterval: c.Pace, Progress: func(text string) { logrus.Info(text) }}
+// maxPlays limits --plays.
+const maxPlays = 100
+
+var errSizesWithoutSweep = errors.New("--sizes: goes with --sweep")
+
+// Help gives an example.
+func (*labScaleCmd) Help() string { return "Example: wayloft lab scale --routers 60 --sweep" }
+
+func (c *labScaleCmd) Run(out *printer) (err error) {
+	o, err := c.options()
+	if err != nil {
+		return err
+	}
+	if o.Dir == "" {
+		if o.Dir, err = os.MkdirTemp("", "wayloft-scale-"); err != nil {
+			return err
+		}
+		defer func() { err = errors.Join(err, os.RemoveAll(o.Dir)) }()
+	}
+	o.Stop = closedBySignal()
+	switch {
+	case c.Sweep:
+		return c.sweep(out, o)
+	case c.Paired:
+		return c.pair(out, o)
+	case c.Event != "":
+		return c.runEvent(out, o)
+	}
+	return c.measure(out, o)
+}
+
+func (c *labScaleCmd) options() (o scale.Options, err error) {
 	switch {
 	case len(c.Sizes) > 0 && !c.Sweep:
-		return o, errors.New("--sizes: goes with --sweep")
-	case c.Plays < 1 || c.Plays > 100:
-		return o, fmt.Errorf("--plays: from 1 to 100, not %d", c.Plays)
+		return o, errSizesWithoutSweep
+	case c.Plays < 1 || c.Plays > maxPlays:
+		return o, fmt.Errorf("--plays: from 1 to %d, not %d", maxPlays, c.Plays)
+	}
+	o = scale.Options{
+		Dir:                 c.Dir,
+		Routers:             c.Routers,
+		RealRouters:         c.RealRouters,
+		Members:             c.Members,
+		GroupSize:           c.GroupSize,
+		Holders:             c.Holders,
+		HealthShareInterval: c.HealthShareInterval,
+		SampleDuration:      c.For,
+		SessionTimeout:      c.Session,
+		StartInterval:       c.StartInterval,
+		Progress:            func(text string) { logrus.Info(text) },
 	}
 	if c.Paired {
 		o.RealRouters = 0
@@ -53,17 +95,8 @@
 	return o, err
 }
 
-func (c *labSizeCmd) Run() error {
-	o, err := c.options()
-	if err != nil {
-		return err
-	}
-	if o.Dir == "" {
-		if o.Dir, err = os.MkdirTemp("", "wayloft-size-"); err != nil {
-			return err
-		}
-		defer os.RemoveAll(o.Dir)
-	}
+// closedBySignal gives a channel that is closed when the process is told to end.
+func closedBySignal() <-chan struct{} {
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -71,55 +104,63 @@
 		<-signals
 		close(stop)
 	}()
-	o.Stop = stop
-	switch {
-	case c.Sweep:
-		sizes := c.Sizes
-		if len(sizes) == 0 {
-			sizes = scale.SweepSizes(c.Routers)
-		}
-		s, err := scale.Sweep(o, sizes, func(r *scale.Report) {
-			if !c.JSON {
-				c.print(r)
-			}
-		})
-		if s == nil {
-			return err
-		}
-		return errors.Join(c.write(s, func(w io.Writer) { scale.PrintSlopes(w, s.Slopes) }), err) // what ran is told, whatever became of the rest
-	case c.Paired:
-		p, err := scale.MeasurePair(o, c.Plays)
-		if err != nil {
-			return err
-		}
-		return c.write(p, p.Print)
-	case c.Event != "":
-		h, err := scale.RunEvent(c.Event, o)
-		if err != nil {
-			return err
+	return stop
+}
+
+func (c *labScaleCmd) sweep(out *printer, o scale.Options) error {
+	sizes := c.Sizes
+	if len(sizes) == 0 {
+		sizes = scale.SweepSizes(c.Routers)
+	}
+	result, err := scale.Sweep(o, sizes, func(r *scale.Report) {
+		if !c.JSON {
+			printScaleReport(out, r)
 		}
-		return c.write(h, h.Print)
+	})
+	if result == nil {
+		return err
 	}
-	r, err := scale.Measure(o)
+	// What was measured is printed, whatever became of the rest.
+	return errors.Join(c.print(out, result, func(w io.Writer) { scale.PrintSlopes(w, result.Slopes) }), err)
+}
+
+func (c *labScaleCmd) pair(out *printer, o scale.Options) error {
+	result, err := scale.MeasurePair(o, c.Plays)
+	if err != nil {
+		return err
+	}
+	return c.print(out, result, result.Print)
+}
+
+func (c *labScaleCmd) runEvent(out *printer, o scale.Options) error {
+	result, err := scale.RunEvent(c.Event, o)
+	if err != nil {
+		return err
+	}
+	return c.print(out, result, result.Print)
+}
+
+func (c *labScaleCmd) measure(out *printer, o scale.Options) error {
+	report, err := scale.Measure(o)
 	if err != nil {
 		return err
 	}
-	return c.write(r, func(io.Writer) { c.print(r) })
+	return c.print(out, report, func(io.Writer) { printScaleReport(out, report) })
 }
 
-// write prints what was measured, as the flag says.
-func (c *labSizeCmd) write(v any, table func(io.Writer)) error {
+// print gives a result as JSON or as a table, as the flag says.
+func (c *labScaleCmd) print(out *printer, result any, table func(io.Writer)) error {
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(v)
+		return json.NewEncoder(out.out).Encode(result)
 	}
-	table(os.Stdout)
+	table(out.out)
 	return nil
 }
 
-func (c *labSizeCmd) print(r *scale.Report) {
-	fmt.Printf("%d hollow and %d real routers, %d databases in %d groups; settled after %.1f s, looked at for %.1f s, %d looks spoilt\n", r.Routers, r.RealRouters, r.Members,
-		r.Groups, r.StartS, r.Seconds, r.DiscardedSamples)
-	scale.PrintRows(os.Stdout, r.Rows)
+func printScaleReport(out *printer, r *scale.Report) {
+	out.printf("%d hollow and %d real routers, %d databases in %d groups; settled after %.1f s, sampled for %.1f s, %d samples discarded\n",
+		r.Routers, r.RealRouters, r.Members, r.Groups, r.StartS, r.Seconds, r.DiscardedSamples)
+	scale.PrintRows(out.out, r.Rows)
 }
 
 type labHollowCmd struct{}
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -19,6 +19,9 @@
 
 type checkCmd struct{ where }
 
+// Help gives an example.
+func (*checkCmd) Help() string { return "Example: wayloft check --config wayloft.toml" }
+
 func (c *checkCmd) Run(out *printer) error {
 	conf, err := load(c.Config)
 	if err != nil {
@@ -31,6 +34,9 @@
 
 type versionCmd struct{}
 
+// Help gives an example.
+func (versionCmd) Help() string { return "Example: wayloft version" }
+
 func (versionCmd) Run(out *printer) error {
 	version, commit := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -42,7 +48,7 @@
 		}
 	}
 	out.printf("wayloft %s%s\n", version, commit)
-	return nil
+	return out.err
 }
 
 var cli struct {
@@ -77,3 +83,6 @@
 		os.Exit(status)
 	}
 }
+
+// Help gives an example.
+func (*serveCmd) Help() string { return "Example: wayloft serve --config wayloft.toml" }
--- a/cmd/wayloft/printer.go
+++ b/cmd/wayloft/printer.go
@@ -26,10 +26,10 @@
 }
 
 // table prints rows whose cells are separated by tabs, in aligned columns.
-func (p *printer) table(print func(rows *printer)) {
+func (p *printer) table(printRows func(rows *printer)) {
 	columns := tabwriter.NewWriter(p.out, 0, 4, 2, ' ', 0)
 	rows := &printer{out: columns}
-	print(rows)
+	printRows(rows)
 	if err := columns.Flush(); err != nil && p.err == nil {
 		p.err = err
 	}
