--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -16,18 +16,18 @@
 	now, offset float64
 }
 
-// hear has a member answer after a round trip, with a position that is this old.
-func (w *world) hear(member string, primary bool, roundTrip, age float64) {
+// receive has a member answer after a round trip, with a position that is this old.
+func (w *world) receive(member string, primary bool, roundTrip, age float64) {
 	w.now += roundTrip
 	w.Add(Sample{Member: member, Primary: primary, Position: w.now - roundTrip/2 + w.offset - age, Sent: w.now - roundTrip,
 		Received: w.now})
 }
 
-// hearEvery has several primaries answer in turn, a second apart.
-func (w *world) hearEvery(primaries, rounds int) {
+// receiveFromEach has several primaries answer in turn, a second apart.
+func (w *world) receiveFromEach(primaries, rounds int) {
 	for range rounds {
 		for n := range primaries {
-			w.hear(fmt.Sprint("p", n), true, 2, 0)
+			w.receive(fmt.Sprint("p", n), true, 2, 0)
 		}
 		w.now += 1000
 	}
@@ -43,17 +43,17 @@
 		for _, primaries := range []int{1, 2, 3, 7, 200} {
 			w := &world{now: start, offset: offset}
 			if w.Settled(w.now) {
-				t.Fatal("settled before anything was heard")
+				t.Fatal("settled without a sample")
 			}
-			w.hearEvery(primaries, 3)
+			w.receiveFromEach(primaries, 3)
 			if !w.Settled(w.now) || w.Offset() < offset-0.001 || w.Offset() > offset+3 {
 				t.Errorf("offset %.0f, %d primaries: got %.3f, settled %v", offset, primaries, w.Offset(), w.Settled(w.now))
 			}
 			if offset == 0 && w.Offset() != 0 {
 				t.Errorf("it moved to %v where the clock was right", w.Offset())
 			}
-			if len(w.witnesses) > mostWitnesses {
-				t.Errorf("%d members are kept", len(w.witnesses))
+			if len(w.members) > maxMembers {
+				t.Errorf("%d members are kept", len(w.members))
 			}
 		}
 	}
@@ -64,9 +64,9 @@
 func TestEstimate_NeverFallsOnceConfirmed(t *testing.T) {
 	for _, before := range []int{0, 1} {
 		w := &world{now: start}
-		w.hearEvery(before, 1)
+		w.receiveFromEach(before, 1)
 		w.offset = -3 * second
-		w.hearEvery(1, 300)
+		w.receiveFromEach(1, 300)
 		if !w.Settled(w.now) || w.Offset() != 0 {
 			t.Errorf("settled %v, it fell to %.0f", w.Settled(w.now), w.Offset())
 		}
@@ -76,11 +76,11 @@
 // What took longer than the tolerance confirms nothing: a transaction of an hour would fit any clock.
 func TestEstimate_LongAnswersConfirmNothing(t *testing.T) {
 	w := &world{now: start, offset: -hour}
-	w.hear("p0", true, 3*hour, 0)
+	w.receive("p0", true, 3*hour, 0)
 	if w.Settled(w.now) {
 		t.Error("settled")
 	}
-	if w.hearEvery(1, 3); math.Abs(w.Offset()+hour) > 3 {
+	if w.receiveFromEach(1, 3); math.Abs(w.Offset()+hour) > 3 {
 		t.Errorf("got %.0f", w.Offset())
 	}
 }
@@ -88,12 +88,12 @@
 // What only replicas have confirmed, by time that passed, falls.
 func TestEstimate_FallsWhereOnlyReplicasConfirmed(t *testing.T) {
 	w := &world{now: start, offset: -hour}
-	w.hear("r", false, 2, 0)
-	w.now += grace
+	w.receive("r", false, 2, 0)
+	w.now += replicaConfirmDelayMs
 	if !w.Settled(w.now) {
 		t.Fatal("replicas alone don't settle it")
 	}
-	if w.hearEvery(1, 3); math.Abs(w.Offset()+hour) > 3 {
+	if w.receiveFromEach(1, 3); math.Abs(w.Offset()+hour) > 3 {
 		t.Errorf("got %.0f", w.Offset())
 	}
 }
@@ -103,10 +103,10 @@
 	for _, wrong := range []float64{hour, -hour, 0.6 * second, -20 * second, 8e12} {
 		for _, offset := range []float64{0, hour, -hour} {
 			once := &world{now: start, offset: offset}
-			once.hearEvery(1, 3)
+			once.receiveFromEach(1, 3)
 			before := once.Offset()
-			once.hear("p0", true, 2, -wrong)
-			once.hearEvery(1, 1)
+			once.receive("p0", true, 2, -wrong)
+			once.receiveFromEach(1, 1)
 			if once.Offset() != before {
 				t.Errorf("one value off by %.0f moved it from %.0f to %.0f", wrong, before, once.Offset())
 			}
@@ -115,8 +115,8 @@
 			}
 			always := &world{now: start, offset: offset}
 			for range 200 {
-				always.hear("spoilt", true, 2, -wrong)
-				always.hearEvery(2, 1)
+				always.receive("wrong", true, 2, -wrong)
+				always.receiveFromEach(2, 1)
 				if always.Offset() != 0 && math.Abs(always.Offset()-offset) > 3 {
 					t.Fatalf("offset %.0f, a member off by %.0f: got %.0f", offset, wrong, always.Offset())
 				}
@@ -128,16 +128,16 @@
 	}
 }
 
-// A primary that is cut off tells the same position all the time.
+// A primary that is cut off reports the same position all the time.
 func TestEstimate_IgnoresAPositionThatStandsStill(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		w := &world{now: start}
 		if settled {
-			w.hearEvery(1, 1)
+			w.receiveFromEach(1, 1)
 		}
 		for age := 60 * second; age < 600*second; age += second {
 			w.now += second - 2
-			w.hear("p0", true, 2, age)
+			w.receive("p0", true, 2, age)
 		}
 		if w.Offset() != 0 {
 			t.Errorf("settled %v: it went to %.0f", settled, w.Offset())
@@ -145,28 +145,28 @@
 	}
 }
 
-// Until a primary was heard, replicas alone confirm the clock after a while, unless they show that it is behind.
+// Until a primary has responded, replicas alone confirm the clock after a while, unless they show that it is behind.
 func TestEstimate_ReplicasAlone(t *testing.T) {
 	for _, c := range []struct {
 		offset, lag float64
 		want        bool
 	}{{0, 50, true}, {0, 30 * second, true}, {hour, 50, false}, {0.6 * second, 50, false}} {
 		w := &world{now: start, offset: c.offset}
-		w.hear("r1", false, 2, c.lag)
-		w.hear("r2", false, 2, c.lag+100)
+		w.receive("r1", false, 2, c.lag)
+		w.receive("r2", false, 2, c.lag+100)
 		if w.Settled(w.now) {
 			t.Errorf("%v: settled at once", c)
 		}
-		if w.now += grace; w.Settled(w.now) != c.want || w.Offset() != 0 {
+		if w.now += replicaConfirmDelayMs; w.Settled(w.now) != c.want || w.Offset() != 0 {
 			t.Errorf("%v: settled %v, offset %.0f", c, w.Settled(w.now), w.Offset())
 		}
-		if w.hearEvery(1, 2); !w.Settled(w.now) || math.Abs(w.Offset()-c.offset) > 3 {
+		if w.receiveFromEach(1, 2); !w.Settled(w.now) || math.Abs(w.Offset()-c.offset) > 3 {
 			t.Errorf("%v: with a primary: settled %v, offset %.0f", c, w.Settled(w.now), w.Offset())
 		}
 	}
 }
 
-// What can't be a Unix time in ms tells nothing.
+// What can't be a Unix time in ms is ignored.
 func TestEstimate_IgnoresWhatIsNoClock(t *testing.T) {
 	var e Estimate
 	for _, position := range []float64{0, 1, 17, -5, 1e18, math.Inf(1), math.NaN()} {
@@ -174,8 +174,8 @@
 			e.Add(Sample{"a", true, position, start, start + 1})
 		}
 	}
-	if e.Offset() != 0 || e.Settled(start+hour) || len(e.witnesses) > 0 {
-		t.Errorf("offset %v, %d witnesses", e.Offset(), len(e.witnesses))
+	if e.Offset() != 0 || e.Settled(start+hour) || len(e.members) > 0 {
+		t.Errorf("offset %v, %d witnesses", e.Offset(), len(e.members))
 	}
 }
 
@@ -193,16 +193,16 @@
 				age = draw.Next() * 5 * second
 			}
 			if draw.Next() < 0.3 {
-				w.hear("r", false, 1+draw.Next()*20, draw.Next()*30*second)
+				w.receive("r", false, 1+draw.Next()*20, draw.Next()*30*second)
 			} else {
-				w.hear(fmt.Sprint("p", int(draw.Next()*float64(primaries))), true, 1+draw.Next()*20, age)
+				w.receive(fmt.Sprint("p", int(draw.Next()*float64(primaries))), true, 1+draw.Next()*20, age)
 			}
 			w.now += draw.Next() * 200
 			if w.offset == 0 && w.Offset() != 0 {
 				t.Fatalf("seed %d: a right clock was corrected by %.1f", seed, w.Offset())
 			}
 		}
-		if low := w.offset - w.Offset(); !w.Settled(w.now) || low > RiseTolerance+21 {
+		if low := w.offset - w.Offset(); !w.Settled(w.now) || low > RiseToleranceMs+21 {
 			t.Errorf("seed %d, offset %.0f: settled %v, too low by %.1f", seed, w.offset, w.Settled(w.now), low)
 		}
 	}
@@ -212,11 +212,11 @@
 
 func TestEstimate_Forgets(t *testing.T) {
 	w := &world{now: start}
-	w.hearEvery(3, 2)
-	if w.Forget("p1"); len(w.witnesses) != 2 {
-		t.Errorf("%d are kept", len(w.witnesses))
+	w.receiveFromEach(3, 2)
+	if w.Forget("p1"); len(w.members) != 2 {
+		t.Errorf("%d are kept", len(w.members))
 	}
-	w.now += witnessLifetime
+	w.now += sampleLifetimeMs
 	if got := len(w.primaries(w.now)); got != 0 {
 		t.Errorf("%d that were silent for long have a vote", got)
 	}
--- a/internal/decide/policy/fields.go
+++ b/internal/decide/policy/fields.go
@@ -31,7 +31,7 @@
 
 // Reasons that several rules have.
 const (
-	reasonWeighedAtOneRouter = "it weighs one router's own txns against each other; each txn is weighed at one router"
+	reasonWeighedAtOneRouter = "it weighs one router's own requests against each other; each request is weighed at one router"
 	reasonDoneTwice          = "a repeat by way of another router would be done twice"
 )
 
@@ -46,15 +46,15 @@
 var fieldRules = []fieldRule{
 	{"", "over_share_value", ClassLenient, reasonWeighedAtOneRouter, validateShare},
 	{"txn_types", "value", ClassLenient, reasonWeighedAtOneRouter, validateAmount},
-	{"txn_types", "late_value", ClassLenient, "it weighs one router's own late txns; each txn is weighed at one router", validateAmount},
+	{"txn_types", "late_value", ClassLenient, "it weighs one router's own late requests; each request is weighed at one router", validateAmount},
 	{"tenants", "rate", ClassLenient, "each router counts its own part of a share: for as long as the versions overlap, the sum is between both", validateAmount},
 
-	{"txn_types", "effect", ClassStrict, "it says whether a txn may be sent twice: one router would repeat what another must not", nil},
+	{"txn_types", "effect", ClassStrict, "it says whether a request may be sent twice: one router would repeat what another must not", nil},
 	{"txn_types", "level", ClassStrict, "it says which members may serve a read: one router would read from where another must not", nil},
 	{"txn_types", "bound", ClassStrict, "it says how old a read may be: a session that changes routers would see time go back", nil},
 	{"txn_types", "window", ClassStrict, "it says for how long a mark of what was done is looked for: " + reasonDoneTwice, nil},
-	{"txn_types", "expiry", ClassStrict, "it says for how long a txn may be under way: another router's window may be shorter than that", nil},
-	{"txn_types", "scope", ClassStrict, "it says among which txns a mark is looked for: " + reasonDoneTwice, nil},
+	{"txn_types", "expiry", ClassStrict, "it says for how long a request may be under way: another router's window may be shorter than that", nil},
+	{"txn_types", "scope", ClassStrict, "it says among which requests a mark is looked for: " + reasonDoneTwice, nil},
 }
 
 // fieldNotKnown is the reason of fields without a rule.
