--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"net"
+	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -420,6 +421,17 @@
 	}
 }
 
+// awaitPeerClosed holds the loop until a member has closed a connection.
+func awaitPeerClosed(t *testing.T, c *memberConn) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !c.conn.PeerClosed(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Error("the member has not closed the connection")
+			return
+		}
+	}
+}
+
 // A connection whose end has come, though the loop has not handled it yet, is not used: its query would be answered by a reset.
 func TestSendAttempt_ClosedConnectionIsNotUsed(t *testing.T) {
 	driver, backend := start(t, 10)
@@ -431,7 +443,9 @@
 	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 	for n := range 20 {
 		driver.runOnLoop(func() {
-			time.Sleep(5 * time.Millisecond) // the end comes while the loop is busy
+			for _, c := range backend.conns { // the end comes while the loop is busy
+				awaitPeerClosed(t, c)
+			}
 			backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1))
 		})
 		if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
