--- a/cmd/wayloft/lab.go
+++ b/cmd/wayloft/lab.go
@@ -8,6 +8,7 @@
 	"syscall"
 
 	"wayloft/internal/lab"
+	"wayloft/internal/server"
 )
 
 type labCmd struct {
@@ -41,12 +42,12 @@
 		return err
 	}
 	addr := listener.Addr().String()
-	conf, err := decodeTOML([]byte(cluster.Configuration(addr, lab.Pool{Mode: "transaction"})))
+	conf, err := server.DecodeTOML([]byte(cluster.Configuration(addr, lab.Pool{Mode: "transaction"})))
 	if err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	fmt.Println("router " + addr)
-	return serve(conf, listener, signals)
+	return server.Run(conf, listener, signals)
 }
--- a/cmd/wayloft/lab_latency.go
+++ b/cmd/wayloft/lab_latency.go
@@ -12,6 +12,7 @@
 
 	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
+	"wayloft/internal/server"
 )
 
 type labFastCmd struct {
@@ -82,12 +83,12 @@
 	if form == "plain" || form == "prepared" { // reads, that any member may answer
 		text = strings.Replace(text, `write = "write"`, `write = "look"`, 1)
 	}
-	conf, err := decodeTOML([]byte(text))
+	conf, err := server.DecodeTOML([]byte(text))
 	if err != nil {
 		return lab.LoadResult{}, err
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- serve(conf, listener, signals) }()
+	go func() { ended <- server.Run(conf, listener, signals) }()
 	seen, err := load.Run()
 	signals <- os.Interrupt
 	if e := <-ended; err == nil {
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -12,21 +12,24 @@
 
 	"github.com/alecthomas/kong"
 	"github.com/sirupsen/logrus"
+
+	"wayloft/internal/server"
 )
 
-type where struct {
+// configFlag is the flag of the commands that read a router's configuration.
+type configFlag struct {
 	Config string `help:"Configuration file." env:"PROXY_CONFIG" required:"" type:"path" placeholder:"FILE"`
 }
 
-type checkCmd struct{ where }
+type checkCmd struct{ configFlag }
 
 func (c *checkCmd) Run() error {
-	conf, err := load(c.Config)
+	conf, err := server.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: ok: %s listens on %s, %d members known, %d request classes\n", c.Config, conf.name, conf.listen,
-		len(conf.known.Entries), len(conf.set.RequestClasses))
+	fmt.Printf("%s: ok: %s listens on %s, %d members known, %d request classes\n", c.Config, conf.Name, conf.Listen,
+		len(conf.Members.Entries), len(conf.Router.RequestClasses))
 	return nil
 }
 
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -18,6 +18,7 @@
 	"wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/rpc"
+	"wayloft/internal/server"
 	"wayloft/internal/settings"
 )
 
@@ -91,12 +92,12 @@
 		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
 	if c.Config != "" {
-		conf, err := load(c.Config)
+		conf, err := server.Load(c.Config)
 		if err != nil {
 			return err
 		}
-		if _, err := settings.Overlay(conf.set, d); err != nil {
-			return fmt.Errorf("%s can't take it:\n%w", conf.name, err)
+		if _, err := settings.Overlay(conf.Router, d); err != nil {
+			return fmt.Errorf("%s can't take it:\n%w", conf.Name, err)
 		}
 	}
 	fmt.Printf("%s: ok: %d fields, all of which may change while routers run\n", c.File, len(d))
--- a/cmd/wayloft/recorded_test.go
+++ b/cmd/wayloft/recorded_test.go
@@ -12,6 +12,7 @@
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/fakes/recording"
 	"wayloft/internal/fleetpb"
+	"wayloft/internal/server"
 	"wayloft/internal/settings"
 )
 
@@ -79,9 +80,9 @@
 		name string
 		run  func() error
 	}{
-		{"check deploy/wayloft.toml", (&checkCmd{where{Config: "../../deploy/wayloft.toml"}}).Run},
-		{"check deploy/fleet.toml", (&checkCmd{where{Config: "../../deploy/fleet.toml"}}).Run},
-		{"check of a file that is not there", (&checkCmd{where{Config: "no-such-file.toml"}}).Run},
+		{"check deploy/wayloft.toml", (&checkCmd{configFlag{Config: "../../deploy/wayloft.toml"}}).Run},
+		{"check deploy/fleet.toml", (&checkCmd{configFlag{Config: "../../deploy/fleet.toml"}}).Run},
+		{"check of a file that is not there", (&checkCmd{configFlag{Config: "no-such-file.toml"}}).Run},
 		{"policy check", (&policyCheckCmd{policyFile: policyFile{File: "../../internal/settings/testdata/keys/policy.toml"}}).Run},
 	} {
 		say(c.name, c.run)
@@ -136,7 +137,7 @@
 			_, err = settings.ReadPolicy(text)
 		}
 	default:
-		_, err = load(path)
+		_, err = server.Load(path)
 	}
 	return structField.ReplaceAllString(fmt.Sprint(err), "a field")
 }
--- a/cmd/wayloft/clock_test.go
+++ b/internal/server/clock_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"fmt"
@@ -56,13 +56,13 @@
 		`"profiles":[`, `"profiles":[`, `"idempotency":"fragile"}]`, `"idempotency":"fragile"},
 {"name":"own","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"},
 {"name":"old","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"}]`).Replace(configuration)
-	conf, err := load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
+	conf, err := Load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	conf.wall = func() time.Time { return time.Now().Add(ahead) }
 	term, ended := make(chan os.Signal, 2), make(chan error, 1)
-	go func() { ended <- serve(conf, l, term) }()
+	go func() { ended <- Run(conf, l, term) }()
 	t.Cleanup(func() { term <- os.Interrupt; <-ended })
 	return l.Addr().String()
 }
--- a/cmd/wayloft/config.go
+++ b/internal/server/config.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"errors"
@@ -16,27 +16,30 @@
 	"wayloft/router"
 )
 
-// config is all that a router is told at its start.
-type config struct {
-	path                    string
-	name, listen, discovery string
-	seed                    uint64
-	memory                  int // bytes
-	sockets                 int
-	known                   *discovery.List
-	set                     *router.Settings
-	host                    *settings.Runtime
-	sessions, links         int // most of each
-	perMember               int // connections; 0: any number
-	pools                   []settings.PoolSettings
-	user, database          string            // of checks and of the platform's form
-	fleet                   *settings.Fleet   // its part in a fleet; nil: none
-	texts                   map[string]string // what only a restart puts in force, as it is in the file
-	wall                    func() time.Time  // the machine's wall clock; nil: time.Now
+// Config is the configuration of a router.
+type Config struct {
+	path      string // empty: it was not read from a file
+	Name      string
+	Listen    string // address for clients
+	Discovery string // address; empty: the members are those of the configuration
+	seed      uint64
+	memory    int // bytes
+	sockets   int
+	Members   *discovery.List
+	Router    *router.Settings
+	host      *settings.Runtime
+
+	sessions, links int                     // most of each
+	perMember       int                     // connections; 0: any number
+	pools           []settings.PoolSettings // of clients; nil: they speak the platform's form
+	user, database  string                  // of checks and of the platform's form
+	fleet           *settings.Fleet         // its part in a fleet; nil: none
+	texts           map[string]string       // what only a restart puts in force, as it is in the file
+	wall            func() time.Time        // the machine's wall clock; nil: time.Now
 }
 
 // wallNow reads the wall clock.
-func (c *config) wallNow() time.Time {
+func (c *Config) wallNow() time.Time {
 	if c.wall == nil {
 		return time.Now()
 	}
@@ -46,7 +49,7 @@
 const leastSockets = 2 * ownSockets // below it there is hardly room for sessions and members
 
 // load reads the configuration; its error names the field at fault.
-func load(path string) (*config, error) {
+func Load(path string) (*Config, error) {
 	if strings.HasSuffix(path, ".toml") {
 		return loadTOML(path)
 	}
@@ -67,7 +70,7 @@
 }
 
 // differs names what is not the same in another configuration and takes a restart.
-func (c *config) differs(other *config) []string {
+func (c *Config) differs(other *Config) []string {
 	var names []string
 	for _, name := range restarts {
 		if c.texts[name] != other.texts[name] {
@@ -79,8 +82,8 @@
 
 var restarts = []string{"name", "listen", "limits", "settings"}
 
-func checkAddresses(c *config, discovery bool) error {
-	for _, addr := range []struct{ key, value string }{{"listen", c.listen}, {"discovery", c.discovery}} {
+func checkAddresses(c *Config, discovery bool) error {
+	for _, addr := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(addr.value); err != nil && (discovery || addr.key == "listen") {
 			return fmt.Errorf("%s: %w", addr.key, err)
 		}
@@ -88,12 +91,12 @@
 	return nil
 }
 
-func decode(v *fastjson.Value) (*config, error) {
+func decode(v *fastjson.Value) (*Config, error) {
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("must be an object")
 	}
 	f := &settings.Fields{Value: v}
-	c := &config{name: f.Text("name"), listen: f.Text("listen"), discovery: f.Text("discovery")}
+	c := &Config{Name: f.Text("name"), Listen: f.Text("listen"), Discovery: f.Text("discovery")}
 	seed := f.Text("seed")
 	f.Object("limits", func(l *settings.Fields) {
 		c.memory, c.sockets = int(l.Number("memory_mb")*(1<<20)), int(l.Number("sockets"))
@@ -117,14 +120,14 @@
 	if c.seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: must be 64 bits in hexadecimal, not %q", seed)
 	}
-	if c.known, err = discovery.DecodeList(v.Get("known")); err != nil {
+	if c.Members, err = discovery.DecodeList(v.Get("known")); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	facts := v.Get("settings")
 	if facts == nil || facts.Type() != fastjson.TypeObject {
 		return nil, errors.New("settings: must be an object")
 	}
-	if c.set, c.host, err = settings.Decode(facts); err != nil {
+	if c.Router, c.host, err = settings.Decode(facts); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if c.host.DialTimeoutMs <= 0 || c.host.ServerIdleTimeoutMs <= 0 {
--- a/cmd/wayloft/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package main
+package server
 
 import (
 	"bytes"
@@ -329,7 +329,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wayloft")
-	if out, err := exec.Command("go", "build", "-tags", "debug", "-o", program, ".").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "debug", "-o", program, "wayloft/cmd/wayloft").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	c := exec.Command("sh", "-c", "ulimit -n 128; exec "+program+" serve --config "+write(t, filepath.Join(dir, "config.json"), config))
@@ -427,7 +427,7 @@
 		t.Fatal(err)
 	}
 	text := strings.Replace(configuration, `"members":[]`, fmt.Sprintf(`"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]`, member(t).Addr), 1)
-	conf, err := load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
+	conf, err := Load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -435,7 +435,7 @@
 	c.Send(string(pg.AppendStartup(nil, "api", "ledger")) + string(pg.AppendQuery(nil, look("early", "served"))))
 	signals, ended := make(chan os.Signal, 2), make(chan error, 1)
 	signals <- syscall.SIGTERM
-	go func() { ended <- serve(conf, l, signals) }()
+	go func() { ended <- Run(conf, l, signals) }()
 	for _, want := range []string{"ready", "served ok ready", "closed"} {
 		if got := c.Answer(); got != want {
 			t.Fatalf("got %q, want %q", got, want)
--- a/cmd/wayloft/descriptors_test.go
+++ b/internal/server/descriptors_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"path/filepath"
@@ -11,12 +11,12 @@
 // The size of two years hence is a configuration like any other; where the system gives fewer descriptors the start says so.
 func TestDescriptorsThatTheSystemDoesNotGive(t *testing.T) {
 	text := lab.IdleRouter{Members: 820, Groups: 205}.Configuration("127.0.0.1:0", "", "", "")
-	conf, err := load(write(t, filepath.Join(t.TempDir(), "still.toml"), text))
+	conf, err := Load(write(t, filepath.Join(t.TempDir(), "still.toml"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conf.sessions != 7500 || conf.sockets != 16384 || len(conf.known.Entries) != 820 {
-		t.Errorf("%d sessions, %d descriptors, %d members", conf.sessions, conf.sockets, len(conf.known.Entries))
+	if conf.sessions != 7500 || conf.sockets != 16384 || len(conf.Members.Entries) != 820 {
+		t.Errorf("%d sessions, %d descriptors, %d members", conf.sessions, conf.sockets, len(conf.Members.Entries))
 	}
 	if err := enough(conf, 16384); err != nil {
 		t.Error(err)
--- a/cmd/wayloft/fleet_node.go
+++ b/internal/server/fleet_node.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"cmp"
@@ -20,19 +20,19 @@
 )
 
 // join has the router take part in its fleet; leave gives back what it holds there.
-func (s *service) join(conf *config) (leave func(), err error) {
+func (s *service) join(conf *Config) (leave func(), err error) {
 	f := conf.fleet
 	listener, err := net.Listen("tcp", f.ReceiverListen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.orders: %w", err)
 	}
-	rec, err := audit.Open(f.AuditLog, conf.name)
+	rec, err := audit.Open(f.AuditLog, conf.Name)
 	if err != nil {
 		listener.Close()
 		return nil, fmt.Errorf("fleet.record: %w", err)
 	}
 	s.listed = map[string]discovery.Entry{}
-	set := fleet.Settings{Fleet: f.Name, Name: conf.name, Kind: "router", Coordinators: f.Coordinators, AddressOverrides: f.PeerAddresses, ListenAddress: f.ReceiverListen,
+	set := fleet.Settings{Fleet: f.Name, Name: conf.Name, Kind: "router", Coordinators: f.Coordinators, AddressOverrides: f.PeerAddresses, ListenAddress: f.ReceiverListen,
 		Address: cmp.Or(f.ReceiverAddress, listener.Addr().String()), SessionTimeoutMs: float64(f.SessionTimeout), SafetyMarginMs: float64(f.SafetyMargin), HealthSharePeriodMs: float64(f.HealthShareInterval),
 		MaxHoldMs: float64(f.MaxWriteHold), ClockOffsetMs: float64(f.ClockOffset), AuditLog: rec}
 	if h := f.Switchover; h != nil {
@@ -44,7 +44,7 @@
 		signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
 		set.Store = &fleet.PolicyStore{Dir: f.PolicyDir, Fleet: f.Name}
 	}
-	s.own, s.record = conf.set, rec
+	s.own, s.record = conf.Router, rec
 	s.link = fleet.New(set, s)
 	s.host.OnReport(s.report)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/wayloft/hard_test.go
+++ b/internal/server/hard_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"context"
@@ -582,11 +582,11 @@
 
 // The configuration that we hand out is one.
 func TestConfigurationForPools(t *testing.T) {
-	c, err := load("../../deploy/wayloft.toml")
+	c, err := Load("../../deploy/wayloft.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.pools) != 1 || len(c.known.Entries) != 2 || c.sessions != 2000 || c.perMember != 60 {
+	if len(c.pools) != 1 || len(c.Members.Entries) != 2 || c.sessions != 2000 || c.perMember != 60 {
 		t.Errorf("got %+v", c)
 	}
 }
--- a/cmd/wayloft/pooled_test.go
+++ b/internal/server/pooled_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"context"
@@ -46,12 +46,12 @@
 	if p.Mode == "" {
 		p.Mode = "transaction"
 	}
-	conf, err := decodeTOML([]byte(c.Configuration(l.Addr().String(), p)))
+	conf, err := DecodeTOML([]byte(c.Configuration(l.Addr().String(), p)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- serve(conf, l, signals) }()
+	go func() { ended <- Run(conf, l, signals) }()
 	return l.Addr().String(), c, signals, ended
 }
 
--- a/cmd/wayloft/reload_test.go
+++ b/internal/server/reload_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"fmt"
@@ -84,7 +84,7 @@
 // A signal to end comes behind more of the others than any channel holds, in a process that has not begun to serve: it is heard, and
 // so is the last of the others.
 func TestSignalsBehindABurst(t *testing.T) {
-	signals := hearSignals()
+	signals := NotifySignals()
 	for range 100 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
--- a/cmd/wayloft/seeded_defects_test.go
+++ b/internal/server/seeded_defects_test.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package main
+package server
 
 import (
 	"testing"
--- a/cmd/wayloft/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"fmt"
@@ -45,12 +45,12 @@
 		{`"dialTimeout":250000,`, ``, "permissions.dialTimeout"},
 		{`"settings"`, `"setting"`, "settings: must be an object"},
 	} {
-		_, err := load(write(t, file, strings.Replace(configuration, c.old, c.new, 1)))
+		_, err := Load(write(t, file, strings.Replace(configuration, c.old, c.new, 1)))
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%q for %q: got %v, want %q", c.new, c.old, err, c.want)
 		}
 	}
-	if _, err := load(file + ".none"); err == nil {
+	if _, err := Load(file + ".none"); err == nil {
 		t.Error("a missing file was read")
 	}
 }
@@ -84,12 +84,12 @@
 	text := strings.NewReplacer(append(swap, "127.0.0.1:0", addr, "127.0.0.1:1", discovery, `"members":[]`,
 		`"members":[`+strings.Join(rows, ",")+`]`, `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets))...).Replace(configuration)
 	t.Setenv("PROXY_CONFIG", write(t, filepath.Join(t.TempDir(), "config.json"), text))
-	conf, err := load(os.Getenv("PROXY_CONFIG"))
+	conf, err := Load(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	term, ended = make(chan os.Signal, 2), make(chan error, 1)
-	go func() { ended <- serve(conf, l, term) }()
+	go func() { ended <- Run(conf, l, term) }()
 	t.Cleanup(func() { term <- os.Interrupt })
 	return addr, term, ended
 }
@@ -552,7 +552,7 @@
 			both := member(t)
 			text := strings.Replace(c.config, `"members":[]`, fmt.Sprintf(`"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]`, both.Addr), 1)
 			text = strings.Replace(text, `"sockets":256`, `"sockets":128`, 1)
-			conf, err := load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
+			conf, err := Load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
 			if c.bad != "" {
 				if err == nil || !strings.Contains(err.Error(), c.bad) {
 					t.Errorf("got %v, want %s named", err, c.bad)
@@ -566,7 +566,7 @@
 				t.Fatal(err)
 			}
 			signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-			go func() { ended <- serve(conf, l, signals) }()
+			go func() { ended <- Run(conf, l, signals) }()
 			one := fakes.NewClient(t, l.Addr().String(), true)
 			n := 0
 			fakes.Until(t, "a read and a write are served", func() bool {
--- a/cmd/wayloft/sighup_test.go
+++ b/internal/server/sighup_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 func TestHangupInTheFirstMoments(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wayloft")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "wayloft/cmd/wayloft").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	text, err := os.ReadFile("../../deploy/balancer.toml")
--- a/cmd/wayloft/signals.go
+++ b/internal/server/signals.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	heldUp         = 150.  // ms
 )
 
-// hearSignals hears the signals that end the process or have it read its configuration again. Each kind has a channel of its own, that
+// NotifySignals hears the signals that end the process or have it read its configuration again. Each kind has a channel of its own, that
 // holds one: guards against a signal to end that is dropped behind many others. One more of a kind that waits already tells nothing
 // new: the process ends once, and the file is read after the last of them.
-func hearSignals() <-chan os.Signal {
+func NotifySignals() <-chan os.Signal {
 	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -40,7 +40,7 @@
 }
 
 // follow does what signals say until ctx ends. A configuration that is slow to read keeps no signal to end waiting.
-func (s *service) follow(ctx context.Context, conf *config, signals <-chan os.Signal) {
+func (s *service) follow(ctx context.Context, conf *Config, signals <-chan os.Signal) {
 	reloads := make(chan struct{}, 1)
 	go func() {
 		for {
@@ -70,7 +70,7 @@
 }
 
 // drain has the clients' side end, once all that was taken is answered.
-func (s *service) drain(sig os.Signal, conf *config) {
+func (s *service) drain(sig os.Signal, conf *Config) {
 	signalled := s.host.Clock()
 	logrus.WithField("signal", sig).Info("draining")
 	s.resign() // another has its leases at once; clients are served to the end
@@ -78,9 +78,9 @@
 }
 
 // drainWithin is the time in ms from a signal to end within which each request must have its final answer.
-func (c *config) drainWithin() float64 {
+func (c *Config) drainWithin() float64 {
 	longest := 0.
-	for _, kind := range c.set.RequestClasses {
+	for _, kind := range c.Router.RequestClasses {
 		longest = max(longest, kind.Deadline)
 	}
 	if !strings.HasSuffix(c.path, ".toml") { // who runs a router by a file of its own says how long it may take
--- a/cmd/wayloft/unanswered_test.go
+++ b/internal/server/unanswered_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"fmt"
