--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.wall = func() time.Time { return time.Now().Add(ahead) }
+	conf.wallClock = func() time.Time { return time.Now().Add(ahead) }
 	term, ended := make(chan os.Signal, 2), make(chan error, 1)
 	go func() { ended <- Run(conf, l, term) }()
 	t.Cleanup(func() { term <- os.Interrupt; <-ended })
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -9,133 +8,80 @@
 	"strings"
 	"time"
 
-	"github.com/valyala/fastjson"
-
 	"wayloft/internal/discovery"
 	"wayloft/internal/settings"
 	"wayloft/router"
 )
 
+// tomlSuffix is the end of the names of files in the TOML form; all others are in the platform's form, JSON.
+const tomlSuffix = ".toml"
+
 // Config is the configuration of a router.
 type Config struct {
-	path      string // empty: it was not read from a file
 	Name      string
-	Listen    string // address for clients
-	Discovery string // address; empty: the members are those of the configuration
-	seed      uint64
-	memory    int // bytes
-	sockets   int
-	Members   *discovery.List
-	Router    *router.Settings
-	host      *settings.Runtime
-
-	sessions, links int                     // most of each
-	perMember       int                     // connections; 0: any number
-	pools           []settings.PoolSettings // of clients; nil: they speak the platform's form
-	user, database  string                  // of checks and of the platform's form
-	fleet           *settings.Fleet         // its part in a fleet; nil: none
-	texts           map[string]string       // what only a restart puts in force, as it is in the file
-	wall            func() time.Time        // the machine's wall clock; nil: time.Now
-}
+	Listen    string           // address for clients
+	Discovery string           // address; empty: the members are those of the configuration
+	Members   *discovery.List  // at the start
+	Router    *router.Settings // of the decision module
 
-// wallNow reads the wall clock.
-func (c *Config) wallNow() time.Time {
-	if c.wall == nil {
-		return time.Now()
-	}
-	return c.wall()
+	path                    string // empty: it was not read from a file
+	seed                    uint64
+	memoryBytes             int
+	maxDescriptors          int
+	maxSessions             int
+	maxConnections          int                     // to members
+	maxConnectionsPerMember int                     // 0: any number
+	pools                   []settings.PoolSettings // nil: all clients use the platform's form
+	checkUser               string                  // of health checks, and of the platform's form
+	checkDatabase           string                  // of health checks, and of the platform's form
+	runtime                 *settings.Runtime
+	fleet                   *settings.Fleet   // nil: the router takes no part in a fleet
+	restartFields           map[string]string // the text of the fields that take a restart
+	wallClock               func() time.Time  // nil: time.Now
 }
 
-const leastSockets = 2 * ownSockets // below it there is hardly room for sessions and members
-
-// load reads the configuration; its error names the field at fault.
+// Load reads a configuration file. Its error names the file and the field at fault.
 func Load(path string) (*Config, error) {
-	if strings.HasSuffix(path, ".toml") {
-		return loadTOML(path)
-	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	v, err := fastjson.ParseBytes(text)
-	if err != nil {
-		return nil, fmt.Errorf("%s: not JSON: %w", path, err)
+	decode := decodeJSON
+	if strings.HasSuffix(path, tomlSuffix) {
+		decode = DecodeTOML
 	}
-	c, err := decode(v)
+	config, err := decode(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.path = path
-	return c, nil
+	config.path = path
+	return config, nil
 }
 
-// differs names what is not the same in another configuration and takes a restart.
-func (c *Config) differs(other *Config) []string {
-	var names []string
-	for _, name := range restarts {
-		if c.texts[name] != other.texts[name] {
-			names = append(names, name)
-		}
+// onPlatform reports whether the platform starts the router, and sets its limits and when it is killed.
+func (c *Config) onPlatform() bool { return !strings.HasSuffix(c.path, tomlSuffix) }
+
+// now reads the wall clock.
+func (c *Config) now() time.Time {
+	if c.wallClock == nil {
+		return time.Now()
 	}
-	return names
+	return c.wallClock()
 }
 
-var restarts = []string{"name", "listen", "limits", "settings"}
-
-func checkAddresses(c *Config, discovery bool) error {
-	for _, addr := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, _, err := net.SplitHostPort(addr.value); err != nil && (discovery || addr.key == "listen") {
-			return fmt.Errorf("%s: %w", addr.key, err)
-		}
+// parseSeed decodes the seed of random decisions.
+func parseSeed(text string) (uint64, error) {
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("seed: must be 64 bits in hexadecimal, not %q", text)
 	}
-	return nil
+	return seed, nil
 }
 
-func decode(v *fastjson.Value) (*Config, error) {
-	if v.Type() != fastjson.TypeObject {
-		return nil, errors.New("must be an object")
-	}
-	f := &settings.Fields{Value: v}
-	c := &Config{Name: f.Text("name"), Listen: f.Text("listen"), Discovery: f.Text("discovery")}
-	seed := f.Text("seed")
-	f.Object("limits", func(l *settings.Fields) {
-		c.memory, c.sockets = int(l.Number("memory_mb")*(1<<20)), int(l.Number("sockets"))
-		if l.Err == nil && c.sockets < leastSockets {
-			l.Fail("sockets", fmt.Sprintf("%d at least", leastSockets))
-		}
-		if l.Err == nil && c.memory <= 0 {
-			l.Fail("memory_mb", "more than 0")
-		}
-	})
-	if f.Err != nil {
-		return nil, f.Err
-	}
-	if err := checkAddresses(c, true); err != nil {
-		return nil, err
-	}
-	each := (c.sockets - ownSockets) / 2 // a request takes a session and a connection to a member
-	c.sessions, c.links = each, each
-	c.user, c.database = "api", "ledger"
-	var err error
-	if c.seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: must be 64 bits in hexadecimal, not %q", seed)
+// checkAddress returns an error that names the key if an address is not host:port.
+func checkAddress(key, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s: %w", key, err)
 	}
-	if c.Members, err = discovery.DecodeList(v.Get("known")); err != nil {
-		return nil, fmt.Errorf("known: %w", err)
-	}
-	facts := v.Get("settings")
-	if facts == nil || facts.Type() != fastjson.TypeObject {
-		return nil, errors.New("settings: must be an object")
-	}
-	if c.Router, c.host, err = settings.Decode(facts); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	if c.host.DialTimeoutMs <= 0 || c.host.ServerIdleTimeoutMs <= 0 {
-		return nil, errors.New("settings: permissions.dialTimeout, permissions.idleClose: must be more than 0")
-	}
-	c.texts = map[string]string{}
-	for _, name := range restarts {
-		c.texts[name] = string(v.Get(name).MarshalTo(nil))
-	}
-	return c, nil
+	return nil
 }
--- a/internal/server/config_toml.go
+++ b/internal/server/config_toml.go
@@ -1,54 +1,64 @@
 package server
 
 import (
-	"fmt"
-	"os"
-	"strconv"
-
 	"wayloft/internal/discovery"
 	"wayloft/internal/settings"
 	"wayloft/router"
 )
 
-// loadTOML reads our own form; its error names the line and key at fault.
-func loadTOML(path string) (*Config, error) {
-	text, err := os.ReadFile(path)
+// DecodeTOML decodes a configuration in the TOML form. Its error names the line and key at fault.
+func DecodeTOML(text []byte) (*Config, error) {
+	file, err := settings.Read(text)
 	if err != nil {
 		return nil, err
 	}
-	c, err := DecodeTOML(text)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+	c := &Config{
+		Name:                    file.Name,
+		Listen:                  file.Listen,
+		Discovery:               file.Discovery,
+		Members:                 initialMembers(file.Members),
+		memoryBytes:             int(file.Limits.Memory),
+		maxDescriptors:          file.Limits.Descriptors,
+		maxSessions:             file.Limits.Sessions,
+		maxConnections:          file.Limits.Connections,
+		maxConnectionsPerMember: file.Limits.PerMember,
+		pools:                   file.PoolSettings(),
+		checkUser:               file.Fleet.CheckUser,
+		checkDatabase:           file.Fleet.CheckDatabase,
 	}
-	c.path = path
-	return c, nil
-}
-
-// DecodeTOML decodes a configuration in the TOML form.
-func DecodeTOML(text []byte) (*Config, error) {
-	f, err := settings.Read(text)
-	if err != nil {
+	if file.Seed != "" {
+		if c.seed, err = parseSeed(file.Seed); err != nil {
+			return nil, err
+		}
+	}
+	if c.Router, c.runtime, err = file.Settings(); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, memory: int(f.Limits.Memory),
-		sockets: f.Limits.Descriptors, sessions: f.Limits.Sessions, links: f.Limits.Connections, perMember: f.Limits.PerMember,
-		pools: f.PoolSettings(), Members: &discovery.List{}}
-	if f.Seed != "" {
-		if c.seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: must be 64 bits in hexadecimal, not %q", f.Seed)
-		}
+	if len(file.Fleet.Coordinators) > 0 {
+		c.fleet = &file.Fleet
 	}
-	if c.Router, c.host, err = f.Settings(); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return nil, err
 	}
-	for _, m := range f.Members {
-		c.Members.Entries = append(c.Members.Entries, discovery.Entry{ID: m.ID, Addr: m.Address, Zone: m.Zone, Group: m.Group,
-			Started: router.Never})
+	if c.Discovery != "" {
+		if err := checkAddress("discovery", c.Discovery); err != nil {
+			return nil, err
+		}
 	}
-	c.user, c.database = f.Fleet.CheckUser, f.Fleet.CheckDatabase
-	if len(f.Fleet.Coordinators) > 0 {
-		c.fleet = &f.Fleet
+	return c, nil
+}
+
+// initialMembers gives the members that the file lists. When they started is not known.
+func initialMembers(members []settings.Member) *discovery.List {
+	list := &discovery.List{}
+	for _, member := range members {
+		list.Entries = append(list.Entries, discovery.Entry{
+			ID:      member.ID,
+			Addr:    member.Address,
+			Zone:    member.Zone,
+			Group:   member.Group,
+			Started: router.Never,
+		})
 	}
-	c.texts = map[string]string{}
-	return c, checkAddresses(c, c.Discovery != "")
+	return list
 }
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -455,7 +455,7 @@
 	watch.watch <- fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"m0","host_port":"%s","locality":"z","cell":2,"phase":"terminating"}]}`+"\n",
 		drains.Addr)
 	posted := make(chan struct{}, 100)
-	defer failpoint.Set("serve.list_posted", func() { posted <- struct{}{} })()
+	defer failpoint.Set("server.list_posted", func() { posted <- struct{}{} })()
 	defer failpoint.Set("eventloop.starting", func() { <-posted })()
 	addr, _, _ := start(t, watch.addr, 256, drains.Addr, stays.Addr)
 	client := fakes.NewClient(t, addr, true)
--- a/internal/server/descriptors_test.go
+++ b/internal/server/descriptors_test.go
@@ -15,17 +15,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if conf.sessions != 7500 || conf.sockets != 16384 || len(conf.Members.Entries) != 820 {
-		t.Errorf("%d sessions, %d descriptors, %d members", conf.sessions, conf.sockets, len(conf.Members.Entries))
+	if conf.maxSessions != 7500 || conf.maxDescriptors != 16384 || len(conf.Members.Entries) != 820 {
+		t.Errorf("%d sessions, %d descriptors, %d members", conf.maxSessions, conf.maxDescriptors, len(conf.Members.Entries))
 	}
-	if err := enough(conf, 16384); err != nil {
+	if err := checkDescriptorLimit(conf, 16384); err != nil {
 		t.Error(err)
 	}
-	err = enough(conf, 4096)
+	err = checkDescriptorLimit(conf, 4096)
 	if err == nil || !strings.Contains(err.Error(), "limits.descriptors: 16384, the system gives this process 4096") {
 		t.Errorf("got %v", err)
 	}
-	if conf.path = "config.json"; enough(conf, 4096) != nil {
+	if conf.path = "config.json"; checkDescriptorLimit(conf, 4096) != nil {
 		t.Error("on the platform its own limit binds")
 	}
 }
--- a/internal/server/hard_test.go
+++ b/internal/server/hard_test.go
@@ -586,7 +586,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.pools) != 1 || len(c.Members.Entries) != 2 || c.sessions != 2000 || c.perMember != 60 {
+	if len(c.pools) != 1 || len(c.Members.Entries) != 2 || c.maxSessions != 2000 || c.maxConnectionsPerMember != 60 {
 		t.Errorf("got %+v", c)
 	}
 }
--- /dev/null
+++ b/internal/server/parts.go
@@ -0,0 +1,126 @@
+package server
+
+import (
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"wayloft/internal/backend"
+	"wayloft/internal/decide/connpool"
+	"wayloft/internal/decide/session"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/frontend"
+	"wayloft/internal/settings"
+	"wayloft/router"
+)
+
+// Parts of the configured memory, as divisors.
+const (
+	messageDivisor        = 32 // one message of a client or a member
+	requestBudgetDivisor  = 6  // all requests together
+	responseBudgetDivisor = 6  // all responses together
+)
+
+// maxMessageBytes is the longest message that a client or a member may send.
+func (c *Config) maxMessageBytes() int { return c.memoryBytes / messageDivisor }
+
+// queuesStatements reports whether statements wait for a connection, since there are fewer connections than sessions. On the
+// platform each session has a connection for its statement.
+func (c *Config) queuesStatements() bool { return c.maxSessions > c.maxConnections }
+
+// primaryClasses are the request classes that need the primary.
+func (c *Config) primaryClasses() map[string]bool {
+	classes := map[string]bool{}
+	for name, class := range c.Router.RequestClasses {
+		classes[name] = class.Level == router.Write || class.Level == router.Fresh
+	}
+	return classes
+}
+
+// idempotentClasses are the request classes that may run again.
+func (c *Config) idempotentClasses() map[string]bool {
+	classes := map[string]bool{}
+	for name, class := range c.Router.RequestClasses {
+		classes[name] = class.Effect == router.Idempotent
+	}
+	return classes
+}
+
+// newFrontend builds the frontend. knownParameters gives the server parameters that members of a pool have reported.
+func newFrontend(driver *eventloop.Driver, config *Config, knownParameters func(pool string) *iradix.Tree[string]) *frontend.Frontend {
+	f := frontend.New(driver, config.maxSessions, config.memoryBytes/requestBudgetDivisor, config.maxMessageBytes())
+	if config.pools == nil {
+		return f
+	}
+	pooling := &frontend.Pooling{
+		Seed:              config.seed,
+		IdempotentClasses: config.idempotentClasses(),
+		PrimaryClasses:    config.primaryClasses(),
+	}
+	for _, pool := range config.pools {
+		pooling.Pools = append(pooling.Pools, &frontend.Pool{
+			Name:            pool.Name,
+			User:            pool.User,
+			Database:        pool.Database,
+			StatementMode:   pool.StatementMode,
+			Policy:          pool.Policy,
+			Group:           pool.Group,
+			DefaultClass:    settings.UnlabelledClass,
+			KnownParameters: func() *iradix.Tree[string] { return knownParameters(pool.Name) },
+		})
+	}
+	f.SetPooling(pooling)
+	return f
+}
+
+// knownParameters gives the server parameters that members of a pool have reported.
+func (s *server) knownParameters(pool string) *iradix.Tree[string] {
+	return s.backend.KnownParameters(pool)
+}
+
+// newBackend builds the backend with its connection pool.
+func newBackend(driver *eventloop.Driver, config *Config) *backend.Backend {
+	limits := backend.Limits{
+		DialTimeout:     config.runtime.DialTimeoutMs,
+		HealthReports:   config.runtime.HealthReports,
+		MaxResponse:     config.maxMessageBytes(),
+		ResponseBudget:  config.memoryBytes / responseBudgetDivisor,
+		QueueStatements: config.queuesStatements(),
+		KeepRemoved:     config.Router.SoftRemoval,
+		MaxPrepared:     session.MaxPreparedPerConnection,
+		Logins:          logins(config),
+		PrimaryClasses:  config.primaryClasses(),
+	}
+	pool := connpool.New(connpool.Settings{
+		MaxTotal:     config.maxConnections,
+		MaxPerMember: config.maxConnectionsPerMember,
+		Seed:         config.seed,
+		Pools:        poolBounds(config),
+	})
+	return backend.New(driver, limits, pool)
+}
+
+// logins gives what the connections of each pool log in with.
+func logins(config *Config) map[string]backend.Login {
+	all := map[string]backend.Login{
+		backend.PlatformPool: {User: config.checkUser, Database: config.checkDatabase},
+	}
+	for _, pool := range config.pools {
+		all[pool.Name] = backend.Login{User: pool.User, Database: pool.Database}
+	}
+	return all
+}
+
+// poolBounds gives the bounds of each pool.
+func poolBounds(config *Config) map[string]connpool.Bounds {
+	statements := connpool.StatementBounds(config.runtime.ServerIdleTimeoutMs)
+	if config.queuesStatements() {
+		statements.WaitTimeoutMs = config.runtime.DialTimeoutMs
+	}
+	bounds := map[string]connpool.Bounds{
+		backend.PlatformPool: statements,
+		backend.CancelPool:   connpool.CancelBounds(config.runtime.DialTimeoutMs),
+	}
+	for _, pool := range config.pools {
+		bounds[pool.Name] = pool.Bounds
+	}
+	return bounds
+}
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -10,55 +10,48 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The platform sends SIGKILL at the earliest when the longest deadline of the deployment, counted as 3 s at most, and 0.7 s are over
-// since SIGTERM. A router may be held up for 0.15 s before it notes the signal, and again before it writes an answer.
+// The platform sends SIGKILL at the earliest when the longest deadline of the deployment, counted as maxCountedDeadlineMs at most, and
+// killDelayMs have passed since SIGTERM. The process may be held up for maxStallMs before it notes the signal, and again before it
+// writes a response.
 const (
-	longestCounted = 3000. // ms
-	beforeKill     = 700.  // ms
-	heldUp         = 150.  // ms
+	maxCountedDeadlineMs = 3000.
+	killDelayMs          = 700.
+	maxStallMs           = 150.
 )
 
-// NotifySignals hears the signals that end the process or have it read its configuration again. Each kind has a channel of its own, that
-// holds one: guards against a signal to end that is dropped behind many others. One more of a kind that waits already tells nothing
-// new: the process ends once, and the file is read after the last of them.
+// NotifySignals returns a channel of the signals that end the process (SIGTERM, SIGINT) or have it reload its configuration (SIGHUP).
+// Each of the two kinds has a buffer of its own: this guards against a signal to end that is dropped behind many others. A second one
+// of a kind that is buffered is dropped, and tells nothing new: the process ends once, and the file is read after the last of them.
 func NotifySignals() <-chan os.Signal {
-	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, os.Interrupt)
+	terminations, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reloads, syscall.SIGHUP)
-	both := make(chan os.Signal)
+	merged := make(chan os.Signal)
 	go func() {
 		for {
 			select {
-			case sig := <-ends:
-				both <- sig
+			case sig := <-terminations:
+				merged <- sig
 			case sig := <-reloads:
-				both <- sig
+				merged <- sig
 			}
 		}
 	}()
-	return both
+	return merged
 }
 
-// follow does what signals say until ctx ends. A configuration that is slow to read keeps no signal to end waiting.
-func (s *service) follow(ctx context.Context, conf *Config, signals <-chan os.Signal) {
+// handleSignals drains or reloads as signals ask until ctx ends. Reloads have a goroutine of their own, so that a configuration that
+// is slow to read does not delay a signal to end.
+func (s *server) handleSignals(ctx context.Context, signals <-chan os.Signal) {
 	reloads := make(chan struct{}, 1)
-	go func() {
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-reloads:
-				s.reload(conf)
-			}
-		}
-	}()
+	go s.handleReloads(ctx, reloads)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
-				s.drain(sig, conf)
+				s.drain(sig)
 				continue
 			}
 			select {
@@ -69,22 +62,54 @@
 	}
 }
 
-// drain has the clients' side end, once all that was taken is answered.
-func (s *service) drain(sig os.Signal, conf *Config) {
-	signalled := s.host.Clock()
+func (s *server) handleReloads(ctx context.Context, reloads <-chan struct{}) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-reloads:
+			s.reload()
+		}
+	}
+}
+
+// reload reads the file that the router was started with again. Only the discovery address can change while the router runs; an
+// invalid file changes nothing.
+func (s *server) reload() {
+	changed, err := Load(s.config.path)
+	if err != nil {
+		logrus.WithError(err).Error("configuration invalid: the old one stays in force")
+		return
+	}
+	if s.watcher != nil {
+		s.watcher.ChangeAddress(changed.Discovery)
+	}
+	entry := logrus.WithField("discovery", changed.Discovery)
+	if fields := s.config.changedRestartFields(changed); len(fields) > 0 {
+		entry = entry.WithField("restart_for", strings.Join(fields, ","))
+	}
+	entry.Info("configuration reloaded")
+}
+
+// drain leaves the fleet, so that others get its leases at once, and has the frontend end its sessions once each request that was
+// taken has its response.
+func (s *server) drain(sig os.Signal) {
+	signalled := s.driver.Clock()
 	logrus.WithField("signal", sig).Info("draining")
-	s.resign() // another has its leases at once; clients are served to the end
-	s.host.Post(func() { s.front.Drain(signalled, conf.drainWithin()) })
+	if s.fleet != nil {
+		s.fleet.leave()
+	}
+	s.driver.Post(func() { s.frontend.Drain(signalled, s.config.drainTimeoutMs()) })
 }
 
-// drainWithin is the time in ms from a signal to end within which each request must have its final answer.
-func (c *Config) drainWithin() float64 {
+// drainTimeoutMs is the time in ms from a signal to end within which each request must have its final response.
+func (c *Config) drainTimeoutMs() float64 {
 	longest := 0.
-	for _, kind := range c.Router.RequestClasses {
-		longest = max(longest, kind.Deadline)
+	for _, class := range c.Router.RequestClasses {
+		longest = max(longest, class.Deadline)
 	}
-	if !strings.HasSuffix(c.path, ".toml") { // who runs a router by a file of its own says how long it may take
-		longest = min(longest, longestCounted)
+	if c.onPlatform() { // elsewhere the operator says how long the process may take to end
+		longest = min(longest, maxCountedDeadlineMs)
 	}
-	return longest + beforeKill - 2*heldUp
+	return longest + killDelayMs - 2*maxStallMs
 }
