--- a/cmd/wayloft/lab_latency.go
+++ b/cmd/wayloft/lab_latency.go
@@ -13,6 +13,7 @@
 
 	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
+	"wayloft/internal/server"
 )
 
 type labLatencyCmd struct {
@@ -92,12 +93,12 @@
 	if mode == "plain" || mode == "prepared" { // reads, that any member may serve
 		text = strings.Replace(text, `write = "write"`, `write = "look"`, 1)
 	}
-	conf, err := decodeTOML([]byte(text))
+	conf, err := server.DecodeTOML([]byte(text))
 	if err != nil {
 		return lab.LoadResult{}, err
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- serve(conf, listener, signals) }()
+	go func() { ended <- server.Run(conf, listener, signals) }()
 	result, err = load.Run()
 	signals <- os.Interrupt
 	return result, errors.Join(err, <-ended)
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -9,6 +9,7 @@
 
 	"wayloft/internal/decide/policy"
 	"wayloft/internal/fleet"
+	"wayloft/internal/server"
 	"wayloft/internal/settings"
 )
 
@@ -69,12 +70,12 @@
 		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
 	if c.Config != "" {
-		conf, err := load(c.Config)
+		conf, err := server.Load(c.Config)
 		if err != nil {
 			return err
 		}
-		if _, err := settings.Overlay(conf.set, document); err != nil {
-			return fmt.Errorf("%s can't take it:\n%w", conf.name, err)
+		if _, err := settings.Overlay(conf.Router, document); err != nil {
+			return fmt.Errorf("%s can't take it:\n%w", conf.Name, err)
 		}
 	}
 	out.printf("%s: ok: %d fields, all of which may change while routers run\n", c.File, len(document))
