--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -1,6 +1,5 @@
-// Wayloft is the real router: one process that carries clients' requests to database members and decides with the same
-// module as on the bench. This package owns the command line, the configuration and the start and end of the
-// process; it must never decide about a request.
+// Wayloft is a read/write splitter for database clusters. This package is its command line: a file a command, with the flags and what
+// is printed. The router itself is internal/server, a coordinator node internal/coordinator, the laboratory internal/lab.
 package main
 
 import (
