--- a/cmd/wayloft/pooled_test.go
+++ b/cmd/wayloft/pooled_test.go
@@ -14,6 +14,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 	"github.com/jackc/pgx/v5/pgxpool"
 
+	"wayloft/internal/decide/session"
 	"wayloft/internal/fakes"
 	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
@@ -23,7 +24,13 @@
 // pooledRouter serves before a fake cluster.
 func pooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
 	t.Helper()
-	addr, cluster, signals, ended := drainablePool(t, members, p, set)
+	return defectivePooledRouter(t, members, p, session.SeededDefects{}, set)
+}
+
+// defectivePooledRouter starts a router with defects in its sessions, which a test is to find.
+func defectivePooledRouter(t *testing.T, members int, p lab.Pool, defects session.SeededDefects, set func(*pgserver.Server)) (string, *lab.Cluster) {
+	t.Helper()
+	addr, cluster, signals, ended := startPooledRouter(t, members, p, defects, set)
 	t.Cleanup(func() {
 		signals <- os.Interrupt
 		<-ended
@@ -34,6 +41,11 @@
 
 // drainablePool does so, and gives what has it drain and end.
 func drainablePool(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
+	t.Helper()
+	return startPooledRouter(t, members, p, session.SeededDefects{}, set)
+}
+
+func startPooledRouter(t *testing.T, members int, p lab.Pool, defects session.SeededDefects, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
 	t.Helper()
 	c, err := lab.StartCluster(members, 0, set)
 	if err != nil {
@@ -50,6 +62,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	for n := range conf.pools {
+		conf.pools[n].Policy.SeededDefects = defects
+	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- serve(conf, l, signals) }()
 	return l.Addr().String(), c, signals, ended
--- a/cmd/wayloft/response_routing_test.go
+++ b/cmd/wayloft/response_routing_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"wayloft/internal/decide/session"
 	"wayloft/internal/fakes"
 	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
@@ -287,7 +288,7 @@
 // and no session's read is older than its own last write.
 func TestNothingGoesAstray(t *testing.T) {
 	var a astray
-	cluster, codes, bad := mixedRun(t, &a, *long)
+	cluster, codes, bad := mixedRun(t, &a, *long, session.SeededDefects{})
 	for _, s := range append(bad, a.found...) {
 		t.Error(s)
 	}
@@ -304,9 +305,9 @@
 	t.Logf("%d transactions, %d notes, codes %v, members %+v", *long, a.notes, codes, counts)
 }
 
-func mixedRun(t *testing.T, a *astray, transactions int) (*lab.Cluster, map[string]int, []string) {
+func mixedRun(t *testing.T, a *astray, transactions int, defects session.SeededDefects) (*lab.Cluster, map[string]int, []string) {
 	var asked atomic.Int64
-	addr, cluster := pooledRouter(t, 2, lab.Pool{PerMember: 4, ExtraKeys: "statements = 50\n"}, func(s *pgserver.Server) {
+	addr, cluster := defectivePooledRouter(t, 2, lab.Pool{PerMember: 4, ExtraKeys: "statements = 50\n"}, defects, func(s *pgserver.Server) {
 		s.OnStatement = a.record
 		s.Lag = 3 * time.Millisecond
 		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
--- a/cmd/wayloft/seeded_defects_test.go
+++ b/cmd/wayloft/seeded_defects_test.go
@@ -8,16 +8,19 @@
 	"wayloft/internal/decide/session"
 )
 
-// A router that leaks on purpose is found out by the same run that finds nothing in the real one.
-func TestPlantedLeaksAreFound(t *testing.T) {
-	for _, what := range []string{"settings", "rollback", "names", "position"} {
-		t.Run(what, func(t *testing.T) {
-			t.Cleanup(func() { session.Planted = "" }) // after the router has ended
-			session.Planted = what
+// The mixed run, which finds nothing in a router without defects, finds each defect of a router that has one.
+func TestMixedRun_SeededDefectsAreFound(t *testing.T) {
+	for name, defects := range map[string]session.SeededDefects{
+		"settings": {SkipSettings: true},
+		"rollback": {KeepRolledBackSettings: true},
+		"names":    {ReuseAnyStatement: true},
+		"position": {ForgetLastCommitPosition: true},
+	} {
+		t.Run(name, func(t *testing.T) {
 			var a astray
-			_, _, bad := mixedRun(t, &a, 600)
+			_, _, bad := mixedRun(t, &a, 600, defects)
 			if len(bad)+len(a.found) == 0 {
-				t.Error("nothing was found")
+				t.Fatal("nothing was found")
 			}
 			t.Log(append(bad, a.found...)[0])
 		})
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -94,7 +94,7 @@
 	clientSession := stream.Client.Session()
 	clientSession.AttachConnection(c.settings)
 	var out []byte
-	for _, text := range session.SettingsStatements(c.settings, clientSession.Settings()) {
+	for _, text := range clientSession.SettingsStatements() {
 		out = pg.AppendQuery(out, text)
 		c.expected = append(c.expected, expectedReply{kind: pg.Query})
 		c.internalPending++
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -106,7 +106,10 @@
 // hasPrepared reports whether the member has the statement prepared.
 func (c *memberConn) hasPrepared(s *session.PreparedStatement) bool {
 	prepared, ok := c.prepared.Get(s.Hash)
-	return ok && prepared.Tail == s.Tail || session.Planted == "names" && c.prepared.Len() > 0
+	if c.job.request.Stream.Client.Session().SeededDefects().ReuseAnyStatement && c.prepared.Len() > 0 {
+		return true
+	}
+	return ok && prepared.Tail == s.Tail
 }
 
 // prepare appends the preparation of a statement. forClient is set if the client is to receive the reply.
--- a/internal/decide/session/planted_release.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !debug
-
-package session
-
-const Planted = ""
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -72,11 +72,11 @@
 		fmt.Fprintf(&r.out, "begin %s", recordedOps(r.s.FlushDeferredBegin()))
 	case draw < 93:
 		has := NoSettings.with(NoSettings, [2]string{"work_mem", fmt.Sprintf("'%dMB'", r.rand.IntN(5))})
-		fmt.Fprintf(&r.out, "on %q", SettingsStatements(has, r.s.Settings()))
+		fmt.Fprintf(&r.out, "on %q", settingsStatements(has, r.s.Settings()))
 		r.s.AttachConnection(has)
 	case draw < 97:
 		before := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "brought %v %q", before, SettingsStatements(r.s.ServerSettings(), r.s.Settings()))
+		fmt.Fprintf(&r.out, "brought %v %q", before, settingsStatements(r.s.ServerSettings(), r.s.Settings()))
 		r.s.SettingsApplied(before)
 	default:
 		sent := r.rand.IntN(2) == 0
--- a/internal/decide/session/session.go
+++ b/internal/decide/session/session.go
@@ -32,6 +32,15 @@
 	AlwaysSticky          bool   // it keeps it in any case, from its first statement on
 	MaxSettingsBytes      int    // bytes of settings at most
 	MaxStatements         int    // prepared statements at most
+	SeededDefects         SeededDefects
+}
+
+// SeededDefects are defects that tests switch on to show that checkers find them. The program never sets one.
+type SeededDefects struct {
+	SkipSettings             bool // a connection is not brought to the session's settings
+	KeepRolledBackSettings   bool // settings outlive the rollback of their transaction
+	ReuseAnyStatement        bool // any statement counts as prepared on a connection that has one
+	ForgetLastCommitPosition bool // reads are not bound to the session's last commit
 }
 
 // PreparedStatement is a statement's text with its parameters' types, shared by all that prepare the same.
@@ -130,6 +139,9 @@
 // Settings tells what its connection should have.
 func (s *Session) Settings() Settings { return s.now }
 
+// SeededDefects returns the defects that a test has switched on.
+func (s *Session) SeededDefects() SeededDefects { return s.policy.SeededDefects }
+
 // ServerSettings tells what its connection has; On, that it goes on with one that has this.
 func (s *Session) ServerSettings() Settings { return s.there }
 func (s *Session) AttachConnection(has Settings) {
@@ -466,7 +478,7 @@
 			s.start = point{"", s.now, s.there}
 		}
 	case pg.Commit, pg.Rollback:
-		if tag == "ROLLBACK" && Planted != "rollback" {
+		if tag == "ROLLBACK" && !s.policy.SeededDefects.KeepRolledBackSettings {
 			s.now, s.there = s.start.now, s.start.there
 		}
 		s.start, s.saves = point{"", s.now, s.there}, nil
--- a/internal/decide/session/session_test.go
+++ b/internal/decide/session/session_test.go
@@ -186,7 +186,7 @@
 	case "on":
 		p.s.AttachConnection(NoSettings.with(NoSettings, pairs(rest)...))
 	case "bring":
-		got := strings.Join(SettingsStatements(p.s.ServerSettings(), p.s.Settings()), "; ")
+		got := strings.Join(settingsStatements(p.s.ServerSettings(), p.s.Settings()), "; ")
 		p.s.SettingsApplied(true)
 		return is(got, rest)
 	case "lost":
@@ -362,7 +362,7 @@
 			if ops != nil && on < 0 {
 				on = rapid.IntRange(0, len(pool)-1).Draw(t, "connection")
 				s.AttachConnection(has[on])
-				for _, text := range SettingsStatements(has[on], s.Settings()) {
+				for _, text := range settingsStatements(has[on], s.Settings()) {
 					pool[on].query(text, func(m pg.Message) {
 						if m.Kind == pg.ErrorResponse {
 							t.Fatalf("%s is refused", text)
@@ -413,7 +413,7 @@
 	}
 	c := NoSettings.with(NoSettings, [2]string{"session_authorization", "bob"}, [2]string{"role", "r"}, [2]string{"wayloft.txn_type", "t"},
 		[2]string{"timezone", "'UTC'"}, [2]string{"x", "1"})
-	if got, want := strings.Join(SettingsStatements(a, c), "; "), `SET SESSION AUTHORIZATION bob; SET "role" TO r; SET TIME ZONE 'UTC'; `+
+	if got, want := strings.Join(settingsStatements(a, c), "; "), `SET SESSION AUTHORIZATION bob; SET "role" TO r; SET TIME ZONE 'UTC'; `+
 		`RESET "y"; SET role TO r`; got != want {
 		t.Errorf("got %s", got)
 	}
@@ -454,7 +454,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				SettingsStatements(a, to)
+				settingsStatements(a, to)
 			}
 		})
 	}
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -60,10 +60,18 @@
 // IsRouterSetting tells whether a setting is the router's, and never goes to a member.
 func IsRouterSetting(name string) bool { return strings.HasPrefix(name, "wayloft.") }
 
-// SettingsStatements gives the statements that bring a connection from what it has to what it should have; they cost what
-// differs, and are none where nothing does.
-func SettingsStatements(has, should Settings) []string {
-	if has.id == should.id || Planted == "settings" {
+// SettingsStatements returns the statements that bring the settings of the session's connection to the session's own.
+func (s *Session) SettingsStatements() []string {
+	if s.policy.SeededDefects.SkipSettings {
+		return nil
+	}
+	return settingsStatements(s.there, s.now)
+}
+
+// settingsStatements returns the statements that bring a connection from what it has to what it should have: only what
+// differs is set.
+func settingsStatements(has, should Settings) []string {
+	if has.id == should.id {
 		return nil
 	}
 	var out []string
--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -346,7 +346,7 @@
 	if none {
 		txnType = p.pool.DefaultClass
 	}
-	if decide.Planted == "position" {
+	if p.pool.Policy.SeededDefects.ForgetLastCommitPosition {
 		p.d.LastCommitPosition = 0
 	}
 	st := &pg.Statement{ID: a.nextID(), RequestClass: txnType, Tenant: tenant, WaitMs: mostWait, Group: p.pool.Group,
