--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -58,8 +58,8 @@
 				t.Errorf("%d calls for a copy, 3 of which fail", calls.Load())
 			}
 			f.do(func() {
-				if let := f.all.gate.let.Load(); let != 2 || f.all.gate.taken != 2 {
-					t.Errorf("%d let in, %d taken", let, f.all.gate.taken)
+				if let := f.all.gate.accepted.Load(); let != 2 || f.all.gate.started != 2 {
+					t.Errorf("%d let in, %d taken", let, f.all.gate.started)
 				}
 			})
 		})
@@ -78,7 +78,7 @@
 		}
 		return nil
 	})()
-	f.do(func() { f.all.Drain(f.all.host.Clock(), comers+1e6) })
+	f.do(func() { f.all.Drain(f.all.driver.Clock(), acceptPeriodMs+1e6) })
 	f.dial("plain", true).Close()
 	if ends.Load() < 3 {
 		t.Error("answered before the process would have ended")
--- a/internal/frontend/closed_test.go
+++ b/internal/frontend/closed_test.go
@@ -47,8 +47,8 @@
 			fakes.Until(t, "its request is there", func() bool {
 				f.do(func() {
 					for s := range f.all.sessions {
-						if one = s.txn; s.p != nil {
-							one = s.p.txn
+						if one = s.request; s.pooled != nil {
+							one = s.pooled.request
 						}
 					}
 				})
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	ahead   = 256  // messages that a session may send ahead
-	surplus = 4096 // queries beyond them that are rejected one by one, before the session ends
-	pause   = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
-	hurry   = 2000.   // ms within which a session must ask its first, and send the rest of a message
-	idling  = 10e3    // ms that a session may then rest between two queries
-	looks   = 100.0   // ms between two looks at them
-	penance = 100.0   // ms that a session rests after a mistake, lest it makes the next at once
-	grace   = 100.0   // ms for which a newcomer is spared
-	spare   = 16      // connections over the limit, while they are told that there is no room
-	stalled = 5000.   // ms for which a client may leave an answer unread
-	unread  = 1 << 16 // bytes that a client may leave unread before its next query is looked at
+	maxPipelined         = 256  // messages that a session may send ahead
+	maxExcessPipelined   = 4096 // queries beyond them that are rejected one by one, before the session ends
+	acceptRetryPause     = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
+	messageTimeoutMs     = 2000.   // ms within which a session must ask its first, and send the rest of a message
+	idleTimeoutMs        = 10e3    // ms that a session may then rest between two queries
+	sweepIntervalMs      = 100.0   // ms between two looks at them
+	errorPenaltyMs       = 100.0   // ms that a session rests after a mistake, lest it makes the next at once
+	newConnectionGraceMs = 100.0   // ms for which a newcomer is spared
+	rejectionSlots       = 16      // connections over the limit, while they are told that there is no room
+	writeStallTimeoutMs  = 5000.   // ms for which a client may leave an answer unread
+	maxUnreadBytes       = 1 << 16 // bytes that a client may leave unread before its next query is looked at
 )
 
 // Frontend holds all sessions.
 type Frontend struct {
-	host     *eventloop.Driver
-	most     int // sessions
-	budget   int // bytes of statements and parts of them
-	longest  int // bytes of one message
-	held     int
-	sessions map[*session]bool
-	rota     rota
-	looking  bool          // a look is due in a moment
-	room     chan struct{} // holds one for each connection accepted
-	gate     *gate
-	ending   int      // sessions whose connection ends, but has not ended yet
-	pooling  *Pooling // nil: all have the platform's form
-	keys     map[pg.CancelKey]*pooled
-	ids      uint64  // requests without an id of their client's
-	draining bool    // SIGTERM has come
-	answerBy float64 // by when each request has its final answer then
-	leaving  bool    // each session ends once nothing of it is left to answer
-	left     float64 // since when
+	driver          *eventloop.Driver
+	maxSessions     int // sessions
+	maxHeldBytes    int // bytes of statements and parts of them
+	maxMessageBytes int // bytes of one message
+	heldBytes       int
+	sessions        map[*session]bool
+	sweepIndex      sweepIndex
+	sweepScheduled  bool          // a look is due in a moment
+	acceptSlots     chan struct{} // holds one for each connection accepted
+	gate            *gate
+	endingSessions  int      // sessions whose connection ends, but has not ended yet
+	pooling         *Pooling // nil: all have the platform's form
+	cancelKeys      map[pg.CancelKey]*pooledSession
+	generatedIDs    uint64  // requests without an id of their client's
+	draining        bool    // SIGTERM has come
+	drainDeadline   float64 // by when each request has its final answer then
+	leaving         bool    // each session ends once nothing of it is left to answer
+	endingSince     float64 // since when
 
 	// Statements over the budget; sessions and statements that broke the protocol; sessions that took too long to
 	// ask, or found no room.
@@ -57,192 +57,192 @@
 
 // session is one client's connection: its messages are answered in order, one at a time.
 type session struct {
-	all   *Frontend
-	conn  *eventloop.Conn
-	p     *pooled // nil: the platform's form
-	in    *pg.Reader
-	queue []item
-	txn   *request.Request
-	size  int     // bytes of its statement
-	since float64 // when it last became quiet
-	until float64 // when it must have asked, or sent the rest of a message, or is sent away for idling
-	asked bool    // it has sent a whole query
-	rests bool    // after a mistake
-	deaf  bool    // takes no more input
-	ends  bool    // and its connection is ending
-	spent int     // messages answered since the last look
-	moved float64 // when the client last read something, or had nothing to read
-	skips bool    // an error of the extended protocol: all up to Sync is passed over
-
-	place         place
-	written       int64
-	held, partial int // bytes of statements, and of the one that is not whole yet, which is among them
-}
-
-type item struct {
+	frontend           *Frontend
+	conn               *eventloop.Conn
+	pooled             *pooledSession // nil: the platform's form
+	reader             *pg.Reader
+	queue              []queuedMessage
+	request            *request.Request
+	statementBytes     int     // bytes of its statement
+	idleSince          float64 // when it last became quiet
+	inputDeadline      float64 // when it must have asked, or sent the rest of a message, or is sent away for idling
+	sentQuery          bool    // it has sent a whole query
+	penalized          bool    // after a mistake
+	deaf               bool    // takes no more input
+	ends               bool    // and its connection is ending
+	answeredSinceSweep int     // messages answered since the last look
+	readProgressAt     float64 // when the client last read something, or had nothing to read
+	skippingToSync     bool    // an error of the extended protocol: all up to Sync is passed over
+
+	timers                  sweepTimers
+	writtenAtSweep          int64
+	heldBytes, partialBytes int // bytes of statements, and of the one that is not whole yet, which is among them
+}
+
+type queuedMessage struct {
 	pg.Message
-	at    float64   // when its last byte came: its client's time runs while it waits for its turn
-	fail  *pg.Error // to be answered instead
-	more  int       // so many more are answered the same
-	fatal bool
+	arrived     float64   // when its last byte came: its client's time runs while it waits for its turn
+	response    *pg.Error // to be answered instead
+	repeats     int       // so many more are answered the same
+	endsSession bool
 }
 
 var (
-	crowded   = &pg.Error{Code: pg.TooManyConnections, Text: "too many statements at once"}
-	noRoom    = &pg.Error{Code: pg.TooManyConnections, Text: "too many connections"}
-	sentAhead = &pg.Error{Code: pg.ProgramLimitExceeded, Text: "too much sent ahead"}
-	late      = &pg.Error{Code: pg.IdleSessionTimeout, Text: "a whole query took too long to come"}
+	errOverBudget       = &pg.Error{Code: pg.TooManyConnections, Text: "too many statements at once"}
+	errTooManySessions  = &pg.Error{Code: pg.TooManyConnections, Text: "too many connections"}
+	errTooMuchPipelined = &pg.Error{Code: pg.ProgramLimitExceeded, Text: "too much sent ahead"}
+	errQueryTimeout     = &pg.Error{Code: pg.IdleSessionTimeout, Text: "a whole query took too long to come"}
 )
 
 // New makes room for so many sessions, which together hold so many bytes of statements, none longer than longest.
 func New(h *eventloop.Driver, most, budget, longest int) *Frontend {
-	a := &Frontend{host: h, most: most, budget: budget, longest: longest, sessions: map[*session]bool{},
-		rota: rota{awake: map[*session]bool{}}, keys: map[pg.CancelKey]*pooled{}, room: make(chan struct{}, most+spare)}
+	a := &Frontend{driver: h, maxSessions: most, maxHeldBytes: budget, maxMessageBytes: longest, sessions: map[*session]bool{},
+		sweepIndex: sweepIndex{active: map[*session]bool{}}, cancelKeys: map[pg.CancelKey]*pooledSession{}, acceptSlots: make(chan struct{}, most+rejectionSlots)}
 	return a
 }
 
 // Accept takes a connection in.
 func (a *Frontend) Accept(c *eventloop.Conn) {
-	now := a.host.Now()
-	s := &session{all: a, conn: c, in: pg.NewReader(false, a.longest), since: now, moved: now, until: now + hurry}
+	now := a.driver.Now()
+	s := &session{frontend: a, conn: c, reader: pg.NewReader(false, a.maxMessageBytes), idleSince: now, readProgressAt: now, inputDeadline: now + messageTimeoutMs}
 	c.Handle(s)
 	a.sessions[s] = true
-	a.rota.enter(s)
-	a.lookSoon()
+	a.sweepIndex.add(s)
+	a.scheduleSweep()
 	if a.gate != nil {
-		a.gate.taken++
+		a.gate.started++
 		a.gate.open()
 	}
-	a.makeRoom()
-	if len(a.sessions)-a.ending > a.most && !s.ends && !c.Unread() {
+	a.evictIfFull()
+	if len(a.sessions)-a.endingSessions > a.maxSessions && !s.ends && !c.Unread() {
 		a.NoSessionSlot++
-		s.refuse(noRoom)
+		s.finishWithError(errTooManySessions)
 	}
 }
 
-// makeRoom ends a session if no other could come in: one that has had time to ask and did not, else the one that has
+// evictIfFull ends a session if no other could come in: one that has had time to ask and did not, else the one that has
 // been quiet longest, else a newcomer. Guards against crowds that connect and say nothing: they push out each other
 // before anyone else.
-func (a *Frontend) makeRoom() {
-	for len(a.sessions)-a.ending >= a.most {
-		if first := a.first(a.host.Now()); first == nil || first.retire() { // others may be waiting
+func (a *Frontend) evictIfFull() {
+	for len(a.sessions)-a.endingSessions >= a.maxSessions {
+		if first := a.evictionCandidate(a.driver.Now()); first == nil || first.endIfQuiescent() { // others may be waiting
 			return
 		}
 	}
 }
 
-// idle tells that the session can end without taking an answer away.
-func (s *session) idle() bool {
-	return !s.ends && s.p == nil && s.answered() && s.conn.Sent() && (!s.asked || s.in.Buffered() == 0)
+// mayBeEnded tells that the session can end without taking an answer away.
+func (s *session) mayBeEnded() bool {
+	return !s.ends && s.pooled == nil && s.nothingOwed() && s.conn.Sent() && (!s.sentQuery || s.reader.Buffered() == 0)
 }
 
-// retire ends a session of which nothing is owed, unless something of its client's has come meanwhile. One that may have
+// endIfQuiescent ends a session of which nothing is owed, unless something of its client's has come meanwhile. One that may have
 // an answer on its way ends in order: its client sees the end behind the answer, and what crosses it, as not taken.
-func (s *session) retire() bool {
+func (s *session) endIfQuiescent() bool {
 	ended := false
-	if s.asked {
+	if s.sentQuery {
 		ended = s.conn.FinishIfQuiescent()
 	} else {
 		ended = s.conn.DropIfQuiescent()
 	}
 	if ended {
-		s.end()
+		s.markEnding()
 	}
 	return ended
 }
 
-// end counts a session whose connection is ending. Nothing more is taken from it.
-func (s *session) end() {
+// markEnding counts a session whose connection is ending. Nothing more is taken from it.
+func (s *session) markEnding() {
 	if s.deaf = true; !s.ends {
 		s.ends = true
-		s.all.ending++
+		s.frontend.endingSessions++
 	}
 }
 
 // drop ends the session at once.
 func (s *session) drop() {
-	s.end()
+	s.markEnding()
 	s.conn.Drop()
 }
 
-// look ends sessions that have taken too long, whatever they wait for but an answer, and of those that rest all but the
+// sweep ends sessions that have taken too long, whatever they wait for but an answer, and of those that rest all but the
 // latest third of what there is room for. Guards against connections that are never used, statements that never end,
 // answers that are never read, and clients that hold connections which they don't use again until none is left to them.
-func (a *Frontend) look() {
-	a.looking = false
-	if a.lookOnce(); a.leaving || len(a.rota.awake)+a.rota.resting.Len() > 0 {
-		a.lookSoon()
+func (a *Frontend) sweep() {
+	a.sweepScheduled = false
+	if a.sweepOnce(); a.leaving || len(a.sweepIndex.active)+a.sweepIndex.idle.Len() > 0 {
+		a.scheduleSweep()
 	}
 }
 
-// lookSoon has the next look come, where one is needed. A router whose sessions all sleep wakes for none.
-func (a *Frontend) lookSoon() {
-	if !a.looking {
-		a.looking = true
-		a.host.After(looks, a.look)
+// scheduleSweep has the next look come, where one is needed. A router whose sessions all sleep wakes for none.
+func (a *Frontend) scheduleSweep() {
+	if !a.sweepScheduled {
+		a.sweepScheduled = true
+		a.driver.After(sweepIntervalMs, a.sweep)
 	}
 }
 
-func (a *Frontend) lookOnce() {
-	now := a.host.Now()
-	for s := range a.rota.awake {
-		a.rota.looked++
-		if s.spent = 0; s.p != nil || len(s.queue) > 0 {
-			s.next()
+func (a *Frontend) sweepOnce() {
+	now := a.driver.Now()
+	for s := range a.sweepIndex.active {
+		a.sweepIndex.visits++
+		if s.answeredSinceSweep = 0; s.pooled != nil || len(s.queue) > 0 {
+			s.processQueue()
 		}
-		if written := s.conn.Written(); s.conn.Unsent() == 0 || written != s.written {
-			s.written, s.moved = written, now
+		if written := s.conn.Written(); s.conn.Unsent() == 0 || written != s.writtenAtSweep {
+			s.writtenAtSweep, s.readProgressAt = written, now
 		}
 		switch {
 		case s.ends:
-		case now > s.moved+stalled:
+		case now > s.readProgressAt+writeStallTimeoutMs:
 			s.drop()
-		case !s.deaf && s.unfinished() && now > s.until && !s.conn.Unread():
+		case !s.deaf && s.awaitsInput() && now > s.inputDeadline && !s.conn.Unread():
 			a.TimedOut++
-			s.refuse(late)
+			s.finishWithError(errQueryTimeout)
 		}
-		a.rota.lull(s)
+		a.sweepIndex.deactivateIfIdle(s)
 	}
-	a.retireLongest(now, a.most/3)
+	a.endLongestIdle(now, a.maxSessions/3)
 	if a.leaving {
-		a.sweep()
+		a.endIdleSessions()
 	}
 }
 
 // SessionCounts tells how many there are, and how many of them wait for an answer.
 func (a *Frontend) SessionCounts() (all, busy int) {
 	for s := range a.sessions {
-		if s.txn != nil || s.p != nil && s.p.txn != nil {
+		if s.request != nil || s.pooled != nil && s.pooled.request != nil {
 			busy++
 		}
 	}
 	return len(a.sessions), busy
 }
 
-// answered tells that nothing whole that has come is without its answer, and quiet that nothing else has come either.
-func (s *session) answered() bool {
-	return s.txn == nil && len(s.queue) == 0 && (s.p == nil || s.p.quiet())
+// nothingOwed tells that nothing whole that has come is without its answer, and quiet that nothing else has come either.
+func (s *session) nothingOwed() bool {
+	return s.request == nil && len(s.queue) == 0 && (s.pooled == nil || s.pooled.idle())
 }
-func (s *session) quiet() bool { return s.answered() && s.in.Buffered() == 0 }
+func (s *session) idle() bool { return s.nothingOwed() && s.reader.Buffered() == 0 }
 
-// unfinished tells that nothing whole that has come is without its answer, and that the session waits for its client to ask, or for
+// awaitsInput tells that nothing whole that has come is without its answer, and that the session waits for its client to ask, or for
 // the rest of what it asks.
-func (s *session) unfinished() bool {
-	if s.p != nil {
-		return s.p.unfinished()
+func (s *session) awaitsInput() bool {
+	if s.pooled != nil {
+		return s.pooled.awaitsInput()
 	}
-	return s.answered() && (!s.asked || s.in.Buffered() > 0)
+	return s.nothingOwed() && (!s.sentQuery || s.reader.Buffered() > 0)
 }
 
 func (s *session) finish() {
-	s.end()
+	s.markEnding()
 	s.conn.Finish()
 }
 
-// refuse ends the session with an error.
-func (s *session) refuse(e *pg.Error) {
-	if s.p != nil {
-		s.p.leave()
+// finishWithError ends the session with an error.
+func (s *session) finishWithError(e *pg.Error) {
+	if s.pooled != nil {
+		s.pooled.end()
 	}
 	s.conn.Write(pg.AppendError(nil, e, true))
 	s.finish()
@@ -251,22 +251,22 @@
 // Closed says that the client has gone away.
 func (s *session) Closed() {
 	s.deaf, s.queue = true, nil
-	if s.p != nil {
-		s.p.leave()
+	if s.pooled != nil {
+		s.pooled.end()
 	}
-	if s.txn != nil {
-		s.all.host.ClientGone(s.txn)
-		s.txn = nil
+	if s.request != nil {
+		s.frontend.driver.ClientGone(s.request)
+		s.request = nil
 	}
 	if s.ends {
-		s.all.ending--
+		s.frontend.endingSessions--
 	}
-	s.all.held -= s.held
-	delete(s.all.sessions, s)
-	s.all.rota.leave(s)
-	<-s.all.room
+	s.frontend.heldBytes -= s.heldBytes
+	delete(s.frontend.sessions, s)
+	s.frontend.sweepIndex.remove(s)
+	<-s.frontend.acceptSlots
 	failpoint.Hit("clients.closed")
-	s.all.last()
+	s.frontend.stopAfterLastSession()
 }
 
 // Data takes bytes in.
@@ -275,37 +275,37 @@
 		failpoint.Hit("clients.ignored")
 		return
 	}
-	s.all.rota.wake(s, s.all.host.Now())
-	s.all.lookSoon()
-	if s.asked && (s.in.Buffered() == 0 || s.p != nil) {
-		s.until = s.all.host.Now() + hurry
+	s.frontend.sweepIndex.activate(s, s.frontend.driver.Now())
+	s.frontend.scheduleSweep()
+	if s.sentQuery && (s.reader.Buffered() == 0 || s.pooled != nil) {
+		s.inputDeadline = s.frontend.driver.Now() + messageTimeoutMs
 	}
-	s.in.Feed(b)
+	s.reader.Feed(b)
 	for !s.deaf {
-		m, ok, err := s.in.Next()
+		m, ok, err := s.reader.Next()
 		var broken *pg.Error
 		if errors.As(err, &broken) { // framing is lost
 			s.deaf = true
-			s.queue = append(s.queue, item{fail: broken, fatal: true})
+			s.queue = append(s.queue, queuedMessage{response: broken, endsSession: true})
 		} else if !ok {
-			s.hold(s.in.Buffered() - s.partial)
-			s.partial = s.in.Buffered()
-			if s.partial == 0 || !s.all.overfull(s.held) {
+			s.addHeldBytes(s.reader.Buffered() - s.partialBytes)
+			s.partialBytes = s.reader.Buffered()
+			if s.partialBytes == 0 || !s.frontend.overBudget(s.heldBytes) {
 				return
 			}
 			s.deaf = true
-			s.queue = append(s.queue, item{fail: crowded, fatal: true})
+			s.queue = append(s.queue, queuedMessage{response: errOverBudget, endsSession: true})
 		} else {
-			s.message(m)
-			if s.asked { // what comes behind it has its own time
-				s.until = s.all.host.Now() + hurry
+			s.receive(m)
+			if s.sentQuery { // what comes behind it has its own time
+				s.inputDeadline = s.frontend.driver.Now() + messageTimeoutMs
 			}
 		}
-		s.next()
+		s.processQueue()
 	}
 }
 
-func (s *session) message(m pg.Message) {
+func (s *session) receive(m pg.Message) {
 	if m.Kind == pg.Query {
 		failpoint.Hit("clients.query")
 	}
@@ -313,132 +313,132 @@
 	case m.Kind == pg.SSLRequest:
 		s.conn.Write([]byte("N"))
 	case m.Kind == pg.CancelRequest:
-		s.all.cancel(m.Key)
+		s.frontend.cancel(m.Key)
 		s.finish()
-	case s.p != nil:
-		s.p.take(m)
-	case m.Kind == pg.Startup && s.all.pooling != nil && !s.all.platform(m):
-		s.enter(m)
+	case s.pooled != nil:
+		s.pooled.receive(m)
+	case m.Kind == pg.Startup && s.frontend.pooling != nil && !s.frontend.usesStatementMode(m):
+		s.startPooled(m)
 	case m.Kind == pg.Startup:
 		s.conn.Write(pg.AppendGreeting(nil, m.MinorVersion))
-	case m.Kind == pg.Query && (len(s.queue) >= ahead || s.all.held+len(m.Text) > s.all.budget):
-		s.decline()
-	case len(s.queue) >= ahead: // of what is not looked at yet
-		s.overrun()
+	case m.Kind == pg.Query && (len(s.queue) >= maxPipelined || s.frontend.heldBytes+len(m.Text) > s.frontend.maxHeldBytes):
+		s.rejectExcess()
+	case len(s.queue) >= maxPipelined: // of what is not looked at yet
+		s.endBehindQueue()
 	default:
-		s.asked = s.asked || m.Kind == pg.Query
-		s.hold(len(m.Text))
-		s.queue = append(s.queue, item{Message: m, at: s.all.host.Now()})
+		s.sentQuery = s.sentQuery || m.Kind == pg.Query
+		s.addHeldBytes(len(m.Text))
+		s.queue = append(s.queue, queuedMessage{Message: m, arrived: s.frontend.driver.Now()})
 	}
 }
 
 // rejection has one more query rejected at its turn. Guards against answers that are lost with the session's end: its client may have
 // meant all of them, and waits for each.
-func (s *session) decline() {
-	s.all.Rejected++
-	if last := len(s.queue) - 1; last < 0 || s.queue[last].fail != crowded {
-		s.queue = append(s.queue, item{fail: crowded})
-	} else if s.queue[last].more < surplus {
-		s.queue[last].more++
+func (s *session) rejectExcess() {
+	s.frontend.Rejected++
+	if last := len(s.queue) - 1; last < 0 || s.queue[last].response != errOverBudget {
+		s.queue = append(s.queue, queuedMessage{response: errOverBudget})
+	} else if s.queue[last].repeats < maxExcessPipelined {
+		s.queue[last].repeats++
 	} else {
-		s.overrun()
+		s.endBehindQueue()
 	}
 }
 
-// overrun ends the session behind the answers to what came before.
-func (s *session) overrun() {
+// endBehindQueue ends the session behind the answers to what came before.
+func (s *session) endBehindQueue() {
 	s.deaf = true
-	s.queue = append(s.queue, item{fail: sentAhead, fatal: true})
+	s.queue = append(s.queue, queuedMessage{response: errTooMuchPipelined, endsSession: true})
 }
 
-// overfull tells whether all sessions hold too much, and one that holds so much has a part in that. Guards against big statements
+// overBudget tells whether all sessions hold too much, and one that holds so much has a part in that. Guards against big statements
 // of some that end the sessions of all others.
-func (a *Frontend) overfull(own int) bool {
-	return a.held > 2*a.budget && own > a.budget/a.most
+func (a *Frontend) overBudget(own int) bool {
+	return a.heldBytes > 2*a.maxHeldBytes && own > a.maxHeldBytes/a.maxSessions
 }
 
-// hold counts bytes that the session holds.
-func (s *session) hold(n int) {
-	s.held += n
-	s.all.held += n
+// addHeldBytes counts bytes that the session holds.
+func (s *session) addHeldBytes(n int) {
+	s.heldBytes += n
+	s.frontend.heldBytes += n
 }
 
-// next answers what can be answered at once, up to the first request.
-func (s *session) next() {
-	if s.p != nil {
-		s.p.next()
+// processQueue answers what can be answered at once, up to the first request.
+func (s *session) processQueue() {
+	if s.pooled != nil {
+		s.pooled.processQueue()
 		return
 	}
-	for s.txn == nil && len(s.queue) > 0 && !s.ends && !s.rests && s.spent < ahead && s.conn.Unsent() < unread {
-		i := s.pop()
+	for s.request == nil && len(s.queue) > 0 && !s.ends && !s.penalized && s.answeredSinceSweep < maxPipelined && s.conn.Unsent() < maxUnreadBytes {
+		i := s.dequeue()
 		// Guards against floods. A client that waits for each answer is none, however fast it asks.
-		if s.answer(i); s.txn == nil || len(s.queue) > 0 {
-			s.spent++
+		if s.respond(i); s.request == nil || len(s.queue) > 0 {
+			s.answeredSinceSweep++
 		}
 	}
-	if s.deaf || !s.answered() {
+	if s.deaf || !s.nothingOwed() {
 		return
 	}
-	if s.quiet() {
-		s.since = s.all.host.Now()
-		if s.all.leaving {
-			s.leave()
+	if s.idle() {
+		s.idleSince = s.frontend.driver.Now()
+		if s.frontend.leaving {
+			s.endForShutdown()
 		} else {
-			s.all.makeRoom()
+			s.frontend.evictIfFull()
 		}
 	}
 }
 
-// pop takes the first of what waits.
-func (s *session) pop() item {
+// dequeue takes the first of what waits.
+func (s *session) dequeue() queuedMessage {
 	i := s.queue[0]
-	if i.more > 0 {
-		s.queue[0].more--
+	if i.repeats > 0 {
+		s.queue[0].repeats--
 	} else {
 		s.queue = s.queue[1:]
 	}
 	return i
 }
 
-func (s *session) answer(i item) {
+func (s *session) respond(i queuedMessage) {
 	switch {
-	case i.fatal:
-		s.all.ProtocolErrors++
-		s.refuse(i.fail)
+	case i.endsSession:
+		s.frontend.ProtocolErrors++
+		s.finishWithError(i.response)
 	case i.Kind == pg.Sync:
-		s.skips = false
+		s.skippingToSync = false
 		s.conn.Write(pg.AppendReadyIdle(nil))
-	case s.skips && i.fail == nil:
-		s.hold(-len(i.Text))
-	case i.fail != nil:
-		s.fail(i.fail)
+	case s.skippingToSync && i.response == nil:
+		s.addHeldBytes(-len(i.Text))
+	case i.response != nil:
+		s.writeError(i.response)
 	case i.Kind == pg.Terminate:
 		s.finish()
 	case i.Kind == pg.ExtendedQuery:
-		s.skips = true
-		s.all.ProtocolErrors++
+		s.skippingToSync = true
+		s.frontend.ProtocolErrors++
 		s.conn.Write(pg.AppendError(nil, &pg.Error{Code: pg.FeatureNotSupported, Text: "simple queries only"}, false))
 	case i.Kind == pg.FunctionCall:
-		s.fail(&pg.Error{Code: pg.FeatureNotSupported, Text: "simple queries only"})
+		s.writeError(&pg.Error{Code: pg.FeatureNotSupported, Text: "simple queries only"})
 	case strings.TrimSpace(strings.TrimRight(i.Text, "; \t\r\n")) == "":
-		s.hold(-len(i.Text))
+		s.addHeldBytes(-len(i.Text))
 		s.conn.Write(pg.AppendReadyIdle(pg.AppendEmptyQuery(nil)))
 	default:
-		s.take(i.Text, i.at)
+		s.startRequest(i.Text, i.arrived)
 	}
 }
 
-func (s *session) fail(e *pg.Error) {
+func (s *session) writeError(e *pg.Error) {
 	s.conn.Write(pg.AppendReadyIdle(pg.AppendError(nil, e, false)))
 }
 
-// take hands a request over.
-func (s *session) take(text string, at float64) {
-	t, err := s.arrive(text, at)
+// startRequest hands a request over.
+func (s *session) startRequest(text string, at float64) {
+	t, err := s.submit(text, at)
 	var bad *pg.Error
 	switch {
 	case err == nil:
-		s.txn, s.size = t, len(text)
+		s.request, s.statementBytes = t, len(text)
 		return
 	case errors.As(err, &bad):
 	case errors.Is(err, eventloop.ErrDuplicateID):
@@ -446,38 +446,38 @@
 	default:
 		bad = &pg.Error{Code: pg.InvalidParameterValue, Text: err.Error()}
 	}
-	s.hold(-len(text))
-	s.mistake(bad)
+	s.addHeldBytes(-len(text))
+	s.writeErrorAndPause(bad)
 }
 
-// mistake tells a client what is wrong with its statement, and lets its session rest. Guards against clients that make
+// writeErrorAndPause tells a client what is wrong with its statement, and lets its session rest. Guards against clients that make
 // the same mistake again as soon as they hear of it.
-func (s *session) mistake(e *pg.Error) {
-	s.all.ProtocolErrors++
-	s.fail(e)
-	if s.rests = !s.deaf; s.rests {
-		s.all.host.After(penance, func() {
-			s.rests = false
-			s.next()
+func (s *session) writeErrorAndPause(e *pg.Error) {
+	s.frontend.ProtocolErrors++
+	s.writeError(e)
+	if s.penalized = !s.deaf; s.penalized {
+		s.frontend.driver.After(errorPenaltyMs, func() {
+			s.penalized = false
+			s.processQueue()
 		})
 	}
 }
 
-func (s *session) arrive(text string, at float64) (*request.Request, error) {
+func (s *session) submit(text string, at float64) (*request.Request, error) {
 	st, err := pg.ParseStatement(text)
 	if err != nil {
 		return nil, err
 	}
 	t := request.New(st, at, func(a request.Response) { s.deliver(a, len(text)) })
 	t.ClientClosed = s.conn.PeerClosed
-	s.all.limitWait(t)
-	return t, s.all.host.Arrive(t)
+	s.frontend.limitWait(t)
+	return t, s.frontend.driver.Arrive(t)
 }
 
 // deliver writes the final answer. What comes next waits its turn, since decisions are just being pulled.
 func (s *session) deliver(a request.Response, size int) {
-	s.txn = nil
-	s.hold(-size)
+	s.request = nil
+	s.addHeldBytes(-size)
 	switch {
 	case a.Rows != nil:
 		s.conn.Write(pg.AppendReadyIdle(a.Rows))
@@ -486,11 +486,11 @@
 		if a.RetryAfter > 0 {
 			e.Detail = strconv.Itoa(int(a.RetryAfter))
 		}
-		s.fail(e)
+		s.writeError(e)
 	case a.StatementError != nil:
-		s.mistake(a.StatementError)
+		s.writeErrorAndPause(a.StatementError)
 	default:
-		s.fail(&pg.Error{Code: pg.TransactionResolutionUnknown, Text: "rolled back, it may have taken effect"})
+		s.writeError(&pg.Error{Code: pg.TransactionResolutionUnknown, Text: "rolled back, it may have taken effect"})
 	}
-	s.all.host.Defer(s.next)
+	s.frontend.driver.Defer(s.processQueue)
 }
--- a/internal/frontend/gate.go
+++ b/internal/frontend/gate.go
@@ -16,59 +16,59 @@
 
 // Gate makes a listener leave connections with the system while there is no room.
 func (a *Frontend) Gate(l net.Listener) net.Listener {
-	a.gate = &gate{Listener: l, room: a.room}
+	a.gate = &gate{Listener: l, slots: a.acceptSlots}
 	return a.gate
 }
 
 type gate struct {
 	net.Listener
-	room  chan struct{}
-	let   atomic.Int64 // connections let in
-	taken int64        // of these, how many have become sessions; the loop's
+	slots    chan struct{}
+	accepted atomic.Int64 // connections let in
+	started  int64        // of these, how many have become sessions; the loop's
 
-	shut   atomic.Int64 // counts the times that it was shut or opened; odd: shut
-	parked atomic.Int64 // when it was that a call for the next connection last came back without one
+	closings   atomic.Int64 // counts the times that it was shut or opened; odd: shut
+	returnedAt atomic.Int64 // when it was that a call for the next connection last came back without one
 
-	accepted net.Conn // not yet with the poller, for want of a descriptor; the acceptor's
+	pending net.Conn // not yet with the poller, for want of a descriptor; the acceptor's
 }
 
 func (g *gate) Accept() (net.Conn, error) {
-	g.room <- struct{}{}
-	shut := g.shut.Load()
-	c, err := g.next()
+	g.slots <- struct{}{}
+	shut := g.closings.Load()
+	c, err := g.nextAdopted()
 	if err == nil {
 		return c, nil
 	}
-	<-g.room
+	<-g.slots
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		g.parked.Store(shut)
+		g.returnedAt.Store(shut)
 	} else if !errors.Is(err, net.ErrClosed) {
-		time.Sleep(pause) // the poller asks again at once, and a descriptor may come free
+		time.Sleep(acceptRetryPause) // the poller asks again at once, and a descriptor may come free
 	}
 	return nil, err
 }
 
-// next gives the next connection in the poller's form. One that was accepted stays for the next call while no descriptor is
+// nextAdopted gives the next connection in the poller's form. One that was accepted stays for the next call while no descriptor is
 // left for that form. Guards against closing it: its client may have sent a request already.
-func (g *gate) next() (net.Conn, error) {
-	if g.accepted == nil {
+func (g *gate) nextAdopted() (net.Conn, error) {
+	if g.pending == nil {
 		c, err := g.accept()
 		if err != nil {
 			return nil, err
 		}
 		failpoint.Hit("clients.accepted")
-		g.let.Add(1)
-		g.accepted = c
+		g.accepted.Add(1)
+		g.pending = c
 	}
-	c, err := eventloop.Adopt(g.accepted)
+	c, err := eventloop.Adopt(g.pending)
 	if err != nil && errors.As(err, new(syscall.Errno)) {
 		return nil, err
 	}
 	if err != nil { // it has no descriptor at all
-		g.accepted.Close()
-		g.let.Add(-1)
+		g.pending.Close()
+		g.accepted.Add(-1)
 	}
-	g.accepted = nil
+	g.pending = nil
 	return c, err
 }
 
@@ -88,16 +88,16 @@
 	}
 	timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
-		return g.let.Load() == g.taken
+		return g.accepted.Load() == g.started
 	}
-	if g.shut.Load()%2 == 0 {
-		g.shut.Add(1)
+	if g.closings.Load()%2 == 0 {
+		g.closings.Add(1)
 		timed.SetDeadline(time.Unix(1, 0))
 	}
-	if g.parked.Load() != g.shut.Load() {
+	if g.returnedAt.Load() != g.closings.Load() {
 		return false
 	}
-	if g.waits() || g.let.Load() != g.taken {
+	if g.backlogged() || g.accepted.Load() != g.started {
 		g.open()
 		return false
 	}
@@ -106,14 +106,14 @@
 
 // open has connections come in again, if it was shut.
 func (g *gate) open() {
-	if timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.shut.Load()%2 == 1 {
-		g.shut.Add(1)
+	if timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.closings.Load()%2 == 1 {
+		g.closings.Add(1)
 		timed.SetDeadline(time.Time{})
 	}
 }
 
-// waits tells whether the system holds a connection that nobody has taken.
-func (g *gate) waits() (some bool) {
+// backlogged tells whether the system holds a connection that nobody has taken.
+func (g *gate) backlogged() (some bool) {
 	if sys, ok := g.Listener.(syscall.Conn); ok {
 		if raw, err := sys.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) {
--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -49,79 +49,79 @@
 	return nil
 }
 
-// platform tells whether a client that comes in has the platform's form.
-func (a *Frontend) platform(m pg.Message) bool {
+// usesStatementMode tells whether a client that comes in has the platform's form.
+func (a *Frontend) usesStatementMode(m pg.Message) bool {
 	user := m.Startup.Get("user")
 	p := a.pooling.find(user, cmp.Or(m.Startup.Get("database"), user))
 	return p != nil && p.StatementMode
 }
 
-// pooled is a session whose requests are transactions: what its client says, in order, up to where it must wait.
-type pooled struct {
-	s    *session
-	pool *Pool
-	d    *decide.Session
-	key  pg.CancelKey
-	told *iradix.Tree[string] // what the client knows of its server
-	txn  *request.Request
-	held request.BackendConn // the connection that stays with the session
-
-	ops     []decide.Message // of the unit that is not whole yet
-	queue   []item           // what came while one is on its way
-	size    int              // bytes of both
-	said    int              // bytes of the unit on its way, which may have to be said again
-	asked   bool             // a whole unit is on its way, its readiness has not come
-	open    bool             // a part of one is, after a flush
-	skips   bool             // all up to Sync is passed over
-	copying bool             // the member takes what is copied in
-	lost    *pg.Error        // why a transaction ended while its client said nothing
-	over    bool
+// pooledSession is a session whose requests are transactions: what its client says, in order, up to where it must wait.
+type pooledSession struct {
+	session            *session
+	pool               *Pool
+	decisions          *decide.Session
+	cancelKey          pg.CancelKey
+	reportedParameters *iradix.Tree[string] // what the client knows of its server
+	request            *request.Request
+	reserved           request.BackendConn // the connection that stays with the session
+
+	unitMessages  []decide.Message // of the unit that is not whole yet
+	queue         []queuedMessage  // what came while one is on its way
+	queuedBytes   int              // bytes of both
+	inFlightBytes int              // bytes of the unit on its way, which may have to be said again
+	asked         bool             // a whole unit is on its way, its readiness has not come
+	open          bool             // a part of one is, after a flush
+	skips         bool             // all up to Sync is passed over
+	copying       bool             // the member takes what is copied in
+	pendingError  *pg.Error        // why a transaction ended while its client said nothing
+	over          bool
 }
 
-// defaults are what a client is told before any member has told more.
-var defaults = [][2]string{{"server_version", "16.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
+// defaultParameterValues are what a client is told before any member has told more.
+var defaultParameterValues = [][2]string{{"server_version", "16.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 	{"standard_conforming_strings", "on"}, {"integer_datetimes", "on"}, {"DateStyle", "ISO, MDY"}, {"TimeZone", "UTC"}}
 
-// enter lets a client in to its pool.
-func (s *session) enter(m pg.Message) {
+// startPooled lets a client in to its pool.
+func (s *session) startPooled(m pg.Message) {
 	user := m.Startup.Get("user")
-	pool := s.all.pooling.find(user, cmp.Or(m.Startup.Get("database"), user))
+	pool := s.frontend.pooling.find(user, cmp.Or(m.Startup.Get("database"), user))
 	if pool == nil {
-		s.all.ProtocolErrors++
-		s.refuse(&pg.Error{Code: pg.InvalidCatalogName, Text: "no pool for this user and database"})
+		s.frontend.ProtocolErrors++
+		s.finishWithError(&pg.Error{Code: pg.InvalidCatalogName, Text: "no pool for this user and database"})
 		return
 	}
 	base, fail := decide.StartupSettings(m.Startup)
 	if fail != nil {
-		s.all.ProtocolErrors++
-		s.refuse(fail)
+		s.frontend.ProtocolErrors++
+		s.finishWithError(fail)
 		return
 	}
-	p := &pooled{s: s, pool: pool, d: decide.New(pool.Policy, base), told: pool.KnownParameters()}
-	s.p, s.asked = p, true
-	s.in.EnableExtended()
-	for p.key == (pg.CancelKey{}) || s.all.keys[p.key] != nil {
+	p := &pooledSession{session: s, pool: pool, decisions: decide.New(pool.Policy, base), reportedParameters: pool.KnownParameters()}
+	s.pooled, s.sentQuery = p, true
+	s.reader.EnableExtended()
+	for p.cancelKey == (pg.CancelKey{}) || s.frontend.cancelKeys[p.cancelKey] != nil {
 		var b [8]byte
 		rand.Read(b[:])
-		p.key = pg.CancelKey{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])}
+		p.cancelKey = pg.CancelKey{Process: binary.BigEndian.Uint32(b[:]) >> 1, Secret: binary.BigEndian.Uint32(b[4:])}
 	}
-	s.all.keys[p.key] = p
+	s.frontend.cancelKeys[p.cancelKey] = p
 	var out []byte
 	if m.MinorVersion > 0 {
 		out = pg.AppendNegotiateProtocolVersion(out)
 	}
-	if p.told.Len() == 0 {
-		p.told = unheard
+	if p.reportedParameters.Len() == 0 {
+		p.reportedParameters = defaultParameters
 	}
 	out = pg.AppendAuthenticationOK(out)
-	p.told.Root().Walk(func(k []byte, v string) bool {
+	p.reportedParameters.Root().Walk(func(k []byte, v string) bool {
 		if own, set := base.Get(lower(string(k))); set {
 			v = pg.Unquote(own)
 		}
 		out = pg.AppendParameterStatus(out, string(k), v)
 		return false
 	})
-	s.conn.Write(pg.AppendReadyIdle(pg.AppendBackendKeyData(out, p.key)))
+	s.conn.Write(pg.AppendReadyIdle(pg.AppendBackendKeyData(out, p.cancelKey)))
 }
 
 func lower(s string) string {
@@ -136,36 +136,36 @@
 
 // cancel stops what runs for the client that has this key, if anything does. It is never told whether.
 func (a *Frontend) cancel(k pg.CancelKey) {
-	p := a.keys[k]
-	if p == nil || p.txn == nil {
+	p := a.cancelKeys[k]
+	if p == nil || p.request == nil {
 		return
 	}
-	if c := p.txn.Stream.Backend(); c != nil {
+	if c := p.request.Stream.Backend(); c != nil {
 		c.Cancel()
 		return
 	}
-	t := p.txn // it waits, and nothing has run
-	p.txn, p.held = nil, t.Stream.Reserved
-	a.host.ClientGone(t)
+	t := p.request // it waits, and nothing has run
+	p.request, p.reserved = nil, t.Stream.Reserved
+	a.driver.ClientGone(t)
 	t.Stream.ClientGone()
-	p.d.ConnectionLost(false)
-	p.fail(&pg.Error{Code: pg.QueryCanceled, Text: "canceling statement due to user request"})
-	a.host.Defer(p.next)
+	p.decisions.ConnectionLost(false)
+	p.failUnit(&pg.Error{Code: pg.QueryCanceled, Text: "canceling statement due to user request"})
+	a.driver.Defer(p.processQueue)
 }
 
-// take takes one message of the client's.
-func (p *pooled) take(m pg.Message) {
+// receive takes one message of the client's.
+func (p *pooledSession) receive(m pg.Message) {
 	switch {
 	case p.over:
 	case p.asked && p.copying && isCopy(m.Kind):
-		p.copy(m)
-	case p.asked || len(p.queue) > 0 || p.s.conn.Unsent() >= unread:
+		p.forwardCopy(m)
+	case p.asked || len(p.queue) > 0 || p.session.conn.Unsent() >= maxUnreadBytes:
 		m.Raw = append([]byte(nil), m.Raw...)
 		m.Tail = tail(m)
-		p.queue = append(p.queue, item{Message: m, at: p.s.all.host.Now()})
-		p.grow(len(m.Raw))
+		p.queue = append(p.queue, queuedMessage{Message: m, arrived: p.session.frontend.driver.Now()})
+		p.addQueuedBytes(len(m.Raw))
 	default:
-		p.handle(m, p.s.all.host.Now())
+		p.handle(m, p.session.frontend.driver.Now())
 	}
 }
 
@@ -174,187 +174,189 @@
 
 func isCopy(k pg.Kind) bool { return k == pg.CopyData || k == pg.CopyDone || k == pg.CopyFail }
 
-// grow counts what the client has sent ahead. Guards against pipelines without end.
-func (p *pooled) grow(n int) {
-	p.size += n
-	p.s.hold(n)
-	if p.size > p.s.all.longest || p.s.all.overfull(p.size) {
-		p.s.overrun()
+// addQueuedBytes counts what the client has sent ahead. Guards against pipelines without end.
+func (p *pooledSession) addQueuedBytes(n int) {
+	p.queuedBytes += n
+	p.session.addHeldBytes(n)
+	if p.queuedBytes > p.session.frontend.maxMessageBytes || p.session.frontend.overBudget(p.queuedBytes) {
+		p.session.endBehindQueue()
 	}
 }
 
-func (p *pooled) shrink() {
-	p.s.hold(-p.size)
-	p.size = 0
+func (p *pooledSession) releaseQueuedBytes() {
+	p.session.addHeldBytes(-p.queuedBytes)
+	p.queuedBytes = 0
 }
 
-func (p *pooled) copy(m pg.Message) {
-	ops, _ := p.d.Extended(m)
-	p.txn.Stream.Send(ops)
+func (p *pooledSession) forwardCopy(m pg.Message) {
+	ops, _ := p.decisions.Extended(m)
+	p.request.Stream.Send(ops)
 }
 
-// next goes on with what came while a unit was on its way. What has come whole is answered also where the session ends behind it.
-func (p *pooled) next() {
-	for !p.over && !p.s.ends && len(p.queue) > 0 && (!p.asked || p.copying && isCopy(p.queue[0].Kind)) && p.s.conn.Unsent() < unread {
+// processQueue goes on with what came while a unit was on its way. What has come whole is answered also where the session ends behind it.
+func (p *pooledSession) processQueue() {
+	for !p.over && !p.session.ends && len(p.queue) > 0 && (!p.asked || p.copying && isCopy(p.queue[0].Kind)) && p.session.conn.Unsent() < maxUnreadBytes {
 		m := p.queue[0]
 		p.queue = p.queue[1:]
-		p.size -= len(m.Raw)
-		p.s.hold(-len(m.Raw))
+		p.queuedBytes -= len(m.Raw)
+		p.session.addHeldBytes(-len(m.Raw))
 		if p.asked {
-			p.copy(m.Message)
+			p.forwardCopy(m.Message)
 		} else {
-			p.handle(m.Message, m.at)
+			p.handle(m.Message, m.arrived)
 		}
 	}
 	if len(p.queue) == 0 {
 		p.queue = nil
 	}
-	if p.over || p.s.ends {
+	if p.over || p.session.ends {
 		return
 	}
-	if len(p.s.queue) > 0 { // the error that ends the session
+	if len(p.session.queue) > 0 { // the error that ends the session
 		if len(p.queue) == 0 && (!p.asked || p.copying) {
-			p.s.answer(p.s.queue[0])
+			p.session.respond(p.session.queue[0])
 		}
 		return
 	}
-	if p.quiet() {
-		if p.s.since = p.s.all.host.Now(); p.s.all.leaving && p.s.quiet() {
-			p.s.leave()
+	if p.idle() {
+		if p.session.idleSince = p.session.frontend.driver.Now(); p.session.frontend.leaving && p.session.idle() {
+			p.session.endForShutdown()
 			return
 		}
-		p.s.in.Shrink()
+		p.session.reader.Shrink()
 	}
 }
 
 // busy tells that an answer is owed; quiet, that nothing at all is on its way.
-func (p *pooled) busy() bool  { return p.asked || p.open || p.txn != nil }
-func (p *pooled) quiet() bool { return !p.busy() && len(p.queue) == 0 && len(p.ops) == 0 }
+func (p *pooledSession) busy() bool { return p.asked || p.open || p.request != nil }
+func (p *pooledSession) idle() bool {
+	return !p.busy() && len(p.queue) == 0 && len(p.unitMessages) == 0
+}
 
-// unfinished tells that the rest of a message or of a unit has not come, and nothing is owed before.
-func (p *pooled) unfinished() bool {
+// awaitsInput tells that the rest of a message or of a unit has not come, and nothing is owed before.
+func (p *pooledSession) awaitsInput() bool {
 	if len(p.queue) > 0 || p.asked && !p.copying {
 		return false
 	}
-	return p.s.in.Buffered() > 0 || len(p.ops) > 0
+	return p.session.reader.Buffered() > 0 || len(p.unitMessages) > 0
 }
 
 // handle takes one message, which came at that time, while nothing whole is on its way.
-func (p *pooled) handle(m pg.Message, at float64) {
+func (p *pooledSession) handle(m pg.Message, at float64) {
 	switch {
 	case m.Kind == pg.Terminate:
-		p.leave()
-		p.s.finish()
+		p.end()
+		p.session.finish()
 	case m.Kind == pg.Sync && p.skips:
 		if p.skips = false; p.open {
 			p.dispatch([]decide.Message{{Kind: pg.Sync, Raw: pg.AppendSync(nil)}}, true, at)
 			return
 		}
-		p.s.conn.Write(pg.AppendReadyForQuery(nil, p.d.TransactionStatus()))
+		p.session.conn.Write(pg.AppendReadyForQuery(nil, p.decisions.TransactionStatus()))
 	case p.skips || isCopy(m.Kind):
 	case m.Kind == pg.Query:
-		if p.lostFirst() {
-			p.s.conn.Write(pg.AppendReadyForQuery(nil, p.d.TransactionStatus()))
+		if p.deliverPendingError() {
+			p.session.conn.Write(pg.AppendReadyForQuery(nil, p.decisions.TransactionStatus()))
 			return
 		}
-		answer, ops := p.d.Query(m.Text, append([]byte(nil), m.Raw...), p.txn != nil)
+		answer, ops := p.decisions.Query(m.Text, append([]byte(nil), m.Raw...), p.request != nil)
 		if answer != nil {
-			p.s.conn.Write(answer)
+			p.session.conn.Write(answer)
 			return
 		}
 		p.dispatch(ops, true, at)
 	case m.Kind == pg.FunctionCall:
-		p.s.conn.Write(pg.AppendReadyForQuery(pg.AppendError(nil, &pg.Error{Code: pg.FeatureNotSupported, Text: "function calls do not go through a router"},
-			false), p.d.TransactionStatus()))
+		p.session.conn.Write(pg.AppendReadyForQuery(pg.AppendError(nil, &pg.Error{Code: pg.FeatureNotSupported, Text: "function calls do not go through a router"},
+			false), p.decisions.TransactionStatus()))
 	default:
-		ops, _ := p.d.Extended(m)
-		p.ops = append(p.ops, ops...)
-		if p.grow(len(m.Raw)); p.s.deaf {
+		ops, _ := p.decisions.Extended(m)
+		p.unitMessages = append(p.unitMessages, ops...)
+		if p.addQueuedBytes(len(m.Raw)); p.session.deaf {
 			return
 		}
 		if m.Kind == pg.Sync || m.Kind == pg.Flush {
-			ops := p.ops
-			p.ops = nil
-			p.shrink()
+			ops := p.unitMessages
+			p.unitMessages = nil
+			p.releaseQueuedBytes()
 			p.dispatch(ops, m.Kind == pg.Sync, at)
 		}
 	}
 }
 
-// lostFirst tells the client why its transaction ended while it said nothing, in place of its next answer.
-func (p *pooled) lostFirst() bool {
-	if p.lost == nil || p.txn != nil {
+// deliverPendingError tells the client why its transaction ended while it said nothing, in place of its next answer.
+func (p *pooledSession) deliverPendingError() bool {
+	if p.pendingError == nil || p.request != nil {
 		return false
 	}
-	p.s.conn.Write(pg.AppendError(nil, p.lost, false))
-	p.lost = nil
+	p.session.conn.Write(pg.AppendError(nil, p.pendingError, false))
+	p.pendingError = nil
 	return true
 }
 
 // dispatch sends a unit, or the part of one that a flush ends; its last byte came at that time.
-func (p *pooled) dispatch(ops []decide.Message, whole bool, at float64) {
-	if p.txn == nil {
-		switch answer, here := p.d.LocalReply(ops); {
+func (p *pooledSession) dispatch(ops []decide.Message, whole bool, at float64) {
+	if p.request == nil {
+		switch answer, here := p.decisions.LocalReply(ops); {
 		case here:
-			p.s.conn.Write(answer)
+			p.session.conn.Write(answer)
 			return
-		case p.lostFirst():
-			p.d.ConnectionLost(false)
+		case p.deliverPendingError():
+			p.decisions.ConnectionLost(false)
 			if p.skips = !whole; whole {
-				p.s.conn.Write(pg.AppendReadyForQuery(nil, p.d.TransactionStatus()))
+				p.session.conn.Write(pg.AppendReadyForQuery(nil, p.decisions.TransactionStatus()))
 			}
 			return
-		case p.d.TransactionStatus() == 'E':
-			p.s.conn.Write(p.d.FailedTransactionReply(ops))
+		case p.decisions.TransactionStatus() == 'E':
+			p.session.conn.Write(p.decisions.FailedTransactionReply(ops))
 			return
 		}
 		p.asked, p.open = whole, !whole
-		p.arrive(append(p.d.FlushDeferredBegin(), ops...), at)
+		p.startRequest(append(p.decisions.FlushDeferredBegin(), ops...), at)
 		return
 	}
 	p.asked, p.open = whole, !whole
-	p.saying(ops)
-	p.txn.Stream.Send(ops)
+	p.addInFlightBytes(ops)
+	p.request.Stream.Send(ops)
 }
 
-// saying counts what is on its way, and answered what no longer is. Guards against many that wait with much.
-func (p *pooled) saying(ops []decide.Message) {
+// addInFlightBytes counts what is on its way, and answered what no longer is. Guards against many that wait with much.
+func (p *pooledSession) addInFlightBytes(ops []decide.Message) {
 	n := 0
 	for _, op := range ops {
 		n += len(op.Raw)
 	}
-	p.said += n
-	p.s.hold(n)
+	p.inFlightBytes += n
+	p.session.addHeldBytes(n)
 }
 
-func (p *pooled) answered() {
-	p.s.hold(-p.said)
-	p.said = 0
+func (p *pooledSession) unitDone() {
+	p.session.addHeldBytes(-p.inFlightBytes)
+	p.inFlightBytes = 0
 	p.asked, p.open, p.copying = false, false, false
 }
 
-// arrive hands a request over that begins with these, which came at that time.
-func (p *pooled) arrive(ops []decide.Message, at float64) {
-	a := p.s.all
-	if p.saying(ops); a.held > a.budget {
+// startRequest hands a request over that begins with these, which came at that time.
+func (p *pooledSession) startRequest(ops []decide.Message, at float64) {
+	a := p.session.frontend
+	if p.addInFlightBytes(ops); a.heldBytes > a.maxHeldBytes {
 		a.Rejected++
-		p.d.ConnectionLost(false)
-		p.fail(crowded)
+		p.decisions.ConnectionLost(false)
+		p.failUnit(errOverBudget)
 		return
 	}
-	label, txnType, tenant, none := p.d.RequestClass()
+	label, txnType, tenant, none := p.decisions.RequestClass()
 	if none {
 		txnType = p.pool.DefaultClass
 	}
 	if p.pool.Policy.SeededDefects.ForgetLastCommitPosition {
-		p.d.LastCommitPosition = 0
+		p.decisions.LastCommitPosition = 0
 	}
-	st := &pg.Statement{ID: a.nextID(), RequestClass: txnType, Tenant: tenant, WaitMs: mostWait, Group: p.pool.Group,
-		Position: min(p.d.LastCommitPosition, a.host.ClusterNow()+eventloop.MaxPositionAhead)} // it may have been dated by an estimate that has fallen since
-	if w, err := strconv.ParseFloat(p.d.RouterSetting("wait"), 64); err == nil && w > 0 {
+	st := &pg.Statement{ID: a.nextID(), RequestClass: txnType, Tenant: tenant, WaitMs: noWaitLimitMs, Group: p.pool.Group,
+		Position: min(p.decisions.LastCommitPosition, a.driver.ClusterNow()+eventloop.MaxPositionAhead)} // it may have been dated by an estimate that has fallen since
+	if w, err := strconv.ParseFloat(p.decisions.RouterSetting("wait"), 64); err == nil && w > 0 {
 		st.WaitMs = w
 	}
-	if g, err := strconv.Atoi(p.d.RouterSetting("group")); err == nil {
+	if g, err := strconv.Atoi(p.decisions.RouterSetting("group")); err == nil {
 		st.Group = g
 	}
 	if label != nil {
@@ -362,104 +364,104 @@
 		st.Position = max(st.Position, label.Position)
 	}
 	t := request.New(st, at, p.deliver)
-	t.ClientClosed = p.s.conn.PeerClosed
+	t.ClientClosed = p.session.conn.PeerClosed
 	a.limitWait(t)
-	t.Stream = &request.Stream{Pool: p.pool.Name, Client: p, Reserved: p.held}
+	t.Stream = &request.Stream{Pool: p.pool.Name, Client: p, Reserved: p.reserved}
 	t.Stream.Send(ops)
-	p.txn, p.held = t, nil // it comes back by Keep
-	if err := a.host.Arrive(t); err != nil {
-		p.txn, p.held = nil, t.Stream.Reserved
-		p.d.ConnectionLost(false)
+	p.request, p.reserved = t, nil // it comes back by Keep
+	if err := a.driver.Arrive(t); err != nil {
+		p.request, p.reserved = nil, t.Stream.Reserved
+		p.decisions.ConnectionLost(false)
 		code := pg.InvalidParameterValue
 		if errors.Is(err, eventloop.ErrDuplicateID) {
 			code = pg.DuplicateObject
 		}
 		a.ProtocolErrors++
-		p.fail(&pg.Error{Code: code, Text: err.Error()})
+		p.failUnit(&pg.Error{Code: code, Text: err.Error()})
 	}
 }
 
-const mostWait = 1e12 // ms: as long as the request class lets it
+const noWaitLimitMs = 1e12 // ms: as long as the request class lets it
 
 // nextID makes the id of a request that has none of its client's.
 func (a *Frontend) nextID() string {
-	a.ids++
+	a.generatedIDs++
 	h := fnv.New64a()
-	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, a.pooling.Seed), a.ids))
-	return "w" + strconv.FormatUint(h.Sum64(), 36) + "-" + strconv.FormatUint(a.ids, 36)
+	h.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, a.pooling.Seed), a.generatedIDs))
+	return "w" + strconv.FormatUint(h.Sum64(), 36) + "-" + strconv.FormatUint(a.generatedIDs, 36)
 }
 
 // Session, Hear, Parameters, Keep and Ended make it the caller of its talks.
-func (p *pooled) Session() *decide.Session { return p.d }
+func (p *pooledSession) Session() *decide.Session { return p.decisions }
 
-func (p *pooled) DeliverMessages(ms []pg.Message) {
+func (p *pooledSession) DeliverMessages(ms []pg.Message) {
 	var out []byte
 	for n := range ms {
 		m := &ms[n]
-		p.d.ServerMessage(m)
+		p.decisions.ServerMessage(m)
 		out = append(out, m.Raw...)
 		switch m.Kind {
 		case pg.CopyInResponse:
 			p.copying = true
-			p.s.all.host.Defer(p.next)
+			p.session.frontend.driver.Defer(p.processQueue)
 		case pg.ErrorResponse:
 			p.copying = false
 			p.skips = p.skips || p.open
 		case pg.CommandComplete:
 			p.copying = false
 		case pg.ReadyForQuery:
-			p.answered()
-			p.s.all.host.Defer(p.next)
+			p.unitDone()
+			p.session.frontend.driver.Defer(p.processQueue)
 		}
 	}
-	p.s.conn.Write(out)
+	p.session.conn.Write(out)
 }
 
-func (p *pooled) ServerParameters(of *iradix.Tree[string]) {
-	if of == p.told || p.over {
+func (p *pooledSession) ServerParameters(of *iradix.Tree[string]) {
+	if of == p.reportedParameters || p.over {
 		return
 	}
 	var out []byte
 	of.Root().Walk(func(k []byte, v string) bool {
-		if had, known := p.told.Get(k); !known || had != v {
+		if had, known := p.reportedParameters.Get(k); !known || had != v {
 			out = pg.AppendParameterStatus(out, string(k), v)
 		}
 		return false
 	})
-	if p.told = of; out != nil {
-		p.s.conn.Write(out)
+	if p.reportedParameters = of; out != nil {
+		p.session.conn.Write(out)
 	}
 }
 
-func (p *pooled) Reserve(c request.BackendConn) {
-	if p.held = c; p.over {
-		p.held = nil
-		p.s.all.host.Defer(c.Release)
+func (p *pooledSession) Reserve(c request.BackendConn) {
+	if p.reserved = c; p.over {
+		p.reserved = nil
+		p.session.frontend.driver.Defer(c.Release)
 	}
 }
 
-func (p *pooled) Terminate(e *pg.Error) {
+func (p *pooledSession) Terminate(e *pg.Error) {
 	if !p.over {
-		p.s.refuse(e)
+		p.session.finishWithError(e)
 	}
 }
 
 // deliver takes the final answer of a request. What a member committed, the client has heard already.
-func (p *pooled) deliver(a request.Response) {
-	t := p.txn
+func (p *pooledSession) deliver(a request.Response) {
+	t := p.request
 	if t == nil {
 		return
 	}
-	p.txn = nil
-	defer p.s.all.host.Defer(p.next)
+	p.request = nil
+	defer p.session.frontend.driver.Defer(p.processQueue)
 	if a.Rows != nil {
-		if p.s.all.pooling.PrimaryClasses[t.RequestClass] {
-			p.d.LastCommitPosition = max(p.d.LastCommitPosition, cmp.Or(t.Stream.Position, p.s.all.host.ClusterNow()))
+		if p.session.frontend.pooling.PrimaryClasses[t.RequestClass] {
+			p.decisions.LastCommitPosition = max(p.decisions.LastCommitPosition, cmp.Or(t.Stream.Position, p.session.frontend.driver.ClusterNow()))
 		}
 		return
 	}
 	kept, started, fault := t.Stream.Reserved, t.Stream.Started(), t.Stream.LastError
-	may := p.d.ConnectionLost(!a.Rejected && a.StatementError == nil)
+	may := p.decisions.ConnectionLost(!a.Rejected && a.StatementError == nil)
 	var e *pg.Error
 	switch {
 	case a.StatementError != nil:
@@ -471,9 +473,9 @@
 		}
 	case fault != nil:
 		e = fault
-	case may && !p.s.all.pooling.IdempotentClasses[t.RequestClass]:
+	case may && !p.session.frontend.pooling.IdempotentClasses[t.RequestClass]:
 		e = &pg.Error{Code: pg.TransactionResolutionUnknown, Text: "rolled back, it may have taken effect"}
-	case p.s.all.pooling.IdempotentClasses[t.RequestClass]:
+	case p.session.frontend.pooling.IdempotentClasses[t.RequestClass]:
 		e = &pg.Error{Code: pg.SerializationFailure, Text: "the connection was lost before the commit: the transaction may run again"}
 	default:
 		e = &pg.Error{Code: pg.ConnectionFailure, Text: "the connection was lost before the commit: nothing took effect"}
@@ -482,44 +484,44 @@
 		p.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: e.Text + "; the connection that this session kept has ended"})
 		return
 	}
-	p.held = kept // it was rejected, and stays where it was
-	p.fail(e)
+	p.reserved = kept // it was rejected, and stays where it was
+	p.failUnit(e)
 }
 
-// fail ends the unit on its way with an error; a client that waits for nothing hears of it when it asks next.
-func (p *pooled) fail(e *pg.Error) {
+// failUnit ends the unit on its way with an error; a client that waits for nothing hears of it when it asks next.
+func (p *pooledSession) failUnit(e *pg.Error) {
 	switch {
 	case p.asked:
-		p.s.conn.Write(pg.AppendReadyForQuery(pg.AppendError(nil, e, false), p.d.TransactionStatus()))
+		p.session.conn.Write(pg.AppendReadyForQuery(pg.AppendError(nil, e, false), p.decisions.TransactionStatus()))
 	case p.open:
 		p.skips = true
-		p.s.conn.Write(pg.AppendError(nil, e, false))
+		p.session.conn.Write(pg.AppendError(nil, e, false))
 	default:
-		p.lost = e
+		p.pendingError = e
 	}
-	p.answered()
+	p.unitDone()
 }
 
-// leave ends all that the session has open: its request, its connection, its key.
-func (p *pooled) leave() {
+// end ends all that the session has open: its request, its connection, its key.
+func (p *pooledSession) end() {
 	if p.over {
 		return
 	}
 	p.over = true
-	delete(p.s.all.keys, p.key)
-	if t := p.txn; t != nil {
-		p.txn = nil
-		p.s.all.host.ClientGone(t)
+	delete(p.session.frontend.cancelKeys, p.cancelKey)
+	if t := p.request; t != nil {
+		p.request = nil
+		p.session.frontend.driver.ClientGone(t)
 		t.Stream.ClientGone()
 		if c := t.Stream.Reserved; c != nil { // it may never have got there
-			p.s.all.host.Defer(c.Release)
+			p.session.frontend.driver.Defer(c.Release)
 		}
 	}
-	if c := p.held; c != nil {
-		p.held = nil
-		p.s.all.host.Defer(c.Release)
+	if c := p.reserved; c != nil {
+		p.reserved = nil
+		p.session.frontend.driver.Defer(c.Release)
 	}
-	p.queue, p.ops = nil, nil
-	p.shrink()
-	p.answered()
+	p.queue, p.unitMessages = nil, nil
+	p.releaseQueuedBytes()
+	p.unitDone()
 }
--- a/internal/frontend/resting.go
+++ b/internal/frontend/resting.go
@@ -6,78 +6,78 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// unheard is what all clients are told before any member has told more. One for all: each of its own, it took two thirds of
+// defaultParameters is what all clients are told before any member has told more. One for all: each of its own, it took two thirds of
 // what a session that rests holds.
-var unheard = func() *iradix.Tree[string] {
+var defaultParameters = func() *iradix.Tree[string] {
 	t := iradix.New[string]()
-	for _, d := range defaults {
+	for _, d := range defaultParameterValues {
 		t, _, _ = t.Insert([]byte(d[0]), d[1])
 	}
 	return t
 }()
 
-// rota tells which sessions a look has to look at. Guards against looks that cost by how many sessions there are: nearly all
+// sweepIndex tells which sessions a look has to look at. Guards against looks that cost by how many sessions there are: nearly all
 // rest nearly all the time. A session sleeps once nothing can become of it but by its client, or by being the one that has
 // rested longest; its client's next bytes wake it.
-type rota struct {
-	awake   map[*session]bool
-	fresh   timerqueue.Queue[*session] // those that have not asked yet, by since when they are quiet
-	resting timerqueue.Queue[*session] // those of the platform's form that sleep, likewise
-	looked  int                        // how many sessions were looked at so far
+type sweepIndex struct {
+	active        map[*session]bool
+	awaitingFirst timerqueue.Queue[*session] // those that have not asked yet, by since when they are quiet
+	idle          timerqueue.Queue[*session] // those of the platform's form that sleep, likewise
+	visits        int                        // how many sessions were looked at so far
 }
 
-// place is where a session stands in the rota. The times noted may be too early, never too late: whoever comes on one in
+// sweepTimers is where a session stands in the rota. The times noted may be too early, never too late: whoever comes on one in
 // front notes it anew.
-type place struct{ fresh, resting timerqueue.Timer[*session] }
+type sweepTimers struct{ awaitingFirst, idle timerqueue.Timer[*session] }
 
-// enter has a session looked at, and noted as one that has not asked.
-func (r *rota) enter(s *session) {
-	s.place.fresh.Of, s.place.resting.Of = s, s
-	r.awake[s] = true
-	r.fresh.Put(&s.place.fresh, s.since)
+// add has a session looked at, and noted as one that has not asked.
+func (r *sweepIndex) add(s *session) {
+	s.timers.awaitingFirst.Of, s.timers.idle.Of = s, s
+	r.active[s] = true
+	r.awaitingFirst.Put(&s.timers.awaitingFirst, s.idleSince)
 }
 
-// wake has the next look look at it.
-func (r *rota) wake(s *session, now float64) {
-	r.resting.Drop(&s.place.resting)
-	if !r.awake[s] {
-		r.awake[s], s.moved = true, now
+// activate has the next look look at it.
+func (r *sweepIndex) activate(s *session, now float64) {
+	r.idle.Drop(&s.timers.idle)
+	if !r.active[s] {
+		r.active[s], s.readProgressAt = true, now
 	}
 }
 
-// leave forgets it.
-func (r *rota) leave(s *session) {
-	delete(r.awake, s)
-	r.fresh.Drop(&s.place.fresh)
-	r.resting.Drop(&s.place.resting)
+// remove forgets it.
+func (r *sweepIndex) remove(s *session) {
+	delete(r.active, s)
+	r.awaitingFirst.Drop(&s.timers.awaitingFirst)
+	r.idle.Drop(&s.timers.idle)
 }
 
-// lull lets a session that was just looked at sleep, if it may.
-func (r *rota) lull(s *session) {
-	if s.asked || s.ends {
-		r.fresh.Drop(&s.place.fresh)
+// deactivateIfIdle lets a session that was just looked at sleep, if it may.
+func (r *sweepIndex) deactivateIfIdle(s *session) {
+	if s.sentQuery || s.ends {
+		r.awaitingFirst.Drop(&s.timers.awaitingFirst)
 	}
-	rests := s.asked && !s.deaf && s.quiet()
-	if rests && s.p == nil {
-		r.resting.Put(&s.place.resting, s.since)
+	rests := s.sentQuery && !s.deaf && s.idle()
+	if rests && s.pooled == nil {
+		r.idle.Put(&s.timers.idle, s.idleSince)
 	}
 	if s.ends || rests && s.conn.Unsent() == 0 {
-		delete(r.awake, s)
+		delete(r.active, s)
 	}
 }
 
-// oldest gives the session of a queue that has been quiet longest and can end now; those passed over stay in it. It ends its
+// longestIdle gives the session of a queue that has been quiet longest and can end now; those passed over stay in it. It ends its
 // search where no other was quiet before then.
-func (r *rota) oldest(q *timerqueue.Queue[*session], before float64) (first *session) {
+func (r *sweepIndex) longestIdle(q *timerqueue.Queue[*session], before float64) (first *session) {
 	var over []*timerqueue.Timer[*session]
 	for i := q.First(); i != nil && i.At() <= before && first == nil; i = q.First() {
-		r.looked++
+		r.visits++
 		switch s := i.Of; {
-		case s.ends || q == &r.fresh && s.asked:
+		case s.ends || q == &r.awaitingFirst && s.sentQuery:
 			q.Drop(i)
-		case s.since > i.At():
-			q.Put(i, s.since)
-		case s.idle() && !s.conn.Unread():
+		case s.idleSince > i.At():
+			q.Put(i, s.idleSince)
+		case s.mayBeEnded() && !s.conn.Unread():
 			first = s
 		default:
 			q.Drop(i)
@@ -90,40 +90,40 @@
 	return first
 }
 
-// first gives the session that goes first where another could not come in: one that has had time to ask and did not, else the
+// evictionCandidate gives the session that goes first where another could not come in: one that has had time to ask and did not, else the
 // one that has been quiet longest, else a newcomer.
-func (a *Frontend) first(now float64) *session {
-	r := &a.rota
-	if s := r.oldest(&r.fresh, now-grace); s != nil {
+func (a *Frontend) evictionCandidate(now float64) *session {
+	r := &a.sweepIndex
+	if s := r.longestIdle(&r.awaitingFirst, now-newConnectionGraceMs); s != nil {
 		return s
 	}
-	if s := r.oldest(&r.resting, now); s != nil {
+	if s := r.longestIdle(&r.idle, now); s != nil {
 		return s
 	}
 	var first *session // of those that rest since the last look
-	for s := range r.awake {
-		if r.looked++; s.asked && s.idle() && (first == nil || s.since < first.since) && !s.conn.Unread() {
+	for s := range r.active {
+		if r.visits++; s.sentQuery && s.mayBeEnded() && (first == nil || s.idleSince < first.idleSince) && !s.conn.Unread() {
 			first = s
 		}
 	}
 	if first != nil {
 		return first
 	}
-	return r.oldest(&r.fresh, now)
+	return r.longestIdle(&r.awaitingFirst, now)
 }
 
-// retireLongest ends those of the platform's form that have rested too long, and all but the latest so many.
-func (a *Frontend) retireLongest(now float64, most int) {
+// endLongestIdle ends those of the platform's form that have rested too long, and all but the latest so many.
+func (a *Frontend) endLongestIdle(now float64, most int) {
 	var over []*timerqueue.Timer[*session]
-	q := &a.rota.resting
-	for i := q.First(); i != nil && (q.Len()+len(over) > most || now > i.At()+idling); i = q.First() {
-		a.rota.looked++
+	q := &a.sweepIndex.idle
+	for i := q.First(); i != nil && (q.Len()+len(over) > most || now > i.At()+idleTimeoutMs); i = q.First() {
+		a.sweepIndex.visits++
 		s := i.Of
-		if s.since > i.At() {
-			q.Put(i, s.since)
+		if s.idleSince > i.At() {
+			q.Put(i, s.idleSince)
 			continue
 		}
-		if q.Drop(i); !s.retire() { // something has come: it is about to be woken
+		if q.Drop(i); !s.endIfQuiescent() { // something has come: it is about to be woken
 			over = append(over, i)
 			most++
 		}
--- a/internal/frontend/resting_test.go
+++ b/internal/frontend/resting_test.go
@@ -95,7 +95,7 @@
 	}
 	f.do(func() {
 		for s := range f.all.sessions {
-			if s.p != nil && s.p.told != unheard {
+			if s.pooled != nil && s.pooled.reportedParameters != defaultParameters {
 				t.Error("a session holds a copy of its own of what all clients are told")
 				return
 			}
@@ -103,11 +103,11 @@
 	})
 	looked := func(looks int) (n int) {
 		f.do(func() {
-			before := f.all.rota.looked
+			before := f.all.sweepIndex.visits
 			for range looks {
-				f.all.lookOnce()
+				f.all.sweepOnce()
 			}
-			n = f.all.rota.looked - before
+			n = f.all.sweepIndex.visits - before
 		})
 		return n
 	}
@@ -118,7 +118,7 @@
 	for _, c := range of[:2] { // one of each form
 		f.say(c, pg.AppendQuery(nil, ""), 1)
 		f.do(func() {
-			if n := len(f.all.rota.awake); n > 1 {
+			if n := len(f.all.sweepIndex.active); n > 1 {
 				t.Errorf("%d sessions are awake, one has said something", n)
 			}
 		})
@@ -133,8 +133,8 @@
 		f.do(func() { here = len(f.all.sessions) })
 	}
 	f.do(func() {
-		if r := &f.all.rota; len(r.awake)+r.fresh.Len()+r.resting.Len() > 0 {
-			t.Errorf("of sessions that are gone %d awake, %d fresh, %d resting are kept", len(r.awake), r.fresh.Len(), r.resting.Len())
+		if r := &f.all.sweepIndex; len(r.active)+r.awaitingFirst.Len()+r.idle.Len() > 0 {
+			t.Errorf("of sessions that are gone %d awake, %d fresh, %d resting are kept", len(r.active), r.awaitingFirst.Len(), r.idle.Len())
 		}
 	})
 }
@@ -143,14 +143,14 @@
 func before(s, o *session, now float64) int {
 	rank := func(s *session) int {
 		switch {
-		case s.asked:
+		case s.sentQuery:
 			return 2
-		case now < s.since+grace:
+		case now < s.idleSince+newConnectionGraceMs:
 			return 3
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(rank(s), rank(o)), cmp.Compare(s.since, o.since))
+	return cmp.Or(cmp.Compare(rank(s), rank(o)), cmp.Compare(s.idleSince, o.idleSince))
 }
 
 // connect has so many connections come in that say nothing, and gives their sessions.
@@ -166,7 +166,7 @@
 		f.do(func() {
 			all = all[:0]
 			for s := range f.all.sessions {
-				s.until = 1e18 // none is sent away for its silence meanwhile
+				s.inputDeadline = 1e18 // none is sent away for its silence meanwhile
 				all = append(all, s)
 			}
 		})
@@ -197,32 +197,32 @@
 			a := f.all
 			for n, s := range all {
 				d := draws[n]
-				a.rota.leave(s)
-				s.asked, s.ends, s.queue = d.asked, false, nil
-				if s.since = now - 800 + 40*float64(d.noted); !d.asked || !d.sleep {
-					a.rota.enter(s) // and has asked since, if it has
+				a.sweepIndex.remove(s)
+				s.sentQuery, s.ends, s.queue = d.asked, false, nil
+				if s.idleSince = now - 800 + 40*float64(d.noted); !d.asked || !d.sleep {
+					a.sweepIndex.add(s) // and has asked since, if it has
 				} else {
-					a.rota.awake[s] = true
-					a.rota.lull(s)
+					a.sweepIndex.active[s] = true
+					a.sweepIndex.deactivateIfIdle(s)
 				}
-				if s.since = now - 800 + 40*float64(d.since); d.asked && !d.sleep {
-					s.since += 400 // it rests since the last look, those that sleep since before
+				if s.idleSince = now - 800 + 40*float64(d.since); d.asked && !d.sleep {
+					s.idleSince += 400 // it rests since the last look, those that sleep since before
 				} else if !d.asked && d.since%2 == 0 {
-					s.since += 760 // a newcomer
+					s.idleSince += 760 // a newcomer
 				}
 				if s.ends = d.ends; d.busy && !(d.asked && d.sleep) {
-					s.queue = []item{{}}
+					s.queue = []queuedMessage{{}}
 				}
 			}
 			var first *session
 			for _, s := range all {
-				if s.idle() && (first == nil || before(s, first, now) < 0) {
+				if s.mayBeEnded() && (first == nil || before(s, first, now) < 0) {
 					first = s
 				}
 			}
-			got := a.first(now)
+			got := a.evictionCandidate(now)
 			wrong = (got == nil) != (first == nil) || got != nil && before(got, first, now) != 0
-			again := a.first(now)
+			again := a.evictionCandidate(now)
 			wrong = wrong || (again == nil) != (got == nil) || got != nil && before(again, got, now) != 0
 			for _, s := range all {
 				s.ends, s.queue = false, nil
@@ -244,13 +244,13 @@
 		f.do(func() {
 			now := f.host.Now()
 			for n, s := range all {
-				s.asked, s.since = true, now-1000+float64(n)
+				s.sentQuery, s.idleSince = true, now-1000+float64(n)
 				if n < c.old {
-					s.since -= idling
+					s.idleSince -= idleTimeoutMs
 				}
 			}
 			slices.Reverse(all)
-			f.all.lookOnce()
+			f.all.sweepOnce()
 			for n, s := range all {
 				if s.ends != (n >= c.left) {
 					t.Errorf("%+v: the session that rests as the %dth: ends %v", c, n+1, s.ends)
@@ -269,10 +269,10 @@
 		of = append(of, f.dial("pooled", false))
 	}
 	for looking := true; looking; {
-		f.do(func() { looking = f.all.looking })
+		f.do(func() { looking = f.all.sweepScheduled })
 	}
 	f.do(func() {
-		if n := len(f.all.rota.awake); n > 0 {
+		if n := len(f.all.sweepIndex.active); n > 0 {
 			t.Errorf("no look is to come, %d sessions are awake", n)
 		}
 	})
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	for looking := false; !looking; {
-		f.do(func() { looking = f.all.looking })
+		f.do(func() { looking = f.all.sweepScheduled })
 	}
 	buf := make([]byte, 1<<12)
 	for err := error(nil); err == nil; { // it is sent away
--- a/internal/frontend/sessions_test.go
+++ b/internal/frontend/sessions_test.go
@@ -36,17 +36,17 @@
 		t.Run(database, func(t *testing.T) {
 			f := newFront(t, 100)
 			c := f.dial(database, true)
-			f.do(func() { f.all.held += 3 * f.all.budget })
+			f.do(func() { f.all.heldBytes += 3 * f.all.maxHeldBytes })
 			ask := pg.AppendQuery(nil, "/* id=1,c=x,d=100 */ SELECT 1")
 			c.Write(ask[:9])
-			f.until("half of it has come", func() bool { return f.only().in.Buffered() == 9 })
+			f.until("half of it has come", func() bool { return f.only().reader.Buffered() == 9 })
 			f.do(func() {
 				if f.only().deaf {
 					t.Error("its session ends before the request is whole")
 				}
 			})
 			f.say(c, ask[9:], 1)
-			f.do(func() { f.all.held -= 3 * f.all.budget })
+			f.do(func() { f.all.heldBytes -= 3 * f.all.maxHeldBytes })
 			f.say(c, pg.AppendQuery(nil, ""), 1)
 		})
 	}
@@ -59,18 +59,18 @@
 	c := f.dial("plain", true)
 	var signalled float64
 	f.do(func() {
-		signalled = f.host.Clock() - comers - 1
-		f.all.Drain(signalled, comers+1e6)
+		signalled = f.host.Clock() - acceptPeriodMs - 1
+		f.all.Drain(signalled, acceptPeriodMs+1e6)
 	})
 	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 { // at once, though it was heard of just now
 		t.Errorf("got %q, %v", rest, err)
 	}
 	f.do(func() {
-		if f.all.left > signalled+2*comers {
-			t.Errorf("it served on until %v ms after the signal", f.all.left-signalled)
+		if f.all.endingSince > signalled+2*acceptPeriodMs {
+			t.Errorf("it served on until %v ms after the signal", f.all.endingSince-signalled)
 		}
 	})
-	for _, one := range []struct{ at, wait, want float64 }{{0, 500, 500}, {comers + 1e6 - 100, 500, 100}, {comers + 1e6 + 100, 500, 0}} {
+	for _, one := range []struct{ at, wait, want float64 }{{0, 500, 500}, {acceptPeriodMs + 1e6 - 100, 500, 100}, {acceptPeriodMs + 1e6 + 100, 500, 0}} {
 		f.do(func() {
 			x := exchangeAt(signalled+one.at, one.wait)
 			if f.all.limitWait(x); x.WaitMs < one.want-0.01 || x.WaitMs > one.want+0.01 {
@@ -103,8 +103,8 @@
 		list.EndList(true)
 	})
 	c.Ask("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
-	f.until("it is held for a primary", func() bool { return f.only().txn != nil })
-	f.do(func() { f.all.Drain(h.Clock()-2*comers, comers) })
+	f.until("it is held for a primary", func() bool { return f.only().request != nil })
+	f.do(func() { f.all.Drain(h.Clock()-2*acceptPeriodMs, acceptPeriodMs) })
 	if got := c.Answer(); got != "08007 ready" {
 		t.Errorf("got %q", got)
 	}
