--- /dev/null
+++ b/internal/frontend/budget_test.go
@@ -0,0 +1,31 @@
+package frontend
+
+import (
+	"testing"
+
+	"wayloft/internal/pg"
+)
+
+// Other sessions hold all memory that statements may take: a client whose small request comes in two pieces keeps its session, and has
+// its final response.
+func TestBudget_SmallRequestWhileOthersHoldAll(t *testing.T) {
+	for _, database := range []string{statementDatabase, pooledDatabase} {
+		t.Run(database, func(t *testing.T) {
+			f := newTestFrontend(t, 100)
+			client := f.dial(database, true)
+			f.do(func() { f.frontend.heldBytes += 3 * f.frontend.maxHeldBytes })
+			query := pg.AppendQuery(nil, "/* id=1,c=x,d=100 */ SELECT 1")
+			const part = 9 // bytes
+			f.write(client, query[:part])
+			f.until("a part of the query has come", func() bool { return f.onlySession().reader.Buffered() == part })
+			f.do(func() {
+				if f.onlySession().state != sessionOpen {
+					t.Error("the session ends before the request is complete")
+				}
+			})
+			f.exchange(client, query[part:], 1)
+			f.do(func() { f.frontend.heldBytes -= 3 * f.frontend.maxHeldBytes })
+			f.exchange(client, pg.AppendQuery(nil, ""), 1)
+		})
+	}
+}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -2,57 +2,66 @@
 
 import (
 	"wayloft/internal/failpoint"
-	"wayloft/internal/pg"
 	"wayloft/internal/request"
 )
 
 const (
-	acceptPeriodMs       = 600.0 // ms after SIGTERM until no new connection or request comes (PROTOCOL: 400 at most)
-	lateResponseMarginMs = 100.0 // ms by which a final answer may miss the end of the drain before the request is given up
+	// acceptPeriodMs is how long after SIGTERM new connections and requests may still come.
+	acceptPeriodMs = 600.0
+	// lateResponseMarginMs is by how much a final response may miss the end of the drain before the request is failed.
+	lateResponseMarginMs = 100.0
 )
 
-var errShuttingDown = &pg.Error{Code: pg.TooManyConnections, Text: "the router is going down"}
+// drainPhase says how far the graceful shutdown has come. It only grows.
+type drainPhase uint8
 
-// Drain serves on while connections may come, then ends each session once it is quiet, and the loop after the last. The signal was
-// received at this time of the loop's clock, and within so many ms of it each request has its final answer, whatever members do:
-// the process may be killed soon after that.
-func (a *Frontend) Drain(signalled, within float64) {
-	if a.draining { // told twice: the first counts
+const (
+	notDraining drainPhase = iota
+	// drainAccepting still accepts connections and requests; requests end before the end of the drain.
+	drainAccepting
+	// drainEndingSessions ends each session as soon as it is idle.
+	drainEndingSessions
+)
+
+// Drain begins the graceful shutdown. It serves on for acceptPeriodMs, then ends each session once it is idle, and the event loop after
+// the last. signalled is when the signal was received, in ms on the loop's clock. Within so many ms of it each request has its final
+// response, whatever members do: the process may be killed soon after that. Only the first call counts.
+func (f *Frontend) Drain(signalled, within float64) {
+	if f.drainPhase != notDraining {
 		return
 	}
-	a.draining = true
-	a.drainDeadline = signalled + within
-	now := a.driver.Clock()
-	a.driver.After(signalled+acceptPeriodMs-now, func() {
-		a.leaving, a.endingSince = true, a.driver.Now()
-		a.scheduleSweep()
-		a.endIdleSessions()
+	f.drainPhase = drainAccepting
+	f.drainDeadline = signalled + within
+	now := f.driver.Clock()
+	f.driver.After(signalled+acceptPeriodMs-now, func() {
+		f.drainPhase, f.endingSince = drainEndingSessions, f.driver.Now()
+		f.scheduleSweep()
+		f.endIdleSessions()
 	})
-	a.driver.After(a.drainDeadline+lateResponseMarginMs-now, a.failOpenRequests)
+	f.driver.After(f.drainDeadline+lateResponseMarginMs-now, f.failOpenRequests)
 }
 
-// limitWait has a request that is taken while the router drains end before the process may be killed. One that comes later has no
-// time left: it is rejected, and never sent to a member.
-func (a *Frontend) limitWait(t *request.Request) {
-	if a.draining {
-		t.LimitWait(max(0, a.drainDeadline-t.Arrived))
+// limitWait shortens the wait of a request that arrives during the drain, so that it ends before the process may be killed. A request
+// that arrives after the deadline of the drain is rejected, and never sent to a member.
+func (f *Frontend) limitWait(req *request.Request) {
+	if f.drainPhase != notDraining {
+		req.LimitWait(max(0, f.drainDeadline-req.Arrived))
 	}
 }
 
-// endIdleSessions ends what is quiet; after a while also what has not sent its query to the end.
-func (a *Frontend) endIdleSessions() {
-	now := a.driver.Now()
-	late := now > min(a.endingSince+acceptPeriodMs, a.drainDeadline)
-	for s := range a.sessions {
-		if !s.ends && (s.idle() || late && s.awaitsInput()) {
+// endIdleSessions ends sessions that are idle. After a while it also ends those whose client has not sent its query completely.
+func (f *Frontend) endIdleSessions() {
+	overdue := f.driver.Now() > min(f.endingSince+acceptPeriodMs, f.drainDeadline)
+	for s := range f.sessions {
+		if s.state < sessionEnding && (s.idle() || overdue && s.awaitsInput()) {
 			s.endForShutdown()
 		}
 	}
-	a.stopAfterLastSession()
+	f.stopAfterLastSession()
 }
 
-// endForShutdown ends a session at the end of the process, once nothing is owed. A client that has sent a part of a request is told why: it may
-// send the rest before it sees the end.
+// endForShutdown ends a session to which no response is owed. A client that has sent a part of a request receives an error, since it may
+// send the rest before it reads the end of the connection.
 func (s *session) endForShutdown() {
 	switch {
 	case s.idle() && s.pooled == nil:
@@ -61,26 +70,28 @@
 	case s.pooled == nil:
 		s.finishWithError(errShuttingDown)
 	default:
-		s.finishWithError(&pg.Error{Code: pg.AdminShutdown, Text: errShuttingDown.Text})
+		s.finishWithError(errPooledShuttingDown)
 	}
 }
 
-// failOpenRequests answers the requests that are still without an answer at the end of the drain. Those of pools end with their transactions.
-func (a *Frontend) failOpenRequests() {
-	for s := range a.sessions {
-		if t := s.request; t != nil {
-			a.driver.ClientGone(t)
+// failOpenRequests answers the requests that have no response at the end of the drain. Requests of pooled sessions end with their
+// transactions.
+func (f *Frontend) failOpenRequests() {
+	for s := range f.sessions {
+		if s.request != nil {
+			f.driver.ClientGone(s.request)
 			s.deliver(request.Response{}, s.statementBytes)
 		}
 	}
 }
 
-// stopAfterLastSession ends the loop after the last session, unless one more is on its way in.
-func (a *Frontend) stopAfterLastSession() {
-	if !a.leaving || len(a.sessions) > 0 {
+// stopAfterLastSession stops the event loop if the last session has ended and no connection is being accepted.
+func (f *Frontend) stopAfterLastSession() {
+	if f.drainPhase != drainEndingSessions || len(f.sessions) > 0 {
 		return
 	}
-	if failpoint.Hit("clients.last"); a.gate.empty() {
-		a.driver.Stop()
+	failpoint.Hit("clients.last")
+	if f.gate.empty() {
+		f.driver.Stop()
 	}
 }
--- a/internal/frontend/gate.go
+++ b/internal/frontend/gate.go
@@ -10,66 +10,78 @@
 
 	"golang.org/x/sys/unix"
 
+	"wayloft/internal/decide/syscallerror"
 	"wayloft/internal/eventloop"
 	"wayloft/internal/failpoint"
 )
 
-// Gate makes a listener leave connections with the system while there is no room.
-func (a *Frontend) Gate(l net.Listener) net.Listener {
-	a.gate = &gate{Listener: l, slots: a.acceptSlots}
-	return a.gate
+// acceptRetryPause is the pause after an accept that failed: a descriptor may come free.
+const acceptRetryPause = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
+
+// Gate returns a listener that leaves connections in the operating system's backlog while there is no room for a session.
+func (f *Frontend) Gate(listener net.Listener) net.Listener {
+	f.gate = &gate{Listener: listener, slots: f.acceptSlots}
+	return f.gate
 }
 
+// gate is the listener. Accept runs on the poller's goroutine; open and empty run on the event loop. A nil gate has no connections.
+//
+// The gate is closed by a deadline in the past, upon which a call of Accept returns without a connection. transitions counts how often it
+// was closed or opened, so that the event loop can tell whether Accept has returned since the gate was closed last.
 type gate struct {
 	net.Listener
 	slots    chan struct{}
-	accepted atomic.Int64 // connections let in
-	started  int64        // of these, how many have become sessions; the loop's
+	accepted atomic.Int64 // connections accepted
+	started  int64        // of these, how many have become sessions; the event loop's
 
-	closings   atomic.Int64 // counts the times that it was shut or opened; odd: shut
-	returnedAt atomic.Int64 // when it was that a call for the next connection last came back without one
+	transitions  atomic.Int64 // odd while the gate is closed
+	acknowledged atomic.Int64 // the value of transitions when Accept last returned because of the deadline
 
-	pending net.Conn // not yet with the poller, for want of a descriptor; the acceptor's
+	pending net.Conn // accepted, not yet adopted for want of a descriptor; the poller's
 }
 
+// deadlineListener is a listener whose Accept can be made to return.
+type deadlineListener interface{ SetDeadline(time.Time) error }
+
+// Accept returns the next connection, of the poller's type.
 func (g *gate) Accept() (net.Conn, error) {
 	g.slots <- struct{}{}
-	shut := g.closings.Load()
-	c, err := g.nextAdopted()
+	transitions := g.transitions.Load()
+	connection, err := g.nextAdopted()
 	if err == nil {
-		return c, nil
+		return connection, nil
 	}
 	<-g.slots
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		g.returnedAt.Store(shut)
+		g.acknowledged.Store(transitions)
 	} else if !errors.Is(err, net.ErrClosed) {
-		time.Sleep(acceptRetryPause) // the poller asks again at once, and a descriptor may come free
+		time.Sleep(acceptRetryPause) // the poller calls again at once
 	}
 	return nil, err
 }
 
-// nextAdopted gives the next connection in the poller's form. One that was accepted stays for the next call while no descriptor is
-// left for that form. Guards against closing it: its client may have sent a request already.
+// nextAdopted accepts a connection and converts it to the poller's type. While no descriptor is left for that, the connection is kept for
+// the next call instead of being closed: its client may have sent a request already.
 func (g *gate) nextAdopted() (net.Conn, error) {
 	if g.pending == nil {
-		c, err := g.accept()
+		accepted, err := g.accept()
 		if err != nil {
 			return nil, err
 		}
 		failpoint.Hit("clients.accepted")
 		g.accepted.Add(1)
-		g.pending = c
+		g.pending = accepted
 	}
-	c, err := eventloop.Adopt(g.pending)
+	adopted, err := eventloop.Adopt(g.pending)
 	if err != nil && errors.As(err, new(syscall.Errno)) {
 		return nil, err
 	}
-	if err != nil { // it has no descriptor at all
-		g.pending.Close()
+	if err != nil { // the connection has no descriptor
+		_ = g.pending.Close()
 		g.accepted.Add(-1)
 	}
 	g.pending = nil
-	return c, err
+	return adopted, err
 }
 
 func (g *gate) accept() (net.Conn, error) {
@@ -79,22 +91,22 @@
 	return g.Listener.Accept()
 }
 
-// empty tells that no connection is on its way in: with the system, or between it and the loop. Guards against an end of
-// the process that takes a whole request away, which its client has sent and nobody has read. The gate is shut first, and
-// the answer is no until a call for the next connection has come back without one: none is between the two then.
+// empty reports whether no connection is on its way in: neither in the operating system's backlog nor between it and the event loop. The
+// process may end then without losing a request that a client has sent and nobody has read. The first call closes the gate. The answer is
+// no until Accept has returned without a connection: from then on none is between the two.
 func (g *gate) empty() bool {
 	if g == nil {
 		return true
 	}
-	timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
+	listener, ok := g.Listener.(deadlineListener)
 	if !ok {
 		return g.accepted.Load() == g.started
 	}
-	if g.closings.Load()%2 == 0 {
-		g.closings.Add(1)
-		timed.SetDeadline(time.Unix(1, 0))
+	if !g.closed() {
+		g.transitions.Add(1)
+		_ = listener.SetDeadline(time.Unix(1, 0)) // fails only if the listener is closed, which makes Accept return too
 	}
-	if g.returnedAt.Load() != g.closings.Load() {
+	if g.acknowledged.Load() != g.transitions.Load() {
 		return false
 	}
 	if g.backlogged() || g.accepted.Load() != g.started {
@@ -104,24 +116,33 @@
 	return true
 }
 
-// open has connections come in again, if it was shut.
+func (g *gate) closed() bool { return g.transitions.Load()%2 == 1 }
+
+// open has connections accepted again, if the gate is closed.
 func (g *gate) open() {
-	if timed, ok := g.Listener.(interface{ SetDeadline(time.Time) error }); ok && g.closings.Load()%2 == 1 {
-		g.closings.Add(1)
-		timed.SetDeadline(time.Time{})
+	listener, ok := g.Listener.(deadlineListener)
+	if !ok || !g.closed() {
+		return
 	}
+	g.transitions.Add(1)
+	_ = listener.SetDeadline(time.Time{}) // fails only if the listener is closed: none is accepted any more
 }
 
-// backlogged tells whether the system holds a connection that nobody has taken.
-func (g *gate) backlogged() (some bool) {
-	if sys, ok := g.Listener.(syscall.Conn); ok {
-		if raw, err := sys.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) {
-				poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-				n, err := unix.Poll(poll, 0)
-				some = err != nil || n > 0
-			})
-		}
+// backlogged reports whether the operating system holds a connection that was not accepted.
+func (g *gate) backlogged() bool {
+	listener, ok := g.Listener.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := listener.SyscallConn()
+	if err != nil {
+		return false
 	}
-	return some
+	readable := false
+	err = raw.Control(func(fd uintptr) {
+		events := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(events, 0)
+		readable = err != nil || n > 0
+	})
+	return err == nil && readable
 }
--- /dev/null
+++ b/internal/frontend/startup.go
@@ -0,0 +1,87 @@
+package frontend
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"strings"
+
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	decide "wayloft/internal/decide/session"
+	"wayloft/internal/pg"
+)
+
+// defaultParameters are what a client receives before any member has reported more. All sessions share them, since a copy for each would be
+// most of what an idle session holds.
+var defaultParameters = func() *iradix.Tree[string] {
+	tree := iradix.New[string]()
+	for name, value := range map[string]string{
+		"server_version":              "16.0",
+		"server_encoding":             "UTF8",
+		"client_encoding":             "UTF8",
+		"standard_conforming_strings": "on",
+		"integer_datetimes":           "on",
+		"DateStyle":                   "ISO, MDY",
+		"TimeZone":                    "UTC",
+	} {
+		tree, _, _ = tree.Insert([]byte(name), value)
+	}
+	return tree
+}()
+
+// startPooled handles the startup message of a session in transaction pooling mode.
+func (s *session) startPooled(m pg.Message) {
+	pool := s.frontend.pooling.find(m.Startup)
+	if pool == nil {
+		s.frontend.ProtocolErrors++
+		s.finishWithError(errUnknownPool)
+		return
+	}
+	settings, startupError := decide.StartupSettings(m.Startup)
+	if startupError != nil {
+		s.frontend.ProtocolErrors++
+		s.finishWithError(startupError)
+		return
+	}
+	p := &pooledSession{session: s, pool: pool, decisions: decide.New(pool.Policy, settings), reportedParameters: pool.KnownParameters()}
+	if p.reportedParameters.Len() == 0 {
+		p.reportedParameters = defaultParameters
+	}
+	s.pooled, s.sentQuery = p, true
+	s.reader.EnableExtended()
+	p.cancelKey = s.frontend.newCancelKey()
+	s.frontend.cancelKeys[p.cancelKey] = p
+	s.conn.Write(p.greeting(settings, m.MinorVersion))
+}
+
+// greeting returns the messages that answer a startup message.
+func (p *pooledSession) greeting(settings decide.Settings, minorVersion int) []byte {
+	var out []byte
+	if minorVersion > 0 {
+		out = pg.AppendNegotiateProtocolVersion(out)
+	}
+	out = pg.AppendAuthenticationOK(out)
+	p.reportedParameters.Root().Walk(func(name []byte, value string) bool {
+		if own, set := settings.Get(strings.ToLower(string(name))); set {
+			value = pg.Unquote(own)
+		}
+		out = pg.AppendParameterStatus(out, string(name), value)
+		return false
+	})
+	return pg.AppendReadyIdle(pg.AppendBackendKeyData(out, p.cancelKey))
+}
+
+// newCancelKey returns a random key that no session has.
+func (f *Frontend) newCancelKey() pg.CancelKey {
+	for {
+		var random [8]byte
+		_, _ = rand.Read(random[:]) // crypto/rand never returns an error
+		key := pg.CancelKey{
+			Process: binary.BigEndian.Uint32(random[:]) >> 1, // positive as a signed number, as clients expect of a process id
+			Secret:  binary.BigEndian.Uint32(random[4:]),
+		}
+		if key != (pg.CancelKey{}) && f.cancelKeys[key] == nil {
+			return key
+		}
+	}
+}
