--- /dev/null
+++ b/internal/decide/session/loss.go
@@ -0,0 +1,88 @@
+package session
+
+import "wayloft/internal/pg"
+
+// errTransactionAborted answers statements of a failed transaction.
+var errTransactionAborted = &pg.Error{Code: pg.InFailedSQLTransaction, Text: "current transaction is aborted, commands ignored until end of transaction block"}
+
+// First bytes of messages without a body, and the type byte of ParameterDescription.
+const (
+	parseCompleteByte        = '1'
+	bindCompleteByte         = '2'
+	closeCompleteByte        = '3'
+	noDataByte               = 'n'
+	parameterDescriptionByte = 't'
+)
+
+// ConnectionLost records that the connection that carried the session has ended, or that its request got none. sent says whether anything
+// was sent. It reports whether the transaction may have committed all the same. The session goes on as after a transaction that failed.
+func (s *Session) ConnectionLost(sent bool) (mayHaveCommitted bool) {
+	mayHaveCommitted = sent && s.mayCommit
+	if s.status != StatusIdle { // the client must end the transaction that it believes to be open
+		s.status = StatusFailed
+	}
+	s.current = settingsState{client: s.transactionStart.client, server: NoSettings}
+	s.beginTransaction()
+	s.prepared = s.confirmed
+	clear(s.portals)
+	s.expected, s.errorReceived, s.mayCommit = nil, false, false
+	s.firstCommand, s.deferred = nil, deferredBegin{}
+	if sent {
+		s.resetSticky()
+	}
+	return mayHaveCommitted
+}
+
+// queryAfterLoss answers a simple query in a transaction whose connection is lost: only the end of the transaction is accepted.
+func (s *Session) queryAfterLoss(first Command) []byte {
+	if !endsTransaction(first) {
+		return failed(errTransactionAborted, StatusFailed)
+	}
+	s.status = StatusIdle
+	return completed("ROLLBACK", StatusIdle)
+}
+
+// FailedTransactionReply answers a unit of an extended query in a transaction whose connection is lost: only the end of the transaction is
+// accepted.
+func (s *Session) FailedTransactionReply(messages []Message) []byte {
+	for _, message := range messages {
+		if message.Action != Prepare && message.Action != Bind {
+			continue
+		}
+		if !endsTransaction(message.Statement.Command) {
+			break
+		}
+		s.status = StatusIdle
+	}
+	s.expected, s.firstCommand, s.prepared = nil, nil, s.confirmed
+	if s.status == StatusFailed {
+		return failed(errTransactionAborted, StatusFailed)
+	}
+	var out []byte
+	for _, message := range messages {
+		out = appendRollbackReply(out, message)
+	}
+	return pg.AppendReadyForQuery(out, StatusIdle)
+}
+
+func endsTransaction(c Command) bool { return c.Kind == pg.Commit || c.Kind == pg.Rollback }
+
+// appendRollbackReply appends the reply to one message of a unit that ends a transaction.
+func appendRollbackReply(out []byte, message Message) []byte {
+	switch message.Kind {
+	case pg.Parse:
+		return pg.AppendBodyless(out, parseCompleteByte)
+	case pg.Bind:
+		return pg.AppendBodyless(out, bindCompleteByte)
+	case pg.Describe:
+		if message.Action == DescribeStatement {
+			out = append(out, parameterDescriptionByte, 0, 0, 0, 6, 0, 0) // no parameters
+		}
+		return pg.AppendBodyless(out, noDataByte)
+	case pg.Execute:
+		return pg.AppendCommandComplete(out, "ROLLBACK")
+	case pg.Close:
+		return pg.AppendBodyless(out, closeCompleteByte)
+	}
+	return out
+}
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -118,9 +118,9 @@
 	if !ok || err != nil {
 		panic(err)
 	}
-	ops, fail := r.s.Extended(m)
+	ops := r.s.Extended(m)
 	r.ops = append(r.ops, ops...)
-	fmt.Fprintf(&r.out, "extended %q ops %s fail %v", b[:min(len(b), 40)], recordedOps(ops), fail)
+	fmt.Fprintf(&r.out, "extended %q ops %s fail <nil>", b[:min(len(b), 40)], recordedOps(ops))
 }
 
 func (r *recordedSession) heard() {
@@ -140,13 +140,13 @@
 
 // state writes down all that the session can be asked.
 func (r *recordedSession) state() {
-	label, class, tenant, none := r.s.RequestClass()
+	attributes := r.s.RequestAttributes()
 	id := ""
-	if label != nil {
-		id = label.ID
+	if attributes.Label != nil {
+		id = attributes.Label.ID
 	}
 	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.s.TransactionStatus(), r.s.StickyReason(), r.s.Sticky(),
-		r.s.Idle(), id, class, tenant, none, r.s.RouterSetting("tenant"), describe(r.s.Settings()), describe(r.s.ServerSettings()))
+		r.s.Idle(), id, attributes.RequestClass, attributes.Tenant, attributes.Unclassified, r.s.RouterSetting("tenant"), describe(r.s.Settings()), describe(r.s.ServerSettings()))
 }
 
 func recordedOps(ops []Message) string {
--- /dev/null
+++ b/internal/decide/session/server.go
@@ -0,0 +1,99 @@
+package session
+
+import (
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"wayloft/internal/pg"
+)
+
+// expectedReply is a reply of the member that changes the session.
+type expectedReply struct {
+	kind     pg.Kind                          // ParseComplete, CloseComplete or CommandComplete
+	prepared *iradix.Tree[*PreparedStatement] // ParseComplete, CloseComplete: the prepared statements that it confirms
+	Command                                   // CommandComplete: what is done
+}
+
+// expectCompletion notes what a statement will have done once the member says so.
+func (s *Session) expectCompletion(c Command) {
+	s.noteCommand(c)
+	s.expected = append(s.expected, expectedReply{kind: pg.CommandComplete, Command: c})
+}
+
+// expectPrepared notes that a reply of this kind will confirm the prepared statements that are asked for now.
+func (s *Session) expectPrepared(kind pg.Kind) {
+	s.expected = append(s.expected, expectedReply{kind: kind, prepared: s.prepared})
+}
+
+// noteCommand notes what a statement says of its request before it has run.
+func (s *Session) noteCommand(c Command) {
+	if s.firstCommand == nil {
+		s.firstCommand = &c
+	} else if s.firstCommand.Label == nil && c.Label != nil && s.firstCommand.Kind == pg.Begin {
+		s.firstCommand.Label = c.Label
+	}
+	if c.StickyReason != "" {
+		s.stickyReason = c.StickyReason
+	}
+	s.mayCommit = s.mayCommit || c.Kind == pg.Commit || s.status == StatusIdle && c.Kind != pg.Begin
+}
+
+// ServerMessage handles a message of the member that the client receives.
+func (s *Session) ServerMessage(m *pg.Message) {
+	switch m.Kind {
+	case pg.ParseComplete, pg.CloseComplete:
+		if reply := s.takeExpected(m.Kind); reply != nil {
+			s.confirmed = reply.prepared
+		}
+	case pg.CommandComplete:
+		if reply := s.takeExpected(pg.CommandComplete); reply != nil {
+			s.apply(reply.Command, m.Text)
+		}
+	case pg.EmptyQuery, pg.PortalSuspended:
+		s.takeExpected(pg.CommandComplete)
+	case pg.ErrorResponse:
+		s.errorReceived, s.expected, s.prepared = true, nil, s.confirmed
+	case pg.ReadyForQuery:
+		s.readyForQuery(m.Status)
+	}
+}
+
+// takeExpected removes the first expected reply if it is of this kind, else it returns nil.
+func (s *Session) takeExpected(kind pg.Kind) *expectedReply {
+	if len(s.expected) == 0 || s.expected[0].kind != kind {
+		return nil
+	}
+	first := s.expected[0]
+	s.expected = s.expected[1:]
+	return &first
+}
+
+// apply applies what a statement has done, which the member answered with this command tag.
+func (s *Session) apply(c Command, tag string) {
+	switch c.Kind {
+	case pg.Set, pg.Reset, pg.ResetAll, pg.DiscardAll:
+		s.applySettings(c)
+	case pg.Deallocate:
+		if c.Name == "" {
+			s.deallocateAll()
+		}
+	case pg.Begin, pg.Commit, pg.Rollback, pg.Savepoint, pg.RollbackTo, pg.ReleaseSavepoint:
+		s.applyTransaction(c, tag)
+	}
+}
+
+func (s *Session) applySettings(c Command) {
+	switch c.Kind {
+	case pg.Set:
+		if !c.Local {
+			s.current = s.current.with(s.startup, c.Pairs...)
+		}
+	case pg.Reset:
+		s.current = s.current.with(s.startup, [2]string{c.Name, ""})
+	case pg.ResetAll:
+		s.current = settingsState{client: s.startup, server: NoSettings}
+	case pg.DiscardAll:
+		s.current = settingsState{client: s.startup, server: NoSettings}
+		s.resetSticky()
+		s.deallocateAll()
+	}
+}
--- a/internal/decide/session/session_test.go
+++ b/internal/decide/session/session_test.go
@@ -113,8 +113,7 @@
 		return m
 	}
 	extended := func(b []byte) {
-		ops, _ := p.s.Extended(raw(b))
-		p.ops = append(p.ops, ops...)
+		p.ops = append(p.ops, p.s.Extended(raw(b))...)
 	}
 	switch word {
 	case "policy":
@@ -200,15 +199,15 @@
 	case "has":
 		return is(describe(p.s.Settings()), rest)
 	case "label":
-		label, txnType, tenant, none := p.s.RequestClass()
-		got := txnType
-		if label != nil {
-			got += " of " + label.ID
+		attributes := p.s.RequestAttributes()
+		got := attributes.RequestClass
+		if attributes.Label != nil {
+			got += " of " + attributes.Label.ID
 		}
-		if tenant != "" {
-			got += " for " + tenant
+		if attributes.Tenant != "" {
+			got += " for " + attributes.Tenant
 		}
-		if none {
+		if attributes.Unclassified {
 			got += "none"
 		}
 		return is(got, rest)
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -5,188 +5,134 @@
 	"unique"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
-
-	"wayloft/internal/pg"
 )
 
-// Settings are what a session, or a connection, has set: name to value, as it was written. They are never changed,
-// only replaced, so whoever has some may keep them; equal ones have the same ID.
+// Settings are what a client, or a connection, has set: names in lower case and values as they were written. They are immutable, so that
+// whoever has some may keep them.
 type Settings struct {
 	tree *iradix.Tree[string]
-	id   unique.Handle[string]
-	size int
+	id   unique.Handle[string] // equal for equal settings
+	size int                   // bytes of names and values, each with a terminator
 }
 
-// ID compares by pointer.
-func (s Settings) ID() any { return s.id }
-
 // NoSettings are the settings of a connection that has set nothing.
-var NoSettings = identify(iradix.New[string]())
+var NoSettings = newSettings(iradix.New[string]())
 
-func identify(t *iradix.Tree[string]) Settings {
-	var b strings.Builder
-	t.Root().Walk(func(k []byte, v string) bool {
-		b.Write(k)
-		b.WriteByte(0)
-		b.WriteString(v)
-		b.WriteByte(0)
+func newSettings(tree *iradix.Tree[string]) Settings {
+	var encoded strings.Builder
+	tree.Root().Walk(func(name []byte, value string) bool {
+		encoded.Write(name)
+		encoded.WriteByte(0)
+		encoded.WriteString(value)
+		encoded.WriteByte(0)
 		return false
 	})
-	return Settings{t, unique.Make(b.String()), b.Len()}
+	return Settings{tree: tree, id: unique.Make(encoded.String()), size: encoded.Len()}
 }
 
-// Get finds a value.
-func (s Settings) Get(name string) (string, bool) { return s.tree.Get([]byte(name)) }
+// ID returns a comparable value that is equal for equal settings.
+func (s Settings) ID() any { return s.id }
+
+// Get returns the value of a setting, and whether it is set.
+func (s Settings) Get(name string) (value string, set bool) { return s.tree.Get([]byte(name)) }
 
-// with sets values; one that is empty goes back to what base has.
+// with returns the settings with these names and values set. An empty value sets what base has, or removes the setting.
 func (s Settings) with(base Settings, pairs ...[2]string) Settings {
-	t := s.tree
-	for _, p := range pairs {
-		if p[1] == "" {
-			p[1], _ = base.Get(p[0])
+	tree := s.tree
+	for _, pair := range pairs {
+		name, value := pair[0], pair[1]
+		if value == "" {
+			value, _ = base.Get(name)
 		}
-		if p[1] == "" {
-			t, _, _ = t.Delete([]byte(p[0]))
+		if value == "" {
+			tree, _, _ = tree.Delete([]byte(name))
 		} else {
-			t, _, _ = t.Insert([]byte(p[0]), p[1])
+			tree, _, _ = tree.Insert([]byte(name), value)
 		}
 	}
-	if t == s.tree {
+	if tree == s.tree {
 		return s
 	}
-	return identify(t)
+	return newSettings(tree)
 }
 
-// IsRouterSetting tells whether a setting is the router's, and never goes to a member.
-func IsRouterSetting(name string) bool { return strings.HasPrefix(name, "wayloft.") }
+// IsRouterSetting reports whether a setting is the router's own, and never sent to a member.
+func IsRouterSetting(name string) bool { return strings.HasPrefix(name, routerSettingPrefix) }
 
-// SettingsStatements returns the statements that bring the settings of the session's connection to the session's own.
-func (s *Session) SettingsStatements() []string {
-	if s.policy.SeededDefects.SkipSettings {
-		return nil
-	}
-	return settingsStatements(s.there, s.now)
-}
-
-// settingsStatements returns the statements that bring a connection from what it has to what it should have: only what
+// settingsStatements returns the statements that bring a connection from the settings that it has to those that it should have. Only what
 // differs is set.
 func settingsStatements(has, should Settings) []string {
-	if has.id == should.id {
-		return nil
-	}
-	var out []string
-	authorized := false
-	add := func(name, value string) {
+	var statements []string
+	authorization := ""
+	forEachDifference(has, should, func(name, value string) {
 		switch {
 		case IsRouterSetting(name):
 		case name == "session_authorization":
-			authorized = true
-			if value == "" {
-				value = "DEFAULT"
-			}
-			out = append([]string{"SET SESSION AUTHORIZATION " + value}, out...) // first: it resets the role
-		case value == "":
-			out = append(out, "RESET "+quote(name))
-		case name == "timezone":
-			out = append(out, "SET TIME ZONE "+value)
+			authorization = sessionAuthorizationStatement(value)
 		default:
-			out = append(out, "SET "+quote(name)+" TO "+value)
+			statements = append(statements, settingStatement(name, value))
 		}
+	})
+	if authorization == "" {
+		return statements
+	}
+	statements = append([]string{authorization}, statements...) // first, since it resets the role
+	if role, set := should.Get("role"); set {
+		statements = append(statements, "SET role TO "+role)
+	}
+	return statements
+}
+
+// forEachDifference calls f for each setting that differs, in the order of their names, with the value that it should have; "": none.
+func forEachDifference(has, should Settings, f func(name, value string)) {
+	if has.id == should.id {
+		return
 	}
-	a, b := has.tree.Root().Iterator(), should.tree.Root().Iterator()
-	ak, av, aok := a.Next()
-	bk, bv, bok := b.Next()
-	for aok || bok {
-		switch c := strings.Compare(string(ak), string(bk)); {
-		case !bok || aok && c < 0:
-			add(string(ak), "")
-			ak, av, aok = a.Next()
-		case !aok || c > 0:
-			add(string(bk), bv)
-			bk, bv, bok = b.Next()
+	hasIterator, shouldIterator := has.tree.Root().Iterator(), should.tree.Root().Iterator()
+	hasName, hasValue, hasMore := hasIterator.Next()
+	shouldName, shouldValue, shouldMore := shouldIterator.Next()
+	for hasMore || shouldMore {
+		order := strings.Compare(string(hasName), string(shouldName))
+		switch {
+		case !shouldMore || hasMore && order < 0:
+			f(string(hasName), "")
+			hasName, hasValue, hasMore = hasIterator.Next()
+		case !hasMore || order > 0:
+			f(string(shouldName), shouldValue)
+			shouldName, shouldValue, shouldMore = shouldIterator.Next()
 		default:
-			if av != bv {
-				add(string(bk), bv)
+			if hasValue != shouldValue {
+				f(string(shouldName), shouldValue)
 			}
-			ak, av, aok = a.Next()
-			bk, bv, bok = b.Next()
+			hasName, hasValue, hasMore = hasIterator.Next()
+			shouldName, shouldValue, shouldMore = shouldIterator.Next()
 		}
 	}
-	if role, set := should.Get("role"); authorized && set {
-		out = append(out, "SET role TO "+role)
-	}
-	return out
 }
 
-// quote writes a name of parts as SQL has it.
-func quote(name string) string {
-	parts := strings.Split(name, ".")
-	for n, p := range parts {
-		parts[n] = `"` + strings.ReplaceAll(p, `"`, `""`) + `"`
+func sessionAuthorizationStatement(value string) string {
+	if value == "" {
+		value = "DEFAULT"
 	}
-	return strings.Join(parts, ".")
+	return "SET SESSION AUTHORIZATION " + value
 }
 
-// StartupSettings reads what a client sets as it connects: parameters, and options of the form -c name=value.
-func StartupSettings(params pg.StartupParameters) (Settings, *pg.Error) {
-	s := NoSettings
-	set := func(name, value string) {
-		if value != "" {
-			s = s.with(NoSettings, [2]string{strings.ToLower(name), pg.QuoteLiteral(value)})
-		}
-	}
-	for _, p := range params {
-		switch name := strings.ToLower(p[0]); {
-		case name == "user" || name == "database" || strings.HasPrefix(name, "_pq_."):
-		case name == "replication":
-			if on := strings.ToLower(p[1]); on != "" && on != "false" && on != "off" && on != "no" && on != "0" {
-				return s, &pg.Error{Code: pg.FeatureNotSupported, Text: "replication does not go through a router"}
-			}
-		case name == "options":
-			words := optionWords(p[1])
-			for n := 0; n < len(words); n++ {
-				word := words[n]
-				switch {
-				case word == "-c" && n+1 < len(words):
-					n++
-					word = words[n]
-				case strings.HasPrefix(word, "--"):
-					word = strings.ReplaceAll(word[2:], "-", "_")
-				case strings.HasPrefix(word, "-c"):
-					word = word[2:]
-				default:
-					return s, &pg.Error{Code: pg.InvalidParameterValue, Text: "options: only -c name=value is taken, not " + word}
-				}
-				key, value, ok := strings.Cut(word, "=")
-				if !ok {
-					return s, &pg.Error{Code: pg.InvalidParameterValue, Text: "options: " + word + " is no name=value"}
-				}
-				set(key, value)
-			}
-		default:
-			set(name, p[1])
-		}
+func settingStatement(name, value string) string {
+	switch {
+	case value == "":
+		return "RESET " + quoteName(name)
+	case name == "timezone": // its value may be an interval, which SET ... TO does not take
+		return "SET TIME ZONE " + value
+	default:
+		return "SET " + quoteName(name) + " TO " + value
 	}
-	return s, nil
 }
 
-// optionWords splits at blanks that no backslash guards.
-func optionWords(s string) []string {
-	var out []string
-	var word strings.Builder
-	for n := 0; n <= len(s); n++ {
-		switch {
-		case n == len(s) || s[n] == ' ' || s[n] == '\t':
-			if word.Len() > 0 {
-				out = append(out, word.String())
-				word.Reset()
-			}
-		case s[n] == '\\' && n+1 < len(s):
-			n++
-			word.WriteByte(s[n])
-		default:
-			word.WriteByte(s[n])
-		}
+// quoteName quotes each part of a dotted name as an SQL identifier.
+func quoteName(name string) string {
+	parts := strings.Split(name, ".")
+	for n, part := range parts {
+		parts[n] = `"` + strings.ReplaceAll(part, `"`, `""`) + `"`
 	}
-	return out
+	return strings.Join(parts, ".")
 }
--- /dev/null
+++ b/internal/decide/session/startup.go
@@ -0,0 +1,96 @@
+package session
+
+import (
+	"strings"
+
+	"wayloft/internal/pg"
+)
+
+// StartupSettings returns the settings of a client's startup message: its parameters, and the settings among its command-line options.
+func StartupSettings(parameters pg.StartupParameters) (Settings, *pg.Error) {
+	s := NoSettings
+	for _, parameter := range parameters {
+		name, value := strings.ToLower(parameter[0]), parameter[1]
+		switch {
+		case name == "user" || name == "database" || strings.HasPrefix(name, "_pq_."):
+		case name == "replication":
+			if asksForReplication(value) {
+				return s, &pg.Error{Code: pg.FeatureNotSupported, Text: "replication does not go through a router"}
+			}
+		case name == "options":
+			options, err := parseOptions(value)
+			if err != nil {
+				return s, err
+			}
+			for _, option := range options {
+				s = s.withStartup(option.name, option.value)
+			}
+		default:
+			s = s.withStartup(name, value)
+		}
+	}
+	return s, nil
+}
+
+// withStartup returns the settings with a value of a startup message, which is not quoted there.
+func (s Settings) withStartup(name, value string) Settings {
+	if value == "" {
+		return s
+	}
+	return s.with(NoSettings, [2]string{strings.ToLower(name), pg.QuoteLiteral(value)})
+}
+
+func asksForReplication(value string) bool {
+	switch strings.ToLower(value) {
+	case "", "false", "off", "no", "0":
+		return false
+	}
+	return true
+}
+
+type option struct{ name, value string }
+
+// parseOptions reads command-line options that set something: -c name=value, -cname=value or --name=value.
+func parseOptions(text string) (options []option, err *pg.Error) {
+	words := splitOptions(text)
+	for n := 0; n < len(words); n++ {
+		word := words[n]
+		switch {
+		case word == "-c" && n+1 < len(words):
+			n++
+			word = words[n]
+		case strings.HasPrefix(word, "--"):
+			word = strings.ReplaceAll(word[2:], "-", "_")
+		case strings.HasPrefix(word, "-c"):
+			word = word[2:]
+		default:
+			return nil, &pg.Error{Code: pg.InvalidParameterValue, Text: "options: only -c name=value is taken, not " + word}
+		}
+		name, value, ok := strings.Cut(word, "=")
+		if !ok {
+			return nil, &pg.Error{Code: pg.InvalidParameterValue, Text: "options: " + word + " is no name=value"}
+		}
+		options = append(options, option{name, value})
+	}
+	return options, nil
+}
+
+// splitOptions splits at blanks. A backslash takes the next character as it is.
+func splitOptions(text string) (words []string) {
+	var word strings.Builder
+	for n := 0; n <= len(text); n++ {
+		switch {
+		case n == len(text) || text[n] == ' ' || text[n] == '\t':
+			if word.Len() > 0 {
+				words = append(words, word.String())
+				word.Reset()
+			}
+		case text[n] == '\\' && n+1 < len(text):
+			n++
+			word.WriteByte(text[n])
+		default:
+			word.WriteByte(text[n])
+		}
+	}
+	return words
+}
--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -119,8 +119,7 @@
 }
 
 func (p *pooledSession) forwardCopy(m pg.Message) {
-	messages, _ := p.decisions.Extended(m)
-	p.request.Stream.Send(messages)
+	p.request.Stream.Send(p.decisions.Extended(m))
 }
 
 // addQueuedBytes counts what the client has sent ahead, and ends a session that sends too much.
--- a/internal/frontend/unit.go
+++ b/internal/frontend/unit.go
@@ -58,8 +58,7 @@
 
 // handleExtended collects the messages of an extended query, and dispatches them at its end.
 func (p *pooledSession) handleExtended(m pg.Message, arrived float64) {
-	messages, _ := p.decisions.Extended(m)
-	p.unitMessages = append(p.unitMessages, messages...)
+	p.unitMessages = append(p.unitMessages, p.decisions.Extended(m)...)
 	p.addQueuedBytes(len(m.Raw))
 	if p.session.state != sessionOpen {
 		return
@@ -99,7 +98,7 @@
 		}
 		return
 	}
-	if p.decisions.TransactionStatus() == failedTransaction {
+	if p.decisions.TransactionStatus() == decide.StatusFailed {
 		p.session.conn.Write(p.decisions.FailedTransactionReply(messages))
 		return
 	}
@@ -107,9 +106,6 @@
 	p.startRequest(append(p.decisions.FlushDeferredBegin(), messages...), arrived)
 }
 
-// failedTransaction is the transaction status of a transaction that only its end can follow.
-const failedTransaction = 'E'
-
 // startRequest begins a request, whose first unit arrived at this time.
 func (p *pooledSession) startRequest(messages []decide.Message, arrived float64) {
 	f := p.session.frontend
@@ -137,17 +133,17 @@
 // statement returns the attributes of the request that begins: what its comment says, else the session's settings, else its pool.
 func (p *pooledSession) statement() *pg.Statement {
 	f := p.session.frontend
-	label, requestClass, tenant, unlabelled := p.decisions.RequestClass()
-	if unlabelled {
-		requestClass = p.pool.DefaultClass
+	attributes := p.decisions.RequestAttributes()
+	if attributes.Unclassified {
+		attributes.RequestClass = p.pool.DefaultClass
 	}
 	if p.pool.Policy.SeededDefects.ForgetLastCommitPosition {
 		p.decisions.LastCommitPosition = 0
 	}
 	statement := &pg.Statement{
 		ID:           f.nextID(),
-		RequestClass: requestClass,
-		Tenant:       tenant,
+		RequestClass: attributes.RequestClass,
+		Tenant:       attributes.Tenant,
 		WaitMs:       noWaitLimitMs,
 		Group:        p.pool.Group,
 		// The commit may have been dated by an estimate of the cluster's clock that has fallen since.
@@ -159,7 +155,7 @@
 	if group, err := strconv.Atoi(p.decisions.RouterSetting("group")); err == nil {
 		statement.Group = group
 	}
-	if label != nil {
+	if label := attributes.Label; label != nil {
 		statement.ID, statement.WaitMs, statement.Group = label.ID, label.WaitMs, label.Group
 		statement.IdempotencyKey, statement.IsRetry = label.IdempotencyKey, label.IsRetry
 		statement.Position = max(statement.Position, label.Position)
