--- /dev/null
+++ b/internal/decide/session/model_test.go
@@ -0,0 +1,256 @@
+package session
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"wayloft/internal/pg"
+)
+
+// serverModel is a server's view of one session's settings, made as simple as can be: each savepoint is a copy of everything.
+type serverModel struct {
+	settings   map[string]string
+	local      map[string]string // by SET LOCAL: hides settings until the transaction ends
+	savepoints []modelSavepoint  // the first is the begin of the transaction
+	status     byte
+}
+
+type modelSavepoint struct {
+	name            string
+	settings, local map[string]string
+}
+
+func newServerModel() *serverModel {
+	return &serverModel{settings: map[string]string{}, local: map[string]string{}, status: StatusIdle}
+}
+
+func (m *serverModel) save(name string) {
+	m.savepoints = append(m.savepoints, modelSavepoint{name, maps.Clone(m.settings), maps.Clone(m.local)})
+}
+
+func (m *serverModel) restore(n int) {
+	m.settings, m.local = maps.Clone(m.savepoints[n].settings), maps.Clone(m.savepoints[n].local)
+}
+
+// run runs one statement as a server would; it reports false for an error.
+func (m *serverModel) run(sql string) (tag string, ok bool) {
+	c := pg.ParseCommand(sql)
+	if m.status == StatusFailed && c.Kind != pg.Commit && c.Kind != pg.Rollback && c.Kind != pg.RollbackTo {
+		return "", false
+	}
+	switch c.Kind {
+	case pg.OtherCommand:
+		return "SELECT 1", sql != "SELEKT"
+	case pg.Begin, pg.Commit, pg.Rollback:
+		return m.runTransaction(c), true
+	case pg.Savepoint, pg.RollbackTo, pg.ReleaseSavepoint:
+		return m.runSavepoint(c)
+	case pg.Set:
+		m.set(c)
+		return "SET", true
+	case pg.Reset:
+		delete(m.settings, c.Name)
+		delete(m.local, c.Name)
+		return "RESET", true
+	case pg.ResetAll:
+		clear(m.settings)
+		clear(m.local)
+		return "RESET", true
+	}
+	return "", false
+}
+
+func (m *serverModel) runTransaction(c pg.Command) (tag string) {
+	if c.Kind == pg.Begin {
+		if m.status == StatusIdle {
+			m.status, m.savepoints = StatusInTransaction, nil
+			m.save("")
+		}
+		return "BEGIN"
+	}
+	tag = "COMMIT"
+	if m.status == StatusFailed || c.Kind == pg.Rollback {
+		tag = "ROLLBACK"
+		if m.status != StatusIdle {
+			m.restore(0)
+		}
+	}
+	m.status, m.savepoints, m.local = StatusIdle, nil, map[string]string{}
+	return tag
+}
+
+func (m *serverModel) runSavepoint(c pg.Command) (tag string, ok bool) {
+	if c.Kind == pg.Savepoint {
+		if m.status == StatusIdle {
+			return "", false
+		}
+		m.save(c.Name)
+		return "SAVEPOINT", true
+	}
+	for n := len(m.savepoints) - 1; n > 0; n-- {
+		if m.savepoints[n].name != c.Name {
+			continue
+		}
+		if c.Kind == pg.ReleaseSavepoint {
+			m.savepoints = m.savepoints[:n]
+			return "RELEASE", true
+		}
+		m.restore(n)
+		m.savepoints, m.status = m.savepoints[:n+1], StatusInTransaction
+		return "ROLLBACK", true
+	}
+	return "", false
+}
+
+func (m *serverModel) set(c pg.Command) {
+	for _, pair := range c.Pairs {
+		name, value := pair[0], pair[1]
+		switch {
+		case c.Local && m.status == StatusIdle:
+		case c.Local:
+			m.local[name] = value
+		case value == "":
+			delete(m.settings, name)
+			delete(m.local, name)
+		default:
+			m.settings[name] = value
+			delete(m.local, name)
+		}
+	}
+}
+
+// query runs a whole simple query, with what its implicit transaction takes back, and passes on the messages that answer it.
+func (m *serverModel) query(sql string, receive func(pg.Message)) {
+	var implicit map[string]string // the settings at the begin of an implicit transaction
+	for _, text := range pg.SplitStatements(sql) {
+		if m.status == StatusIdle && implicit == nil {
+			implicit = maps.Clone(m.settings)
+		}
+		tag, ok := m.run(text)
+		if !ok {
+			receive(pg.Message{Kind: pg.ErrorResponse})
+			m.fail(implicit)
+			break
+		}
+		if tag == "ROLLBACK" && implicit != nil { // it takes the implicit transaction back
+			m.settings = implicit
+		}
+		receive(pg.Message{Kind: pg.CommandComplete, Text: tag})
+		if m.status != StatusIdle || tag == "COMMIT" || tag == "ROLLBACK" {
+			implicit = nil
+		}
+	}
+	receive(pg.Message{Kind: pg.ReadyForQuery, Status: m.status})
+}
+
+// fail handles an error. Outside a transaction the implicit transaction, which began with these settings, is taken back.
+func (m *serverModel) fail(implicit map[string]string) {
+	switch m.status {
+	case StatusInTransaction:
+		m.status = StatusFailed
+	case StatusIdle:
+		m.settings = implicit
+	}
+}
+
+// describe returns the settings as describeSettings does.
+func (m *serverModel) describe() string {
+	var words []string
+	for _, name := range slices.Sorted(maps.Keys(m.settings)) {
+		words = append(words, name+"="+m.settings[name])
+	}
+	return strings.Join(words, " ")
+}
+
+// modelPool is a session on a pool of connections, as the router has them, beside a server that the client has to itself.
+type modelPool struct {
+	t           *rapid.T
+	alone       *serverModel
+	connections []*serverModel
+	known       []Settings // what the router takes each connection to have
+	session     *Session
+	carrier     int // the connection that carries the session; noCarrier: none
+}
+
+const noCarrier = -1
+
+// query has the client send a query, and passes the messages between the session and its connection.
+func (p *modelPool) query(sql string) {
+	_, messages := p.session.Query(sql, pg.AppendQuery(nil, sql), p.carrier >= 0)
+	if messages != nil && p.carrier == noCarrier {
+		p.attach(rapid.IntRange(0, len(p.connections)-1).Draw(p.t, "connection"))
+	}
+	for _, message := range messages {
+		p.connections[p.carrier].query(queryText(message), func(m pg.Message) {
+			if message.Action != ForwardDiscardReply {
+				p.session.ServerMessage(&m)
+			}
+		})
+	}
+}
+
+// attach has a connection carry the session, and brings it to the session's settings.
+func (p *modelPool) attach(n int) {
+	p.carrier = n
+	p.session.AttachConnection(p.known[n])
+	for _, text := range p.session.SettingsStatements() {
+		p.connections[n].query(text, func(m pg.Message) {
+			if m.Kind == pg.ErrorResponse {
+				p.t.Fatalf("%s is rejected", text)
+			}
+		})
+	}
+	p.session.SettingsApplied(true)
+}
+
+// release takes the connection from the session once its transaction has ended.
+func (p *modelPool) release(sql string) {
+	if p.carrier == noCarrier || p.session.TransactionStatus() != StatusIdle {
+		return
+	}
+	p.known[p.carrier] = p.session.ServerSettings()
+	connection := p.connections[p.carrier]
+	got, want := describeSettings(p.known[p.carrier]), connection.describe()
+	if got != want || connection.status != StatusIdle {
+		p.t.Fatalf("after %q the connection has [%s], the session expects [%s]", sql, want, got)
+	}
+	p.carrier = noCarrier
+}
+
+// Whatever a client sets, begins, saves and takes back, on whatever connection: after each transaction the connection has the settings that
+// the session expects, and the session has those that one server alone would have had for it.
+func TestSession_SettingsFollowClient(t *testing.T) {
+	statements := []string{"SET a.x = '1'", "SET a.x = '2'", "SET a.y = '1'", "SET LOCAL a.x = '3'", "SET a.x TO DEFAULT", "RESET a.x",
+		"RESET ALL", "BEGIN", "COMMIT", "ROLLBACK", "SAVEPOINT s", "SAVEPOINT s", "ROLLBACK TO s", "RELEASE s", "SELECT 1", "SELEKT",
+		"SET a.x = '4'; SELECT 1", "SET a.y = '5'; SELEKT", "BEGIN; SET a.x = '6'; COMMIT", "SELECT 1; SET a.y = '7'; ROLLBACK"}
+	rapid.Check(t, func(t *rapid.T) {
+		p := &modelPool{
+			t:           t,
+			alone:       newServerModel(),
+			connections: []*serverModel{newServerModel(), newServerModel(), newServerModel()},
+			known:       []Settings{NoSettings, NoSettings, NoSettings},
+			session:     New(Policy{MaxSettingsBytes: 1000, MaxStatements: 9}, NoSettings),
+			carrier:     noCarrier,
+		}
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			sql := rapid.SampledFrom(statements).Draw(t, "sql")
+			p.alone.query(sql, func(pg.Message) {})
+			if p.alone.status == StatusFailed && p.session.TransactionStatus() == StatusIdle {
+				t.Fatal("the session knows of no transaction")
+			}
+			p.query(sql)
+			p.release(sql)
+			status := p.session.TransactionStatus()
+			if status != p.alone.status {
+				t.Fatalf("after %q: status %c, alone %c", sql, status, p.alone.status)
+			}
+			if got, want := describeSettings(p.session.Settings()), p.alone.describe(); status == StatusIdle && got != want {
+				t.Fatalf("after %q the session has [%s], alone [%s]", sql, got, want)
+			}
+		}
+	})
+}
--- a/internal/decide/session/query.go
+++ b/internal/decide/session/query.go
@@ -99,7 +99,7 @@
 	return pg.AppendReadyForQuery(pg.AppendCommandComplete(row, "SHOW"), s.status)
 }
 
-// answerReset takes settings back. The next connection is brought to the session's settings in any case.
+// answerReset takes settings back. The next connection gets the session's settings in any case.
 func (s *Session) answerReset(c Command) []byte {
 	if !s.detached() {
 		return nil
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -22,15 +22,15 @@
 
 var recordedTags = []string{"SELECT 1", "BEGIN", "COMMIT", "ROLLBACK", "SET", "RESET", "SAVEPOINT", "RELEASE", "DISCARD ALL", "INSERT 0 1"}
 
-// recordedSession drives one session by drawn inputs, and writes down what it says to each.
+// recordedSession drives one session by drawn inputs, and writes down what it decides on each.
 type recordedSession struct {
-	rand *rand.Rand
-	s    *Session
-	ops  []Message // of the unit that is not complete
-	out  strings.Builder
+	rand    *rand.Rand
+	session *Session
+	unit    []Message // what goes to a member, of the unit that is not complete
+	out     strings.Builder
 }
 
-// TestRecordedDecisions has the decisions on drawn inputs be the recorded ones.
+// TestRecordedDecisions compares the decisions on drawn inputs with a recording. The words that it prints are those of the recording.
 func TestRecordedDecisions(t *testing.T) {
 	policies := []Policy{
 		{MaxSettingsBytes: 200, MaxStatements: 3},
@@ -40,7 +40,7 @@
 	}
 	var out strings.Builder
 	for seed := range uint64(16) {
-		r := &recordedSession{rand: rand.New(rand.NewPCG(seed, 1)), s: New(policies[seed%4], NoSettings.with(NoSettings, [2]string{"work_mem", "'4MB'"}))}
+		r := &recordedSession{rand: rand.New(rand.NewPCG(seed, 1)), session: New(policies[seed%4], settingsOf("work_mem='4MB'"))}
 		for step := range 1000 {
 			fmt.Fprintf(&r.out, "%d %d ", seed, step)
 			r.step()
@@ -55,75 +55,67 @@
 	switch draw := r.rand.IntN(100); {
 	case draw < 25:
 		sql := r.query()
-		answer, ops := r.s.Query(sql, pg.AppendQuery(nil, sql), r.rand.IntN(2) == 0)
-		fmt.Fprintf(&r.out, "query %.40q answer %q ops %s", sql, answer, recordedOps(ops))
+		answer, messages := r.session.Query(sql, pg.AppendQuery(nil, sql), r.rand.IntN(2) == 0)
+		fmt.Fprintf(&r.out, "query %.40q answer %q ops %s", sql, answer, recordedMessages(messages))
 	case draw < 50:
 		r.extended()
 	case draw < 80:
-		r.heard()
+		r.serverMessage()
 	case draw < 84:
-		answer, ok := r.s.LocalReply(r.ops)
+		answer, ok := r.session.LocalReply(r.unit)
 		fmt.Fprintf(&r.out, "here %q %v", answer, ok)
-		r.ops = nil
+		r.unit = nil
 	case draw < 87:
-		fmt.Fprintf(&r.out, "dead %q", r.s.FailedTransactionReply(r.ops))
-		r.ops = nil
+		fmt.Fprintf(&r.out, "dead %q", r.session.FailedTransactionReply(r.unit))
+		r.unit = nil
 	case draw < 90:
-		fmt.Fprintf(&r.out, "begin %s", recordedOps(r.s.FlushDeferredBegin()))
+		fmt.Fprintf(&r.out, "begin %s", recordedMessages(r.session.FlushDeferredBegin()))
 	case draw < 93:
-		has := NoSettings.with(NoSettings, [2]string{"work_mem", fmt.Sprintf("'%dMB'", r.rand.IntN(5))})
-		fmt.Fprintf(&r.out, "on %q", settingsStatements(has, r.s.Settings()))
-		r.s.AttachConnection(has)
+		has := settingsOf(fmt.Sprintf("work_mem='%dMB'", r.rand.IntN(5)))
+		fmt.Fprintf(&r.out, "on %q", settingsStatements(has, r.session.Settings()))
+		r.session.AttachConnection(has)
 	case draw < 97:
 		before := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "brought %v %q", before, settingsStatements(r.s.ServerSettings(), r.s.Settings()))
-		r.s.SettingsApplied(before)
+		fmt.Fprintf(&r.out, "brought %v %q", before, settingsStatements(r.session.ServerSettings(), r.session.Settings()))
+		r.session.SettingsApplied(before)
 	default:
 		sent := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "lost %v %v", sent, r.s.ConnectionLost(sent))
-		r.ops = nil
+		fmt.Fprintf(&r.out, "lost %v %v", sent, r.session.ConnectionLost(sent))
+		r.unit = nil
 	}
 }
 
+// query draws a statement.
 func (r *recordedSession) query() string { return recordedQueries[r.rand.IntN(len(recordedQueries))] }
 
+// extended passes in a drawn message of an extended query.
 func (r *recordedSession) extended() {
 	name, portal := []string{"", "s1", "s2", "s3"}[r.rand.IntN(4)], []string{"", "p1"}[r.rand.IntN(2)]
 	sql := r.query()
-	var b []byte
+	var encoded []byte
 	switch r.rand.IntN(10) {
 	case 0, 1:
-		b = pg.AppendParse(nil, name, []byte(sql+"\x00\x00\x00"))
+		encoded = pg.AppendParse(nil, name, []byte(sql+"\x00\x00\x00"))
 	case 2, 3:
-		b = pg.AppendBind(nil, portal, name, []byte{0, 0, 0, 0, 0, 0})
+		encoded = pg.AppendBind(nil, portal, name, []byte{0, 0, 0, 0, 0, 0})
 	case 4:
-		b = pg.AppendDescribe(nil, "SP"[r.rand.IntN(2)], name)
+		encoded = pg.AppendDescribe(nil, "SP"[r.rand.IntN(2)], name)
 	case 5, 6:
-		b = pg.AppendExecute(nil, portal)
+		encoded = pg.AppendExecute(nil, portal)
 	case 7:
-		b = pg.AppendClose(nil, "SP"[r.rand.IntN(2)], name)
+		encoded = pg.AppendClose(nil, "SP"[r.rand.IntN(2)], name)
 	case 8:
-		b = pg.AppendBodyless(nil, 'H')
+		encoded = pg.AppendBodyless(nil, 'H')
 	case 9:
-		b = pg.AppendSync(nil)
+		encoded = pg.AppendSync(nil)
 	}
-	reader := pg.NewReader(false, 1<<16)
-	reader.Feed(pg.AppendStartup(nil, "a", "b"))
-	if _, _, err := reader.Next(); err != nil {
-		panic(err)
-	}
-	reader.EnableExtended()
-	reader.Feed(b)
-	m, ok, err := reader.Next()
-	if !ok || err != nil {
-		panic(err)
-	}
-	ops := r.s.Extended(m)
-	r.ops = append(r.ops, ops...)
-	fmt.Fprintf(&r.out, "extended %q ops %s fail <nil>", b[:min(len(b), 40)], recordedOps(ops))
+	messages := r.session.Extended(clientMessage(encoded))
+	r.unit = append(r.unit, messages...)
+	fmt.Fprintf(&r.out, "extended %q ops %s fail <nil>", encoded[:min(len(encoded), 40)], recordedMessages(messages))
 }
 
-func (r *recordedSession) heard() {
+// serverMessage passes in a drawn message of the member.
+func (r *recordedSession) serverMessage() {
 	m := &pg.Message{Kind: []pg.Kind{pg.ParseComplete, pg.CloseComplete, pg.CommandComplete, pg.CommandComplete, pg.CommandComplete, pg.EmptyQuery, pg.PortalSuspended, pg.ErrorResponse,
 		pg.ReadyForQuery, pg.ReadyForQuery, pg.ReadyForQuery}[r.rand.IntN(11)]}
 	switch m.Kind {
@@ -134,29 +126,41 @@
 	case pg.ReadyForQuery:
 		m.Status = "IITTE"[r.rand.IntN(5)]
 	}
-	r.s.ServerMessage(m)
+	r.session.ServerMessage(m)
 	fmt.Fprintf(&r.out, "heard %d %q %d", m.Kind, m.Text, m.Status)
 }
 
-// state writes down all that the session can be asked.
+// state writes down all that the session can be asked for.
 func (r *recordedSession) state() {
-	attributes := r.s.RequestAttributes()
+	attributes := r.session.RequestAttributes()
 	id := ""
 	if attributes.Label != nil {
 		id = attributes.Label.ID
 	}
-	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.s.TransactionStatus(), r.s.StickyReason(), r.s.Sticky(),
-		r.s.Idle(), id, attributes.RequestClass, attributes.Tenant, attributes.Unclassified, r.s.RouterSetting("tenant"), describe(r.s.Settings()), describe(r.s.ServerSettings()))
+	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.session.TransactionStatus(), r.session.StickyReason(), r.session.Sticky(),
+		r.session.Idle(), id, attributes.RequestClass, attributes.Tenant, attributes.Unclassified, r.session.RouterSetting("tenant"), describeSettings(r.session.Settings()), describeSettings(r.session.ServerSettings()))
+}
+
+// recordedActions are the names of actions in the recording.
+var recordedActions = map[Action]string{
+	Forward:             "forward",
+	Prepare:             "prepare",
+	Bind:                "bind",
+	DescribeStatement:   "about",
+	AnswerLocally:       "local",
+	Reject:              "reject",
+	ForwardDiscardReply: "hidden",
 }
 
-func recordedOps(ops []Message) string {
+func recordedMessages(messages []Message) string {
 	var out []string
-	for _, op := range ops {
+	for _, message := range messages {
 		statement := ""
-		if op.Statement != nil {
-			statement = op.Statement.Tail.Value()
+		if message.Statement != nil {
+			statement = message.Statement.Tail.Value()
 		}
-		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", does[op.Action], op.Kind, op.Portal, statement, op.Raw, op.Fault))
+		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", recordedActions[message.Action], message.Kind, message.Portal, statement, message.Raw,
+			message.Fault))
 	}
 	return "[" + strings.Join(out, "; ") + "]"
 }
--- a/internal/decide/session/session.go
+++ b/internal/decide/session/session.go
@@ -41,7 +41,7 @@
 
 // SeededDefects are defects that tests switch on to show that checkers find them. The program never sets one.
 type SeededDefects struct {
-	SkipSettings             bool // a connection is not brought to the session's settings
+	SkipSettings             bool // a connection does not get the session's settings
 	KeepRolledBackSettings   bool // settings outlive the rollback of their transaction
 	ReuseAnyStatement        bool // any statement counts as prepared on a connection that has one
 	ForgetLastCommitPosition bool // reads are not bound to the session's last commit
--- /dev/null
+++ b/internal/decide/session/settings_test.go
@@ -0,0 +1,74 @@
+package session
+
+import (
+	"strings"
+	"testing"
+
+	"wayloft/internal/pg"
+)
+
+// Equal settings are the same, however they came about, and only what differs is set.
+func TestSettings_EqualHaveSameID(t *testing.T) {
+	a := settingsOf("x=1 y=2")
+	b := settingsOf("y=3").with(NoSettings, [2]string{"x", "1"}, [2]string{"y", "2"})
+	none := a.with(NoSettings, [2]string{"x", ""}, [2]string{"y", ""})
+	if a.ID() != b.ID() || none.ID() != NoSettings.ID() {
+		t.Error("equal settings differ")
+	}
+}
+
+func TestSettingsStatements(t *testing.T) {
+	has := settingsOf("x=1 y=2")
+	should := settingsOf("session_authorization=bob role=r wayloft.txn_type=t timezone='UTC' x=1")
+	got := strings.Join(settingsStatements(has, should), "; ")
+	want := `SET SESSION AUTHORIZATION bob; SET "role" TO r; SET TIME ZONE 'UTC'; RESET "y"; SET role TO r`
+	if got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+}
+
+func TestStartupSettings(t *testing.T) {
+	for _, c := range []struct{ name, value, want string }{
+		{"application_name", "it's", "application_name='it''s'"},
+		{"options", "-c a.x=1 -ca.y=2 --a-z=3", "a.x='1' a.y='2' a_z='3'"},
+		{"options", `-c a.x=two\ words`, "a.x='two words'"},
+		{"options", "-x 1", "22023"},
+		{"options", "-c nothing", "22023"},
+		{"replication", "true", "0A000"},
+		{"replication", "off", ""},
+		{"TimeZone", "UTC", "timezone='UTC'"},
+	} {
+		settings, startupError := StartupSettings(pg.StartupParameters{{"user", "u"}, {c.name, c.value}})
+		got := describeSettings(settings)
+		if startupError != nil {
+			got = startupError.Code
+		}
+		if got != c.want {
+			t.Errorf("%s=%s: got %s, want %s", c.name, c.value, got, c.want)
+		}
+	}
+}
+
+func BenchmarkStatement(b *testing.B) {
+	const sql = "SELECT blob FROM rows WHERE handle = 'h1'"
+	s := New(Policy{WriteClass: "w", MaxSettingsBytes: 1000, MaxStatements: 9}, NoSettings)
+	raw := pg.AppendQuery(nil, sql)
+	b.ReportAllocs()
+	for range b.N {
+		s.Query(sql, raw, false)
+		s.ServerMessage(&pg.Message{Kind: pg.CommandComplete, Text: "SELECT 1"})
+		s.ServerMessage(&pg.Message{Kind: pg.ReadyForQuery, Status: StatusIdle})
+	}
+}
+
+func BenchmarkDifference(b *testing.B) {
+	has := settingsOf("a=1 b=2 c=3 d=4")
+	for name, should := range map[string]Settings{"equal": has, "one": has.with(NoSettings, [2]string{"b", "9"})} {
+		b.Run(name, func(b *testing.B) {
+			b.ReportAllocs()
+			for range b.N {
+				settingsStatements(has, should)
+			}
+		})
+	}
+}
