--- a/internal/decide/session/loss.go
+++ b/internal/decide/session/loss.go
@@ -3,7 +3,10 @@
 import "wayloft/internal/pg"
 
 // errTransactionAborted answers statements of a failed transaction.
-var errTransactionAborted = &pg.Error{Code: pg.InFailedSQLTransaction, Text: "current transaction is aborted, commands ignored until end of transaction block"}
+var errTransactionAborted = &pg.Error{
+	Code: pg.InFailedSQLTransaction,
+	Text: "current transaction is aborted, commands ignored until end of transaction block",
+}
 
 // First bytes of messages without a body, and the type byte of ParameterDescription.
 const (
--- a/internal/decide/session/query.go
+++ b/internal/decide/session/query.go
@@ -41,7 +41,8 @@
 // fault returns the error for a statement that the pool does not allow, else nil.
 func (s *Session) fault(c Command) *pg.Error {
 	if c.StickyReason != "" && !s.policy.AllowSticky {
-		return &pg.Error{Code: pg.FeatureNotSupported, Text: c.StickyReason + " can't follow its client to another connection, and this pool pins none"}
+		text := c.StickyReason + " can't follow its client to another connection, and this pool pins none"
+		return &pg.Error{Code: pg.FeatureNotSupported, Text: text}
 	}
 	if c.Kind != pg.Set {
 		return nil
@@ -83,7 +84,7 @@
 
 // answerSet sets a setting of the router's own.
 func (s *Session) answerSet(c Command) []byte {
-	if c.Local || s.status != StatusIdle && !s.deferred.pending() || !IsRouterSetting(c.Pairs[0][0]) {
+	if c.Local || s.status != StatusIdle && !s.deferred.pending() || !isRouterSetting(c.Pairs[0][0]) {
 		return nil
 	}
 	s.setLocally(s.current.client.with(s.startup, c.Pairs...))
@@ -92,7 +93,7 @@
 
 // answerShow shows a setting of the router's own.
 func (s *Session) answerShow(c Command, carried bool) []byte {
-	if !IsRouterSetting(c.Name) || carried && s.status != StatusIdle {
+	if !isRouterSetting(c.Name) || carried && s.status != StatusIdle {
 		return nil
 	}
 	row := pg.AppendTextRow(nil, c.Name, pg.Unquote(s.setting(c.Name)))
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -116,8 +116,9 @@
 
 // serverMessage passes in a drawn message of the member.
 func (r *recordedSession) serverMessage() {
-	m := &pg.Message{Kind: []pg.Kind{pg.ParseComplete, pg.CloseComplete, pg.CommandComplete, pg.CommandComplete, pg.CommandComplete, pg.EmptyQuery, pg.PortalSuspended, pg.ErrorResponse,
-		pg.ReadyForQuery, pg.ReadyForQuery, pg.ReadyForQuery}[r.rand.IntN(11)]}
+	kinds := []pg.Kind{pg.ParseComplete, pg.CloseComplete, pg.CommandComplete, pg.CommandComplete, pg.CommandComplete, pg.EmptyQuery,
+		pg.PortalSuspended, pg.ErrorResponse, pg.ReadyForQuery, pg.ReadyForQuery, pg.ReadyForQuery}
+	m := &pg.Message{Kind: kinds[r.rand.IntN(len(kinds))]}
 	switch m.Kind {
 	case pg.CommandComplete:
 		m.Text = recordedTags[r.rand.IntN(len(recordedTags))]
@@ -137,8 +138,15 @@
 	if attributes.Label != nil {
 		id = attributes.Label.ID
 	}
-	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n", r.session.TransactionStatus(), r.session.StickyReason(), r.session.Sticky(),
-		r.session.Idle(), id, attributes.RequestClass, attributes.Tenant, attributes.Unclassified, r.session.RouterSetting("tenant"), describeSettings(r.session.Settings()), describeSettings(r.session.ServerSettings()))
+	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n",
+		r.session.TransactionStatus(), r.session.stickyReason, r.session.Sticky(), nothingOpen(r.session),
+		id, attributes.RequestClass, attributes.Tenant, attributes.Unclassified, r.session.RouterSetting("tenant"),
+		describeSettings(r.session.Settings()), describeSettings(r.session.ServerSettings()))
+}
+
+// nothingOpen reports whether the session has no transaction and no unit on its way.
+func nothingOpen(s *Session) bool {
+	return s.status == StatusIdle && len(s.expected) == 0 && s.firstCommand == nil
 }
 
 // recordedActions are the names of actions in the recording.
--- a/internal/decide/session/scenario_test.go
+++ b/internal/decide/session/scenario_test.go
@@ -201,7 +201,7 @@
 	case "status":
 		got = string(p.session.TransactionStatus())
 	case "sticky":
-		got = p.session.StickyReason()
+		got = p.session.stickyReason
 	default:
 		return errUnknownStep
 	}
--- a/internal/decide/session/server.go
+++ b/internal/decide/session/server.go
@@ -10,13 +10,13 @@
 type expectedReply struct {
 	kind     pg.Kind                          // ParseComplete, CloseComplete or CommandComplete
 	prepared *iradix.Tree[*PreparedStatement] // ParseComplete, CloseComplete: the prepared statements that it confirms
-	Command                                   // CommandComplete: what is done
+	command  Command                          // CommandComplete: what is done
 }
 
 // expectCompletion notes what a statement will have done once the member says so.
 func (s *Session) expectCompletion(c Command) {
 	s.noteCommand(c)
-	s.expected = append(s.expected, expectedReply{kind: pg.CommandComplete, Command: c})
+	s.expected = append(s.expected, expectedReply{kind: pg.CommandComplete, command: c})
 }
 
 // expectPrepared notes that a reply of this kind will confirm the prepared statements that are asked for now.
@@ -46,7 +46,7 @@
 		}
 	case pg.CommandComplete:
 		if reply := s.takeExpected(pg.CommandComplete); reply != nil {
-			s.apply(reply.Command, m.Text)
+			s.apply(reply.command, m.Text)
 		}
 	case pg.EmptyQuery, pg.PortalSuspended:
 		s.takeExpected(pg.CommandComplete)
--- a/internal/decide/session/session.go
+++ b/internal/decide/session/session.go
@@ -9,9 +9,7 @@
 // The package never sends anything, reads no clock and chooses no member. A Session is not safe for concurrent use.
 package session
 
-import (
-	iradix "github.com/hashicorp/go-immutable-radix/v2"
-)
+import iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 const (
 	// MaxReplayBytes is how many bytes of a response are kept back so that its request may still be retried on another connection. A
@@ -96,17 +94,9 @@
 // TransactionStatus returns the transaction status as the client knows it.
 func (s *Session) TransactionStatus() byte { return s.status }
 
-// Idle reports whether nothing is open: no transaction, and no unit on its way.
-func (s *Session) Idle() bool {
-	return s.status == StatusIdle && len(s.expected) == 0 && s.firstCommand == nil
-}
-
 // Sticky reports whether the session keeps its connection between its transactions.
 func (s *Session) Sticky() bool { return s.stickyReason != "" }
 
-// StickyReason returns why the session keeps its connection, "" if it doesn't.
-func (s *Session) StickyReason() string { return s.stickyReason }
-
 func (s *Session) resetSticky() {
 	s.stickyReason = ""
 	if s.policy.AlwaysSticky {
@@ -114,5 +104,5 @@
 	}
 }
 
-// detached reports whether no connection has state of the session that a member would have to be asked about.
+// detached reports whether no connection has state of the session: no member is needed to change it.
 func (s *Session) detached() bool { return s.status == StatusIdle && !s.Sticky() }
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -56,8 +56,8 @@
 	return newSettings(tree)
 }
 
-// IsRouterSetting reports whether a setting is the router's own, and never sent to a member.
-func IsRouterSetting(name string) bool { return strings.HasPrefix(name, routerSettingPrefix) }
+// isRouterSetting reports whether a setting is the router's own, and never sent to a member.
+func isRouterSetting(name string) bool { return strings.HasPrefix(name, routerSettingPrefix) }
 
 // settingsStatements returns the statements that bring a connection from the settings that it has to those that it should have. Only what
 // differs is set.
@@ -66,7 +66,7 @@
 	authorization := ""
 	forEachDifference(has, should, func(name, value string) {
 		switch {
-		case IsRouterSetting(name):
+		case isRouterSetting(name):
 		case name == "session_authorization":
 			authorization = sessionAuthorizationStatement(value)
 		default:
--- a/internal/frontend/response.go
+++ b/internal/frontend/clientsession.go
@@ -1,8 +1,6 @@
 package frontend
 
 import (
-	"cmp"
-
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 	decide "wayloft/internal/decide/session"
@@ -79,56 +77,3 @@
 		p.session.finishWithError(e)
 	}
 }
-
-// deliver handles the final response of the request. Of one that succeeded the client has received all already.
-func (p *pooledSession) deliver(response request.Response) {
-	req := p.request
-	if req == nil {
-		return
-	}
-	p.request = nil
-	defer p.session.frontend.driver.Defer(p.processQueue)
-	if response.Rows != nil {
-		p.recordCommit(req)
-		return
-	}
-	reserved, started, lastError := req.Stream.Reserved, req.Stream.Started(), req.Stream.LastError
-	mayHaveCommitted := p.decisions.ConnectionLost(!response.Rejected && response.StatementError == nil)
-	e := response.StatementError
-	switch {
-	case e != nil:
-	case response.Rejected:
-		e = rejectedError(response.RetryAfter)
-	case lastError != nil:
-		e = lastError
-	default:
-		e = p.lostTransactionError(req, mayHaveCommitted)
-	}
-	if reserved != nil && (started || !response.Rejected) { // the state that the session had on the connection is lost
-		p.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: e.Text + "; the connection that this session kept has ended"})
-		return
-	}
-	p.reserved = reserved
-	p.failUnit(e)
-}
-
-// recordCommit has the session's later reads see what the request has changed.
-func (p *pooledSession) recordCommit(req *request.Request) {
-	f := p.session.frontend
-	if f.pooling.PrimaryClasses[req.RequestClass] {
-		position := cmp.Or(req.Stream.Position, f.driver.ClusterNow())
-		p.decisions.LastCommitPosition = max(p.decisions.LastCommitPosition, position)
-	}
-}
-
-// lostTransactionError returns the error for a transaction whose connection was lost.
-func (p *pooledSession) lostTransactionError(req *request.Request, mayHaveCommitted bool) *pg.Error {
-	switch {
-	case p.session.frontend.pooling.IdempotentClasses[req.RequestClass]:
-		return errMayRunAgain
-	case mayHaveCommitted:
-		return errMayHaveTakenEffect
-	default:
-		return errNothingTookEffect
-	}
-}
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -8,6 +8,8 @@
 	"wayloft/internal/pg"
 )
 
+const lostBeforeCommit = "the connection was lost before the commit: "
+
 // Errors that clients receive. Their texts are on the wire.
 var (
 	errOverBudget         = &pg.Error{Code: pg.TooManyConnections, Text: "too many statements at once"}
@@ -21,8 +23,8 @@
 	errSimpleQueriesOnly  = &pg.Error{Code: pg.FeatureNotSupported, Text: "simple queries only"}
 	errFunctionCall       = &pg.Error{Code: pg.FeatureNotSupported, Text: "function calls do not go through a router"}
 	errMayHaveTakenEffect = &pg.Error{Code: pg.TransactionResolutionUnknown, Text: "rolled back, it may have taken effect"}
-	errMayRunAgain        = &pg.Error{Code: pg.SerializationFailure, Text: "the connection was lost before the commit: the transaction may run again"}
-	errNothingTookEffect  = &pg.Error{Code: pg.ConnectionFailure, Text: "the connection was lost before the commit: nothing took effect"}
+	errMayRunAgain        = &pg.Error{Code: pg.SerializationFailure, Text: lostBeforeCommit + "the transaction may run again"}
+	errNothingTookEffect  = &pg.Error{Code: pg.ConnectionFailure, Text: lostBeforeCommit + "nothing took effect"}
 )
 
 // rejectedError returns what the client of a rejected request receives. retryAfterMs is 0 if nothing says when to retry.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -14,8 +14,12 @@
 	"wayloft/internal/pg"
 )
 
-// rejectionSlots is how many connections are accepted beyond the limit, whose clients then receive an error.
-const rejectionSlots = 16
+const (
+	// rejectionSlots is how many connections are accepted beyond the limit, whose clients then receive an error.
+	rejectionSlots = 16
+	// overBudgetFactor multiplies maxHeldBytes, from which statements are rejected: from the product on sessions end.
+	overBudgetFactor = 2
+)
 
 // Frontend holds all sessions of the clients.
 type Frontend struct {
@@ -109,5 +113,5 @@
 // overBudget reports whether all sessions together hold too much, and one that holds sessionBytes more than its share. A session with
 // large statements must not end the sessions of others.
 func (f *Frontend) overBudget(sessionBytes int) bool {
-	return f.heldBytes > 2*f.maxHeldBytes && sessionBytes > f.maxHeldBytes/f.maxSessions
+	return f.heldBytes > overBudgetFactor*f.maxHeldBytes && sessionBytes > f.maxHeldBytes/f.maxSessions
 }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -16,6 +16,9 @@
 	maxUnreadBytes = 1 << 16
 )
 
+// tlsNotSupported answers an SSLRequest.
+const tlsNotSupported = 'N'
+
 // sessionState says how far the end of a session has come. It only grows.
 type sessionState uint8
 
@@ -57,7 +60,7 @@
 	writtenAtSweep int64   // bytes that the client's connection had taken at the last sweep
 	timers         sweepTimers
 
-	heldBytes    int // of statements, including partialBytes
+	heldBytes    int // of messages that wait or are in flight, including partialBytes
 	partialBytes int // of the message that is not complete yet
 }
 
@@ -157,7 +160,7 @@
 	}
 	switch {
 	case m.Kind == pg.SSLRequest:
-		s.conn.Write([]byte("N"))
+		s.conn.Write([]byte{tlsNotSupported})
 	case m.Kind == pg.CancelRequest:
 		s.frontend.cancel(m.Key)
 		s.finish()
--- a/internal/frontend/unit.go
+++ b/internal/frontend/unit.go
@@ -1,19 +1,10 @@
 package frontend
 
 import (
-	"encoding/binary"
-	"hash/fnv"
-	"strconv"
-
 	decide "wayloft/internal/decide/session"
-	"wayloft/internal/eventloop"
 	"wayloft/internal/pg"
-	"wayloft/internal/request"
 )
 
-// noWaitLimitMs has the request class alone limit how long a client waits.
-const noWaitLimitMs = 1e12
-
 // handle handles a message that arrived at this time. No complete unit is at a member.
 func (p *pooledSession) handle(m pg.Message, arrived float64) {
 	switch {
@@ -106,72 +97,6 @@
 	p.startRequest(append(p.decisions.FlushDeferredBegin(), messages...), arrived)
 }
 
-// startRequest begins a request, whose first unit arrived at this time.
-func (p *pooledSession) startRequest(messages []decide.Message, arrived float64) {
-	f := p.session.frontend
-	p.addInFlightBytes(messages)
-	if f.heldBytes > f.maxHeldBytes {
-		f.Rejected++
-		p.decisions.ConnectionLost(false)
-		p.failUnit(errOverBudget)
-		return
-	}
-	req := request.New(p.statement(), arrived, p.deliver)
-	req.ClientClosed = p.session.conn.PeerClosed
-	f.limitWait(req)
-	req.Stream = &request.Stream{Pool: p.pool.Name, Client: p, Reserved: p.reserved}
-	req.Stream.Send(messages)
-	p.request, p.reserved = req, nil // Reserve gives the connection back
-	if err := f.driver.Arrive(req); err != nil {
-		p.request, p.reserved = nil, req.Stream.Reserved
-		p.decisions.ConnectionLost(false)
-		f.ProtocolErrors++
-		p.failUnit(arrivalError(err))
-	}
-}
-
-// statement returns the attributes of the request that begins: what its comment says, else the session's settings, else its pool.
-func (p *pooledSession) statement() *pg.Statement {
-	f := p.session.frontend
-	attributes := p.decisions.RequestAttributes()
-	if attributes.Unclassified {
-		attributes.RequestClass = p.pool.DefaultClass
-	}
-	if p.pool.Policy.SeededDefects.ForgetLastCommitPosition {
-		p.decisions.LastCommitPosition = 0
-	}
-	statement := &pg.Statement{
-		ID:           f.nextID(),
-		RequestClass: attributes.RequestClass,
-		Tenant:       attributes.Tenant,
-		WaitMs:       noWaitLimitMs,
-		Group:        p.pool.Group,
-		// The commit may have been dated by an estimate of the cluster's clock that has fallen since.
-		Position: min(p.decisions.LastCommitPosition, f.driver.ClusterNow()+eventloop.MaxPositionAhead),
-	}
-	if wait, err := strconv.ParseFloat(p.decisions.RouterSetting("wait"), 64); err == nil && wait > 0 {
-		statement.WaitMs = wait
-	}
-	if group, err := strconv.Atoi(p.decisions.RouterSetting("group")); err == nil {
-		statement.Group = group
-	}
-	if label := attributes.Label; label != nil {
-		statement.ID, statement.WaitMs, statement.Group = label.ID, label.WaitMs, label.Group
-		statement.IdempotencyKey, statement.IsRetry = label.IdempotencyKey, label.IsRetry
-		statement.Position = max(statement.Position, label.Position)
-	}
-	return statement
-}
-
-// nextID returns the id of a request to which its client gave none.
-func (f *Frontend) nextID() string {
-	f.generatedIDs++
-	hash := fnv.New64a()
-	seed := binary.LittleEndian.AppendUint64(nil, f.pooling.Seed)
-	_, _ = hash.Write(binary.LittleEndian.AppendUint64(seed, f.generatedIDs)) // a hash never returns an error
-	return "w" + strconv.FormatUint(hash.Sum64(), 36) + "-" + strconv.FormatUint(f.generatedIDs, 36)
-}
-
 // addInFlightBytes counts what is at a member until its response has come: sessions that wait with much count against the budget.
 func (p *pooledSession) addInFlightBytes(messages []decide.Message) {
 	n := 0
