--- /dev/null
+++ b/internal/frontend/clientsession.go
@@ -0,0 +1,79 @@
+package frontend
+
+import (
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	decide "wayloft/internal/decide/session"
+	"wayloft/internal/pg"
+	"wayloft/internal/request"
+)
+
+var _ request.ClientSession = (*pooledSession)(nil)
+
+// Session implements request.ClientSession.
+func (p *pooledSession) Session() *decide.Session { return p.decisions }
+
+// DeliverMessages implements request.ClientSession.
+func (p *pooledSession) DeliverMessages(messages []pg.Message) {
+	var out []byte
+	for n := range messages {
+		p.decisions.ServerMessage(&messages[n])
+		out = append(out, messages[n].Raw...)
+		p.memberAnswered(messages[n].Kind)
+	}
+	p.session.conn.Write(out)
+}
+
+// memberAnswered updates the state by a message of the member.
+func (p *pooledSession) memberAnswered(kind pg.Kind) {
+	switch kind {
+	case pg.CopyInResponse:
+		p.copying = true
+		p.session.frontend.driver.Defer(p.processQueue)
+	case pg.ErrorResponse:
+		p.copying = false
+		if p.state == unitFlushed {
+			p.state = unitFlushedFailed
+		}
+	case pg.CommandComplete:
+		p.copying = false
+	case pg.ReadyForQuery:
+		p.endUnit()
+		p.session.frontend.driver.Defer(p.processQueue)
+	}
+}
+
+// ServerParameters implements request.ClientSession. The client receives those that it does not know yet.
+func (p *pooledSession) ServerParameters(parameters *iradix.Tree[string]) {
+	if parameters == p.reportedParameters || p.state == pooledEnded {
+		return
+	}
+	var out []byte
+	parameters.Root().Walk(func(name []byte, value string) bool {
+		if reported, known := p.reportedParameters.Get(name); !known || reported != value {
+			out = pg.AppendParameterStatus(out, string(name), value)
+		}
+		return false
+	})
+	p.reportedParameters = parameters
+	if out != nil {
+		p.session.conn.Write(out)
+	}
+}
+
+// Reserve implements request.ClientSession.
+func (p *pooledSession) Reserve(connection request.BackendConn) {
+	if p.state == pooledEnded {
+		p.reserved = nil
+		p.session.frontend.driver.Defer(connection.Release)
+		return
+	}
+	p.reserved = connection
+}
+
+// Terminate implements request.ClientSession.
+func (p *pooledSession) Terminate(e *pg.Error) {
+	if p.state != pooledEnded {
+		p.session.finishWithError(e)
+	}
+}
