--- /dev/null
+++ b/internal/decide/connpool/backoff.go
@@ -0,0 +1,122 @@
+package connpool
+
+import "math"
+
+const (
+	minLimitRaiseIntervalMs = 1000.0
+	maxLimitRaiseIntervalMs = 60000.0
+
+	connectBackoffUnitMs = 10.0 // doubled at each failure, the first one included
+	maxConnectBackoffMs  = 1000.0
+
+	minLocalPauseMs = 10.0
+	maxLocalPauseMs = 100.0
+)
+
+// learnedLimit is how many connections a member is believed to accept, since it refused one more. It is raised one by one, more
+// slowly where the member goes on refusing.
+type learnedLimit struct {
+	conns           int // 0: none
+	raiseIntervalMs float64
+	raiseAt         float64
+}
+
+// refused lowers the limit to the connections that are established.
+func (l *learnedLimit) refused(established int, now float64) {
+	if l.conns > 0 {
+		l.raiseIntervalMs = math.Min(2*l.raiseIntervalMs, maxLimitRaiseIntervalMs)
+	}
+	l.conns = max(1, established)
+	l.raiseAt = now + l.raiseIntervalMs
+}
+
+// raise raises a limit that is due. One far above the number of connections is dropped.
+func (l *learnedLimit) raise(total int, now float64) {
+	if l.conns == 0 || now < l.raiseAt {
+		return
+	}
+	l.raiseAt = now + l.raiseIntervalMs
+	l.conns++
+	if l.conns > total+1 && l.conns > 2*total {
+		l.conns = 0
+		l.raiseIntervalMs = minLimitRaiseIntervalMs
+	}
+}
+
+// connectBackoff delays attempts to connect to a member that has no established connection.
+type connectBackoff struct {
+	failures float64 // in a row
+	retryAt  float64
+}
+
+func (b *connectBackoff) failed(established int, now float64) {
+	b.failures++
+	if established == 0 {
+		b.retryAt = now + math.Min(maxConnectBackoffMs, connectBackoffUnitMs*math.Exp2(b.failures))
+	}
+}
+
+// mustBackOff reports whether requests that can wait must not have a connection opened yet.
+func (p *Pool) mustBackOff(sub *subPool) bool {
+	m := sub.member
+	if sub.bounds.WaitTimeoutMs == 0 || m.established() > 0 {
+		return false
+	}
+	return p.now < m.backoff.retryAt || m.limit.conns > 0 && m.opening > 0
+}
+
+// localBackoff spaces dials to a member after failures for lack of this host's own resources, so that one at a time is tried.
+type localBackoff struct {
+	failures float64 // in a row
+	dialAt   float64
+}
+
+func (b *localBackoff) failed(now float64) {
+	b.failures++
+	b.dialAt = now + b.pauseMs()
+}
+
+// dialStarted spaces the dials even where one of them hangs.
+func (b *localBackoff) dialStarted(now float64) {
+	if b.failures > 0 {
+		b.dialAt = now + b.pauseMs()
+	}
+}
+
+func (b *localBackoff) paused(now float64) bool { return b.failures > 0 && now < b.dialAt }
+
+func (b *localBackoff) pauseMs() float64 {
+	return math.Min(maxLocalPauseMs, minLocalPauseMs*math.Exp2(b.failures-1))
+}
+
+// OpenFailed says that a connection could not be established. NoLocalResources does not count against the member.
+func (p *Pool) OpenFailed(connID int, cause FailureCause) {
+	c := p.conns[connID]
+	if c == nil || c.state != connOpening {
+		return
+	}
+	p.forgetConn(c)
+	p.noteOpenFailure(c.sub.member, cause)
+	w := c.openedFor
+	if w == nil || !w.waiting {
+		return
+	}
+	switch {
+	case cause == NoLocalResources:
+		p.reject(w, NoCapacity)
+	case cause == Unreachable || c.sub.bounds.WaitTimeoutMs == 0:
+		p.reject(w, ConnectFailed)
+	}
+}
+
+func (p *Pool) noteOpenFailure(m *memberState, cause FailureCause) {
+	if cause == NoLocalResources {
+		m.local.failed(p.now)
+		return
+	}
+	m.local.failures = 0
+	if cause == TooManyConnections {
+		m.limit.refused(m.established(), p.now)
+	}
+	m.backoff.failed(m.established(), p.now)
+}
--- /dev/null
+++ b/internal/decide/connpool/conn.go
@@ -0,0 +1,179 @@
+package connpool
+
+import (
+	"math"
+	"slices"
+
+	"wayloft/internal/decide/timerqueue"
+)
+
+// minLifetimeFraction of a maximum age or number of uses is the least that a connection gets. The rest is drawn, so that
+// connections opened together don't expire together.
+const minLifetimeFraction = 0.75
+
+type connState int
+
+const (
+	connOpening connState = iota
+	connIdle
+	connBusy
+)
+
+type conn struct {
+	id        int
+	sub       *subPool
+	state     connState
+	openedFor *waiter // set while opening, if a request waits for this connection
+	retired   bool    // not to be reused
+	affinity  any     // of its last use
+
+	openedAt  float64
+	idleSince float64
+	uses      int
+	maxAgeMs  float64
+	maxUses   int
+
+	idleInTransaction timerqueue.Timer[*conn]
+}
+
+// expired reports whether the connection must not be reused.
+func (c *conn) expired(now float64) bool {
+	bounds := c.sub.bounds
+	return c.retired ||
+		bounds.MaxAgeMs > 0 && now-c.openedAt > c.maxAgeMs ||
+		bounds.MaxUses > 0 && c.uses >= c.maxUses
+}
+
+// settled reports whether nothing of an earlier response can still arrive.
+func (c *conn) settled(now float64) bool {
+	return c.uses == 0 || now-c.idleSince >= c.sub.bounds.ReuseDelayMs
+}
+
+// openConn opens a connection, for a waiter or, where that is nil, for MinIdle.
+func (p *Pool) openConn(sub *subPool, w *waiter) {
+	p.lastConnID++
+	c := &conn{id: p.lastConnID, sub: sub, state: connOpening, openedFor: w}
+	c.idleInTransaction.Of = c
+	p.conns[c.id] = c
+
+	m := sub.member
+	p.markDirty(m)
+	sub.total++
+	sub.opening++
+	m.total++
+	m.opening++
+	p.poolTotals[sub.key.Pool]++
+	m.local.dialStarted(p.now)
+
+	d := Decision{Action: Open, Conn: c.id, Key: sub.key}
+	if w != nil {
+		w.dialed = true
+		d.RequestID = w.ID
+	}
+	p.decide(d)
+}
+
+// Opened says that a connection is established.
+func (p *Pool) Opened(connID int) {
+	c := p.conns[connID]
+	if c == nil || c.state != connOpening {
+		return
+	}
+	m := c.sub.member
+	p.markDirty(m)
+	c.sub.opening--
+	m.opening--
+	m.backoff.failures = 0
+	m.local.failures = 0
+	if c.openedFor != nil {
+		c.openedFor.dialed = false
+		c.openedFor = nil
+	}
+	c.openedAt = p.now
+	c.maxAgeMs = c.sub.bounds.MaxAgeMs * p.lifetimeFraction()
+	c.maxUses = int(math.Ceil(float64(c.sub.bounds.MaxUses) * p.lifetimeFraction()))
+	p.makeIdle(c)
+}
+
+func (p *Pool) lifetimeFraction() float64 {
+	return minLifetimeFraction + (1-minLifetimeFraction)*p.random.Next()
+}
+
+// Release says that a busy connection can be reused, and gives its affinity.
+func (p *Pool) Release(connID int, affinity any) {
+	c := p.conns[connID]
+	if c == nil || c.state != connBusy {
+		return
+	}
+	c.affinity = affinity
+	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
+	if c.expired(p.now) || p.mustCedeSlot(c) {
+		p.closeConn(c)
+		return
+	}
+	p.makeIdle(c)
+}
+
+func (p *Pool) makeIdle(c *conn) {
+	p.markDirty(c.sub.member)
+	c.state = connIdle
+	c.idleSince = p.now
+	if c.retired || !c.sub.member.listed {
+		p.closeConn(c)
+		return
+	}
+	c.sub.idle = append(c.sub.idle, c)
+}
+
+// SetTurn says who must send next on a busy connection: the client or the member.
+func (p *Pool) SetTurn(connID int, clientsTurn bool) {
+	c := p.conns[connID]
+	if c == nil || c.state != connBusy {
+		return
+	}
+	timeoutMs := c.sub.bounds.IdleInTransactionTimeoutMs
+	if clientsTurn && timeoutMs > 0 {
+		p.idleInTransactionTimers.Put(&c.idleInTransaction, p.now+timeoutMs)
+		return
+	}
+	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
+}
+
+// ConnectionClosed says that a connection has ended, in whatever state it was.
+func (p *Pool) ConnectionClosed(connID int) {
+	if c := p.conns[connID]; c != nil {
+		p.forgetConn(c)
+	}
+}
+
+// closeConn has the driver close a connection.
+func (p *Pool) closeConn(c *conn) {
+	p.decide(Decision{Action: Close, Conn: c.id, Key: c.sub.key})
+	p.forgetConn(c)
+}
+
+func (p *Pool) forgetConn(c *conn) {
+	sub, m := c.sub, c.sub.member
+	p.markDirty(m)
+	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
+	delete(p.conns, c.id)
+	sub.total--
+	m.total--
+	if p.poolTotals[sub.key.Pool]--; p.poolTotals[sub.key.Pool] == 0 {
+		delete(p.poolTotals, sub.key.Pool)
+	}
+	switch c.state {
+	case connOpening:
+		sub.opening--
+		m.opening--
+		if c.openedFor != nil {
+			c.openedFor.dialed = false
+		}
+	case connIdle:
+		sub.removeIdle(c)
+	}
+}
+
+func (s *subPool) removeIdle(c *conn) {
+	s.idle = slices.DeleteFunc(s.idle, func(other *conn) bool { return other == c })
+}
--- /dev/null
+++ b/internal/decide/connpool/pool.go
@@ -0,0 +1,122 @@
+// Package connpool decides which connection to a member a request gets, when connections are opened, kept and closed, and who
+// waits for one. It enforces the limits on their number: in all, for each member, and for each pool.
+//
+// It is a state machine without I/O or clock. Its driver, internal/backend, calls Advance with the time, then the inputs, which
+// only update state, then pulls Next until nothing is left, and calls again at NextDeadline. Times are Unix ms. The pool numbers
+// the connections; the driver names the requests. It never chooses a member: package router has done so before a request comes
+// here.
+package connpool
+
+import (
+	"math"
+	"slices"
+
+	"wayloft/internal/decide/random"
+	"wayloft/internal/decide/timerqueue"
+)
+
+// Pool holds the state of all connections of one router.
+type Pool struct {
+	settings   Settings
+	now        float64
+	random     random.Source
+	lastConnID int
+	conns      map[int]*conn
+	members    map[string]*memberState
+	poolTotals map[string]int // connections by pool
+	waiters    map[string]*waiter
+	contended  []*subPool // those with waiters, the longest contended first
+	decisions  []Decision // decided, and not yet pulled
+
+	assignmentDue bool // waiters may be served since something has changed
+	nextSweepAt   float64
+
+	// A sweep visits only what has changed or is due, so that its cost does not grow with what is idle.
+	dirty                   []*memberState // changed since the last sweep
+	memberTimers            timerqueue.Queue[*memberState]
+	idleInTransactionTimers timerqueue.Queue[*conn]
+	sweepVisits             int // members and connections visited so far
+}
+
+// New returns a pool without members or connections.
+func New(settings Settings) *Pool {
+	return &Pool{
+		settings:   settings,
+		random:     random.Source{Seed: settings.Seed},
+		conns:      map[int]*conn{},
+		members:    map[string]*memberState{},
+		poolTotals: map[string]int{},
+		waiters:    map[string]*waiter{},
+	}
+}
+
+// Advance sets the time. All inputs and decisions until the next call happen at this time.
+func (p *Pool) Advance(now float64) { p.now, p.assignmentDue = now, true }
+
+// NextDeadline returns when Next may have decisions although no input has come. After an input, this may be as early as NextSweep.
+func (p *Pool) NextDeadline() float64 {
+	if len(p.dirty) > 0 || len(p.contended) > 0 {
+		return p.nextSweepAt
+	}
+	deadline := math.Inf(1)
+	if timer := p.memberTimers.First(); timer != nil {
+		deadline = timer.At()
+	}
+	if timer := p.idleInTransactionTimers.First(); timer != nil {
+		deadline = math.Min(deadline, timer.At())
+	}
+	return math.Max(deadline, p.nextSweepAt)
+}
+
+// NextSweep returns the earliest time of the next sweep.
+func (p *Pool) NextSweep() float64 { return p.nextSweepAt }
+
+// Next returns the next decision, or false if there is none.
+func (p *Pool) Next() (Decision, bool) {
+	if p.now >= p.nextSweepAt {
+		p.sweep()
+	}
+	if len(p.decisions) > 0 {
+		return p.popDecision(), true
+	}
+	if !p.assignmentDue {
+		return Decision{}, false
+	}
+	p.assignmentDue = false
+	for _, sub := range slices.Clone(p.contended) {
+		p.serveWaiters(sub)
+	}
+	if len(p.decisions) == 0 {
+		return Decision{}, false
+	}
+	p.assignmentDue = true // a connection closed just now may make room for another waiter
+	return p.popDecision(), true
+}
+
+func (p *Pool) decide(d Decision) { p.decisions = append(p.decisions, d) }
+
+func (p *Pool) popDecision() Decision {
+	d := p.decisions[0]
+	if p.decisions = p.decisions[1:]; len(p.decisions) == 0 {
+		p.decisions = nil
+	}
+	return d
+}
+
+// OpenCount returns the number of connections, those being opened among them.
+func (p *Pool) OpenCount() int { return len(p.conns) }
+
+// WaitingCount returns the number of requests that wait for a connection.
+func (p *Pool) WaitingCount() int { return len(p.waiters) }
+
+// IdleCount returns the number of idle connections to a member.
+func (p *Pool) IdleCount(memberID string) (count int) {
+	m := p.members[memberID]
+	if m == nil {
+		return 0
+	}
+	for _, sub := range m.subPools {
+		count += len(sub.idle)
+	}
+	return count
+}
--- a/internal/decide/connpool/recorded_test.go
+++ b/internal/decide/connpool/recorded_test.go
@@ -9,31 +9,31 @@
 	"wayloft/internal/fakes/recording"
 )
 
-// recordedPool drives one pool by drawn inputs, and writes down what it decides.
+// recordedPool gives random inputs to a pool and records its decisions.
 type recordedPool struct {
-	rand  *rand.Rand
-	pool  *Pool
-	now   float64
-	wants int
-	conns map[int]string // by number: opening, busy, or idle
-	order []int          // the numbers of conns, in the order in which they were opened
-	out   strings.Builder
+	rand        *rand.Rand
+	pool        *Pool
+	now         float64
+	lastRequest int
+	conns       map[int]string // by number: opening, busy, or idle
+	order       []int          // the numbers of conns, in the order in which they were opened
+	out         strings.Builder
 }
 
-// TestRecordedDecisions has the decisions on drawn inputs be the recorded ones.
+// TestRecordedDecisions compares the decisions on random inputs with the recorded ones.
 func TestRecordedDecisions(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
-		set := Settings{MaxTotal: 12, Seed: seed, Pools: map[string]Bounds{
+		settings := Settings{MaxTotal: 12, Seed: seed, Pools: map[string]Bounds{
 			"statements": StatementBounds(4000),
 			"cancels":    CancelBounds(500),
 			"a":          {PerMember: 3, Total: 6, MinIdle: 1, WaitTimeoutMs: 300, IdleTimeoutMs: 2000, MaxAgeMs: 8000, MaxUses: 9, ReuseDelayMs: 2, IdleInTransactionTimeoutMs: 900},
 			"b":          {PerMember: 4, WaitTimeoutMs: 800, IdleTimeoutMs: 1000, IdleInTransactionTimeoutMs: 400},
 		}}
 		if seed%2 == 1 {
-			set.MaxPerMember = 5
+			settings.MaxPerMember = 5
 		}
-		r := &recordedPool{rand: rand.New(rand.NewPCG(seed, 2)), pool: New(set), now: 1e6, conns: map[int]string{}}
+		r := &recordedPool{rand: rand.New(rand.NewPCG(seed, 2)), pool: New(settings), now: 1e6, conns: map[int]string{}}
 		for _, member := range recordedMembers {
 			r.pool.MemberListed(member, true)
 		}
@@ -78,16 +78,16 @@
 
 func (r *recordedPool) forget(conn int) {
 	delete(r.conns, conn)
-	for n, one := range r.order {
-		if one == conn {
+	for n, opened := range r.order {
+		if opened == conn {
 			r.order = append(r.order[:n:n], r.order[n+1:]...)
 			return
 		}
 	}
 }
 
-// one draws a connection in a state; 0: there is none.
-func (r *recordedPool) one(state string) int {
+// draw returns a connection in a state; 0 if there is none.
+func (r *recordedPool) draw(state string) int {
 	var all []int
 	for _, conn := range r.order {
 		if r.conns[conn] == state {
@@ -102,56 +102,56 @@
 
 func (r *recordedPool) input() {
 	member := recordedMembers[r.rand.IntN(3)]
-	switch draw := r.rand.IntN(100); {
-	case draw < 35:
-		r.wants++
-		request := Request{ID: fmt.Sprint("w", r.wants), Key: Key{member, []string{"statements", "cancels", "a", "b", "a", "b"}[r.rand.IntN(6)]},
+	switch choice := r.rand.IntN(100); {
+	case choice < 35:
+		r.lastRequest++
+		request := Request{ID: fmt.Sprint("w", r.lastRequest), Key: Key{member, []string{"statements", "cancels", "a", "b", "a", "b"}[r.rand.IntN(6)]},
 			Tenant: fmt.Sprint("t", r.rand.IntN(3))}
 		if r.rand.IntN(2) == 0 {
 			request.Affinity = r.rand.IntN(3)
 		}
 		r.pool.Request(request)
 		fmt.Fprintf(&r.out, "request %v ", request)
-	case draw < 39:
-		id := fmt.Sprint("w", max(1, r.wants-r.rand.IntN(4)))
+	case choice < 39:
+		id := fmt.Sprint("w", max(1, r.lastRequest-r.rand.IntN(4)))
 		r.pool.Cancel(id)
 		fmt.Fprintf(&r.out, "cancel %s ", id)
-	case draw < 58:
-		conn := r.one("opening")
+	case choice < 58:
+		conn := r.draw("opening")
 		r.pool.Opened(conn)
 		if conn > 0 {
 			r.conns[conn] = "idle"
 		}
 		fmt.Fprintf(&r.out, "opened %d ", conn)
-	case draw < 65:
-		conn, why := r.one("opening"), FailureCause(r.rand.IntN(3))
-		r.pool.OpenFailed(conn, why)
+	case choice < 65:
+		conn, cause := r.draw("opening"), FailureCause(r.rand.IntN(3))
+		r.pool.OpenFailed(conn, cause)
 		r.forget(conn)
-		fmt.Fprintf(&r.out, "failed %d %d ", conn, why)
-	case draw < 84:
-		conn, like := r.one("busy"), r.rand.IntN(3)
+		fmt.Fprintf(&r.out, "failed %d %d ", conn, cause)
+	case choice < 84:
+		conn, affinity := r.draw("busy"), r.rand.IntN(3)
 		if conn > 0 {
 			r.conns[conn] = "idle"
 		}
-		r.pool.Release(conn, like)
-		fmt.Fprintf(&r.out, "free %d %d ", conn, like)
-	case draw < 88:
-		conn, clients := r.one("busy"), r.rand.IntN(2) == 0
-		r.pool.SetTurn(conn, clients)
-		fmt.Fprintf(&r.out, "turn %d %v ", conn, clients)
-	case draw < 92:
-		conn := r.one([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
+		r.pool.Release(conn, affinity)
+		fmt.Fprintf(&r.out, "free %d %d ", conn, affinity)
+	case choice < 88:
+		conn, clientsTurn := r.draw("busy"), r.rand.IntN(2) == 0
+		r.pool.SetTurn(conn, clientsTurn)
+		fmt.Fprintf(&r.out, "turn %d %v ", conn, clientsTurn)
+	case choice < 92:
+		conn := r.draw([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
 		r.pool.ConnectionClosed(conn)
 		r.forget(conn)
 		fmt.Fprintf(&r.out, "gone %d ", conn)
-	case draw < 94:
-		up := r.rand.IntN(3) > 0
-		r.pool.MemberListed(member, up)
-		fmt.Fprintf(&r.out, "listed %s %v ", member, up)
-	case draw < 95:
+	case choice < 94:
+		listed := r.rand.IntN(3) > 0
+		r.pool.MemberListed(member, listed)
+		fmt.Fprintf(&r.out, "listed %s %v ", member, listed)
+	case choice < 95:
 		r.pool.RetireConnections(member)
 		fmt.Fprintf(&r.out, "renew %s ", member)
-	case draw < 96:
+	case choice < 96:
 		r.pool.CloseIdle(member)
 		fmt.Fprintf(&r.out, "close idle %s ", member)
 	default:
--- a/internal/decide/connpool/sweep_test.go
+++ b/internal/decide/connpool/sweep_test.go
@@ -11,180 +11,216 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a sweep that costs by how many members and connections there are.
-func TestASweepPassesOverWhatRests(t *testing.T) {
-	p := New(Settings{MaxTotal: 2000, Pools: map[string]Bounds{"x": {IdleTimeoutMs: 60000, MaxAgeMs: 90000, MaxUses: 9, WaitTimeoutMs: 500, IdleInTransactionTimeoutMs: 70000, MinIdle: 1}}})
-	pull := func(now float64) (n int) {
+func pullAll(p *Pool) (decisions []Decision) {
+	for d, more := p.Next(); more; d, more = p.Next() {
+		decisions = append(decisions, d)
+	}
+	return decisions
+}
+
+func TestSweep_SkipsMembersWithNothingDue(t *testing.T) {
+	const members = 820
+	p := New(Settings{MaxTotal: 2000, Pools: map[string]Bounds{"x": {IdleTimeoutMs: 60000, MaxAgeMs: 90000, MaxUses: 9, WaitTimeoutMs: 500,
+		IdleInTransactionTimeoutMs: 70000, MinIdle: 1}}})
+	pullAt := func(now float64) int {
 		p.Advance(now)
-		for _, more := p.Next(); more; _, more = p.Next() {
-			n++
-		}
-		return n
+		return len(pullAll(p))
 	}
 	p.Advance(0)
-	for n := range 820 {
+	for n := range members {
 		p.MemberListed(strconv.Itoa(n), true)
 	}
-	pull(0)
-	for id := 1; id <= 820; id++ {
+	pullAt(0)
+	for id := 1; id <= members; id++ {
 		p.Opened(id)
 	}
-	p.Request(Request{ID: "w", Key: Key{"7", "x"}})
-	pull(100)
+	p.Request(Request{ID: "1", Key: Key{"7", "x"}})
+	pullAt(100)
 	p.SetTurn(8, true)
-	pull(200)
-	before := p.visited
+	pullAt(200)
+	before := p.sweepVisits
 	for n := range 100 {
-		if d := pull(300 + 100*float64(n)); d > 0 {
+		if d := pullAt(300 + 100*float64(n)); d > 0 {
 			t.Fatalf("%d decisions though nothing happened", d)
 		}
 	}
-	if n := p.visited - before; n != 0 {
-		t.Errorf("100 sweeps over 820 members with a connection each went over %d of them, none was due", n)
+	if visits := p.sweepVisits - before; visits != 0 {
+		t.Errorf("100 sweeps over %d members with a connection each visited %d of them, none was due", members, visits)
 	}
-	if due := p.NextDeadline(); due < 60000 {
-		t.Errorf("due at %v, the first that has something to do is idle for too long at 60000", due)
+	if deadline := p.NextDeadline(); deadline < 60000 {
+		t.Errorf("next deadline is %v, the first idle timeout is at 60000", deadline)
 	}
 	p.Advance(11000)
-	p.Request(Request{ID: "v", Key: Key{"9", "x"}})
-	if before = p.visited; p.NextDeadline() > 11000 || pull(11000) != 1 || p.visited > before+1 {
-		t.Errorf("one member is wanted: %d gone over, due at %v", p.visited-before, p.NextDeadline())
+	p.Request(Request{ID: "2", Key: Key{"9", "x"}})
+	if before = p.sweepVisits; p.NextDeadline() > 11000 || pullAt(11000) != 1 || p.sweepVisits > before+1 {
+		t.Errorf("one member has a request: %d visited, next deadline is %v", p.sweepVisits-before, p.NextDeadline())
 	}
 }
 
-// Whatever happens, in whatever order: sweeps that pass over what they don't expect to be due decide the same as sweeps
-// over everything, and Due is never later than the next of these decisions.
-func TestSweepsMissNothing(t *testing.T) {
+// TestSweep_DecidesAsFullSweep has any inputs come in any order: sweeps that visit only what is due decide the same as sweeps over
+// everything, and NextDeadline is never later than the next of these decisions.
+func TestSweep_DecidesAsFullSweep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{MaxTotal: 6, MaxPerMember: 4, Pools: map[string]Bounds{"x": {PerMember: 3, WaitTimeoutMs: 500, IdleTimeoutMs: 900, MaxAgeMs: 5000, MaxUses: 7,
-			IdleInTransactionTimeoutMs: 300}, "y": {WaitTimeoutMs: 500, IdleTimeoutMs: 900, MinIdle: 1}, "z": {ReuseDelayMs: 2}}}
-		p, all := New(set), New(set)
-		now, ids := 1000.0, 0
-		state, wants := map[int]Action{}, []string{}
-		pull := func(p *Pool) (out []Decision) {
-			for d, more := p.Next(); more; d, more = p.Next() {
-				out = append(out, d)
-			}
-			return out
-		}
+		s := &sweepComparison{t: t, now: 1000, pool: New(modelSettings), full: New(modelSettings), conns: map[int]Action{}}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			by := now + rapid.SampledFrom([]float64{0, 1, 30, 120, 400, 3000}).Draw(t, "ms")
-			for all.sweepAt <= by { // as a host would: at each sweep of the one, at Due of the other
-				now = math.Max(now, all.sweepAt)
-				all.Advance(now)
-				for _, m := range all.places {
-					all.stir(m)
-				}
-				want := pull(all)
-				var got []Decision
-				if p.NextDeadline() <= now {
-					p.Advance(now)
-					got = pull(p)
-				}
-				if fmt.Sprint(got) != fmt.Sprint(want) {
-					t.Fatalf("at %v: %v, a sweep over everything has %v", now, got, want)
-				}
-				p.sweepAt = all.sweepAt
-				note(got, state)
-			}
-			now = by
-			who := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "member")
-			name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "pool")
-			tenant := rapid.SampledFrom([]string{"", "t"}).Draw(t, "tenant")
-			cause := FailureCause(rapid.IntRange(0, 2).Draw(t, "cause"))
-			yes := rapid.IntRange(0, 3).Draw(t, "yes") > 0
-			some := func(among func(Action) bool) int {
-				var ids []int
-				for id, v := range state {
-					if among(v) {
-						ids = append(ids, id)
-					}
-				}
-				if slices.Sort(ids); len(ids) == 0 {
-					return 0
-				}
-				return ids[rapid.IntRange(0, len(ids)-1).Draw(t, "which")]
-			}
-			opening, inUse := some(func(v Action) bool { return v == Open }), some(func(v Action) bool { return v == Assign })
-			step := rapid.IntRange(0, 9).Draw(t, "step")
-			if step == 1 {
-				ids++
-				wants = append(wants, strconv.Itoa(ids))
-			}
-			for _, one := range []*Pool{p, all} {
-				one.Advance(now)
-				switch step {
-				case 0:
-					one.MemberListed(who, yes)
-				case 1:
-					one.Request(Request{ID: strconv.Itoa(ids), Key: Key{who, name}, Tenant: tenant})
-				case 2, 3:
-					one.Opened(opening)
-				case 4:
-					one.OpenFailed(opening, cause)
-				case 5, 6:
-					one.Release(inUse, nil)
-				case 7:
-					one.SetTurn(inUse, yes)
-				case 8:
-					one.ConnectionClosed(cmp.Or(inUse, opening))
-				case 9:
-					if len(wants) > 0 {
-						one.Cancel(wants[0])
-					}
-				}
-			}
-			switch step {
-			case 2, 3:
-				if opening > 0 {
-					state[opening] = Close // up
-				}
-			case 4:
-				delete(state, opening)
-			case 5, 6:
-				if inUse > 0 {
-					state[inUse] = Close
-				}
-			case 8:
-				delete(state, cmp.Or(inUse, opening))
-			case 9:
-				if len(wants) > 0 {
-					wants = wants[1:]
-				}
-			}
-			for _, m := range all.places {
-				all.stir(m)
-			}
-			got, want := pull(p), pull(all)
-			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("at %v: %v, a sweep over everything has %v", now, got, want)
-			}
-			note(got, state)
-			p.sweepAt = all.sweepAt
+			s.sweepUntil(s.now + rapid.SampledFrom([]float64{0, 1, 30, 120, 400, 3000}).Draw(t, "ms"))
+			s.drawInput()
+			s.visitAll()
+			s.compare(pullAll(s.pool), pullAll(s.full))
 		}
 	})
 }
 
-// note keeps how connections stand: opening, in use, or up.
-func note(ds []Decision, state map[int]Action) {
-	for _, d := range ds {
+// sweepComparison gives the same inputs to two pools. The sweeps of one visit everything.
+type sweepComparison struct {
+	t          *rapid.T
+	now        float64
+	pool, full *Pool
+	requests   []string       // not cancelled
+	lastID     int            // of a request
+	conns      map[int]Action // the last decision on each connection; Close once it is established and not in use
+}
+
+// visitAll has the next sweep of the full pool visit everything.
+func (s *sweepComparison) visitAll() {
+	for _, m := range s.full.members {
+		s.full.markDirty(m)
+	}
+}
+
+// compare fails the test if the decisions differ.
+func (s *sweepComparison) compare(got, want []Decision) {
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		s.t.Fatalf("at %v: decided %v, with a sweep over everything %v", s.now, got, want)
+	}
+	s.pool.nextSweepAt = s.full.nextSweepAt
+	for _, d := range got {
 		switch d.Action {
 		case Open, Assign:
-			state[d.Conn] = d.Action
+			s.conns[d.Conn] = d.Action
 		case Close:
-			delete(state, d.Conn)
+			delete(s.conns, d.Conn)
+		}
+	}
+}
+
+// sweepUntil drives both pools up to a time: the full one at each of its sweeps, the other one at its deadlines.
+func (s *sweepComparison) sweepUntil(end float64) {
+	for s.full.nextSweepAt <= end {
+		s.now = math.Max(s.now, s.full.nextSweepAt)
+		s.full.Advance(s.now)
+		s.visitAll()
+		want := pullAll(s.full)
+		var got []Decision
+		if s.pool.NextDeadline() <= s.now {
+			s.pool.Advance(s.now)
+			got = pullAll(s.pool)
 		}
+		s.compare(got, want)
 	}
+	s.now = end
 }
 
-// Guards against a member that was forgotten, whose last sweep forgets the one that has its name by then.
-func TestListedAnewAfterItWasForgotten(t *testing.T) {
+// drawConn draws a connection by the last decision on it; 0 if there is none.
+func (s *sweepComparison) drawConn(last Action) int {
+	var ids []int
+	for id, action := range s.conns {
+		if action == last {
+			ids = append(ids, id)
+		}
+	}
+	if len(ids) == 0 {
+		return 0
+	}
+	slices.Sort(ids)
+	return ids[rapid.IntRange(0, len(ids)-1).Draw(s.t, "connection")]
+}
+
+// sweepInput is one drawn input.
+type sweepInput struct {
+	step                 int
+	member, pool, tenant string
+	cause                FailureCause
+	yes                  bool
+	opening, busy        int // connections, 0 for none
+}
+
+func (s *sweepComparison) drawInput() {
+	in := sweepInput{
+		member:  rapid.SampledFrom([]string{"a", "b"}).Draw(s.t, "member"),
+		pool:    rapid.SampledFrom([]string{"x", "y", "z"}).Draw(s.t, "pool"),
+		tenant:  rapid.SampledFrom([]string{"", "t"}).Draw(s.t, "tenant"),
+		cause:   FailureCause(rapid.IntRange(0, 2).Draw(s.t, "cause")),
+		yes:     rapid.IntRange(0, 3).Draw(s.t, "yes") > 0,
+		opening: s.drawConn(Open),
+		busy:    s.drawConn(Assign),
+		step:    rapid.IntRange(0, 9).Draw(s.t, "step"),
+	}
+	if in.step == 1 {
+		s.lastID++
+		s.requests = append(s.requests, strconv.Itoa(s.lastID))
+	}
+	for _, p := range []*Pool{s.pool, s.full} {
+		p.Advance(s.now)
+		s.apply(p, in)
+	}
+	s.note(in)
+}
+
+func (s *sweepComparison) apply(p *Pool, in sweepInput) {
+	switch in.step {
+	case 0:
+		p.MemberListed(in.member, in.yes)
+	case 1:
+		p.Request(Request{ID: s.requests[len(s.requests)-1], Key: Key{in.member, in.pool}, Tenant: in.tenant})
+	case 2, 3:
+		p.Opened(in.opening)
+	case 4:
+		p.OpenFailed(in.opening, in.cause)
+	case 5, 6:
+		p.Release(in.busy, nil)
+	case 7:
+		p.SetTurn(in.busy, in.yes)
+	case 8:
+		p.ConnectionClosed(cmp.Or(in.busy, in.opening))
+	case 9:
+		if len(s.requests) > 0 {
+			p.Cancel(s.requests[0])
+		}
+	}
+}
+
+// note keeps the states of connections and requests after an input.
+func (s *sweepComparison) note(in sweepInput) {
+	switch in.step {
+	case 2, 3:
+		if in.opening > 0 {
+			s.conns[in.opening] = Close
+		}
+	case 4:
+		delete(s.conns, in.opening)
+	case 5, 6:
+		if in.busy > 0 {
+			s.conns[in.busy] = Close
+		}
+	case 8:
+		delete(s.conns, cmp.Or(in.busy, in.opening))
+	case 9:
+		if len(s.requests) > 0 {
+			s.requests = s.requests[1:]
+		}
+	}
+}
+
+// TestMemberListed_AfterMemberWasForgotten guards against a last sweep of a forgotten member that forgets the member listed under
+// the same name since.
+func TestMemberListed_AfterMemberWasForgotten(t *testing.T) {
 	p := New(Settings{MaxTotal: 9, Pools: map[string]Bounds{"x": {WaitTimeoutMs: 500}}})
 	expect := func(now float64, want ...Action) {
 		t.Helper()
 		p.Advance(now)
 		var got []Action
-		for d, more := p.Next(); more; d, more = p.Next() {
+		for _, d := range pullAll(p) {
 			got = append(got, d.Action)
 		}
 		if !slices.Equal(got, want) {
@@ -192,10 +228,10 @@
 		}
 	}
 	expect(0)
-	p.Request(Request{ID: "w", Key: Key{"a", "x"}})
+	p.Request(Request{ID: "1", Key: Key{"a", "x"}})
 	expect(600, Reject)
 	p.MemberListed("a", true)
-	p.Request(Request{ID: "v", Key: Key{"a", "x"}})
+	p.Request(Request{ID: "2", Key: Key{"a", "x"}})
 	expect(610, Open)
 	p.Opened(1)
 	expect(620, Assign)
@@ -205,22 +241,22 @@
 	expect(810, Close)
 }
 
-// Guards against somebody who waits for a member that can be tried again, until something else wakes the pool.
-func TestWhoWaitsIsTriedAgainInTime(t *testing.T) {
+// TestNextDeadline_RetriesConnectForWaiters guards against waiters that are served only once another input comes.
+func TestNextDeadline_RetriesConnectForWaiters(t *testing.T) {
 	p := New(Settings{MaxTotal: 9, Pools: map[string]Bounds{"x": {WaitTimeoutMs: 60000}}})
 	p.MemberListed("a", true)
-	p.Request(Request{ID: "w", Key: Key{"a", "x"}})
-	tries, now := 0, 0.0
+	p.Request(Request{ID: "1", Key: Key{"a", "x"}})
+	attempts, now := 0, 0.0
 	for ; now < 2000; now = p.NextDeadline() {
 		p.Advance(now)
 		for d, more := p.Next(); more; d, more = p.Next() {
 			if d.Action == Open {
-				tries++
+				attempts++
 				p.OpenFailed(d.Conn, TooManyConnections)
 			}
 		}
 	}
-	if tries < 7 { // at 0, and after 20, 40, 80, 160, 320 and 640 ms more, each with a sweep's gap at most
-		t.Errorf("%d tries by %v", tries, now)
+	if attempts < 7 { // at 0, and after 20, 40, 80, 160, 320 and 640 ms more, each with a sweep interval at most
+		t.Errorf("%d attempts by %v", attempts, now)
 	}
 }
--- /dev/null
+++ b/internal/decide/connpool/waiter.go
@@ -0,0 +1,156 @@
+package connpool
+
+import "slices"
+
+// waiter is a request that has no connection yet.
+type waiter struct {
+	Request
+	sub     *subPool
+	since   float64
+	waiting bool // false once it is served, rejected or cancelled
+	dialed  bool // a connection is being opened for it
+}
+
+// before orders waiters by the time at which they came.
+func (w *waiter) before(other *waiter) bool {
+	return w.since < other.since || w.since == other.since && w.ID < other.ID
+}
+
+// Request asks for a connection. Assign or Reject answers it, unless it is cancelled.
+func (p *Pool) Request(r Request) {
+	sub := p.subPool(r.Key)
+	w := &waiter{Request: r, sub: sub, since: p.now, waiting: true}
+	if sub.queues[r.Tenant] == nil {
+		sub.tenants = append(sub.tenants, r.Tenant)
+	}
+	sub.queues[r.Tenant] = append(sub.queues[r.Tenant], w)
+	p.waiters[r.ID] = w
+	sub.waiting++
+	if sub.waiting == 1 {
+		p.contended = append(p.contended, sub)
+	}
+}
+
+// Cancel withdraws a request that still waits.
+func (p *Pool) Cancel(requestID string) {
+	if w := p.waiters[requestID]; w != nil {
+		p.removeWaiter(w)
+	}
+}
+
+func (p *Pool) reject(w *waiter, reason RejectReason) {
+	p.removeWaiter(w)
+	p.decide(Decision{Action: Reject, RequestID: w.ID, Key: w.sub.key, Reason: reason})
+}
+
+// removeWaiter takes a waiter out of its queue.
+func (p *Pool) removeWaiter(w *waiter) {
+	sub := w.sub
+	p.markDirty(sub.member)
+	w.waiting = false
+	delete(p.waiters, w.ID)
+	sub.waiting--
+	if sub.waiting == 0 {
+		p.contended = slices.DeleteFunc(p.contended, func(other *subPool) bool { return other == sub })
+	}
+	queue := sub.queues[w.Tenant]
+	position := slices.Index(queue, w)
+	queue = slices.Delete(queue, position, position+1)
+	if len(queue) > 0 {
+		sub.queues[w.Tenant] = queue
+		return
+	}
+	delete(sub.queues, w.Tenant)
+	sub.tenants = slices.DeleteFunc(sub.tenants, func(other string) bool { return other == w.Tenant })
+}
+
+// serveWaiters assigns idle connections to waiters, opens more for those left, and rejects those that may not wait.
+func (p *Pool) serveWaiters(sub *subPool) {
+	for sub.waiting > 0 && len(sub.idle) > 0 {
+		p.assign(p.popWaiter(sub))
+	}
+	for w := sub.firstUndialed(); w != nil && sub.opening < sub.waiting && p.mayOpen(sub); w = sub.firstUndialed() {
+		p.openConn(sub, w)
+	}
+	if sub.bounds.WaitTimeoutMs > 0 && sub.member.listed {
+		return
+	}
+	for w := sub.firstUndialed(); w != nil && (sub.waiting > sub.opening || !sub.member.listed); w = sub.firstUndialed() {
+		p.reject(w, NoCapacity)
+	}
+}
+
+// popWaiter takes the waiter to be served next: first come, first served within a tenant, and tenants in turn.
+func (p *Pool) popWaiter(sub *subPool) *waiter {
+	tenant := sub.tenants[0]
+	w := sub.queues[tenant][0]
+	p.removeWaiter(w)
+	if sub.queues[tenant] != nil {
+		sub.tenants = append(sub.tenants[1:], tenant)
+	}
+	return w
+}
+
+func (p *Pool) assign(w *waiter) {
+	sub := w.sub
+	c := sub.preferredIdle(w.Affinity, p.now)
+	sub.removeIdle(c)
+	unsettled := !c.settled(p.now)
+	c.state = connBusy
+	c.uses++
+	p.decide(Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: sub.key, Unsettled: unsettled})
+}
+
+// preferredIdle chooses among idle connections: a settled one first, then one of the same affinity, then the one that was used
+// last, so that connections that are not needed stay idle until they are closed.
+func (s *subPool) preferredIdle(affinity any, now float64) *conn {
+	var best *conn
+	bestRank := -1
+	for _, c := range slices.Backward(s.idle) {
+		if rank := c.rank(affinity, now); rank > bestRank {
+			best, bestRank = c, rank
+		}
+	}
+	return best
+}
+
+func (c *conn) rank(affinity any, now float64) (rank int) {
+	if affinity != nil && c.affinity == affinity {
+		rank++
+	}
+	if c.settled(now) {
+		rank += 2
+	}
+	return rank
+}
+
+// firstUndialed returns the first waiter that no connection is being opened for, tenants in turn; nil if there is none.
+func (s *subPool) firstUndialed() *waiter {
+	for position := 0; ; position++ {
+		exhausted := true
+		for _, tenant := range s.tenants {
+			queue := s.queues[tenant]
+			if position >= len(queue) {
+				continue
+			}
+			exhausted = false
+			if !queue[position].dialed {
+				return queue[position]
+			}
+		}
+		if exhausted {
+			return nil
+		}
+	}
+}
+
+// longestWaiting returns the waiter that came first; nil if there is none.
+func (s *subPool) longestWaiting() *waiter {
+	var first *waiter
+	for _, queue := range s.queues {
+		if first == nil || queue[0].before(first) {
+			first = queue[0]
+		}
+	}
+	return first
+}
