--- a/internal/discovery/syscall_test.go
+++ b/internal/discovery/syscall_test.go
@@ -13,22 +13,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyConn fails its first read, or takes one byte at a time.
+// faultyConn fails its reads or, without an error, reads one byte at a time.
 type faultyConn struct {
 	net.Conn
-	read error // nil: reads are short
+	readError error
 }
 
 func (c *faultyConn) Read(into []byte) (int, error) {
-	if c.read != nil {
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.read)}
+	if c.readError != nil {
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.readError)}
 	}
 	return c.Conn.Read(into[:min(1, len(into))])
 }
 
-// A system call of discovery's connection fails twice in a row, whichever it is and whatever with: each is a failed call, told as
-// one and made again, and the list gets through. Short reads are no failure.
-func TestSystemCallsFail(t *testing.T) {
+// faultyDialer has a system call fail for the first two connections. All reads are short.
+type faultyDialer struct {
+	call  string
+	errno unix.Errno
+	dials int
+}
+
+func (d *faultyDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	const failures = 2
+	d.dials++
+	fails := d.dials <= failures
+	if fails && d.call != "read" {
+		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(d.call, d.errno)}
+	}
+	c, err := new(net.Dialer).DialContext(ctx, network, addr)
+	if err != nil {
+		return nil, err
+	}
+	if fails {
+		return &faultyConn{Conn: c, readError: d.errno}, nil
+	}
+	return &faultyConn{Conn: c}, nil
+}
+
+// TestWatcher_SystemCallFails has a system call fail twice in a row: each is reported as a failed watch, and the third one succeeds.
+func TestWatcher_SystemCallFails(t *testing.T) {
 	calls := map[string][]unix.Errno{
 		"socket": {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES},
 		"connect": {unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN, unix.EHOSTUNREACH, unix.ECONNREFUSED,
@@ -37,53 +60,37 @@
 	}
 	for call, numbers := range calls {
 		for _, errno := range numbers {
-			for _, ask := range []bool{false, true} {
-				t.Run(fmt.Sprint(call, " ", unix.ErrnoName(errno), ", asked for: ", ask), func(t *testing.T) {
+			for _, polls := range []bool{false, true} {
+				t.Run(fmt.Sprint(call, " ", unix.ErrnoName(errno), ", polls: ", polls), func(t *testing.T) {
 					t.Parallel()
-					p := newPeer(t, says(changed+"\n"))
-					told, requests, failed := make(chan *List, 100), make(chan struct{}, 1), make(chan error, 100)
-					w := NewWatcher(p.Addr().String(), 41, func(l *List) { told <- l }, func(err error) {
-						failed <- err
-						select {
-						case requests <- struct{}{}: // a router asks again
-						default:
-						}
-					})
-					w.heartbeatTimeout = time.Hour
-					dials := 0
-					w.client.Transport = &http.Transport{DisableKeepAlives: true,
-						DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-							dials++
-							if dials <= 2 && call != "read" {
-								return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(call, errno)}
-							}
-							c, err := new(net.Dialer).DialContext(ctx, network, addr)
-							if err != nil {
-								return nil, err
-							}
-							if dials <= 2 {
-								return &faultyConn{c, errno}, nil
-							}
-							return &faultyConn{c, nil}, nil
-						}}
-					ctx, cancel := context.WithCancel(context.Background())
-					defer cancel()
-					if ask {
-						go w.Poll(ctx, requests)
-						requests <- struct{}{}
-					} else {
-						go w.Watch(ctx)
-					}
-					if l := <-told; l.Revision != 43 {
-						t.Errorf("told %+v", l)
-					}
-					for range 2 {
-						if err := <-failed; !errors.Is(err, errno) {
-							t.Errorf("failed with %v", err)
-						}
-					}
+					recoverFromSystemCall(t, call, errno, polls)
 				})
 			}
 		}
 	}
 }
+
+func recoverFromSystemCall(t *testing.T, call string, errno unix.Errno, polls bool) {
+	t.Helper()
+	s := newFakeService(t, respond(testChange+"\n"))
+	delivered, failed, requests := make(chan *List, 100), make(chan error, 100), make(chan struct{}, 1)
+	again := requestAgain(requests)
+	w := NewWatcher(s.address(), testRevision, func(l *List) { delivered <- l }, func(err error) {
+		failed <- err
+		again(err)
+	})
+	w.heartbeatTimeout = time.Hour
+	dialer := &faultyDialer{call: call, errno: errno}
+	w.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: dialer.dial}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	watchOrPoll(ctx, w, polls, requests)
+	if l := <-delivered; l.Revision != 43 {
+		t.Errorf("delivered %+v", l)
+	}
+	for range 2 {
+		if err := <-failed; !errors.Is(err, errno) {
+			t.Errorf("failed with %v", err)
+		}
+	}
+}
