--- /dev/null
+++ b/internal/pg/append.go
@@ -0,0 +1,33 @@
+package pg
+
+import "encoding/binary"
+
+// appendMessage appends a message whose body appendBody appends; nil for an empty body. Startup messages have noType.
+func appendMessage(out []byte, messageType byte, appendBody func([]byte) []byte) []byte {
+	if messageType != noType {
+		out = append(out, messageType)
+	}
+	lengthAt := len(out)
+	out = append(out, 0, 0, 0, 0)
+	if appendBody != nil {
+		out = appendBody(out)
+	}
+	binary.BigEndian.PutUint32(out[lengthAt:], uint32(len(out)-lengthAt))
+	return out
+}
+
+// appendCString appends a text and the zero byte that ends it.
+func appendCString(out []byte, text string) []byte { return append(append(out, text...), 0) }
+
+func appendCancelKey(out []byte, key CancelKey) []byte {
+	out = binary.BigEndian.AppendUint32(out, key.Process)
+	return binary.BigEndian.AppendUint32(out, key.Secret)
+}
+
+// AppendBodyless appends a message without a body.
+func AppendBodyless(out []byte, messageType byte) []byte { return appendMessage(out, messageType, nil) }
+
+// AppendCopyData appends a CopyData message, which either side sends.
+func AppendCopyData(out []byte, data string) []byte {
+	return appendMessage(out, clientCopyData, func(out []byte) []byte { return append(out, data...) })
+}
--- /dev/null
+++ b/internal/pg/decode_client.go
@@ -0,0 +1,131 @@
+package pg
+
+import "encoding/binary"
+
+const startupPlace = "startup message"
+
+// decodeStartup decodes the first message of a client.
+func decodeStartup(body []byte) (Message, error) {
+	if len(body) < 4 {
+		return Message{}, decodeError(startupPlace, ProtocolViolation, "startup message without a version")
+	}
+	major, minor := binary.BigEndian.Uint16(body), binary.BigEndian.Uint16(body[2:])
+	switch {
+	case major == requestMajorVersion && (minor == sslRequestMinor || minor == gssEncryptionMinor):
+		return Message{Kind: SSLRequest}, nil
+	case major == requestMajorVersion && minor == cancelRequestMinor:
+		return decodeCancelRequest(body), nil
+	case major != protocolMajorVersion:
+		return Message{}, decodeError(startupPlace, FeatureNotSupported, "protocol version %d.%d", major, minor)
+	}
+	parameters := body[4:]
+	if len(parameters) == 0 || parameters[len(parameters)-1] != 0 {
+		return Message{}, decodeError(startupPlace, ProtocolViolation, "startup message without its end")
+	}
+	return Message{Kind: Startup, MinorVersion: int(minor), Startup: decodeStartupParameters(parameters)}, nil
+}
+
+func decodeCancelRequest(body []byte) Message {
+	m := Message{Kind: CancelRequest}
+	if len(body) >= cancelRequestBodySize {
+		m.Key = decodeCancelKey(body[4:])
+	}
+	return m
+}
+
+func decodeCancelKey(b []byte) CancelKey {
+	return CancelKey{Process: binary.BigEndian.Uint32(b), Secret: binary.BigEndian.Uint32(b[4:])}
+}
+
+// decodeStartupParameters tolerates an incomplete last parameter.
+func decodeStartupParameters(b []byte) (parameters StartupParameters) {
+	for len(b) > 1 {
+		name, rest, ok := cutCString(b)
+		if !ok {
+			return parameters
+		}
+		value, rest, ok := cutCString(rest)
+		if !ok {
+			return parameters
+		}
+		parameters = append(parameters, [2]string{name, value})
+		b = rest
+	}
+	return parameters
+}
+
+// decodeClient decodes a message whose header was accepted.
+func decodeClient(messageType byte, body []byte) (Message, error) {
+	kind := clientKinds[messageType]
+	if kind != Query {
+		return Message{Kind: kind}, nil
+	}
+	text, rest, ok := cutCString(body)
+	if !ok || len(rest) > 0 {
+		return Message{}, decodeError("Query, text", ProtocolViolation, "query without its end")
+	}
+	return Message{Kind: Query, Text: text}, nil
+}
+
+// decodeExtendedClient is decodeClient after EnableExtended.
+func decodeExtendedClient(messageType byte, body []byte) (Message, error) {
+	kind, extended := extendedClientKinds[messageType]
+	if !extended {
+		return decodeClient(messageType, body)
+	}
+	m, b := Message{Kind: kind}, bodyReader{rest: body}
+	switch kind {
+	case Parse:
+		readParse(&m, &b)
+	case Bind:
+		readBind(&m, &b)
+	case Execute:
+		m.Portal = b.cString("portal")
+		b.skip(4, "row limit")
+	case Describe, Close:
+		readTarget(&m, &b)
+	case CopyData, CopyFail:
+		return m, nil // any body is valid
+	}
+	return m, b.finish(messageType)
+}
+
+func readParse(m *Message, b *bodyReader) {
+	m.Name = b.cString("statement name")
+	m.Tail = b.rest
+	m.Text = b.cString("statement")
+	parameters := b.uint16("number of parameter types")
+	b.skip(4*parameters, "parameter types")
+}
+
+// readBind checks all counts and lengths, since a member closes a connection on which they don't fit.
+func readBind(m *Message, b *bodyReader) {
+	m.Portal = b.cString("portal")
+	m.Name = b.cString("statement name")
+	m.Tail = b.rest
+	parameterFormats := b.uint16("number of parameter formats")
+	b.skip(2*parameterFormats, "parameter formats")
+	values := b.uint16("number of values")
+	for range values {
+		size, _, rest, ok := cutValue(b.rest)
+		if !ok || size < -1 {
+			b.fail("values")
+			return
+		}
+		b.rest = rest
+	}
+	resultFormats := b.uint16("number of result formats")
+	b.skip(2*resultFormats, "result formats")
+}
+
+func readTarget(m *Message, b *bodyReader) {
+	m.Target = b.byte("target")
+	switch m.Target {
+	case targetStatement:
+		m.Name = b.cString("statement name")
+	case targetPortal:
+		m.Portal = b.cString("portal")
+	default:
+		b.fail("target")
+	}
+}
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -6,83 +6,105 @@
 	"strings"
 )
 
-// Statement is a request as its client worded it: the comment in front, decoded, and the text around its time limit.
+const (
+	commentStart = "/*"
+	commentEnd   = "*/"
+	commentPlace = "statement comment"
+
+	maxCommentNumber = 1e15
+)
+
+// Statement is a request as its client sent it: the comment in front of it, decoded, and the text around the deadline in the comment.
 type Statement struct {
 	ID, RequestClass, Tenant string
-	IdempotencyKey           string  // the quoted key
-	WaitMs                   float64 // ms that the client waits
-	Position                 float64 // the position that it must see; 0 for none
+	IdempotencyKey           string  // the first quoted text of the statement
+	WaitMs                   float64 // how long the client waits
+	Position                 float64 // that the client must see; 0 for none
 	Group                    int
-	IsRetry                  bool // the client says it is a repeat
+	IsRetry                  bool // as the client says
 
 	head, tail string
 }
 
-// ParseStatement decodes the comment. Names that it does not know pass on with the rest.
+// ParseStatement decodes the comment, a list of name=value. Names that it does not know are sent on with the rest.
 func ParseStatement(sql string) (*Statement, error) {
-	body, ok := strings.CutPrefix(sql, "/*")
-	end := strings.Index(body, "*/")
-	if !ok || end < 0 {
-		return nil, fail(ProtocolViolation, "a statement begins with a comment that names its id, c and d")
+	body, found := strings.CutPrefix(sql, commentStart)
+	end := strings.Index(body, commentEnd)
+	if !found || end < 0 {
+		return nil, commentError("a statement begins with a comment that names its id, c and d")
 	}
 	s := &Statement{WaitMs: -1}
-	at := 2
+	offset := len(commentStart) // of the pair in sql
 	for pair := range strings.SplitSeq(body[:end], ",") {
-		name, value, found := strings.Cut(pair, "=")
-		name = strings.TrimSpace(name)
-		if !found {
-			return nil, fail(ProtocolViolation, "comment: %q is no name=value", strings.TrimSpace(pair))
+		if err := s.decodePair(sql, offset, pair); err != nil {
+			return nil, err
 		}
-		start := at + len(pair) - len(value)
-		value = strings.TrimRight(value, " ")
-		var bad bool
-		switch name {
-		case "id":
-			s.ID = value
-		case "c":
-			s.RequestClass = value
-		case "t":
-			s.Tenant = value
-		case "d":
-			s.WaitMs, bad = number(value)
-			bad = bad || s.head != "" // one of two would pass on as it was
-			s.head, s.tail = sql[:start], sql[start+len(value):]
-		case "after":
-			s.Position, bad = number(value)
-		case "cluster":
-			n, err := strconv.Atoi(value)
-			s.Group, bad = n, err != nil
-		case "r":
-			s.IsRetry = value == "1"
-		}
-		if bad {
-			return nil, fail(ProtocolViolation, "comment: %s must be a number, not %q", name, value)
-		}
-		at += len(pair) + 1
+		offset += len(pair) + 1
 	}
 	if s.ID == "" || s.RequestClass == "" || s.WaitMs < 0 {
-		return nil, fail(ProtocolViolation, "comment: id, c and d must be given")
+		return nil, commentError("comment: id, c and d must be given")
 	}
-	s.IdempotencyKey = quoted(body[end:])
+	s.IdempotencyKey = firstQuoted(body[end:])
 	return s, nil
 }
 
-func number(s string) (x float64, bad bool) {
-	x, err := strconv.ParseFloat(s, 64)
-	return x, err != nil || math.IsNaN(x) || x < 0 || x > 1e15
+// decodePair decodes one name=value, which starts at an offset of sql. The names id, c, t, d, after, cluster and r are the comment's words
+// for ID, request class, tenant, deadline, position, group and retry.
+func (s *Statement) decodePair(sql string, offset int, pair string) error {
+	name, value, found := strings.Cut(pair, "=")
+	if !found {
+		return commentError("comment: %q is no name=value", strings.TrimSpace(pair))
+	}
+	name = strings.TrimSpace(name)
+	valueAt := offset + len(pair) - len(value)
+	value = strings.TrimRight(value, " ")
+	valid := true
+	switch name {
+	case "id":
+		s.ID = value
+	case "c":
+		s.RequestClass = value
+	case "t":
+		s.Tenant = value
+	case "d":
+		isFirst := s.head == "" // AppendQuery replaces only one
+		s.WaitMs, valid = parseNumber(value)
+		valid = valid && isFirst
+		s.head, s.tail = sql[:valueAt], sql[valueAt+len(value):]
+	case "after":
+		s.Position, valid = parseNumber(value)
+	case "cluster":
+		group, err := strconv.Atoi(value)
+		s.Group, valid = group, err == nil
+	case "r":
+		s.IsRetry = value == "1"
+	}
+	if !valid {
+		return commentError("comment: %s must be a number, not %q", name, value)
+	}
+	return nil
+}
+
+func commentError(format string, args ...any) error {
+	return decodeError(commentPlace, ProtocolViolation, format, args...)
+}
+
+func parseNumber(text string) (number float64, valid bool) {
+	number, err := strconv.ParseFloat(text, 64)
+	return number, err == nil && !math.IsNaN(number) && number >= 0 && number <= maxCommentNumber
 }
 
-// quoted finds the first quoted text.
-func quoted(s string) string {
-	_, s, ok := strings.Cut(s, "'")
+// firstQuoted returns the first text in single quotes, empty if there is none.
+func firstQuoted(s string) string {
+	_, s, found := strings.Cut(s, "'")
 	end := strings.IndexByte(s, '\'')
-	if !ok || end < 0 {
+	if !found || end < 0 {
 		return ""
 	}
 	return s[:end]
 }
 
-// AppendQuery asks a server the statement with this many ms left.
-func (s *Statement) AppendQuery(out []byte, left float64) []byte {
-	return AppendQuery(out, s.head, strconv.Itoa(int(max(1, left))), s.tail)
+// AppendQuery appends the statement as a Query message, with a deadline in ms.
+func (s *Statement) AppendQuery(out []byte, waitMs float64) []byte {
+	return AppendQuery(out, s.head, strconv.Itoa(int(max(1, waitMs))), s.tail)
 }
--- /dev/null
+++ b/internal/pg/statement_test.go
@@ -0,0 +1,59 @@
+package pg
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+const testStatement = "/* id=9b1f,c=basket,t=acme,d=480,k=5c0f,cluster=2,after=1767225600123,r=1,new=x */ " +
+	"SELECT blob FROM rows WHERE handle = '7f3a'"
+
+func TestParseStatement(t *testing.T) {
+	s, err := ParseStatement(testStatement)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Statement{ID: "9b1f", RequestClass: "basket", Tenant: "acme", IdempotencyKey: "7f3a", WaitMs: 480, Position: 1767225600123,
+		Group: 2, IsRetry: true, head: s.head, tail: s.tail}
+	if *s != want {
+		t.Errorf("got %+v, want %+v", *s, want)
+	}
+	got := string(s.AppendQuery(nil, 12.9))
+	if want := string(AppendQuery(nil, strings.Replace(testStatement, "d=480", "d=12", 1))); got != want {
+		t.Errorf("sent on %q, want %q", got, want)
+	}
+}
+
+func TestParseStatement_InvalidComment(t *testing.T) {
+	for _, sql := range []string{"", "SELECT 1", "/*", "/* */ SELECT 1", "/* id=1,c=x,d=5 SELECT 1", "/* id=1,c=x */ SELECT 1",
+		"/* id=1,c=x,d=soon */ x", "/* id=1,c=x,d=-1 */ x", "/* id=1,c=x,d=NaN */ x", "/* id=1,c=x,d=1e300 */ x",
+		"/* id=1,c=x,d=5,cluster=a */ x", "/* id=1,c=x,d=5,after=b */ x", "/* id=1,c=x,d=5,what */ x", "/* id=,c=x,d=5 */ x",
+		"/* id=1,c=x,d=5,d=6 */ x"} {
+		s, err := ParseStatement(sql)
+		var response *Error
+		if !errors.As(err, &response) || response.Code != ProtocolViolation {
+			t.Errorf("%q: got %+v, %v", sql, s, err)
+		}
+		var invalid *DecodeError
+		if !errors.As(err, &invalid) || invalid.Place != commentPlace {
+			t.Errorf("%q: got %v, want an error at the comment", sql, err)
+		}
+	}
+}
+
+// FuzzParseStatement has what is sent on decode to the same request with another deadline.
+func FuzzParseStatement(f *testing.F) {
+	f.Add(testStatement)
+	f.Fuzz(func(t *testing.T, sql string) {
+		s, err := ParseStatement(sql)
+		if err != nil {
+			return
+		}
+		query := s.AppendQuery(nil, 7)
+		again, err := ParseStatement(string(query[headerSize : len(query)-1]))
+		if err != nil || again.ID != s.ID || again.RequestClass != s.RequestClass || again.IdempotencyKey != s.IdempotencyKey || again.WaitMs != 7 {
+			t.Errorf("%q: sent on %q: %+v, %v", sql, query, again, err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/pg/sticky.go
@@ -0,0 +1,68 @@
+package pg
+
+import "strings"
+
+// stickyFunctions leave something on the connection when they are called, and why a session must keep it.
+var stickyFunctions = map[string]string{
+	"set_config":                  "set_config",
+	"pg_advisory_lock":            "an advisory lock",
+	"pg_advisory_lock_shared":     "an advisory lock",
+	"pg_try_advisory_lock":        "an advisory lock",
+	"pg_try_advisory_lock_shared": "an advisory lock",
+}
+
+// stickyReason returns why the session of a statement must keep its connection, empty if it need not.
+func stickyReason(l *lexer, firstWord string) string {
+	switch firstWord {
+	case "listen":
+		return "LISTEN"
+	case "load":
+		return "LOAD"
+	case "prepare":
+		if strings.EqualFold(l.next(), "transaction") {
+			return ""
+		}
+		return "PREPARE"
+	case "create", "select", "with", "declare", "do", "call", "insert", "update", "delete", "execute", "explain", "values", "table",
+		"merge", "copy", "fetch":
+		return searchStickyReason(l, firstWord)
+	}
+	return ""
+}
+
+// searchStickyReason searches the rest of a statement for function calls and clauses that leave something on the connection.
+func searchStickyReason(l *lexer, firstWord string) string {
+	previous := firstWord
+	for token := l.next(); token != ""; token = l.next() {
+		if !isLetter(token[0]) && token[0] != '"' {
+			previous = ""
+			continue
+		}
+		word := identifier(token)
+		if reason := stickyFunctions[word]; reason != "" {
+			return reason
+		}
+		if createsTemporaryTable(firstWord, previous, word) {
+			return "a temporary table"
+		}
+		if firstWord == "declare" && previous == "with" && word == "hold" {
+			return "a cursor WITH HOLD"
+		}
+		previous = word
+	}
+	return ""
+}
+
+// createsTemporaryTable recognizes CREATE [LOCAL | GLOBAL] TEMPORARY, CREATE OR REPLACE TEMPORARY and INTO TEMPORARY.
+func createsTemporaryTable(firstWord, previous, word string) bool {
+	if word != "temp" && word != "temporary" {
+		return false
+	}
+	switch previous {
+	case "into":
+		return true
+	case "create", "local", "global", "replace":
+		return firstWord == "create"
+	}
+	return false
+}
