--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// WatchOnce follows the list until the connection ends, goes silent or delivers something invalid, and returns the reason. If the address
+// watchOnce follows the list until the connection ends, goes silent or delivers something invalid, and returns the reason. If the address
 // is new, the complete list is fetched first and accepted whatever its revision. The same is done, once and without a pause, if revisions
 // go back.
-func (w *Watcher) WatchOnce(ctx context.Context) error {
+func (w *Watcher) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	heartbeat := newHeartbeatTimer(w.heartbeatTimeout, func() { cancel(ErrNoHeartbeat) })
@@ -119,7 +119,7 @@
 
 // runOnce watches once and reports the error, unless ctx or a change of address has ended the watch.
 func (w *Watcher) runOnce(ctx context.Context) {
-	err := w.WatchOnce(ctx)
+	err := w.watchOnce(ctx)
 	if ctx.Err() == nil && !errors.Is(err, errAddressChanged) {
 		w.failed(err)
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -65,7 +65,7 @@
 			if c.name == "silence" {
 				w.heartbeatTimeout = 50 * time.Millisecond
 			}
-			err := w.WatchOnce(context.Background())
+			err := w.watchOnce(context.Background())
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("ended with %v, want %q", err, c.want)
 			}
@@ -87,7 +87,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newFakeService(t, respondAndClose(c.sent))
-			err := NewWatcher(s.address(), testRevision, ignoreList, nil).WatchOnce(context.Background())
+			err := NewWatcher(s.address(), testRevision, ignoreList, nil).watchOnce(context.Background())
 			var invalid InvalidListError
 			if !errors.As(err, &invalid) || invalid.Place != c.place {
 				t.Errorf("ended with %v, want an InvalidListError at %q", err, c.place)
@@ -100,7 +100,7 @@
 	s := newFakeService(t, hang)
 	w := NewWatcher(s.address(), testRevision, ignoreList, nil)
 	w.heartbeatTimeout = 50 * time.Millisecond
-	if err := w.WatchOnce(context.Background()); !errors.Is(err, ErrNoHeartbeat) {
+	if err := w.watchOnce(context.Background()); !errors.Is(err, ErrNoHeartbeat) {
 		t.Errorf("ended with %v, want %v", err, ErrNoHeartbeat)
 	}
 }
@@ -120,7 +120,7 @@
 	})
 	w := NewWatcher(s.address(), testRevision, ignoreList, nil)
 	w.heartbeatTimeout = heartbeatTimeout
-	if err := w.WatchOnce(context.Background()); !errors.Is(err, ErrNoHeartbeat) {
+	if err := w.watchOnce(context.Background()); !errors.Is(err, ErrNoHeartbeat) {
 		t.Errorf("ended with %v, want %v", err, ErrNoHeartbeat)
 	}
 }
@@ -136,7 +136,7 @@
 		w := NewWatcher(s.address(), testRevision, func(l *List) {
 			delivered = append(delivered, fmt.Sprint(l.Revision, l.Complete, len(l.Entries)))
 		}, nil)
-		if err := w.WatchOnce(context.Background()); !errors.Is(err, io.EOF) {
+		if err := w.watchOnce(context.Background()); !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %v", err)
 		}
 		if got := strings.Join(delivered, "; "); got != "3 true 1; 4 false 1" {
@@ -155,11 +155,11 @@
 	s := newFakeService(t, older, list, older, list, respondAndClose("\n"))
 	var delivered []string
 	w := NewWatcher(s.address(), testRevision, func(l *List) { delivered = append(delivered, fmt.Sprint(l.Revision, l.Complete)) }, nil)
-	err := w.WatchOnce(context.Background())
+	err := w.watchOnce(context.Background())
 	if err == nil || !strings.Contains(err.Error(), "revision 7 is older than 30") || !errors.As(err, new(InvalidListError)) {
 		t.Errorf("ended with %v", err)
 	}
-	if err := w.WatchOnce(context.Background()); !errors.Is(err, io.EOF) {
+	if err := w.watchOnce(context.Background()); !errors.Is(err, io.EOF) {
 		t.Errorf("the next watch ended with %v", err)
 	}
 	if got := strings.Join(delivered, "; "); got != "30 true; 30 true; 30 false" {
@@ -175,7 +175,7 @@
 	w := NewWatcher("", testRevision, ignoreList, nil)
 	w.ChangeAddress(s.address())
 	for range 2 {
-		if err := w.WatchOnce(context.Background()); !errors.Is(err, io.EOF) {
+		if err := w.watchOnce(context.Background()); !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %v", err)
 		}
 	}
--- a/internal/pg/reader_test.go
+++ b/internal/pg/reader_test.go
@@ -90,6 +90,7 @@
 	{"garbage, by its header", true, "x\x00\x00\x00\x40", "error 08P01"},
 	{"ReadyForQuery too long, by its header", true, "Z\x00\x00\x00\x06", "error 08P01"},
 	{"value shorter than its row, by its header", true, "D\x00\x00\x08\x00\x00\x01\x00\x00\x00\x05", "error 08P01"},
+	{"value one byte shorter than its row, by its header", true, "D\x00\x00\x00\x10\x00\x01\x00\x00\x00\x05", "error 08P01"},
 	{"value longer than its row, by its header", true, "D\x00\x00\x08\x00\x00\x02\x00\x00\x08\x00", "error 08P01"},
 	{"value of 3 GB", true, "D\xb2\xd0\x5e\x0a\x00\x01\xb2\xd0\x5e\x00", "error 54000"},
 	{"unknown type, by its header", false, string(AppendStartup(nil, "a", "b")) + "?\x00\x00\x01\x00", "Startup; error 08P01"},
