--- a/internal/fakes/recording/recording.go
+++ b/internal/fakes/recording/recording.go
@@ -17,7 +17,7 @@
 const linesPerDigest = 100
 
 // Compare fails the test if a transcript is not the one recorded in testdata/NAME. The recording is kept as a digest of each
-// hundred lines; the transcript that differs is written to the test's artifact file so that two versions can be diffed.
+// hundred lines; a transcript that differs is written to a temporary file, to be compared with one of the text before.
 func Compare(t *testing.T, name, transcript string) {
 	t.Helper()
 	compare(t, name, transcript, digests(transcript))
@@ -54,15 +54,11 @@
 			break
 		}
 	}
-	file, err := os.CreateTemp("", strings.ReplaceAll(name, "/", "-")+".*.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	if _, err := file.WriteString(transcript); err != nil {
+	file := filepath.Join(os.TempDir(), strings.ReplaceAll(name, "/", "-")+".got")
+	if err := os.WriteFile(file, []byte(transcript), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Fatalf("%s has %d lines, recorded are %d; the whole transcript is in %s", name, len(gotLines), len(wantLines), file.Name())
+	t.Fatalf("%s has %d lines, recorded are %d; the whole transcript is in %s", name, len(gotLines), len(wantLines), file)
 }
 
 func digests(transcript string) string {
