--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -10,6 +10,7 @@
 	"errors"
 	"fmt"
 	"maps"
+	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -64,6 +65,7 @@
 	order    []string
 	switches map[[2]string]*Link
 	mu       sync.Mutex
+	ports    []*net.TCPAddr // reserved until Close
 }
 
 // New writes the settings of a fleet; nothing is started.
@@ -106,7 +108,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if p.ReceiverAddr, err = free(); err != nil {
+		if p.ReceiverAddr, err = f.reserve(); err != nil {
 			return nil, err
 		}
 	}
@@ -118,17 +120,20 @@
 	return f, nil
 }
 
-func free() (string, error) {
-	l, err := ListenFree()
+// reserve gives an address on a port that stays reserved until Close.
+func (f *Fleet) reserve() (string, error) {
+	address, err := reserveAddress()
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.ports = append(f.ports, address)
+	return address.String(), nil
 }
 
 func (f *Fleet) add(kind, name string) (*Process, error) {
-	addr, err := free()
+	addr, err := f.reserve()
 	if err != nil {
 		return nil, err
 	}
@@ -384,6 +389,10 @@
 	for _, s := range f.switches {
 		s.Close()
 	}
+	for _, address := range f.ports {
+		ReleasePort(address)
+	}
+	f.ports = nil
 }
 
 // LogPath is the file that holds what a process wrote.
--- a/internal/lab/fleet/switch.go
+++ b/internal/lab/fleet/switch.go
@@ -1,9 +1,7 @@
 package fleet
 
 import (
-	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
@@ -31,34 +29,6 @@
 	Made  int    // connections
 }
 
-// given are the ports that were found free before: who got one may not listen yet, or not at the moment.
-var given struct {
-	sync.Mutex
-	ports map[int]bool
-}
-
-// ListenFree finds an address on loopback that nobody has, below those that the system gives away by itself.
-func ListenFree() (net.Listener, error) {
-	given.Lock()
-	defer given.Unlock()
-	if given.ports == nil || len(given.ports) > 6000 {
-		given.ports = map[int]bool{}
-	}
-	var err error
-	for range 1000 {
-		port := 20000 + rand.IntN(12000)
-		if given.ports[port] {
-			continue
-		}
-		var l net.Listener
-		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port)); err == nil {
-			given.ports[port] = true
-			return l, nil
-		}
-	}
-	return nil, err
-}
-
 // NewSwitch makes a link to an address.
 func NewSwitch(from, to, target string) (*Link, error) {
 	l, err := ListenFree()
@@ -75,6 +45,7 @@
 func (s *Link) Close() {
 	s.set(func() { s.ended, s.cut = true, true })
 	s.l.Close()
+	ReleasePort(s.l.Addr())
 	s.reset()
 }
 
