--- a/internal/lab/fleet/records_test.go
+++ b/internal/lab/fleet/audit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"os"
@@ -16,10 +17,18 @@
 	"wayloft/internal/decide/policy"
 )
 
-// Audit records that the program of this commit wrote: checkers read them for as long as they are kept.
-const recordsBy = "testdata/records-dd13dd4"
+// Audit logs that the program of this commit wrote: checkers read them for as long as they are kept.
+const storedLogs = "testdata/records-dd13dd4"
 
-// storedFleet gives a fleet whose processes have the stored records; nothing is started.
+// writeAuditLog writes the audit log of a process that isn't started.
+func writeAuditLog(t *testing.T, f *Fleet, name, text string) {
+	t.Helper()
+	if err := os.WriteFile(f.auditLogPath(f.Process(name)), []byte(text), fileMode); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// storedFleet gives a fleet whose processes have the stored audit logs; nothing is started.
 func storedFleet(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := New(Options{Dir: t.TempDir(), Coordinators: 3, Routers: 2, Members: 1})
@@ -28,18 +37,16 @@
 	}
 	t.Cleanup(f.Close)
 	for _, name := range []string{"c1", "c2", "c3", "r1", "r2"} {
-		text, err := os.ReadFile(filepath.Join(recordsBy, name+".jsonl"))
+		text, err := os.ReadFile(filepath.Join(storedLogs, name+".jsonl"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(f.record(f.procs[name]), text, 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeAuditLog(t, f, name, string(text))
 	}
 	return f
 }
 
-// signature gives a line's kind with its fields and their JSON types.
+// signature gives a line's event with its fields and their JSON types.
 func signature(t *testing.T, line AuditEvent) string {
 	t.Helper()
 	var fields []string
@@ -69,7 +76,7 @@
 func signatures(t *testing.T, f *Fleet) map[string]bool {
 	t.Helper()
 	all := map[string]bool{}
-	for _, p := range slices.Concat(f.kind("council"), f.kind("router")) {
+	for _, p := range slices.Concat(f.ofKind(coordinatorKind), f.ofKind(routerKind)) {
 		lines, err := f.AuditEvents(p.Name)
 		if err != nil {
 			t.Fatal(err)
@@ -84,7 +91,7 @@
 // pinnedSignatures gives those that lines may have.
 func pinnedSignatures(t *testing.T) map[string]bool {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(recordsBy, "lines.golden"))
+	text, err := os.ReadFile(filepath.Join(storedLogs, "lines.golden"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,8 +102,8 @@
 	return all
 }
 
-// Stored records are read and found sound; a line that contradicts them is found.
-func TestStoredRecords_AreChecked(t *testing.T) {
+// Stored audit logs are read and have no violation; a line that contradicts them is found.
+func TestStoredAuditLogs_AreChecked(t *testing.T) {
 	f := storedFleet(t)
 	if wrong := CheckLeases(f, false); len(wrong) > 0 {
 		t.Error(wrong)
@@ -112,29 +119,29 @@
 			t.Errorf("not pinned: %s", line)
 		}
 	}
-	file, err := os.OpenFile(f.record(f.procs["r2"]), os.O_APPEND|os.O_WRONLY, 0)
+	file, err := os.OpenFile(f.auditLogPath(f.Process("r2")), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	if _, err := file.WriteString(`{"what":"start","duty":"sight/0","fence":"96206621.3"}` + "\n"); err != nil {
+	_, err = file.WriteString(`{"what":"start","duty":"sight/0","fence":"96206621.3"}` + "\n")
+	if err := errors.Join(err, file.Close()); err != nil {
 		t.Fatal(err)
 	}
 	if wrong := CheckLeases(f, false); len(wrong) == 0 {
-		t.Error("two holders of one token are not found in stored records")
+		t.Error("two holders of one token are not found in stored audit logs")
 	}
 }
 
 // A line is one JSON object with sorted keys, numbered, with the time in ms and the process's id and name.
-func TestRecordLine_KeepsItsForm(t *testing.T) {
+func TestAuditLine_KeepsItsForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.jsonl")
-	r, err := audit.Open(path, "r1")
+	log, err := audit.Open(path, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Add("taken", audit.Fields{"duty": "sight/0", "fence": "5.1"})
-	r.Add("session", audit.Fields{"held": true, "incarnation": uint64(1796206621786), "why": ""})
-	r.Close()
+	log.Add("taken", audit.Fields{"duty": "sight/0", "fence": "5.1"})
+	log.Add("session", audit.Fields{"held": true, "incarnation": uint64(1796206621786), "why": ""})
+	log.Close()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -155,14 +162,10 @@
 	}
 }
 
-// What processes write today has the fields that checkers of stored records know.
-func TestRecords_KeepTheirFields(t *testing.T) {
-	binary, err := build()
-	if err != nil {
-		t.Fatal(err)
-	}
-	few <- true
-	defer func() { <-few }()
+// What processes write today has the fields that checkers of stored audit logs know.
+func TestAuditLogs_KeepTheirFields(t *testing.T) {
+	binary := buildProgram(t)
+	takeFleetSlot(t)
 	f, err := New(Options{Binary: binary, Dir: t.TempDir(), Coordinators: 3, Routers: 2, Members: 2, HealthShareInterval: 250 * time.Millisecond, Switchover: true})
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +188,7 @@
 		}
 	}
 	pinned := pinnedSignatures(t)
-	awaited := map[string]bool{} // all that the stored records have, since the same was played
+	awaited := map[string]bool{} // all that the stored audit logs have, since the same was done
 	for line := range signatures(t, storedFleet(t)) {
 		awaited[line] = true
 	}
--- a/internal/lab/fleet/commands_test.go
+++ b/internal/lab/fleet/commands_test.go
@@ -19,20 +19,17 @@
 	return string(out), err
 }
 
-// Each command, flag and argument that operators' scripts may have is taken. The help flag is looked at after all others were read: with one that is
-// not known nothing is printed but an error.
-func TestCommands_AreTaken(t *testing.T) {
-	binary, err := build()
-	if err != nil {
-		t.Fatal(err)
-	}
+// Each command, flag and argument that operators' scripts may have is accepted. The help flag is evaluated after all others were parsed: with an
+// unknown one nothing is printed but an error.
+func TestCommands_AreAccepted(t *testing.T) {
+	binary := buildProgram(t)
 	lines, err := os.ReadFile(filepath.Join(commandsDir, "commands.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file")
-	if err := os.WriteFile(file, nil, 0o600); err != nil {
+	if err := os.WriteFile(file, nil, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(lines)) {
@@ -42,32 +39,26 @@
 		}
 	}
 	if out, err := runProgram(binary, "fleet", "status", "--other", "--help"); err == nil {
-		t.Errorf("a flag that is not known was taken: %s", out)
+		t.Errorf("an unknown flag was accepted: %s", out)
 	}
 }
 
 // The environment's names for flags stay.
 func TestCommands_KeepTheirEnvironment(t *testing.T) {
-	binary, err := build()
-	if err != nil {
-		t.Fatal(err)
-	}
+	binary := buildProgram(t)
 	for _, c := range []struct{ name, command string }{
 		{"PROXY_CONFIG", "serve"}, {"PROXY_CONFIG", "check"}, {"WAYLOFT_COUNCIL", "fleet status"}, {"WAYLOFT_FLEET", "policy propose"},
 	} {
 		out, err := runProgram(binary, append(strings.Fields(c.command), "--help")...)
 		if err != nil || !strings.Contains(out, "($"+c.name+")") {
-			t.Errorf("%s doesn't tell of %s: %v: %s", c.command, c.name, err, out)
+			t.Errorf("%s doesn't name %s: %v: %s", c.command, c.name, err, out)
 		}
 	}
 }
 
 // Each key of the platform's configuration must be there, and is named where it isn't.
 func TestPlatformConfiguration_KeepsItsKeys(t *testing.T) {
-	binary, err := build()
-	if err != nil {
-		t.Fatal(err)
-	}
+	binary := buildProgram(t)
 	text, err := os.ReadFile(filepath.Join(commandsDir, "platform.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, text, 0o600); err != nil {
+		if err := os.WriteFile(path, text, fileMode); err != nil {
 			t.Fatal(err)
 		}
 		return runProgram(binary, "check", "--config", path)
@@ -110,12 +101,9 @@
 	}
 }
 
-// The shipped settings are taken by the program as they are.
-func TestShippedSettings_AreTaken(t *testing.T) {
-	binary, err := build()
-	if err != nil {
-		t.Fatal(err)
-	}
+// The program accepts the shipped settings as they are.
+func TestShippedSettings_AreAccepted(t *testing.T) {
+	binary := buildProgram(t)
 	if out, err := runProgram(binary, "check", "--config", "../../../deploy/wayloft.toml"); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
--- /dev/null
+++ b/internal/lab/fleet/link.go
@@ -0,0 +1,258 @@
+package fleet
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+const (
+	linkDialTimeout = 5 * time.Second
+	linkBufferSize  = 32 << 10
+)
+
+// Directions of a link, as indexes.
+const (
+	forward = 0 // from From to To
+	back    = 1
+)
+
+// Link is a proxy between two processes, which passes on what one sends to the other until it is told otherwise. It owns the connections on
+// both sides and keeps what it holds back in order. Its methods may be called at the same time.
+type Link struct {
+	From, To string
+	Addr     string // where From connects
+	target   string
+
+	listener net.Listener
+
+	mu          sync.Mutex
+	changed     *sync.Cond // broadcast when a fault is set or healed
+	faults      linkFaults
+	connections map[net.Conn]bool
+	held        [2]int // bytes that wait to be passed on, by direction
+
+	Bytes [2]int // passed on, by direction
+	Made  int    // connections that were accepted
+}
+
+// unlimited means that a link passes any number of bytes on.
+const unlimited = -1
+
+// linkFaults are the faults of a link.
+type linkFaults struct {
+	blackhole    [2]bool       // by direction: nothing is passed on, and nothing is lost
+	reset        bool          // connections end with RST, new ones too
+	delay        time.Duration // of each piece, in both directions
+	forwardLimit int           // bytes still passed on forward before all connections end with RST; negative: unlimited
+}
+
+// NewSwitch makes a link to an address.
+func NewSwitch(from, to, target string) (*Link, error) {
+	listener, err := ListenFree()
+	if err != nil {
+		return nil, err
+	}
+	l := &Link{From: from, To: to, Addr: listener.Addr().String(), target: target, listener: listener, connections: map[net.Conn]bool{},
+		faults: linkFaults{forwardLimit: unlimited}}
+	l.changed = sync.NewCond(&l.mu)
+	go l.accept()
+	return l, nil
+}
+
+// Close ends the link and all its connections, and releases its port.
+func (l *Link) Close() {
+	l.change(func() { l.faults.reset = true })
+	if err := errors.Join(l.listener.Close(), ReleasePort(l.listener.Addr())); err != nil {
+		logrus.WithError(err).WithField("address", l.Addr).Debug("link not closed")
+	}
+	l.resetConnections()
+}
+
+// change changes the link's state and wakes who waits for that.
+func (l *Link) change(set func()) {
+	l.mu.Lock()
+	set()
+	l.mu.Unlock()
+	l.changed.Broadcast()
+}
+
+// Hole holds back what goes forward, what comes back, or both; neither side notices anything.
+func (l *Link) Hole(forward, back bool) {
+	l.change(func() { l.faults.blackhole = [2]bool{forward, back} })
+}
+
+// Held tells how many bytes wait to be passed on forward, and back.
+func (l *Link) Held() [2]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.held
+}
+
+// passedBytes tells how many bytes were passed on in both directions.
+func (l *Link) passedBytes() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.Bytes[forward] + l.Bytes[back]
+}
+
+// Cut ends all connections with RST, and each new one, until Heal.
+func (l *Link) Cut() {
+	l.change(func() { l.faults.reset = true })
+	l.resetConnections()
+}
+
+// Delay holds each piece for so long, in both directions.
+func (l *Link) Delay(delay time.Duration) { l.change(func() { l.faults.delay = delay }) }
+
+// CutAfter ends all connections with RST once so many more bytes have gone forward.
+func (l *Link) CutAfter(bytes int) { l.change(func() { l.faults.forwardLimit = bytes }) }
+
+// HalfClose ends the stream that goes forward; what comes back is still passed on.
+func (l *Link) HalfClose() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for connection := range l.connections {
+		closeWrite(connection)
+	}
+}
+
+// Heal ends all faults. What was held back is passed on first.
+func (l *Link) Heal() { l.change(func() { l.faults = linkFaults{forwardLimit: unlimited} }) }
+
+func (l *Link) resetConnections() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for connection := range l.connections {
+		resetConnection(connection)
+	}
+}
+
+func (l *Link) accept() {
+	for {
+		client, err := l.listener.Accept()
+		if err != nil {
+			return
+		}
+		l.mu.Lock()
+		reset := l.faults.reset
+		l.Made++
+		l.mu.Unlock()
+		if reset {
+			resetConnection(client)
+			continue
+		}
+		go l.serve(client)
+	}
+}
+
+// serve passes on what goes over one connection until both directions have ended.
+func (l *Link) serve(client net.Conn) {
+	l.waitToConnect()
+	server, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
+	if err != nil {
+		resetConnection(client)
+		return
+	}
+	l.change(func() { l.connections[client], l.connections[server] = true, true })
+	var directions sync.WaitGroup
+	directions.Go(func() { l.pass(server, client, forward) })
+	directions.Go(func() { l.pass(client, server, back) })
+	directions.Wait()
+	closeConnection(client)
+	closeConnection(server)
+	l.change(func() {
+		delete(l.connections, client)
+		delete(l.connections, server)
+	})
+}
+
+// waitToConnect waits while what goes forward is held back: whoever connects must not learn whether anybody listens.
+func (l *Link) waitToConnect() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.faults.blackhole[forward] && !l.faults.reset {
+		l.changed.Wait()
+	}
+}
+
+// pass passes on what comes in one direction until its end.
+func (l *Link) pass(to, from net.Conn, direction int) {
+	buffer := make([]byte, linkBufferSize)
+	for {
+		count, err := from.Read(buffer)
+		if count > 0 {
+			allowed, last := l.hold(count, direction)
+			if allowed == 0 && !last {
+				return
+			}
+			if _, failure := to.Write(buffer[:allowed]); failure != nil {
+				err = failure
+			}
+			if last {
+				l.Cut()
+				return
+			}
+		}
+		if err != nil {
+			closeWrite(to)
+			return
+		}
+	}
+}
+
+// hold waits until so many bytes may be passed on and gives how many of them. None are where the connection is reset; last: the connections
+// are to be reset after them.
+func (l *Link) hold(count, direction int) (allowed int, last bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if delay := l.faults.delay; delay > 0 {
+		l.mu.Unlock()
+		time.Sleep(delay)
+		l.mu.Lock()
+	}
+	l.held[direction] += count
+	for l.faults.blackhole[direction] && !l.faults.reset {
+		l.changed.Wait()
+	}
+	l.held[direction] -= count
+	if l.faults.reset {
+		return 0, false
+	}
+	if direction == forward && l.faults.forwardLimit >= 0 {
+		last = count >= l.faults.forwardLimit
+		count = min(count, l.faults.forwardLimit)
+		l.faults.forwardLimit -= count
+	}
+	l.Bytes[direction] += count
+	return count, last
+}
+
+// closeConnection closes a connection that may have been closed before.
+func closeConnection(connection net.Conn) {
+	if err := connection.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		logrus.WithError(err).Debug("connection not closed")
+	}
+}
+
+// resetConnection ends a connection with RST.
+func resetConnection(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		if err := tcp.SetLinger(0); err != nil && !errors.Is(err, net.ErrClosed) {
+			logrus.WithError(err).Debug("connection will end without RST")
+		}
+	}
+	closeConnection(connection)
+}
+
+// closeWrite ends the stream that goes out. It fails where the other side has ended the connection, which is as good.
+func closeWrite(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		if err := tcp.CloseWrite(); err != nil {
+			logrus.WithError(err).Debug("end of stream not sent")
+		}
+	}
+}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -7,146 +7,178 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/sirupsen/logrus"
 
 	"wayloft/internal/pg"
 )
 
-// WriteLoad is clients that write, one after the other, each write once: what they heard of each is kept.
+const (
+	maxLatencyMicros  = 60e6 // of a histogram
+	latencyDigits     = 3
+	clientDialTimeout = time.Second
+	reconnectDelay    = 20 * time.Millisecond
+	thinkTime         = 3 * time.Millisecond // between two writes, which leaves the machine to the processes
+	clientBufferSize  = 1 << 14
+	maxClientMessage  = 1 << 20 // bytes
+)
+
+// WriteLoad is a number of clients that each send one write after the other, each write once, and note the response.
 type WriteLoad struct {
 	mu         sync.Mutex
 	Succeeded  []string
-	Rejected   []string                // it did not take effect
-	Unresolved []string                // nobody can tell
-	times      *hdrhistogram.Histogram // of committed ones, in microseconds
+	Rejected   []string                // they did not take effect
+	Unresolved []string                // they may have taken effect
+	latencies  *hdrhistogram.Histogram // of those that succeeded, in microseconds
 	stop       chan struct{}
-	stopped    bool
-	all        sync.WaitGroup
+	stopOnce   sync.Once
+	writers    sync.WaitGroup
 }
 
 // NewWriteLoad starts so many writers, spread over routers.
 func NewWriteLoad(routers []string, writers int) *WriteLoad {
-	l := &WriteLoad{stop: make(chan struct{}), times: hdrhistogram.New(1, 60e6, 3)}
+	l := &WriteLoad{stop: make(chan struct{}), latencies: hdrhistogram.New(1, maxLatencyMicros, latencyDigits)}
 	for n := range writers {
-		l.all.Go(func() { l.write(routers, n) })
+		l.writers.Go(func() { l.write(routers, n) })
 	}
 	return l
 }
 
-// Stop ends them, each after the answer that it waits for.
+// Stop ends the writers, each after the response that it waits for.
 func (l *WriteLoad) Stop() {
-	l.mu.Lock()
-	if !l.stopped {
-		l.stopped = true
-		close(l.stop)
-	}
-	l.mu.Unlock()
-	l.all.Wait()
+	l.stopOnce.Do(func() { close(l.stop) })
+	l.writers.Wait()
 }
 
-// Reset forgets what was heard so far, for a measurement.
+// Reset forgets all responses so far, before a measurement.
 func (l *WriteLoad) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Succeeded, l.Rejected, l.Unresolved = nil, nil, nil
-	l.times.Reset()
+	l.latencies.Reset()
 }
 
-// WaitForWrites waits until so many more are committed.
-func (l *WriteLoad) WaitForWrites(n int) error {
-	count := func() int {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return len(l.Succeeded)
-	}
-	from := count()
-	return WaitUntil(fmt.Sprint(n, " more writes"), func() (bool, error) { return count() >= from+n, nil })
+// WaitForWrites waits until so many more writes have succeeded.
+func (l *WriteLoad) WaitForWrites(more int) error {
+	wanted := l.succeeded() + more
+	return WaitUntil(fmt.Sprint(more, " more writes"), func() (bool, error) { return l.succeeded() >= wanted, nil })
+}
+
+func (l *WriteLoad) succeeded() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.Succeeded)
 }
 
+// write is one writer. Each of its connections goes to the next router.
 func (l *WriteLoad) write(routers []string, writer int) {
-	var c net.Conn
-	var in *pg.Reader
-	defer func() {
-		if c != nil {
-			c.Close()
-		}
-	}()
-	for n := 0; ; n++ {
-		select {
-		case <-l.stop:
-			return
-		default:
-		}
-		if c == nil {
+	var session *clientSession
+	defer func() { session.close() }()
+	for n := 0; !l.stopped(); n++ {
+		if session == nil {
 			var err error
-			if c, in, err = session(routers[(writer+n)%len(routers)]); err != nil {
-				c = nil
-				time.Sleep(20 * time.Millisecond)
+			if session, err = openSession(routers[(writer+n)%len(routers)]); err != nil {
+				time.Sleep(reconnectDelay)
 				continue
 			}
 		}
 		handle := fmt.Sprintf("w%d-%d", writer, n)
-		begun := time.Now()
-		code, err := ask(c, in, fmt.Sprintf("/* id=%s,c=write,d=15000 */ INSERT INTO rows (handle, blob) VALUES ('%s', 'x') RETURNING blob", handle, handle))
-		l.mu.Lock()
-		switch {
-		case err != nil:
-			l.Unresolved = append(l.Unresolved, handle)
-			c.Close()
-			c = nil
-		case code == "":
-			l.Succeeded = append(l.Succeeded, handle)
-			l.times.RecordValue(min(time.Since(begun).Microseconds(), 60e6))
-		case code == pg.TooManyConnections:
-			l.Rejected = append(l.Rejected, handle)
-		default:
-			l.Unresolved = append(l.Unresolved, handle)
+		started := time.Now()
+		code, err := session.query(fmt.Sprintf("/* id=%s,c=write,d=15000 */ INSERT INTO rows (handle, blob) VALUES ('%s', 'x') RETURNING blob", handle, handle))
+		l.note(handle, code, err, time.Since(started))
+		if err != nil {
+			session.close()
+			session = nil
 		}
-		l.mu.Unlock()
-		time.Sleep(3 * time.Millisecond) // clients think, and the machine has others to run
+		time.Sleep(thinkTime)
 	}
 }
 
-func session(addr string) (net.Conn, *pg.Reader, error) {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
-	if err != nil {
-		return nil, nil, err
+func (l *WriteLoad) stopped() bool {
+	select {
+	case <-l.stop:
+		return true
+	default:
+		return false
 	}
-	in := pg.NewReader(true, 1<<20)
-	if _, err := c.Write(pg.AppendStartup(nil, "api", "ledger")); err == nil {
-		_, err = answer(c, in)
+}
+
+// note notes the response to a write: an SQLSTATE, or empty for success, or an error where there was none.
+func (l *WriteLoad) note(handle, code string, err error, took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch {
+	case err == nil && code == "":
+		l.Succeeded = append(l.Succeeded, handle)
+		record(l.latencies, min(took.Microseconds(), maxLatencyMicros))
+	case err == nil && code == pg.TooManyConnections:
+		l.Rejected = append(l.Rejected, handle)
+	default:
+		l.Unresolved = append(l.Unresolved, handle)
+	}
+}
+
+// record records a value; one that the histogram can't hold is logged.
+func record(histogram *hdrhistogram.Histogram, number int64) {
+	if err := histogram.RecordValue(number); err != nil {
+		logrus.WithError(err).Warn("value not recorded")
 	}
+}
+
+// clientSession is a client's connection to a router.
+type clientSession struct {
+	connection net.Conn
+	reader     *pg.Reader
+}
+
+// openSession connects to a router and waits until it accepts queries.
+func openSession(address string) (*clientSession, error) {
+	connection, err := net.DialTimeout("tcp", address, clientDialTimeout)
 	if err != nil {
-		c.Close()
-		return nil, nil, err
+		return nil, err
 	}
-	return c, in, nil
+	s := &clientSession{connection: connection, reader: pg.NewReader(true, maxClientMessage)}
+	if _, err := s.send(pg.AppendStartup(nil, "api", "ledger")); err != nil {
+		s.close()
+		return nil, err
+	}
+	return s, nil
 }
 
-func ask(c net.Conn, in *pg.Reader, sql string) (code string, err error) {
-	if _, err := c.Write(pg.AppendQuery(nil, sql)); err != nil {
-		return "", err
+// close closes a session, if there is one.
+func (s *clientSession) close() {
+	if s != nil {
+		closeConnection(s.connection)
 	}
-	return answer(c, in)
 }
 
-// answer reads up to the end of one, and gives the code of an error.
-func answer(c net.Conn, in *pg.Reader) (code string, err error) {
-	buf := make([]byte, 1<<14)
-	c.SetReadDeadline(time.Now().Add(WaitLimit))
+// query sends a statement and gives the SQLSTATE of the response; empty: success.
+func (s *clientSession) query(sql string) (code string, err error) {
+	return s.send(pg.AppendQuery(nil, sql))
+}
+
+// send sends a message and reads up to the end of its response.
+func (s *clientSession) send(message []byte) (code string, err error) {
+	if _, err := s.connection.Write(message); err != nil {
+		return "", err
+	}
+	if err := s.connection.SetReadDeadline(time.Now().Add(WaitLimit)); err != nil {
+		return "", err
+	}
+	buffer := make([]byte, clientBufferSize)
 	for {
-		m, ok, err := in.Next()
+		received, complete, err := s.reader.Next()
 		switch {
 		case err != nil:
 			return "", err
-		case !ok:
-			n, err := c.Read(buf)
+		case !complete:
+			count, err := s.connection.Read(buffer)
 			if err != nil {
 				return "", err
 			}
-			in.Feed(buf[:n])
-		case m.Kind == pg.ErrorResponse:
-			code = m.Error.Code
-		case m.Kind == pg.ReadyForQuery:
+			s.reader.Feed(buffer[:count])
+		case received.Kind == pg.ErrorResponse:
+			code = received.Error.Code
+		case received.Kind == pg.ReadyForQuery:
 			return code, nil
 		}
 	}
--- /dev/null
+++ b/internal/lab/fleet/measure_gaps.go
@@ -0,0 +1,187 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	client "wayloft/internal/fleet"
+)
+
+// The fleet on which gaps are measured, besides its coordinator of three.
+const (
+	measuredCoordinators        = 3
+	measuredRouters             = 3
+	measuredMembers             = 3
+	measuredLease               = "sight/0"
+	measuredHealthShareInterval = 100 * time.Millisecond
+	maxGapMs                    = 60e3
+)
+
+// errNoHolder means that no router acts for the measured lease.
+var errNoHolder = errors.New("no router holds " + measuredLease)
+
+// failure is one way in which a lease holder fails, and how it recovers.
+type failure struct {
+	name    string
+	fail    func(*Fleet, *Process)
+	recover func(*Fleet, *Process) error
+}
+
+// holderFailures are those that are measured; their names are printed.
+var holderFailures = []failure{
+	{"owner killed", func(_ *Fleet, p *Process) { p.Kill() }, restart},
+	{"owner stopped", func(_ *Fleet, p *Process) { p.Stop() }, func(_ *Fleet, p *Process) error { p.Resume(); return nil }},
+	{"owner cut off from the council", isolate, reconnect},
+	{"owner told to end", func(_ *Fleet, p *Process) { p.Terminate() }, restart},
+}
+
+// restart starts a process again once it has ended.
+func restart(_ *Fleet, p *Process) error {
+	if !p.WaitExit(WaitLimit) {
+		return fmt.Errorf("%s: %w", p.Name, errRunsOn)
+	}
+	return p.startAndWait()
+}
+
+// isolate holds back all that a router sends to the coordinator, and the responses.
+func isolate(f *Fleet, p *Process) {
+	for _, link := range f.coordinatorLinks(p) {
+		link.Hole(true, true)
+	}
+}
+
+func reconnect(f *Fleet, p *Process) error {
+	for _, link := range f.coordinatorLinks(p) {
+		link.Heal()
+	}
+	return nil
+}
+
+// coordinatorLinks gives the links from a process to the coordinator nodes.
+func (f *Fleet) coordinatorLinks(p *Process) (links []*Link) {
+	for _, node := range f.ofKind(coordinatorKind) {
+		if link := f.Link(p.Name, node.Name); link != nil {
+			links = append(links, link)
+		}
+	}
+	return links
+}
+
+// gapMeasurement is a fleet on which failures are repeated.
+type gapMeasurement struct {
+	fleet          *Fleet
+	client         *client.Client
+	repeats        int
+	sessionTimeout time.Duration
+}
+
+// MeasureLeaseGaps measures how long nobody acts for a lease after each kind of failure of its holder, and how long the coordinator has no
+// leader after the leader's: from the failure to the next start, by the audit logs. Each is repeated on one fleet; report gets the
+// distribution of each in ms.
+func MeasureLeaseGaps(binary, directory string, repeats int, sessionTimeout time.Duration, report func(string, *hdrhistogram.Histogram)) error {
+	f, err := New(Options{Binary: binary, Dir: directory, Coordinators: measuredCoordinators, Routers: measuredRouters, Members: measuredMembers,
+		Links: true, SessionTimeout: sessionTimeout, HealthShareInterval: measuredHealthShareInterval})
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	if err := f.Start(); err != nil {
+		return err
+	}
+	m := &gapMeasurement{fleet: f, client: f.newClient(), repeats: repeats, sessionTimeout: sessionTimeout}
+	defer m.client.Close()
+	for _, failure := range holderFailures {
+		if err := m.repeat(failure.name, func() (float64, error) { return m.holderGap(failure) }, report); err != nil {
+			return err
+		}
+	}
+	return m.repeat("council's leader killed", m.leaderGap, report)
+}
+
+// repeat measures one kind of failure and reports it.
+func (m *gapMeasurement) repeat(name string, measure func() (gapMs float64, err error), report func(string, *hdrhistogram.Histogram)) error {
+	gaps := hdrhistogram.New(1, maxGapMs, latencyDigits)
+	for range m.repeats {
+		gapMs, err := measure()
+		if err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		record(gaps, int64(gapMs))
+	}
+	report(name, gaps)
+	return nil
+}
+
+// holderGap has the lease holder fail once, between two heartbeats at random, and gives the time without one in ms.
+func (m *gapMeasurement) holderGap(failure failure) (float64, error) {
+	if err := waitForRouterSessions(m.client, measuredRouters); err != nil {
+		return 0, err
+	}
+	if err := waitForQueue(m.client, measuredLease, measuredRouters-1); err != nil {
+		return 0, err
+	}
+	time.Sleep(time.Duration(rand.Float64() * float64(m.sessionTimeout) / 2))
+	name, token, err := m.fleet.LeaseHolder(measuredLease)
+	if err != nil {
+		return 0, err
+	}
+	if name == "" {
+		return 0, errNoHolder
+	}
+	holder, failedAt := m.fleet.Process(name), unixMs()
+	failure.fail(m.fleet, holder)
+	next, err := m.fleet.waitForEvent("the next holder", routerKind, func(e AuditEvent) bool {
+		return e.event() == holderStarted && e.time() > failedAt && e.Text(tokenField) != token
+	})
+	if err != nil {
+		return 0, err
+	}
+	return next - failedAt, failure.recover(m.fleet, holder)
+}
+
+// leaderGap kills the coordinator's leader once and gives the time without one in ms.
+func (m *gapMeasurement) leaderGap() (float64, error) {
+	name, err := m.fleet.coordinatorLeader()
+	if err != nil {
+		return 0, err
+	}
+	leader, failedAt := m.fleet.Process(name), unixMs()
+	leader.Kill()
+	next, err := m.fleet.waitForEvent("the next leader", coordinatorKind, func(e AuditEvent) bool {
+		elected := e.Text(leaderField)
+		return e.event() == leaderElected && e.time() > failedAt && elected != "" && elected != name
+	})
+	if err != nil {
+		return 0, err
+	}
+	if err := leader.startAndWait(); err != nil {
+		return 0, err
+	}
+	return next - failedAt, waitForRouterSessions(m.client, measuredRouters)
+}
+
+// unixMs gives the time as audit logs have it.
+func unixMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+
+// waitForEvent waits until the audit log of a process of this kind has an event that matches, and gives the first one's time.
+func (f *Fleet) waitForEvent(what, kind string, matches func(AuditEvent) bool) (timeMs float64, err error) {
+	err = WaitUntil(what, func() (bool, error) {
+		for _, p := range f.ofKind(kind) {
+			events, err := f.AuditEvents(p.Name)
+			if err != nil {
+				return false, err
+			}
+			if at := slices.IndexFunc(events, matches); at >= 0 {
+				timeMs = events[at].time()
+				return true, nil
+			}
+		}
+		return false, nil
+	})
+	return timeMs, err
+}
--- a/internal/lab/fleet/ports_test.go
+++ b/internal/lab/fleet/ports_test.go
@@ -130,11 +130,11 @@
 	for _, address := range fleet.ports {
 		ports = append(ports, address.Port)
 	}
-	for _, link := range fleet.switches {
-		ports = append(ports, link.l.Addr().(*net.TCPAddr).Port)
+	for _, link := range fleet.links {
+		ports = append(ports, link.listener.Addr().(*net.TCPAddr).Port)
 	}
-	if len(fleet.ports) != 4 || len(fleet.switches) < 2 { // processes and the router's receiver; from the router to the others
-		t.Fatalf("%d addresses, %d links", len(fleet.ports), len(fleet.switches))
+	if len(fleet.ports) != 4 || len(fleet.links) < 2 { // processes and the router's receiver; from the router to the others
+		t.Fatalf("%d addresses, %d links", len(fleet.ports), len(fleet.links))
 	}
 	other := newPortReservations(sharedPorts.path)
 	for _, port := range ports {
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -6,109 +6,155 @@
 	"sync"
 	"time"
 
-	"wayloft/internal/decide/lease"
+	"github.com/sirupsen/logrus"
+
 	"wayloft/internal/decide/leasestate"
 	client "wayloft/internal/fleet"
 	"wayloft/internal/lab/fleet/simulation"
 )
 
-// Probe is clients of the coordinator that take and give back a lease and ask where it stands, whatever befalls the coordinator; what they
-// heard is checked against what one process would have answered.
+const (
+	probeLease          = "probe"
+	probeRole           = "probe"
+	probeClients        = 3
+	probeSessionTimeout = 60000 // ms
+	probeRequestTimeout = 3 * time.Second
+	probePause          = 5 * time.Millisecond
+	minProbeResponses   = 20 // a shorter history would show nothing
+)
+
+// Kinds of operations in a history.
+const (
+	acquireOperation = "take"
+	readOperation    = "stand"
+)
+
+// Probe is a number of clients of the coordinator that acquire and release one lease and read its latest token, whatever happens to the
+// coordinator. Check tells whether the responses are linearizable: whether one process could have given them.
 type Probe struct {
-	mu   sync.Mutex
-	ops  []simulation.Operation
-	stop context.CancelFunc
-	all  sync.WaitGroup
+	mu         sync.Mutex
+	operations []simulation.Operation
+	cancel     context.CancelFunc
+	clients    sync.WaitGroup
 }
 
-const probed = "probe"
-
-// NewProbe starts three.
-func NewProbe(fleet string, addrs []string) *Probe {
+// NewProbe starts a probe of a fleet's coordinator.
+func NewProbe(fleet string, addresses []string) *Probe {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &Probe{stop: cancel}
-	begun := time.Now()
-	for n := range 3 {
-		p.all.Go(func() { p.run(ctx, begun, client.NewClient(fleet, addrs, nil), n) })
+	p := &Probe{cancel: cancel}
+	started := time.Now()
+	for n := range probeClients {
+		c := &probeClient{probe: p, client: client.NewClient(fleet, addresses, nil), number: n, session: fmt.Sprint("probe", n), started: started}
+		p.clients.Go(func() { c.run(ctx) })
 	}
 	return p
 }
 
-func (p *Probe) run(ctx context.Context, begun time.Time, c *client.Client, n int) {
-	defer c.Close()
-	name := fmt.Sprint("probe", n)
-	now := func() float64 { return float64(time.Since(begun).Microseconds()) / 1000 }
-	for turn := 0; ctx.Err() == nil; turn++ {
-		e := leasestate.Entry{Session: name, Incarnation: 1, Lease: probed}
-		op := simulation.Operation{Client: n, Lease: probed, Session: name, StartedMs: now(), EndedMs: -1}
-		one, cancel := context.WithTimeout(ctx, 3*time.Second)
-		var a leasestate.Result
-		var err error
-		switch turn % 4 {
-		case 0:
-			e.Kind, e.Role, e.Timeout = leasestate.OpenSession, "probe", 60000
-			a, err = c.ProposeEntry(one, e)
-		case 1:
-			op.Kind, e.Kind = "take", leasestate.AcquireLease
-			a, err = c.ProposeEntry(one, e)
-		case 2:
-			op.Kind = "stand"
-			var fences []lease.Token
-			if fences, err = c.LatestTokens(one, []string{probed}); err == nil {
-				a.Token = fences[0]
-			}
-		case 3:
-			if last := p.held(name); last.Held {
-				e.Kind, e.Token = leasestate.ReleaseLease, last.Token
-				c.ProposeEntry(one, e)
-			}
-		}
-		cancel()
-		if op.Kind != "" && err == nil && a.Refusal != leasestate.RefusedNoSession {
-			op.EndedMs, op.Held, op.Token = now(), a.Held, a.Token
-			p.mu.Lock()
-			p.ops = append(p.ops, op)
-			p.mu.Unlock()
-		}
-		time.Sleep(5 * time.Millisecond)
+// Stop ends the clients.
+func (p *Probe) Stop() {
+	p.cancel()
+	p.clients.Wait()
+}
+
+// WaitForRequests waits until there are well more responses than Check needs.
+func (p *Probe) WaitForRequests() error {
+	return WaitUntil("responses of the coordinator", func() (bool, error) {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return len(p.operations) >= 2*minProbeResponses, nil
+	})
+}
+
+// Check gives the violations in the responses.
+func (p *Probe) Check() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.operations) < minProbeResponses {
+		return []string{fmt.Sprintf("the coordinator gave only %d responses", len(p.operations))}
 	}
+	return simulation.Linear(p.operations)
 }
 
-func (p *Probe) held(name string) (last simulation.Operation) {
+func (p *Probe) add(operation simulation.Operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, op := range p.ops {
-		if op.Session == name && op.Kind == "take" {
-			last = op
+	p.operations = append(p.operations, operation)
+}
+
+// probeClient is one client with its own session.
+type probeClient struct {
+	probe    *Probe
+	client   *client.Client
+	number   int
+	session  string
+	started  time.Time
+	acquired simulation.Operation // the latest acquisition that had a response
+}
+
+// run repeats open session, acquire, read and release until ctx ends.
+func (c *probeClient) run(ctx context.Context) {
+	defer c.client.Close()
+	requests := []func(context.Context) error{c.openSession, c.acquire, c.read, c.release}
+	for turn := 0; ctx.Err() == nil; turn++ {
+		requestCtx, cancel := context.WithTimeout(ctx, probeRequestTimeout)
+		if err := requests[turn%len(requests)](requestCtx); err != nil {
+			logrus.WithError(err).WithField("session", c.session).Debug("request without response")
 		}
+		cancel()
+		time.Sleep(probePause)
 	}
-	return last
 }
 
-// least is how many answers a history needs to be one.
-const least = 20
+// nowMs gives the time since the probe's start.
+func (c *probeClient) nowMs() float64 { return float64(time.Since(c.started).Microseconds()) / 1000 }
 
-// WaitForRequests waits until there are some more than that.
-func (p *Probe) WaitForRequests() error {
-	return WaitUntil("answers of the council", func() (bool, error) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return len(p.ops) >= 2*least, nil
-	})
+// entry gives an entry of this client's session.
+func (c *probeClient) entry(kind leasestate.Kind) leasestate.Entry {
+	return leasestate.Entry{Kind: kind, Session: c.session, Incarnation: 1, Lease: probeLease}
 }
 
-// Stop ends them.
-func (p *Probe) Stop() {
-	p.stop()
-	p.all.Wait()
+// begin gives an operation that begins now and has no response yet.
+func (c *probeClient) begin(kind string) simulation.Operation {
+	return simulation.Operation{Client: c.number, Kind: kind, Lease: probeLease, Session: c.session, StartedMs: c.nowMs(), EndedMs: -1}
 }
 
-// Check says what is wrong with what they heard.
-func (p *Probe) Check() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.ops) < least {
-		return []string{fmt.Sprintf("only %d answers were heard of the council", len(p.ops))}
+func (c *probeClient) openSession(ctx context.Context) error {
+	entry := c.entry(leasestate.OpenSession)
+	entry.Role, entry.Timeout = probeRole, probeSessionTimeout
+	_, err := c.client.ProposeEntry(ctx, entry)
+	return err
+}
+
+func (c *probeClient) acquire(ctx context.Context) error {
+	operation := c.begin(acquireOperation)
+	result, err := c.client.ProposeEntry(ctx, c.entry(leasestate.AcquireLease))
+	if err != nil || result.Refusal == leasestate.RefusedNoSession {
+		return err
+	}
+	operation.EndedMs, operation.Held, operation.Token = c.nowMs(), result.Held, result.Token
+	c.probe.add(operation)
+	c.acquired = operation
+	return nil
+}
+
+func (c *probeClient) read(ctx context.Context) error {
+	operation := c.begin(readOperation)
+	tokens, err := c.client.LatestTokens(ctx, []string{probeLease})
+	if err != nil {
+		return err
+	}
+	operation.EndedMs, operation.Token = c.nowMs(), tokens[0]
+	c.probe.add(operation)
+	return nil
+}
+
+// release releases the lease if this client holds it by the latest response. The release isn't part of the history.
+func (c *probeClient) release(ctx context.Context) error {
+	if !c.acquired.Held {
+		return nil
 	}
-	return simulation.Linear(p.ops)
+	entry := c.entry(leasestate.ReleaseLease)
+	entry.Token = c.acquired.Token
+	_, err := c.client.ProposeEntry(ctx, entry)
+	return err
 }
--- /dev/null
+++ b/internal/lab/fleet/runner.go
@@ -0,0 +1,204 @@
+package fleet
+
+import (
+	"fmt"
+	"path/filepath"
+	"slices"
+	"time"
+
+	client "wayloft/internal/fleet"
+)
+
+const (
+	scenarioHealthShareInterval = 100 * time.Millisecond
+	scenarioCoordinatorKeys     = "tick = \"20ms\"\n"
+	extraClassKeys              = "[[txn_types]]\nname = \"extra\"\nsla = \"1s\"\nexpiry = \"2s\"\n"
+)
+
+// Outcome is what happened in a scenario.
+type Outcome struct {
+	StaleActs, AcceptedActs int // at receivers
+	Succeeded               int // writes
+	Unresolved              int // writes
+	Duration                time.Duration
+}
+
+// ViolationsError means that checkers found violations in what the processes of a scenario wrote.
+type ViolationsError struct{ Violations []string }
+
+// Error lists the violations.
+func (e *ViolationsError) Error() string {
+	list := "violations:"
+	for _, violation := range e.Violations {
+		list += "\n" + violation
+	}
+	return list
+}
+
+// runner runs a scenario: it has the fleet, its clients, and what earlier steps noted.
+type runner struct {
+	scenario *Scenario
+	fleet    *Fleet
+	client   *client.Client
+	writes   *WriteLoad // nil: the scenario has no writers
+	probe    *Probe     // nil: the scenario has none
+
+	variables  map[string]string
+	failpoints map[failpointKey]string // effects of those that were set
+	order      uint64                  // number of the latest switchover's
+	proposal   chan commandResult      // of the proposal that isn't waited for
+	agreed     []string                // policy versions that operators were told are agreed
+}
+
+// RunScenario runs a scenario in a directory and checks what the processes wrote. A failed step is a StepError, and what checkers found is a
+// ViolationsError.
+func RunScenario(s *Scenario, binary, directory string) (outcome Outcome, err error) {
+	started := time.Now()
+	f, err := New(s.options(binary, directory))
+	if err != nil {
+		return outcome, err
+	}
+	defer f.Close()
+	if err := f.Start(); err != nil {
+		return outcome, err
+	}
+	r := &runner{scenario: s, fleet: f, client: f.newClient(), variables: map[string]string{}, failpoints: map[failpointKey]string{}}
+	defer r.client.Close()
+	r.startClients()
+	defer r.stopClients()
+	if err := r.runSteps(); err != nil {
+		return outcome, err
+	}
+	if err := r.recover(); err != nil {
+		return outcome, err
+	}
+	if err := r.count(&outcome); err != nil {
+		return outcome, err
+	}
+	outcome.Duration = time.Since(started)
+	if violations := r.check(outcome); len(violations) > 0 {
+		return outcome, &ViolationsError{Violations: violations}
+	}
+	return outcome, nil
+}
+
+// options gives a scenario's fleet.
+func (s *Scenario) options(binary, directory string) Options {
+	options := Options{Binary: binary, Dir: directory, Coordinators: s.Coordinators, Routers: s.Routers, Members: s.Members, Links: true,
+		SessionTimeout: s.sessionTimeout, Switchover: s.Switchover, UnguardedMember: s.Unguarded, CoordinatorKeys: scenarioCoordinatorKeys,
+		RouterKeys: s.routerKeys}
+	if s.HealthSharing {
+		options.HealthShareInterval = scenarioHealthShareInterval
+	}
+	return options
+}
+
+// routerKeys gives the keys of one router's settings, in [fleet] and above it.
+func (s *Scenario) routerKeys(name string) (fleet, top string) {
+	if offset := s.ClockOffsets[name]; offset != "" {
+		fleet = fmt.Sprintf("clock_ahead = %q\n", offset)
+	}
+	if slices.Contains(s.ExtraClass, name) {
+		top = extraClassKeys
+	}
+	return fleet, top
+}
+
+func (r *runner) startClients() {
+	if r.scenario.Writers > 0 {
+		r.writes = NewWriteLoad(r.fleet.routerAddresses(), r.scenario.Writers)
+	}
+	if r.scenario.Probe {
+		r.probe = NewProbe(r.fleet.FleetName, r.fleet.CoordinatorAddresses())
+	}
+}
+
+func (r *runner) stopClients() {
+	if r.writes != nil {
+		r.writes.Stop()
+	}
+	if r.probe != nil {
+		r.probe.Stop()
+	}
+}
+
+// runSteps runs all steps in order.
+func (r *runner) runSteps() error {
+	for n, step := range r.scenario.steps {
+		if err := r.run(step); err != nil {
+			return &StepError{Scenario: r.scenario.name, Number: n + 1, Step: step.text, Err: err}
+		}
+	}
+	return nil
+}
+
+func (r *runner) run(s step) error {
+	for _, variable := range s.variables {
+		if _, set := r.variables[variable]; !set {
+			return fmt.Errorf("$%s is not set", variable)
+		}
+	}
+	return s.action(r)
+}
+
+// bind sets a variable once find gives a value other than the excluded one.
+func (r *runner) bind(bound binding, condition string, find func() (string, error)) error {
+	excluded := ""
+	if bound.not != nil {
+		excluded = bound.not.text(r)
+	}
+	return WaitUntil(condition, func() (bool, error) {
+		found, err := find()
+		if err != nil || found == "" || found == excluded {
+			return false, err
+		}
+		r.variables[bound.variable] = found
+		return true, nil
+	})
+}
+
+// recover ends the clients' writes and all faults, and waits until what is in flight has come to an end.
+func (r *runner) recover() error {
+	if r.probe != nil {
+		if err := r.probe.WaitForRequests(); err != nil {
+			return err
+		}
+	}
+	if r.writes != nil {
+		r.writes.Stop()
+	}
+	for _, p := range r.fleet.Processes() {
+		p.Resume()
+	}
+	r.fleet.healLinks()
+	return r.fleet.waitForPolicy()
+}
+
+// count counts what an outcome has.
+func (r *runner) count(outcome *Outcome) (err error) {
+	if r.writes != nil {
+		outcome.Succeeded, outcome.Unresolved = len(r.writes.Succeeded), len(r.writes.Unresolved)
+	}
+	if outcome.StaleActs, err = r.fleet.countRouterEvents(actStale); err != nil {
+		return err
+	}
+	outcome.AcceptedActs, err = r.fleet.countRouterEvents(actAccepted)
+	return err
+}
+
+// check runs all checkers.
+func (r *runner) check(outcome Outcome) []string {
+	violations := CheckLeases(r.fleet, r.scenario.StateRegresses)
+	violations = append(violations, CheckPolicy(r.fleet, r.agreed, func(p *Process) bool { return p.Pid() > 0 })...)
+	if r.writes != nil {
+		violations = append(violations, CheckWrites(filepath.Join(r.fleet.Dir, memberDirectory), r.writes)...)
+	}
+	if r.probe != nil {
+		r.probe.Stop()
+		violations = append(violations, r.probe.Check()...)
+	}
+	if outcome.StaleActs < r.scenario.MinStaleActs {
+		violations = append(violations, fmt.Sprintf("%d stale acts were refused, not at least %d", outcome.StaleActs, r.scenario.MinStaleActs))
+	}
+	return violations
+}
