--- a/internal/lab/fleet/coordinator.go
+++ b/internal/lab/fleet/coordinator.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"wayloft/internal/decide/policy"
 	client "wayloft/internal/fleet"
 	"wayloft/internal/fleetpb"
 )
@@ -33,6 +34,16 @@
 	})
 }
 
+// versionInForce gives the version of the policy in force.
+func versionInForce(state *fleetpb.State) string {
+	versions := state.State.Policies
+	if len(versions) == 0 {
+		return noPolicyVersion
+	}
+	latest := versions[len(versions)-1]
+	return policy.Version{Epoch: latest.Epoch, Number: latest.Number}.String()
+}
+
 // findLease gives a lease as the coordinator has it; nil: it has none of this name.
 func findLease(state *fleetpb.State, name string) *fleetpb.Duty {
 	at := slices.IndexFunc(state.State.Duties, func(lease *fleetpb.Duty) bool { return lease.Name == name })
