--- a/internal/lab/fleet/audit.go
+++ b/internal/lab/fleet/audit.go
@@ -140,7 +140,7 @@
 	return total, nil
 }
 
-// LeaseHolder tells which router acts for a lease by the audit logs, and its fencing token: the one with the highest token that has started
+// LeaseHolder gives the router that acts for a lease by the audit logs, and its fencing token: the one with the highest token that has started
 // and not stopped. The name is empty where none does.
 func (f *Fleet) LeaseHolder(lease string) (name, token string, err error) {
 	var highest Token
--- a/internal/lab/fleet/config.go
+++ b/internal/lab/fleet/config.go
@@ -5,8 +5,12 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"time"
 )
 
+// holdTimeout is how long writes of a group are held during a switchover.
+const holdTimeout = 3 * time.Second
+
 // routerSeed is the seed of routers' settings; each adds a number of its own.
 const routerSeed = 0x8c1f30d27a5be964
 
@@ -198,7 +202,7 @@
 	}
 	keys.WriteString(overrides)
 	if f.Switchover {
-		fmt.Fprintf(&keys, switchoverTemplate, f.HoldTimeout)
+		fmt.Fprintf(&keys, switchoverTemplate, holdTimeout)
 	}
 	return keys.String(), top, nil
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,7 +22,6 @@
 const (
 	defaultFleetName        = "lab"
 	defaultSessionTimeout   = 2 * time.Second
-	defaultHoldTimeout      = 3 * time.Second
 	defaultSnapshotInterval = 500 // entries: few, so that the log is compacted in a short scenario
 )
 
@@ -50,7 +49,6 @@
 	SessionTimeout      time.Duration // of routers with the coordinator
 	HealthShareInterval time.Duration // 0: health checking is not shared
 	Switchover          bool
-	HoldTimeout         time.Duration                         // of one switchover
 	CoordinatorKeys     string                                // more keys of the coordinator's settings
 	RouterKeys          func(name string) (fleet, top string) // more keys of a router's settings, in [fleet] and above it
 	FleetName           string
@@ -68,9 +66,6 @@
 	if o.SessionTimeout == 0 {
 		o.SessionTimeout = defaultSessionTimeout
 	}
-	if o.HoldTimeout == 0 {
-		o.HoldTimeout = defaultHoldTimeout
-	}
 	if o.SnapshotInterval == 0 {
 		o.SnapshotInterval = defaultSnapshotInterval
 	}
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -20,7 +20,7 @@
 	back    = 1
 )
 
-// Link is a proxy between two processes, which passes on what one sends to the other until it is told otherwise. It owns the connections on
+// Link is a proxy between two processes, which passes on what each sends to the other unless a fault is set. It owns the connections on
 // both sides and keeps what it holds back in order. Its methods may be called at the same time.
 type Link struct {
 	From, To string
@@ -34,20 +34,13 @@
 	faults      linkFaults
 	connections map[net.Conn]bool
 	held        [2]int // bytes that wait to be passed on, by direction
-
-	Bytes [2]int // passed on, by direction
-	Made  int    // connections that were accepted
+	passed      int    // bytes that were passed on, in both directions
 }
 
-// unlimited means that a link passes any number of bytes on.
-const unlimited = -1
-
 // linkFaults are the faults of a link.
 type linkFaults struct {
-	blackhole    [2]bool       // by direction: nothing is passed on, and nothing is lost
-	reset        bool          // connections end with RST, new ones too
-	delay        time.Duration // of each piece, in both directions
-	forwardLimit int           // bytes still passed on forward before all connections end with RST; negative: unlimited
+	blackhole [2]bool // by direction: nothing is passed on, and nothing is lost
+	reset     bool    // connections end with RST, new ones too
 }
 
 // NewSwitch makes a link to an address.
@@ -56,8 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{From: from, To: to, Addr: listener.Addr().String(), target: target, listener: listener, connections: map[net.Conn]bool{},
-		faults: linkFaults{forwardLimit: unlimited}}
+	l := &Link{From: from, To: to, Addr: listener.Addr().String(), target: target, listener: listener, connections: map[net.Conn]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	go l.accept()
 	return l, nil
@@ -96,32 +88,17 @@
 func (l *Link) passedBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Bytes[forward] + l.Bytes[back]
+	return l.passed
 }
 
-// Cut ends all connections with RST, and each new one, until Heal.
-func (l *Link) Cut() {
+// Reset ends all connections with RST, and each new one, until Heal.
+func (l *Link) Reset() {
 	l.change(func() { l.faults.reset = true })
 	l.resetConnections()
 }
 
-// Delay holds each piece for so long, in both directions.
-func (l *Link) Delay(delay time.Duration) { l.change(func() { l.faults.delay = delay }) }
-
-// CutAfter ends all connections with RST once so many more bytes have gone forward.
-func (l *Link) CutAfter(bytes int) { l.change(func() { l.faults.forwardLimit = bytes }) }
-
-// HalfClose ends the stream that goes forward; what comes back is still passed on.
-func (l *Link) HalfClose() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for connection := range l.connections {
-		closeWrite(connection)
-	}
-}
-
 // Heal ends all faults. What was held back is passed on first.
-func (l *Link) Heal() { l.change(func() { l.faults = linkFaults{forwardLimit: unlimited} }) }
+func (l *Link) Heal() { l.change(func() { l.faults = linkFaults{} }) }
 
 func (l *Link) resetConnections() {
 	l.mu.Lock()
@@ -139,7 +116,6 @@
 		}
 		l.mu.Lock()
 		reset := l.faults.reset
-		l.Made++
 		l.mu.Unlock()
 		if reset {
 			resetConnection(client)
@@ -185,17 +161,12 @@
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			allowed, last := l.hold(count, direction)
-			if allowed == 0 && !last {
+			if !l.hold(count, direction) {
 				return
 			}
-			if _, failure := to.Write(buffer[:allowed]); failure != nil {
+			if _, failure := to.Write(buffer[:count]); failure != nil {
 				err = failure
 			}
-			if last {
-				l.Cut()
-				return
-			}
 		}
 		if err != nil {
 			closeWrite(to)
@@ -204,31 +175,20 @@
 	}
 }
 
-// hold waits until so many bytes may be passed on and gives how many of them. None are where the connection is reset; last: the connections
-// are to be reset after them.
-func (l *Link) hold(count, direction int) (allowed int, last bool) {
+// hold waits until so many bytes may be passed on; false: the connection is reset.
+func (l *Link) hold(count, direction int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if delay := l.faults.delay; delay > 0 {
-		l.mu.Unlock()
-		time.Sleep(delay)
-		l.mu.Lock()
-	}
 	l.held[direction] += count
 	for l.faults.blackhole[direction] && !l.faults.reset {
 		l.changed.Wait()
 	}
 	l.held[direction] -= count
 	if l.faults.reset {
-		return 0, false
-	}
-	if direction == forward && l.faults.forwardLimit >= 0 {
-		last = count >= l.faults.forwardLimit
-		count = min(count, l.faults.forwardLimit)
-		l.faults.forwardLimit -= count
+		return false
 	}
-	l.Bytes[direction] += count
-	return count, last
+	l.passed += count
+	return true
 }
 
 // closeConnection closes a connection that may have been closed before.
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -22,7 +22,7 @@
 	routerKind      = "router"
 )
 
-// readyLines are parts of the log line by which a process of each kind says that it serves.
+// readyLines are parts of the log line by which a process of each kind writes that it serves.
 var readyLines = map[string]string{coordinatorKind: `msg="coordinator started"`, routerKind: "msg=serving", memberKind: "msg=member"}
 
 const (
--- a/internal/lab/fleet/runner.go
+++ b/internal/lab/fleet/runner.go
@@ -85,7 +85,7 @@
 // options gives a scenario's fleet.
 func (s *Scenario) options(binary, directory string) Options {
 	options := Options{Binary: binary, Dir: directory, Coordinators: s.Coordinators, Routers: s.Routers, Members: s.Members, Links: true,
-		SessionTimeout: s.sessionTimeout, Switchover: s.Switchover, UnguardedMember: s.Unguarded, CoordinatorKeys: scenarioCoordinatorKeys,
+		SessionTimeout: s.sessionTimeout, Switchover: s.Switchover, UnguardedMember: s.UnguardedMember, CoordinatorKeys: scenarioCoordinatorKeys,
 		RouterKeys: s.routerKeys}
 	if s.HealthSharing {
 		options.HealthShareInterval = scenarioHealthShareInterval
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -95,21 +95,21 @@
 // FIELD=TEXT. {X.config}, {X.address} and {P.policy} are the path of a process's settings, its address and the path of a policy's file. In
 // all other arguments ~ stands for a space.
 type Scenario struct {
-	Description    string            `toml:"description"`
-	Coordinators   int               `toml:"coordinators"`
-	Routers        int               `toml:"routers"`
-	Members        int               `toml:"members"`
-	HealthSharing  bool              `toml:"health_sharing"`
-	Switchover     bool              `toml:"switchover"`
-	Writers        int               `toml:"writers"` // clients
-	Probe          bool              `toml:"probe"`   // clients of the coordinator whose history is checked
-	SessionTimeout string            `toml:"session_timeout"`
-	Unguarded      string            `toml:"unguarded_member"`
-	ClockOffsets   map[string]string `toml:"clock_offsets"`   // by process: how far its clock is ahead
-	StateRegresses bool              `toml:"state_regresses"` // the coordinator's: what its nodes write before and after that need not agree
-	MinStaleActs   int               `toml:"min_stale_acts"`  // acts that receivers must have refused for their fencing token, at least
-	ExtraClass     []string          `toml:"extra_class"`     // routers that know a further request class, "extra"
-	Steps          []string          `toml:"steps"`
+	Description     string            `toml:"description"`
+	Coordinators    int               `toml:"coordinators"`
+	Routers         int               `toml:"routers"`
+	Members         int               `toml:"members"`
+	HealthSharing   bool              `toml:"health_sharing"`
+	Switchover      bool              `toml:"switchover"`
+	Writers         int               `toml:"writers"` // clients
+	Probe           bool              `toml:"probe"`   // clients of the coordinator whose history is checked
+	SessionTimeout  string            `toml:"session_timeout"`
+	UnguardedMember string            `toml:"unguarded_member"`
+	ClockOffsets    map[string]string `toml:"clock_offsets"`   // by process: how far its clock is ahead
+	StateRegresses  bool              `toml:"state_regresses"` // the coordinator's: what its nodes write before and after that need not agree
+	MinStaleActs    int               `toml:"min_stale_acts"`  // acts that receivers must have refused for their fencing token, at least
+	ExtraClass      []string          `toml:"extra_class"`     // routers that know a further request class, "extra"
+	Steps           []string          `toml:"steps"`
 
 	name           string
 	sessionTimeout time.Duration
--- a/internal/lab/fleet/steps_fault.go
+++ b/internal/lab/fleet/steps_fault.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func parseReset(a *arguments) action { return onLinks(a.links(), (*Link).Cut) }
+func parseReset(a *arguments) action { return onLinks(a.links(), (*Link).Reset) }
 func parseHeal(a *arguments) action  { return onLinks(a.links(), (*Link).Heal) }
 
 func parseBlackhole(a *arguments) action {
