--- a/internal/lab/fleet/check_policy.go
+++ b/internal/lab/fleet/check_policy.go
@@ -12,7 +12,7 @@
 
 // CheckPolicy checks that no version has two documents anywhere, that versions come into force in order and that each router goes on to higher
 // ones only, between one start and its end, says that it applies a version only once it has taken it, and takes none that was never in
-// force; that each version which operators were told is agreed has been in force; and that each router that runs ended at the latest
+// force; that each version reported to operators as agreed has been in force; and that each router that runs ended at the latest
 // version, or has rejected it.
 func CheckPolicy(f *Fleet, agreed []string, runs func(*Process) bool) []string {
 	c := &policyChecker{hashes: map[string]string{}, inForce: map[string]bool{}}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet starts a fleet of real processes of the program on loopback (coordinator nodes, routers and fake members), injects faults
 // into processes, into the links between them and into what they store, and checks afterwards what the processes wrote to their audit
-// logs. The tests of this package run scenarios from files, `wayloft lab fleet` runs a fleet for a person, `wayloft lab owners` measures
+// logs. The tests of this package run scenarios from files, `wayloft lab fleet` runs a fleet for a person, `wayloft lab leases` measures
 // one, and internal/lab/scale builds larger installations on it. A Fleet owns the processes that it started, their directories, their
 // ports and the links, and ends all of them in Close. It never decides anything for the processes.
 package fleet
--- a/internal/lab/fleet/measure_gaps.go
+++ b/internal/lab/fleet/measure_gaps.go
@@ -34,10 +34,10 @@
 
 // holderFailures are those that are measured; their names are printed.
 var holderFailures = []failure{
-	{"owner killed", func(_ *Fleet, p *Process) { p.Kill() }, restart},
-	{"owner stopped", func(_ *Fleet, p *Process) { p.Stop() }, func(_ *Fleet, p *Process) error { p.Resume(); return nil }},
-	{"owner cut off from the council", isolate, reconnect},
-	{"owner told to end", func(_ *Fleet, p *Process) { p.Terminate() }, restart},
+	{"holder killed", func(_ *Fleet, p *Process) { p.Kill() }, restart},
+	{"holder stopped", func(_ *Fleet, p *Process) { p.Stop() }, func(_ *Fleet, p *Process) error { p.Resume(); return nil }},
+	{"holder cut off from coordinator", isolate, reconnect},
+	{"holder terminated", func(_ *Fleet, p *Process) { p.Terminate() }, restart},
 }
 
 // restart starts a process again once it has ended.
@@ -100,7 +100,7 @@
 			return err
 		}
 	}
-	return m.repeat("council's leader killed", m.leaderGap, report)
+	return m.repeat("coordinator's leader killed", m.leaderGap, report)
 }
 
 // repeat measures one kind of failure and reports it.
--- a/internal/lab/fleet/runner.go
+++ b/internal/lab/fleet/runner.go
@@ -47,7 +47,7 @@
 	failpoints map[failpointKey]string // effects of those that were set
 	order      uint64                  // number of the latest switchover's
 	proposal   chan commandResult      // of the proposal that isn't waited for
-	agreed     []string                // policy versions that operators were told are agreed
+	agreed     []string                // policy versions reported to operators as agreed
 }
 
 // RunScenario runs a scenario in a directory and checks what the processes wrote. A failed step is a StepError, and what checkers found is a
--- a/internal/lab/fleet/steps_policy.go
+++ b/internal/lab/fleet/steps_policy.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// parseAwaitPolicyTaken: a router says that it applies a version only once the coordinator has told it, and may have taken the next by then.
+// parseAwaitPolicyTaken: a router says that it applies a version only once it was notified, and may have taken the next by then.
 func parseAwaitPolicyTaken(a *arguments) action {
 	process, version := a.process(), a.value("a version")
 	return func(r *runner) error {
