--- /dev/null
+++ b/internal/lab/load_test.go
@@ -0,0 +1,117 @@
+package lab
+
+import (
+	"errors"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"wayloft/internal/fakes/pgserver"
+	"wayloft/internal/pg"
+)
+
+func startCluster(t *testing.T, configure func(*pgserver.Server)) *Cluster {
+	t.Helper()
+	cluster, err := StartCluster(1, 0, configure)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(cluster.Close)
+	return cluster
+}
+
+// Responses are counted, with their latencies; none is an error.
+func TestLoad_Responses(t *testing.T) {
+	cluster := startCluster(t, nil)
+	for name, load := range map[string]Load{
+		"statement":   {Request: StatementQuery},
+		"plain":       {Request: PlainQuery},
+		"transaction": {Request: TransactionQueries, ReadyCount: 3},
+	} {
+		load.Addr, load.Clients, load.Duration = cluster.Servers[0].Addr, 2, 100*time.Millisecond
+		result, err := load.Run()
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if result.Rate <= 0 || result.P50 <= 0 || result.Max < result.P50 || result.Rejected+result.Failed > 0 || len(result.Codes) > 0 {
+			t.Errorf("%s: %+v", name, result)
+		}
+	}
+}
+
+// Errors in responses are counted by their SQLSTATE, and rejections apart from failures.
+func TestLoad_ErrorsInResponses(t *testing.T) {
+	cluster := startCluster(t, nil)
+	result, err := Load{Addr: cluster.Servers[0].Addr, Clients: 1, Duration: 50 * time.Millisecond,
+		Request: func(_, _ int) []byte { return pg.AppendQuery(nil, "COMMIT; BEGIN; nonsense") }}.Run()
+	if err != nil {
+		t.Fatal(err)
+	}
+	failed := int64(0)
+	for code, count := range result.Codes {
+		if code != pg.TooManyConnections {
+			failed += count
+		}
+	}
+	if failed == 0 || result.Failed != failed || result.Rejected != 0 {
+		t.Errorf("%+v", result)
+	}
+	result = (&loadRun{latencies: newLatencies(), codes: map[string]int64{pg.TooManyConnections: 3, "42601": 2}}).result(time.Second, 5, 0)
+	if result.Rejected != 3 || result.Failed != 2 {
+		t.Errorf("%+v", result)
+	}
+	if line := result.String(); !strings.Contains(line, "rejected 3  failed 2") || !strings.Contains(line, "42601 x2  53300 x3") {
+		t.Error(line)
+	}
+}
+
+// A load whose clients have no connection fails.
+func TestLoad_NoConnection(t *testing.T) {
+	address, err := freeAddress()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := (Load{Addr: address, Clients: 1, Request: PlainQuery}).Run(); err == nil || !strings.Contains(err.Error(), "client 0: ") {
+		t.Error(err)
+	}
+}
+
+// Idle sessions are open while the function runs.
+func TestWithIdlePoolSessions_AllOpen(t *testing.T) {
+	cluster := startCluster(t, nil)
+	want := errors.New("from the function")
+	if err := WithIdlePoolSessions(cluster.Servers[0].Addr, 3, func() error {
+		if open := cluster.Servers[0].Counts().Open; open != 3 {
+			t.Errorf("%d sessions, not 3", open)
+		}
+		return want
+	}); !errors.Is(err, want) {
+		t.Error(err)
+	}
+}
+
+// Of a process, what it used grows; of one that has ended, nothing can be read.
+func TestReadUsage(t *testing.T) {
+	before, err := readUsage(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if before.cpuSeconds <= 0 || before.bytes <= 0 {
+		t.Errorf("%+v", before)
+	}
+	after, err := readUsage(os.Getpid())
+	if err != nil || after.cpuSeconds < before.cpuSeconds || after.bytes <= before.bytes {
+		t.Errorf("%+v after %+v: %v", after, before, err)
+	}
+	resident, peak, err := readMemory(os.Getpid())
+	if err != nil || resident <= 0 || peak < resident {
+		t.Errorf("%f, %f: %v", resident, peak, err)
+	}
+	if count, err := countDescriptors(os.Getpid()); err != nil || count < 3 {
+		t.Errorf("%d descriptors: %v", count, err)
+	}
+	if _, err := readUsage(1 << 30); !errors.Is(err, ErrProcessEnded) {
+		t.Errorf("no such process: %v", err)
+	}
+}
