--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -2,24 +2,21 @@
 
 import (
 	"fmt"
-	"net"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/sirupsen/logrus"
 
+	"wayloft/internal/lab"
 	"wayloft/internal/pg"
 )
 
 const (
-	maxLatencyMicros  = 60e6 // of a histogram
-	latencyDigits     = 3
-	clientDialTimeout = time.Second
-	reconnectDelay    = 20 * time.Millisecond
-	thinkTime         = 3 * time.Millisecond // between two writes, which leaves the machine to the processes
-	clientBufferSize  = 1 << 14
-	maxClientMessage  = 1 << 20 // bytes
+	maxLatencyMicros = 60e6 // of a histogram
+	latencyDigits    = 3
+	reconnectDelay   = 20 * time.Millisecond
+	thinkTime        = 3 * time.Millisecond // between two writes, which leaves the machine to the processes
 )
 
 // WriteLoad is a number of clients that each send one write after the other, each write once, and note the response.
@@ -71,23 +68,28 @@
 
 // write is one writer. Each of its connections goes to the next router.
 func (l *WriteLoad) write(routers []string, writer int) {
-	var session *clientSession
-	defer func() { session.close() }()
+	var client *lab.Client
+	defer func() {
+		if client != nil {
+			client.Close()
+		}
+	}()
 	for n := 0; !l.stopped(); n++ {
-		if session == nil {
+		if client == nil {
 			var err error
-			if session, err = openSession(routers[(writer+n)%len(routers)]); err != nil {
+			if client, err = lab.Connect(routers[(writer+n)%len(routers)]); err != nil {
 				time.Sleep(reconnectDelay)
 				continue
 			}
 		}
 		handle := fmt.Sprintf("w%d-%d", writer, n)
 		started := time.Now()
-		code, err := session.query(fmt.Sprintf("/* id=%s,c=write,d=15000 */ INSERT INTO rows (handle, blob) VALUES ('%s', 'x') RETURNING blob", handle, handle))
-		l.note(handle, code, err, time.Since(started))
+		statement := fmt.Sprintf("/* id=%s,c=write,d=15000 */ INSERT INTO rows (handle, blob) VALUES ('%s', 'x') RETURNING blob", handle, handle)
+		failure, err := client.Send(pg.AppendQuery(nil, statement), 1)
+		l.note(handle, failure, err, time.Since(started))
 		if err != nil {
-			session.close()
-			session = nil
+			client.Close()
+			client = nil
 		}
 		time.Sleep(thinkTime)
 	}
@@ -102,15 +104,15 @@
 	}
 }
 
-// note notes the response to a write: an SQLSTATE, or empty for success, or an error where there was none.
-func (l *WriteLoad) note(handle, code string, err error, took time.Duration) {
+// note notes the response to a write, which may be an error; err: there was none.
+func (l *WriteLoad) note(handle string, failure *pg.Error, err error, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case err == nil && code == "":
+	case err == nil && failure == nil:
 		l.Succeeded = append(l.Succeeded, handle)
 		record(l.latencies, min(took.Microseconds(), maxLatencyMicros))
-	case err == nil && code == pg.TooManyConnections:
+	case err == nil && failure.Code == pg.TooManyConnections:
 		l.Rejected = append(l.Rejected, handle)
 	default:
 		l.Unresolved = append(l.Unresolved, handle)
@@ -123,63 +125,3 @@
 		logrus.WithError(err).Warn("value not recorded")
 	}
 }
-
-// clientSession is a client's connection to a router.
-type clientSession struct {
-	connection net.Conn
-	reader     *pg.Reader
-}
-
-// openSession connects to a router and waits until it accepts queries.
-func openSession(address string) (*clientSession, error) {
-	connection, err := net.DialTimeout("tcp", address, clientDialTimeout)
-	if err != nil {
-		return nil, err
-	}
-	s := &clientSession{connection: connection, reader: pg.NewReader(true, maxClientMessage)}
-	if _, err := s.send(pg.AppendStartup(nil, "api", "ledger")); err != nil {
-		s.close()
-		return nil, err
-	}
-	return s, nil
-}
-
-// close closes a session, if there is one.
-func (s *clientSession) close() {
-	if s != nil {
-		closeConnection(s.connection)
-	}
-}
-
-// query sends a statement and gives the SQLSTATE of the response; empty: success.
-func (s *clientSession) query(sql string) (code string, err error) {
-	return s.send(pg.AppendQuery(nil, sql))
-}
-
-// send sends a message and reads up to the end of its response.
-func (s *clientSession) send(message []byte) (code string, err error) {
-	if _, err := s.connection.Write(message); err != nil {
-		return "", err
-	}
-	if err := s.connection.SetReadDeadline(time.Now().Add(WaitLimit)); err != nil {
-		return "", err
-	}
-	buffer := make([]byte, clientBufferSize)
-	for {
-		received, complete, err := s.reader.Next()
-		switch {
-		case err != nil:
-			return "", err
-		case !complete:
-			count, err := s.connection.Read(buffer)
-			if err != nil {
-				return "", err
-			}
-			s.reader.Feed(buffer[:count])
-		case received.Kind == pg.ErrorResponse:
-			code = received.Error.Code
-		case received.Kind == pg.ReadyForQuery:
-			return code, nil
-		}
-	}
-}
