--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -100,6 +100,12 @@
 // Heal ends all faults. What was held back is passed on first.
 func (l *Link) Heal() { l.change(func() { l.faults = linkFaults{} }) }
 
+func (l *Link) isReset() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.faults.reset
+}
+
 func (l *Link) resetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,8 +144,12 @@
 	directions.Go(func() { l.pass(server, client, forward) })
 	directions.Go(func() { l.pass(client, server, back) })
 	directions.Wait()
-	closeConnection(client)
-	closeConnection(server)
+	end := closeConnection
+	if l.isReset() {
+		end = resetConnection
+	}
+	end(client)
+	end(server)
 	l.change(func() {
 		delete(l.connections, client)
 		delete(l.connections, server)
@@ -169,7 +179,9 @@
 			}
 		}
 		if err != nil {
-			closeWrite(to)
+			if !l.isReset() { // an end of stream would come before the RST
+				closeWrite(to)
+			}
 			return
 		}
 	}
--- /dev/null
+++ b/internal/lab/process_usage_test.go
@@ -0,0 +1,32 @@
+package lab
+
+import (
+	"errors"
+	"os"
+	"testing"
+)
+
+// What a process has used grows; of one that has ended, nothing can be read.
+func TestReadUsage_RunningAndEnded(t *testing.T) {
+	before, err := readUsage(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if before.cpuSeconds <= 0 || before.bytes <= 0 {
+		t.Errorf("%+v", before)
+	}
+	after, err := readUsage(os.Getpid())
+	if err != nil || after.cpuSeconds < before.cpuSeconds || after.bytes <= before.bytes {
+		t.Errorf("%+v after %+v: %v", after, before, err)
+	}
+	resident, peak, err := readMemory(os.Getpid())
+	if err != nil || resident <= 0 || peak < resident {
+		t.Errorf("%f, %f: %v", resident, peak, err)
+	}
+	if count, err := countDescriptors(os.Getpid()); err != nil || count < 3 {
+		t.Errorf("%d descriptors: %v", count, err)
+	}
+	if _, err := readUsage(1 << 30); !errors.Is(err, ErrProcessEnded) {
+		t.Errorf("no such process: %v", err)
+	}
+}
