--- a/cmd/wayloft/lab_leases.go
+++ b/cmd/wayloft/lab_leases.go
@@ -102,11 +102,11 @@
 			{"coordinator killed", false, fleet.KillCoordinators},
 			{"coordinator pauses", false, fleet.PauseCoordinators},
 		} {
-			got, err := fleet.Serve(runs.binary, runs.nextDir(), event.standalone, c.During, event.do)
+			got, err := fleet.MeasureService(runs.binary, runs.nextDir(), event.standalone, c.During, event.do)
 			if err != nil {
 				return err
 			}
-			out.printf("  %-18s %8.0f %6.1f %6.2f %6.2f\n", event.name, got.Rate, got.Declined, got.P50, got.P99)
+			out.printf("  %-18s %8.0f %6.1f %6.2f %6.2f\n", event.name, got.Rate, got.Rejected, got.P50, got.P99)
 		}
 	}
 	return nil
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -171,7 +171,7 @@
 	defer f.mu.Unlock()
 	key := linkKey{from, to}
 	if f.links[key] == nil {
-		link, err := NewSwitch(from, to, address)
+		link, err := NewLink(from, to, address)
 		if err != nil {
 			return "", err
 		}
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -43,8 +43,8 @@
 	reset     bool    // connections end with RST, new ones too
 }
 
-// NewSwitch makes a link to an address.
-func NewSwitch(from, to, target string) (*Link, error) {
+// NewLink makes a link to an address.
+func NewLink(from, to, target string) (*Link, error) {
 	listener, err := ListenFree()
 	if err != nil {
 		return nil, err
@@ -72,8 +72,8 @@
 	l.changed.Broadcast()
 }
 
-// Hole holds back what goes forward, what comes back, or both; neither side notices anything.
-func (l *Link) Hole(forward, back bool) {
+// Blackhole holds back what goes forward, what comes back, or both; neither side notices anything.
+func (l *Link) Blackhole(forward, back bool) {
 	l.change(func() { l.faults.blackhole = [2]bool{forward, back} })
 }
 
--- a/internal/lab/fleet/link_test.go
+++ b/internal/lab/fleet/link_test.go
@@ -40,7 +40,7 @@
 // dialLink makes a link to an echo server with one connection over it.
 func dialLink(t *testing.T) (*Link, net.Conn) {
 	t.Helper()
-	link, err := NewSwitch("a", "b", echoServer(t))
+	link, err := NewLink("a", "b", echoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 			link, connection := dialLink(t)
 			write(t, connection, "before ")
 			expectRead(t, connection, "before ")
-			link.Hole(direction == forward, direction == back)
+			link.Blackhole(direction == forward, direction == back)
 			write(t, connection, "while ")
 			if err := WaitUntil("it is held", func() (bool, error) { return link.Held()[direction] == len("while "), nil }); err != nil {
 				t.Fatal(err)
--- a/internal/lab/fleet/measure_cost.go
+++ b/internal/lab/fleet/measure_cost.go
@@ -86,7 +86,7 @@
 
 func (m *costMeasurement) openLinks() error {
 	for _, node := range m.fleet.ofKind(coordinatorKind) {
-		link, err := NewSwitch("sessions", node.Name, node.Addr)
+		link, err := NewLink("sessions", node.Name, node.Addr)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleet/measure_gaps.go
+++ b/internal/lab/fleet/measure_gaps.go
@@ -51,7 +51,7 @@
 // isolate holds back all that a router sends to the coordinator, and the responses.
 func isolate(f *Fleet, p *Process) {
 	for _, link := range f.coordinatorLinks(p) {
-		link.Hole(true, true)
+		link.Blackhole(true, true)
 	}
 }
 
--- a/internal/lab/fleet/measure_service.go
+++ b/internal/lab/fleet/measure_service.go
@@ -16,12 +16,12 @@
 
 // Service is what clients had of a fleet over a while.
 type Service struct {
-	Rate, Declined float64 // writes that succeeded and that were rejected, a second
+	Rate, Rejected float64 // writes that succeeded and that were rejected, a second
 	P50, P99       float64 // ms
 }
 
-// Serve measures the writes of clients of a fleet for a while. Meanwhile something may be done to its coordinator, until done is closed.
-func Serve(binary, directory string, standalone bool, duration time.Duration, meanwhile func(f *Fleet, done <-chan struct{})) (service Service, err error) {
+// MeasureService measures the writes of clients of a fleet for a while. Meanwhile something may be done to its coordinator, until done is closed.
+func MeasureService(binary, directory string, standalone bool, duration time.Duration, meanwhile func(f *Fleet, done <-chan struct{})) (service Service, err error) {
 	f, err := New(Options{Binary: binary, Dir: directory, Coordinators: measuredCoordinators, Routers: measuredRouters, Members: measuredMembers,
 		Standalone: standalone, HealthShareInterval: serviceHealthShareInterval, Switchover: !standalone})
 	if err != nil {
@@ -58,7 +58,7 @@
 	defer l.mu.Unlock()
 	return Service{
 		Rate:     float64(len(l.Succeeded)) / took.Seconds(),
-		Declined: float64(len(l.Rejected)) / took.Seconds(),
+		Rejected: float64(len(l.Rejected)) / took.Seconds(),
 		P50:      float64(l.latencies.ValueAtQuantile(50)) / microsPerMs,
 		P99:      float64(l.latencies.ValueAtQuantile(99)) / microsPerMs,
 	}
--- a/internal/lab/fleet/steps_fault.go
+++ b/internal/lab/fleet/steps_fault.go
@@ -86,7 +86,7 @@
 		direction := a.oneOf(forwardOnly, backOnly)
 		holdForward, holdBack = direction == forwardOnly, direction == backOnly
 	}
-	return onLinks(set, func(link *Link) { link.Hole(holdForward, holdBack) })
+	return onLinks(set, func(link *Link) { link.Blackhole(holdForward, holdBack) })
 }
 
 func parseAwaitHeld(a *arguments) action {
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -287,7 +287,7 @@
 		}
 	}
 	for _, s := range ways {
-		s.Hole(true, true)
+		s.Blackhole(true, true)
 	}
 	if err := in.wait(in.SampleDuration); err != nil {
 		return nil, err
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -174,7 +174,7 @@
 	for n, p := range in.council() {
 		addr := p.Addr
 		if of := "aab"[n]; in.Regions && of != region(z) {
-			w, err := fleet.NewSwitch(zoneNames(z), p.Name, p.Addr)
+			w, err := fleet.NewLink(zoneNames(z), p.Name, p.Addr)
 			if err != nil {
 				return s, err
 			}
