--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -14,14 +14,14 @@
 	"wayloft/internal/pg"
 )
 
-// clocked is a member whose positions lag the cluster's present, for a router whose wall clock is wrong.
-type clocked struct {
+// laggingMember is a member whose positions lag the cluster's present, for a router whose wall clock is wrong.
+type laggingMember struct {
 	*fakes.Member
 	checks, reads atomic.Int64
 }
 
-func newClocked(t *testing.T, primary bool, lag time.Duration) *clocked {
-	m := &clocked{}
+func newLaggingMember(t *testing.T, primary bool, lag time.Duration) *laggingMember {
+	m := &laggingMember{}
 	name, role, x1 := "replica", "copy", 0
 	if primary {
 		name, role, x1 = "primary", "source", 1
@@ -38,8 +38,8 @@
 	return m
 }
 
-// startAhead serves with a primary and a replica that answer whatever they hold, by a wall clock that is wrong.
-func startAhead(t *testing.T, ahead time.Duration, members ...*clocked) (addr string) {
+// startWithClockAhead serves with a primary and a replica that answer whatever they hold, by a wall clock that is wrong.
+func startWithClockAhead(t *testing.T, ahead time.Duration, members ...*laggingMember) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,27 +55,32 @@
 		`["bounded","write","session","bounded"],"classBound":[300000,0,0,20000000]`,
 		`"profiles":[`, `"profiles":[`, `"idempotency":"fragile"}]`, `"idempotency":"fragile"},
 {"name":"own","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"},
-{"name":"old","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"}]`).Replace(configuration)
-	conf, err := Load(write(t, filepath.Join(t.TempDir(), "config.json"), text))
+{"name":"old","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"}]`).Replace(platformConfig)
+	conf, err := Load(writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	conf.wallClock = func() time.Time { return time.Now().Add(ahead) }
 	term, ended := make(chan os.Signal, 2), make(chan error, 1)
 	go func() { ended <- Run(conf, l, term) }()
-	t.Cleanup(func() { term <- os.Interrupt; <-ended })
+	t.Cleanup(func() {
+		term <- os.Interrupt
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
 	return l.Addr().String()
 }
 
-var wrongClocks = []time.Duration{0, -600 * time.Millisecond, -time.Hour, time.Hour}
+var clockOffsets = []time.Duration{0, -600 * time.Millisecond, -time.Hour, time.Hour}
 
 // A replica that lags by 0.7 s must get no read that bears 0.3 s, nor one that must see a commit of just now, whatever the
 // machine's wall clock said at the start.
 func TestWrongClock_NoStaleRead(t *testing.T) {
-	for _, ahead := range wrongClocks {
+	for _, ahead := range clockOffsets {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
-			primary, replica := newClocked(t, true, 0), newClocked(t, false, 700*time.Millisecond)
-			c := fakes.NewClient(t, startAhead(t, ahead, primary, replica), true)
+			primary, replica := newLaggingMember(t, true, 0), newLaggingMember(t, false, 700*time.Millisecond)
+			c := fakes.NewClient(t, startWithClockAhead(t, ahead, primary, replica), true)
 			ask := func(n int, class, more string) {
 				t.Helper()
 				c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, more))
@@ -99,10 +104,10 @@
 
 // A replica that is fresh enough gets bounded reads, and those of sessions whose commit it holds; no session is rejected.
 func TestWrongClock_ReplicasServe(t *testing.T) {
-	for _, ahead := range wrongClocks {
+	for _, ahead := range clockOffsets {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
-			primary, replica := newClocked(t, true, 0), newClocked(t, false, 50*time.Millisecond)
-			c := fakes.NewClient(t, startAhead(t, ahead, primary, replica), true)
+			primary, replica := newLaggingMember(t, true, 0), newLaggingMember(t, false, 50*time.Millisecond)
+			c := fakes.NewClient(t, startWithClockAhead(t, ahead, primary, replica), true)
 			commit := time.Now().Add(-10 * time.Second).UnixMilli()
 			for _, class := range []string{"old", "own"} {
 				before, n := replica.reads.Load(), 0
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -1,73 +1,101 @@
-//go:build debug
-
 package server
 
 import (
 	"fmt"
+	"net"
 	"strings"
-	"sync/atomic"
 	"syscall"
 	"testing"
-	"time"
 
-	"wayloft/internal/failpoint"
 	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
 )
 
-// A deployment with short deadlines is told to end while its members hang, and its clients go on sending on each connection for as
-// long as it is open: whatever was read has its answer before the process may be killed.
-func TestDrainWithShortDeadlines(t *testing.T) {
-	const longest = 300 * time.Millisecond
-	addr, term, ended := startWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
-		"127.0.0.1:1", 256, member(t).Addr)
-	var read, ignored atomic.Int64
-	defer failpoint.Set("clients.query", func() { read.Add(1) })()
-	defer failpoint.Set("clients.ignored", func() { ignored.Add(1) })()
-	type result struct {
-		asked, answered int
-		last            time.Time
+// After SIGTERM new connections are still served, what was taken is answered, and only then the program ends.
+func TestDrain_ServesUntilIdle(t *testing.T) {
+	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
+	idle := fakes.NewClient(t, addr, true)
+	busy := fakes.NewClient(t, addr, true)
+	busy.Ask(writeStatement("1", "hang"))
+	term <- syscall.SIGTERM
+	late := fakes.NewClient(t, addr, true)
+	late.Ask(readStatement("2", "served"))
+	if got := late.Answer(); got != "served ok ready" {
+		t.Errorf("late: %q", got)
+	}
+	idle.Ask(readStatement("3", "served"))
+	if got := idle.Answer(); got != "served ok ready" {
+		t.Errorf("idle: %q", got)
+	}
+	if got := busy.Answer(); got != "08007 ready" {
+		t.Errorf("busy: %q", got)
+	}
+	for _, c := range []*fakes.Client{idle, busy, late} {
+		if got := c.Answer(); got != "closed" {
+			t.Errorf("got %q, want the end", got)
+		}
+		closeSocket(c)
+	}
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+	if c, err := net.Dial("tcp", addr); err == nil {
+		closeSocket(c)
+		t.Error("it still listens")
 	}
-	const clients = 12
-	results := make(chan result, clients)
-	going := make(chan bool, clients)
-	for n := range clients {
-		one := fakes.NewClient(t, addr, true)
-		ahead := 1 + n%3 // requests that it has on their way at once
-		go func() {
-			var r result
-			for {
-				for ; r.asked < r.answered+ahead; r.asked++ {
-					kind := []string{"look", "put"}[r.asked%2]
-					one.Write(pg.AppendQuery(nil, fmt.Sprintf("/* id=%d-%d,c=%s,t=n,d=300,cluster=2 */ SELECT hang", n, r.asked, kind)))
-				}
-				if strings.HasSuffix(one.Answer(), "closed") {
-					results <- r
-					return
-				}
-				if r.answered, r.last = r.answered+1, time.Now(); r.answered == 1 {
-					going <- true
-				}
+}
+
+// A startup message and a query in any two pieces, and any of them across SIGTERM: the first comes before it, the other once
+// the router has begun to end what is quiet. A piece that never comes is owed nothing, and keeps the process from nothing.
+func TestDrain_MessageInPieces(t *testing.T) {
+	addr, term, ended := startRouter(t, "127.0.0.1:1", 512, newPrimary(t).Addr)
+	hello := string(pg.AppendStartup(nil, "api", "ledger"))
+	ask := func(n int) string { return string(pg.AppendQuery(nil, readStatement(fmt.Sprint(n), "x"))) }
+	whole := len(ask(10))
+	cuts := []int{1, 2, 3, 4, 5, 6, whole / 2, whole - 1} // within the length word, around it, in the text, before its last byte
+	var all, never []*fakes.Client
+	for n := range 2 * len(cuts) {
+		one := fakes.NewClient(t, addr, false)
+		one.Send(hello[:1+n])
+		one.Send(hello[1+n:] + ask(50+n))
+		for _, want := range []string{"ready", "x ok ready"} {
+			if got := one.Answer(); got != want {
+				t.Fatalf("startup in two pieces: got %q, want %q", got, want)
 			}
-		}()
+		}
+		if n < len(cuts) {
+			all = append(all, one)
+		} else {
+			never = append(never, one)
+		}
 	}
-	for range clients {
-		<-going
+	quiet := fakes.NewClient(t, addr, true)
+	for n, at := range cuts {
+		all[n].Send(ask(10 + n)[:at])
+		never[n].Send(ask(30 + n)[:at])
 	}
-	signalled := time.Now()
 	term <- syscall.SIGTERM
-	answered := 0
-	for range clients {
-		r := <-results
-		answered += r.answered
-		if after := r.last.Sub(signalled); after > longest+700*time.Millisecond {
-			t.Errorf("the last answer came %v after the signal", after)
+	if got := quiet.Answer(); got != "closed" { // from here on what is quiet is ended
+		t.Errorf("quiet: %q", got)
+	}
+	for n, one := range all {
+		one.Send(ask(10 + n)[cuts[n]:])
+	}
+	for n, one := range all {
+		for _, want := range []string{"x ok ready", "closed"} {
+			if got := one.Answer(); got != want {
+				t.Errorf("cut at %d: got %q, want %q", cuts[n], got, want)
+			}
 		}
+		closeSocket(one)
+	}
+	for n, one := range never {
+		if got := one.Answer(); !strings.HasSuffix(got, "closed") {
+			t.Errorf("cut at %d, never whole: %q", cuts[n], got)
+		}
+		closeSocket(one)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if read.Load() != int64(answered) || ignored.Load() > 0 {
-		t.Errorf("%d requests were read, and %d answered; %d pieces were read and ignored", read.Load(), answered, ignored.Load())
-	}
 }
--- /dev/null
+++ b/internal/server/mixedclient_test.go
@@ -0,0 +1,215 @@
+package server
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"time"
+
+	"wayloft/internal/fakes"
+	"wayloft/internal/pg"
+)
+
+var settingNames = []string{"owner", "x", "y"}
+
+// mixedClient is one client of the run, with its own account of what it has set, prepared and written.
+type mixedClient struct {
+	id                  int
+	client              *fakes.Client
+	random              *rand.Rand
+	settings, committed map[string]string
+	inTransaction       bool
+	prepared            map[string]string // prepared
+	lastWritten         string            // its own row's last value
+	transactions        int
+	codes               map[string]int
+	failure             string
+}
+
+func (m *mixedClient) note() string {
+	out := fmt.Sprintf("c%d", m.id)
+	for _, name := range settingNames {
+		out += " " + name + "=" + m.settings[name]
+	}
+	return out
+}
+
+func clone(in map[string]string) map[string]string {
+	out := map[string]string{}
+	for k, v := range in {
+		out[k] = v
+	}
+	return out
+}
+
+// ask asks a simple query; a rejection or a lost transaction is no fault of the run, and is told.
+func (m *mixedClient) ask(sql string) (answer string, ok bool) {
+	m.client.Ask(sql)
+	return m.readAnswer(sql)
+}
+
+func (m *mixedClient) readAnswer(sql string) (answer string, ok bool) {
+	answer = m.client.Answer()
+	for _, code := range []string{"53300", "08006", "08007", "40001", "25P02", "57014", "XX000"} {
+		if strings.Contains(answer, code) {
+			m.codes[code]++
+			m.settings, m.inTransaction = clone(m.committed), false
+			if strings.HasSuffix(answer, "ready") {
+				m.client.Ask("ROLLBACK")
+				m.client.Answer()
+			}
+			return answer, false
+		}
+	}
+	if strings.Contains(answer, "closed") {
+		m.failure = fmt.Sprintf("client %d is cut off after %q: %q", m.id, sql, answer)
+		return answer, false
+	}
+	return answer, true
+}
+
+func (m *mixedClient) fail(format string, args ...any) {
+	if m.failure == "" {
+		m.failure = fmt.Sprintf("client %d: ", m.id) + fmt.Sprintf(format, args...)
+	}
+}
+
+// checkSettings notes what is set, one way or another, and looks at the answer.
+func (m *mixedClient) checkSettings() {
+	note := m.note()
+	var answer string
+	var ok bool
+	switch m.random.IntN(3) {
+	case 0:
+		answer, ok = m.ask("SELECT note('" + note + "')")
+	case 1: // by a prepared statement with one name for all clients, and a text that is its client's
+		text := m.prepared["p"]
+		if text == "" {
+			text = fmt.Sprintf("SELECT /* %d */ note($1)", m.id%7)
+			m.client.Send(string(pg.AppendSync(pg.AppendParse(nil, "p", []byte(text+"\x00\x00\x00")))))
+			if _, ok = m.readAnswer("parse"); !ok {
+				return
+			}
+			m.prepared["p"] = text
+		}
+		m.client.Send(string(pg.AppendSync(pg.AppendExecute(pg.AppendBind(nil, "", "p", bindTail(note)), ""))))
+		answer, ok = m.readAnswer("execute")
+	case 2:
+		out := pg.AppendParse(nil, "", []byte("SELECT note($1)\x00\x00\x00"))
+		m.client.Send(string(pg.AppendSync(pg.AppendExecute(pg.AppendBind(out, "", "", bindTail(note)), ""))))
+		answer, ok = m.readAnswer("execute")
+	}
+	if ok && answer != note+" ok ready" {
+		m.fail("asked %q, got %q", note, answer)
+	}
+}
+
+func bindTail(s string) []byte {
+	out := []byte{0, 0, 0, 1, 0, 0, byte(len(s) >> 8), byte(len(s))}
+	return append(append(out, s...), 0, 0)
+}
+
+func (m *mixedClient) changeSetting() {
+	name, v := settingNames[1+m.random.IntN(2)], fmt.Sprint(m.random.IntN(3))
+	if _, ok := m.ask(fmt.Sprintf("SET m.%s = '%s'", name, v)); ok {
+		m.settings[name] = v
+		if !m.inTransaction {
+			m.committed = clone(m.settings)
+		}
+	}
+}
+
+// runTransaction is one transaction of some kind.
+func (m *mixedClient) runTransaction() {
+	m.transactions++
+	switch m.random.IntN(11) {
+	case 10: // a cancel that may come too early, in time, or as the statement ends
+		m.client.Ask("SELECT pg_sleep(0.004)")
+		if m.random.IntN(2) == 0 {
+			time.Sleep(time.Duration(m.random.IntN(30)) * time.Millisecond)
+		}
+		if c, err := net.Dial("tcp", m.client.RemoteAddr().String()); err == nil {
+			_, _ = c.Write(pg.AppendCancelRequest(nil, m.client.Key))
+			closeSocket(c)
+		}
+		if answer, ok := m.readAnswer("a sleep"); ok && answer != " ok ready" {
+			m.fail("a sleep is answered with %q", answer)
+		}
+	case 0:
+		m.changeSetting()
+		m.checkSettings()
+	case 1: // set inside, and taken back
+		if _, ok := m.ask("BEGIN"); !ok {
+			return
+		}
+		m.inTransaction = true
+		m.changeSetting()
+		if m.inTransaction {
+			m.checkSettings()
+		}
+		if m.inTransaction {
+			if m.inTransaction = false; m.random.IntN(2) == 0 {
+				if _, ok := m.ask("COMMIT"); ok {
+					m.committed = clone(m.settings)
+				}
+			} else if _, ok := m.ask("ROLLBACK"); ok {
+				m.settings = clone(m.committed)
+			}
+		}
+	case 2: // for the transaction alone
+		if _, ok := m.ask("BEGIN"); !ok {
+			return
+		}
+		if _, ok := m.ask("SET LOCAL m.x = 'local'"); !ok {
+			return
+		}
+		m.settings["x"] = "local"
+		m.checkSettings()
+		if m.settings["x"] == "local" {
+			m.ask("COMMIT")
+		}
+		m.settings = clone(m.committed)
+		m.checkSettings()
+	case 3, 4, 5: // a write, and its own read on whatever connection and member
+		v := fmt.Sprintf("%d-%d", m.id, m.transactions)
+		sql := fmt.Sprintf("INSERT INTO rows (handle, blob) VALUES ('own%d', '%s') RETURNING blob", m.id, v)
+		if answer, ok := m.ask(sql); !ok {
+			if !strings.Contains(answer, "53300") {
+				m.lastWritten = "" // it may be there or not
+			}
+			return
+		}
+		m.lastWritten = v
+		m.readOwnWrite()
+	case 6:
+		m.readOwnWrite()
+	case 7:
+		m.checkSettings()
+	case 8: // an error in a pipeline
+		out := pg.AppendParse(nil, "", []byte("SELEKT\x00\x00\x00"))
+		out = pg.AppendExecute(pg.AppendBind(out, "", "", []byte{0, 0, 0, 0, 0, 0}), "")
+		m.client.Send(string(pg.AppendSync(out)))
+		if answer, ok := m.readAnswer("a mistake"); ok && answer != "42601 ready" {
+			m.fail("a mistake is answered with %q", answer)
+		}
+	case 9:
+		if m.random.IntN(4) == 0 { // all of it, with the session's own start after it
+			if _, ok := m.ask("DISCARD ALL"); ok {
+				m.settings, m.committed, m.prepared = map[string]string{"owner": fmt.Sprint(m.id)}, map[string]string{"owner": fmt.Sprint(m.id)},
+					map[string]string{}
+			}
+		}
+		m.checkSettings()
+	}
+}
+
+func (m *mixedClient) readOwnWrite() {
+	if m.lastWritten == "" {
+		return
+	}
+	sql := fmt.Sprintf("BEGIN READ ONLY; SELECT blob FROM rows WHERE handle = 'own%d'; COMMIT", m.id)
+	if answer, ok := m.ask(sql); ok && answer != "ok "+m.lastWritten+" ok ok ready" {
+		m.fail("its last write is %q, and it reads %q", m.lastWritten, answer)
+	}
+}
--- a/internal/server/pipelined_test.go
+++ b/internal/server/pipelined_test.go
@@ -12,12 +12,12 @@
 	"wayloft/internal/pg"
 )
 
-// passed waits until so many ms have passed by the router's own clock: until it rejects a request of a cluster that isn't there,
+// waitByRouterClock waits until so many ms have passed by the router's own clock: until it rejects a request of a cluster that isn't there,
 // at half of its time.
-func passed(t *testing.T, addr string, ms int) {
+func waitByRouterClock(t *testing.T, addr string, ms int) {
 	t.Helper()
 	c := fakes.NewClient(t, addr, true)
-	defer c.Close()
+	defer closeSocket(c)
 	c.Ask(fmt.Sprintf("/* id=passed,c=look,t=n,d=%d,cluster=9 */ SELECT x", 2*ms))
 	if got := c.Answer(); got != "53300 ready" {
 		t.Fatalf("a cluster that isn't there: %q", got)
@@ -26,7 +26,7 @@
 
 // A query that was sent ahead waits for its turn, and its client's time runs: the one before it is answered when the time of
 // the one behind is over, which is rejected then, and no member hears of it.
-func TestTimeRunsBeforeItsTurn(t *testing.T) {
+func TestPipelined_DeadlineWhileQueued(t *testing.T) {
 	answer := make(chan bool)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if sql == "SHOW vitals" {
@@ -36,10 +36,10 @@
 		}
 		return fakes.Row("served", "source", "1")
 	})
-	addr, _, _ := start(t, "127.0.0.1:1", 256, m.Addr)
+	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, m.Addr)
 	c := fakes.NewClient(t, addr, true)
 	for n := range 20 { // so that one slow answer doesn't count for much
-		c.Ask(put(fmt.Sprint("q", n), "quick"))
+		c.Ask(writeStatement(fmt.Sprint("q", n), "quick"))
 		if got := c.Answer(); got != "served ok ready" {
 			t.Fatal(got)
 		}
@@ -47,7 +47,7 @@
 	c.Send(string(pg.AppendQuery(pg.AppendQuery(nil, "/* id=b1,c=put,t=n,d=2000,cluster=2 */ INSERT before"),
 		"/* id=b2,c=put,t=n,d=300,cluster=2 */ INSERT behind")))
 	fakes.Until(t, "the first is out", func() bool { _, asked := m.Seen(); return strings.Contains(strings.Join(asked, ""), "before") })
-	passed(t, addr, 350)
+	waitByRouterClock(t, addr, 350)
 	answer <- true
 	for n, want := range []string{"served ok ready", "53300 ready"} {
 		if got := c.Answer(); got != want {
@@ -60,9 +60,9 @@
 }
 
 // The same in a pool, for one statement and for a pipeline.
-func TestTimeRunsBeforeItsTurnInAPool(t *testing.T) {
+func TestPool_PipelinedDeadlineWhileQueued(t *testing.T) {
 	out, answer := make(chan bool, 1), make(chan bool)
-	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
+	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
 		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
 			if strings.Contains(m.Text, "before") {
 				out <- true
@@ -76,13 +76,13 @@
 	labelled := func(n, d int, sql string) string {
 		return fmt.Sprintf("/* id=q%d,c=write,t=n,d=%d,cluster=0 */ %s", n, d, sql)
 	}
-	pipeline := string(pg.AppendParse(nil, "", []byte(labelled(3, 300, insert("late", "2"))+"\x00\x00\x00"))) +
+	pipeline := string(pg.AppendParse(nil, "", []byte(labelled(3, 300, insertSQL("late", "2"))+"\x00\x00\x00"))) +
 		string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), "")) + string(pg.AppendSync(nil))
-	c.Send(query(labelled(1, 2000, insert("before", "1"))) + query(labelled(2, 300, insert("late", "1"))) + pipeline +
+	c.Send(query(labelled(1, 2000, insertSQL("before", "1"))) + query(labelled(2, 300, insertSQL("late", "1"))) + pipeline +
 		query("SELECT blob FROM rows WHERE handle = 'late'"))
 	<-out
 	other := fakes.NewClient(t, addr, true)
-	other.Ask("/* id=passed,c=write,t=n,d=700,cluster=9 */ " + insert("none", "1"))
+	other.Ask("/* id=passed,c=write,t=n,d=700,cluster=9 */ " + insertSQL("none", "1"))
 	if got := other.Answer(); got != "53300 ready" {
 		t.Fatalf("a cluster that isn't there: %q", got)
 	}
--- a/internal/server/pooled_test.go
+++ b/internal/server/pool_test.go
@@ -4,73 +4,24 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/jackc/pgx/v5"
-	"github.com/jackc/pgx/v5/pgconn"
 	"github.com/jackc/pgx/v5/pgxpool"
 
 	"wayloft/internal/fakes"
-	"wayloft/internal/fakes/pgserver"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
 )
 
-// pooledRouter serves before a fake cluster.
-func pooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
-	t.Helper()
-	addr, cluster, signals, ended := drainablePool(t, members, p, set)
-	t.Cleanup(func() {
-		signals <- os.Interrupt
-		<-ended
-		cluster.Close()
-	})
-	return addr, cluster
-}
-
-// drainablePool does so, and gives what has it drain and end.
-func drainablePool(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
-	t.Helper()
-	c, err := lab.StartCluster(members, 0, set)
-	if err != nil {
-		t.Fatal(err)
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if p.Mode == "" {
-		p.Mode = "transaction"
-	}
-	conf, err := DecodeTOML([]byte(c.Configuration(l.Addr().String(), p)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- Run(conf, l, signals) }()
-	return l.Addr().String(), c, signals, ended
-}
-
-func url(addr string) string { return "postgres://api@" + addr + "/ledger?sslmode=disable" }
-
-func code(err error) string {
-	var e *pgconn.PgError
-	if errors.As(err, &e) {
-		return e.Code
-	}
-	return fmt.Sprint(err)
-}
-
-// A current Go driver in its default mode uses the router as its database: pool, transactions, batches, COPY, cancels.
-func TestDriver(t *testing.T) {
-	addr, cluster := pooledRouter(t, 3, lab.Pool{PerMember: 4}, nil)
+// A current Go driver in its default mode uses the router as its database: queries, transactions, batches, COPY, cancels, settings.
+func TestPool_PgxDriver(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 3, lab.Pool{PerMember: 4}, nil)
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
-	db, err := pgxpool.New(ctx, url(addr))
+	db, err := pgxpool.New(ctx, connectionURL(addr))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,6 +29,18 @@
 	if err := db.Ping(ctx); err != nil {
 		t.Fatal("ping:", err)
 	}
+	checkDriverQueries(ctx, t, db)
+	checkDriverTransactions(ctx, t, db)
+	if reads := cluster.Servers[1].Counts().Accepted + cluster.Servers[2].Counts().Accepted; reads == 0 {
+		t.Error("no replica was asked")
+	}
+	checkDriverBulk(ctx, t, db)
+	checkDriverErrors(ctx, t, db)
+	checkDriverSettings(ctx, t, db)
+}
+
+func checkDriverQueries(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
+	t.Helper()
 	var got string
 	for n := range 20 {
 		handle, blob := fmt.Sprint("d", n), fmt.Sprint("blob ", n)
@@ -91,6 +54,11 @@
 	if _, err := db.Exec(ctx, "INSERT INTO rows (handle, blob) VALUES ('lit', 'o''k') RETURNING blob"); err != nil {
 		t.Fatal("literals:", err)
 	}
+}
+
+func checkDriverTransactions(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
+	t.Helper()
+	var got string
 	tx, err := db.BeginTx(ctx, pgx.TxOptions{})
 	if err != nil {
 		t.Fatal(err)
@@ -112,9 +80,11 @@
 	}); err != nil || got != "v1" {
 		t.Fatalf("read only: %q, %v", got, err)
 	}
-	if reads := cluster.Servers[1].Counts().Accepted + cluster.Servers[2].Counts().Accepted; reads == 0 {
-		t.Error("no replica was asked")
-	}
+}
+
+// checkDriverBulk sends a batch and copies rows in.
+func checkDriverBulk(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
+	t.Helper()
 	b := &pgx.Batch{}
 	for n := range 50 {
 		b.Queue("INSERT INTO rows (handle, blob) VALUES ($1, $2) RETURNING blob", fmt.Sprint("b", n), "x")
@@ -126,17 +96,28 @@
 	if err != nil || count != 2 {
 		t.Fatalf("copy: %d, %v", count, err)
 	}
+	var got string
 	if err := db.QueryRow(ctx, "SELECT blob FROM rows WHERE handle = $1", "c2").Scan(&got); err != nil || got != "two" {
 		t.Fatalf("copied: %q, %v", got, err)
 	}
+}
+
+// checkDriverErrors cancels a query by its context, and sends one with a syntax error.
+func checkDriverErrors(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
+	t.Helper()
 	short, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	if _, err := db.Exec(short, "SELECT pg_sleep(20)"); err == nil {
 		t.Error("a context's end did not end its query")
 	}
 	end()
-	if _, err := db.Exec(ctx, "SELEKT"); code(err) != "42601" {
+	if _, err := db.Exec(ctx, "SELEKT"); errorCode(err) != "42601" {
 		t.Errorf("a mistake: %v", err)
 	}
+}
+
+// checkDriverSettings has one connection's setting stay its own.
+func checkDriverSettings(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
+	t.Helper()
 	conn, err := db.Acquire(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -145,6 +126,7 @@
 	if _, err := conn.Exec(ctx, "SET application_name = 'shop'"); err != nil {
 		t.Fatal(err)
 	}
+	var got string
 	if err := conn.QueryRow(ctx, "SHOW application_name").Scan(&got); err != nil || got != "shop" {
 		t.Fatalf("setting: %q, %v", got, err)
 	}
@@ -154,19 +136,9 @@
 	}
 }
 
-// told asks simple queries and puts the answers together.
-func told(c *fakes.Client, sql ...string) string {
-	var out []string
-	for _, q := range sql {
-		c.Ask(q)
-		out = append(out, c.Answer())
-	}
-	return strings.Join(out, "; ")
-}
-
 // What a session says and what it hears, statement by statement.
-func TestPooledSessions(t *testing.T) {
-	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "pins = false\n"}, nil)
+func TestPool_SimpleQueries(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "pins = false\n"}, nil)
 	for n, c := range []struct{ ask, want string }{
 		{"", "empty ready"},
 		{"SET a.x = '1'|SHOW a.x", "ok ready; 1 ok ready"},
@@ -199,11 +171,11 @@
 		if asks = strings.Split(c.ask, "|"); c.ask == "" {
 			asks = []string{""}
 		}
-		if got := told(one, asks...); got != c.want {
+		if got := askAll(one, asks...); got != c.want {
 			t.Errorf("%d: %s: got %q, want %q", n, c.ask, got, c.want)
 		}
 		one.Send(string(pg.AppendBodyless(nil, 'X')))
-		one.Close()
+		closeSocket(one)
 	}
 	if n := cluster.Servers[0].Counts(); n.Peak > 2 { // and one for checks
 		t.Errorf("%d connections", n.Peak)
@@ -211,8 +183,8 @@
 }
 
 // The extended protocol, message by message, in one pipeline each.
-func TestPipelines(t *testing.T) {
-	addr, cluster := pooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
+func TestPool_ExtendedPipelines(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	parse := func(name, sql string) string { return string(pg.AppendParse(nil, name, []byte(sql+"\x00\x00\x00"))) }
 	bind := func(name string) string {
 		return string(pg.AppendExecute(pg.AppendBind(nil, "", name, []byte{0, 0, 0, 0, 0, 0}), ""))
@@ -259,3 +231,92 @@
 		t.Errorf("%d statements were prepared", n.Parses)
 	}
 }
+
+// What can't follow its client pins it; it leaves no trace for the next, and its connection's end is its session's.
+func TestPool_StickyConnections(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
+	c := fakes.NewClient(t, addr, true)
+	if got := askAll(c, "PREPARE mine AS SELECT note('mine')", "EXECUTE mine", "SET m.x = '1'"); got != "ok ready; mine ok ready; ok ready" {
+		t.Fatalf("got %q", got)
+	}
+	other := fakes.NewClient(t, addr, true)
+	other.Ask("SHOW m.x") // it waits
+	if got := askAll(c, "EXECUTE mine", "DISCARD ALL", "EXECUTE mine"); got != "mine ok ready; ok ready; 26000 ready" {
+		t.Errorf("got %q", got)
+	}
+	if got := other.Answer(); got != " ok ready" {
+		t.Errorf("the next: %q", got)
+	}
+	askAll(c, "PREPARE mine AS SELECT 1")
+	c.Send(string(pg.AppendBodyless(nil, 'X')))
+	closeSocket(c)
+	if got := askAll(other, "EXECUTE mine", "SELECT 1"); got != "26000 ready; 1 ok ready" {
+		t.Errorf("after it left: %q", got)
+	}
+	askAll(other, "LISTEN a")
+	made := cluster.Servers[0].Counts().Accepted
+	if made > 3 {
+		t.Errorf("%d connections", made)
+	}
+	cluster.Servers[0].CloseConnections()
+	if got := other.Answer(); got != "57P01 closed" {
+		t.Errorf("its connection has ended: %q", got)
+	}
+}
+
+// By session: one connection for as long as the client stays, and nothing of it for the next.
+func TestPool_SessionMode(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{Mode: "session", PerMember: 2}, nil)
+	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
+	a, b := askAll(one, "SELECT pg_backend_pid()"), askAll(two, "SELECT pg_backend_pid()")
+	for range 5 {
+		if x, y := askAll(one, "SELECT pg_backend_pid()"), askAll(two, "SELECT pg_backend_pid()"); a == b || x != a || y != b {
+			t.Errorf("%q, %q; then %q, %q", a, b, x, y)
+		}
+	}
+	askAll(one, "SET m.x = '1'", "PREPARE p AS SELECT 1")
+	three := fakes.NewClient(t, addr, true)
+	three.Ask("SHOW m.x")
+	closeSocket(one)
+	if got := three.Answer(); got != " ok ready" {
+		t.Errorf("the next: %q", got)
+	}
+	if got := askAll(three, "EXECUTE p", "SELECT pg_backend_pid()"); got != "26000 ready; "+a {
+		t.Errorf("the next: %q", got)
+	}
+	if n := cluster.Servers[0].Counts(); n.Peak > 3 {
+		t.Errorf("%d connections", n.Peak)
+	}
+}
+
+// What breaks the protocol ends its session alone, with its code.
+func TestPool_ProtocolErrors(t *testing.T) {
+	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
+	steady := fakes.NewClient(t, addr, true)
+	hello := string(pg.AppendStartup(nil, "api", "ledger"))
+	for _, c := range []struct{ name, send, want string }{
+		{"another database", string(pg.AppendStartup(nil, "api", "none")), "3D000 closed"},
+		{"replication", string(pg.AppendStartup(nil, "api", "ledger", [2]string{"replication", "database"})), "0A000 closed"},
+		{"options", string(pg.AppendStartup(nil, "api", "ledger", [2]string{"options", "-x 1"})), "22023 closed"},
+		{"an unknown message", hello + "?\x00\x00\x00\x04", "ready, 08P01 closed"},
+		{"half a Parse", hello + "P\x00\x00\x00\x05x", "ready, 08P01 closed"},
+		{"a Bind whose lengths lie", hello + "B\x00\x00\x00\x0e\x00\x00\x00\x00\x00\x01\x7f\xff\xff\xff", "ready, 08P01 closed"},
+		{"a length too large", hello + "P\x7f\xff\xff\xff", "ready, 54000 closed"},
+		{"a function call", hello + "F\x00\x00\x00\x04" + string(pg.AppendQuery(nil, "SELECT 1")), "ready, 0A000 ready, 1 ok ready"},
+		{"COPY data out of place", hello + "d\x00\x00\x00\x05x" + string(pg.AppendQuery(nil, "SELECT 1")), "ready, 1 ok ready"},
+		{"terminate", hello + "X\x00\x00\x00\x04", "ready, closed"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			one := fakes.NewClient(t, addr, false)
+			one.Send(c.send)
+			for _, want := range strings.Split(c.want, ", ") {
+				if got := one.Answer(); got != want {
+					t.Fatalf("got %q, want %q", got, want)
+				}
+			}
+			if got := askAll(steady, "SELECT 1"); got != "1 ok ready" {
+				t.Errorf("another session: %q", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/server/poolfailure_test.go
@@ -0,0 +1,321 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/jackc/pgx/v5"
+
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
+	"wayloft/internal/lab"
+	"wayloft/internal/pg"
+)
+
+// A client that leaves in the middle of something leaves nothing open behind, and its connection's place is free.
+func TestPool_ClientGoneLeavesNoTransaction(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
+	for _, c := range []struct {
+		name string
+		ask  []string // each answered before the next
+		last string   // not answered
+	}{
+		{"within a transaction", []string{"BEGIN", insertSQL("left", "1")}, ""},
+		{"within COPY", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN"))},
+		{"within COPY's data", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN")) + "d\x00\x00\x00\x0bleft\t1\n"},
+		{"within a pipeline", nil, string(pg.AppendParse(nil, "", []byte("SELECT pg_sleep(5)\x00\x00\x00"))) +
+			string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), "")) + string(pg.AppendBodyless(nil, 'H'))},
+		{"within a statement", nil, string(pg.AppendQuery(nil, "SELECT pg_sleep(5)"))},
+		{"within half a message", []string{"BEGIN", "SELECT 1"}, "Q\x00\x00\x00\x20half"},
+		{"after BEGIN alone", []string{"BEGIN"}, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			one := fakes.NewClient(t, addr, true)
+			for _, q := range c.ask {
+				if got := askAll(one, q); !strings.HasSuffix(got, "ok ready") {
+					t.Fatalf("%s: %q", q, got)
+				}
+			}
+			one.Send(c.last)
+			if c.last != "" && len(c.ask) == 0 {
+				made := cluster.Servers[0].Counts().Accepted
+				fakes.Until(t, "it has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && made > 0 })
+			}
+			closeSocket(one)
+			if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'left'"); got != "ok ready" {
+				t.Errorf("the next client: %q", got)
+			}
+			fakes.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().InTransaction == 0 })
+		})
+	}
+}
+
+// A connection that dies between Parse and Execute is no mistake of the client's: nothing has run, and it goes elsewhere.
+func TestPool_ConnectionLost(t *testing.T) {
+	var mu sync.Mutex
+	var at pg.Kind
+	fail := func(kind pg.Kind) { mu.Lock(); at = kind; mu.Unlock() }
+	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
+			mu.Lock()
+			defer mu.Unlock()
+			if m.Kind == at && !strings.HasPrefix(m.Text, "SHOW") {
+				at = -1
+				return &pgserver.Fault{Close: true}
+			}
+			return nil
+		}
+	})
+	fail(-1)
+	c := fakes.NewClient(t, addr, true)
+	parse := string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00")))
+	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
+	sync := string(pg.AppendSync(nil))
+	c.Send(string(pg.AppendQuery(nil, "SET wayloft.txn_type = 'read'")) + parse + sync)
+	if a, b := c.Answer(), c.Answer(); a != "ok ready" || b != "ready" {
+		t.Fatalf("got %q, %q", a, b)
+	}
+	for _, kind := range []pg.Kind{pg.Bind, pg.Execute, pg.Sync} {
+		fail(kind)
+		c.Send(bind + sync)
+		if got := c.Answer(); got != "1 ok ready" {
+			t.Errorf("lost at message %d: %q", kind, got)
+		}
+	}
+	// In a transaction that has begun it is failed, and nothing of it is sent again.
+	for _, x := range []struct{ ask, want string }{{"BEGIN", "ok ready"}, {insertSQL("dies", "1"), "1 ok ready"}} {
+		if got := askAll(c, x.ask); got != x.want {
+			t.Fatalf("%s: %q", x.ask, got)
+		}
+	}
+	fail(pg.Query)
+	if got := askAll(c, "SELECT 1", "SELECT 1", "COMMIT", "SELECT blob FROM rows WHERE handle = 'dies'"); got !=
+		"40001 ready; 25P02 ready; ok ready; ok ready" {
+		t.Errorf("lost in a transaction: %q", got)
+	}
+	c.Ask("SET wayloft.txn_type = 'write'")
+	c.Answer()
+	askAll(c, "BEGIN", insertSQL("dies", "2"))
+	fail(pg.Query)
+	if got := askAll(c, "COMMIT", "ROLLBACK"); got != "08007 ready; ok ready" {
+		t.Errorf("lost at its commit: %q", got)
+	}
+	askAll(c, "BEGIN", insertSQL("dies", "3"))
+	fail(pg.Query)
+	if got := askAll(c, "SELECT 1", "ROLLBACK"); got != "08006 ready; ok ready" {
+		t.Errorf("lost before its commit: %q", got)
+	}
+	askAll(c, "BEGIN", insertSQL("dies", "4"))
+	fail(pg.Sync)
+	c.Send(bind + sync)
+	if got := c.Answer(); got != "1 ok 08006 ready" {
+		t.Errorf("lost in a pipeline within: %q", got)
+	}
+	if got := askAll(c, "ROLLBACK", "SELECT 1"); got != "ok ready; 1 ok ready" {
+		t.Errorf("after it: %q", got)
+	}
+}
+
+// A cancel reaches the statement that runs for its client, and never the next client's, however late it comes.
+func TestPool_CancelRequests(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
+	ctx := context.Background()
+	one, err := pgx.Connect(ctx, connectionURL(addr))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = one.Close(ctx) }()
+	running := make(chan error, 1)
+	go func() {
+		_, err := one.Exec(ctx, "SELECT pg_sleep(30)")
+		running <- err
+	}()
+	fakes.Until(t, "it runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
+	if err := one.PgConn().CancelRequest(ctx); err != nil {
+		t.Error(err)
+	}
+	if err := <-running; errorCode(err) != "57014" {
+		t.Errorf("the cancelled: %v", err)
+	}
+	// One that waits for the only connection ends at once.
+	holder := fakes.NewClient(t, addr, true)
+	askAll(holder, "BEGIN", "SELECT 1")
+	go func() {
+		_, err := one.Exec(ctx, "SELECT 1")
+		running <- err
+	}()
+	var ended error
+	fakes.Until(t, "the one that waits ends", func() bool {
+		_ = one.PgConn().CancelRequest(ctx) // one that fails is sent again
+		select {
+		case ended = <-running:
+			return true
+		default:
+			return false
+		}
+	})
+	if errorCode(ended) != "57014" {
+		t.Errorf("the one that waits: %v", ended)
+	}
+	askAll(holder, "COMMIT")
+	// Cancels that come as their statements end, while others use the same place.
+	stop := make(chan bool)
+	var others sync.WaitGroup
+	for range 3 {
+		c := fakes.NewClient(t, addr, true)
+		others.Add(1)
+		go func() {
+			defer others.Done()
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+					if got := askAll(c, "SELECT pg_sleep(0.0005)"); got != " ok ready" {
+						t.Errorf("another client: %q", got)
+						return
+					}
+				}
+			}
+		}()
+	}
+	for range 60 {
+		go func() {
+			_, err := one.Exec(ctx, "SELECT pg_sleep(0.0005)")
+			running <- err
+		}()
+		if err := one.PgConn().CancelRequest(ctx); err != nil {
+			t.Errorf("a cancel request: %v", err)
+		}
+		if err := <-running; err != nil && errorCode(err) != "57014" {
+			t.Errorf("its own: %v", err)
+		}
+	}
+	close(stop)
+	others.Wait()
+	if key := (pg.CancelKey{Process: 1, Secret: 2}); true { // of nobody
+		c := fakes.NewClient(t, addr, false)
+		c.Send(string(pg.AppendCancelRequest(nil, key)))
+		if got := c.Answer(); got != "closed" {
+			t.Errorf("a wrong key: %q", got)
+		}
+	}
+}
+
+// A member that drains with forty transactions open: each may end there, and nothing new begins there.
+func TestPool_MemberDrainsWithOpenTransactions(t *testing.T) {
+	l := newListServer(t)
+	l.publish(0)
+	addr, cluster := startPooledRouter(t, 2, lab.Pool{PerMember: 50, TopLevelKeys: fmt.Sprintf("discovery = \"%s\"\n",
+		strings.TrimPrefix(l.URL, "http://"))}, nil)
+	l.publish(1, listEntry(0, cluster.Servers[0], "in_service"), listEntry(1, cluster.Servers[1], "in_service"))
+	var open []*fakes.Client
+	for n := range 40 {
+		c := fakes.NewClient(t, addr, true)
+		if got := askAll(c, "BEGIN", insertSQL(fmt.Sprint("open", n), "1")); got != "ok ready; 1 ok ready" {
+			t.Fatalf("%d: %q", n, got)
+		}
+		open = append(open, c)
+	}
+	l.publish(2, listEntry(0, cluster.Servers[0], "terminating"), listEntry(1, cluster.Servers[1], "in_service"))
+	cluster.Promote(cluster.Servers[1])
+	fakes.Until(t, "the new primary takes writes", func() bool { return askOnce(t, addr, insertSQL("new", "1")) == "1 ok ready" })
+	before := cluster.Servers[0].Counts()
+	cluster.Promote(cluster.Servers[0]) // so that what is open there may end; the router has no word of it
+	for n, c := range open {
+		if got := askAll(c, insertSQL(fmt.Sprint("more", n), "1"), "COMMIT"); got != "1 ok ready; ok ready" {
+			t.Fatalf("%d: %q", n, got)
+		}
+	}
+	cluster.Promote(cluster.Servers[1])
+	fakes.Until(t, "nothing is left there", func() bool { return cluster.Servers[0].Counts().Open == 0 })
+	if n := cluster.Servers[0].Counts(); n.Accepted != before.Accepted {
+		t.Errorf("%d connections were made to a member that drains", n.Accepted-before.Accepted)
+	}
+}
+
+// A primary that is replaced while transactions are open: they fail honestly, and the next ones go to the new primary.
+func TestPool_PrimaryReplaced(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 2, lab.Pool{PerMember: 20}, nil)
+	var open []*fakes.Client
+	for n := range 10 {
+		c := fakes.NewClient(t, addr, true)
+		if got := askAll(c, "BEGIN", insertSQL(fmt.Sprint("r", n), "1")); got != "ok ready; 1 ok ready" {
+			t.Fatalf("%d: %q", n, got)
+		}
+		open = append(open, c)
+	}
+	cluster.Servers[0].Close()
+	cluster.Promote(cluster.Servers[1])
+	for n, c := range open {
+		if got := askAll(c, "SELECT 1", "ROLLBACK"); got != "08006 ready; ok ready" {
+			t.Errorf("%d: %q", n, got)
+		}
+		if got := askAll(c, insertSQL(fmt.Sprint("r", n), "2"), "SELECT blob FROM rows WHERE handle = 'r"+fmt.Sprint(n)+"'"); got !=
+			"2 ok ready; 2 ok ready" {
+			t.Errorf("%d: after it: %q", n, got)
+		}
+	}
+}
+
+// A plan that has become invalid is prepared again where nothing has run, and its client hears nothing of it.
+func TestPool_InvalidPlanPreparedAgain(t *testing.T) {
+	var mu sync.Mutex
+	var codes []string
+	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, func(s *pgserver.Server) {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
+			mu.Lock()
+			defer mu.Unlock()
+			if m.Kind != pg.Bind || len(codes) == 0 {
+				return nil
+			}
+			f := &pgserver.Fault{Error: codes[0]}
+			if codes = codes[1:]; f.Error == "ok" {
+				return nil
+			}
+			return f
+		}
+	})
+	c := fakes.NewClient(t, addr, true)
+	sync := string(pg.AppendSync(nil))
+	c.Send(string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00"))) + sync)
+	c.Answer()
+	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
+	for _, x := range []struct{ codes, want string }{
+		{"0A000", "1 ok ready"}, {"26000", "1 ok ready"}, {"", "1 ok ready"},
+		{"0A000 0A000", "0A000 ready"}, // once: then it is the statement's own fault
+		{"", "1 ok ready"},
+	} {
+		mu.Lock()
+		codes = strings.Fields(x.codes)
+		mu.Unlock()
+		c.Send(bind + sync)
+		if got := c.Answer(); got != x.want {
+			t.Errorf("%s: got %q, want %q", x.codes, got, x.want)
+		}
+	}
+	askAll(c, "BEGIN", "SELECT 1") // something has run: its client must hear of it
+	mu.Lock()
+	codes = []string{"0A000"}
+	mu.Unlock()
+	c.Send(bind + sync)
+	if got := c.Answer(); got != "0A000 ready" {
+		t.Errorf("in a transaction: %q", got)
+	}
+	askAll(c, "ROLLBACK")
+	mu.Lock()
+	codes = []string{"ok", "0A000"}
+	mu.Unlock()
+	begin := string(pg.AppendParse(nil, "b", []byte("BEGIN\x00\x00\x00"))) +
+		string(pg.AppendExecute(pg.AppendBind(nil, "", "b", []byte{0, 0, 0, 0, 0, 0}), ""))
+	c.Send(begin + bind + sync)
+	if got := c.Answer(); got != "ok 0A000 ready" {
+		t.Errorf("in a transaction that the same pipeline began: %q", got)
+	}
+	if got := askAll(c, "ROLLBACK", "SELECT 1"); got != "ok ready; 1 ok ready" {
+		t.Errorf("after it: %q", got)
+	}
+}
--- /dev/null
+++ b/internal/server/poollimits_test.go
@@ -0,0 +1,127 @@
+package server
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
+	"wayloft/internal/lab"
+	"wayloft/internal/pg"
+)
+
+// A pool of four with four hundred clients, one of which holds a transaction open and idle: the limit ends it, and all
+// others are served.
+func TestPool_IdleInTransactionTimeout(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 4, ExtraKeys: "", IdleInTransaction: "300ms"}, nil)
+	idle := fakes.NewClient(t, addr, true)
+	askAll(idle, "BEGIN", insertSQL("idle", "1"))
+	var wg sync.WaitGroup
+	for n := range 400 {
+		c := fakes.NewClient(t, addr, true)
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			for range 3 {
+				if got := askAll(c, insertSQL(fmt.Sprint("many", n), "1")); got != "1 ok ready" {
+					t.Errorf("client %d: %q", n, got)
+				}
+			}
+		}()
+	}
+	wg.Wait()
+	if got := idle.Answer(); got != "25P03 closed" {
+		t.Errorf("the idle one: %q", got)
+	}
+	if n := cluster.Servers[0].Counts(); n.Accepted > 4+1+1 { // one for checks, one in place of the ended
+		t.Errorf("%d connections", n.Accepted)
+	}
+	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'idle'"); got != "ok ready" {
+		t.Errorf("its write: %q", got)
+	}
+}
+
+// Ever new texts: a session that prepares too much hears so, and what connections keep stays bounded.
+func TestPool_PreparedStatementLimit(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "statements = 300\n"}, nil)
+	c := fakes.NewClient(t, addr, true)
+	sync := string(pg.AppendSync(nil))
+	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), ""))
+	for n := range 600 { // without a name, each takes the place of the one before
+		c.Send(string(pg.AppendParse(nil, "", []byte(fmt.Sprintf("SELECT note('%d')\x00\x00\x00", n)))) + bind + sync)
+		if got := c.Answer(); got != fmt.Sprint(n, " ok ready") {
+			t.Fatalf("%d: %q", n, got)
+		}
+	}
+	var last string
+	for n := range 300 {
+		c.Send(string(pg.AppendParse(nil, fmt.Sprint("s", n), []byte(fmt.Sprintf("SELECT note('%d')\x00\x00\x00", n)))) + sync)
+		last = c.Answer()
+	}
+	if last != "54000 ready" {
+		t.Errorf("one too many: %q", last)
+	}
+	fakes.Until(t, "the member keeps few", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
+	c.Send(string(pg.AppendExecute(pg.AppendBind(nil, "", "s0", []byte{0, 0, 0, 0, 0, 0}), "")) + sync)
+	if got := c.Answer(); got != "0 ok ready" {
+		t.Errorf("an early one: %q", got)
+	}
+}
+
+// A member that holds twenty connections, and four hundred clients at once: no more than it takes are tried again and
+// again, and all are served.
+func TestPool_MemberConnectionLimit(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 100}, func(s *pgserver.Server) { s.MaxConnections = 20 })
+	var wg sync.WaitGroup
+	for n := range 400 {
+		c := fakes.NewClient(t, addr, true)
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			for range 5 {
+				if got := askAll(c, insertSQL(fmt.Sprint("storm", n), "1")); got != "1 ok ready" {
+					t.Errorf("client %d: %q", n, got)
+				}
+			}
+		}()
+	}
+	wg.Wait()
+	if n := cluster.Servers[0].Counts(); n.Accepted > 20+100 {
+		t.Errorf("%d connections were tried", n.Accepted)
+	} else {
+		t.Logf("%d connections were tried, %d at once", n.Accepted, n.Peak)
+	}
+}
+
+// A client that is slow to copy in is no silence of its member: others go on, and its rows come whole.
+func TestPool_SlowCopyNotSuspected(t *testing.T) {
+	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 4}, nil)
+	for n := range 200 { // the member is known to be fast
+		if got := askOnce(t, addr, insertSQL(fmt.Sprint("fast", n), "1")); got != "1 ok ready" {
+			t.Fatalf("got %q", got)
+		}
+	}
+	other := fakes.NewClient(t, addr, true)
+	var slow []*fakes.Client
+	for range 3 {
+		c := fakes.NewClient(t, addr, true)
+		c.Ask("COPY rows (handle, blob) FROM STDIN")
+		slow = append(slow, c)
+	}
+	fakes.Until(t, "they copy", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
+	time.Sleep(300 * time.Millisecond) // a silence of all three, far beyond what the member is known for
+	if got := askAll(other, "/* id=between,c=write,d=400 */ "+insertSQL("between", "1")); got != "1 ok ready" {
+		t.Errorf("between: %q", got)
+	}
+	for n, c := range slow {
+		c.Send(string(pg.AppendCopyData(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendBodyless(nil, 'c')))
+		if got := c.Answer(); got != "ok ready" {
+			t.Errorf("%d: %q", n, got)
+		}
+	}
+	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'slow2'"); got != "v ok ready" {
+		t.Errorf("what was copied: %q", got)
+	}
+}
--- a/internal/server/descriptors_test.go
+++ b/internal/server/processlimits_test.go
@@ -9,9 +9,9 @@
 )
 
 // The size of two years hence is a configuration like any other; where the system gives fewer descriptors the start says so.
-func TestDescriptorsThatTheSystemDoesNotGive(t *testing.T) {
+func TestCheckDescriptorLimit(t *testing.T) {
 	text := lab.IdleRouter{Members: 820, Groups: 205}.Configuration("127.0.0.1:0", "", "", "")
-	conf, err := Load(write(t, filepath.Join(t.TempDir(), "still.toml"), text))
+	conf, err := Load(writeFile(t, filepath.Join(t.TempDir(), "still.toml"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/seeded_defects_test.go
+++ b/internal/server/seeded_defects_test.go
@@ -9,17 +9,17 @@
 )
 
 // A router that leaks on purpose is found out by the same run that finds nothing in the real one.
-func TestPlantedLeaksAreFound(t *testing.T) {
+func TestSeededDefects_Detected(t *testing.T) {
 	for _, what := range []string{"settings", "rollback", "names", "position"} {
 		t.Run(what, func(t *testing.T) {
 			t.Cleanup(func() { session.Planted = "" }) // after the router has ended
 			session.Planted = what
-			var a astray
-			_, _, bad := mixedRun(t, &a, 600)
-			if len(bad)+len(a.found) == 0 {
+			var a noteChecker
+			_, _, bad := runMixedCluster(t, &a, 600)
+			if len(bad)+len(a.mismatches) == 0 {
 				t.Error("nothing was found")
 			}
-			t.Log(append(bad, a.found...)[0])
+			t.Log(append(bad, a.mismatches...)[0])
 		})
 	}
 }
--- a/internal/server/sighup_test.go
+++ b/internal/server/signals_test.go
@@ -18,9 +18,27 @@
 	"wayloft/internal/fakes"
 )
 
+// A signal to end comes behind more of the others than any channel holds, in a process that has not begun to serve: it is heard, and
+// so is the last of the others.
+func TestNotifySignals_BurstOfReloads(t *testing.T) {
+	signals := NotifySignals()
+	for range 100 {
+		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	heard := map[os.Signal]bool{}
+	for !heard[syscall.SIGTERM] || !heard[syscall.SIGHUP] {
+		heard[<-signals] = true
+	}
+}
+
 // SIGHUP comes without end from the first moment in which the process can take it until it serves: it lives, serves, and ends in
 // order. Both as the platform starts it, and started plainly.
-func TestHangupInTheFirstMoments(t *testing.T) {
+func TestSIGHUP_BeforeServing(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wayloft")
 	if out, err := exec.Command("go", "build", "-o", program, "wayloft/cmd/wayloft").CombinedOutput(); err != nil {
@@ -42,7 +60,7 @@
 		t.Run(start.name, func(t *testing.T) {
 			ignored := 0
 			for range 6 {
-				if hangups(t, start.command, filepath.Join(dir, "config.json")) {
+				if startUnderSIGHUP(t, start.command, filepath.Join(dir, "config.json")) {
 					ignored++
 				}
 			}
@@ -53,16 +71,16 @@
 	}
 }
 
-// hangups starts a router, and tells whether it was seen to ignore SIGHUP before it served.
-func hangups(t *testing.T, command []string, file string) (ignored bool) {
+// startUnderSIGHUP starts a router, and tells whether it was seen to ignore SIGHUP before it served.
+func startUnderSIGHUP(t *testing.T, command []string, file string) (ignored bool) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	l.Close()
-	write(t, file, strings.Replace(configuration, "127.0.0.1:0", addr, 1))
+	closeSocket(l)
+	writeFile(t, file, strings.Replace(platformConfig, "127.0.0.1:0", addr, 1))
 	c := exec.Command(command[0], command[1:]...)
 	c.Env = append(os.Environ(), "PROXY_CONFIG="+file)
 	log, err := c.StderrPipe()
@@ -72,7 +90,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Process.Kill() })
+	t.Cleanup(func() { _ = c.Process.Kill() })
 	serving, read := make(chan bool), make(chan bool)
 	go func() {
 		defer close(read)
@@ -88,8 +106,10 @@
 		}
 	}()
 	for up := false; !up; runtime.Gosched() {
-		if ignored = ignored || ignoresHangup(c.Process.Pid); ignored {
-			c.Process.Signal(syscall.SIGHUP)
+		if ignored = ignored || ignoresSIGHUP(c.Process.Pid); ignored {
+			if err := c.Process.Signal(syscall.SIGHUP); err != nil {
+				t.Error(err)
+			}
 		}
 		select {
 		case <-serving:
@@ -103,9 +123,11 @@
 		if got := one.Answer(); got != "empty ready" {
 			t.Errorf("got %q", got)
 		}
-		one.Close()
+		closeSocket(one)
+	}
+	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Error(err)
 	}
-	c.Process.Signal(syscall.SIGTERM)
 	<-read
 	if err := c.Wait(); err != nil {
 		t.Errorf("its end: %v", err)
@@ -113,8 +135,8 @@
 	return ignored
 }
 
-// ignoresHangup reads a process's mask of ignored signals.
-func ignoresHangup(pid int) bool {
+// ignoresSIGHUP reads a process's mask of ignored signals.
+func ignoresSIGHUP(pid int) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return false
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -1,111 +1,19 @@
 package server
 
 import (
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"os"
 	"strings"
 	"testing"
-	"time"
 
 	"wayloft/internal/fakes/recording"
 	"wayloft/internal/lab"
 	"wayloft/internal/pg"
 )
 
-// transcriptClient is a client whose bytes are written down as they come: a line a message, with its type and body.
-type transcriptClient struct {
-	t    *testing.T
-	conn net.Conn
-	out  *strings.Builder
-	key  []byte // the body of its BackendKeyData
-}
-
-// newTranscriptClient connects and writes down what the client hears up to its first ReadyForQuery.
-func newTranscriptClient(t *testing.T, out *strings.Builder, addr, name string, startup []byte) *transcriptClient {
-	t.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	fmt.Fprintf(out, "\nclient: %s\n", name)
-	c := &transcriptClient{t: t, conn: conn, out: out}
-	c.send(startup, 1)
-	return c
-}
-
-// send writes bytes and writes down what comes up to the given count of ReadyForQuery, or the end.
-func (c *transcriptClient) send(b []byte, ready int) {
-	c.t.Helper()
-	fmt.Fprintf(c.out, "> %.200q\n", b)
-	if _, err := c.conn.Write(b); err != nil {
-		c.t.Fatal(err)
-	}
-	c.hear(ready)
-}
-
-func (c *transcriptClient) hear(ready int) {
-	c.t.Helper()
-	for ready > 0 {
-		kind, body, err := c.message()
-		if err != nil {
-			fmt.Fprintf(c.out, "< end\n")
-			return
-		}
-		switch kind {
-		case 'K':
-			c.key, body = body, []byte("KEY")
-		case 'Z', 'G':
-			ready--
-		}
-		fmt.Fprintf(c.out, "< %c %.400q\n", kind, body)
-	}
-}
-
-func (c *transcriptClient) message() (kind byte, body []byte, err error) {
-	if err := c.conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
-		return 0, nil, err
-	}
-	var head [5]byte
-	if _, err := io.ReadFull(c.conn, head[:]); err != nil {
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.t.Fatal("nothing came")
-		}
-		return 0, nil, err
-	}
-	body = make([]byte, int(head[1])<<24+int(head[2])<<16+int(head[3])<<8+int(head[4])-4)
-	_, err = io.ReadFull(c.conn, body)
-	return head[0], body, err
-}
-
-func transcriptQueries(queries ...string) (out []byte) {
-	for _, sql := range queries {
-		out = pg.AppendQuery(out, sql)
-	}
-	return out
-}
-
-func transcriptParse(out []byte, name, sql string) []byte {
-	return pg.AppendParse(out, name, []byte(sql+"\x00\x00\x00"))
-}
-
-func transcriptBind(out []byte, portal, name, value string) []byte {
-	tail := []byte{0, 0, 0, 0, 0, 0}
-	if value != "" {
-		tail = append([]byte{0, 0, 0, 1, 0, 0, 0, byte(len(value))}, value...)
-		tail = append(tail, 0, 0)
-	}
-	return pg.AppendBind(out, portal, name, tail)
-}
-
-const transcriptSelect = "SELECT blob FROM rows WHERE handle = $1"
-
 // TestTranscript_Pooled has what a client of a pool hears be the recorded bytes.
 func TestTranscript_Pooled(t *testing.T) {
-	addr, _ := pooledRouter(t, 1, lab.Pool{PerMember: 2, ExtraKeys: "pins = true\nstatements = 4\nsettings = \"300B\"\n"}, nil)
+	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2, ExtraKeys: "pins = true\nstatements = 4\nsettings = \"300B\"\n"}, nil)
 	var out strings.Builder
 	startup := pg.AppendStartup(nil, "api", "ledger", [2]string{"application_name", "guard"})
 	client := func(name string) *transcriptClient { return newTranscriptClient(t, &out, addr, name, startup) }
@@ -183,41 +91,15 @@
 	recording.CompareText(t, "transcript-pooled.txt", out.String())
 }
 
-// cancelTranscript cancels what a client runs, again until it has reached the member, and writes down what the client hears.
-func cancelTranscript(t *testing.T, addr string, c *transcriptClient) {
-	t.Helper()
-	done := make(chan bool)
-	go func() {
-		defer close(done)
-		c.hear(1)
-	}()
-	for {
-		cancel, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := cancel.Write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), c.key...)); err != nil {
-			t.Fatal(err)
-		}
-		_, _ = io.Copy(io.Discard, cancel)
-		cancel.Close()
-		select {
-		case <-done:
-			return
-		case <-time.After(100 * time.Millisecond):
-		}
-	}
-}
-
 // TestTranscript_Statements has what a client of the statement form hears be the recorded bytes.
 func TestTranscript_Statements(t *testing.T) {
-	addr, _, _ := start(t, "127.0.0.1:1", 256, member(t).Addr)
+	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	var out strings.Builder
 	startup := pg.AppendStartup(nil, "api", "ledger")
 	client := func(name string) *transcriptClient { return newTranscriptClient(t, &out, addr, name, startup) }
 
 	c := client("statements")
-	for n, sql := range []string{"", ";", look("a1", "x1"), put("a2", "x2"), look("a3", "error"), look("a4", "wrong"), "SELECT 1", "/* c=look */ SELECT 1",
+	for n, sql := range []string{"", ";", readStatement("a1", "x1"), writeStatement("a2", "x2"), readStatement("a3", "error"), readStatement("a4", "wrong"), "SELECT 1", "/* c=look */ SELECT 1",
 		"/* id=a6,c=none,d=100 */ SELECT 1", "/* id=a7,c=look,d=100,cluster=2 */ SELECT x", "/* id=a7,c=look,d=100,cluster=2,r=1 */ SELECT x",
 		"/* id=a8,c=look,d=x */ SELECT x", "/* id=a9,c=look,d=-1 */ SELECT x", "/* id=a9,c=look,d=100,after=x */ SELECT x", "/* id=a9"} {
 		fmt.Fprintf(&out, "%d: ", n)
@@ -226,12 +108,12 @@
 	c.send(pg.AppendBodyless(nil, 'X'), 1)
 
 	c = client("pipelined")
-	c.send(transcriptQueries(look("b1", "x1"), put("b2", "x2"), "", look("b3", "x3"), look("b4", "wrong"), look("b5", "x5")), 6)
+	c.send(transcriptQueries(readStatement("b1", "x1"), writeStatement("b2", "x2"), "", readStatement("b3", "x3"), readStatement("b4", "wrong"), readStatement("b5", "x5")), 6)
 
 	c = client("extended queries")
 	c.send(pg.AppendSync(pg.AppendExecute(transcriptBind(transcriptParse(nil, "", "SELECT 1"), "", "", ""), "")), 1)
-	c.send(transcriptQueries(look("c1", "x")), 1)
-	client("too much ahead").send(append(transcriptQueries(look("d0", "hang")), transcriptQueries(make([]string, 300)...)...), 302)
+	c.send(transcriptQueries(readStatement("c1", "x")), 1)
+	client("too much ahead").send(append(transcriptQueries(readStatement("d0", "hang")), transcriptQueries(make([]string, 300)...)...), 302)
 	for _, one := range []struct {
 		name  string
 		bytes []byte
@@ -252,7 +134,7 @@
 
 // TestTranscript_Drain has what clients hear while the router drains be the recorded bytes.
 func TestTranscript_Drain(t *testing.T) {
-	addr, cluster, signals, ended := drainablePool(t, 1, lab.Pool{PerMember: 2}, nil)
+	addr, cluster, signals, ended := startDrainablePool(t, 1, lab.Pool{PerMember: 2}, nil)
 	defer cluster.Close()
 	var out strings.Builder
 	startup := pg.AppendStartup(nil, "api", "ledger")
@@ -263,10 +145,10 @@
 	busy.send(transcriptQueries("BEGIN", "SELECT 1"), 2)
 	part.send([]byte("Q\x00\x00\x00\x10SEL"), 0)
 	signals <- os.Interrupt
-	idle.hear(1)
+	idle.read(1)
 	busy.send(transcriptQueries("COMMIT"), 1)
-	busy.hear(1)
-	part.hear(1)
+	busy.read(1)
+	part.read(1)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- /dev/null
+++ b/internal/server/transcriptclient_test.go
@@ -0,0 +1,128 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"wayloft/internal/pg"
+)
+
+// transcriptClient is a client whose bytes are written down as they come: a line a message, with its type and body.
+type transcriptClient struct {
+	t    *testing.T
+	conn net.Conn
+	out  *strings.Builder
+	key  []byte // the body of its BackendKeyData
+}
+
+// newTranscriptClient connects and writes down what the client hears up to its first ReadyForQuery.
+func newTranscriptClient(t *testing.T, out *strings.Builder, addr, name string, startup []byte) *transcriptClient {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeSocket(conn) })
+	fmt.Fprintf(out, "\nclient: %s\n", name)
+	c := &transcriptClient{t: t, conn: conn, out: out}
+	c.send(startup, 1)
+	return c
+}
+
+// send writes bytes and writes down what comes up to the given count of ReadyForQuery, or the end.
+func (c *transcriptClient) send(b []byte, ready int) {
+	c.t.Helper()
+	fmt.Fprintf(c.out, "> %.200q\n", b)
+	if _, err := c.conn.Write(b); err != nil {
+		c.t.Fatal(err)
+	}
+	c.read(ready)
+}
+
+func (c *transcriptClient) read(ready int) {
+	c.t.Helper()
+	for ready > 0 {
+		kind, body, err := c.message()
+		if err != nil {
+			fmt.Fprintf(c.out, "< end\n")
+			return
+		}
+		switch kind {
+		case 'K':
+			c.key, body = body, []byte("KEY")
+		case 'Z', 'G':
+			ready--
+		}
+		fmt.Fprintf(c.out, "< %c %.400q\n", kind, body)
+	}
+}
+
+func (c *transcriptClient) message() (kind byte, body []byte, err error) {
+	if err := c.conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		return 0, nil, err
+	}
+	var head [5]byte
+	if _, err := io.ReadFull(c.conn, head[:]); err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			c.t.Fatal("nothing came")
+		}
+		return 0, nil, err
+	}
+	body = make([]byte, int(head[1])<<24+int(head[2])<<16+int(head[3])<<8+int(head[4])-4)
+	_, err = io.ReadFull(c.conn, body)
+	return head[0], body, err
+}
+
+func transcriptQueries(queries ...string) (out []byte) {
+	for _, sql := range queries {
+		out = pg.AppendQuery(out, sql)
+	}
+	return out
+}
+
+func transcriptParse(out []byte, name, sql string) []byte {
+	return pg.AppendParse(out, name, []byte(sql+"\x00\x00\x00"))
+}
+
+func transcriptBind(out []byte, portal, name, value string) []byte {
+	tail := []byte{0, 0, 0, 0, 0, 0}
+	if value != "" {
+		tail = append([]byte{0, 0, 0, 1, 0, 0, 0, byte(len(value))}, value...)
+		tail = append(tail, 0, 0)
+	}
+	return pg.AppendBind(out, portal, name, tail)
+}
+
+const transcriptSelect = "SELECT blob FROM rows WHERE handle = $1"
+
+// cancelTranscript cancels what a client runs, again until it has reached the member, and writes down what the client hears.
+func cancelTranscript(t *testing.T, addr string, c *transcriptClient) {
+	t.Helper()
+	done := make(chan bool)
+	go func() {
+		defer close(done)
+		c.read(1)
+	}()
+	for {
+		cancel, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := cancel.Write(append([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), c.key...)); err != nil {
+			t.Fatal(err)
+		}
+		_, _ = io.Copy(io.Discard, cancel)
+		closeSocket(cancel)
+		select {
+		case <-done:
+			return
+		case <-time.After(100 * time.Millisecond):
+		}
+	}
+}
