--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -62,13 +62,7 @@
 	}
 	conf.wallClock = func() time.Time { return time.Now().Add(ahead) }
 	term, ended := make(chan os.Signal, 2), make(chan error, 1)
-	go func() { ended <- Run(conf, l, term) }()
-	t.Cleanup(func() {
-		term <- os.Interrupt
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
+	runUntilCleanup(t, conf, l, term, ended)
 	return l.Addr().String()
 }
 
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -70,11 +70,33 @@
 		t.Fatal(err)
 	}
 	term, ended = make(chan os.Signal, 2), make(chan error, 1)
-	go func() { ended <- Run(conf, l, term) }()
-	t.Cleanup(func() { term <- os.Interrupt })
+	runUntilCleanup(t, conf, l, term, ended)
 	return addr, term, ended
 }
 
+// runUntilCleanup runs a router, and has it drain and end before the test's listener and members are closed. It waits for the end, since
+// a router that still drains would reach failpoints that the next test has set. ended is closed behind the result of Run.
+func runUntilCleanup(t *testing.T, conf *Config, listener net.Listener, term chan os.Signal, ended chan error) {
+	t.Helper()
+	go func() {
+		ended <- Run(conf, listener, term)
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		select {
+		case term <- os.Interrupt:
+		case err := <-ended: // the test has ended it
+			if err != nil {
+				t.Error(err)
+			}
+			return
+		}
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+}
+
 // startPooledRouter serves before a fake cluster.
 func startPooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
 	t.Helper()
--- a/internal/server/mixedrun_test.go
+++ b/internal/server/mixedrun_test.go
@@ -16,7 +16,7 @@
 	"wayloft/internal/pg"
 )
 
-var mixedTransactions = flag.Int("astray", 4000, "transactions of the mixed run; the long one takes 100000")
+var mixedTransactions = flag.Int("mixed-transactions", 4000, "transactions of the mixed run; the long one takes 100000")
 
 // noteChecker keeps what a server recorded that was not as its client had it: each statement that notes carries what its
 // client has set, and its client's own mark.
--- a/internal/server/pipelined_test.go
+++ b/internal/server/pipelined_test.go
@@ -12,13 +12,13 @@
 	"wayloft/internal/pg"
 )
 
-// waitByRouterClock waits until so many ms have passed by the router's own clock: until it rejects a request of a cluster that isn't there,
-// at half of its time.
-func waitByRouterClock(t *testing.T, addr string, ms int) {
+// waitByRouterClock waits until a time has passed by the router's own clock: until it rejects a request of this class to a group that does
+// not exist, at half of the request's time.
+func waitByRouterClock(t *testing.T, addr, class string, duration time.Duration) {
 	t.Helper()
 	c := fakes.NewClient(t, addr, true)
 	defer closeSocket(c)
-	c.Ask(fmt.Sprintf("/* id=passed,c=look,t=n,d=%d,cluster=9 */ SELECT x", 2*ms))
+	c.Ask(fmt.Sprintf("/* id=passed,c=%s,t=n,d=%d,cluster=9 */ %s", class, 2*duration.Milliseconds(), insertSQL("none", "1")))
 	if got := c.Answer(); got != "53300 ready" {
 		t.Fatalf("a cluster that isn't there: %q", got)
 	}
@@ -47,7 +47,7 @@
 	c.Send(string(pg.AppendQuery(pg.AppendQuery(nil, "/* id=b1,c=put,t=n,d=2000,cluster=2 */ INSERT before"),
 		"/* id=b2,c=put,t=n,d=300,cluster=2 */ INSERT behind")))
 	fakes.Until(t, "the first is out", func() bool { _, asked := m.Seen(); return strings.Contains(strings.Join(asked, ""), "before") })
-	waitByRouterClock(t, addr, 350)
+	waitByRouterClock(t, addr, "look", 350*time.Millisecond)
 	answer <- true
 	for n, want := range []string{"served ok ready", "53300 ready"} {
 		if got := c.Answer(); got != want {
@@ -81,11 +81,7 @@
 	c.Send(query(labelled(1, 2000, insertSQL("before", "1"))) + query(labelled(2, 300, insertSQL("late", "1"))) + pipeline +
 		query("SELECT blob FROM rows WHERE handle = 'late'"))
 	<-out
-	other := fakes.NewClient(t, addr, true)
-	other.Ask("/* id=passed,c=write,t=n,d=700,cluster=9 */ " + insertSQL("none", "1"))
-	if got := other.Answer(); got != "53300 ready" {
-		t.Fatalf("a cluster that isn't there: %q", got)
-	}
+	waitByRouterClock(t, addr, "write", 350*time.Millisecond)
 	answer <- true
 	for n, want := range []string{"1 ok ready", "53300 ready", "53300 ready", "ok ready"} {
 		if got := c.Answer(); got != want {
--- a/internal/server/poollimits_test.go
+++ b/internal/server/poollimits_test.go
@@ -111,7 +111,7 @@
 		slow = append(slow, c)
 	}
 	fakes.Until(t, "they copy", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
-	time.Sleep(300 * time.Millisecond) // a silence of all three, far beyond what the member is known for
+	waitByRouterClock(t, addr, "write", 300*time.Millisecond) // no response to all three, for far longer than the member usually takes
 	if got := askAll(other, "/* id=between,c=write,d=400 */ "+insertSQL("between", "1")); got != "1 ok ready" {
 		t.Errorf("between: %q", got)
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -184,6 +184,9 @@
 			count := func() int { _, asked := drains.Seen(); return strings.Count(strings.Join(asked, "|"), "c=look") }
 			last := -1
 			for same := 0; same < 100; n++ { // a hundred in a row go to the other: two to the hundredth by chance
+				if n > 20000 {
+					t.Fatal("it still gets requests, or none is served")
+				}
 				asks.Ask(readStatement(fmt.Sprint(n), "x"))
 				switch got := asks.Answer(); got {
 				case "x ok ready":
@@ -197,9 +200,6 @@
 				} else {
 					same, last = 0, now
 				}
-				if n > 20000 {
-					t.Fatal("it still gets requests")
-				}
 			}
 		})
 	}
