--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -77,11 +76,3 @@
 	}
 	return seed, nil
 }
-
-// checkAddress returns an error that names the key if an address is not host:port.
-func checkAddress(key, address string) error {
-	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fmt.Errorf("%s: %w", key, err)
-	}
-	return nil
-}
--- a/internal/server/config_json.go
+++ b/internal/server/config_json.go
@@ -59,10 +59,10 @@
 	if fields.Err != nil {
 		return fields.Err
 	}
-	if err := checkAddress("listen", c.Listen); err != nil {
+	if err := settings.CheckAddress("listen", c.Listen); err != nil {
 		return err
 	}
-	if err := checkAddress("discovery", c.Discovery); err != nil {
+	if err := settings.CheckAddress("discovery", c.Discovery); err != nil {
 		return err
 	}
 	var err error
--- a/internal/server/config_toml.go
+++ b/internal/server/config_toml.go
@@ -37,11 +37,11 @@
 	if len(file.Fleet.Coordinators) > 0 {
 		c.fleet = &file.Fleet
 	}
-	if err := checkAddress("listen", c.Listen); err != nil {
+	if err := settings.CheckAddress("listen", c.Listen); err != nil {
 		return nil, err
 	}
 	if c.Discovery != "" {
-		if err := checkAddress("discovery", c.Discovery); err != nil {
+		if err := settings.CheckAddress("discovery", c.Discovery); err != nil {
 			return nil, err
 		}
 	}
--- /dev/null
+++ b/internal/settings/fleetsection.go
@@ -0,0 +1,149 @@
+package settings
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Fleet is the section of a router's file about what all routers have in common, and about the coordinator.
+type Fleet struct {
+	Routers           int      `toml:"routers"`
+	Zone              string   `toml:"zone"`
+	LaggingReads      string   `toml:"lagging_reads"` // what members do with a read that they lag behind for
+	HealthReports     bool     `toml:"reports"`
+	MaxAttempts       int      `toml:"submissions"`
+	RetryAfter        Duration `toml:"retry_after"`
+	ListTimeout       Duration `toml:"list_within"`
+	ColdFrom          float64  `toml:"cold_from"`
+	WarmUp            Duration `toml:"warm_up"`
+	ColdMultiple      float64  `toml:"cold_multiple"`
+	ColdWindow        Duration `toml:"cold_window"`
+	ConnectTimeout    Duration `toml:"connect_within"`
+	ServerIdleTimeout Duration `toml:"idle_close"`
+	CheckUser         string   `toml:"check_user"`     // of health checks
+	CheckDatabase     string   `toml:"check_database"` // of health checks
+
+	// What follows needs the coordinator.
+	Name                string            `toml:"name"`
+	Coordinators        []string          `toml:"council"` // addresses; none: the router takes no part in a fleet
+	ReceiverListen      string            `toml:"orders"`  // address on which orders of lease holders come
+	ReceiverAddress     string            `toml:"orders_address"`
+	SessionTimeout      Duration          `toml:"session"`
+	SafetyMargin        Duration          `toml:"margin"`
+	HealthShareInterval Duration          `toml:"sight"` // between two checks of a member as lease holder; 0: acquires no such lease
+	Switchover          *Switchover       `toml:"handover"`
+	MaxWriteHold        Duration          `toml:"most_held"` // the longest that writes are held here for one switchover
+	PeerAddresses       map[string]string `toml:"via"`       // addresses to reach processes by, by their names
+	AuditLog            string            `toml:"record"`
+	PolicyDir           string            `toml:"policy_folder"` // where the policy is stored for the next start; empty: nowhere
+	ClockOffset         Duration          `toml:"clock_ahead"`   // for tests
+}
+
+// Switchover is how a process that acquires switchover leases changes a group's primary.
+type Switchover struct {
+	Hold     Duration `toml:"hold"` // the longest that routers hold writes
+	Wait     Duration `toml:"wait"` // of it, for running writes to end
+	Step     Duration `toml:"step"` // for one statement
+	User     string   `toml:"user"`
+	Database string   `toml:"database"`
+	Primary  string   `toml:"primary"`
+	Guard    string   `toml:"guard"`
+	Seen     string   `toml:"seen"`
+	StepDown string   `toml:"yield"`
+	Promote  string   `toml:"take"`
+}
+
+// Values of what the section leaves out where it names the coordinator.
+const (
+	defaultFleetName                    = "fleet"
+	defaultSessionTimeoutMs    Duration = 2000
+	defaultMaxWriteHoldMs      Duration = 5000
+	defaultSwitchoverHoldMs    Duration = 3000
+	defaultSwitchoverStepMs    Duration = 1000
+	sessionTimeoutPerMargin             = 10
+	switchoverHoldPerWait               = 3
+	minSessionTimeoutMs        Duration = 200
+	maxSessionTimeoutMs        Duration = 60_000
+	minSessionTimeoutPerMargin          = 2
+)
+
+// guardTokenParameter is the fencing token in the guard statement.
+const guardTokenParameter = "$1"
+
+// complete sets what the section leaves out, and returns an error if it contradicts itself.
+func (f *Fleet) complete() error {
+	if len(f.Coordinators) == 0 {
+		if f.ReceiverListen != "" || f.HealthShareInterval > 0 || f.Switchover != nil || f.Name != "" || f.PolicyDir != "" {
+			return errors.New("fleet.council: must be given where any of name, orders, sight, handover and policy_folder is")
+		}
+		return nil
+	}
+	if err := f.checkAddresses(); err != nil {
+		return err
+	}
+	f.Name = cmp.Or(f.Name, defaultFleetName)
+	f.SessionTimeout.setDefault(defaultSessionTimeoutMs)
+	f.SafetyMargin.setDefault(f.SessionTimeout / sessionTimeoutPerMargin)
+	f.MaxWriteHold.setDefault(defaultMaxWriteHoldMs)
+	if f.SessionTimeout < minSessionTimeoutMs || f.SessionTimeout > maxSessionTimeoutMs ||
+		f.SafetyMargin >= f.SessionTimeout/minSessionTimeoutPerMargin {
+		return errors.New("fleet: session must be from 200ms to 1m, margin less than half of it")
+	}
+	if f.Switchover == nil {
+		return nil
+	}
+	f.Switchover.setDefaults(f.CheckUser, f.CheckDatabase)
+	return f.Switchover.check()
+}
+
+func (f *Fleet) checkAddresses() error {
+	for n, address := range f.Coordinators {
+		if err := CheckAddress(fmt.Sprintf("fleet.council[%d]", n), address); err != nil {
+			return err
+		}
+	}
+	if err := checkPeerAddresses("fleet.via", f.PeerAddresses); err != nil {
+		return err
+	}
+	return CheckAddress("fleet.orders", f.ReceiverListen)
+}
+
+// checkPeerAddresses checks a table of addresses by the names of processes.
+func checkPeerAddresses(table string, addresses map[string]string) error {
+	for _, name := range slices.Sorted(maps.Keys(addresses)) {
+		if err := CheckAddress(table+"."+name, addresses[name]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Switchover) setDefaults(user, database string) {
+	s.Hold.setDefault(defaultSwitchoverHoldMs)
+	s.Wait.setDefault(s.Hold / switchoverHoldPerWait)
+	s.Step.setDefault(defaultSwitchoverStepMs)
+	s.User = cmp.Or(s.User, user)
+	s.Database = cmp.Or(s.Database, database)
+}
+
+func (s *Switchover) check() error {
+	for _, statement := range []struct{ key, text string }{
+		{"primary", s.Primary},
+		{"guard", s.Guard},
+		{"seen", s.Seen},
+		{"yield", s.StepDown},
+		{"take", s.Promote},
+	} {
+		if statement.text == "" {
+			return fmt.Errorf("fleet.handover.%s: the statement must be given", statement.key)
+		}
+	}
+	if !strings.Contains(s.Guard, guardTokenParameter) {
+		return errors.New("fleet.handover.guard: must name $1, the fence: without it nothing keeps a former owner's step from running late")
+	}
+	return nil
+}
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -172,12 +172,12 @@
 		decoded := map[string]string{}
 		for _, word := range append(c.words, "other") {
 			file, err := settings.Read([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, word), 1)))
-			var set, host any
+			var set, runtime any
 			if err == nil {
-				set, host, err = file.Settings()
+				set, runtime, err = file.Settings()
 			}
 			if err == nil {
-				decoded[fmt.Sprint(describe(set), describe(host), file.PoolSettings())] = word
+				decoded[fmt.Sprint(describe(set), describe(runtime), file.PoolSettings())] = word
 			}
 			if (err == nil) != (word != "other") {
 				t.Errorf("%s = %q: %v", key, word, err)
@@ -192,22 +192,22 @@
 // describe writes a value with what it points to.
 func describe(v any) string {
 	out := &strings.Builder{}
-	write(out, reflect.ValueOf(v))
+	writeValue(out, reflect.ValueOf(v))
 	return out.String()
 }
 
-func write(out *strings.Builder, v reflect.Value) {
+func writeValue(out *strings.Builder, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.IsNil() {
 			out.WriteString("nil")
 			return
 		}
-		write(out, v.Elem())
+		writeValue(out, v.Elem())
 	case reflect.Struct:
 		out.WriteByte('{')
 		for i := range v.NumField() {
-			write(out, v.Field(i))
+			writeValue(out, v.Field(i))
 			out.WriteByte(' ')
 		}
 		out.WriteByte('}')
@@ -217,14 +217,14 @@
 		out.WriteByte('{')
 		for _, key := range keys {
 			fmt.Fprint(out, key, ":")
-			write(out, v.MapIndex(key))
+			writeValue(out, v.MapIndex(key))
 			out.WriteByte(' ')
 		}
 		out.WriteByte('}')
 	case reflect.Slice:
 		out.WriteByte('[')
 		for i := range v.Len() {
-			write(out, v.Index(i))
+			writeValue(out, v.Index(i))
 			out.WriteByte(' ')
 		}
 		out.WriteByte(']')
@@ -235,8 +235,8 @@
 
 // decodeSettings decodes the platform's settings and writes what came of them.
 func decodeSettings(v *fastjson.Value) (string, error) {
-	set, host, err := settings.Decode(v)
-	return describe(set) + describe(host), err
+	set, runtime, err := settings.Decode(v)
+	return describe(set) + describe(runtime), err
 }
 
 // decodeList decodes discovery's list and writes what came of it.
@@ -295,7 +295,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, host, err := settings.Decode(document)
+	set, runtime, err := settings.Decode(document)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,7 +304,7 @@
 		fmt.Sprintln("ask within", set.ListPollTimeout, "soft removal", set.SoftRemoval, "cold from", set.SlowStartFloor, "warm up", set.SlowStartDuration, "fall multiple",
 			set.OverloadMultiple, "fall window", set.OverloadWindow) +
 		fmt.Sprintln("attempts", set.MaxAttempts, "checks", set.CanHealthCheck, "revokes", set.CanCancel, "retry after", set.RetryAfter, "remembered", set.RemembersCommits) +
-		fmt.Sprintln("zero", host.PositionOrigin, "dial", host.DialTimeoutMs, "idle close", host.ServerIdleTimeoutMs, "reports", host.HealthReports) +
+		fmt.Sprintln("zero", runtime.PositionOrigin, "dial", runtime.DialTimeoutMs, "idle close", runtime.ServerIdleTimeoutMs, "reports", runtime.HealthReports) +
 		fmt.Sprintln("read: sla", class.LatencyObjective, "expiry", class.Deadline, "value", class.PriorityWeight, "late", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
 			class.StalenessBound) +
 		fmt.Sprintln("acme", set.Tenants["acme"])
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -10,7 +10,7 @@
 	"wayloft/router"
 )
 
-const wholePolicy = `over_share_value = 0.2
+const validPolicy = `over_share_value = 0.2
 [[txn_types]]
 name = "order"
 value = 3.5
@@ -23,10 +23,10 @@
 rate = 120
 `
 
-func TestReadPolicy(t *testing.T) {
+func TestReadPolicy_FormsAndRoundTrip(t *testing.T) {
 	want := policy.Document{"over_share_value": "0.2", "txn_types.order.value": "3.5", "txn_types.order.late_value": "0",
 		"txn_types.a.value.value": "1e+06", "tenants.acme.rate": "120"}
-	for what, text := range map[string]string{"whole": wholePolicy,
+	for what, text := range map[string]string{"whole": validPolicy,
 		"inline": `over_share_value = 0.20
 			tenants = [{ name = "acme", rate = 120.0 }]
 			txn_types = [{ name = "order", value = 3.5, late_value = -0.0 }, { name = "a.value", value = 1_000_000 }]`} {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Each mistake is refused with its line, its key and why.
-func TestPolicyMistakes(t *testing.T) {
+// Each mistake is an error that names its line, its key and the reason.
+func TestReadPolicy_Mistakes(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"over_share_value = 0.2", "over_share_worth = 0.2", "line 1: over_share_worth: no such key"},
 		{"over_share_value = 0.2", "listen = \":1\"", "line 1: listen: is each router's own file's to say"},
@@ -83,7 +83,7 @@
 		{`"acme"`, "\"a\xff\"", "line 10: not UTF-8"},
 		{"rate = 120", "rate = 120\n#" + strings.Repeat("x", 256<<10), "bytes, 262144 at most"},
 	} {
-		d, err := ReadPolicy([]byte(strings.Replace(wholePolicy, c.old, c.new, 1)))
+		d, err := ReadPolicy([]byte(strings.Replace(validPolicy, c.old, c.new, 1)))
 		if err == nil || d != nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.40q for %q: got %.200v, want %q", c.new, c.old, err, c.want)
 		}
@@ -99,7 +99,7 @@
 }
 
 // The policy's fields lie over a router's own; what it doesn't say is the router's, which keeps what it has if it can't take all.
-func TestOverlay(t *testing.T) {
+func TestOverlay_FieldsAndErrors(t *testing.T) {
 	own := &router.Settings{OverQuotaWeight: 0.5, Zone: "z", Tenants: map[string]float64{"acme": 1, "zeta": 2}, RequestClasses: map[string]*router.RequestClass{
 		"order": {LatencyObjective: 7, PriorityWeight: 1, LateWeightShare: 0.5, IdempotencyWindow: 9}, "read": {LatencyObjective: 8, PriorityWeight: 2}}}
 	was := fmt.Sprint(own.OverQuotaWeight, own.Tenants, *own.RequestClasses["order"], *own.RequestClasses["read"])
@@ -122,7 +122,7 @@
 }
 
 func FuzzReadPolicy(f *testing.F) {
-	f.Add([]byte(wholePolicy))
+	f.Add([]byte(validPolicy))
 	f.Add([]byte("tenants = [{ name = \"a\\u0020b\", rate = 1 }, 3]\n[x.\"y\"]\nz = [[1]]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, err := ReadPolicy(text)
--- /dev/null
+++ b/internal/settings/policywrite.go
@@ -0,0 +1,62 @@
+package settings
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"wayloft/internal/decide/policy"
+)
+
+// policyFile is a policy file as WritePolicy writes it.
+type policyFile struct {
+	OverShareValue *float64      `toml:"over_share_value,omitempty"`
+	RequestClasses []policyClass `toml:"txn_types,omitempty"`
+	Tenants        []Tenant      `toml:"tenants,omitempty"`
+}
+
+type policyClass struct {
+	Name      string   `toml:"name"`
+	Value     *float64 `toml:"value,omitempty"`
+	LateValue *float64 `toml:"late_value,omitempty"`
+}
+
+// WritePolicy encodes a document in the form that ReadPolicy decodes. Its error names a field that the form has no key for.
+func WritePolicy(document policy.Document) ([]byte, error) {
+	var file policyFile
+	classes := map[string]*policyClass{}
+	for _, field := range slices.Sorted(maps.Keys(document)) {
+		table, name, key, _ := policy.SplitField(field)
+		number, err := strconv.ParseFloat(document[field], 64)
+		class, _ := policy.Classify(field)
+		if err != nil || class != policy.ClassLenient {
+			return nil, fmt.Errorf("%s = %q: this build has no place for it", field, document[field])
+		}
+		switch table {
+		case keyTenants:
+			file.Tenants = append(file.Tenants, Tenant{Name: name, Rate: number})
+		case "":
+			file.OverShareValue = &number
+		default:
+			if classes[name] == nil {
+				classes[name] = &policyClass{Name: name}
+			}
+			classes[name].set(key, number)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(classes)) {
+		file.RequestClasses = append(file.RequestClasses, *classes[name])
+	}
+	return toml.Marshal(file)
+}
+
+func (c *policyClass) set(key string, number float64) {
+	if key == keyValue {
+		c.Value = &number
+	} else {
+		c.LateValue = &number
+	}
+}
--- a/internal/settings/file_test.go
+++ b/internal/settings/routerfile_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const whole = `name = "n1"
+const validRouterFile = `name = "n1"
 listen = "127.0.0.1:0"
 [limits]
 memory = "64MiB"
@@ -27,8 +27,8 @@
 address = "127.0.0.1:1"
 `
 
-// Each mistake is refused with its place; nothing that is not known passes.
-func TestFile(t *testing.T) {
+// Each mistake is an error that names its place, and a valid file gives the settings with their defaults.
+func TestRead_RouterFile(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"", "", ""},
 		{"listen =", "lissten =", "line 2: lissten: no such key"},
@@ -48,23 +48,23 @@
 		{`id = "a"`, "", "members[0]: id and address must be given"},
 		{"[limits]", "[limits", "line 3"},
 	} {
-		_, err := Read([]byte(strings.Replace(whole, c.old, c.new, 1)))
+		_, err := Read([]byte(strings.Replace(validRouterFile, c.old, c.new, 1)))
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%q for %q: got %v, want %q", c.new, c.old, err, c.want)
 		}
 	}
-	f, err := Read([]byte(whole))
+	f, err := Read([]byte(validRouterFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, host, err := f.Settings()
-	if err != nil || set.RequestClasses["write"].LatencyObjective != 500 || set.RequestClasses["write"].Deadline != 3000 || host.DialTimeoutMs != 1000 {
-		t.Errorf("got %+v, %+v, %v", set, host, err)
+	set, runtime, err := f.Settings()
+	if err != nil || set.RequestClasses["write"].LatencyObjective != 500 || set.RequestClasses["write"].Deadline != 3000 || runtime.DialTimeoutMs != 1000 {
+		t.Errorf("got %+v, %+v, %v", set, runtime, err)
 	}
 	if set.RequestClasses[UnlabelledClass] != nil {
 		t.Error("a pool that has a txn type for all needs no other")
 	}
-	bare, err := Read([]byte(strings.Replace(whole, "write = \"write\"\n", "", 1)))
+	bare, err := Read([]byte(strings.Replace(validRouterFile, "write = \"write\"\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/shipped_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const minimal = `name = "n1"
+const minimalRouterFile = `name = "n1"
 listen = "127.0.0.1:1"
 [limits]
 memory = "64MiB"
@@ -15,8 +15,8 @@
 connections = 10
 `
 
-// The files that we ship are read as they are, and what is not given has a value.
-func TestShipped(t *testing.T) {
+// The shipped files are valid, and what they leave out has its default.
+func TestRead_ShippedFiles(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/council.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -28,20 +28,20 @@
 	if text, err = os.ReadFile("../../deploy/fleet.toml"); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Read([]byte(minimal + string(text)))
+	f, err := Read([]byte(minimalRouterFile + string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.Fleet.SessionTimeout != 2000 || f.Fleet.SafetyMargin != 200 || f.Fleet.MaxWriteHold != 5000 || f.Fleet.Switchover.Wait != 1000 || f.Fleet.HealthShareInterval != 250 {
 		t.Errorf("%+v, %+v", f.Fleet, f.Fleet.Switchover)
 	}
-	if f, err = Read([]byte(minimal)); err != nil || len(f.Fleet.Coordinators) != 0 || f.Fleet.SessionTimeout != 0 {
+	if f, err = Read([]byte(minimalRouterFile)); err != nil || len(f.Fleet.Coordinators) != 0 || f.Fleet.SessionTimeout != 0 {
 		t.Errorf("without a council the fleet's part is off: %+v, %v", f.Fleet, err)
 	}
 }
 
-// What is wrong is named, with its place.
-func TestFleetMistakes(t *testing.T) {
+// Each mistake in a shipped file is an error that names its place.
+func TestRead_FleetAndCoordinatorMistakes(t *testing.T) {
 	council, err := os.ReadFile("../../deploy/council.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 		{"fleet", `take = "SELECT wayloft_take()"`, ``, "fleet.handover.take: the statement must be given"},
 		{"fleet", `step = "1s"`, `stop = "1s"`, "fleet.handover.stop: no such key"},
 	} {
-		text := map[string]string{"council": string(council), "fleet": minimal + string(fleet)}[c.of]
+		text := map[string]string{"council": string(council), "fleet": minimalRouterFile + string(fleet)}[c.of]
 		if !strings.Contains(text, c.old) {
 			t.Fatalf("%q is not in the file", c.old)
 		}
