--- a/internal/server/clientgone_test.go
+++ b/internal/server/clientgone_test.go
@@ -12,8 +12,7 @@
 	"wayloft/internal/pg"
 )
 
-// A client leaves while its request waits, wherever that is; when what it waited for comes, nothing is sent for it. The id
-// of each must never be seen by any member, though one that asks after it is.
+// A request whose client leaves while it waits is not sent when what it waited for comes, wherever it waited.
 func TestClientGone_WaitingRequestNotSent(t *testing.T) {
 	t.Run("for a connection to come up", func(t *testing.T) {
 		primary := true
@@ -67,12 +66,12 @@
 			t.Error("sent after its client had gone")
 		}
 	})
-	t.Run("for another try", func(t *testing.T) {
+	t.Run("for a retry", func(t *testing.T) {
 		primary := true
 		g, addr, wait := startGatedRouter(t, 20, &primary)
 		leaves := fakes.NewClient(t, addr, true)
 		leaves.Ask(readStatement("leaves", "hang and fail"))
-		fakes.Until(t, "its first try is out", func() bool { return g.received("leaves") })
+		fakes.Until(t, "its first attempt is out", func() bool { return g.received("leaves") })
 		closeSocket(leaves)
 		wait()
 		for range 20 {
@@ -82,13 +81,12 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if n := strings.Count(strings.Join(g.statements, "|"), "id=leaves,"); n != 1 {
-			t.Errorf("%d tries, want the one that was out", n)
+			t.Errorf("%d attempts, want the one that was out", n)
 		}
 	})
 }
 
-// The same for a request that waits for a pool's only connection: its client closes, or cancels by its key, and nothing of it
-// runs once the connection is free.
+// A request that waits for a pool's only connection does not run once its client has closed, or has cancelled it.
 func TestPool_QueuedClientGoneOrCancelled(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	wait := notifyClosedClients(t)
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -14,7 +14,7 @@
 	"wayloft/internal/pg"
 )
 
-// laggingMember is a member whose positions lag the cluster's present, for a router whose wall clock is wrong.
+// laggingMember is a member whose positions are behind the present time.
 type laggingMember struct {
 	*fakes.Member
 	checks, reads atomic.Int64
@@ -38,7 +38,8 @@
 	return m
 }
 
-// startWithClockAhead serves with a primary and a replica that answer whatever they hold, by a wall clock that is wrong.
+// startWithClockAhead starts a router whose wall clock is wrong by this much at its start. Members answer each read, whatever their
+// lag.
 func startWithClockAhead(t *testing.T, ahead time.Duration, members ...*laggingMember) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,8 +69,8 @@
 
 var clockOffsets = []time.Duration{0, -600 * time.Millisecond, -time.Hour, time.Hour}
 
-// A replica that lags by 0.7 s must get no read that bears 0.3 s, nor one that must see a commit of just now, whatever the
-// machine's wall clock said at the start.
+// A replica with a lag of 0.7 s gets no read with a staleness bound of 0.3 s, and none that must see a recent commit, whatever the
+// wall clock said at the start.
 func TestWrongClock_NoStaleRead(t *testing.T) {
 	for _, ahead := range clockOffsets {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// A replica that is fresh enough gets bounded reads, and those of sessions whose commit it holds; no session is rejected.
+// A replica that is fresh enough gets bounded reads, and those of sessions whose commit it has. No session is rejected.
 func TestWrongClock_ReplicasServe(t *testing.T) {
 	for _, ahead := range clockOffsets {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -12,6 +12,7 @@
 	"wayloft/internal/fakes"
 )
 
+// Each mistake in a configuration of the platform is an error that names the field.
 func TestLoad_PlatformForm(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	for _, c := range []struct{ old, new, want string }{
@@ -39,8 +40,8 @@
 	}
 }
 
-// Another customer's settings: what may be left out is, and short windows, deadlines and bounds follow from them alone.
-// Reads and writes are served, or the settings refused with the field.
+// Settings that may be left out are, and windows, deadlines and bounds may be short: reads and writes are served, or the error names
+// the field.
 func TestLoad_OptionalSettings(t *testing.T) {
 	swap := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(platformConfig) }
 	for _, c := range []struct{ name, config, bad string }{
@@ -49,11 +50,11 @@
 		{"no columns in reports", swap(`"columns":["x0","x1"]`, `"columns":[]`), ""},
 		{"no checks", swap(`"probes":true`, `"probes":false`), ""},
 		{"no cancels", swap(`"cancel":true`, `"cancel":false`), ""},
-		{"no wait may be told", swap(`"retryAfter":true,"maxRetryAfter":1000000,`, `"retryAfter":false,`), ""},
+		{"no retry-after", swap(`"retryAfter":true,"maxRetryAfter":1000000,`, `"retryAfter":false,`), ""},
 		{"lists are asked for", swap(`"push"`, `"ask"`, `"contract":{`, `"contract":{"askWithin":10000000,`), ""},
 		{"lists are asked for, no time given", swap(`"push"`, `"ask"`), "contract.askWithin"},
-		{"one submission", swap(`"attemptsCap":6`, `"attemptsCap":1`), ""},
-		{"no worth", swap(`"worth":1`, `"worth":0`), ""},
+		{"one attempt", swap(`"attemptsCap":6`, `"attemptsCap":1`), ""},
+		{"no priority weight", swap(`"worth":1`, `"worth":0`), ""},
 		{"tenants of more than all", swap(`"settings":{`, `"settings":{"orgs":[{"name":"n","quotaRps":1e9},{"name":"m","quotaRps":0}],`), ""},
 		{"a mark, a window shorter than any wait", swap(`"fragile"`, `"dedup","group":"cell","window":1000`), ""},
 		{"deadlines shorter than a check's period", swap(`"target":500000,"deadline":3000000`, `"target":200000,"deadline":400000`), ""},
@@ -99,7 +100,7 @@
 	}
 }
 
-// The configuration that we hand out is one.
+// The shipped configuration is valid.
 func TestLoad_DeployFile(t *testing.T) {
 	c, err := Load("../../deploy/wayloft.toml")
 	if err != nil {
--- a/internal/server/discoveryraces_test.go
+++ b/internal/server/discoveryraces_test.go
@@ -21,7 +21,7 @@
 	"wayloft/internal/pg"
 )
 
-// startProcess starts a router of its own, with no more descriptors than its configuration says.
+// startProcess builds the program and starts a router with 128 descriptors.
 func startProcess(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	dir := t.TempDir()
@@ -45,8 +45,8 @@
 	return c
 }
 
-// A process that starts while discovery says nothing is ready all the same, and idle clients may take all the descriptors
-// that it has for them: at discovery's return the list gets through, members are reached, and signals are heard.
+// A process that starts while discovery gives no list is ready, and idle clients take all descriptors that it has for them. Once
+// discovery gives a list, members are connected to, and the process still handles signals.
 func TestDiscoveryDown_IdleClientsTakeDescriptors(t *testing.T) {
 	speak := make(chan string)
 	calls := make(chan bool, 1000)
@@ -121,8 +121,8 @@
 	}
 }
 
-// The watch brings a list in which a member drains before the loop's first turn: the list of the configuration, which is older, doesn't
-// undo it.
+// A list from the watch, in which a member drains, comes before the event loop's first turn. The configuration's list, which is
+// older, doesn't undo it.
 func TestDiscovery_ListBeforeFirstTurn(t *testing.T) {
 	drains, stays := newPrimary(t), newPrimary(t)
 	watch := newScriptedDiscovery(t)
--- a/internal/server/discoveryservers_test.go
+++ b/internal/server/discoveryservers_test.go
@@ -92,7 +92,7 @@
 	return false
 }
 
-// listServer is a list server whose watch says what it is told to.
+// listServer is a discovery server that delivers each list that is published.
 type listServer struct {
 	*httptest.Server
 	mu      sync.Mutex
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/pg"
 )
 
-// After SIGTERM new connections are still served, what was taken is answered, and only then the program ends.
+// After SIGTERM the router still serves new connections, answers each request that it took, and then ends.
 func TestDrain_ServesUntilIdle(t *testing.T) {
 	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
 	idle := fakes.NewClient(t, addr, true)
@@ -45,8 +45,8 @@
 	}
 }
 
-// A startup message and a query in any two pieces, and any of them across SIGTERM: the first comes before it, the other once
-// the router has begun to end what is quiet. A piece that never comes is owed nothing, and keeps the process from nothing.
+// A message in two pieces with SIGTERM between them is answered, wherever it is cut. One whose second piece never comes does not keep
+// the process from ending.
 func TestDrain_MessageInPieces(t *testing.T) {
 	addr, term, ended := startRouter(t, "127.0.0.1:1", 512, newPrimary(t).Addr)
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
--- a/internal/server/drainraces_test.go
+++ b/internal/server/drainraces_test.go
@@ -18,8 +18,8 @@
 	"wayloft/internal/pg"
 )
 
-// A deployment with short deadlines is told to end while its members hang, and its clients go on sending on each connection for as
-// long as it is open: whatever was read has its answer before the process may be killed.
+// Members hang, and clients go on to send during the drain. Each request that was read has its answer before the platform may kill
+// the process.
 func TestDrain_ShortDeadlines(t *testing.T) {
 	const longest = 300 * time.Millisecond
 	addr, term, ended := startRouterWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
@@ -75,14 +75,15 @@
 	}
 }
 
-// A connection that was let in, with its request whole, while the last session closes after SIGTERM: the process stays
-// until it is answered. The one behind it is still with the system.
+// A connection is accepted, with a complete request, while the last session closes after SIGTERM: the process ends only after its
+// answer, and after those of connections behind it.
 func TestDrain_ConnectionAcceptedAsLastSessionCloses(t *testing.T) {
 	for arriving := 1; arriving <= 3; arriving++ { // the first is let in and in no book yet, others are with the system
 		t.Run(fmt.Sprint(arriving), func(t *testing.T) { testLastSessionCloses(t, arriving) })
 	}
 }
 
+// testLastSessionCloses has so many connections arrive: the first is accepted and not counted yet, others wait with the system.
 func testLastSessionCloses(t *testing.T, arriving int) {
 	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	first := fakes.NewClient(t, addr, true)
@@ -118,8 +119,8 @@
 	}
 }
 
-// SIGTERM comes twice, with SIGHUP between, while one request is held for a primary and half a query has come: the one gets
-// its answer, the rest of the other comes and is served, and the process ends once, in order.
+// SIGTERM comes several times, with a SIGHUP between, while a write waits for a primary and half a query has come: both get their
+// answers, and the process ends once.
 func TestSignals_RepeatedWhileRequestHeld(t *testing.T) {
 	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newMemberWithRole(t, 0).Addr)
 	held := fakes.NewClient(t, addr, true)
@@ -148,7 +149,7 @@
 	}
 }
 
-// SIGTERM comes before the router listens: it serves who connects meanwhile, and ends in order.
+// SIGTERM comes before the router listens: it serves the clients that are connected, and ends.
 func TestSignals_BeforeListen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/server/faultymember_test.go
+++ b/internal/server/faultymember_test.go
@@ -11,8 +11,8 @@
 	"wayloft/internal/pg"
 )
 
-// Whatever a member does with a statement, or before it takes one, each request gets its one final answer, which never is a
-// part of what came, and after SIGTERM the process ends behind the last. All are out when it comes.
+// Whatever a member does at its login or with a statement, each request gets one final response, and the process ends behind the
+// last.
 func TestFaultyMember_EveryRequestAnswered(t *testing.T) {
 	notice := append([]byte("N\x00\x00\x00\x0f"), "Mmuch of it\x00\x00"[:11]...)
 	whole := fakes.Rows("v")
--- a/internal/server/gatedmember_test.go
+++ b/internal/server/gatedmember_test.go
@@ -15,7 +15,7 @@
 	"wayloft/internal/pg"
 )
 
-// gatedMember is a member that lets connections in, says that it is primary or not, and answers, each only when told to.
+// gatedMember is a member that accepts each login, and answers each statement that says hang, only when the test allows it.
 type gatedMember struct {
 	addr            string
 	mu              sync.Mutex
@@ -25,14 +25,15 @@
 	statements      []string
 }
 
-func newGatedMember(t *testing.T, greets int, primary *bool) *gatedMember {
+// newGatedMember starts a member that accepts so many logins at first. primary is its role, under its mutex.
+func newGatedMember(t *testing.T, logins int, primary *bool) *gatedMember {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gatedMember{addr: l.Addr().String(), logins: make(chan bool, 100), replies: make(chan bool, 100), loginRequests: make(chan bool, 100), singleUse: greets == 1}
-	for range greets {
+	g := &gatedMember{addr: l.Addr().String(), logins: make(chan bool, 100), replies: make(chan bool, 100), loginRequests: make(chan bool, 100), singleUse: logins == 1}
+	for range logins {
 		g.logins <- true
 	}
 	ended := make(chan bool)
@@ -100,21 +101,22 @@
 	}
 }
 
+// received reports whether the member was sent a request.
 func (g *gatedMember) received(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return strings.Contains(strings.Join(g.statements, "|"), "id="+id+",")
 }
 
-// startGatedRouter serves before a gated member that lets in so many connections at first.
-func startGatedRouter(t *testing.T, greets int, primary *bool) (g *gatedMember, addr string, wait func()) {
+// startGatedRouter starts a router with a gated member. wait returns once the router has noticed that a client has gone.
+func startGatedRouter(t *testing.T, logins int, primary *bool) (g *gatedMember, addr string, wait func()) {
 	t.Helper()
-	g = newGatedMember(t, greets, primary)
+	g = newGatedMember(t, logins, primary)
 	addr, _, _ = startRouter(t, "127.0.0.1:1", 256, g.addr)
 	return g, addr, notifyClosedClients(t)
 }
 
-// askUntilServed has a client ask until it is served, each time under a new id.
+// askUntilServed sends a read, each time with a new id, until it is served.
 func askUntilServed(t *testing.T, c *fakes.Client, name string) {
 	t.Helper()
 	n := 0
@@ -125,7 +127,7 @@
 	})
 }
 
-// notifyClosedClients gives what waits until the router has heard that one more client has gone.
+// notifyClosedClients returns a function that waits until the router has noticed that one more client has gone.
 func notifyClosedClients(t *testing.T) (wait func()) {
 	t.Helper()
 	gone := make(chan bool, 100)
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -44,13 +44,13 @@
 	return file
 }
 
-// startRouter serves with a list of members; it returns the address, and what has it drain and end.
+// startRouter starts a router in the platform's form. It returns its address, the channel of its signals and the result of Run.
 func startRouter(t *testing.T, discovery string, sockets int, members ...string) (addr string, term chan os.Signal, ended chan error) {
 	t.Helper()
 	return startRouterWith(t, nil, discovery, sockets, members...)
 }
 
-// startRouterWith does so with other settings: pairs of what stands there and what takes its place.
+// startRouterWith does what startRouter does with other settings: pairs of an old and a new text.
 func startRouterWith(t *testing.T, swap []string, discovery string, sockets int, members ...string) (addr string, term chan os.Signal, ended chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +97,7 @@
 	})
 }
 
-// startPooledRouter serves before a fake cluster.
+// startPooledRouter starts a router with a pool before a cluster of fake servers, until the test is over.
 func startPooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
 	t.Helper()
 	addr, cluster, signals, ended := startDrainablePool(t, members, p, set)
@@ -111,7 +111,7 @@
 	return addr, cluster
 }
 
-// startDrainablePool does so, and gives what has it drain and end.
+// startDrainablePool does what startPooledRouter does, and leaves it to the test to end the router and the cluster.
 func startDrainablePool(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
 	t.Helper()
 	c, err := lab.StartCluster(members, 0, set)
@@ -134,9 +134,10 @@
 	return l.Addr().String(), c, signals, ended
 }
 
-// newPrimary answers checks as a primary, and requests by their values: what a statement inserts comes back.
+// newPrimary starts a primary that answers a statement with its last word.
 func newPrimary(t *testing.T) *fakes.Member { return newMemberWithRole(t, 1) }
 
+// newMemberWithRole starts a member that answers a statement with its last word, and health checks with a role: 1 for the primary.
 func newMemberWithRole(t *testing.T, x1 int) *fakes.Member {
 	return fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		switch {
@@ -153,21 +154,25 @@
 	})
 }
 
+// readStatement is an idempotent read in the platform's form.
 func readStatement(id, what string) string {
 	return fmt.Sprintf("/* id=%s,c=look,t=n,d=2000,cluster=2 */ SELECT %s", id, what)
 }
 
+// writeStatement is a non-idempotent write in the platform's form.
 func writeStatement(id, what string) string {
 	return fmt.Sprintf("/* id=%s,c=put,t=n,d=400,cluster=2 */ INSERT %s", id, what)
 }
 
+// insertSQL writes a row and returns its value.
 func insertSQL(handle, blob string) string {
 	return fmt.Sprintf("INSERT INTO rows (handle, blob) VALUES ('%s', '%s') RETURNING blob", handle, blob)
 }
 
+// queryMessage is a simple query as it is sent.
 func queryMessage(sql string) string { return string(pg.AppendQuery(nil, sql)) }
 
-// readAnswers reads so many answers, and how long after the start the last of them came.
+// readAnswers reads so many answers, and returns how long after since the last of them came.
 func readAnswers(c *fakes.Client, count int, since time.Time) (string, time.Duration) {
 	var all []string
 	for range count {
@@ -176,7 +181,7 @@
 	return strings.Join(all, "; "), time.Since(since)
 }
 
-// askAll asks simple queries and puts the answers together.
+// askAll sends simple queries one by one and joins the answers.
 func askAll(c *fakes.Client, sql ...string) string {
 	var out []string
 	for _, q := range sql {
@@ -186,7 +191,7 @@
 	return strings.Join(out, "; ")
 }
 
-// askOnce asks one question on a session of its own.
+// askOnce sends one query on a session of its own.
 func askOnce(t *testing.T, addr, sql string) string {
 	t.Helper()
 	c := fakes.NewClient(t, addr, true)
@@ -194,7 +199,7 @@
 	return askAll(c, sql)
 }
 
-// openSessions opens so many sessions, each of which asks once and stays.
+// openSessions opens sessions that have one request each and stay.
 func openSessions(t *testing.T, addr string, count int) (all []*fakes.Client) {
 	t.Helper()
 	for n := range count {
@@ -208,8 +213,10 @@
 	return all
 }
 
+// connectionURL is the address of a router as drivers have it.
 func connectionURL(addr string) string { return "postgres://api@" + addr + "/ledger?sslmode=disable" }
 
+// errorCode is the SQLSTATE of an error, or its text.
 func errorCode(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
@@ -218,6 +225,7 @@
 	return fmt.Sprint(err)
 }
 
+// statementsSeen returns the statements that a member was sent.
 func statementsSeen(m *fakes.Member) []string {
 	_, asked := m.Seen()
 	return asked
--- a/internal/server/incomplete_test.go
+++ b/internal/server/incomplete_test.go
@@ -14,7 +14,7 @@
 // maxStopWait is how long a client that stops in the middle of a request may wait for its error or the end.
 const maxStopWait = 3 * time.Second
 
-// Clients that stop in the middle of a request, and stay, get their error or the end in time, in each state of a session.
+// A client that stops in the middle of a request gets its error or the end in time, in each state of a session.
 func TestIncompleteRequest_TimesOut(t *testing.T) {
 	parse := string(pg.AppendParse(nil, "", []byte("SELECT 1\x00\x00\x00")))
 	bind := string(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}))
@@ -62,8 +62,7 @@
 	}
 }
 
-// The same while the router drains: none of them holds the process up, and one whose rest comes when its session has been ended has
-// its answer.
+// A client that has stopped in the middle of a request does not hold up a drain.
 func TestIncompleteRequest_DuringDrain(t *testing.T) {
 	for name, stop := range map[string]string{
 		"in a query":  queryMessage("SELECT 1")[:9],
@@ -103,7 +102,7 @@
 	})
 }
 
-// A client of a pool sends whole requests, and behind them something that ends its session: each of the requests is answered first.
+// Complete requests ahead of what ends a session are answered first.
 func TestPool_RequestsBeforeProtocolErrorAnswered(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	for _, c := range []struct{ name, send, want string }{
--- a/internal/server/memberlist.go
+++ b/internal/server/memberlist.go
@@ -91,7 +91,7 @@
 	module.ListFailed() // where lists are polled: this was no response to a poll, and the next one must stay due
 }
 
-// forgetMembers has the decision module begin the records of members anew. It keeps the latest start that it was given for a member:
+// forgetMembers has the decision module begin new records of members. It keeps the latest start that it was given for a member:
 // this guards against one that a slow clock made too late, for which the member would be in slow start for no reason.
 func forgetMembers(module *router.Router, entries map[string]discovery.Entry) {
 	module.BeginList()
--- a/internal/server/mixedclient_test.go
+++ b/internal/server/mixedclient_test.go
@@ -11,22 +11,25 @@
 	"wayloft/internal/pg"
 )
 
+// settingNames are the settings that clients set. The owner is set at the startup, to the client's id.
 var settingNames = []string{"owner", "x", "y"}
 
-// mixedClient is one client of the run, with its own account of what it has set, prepared and written.
+// mixedClient is one client of the mixed run, with its own account of what it has set, prepared and written.
 type mixedClient struct {
-	id                  int
-	client              *fakes.Client
-	random              *rand.Rand
-	settings, committed map[string]string
-	inTransaction       bool
-	prepared            map[string]string // prepared
-	lastWritten         string            // its own row's last value
-	transactions        int
-	codes               map[string]int
-	failure             string
+	id            int
+	client        *fakes.Client
+	random        *rand.Rand
+	settings      map[string]string // in force
+	committed     map[string]string // in force after a rollback
+	inTransaction bool
+	prepared      map[string]string // texts of prepared statements, by name
+	lastWritten   string            // value of its own row; empty: not known
+	transactions  int
+	codes         map[string]int // how often each error came
+	failure       string         // the first violation
 }
 
+// note gives the client's id and settings, as its statements carry them to the member.
 func (m *mixedClient) note() string {
 	out := fmt.Sprintf("c%d", m.id)
 	for _, name := range settingNames {
@@ -43,12 +46,13 @@
 	return out
 }
 
-// ask asks a simple query; a rejection or a lost transaction is no fault of the run, and is told.
+// ask sends a simple query. ok is false after an error that the run expects, such as a rejection or a lost transaction.
 func (m *mixedClient) ask(sql string) (answer string, ok bool) {
 	m.client.Ask(sql)
 	return m.readAnswer(sql)
 }
 
+// readAnswer reads the answer to a query, and counts the errors that the run expects.
 func (m *mixedClient) readAnswer(sql string) (answer string, ok bool) {
 	answer = m.client.Answer()
 	for _, code := range []string{"53300", "08006", "08007", "40001", "25P02", "57014", "XX000"} {
@@ -63,19 +67,20 @@
 		}
 	}
 	if strings.Contains(answer, "closed") {
-		m.failure = fmt.Sprintf("client %d is cut off after %q: %q", m.id, sql, answer)
+		m.failure = fmt.Sprintf("client %d was disconnected after %q: %q", m.id, sql, answer)
 		return answer, false
 	}
 	return answer, true
 }
 
+// fail records a violation, unless there is one already.
 func (m *mixedClient) fail(format string, args ...any) {
 	if m.failure == "" {
 		m.failure = fmt.Sprintf("client %d: ", m.id) + fmt.Sprintf(format, args...)
 	}
 }
 
-// checkSettings notes what is set, one way or another, and looks at the answer.
+// checkSettings sends a note by a simple query, a named or an unnamed statement, and checks the answer.
 func (m *mixedClient) checkSettings() {
 	note := m.note()
 	var answer string
@@ -105,11 +110,13 @@
 	}
 }
 
+// bindTail is the part of a Bind message behind the names, with one parameter.
 func bindTail(s string) []byte {
 	out := []byte{0, 0, 0, 1, 0, 0, byte(len(s) >> 8), byte(len(s))}
 	return append(append(out, s...), 0, 0)
 }
 
+// changeSetting sets one setting.
 func (m *mixedClient) changeSetting() {
 	name, v := settingNames[1+m.random.IntN(2)], fmt.Sprint(m.random.IntN(3))
 	if _, ok := m.ask(fmt.Sprintf("SET m.%s = '%s'", name, v)); ok {
@@ -120,90 +127,124 @@
 	}
 }
 
-// runTransaction is one transaction of some kind.
+// runTransaction runs a random transaction.
 func (m *mixedClient) runTransaction() {
 	m.transactions++
 	switch m.random.IntN(11) {
-	case 10: // a cancel that may come too early, in time, or as the statement ends
-		m.client.Ask("SELECT pg_sleep(0.004)")
-		if m.random.IntN(2) == 0 {
-			time.Sleep(time.Duration(m.random.IntN(30)) * time.Millisecond)
-		}
-		if c, err := net.Dial("tcp", m.client.RemoteAddr().String()); err == nil {
-			_, _ = c.Write(pg.AppendCancelRequest(nil, m.client.Key))
-			closeSocket(c)
-		}
-		if answer, ok := m.readAnswer("a sleep"); ok && answer != " ok ready" {
-			m.fail("a sleep is answered with %q", answer)
-		}
+	case 10:
+		m.cancelSleep()
 	case 0:
 		m.changeSetting()
 		m.checkSettings()
-	case 1: // set inside, and taken back
-		if _, ok := m.ask("BEGIN"); !ok {
-			return
-		}
-		m.inTransaction = true
-		m.changeSetting()
-		if m.inTransaction {
-			m.checkSettings()
-		}
-		if m.inTransaction {
-			if m.inTransaction = false; m.random.IntN(2) == 0 {
-				if _, ok := m.ask("COMMIT"); ok {
-					m.committed = clone(m.settings)
-				}
-			} else if _, ok := m.ask("ROLLBACK"); ok {
-				m.settings = clone(m.committed)
-			}
-		}
-	case 2: // for the transaction alone
-		if _, ok := m.ask("BEGIN"); !ok {
-			return
-		}
-		if _, ok := m.ask("SET LOCAL m.x = 'local'"); !ok {
-			return
-		}
-		m.settings["x"] = "local"
-		m.checkSettings()
-		if m.settings["x"] == "local" {
-			m.ask("COMMIT")
-		}
-		m.settings = clone(m.committed)
-		m.checkSettings()
-	case 3, 4, 5: // a write, and its own read on whatever connection and member
-		v := fmt.Sprintf("%d-%d", m.id, m.transactions)
-		sql := fmt.Sprintf("INSERT INTO rows (handle, blob) VALUES ('own%d', '%s') RETURNING blob", m.id, v)
-		if answer, ok := m.ask(sql); !ok {
-			if !strings.Contains(answer, "53300") {
-				m.lastWritten = "" // it may be there or not
-			}
-			return
-		}
-		m.lastWritten = v
-		m.readOwnWrite()
+	case 1:
+		m.changeSettingInTransaction()
+	case 2:
+		m.changeLocalSetting()
+	case 3, 4, 5:
+		m.writeRow()
 	case 6:
 		m.readOwnWrite()
 	case 7:
 		m.checkSettings()
-	case 8: // an error in a pipeline
-		out := pg.AppendParse(nil, "", []byte("SELEKT\x00\x00\x00"))
-		out = pg.AppendExecute(pg.AppendBind(out, "", "", []byte{0, 0, 0, 0, 0, 0}), "")
-		m.client.Send(string(pg.AppendSync(out)))
-		if answer, ok := m.readAnswer("a mistake"); ok && answer != "42601 ready" {
-			m.fail("a mistake is answered with %q", answer)
-		}
+	case 8:
+		m.sendErrorInPipeline()
 	case 9:
-		if m.random.IntN(4) == 0 { // all of it, with the session's own start after it
-			if _, ok := m.ask("DISCARD ALL"); ok {
-				m.settings, m.committed, m.prepared = map[string]string{"owner": fmt.Sprint(m.id)}, map[string]string{"owner": fmt.Sprint(m.id)},
-					map[string]string{}
-			}
-		}
+		m.discardAll()
+		m.checkSettings()
+	}
+}
+
+// cancelSleep sends a cancel request that may come too early, in time, or as the statement ends.
+func (m *mixedClient) cancelSleep() {
+	m.client.Ask("SELECT pg_sleep(0.004)")
+	if m.random.IntN(2) == 0 {
+		time.Sleep(time.Duration(m.random.IntN(30)) * time.Millisecond)
+	}
+	if c, err := net.Dial("tcp", m.client.RemoteAddr().String()); err == nil {
+		_, _ = c.Write(pg.AppendCancelRequest(nil, m.client.Key))
+		closeSocket(c)
+	}
+	if answer, ok := m.readAnswer("a sleep"); ok && answer != " ok ready" {
+		m.fail("a sleep is answered with %q", answer)
+	}
+}
+
+// changeSettingInTransaction sets a setting in a transaction that commits or rolls back.
+func (m *mixedClient) changeSettingInTransaction() {
+	if _, ok := m.ask("BEGIN"); !ok {
+		return
+	}
+	m.inTransaction = true
+	m.changeSetting()
+	if m.inTransaction {
 		m.checkSettings()
 	}
+	if !m.inTransaction {
+		return
+	}
+	m.inTransaction = false
+	if m.random.IntN(2) == 0 {
+		if _, ok := m.ask("COMMIT"); ok {
+			m.committed = clone(m.settings)
+		}
+	} else if _, ok := m.ask("ROLLBACK"); ok {
+		m.settings = clone(m.committed)
+	}
+}
+
+// changeLocalSetting sets a setting for one transaction alone.
+func (m *mixedClient) changeLocalSetting() {
+	if _, ok := m.ask("BEGIN"); !ok {
+		return
+	}
+	if _, ok := m.ask("SET LOCAL m.x = 'local'"); !ok {
+		return
+	}
+	m.settings["x"] = "local"
+	m.checkSettings()
+	if m.settings["x"] == "local" {
+		m.ask("COMMIT")
+	}
+	m.settings = clone(m.committed)
+	m.checkSettings()
+}
+
+// writeRow writes the client's own row and reads it, on whatever connection and member.
+func (m *mixedClient) writeRow() {
+	v := fmt.Sprintf("%d-%d", m.id, m.transactions)
+	sql := fmt.Sprintf("INSERT INTO rows (handle, blob) VALUES ('own%d', '%s') RETURNING blob", m.id, v)
+	if answer, ok := m.ask(sql); !ok {
+		if !strings.Contains(answer, "53300") {
+			m.lastWritten = "" // it may have been written or not
+		}
+		return
+	}
+	m.lastWritten = v
+	m.readOwnWrite()
+}
+
+func (m *mixedClient) sendErrorInPipeline() {
+	out := pg.AppendParse(nil, "", []byte("SELEKT\x00\x00\x00"))
+	out = pg.AppendExecute(pg.AppendBind(out, "", "", []byte{0, 0, 0, 0, 0, 0}), "")
+	m.client.Send(string(pg.AppendSync(out)))
+	if answer, ok := m.readAnswer("a mistake"); ok && answer != "42601 ready" {
+		m.fail("a mistake is answered with %q", answer)
+	}
+}
+
+// discardAll resets the session to the settings of its startup, one time in four.
+func (m *mixedClient) discardAll() {
+	if m.random.IntN(4) != 0 {
+		return
+	}
+	if _, ok := m.ask("DISCARD ALL"); ok {
+		m.settings = map[string]string{"owner": fmt.Sprint(m.id)}
+		m.committed = clone(m.settings)
+		m.prepared = map[string]string{}
+	}
 }
 
+// readOwnWrite checks that a read of the client's own row is not older than its last write.
 func (m *mixedClient) readOwnWrite() {
 	if m.lastWritten == "" {
 		return
--- a/internal/server/mixedrun_test.go
+++ b/internal/server/mixedrun_test.go
@@ -18,14 +18,14 @@
 
 var mixedTransactions = flag.Int("mixed-transactions", 4000, "transactions of the mixed run; the long one takes 100000")
 
-// noteChecker keeps what a server recorded that was not as its client had it: each statement that notes carries what its
-// client has set, and its client's own mark.
+// noteChecker checks that each statement that calls note runs with its own client's settings.
 type noteChecker struct {
 	mu         sync.Mutex
 	mismatches []string
 	notes      int
 }
 
+// record checks one statement that a server ran.
 func (a *noteChecker) record(e pgserver.Event) {
 	if e.Note == "" {
 		return
@@ -42,7 +42,8 @@
 	}
 }
 
-// run plays clients until they have done so many transactions together.
+// runMixedClients runs clients until they have run so many transactions together. It returns the errors and the violations that they
+// saw.
 func runMixedClients(t *testing.T, addr string, clients, transactions int, seed uint64) (codes map[string]int, bad []string) {
 	var left atomic.Int64
 	left.Store(int64(transactions))
@@ -78,7 +79,7 @@
 	return codes, bad
 }
 
-// A long mixed run of many clients on few connections, some of which fail: no setting, statement or answer goes astray,
+// A long mixed run of many clients on few connections, some of which fail: no setting, statement or answer reaches another client,
 // and no session's read is older than its own last write.
 func TestPool_MixedRun(t *testing.T) {
 	var a noteChecker
@@ -99,6 +100,7 @@
 	t.Logf("%d transactions, %d notes, codes %v, members %+v", *mixedTransactions, a.notes, codes, counts)
 }
 
+// runMixedCluster runs the mixed clients on two members, some of whose connections and statements fail.
 func runMixedCluster(t *testing.T, a *noteChecker, transactions int) (*lab.Cluster, map[string]int, []string) {
 	var asked atomic.Int64
 	addr, cluster := startPooledRouter(t, 2, lab.Pool{PerMember: 4, ExtraKeys: "statements = 50\n"}, func(s *pgserver.Server) {
--- a/internal/server/pipelined_test.go
+++ b/internal/server/pipelined_test.go
@@ -24,8 +24,7 @@
 	}
 }
 
-// A query that was sent ahead waits for its turn, and its client's time runs: the one before it is answered when the time of
-// the one behind is over, which is rejected then, and no member hears of it.
+// The time of a pipelined query runs while it waits behind another: it is rejected without being sent.
 func TestPipelined_DeadlineWhileQueued(t *testing.T) {
 	answer := make(chan bool)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -55,11 +54,11 @@
 		}
 	}
 	if _, asked := m.Seen(); strings.Contains(strings.Join(asked, "\n"), "behind") {
-		t.Error("a member heard of the query whose time was over")
+		t.Error("a member was sent the query whose deadline had passed")
 	}
 }
 
-// The same in a pool, for one statement and for a pipeline.
+// The time of a query in a pool runs while it waits behind another, in the simple and in the extended protocol.
 func TestPool_PipelinedDeadlineWhileQueued(t *testing.T) {
 	out, answer := make(chan bool, 1), make(chan bool)
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
--- a/internal/server/pool_test.go
+++ b/internal/server/pool_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// What a session says and what it hears, statement by statement.
+// Simple queries of a pool's client: settings, transactions, errors.
 func TestPool_SimpleQueries(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "pins = false\n"}, nil)
 	for n, c := range []struct{ ask, want string }{
@@ -182,7 +182,7 @@
 	}
 }
 
-// The extended protocol, message by message, in one pipeline each.
+// Pipelines of the extended protocol: names of statements, errors, Flush.
 func TestPool_ExtendedPipelines(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	parse := func(name, sql string) string { return string(pg.AppendParse(nil, name, []byte(sql+"\x00\x00\x00"))) }
@@ -232,7 +232,8 @@
 	}
 }
 
-// What can't follow its client pins it; it leaves no trace for the next, and its connection's end is its session's.
+// State that can't be moved to another connection makes the connection sticky, and is gone for the next client. The end of the
+// connection ends the session.
 func TestPool_StickyConnections(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	c := fakes.NewClient(t, addr, true)
@@ -264,7 +265,7 @@
 	}
 }
 
-// By session: one connection for as long as the client stays, and nothing of it for the next.
+// In session mode a client keeps one connection, and leaves no state for the next client.
 func TestPool_SessionMode(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{Mode: "session", PerMember: 2}, nil)
 	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
@@ -289,7 +290,7 @@
 	}
 }
 
-// What breaks the protocol ends its session alone, with its code.
+// A protocol error ends its own session alone, with its code.
 func TestPool_ProtocolErrors(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	steady := fakes.NewClient(t, addr, true)
--- a/internal/server/poolfailure_test.go
+++ b/internal/server/poolfailure_test.go
@@ -15,7 +15,7 @@
 	"wayloft/internal/pg"
 )
 
-// A client that leaves in the middle of something leaves nothing open behind, and its connection's place is free.
+// A client that leaves at any point leaves no open transaction, and its connection can be used again.
 func TestPool_ClientGoneLeavesNoTransaction(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	for _, c := range []struct {
@@ -53,7 +53,7 @@
 	}
 }
 
-// A connection that dies between Parse and Execute is no mistake of the client's: nothing has run, and it goes elsewhere.
+// Requests are sent again on another connection if nothing of them has run; a transaction that has begun fails.
 func TestPool_ConnectionLost(t *testing.T) {
 	var mu sync.Mutex
 	var at pg.Kind
@@ -119,7 +119,7 @@
 	}
 }
 
-// A cancel reaches the statement that runs for its client, and never the next client's, however late it comes.
+// A cancel request reaches its own client's statement, and never the next client's, however late it comes.
 func TestPool_CancelRequests(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	ctx := context.Background()
@@ -205,7 +205,7 @@
 	}
 }
 
-// A member that drains with forty transactions open: each may end there, and nothing new begins there.
+// Transactions that are open at a draining member may end there, and no new one begins there.
 func TestPool_MemberDrainsWithOpenTransactions(t *testing.T) {
 	l := newListServer(t)
 	l.publish(0)
@@ -237,7 +237,7 @@
 	}
 }
 
-// A primary that is replaced while transactions are open: they fail honestly, and the next ones go to the new primary.
+// Transactions that are open when the primary is replaced fail, and the next ones go to the new primary.
 func TestPool_PrimaryReplaced(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 2, lab.Pool{PerMember: 20}, nil)
 	var open []*fakes.Client
@@ -261,7 +261,7 @@
 	}
 }
 
-// A plan that has become invalid is prepared again where nothing has run, and its client hears nothing of it.
+// A statement whose plan has become invalid is prepared again if nothing has run, and its client receives no error.
 func TestPool_InvalidPlanPreparedAgain(t *testing.T) {
 	var mu sync.Mutex
 	var codes []string
@@ -297,7 +297,7 @@
 			t.Errorf("%s: got %q, want %q", x.codes, got, x.want)
 		}
 	}
-	askAll(c, "BEGIN", "SELECT 1") // something has run: its client must hear of it
+	askAll(c, "BEGIN", "SELECT 1") // something has run: the client must receive the error
 	mu.Lock()
 	codes = []string{"0A000"}
 	mu.Unlock()
--- a/internal/server/poollimits_test.go
+++ b/internal/server/poollimits_test.go
@@ -12,8 +12,7 @@
 	"wayloft/internal/pg"
 )
 
-// A pool of four with four hundred clients, one of which holds a transaction open and idle: the limit ends it, and all
-// others are served.
+// A client that is idle in a transaction for too long is disconnected, and 400 others are served by the rest of the pool meanwhile.
 func TestPool_IdleInTransactionTimeout(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 4, ExtraKeys: "", IdleInTransaction: "300ms"}, nil)
 	idle := fakes.NewClient(t, addr, true)
@@ -45,7 +44,7 @@
 	}
 }
 
-// Ever new texts: a session that prepares too much hears so, and what connections keep stays bounded.
+// A session that prepares too many statements gets an error, and connections keep a bounded number of them.
 func TestPool_PreparedStatementLimit(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "statements = 300\n"}, nil)
 	c := fakes.NewClient(t, addr, true)
@@ -72,8 +71,7 @@
 	}
 }
 
-// A member that holds twenty connections, and four hundred clients at once: no more than it takes are tried again and
-// again, and all are served.
+// A member accepts fewer connections than the pool may have: connecting is not tried over and over, and all clients are served.
 func TestPool_MemberConnectionLimit(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 100}, func(s *pgserver.Server) { s.MaxConnections = 20 })
 	var wg sync.WaitGroup
--- a/internal/server/processlimits_test.go
+++ b/internal/server/processlimits_test.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/lab"
 )
 
-// The size of two years hence is a configuration like any other; where the system gives fewer descriptors the start says so.
+// A process with fewer descriptors than its configuration needs does not start, except on the platform.
 func TestCheckDescriptorLimit(t *testing.T) {
 	text := lab.IdleRouter{Members: 820, Groups: 205}.Configuration("127.0.0.1:0", "", "", "")
 	conf, err := Load(writeFile(t, filepath.Join(t.TempDir(), "still.toml"), text))
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -15,8 +15,8 @@
 	"wayloft/internal/pg"
 )
 
-// SIGHUP: a file that is wrong changes nothing; from a good one discovery's address is taken, whose list bars a member
-// that the old one still has, and a request that is out goes on; after SIGTERM it does no harm.
+// An invalid file changes nothing at SIGHUP. From a valid one the discovery address is taken, whose list lacks a member, and the
+// request that runs there goes on. SIGHUP after SIGTERM does no harm.
 func TestReload_ChangesDiscovery(t *testing.T) {
 	answer := make(chan bool)
 	gone := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -69,9 +69,8 @@
 	}
 }
 
-// New configurations in a row, each with another discovery address, and a burst of signals for each: whatever the router does with
-// those between, it asks the last one, and none of the watches before stays. Members drain on the last list, and
-// nothing is sent to them.
+// After several configurations in a row, each with a burst of SIGHUP, the router watches the last discovery address and no other, and
+// its list is in force.
 func TestReload_SeveralInARow(t *testing.T) {
 	drains, stays := newPrimary(t), newPrimary(t)
 	var of []*scriptedDiscovery
@@ -134,8 +133,7 @@
 	}
 }
 
-// Members begin to drain before, with and after a new configuration that moves discovery, while the old discovery hangs, or
-// its watch is open: from what is told on, nothing begins there.
+// A member begins to drain before, with or after a reload that changes the discovery address. It gets no new request from then on.
 func TestReload_WhileMembersDrain(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -146,7 +144,7 @@
 		{"with it", "in_service", "terminating", ""},
 		{"behind it", "in_service", "in_service", "terminating"},
 		{"it lacks the member", "in_service", "none", ""},
-		{"told as ended", "terminating", "in_service", "terminated"},
+		{"terminated by the watch", "terminating", "in_service", "terminated"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			drains, stays := newPrimary(t), newPrimary(t)
@@ -178,8 +176,8 @@
 				t.Fatal(err)
 			}
 			signals <- syscall.SIGHUP
-			<-next.requests // its whole list
-			<-next.requests // it is told, and the watch has begun
+			<-next.requests // the full list
+			<-next.requests // the list has been delivered, and the watch has begun
 			asks, n := fakes.NewClient(t, addr, true), 0
 			count := func() int { _, asked := drains.Seen(); return strings.Count(strings.Join(asked, "|"), "c=look") }
 			last := -1
@@ -205,8 +203,8 @@
 	}
 }
 
-// A start with an old list, and with discovery that takes the connection and stays silent; then a list that moves
-// the only member.
+// The router serves by the list of its configuration while discovery is silent, and connects to a member at its new address once a
+// list gives it.
 func TestDiscovery_SilentThenMemberMoves(t *testing.T) {
 	speak := make(chan string)
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/seeded_defects_test.go
+++ b/internal/server/seeded_defects_test.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/decide/session"
 )
 
-// A router that leaks on purpose is found out by the same run that finds nothing in the real one.
+// The mixed run detects each seeded defect.
 func TestSeededDefects_Detected(t *testing.T) {
 	for _, what := range []string{"settings", "rollback", "names", "position"} {
 		t.Run(what, func(t *testing.T) {
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -12,6 +12,8 @@
 	"wayloft/internal/pg"
 )
 
+// Sessions in the platform's form: valid and invalid requests, pipelines, and what ends a session. Other sessions are served
+// meanwhile.
 func TestSessions_StatementForm(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	steady := fakes.NewClient(t, addr, true)
@@ -22,14 +24,14 @@
 		{"ahead", hello + query(readStatement("a1", "x")) + query(writeStatement("a2", "y")) + query(readStatement("a3", "z")),
 			"ready, x ok ready, y ok ready, z ok ready"},
 		{"no comment", hello + query("SELECT 1") + query(readStatement("b1", "x")), "ready, 08P01 ready, x ok ready"},
-		{"unknown txn type", hello + query("/* id=c1,c=what,d=5 */ SELECT 1"), "ready, 22023 ready"},
+		{"unknown request class", hello + query("/* id=c1,c=what,d=5 */ SELECT 1"), "ready, 22023 ready"},
 		{"id in use", hello + query(writeStatement("d1", "hang")) + query(strings.Replace(writeStatement("d1", "x"), "d=400", "d=3000", 1)),
 			"ready, 08007 ready, x ok ready"},
-		{"an error of a once-only txn", hello + query(writeStatement("e1", "error")), "ready, 08007 ready"},
+		{"an error of a non-idempotent request", hello + query(writeStatement("e1", "error")), "ready, 08007 ready"},
 		{"expired", hello + query("/* id=f1,c=look,d=0,cluster=2 */ SELECT x"), "ready, 53300 ready"},
 		{"no such cluster", hello + query("/* id=f2,c=put,d=200,cluster=9 */ SELECT x"), "ready, 53300 ready"},
 		{"a wait out of all proportion", hello + query("/* id=f3,c=put,d=1e12,cluster=2 */ INSERT hang") + query(readStatement("f4", "x")),
-			"ready, 08007 ready, 53300 ready"}, // the time of the one behind is over with the other's, it is not held for it anew
+			"ready, 08007 ready, 53300 ready"}, // the deadline of the one behind passes while it is queued
 		{"a position in the future", hello + query("/* id=f5,c=look,d=200,cluster=2,after=9e14 */ SELECT x"), "ready, 22023 ready"},
 		{"at fault by a member's word", hello + query(writeStatement("f6", "wrong")) + query(readStatement("f7", "x")), "ready, 42601 ready, x ok ready"},
 		{"extended", hello + "P\x00\x00\x00\x05xB\x00\x00\x00\x04" + query(readStatement("g1", "x")) + "S\x00\x00\x00\x04" +
@@ -67,6 +69,7 @@
 	}
 }
 
+// A request for TLS is refused, and the session begins without it.
 func TestTLS_Refused(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	c := fakes.NewClient(t, addr, false)
@@ -81,7 +84,7 @@
 	}
 }
 
-// Each byte on its own makes the same request.
+// A request that comes byte by byte is served.
 func TestRequest_ByteByByte(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	c := fakes.NewClient(t, addr, true)
@@ -93,7 +96,7 @@
 	}
 }
 
-// More sessions than there is room for: the one that has been quiet longest makes room, a busy one never does.
+// With more sessions than the limit, the one that has been idle longest is closed, and never one with a request.
 func TestSessionLimit_QuietestClosed(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 128, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
 	busy := fakes.NewClient(t, addr, true)
@@ -107,8 +110,8 @@
 	}
 }
 
-// Whoever connects and says nothing, or half of something, is told so and sent away, and a crowd of them keeps nobody
-// else out.
+// Clients that send nothing, or an incomplete message, are disconnected with an error, and many of them do not keep others from being
+// served.
 func TestSilentClients_TimedOut(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 128, newPrimary(t).Addr)
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
@@ -161,8 +164,7 @@
 	}
 }
 
-// Clients that ask once and hold their connections for good: the oldest are closed before any limit is reached, since
-// clients have limits too; the latest stay.
+// Of many idle sessions the oldest are closed before any limit is reached, and the latest stay.
 func TestIdleSessions_OldestClosed(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 128, newPrimary(t).Addr)
 	all := openSessions(t, addr, 30)
@@ -175,18 +177,18 @@
 	}
 }
 
-// One that asks the same wrong thing again and again, and one that floods after its error, do not keep others waiting.
+// A client that repeats an invalid request, and one that floods the router after its error, do not delay others.
 func TestFlood_OthersServed(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	steady := fakes.NewClient(t, addr, true)
 	again, flood := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
-	heard := make(chan int)
+	errorCount := make(chan int)
 	go func() {
 		n := 0
 		for _, _ = again.Write(pg.AppendQuery(nil, "SELECT 1")); again.Answer() == "08P01 ready"; n++ {
 			_, _ = again.Write(pg.AppendQuery(nil, "SELECT 1"))
 		}
-		heard <- n
+		errorCount <- n
 	}()
 	go func() {
 		_, _ = flood.Write([]byte("Q\x04\x00\x00\x00"))
@@ -206,12 +208,12 @@
 		}
 	}
 	closeSocket(again)
-	if n := <-heard; n > 100 {
+	if n := <-errorCount; n > 100 {
 		t.Errorf("the same mistake was answered %d times", n)
 	}
 }
 
-// A client that leaves frees its request: its id may come again as soon as its attempt is back.
+// The id of a request whose client has left may be used again once its attempt has ended.
 func TestClientGone_RequestIDFreed(t *testing.T) {
 	answer := make(chan bool)
 	slow := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -239,7 +241,7 @@
 	})
 }
 
-// Statements that together hold too much are rejected, and parts of them end their session; later ones are served.
+// Requests over the memory budget are rejected, and incomplete ones end their session. Later ones are served.
 func TestRequestBudget_Exceeded(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	long := strings.Repeat("x", 150<<10)
@@ -261,7 +263,7 @@
 		_, _ = c.Write(pg.AppendQuery(nil, readStatement(fmt.Sprint("one", n), long)))
 		return c.Answer()
 	}
-	fakes.Until(t, "one more is declined", func() bool { return ask() == "53300 ready" })
+	fakes.Until(t, "one more is rejected", func() bool { return ask() == "53300 ready" })
 	for range 25 {
 		part()
 	}
@@ -274,8 +276,7 @@
 	fakes.Until(t, "the next is served", func() bool { return ask() == long+" ok ready" })
 }
 
-// A connection that is reset behind its accept, before or in its startup message, and one whose startup and first query come
-// in one segment with the end behind them: none leaves anything open, and others are served.
+// Connections that are reset or closed at any point after their accept leave nothing open, and others are served.
 func TestConnection_EndsAfterAccept(t *testing.T) {
 	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -21,7 +21,7 @@
 
 // NotifySignals returns a channel of the signals that end the process (SIGTERM, SIGINT) or have it reload its configuration (SIGHUP).
 // Each of the two kinds has a buffer of its own: this guards against a signal to end that is dropped behind many others. A second one
-// of a kind that is buffered is dropped, and tells nothing new: the process ends once, and the file is read after the last of them.
+// of a kind that is buffered is dropped, and would add nothing: the process ends once, and the file is read after the last of them.
 func NotifySignals() <-chan os.Signal {
 	terminations, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
--- a/internal/server/signals_test.go
+++ b/internal/server/signals_test.go
@@ -18,8 +18,7 @@
 	"wayloft/internal/fakes"
 )
 
-// A signal to end comes behind more of the others than any channel holds, in a process that has not begun to serve: it is heard, and
-// so is the last of the others.
+// A signal to end behind many SIGHUP is delivered, and so is a SIGHUP.
 func TestNotifySignals_BurstOfReloads(t *testing.T) {
 	signals := NotifySignals()
 	for range 100 {
@@ -30,14 +29,13 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	heard := map[os.Signal]bool{}
-	for !heard[syscall.SIGTERM] || !heard[syscall.SIGHUP] {
-		heard[<-signals] = true
+	received := map[os.Signal]bool{}
+	for !received[syscall.SIGTERM] || !received[syscall.SIGHUP] {
+		received[<-signals] = true
 	}
 }
 
-// SIGHUP comes without end from the first moment in which the process can take it until it serves: it lives, serves, and ends in
-// order. Both as the platform starts it, and started plainly.
+// A process that gets SIGHUP all the time before it serves does not end by it, as the platform starts it and started directly.
 func TestSIGHUP_BeforeServing(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wayloft")
@@ -56,7 +54,7 @@
 	for _, start := range []struct {
 		name    string
 		command []string
-	}{{"as deployed", []string{"sh", "-c", run}}, {"plainly", []string{program, "serve"}}} {
+	}{{"as deployed", []string{"sh", "-c", run}}, {"directly", []string{program, "serve"}}} {
 		t.Run(start.name, func(t *testing.T) {
 			ignored := 0
 			for range 6 {
@@ -71,7 +69,8 @@
 	}
 }
 
-// startUnderSIGHUP starts a router, and tells whether it was seen to ignore SIGHUP before it served.
+// startUnderSIGHUP starts a router and sends it SIGHUP while it ignores that, until it serves. It reports whether the router ever
+// ignored it.
 func startUnderSIGHUP(t *testing.T, command []string, file string) (ignored bool) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,7 +134,7 @@
 	return ignored
 }
 
-// ignoresSIGHUP reads a process's mask of ignored signals.
+// ignoresSIGHUP reports whether a process ignores SIGHUP.
 func ignoresSIGHUP(pid int) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/pg"
 )
 
-// TestTranscript_Pooled has what a client of a pool hears be the recorded bytes.
+// TestTranscript_Pooled compares what a pool's client receives with the recording.
 func TestTranscript_Pooled(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2, ExtraKeys: "pins = true\nstatements = 4\nsettings = \"300B\"\n"}, nil)
 	var out strings.Builder
@@ -91,7 +91,7 @@
 	recording.CompareText(t, "transcript-pooled.txt", out.String())
 }
 
-// TestTranscript_Statements has what a client of the statement form hears be the recorded bytes.
+// TestTranscript_Statements compares what a client in the platform's form receives with the recording.
 func TestTranscript_Statements(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	var out strings.Builder
@@ -132,7 +132,7 @@
 	recording.CompareText(t, "transcript-statements.txt", out.String())
 }
 
-// TestTranscript_Drain has what clients hear while the router drains be the recorded bytes.
+// TestTranscript_Drain compares what clients receive while the router drains with the recording.
 func TestTranscript_Drain(t *testing.T) {
 	addr, cluster, signals, ended := startDrainablePool(t, 1, lab.Pool{PerMember: 2}, nil)
 	defer cluster.Close()
--- a/internal/server/transcriptclient_test.go
+++ b/internal/server/transcriptclient_test.go
@@ -13,7 +13,7 @@
 	"wayloft/internal/pg"
 )
 
-// transcriptClient is a client whose bytes are written down as they come: a line a message, with its type and body.
+// transcriptClient is a client that records all that it sends and receives.
 type transcriptClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -21,7 +21,7 @@
 	key  []byte // the body of its BackendKeyData
 }
 
-// newTranscriptClient connects and writes down what the client hears up to its first ReadyForQuery.
+// newTranscriptClient connects and records what comes up to the first ReadyForQuery.
 func newTranscriptClient(t *testing.T, out *strings.Builder, addr, name string, startup []byte) *transcriptClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -35,7 +35,7 @@
 	return c
 }
 
-// send writes bytes and writes down what comes up to the given count of ReadyForQuery, or the end.
+// send sends bytes and records what comes up to so many ReadyForQuery or CopyInResponse, or the end.
 func (c *transcriptClient) send(b []byte, ready int) {
 	c.t.Helper()
 	fmt.Fprintf(c.out, "> %.200q\n", b)
@@ -45,6 +45,7 @@
 	c.read(ready)
 }
 
+// read records what comes up to so many ReadyForQuery or CopyInResponse, or the end.
 func (c *transcriptClient) read(ready int) {
 	c.t.Helper()
 	for ready > 0 {
@@ -101,7 +102,7 @@
 
 const transcriptSelect = "SELECT blob FROM rows WHERE handle = $1"
 
-// cancelTranscript cancels what a client runs, again until it has reached the member, and writes down what the client hears.
+// cancelTranscript cancels what a client runs, again until it has ended, and records what the client receives.
 func cancelTranscript(t *testing.T, addr string, c *transcriptClient) {
 	t.Helper()
 	done := make(chan bool)
