--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -1,6 +1,5 @@
-// Wayloft is the real router: one process that carries clients' requests to database members and decides with the same
-// module as on the bench. This package owns the command line, the configuration and the start and end of the
-// process; it must never decide about a request.
+// Command wayloft is the router, the coordinator node, the operator's commands and the laboratory in one program. This package is the
+// command line alone: package server runs a router.
 package main
 
 import (
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -6,8 +6,10 @@
 	"wayloft/internal/server"
 )
 
+// serveCmd runs a router.
 type serveCmd struct{ configFlag }
 
+// Run serves until a signal ends the process.
 func (c *serveCmd) Run() error {
 	signals := server.NotifySignals() // before the configuration is read: from here on SIGHUP doesn't end the process
 	conf, err := server.Load(c.Config)
