--- a/internal/server/poolfailure_test.go
+++ b/internal/server/poolfailure_test.go
@@ -128,30 +128,50 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = one.Close(ctx) }()
-	running := make(chan error, 1)
+	cancelRunning(ctx, t, one, cluster)
+	cancelQueued(ctx, t, one, addr)
+	cancelAmongOthers(ctx, t, one, addr)
+	unknown := fakes.NewClient(t, addr, false)
+	unknown.Send(string(pg.AppendCancelRequest(nil, pg.CancelKey{Process: 1, Secret: 2})))
+	if got := unknown.Answer(); got != "closed" {
+		t.Errorf("a wrong key: %q", got)
+	}
+}
+
+// execute runs a statement in the background.
+func execute(ctx context.Context, conn *pgx.Conn, sql string) <-chan error {
+	result := make(chan error, 1)
 	go func() {
-		_, err := one.Exec(ctx, "SELECT pg_sleep(30)")
-		running <- err
+		_, err := conn.Exec(ctx, sql)
+		result <- err
 	}()
+	return result
+}
+
+// cancelRunning cancels a statement that runs.
+func cancelRunning(ctx context.Context, t *testing.T, conn *pgx.Conn, cluster *lab.Cluster) {
+	t.Helper()
+	result := execute(ctx, conn, "SELECT pg_sleep(30)")
 	fakes.Until(t, "it runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
-	if err := one.PgConn().CancelRequest(ctx); err != nil {
+	if err := conn.PgConn().CancelRequest(ctx); err != nil {
 		t.Error(err)
 	}
-	if err := <-running; errorCode(err) != "57014" {
+	if err := <-result; errorCode(err) != "57014" {
 		t.Errorf("the cancelled: %v", err)
 	}
-	// One that waits for the only connection ends at once.
+}
+
+// cancelQueued cancels a statement that waits for the pool's only connection.
+func cancelQueued(ctx context.Context, t *testing.T, conn *pgx.Conn, addr string) {
+	t.Helper()
 	holder := fakes.NewClient(t, addr, true)
 	askAll(holder, "BEGIN", "SELECT 1")
-	go func() {
-		_, err := one.Exec(ctx, "SELECT 1")
-		running <- err
-	}()
+	result := execute(ctx, conn, "SELECT 1")
 	var ended error
 	fakes.Until(t, "the one that waits ends", func() bool {
-		_ = one.PgConn().CancelRequest(ctx) // one that fails is sent again
+		_ = conn.PgConn().CancelRequest(ctx) // one that fails is sent again
 		select {
-		case ended = <-running:
+		case ended = <-result:
 			return true
 		default:
 			return false
@@ -161,7 +181,11 @@
 		t.Errorf("the one that waits: %v", ended)
 	}
 	askAll(holder, "COMMIT")
-	// Cancels that come as their statements end, while others use the same place.
+}
+
+// cancelAmongOthers cancels statements about when they end, while other clients use the same connection.
+func cancelAmongOthers(ctx context.Context, t *testing.T, conn *pgx.Conn, addr string) {
+	t.Helper()
 	stop := make(chan bool)
 	var others sync.WaitGroup
 	for range 3 {
@@ -183,26 +207,16 @@
 		}()
 	}
 	for range 60 {
-		go func() {
-			_, err := one.Exec(ctx, "SELECT pg_sleep(0.0005)")
-			running <- err
-		}()
-		if err := one.PgConn().CancelRequest(ctx); err != nil {
+		result := execute(ctx, conn, "SELECT pg_sleep(0.0005)")
+		if err := conn.PgConn().CancelRequest(ctx); err != nil {
 			t.Errorf("a cancel request: %v", err)
 		}
-		if err := <-running; err != nil && errorCode(err) != "57014" {
+		if err := <-result; err != nil && errorCode(err) != "57014" {
 			t.Errorf("its own: %v", err)
 		}
 	}
 	close(stop)
 	others.Wait()
-	if key := (pg.CancelKey{Process: 1, Secret: 2}); true { // of nobody
-		c := fakes.NewClient(t, addr, false)
-		c.Send(string(pg.AppendCancelRequest(nil, key)))
-		if got := c.Answer(); got != "closed" {
-			t.Errorf("a wrong key: %q", got)
-		}
-	}
 }
 
 // Transactions that are open at a draining member may end there, and no new one begins there.
