--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -1,5 +1,5 @@
-// Wayloft is a read/write splitter for database clusters. This package is its command line: a file a command, with the flags and what
-// is printed. The router itself is internal/server, a coordinator node internal/coordinator, the laboratory internal/lab.
+// Command wayloft is the router, the coordinator node, the operator's commands and the laboratory in one program. This package is the
+// command line alone, a file a command: package server runs a router, package coordinator a coordinator node, package lab the laboratory.
 package main
 
 import (
--- a/internal/server/seeded_defects_test.go
+++ b/internal/server/seeded_defects_test.go
@@ -8,8 +8,8 @@
 	"wayloft/internal/decide/session"
 )
 
-// The mixed run, which finds nothing in a router without defects, finds each defect of a router that has one.
-func TestMixedRun_SeededDefectsAreFound(t *testing.T) {
+// The mixed run, which finds nothing in a router without defects, detects each seeded defect.
+func TestSeededDefects_Detected(t *testing.T) {
 	for name, defects := range map[string]session.SeededDefects{
 		"settings": {SkipSettings: true},
 		"rollback": {KeepRolledBackSettings: true},
@@ -17,12 +17,13 @@
 		"position": {ForgetLastCommitPosition: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a astray
-			_, _, bad := mixedRun(t, &a, 600, defects)
-			if len(bad)+len(a.found) == 0 {
+			var a noteChecker
+			_, _, bad := runMixedCluster(t, &a, 600, defects)
+			found := append(bad, a.mismatches...)
+			if len(found) == 0 {
 				t.Fatal("nothing was found")
 			}
-			t.Log(append(bad, a.found...)[0])
+			t.Log(found[0])
 		})
 	}
 }
