--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend is the router's side towards the members. It owns the connections to them, the attempts and health checks on these
+// Package backend is the router's side towards the members: the event loop's driver calls it, and it calls back with what came of it. It owns the connections to them, the attempts and health checks on these
 // connections, and their time-outs. Which connection is used, and when one is opened or closed, is decided by package connpool; which
 // member an attempt goes to, by package router. The package guarantees that nothing is sent without such a decision, that no attempt
 // is reported as not sent if it may have run, and that each attempt has one outcome.
@@ -67,19 +67,19 @@
 
 // Backend holds the connections to all members. Its exported fields are counters.
 type Backend struct {
-	driver       Driver
-	limits       Limits
-	pool         *connpool.Pool
-	members      map[string]*member
-	conns        map[int]*memberConn             // by the pool's ids, once they are dialled
-	attempts     map[string]*job                 // the attempt in flight, by request id
-	waiting      map[string]*job                 // jobs that wait for a connection, by their ids in the pool
-	parameters   map[string]*iradix.Tree[string] // what members of a pool reported last
-	poolRequests int                             // requests to the pool so far; the last one's id
-	carryingOut  bool                            // guards against carrying out decisions while doing so
-	timerAt      float64                         // when the pool must be asked for decisions; +Inf: no timer is set
-	timer        *time.Timer
-	buffered     int // bytes of incomplete responses
+	driver        Driver
+	limits        Limits
+	pool          *connpool.Pool
+	members       map[string]*member
+	conns         map[int]*memberConn             // by the pool's ids, once they are dialled
+	attempts      map[string]*job                 // the attempt in flight, by request id
+	waiting       map[string]*job                 // jobs that wait for a connection, by their ids in the pool
+	parameters    map[string]*iradix.Tree[string] // what members of a pool reported last
+	poolRequests  int                             // requests to the pool so far; the last one's id
+	carryingOut   bool                            // guards against carrying out decisions while doing so
+	timerAt       float64                         // when the pool must be asked for decisions; +Inf: no timer is set
+	timer         *time.Timer
+	bufferedBytes int // bytes of incomplete responses
 
 	NoConnection     int // attempts and health checks for which the pool had no room
 	OverBudget       int // responses given up since all of them exceeded ResponseBudget
@@ -112,33 +112,49 @@
 	return b
 }
 
-// List takes in a member list, whole or of changes. Attempts in flight go on; those that are not written yet end if their member is
+// List applies a member list, complete or of changes. Attempts in flight go on; those that are not written yet end if their member is
 // draining or removed, since they were decided before the list changed and must not be sent long after.
 func (b *Backend) List(list *discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Entries {
 		listed[entry.ID] = entry.State != router.Removed
-		m := b.members[entry.ID]
-		if m == nil {
-			m = &member{id: entry.ID}
-			b.members[entry.ID] = m
-		} else if m.addr != entry.Addr || m.started != entry.Started {
-			b.poolInput().RetireConnections(entry.ID)
-		}
-		m.addr, m.started, m.unavailable = entry.Addr, entry.Started, entry.State != router.Up
-		b.poolInput().MemberListed(entry.ID, !m.unavailable)
+		b.listMember(entry)
 	}
 	for id, m := range b.members {
-		up, changed := listed[id]
-		gone := !up && (changed || list.Complete)
-		if m.unavailable = m.unavailable || gone; gone {
-			b.poolInput().MemberListed(id, b.limits.KeepRemoved)
-		}
-		if gone && !b.limits.KeepRemoved { // jobs in flight to it still refer to it
-			delete(b.members, id)
-			b.driver.Forget(id)
+		present, changed := listed[id]
+		if !present && (changed || list.Complete) {
+			b.removeMember(m)
 		}
 	}
+	b.endUnavailable()
+	b.driver.Defer(b.carryOutDecisions)
+}
+
+// listMember applies an entry of a list. Connections to a former address or start of the member are not used again.
+func (b *Backend) listMember(entry discovery.Entry) {
+	m := b.members[entry.ID]
+	if m == nil {
+		m = &member{id: entry.ID}
+		b.members[entry.ID] = m
+	} else if m.addr != entry.Addr || m.started != entry.Started {
+		b.poolInput().RetireConnections(entry.ID)
+	}
+	m.addr, m.started, m.unavailable = entry.Addr, entry.Started, entry.State != router.Up
+	b.poolInput().MemberListed(entry.ID, !m.unavailable)
+}
+
+// removeMember removes a member that is no longer in the list. Jobs in flight to it still refer to it.
+func (b *Backend) removeMember(m *member) {
+	m.unavailable = true
+	b.poolInput().MemberListed(m.id, b.limits.KeepRemoved)
+	if !b.limits.KeepRemoved {
+		delete(b.members, m.id)
+		b.driver.Forget(m.id)
+	}
+}
+
+// endUnavailable ends the attempts that are not written yet and the reserved sessions whose member is draining or removed.
+func (b *Backend) endUnavailable() {
 	for _, j := range b.attempts {
 		if j.member.unavailable && (j.conn == nil || !j.conn.queryWritten) {
 			b.driver.Defer(func() { b.endJob(j, router.NotSent) })
@@ -149,7 +165,6 @@
 			c.terminateReserved()
 		}
 	}
-	b.driver.Defer(b.carryOutDecisions)
 }
 
 // Connections returns how many connections there are or are being opened.
@@ -158,7 +173,7 @@
 // Waiting returns how many jobs wait for a connection.
 func (b *Backend) Waiting() int { return b.pool.WaitingCount() }
 
-// KnownParameters returns the parameters that members of a pool reported last, to be told to a client that connects.
+// KnownParameters returns the parameters that members of a pool reported last, which a client receives when it connects.
 func (b *Backend) KnownParameters(pool string) *iradix.Tree[string] {
 	if t := b.parameters[pool]; t != nil {
 		return t
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -315,7 +315,7 @@
 	}
 	fakes.Until(t, "four are buffered", func() (four bool) {
 		driver.runOnLoop(func() {
-			four = backend.buffered > 3*maxResponse && backend.buffered <= 4*maxResponse && backend.OverBudget == 2 && backend.Connections() == 4
+			four = backend.bufferedBytes > 3*maxResponse && backend.bufferedBytes <= 4*maxResponse && backend.OverBudget == 2 && backend.Connections() == 4
 		})
 		return four
 	})
@@ -323,7 +323,7 @@
 		driver.runOnLoop(func() { backend.CancelAttempt(fmt.Sprint(n), 0) })
 	}
 	fakes.Until(t, "nothing is buffered", func() (none bool) {
-		driver.runOnLoop(func() { none = backend.buffered == 0 && backend.Connections() == 0 })
+		driver.runOnLoop(func() { none = backend.bufferedBytes == 0 && backend.Connections() == 0 })
 		return none
 	})
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -29,7 +29,7 @@
 	role          router.Role
 	position      float64 // on the cluster's clock; router.Never: none
 	report        string
-	buffered      int // bytes that it holds of Backend.buffered
+	bufferedBytes int // bytes that it holds of Backend.buffered
 	receivedBytes int // since its last job began
 
 	*streamState // nil unless its pool carries requests of several messages
@@ -42,7 +42,7 @@
 
 const (
 	fenceNone     fenceState = iota // no empty query was sent, or all of its answer has come
-	fenceAnswered                   // the readiness after its answer is still to come
+	fenceAnswered                   // the ReadyForQuery after its answer is still to come
 	fenceSent                       // its answer is still to come
 )
 
@@ -56,12 +56,12 @@
 	}
 }
 
-// begin writes the job's query, unless it is withheld. It reports whether it did.
-func (c *memberConn) begin(j *job) bool {
+// startJob writes the job's query, unless it is withheld. It reports whether it did.
+func (c *memberConn) startJob(j *job) bool {
 	invariant.Check(j.request == nil || j.request.Stream != nil || !j.request.Finished(), "nothing is sent for a client that has gone")
 	if c.streamState != nil && j.cancelKey == nil {
 		c.receivedBytes = 0
-		return c.beginStream(j)
+		return c.startStream(j)
 	}
 	out := c.buildQuery(j)
 	if c.backend.withheld(j) {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// buildQuery returns the bytes of the job's query. A statement tells its member how much of its client's time is left right now.
+// buildQuery returns the bytes of the job's query. A statement's comment has the time that is left to its client right now.
 func (c *memberConn) buildQuery(j *job) (out []byte) {
 	if c.fence != fenceNone {
 		// The answer to an empty query comes first, and nothing that the member sent earlier can come after it.
@@ -95,9 +95,9 @@
 	case j.request != nil:
 		out = j.request.AppendQuery(out, j.deadline-c.backend.driver.Clock())
 	case c.backend.limits.HealthReports:
-		out = pg.AppendQuery(out, "SHOW vitals")
+		out = pg.AppendQuery(out, reportQuery)
 	default:
-		out = pg.AppendQuery(out, "SELECT 1")
+		out = pg.AppendQuery(out, livenessQuery)
 	}
 	return out
 }
@@ -114,8 +114,8 @@
 
 func (c *memberConn) forget() {
 	delete(c.backend.conns, c.id)
-	c.backend.buffered -= c.buffered
-	c.buffered = 0
+	c.backend.bufferedBytes -= c.bufferedBytes
+	c.bufferedBytes = 0
 }
 
 // Closed implements eventloop.Handler: the connection has ended.
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -26,7 +26,7 @@
 	poolRequest     string      // its id in the pool
 	conn            *memberConn // nil while it waits for one
 	ended           bool
-	waitingReported bool // the driver was told that it waits for a connection
+	waitingReported bool // the driver was notified that it waits for a connection
 }
 
 // jobResult is what a member answered to a job, as far as it can be trusted.
@@ -47,13 +47,13 @@
 		j.deadline = min(j.deadline, j.started+timeout)
 	}
 	b.attempts[req.ID] = j
-	b.start(j, memberID)
+	b.startJob(j, memberID)
 }
 
 // HealthCheck asks a member for its role and position.
 func (b *Backend) HealthCheck(memberID string) {
 	now := b.driver.Now()
-	b.start(&job{started: now, deadline: now + b.limits.DialTimeout, notAfter: math.Inf(1)}, memberID)
+	b.startJob(&job{started: now, deadline: now + b.limits.DialTimeout, notAfter: math.Inf(1)}, memberID)
 }
 
 // CancelAttempt gives up on an attempt, which may have run if it was written.
@@ -70,29 +70,31 @@
 	}
 }
 
-// start begins a job, or has it wait for a connection.
-func (b *Backend) start(j *job, memberID string) {
+// startJob starts a job, or has it wait for a connection.
+func (b *Backend) startJob(j *job, memberID string) {
 	m := b.members[memberID]
-	invariant.Check(m != nil, "submissions and checks go to listed members")
+	invariant.Check(m != nil, "attempts and health checks go to listed members")
 	if m == nil || j.deadline <= j.started {
 		j.member = &member{id: memberID}
 		b.driver.Defer(func() { b.endJob(j, router.NotSent) })
 		return
 	}
 	j.member = m
-	j.timer = b.driver.After(j.deadline-b.driver.Clock(), func() { b.endJob(j, router.TimedOut) }) // by Clock, since the batch may be long
+	// The batch of events may have taken long already, so the timer counts from Clock and not from Now.
+	j.timer = b.driver.After(j.deadline-b.driver.Clock(), func() { b.endJob(j, router.TimedOut) })
 	if j.request != nil && j.request.Stream != nil {
 		b.startStream(j)
 		return
 	}
 	b.requestConn(j)
 	b.carryOutDecisions()
-	if b.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended { // the time that it waits doesn't count against the member
+	// The time that a statement waits for a connection doesn't count against the member.
+	if b.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended {
 		b.driver.Defer(func() { b.reportWaiting(j) })
 	}
 }
 
-// reportWaiting tells the driver that an attempt waits for a connection.
+// reportWaiting notifies the driver that an attempt waits for a connection.
 func (b *Backend) reportWaiting(j *job) {
 	if j.conn == nil && !j.ended {
 		j.waitingReported = true
@@ -131,33 +133,48 @@
 	if j.timer != nil {
 		j.timer.Stop()
 	}
-	c := j.conn
-	if c == nil {
+	if j.conn == nil {
 		b.poolInput().Cancel(j.poolRequest)
 		delete(b.waiting, j.poolRequest)
 	}
 	if j.cancelKey != nil {
-		if c != nil {
-			c.drop()
+		if j.conn != nil {
+			j.conn.drop()
 		}
 		return
 	}
-	if j.request != nil && (outcome == router.TimedOut || outcome == router.Canceled) && (c == nil || c.closeIfUnsent()) {
+	if j.gaveUp(outcome) && (j.conn == nil || j.conn.closeIfUnsent()) {
 		outcome = router.NotSent // given up before it was written: that says nothing about the member
 	}
-	result := b.takeOffConn(j, outcome)
-	// The router takes the member for suspected now. Its idle connections are closed, too: if it vanished, they would stay open and silent.
+	result := b.detachConn(j, outcome)
+	// The router suspects the member now. Its idle connections are closed, too: if it vanished, they would stay open and silent.
 	if outcome == router.Reset || outcome == router.ConnectFailed || outcome == router.TimedOut && j.request == nil {
 		b.CloseIdle(j.member.id)
 	}
 	if j.request == nil {
-		if read := b.acceptReport(j, string(result.value)); outcome == router.Succeeded && b.limits.HealthReports && !read {
-			outcome = router.ServerError // it answers, but not with a report
-		}
-		b.driver.HealthChecked(j.member.id, outcome)
-		return
+		b.endHealthCheck(j, outcome, result)
+	} else {
+		b.endAttempt(j, outcome, result)
+	}
+}
+
+// gaveUp reports whether the outcome means that an attempt ended without waiting for its member any longer.
+func (j *job) gaveUp(outcome router.Outcome) bool {
+	return j.request != nil && (outcome == router.TimedOut || outcome == router.Canceled)
+}
+
+// endHealthCheck reports the outcome of a health check, and the report that it brought.
+func (b *Backend) endHealthCheck(j *job, outcome router.Outcome, result jobResult) {
+	accepted := b.acceptReport(j, string(result.value))
+	if outcome == router.Succeeded && b.limits.HealthReports && !accepted {
+		outcome = router.ServerError // it answers, but not with a report
 	}
-	invariant.Check(b.attempts[j.request.ID] == j, "one submission of a txn at a time")
+	b.driver.HealthChecked(j.member.id, outcome)
+}
+
+// endAttempt reports the outcome of an attempt, and the report that came with its response.
+func (b *Backend) endAttempt(j *job, outcome router.Outcome, result jobResult) {
+	invariant.Check(b.attempts[j.request.ID] == j, "one attempt of a request at a time")
 	delete(b.attempts, j.request.ID)
 	took := b.driver.Now() - j.started
 	if j.request.Stream != nil {
@@ -172,9 +189,9 @@
 	b.acceptReport(j, result.report)
 }
 
-// takeOffConn takes a job off its connection, if it has one, and returns what the member answered. The connection goes on to the next
+// detachConn takes a job off its connection, if it has one, and returns what the member answered. The connection goes on to the next
 // job if the response is complete; else it is closed.
-func (b *Backend) takeOffConn(j *job, outcome router.Outcome) jobResult {
+func (b *Backend) detachConn(j *job, outcome router.Outcome) jobResult {
 	result := jobResult{role: router.RoleUnknown, position: router.Never}
 	c := j.conn
 	if c == nil {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -57,6 +57,7 @@
 	b.setTimer(b.pool.NextDeadline())
 }
 
+// carryOut carries out one decision of the pool.
 func (b *Backend) carryOut(d connpool.Decision) {
 	c, j := b.conns[d.Conn], b.waiting[d.RequestID]
 	switch d.Action {
@@ -64,7 +65,7 @@
 		b.dial(d)
 	case connpool.Assign:
 		delete(b.waiting, d.RequestID)
-		b.use(d, c, j)
+		b.assign(d, c, j)
 	case connpool.Close:
 		if c != nil {
 			c.conn.Close()
@@ -73,7 +74,7 @@
 	case connpool.Reject:
 		delete(b.waiting, d.RequestID)
 		if j != nil {
-			b.refuse(d.Reason, j)
+			b.reject(d.Reason, j)
 		}
 	case connpool.CloseIdleInTransaction:
 		if c != nil && c.job != nil && c.streamState != nil {
@@ -85,8 +86,8 @@
 	}
 }
 
-// use begins a job on the connection that the pool gives it.
-func (b *Backend) use(d connpool.Decision, c *memberConn, j *job) {
+// assign starts a job on the connection that the pool gives it.
+func (b *Backend) assign(d connpool.Decision, c *memberConn, j *job) {
 	invariant.Check(c != nil && j != nil && !j.ended, "a connection is given to who waits for it")
 	if c == nil || j == nil {
 		b.pool.ConnectionClosed(d.Conn)
@@ -100,14 +101,14 @@
 	if c.fence = fenceNone; d.Unsettled && c.streamState == nil {
 		c.fence = fenceSent
 	}
-	if !c.begin(j) {
+	if !c.startJob(j) {
 		c.fence = fenceNone
 		b.poolInput().Release(d.Conn, c.settingsID())
 	}
 }
 
-// refuse ends a job that the pool has no connection for.
-func (b *Backend) refuse(reason connpool.RejectReason, j *job) {
+// reject ends a job for which the pool has no connection.
+func (b *Backend) reject(reason connpool.RejectReason, j *job) {
 	outcome := router.NotSent
 	switch reason {
 	case connpool.NoCapacity:
@@ -132,7 +133,10 @@
 	case j.cancelKey != nil:
 		wanted.Key.Pool = CancelPool
 	case j.request != nil && j.request.Stream != nil:
-		wanted.Key.Pool, wanted.Tenant, wanted.Affinity = j.request.Stream.Pool, j.request.Tenant, j.request.Stream.Client.Session().Settings().ID()
+		stream := j.request.Stream
+		wanted.Key.Pool = stream.Pool
+		wanted.Tenant = j.request.Tenant
+		wanted.Affinity = stream.Client.Session().Settings().ID()
 	}
 	b.poolInput().Request(wanted)
 }
@@ -151,25 +155,43 @@
 			b.poolInput().OpenFailed(d.Conn, failureCause(err))
 			return
 		}
-		c := &memberConn{backend: b, id: d.Conn, pool: d.Key.Pool, member: m, conn: socket, reader: pg.NewReader(true, b.limits.MaxResponse)}
-		b.conns[c.id] = c
-		socket.Handle(c)
+		c := b.newConn(d, m, socket)
 		if d.Key.Pool == CancelPool {
 			c.ready = true
 			b.poolInput().Opened(c.id)
 			return
 		}
-		if d.Key.Pool != PlatformPool {
-			c.reader.EnableExtended()
-			c.streamState = newStreamState(b.limits.MaxPrepared)
+		c.logIn(started + b.limits.DialTimeout)
+	})
+}
+
+// newConn returns the connection that a socket is to a member. It receives what comes on the socket.
+func (b *Backend) newConn(d connpool.Decision, m *member, socket *eventloop.Conn) *memberConn {
+	c := &memberConn{
+		backend: b,
+		id:      d.Conn,
+		pool:    d.Key.Pool,
+		member:  m,
+		conn:    socket,
+		reader:  pg.NewReader(true, b.limits.MaxResponse),
+	}
+	b.conns[c.id] = c
+	socket.Handle(c)
+	return c
+}
+
+// logIn logs in with the pool's login. The connection is closed if the member has not accepted that by the deadline.
+func (c *memberConn) logIn(deadline float64) {
+	if c.pool != PlatformPool {
+		c.reader.EnableExtended()
+		c.streamState = newStreamState(c.backend.limits.MaxPrepared)
+	}
+	login := c.backend.limits.Logins[c.pool]
+	c.conn.Write(pg.AppendStartup(nil, login.User, login.Database))
+	c.backend.driver.After(deadline-c.backend.driver.Now(), func() {
+		if !c.ready {
+			c.connectFailed(connpool.Unreachable)
 		}
-		login := b.limits.Logins[d.Key.Pool]
-		socket.Write(pg.AppendStartup(nil, login.User, login.Database))
-		b.driver.After(started+b.limits.DialTimeout-b.driver.Now(), func() {
-			if !c.ready {
-				c.connectFailed(connpool.Unreachable)
-			}
-		})
 	})
 }
 
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -15,9 +15,19 @@
 	reportParameter   = "vitals"
 
 	reportPosition = "x0" // in seconds
-	reportPrimary  = "x1" // 1 for a primary
+	reportPrimary  = "x1" // 1 for a primary, 0 for a replica
+
+	minPrimaryValue = 0.5 // of reportPrimary
 )
 
+// The queries of health checks.
+const (
+	reportQuery   = "SHOW " + reportParameter
+	livenessQuery = "SELECT 1"
+)
+
+const msPerSecond = 1000
+
 // rolesOnWire are the roles by their names on the wire.
 var rolesOnWire = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
 
@@ -26,6 +36,7 @@
 	return name == roleParameter || name == positionParameter || name == reportParameter
 }
 
+// recordParameter records a parameter that is for the router.
 func (c *memberConn) recordParameter(name, value string) {
 	switch name {
 	case roleParameter:
@@ -59,7 +70,7 @@
 	}
 }
 
-// acceptReport takes in a report: pairs name=value, separated by commas. It returns false, and tells the driver of no report, if the
+// acceptReport passes a report on to the driver: pairs name=value, separated by commas. It returns false, and passes nothing on, if the
 // report can't be read as a whole or has no position that the member can have.
 func (b *Backend) acceptReport(j *job, report string) bool {
 	role, position := router.Replica, 0.0
@@ -71,8 +82,8 @@
 		}
 		switch {
 		case name == reportPosition:
-			position = x * 1000
-		case name == reportPrimary && x >= 0.5:
+			position = x * msPerSecond
+		case name == reportPrimary && x >= minPrimaryValue:
 			role = router.Primary
 		}
 	}
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -13,7 +13,7 @@
 	stageNone responseStage = iota
 	stageColumns
 	stageRow
-	stageComplete // all but the readiness after it has come
+	stageComplete // all but the ReadyForQuery after it has come
 	stageReady    // the connection is ready for the next query
 )
 
@@ -51,13 +51,13 @@
 	for c.backend.conns[c.id] == c {
 		m, ok, err := c.reader.Next()
 		if c.countBuffered(); !ok && err == nil {
-			if c.backend.buffered > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
+			if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
 				c.backend.OverBudget++ // the statement may have run, and there is no memory for the rest of its response
 				c.failProtocol()
 			}
 			return
 		}
-		if err != nil || c.streamState == nil && !c.handleMessage(m) || c.streamState != nil && !c.handleStreamMessage(&m) {
+		if err != nil || !c.handle(&m) {
 			c.failProtocol()
 			return
 		}
@@ -67,8 +67,8 @@
 // countBuffered updates the sum of what all connections hold of responses.
 func (c *memberConn) countBuffered() {
 	buffered := len(c.rows) + c.reader.Buffered()
-	c.backend.buffered += buffered - c.buffered
-	c.buffered = buffered
+	c.backend.bufferedBytes += buffered - c.bufferedBytes
+	c.bufferedBytes = buffered
 }
 
 // failProtocol ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
@@ -82,8 +82,16 @@
 	c.Closed()
 }
 
-// handleMessage takes in one message; false: it is a protocol violation.
-func (c *memberConn) handleMessage(m pg.Message) bool {
+// handle processes one message; false: it is a protocol violation.
+func (c *memberConn) handle(m *pg.Message) bool {
+	if c.streamState != nil {
+		return c.handleStreamMessage(m)
+	}
+	return c.handleMessage(m)
+}
+
+// handleMessage processes one message on a connection for single statements; false: it is a protocol violation.
+func (c *memberConn) handleMessage(m *pg.Message) bool {
 	switch m.Kind {
 	case pg.Ignored, pg.AuthenticationOK:
 		return true
@@ -97,22 +105,37 @@
 		c.fence = fenceAnswered
 		return true
 	case pg.ErrorResponse:
-		if !c.ready {
-			return c.loginRefused(m.Error)
-		}
-		if c.job == nil || c.fence != fenceNone {
-			return false
-		}
-		c.queryError = m.Error
-		return true
+		return c.handleError(m.Error)
 	case pg.ReadyForQuery:
-		if c.fence != fenceNone {
-			answered := c.fence == fenceAnswered
-			c.fence = fenceNone
-			return answered
-		}
-		return c.becomeReady() || c.finishResponse()
+		return c.handleReady()
 	}
+	return c.handleResponseMessage(m)
+}
+
+// handleError processes an error of the member: it refuses the login, or answers the job's query.
+func (c *memberConn) handleError(e *pg.Error) bool {
+	if !c.ready {
+		return c.loginRefused(e)
+	}
+	if c.job == nil || c.fence != fenceNone {
+		return false
+	}
+	c.queryError = e
+	return true
+}
+
+// handleReady processes a ReadyForQuery: after the login, after the empty query of the fence, or after a response.
+func (c *memberConn) handleReady() bool {
+	if c.fence != fenceNone {
+		answered := c.fence == fenceAnswered
+		c.fence = fenceNone
+		return answered
+	}
+	return c.becomeReady() || c.finishResponse()
+}
+
+// handleResponseMessage appends a message to the response; false: it can't be its next part. A response is one row of one column.
+func (c *memberConn) handleResponseMessage(m *pg.Message) bool {
 	if c.job == nil || !c.ready || c.queryError != nil || c.fence != fenceNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
 		return false
 	}
@@ -132,7 +155,7 @@
 	return true
 }
 
-// becomeReady takes in the first readiness, after which the connection can be used.
+// becomeReady processes the first ReadyForQuery, after which the connection can be used; false: it was ready already.
 func (c *memberConn) becomeReady() bool {
 	if c.ready {
 		return false
@@ -143,7 +166,7 @@
 	return true
 }
 
-// loginRefused takes in an error that came before the member accepted the login.
+// loginRefused processes an error that came before the member accepted the login.
 func (c *memberConn) loginRefused(e *pg.Error) bool {
 	cause := connpool.Unreachable
 	if e.Code == pg.TooManyConnections {
@@ -153,7 +176,7 @@
 	return true
 }
 
-// finishResponse takes in the readiness after a response.
+// finishResponse processes the ReadyForQuery after a response.
 func (c *memberConn) finishResponse() bool {
 	j := c.job
 	if j == nil || c.queryError == nil && c.stage != stageComplete {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -13,11 +13,14 @@
 	"wayloft/router"
 )
 
-// idleStatus is the transaction status of a connection that is in no transaction.
-const idleStatus = 'I'
+// Statements that discard what a session left on a connection. The command tags are the same.
+const (
+	discardAll    = "DISCARD ALL"
+	deallocateAll = "DEALLOCATE ALL"
+)
 
-// streamState is what a connection needs to carry requests of several messages: what it was told to prepare and set, and which replies
-// its member still owes, in order. Queries of the router's own, such as settings, are internal: their replies aren't for the client.
+// streamState is what a connection needs to carry requests of several messages: what is prepared and set there, and which replies its
+// member still owes, in order. Queries of the router's own, such as settings, are internal: their replies aren't for the client.
 type streamState struct {
 	settings          session.Settings                                   // what the connection has set
 	prepared          *simplelru.LRU[uint64, *session.PreparedStatement] // by hash, from which the name at the member is made
@@ -55,12 +58,12 @@
 		settings:          session.NoSettings,
 		prepared:          prepared,
 		maxPrepared:       maxPrepared,
-		transactionStatus: idleStatus,
+		transactionStatus: session.StatusIdle,
 		parameters:        iradix.New[string](),
 	}
 }
 
-// startStream begins a request on the connection reserved for its session, or has it wait for one.
+// startStream starts a request on the connection reserved for its session, or has it wait for one.
 func (b *Backend) startStream(j *job) {
 	stream := j.request.Stream
 	stream.OnClientGone(func() { b.endJob(j, router.NotSent) })
@@ -69,7 +72,7 @@
 			b.driver.Defer(func() { b.endJob(j, router.ConnectFailed) })
 			return
 		}
-		c.beginStream(j)
+		c.startStream(j)
 		return
 	}
 	b.driver.Defer(func() { b.reportWaiting(j) })
@@ -77,9 +80,9 @@
 	b.carryOutDecisions()
 }
 
-// beginStream begins a request on the connection, unless it is withheld: first the session's settings, then the client's operations. It
+// startStream starts a request on the connection, unless it is withheld: first the session's settings, then the client's operations. It
 // reports whether it did.
-func (c *memberConn) beginStream(j *job) bool {
+func (c *memberConn) startStream(j *job) bool {
 	if c.backend.withheld(j) {
 		return false
 	}
@@ -117,7 +120,7 @@
 	} else if !membersTurn && j.memberTurnSince > 0 {
 		j.memberMs += now - j.memberTurnSince
 		j.memberTurnSince = 0
-		c.backend.poolInput().SetTurn(c.id, c.transactionStatus != idleStatus)
+		c.backend.poolInput().SetTurn(c.id, c.transactionStatus != session.StatusIdle)
 	}
 	c.backend.driver.Defer(func() {
 		if c.job == j && !j.ended && (j.memberTurnSince > 0) == membersTurn {
@@ -164,7 +167,7 @@
 	c.settings = session.NoSettings
 	c.expected = append(c.expected, expectedReply{kind: pg.Query})
 	c.internalPending++
-	c.conn.Write(pg.AppendQuery(nil, "DISCARD ALL"))
+	c.conn.Write(pg.AppendQuery(nil, discardAll))
 	c.dropUnlessAnswered()
 }
 
@@ -211,7 +214,7 @@
 	if j.memberTurnSince > 0 {
 		j.memberMs += c.backend.driver.Now() - j.memberTurnSince
 	}
-	clean := c.nothingExpected() && c.internalPending == 0 && c.transactionStatus == idleStatus && !c.unusable
+	clean := c.nothingExpected() && c.internalPending == 0 && c.transactionStatus == session.StatusIdle && !c.unusable
 	c.job, c.queryWritten, c.queryError = nil, false, nil
 	if stream.Backend() == c {
 		if clean {
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -1,11 +1,21 @@
 package backend
 
 import (
+	"wayloft/internal/decide/session"
 	"wayloft/internal/pg"
 	"wayloft/router"
 )
 
-// answerLocally gives the replies at the head of the queue that need no member.
+// SQLSTATE classes, the first two characters of a code, that are caused by the member.
+const (
+	classSystemError     = "58"
+	classConfigFileError = "F0"
+	classInternalError   = "XX"
+
+	sqlStateClassLength = 2
+)
+
+// answerLocally delivers the replies at the head of the queue that need no member.
 func (c *memberConn) answerLocally() {
 	for len(c.expected) > 0 && c.expected[0].localReply != nil {
 		reply := c.expected[0]
@@ -35,7 +45,7 @@
 	return reply, false
 }
 
-// handleStreamMessage takes in one message of the member; false: it is a protocol violation.
+// handleStreamMessage processes one message on a connection for streams; false: it is a protocol violation.
 func (c *memberConn) handleStreamMessage(m *pg.Message) bool {
 	switch m.Kind {
 	case pg.AuthenticationOK, pg.Ignored:
@@ -46,11 +56,7 @@
 	case pg.ParameterStatus:
 		c.recordParameter(m.Name, m.Text)
 		if !isRouterParameter(m.Name) {
-			c.parameters, _, _ = c.parameters.Insert([]byte(m.Name), m.Text)
-			c.backend.parameters[c.pool] = c.parameters
-			if c.job != nil {
-				c.job.request.Stream.Client.ServerParameters(c.parameters)
-			}
+			c.recordClientParameter(m.Name, m.Text)
 		}
 		return true
 	case pg.NoticeResponse:
@@ -77,7 +83,16 @@
 	return c.handleReply(m)
 }
 
-// handleReply takes in a message that belongs to the first expected reply; false: it is a protocol violation.
+// recordClientParameter records a parameter that clients receive, too.
+func (c *memberConn) recordClientParameter(name, value string) {
+	c.parameters, _, _ = c.parameters.Insert([]byte(name), value)
+	c.backend.parameters[c.pool] = c.parameters
+	if c.job != nil {
+		c.job.request.Stream.Client.ServerParameters(c.parameters)
+	}
+}
+
+// handleReply processes a message that belongs to the first expected reply; false: it is a protocol violation.
 func (c *memberConn) handleReply(m *pg.Message) bool {
 	if !c.ready || len(c.expected) == 0 {
 		return false
@@ -117,7 +132,7 @@
 	case pg.PortalSuspended:
 		return c.popExpected(pg.Execute)
 	case pg.CommandComplete, pg.EmptyQuery:
-		if m.Kind == pg.CommandComplete && (m.Text == "DISCARD ALL" || m.Text == "DEALLOCATE ALL") {
+		if m.Kind == pg.CommandComplete && (m.Text == discardAll || m.Text == deallocateAll) {
 			c.prepared.Purge()
 		}
 		if first.kind == pg.Execute {
@@ -137,7 +152,7 @@
 	return first, false
 }
 
-// handleStreamError takes in an error. The member passes over all that was sent up to the next Sync.
+// handleStreamError processes an error. The member skips all that was sent up to the next Sync.
 func (c *memberConn) handleStreamError(m *pg.Message) bool {
 	if c.job == nil && len(c.expected) == 0 { // the member ends the connection, which nobody uses
 		c.drop()
@@ -148,14 +163,7 @@
 		return true
 	}
 	failed := c.expected[0]
-	for len(c.expected) > 0 && c.expected[0].kind != pg.Query && c.expected[0].kind != pg.Sync {
-		if skipped := c.expected[0]; skipped.kind == pg.Parse && skipped.statement != nil {
-			c.prepared.Remove(skipped.statement.Hash)
-		} else if skipped.closing != nil {
-			c.prepared.Add(skipped.closing.Hash, skipped.closing)
-		}
-		c.expected = c.expected[1:]
-	}
+	c.skipToSync()
 	stream := c.job.request.Stream
 	if !failed.forClient && failed.kind == pg.Query { // settings that the member does not accept, or a BEGIN
 		c.unusable = true
@@ -163,10 +171,9 @@
 	if failed.replyError != nil {
 		m.Error, m.Raw = failed.replyError, pg.AppendError(nil, failed.replyError, false)
 	}
-	stale := !stream.Cancelled() && m.Error.Code == pg.InvalidSQLStatementName && failed.replyError == nil ||
-		!stream.Cancelled() && m.Error.Code == pg.FeatureNotSupported && failed.kind != pg.Query && failed.kind != pg.Parse
-	if stale && !stream.Started() && !c.replayed && c.transactionStatus == idleStatus {
-		if c.replayed, c.staleStatement = true, failed.statement; c.staleStatement == nil {
+	if c.canReplay(failed, m.Error.Code) {
+		c.replayed, c.staleStatement = true, failed.statement
+		if c.staleStatement == nil {
 			c.staleStatement = c.lastBound
 		}
 	}
@@ -174,7 +181,36 @@
 	return true
 }
 
-// handleStreamReady takes in a readiness, after an internal query or after what the client sent.
+// skipToSync removes the expected replies up to the next Sync or simple query, which the member does not give after an error. What they
+// would have prepared or closed is as it was.
+func (c *memberConn) skipToSync() {
+	for len(c.expected) > 0 && c.expected[0].kind != pg.Query && c.expected[0].kind != pg.Sync {
+		if skipped := c.expected[0]; skipped.kind == pg.Parse && skipped.statement != nil {
+			c.prepared.Remove(skipped.statement.Hash)
+		} else if skipped.closing != nil {
+			c.prepared.Add(skipped.closing.Hash, skipped.closing)
+		}
+		c.expected = c.expected[1:]
+	}
+}
+
+// canReplay reports whether an error says that a prepared plan is missing or invalid, while nothing of the request has run: it is
+// replayed once, with the statement prepared again.
+func (c *memberConn) canReplay(failed expectedReply, code string) bool {
+	stream := c.job.request.Stream
+	if stream.Cancelled() || stream.Started() || c.replayed || c.transactionStatus != session.StatusIdle {
+		return false
+	}
+	switch code {
+	case pg.InvalidSQLStatementName:
+		return failed.replyError == nil
+	case pg.FeatureNotSupported: // "cached plan must not change result type"
+		return failed.kind != pg.Query && failed.kind != pg.Parse
+	}
+	return false
+}
+
+// handleStreamReady processes a ReadyForQuery, after an internal query or after what the client sent.
 func (c *memberConn) handleStreamReady(m *pg.Message) bool {
 	if _, ok := c.popExpected(pg.Query, pg.Sync); !ok {
 		return false
@@ -190,17 +226,11 @@
 	stream := j.request.Stream
 	c.transactionStatus = m.Status
 	stale := c.staleStatement
-	if c.staleStatement = nil; stale != nil && m.Status == idleStatus { // nothing has run: the statement is prepared again
-		if c.hasPrepared(stale) {
-			out := c.closePrepared(nil, stale)
-			c.expected = append(c.expected, expectedReply{kind: pg.Sync})
-			c.internalPending++
-			c.conn.Write(pg.AppendSync(out))
-		}
-		stream.Replay()
+	if c.staleStatement = nil; stale != nil && m.Status == session.StatusIdle {
+		c.replay(stale)
 		return true
 	}
-	if outcome, ours := c.memberOutcome(); ours {
+	if outcome, isMembers := c.memberOutcome(); isMembers {
 		c.backend.endJob(j, outcome)
 		return true
 	}
@@ -210,7 +240,7 @@
 	if c.job != j { // the client has terminated its session
 		return true
 	}
-	if m.Status == idleStatus && c.nothingExpected() {
+	if m.Status == session.StatusIdle && c.nothingExpected() {
 		c.backend.endJob(j, router.Succeeded)
 	} else if c.nothingExpected() {
 		c.setTurn(j, false)
@@ -218,16 +248,31 @@
 	return true
 }
 
-// memberOutcome returns the outcome that an error stands for if it is about the member rather than the statement. The driver is then told
-// before the client, so that the request can be retried.
+// replay sends the request again, of which nothing has run. The stale statement is closed before, so that it is prepared anew.
+func (c *memberConn) replay(stale *session.PreparedStatement) {
+	if c.hasPrepared(stale) {
+		c.writeInternalSync(c.closePrepared(nil, stale))
+	}
+	c.job.request.Stream.Replay()
+}
+
+// writeInternalSync writes messages of the router's own and the Sync that ends them.
+func (c *memberConn) writeInternalSync(out []byte) {
+	c.expected = append(c.expected, expectedReply{kind: pg.Sync})
+	c.internalPending++
+	c.conn.Write(pg.AppendSync(out))
+}
+
+// memberOutcome returns the outcome that an error stands for if it is about the member rather than the statement. The driver receives it
+// before the client does, so that the request can be retried.
 func (c *memberConn) memberOutcome() (router.Outcome, bool) {
 	stream := c.job.request.Stream
 	e := stream.Failure()
 	if e == nil || stream.Started() {
 		return 0, false
 	}
-	switch e.Code[:min(2, len(e.Code))] {
-	case "XX", "58", "F0":
+	switch e.Code[:min(sqlStateClassLength, len(e.Code))] {
+	case classInternalError, classSystemError, classConfigFileError:
 		return router.ServerError, true
 	}
 	switch e.Code {
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -8,6 +8,24 @@
 	"wayloft/internal/pg"
 )
 
+// Bytes of the protocol that package pg has as arguments.
+const (
+	parseCompleteByte byte = '1' // the type of a ParseComplete message
+	statementTarget   byte = 'S' // of a Describe or Close of a prepared statement
+)
+
+const (
+	statementNamePrefix = "wl_" // of what is prepared at a member
+	statementNameBase   = 36    // of the hash in such a name
+
+	// What a member receives in place of a message that is refused here. Neither can be executed.
+	refusedQuery     = "refused by wayloft"
+	refusedStatement = statementNamePrefix + "refused"
+)
+
+// emptyBind ends a Bind message: no parameter formats, no parameters and no result formats, each a 16-bit count.
+var emptyBind = []byte{0, 0, 0, 0, 0, 0}
+
 // Send implements request.BackendConn. Operations wait while internal queries are pending, since they must not run without these.
 func (c *memberConn) Send(ops []session.Message) {
 	if c.job == nil {
@@ -48,7 +66,7 @@
 	switch op.Action {
 	case session.Prepare:
 		if c.hasPrepared(op.Statement) {
-			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendBodyless(nil, '1')})
+			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendBodyless(nil, parseCompleteByte)})
 			return out
 		}
 		return c.prepare(out, op.Statement, true)
@@ -63,16 +81,16 @@
 			out = c.prepare(out, op.Statement, false)
 		}
 		expect(expectedReply{kind: pg.Describe, forClient: true, statement: op.Statement})
-		return pg.AppendDescribe(out, 'S', statementName(op.Statement))
+		return pg.AppendDescribe(out, statementTarget, statementName(op.Statement))
 	case session.AnswerLocally:
 		expect(expectedReply{kind: op.Kind, forClient: true, localReply: op.Raw})
 		return out
 	case session.Reject: // the member must fail too, so that nothing before it takes effect
 		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Fault})
 		if op.Kind == pg.Query {
-			return pg.AppendQuery(out, "refused by wayloft")
+			return pg.AppendQuery(out, refusedQuery)
 		}
-		return pg.AppendBind(out, "", "wl_refused", []byte{0, 0, 0, 0, 0, 0})
+		return pg.AppendBind(out, "", refusedStatement, emptyBind)
 	}
 	switch op.Kind {
 	case pg.Query, pg.Sync, pg.Execute, pg.Describe, pg.Close:
@@ -84,14 +102,14 @@
 	return append(out, op.Raw...)
 }
 
-// appendQuery appends a simple query. A statement with a comment tells its member how much of its client's time is left right now, since the
-// client may have sent it long ago.
+// appendQuery appends a simple query. The comment of a statement gets the time that is left to its client right now, since the client may
+// have sent it long ago.
 func (c *memberConn) appendQuery(out, raw []byte) []byte {
-	const header, end = 5, 1 // the kind and length before the text; the zero behind it
-	if len(raw) < header+end {
+	const headerBytes, endBytes = 5, 1 // the type and length before the text; the zero byte behind it
+	if len(raw) < headerBytes+endBytes {
 		return append(out, raw...)
 	}
-	statement, err := pg.ParseStatement(strings.TrimSpace(string(raw[header : len(raw)-end])))
+	statement, err := pg.ParseStatement(strings.TrimSpace(string(raw[headerBytes : len(raw)-endBytes])))
 	if err != nil {
 		return append(out, raw...)
 	}
@@ -100,7 +118,7 @@
 
 // statementName returns what a statement is called at the member.
 func statementName(s *session.PreparedStatement) string {
-	return "wl_" + strconv.FormatUint(s.Hash, 36)
+	return statementNamePrefix + strconv.FormatUint(s.Hash, statementNameBase)
 }
 
 // hasPrepared reports whether the member has the statement prepared.
@@ -126,7 +144,7 @@
 func (c *memberConn) closePrepared(out []byte, s *session.PreparedStatement) []byte {
 	c.prepared.Remove(s.Hash)
 	c.expected = append(c.expected, expectedReply{kind: pg.Close, closing: s})
-	return pg.AppendClose(out, 'S', statementName(s))
+	return pg.AppendClose(out, statementTarget, statementName(s))
 }
 
 // trimPrepared closes the least recently used statements beyond what the connection may keep. It must be called only between requests:
@@ -140,8 +158,6 @@
 		_, old, _ := c.prepared.GetOldest()
 		out = c.closePrepared(out, old)
 	}
-	c.expected = append(c.expected, expectedReply{kind: pg.Sync})
-	c.internalPending++
-	c.conn.Write(pg.AppendSync(out))
+	c.writeInternalSync(out)
 	c.dropUnlessAnswered()
 }
