--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,7 +1,8 @@
-// Package backend is the router's side towards the members: the event loop's driver calls it, and it calls back with what came of it. It owns the connections to them, the attempts and health checks on these
-// connections, and their time-outs. Which connection is used, and when one is opened or closed, is decided by package connpool; which
-// member an attempt goes to, by package router. The package guarantees that nothing is sent without such a decision, that no attempt
-// is reported as not sent if it may have run, and that each attempt has one outcome.
+// Package backend is the router's side towards the members. It owns the connections to them, the attempts and health checks on these
+// connections, and their time-outs. The event loop's driver calls it, and learns by Driver how each attempt and health check ended.
+//
+// Which connection is used, and when one is opened or closed, is decided by package connpool; which member an attempt goes to, by package
+// router. Nothing is sent without such a decision, no attempt is reported as not sent if it may have run, and each attempt has one outcome.
 //
 // All of it runs on the event loop. Times are in ms on the loop's clock unless a comment says otherwise.
 package backend
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -26,8 +26,14 @@
 	t.Helper()
 	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: classes}, 1), classes, func() {})
-	backend := New(driver, Limits{DialTimeout: 5000, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse, Logins: map[string]Login{PlatformPool: {"api", "ledger"}}},
-		connpool.New(connpool.Settings{MaxTotal: 10, Pools: map[string]connpool.Bounds{PlatformPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}}))
+	limits := Limits{
+		DialTimeout:    5000,
+		MaxResponse:    maxResponse,
+		ResponseBudget: 4 * maxResponse,
+		Logins:         map[string]Login{PlatformPool: {"api", "ledger"}},
+	}
+	pools := map[string]connpool.Bounds{PlatformPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}
+	backend := New(driver, limits, connpool.New(connpool.Settings{MaxTotal: 10, Pools: pools}))
 	driver.SetBackend(backend)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,7 +82,8 @@
 						}
 						return nil
 					})()
-					driver := startRouter(t, map[string]*router.RequestClass{"x": {LatencyObjective: deadline, Deadline: deadline, PriorityWeight: 1, LateWeightShare: 1}}, addrs...)
+					class := &router.RequestClass{LatencyObjective: deadline, Deadline: deadline, PriorityWeight: 1, LateWeightShare: 1}
+					driver := startRouter(t, map[string]*router.RequestClass{"x": class}, addrs...)
 					statement, err := pg.ParseStatement(fmt.Sprintf("/* id=1,c=x,g=1,d=%.0f */ SELECT blob", deadline))
 					if err != nil {
 						t.Fatal(err)
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -163,7 +163,7 @@
 	return j.request != nil && (outcome == router.TimedOut || outcome == router.Canceled)
 }
 
-// endHealthCheck reports the outcome of a health check, and the report that it brought.
+// endHealthCheck reports the outcome of a health check, and passes on the report in its response.
 func (b *Backend) endHealthCheck(j *job, outcome router.Outcome, result jobResult) {
 	accepted := b.acceptReport(j, string(result.value))
 	if outcome == router.Succeeded && b.limits.HealthReports && !accepted {
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -220,7 +220,7 @@
 	}
 }
 
-// A batch of events takes long, and an attempt is decided at its end: its member is told at most what its client has left by then, and the
+// A batch of events takes long, and an attempt is decided at its end: the member receives at most what its client has left by then, and the
 // attempt times out when the client's time is over, not that much later.
 func TestSendAttempt_DeadlineAfterLongBatch(t *testing.T) {
 	const lag, left, later = 1500.0, 2000.0, 750.0
@@ -256,7 +256,7 @@
 		sql := <-received
 		d := deadlineOf(t, sql)
 		if strings.Contains(sql, "id=first") && d > left-lag {
-			t.Errorf("%.0f ms are told, %.0f at most are left", d, left-lag)
+			t.Errorf("the deadline sent is %.0f ms, %.0f at most are left", d, left-lag)
 		}
 	}
 	for _, want := range []string{"0 timed out 0 0 false", "1 timed out 0 0 false"} {
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -230,7 +230,7 @@
 		c.replay(stale)
 		return true
 	}
-	if outcome, isMembers := c.memberOutcome(); isMembers {
+	if outcome, aboutMember := c.memberOutcome(); aboutMember {
 		c.backend.endJob(j, outcome)
 		return true
 	}
@@ -248,7 +248,7 @@
 	return true
 }
 
-// replay sends the request again, of which nothing has run. The stale statement is closed before, so that it is prepared anew.
+// replay sends the request again, of which nothing has run. The stale statement is closed before, so that it is prepared again.
 func (c *memberConn) replay(stale *session.PreparedStatement) {
 	if c.hasPrepared(stale) {
 		c.writeInternalSync(c.closePrepared(nil, stale))
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -18,7 +18,7 @@
 	"wayloft/router"
 )
 
-// fakeSession is a client's session that ignores what it is told.
+// fakeSession is a client's session that ignores what it receives.
 type fakeSession struct{ session *session.Session }
 
 func (c *fakeSession) Session() *session.Session { return c.session }
@@ -63,6 +63,21 @@
 	})}
 }
 
+// newServerWithHeldSettings returns a member that reports the statement that makes the setting of newStreamRequest's session, and answers
+// it only when it may.
+func newServerWithHeldSettings(t *testing.T) (m *server, arrived <-chan bool, mayAnswer chan<- bool) {
+	t.Helper()
+	settingsArrived, answerSettings := make(chan bool), make(chan bool)
+	m = newServer(t, func(sql string) *fakes.Reply {
+		if strings.Contains(sql, "application_name") {
+			settingsArrived <- true
+			<-answerSettings
+		}
+		return nil
+	})
+	return m, settingsArrived, answerSettings
+}
+
 // received reports whether the member was sent a statement with this id.
 func (s *server) received(id string) bool {
 	_, asked := s.Seen()
@@ -84,8 +99,8 @@
 		name   string
 		new    func(*testing.T, *testDriver, string) *request.Request
 		seq    int
-		behind bool // another attempt, for the only connection
-		cold   bool // no connection is up yet
+		queued bool // another attempt, for the only connection
+		noConn bool // no connection is up yet
 	}{
 		{"the first attempt", plain, 0, false, false},
 		{"a retry", plain, 3, false, false},
@@ -108,13 +123,13 @@
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			backend.limits.QueueStatements = true
 			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
-			if !c.cold && !c.behind {
+			if !c.noConn && !c.queued {
 				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "warms"), 0, "a", 0, math.Inf(1)) })
 				if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
 					t.Fatalf("got %q", got)
 				}
 			}
-			if c.behind {
+			if c.queued {
 				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "holds"), 0, "a", 0, math.Inf(1)) })
 				fakes.Until(t, "the one before has arrived", func() bool { return m.received("holds") })
 			}
@@ -125,7 +140,7 @@
 			})
 			answer <- true
 			var events []string
-			for range map[bool]int{false: 1, true: 2}[c.behind] {
+			for range map[bool]int{false: 1, true: 2}[c.queued] {
 				events = append(events, driver.nextEvent(t))
 			}
 			if want := fmt.Sprint(c.seq, " not sent 0 0 false"); !slices.Contains(events, want) {
@@ -147,14 +162,7 @@
 
 // A client closes its connection while the session's settings are being made for its attempt: the statement is not written.
 func TestStream_ClientClosesDuringSettings(t *testing.T) {
-	set, goOn := make(chan bool), make(chan bool)
-	m := newServer(t, func(sql string) *fakes.Reply {
-		if strings.Contains(sql, "application_name") {
-			set <- true
-			<-goOn
-		}
-		return nil
-	})
+	m, settingsArrived, answerSettings := newServerWithHeldSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	closed := false // the loop's
 	driver.runOnLoop(func() {
@@ -163,9 +171,9 @@
 		abandoned.ClientClosed = func() bool { return closed }
 		backend.SendAttempt(abandoned, 0, "a", 0, math.Inf(1))
 	})
-	<-set
+	<-settingsArrived
 	driver.runOnLoop(func() { closed = true })
-	goOn <- true
+	answerSettings <- true
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("got %q", got)
 	}
@@ -176,22 +184,15 @@
 
 // The time after which an attempt must not be written passes while the session's settings are being made: the statement is not written.
 func TestStream_TooLateAfterSettings(t *testing.T) {
-	set, goOn := make(chan bool), make(chan bool)
-	m := newServer(t, func(sql string) *fakes.Reply {
-		if strings.Contains(sql, "application_name") {
-			set <- true
-			<-goOn
-		}
-		return nil
-	})
+	m, settingsArrived, answerSettings := newServerWithHeldSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newStreamRequest(t, driver, "late", 60000, true), 0, "a", 0, math.Inf(1))
 	})
-	<-set
+	<-settingsArrived
 	driver.runOnLoop(func() { backend.attempts["late"].notAfter = driver.Clock() - 1 }) // it has passed since
-	goOn <- true
+	answerSettings <- true
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("got %q", got)
 	}
@@ -202,14 +203,7 @@
 
 // A client cancels while the session's settings are being made, at a member that has sent no cancel key: the statement is not written.
 func TestStream_CancelledDuringSettings(t *testing.T) {
-	set, goOn := make(chan bool), make(chan bool)
-	m := newServer(t, func(sql string) *fakes.Reply {
-		if strings.Contains(sql, "application_name") {
-			set <- true
-			<-goOn
-		}
-		return nil
-	})
+	m, settingsArrived, answerSettings := newServerWithHeldSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	var cancelled *request.Request
 	driver.runOnLoop(func() {
@@ -217,9 +211,9 @@
 		cancelled = newStreamRequest(t, driver, "cancels", 60000, true)
 		backend.SendAttempt(cancelled, 0, "a", 0, math.Inf(1))
 	})
-	<-set
+	<-settingsArrived
 	driver.runOnLoop(func() { cancelled.Stream.Backend().Cancel() })
-	goOn <- true
+	answerSettings <- true
 	if got := driver.nextEvent(t); got != "0 statement error 57014" {
 		t.Errorf("got %q", got)
 	}
@@ -228,8 +222,8 @@
 	}
 }
 
-// The deadline that a member is told is at most what the client has left at the write, also for an attempt that is decided in a batch that
-// began long before, or that waited on its connection, or for a connection.
+// The deadline that a member receives is at most what the client has left at the write, also for an attempt that is decided in a batch
+// that began long before, or that waited on its connection, or for a connection.
 func TestSendAttempt_DeadlineAtWrite(t *testing.T) {
 	const lag, left = 400.0, 20000.0
 	plain := func(_ *testing.T, driver *testDriver, id string) *request.Request {
@@ -247,7 +241,7 @@
 		name   string
 		new    func(*testing.T, *testDriver, string) *request.Request
 		seq    int
-		behind bool    // it waits for another's connection meanwhile
+		queued bool    // it waits for another's connection meanwhile
 		wait   float64 // the attempt's own time-out
 	}{
 		{"the first attempt", plain, 0, false, 0},
@@ -258,7 +252,7 @@
 		{"in a session", pooled(false), 0, false, 0},
 		{"in a session with settings", pooled(true), 0, false, 0},
 		{"a retry in a session", pooled(false), 2, false, 0},
-		{"in a session, behind another", pooled(false), 0, true, 0},
+		{"in a session, for another's connection", pooled(false), 0, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
@@ -272,11 +266,11 @@
 			backend.limits.QueueStatements = true
 			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 			before := "warms"
-			if c.behind {
+			if c.queued {
 				before = "holds"
 			}
 			driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, before), 0, "a", 0, math.Inf(1)) })
-			if !c.behind {
+			if !c.queued {
 				driver.nextEvent(t)
 			}
 			fakes.Until(t, "the one before has arrived", func() bool { return m.received(before) })
@@ -290,11 +284,11 @@
 				began = driver.Clock()
 				late := c.new(t, driver, "late")
 				began = late.Arrived
-				if !c.behind {
+				if !c.queued {
 					delayBatch()
 				}
 				backend.SendAttempt(late, c.seq, "a", c.wait, math.Inf(1))
-				if c.behind {
+				if c.queued {
 					delayBatch()
 				}
 			})
@@ -303,16 +297,16 @@
 			_, asked := m.Seen()
 			d := deadlineOf(t, asked[slices.IndexFunc(asked, func(s string) bool { return strings.Contains(s, "id=late,") })])
 			if most := began + left - (from + lag); d > most {
-				t.Errorf("%.0f ms are told, %.1f at most are left", d, most)
+				t.Errorf("the deadline sent is %.0f ms, %.1f at most are left", d, most)
 			}
 			if c.wait > 0 && d > c.wait {
-				t.Errorf("%.0f ms are told, the time-out is %.0f", d, c.wait)
+				t.Errorf("the deadline sent is %.0f ms, the time-out is %.0f", d, c.wait)
 			}
 		})
 	}
 }
 
-// deadlineOf returns the deadline in ms that a statement tells its member.
+// deadlineOf returns the deadline in ms in a statement's comment.
 func deadlineOf(t *testing.T, sql string) (deadline float64) {
 	t.Helper()
 	_, rest, found := strings.Cut(sql, ",d=")
