--- a/internal/fleet/adapter.go
+++ b/internal/fleet/adapter.go
@@ -17,17 +17,18 @@
 // Adapter is how a switchover is carried out at the members: SQL statements of the settings.
 type Adapter struct {
 	User, Database    string
-	PrimaryQuery      string  // gives one row, true at the member that accepts writes
+	PrimaryQuery      string  // returns one row, true at the member that accepts writes
 	GuardStatement    string  // $1 is the fencing token and the step's rank; changes one row, none where the member has seen a higher one
-	GuardQuery        string  // gives the guard row's number as one row; none where there is no guard row
+	GuardQuery        string  // returns the guard row's number as one row; none where there is no guard row
 	StepDownStatement string  // in the same transaction as GuardStatement
 	PromoteStatement  string  // in the same transaction as GuardStatement
 	StepTimeoutMs     float64 // for one step
 }
 
 // errNoGuardRow means that a member can't tell a former lease holder's step from the present one's.
-var errNoGuardRow = errors.New("there is no guard row: without it nothing keeps a former owner's step from running late")
+var errNoGuardRow = errors.New("there is no guard row: without it nothing keeps a former lease holder's step from running late")
 
+// connect connects to a member, without TLS and without a password.
 func (a *Adapter) connect(ctx context.Context, address string) (*pgx.Conn, error) {
 	config, err := pgx.ParseConfig("")
 	if err != nil {
@@ -77,7 +78,8 @@
 }
 
 // runStep has a member take a step under a fencing token.
-func (a *Adapter) runStep(ctx context.Context, address string, step switchover.MemberStep, token lease.Token, rank uint64) (switchover.Outcome, error) {
+func (a *Adapter) runStep(ctx context.Context, address string, step switchover.MemberStep, token lease.Token,
+	rank uint64) (switchover.Outcome, error) {
 	conn, err := a.connect(ctx, address)
 	if err != nil {
 		return switchover.Unknown, err // an earlier attempt may be in flight, so it isn't said that nothing has happened
@@ -102,7 +104,7 @@
 	return switchover.Succeeded, nil
 }
 
-// statement gives what a step executes at a member beside the guard statement; empty: nothing.
+// statement returns what a step executes at a member beside the guard statement; empty: nothing.
 func (a *Adapter) statement(step switchover.MemberStep) string {
 	switch step {
 	case switchover.StepDown:
@@ -130,7 +132,7 @@
 	case err != nil:
 		return switchover.Failed, fmt.Errorf("guard row: %w", err)
 	}
-	return switchover.Fenced, fmt.Errorf("the member has seen the fence %s", seen)
+	return switchover.Fenced, fmt.Errorf("the member has seen the fencing token %s", seen)
 }
 
 // findPrimary asks the members of a group which one accepts writes. More than one, or none, is an error.
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -13,8 +13,6 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/decide/lease"
-	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/fleetpb"
 	"wayloft/internal/rpc"
 )
@@ -41,7 +39,7 @@
 	watched string                      // address of the node that is watched, or was last
 }
 
-// NewClient makes a Client of a fleet's coordinator. The overrides are addresses to reach nodes by, by their names.
+// NewClient returns a Client of a fleet's coordinator. The overrides are addresses to reach nodes by, by their names.
 func NewClient(fleet string, addresses []string, addressOverrides map[string]string) *Client {
 	return &Client{fleet: fleet, addresses: addresses, addressOverrides: addressOverrides, conns: map[string]*grpc.ClientConn{}}
 }
@@ -62,22 +60,22 @@
 	Err     error // usually a gRPC status
 }
 
-// Error gives the text that operators see; it has the word for the coordinator that commands and settings have.
+// Error returns the text that operators see. It calls the coordinator "council", as the commands and settings do.
 func (e *CoordinatorError) Error() string {
 	return fmt.Sprintf("council at %s: %s", e.Address, status.Convert(e.Err).Message())
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *CoordinatorError) Unwrap() error { return e.Err }
 
 var (
 	// ErrNoLeader means that a coordinator node knows no leader at the moment.
 	ErrNoLeader = errors.New("it knows no leader")
-	// ErrMalformedResponse means a response that no coordinator node of any build gives.
-	ErrMalformedResponse = errors.New("unsound")
+	// ErrMalformedResponse means a response that no build of a coordinator node gives.
+	ErrMalformedResponse = errors.New("malformed response")
 )
 
-// connection gives the connection to an address, which is made if there is none.
+// connection returns the connection to an address, which is made if there is none.
 func (c *Client) connection(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +103,7 @@
 	}
 }
 
-// nextAddress gives the address to ask: the leader's, or any of those that have not just failed. It guards against a leader that gave no
+// nextAddress returns the address to ask: the leader's, or any of those that have not just failed. It guards against a leader that gave no
 // response once and is passed over for good, since the others, which never fail, go on to name it.
 func (c *Client) nextAddress(failed map[string]time.Time) string {
 	c.mu.Lock()
@@ -131,7 +129,7 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-// setLeader notes which node leads, and gives the address to reach it by.
+// setLeader records which node leads, and returns the address to reach it by.
 func (c *Client) setLeader(name, address string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +140,7 @@
 	return address
 }
 
-// isFinal tells whether neither a retry nor another node can give another response.
+// isFinal reports whether neither a retry nor another node can give another response.
 func isFinal(err error) bool {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.Unimplemented, codes.ResourceExhausted:
@@ -219,94 +217,3 @@
 	delete(failed, leader) // else a leader that was slow once would not be asked as long as the others name it
 	return false, nil
 }
-
-// ProposeEntry proposes an entry to the coordinator's log, and gives what came of it.
-func (c *Client) ProposeEntry(ctx context.Context, entry leasestate.Entry) (leasestate.Result, error) {
-	answer, err := c.do(ctx, &fleetpb.Request{Entry: leasestate.Encode(entry)})
-	if err != nil {
-		return leasestate.Result{}, err
-	}
-	return rpc.DecodeResult(answer), nil
-}
-
-// LatestTokens gives the latest fencing tokens of leases, confirmed by a majority, in the leases' order. All leases go into one request;
-// how many one may hold is the lease client's bound. A node of a build that doesn't know such a request finds no entry in it and rejects
-// it, so it is never taken to say that there are no tokens: coordinator nodes are upgraded before routers.
-func (c *Client) LatestTokens(ctx context.Context, leases []string) ([]lease.Token, error) {
-	answer, err := c.do(ctx, &fleetpb.Request{Stands: leases})
-	if err != nil {
-		return nil, err
-	}
-	if len(answer.Fences) != len(leases) {
-		return nil, fmt.Errorf("the council answered with %d fences of %d", len(answer.Fences), len(leases))
-	}
-	tokens := make([]lease.Token, 0, len(leases))
-	for _, token := range answer.Fences {
-		tokens = append(tokens, rpc.DecodeToken(token))
-	}
-	return tokens, nil
-}
-
-func (c *Client) do(ctx context.Context, request *fleetpb.Request) (answer *fleetpb.Answer, err error) {
-	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
-		var err error
-		answer, err = node.Do(ctx, request)
-		return answer, err
-	})
-	return answer, err
-}
-
-// State gives the coordinator's state, confirmed by a majority.
-func (c *Client) State(ctx context.Context) (state *fleetpb.State, err error) {
-	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
-		var err error
-		state, err = node.Look(ctx, &fleetpb.Empty{})
-		return state, err
-	})
-	return state, err
-}
-
-// ChangeMembership has nodes join or leave the coordinator cluster.
-func (c *Client) ChangeMembership(ctx context.Context, members *fleetpb.Members) (leasestate.Result, error) {
-	var answer *fleetpb.Answer
-	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
-		var err error
-		answer, err = node.Change(ctx, members)
-		return answer, err
-	})
-	if answer == nil {
-		return leasestate.Result{}, err
-	}
-	return rpc.DecodeResult(answer), err
-}
-
-// Watch passes on a coordinator node's updates until ctx ends or the watch fails; the error is never nil. The first update is the complete
-// state; withoutSessions leaves out the sessions of other processes.
-func (c *Client) Watch(ctx context.Context, withoutSessions bool, deliver func(*fleetpb.Update)) error {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	address := c.chooseWatched()
-	conn, err := c.connection(address)
-	if err != nil {
-		return err
-	}
-	silence := time.AfterFunc(watchSilence, cancel)
-	defer silence.Stop()
-	stream, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{WithoutSessions: withoutSessions})
-	for err == nil {
-		var update *fleetpb.Update
-		if update, err = stream.Recv(); err == nil {
-			silence.Reset(watchSilence)
-			deliver(update)
-		}
-	}
-	return &CoordinatorError{Address: address, Err: err}
-}
-
-// chooseWatched draws the node to watch.
-func (c *Client) chooseWatched() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.watched = c.addresses[rand.IntN(len(c.addresses))]
-	return c.watched
-}
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -33,7 +33,7 @@
 	return a.do(ctx, q)
 }
 
-// serveCoordinator serves a fakeCoordinator until the test ends, and gives its address.
+// serveCoordinator serves a fakeCoordinator until the test ends, and returns its address.
 func serveCoordinator(t *testing.T, do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)) string {
 	t.Helper()
 	checks := rpc.NewInterceptors("lab")
@@ -42,7 +42,7 @@
 	return serveUntilEnd(t, server)
 }
 
-// serveUntilEnd serves until the test ends, and gives the address.
+// serveUntilEnd serves until the test ends, and returns the address.
 func serveUntilEnd(t *testing.T, server *grpc.Server) string {
 	t.Helper()
 	listener := listen(t)
@@ -57,7 +57,12 @@
 	return listener.Addr().String()
 }
 
-// listen gives a listener at a free port.
+// testSettings are the settings of a router in a fleet that has one coordinator node at this address.
+func testSettings(fleet, coordinator string) Settings {
+	return Settings{Fleet: fleet, Name: "r", Kind: "router", Coordinators: []string{coordinator}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}
+}
+
+// listen returns a listener at a free port.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,8 +160,9 @@
 	for group := range 164 {
 		router.groups[group] = nil
 	}
-	// The session timeout is such that no call is given up while the machine is busy.
-	node := New(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{coordinator}, SessionTimeoutMs: 100000, SafetyMarginMs: 200}, router)
+	settings := testSettings("lab", coordinator)
+	settings.SessionTimeoutMs = 100000 // no call is given up while the machine is busy
+	node := New(settings, router)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
 	defer func() { cancel(); <-node.Ended() }()
--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -9,7 +9,7 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// Changed tells that the router's list has changed. It never waits, and may be called on any goroutine.
+// Changed notifies the node that the router's list has changed. It never waits, and may be called on any goroutine.
 func (n *Node) Changed() {
 	select {
 	case n.groupsChanged <- struct{}{}:
@@ -48,7 +48,7 @@
 	n.writeHolds.RetainGroups(listed)
 }
 
-// groupsListed takes in which groups there are: their leases are acquired, those of groups that are gone are released.
+// groupsListed applies the list of groups: their leases are acquired, those of groups that are gone are released.
 func (n *Node) groupsListed(groups map[int][]Member) {
 	n.groups = groups
 	wanted := map[string]bool{}
--- a/internal/fleet/groups_test.go
+++ b/internal/fleet/groups_test.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/fleetpb"
 )
 
-// fakeRouter is a router that tells when its groups are read.
+// fakeRouter is a router that reports when its groups are read.
 type fakeRouter struct {
 	groups map[int][]Member
 	asked  chan bool
@@ -34,7 +34,7 @@
 // The router is asked for its groups once for each change of its list, and an earlier answer never replaces a later one.
 func TestNode_GroupsAreReadOnlyAfterAChange(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool, 100)}
-	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}, router)
+	node := New(testSettings("f", "127.0.0.1:1"), router)
 	node.leases.Shutdown() // it sends no requests to a coordinator
 	for range 20 {
 		node.settings.ClockOffsetMs += 1000
@@ -58,20 +58,23 @@
 	}
 }
 
-// A list is taken in on the node's event loop while the router's event loop carries an order out: the write holds belong to the latter
-// alone, as the race detector tells.
+// A list is applied on the node's event loop while the router's event loop carries an order out: the write holds belong to the latter
+// alone, as the race detector checks.
 func TestNode_WriteHoldsBelongToTheRoutersLoop(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool, 100), groups: map[int][]Member{1: nil}}
-	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200, MaxHoldMs: 1000}, router)
+	settings := testSettings("f", "127.0.0.1:1")
+	settings.MaxHoldMs = 1000
+	node := New(settings, router)
 	node.leases.Shutdown() // it sends no requests to a coordinator
-	hold := &fleetpb.Order{Duty: switchover.LeaseName(1), Hold: &fleetpb.Hold{Group: 1, Number: 1, MostMs: 500}}
+	hold := &fleetpb.Hold{Group: 1, Number: 1, MostMs: 500}
 	token := lease.Token{Epoch: 1, Count: 1}
+	header := orderHeader{scope: lease.Scope{Lease: switchover.LeaseName(1)}, token: token}
 	listed := make(chan struct{})
 	go func() {
 		defer close(listed)
 		node.groupsListed(router.groups)
 	}()
-	node.applyHold(hold, token, 0, &fleetpb.Verdict{})
+	node.applyHold(hold, header, 0, &fleetpb.Verdict{})
 	<-listed
 	if until := node.writeHolds.Hold(1, token, 1, 500, 0); until == 0 {
 		t.Error("the hold of a group that is listed is forgotten")
@@ -87,7 +90,7 @@
 // Each change of the list is noticed.
 func TestNode_GroupsAreReadAfterEachChange(t *testing.T) {
 	router := &fakeRouter{asked: make(chan bool)}
-	node := New(Settings{Fleet: "f", Name: "r", Kind: "router", Coordinators: []string{"127.0.0.1:1"}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}, router)
+	node := New(testSettings("f", "127.0.0.1:1"), router)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
 	<-router.asked
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -8,7 +8,6 @@
 	"wayloft/internal/decide/lease"
 	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/rpc"
 )
 
 // healthSharer is a held lease for a group's shared health checking.
@@ -19,26 +18,33 @@
 	unanswered map[string]bool // routers that have yet to answer the last reports
 }
 
-// Reported takes in the result of a health check of this process, on the router's event loop. It never waits.
+// Reported records the result of a health check of this process, on the router's event loop. It never waits.
 func (n *Node) Reported(report healthshare.Report) {
-	takeIn := func() {
+	record := func() {
 		for _, sharer := range n.healthSharers {
 			sharer.prober.Reported(report) // ignores members of other groups
 		}
 	}
 	select {
-	case n.inbox <- takeIn:
+	case n.inbox <- record:
 	default: // too many calls wait: the next check will do
 	}
 }
 
+// startHealthSharing starts to check a group's members for all routers.
 func (n *Node) startHealthSharing(name string, token lease.Token, group int) {
-	sharer := &healthSharer{group: group, token: token, prober: healthshare.NewProber(n.settings.HealthSharePeriodMs), unanswered: map[string]bool{}}
+	sharer := &healthSharer{
+		group:      group,
+		token:      token,
+		prober:     healthshare.NewProber(n.settings.HealthSharePeriodMs),
+		unanswered: map[string]bool{},
+	}
 	sharer.prober.Advance(n.now())
 	n.setMembers(sharer)
 	n.healthSharers[name] = sharer
 }
 
+// setMembers has the members checked that the group has now.
 func (n *Node) setMembers(sharer *healthSharer) {
 	var ids []string
 	for _, member := range n.groups[sharer.group] {
@@ -65,10 +71,8 @@
 
 // sendReports sends reports to all other routers. One that has yet to answer the last ones is passed over: the next ones will do.
 func (n *Node) sendReports(name string, sharer *healthSharer, reports []healthshare.Report) {
-	order := &fleetpb.Order{Duty: name, About: name, Holder: n.settings.Name, Fence: rpc.EncodeToken(sharer.token)}
-	for _, report := range reports {
-		order.Sightings = append(order.Sightings, encodeReport(report))
-	}
+	order := n.newOrder(name, sharer.token)
+	order.Sightings = encodeReports(reports)
 	for _, session := range n.leases.Sessions(routerKind) {
 		if session.Name == n.settings.Name || sharer.unanswered[session.Name] {
 			continue
@@ -81,13 +85,3 @@
 		n.sendOrder(session, order, func(*fleetpb.Verdict, error) { delete(sharer.unanswered, session.Name) })
 	}
 }
-
-func encodeReport(report healthshare.Report) *fleetpb.Sighting {
-	return &fleetpb.Sighting{Member: report.Member, Started: report.Started, Position: report.Position, Primary: report.Primary,
-		Replica: report.Replica, At: report.At}
-}
-
-func decodeReport(message *fleetpb.Sighting) healthshare.Report {
-	return healthshare.Report{Member: message.Member, Started: message.Started, Position: message.Position, Primary: message.Primary,
-		Replica: message.Replica, At: message.At}
-}
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -48,7 +48,7 @@
 	return &fleetpb.Answer{Held: a.Held, Why: string(a.Refusal), Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
 }
 
-// receive gives what comes from a channel, or ends the test if nothing comes.
+// receive returns what comes from a channel, or ends the test if nothing comes.
 func receive[T any](t *testing.T, what string, from chan T) T {
 	t.Helper()
 	select {
@@ -64,7 +64,9 @@
 func (s *sessionCoordinator) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
 	t.Helper()
 	router := &fakeRouter{asked: make(chan bool, 100)}
-	node := newNode(Settings{Fleet: "lab", Name: "r", Kind: "router", Coordinators: []string{addr}, SessionTimeoutMs: timeoutMs, SafetyMarginMs: timeoutMs / 10}, router, started)
+	settings := testSettings("lab", addr)
+	settings.SessionTimeoutMs, settings.SafetyMarginMs = timeoutMs, timeoutMs/10
+	node := newNode(settings, router, started)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
 	t.Cleanup(func() { cancel(); <-node.Ended() })
@@ -97,7 +99,7 @@
 	if !granted.Held {
 		t.Fatal("the former session has not expired:", granted)
 	}
-	select { // its next heartbeat tells it that it has no session
+	select { // the response to its next heartbeat is that it has no session
 	case a := <-s.refused:
 		if a.Number != later {
 			t.Error(a)
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -105,7 +105,7 @@
 // errNoMore ends a recording: the client asks no further.
 var errNoMore = status.Error(codes.FailedPrecondition, "nothing more was recorded")
 
-// clientOfEarlier gives a client of a coordinator node that answers each call with the next of these messages.
+// clientOfEarlier returns a client of a coordinator node that answers each call with the next of these messages.
 func clientOfEarlier(t *testing.T, method string, responses [][]byte) *Client {
 	t.Helper()
 	next := 0
@@ -352,10 +352,15 @@
 
 // A receiver of this version accepts the orders of an earlier lease holder, and its router does what they say.
 func TestRecordedOrders_AreApplied(t *testing.T) {
-	router := &recordingRouter{fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)}, now: 1796206623622, done: make(chan string, 16)}
+	router := &recordingRouter{
+		fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)},
+		now:        1796206623622,
+		done:       make(chan string, 16),
+	}
 	asked, respond := respondToRouter(t)
-	node := New(Settings{Fleet: "lab", Name: "r2", Kind: "router", Coordinators: []string{serveEarlier(t, respond)}, SessionTimeoutMs: 2000, SafetyMarginMs: 200, MaxHoldMs: 5000},
-		router)
+	settings := testSettings("lab", serveEarlier(t, respond))
+	settings.Name, settings.MaxHoldMs = "r2", 5000
+	node := New(settings, router)
 	listener := listen(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -2,8 +2,8 @@
 // receives, and the policy that its router follows. It carries out what decide/leaseclient, decide/healthshare, decide/switchover and
 // decide/policy decide.
 //
-// A Node has an event loop, a listener and connections of its own. No request of a client ever waits for it, and whatever becomes of it
-// the router goes on serving.
+// A router runs one Node; commands use a Client alone. A Node has an event loop, a listener and connections of its own. No request of a
+// client ever waits for it, and the router serves whatever becomes of it.
 package fleet
 
 import (
@@ -39,15 +39,15 @@
 	Post(f func())
 	// Now is the time in Unix ms, by the cluster's clock.
 	Now() float64
-	// Groups gives the members of each group, as the list has them. It is called at the start and after Node.Changed.
+	// Groups returns the members of each group, as the list has them. It is called at the start and after Node.Changed.
 	Groups() map[int][]Member
 	// HealthCheck has a member checked; the result comes by Node.Reported.
 	HealthCheck(member string)
-	// PeerReported takes in the result of another process's health check.
+	// PeerReported records the result of another process's health check.
 	PeerReported(report healthshare.Report)
 	// HoldWrites has a group's writes held until a time in Unix ms; 0: no longer.
 	HoldWrites(group int, until float64)
-	// Writes tells how many of a group's writes are running, and how many are held.
+	// Writes returns how many of a group's writes are running, and how many are held.
 	Writes(group int) (running, waiting int)
 	// ApplyPolicy has the router apply a document in place of the one before. For what the document doesn't name, the router's own file
 	// holds. After an error, which operators are shown, the router goes on as it was.
@@ -117,7 +117,7 @@
 	restartWatch context.CancelFunc // ends the watch that leaves sessions out; under mu
 }
 
-// New makes a Node; nothing happens until Run.
+// New returns a Node; nothing happens until Run.
 func New(settings Settings, router Router) *Node { return newNode(settings, router, time.Now()) }
 
 // newNode is New at a time by the wall clock. Nothing but the incarnation of the first session comes from it.
@@ -156,7 +156,7 @@
 	return n
 }
 
-// Run is the process's part in the fleet until ctx ends; then it ends its session and gives its leases back, within a second. The listener
+// Run is the process's part in the fleet until ctx ends; then it ends its session and releases its leases, within a second. The listener
 // is for orders, and is closed.
 func (n *Node) Run(ctx context.Context, listener net.Listener) {
 	defer close(n.ended)
@@ -172,7 +172,8 @@
 	n.loadPolicy()
 	n.background.Go(n.watch)
 	go n.forwardRouterCalls() // not waited for: Post may wait for a loop that has ended
-	logrus.WithFields(logrus.Fields{"name": n.settings.Name, "address": listener.Addr().String(), "fleet": n.settings.Fleet}).Info("fleet node started")
+	logrus.WithFields(logrus.Fields{"name": n.settings.Name, "address": listener.Addr().String(), "fleet": n.settings.Fleet}).
+		Info("fleet node started")
 	n.settings.AuditLog.Add("up", audit.Fields{"kind": n.settings.Kind})
 	n.loop(ctx.Done())
 }
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -14,7 +14,7 @@
 
 // Store keeps a policy at a router from one start to the next. Its methods are called off the event loops, one call at a time.
 type Store interface {
-	// Load gives what was saved last. Nothing, or nothing that can be trusted, is the zero Version and no error. An error is logged, and
+	// Load returns what was saved last. Nothing, or nothing that can be trusted, is the zero Version and no error. An error is logged, and
 	// counts as nothing.
 	Load() (policy.Version, policy.Document, error)
 	// Save keeps a version in place of the one before, completely or not at all. After an error it is called again with this version or a
@@ -64,8 +64,8 @@
 		case policy.Apply:
 			state.toApply = &d
 		case policy.Acknowledge:
-			n.settings.AuditLog.Add("goes by", audit.Fields{"version": policy.FormatPacked(d.Applied), "wont": policy.FormatPacked(d.Rejected),
-				"why": d.Reason})
+			n.settings.AuditLog.Add("goes by", audit.Fields{"version": policy.FormatPacked(d.Applied),
+				rejectedVersionField: policy.FormatPacked(d.Rejected), reasonField: d.Reason})
 			n.leases.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
 			state.toSave = &d
@@ -77,7 +77,7 @@
 	n.savePolicy(now)
 }
 
-// savePolicy has the latest version saved off the loop, one at a time. What fails is tried again until a later version takes its place.
+// savePolicy has the latest version saved off the loop, one at a time. A save that fails is retried until a later version takes its place.
 func (n *Node) savePolicy(now float64) {
 	state := n.policies
 	if state.toSave == nil || state.saving || n.settings.Store == nil || state.saveRetry.Failing() && state.saveRetry.Due() > now {
@@ -91,7 +91,7 @@
 	}()
 }
 
-// policySaved takes in what became of a save.
+// policySaved records what became of a save.
 func (n *Node) policySaved(d *policy.Decision, err error) {
 	state := n.policies
 	state.saving = false
@@ -107,7 +107,7 @@
 	}
 	if state.saveRetry.Fail(n.now()) {
 		logrus.WithError(err).WithField("version", d.Version).Error("policy not stored: retrying")
-		n.settings.AuditLog.Add("unsaved", audit.Fields{"version": d.Version.String(), "why": err.Error()})
+		n.settings.AuditLog.Add("unsaved", audit.Fields{"version": d.Version.String(), reasonField: err.Error()})
 	}
 }
 
@@ -118,7 +118,7 @@
 	go n.post(func() { n.policyApplied(d.Version, err) }) // the router's loop never waits for this one
 }
 
-// policyApplied takes in whether the router has applied a version.
+// policyApplied records whether the router has applied a version.
 func (n *Node) policyApplied(version policy.Version, err error) {
 	n.policies.follower.Advance(n.now())
 	line := logrus.WithFields(logrus.Fields{"version": version, "author": version.Author, "reason": version.Reason})
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -46,7 +46,16 @@
 		peers = append(peers, decide.Peer{Name: fmt.Sprint("c", n+1), Addr: l.Addr().String()})
 	}
 	for n, p := range peers {
-		c, err := coordinator.Open(coordinator.Settings{Fleet: "f", Name: p.Name, Dir: t.TempDir(), Address: p.Addr, Peers: peers, Tick: 20, SnapshotInterval: 1000, MaxConnections: 100})
+		c, err := coordinator.Open(coordinator.Settings{
+			Fleet:            "f",
+			Name:             p.Name,
+			Dir:              t.TempDir(),
+			Address:          p.Addr,
+			Peers:            peers,
+			Tick:             20,
+			SnapshotInterval: 1000,
+			MaxConnections:   100,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -132,7 +141,7 @@
 	return nil
 }
 
-// join starts a router of this name, and gives what ends it.
+// join starts a router of this name, and returns what ends it.
 func (h *testCoordinator) join(name string, s fleet.Store) (*policyRouter, func()) {
 	p := &policyRouter{loop: make(chan func(), 100), applied: make(chan policy.Version, 1000)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -249,12 +258,15 @@
 	}
 
 	// A proposal made from a version that is no longer in force, and one of fields that can't be changed.
-	if a, err := client.Propose(ctx, policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")); err != nil ||
-		a.Held || !strings.Contains(string(a.Refusal), "is in force") {
+	outdated := policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")
+	a, err := client.Propose(ctx, outdated)
+	if err != nil || a.Held || !strings.Contains(string(a.Refusal), "is in force") {
 		t.Error(a, err)
 	}
-	if a, err := client.Propose(ctx, policy.Proposal{Base: large.Packed(), Difference: policy.Difference{Set: map[string]string{"txn_types.order.level": "stale",
-		"listen": ":1"}}}); err != nil || a.Held || !strings.Contains(string(a.Refusal), "txn_types.order.level: ") || !strings.Contains(string(a.Refusal), "listen: ") {
+	unchangeable := policy.Difference{Set: map[string]string{"txn_types.order.level": "stale", "listen": ":1"}}
+	a, err = client.Propose(ctx, policy.Proposal{Base: large.Packed(), Difference: unchangeable})
+	if err != nil || a.Held || !strings.Contains(string(a.Refusal), "txn_types.order.level: ") ||
+		!strings.Contains(string(a.Refusal), "listen: ") {
 		t.Error(a, err)
 	}
 
--- a/internal/fleet/policyclient.go
+++ b/internal/fleet/policyclient.go
@@ -30,7 +30,7 @@
 	return c.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p})
 }
 
-// Policy gives the policy in force and its history, confirmed by a majority.
+// Policy returns the policy in force and its history, confirmed by a majority.
 func (c *Client) Policy(ctx context.Context) (Policies, error) {
 	var response *fleetpb.PolicyBook
 	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
@@ -44,6 +44,7 @@
 	return decodePolicies(response)
 }
 
+// decodePolicies checks and decodes the policy in force and its history.
 func decodePolicies(response *fleetpb.PolicyBook) (all Policies, err error) {
 	if all.Version, _, err = rpc.DecodePolicy(response.Version); err != nil {
 		return all, err
@@ -80,14 +81,15 @@
 	}
 	version, _, err := rpc.DecodePolicy(response.Version)
 	if err != nil {
-		return policy.Part{}, fmt.Errorf("council at %s: %w", address, err)
+		return policy.Part{}, &CoordinatorError{Address: address, Err: err}
 	}
 	if response.Offset > maxOffset || response.Total > maxOffset {
-		return policy.Part{}, ErrMalformedResponse
+		return policy.Part{}, &CoordinatorError{Address: address, Err: ErrMalformedResponse}
 	}
 	return policy.Part{Version: version, Full: response.Whole, Offset: int(response.Offset), Total: int(response.Total), Bytes: response.Bytes}, nil
 }
 
+// partAddress returns the address of the node to ask for a part of the policy.
 func (c *Client) partAddress(preferWatched bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/policystore.go
+++ b/internal/fleet/policystore.go
@@ -33,7 +33,8 @@
 
 // PolicyStore keeps a policy in a directory of this router's own, in two generations. Each is written under another name, synced, and only
 // then renamed, with a checksum over all its bytes: a process that ends at any moment, or a disk that fills up, leaves at least one as it
-// was. A corrupt file is set aside and counts as none. The store gives what to start with; what is in force the coordinator tells.
+// was. A corrupt file is set aside and counts as none. A router
+// starts with what the store holds; which version is in force it learns from the coordinator.
 type PolicyStore struct {
 	Dir   string
 	Fleet string
@@ -48,11 +49,11 @@
 }
 
 // errCorrupt means that a file holds no policy of this fleet.
-var errCorrupt = errors.New("not a policy as it was written")
+var errCorrupt = errors.New("corrupt policy file")
 
 func (s *PolicyStore) path(name string) string { return filepath.Join(s.Dir, name) }
 
-// read gives what a file holds. fs.ErrNotExist: there is none; errCorrupt: it can't be trusted.
+// read returns what a file holds. fs.ErrNotExist: there is none; errCorrupt: it can't be trusted.
 func (s *PolicyStore) read(name string) (storedPolicy, error) {
 	path := s.path(name)
 	content, err := readLimited(path, maxStoreBytes+1)
@@ -69,20 +70,20 @@
 // decode checks a file's content and decodes it.
 func (s *PolicyStore) decode(content []byte) (stored storedPolicy, err error) {
 	if len(content) <= sha256.Size || len(content) > maxStoreBytes {
-		return stored, fmt.Errorf("%d bytes", len(content))
+		return stored, fmt.Errorf("it has %d bytes", len(content))
 	}
 	checksum, body := content[:sha256.Size], content[sha256.Size:]
 	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], checksum) {
-		return stored, errors.New("its sum doesn't fit")
+		return stored, errors.New("checksum mismatch")
 	}
 	if err := cbor.Unmarshal(body, &stored); err != nil {
 		return stored, err
 	}
 	switch {
 	case stored.Format != storeFormat:
-		return stored, fmt.Errorf("form %d", stored.Format)
+		return stored, fmt.Errorf("unknown format %d", stored.Format)
 	case stored.Fleet != s.Fleet:
-		return stored, fmt.Errorf("it is of the fleet %q", stored.Fleet)
+		return stored, fmt.Errorf("it belongs to fleet %q", stored.Fleet)
 	}
 	if err := errors.Join(stored.Version.Check(), stored.Document.Check()); err != nil {
 		return stored, err
@@ -93,7 +94,7 @@
 	return stored, nil
 }
 
-// readLimited gives the first bytes of a file.
+// readLimited returns the first bytes of a file.
 func readLimited(path string, limit int64) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return content, cmp.Or(err, file.Close())
 }
 
-// Load gives the latest generation that can be trusted. An error tells of a directory or file that can't be read.
+// Load returns the latest generation that can be trusted. An error means that the directory or a file can't be read.
 func (s *PolicyStore) Load() (policy.Version, policy.Document, error) {
 	var failures error
 	for _, name := range []string{latestName, previousName} {
@@ -155,7 +156,7 @@
 	return os.Rename(s.path(from), s.path(to))
 }
 
-// createDirectory makes the directory if there is none, and syncs its own name.
+// createDirectory creates the directory if there is none, and syncs its own name.
 func (s *PolicyStore) createDirectory() error {
 	if _, err := os.Stat(s.Dir); err == nil {
 		return nil
@@ -166,6 +167,7 @@
 	return syncDirectory(filepath.Dir(s.Dir))
 }
 
+// removeIfPresent removes a file; it is no error if there is none.
 func removeIfPresent(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -173,6 +175,7 @@
 	return nil
 }
 
+// syncDirectory makes the names in a directory durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -181,6 +184,7 @@
 	return cmp.Or(failpoint.OperationError("policy.sync", path), directory.Sync(), directory.Close())
 }
 
+// writeSynced writes a file and returns once it is on disk.
 func writeSynced(path string, content []byte) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/fleet/policystore_test.go
+++ b/internal/fleet/policystore_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// requireLoaded fails the test unless the store gives the version of this number; 0: none.
+// requireLoaded fails the test unless the store loads the version of this number; 0: none.
 func requireLoaded(t *testing.T, store *PolicyStore, want uint64) {
 	t.Helper()
 	v, d, err := store.Load()
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -14,7 +14,6 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/audit"
 	"wayloft/internal/decide/healthshare"
 	"wayloft/internal/decide/lease"
 	"wayloft/internal/decide/switchover"
@@ -24,12 +23,12 @@
 )
 
 const (
-	maxOrderBytes    = 1 << 20
-	maxNameBytes     = 256  // of the names in an order
-	maxSenders       = 1024 // connections of processes that send orders
-	maxStreams       = 64   // orders at a time on one connection
-	handshakeTimeout = 5 * time.Second
-	minPingInterval  = 5 * time.Second // between two pings of a sender
+	maxOrderBytes       = 1 << 20
+	maxNameBytes        = 256  // of each name in an order
+	maxSenders          = 1024 // connections of processes that send orders
+	maxConcurrentOrders = 64   // on one connection
+	handshakeTimeout    = 5 * time.Second
+	minPingInterval     = 5 * time.Second // between two pings of a sender
 )
 
 // serveOrders starts the server that receives orders of lease holders. Run waits for its end.
@@ -37,7 +36,7 @@
 	checks := rpc.NewInterceptors(n.settings.Fleet)
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxOrderBytes),
-		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxConcurrentStreams(maxConcurrentOrders),
 		grpc.ConnectionTimeout(handshakeTimeout),
 		grpc.ChainUnaryInterceptor(checks.Unary),
 		grpc.ChainStreamInterceptor(checks.Stream),
@@ -63,7 +62,7 @@
 	return s.node.act(ctx, order)
 }
 
-// act takes in an order of a lease holder. Its fencing token is checked and its content is passed to the router's event loop in one step, so
+// act handles an order of a lease holder. Its fencing token is checked and its content is passed to the router's event loop in one step, so
 // that nothing under a lower token can come between. The errors are gRPC statuses.
 func (n *Node) act(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
 	if n.ctx == nil || ctx.Err() != nil {
@@ -89,7 +88,8 @@
 // errEnding is what senders of orders get while the process ends.
 var errEnding = status.Error(codes.Unavailable, "this process is ending")
 
-// checkOrder tells whether an order is within the bounds, and of a lease that this build knows.
+// checkOrder checks that an order is within the bounds, and of a lease that this build knows. The errors are gRPC statuses, whose texts
+// operators of other processes see.
 func checkOrder(order *fleetpb.Order) error {
 	if len(order.Duty) > maxNameBytes || len(order.About) > maxNameBytes || len(order.Holder) > maxNameBytes ||
 		len(order.Sightings) > healthshare.MaxReports {
@@ -101,43 +101,37 @@
 	return nil
 }
 
-var verdictKinds = map[lease.Verdict]fleetpb.Verdict_Kind{
-	lease.Accepted:    fleetpb.Verdict_TAKEN,
-	lease.Stale:       fleetpb.Verdict_OLD,
-	lease.NotLearned:  fleetpb.Verdict_UNKNOWN,
-	lease.Conflicting: fleetpb.Verdict_BROKEN,
-}
-
 // judgeOrder checks an order's fencing token, and has an order under a valid one applied. done is called once, on any goroutine.
 func (n *Node) judgeOrder(order *fleetpb.Order, done func(*fleetpb.Verdict)) {
 	n.leases.Advance(n.now())
-	token := rpc.DecodeToken(order.Fence)
-	judged, highest := n.leases.Check(lease.Scope{Lease: order.Duty, Subject: order.About}, order.Holder, token)
+	header := decodeHeader(order)
+	judged, highest := n.leases.Check(header.scope, header.holder, header.token)
 	verdict := &fleetpb.Verdict{Kind: verdictKinds[judged], Highest: rpc.EncodeToken(highest)}
-	fields := audit.Fields{"duty": order.Duty, "about": order.About, "holder": order.Holder, "fence": token.String()}
+	fields := leaseFields(header.scope.Lease, header.token)
+	fields[subjectField], fields["holder"] = header.scope.Subject, header.holder
 	switch judged {
 	case lease.Accepted:
 		n.settings.AuditLog.Add("taken", fields)
-		n.applyOrder(order, token, verdict, done)
+		n.applyOrder(order, header, verdict, done)
 		return
 	case lease.Stale:
-		fields["higher"] = highest.String()
+		fields[higherTokenField] = highest.String()
 		n.settings.AuditLog.Add("late", fields)
-		logrus.WithFields(logrus.Fields{"lease": order.Duty, "holder": order.Holder, "token": token, "higher_token": highest}).
+		logrus.WithFields(logrus.Fields{"lease": header.scope.Lease, "holder": header.holder, "token": header.token, "higher_token": highest}).
 			Warn("rejected an order of a former lease holder")
 	case lease.Conflicting:
-		invariant.Check(false, "one fence, one holder")
+		invariant.Check(false, "one fencing token, one lease holder")
 	}
 	done(verdict)
 }
 
 // applyOrder has the router's event loop do what an order says; what is malformed is passed over, and the verdict says so.
-func (n *Node) applyOrder(order *fleetpb.Order, token lease.Token, verdict *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
+func (n *Node) applyOrder(order *fleetpb.Order, header orderHeader, verdict *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
 	accepted := n.callRouter(func() {
 		now := n.router.Now()
 		n.applyReports(order.Sightings, now, verdict)
 		if order.Hold != nil {
-			n.applyHold(order, token, now, verdict)
+			n.applyHold(order.Hold, header, now, verdict)
 		}
 		done(verdict)
 	})
@@ -152,7 +146,7 @@
 	for _, message := range messages {
 		report := decodeReport(message)
 		if err := healthshare.CheckReport(report, now); err != nil {
-			verdict.Kind, verdict.Why = fleetpb.Verdict_UNSOUND, err.Error()
+			markMalformed(verdict, err.Error())
 			continue
 		}
 		n.router.PeerReported(report)
@@ -160,20 +154,19 @@
 }
 
 // applyHold holds or releases a group's writes for a switchover, on the router's event loop, and counts them.
-func (n *Node) applyHold(order *fleetpb.Order, token lease.Token, now float64, verdict *fleetpb.Verdict) {
-	hold := order.Hold
+func (n *Node) applyHold(hold *fleetpb.Hold, header orderHeader, now float64, verdict *fleetpb.Verdict) {
 	group := int(hold.Group)
-	if order.Duty != switchover.LeaseName(group) {
-		verdict.Kind, verdict.Why = fleetpb.Verdict_UNSOUND, "an order about another group"
+	if header.scope.Lease != switchover.LeaseName(group) {
+		markMalformed(verdict, "an order about another group")
 		return
 	}
 	switch {
 	case hold.Looks: // writes are only counted
 	case hold.Ends:
-		n.writeHolds.Release(group, token, hold.Number)
+		n.writeHolds.Release(group, header.token, hold.Number)
 		n.router.HoldWrites(group, 0)
 	default:
-		n.router.HoldWrites(group, n.writeHolds.Hold(group, token, hold.Number, hold.MostMs, now))
+		n.router.HoldWrites(group, n.writeHolds.Hold(group, header.token, hold.Number, hold.MostMs, now))
 	}
 	running, waiting := n.router.Writes(group)
 	verdict.Running, verdict.Held = int64(running), int64(waiting)
--- /dev/null
+++ b/internal/fleet/requests.go
@@ -0,0 +1,107 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"wayloft/internal/decide/lease"
+	"wayloft/internal/decide/leasestate"
+	"wayloft/internal/fleetpb"
+	"wayloft/internal/rpc"
+)
+
+// ProposeEntry proposes an entry to the coordinator's log, and returns its result.
+func (c *Client) ProposeEntry(ctx context.Context, entry leasestate.Entry) (leasestate.Result, error) {
+	answer, err := c.do(ctx, &fleetpb.Request{Entry: leasestate.Encode(entry)})
+	if err != nil {
+		return leasestate.Result{}, err
+	}
+	return rpc.DecodeResult(answer), nil
+}
+
+// LatestTokens returns the latest fencing tokens of leases, confirmed by a majority, in the leases' order. All leases go into one request;
+// how many one may have is the lease client's bound. On the wire the leases are Stands and the tokens Fences.
+//
+// A node of a build that doesn't know such a request finds no entry in it and rejects it, so its response never means that there are no
+// tokens: coordinator nodes are upgraded before routers.
+func (c *Client) LatestTokens(ctx context.Context, leases []string) ([]lease.Token, error) {
+	answer, err := c.do(ctx, &fleetpb.Request{Stands: leases})
+	if err != nil {
+		return nil, err
+	}
+	if len(answer.Fences) != len(leases) {
+		return nil, fmt.Errorf("latest tokens: %w: %d tokens for %d leases", ErrMalformedResponse, len(answer.Fences), len(leases))
+	}
+	tokens := make([]lease.Token, 0, len(leases))
+	for _, token := range answer.Fences {
+		tokens = append(tokens, rpc.DecodeToken(token))
+	}
+	return tokens, nil
+}
+
+// do sends an entry or a query of tokens.
+func (c *Client) do(ctx context.Context, request *fleetpb.Request) (answer *fleetpb.Answer, err error) {
+	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
+		var err error
+		answer, err = node.Do(ctx, request)
+		return answer, err
+	})
+	return answer, err
+}
+
+// State returns the coordinator's state, confirmed by a majority.
+func (c *Client) State(ctx context.Context) (state *fleetpb.State, err error) {
+	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
+		var err error
+		state, err = node.Look(ctx, &fleetpb.Empty{})
+		return state, err
+	})
+	return state, err
+}
+
+// ChangeMembership has nodes join or leave the coordinator cluster.
+func (c *Client) ChangeMembership(ctx context.Context, members *fleetpb.Members) (leasestate.Result, error) {
+	var answer *fleetpb.Answer
+	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
+		var err error
+		answer, err = node.Change(ctx, members)
+		return answer, err
+	})
+	if answer == nil {
+		return leasestate.Result{}, err
+	}
+	return rpc.DecodeResult(answer), err
+}
+
+// Watch passes on a coordinator node's updates until ctx ends or the watch fails; the error is never nil. The first update is the complete
+// state; withoutSessions leaves out the sessions of other processes.
+func (c *Client) Watch(ctx context.Context, withoutSessions bool, deliver func(*fleetpb.Update)) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	address := c.chooseWatched()
+	conn, err := c.connection(address)
+	if err != nil {
+		return err
+	}
+	silence := time.AfterFunc(watchSilence, cancel)
+	defer silence.Stop()
+	stream, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{WithoutSessions: withoutSessions})
+	for err == nil {
+		var update *fleetpb.Update
+		if update, err = stream.Recv(); err == nil {
+			silence.Reset(watchSilence)
+			deliver(update)
+		}
+	}
+	return &CoordinatorError{Address: address, Err: err}
+}
+
+// chooseWatched draws the node to watch.
+func (c *Client) chooseWatched() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watched = c.addresses[rand.IntN(len(c.addresses))]
+	return c.watched
+}
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -6,7 +6,6 @@
 	"github.com/sirupsen/logrus"
 	"google.golang.org/grpc"
 
-	"wayloft/internal/audit"
 	"wayloft/internal/decide/leaseclient"
 	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
@@ -16,8 +15,7 @@
 // routerKind is the kind of the sessions of routers.
 const routerKind = "router"
 
-// sendOrder sends an order to a process. done is called on the event loop with its answer; the lease client takes a rejection in. On the wire an
-// order names its lease Duty and its fencing token Fence.
+// sendOrder sends an order to a process. done is called on the event loop with its answer; the lease client learns of a rejection.
 func (n *Node) sendOrder(to leaseclient.Session, order *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
 	if to.Name == n.settings.Name { // this process
 		go func() { // ends with the event loop at the latest
@@ -36,7 +34,7 @@
 		defer cancel()
 		verdict, err := fleetpb.NewReceiverClient(conn).Act(ctx, order)
 		n.post(func() {
-			if err == nil && verdict.Kind == fleetpb.Verdict_OLD {
+			if err == nil && isStale(verdict) {
 				n.orderRejected(to.Name, order, verdict)
 			}
 			done(verdict, err)
@@ -44,17 +42,20 @@
 	})
 }
 
-// orderRejected takes in that a process has seen a higher fencing token than that of an order.
+// orderRejected records that a process has seen a higher fencing token than that of an order.
 func (n *Node) orderRejected(by string, order *fleetpb.Order, verdict *fleetpb.Verdict) {
-	token, higher := rpc.DecodeToken(order.Fence), rpc.DecodeToken(verdict.Highest)
-	logrus.WithFields(logrus.Fields{"lease": order.Duty, "token": token, "higher_token": higher, "router": by}).
+	header, higher := decodeHeader(order), rpc.DecodeToken(verdict.Highest)
+	leaseName := header.scope.Lease
+	logrus.WithFields(logrus.Fields{"lease": leaseName, "token": header.token, "higher_token": higher, "router": by}).
 		Warn("order rejected: another process holds the lease")
-	n.settings.AuditLog.Add("refused", audit.Fields{"duty": order.Duty, "fence": token.String(), "higher": higher.String(), "by": by})
+	fields := leaseFields(leaseName, header.token)
+	fields[higherTokenField], fields["by"] = higher.String(), by
+	n.settings.AuditLog.Add("refused", fields)
 	n.leases.Advance(n.now())
-	n.leases.ActRejected(order.Duty, higher)
+	n.leases.ActRejected(leaseName, higher)
 }
 
-// connectionTo gives the connection to a process, which is made if there is none.
+// connectionTo returns the connection to a process, which is made if there is none.
 func (n *Node) connectionTo(session leaseclient.Session) (*grpc.ClientConn, error) {
 	address := session.Address
 	if override := n.settings.AddressOverrides[session.Name]; override != "" {
@@ -87,6 +88,7 @@
 	}
 }
 
+// closeConnections closes the connections to other processes.
 func (n *Node) closeConnections() {
 	for address, conn := range n.connections {
 		closeConnection(address, conn)
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -22,18 +22,18 @@
 // watchRetry is about how long after a watch has ended the next one starts.
 const watchRetry = 300 * time.Millisecond
 
-// advanceLeases carries out what the lease client decides. Names of audit events and of their fields are read by checkers: they stay.
+// advanceLeases carries out what the lease client decides. Checkers read the names of audit events: they never change.
 func (n *Node) advanceLeases() {
 	for d, more := n.leases.Next(); more; d, more = n.leases.Next() {
 		switch d.Action {
 		case leaseclient.Propose, leaseclient.QueryTokens:
 			n.background.Go(func() { n.request(d) })
 		case leaseclient.Start:
-			n.settings.AuditLog.Add("start", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+			n.settings.AuditLog.Add("start", leaseFields(d.Lease, d.Token))
 			logrus.WithFields(logrus.Fields{"lease": d.Lease, "token": d.Token}).Info("lease acquired")
 			n.leaseAcquired(d.Lease, d.Token)
 		case leaseclient.Stop:
-			n.settings.AuditLog.Add("stop", audit.Fields{"duty": d.Lease, "fence": d.Token.String()})
+			n.settings.AuditLog.Add("stop", leaseFields(d.Lease, d.Token))
 			logrus.WithFields(logrus.Fields{"lease": d.Lease, "token": d.Token}).Info("lease ended")
 			n.leaseEnded(d.Lease)
 		}
@@ -50,7 +50,7 @@
 	}
 }
 
-// groupOfLease gives the group that a lease is of; false: its name has another prefix.
+// groupOfLease returns the group that a lease is of; false: its name has another prefix.
 func groupOfLease(name, prefix string) (group int, found bool) {
 	text, found := strings.CutPrefix(name, prefix)
 	if !found {
@@ -106,7 +106,7 @@
 	})
 }
 
-// responded reports whether the coordinator has responded to a request; if not, the lease client takes that in.
+// responded reports whether the coordinator has responded to a request; if not, the lease client learns of it.
 func (n *Node) responded(d leaseclient.Decision, err error) bool {
 	n.leases.Advance(n.now())
 	if err != nil {
@@ -122,9 +122,9 @@
 	case e.Kind == leasestate.ReportToken && result.Refusal != "":
 		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
 			Error("the coordinator's state has regressed: a higher fencing token was seen")
-		n.settings.AuditLog.Add("behind", audit.Fields{"duty": e.Lease, "seen": e.Token.String(), "council": result.Token.String()})
+		n.settings.AuditLog.Add("behind", audit.Fields{leaseField: e.Lease, "seen": e.Token.String(), coordinatorTokenField: result.Token.String()})
 	case e.Kind == leasestate.OpenSession:
-		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, "why": result.Refusal, "incarnation": e.Incarnation})
+		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Refusal, "incarnation": e.Incarnation})
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 }
 
-// startWatch gives the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
+// startWatch returns the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
 func (n *Node) startWatch() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
 	ctx, cancel = context.WithCancel(n.ctx)
 	n.mu.Lock()
@@ -171,7 +171,7 @@
 	return ctx, cancel, withoutSessions
 }
 
-// updated takes in what a watch has reported.
+// updated applies what a watch has reported.
 func (n *Node) updated(message *fleetpb.Update) {
 	n.leases.Advance(n.now())
 	update := rpc.DecodeUpdate(message)
--- a/internal/fleet/storefailures_test.go
+++ b/internal/fleet/storefailures_test.go
@@ -14,7 +14,7 @@
 	"wayloft/internal/failpoint"
 )
 
-// copyStore gives a store as a process that is killed now leaves it.
+// copyStore returns a store as a process that is killed now leaves it.
 func copyStore(t *testing.T, store *PolicyStore) *PolicyStore {
 	t.Helper()
 	left := &PolicyStore{Dir: t.TempDir(), Fleet: store.Fleet}
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -17,7 +17,6 @@
 	"wayloft/internal/decide/switchover"
 	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/rpc"
 )
 
 const (
@@ -38,6 +37,14 @@
 	cancel      context.CancelFunc
 }
 
+// auditFields returns the fields of an audit event about the order that is carried out.
+func (task *switchoverTask) auditFields(text string) audit.Fields {
+	fields := leaseFields(task.name, task.token)
+	fields["number"], fields["text"] = task.number, text
+	return fields
+}
+
+// startSwitchovers starts to carry out a group's switchover orders under a lease.
 func (n *Node) startSwitchovers(name string, token lease.Token, group int) {
 	if n.orderStates[name] == nil {
 		n.orderStates[name] = &switchover.OrderState{}
@@ -46,13 +53,14 @@
 	n.switchovers[name] = &switchoverTask{name: name, group: group, token: token, orders: n.orderStates[name]}
 }
 
+// advanceSwitchovers advances the switchovers of all groups.
 func (n *Node) advanceSwitchovers(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(n.switchovers)) {
 		n.runSwitchover(n.switchovers[name], now)
 	}
 }
 
-// runSwitchover goes on with a group's switchover, if one is ordered.
+// runSwitchover advances a group's switchover, if one is ordered.
 func (n *Node) runSwitchover(task *switchoverTask, now float64) {
 	if task.executor == nil && !n.startOrder(task, now) {
 		return
@@ -76,7 +84,7 @@
 	}
 }
 
-// startOrder takes up the open order; false: there is none, or it can't be taken up now.
+// startOrder starts to carry out the open order; false: there is none, or it can't be started now.
 func (n *Node) startOrder(task *switchoverTask, now float64) bool {
 	if ended, unreported := task.orders.UnreportedEnd(); unreported {
 		if task.reportEndAt <= now {
@@ -103,8 +111,9 @@
 	}
 	task.executor, task.number = executor, known.Open.Number
 	task.ctx, task.cancel = context.WithCancel(n.ctx)
-	n.settings.AuditLog.Add("order", audit.Fields{"duty": task.name, "fence": task.token.String(), "number": task.number, "text": known.Open.Text,
-		"steps": len(known.Steps)})
+	fields := task.auditFields(known.Open.Text)
+	fields["steps"] = len(known.Steps)
+	n.settings.AuditLog.Add("order", fields)
 	return true
 }
 
@@ -176,7 +185,7 @@
 		n.commandMember(task, d)
 	case switchover.EndOrder:
 		logrus.WithFields(logrus.Fields{"lease": task.name, "token": token, "order": task.number, "outcome": d.Text}).Info("switchover ended")
-		n.settings.AuditLog.Add("end", audit.Fields{"duty": task.name, "fence": token.String(), "number": task.number, "text": d.Text})
+		n.settings.AuditLog.Add("end", task.auditFields(d.Text))
 	}
 }
 
@@ -192,14 +201,15 @@
 // recordStep has a step recorded in the replicated state.
 func (n *Node) recordStep(task *switchoverTask, text string) {
 	executor := task.executor
-	n.settings.AuditLog.Add("step", audit.Fields{"duty": task.name, "fence": task.token.String(), "number": task.number, "text": text})
+	n.settings.AuditLog.Add("step", task.auditFields(text))
 	logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "order": task.number, "step": text}).Info("switchover step")
 	n.proposeNote(task, leasestate.Entry{Kind: leasestate.RecordStep, Text: text}, func(recorded bool) {
 		failpoint.Point("noted." + strings.Fields(text)[0])
 		n.post(func() {
 			n.ifCurrent(task, executor, func() {
-				n.settings.AuditLog.Add("noted", audit.Fields{"duty": task.name, "fence": task.token.String(), "number": task.number, "text": text,
-					"ok": recorded})
+				fields := task.auditFields(text)
+				fields["ok"] = recorded
+				n.settings.AuditLog.Add("noted", fields)
 				executor.StepRecorded(recorded)
 			})
 		})
@@ -215,15 +225,16 @@
 		executor.RouterAnswered(d.Target, d.Command, false, 0)
 		return
 	}
-	order := &fleetpb.Order{Duty: task.name, About: task.name, Holder: n.settings.Name, Fence: rpc.EncodeToken(task.token), Hold: &fleetpb.Hold{
+	order := n.newOrder(task.name, task.token)
+	order.Hold = &fleetpb.Hold{
 		Group:  int64(task.group),
 		Number: task.number,
 		MostMs: d.MaxHoldMs,
 		Ends:   d.Command == switchover.ReleaseWrites,
 		Looks:  d.Command == switchover.CountWrites,
-	}}
+	}
 	n.sendOrder(sessions[target], order, func(verdict *fleetpb.Verdict, err error) {
-		accepted := err == nil && verdict.Kind == fleetpb.Verdict_TAKEN
+		accepted := err == nil && isAccepted(verdict)
 		running := 0
 		if accepted {
 			running = int(min(verdict.Running, math.MaxInt32))
@@ -263,8 +274,9 @@
 
 // recordOutcome writes to the logs how a step at a member ended.
 func (n *Node) recordOutcome(task *switchoverTask, d switchover.Decision, outcome switchover.Outcome, reason string) {
-	n.settings.AuditLog.Add("done", audit.Fields{"duty": task.name, "fence": task.token.String(), "member": d.Target, "step": string(d.Step),
-		"how": int(outcome), "why": reason})
+	fields := leaseFields(task.name, task.token)
+	fields["member"], fields["step"], fields["how"], fields[reasonField] = d.Target, string(d.Step), int(outcome), reason
+	n.settings.AuditLog.Add("done", fields)
 	if outcome == switchover.Fenced {
 		n.leases.RejectedActs++ // by the member, which has nobody else to report it to
 	}
