--- a/internal/coordinator/clients.go
+++ b/internal/coordinator/clients.go
@@ -31,7 +31,8 @@
 	leasestate.ProposePolicy: true,
 }
 
-// Do proposes an entry, or returns the latest tokens of leases, which the protocol calls stands. It implements the gRPC service.
+// Do proposes an entry, or returns the latest tokens of leases. It implements the gRPC service. On the wire the leases that a request asks
+// about are stands, a token is a fence, and a rejected version one that a session won't apply.
 func (s *Server) Do(ctx context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
 	leases := request.Stands
 	if request.Stand != "" {
@@ -55,6 +56,7 @@
 	return &fleetpb.Answer{Fence: tokens[0]}, nil
 }
 
+// propose proposes a client's entry, and returns its result or where to ask instead.
 func (s *Server) propose(ctx context.Context, encoded []byte) (*fleetpb.Answer, error) {
 	entry, err := leasestate.Decode(encoded)
 	if err != nil {
@@ -79,7 +81,12 @@
 	if d.Action == raftnode.Redirect {
 		return redirectAnswer(d), nil
 	}
-	return &fleetpb.Answer{Held: d.Result.Held, Fence: rpc.EncodeToken(d.Result.Token), Why: string(d.Result.Refusal), Number: d.Result.Number}, nil
+	return &fleetpb.Answer{
+		Held:   d.Result.Held,
+		Fence:  rpc.EncodeToken(d.Result.Token),
+		Why:    string(d.Result.Refusal),
+		Number: d.Result.Number,
+	}, nil
 }
 
 // latestTokens returns the latest token of each lease, all by one read, or where to ask instead.
@@ -98,6 +105,7 @@
 	return tokens, nil, nil
 }
 
+// redirectAnswer says which node leads.
 func redirectAnswer(d raftnode.Decision) *fleetpb.Answer {
 	return &fleetpb.Answer{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}
 }
@@ -115,6 +123,7 @@
 	return state, nil
 }
 
+// encodeState returns the protocol's form of the whole lease state and of the cluster's members.
 func (s *Server) encodeState() *fleetpb.State {
 	state := s.node.State()
 	update, index := leaseclient.Changes(state, 0, false)
@@ -134,8 +143,14 @@
 		encoded.Barred = rpc.EncodeToken(lease.ForeignToken)
 	}
 	for _, peer := range s.node.Peers() {
-		out.Council = append(out.Council, &fleetpb.Peer{Name: peer.Name, Address: peer.Addr, Leader: peer.Leader, Applied: peer.Applied,
-			Level: peer.CaughtUp, Known: peer.Known})
+		out.Council = append(out.Council, &fleetpb.Peer{
+			Name:    peer.Name,
+			Address: peer.Addr,
+			Leader:  peer.Leader,
+			Applied: peer.Applied,
+			Level:   peer.CaughtUp,
+			Known:   peer.Known,
+		})
 	}
 	return out
 }
--- a/internal/coordinator/clients_test.go
+++ b/internal/coordinator/clients_test.go
@@ -59,11 +59,11 @@
 		many = append(many, fmt.Sprint(i))
 	}
 	if got := do(&fleetpb.Request{Stands: many[1:]}); len(got.Fences) != leaseclient.MaxTokenQuery {
-		t.Errorf("%d fences", len(got.Fences))
+		t.Errorf("%d tokens", len(got.Fences))
 	}
 	for _, q := range []*fleetpb.Request{{Stands: many}, {}} {
 		if got, err := service.Do(ctx, q); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("%d duties: %v, %v", len(q.Stands), got, err)
+			t.Errorf("%d leases: %v, %v", len(q.Stands), got, err)
 		}
 	}
 }
--- a/internal/coordinator/decisions.go
+++ b/internal/coordinator/decisions.go
@@ -1,13 +1,10 @@
 package coordinator
 
 import (
-	"encoding/hex"
-
 	"github.com/sirupsen/logrus"
 
 	"wayloft/internal/audit"
 	"wayloft/internal/decide/leasestate"
-	"wayloft/internal/decide/policy"
 	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/failpoint"
 )
@@ -70,6 +67,7 @@
 	return true
 }
 
+// eventApplied writes an event of the lease state to the logs, unless that was done before.
 func (s *Server) eventApplied(event leasestate.Event) {
 	leads, _ := s.node.IsLeader()
 	switch {
@@ -87,44 +85,3 @@
 		s.auditLease(event, leads)
 	}
 }
-
-// auditPolicy writes a policy version that is in force to the audit log; each node does, so that each log is complete. The leader logs it.
-func (s *Server) auditPolicy(event leasestate.Event, leads bool) {
-	history := s.node.State().Policy()
-	version := history.Version
-	for _, change := range history.Changes { // a later one may be in force by now
-		if change.Version.Packed() == event.Policy {
-			version = change.Version
-		}
-	}
-	s.settings.AuditLog.Add("policy", audit.Fields{"index": event.Index, "version": policy.FormatPacked(event.Policy),
-		"hash": hex.EncodeToString(version.Hash[:]), "author": version.Author, "reason": version.Reason})
-	if leads {
-		logrus.WithFields(logrus.Fields{"version": version, "author": version.Author, "reason": version.Reason}).Info("policy in force")
-	}
-}
-
-// auditLease writes what became of a session or a lease to the audit log, whose events and fields keep their first names: a lease is a duty
-// there and a token a fence. The leader logs what became of a lease.
-func (s *Server) auditLease(event leasestate.Event, leads bool) {
-	eventName := "session"
-	if event.Lease != "" {
-		eventName = "duty"
-	}
-	s.settings.AuditLog.Add(eventName, audit.Fields{"index": event.Index, "session": event.Session, "duty": event.Lease,
-		"fence": event.Token.String(), "ended": event.Ended, "why": event.Reason})
-	if !leads || event.Lease == "" {
-		return
-	}
-	line := logrus.WithFields(logrus.Fields{"lease": event.Lease, "token": event.Token, "holder": event.Session})
-	lease, _ := s.node.State().Lease(event.Lease)
-	switch {
-	case lease.ForeignToken.Epoch >= s.node.State().Epoch() && lease.Holder == "":
-		line.WithField("receiver_token", lease.ForeignToken).
-			Error("lease not granted: a receiver knows a higher token than the coordinator; begin a new epoch (council recover)")
-	case event.Ended:
-		line.Info("lease released")
-	case event.Session != "":
-		line.Info("lease granted")
-	}
-}
--- a/internal/coordinator/handshake.go
+++ b/internal/coordinator/handshake.go
@@ -23,7 +23,7 @@
 	for first := true; ; first = false {
 		parcel, err := stream.Recv()
 		if err != nil {
-			return nil // the peer has ended the stream, or is gone: nobody is left to tell
+			return nil // the peer has ended the stream or is gone: nobody would receive an error
 		}
 		if first && parcel.From == nil {
 			return status.Error(codes.InvalidArgument, "the first parcel must say who sends")
@@ -63,26 +63,24 @@
 	})
 }
 
-// handshake judges a peer's data directory, and stores what is new of it before a message of the peer is passed on.
+// handshake checks a peer's data directory, and stores what is new of it before a message of the peer is passed on.
 func (s *Server) handshake(ctx context.Context, sender *fleetpb.Identity) error {
-	result := make(chan error, 1)
-	if err := s.post(ctx, func() { result <- s.checkIdentity(sender) }); err != nil {
-		return err
-	}
-	select {
-	case err := <-result:
+	rejection, err := query(ctx, s, func() error { return s.checkIdentity(sender) })
+	if err != nil {
 		return err
-	case <-s.ctx.Done():
-		return errEnding
 	}
+	return rejection
 }
 
+// checkIdentity returns why a peer is rejected, if it is. On the wire a data directory is a folder, and an incarnation a start.
 func (s *Server) checkIdentity(sender *fleetpb.Identity) error {
-	if s.suspended() {
-		return errStorage
-	}
-	changed, err := s.incarnations.Handshake(raftnode.Identity{Name: sender.Name, StorageID: sender.Folder, Incarnations: sender.Starts,
-		Term: sender.Term, LastIndex: sender.Last})
+	changed, err := s.incarnations.Handshake(raftnode.Identity{
+		Name:         sender.Name,
+		StorageID:    sender.Folder,
+		Incarnations: sender.Starts,
+		Term:         sender.Term,
+		LastIndex:    sender.Last,
+	})
 	if err != nil {
 		logrus.WithField("peer", sender.Name).WithError(err).Error("peer rejected")
 		s.settings.AuditLog.Add("stranger", audit.Fields{"from": sender.Name, "why": err.Error()})
--- a/internal/coordinator/helpers_test.go
+++ b/internal/coordinator/helpers_test.go
@@ -15,12 +15,22 @@
 	"wayloft/internal/rpc"
 )
 
+// settings are those of a cluster of one node.
 func settings(t *testing.T, dir string, listener net.Listener) Settings {
 	t.Helper()
-	return Settings{Fleet: "lab", Name: "c", Dir: dir, Peers: []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}}, Tick: 10, SnapshotInterval: 1000,
-		MaxConnections: 8, AuditLog: &audit.Log{}}
+	return Settings{
+		Fleet:            "lab",
+		Name:             "c",
+		Dir:              dir,
+		Peers:            []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}},
+		Tick:             10,
+		SnapshotInterval: 1000,
+		MaxConnections:   8,
+		AuditLog:         &audit.Log{},
+	}
 }
 
+// loopback returns a listener at a free port until the test ends.
 func loopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,6 +56,7 @@
 	return conn
 }
 
+// closeAndCheck closes what a test has opened.
 func closeAndCheck(t *testing.T, conn io.Closer) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -73,7 +73,7 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// messageType gives the type that a recorded message has by the service's present descriptor.
+// messageType returns the type that a recorded message has by the service's present descriptor.
 func messageType(t *testing.T, m recordedMessage) protoreflect.MessageType {
 	t.Helper()
 	service, method, _ := strings.Cut(strings.TrimPrefix(m.Method, "/"), "/")
@@ -95,7 +95,7 @@
 	return messageType
 }
 
-// hasUnknown tells whether a message, or one within it, has fields that its type doesn't know.
+// hasUnknown reports whether a message, or one within it, has fields that its type doesn't know.
 func hasUnknown(m protoreflect.Message) (unknown bool) {
 	if len(m.GetUnknown()) > 0 {
 		return true
@@ -171,7 +171,7 @@
 	return node, conn
 }
 
-// dialEarlier gives the connection of a process of the earlier version: its calls carry the metadata that were recorded.
+// dialEarlier returns the connection of a process of the earlier version: its calls carry the metadata that were recorded.
 func dialEarlier(t *testing.T, address string) *grpc.ClientConn {
 	t.Helper()
 	recorded := func(ctx context.Context) context.Context {
@@ -192,7 +192,7 @@
 	return conn
 }
 
-// sendRecorded calls a method with the recorded bytes of a request and gives the response's.
+// sendRecorded calls a method with the recorded bytes of a request and returns the response's.
 func sendRecorded(ctx context.Context, conn *grpc.ClientConn, method string, request []byte) (rawBytes, error) {
 	var response rawBytes
 	sent := rawBytes(request)
@@ -200,7 +200,7 @@
 	return response, err
 }
 
-// follow feeds a node the stream that the leader of an earlier version sent to the node of this name, and gives the state that it came to.
+// follow feeds a node the stream that the leader of an earlier version sent to the node of this name, and returns the state that it came to.
 func follow(t *testing.T, set Settings, stream string, index uint64) string {
 	t.Helper()
 	set.Tick, set.SnapshotInterval = 10000, 1000 // it begins no election of its own
@@ -293,7 +293,7 @@
 	}
 }
 
-// Requests of earlier routers and operators have the answers that they had, except for what tokens tell about when the coordinator began.
+// Requests of earlier routers and operators have the answers that they had, except for the epochs in tokens, which depend on when the coordinator began.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
 	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, SnapshotInterval: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -21,7 +21,7 @@
 // maxQueuedMessages is how many messages wait for one peer; more are dropped, as a network would drop them.
 const maxQueuedMessages = 256
 
-var errStreamEnded = errors.New("the other end ended it")
+var errStreamEnded = errors.New("the peer has ended the stream")
 
 // peerStream is how messages are sent to one peer.
 type peerStream struct {
@@ -66,6 +66,7 @@
 	return stream
 }
 
+// closeStreamsToFormerPeers closes the streams to nodes that have left the cluster.
 func (s *Server) closeStreamsToFormerPeers() {
 	for id, stream := range s.peerStreams {
 		_, isMember := s.node.Peer(id)
@@ -85,7 +86,7 @@
 	}
 }
 
-// reportSent tells the node what became of a message, where it must know.
+// reportSent notifies the node of what became of a message, where it must know.
 func (s *Server) reportSent(message *raftpb.Message, delivered bool) {
 	isSnapshot := message.GetType() == raftpb.MsgSnap
 	if delivered && !isSnapshot {
@@ -144,8 +145,14 @@
 		s.dropQueued(queued)
 		return err
 	}
-	sender := &fleetpb.Identity{Name: s.identity.Name, Folder: s.identity.StorageID, Starts: s.identity.Incarnations, Term: s.identity.Term,
-		Last: s.identity.LastIndex, Address: s.settings.Address}
+	sender := &fleetpb.Identity{
+		Name:    s.identity.Name,
+		Folder:  s.identity.StorageID,
+		Starts:  s.identity.Incarnations,
+		Term:    s.identity.Term,
+		Last:    s.identity.LastIndex,
+		Address: s.settings.Address,
+	}
 	for {
 		var message *raftpb.Message
 		select {
@@ -163,7 +170,7 @@
 			s.reportSent(message, false)
 			return endReason(stream)
 		}
-		sender = nil // the first parcel alone tells it
+		sender = nil // only the first parcel has it
 		s.reportSent(message, true)
 	}
 }
--- a/internal/coordinator/policy.go
+++ b/internal/coordinator/policy.go
@@ -16,9 +16,9 @@
 const (
 	maxCachedContents   = 64
 	maxCachedBytes      = 4 << 20
-	maxPolicyPartSize   = 64 << 10
-	maxPolicyHashSize   = 64
-	maxPolicyPartOffset = 1 << 30
+	maxPolicyPartBytes  = 64 << 10
+	maxPolicyHashBytes  = 64
+	maxPolicyPartOffset = 1 << 30 // it fits any int
 )
 
 // policyContent is a policy document, or the changes that lead to it, compressed and ready to be sent in parts.
@@ -32,33 +32,25 @@
 // Policy returns a part of what leads a router to the version in force, as this node knows it. It may lag behind the leader; routers never
 // go back to an earlier version. It implements the gRPC service.
 func (s *Server) Policy(ctx context.Context, request *fleetpb.PolicyFrom) (*fleetpb.PolicyPart, error) {
-	if len(request.Hash) > maxPolicyHashSize || request.Most == 0 {
+	if len(request.Hash) > maxPolicyHashBytes || request.Most == 0 {
 		return nil, status.Error(codes.InvalidArgument, "unsound")
 	}
-	result := make(chan policyContent, 1)
-	if err := s.post(ctx, func() {
-		if s.suspended() {
-			close(result)
-			return
-		}
-		content, _ := s.policyContent(policy.Request{Have: request.Have, Want: request.Want, Full: request.Whole,
-			Offset: int(min(request.Offset, maxPolicyPartOffset))})
-		result <- content
-	}); err != nil {
+	content, err := query(ctx, s, func() policyContent {
+		content, _ := s.policyContent(policy.Request{
+			Have:   request.Have,
+			Want:   request.Want,
+			Full:   request.Whole,
+			Offset: int(min(request.Offset, maxPolicyPartOffset)),
+		})
+		return content
+	})
+	if err != nil {
 		return nil, err
 	}
-	select {
-	case content, ok := <-result:
-		if !ok {
-			return nil, errStorage
-		}
-		if content.version.Number == 0 {
-			return nil, status.Error(codes.NotFound, "this process knows of no such version: it may lag, ask another")
-		}
-		return content.part(request), nil
-	case <-s.ctx.Done():
-		return nil, errEnding
+	if content.version.Number == 0 {
+		return nil, status.Error(codes.NotFound, "this process knows of no such version: it may lag, ask another")
 	}
+	return content.part(request), nil
 }
 
 // part returns the part that a request asks for, or the first one where the request was for a part of another version or past the end.
@@ -68,7 +60,7 @@
 	if c.version.Packed() != request.Want || start == total {
 		start = 0
 	}
-	end := min(start+min(request.Most, maxPolicyPartSize), total)
+	end := min(start+min(request.Most, maxPolicyPartBytes), total)
 	return &fleetpb.PolicyPart{Version: rpc.EncodePolicy(c.version, nil), Whole: c.whole, Offset: start, Total: total,
 		Bytes: c.compressed[start:end]}
 }
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -55,7 +55,7 @@
 	SeededDefects    SeededDefects
 }
 
-// SeededDefects are defects that tests plant to show that checkers find them; the program sets none of them.
+// SeededDefects are defects by which tests show that checkers find them; the program sets none of them.
 type SeededDefects struct {
 	EarlyAcknowledge bool // sends and answers what rests on an entry before the entry is stored
 }
@@ -101,13 +101,17 @@
 	errEnding  = status.Error(codes.Unavailable, "this process is ending")
 )
 
-// Open makes a node from its data directory. It does nothing until Run. If the storage is unavailable for now, Run tries again; other
+// Open returns a node with what its data directory holds. It does nothing until Run. If the storage is unavailable for now, Run tries again; other
 // errors of the directory are returned.
 func Open(settings Settings) (*Server, error) {
 	s := &Server{
-		settings: settings, inbox: make(chan func(), inboxSize), pending: map[uint64]func(raftnode.Decision){},
-		peerStreams: map[uint64]*peerStream{}, joiningPeers: map[uint64]raftnode.Peer{}, stateChanged: make(chan struct{}),
-		lastRequest: firstRequest(),
+		settings:     settings,
+		inbox:        make(chan func(), inboxSize),
+		peerStreams:  map[uint64]*peerStream{},
+		joiningPeers: map[uint64]raftnode.Peer{},
+		lastRequest:  firstRequest(),
+		pending:      map[uint64]func(raftnode.Decision){},
+		stateChanged: make(chan struct{}),
 	}
 	err := s.load()
 	if errors.Is(err, storage.ErrUnavailable) {
@@ -142,6 +146,7 @@
 	return s.loop(ctx)
 }
 
+// newGRPCServer returns the server for peers and clients.
 func (s *Server) newGRPCServer() *grpc.Server {
 	interceptors := rpc.NewInterceptors(s.settings.Fleet)
 	server := grpc.NewServer(
@@ -156,6 +161,7 @@
 	return server
 }
 
+// logStart writes to the logs what the node starts with.
 func (s *Server) logStart(listener net.Listener) {
 	var applied, epoch uint64
 	if !s.suspended() {
@@ -216,6 +222,29 @@
 	}
 }
 
+// query has the loop run f, and returns its result. The error is errStorage, and f isn't run, while the node is suspended.
+func query[T any](ctx context.Context, s *Server, f func() T) (result T, err error) {
+	results := make(chan T, 1)
+	if err := s.post(ctx, func() {
+		if s.suspended() {
+			close(results)
+			return
+		}
+		results <- f()
+	}); err != nil {
+		return result, err
+	}
+	select {
+	case result, ok := <-results:
+		if !ok {
+			return result, errStorage
+		}
+		return result, nil
+	case <-s.ctx.Done():
+		return result, errEnding
+	}
+}
+
 // request has the loop begin something under a new request number and waits for the decision that ends it: Done or Redirect. A result that
 // can't be known is errUnknown.
 func (s *Server) request(ctx context.Context, begin func(request uint64)) (raftnode.Decision, error) {
--- a/internal/coordinator/storage.go
+++ b/internal/coordinator/storage.go
@@ -13,7 +13,7 @@
 	"wayloft/internal/storage"
 )
 
-// suspended returns whether this node takes part in nothing, because what it holds in memory may not be on its disk.
+// suspended reports whether this node takes part in nothing, because what it holds in memory may not be on its disk.
 func (s *Server) suspended() bool { return s.node == nil }
 
 // suspend gives the node up after a storage failure: it sends nothing more that rests on what could not be stored, neither votes nor
@@ -64,6 +64,7 @@
 	return err
 }
 
+// loadNode builds the node from what the store holds, if that is all that the node knew to be stored.
 func (s *Server) loadNode() error {
 	stored, incarnations, err := ReadStored(s.store)
 	if err != nil {
@@ -97,6 +98,7 @@
 	return nil
 }
 
+// newNode returns a node from what is stored, and what must be stored before it is used; nil: nothing.
 func (s *Server) newNode(stored raftnode.Stored) (*raftnode.Node, *raftnode.Decision, error) {
 	// Raft's own lines are about its internals: only its errors are logged.
 	log := logrus.New()
@@ -104,16 +106,26 @@
 	log.SetFormatter(logrus.StandardLogger().Formatter)
 	log.SetLevel(logrus.ErrorLevel)
 	return raftnode.New(raftnode.Settings{
-		Fleet: s.settings.Fleet, Name: s.settings.Name, Peers: s.settings.Peers,
-		Epoch: rpc.EpochAt(time.Now()), KnownEpoch: s.settings.KnownEpoch,
-		Tick: s.settings.Tick, SnapshotInterval: s.settings.SnapshotInterval, Logger: log,
+		Fleet:            s.settings.Fleet,
+		Name:             s.settings.Name,
+		Peers:            s.settings.Peers,
+		Epoch:            rpc.EpochAt(time.Now()),
+		KnownEpoch:       s.settings.KnownEpoch,
+		Tick:             s.settings.Tick,
+		SnapshotInterval: s.settings.SnapshotInterval,
+		Logger:           log,
 	}, stored)
 }
 
-// setIdentity notes what this node tells its peers about its data directory.
+// setIdentity records what this node sends its peers about its data directory.
 func (s *Server) setIdentity(stored raftnode.Stored) {
-	s.identity = raftnode.Identity{Name: s.settings.Name, StorageID: s.store.Identity.StorageID, Incarnations: s.store.Identity.Incarnations,
-		Term: stored.HardState.GetTerm(), LastIndex: stored.Snapshot.GetMetadata().GetIndex()}
+	s.identity = raftnode.Identity{
+		Name:         s.settings.Name,
+		StorageID:    s.store.Identity.StorageID,
+		Incarnations: s.store.Identity.Incarnations,
+		Term:         stored.HardState.GetTerm(),
+		LastIndex:    stored.Snapshot.GetMetadata().GetIndex(),
+	}
 	if count := len(stored.Entries); count > 0 {
 		s.identity.LastIndex = stored.Entries[count-1].GetIndex()
 	}
@@ -131,6 +143,7 @@
 	return true
 }
 
+// writeSucceeded records that the storage works.
 func (s *Server) writeSucceeded() {
 	if s.backoff.Succeed(s.now()) {
 		logrus.WithFields(logrus.Fields{"directory": s.settings.Dir, "applied": s.node.Applied()}).Info("storage works again")
--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -5,241 +5,24 @@
 import (
 	"context"
 	"fmt"
-	"maps"
-	"net"
 	"os"
 	"path/filepath"
 	"runtime"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
-	"time"
 
 	"github.com/sirupsen/logrus"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"wayloft/internal/audit"
 	"wayloft/internal/decide/leasestate"
-	"wayloft/internal/decide/raftnode"
 	"wayloft/internal/failpoint"
 	"wayloft/internal/fleetpb"
-	"wayloft/internal/rpc"
 )
 
-const testTimeout = time.Minute // until a test has failed; nothing waits for it
-
-// failingStores are the folders of a test's processes, each of which may fail for as long as the test wants.
-type failingStores struct {
-	mu       sync.Mutex
-	failing  map[string]error // by process
-	attempts map[string]int
-	changed  chan struct{} // closed when a try has failed
-}
-
-func newFailingStores() *failingStores {
-	return &failingStores{failing: map[string]error{}, attempts: map[string]int{}, changed: make(chan struct{})}
-}
-
-// failStores has writes, syncs or openings of the folders fail.
-func failStores(t *testing.T, points ...string) *failingStores {
-	t.Helper()
-	stores := newFailingStores()
-	for _, point := range points {
-		t.Cleanup(failpoint.SetOperationError(point, stores.fail))
-	}
-	return stores
-}
-
-func (d *failingStores) fail(path string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	name := filepath.Base(filepath.Dir(path))
-	err := d.failing[name]
-	if err != nil {
-		d.attempts[name]++
-		close(d.changed)
-		d.changed = make(chan struct{})
-	}
-	return err
-}
-
-func (d *failingStores) set(err error, names ...string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, name := range names {
-		d.failing[name], d.attempts[name] = err, 0
-	}
-}
-
-// waitForFailures waits until the disks of so many processes have refused so often.
-func (d *failingStores) waitForFailures(t *testing.T, processes, times int) {
-	t.Helper()
-	late := time.After(testTimeout)
-	for {
-		d.mu.Lock()
-		tried, changed := maps.Clone(d.attempts), d.changed
-		d.mu.Unlock()
-		reached := 0
-		for _, n := range tried {
-			if n >= times {
-				reached++
-			}
-		}
-		if reached >= processes {
-			return
-		}
-		select {
-		case <-changed:
-		case <-late:
-			t.Fatalf("the disks refused %v times, not %d at %d of them", tried, times, processes)
-		}
-	}
-}
-
-// cluster is a coordinator cluster whose nodes run in the test's process.
-type cluster struct {
-	t     *testing.T
-	dir   string
-	peers []raftnode.Peer
-	nodes map[string]*runningNode
-}
-
-type runningNode struct {
-	*Server
-	address string
-	end     context.CancelFunc
-	ended   chan error
-}
-
-func newCluster(t *testing.T, names ...string) *cluster {
-	t.Helper()
-	c := &cluster{t: t, dir: t.TempDir(), nodes: map[string]*runningNode{}}
-	for _, name := range names {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer closeAndCheck(t, l)
-		c.peers = append(c.peers, raftnode.Peer{Name: name, Addr: l.Addr().String()})
-	}
-	t.Cleanup(func() {
-		for name := range c.nodes {
-			c.stop(name)
-		}
-	})
-	return c
-}
-
-func (c *cluster) start(name string, defects SeededDefects) {
-	c.t.Helper()
-	var addr string
-	for _, p := range c.peers {
-		if p.Name == name {
-			addr = p.Addr
-		}
-	}
-	rec, err := audit.Open(filepath.Join(c.dir, name+".record"), name)
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	process, err := Open(Settings{Fleet: "lab", Name: name, Dir: filepath.Join(c.dir, name), Address: addr, Peers: c.peers, Tick: 20, SnapshotInterval: 1000,
-		MaxConnections: 32, AuditLog: rec, SeededDefects: defects})
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	listener, err := net.Listen("tcp", addr)
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	p := &runningNode{Server: process, address: addr, end: cancel, ended: make(chan error, 1)}
-	go func() {
-		p.ended <- process.Run(ctx, listener)
-		rec.Close()
-	}()
-	c.nodes[name] = p
-}
-
-func (c *cluster) stop(name string) {
-	c.t.Helper()
-	p := c.nodes[name]
-	delete(c.nodes, name)
-	p.end()
-	if err := <-p.ended; err != nil {
-		c.t.Errorf("%s: %v", name, err)
-	}
-}
-
-// try asks one process; what it refuses for now, or can't tell, is an error.
-func (c *cluster) try(ctx context.Context, p *runningNode, q *fleetpb.Request) (*fleetpb.Answer, error) {
-	conn, err := rpc.Dial(p.address, "lab")
-	if err != nil {
-		return nil, err
-	}
-	defer closeAndCheck(c.t, conn)
-	a, err := fleetpb.NewCouncilClient(conn).Do(ctx, q)
-	if err != nil {
-		return nil, err
-	}
-	if a.Moved {
-		return nil, fmt.Errorf("%s leads", a.Leader)
-	}
-	return a, nil
-}
-
-// do asks all processes in turn until one has answered.
-func (c *cluster) do(q *fleetpb.Request) (answer *fleetpb.Answer, by *runningNode) {
-	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-	defer cancel()
-	var last error
-	for ctx.Err() == nil {
-		for _, p := range c.nodes {
-			one, end := context.WithTimeout(ctx, time.Second)
-			a, err := c.try(one, p, q)
-			end()
-			if err == nil {
-				return a, p
-			}
-			switch last = err; status.Code(err) {
-			case codes.Aborted, codes.Unavailable, codes.DeadlineExceeded, codes.Unknown:
-			default:
-				c.t.Fatal(err)
-			}
-		}
-	}
-	c.t.Fatalf("nobody answered: %v", last)
-	return nil, nil
-}
-
-func entry(kind leasestate.Kind, lease string) *fleetpb.Request {
-	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{Kind: kind, Session: "r", Incarnation: 1, Role: "router", Timeout: 60000, Lease: lease})}
-}
-
-// acquire has a lease taken and gives its fencing token, the proof of what was acknowledged.
-func (c *cluster) acquire(lease string) (token *fleetpb.Fence, by *runningNode) {
-	c.t.Helper()
-	c.do(entry(leasestate.OpenSession, ""))
-	a, by := c.do(entry(leasestate.AcquireLease, lease))
-	if !a.Held {
-		c.t.Fatalf("%s: %v", lease, a)
-	}
-	return a.Fence, by
-}
-
-// checkToken wants a lease under the fencing token under which it was granted.
-func (c *cluster) checkToken(lease string, want *fleetpb.Fence) error {
-	c.t.Helper()
-	if a, _ := c.do(&fleetpb.Request{Stand: lease}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
-		return fmt.Errorf("%s is held under %v, was granted under %v", lease, a.Fence, want)
-	}
-	return nil
-}
-
-// countLogLines gives how often a line came since the hook was set.
+// countLogLines returns how often a line came since the hook was set.
 func countLogLines(hook *logtest.Hook, text string) (n int) {
 	for _, e := range hook.AllEntries() {
 		if strings.HasPrefix(e.Message, text) {
@@ -249,6 +32,7 @@
 	return n
 }
 
+// globalHook records the log lines of the test.
 func globalHook(t *testing.T) *logtest.Hook {
 	t.Helper()
 	hook := logtest.NewGlobal()
@@ -347,14 +131,6 @@
 	cluster.acquire("a")
 }
 
-// restartKilled has a process taken down while its disk refuses, with nothing more stored, and started again.
-func (c *cluster) restartKilled(stores *failingStores, name string, defects SeededDefects) {
-	c.t.Helper()
-	c.stop(name)
-	stores.set(nil, name)
-	c.start(name, defects)
-}
-
 // What was acknowledged while the disk began to fail is there after a kill; the seeded defect, an acknowledgement before the
 // sync, is found.
 func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
@@ -387,7 +163,7 @@
 		t.Error(err)
 	}
 	if err := lost(t, SeededDefects{EarlyAcknowledge: true}); err == nil {
-		t.Error("the planted defect is not found")
+		t.Error("the seeded defect is not found")
 	}
 }
 
--- a/internal/coordinator/stored.go
+++ b/internal/coordinator/stored.go
@@ -19,7 +19,8 @@
 	incarnationsValue = "met"
 )
 
-var errEntryNumber = errors.New("its index is not its record's number")
+// errEntryIndex means that a log entry is stored under the number of another.
+var errEntryIndex = errors.New("its index differs from its record's number")
 
 // ReadStored returns what a store holds of a coordinator node. The error says which value or entry can't be decoded.
 func ReadStored(store *storage.Store) (raftnode.Stored, *raftnode.KnownIncarnations, error) {
@@ -37,7 +38,7 @@
 	if encoded := values[hardStateValue]; encoded != nil {
 		stored.HardState = &raftpb.HardState{}
 		if err := proto.Unmarshal(encoded, stored.HardState); err != nil {
-			return stored, nil, fmt.Errorf("state: %w", err)
+			return stored, nil, fmt.Errorf("hard state: %w", err)
 		}
 	}
 	if encoded := values[snapshotValue]; encoded != nil {
@@ -47,19 +48,26 @@
 		}
 	}
 	for _, record := range records {
-		entry := &raftpb.Entry{}
-		err := proto.Unmarshal(record.Bytes, entry)
-		if err == nil && entry.GetIndex() != record.Number {
-			err = errEntryNumber
-		}
+		entry, err := decodeEntry(record)
 		if err != nil {
-			return stored, nil, fmt.Errorf("entry %d: not sound: %w", record.Number, err)
+			return stored, nil, fmt.Errorf("log entry %d: %w", record.Number, err)
 		}
 		stored.Entries = append(stored.Entries, entry)
 	}
 	return stored, incarnations, nil
 }
 
+func decodeEntry(record storage.Record) (*raftpb.Entry, error) {
+	entry := &raftpb.Entry{}
+	if err := proto.Unmarshal(record.Bytes, entry); err != nil {
+		return nil, err
+	}
+	if entry.GetIndex() != record.Number {
+		return nil, errEntryIndex
+	}
+	return entry, nil
+}
+
 // WriteDecision stores what a Save or Compact decision holds, and returns once it is on disk. The error matches storage.ErrUnavailable if
 // it is not known whether it is.
 func WriteDecision(store *storage.Store, decision raftnode.Decision) error {
@@ -79,13 +87,14 @@
 	for _, entry := range decision.Entries {
 		encoded, err := proto.Marshal(entry)
 		if err != nil {
-			return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+			return fmt.Errorf("log entry %d: %w", entry.GetIndex(), err)
 		}
 		batch.Records = append(batch.Records, storage.Record{Number: entry.GetIndex(), Bytes: encoded})
 	}
 	return store.Write(batch)
 }
 
+// putValue adds a value to a batch.
 func putValue(batch storage.Batch, name string, value proto.Message) error {
 	encoded, err := proto.Marshal(value)
 	if err != nil {
--- a/internal/coordinator/watch.go
+++ b/internal/coordinator/watch.go
@@ -65,32 +65,17 @@
 	s.stateChanged = make(chan struct{})
 }
 
+// changesSince returns what has changed in the state since an index; 0: the complete state.
 func (s *Server) changesSince(ctx context.Context, since uint64, withoutSessions bool) (*fleetpb.Update, error) {
-	result := make(chan *fleetpb.Update, 1)
-	if err := s.post(ctx, func() {
-		if s.suspended() {
-			close(result)
-			return
-		}
+	return query(ctx, s, func() *fleetpb.Update {
 		changes, index := leaseclient.Changes(s.node.State(), since, withoutSessions)
 		update := rpc.EncodeUpdate(changes)
 		update.Index = index
-		result <- update
-	}); err != nil {
-		return nil, err
-	}
-	select {
-	case update, ok := <-result:
-		if !ok {
-			return nil, errStorage
-		}
-		return update, nil
-	case <-s.ctx.Done():
-		return nil, errEnding
-	}
+		return update
+	})
 }
 
-// waitForChange waits until the state has changed, which it returns, until a time has passed, or until the client has gone.
+// waitForChange waits until the state has changed, the timeout has passed or the client has gone. It reports whether the state has changed.
 func (s *Server) waitForChange(ctx context.Context, stateChanged <-chan struct{}, timeout time.Duration) (changed bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
