--- a/internal/rpc/clock.go
+++ b/internal/rpc/clock.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// epochZero is the Unix time in seconds that epochs are counted from.
-const epochZero = 1700000000
+// epochZeroSeconds is the Unix time from which epochs are counted.
+const epochZeroSeconds = 1700000000
 
 // Boottime returns the time since the machine's boot in ms. It never goes back and also runs while the machine sleeps.
 func Boottime() float64 {
@@ -23,13 +23,13 @@
 
 // EpochAt returns the epoch of a coordinator that begins at this time: seconds since November 2023, so that one that begins later has
 // a higher epoch.
-func EpochAt(now time.Time) uint64 { return uint64(max(1, now.Unix()-epochZero)) }
+func EpochAt(now time.Time) uint64 { return uint64(max(1, now.Unix()-epochZeroSeconds)) }
 
 // UniqueID draws a random number for what must differ from all others: a data directory, or an incarnation.
 func UniqueID() uint64 {
-	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, by its documentation
-	return binary.BigEndian.Uint64(b[:])
+	var random [8]byte
+	_, _ = rand.Read(random[:]) // never fails, by its documentation
+	return binary.BigEndian.Uint64(random[:])
 }
 
 // Jitter draws a delay from half of d to one and a half of it, so that what failed together doesn't retry together.
--- a/internal/rpc/compress.go
+++ b/internal/rpc/compress.go
@@ -6,12 +6,12 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// zstdWindowSize bounds the memory of the encoder, and of decoders of what it writes.
-const zstdWindowSize = 256 << 10
+// zstdWindowBytes bounds the memory of the encoder, and of decoders of what it writes.
+const zstdWindowBytes = 256 << 10
 
 // zstdEncoder is made when it is first used: a process that only decompresses needs none.
 var zstdEncoder = sync.OnceValue(func() *zstd.Encoder {
-	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(zstdWindowSize), zstd.WithLowerEncoderMem(true))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(zstdWindowBytes), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		panic(err) // its options alone can be wrong
 	}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -11,6 +11,7 @@
 	"wayloft/internal/decide/leaseclient"
 	"wayloft/internal/decide/leasestate"
 	"wayloft/internal/decide/policy"
+	"wayloft/internal/decide/switchover"
 	"wayloft/internal/fleetpb"
 )
 
@@ -35,24 +36,28 @@
 	}
 	for _, bad := range [][]byte{[]byte("not compressed at all"), compressed[:len(compressed)/2]} {
 		if _, err := Decompress(bad, 1<<20); err == nil {
-			t.Errorf("%d bytes that are not sound are accepted", len(bad))
+			t.Errorf("%d malformed bytes are accepted", len(bad))
 		}
 	}
 }
 
 func TestPolicy_RoundTripAndRejections(t *testing.T) {
-	v := policy.Version{Epoch: 3, Number: 4, Hash: [32]byte{5}, Base: 6, Size: 7, Author: "a", Reason: "r"}
-	x := policy.Difference{Set: map[string]string{"over_share_value": "0.2"}, Removed: []string{"tenants.a.rate"}}
-	got, y, err := DecodePolicy(EncodePolicy(v, &x))
-	if err != nil || got != v || y.Set["over_share_value"] != "0.2" || len(y.Removed) != 1 {
-		t.Error(got, y, err)
+	version := policy.Version{Epoch: 3, Number: 4, Hash: [32]byte{5}, Base: 6, Size: 7, Author: "a", Reason: "r"}
+	sent := policy.Difference{Set: map[string]string{"over_share_value": "0.2"}, Removed: []string{"tenants.a.rate"}}
+	got, received, err := DecodePolicy(EncodePolicy(version, &sent))
+	if err != nil || got != version || received.Set["over_share_value"] != "0.2" || len(received.Removed) != 1 {
+		t.Error(got, received, err)
 	}
-	if _, y, err := DecodePolicy(EncodePolicy(v, nil)); y != nil || err != nil {
-		t.Error(y, err)
+	if _, received, err := DecodePolicy(EncodePolicy(version, nil)); received != nil || err != nil {
+		t.Error(received, err)
 	}
-	for name, p := range map[string]*fleetpb.Policy{"nothing": nil, "a short hash": {Hash: []byte{1}}, "a great number": {Hash: make([]byte, 32), Number: 1 << 40},
-		"no difference": {Hash: make([]byte, 32), Told: true, Difference: []byte{0xff}}} {
-		if _, _, err := DecodePolicy(p); err == nil {
+	for name, message := range map[string]*fleetpb.Policy{
+		"nothing":        nil,
+		"a short hash":   {Hash: []byte{1}},
+		"a great number": {Hash: make([]byte, 32), Number: 1 << 40},
+		"no difference":  {Hash: make([]byte, 32), Told: true, Difference: []byte{0xff}},
+	} {
+		if _, _, err := DecodePolicy(message); err == nil {
 			t.Error(name)
 		}
 	}
@@ -61,28 +66,32 @@
 // The first update of a watch in a fleet of 610 routers and 164 groups with two leases each: sessions are two thirds of it, and a router that
 // places no orders needs none of them. The rest has to arrive within a few seconds of an allowance of 6 KB a second.
 func TestUpdate_SizeForAFleet(t *testing.T) {
-	r := leasestate.New("f")
-	at := uint64(0)
-	do := func(e leasestate.Entry) {
-		at++
-		if a := r.Apply(at, e); !a.Held {
-			t.Fatal(e, a)
+	state := leasestate.New("f")
+	index := uint64(0)
+	apply := func(entry leasestate.Entry) {
+		index++
+		if result := state.Apply(index, entry); !result.Held {
+			t.Fatal(entry, result)
 		}
 	}
+	session := func(name string, incarnation, policy uint64) leasestate.Entry {
+		return leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: incarnation, Timeout: 2000, Role: "router",
+			Address: "10.20.30.40:7101", Policy: policy}
+	}
 	for n := range 610 {
 		name := fmt.Sprintf("router-%03d", n)
-		do(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1764547200000, Timeout: 2000, Role: "router", Address: "10.20.30.40:7101", Policy: 94000000 << 32})
+		apply(session(name, 1764547200000, 94000000<<32))
 		if n < 328 {
-			do(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1764547200000, Lease: fmt.Sprint("handover/", n)})
+			apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1764547200000, Lease: switchover.LeaseName(n)})
 		}
 	}
-	size := func(since uint64, without bool) int {
-		u, _ := leaseclient.Changes(r, since, without)
-		return proto.Size(EncodeUpdate(u))
+	size := func(since uint64, withoutSessions bool) int {
+		update, _ := leaseclient.Changes(state, since, withoutSessions)
+		return proto.Size(EncodeUpdate(update))
 	}
 	all, few := size(0, false), size(0, true)
-	do(leasestate.Entry{Kind: leasestate.OpenSession, Session: "router-007", Incarnation: 1764547300000, Timeout: 2000, Role: "router", Address: "10.20.30.40:7101"})
-	one, none := size(at-1, false), size(at-1, true)
+	apply(session("router-007", 1764547300000, 0))
+	one, none := size(index-1, false), size(index-1, true)
 	t.Logf("%d bytes with sessions, %d without; a router that restarts: %d, %d", all, few, one, none)
 	if few > 3*6<<10 || all < 2*few || none > one {
 		t.Errorf("%d bytes with sessions, %d without; a restart %d, %d", all, few, one, none)
