--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -27,8 +27,8 @@
 // What the driver of a holder has to do.
 const (
 	RequestLease  Action = iota // send a request for the lease, or to renew it, with the number Request
-	ReleaseLease                // tell the coordinator that the lease held under Token is given back
-	TransferLease               // tell the coordinator to grant the lease held under Token to To next
+	ReleaseLease                // report to the coordinator that the lease held under Token is released
+	TransferLease               // ask the coordinator to grant the lease held under Token to To next
 	Stop                        // end what acts under Token: nothing more may go out
 	Start                       // begin to act under Token
 )
@@ -129,7 +129,7 @@
 	}
 }
 
-// overtaken tells whether a grant under a token is known to be over.
+// overtaken reports whether a grant under a token is known to be over.
 func (h *Holder) overtaken(token Token) bool {
 	notAboveForeign := h.highestForeign != (Token{}) && token.Compare(h.highestForeign) <= 0
 	return token.Compare(h.token) < 0 || token.Compare(h.highestSeen) < 0 || notAboveForeign
@@ -190,7 +190,7 @@
 
 func (h *Holder) decide(decision Decision) { h.decisions = append(h.decisions, decision) }
 
-// Valid tells whether an act may go out now, and the token that goes with it. Call it right before the act.
+// Valid reports whether an act may be sent now, and returns the token that goes with it. Call it right before the act.
 func (h *Holder) Valid() (Token, bool) { return h.token, h.acting && h.now < h.validUntil }
 
 // NextDeadline returns when Advance must be called next at the latest; +Inf: not because of time.
--- a/internal/decide/lease/receiver.go
+++ b/internal/decide/lease/receiver.go
@@ -99,7 +99,7 @@
 	r.seen[scope.Lease][scope.Subject] = act
 }
 
-// Learned tells whether acts of a lease may be accepted yet.
+// Learned reports whether acts of a lease may be accepted yet.
 func (r *Receiver) Learned(lease string) bool {
 	_, learned := r.learned[lease]
 	return learned
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// may tells whether something may happen once more.
+// may reports whether something may happen once more.
 func (w *world) may(kind stepKind) bool { return w.done[kind] < most[kind] }
 
 // steps returns what may happen next.
@@ -318,7 +318,7 @@
 	}
 }
 
-// key tells states of the world apart.
+// key returns a hash by which states of the world are distinguished.
 func (w *world) key() uint64 {
 	network := slices.SortedFunc(slices.Values(w.network), func(a, b message) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.holder, b.holder), cmp.Compare(a.number, b.number), a.token.Compare(b.token))
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -84,7 +84,7 @@
 
 	receiver     *lease.Receiver
 	tokenQueries map[string]*backoff // by lease whose token this receiver has yet to learn
-	reportedAt   map[string]float64  // by lease: when the coordinator was told of a higher token
+	reportedAt   map[string]float64  // by lease: when a higher token was reported to the coordinator
 
 	sessions         map[string]Session // as the watch has them, by name
 	leases           map[string]Lease
--- a/internal/decide/leaseclient/client_test.go
+++ b/internal/decide/leaseclient/client_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// The version that a process has applied is told with the next heartbeat, at once, and again when its session is opened again.
+// The version that a process has applied is reported with the next heartbeat, at once, and again when its session is opened again.
 func TestPolicyApplied_ReportedAtOnceAndAfterReopening(t *testing.T) {
 	h := newHarness(t)
 	h.runUntil(500, true)
--- a/internal/decide/leaseclient/incarnation.go
+++ b/internal/decide/leaseclient/incarnation.go
@@ -3,7 +3,7 @@
 import "wayloft/internal/decide/random"
 
 // The state machine (leasestate) replaces a session by one of a higher incarnation and refuses a lower one. A process takes its first
-// number from the wall clock, which may be stepped between two starts, so numbers alone don't tell which of two processes of one name
+// number from the wall clock, which may be stepped between two starts, so numbers alone don't show which of two processes of one name
 // was started later. Two classes of numbers do: those of sessions that were opened again are below those of first sessions.
 //
 //   - A process that has had a session, was paused, or has tried for long opens sessions in the lower class only: it never replaces the
--- a/internal/decide/leaseclient/incarnation_test.go
+++ b/internal/decide/leaseclient/incarnation_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// hasSession tells whether the name's session is this process's.
+// hasSession reports whether the name's session is this process's.
 func (n *namesakes) hasSession(client *Client) bool {
 	s, open := n.state.Session("p")
 	return open && s.Incarnation == client.incarnation.current && client.HasSession()
@@ -205,7 +205,7 @@
 	n.requireSessionOf(later, "it is back")
 }
 
-// A request whose answer was lost may have been granted: who meets a higher incarnation after it can't tell whether that one was there
+// A request whose answer was lost may have been granted: who meets a higher incarnation after it can't know whether that one was there
 // before, and waits.
 func TestIncarnation_UnknownOutcomeClaimsNothing(t *testing.T) {
 	n := newNamesakes(t)
--- a/internal/decide/leaseclient/leases.go
+++ b/internal/decide/leaseclient/leases.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Valid tells whether this process may act for a lease now, and the fencing token that goes with the act. Call it right before the act.
+// Valid reports whether this process may act for a lease now, and returns the fencing token that goes with the act. Call it right before the act.
 func (c *Client) Valid(name string) (lease.Token, bool) {
 	if h := c.holder(name); h != nil {
 		return h.Valid()
--- a/internal/decide/leaseclient/session.go
+++ b/internal/decide/leaseclient/session.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// heartbeatAnswered has the next heartbeat sent in time, and the coordinator told once more where it knows less than this receiver.
+// heartbeatAnswered has the next heartbeat sent in time, and higher tokens reported once more where the coordinator doesn't know them.
 func (c *Client) heartbeatAnswered() {
 	for _, name := range slices.Sorted(maps.Keys(c.leases)) {
 		c.reportHigherToken(c.leases[name])
@@ -93,11 +93,11 @@
 	c.incarnation.reopen()
 }
 
-// HasSession tells whether this process has a session, as far as it knows.
+// HasSession reports whether this process has a session, as far as it knows.
 func (c *Client) HasSession() bool { return c.sessionOpen }
 
 // PolicyApplied says which version of the policy this process has applied, by its number, and which it couldn't apply, with the reason, if
-// there is one. The next heartbeat, sent at once, tells the coordinator.
+// there is one. The next heartbeat, sent at once, reports it to the coordinator.
 func (c *Client) PolicyApplied(applied, rejected uint64, reason string) {
 	if c.appliedPolicy == applied && c.rejectedPolicy == rejected && c.rejectionReason == reason {
 		return
@@ -131,5 +131,5 @@
 	c.propose(leasestate.Entry{Kind: leasestate.CloseSession, RejectedActs: uint64(c.RejectedActs)})
 }
 
-// ShutdownComplete tells whether the coordinator has been told of the shutdown, or can't be.
+// ShutdownComplete reports whether the session is closed, or the request to close it has failed and its timeout will end it.
 func (c *Client) ShutdownComplete() bool { return c.shutdownComplete }
--- a/internal/decide/leaseclient/tokens.go
+++ b/internal/decide/leaseclient/tokens.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// reportHigherToken tells the coordinator of a token that this receiver has seen and the coordinator, by what its watch says of the lease,
+// reportHigherToken reports to the coordinator a token that this receiver has seen and the coordinator, by what its watch says of the lease,
 // doesn't know or has granted to another.
 func (c *Client) reportHigherToken(watched Lease) {
 	highest, holder := c.receiver.Highest(watched.Name)
--- a/internal/decide/leaseclient/tokens_test.go
+++ b/internal/decide/leaseclient/tokens_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A coordinator whose state regressed is told, with the holder whose act was accepted, and again while that lasts.
+// A higher token is reported to a coordinator whose state regressed, with the holder whose act was accepted, and again while that lasts.
 func TestClient_ReportsHigherTokenAgain(t *testing.T) {
 	h := newHarness(t)
 	h.client.LearnToken("e")
--- a/internal/decide/leaseclient/watch.go
+++ b/internal/decide/leaseclient/watch.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// SessionsComplete tells whether Sessions has all that the coordinator has: a watch may leave them out.
+// SessionsComplete reports whether Sessions has all that the coordinator has: a watch may leave them out.
 func (c *Client) SessionsComplete() bool { return c.sessionsComplete }
 
-// Sessions returns the sessions of a role that the watch told of, by name.
+// Sessions returns the sessions of a role that the watch has reported, by name.
 func (c *Client) Sessions(role string) (found []Session) {
 	for _, name := range slices.Sorted(maps.Keys(c.sessions)) {
 		if c.sessions[name].Role == role {
@@ -91,7 +91,7 @@
 	return found
 }
 
-// Lease returns what the watch told of a lease.
+// Lease returns what the watch has reported of a lease.
 func (c *Client) Lease(name string) (Lease, bool) {
 	watched, found := c.leases[name]
 	return watched, found
--- a/internal/decide/raftnode/incarnations.go
+++ b/internal/decide/raftnode/incarnations.go
@@ -10,7 +10,7 @@
 // maxKnownIncarnations bounds how many nodes are remembered, with those that left.
 const maxKnownIncarnations = 4 * maxPeers
 
-// Identity is what a node tells its peers about its data directory when it connects.
+// Identity is what a node sends its peers about its data directory when it connects.
 type Identity struct {
 	Name         string   `cbor:"1,keyasint"`
 	StorageID    uint64   `cbor:"2,keyasint"` // drawn when the directory was created
@@ -34,7 +34,7 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// HandshakeReason tells why a node is rejected.
+// HandshakeReason says why a node is rejected.
 type HandshakeReason int
 
 // The reasons why a node is rejected.
--- a/internal/decide/raftnode/membership.go
+++ b/internal/decide/raftnode/membership.go
@@ -65,7 +65,7 @@
 	Add      []Peer `cbor:"Add"`
 }
 
-// ChangeMembership has nodes join or leave the cluster, through a joint configuration. The request ends by Done, whose result tells why
+// ChangeMembership has nodes join or leave the cluster, through a joint configuration. The request ends by Done, whose result says why
 // it was rejected, by Redirect or by ResultUnknown. A node that left can't join again under its name.
 func (n *Node) ChangeMembership(request uint64, add []Peer, remove []string) {
 	if !n.isLeader {
@@ -78,7 +78,7 @@
 		change.Context = encode(membershipContext{Proposer: n.id, Request: request, Add: add})
 		err = n.raftNode.ProposeConfChange(change)
 	}
-	if err != nil { // its text is the reason that the operator is told
+	if err != nil { // its text is the reason that the operator sees
 		n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: leasestate.Refusal(err.Error())}})
 		return
 	}
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -297,7 +297,7 @@
 	handshake("after it left", other, true, "")
 }
 
-// A policy proposal with fields that can't be changed gets into no log, and its answer tells all that is wrong; one that is accepted is there
+// A policy proposal with fields that can't be changed gets into no log, and its answer has all that is wrong; one that is accepted is there
 // after a restart; heartbeats that carry a policy version are still batched.
 func TestPolicy_ProposalsAndHeartbeats(t *testing.T) {
 	a := newSingleNode(t, Stored{})
