--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -102,6 +102,12 @@
 	}
 }
 
+// endMemberTurn adds the time since the stream began to wait for the member to what the member has taken.
+func (j *job) endMemberTurn(now float64) {
+	j.memberMs += now - j.memberTurnSince
+	j.memberTurnSince = 0
+}
+
 // expired reports whether a job must not be written any more: the decision for it no longer holds, or its client's time is over.
 func (j *job) expired(now float64) bool {
 	return now > j.notAfter || j.request != nil && now >= j.deadline
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -98,7 +98,8 @@
 		b.requestConn(j)
 		return
 	}
-	if c.fence = fenceNone; d.Unsettled && c.streamState == nil {
+	c.fence = fenceNone
+	if d.Unsettled && c.streamState == nil {
 		c.fence = fenceSent
 	}
 	if !c.startJob(j) {
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -43,18 +43,17 @@
 		return
 	}
 	// Guards against an endless row of messages that are skipped one by one, on an idle connection, too.
-	if c.receivedBytes += len(b); c.streamState == nil && c.receivedBytes > maxUnsolicitedFactor*c.backend.limits.MaxResponse {
+	c.receivedBytes += len(b)
+	if c.streamState == nil && c.receivedBytes > maxUnsolicitedFactor*c.backend.limits.MaxResponse {
 		c.failProtocol()
 		return
 	}
 	c.reader.Feed(b)
 	for c.backend.conns[c.id] == c {
-		m, ok, err := c.reader.Next()
-		if c.countBuffered(); !ok && err == nil {
-			if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
-				c.backend.OverBudget++ // the statement may have run, and there is no memory for the rest of its response
-				c.failProtocol()
-			}
+		m, complete, err := c.reader.Next()
+		c.countBuffered()
+		if !complete && err == nil {
+			c.enforceBudget()
 			return
 		}
 		if err != nil || !c.handle(&m) {
@@ -64,6 +63,15 @@
 	}
 }
 
+// enforceBudget gives up an incomplete response if all of them together exceed their budget. Its statement may have run, and there is no
+// memory for the rest.
+func (c *memberConn) enforceBudget() {
+	if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
+		c.backend.OverBudget++
+		c.failProtocol()
+	}
+}
+
 // countBuffered updates the sum of what all connections hold of responses.
 func (c *memberConn) countBuffered() {
 	buffered := len(c.rows) + c.reader.Buffered()
@@ -143,7 +151,8 @@
 	case m.Kind == pg.RowDescription && c.stage == stageNone && m.ColumnCount == 1:
 		c.stage = stageColumns
 	case m.Kind == pg.DataRow && c.stage == stageColumns && m.ColumnCount == 1:
-		if c.stage = stageRow; c.job.request == nil {
+		c.stage = stageRow
+		if c.job.request == nil {
 			c.value = append([]byte{}, m.FirstColumn...)
 		}
 	case m.Kind == pg.CommandComplete && c.stage == stageRow:
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -118,8 +118,7 @@
 		j.memberTurnSince = now
 		c.backend.poolInput().SetTurn(c.id, false)
 	} else if !membersTurn && j.memberTurnSince > 0 {
-		j.memberMs += now - j.memberTurnSince
-		j.memberTurnSince = 0
+		j.endMemberTurn(now)
 		c.backend.poolInput().SetTurn(c.id, c.transactionStatus != session.StatusIdle)
 	}
 	c.backend.driver.Defer(func() {
@@ -161,7 +160,8 @@
 // Release implements request.BackendConn: the session that the connection was reserved for gives it back. What the session left there is
 // discarded.
 func (c *memberConn) Release() {
-	if c.reservedFor = nil; c.job != nil || c.backend.conns[c.id] != c {
+	c.reservedFor = nil
+	if c.job != nil || c.backend.conns[c.id] != c {
 		return
 	}
 	c.settings = session.NoSettings
@@ -212,7 +212,7 @@
 		defer func() { stream.LastError = nil }()
 	}
 	if j.memberTurnSince > 0 {
-		j.memberMs += c.backend.driver.Now() - j.memberTurnSince
+		j.endMemberTurn(c.backend.driver.Now())
 	}
 	clean := c.nothingExpected() && c.internalPending == 0 && c.transactionStatus == session.StatusIdle && !c.unusable
 	c.job, c.queryWritten, c.queryError = nil, false, nil
@@ -225,11 +225,8 @@
 	switch {
 	case !clean || outcome != router.Succeeded && clientSession.Sticky():
 		c.drop()
-	case outcome == router.Succeeded && clientSession.Sticky():
-		c.reservedFor = stream.Client
-		if stream.Client.Reserve(c); c.member.unavailable {
-			c.terminateReserved()
-		}
+	case clientSession.Sticky():
+		c.reserve(stream.Client)
 	default:
 		c.trimPrepared()
 		c.returnUnlessPending()
@@ -237,6 +234,15 @@
 	return statementError
 }
 
+// reserve keeps the connection for a session between its requests.
+func (c *memberConn) reserve(client request.ClientSession) {
+	c.reservedFor = client
+	client.Reserve(c)
+	if c.member.unavailable {
+		c.terminateReserved()
+	}
+}
+
 // returnUnlessPending gives the connection back to the pool once no internal query is pending.
 func (c *memberConn) returnUnlessPending() {
 	if c.internalPending == 0 {
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -121,7 +121,8 @@
 	case pg.ParseComplete:
 		return c.popExpected(pg.Parse)
 	case pg.BindComplete:
-		if reply, ok = c.popExpected(pg.Bind); ok {
+		reply, ok = c.popExpected(pg.Bind)
+		if ok {
 			c.lastBound = reply.statement
 		}
 		return reply, ok
@@ -226,7 +227,8 @@
 	stream := j.request.Stream
 	c.transactionStatus = m.Status
 	stale := c.staleStatement
-	if c.staleStatement = nil; stale != nil && m.Status == session.StatusIdle {
+	c.staleStatement = nil
+	if stale != nil && m.Status == session.StatusIdle {
 		c.replay(stale)
 		return true
 	}
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -31,7 +31,7 @@
 	if c.job == nil {
 		return
 	}
-	for _, op := range ops {
+	for _, op := range ops { // the end of the data of a COPY may be among them
 		c.copyingIn = c.copyingIn && op.Kind != pg.CopyDone && op.Kind != pg.CopyFail
 	}
 	c.setTurn(c.job, !c.copyingIn) // the member owes no reply while the client sends the data of a COPY
@@ -39,19 +39,7 @@
 		c.queued = append(c.queued, ops...)
 		return
 	}
-	var out []byte
-	for n, op := range ops {
-		if op.Action == session.ForwardDiscardReply {
-			out = append(out, op.Raw...)
-			c.expected = append(c.expected, expectedReply{kind: pg.Query})
-			if c.internalPending++; n+1 == len(ops) || ops[n+1].Action != session.ForwardDiscardReply {
-				c.queued = append(c.queued, ops[n+1:]...)
-				break
-			}
-			continue
-		}
-		out = c.encode(out, op)
-	}
+	out := c.encodeAll(ops)
 	if !c.clientPartWritten && c.backend.withheld(c.job) { // the internal queries may have taken a while
 		return
 	}
@@ -60,6 +48,26 @@
 	c.answerLocally()
 }
 
+// encodeAll returns the operations as they are sent to this member. Those that come after operations whose replies the client does not
+// receive are queued until these are answered.
+func (c *memberConn) encodeAll(ops []session.Message) (out []byte) {
+	for n, op := range ops {
+		if op.Action != session.ForwardDiscardReply {
+			out = c.encode(out, op)
+			continue
+		}
+		out = append(out, op.Raw...)
+		c.expected = append(c.expected, expectedReply{kind: pg.Query})
+		c.internalPending++
+		rest := ops[n+1:]
+		if len(rest) == 0 || rest[0].Action != session.ForwardDiscardReply {
+			c.queued = append(c.queued, rest...)
+			break
+		}
+	}
+	return out
+}
+
 // encode appends an operation as it is sent to this member.
 func (c *memberConn) encode(out []byte, op session.Message) []byte {
 	expect := func(reply expectedReply) { c.expected = append(c.expected, reply) }
