--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -47,22 +47,37 @@
 
 // Driver is the event loop as the backend uses it, and receives how attempts and health checks end. eventloop.Driver implements it.
 type Driver interface {
+	// Now returns the time at which the present batch of events is taken to happen.
 	Now() float64
+	// Clock returns the time right now.
 	Clock() float64
+	// After calls f on the event loop after a time in ms. A timer that is stopped late may still call f.
 	After(ms float64, f func()) *time.Timer
+	// Defer calls f on the event loop after what is running.
 	Defer(f func())
+	// Dial connects to an address within a time-out in ms, and calls done on the event loop.
 	Dial(addr string, timeout float64, done func(*eventloop.Conn, error))
 
+	// RecordPosition adds a position that a member reported to the estimate of the cluster's clock; sent is when it was asked.
 	RecordPosition(member string, role router.Role, position, sent float64)
+	// Possible reports whether a member can have a position, as far as the cluster's clock is known.
 	Possible(position float64) bool
+	// Forget drops what a member reported.
 	Forget(member string)
 
+	// TurnChanged reports whether an attempt waits for a connection or its client (waiting), or for its member.
 	TurnChanged(req *request.Request, attempt int, waiting bool)
+	// ClientGone reports that the client of a request was found to be gone.
 	ClientGone(req *request.Request)
+	// AttemptEnded reports the outcome of an attempt. took is how many ms the member took; role and position are what it reported, or
+	// RoleUnknown and Never; rows is the response.
 	AttemptEnded(req *request.Request, attempt int, member string, outcome router.Outcome, took float64, role router.Role,
 		position float64, rows []byte)
+	// StatementFailed reports that an attempt ended by an error of its statement, in place of AttemptEnded.
 	StatementFailed(req *request.Request, attempt int, member string, e *pg.Error)
+	// HealthChecked reports the outcome of a health check.
 	HealthChecked(member string, outcome router.Outcome)
+	// Reported reports a member's role and position, from a health check or a response.
 	Reported(member string, role router.Role, position float64)
 }
 
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -67,10 +67,10 @@
 	if c.backend.withheld(j) {
 		return false
 	}
-	c.job, j.conn, c.queryWritten, c.receivedBytes = j, c, true, 0
-	j.writtenAt = c.backend.driver.Clock()
-	c.rows, c.stage, c.value, c.queryError = nil, stageNone, nil, nil
-	c.role, c.position, c.report = router.RoleUnknown, router.Never, ""
+	c.receivedBytes = 0
+	c.attach(j)
+	c.rows, c.value = nil, nil
+	c.stage, c.queryError = stageNone, nil
 	if j.waitingReported {
 		j.waitingReported = false
 		c.backend.driver.Defer(func() {
@@ -83,6 +83,15 @@
 	return true
 }
 
+// attach makes a job the one on the connection, whose query is written now, and forgets what the member reported for the one before.
+func (c *memberConn) attach(j *job) {
+	c.job = j
+	j.conn = c
+	c.queryWritten = true
+	j.writtenAt = c.backend.driver.Clock()
+	c.role, c.position, c.report = router.RoleUnknown, router.Never, ""
+}
+
 // buildQuery returns the bytes of the job's query. A statement's comment has the time that is left to its client right now.
 func (c *memberConn) buildQuery(j *job) (out []byte) {
 	if c.fence != fenceNone {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -86,12 +86,11 @@
 	if c.backend.withheld(j) {
 		return false
 	}
-	c.clientPartWritten = false
-	c.job, j.conn, c.queryWritten, j.writtenAt = j, c, true, c.backend.driver.Clock()
-	c.role, c.position, c.report = router.RoleUnknown, router.Never, ""
-	c.replayed, c.staleStatement, c.copyingIn = false, nil, false
-	stream := j.request.Stream
+	c.attach(j)
+	c.clientPartWritten, c.copyingIn = false, false
+	c.replayed, c.staleStatement = false, nil
 	c.reservedFor = nil
+	stream := j.request.Stream
 	c.setTurn(j, true)
 	stream.Client.ServerParameters(c.parameters)
 	clientSession := stream.Client.Session()
