--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -3,125 +3,17 @@
 import (
 	"fmt"
 	"math"
-	"net"
 	"runtime"
 	"strings"
 	"testing"
 	"time"
 
-	"wayloft/internal/decide/connpool"
 	"wayloft/internal/discovery"
-	"wayloft/internal/eventloop"
 	"wayloft/internal/fakes"
 	"wayloft/internal/pg"
-	"wayloft/internal/request"
 	"wayloft/router"
 )
 
-const maxResponse = 160 << 10
-
-// testDriver is a loop that records how attempts and health checks end.
-type testDriver struct {
-	*eventloop.Loop
-	events chan string
-}
-
-func (driver *testDriver) AttemptEnded(_ *request.Request, attempt int, _ string, outcome router.Outcome, _ float64, role router.Role,
-	position float64, rows []byte) {
-	driver.events <- fmt.Sprint(attempt, " ", outcomeNames[outcome], " ", role, " ", max(position, 0), " ", len(rows) > 0)
-}
-
-func (driver *testDriver) StatementFailed(_ *request.Request, attempt int, _ string, err *pg.Error) {
-	driver.events <- fmt.Sprint(attempt, " statement error ", err.Code)
-}
-
-func (driver *testDriver) TurnChanged(*request.Request, int, bool) {}
-
-func (driver *testDriver) ClientGone(req *request.Request) { req.ClientGone() }
-
-func (driver *testDriver) HealthChecked(_ string, outcome router.Outcome) {
-	driver.events <- "check " + outcomeNames[outcome]
-}
-
-func (driver *testDriver) Reported(_ string, role router.Role, position float64) {
-	driver.events <- fmt.Sprint("report ", role, " ", position)
-}
-
-var outcomeNames = map[router.Outcome]string{router.Succeeded: "succeeded", router.ServerError: "server error", router.Overloaded: "overloaded",
-	router.TimedOut: "timed out", router.ConnectFailed: "connect failed", router.Reset: "reset", router.Canceled: "canceled",
-	router.NotSent: "not sent", router.Misrouted: "misrouted"}
-
-// start runs a backend whose connections have more time to come up than they need on a busy machine.
-func start(t *testing.T, maxConns int) (*testDriver, *Backend) {
-	t.Helper()
-	return startWithin(t, maxConns, 5000)
-}
-
-func startWithin(t *testing.T, maxConns int, dialTimeout float64) (*testDriver, *Backend) {
-	t.Helper()
-	return startPools(t, maxConns, dialTimeout, connpool.Bounds{})
-}
-
-// startPools runs a backend that has a pool for sessions, too; statements wait for a connection for as long as sessions do.
-func startPools(t *testing.T, maxConns int, dialTimeout float64, sessions connpool.Bounds) (*testDriver, *Backend) {
-	t.Helper()
-	driver := &testDriver{eventloop.NewLoop(512), make(chan string, 100)}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := driver.Listen(l, 64<<20, func(*eventloop.Conn) {}); err != nil {
-		t.Fatal(err)
-	}
-	statements := connpool.StatementBounds(60000)
-	statements.WaitTimeoutMs = sessions.WaitTimeoutMs
-	backend := New(driver, Limits{DialTimeout: dialTimeout, HealthReports: true, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse,
-		Logins: map[string]Login{PlatformPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{MaxTotal: maxConns,
-		Pools: map[string]connpool.Bounds{PlatformPool: statements, CancelPool: connpool.CancelBounds(1000), "sessions": sessions}}))
-	ended := make(chan bool)
-	go func() { driver.Run(func() {}); close(ended) }()
-	t.Cleanup(func() { driver.Post(driver.Stop); <-ended })
-	return driver, backend
-}
-
-// runOnLoop runs f on the loop and waits for it.
-func (driver *testDriver) runOnLoop(f func()) {
-	done := make(chan bool)
-	driver.Post(func() { f(); close(done) })
-	<-done
-}
-
-// nextEvent returns how the next attempt or health check ended.
-func (driver *testDriver) nextEvent(t *testing.T) string {
-	t.Helper()
-	select {
-	case event := <-driver.events:
-		return event
-	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came back")
-		return ""
-	}
-}
-
-func newRequest(driver *testDriver, id string, wait float64) *request.Request {
-	s, err := pg.ParseStatement(fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait))
-	if err != nil {
-		panic(err)
-	}
-	return request.New(s, driver.Now(), func(request.Response) {})
-}
-
-func listOf(addr string, state router.State) *discovery.List {
-	return &discovery.List{Entries: []discovery.Entry{{ID: "a", Addr: addr, State: state, Started: router.Never}}}
-}
-
-func concat(parts ...[]byte) (b []byte) {
-	for _, p := range parts {
-		b = append(b, p...)
-	}
-	return b
-}
-
 // Each way in which an attempt can end, and whether its connection is used again.
 func TestSendAttempt_Outcomes(t *testing.T) {
 	ready := pg.AppendReadyIdle(nil)
@@ -328,34 +220,6 @@
 	})
 }
 
-// Members that come and go leave nothing behind, and an attempt in flight to a member that is removed still has its own outcome.
-func TestList_RemovedMembersLeaveNothing(t *testing.T) {
-	driver, backend := start(t, 10)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
-	for n := range 50 {
-		id := fmt.Sprint("m", n)
-		driver.runOnLoop(func() {
-			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, Started: router.Never}}})
-			backend.SendAttempt(newRequest(driver, id, 5000), 0, id, 0, math.Inf(1))
-		})
-		fakes.Until(t, "the query has arrived", func() bool {
-			_, asked := m.Seen()
-			return len(asked) > n
-		})
-		driver.runOnLoop(func() {
-			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, State: router.Removed}}})
-		})
-		if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
-			t.Errorf("got %q", got)
-		}
-		driver.runOnLoop(func() {
-			if len(backend.members)+len(backend.attempts)+backend.Connections() > 0 {
-				t.Errorf("%d: kept: %d members, %d attempts, %d connections", n, len(backend.members), len(backend.attempts), backend.Connections())
-			}
-		})
-	}
-}
-
 // At the limit of connections, idle ones are closed first; an attempt that gets none did not run, and says nothing about its member.
 func TestSendAttempt_ConnectionLimit(t *testing.T) {
 	driver, backend := start(t, 1)
@@ -389,38 +253,6 @@
 	})
 }
 
-// An attempt that is not written yet when its member starts draining is not sent any more; one that is in flight goes on. A changed
-// address, or a new start, closes the idle connections.
-func TestList_Changes(t *testing.T) {
-	driver, backend := startWithin(t, 10, 200)
-	silent := fakes.NewMember(t, &fakes.Reply{}, nil)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
-	driver.runOnLoop(func() {
-		backend.List(listOf(silent.Addr, router.Up))
-		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
-		backend.List(listOf(silent.Addr, router.Draining))
-	})
-	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
-		t.Errorf("unsent: got %q", got)
-	}
-	for n, l := range []*discovery.List{listOf(m.Addr, router.Up), listOf(silent.Addr, router.Up), listOf(m.Addr, router.Up),
-		{Entries: []discovery.Entry{{ID: "a", Addr: m.Addr, Started: 5}}}, {Complete: true}} {
-		driver.runOnLoop(func() { backend.List(l) })
-		driver.runOnLoop(func() {
-			if idle := backend.pool.IdleCount("a"); idle != 0 {
-				t.Errorf("list %d: %d idle connections left", n, idle)
-			}
-		})
-		if len(l.Entries) == 0 || l.Entries[0].Addr != m.Addr {
-			continue
-		}
-		driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint("t", n), 5000), 0, "a", 0, math.Inf(1)) })
-		if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
-			t.Errorf("list %d: got %q", n, got)
-		}
-	}
-}
-
 // awaitPeerClosed holds the loop until a member has closed a connection.
 func awaitPeerClosed(t *testing.T, c *memberConn) {
 	t.Helper()
@@ -454,28 +286,6 @@
 	}
 }
 
-// An attempt in flight while its member's address changes has its own outcome, but its connection is not kept for the new address.
-func TestList_AddressChangesDuringAttempt(t *testing.T) {
-	driver, backend := start(t, 10)
-	answer := make(chan bool)
-	old := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
-	moved := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "2") })
-	driver.runOnLoop(func() {
-		backend.List(listOf(old.Addr, router.Up))
-		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
-	})
-	fakes.Until(t, "the query has arrived", func() bool { _, asked := old.Seen(); return len(asked) > 0 })
-	driver.runOnLoop(func() { backend.List(listOf(moved.Addr, router.Up)) })
-	close(answer)
-	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
-		t.Errorf("got %q", got)
-	}
-	driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, "2", 5000), 0, "a", 0, math.Inf(1)) })
-	if got := driver.nextEvent(t); got != "0 succeeded 1 2 true" {
-		t.Errorf("after the move: %q", got)
-	}
-}
-
 // Guards against a timer that wakes an idle router, and against one that is late for what the pool must do by itself.
 func TestBackend_TimerFollowsPool(t *testing.T) {
 	driver, backend := start(t, 10)
--- /dev/null
+++ b/internal/backend/helpers_test.go
@@ -0,0 +1,119 @@
+package backend
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"wayloft/internal/decide/connpool"
+	"wayloft/internal/discovery"
+	"wayloft/internal/eventloop"
+	"wayloft/internal/pg"
+	"wayloft/internal/request"
+	"wayloft/router"
+)
+
+const maxResponse = 160 << 10
+
+// testDriver is a loop that records how attempts and health checks end.
+type testDriver struct {
+	*eventloop.Loop
+	events chan string
+}
+
+func (driver *testDriver) AttemptEnded(_ *request.Request, attempt int, _ string, outcome router.Outcome, _ float64, role router.Role,
+	position float64, rows []byte) {
+	driver.events <- fmt.Sprint(attempt, " ", outcomeNames[outcome], " ", role, " ", max(position, 0), " ", len(rows) > 0)
+}
+
+func (driver *testDriver) StatementFailed(_ *request.Request, attempt int, _ string, err *pg.Error) {
+	driver.events <- fmt.Sprint(attempt, " statement error ", err.Code)
+}
+
+func (driver *testDriver) TurnChanged(*request.Request, int, bool) {}
+
+func (driver *testDriver) ClientGone(req *request.Request) { req.ClientGone() }
+
+func (driver *testDriver) HealthChecked(_ string, outcome router.Outcome) {
+	driver.events <- "check " + outcomeNames[outcome]
+}
+
+func (driver *testDriver) Reported(_ string, role router.Role, position float64) {
+	driver.events <- fmt.Sprint("report ", role, " ", position)
+}
+
+var outcomeNames = map[router.Outcome]string{router.Succeeded: "succeeded", router.ServerError: "server error", router.Overloaded: "overloaded",
+	router.TimedOut: "timed out", router.ConnectFailed: "connect failed", router.Reset: "reset", router.Canceled: "canceled",
+	router.NotSent: "not sent", router.Misrouted: "misrouted"}
+
+// start runs a backend whose connections have more time to come up than they need on a busy machine.
+func start(t *testing.T, maxConns int) (*testDriver, *Backend) {
+	t.Helper()
+	return startWithin(t, maxConns, 5000)
+}
+
+func startWithin(t *testing.T, maxConns int, dialTimeout float64) (*testDriver, *Backend) {
+	t.Helper()
+	return startPools(t, maxConns, dialTimeout, connpool.Bounds{})
+}
+
+// startPools runs a backend that has a pool for sessions, too; statements wait for a connection for as long as sessions do.
+func startPools(t *testing.T, maxConns int, dialTimeout float64, sessions connpool.Bounds) (*testDriver, *Backend) {
+	t.Helper()
+	driver := &testDriver{eventloop.NewLoop(512), make(chan string, 100)}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := driver.Listen(l, 64<<20, func(*eventloop.Conn) {}); err != nil {
+		t.Fatal(err)
+	}
+	statements := connpool.StatementBounds(60000)
+	statements.WaitTimeoutMs = sessions.WaitTimeoutMs
+	backend := New(driver, Limits{DialTimeout: dialTimeout, HealthReports: true, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse,
+		Logins: map[string]Login{PlatformPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{MaxTotal: maxConns,
+		Pools: map[string]connpool.Bounds{PlatformPool: statements, CancelPool: connpool.CancelBounds(1000), "sessions": sessions}}))
+	ended := make(chan bool)
+	go func() { driver.Run(func() {}); close(ended) }()
+	t.Cleanup(func() { driver.Post(driver.Stop); <-ended })
+	return driver, backend
+}
+
+// runOnLoop runs f on the loop and waits for it.
+func (driver *testDriver) runOnLoop(f func()) {
+	done := make(chan bool)
+	driver.Post(func() { f(); close(done) })
+	<-done
+}
+
+// nextEvent returns how the next attempt or health check ended.
+func (driver *testDriver) nextEvent(t *testing.T) string {
+	t.Helper()
+	select {
+	case event := <-driver.events:
+		return event
+	case <-time.After(20 * time.Second):
+		t.Fatal("nothing came back")
+		return ""
+	}
+}
+
+func newRequest(driver *testDriver, id string, wait float64) *request.Request {
+	s, err := pg.ParseStatement(fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait))
+	if err != nil {
+		panic(err)
+	}
+	return request.New(s, driver.Now(), func(request.Response) {})
+}
+
+func listOf(addr string, state router.State) *discovery.List {
+	return &discovery.List{Entries: []discovery.Entry{{ID: "a", Addr: addr, State: state, Started: router.Never}}}
+}
+
+func concat(parts ...[]byte) (b []byte) {
+	for _, p := range parts {
+		b = append(b, p...)
+	}
+	return b
+}
--- /dev/null
+++ b/internal/backend/list_test.go
@@ -0,0 +1,93 @@
+package backend
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"wayloft/internal/discovery"
+	"wayloft/internal/fakes"
+	"wayloft/router"
+)
+
+// Members that come and go leave nothing behind, and an attempt in flight to a member that is removed still has its own outcome.
+func TestList_RemovedMembersLeaveNothing(t *testing.T) {
+	driver, backend := start(t, 10)
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	for n := range 50 {
+		id := fmt.Sprint("m", n)
+		driver.runOnLoop(func() {
+			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, Started: router.Never}}})
+			backend.SendAttempt(newRequest(driver, id, 5000), 0, id, 0, math.Inf(1))
+		})
+		fakes.Until(t, "the query has arrived", func() bool {
+			_, asked := m.Seen()
+			return len(asked) > n
+		})
+		driver.runOnLoop(func() {
+			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, State: router.Removed}}})
+		})
+		if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+			t.Errorf("got %q", got)
+		}
+		driver.runOnLoop(func() {
+			if len(backend.members)+len(backend.attempts)+backend.Connections() > 0 {
+				t.Errorf("%d: kept: %d members, %d attempts, %d connections", n, len(backend.members), len(backend.attempts), backend.Connections())
+			}
+		})
+	}
+}
+
+// An attempt that is not written yet when its member starts draining is not sent any more; one that is in flight goes on. A changed
+// address, or a new start, closes the idle connections.
+func TestList_Changes(t *testing.T) {
+	driver, backend := startWithin(t, 10, 200)
+	silent := fakes.NewMember(t, &fakes.Reply{}, nil)
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	driver.runOnLoop(func() {
+		backend.List(listOf(silent.Addr, router.Up))
+		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
+		backend.List(listOf(silent.Addr, router.Draining))
+	})
+	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
+		t.Errorf("unsent: got %q", got)
+	}
+	for n, l := range []*discovery.List{listOf(m.Addr, router.Up), listOf(silent.Addr, router.Up), listOf(m.Addr, router.Up),
+		{Entries: []discovery.Entry{{ID: "a", Addr: m.Addr, Started: 5}}}, {Complete: true}} {
+		driver.runOnLoop(func() { backend.List(l) })
+		driver.runOnLoop(func() {
+			if idle := backend.pool.IdleCount("a"); idle != 0 {
+				t.Errorf("list %d: %d idle connections left", n, idle)
+			}
+		})
+		if len(l.Entries) == 0 || l.Entries[0].Addr != m.Addr {
+			continue
+		}
+		driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint("t", n), 5000), 0, "a", 0, math.Inf(1)) })
+		if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+			t.Errorf("list %d: got %q", n, got)
+		}
+	}
+}
+
+// An attempt in flight while its member's address changes has its own outcome, but its connection is not kept for the new address.
+func TestList_AddressChangesDuringAttempt(t *testing.T) {
+	driver, backend := start(t, 10)
+	answer := make(chan bool)
+	old := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
+	moved := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "2") })
+	driver.runOnLoop(func() {
+		backend.List(listOf(old.Addr, router.Up))
+		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
+	})
+	fakes.Until(t, "the query has arrived", func() bool { _, asked := old.Seen(); return len(asked) > 0 })
+	driver.runOnLoop(func() { backend.List(listOf(moved.Addr, router.Up)) })
+	close(answer)
+	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
+		t.Errorf("got %q", got)
+	}
+	driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, "2", 5000), 0, "a", 0, math.Inf(1)) })
+	if got := driver.nextEvent(t); got != "0 succeeded 1 2 true" {
+		t.Errorf("after the move: %q", got)
+	}
+}
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -6,15 +6,6 @@
 	"wayloft/router"
 )
 
-// SQLSTATE classes, the first two characters of a code, that are caused by the member.
-const (
-	classSystemError     = "58"
-	classConfigFileError = "F0"
-	classInternalError   = "XX"
-
-	sqlStateClassLength = 2
-)
-
 // answerLocally delivers the replies at the head of the queue that need no member.
 func (c *memberConn) answerLocally() {
 	for len(c.expected) > 0 && c.expected[0].localReply != nil {
@@ -153,64 +144,6 @@
 	return first, false
 }
 
-// handleStreamError processes an error. The member skips all that was sent up to the next Sync.
-func (c *memberConn) handleStreamError(m *pg.Message) bool {
-	if c.job == nil && len(c.expected) == 0 { // the member ends the connection, which nobody uses
-		c.drop()
-		return true
-	}
-	if len(c.expected) == 0 || c.job == nil {
-		c.unusable = true
-		return true
-	}
-	failed := c.expected[0]
-	c.skipToSync()
-	stream := c.job.request.Stream
-	if !failed.forClient && failed.kind == pg.Query { // settings that the member does not accept, or a BEGIN
-		c.unusable = true
-	}
-	if failed.replyError != nil {
-		m.Error, m.Raw = failed.replyError, pg.AppendError(nil, failed.replyError, false)
-	}
-	if c.canReplay(failed, m.Error.Code) {
-		c.replayed, c.staleStatement = true, failed.statement
-		if c.staleStatement == nil {
-			c.staleStatement = c.lastBound
-		}
-	}
-	stream.Receive(*m)
-	return true
-}
-
-// skipToSync removes the expected replies up to the next Sync or simple query, which the member does not give after an error. What they
-// would have prepared or closed is as it was.
-func (c *memberConn) skipToSync() {
-	for len(c.expected) > 0 && c.expected[0].kind != pg.Query && c.expected[0].kind != pg.Sync {
-		if skipped := c.expected[0]; skipped.kind == pg.Parse && skipped.statement != nil {
-			c.prepared.Remove(skipped.statement.Hash)
-		} else if skipped.closing != nil {
-			c.prepared.Add(skipped.closing.Hash, skipped.closing)
-		}
-		c.expected = c.expected[1:]
-	}
-}
-
-// canReplay reports whether an error says that a prepared plan is missing or invalid, while nothing of the request has run: it is
-// replayed once, with the statement prepared again.
-func (c *memberConn) canReplay(failed expectedReply, code string) bool {
-	stream := c.job.request.Stream
-	if stream.Cancelled() || stream.Started() || c.replayed || c.transactionStatus != session.StatusIdle {
-		return false
-	}
-	switch code {
-	case pg.InvalidSQLStatementName:
-		return failed.replyError == nil
-	case pg.FeatureNotSupported: // "cached plan must not change result type"
-		return failed.kind != pg.Query && failed.kind != pg.Parse
-	}
-	return false
-}
-
 // handleStreamReady processes a ReadyForQuery, after an internal query or after what the client sent.
 func (c *memberConn) handleStreamReady(m *pg.Message) bool {
 	if _, ok := c.popExpected(pg.Query, pg.Sync); !ok {
@@ -250,14 +183,6 @@
 	return true
 }
 
-// replay sends the request again, of which nothing has run. The stale statement is closed before, so that it is prepared again.
-func (c *memberConn) replay(stale *session.PreparedStatement) {
-	if c.hasPrepared(stale) {
-		c.writeInternalSync(c.closePrepared(nil, stale))
-	}
-	c.job.request.Stream.Replay()
-}
-
 // writeInternalSync writes messages of the router's own and the Sync that ends them.
 func (c *memberConn) writeInternalSync(out []byte) {
 	c.expected = append(c.expected, expectedReply{kind: pg.Sync})
@@ -265,31 +190,6 @@
 	c.conn.Write(pg.AppendSync(out))
 }
 
-// memberOutcome returns the outcome that an error stands for if it is about the member rather than the statement. The driver receives it
-// before the client does, so that the request can be retried.
-func (c *memberConn) memberOutcome() (router.Outcome, bool) {
-	stream := c.job.request.Stream
-	e := stream.Failure()
-	if e == nil || stream.Started() {
-		return 0, false
-	}
-	switch e.Code[:min(sqlStateClassLength, len(e.Code))] {
-	case classInternalError, classSystemError, classConfigFileError:
-		return router.ServerError, true
-	}
-	switch e.Code {
-	case pg.TooManyConnections, pg.CannotConnectNow:
-		return router.Overloaded, true
-	case pg.SnapshotTooOld:
-		return router.Misrouted, true
-	case pg.ReadOnlySQLTransaction: // otherwise the transaction is read-only, not the member
-		if c.backend.limits.PrimaryClasses[c.job.request.RequestClass] && c.role != router.Primary {
-			return router.Misrouted, true
-		}
-	}
-	return 0, false
-}
-
 // internalDone goes on after an internal query was answered.
 func (c *memberConn) internalDone(m *pg.Message) bool {
 	switch {
