--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -55,7 +55,7 @@
 	SeededDefects    SeededDefects
 }
 
-// SeededDefects are defects that tests plant to show that checkers find them; the program sets none of them.
+// SeededDefects are defects by which tests show that checkers find them; the program sets none of them.
 type SeededDefects struct {
 	EarlyAcknowledge bool // sends and answers what rests on an entry before the entry is stored
 }
@@ -101,13 +101,17 @@
 	errEnding  = status.Error(codes.Unavailable, "this process is ending")
 )
 
-// Open makes a node from its data directory. It does nothing until Run. If the storage is unavailable for now, Run tries again; other
+// Open returns a node with what its data directory holds. It does nothing until Run. If the storage is unavailable for now, Run tries again; other
 // errors of the directory are returned.
 func Open(settings Settings) (*Server, error) {
 	s := &Server{
-		settings: settings, inbox: make(chan func(), inboxSize), pending: map[uint64]func(raftnode.Decision){},
-		peerStreams: map[uint64]*peerStream{}, joiningPeers: map[uint64]raftnode.Peer{}, stateChanged: make(chan struct{}),
-		lastRequest: firstRequest(),
+		settings:     settings,
+		inbox:        make(chan func(), inboxSize),
+		peerStreams:  map[uint64]*peerStream{},
+		joiningPeers: map[uint64]raftnode.Peer{},
+		lastRequest:  firstRequest(),
+		pending:      map[uint64]func(raftnode.Decision){},
+		stateChanged: make(chan struct{}),
 	}
 	err := s.load()
 	if errors.Is(err, storage.ErrUnavailable) {
@@ -142,6 +146,7 @@
 	return s.loop(ctx)
 }
 
+// newGRPCServer returns the server for peers and clients.
 func (s *Server) newGRPCServer() *grpc.Server {
 	interceptors := rpc.NewInterceptors(s.settings.Fleet)
 	server := grpc.NewServer(
@@ -156,6 +161,7 @@
 	return server
 }
 
+// logStart writes to the logs what the node starts with.
 func (s *Server) logStart(listener net.Listener) {
 	var applied, epoch uint64
 	if !s.suspended() {
@@ -203,66 +209,3 @@
 
 // now returns the time in ms on a monotonic clock that also runs while the machine sleeps.
 func (s *Server) now() float64 { return rpc.Boottime() + s.settings.ClockOffset }
-
-// post has the loop run a function; it may be called from any goroutine but the loop's.
-func (s *Server) post(ctx context.Context, f func()) error {
-	select {
-	case s.inbox <- f:
-		return nil
-	case <-ctx.Done():
-		return status.FromContextError(ctx.Err()).Err()
-	case <-s.ctx.Done():
-		return errEnding
-	}
-}
-
-// request has the loop begin something under a new request number and waits for the decision that ends it: Done or Redirect. A result that
-// can't be known is errUnknown.
-func (s *Server) request(ctx context.Context, begin func(request uint64)) (raftnode.Decision, error) {
-	answer := make(chan raftnode.Decision, 1)
-	suspended := make(chan struct{})
-	var request uint64
-	if err := s.post(ctx, func() {
-		if s.suspended() {
-			close(suspended)
-			return
-		}
-		s.lastRequest++
-		request = s.lastRequest
-		s.pending[request] = func(d raftnode.Decision) { answer <- d }
-		s.node.Advance(s.now())
-		begin(request)
-	}); err != nil {
-		return raftnode.Decision{}, err
-	}
-	select {
-	case d := <-answer:
-		if d.Action == raftnode.ResultUnknown {
-			return d, errUnknown
-		}
-		return d, nil
-	case <-suspended:
-		return raftnode.Decision{}, errStorage
-	case <-ctx.Done():
-		// An error means that the process ends, and the request with it.
-		_ = s.post(s.ctx, func() { delete(s.pending, request) })
-		return raftnode.Decision{}, status.FromContextError(ctx.Err()).Err()
-	case <-s.ctx.Done():
-		return raftnode.Decision{}, errEnding
-	}
-}
-
-// read has the loop run atRead once the state is confirmed to hold everything that was answered before. The decision is Done, or Redirect
-// if atRead wasn't run.
-func (s *Server) read(ctx context.Context, atRead func()) (raftnode.Decision, error) {
-	return s.request(ctx, func(request uint64) {
-		deliver := s.pending[request]
-		s.pending[request] = func(d raftnode.Decision) {
-			if d.Action == raftnode.Done {
-				atRead()
-			}
-			deliver(d)
-		}
-		s.node.Read(request)
-	})
-}
