--- a/internal/lab/fleet/simulation/history.go
+++ b/internal/lab/fleet/simulation/history.go
@@ -12,24 +12,24 @@
 	"wayloft/internal/decide/lease"
 )
 
-// seen is what the history says of a lease so far: the highest fencing token that an answer told, and whose it is, if that is known.
-type seen struct {
-	fence  lease.Token
+// leaseHistory is what the history says of a lease so far: the highest fencing token that an answer told, and whose it is, if that is known.
+type leaseHistory struct {
+	token  lease.Token
 	holder string
 }
 
-// model says which answers may follow each other, if each takes effect at one moment between its request and its answer: no
+// leaseModel says which answers may follow each other, if each takes effect at one moment between its request and its answer: no
 // fencing token is lower than one told before, and one fencing token has one holder. That grants end by time is not in the history.
-var model = porcupine.Model{
-	Init: func() any { return seen{} },
+var leaseModel = porcupine.Model{
+	Init: func() any { return leaseHistory{} },
 	Step: func(state, in, out any) (bool, any) {
-		was, op := state.(seen), out.(Operation)
-		if op.Token.Compare(was.fence) < 0 {
+		was, op := state.(leaseHistory), out.(Operation)
+		if op.Token.Compare(was.token) < 0 {
 			return false, was
 		}
 		next := was
-		if op.Token.Compare(was.fence) > 0 {
-			next = seen{fence: op.Token}
+		if op.Token.Compare(was.token) > 0 {
+			next = leaseHistory{token: op.Token}
 		}
 		if op.Held {
 			if next.holder != "" && next.holder != op.Session {
@@ -42,9 +42,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// mostOps are the answers looked at of one lease, the first ones: what follows them can't make them wrong, and the search grows
+// maxOperationsPerLease are the answers looked at of one lease, the first ones: what follows them can't make them wrong, and the search grows
 // faster than the history.
-const mostOps = 400
+const maxOperationsPerLease = 400
 
 // Linear checks that what the coordinator answered could have been answered by one process, one request after the other.
 func Linear(ops []Operation) (wrong []string) {
@@ -53,14 +53,14 @@
 		if op.EndedMs < 0 || !op.Held && op.Token == (lease.Token{}) { // unanswered, or refused before the lease was looked at
 			continue
 		}
-		if len(by[op.Lease]) >= mostOps {
+		if len(by[op.Lease]) >= maxOperationsPerLease {
 			continue
 		}
 		by[op.Lease] = append(by[op.Lease], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.StartedMs * 1e6),
 			Output: op, Return: int64(math.Max(op.EndedMs, op.StartedMs) * 1e6)})
 	}
 	for _, d := range slices.Sorted(maps.Keys(by)) {
-		switch porcupine.CheckOperationsTimeout(model, by[d], 10*time.Second) {
+		switch porcupine.CheckOperationsTimeout(leaseModel, by[d], 10*time.Second) {
 		case porcupine.Illegal:
 			wrong = append(wrong, fmt.Sprintf("history of %s: its %d answers can't be put in an order", d, len(by[d])))
 		case porcupine.Unknown:
--- a/internal/lab/fleet/simulation/policy.go
+++ b/internal/lab/fleet/simulation/policy.go
@@ -15,15 +15,15 @@
 	"wayloft/internal/rpc"
 )
 
-// Allowance is what control may take of a router's line: bytes in any second, both ways.
-const Allowance = 6 << 10
+// MaxControlBytesPerSecond is what control may take of a router's line: bytes in any second, both ways.
+const MaxControlBytesPerSecond = 6 << 10
 
 // Each message is counted with so many bytes besides its own: headers of HTTP/2, TCP and IP. Assumed, not measured.
-const header = 100
+const messageOverheadBytes = 100
 
-// bound is how long the last change of a run, after all faults, may take from being in force until everywhere, ms: a watch that
+// maxPropagationMs is how long the last change of a run, after all faults, may take from being in force until everywhere, ms: a watch that
 // fell silent is noticed after four seconds, begun anew, and what is lacking is fetched.
-const bound = 10000.0
+const maxPropagationMs = 10000.0
 
 // PolicyOptions are the policy's part of a run.
 type PolicyOptions struct {
@@ -45,83 +45,85 @@
 	StaleAnnouncements, HashMismatches    int       // words of older versions, documents whose hash didn't fit, at routers that are up in the end
 }
 
-// ruling is the policy's part of a world.
-type ruling struct {
+// policyRun is the policy's part of a world.
+type policyRun struct {
 	PolicyOptions
-	operators []*Process
-	docs      map[uint64][32]byte // by mark: the one document that ever stood under it
-	went      map[string]bool     // by router and mark: that it went by it
-	spent     map[string]map[int]int
-	asked     map[[32]byte]float64  // by the hash that was asked for
-	waits     map[uint64]wait       // of versions, who has yet to go by one
-	intended  map[uint64][][32]byte // by number: what those who were told that it holds had asked for
-	last      uint64                // mark of the latest version that is known
-	lasted    float64               // ms for it from being in force until everywhere
-	took      map[uint64][]float64  // by mark: ms from the proposal, of each router that it reached before the next
-	parted    map[*Process]bool     // a region that is cut off, whatever else is cut and joined again
-	carried   int                   // bytes on routers' lines
-}
-
-type wait struct {
-	since, stood float64 // proposed, and in force
-	left         map[string]bool
-}
-
-// ruled is a router's part.
-type ruled struct {
-	follower *policy.Follower
-	version  policy.Version // that the router really goes by
-	doc      policy.Document
-	stream   int // of the watch, and the place in it
-	seq      int
-	broken   int // the stream of which a word was missing
-	heard    float64
-	from     *Process
-	asking   int
-	wake     float64 // when the clock is looked at next
-	applied  float64 // when what was to be adopted last is
-}
-
-// kept is a router's disk.
-type kept struct {
-	version policy.Version
-	doc     policy.Document
+	operators           []*Process
+	documents           map[uint64][32]byte // by mark: the one document that ever stood under it
+	went                map[string]bool     // by router and mark: that it went by it
+	bytesBySecond       map[string]map[int]int
+	proposedMs          map[[32]byte]float64   // by the hash that was asked for
+	propagations        map[uint64]propagation // of versions, who has yet to go by one
+	acknowledged        map[uint64][][32]byte  // by number: what those who were told that it holds had asked for
+	latest              uint64                 // mark of the latest version that is known
+	latestPropagationMs float64                // ms for it from being in force until everywhere
+	routerDelaysMs      map[uint64][]float64   // by mark: ms from the proposal, of each router that it reached before the next
+	partitioned         map[*Process]bool      // a region that is cut off, whatever else is cut and joined again
+	totalBytes          int                    // bytes on routers' lines
+}
+
+type propagation struct {
+	proposedMs, inForceMs float64 // proposed, and in force
+	pending               map[string]bool
+}
+
+// policyRouter is a router's part.
+type policyRouter struct {
+	follower      *policy.Follower
+	version       policy.Version // that the router really goes by
+	document      policy.Document
+	stream        int // of the watch, and the place in it
+	sequence      int
+	brokenStream  int // the stream of which a word was missing
+	lastMessageMs float64
+	coordinator   *Process
+	fetches       int
+	nextWakeMs    float64 // when the clock is looked at next
+	lastApplyMs   float64 // when what was to be adopted last is
+}
+
+// storedPolicy is a router's disk.
+type storedPolicy struct {
+	version  policy.Version
+	document policy.Document
 }
 
 type watcher struct {
-	proc              *Process
-	life, stream, seq int
-	since             uint64
+	process                       *Process
+	incarnation, stream, sequence int
+	sinceIndex                    uint64
 }
 
-func (w *World) rule() {
-	w.ruling = &ruling{PolicyOptions: *w.opt.Policy, docs: map[uint64][32]byte{}, went: map[string]bool{}, spent: map[string]map[int]int{},
-		asked: map[[32]byte]float64{}, waits: map[uint64]wait{}, intended: map[uint64][][32]byte{},
-		took: map[uint64][]float64{}}
+func (w *World) startPolicyRun() {
+	w.policyRun = &policyRun{PolicyOptions: *w.options.Policy, documents: map[uint64][32]byte{}, went: map[string]bool{}, bytesBySecond: map[string]map[int]int{},
+		proposedMs: map[[32]byte]float64{}, propagations: map[uint64]propagation{}, acknowledged: map[uint64][][32]byte{},
+		routerDelaysMs: map[uint64][]float64{}}
 	for n := range 2 {
-		o := &Process{Name: fmt.Sprint("o", n+1), w: w, up: true, life: 1}
-		w.ruling.operators, w.byName[o.Name] = append(w.ruling.operators, o), o
+		o := &Process{Name: fmt.Sprint("o", n+1), world: w, up: true, incarnation: 1}
+		w.policyRun.operators, w.processes[o.Name] = append(w.policyRun.operators, o), o
 	}
-	w.After(1200, func() { w.operate(0, func(policy.Document) policy.Document { return w.document(w.ruling.Fields) }) })
+	w.After(1200, func() {
+		w.proposeChange(0, func(policy.Document) policy.Document { return w.randomDocument(w.policyRun.Fields) })
+	})
 	n := 0
 	var next func()
 	next = func() {
-		if w.Now > w.opt.FaultsMs {
+		if w.Now > w.options.FaultsMs {
 			return
 		}
 		n++
-		w.operate(n%2, w.change)
+		w.proposeChange(n%2, w.randomChange)
 		if w.rand.IntN(4) == 0 { // two at once
-			w.operate((n+1)%2, w.change)
+			w.proposeChange((n+1)%2, w.randomChange)
 		}
-		w.After(w.ruling.ChangeIntervalMs*(0.5+w.rand.Float64()), next)
+		w.After(w.policyRun.ChangeIntervalMs*(0.5+w.rand.Float64()), next)
 	}
-	if w.ruling.ChangeIntervalMs > 0 {
+	if w.policyRun.ChangeIntervalMs > 0 {
 		w.After(3000, next)
 	}
 }
 
-func (w *World) document(fields int) policy.Document {
+func (w *World) randomDocument(fields int) policy.Document {
 	d := policy.Document{"over_share_value": "0.2"}
 	for n := range fields {
 		d[fmt.Sprintf("tenants.customer-%05d.rate", n)] = policy.FormatNumber(float64(w.rand.IntN(100000)) / 100)
@@ -129,21 +131,21 @@
 	return d
 }
 
-func (w *World) change(old policy.Document) policy.Document {
+func (w *World) randomChange(old policy.Document) policy.Document {
 	d := maps.Clone(old)
 	if d == nil {
 		d = policy.Document{}
 	}
-	for range w.ruling.FieldsPerChange {
-		d[fmt.Sprintf("tenants.customer-%05d.rate", w.rand.IntN(max(1, w.ruling.Fields)))] = policy.FormatNumber(float64(w.rand.IntN(100000)) / 100)
+	for range w.policyRun.FieldsPerChange {
+		d[fmt.Sprintf("tenants.customer-%05d.rate", w.rand.IntN(max(1, w.policyRun.Fields)))] = policy.FormatNumber(float64(w.rand.IntN(100000)) / 100)
 	}
 	return d
 }
 
-// operate has an operator read what is in force from any process, change it, and propose that until it is told what became
+// proposeChange has an operator read what is in force from any process, change it, and propose that until it is told what became
 // of it.
-func (w *World) operate(operator int, change func(policy.Document) policy.Document) {
-	o := w.ruling.operators[operator]
+func (w *World) proposeChange(operator int, change func(policy.Document) policy.Document) {
+	o := w.policyRun.operators[operator]
 	c := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
 	w.send(o, c, 16, func() {
 		b := c.node.State().Policy()
@@ -151,17 +153,17 @@
 		w.send(c, o, 16, func() {
 			next := change(doc)
 			if base.Number == 0 { // nothing yet: or a coordinator that begins anew, where all of it is proposed again
-				next = w.document(w.ruling.Fields)
+				next = w.randomDocument(w.policyRun.Fields)
 			}
 			p := policy.Propose(base, doc, next, o.Name, fmt.Sprint("at ", int(w.Now)))
 			w.Proposed++
-			w.ruling.asked[p.Hash] = w.Now
-			w.propose(o, p, nil, 0)
+			w.policyRun.proposedMs[p.Hash] = w.Now
+			w.submitProposal(o, p, nil, 0)
 		})
 	})
 }
 
-func (w *World) propose(o *Process, p policy.Proposal, to *Process, tries int) {
+func (w *World) submitProposal(o *Process, p policy.Proposal, to *Process, tries int) {
 	if tries > 12 {
 		w.Unknown++
 		return
@@ -173,13 +175,13 @@
 	again := func(next *Process) {
 		if !answered {
 			answered = true
-			w.After(20+w.rand.Float64()*50, func() { w.propose(o, p, next, tries+1) })
+			w.After(20+w.rand.Float64()*50, func() { w.submitProposal(o, p, next, tries+1) })
 		}
 	}
 	w.send(o, to, p.Difference.Size()+64, func() {
-		w.number++
+		w.lastRequest++
 		e := leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p}
-		if w.opt.SeededDefects.SkipCompareAndSet { // whatever is in force, the difference goes on top of it
+		if w.options.SeededDefects.SkipCompareAndSet { // whatever is in force, the difference goes on top of it
 			b := to.node.State().Policy()
 			q := p
 			if d, err := b.Document.Apply(p.Difference); err == nil {
@@ -187,108 +189,108 @@
 			}
 			e.Proposal = &q
 		}
-		to.waiting[w.number] = asker{proc: o, life: o.life, done: func(d raftnode.Decision) {
+		to.requesters[w.lastRequest] = requester{process: o, incarnation: o.incarnation, onDecision: func(d raftnode.Decision) {
 			if answered {
 				return
 			}
 			switch {
 			case d.Action == raftnode.Redirect:
-				again(w.byName[d.Leader.Name])
+				again(w.processes[d.Leader.Name])
 			case d.Action == raftnode.ResultUnknown:
 				again(nil)
 			case d.Result.Held:
 				answered = true
 				w.Accepted++
-				w.ruling.intended[d.Result.Number] = append(w.ruling.intended[d.Result.Number], p.Hash)
+				w.policyRun.acknowledged[d.Result.Number] = append(w.policyRun.acknowledged[d.Result.Number], p.Hash)
 			default:
 				answered = true
 				w.Rejected++
 			}
 		}}
 		to.node.Advance(to.clock())
-		to.node.Propose(w.number, e)
+		to.node.Propose(w.lastRequest, e)
 	})
 	w.After(600, func() { again(nil) })
 }
 
-// stands takes in that a version is in force, as some coordinator node has it.
-func (w *World) stands(v policy.Version, d policy.Document, history []policy.Change) {
-	r := w.ruling
+// versionInForce takes in that a version is in force, as some coordinator node has it.
+func (w *World) versionInForce(v policy.Version, d policy.Document, history []policy.Change) {
+	r := w.policyRun
 	for _, c := range history {
-		if had, known := r.docs[c.Version.Packed()]; known && had != c.Version.Hash {
-			w.wrong("version %s is two documents", c.Version)
+		if had, known := r.documents[c.Version.Packed()]; known && had != c.Version.Hash {
+			w.violation("version %s is two documents", c.Version)
 		}
 	}
 	mark := v.Packed()
-	had, known := r.docs[mark]
+	had, known := r.documents[mark]
 	if known && had != v.Hash {
-		w.wrong("version %s is two documents", v)
+		w.violation("version %s is two documents", v)
 	}
 	if known {
 		return
 	}
 	for _, c := range history {
-		r.docs[c.Version.Packed()] = c.Version.Hash
+		r.documents[c.Version.Packed()] = c.Version.Hash
 	}
-	r.docs[mark], r.last = v.Hash, max(r.last, mark)
+	r.documents[mark], r.latest = v.Hash, max(r.latest, mark)
 	if d.Hash() != v.Hash {
-		w.wrong("version %s: the document isn't of its hash", v)
+		w.violation("version %s: the document isn't of its hash", v)
 	}
-	since, any := r.asked[v.Hash]
+	since, any := r.proposedMs[v.Hash]
 	if !any {
 		since = w.Now
 	}
 	left := map[string]bool{}
 	for _, p := range w.Routers {
-		if p.up && !p.asleep {
+		if p.up && !p.paused {
 			left[p.Name] = true
 		}
 	}
-	r.waits[mark] = wait{since, w.Now, left}
+	r.propagations[mark] = propagation{since, w.Now, left}
 }
 
-// went takes in that a router goes by a document from now on.
-func (w *World) went(p *Process, v policy.Version, d policy.Document) {
-	r := w.ruling
-	if had, known := r.docs[v.Packed()]; known && had != d.Hash() && !(p.tampered && maps.Equal(d, p.kept.doc)) {
-		w.wrong("%s goes by another document than the one of version %s", p.Name, v)
+// versionApplied takes in that a router goes by a document from now on.
+func (w *World) versionApplied(p *Process, v policy.Version, d policy.Document) {
+	r := w.policyRun
+	if had, known := r.documents[v.Packed()]; known && had != d.Hash() && !(p.storeTampered && maps.Equal(d, p.stored.document)) {
+		w.violation("%s goes by another document than the one of version %s", p.Name, v)
 	}
-	if v.Packed() < p.ruled.version.Packed() {
-		w.wrong("%s goes back from %s to %s", p.Name, p.ruled.version, v)
+	if v.Packed() < p.policy.version.Packed() {
+		w.violation("%s goes back from %s to %s", p.Name, p.policy.version, v)
 	}
-	p.ruled.version, p.ruled.doc = v, d
+	p.policy.version, p.policy.document = v, d
 	r.went[p.Name+" "+v.String()] = true
 	w.Applied++
-	if one, waits := r.waits[v.Packed()]; waits && one.left[p.Name] {
-		r.took[v.Packed()] = append(r.took[v.Packed()], w.Now-one.since)
-	}
-	for mark, one := range r.waits {
-		if mark <= v.Packed() && one.left[p.Name] {
-			delete(one.left, p.Name)
-			if len(one.left) == 0 {
-				w.PropagationMs = append(w.PropagationMs, w.Now-one.since)
-				if mark == r.last {
-					r.lasted = w.Now - one.stood
+	if one, waits := r.propagations[v.Packed()]; waits && one.pending[p.Name] {
+		r.routerDelaysMs[v.Packed()] = append(r.routerDelaysMs[v.Packed()], w.Now-one.proposedMs)
+	}
+	for mark, one := range r.propagations {
+		if mark <= v.Packed() && one.pending[p.Name] {
+			delete(one.pending, p.Name)
+			if len(one.pending) == 0 {
+				w.PropagationMs = append(w.PropagationMs, w.Now-one.proposedMs)
+				if mark == r.latest {
+					r.latestPropagationMs = w.Now - one.inForceMs
 				}
-				delete(r.waits, mark)
+				delete(r.propagations, mark)
 			}
 		}
 	}
 }
 
-// spend counts what a router's line carries.
-func (w *World) spend(p *Process, bytes int) {
-	if p.agent == nil {
+// countBytes counts what a router's line carries.
+func (w *World) countBytes(p *Process, bytes int) {
+	if p.client == nil {
 		return
 	}
-	by := w.ruling.spent[p.Name]
+	by := w.policyRun.bytesBySecond[p.Name]
 	if by == nil {
 		by = map[int]int{}
-		w.ruling.spent[p.Name] = by
+		w.policyRun.bytesBySecond[p.Name] = by
 	}
 	at := int(w.Now / 1000)
-	by[at] += bytes + header
-	w.ruling.carried += bytes + header
+	by[at] += bytes + messageOverheadBytes
+	w.policyRun.totalBytes += bytes + messageOverheadBytes
 	if n := by[at]; n > w.MaxBytesPerSecond {
 		w.MaxBytesPerSecond = n
 	}
@@ -297,109 +299,109 @@
 	}
 }
 
-func (p *Process) startRuled() {
-	p.ruled = &ruled{follower: policy.NewFollower(policy.Settings{Seed: p.w.opt.Seed<<20 ^ uint64(p.tries)<<12 ^ uint64(slices.Index(p.w.Routers, p)),
-		Decompress: rpc.Decompress, SeededDefects: p.w.opt.SeededDefects.Policy})}
-	p.ruled.follower.Advance(p.clock())
-	p.ruled.follower.Stored(p.kept.version, p.kept.doc)
+func (p *Process) startPolicyRouter() {
+	p.policy = &policyRouter{follower: policy.NewFollower(policy.Settings{Seed: p.world.options.Seed<<20 ^ uint64(p.starts)<<12 ^ uint64(slices.Index(p.world.Routers, p)),
+		Decompress: rpc.Decompress, SeededDefects: p.world.options.SeededDefects.Policy})}
+	p.policy.follower.Advance(p.clock())
+	p.policy.follower.Stored(p.stored.version, p.stored.document)
 	p.subscribe()
-	p.listen()
+	p.watchForSilence()
 }
 
 // subscribe begins a watch with some coordinator node.
 func (p *Process) subscribe() {
-	w, r := p.w, p.ruled
-	if old := r.from; old != nil {
+	w, r := p.world, p.policy
+	if old := r.coordinator; old != nil {
 		gone := r.stream
 		w.send(p, old, 16, func() {
-			old.watchers = slices.DeleteFunc(old.watchers, func(one *watcher) bool { return one.proc == p && one.stream == gone })
+			old.watchers = slices.DeleteFunc(old.watchers, func(one *watcher) bool { return one.process == p && one.stream == gone })
 		})
 	}
-	w.streams++
-	r.stream, r.seq, r.heard = w.streams, 0, w.Now
+	w.lastStream++
+	r.stream, r.sequence, r.lastMessageMs = w.lastStream, 0, w.Now
 	c := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
-	r.from = c
-	one := &watcher{proc: p, life: p.life, stream: r.stream}
+	r.coordinator = c
+	one := &watcher{process: p, incarnation: p.incarnation, stream: r.stream}
 	w.send(p, c, 32, func() {
-		c.watchers = append(slices.DeleteFunc(c.watchers, func(old *watcher) bool { return old.proc == p }), one)
-		c.inform(one)
+		c.watchers = append(slices.DeleteFunc(c.watchers, func(old *watcher) bool { return old.process == p }), one)
+		c.sendChanges(one)
 	})
 }
 
-// listen begins another watch where this one has fallen silent.
-func (p *Process) listen() {
+// watchForSilence begins another watch where this one has fallen silent.
+func (p *Process) watchForSilence() {
 	p.later(500, func() {
-		if p.w.Now-p.ruled.heard > 4000 {
+		if p.world.Now-p.policy.lastMessageMs > 4000 {
 			p.subscribe()
 		}
-		p.listen()
+		p.watchForSilence()
 	})
 }
 
-// inform gives one watcher what is new; a word that is empty only each second.
-func (p *Process) inform(one *watcher) {
-	u, index := leaseclient.Changes(p.node.State(), one.since, true)
-	if one.since = index; !u.Complete && len(u.Leases)+len(u.Policies) == 0 {
+// sendChanges gives one watcher what is new; a word that is empty only each second.
+func (p *Process) sendChanges(one *watcher) {
+	u, index := leaseclient.Changes(p.node.State(), one.sinceIndex, true)
+	if one.sinceIndex = index; !u.Complete && len(u.Leases)+len(u.Policies) == 0 {
 		return
 	}
-	p.word(one, u)
+	p.sendUpdate(one, u)
 }
 
-func (p *Process) word(one *watcher, u leaseclient.Update) {
-	w := p.w
-	one.seq++
-	stream, seq := one.stream, one.seq
+func (p *Process) sendUpdate(one *watcher, u leaseclient.Update) {
+	w := p.world
+	one.sequence++
+	stream, seq := one.stream, one.sequence
 	size := proto.Size(rpc.EncodeUpdate(u))
 	deliver := func() {
-		if one.proc.life == one.life && one.proc.ruled != nil {
-			one.proc.hear(stream, seq, u)
+		if one.process.incarnation == one.incarnation && one.process.policy != nil {
+			one.process.updateReceived(stream, seq, u)
 		}
 	}
-	w.send(p, one.proc, size, deliver)
-	if w.loss > 0 && w.rand.Float64() < w.loss { // twice, and late
-		w.After(w.rand.Float64()*1500, func() { w.send(p, one.proc, size, deliver) })
+	w.send(p, one.process, size, deliver)
+	if w.lossProbability > 0 && w.rand.Float64() < w.lossProbability { // twice, and late
+		w.After(w.rand.Float64()*1500, func() { w.send(p, one.process, size, deliver) })
 	}
 }
 
-// push tells all watchers, 5 ms after the replicated state moved; and an empty word each second.
-func (p *Process) push() {
-	if at := p.node.State().Index(); at != p.pushed && !p.pushing {
-		p.pushing = true
+// pushChanges tells all watchers, 5 ms after the replicated state moved; and an empty word each second.
+func (p *Process) pushChanges() {
+	if at := p.node.State().Index(); at != p.pushedIndex && !p.pushPending {
+		p.pushPending = true
 		p.later(5, func() {
-			p.pushing = false
-			events, all := p.node.State().Since(p.pushed)
-			if p.pushed = p.node.State().Index(); all && len(events) == 0 {
+			p.pushPending = false
+			events, all := p.node.State().Since(p.pushedIndex)
+			if p.pushedIndex = p.node.State().Index(); all && len(events) == 0 {
 				return
 			}
 			if b := p.node.State().Policy(); b.Version.Number > 0 {
-				p.w.stands(b.Version, b.Document, b.Changes)
+				p.world.versionInForce(b.Version, b.Document, b.Changes)
 			}
 			for _, one := range p.watchers {
-				p.inform(one)
+				p.sendChanges(one)
 			}
 		})
 	}
 }
 
-func (p *Process) empty() {
+func (p *Process) sendKeepalives() {
 	for _, one := range p.watchers {
-		p.word(one, leaseclient.Update{})
+		p.sendUpdate(one, leaseclient.Update{})
 	}
-	p.later(1000, p.empty)
+	p.later(1000, p.sendKeepalives)
 }
 
-// hear takes a word of the watch. One that is missing ends it; all that come are heard, whatever their order.
-func (p *Process) hear(stream, seq int, u leaseclient.Update) {
-	r := p.ruled
+// updateReceived takes a word of the watch. One that is missing ends it; all that come are heard, whatever their order.
+func (p *Process) updateReceived(stream, seq int, u leaseclient.Update) {
+	r := p.policy
 	if stream == r.stream {
-		r.heard = p.w.Now
-		if seq > r.seq+1 && r.broken != stream {
-			r.broken = stream
-			p.later(150+p.w.rand.Float64()*300, p.subscribe)
-		} else if seq == r.seq+1 {
-			p.agent.UpdateReceived(u)
+		r.lastMessageMs = p.world.Now
+		if seq > r.sequence+1 && r.brokenStream != stream {
+			r.brokenStream = stream
+			p.later(150+p.world.rand.Float64()*300, p.subscribe)
+		} else if seq == r.sequence+1 {
+			p.client.UpdateReceived(u)
 		}
-		r.seq = max(r.seq, seq)
+		r.sequence = max(r.sequence, seq)
 	}
 	r.follower.Advance(p.clock())
 	for _, one := range u.Policies {
@@ -407,52 +409,52 @@
 	}
 }
 
-// goBy carries out what the follower decides.
-func (p *Process) goBy() {
-	w, r := p.w, p.ruled
+// carryOutPolicy carries out what the follower decides.
+func (p *Process) carryOutPolicy() {
+	w, r := p.world, p.policy
 	r.follower.Advance(p.clock())
 	for d, more := r.follower.Next(); more; d, more = r.follower.Next() {
 		switch d.Action {
 		case policy.Apply:
-			r.applied = max(r.applied, w.Now+0.1+w.rand.ExpFloat64()*3)
-			p.later(r.applied-w.Now, func() {
-				w.went(p, d.Version, d.Document)
+			r.lastApplyMs = max(r.lastApplyMs, w.Now+0.1+w.rand.ExpFloat64()*3)
+			p.later(r.lastApplyMs-w.Now, func() {
+				w.versionApplied(p, d.Version, d.Document)
 				r.follower.Advance(p.clock())
 				r.follower.Applied(d.Version)
 			})
 		case policy.Acknowledge:
 			if d.Applied > r.version.Packed() {
-				w.wrong("%s says that it goes by %s, and goes by %s", p.Name, policy.FormatPacked(d.Applied), r.version)
+				w.violation("%s says that it goes by %s, and goes by %s", p.Name, policy.FormatPacked(d.Applied), r.version)
 			}
-			p.agent.PolicyApplied(d.Applied, d.Rejected, d.Reason)
+			p.client.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
-			p.later(1+w.rand.ExpFloat64()*5, func() { p.kept, p.tampered = kept{d.Version, d.Document}, false })
+			p.later(1+w.rand.ExpFloat64()*5, func() { p.stored, p.storeTampered = storedPolicy{d.Version, d.Document}, false })
 		case policy.Fetch:
-			p.fetch(d.Request)
+			p.fetchPolicy(d.Request)
 		}
 	}
-	if at := w.Now + max(r.follower.NextDeadline()-p.clock(), 1); r.wake <= w.Now || at < r.wake {
-		if r.wake = at; !math.IsInf(at, 1) {
+	if at := w.Now + max(r.follower.NextDeadline()-p.clock(), 1); r.nextWakeMs <= w.Now || at < r.nextWakeMs {
+		if r.nextWakeMs = at; !math.IsInf(at, 1) {
 			p.later(at-w.Now, func() {})
 		}
 	}
 }
 
-func (p *Process) fetch(q policy.Request) {
-	w, r := p.w, p.ruled
-	c := r.from
+func (p *Process) fetchPolicy(q policy.Request) {
+	w, r := p.world, p.policy
+	c := r.coordinator
 	if w.rand.IntN(3) == 0 {
 		c = w.Coordinators[w.rand.IntN(len(w.Coordinators))]
 	}
-	r.asking++
-	number := r.asking
+	r.fetches++
+	number := r.fetches
 	w.send(p, c, 60, func() {
-		part, known := c.part(q)
+		part, known := c.servePart(q)
 		w.send(c, p, len(part.Bytes)+60, func() {
-			if p.ruled != r || r.asking != number {
+			if p.policy != r || r.fetches != number {
 				return
 			}
-			r.asking++
+			r.fetches++
 			r.follower.Advance(p.clock())
 			if !known {
 				r.follower.FetchFailed()
@@ -463,28 +465,28 @@
 		})
 	})
 	p.later(1000, func() {
-		if p.ruled == r && r.asking == number {
-			r.asking++
+		if p.policy == r && r.fetches == number {
+			r.fetches++
 			r.follower.Advance(p.clock())
 			r.follower.FetchFailed()
 		}
 	})
 }
 
-type piece struct {
-	have    uint64
+type policyChunk struct {
+	base    uint64
 	version policy.Version
-	whole   bool
+	full    bool
 	bytes   []byte
 }
 
-// part gives what the coordinator's process would; one that is broken gives other bytes under the same version.
-func (p *Process) part(q policy.Request) (policy.Part, bool) {
+// servePart gives what the coordinator's process would; one that is broken gives other bytes under the same version.
+func (p *Process) servePart(q policy.Request) (policy.Part, bool) {
 	b := p.node.State().Policy()
-	var got *piece
-	for n := range p.pieces {
-		one := &p.pieces[n]
-		if q.Offset > 0 && one.version.Packed() == q.Want && one.whole == q.Full && (one.whole || one.have == q.Have) {
+	var got *policyChunk
+	for n := range p.chunks {
+		one := &p.chunks[n]
+		if q.Offset > 0 && one.version.Packed() == q.Want && one.full == q.Full && (one.full || one.base == q.Have) {
 			got = one
 		}
 	}
@@ -493,73 +495,73 @@
 		if !known {
 			return policy.Part{}, false
 		}
-		if p.broken && whole {
+		if p.corruptsChunks && whole {
 			d := maps.Clone(b.Document)
 			d["over_share_value"] = "0.9"
 			raw = d.Encode()
-		} else if p.broken {
+		} else if p.corruptsChunks {
 			all, _ := policy.DecodeChanges(raw)
 			all[len(all)-1].Difference = policy.Difference{Set: map[string]string{"over_share_value": "0.9"}}
 			raw = policy.EncodeChanges(all)
 		}
-		p.pieces = append(p.pieces, piece{q.Have, b.Version, whole, nil})
-		got = &p.pieces[len(p.pieces)-1]
-		if got.bytes = rpc.Compress(raw); len(p.pieces) > 64 {
-			got = &piece{q.Have, b.Version, whole, got.bytes}
-			p.pieces = p.pieces[1:]
+		p.chunks = append(p.chunks, policyChunk{q.Have, b.Version, whole, nil})
+		got = &p.chunks[len(p.chunks)-1]
+		if got.bytes = rpc.Compress(raw); len(p.chunks) > 64 {
+			got = &policyChunk{q.Have, b.Version, whole, got.bytes}
+			p.chunks = p.chunks[1:]
 		}
 		q.Offset = 0
 	}
 	at := min(q.Offset, len(got.bytes))
 	end := min(at+q.MaxBytes, len(got.bytes))
-	return policy.Part{Version: got.version, Full: got.whole, Offset: at, Total: len(got.bytes), Bytes: got.bytes[at:end]}, end > at
+	return policy.Part{Version: got.version, Full: got.full, Offset: at, Total: len(got.bytes), Bytes: got.bytes[at:end]}, end > at
 }
 
-// drawRuling schedules faults by chance, as draw does, with those that concern a policy.
-func (w *World) drawRuling() {
-	kinds := []func() string{w.stop, w.kill, w.sever, w.oneWay, w.isolate, w.slowDisk, w.lossy, w.stopLeader, w.killLeader, w.restartReceivers,
-		w.killMost, w.lagging, w.corrupt, w.brokenTeller}
-	if w.ruling.ZoneRouters > 0 {
+// drawPolicyFaults schedules faults by chance, as draw does, with those that concern a policy.
+func (w *World) drawPolicyFaults() {
+	kinds := []func() string{w.pauseAny, w.killAny, w.cutLink, w.cutOneWay, w.isolateAny, w.slowAnyDisk, w.dropMessages, w.pauseLeader, w.killLeader, w.restartReceivers,
+		w.restartCoordinators, w.isolateFromPeers, w.corruptStores, w.serveCorruptChunks}
+	if w.policyRun.ZoneRouters > 0 {
 		kinds = append(kinds, w.restartZone)
 	}
 	for range 3 + w.rand.IntN(6) {
 		f := kinds[w.rand.IntN(len(kinds))]
-		w.After(1500+w.rand.Float64()*(w.opt.FaultsMs-1500), func() { w.Faults[f()]++ })
+		w.After(1500+w.rand.Float64()*(w.options.FaultsMs-1500), func() { w.Faults[f()]++ })
 	}
-	if w.ruling.Regions {
-		w.After(4000+w.rand.Float64()*2000, func() { w.Faults[w.apart()]++ })
+	if w.policyRun.Regions {
+		w.After(4000+w.rand.Float64()*2000, func() { w.Faults[w.partitionRegions()]++ })
 	}
 	if w.rand.IntN(8) == 0 {
-		w.After(4000+w.rand.Float64()*(w.opt.FaultsMs-4000), func() { w.WipeCoordinators() })
+		w.After(4000+w.rand.Float64()*(w.options.FaultsMs-4000), func() { w.WipeCoordinators() })
 	}
-	w.After(w.opt.FaultsMs+3000, func() {
-		clear(w.cut)
-		w.loss = 0
+	w.After(w.options.FaultsMs+3000, func() {
+		clear(w.cutLinks)
+		w.lossProbability = 0
 		for _, c := range w.Coordinators {
-			c.broken = false
+			c.corruptsChunks = false
 		}
-		w.operate(0, w.change) // a last one, that all must come to
-		w.After(2500, func() { w.operate(1, w.change) })
+		w.proposeChange(0, w.randomChange) // a last one, that all must come to
+		w.After(2500, func() { w.proposeChange(1, w.randomChange) })
 	})
 }
 
-// lagging cuts a coordinator node off from the others, not from the routers: it goes on to tell what it knows.
-func (w *World) lagging() string {
+// isolateFromPeers cuts a coordinator node off from the others, not from the routers: it goes on to tell what it knows.
+func (w *World) isolateFromPeers() string {
 	c := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
-	w.Isolate(c, true, true, w.Coordinators, 2000+w.lasting()*3)
+	w.Isolate(c, true, true, w.Coordinators, 2000+w.faultDurationMs()*3)
 	return "teller that lags"
 }
 
-// corrupt has a router find something else in its store than was kept: another document, with a hash that fits or not.
-func (w *World) corrupt() string {
+// corruptStores has a router find something else in its store than was kept: another document, with a hash that fits or not.
+func (w *World) corruptStores() string {
 	for range 1 + len(w.Routers)/20 {
 		p := w.Routers[w.rand.IntN(len(w.Routers))]
 		p.Kill()
-		if p.kept.version.Number > 0 {
-			d := maps.Clone(p.kept.doc)
+		if p.stored.version.Number > 0 {
+			d := maps.Clone(p.stored.document)
 			d["over_share_value"] = "0.7"
-			if p.kept.doc, p.tampered = d, true; w.rand.IntN(2) == 0 {
-				p.kept.version.Hash = d.Hash()
+			if p.stored.document, p.storeTampered = d, true; w.rand.IntN(2) == 0 {
+				p.stored.version.Hash = d.Hash()
 			}
 		}
 		w.After(20+w.rand.Float64()*400, p.start)
@@ -567,64 +569,64 @@
 	return "store not as it was kept"
 }
 
-func (w *World) brokenTeller() string {
+func (w *World) serveCorruptChunks() string {
 	c := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
-	c.broken, c.pieces = true, nil
-	w.After(1000+w.lasting()*2, func() { c.broken, c.pieces = false, nil })
+	c.corruptsChunks, c.chunks = true, nil
+	w.After(1000+w.faultDurationMs()*2, func() { c.corruptsChunks, c.chunks = false, nil })
 	return "teller that gives other bytes"
 }
 
 // restartZone restarts a zone's routers at once, around a change; some of them find nothing kept.
 func (w *World) restartZone() string {
-	first := w.rand.IntN(max(1, len(w.Routers)-w.ruling.ZoneRouters+1))
-	for _, p := range w.Routers[first : first+w.ruling.ZoneRouters] {
+	first := w.rand.IntN(max(1, len(w.Routers)-w.policyRun.ZoneRouters+1))
+	for _, p := range w.Routers[first : first+w.policyRun.ZoneRouters] {
 		if w.rand.IntN(3) == 0 {
-			p.kept, p.tampered = kept{}, false
+			p.stored, p.storeTampered = storedPolicy{}, false
 		}
 		w.KillFor(p, 200+w.rand.Float64()*300)
 	}
-	w.After(w.rand.Float64()*600, func() { w.operate(0, w.change) })
+	w.After(w.rand.Float64()*600, func() { w.proposeChange(0, w.randomChange) })
 	return "zone restarted"
 }
 
-// apart cuts the last coordinator node and a third of the routers off from the others.
-func (w *World) apart() string {
+// partitionRegions cuts the last coordinator node and a third of the routers off from the others.
+func (w *World) partitionRegions() string {
 	here := w.Coordinators[len(w.Coordinators)-1:]
 	here = append(slices.Clone(here), w.Routers[len(w.Routers)*2/3:]...)
-	w.ruling.parted = map[*Process]bool{}
+	w.policyRun.partitioned = map[*Process]bool{}
 	for _, p := range here {
-		w.ruling.parted[p] = true
+		w.policyRun.partitioned[p] = true
 	}
-	w.After(w.ruling.RegionCutMs, func() { w.ruling.parted = nil })
+	w.After(w.policyRun.RegionCutMs, func() { w.policyRun.partitioned = nil })
 	return "regions apart"
 }
 
-// ruledWell looks at what is left in the end.
-func (w *World) ruledWell() (wrong []string) {
-	r := w.ruling
+// checkPolicies looks at what is left in the end.
+func (w *World) checkPolicies() (wrong []string) {
+	r := w.policyRun
 	l := w.Leader()
 	if l == nil {
 		return []string{"nobody leads in the end"}
 	}
 	b := l.node.State().Policy()
 	for _, p := range w.Routers {
-		if !p.up || p.asleep {
+		if !p.up || p.paused {
 			wrong = append(wrong, p.Name+" is down in the end")
 			continue
 		}
-		w.StaleAnnouncements, w.HashMismatches = w.StaleAnnouncements+p.ruled.follower.Stale, w.HashMismatches+p.ruled.follower.HashMismatches
-		if p.ruled.version.Packed() != b.Version.Packed() || p.ruled.doc.Hash() != b.Version.Hash {
-			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end, %s is in force", p.Name, p.ruled.version, b.Version))
+		w.StaleAnnouncements, w.HashMismatches = w.StaleAnnouncements+p.policy.follower.Stale, w.HashMismatches+p.policy.follower.HashMismatches
+		if p.policy.version.Packed() != b.Version.Packed() || p.policy.document.Hash() != b.Version.Hash {
+			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end, %s is in force", p.Name, p.policy.version, b.Version))
 		}
-		if s, open := l.node.State().Session(p.Name); !open || s.Policy != p.ruled.version.Packed() {
-			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end and is known to go by %s (session %v)", p.Name, p.ruled.version,
+		if s, open := l.node.State().Session(p.Name); !open || s.Policy != p.policy.version.Packed() {
+			wrong = append(wrong, fmt.Sprintf("%s goes by %s in the end and is known to go by %s (session %v)", p.Name, p.policy.version,
 				policy.FormatPacked(s.Policy), open))
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(r.intended)) {
-		for _, hash := range r.intended[number] {
+	for _, number := range slices.Sorted(maps.Keys(r.acknowledged)) {
+		for _, hash := range r.acknowledged[number] {
 			found := false
-			for mark, had := range r.docs {
+			for mark, had := range r.documents {
 				if _, n := policy.SplitPacked(mark); n == number && had == hash {
 					found = true
 				}
@@ -634,11 +636,11 @@
 			}
 		}
 	}
-	if _, waits := r.waits[r.last]; waits || r.lasted > bound {
-		wrong = append(wrong, fmt.Sprintf("the last change, after all faults, was not everywhere in %.0f ms (%.0f)", bound, r.lasted))
+	if _, waits := r.propagations[r.latest]; waits || r.latestPropagationMs > maxPropagationMs {
+		wrong = append(wrong, fmt.Sprintf("the last change, after all faults, was not everywhere in %.0f ms (%.0f)", maxPropagationMs, r.latestPropagationMs))
 	}
-	if w.MaxBytesPerSecond > Allowance {
-		wrong = append(wrong, fmt.Sprintf("%d bytes of one router in a second, %d may be", w.MaxBytesPerSecond, Allowance))
+	if w.MaxBytesPerSecond > MaxControlBytesPerSecond {
+		wrong = append(wrong, fmt.Sprintf("%d bytes of one router in a second, %d may be", w.MaxBytesPerSecond, MaxControlBytesPerSecond))
 	}
 	return wrong[:min(len(wrong), 10)]
 }
--- a/internal/lab/fleet/simulation/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -66,8 +66,8 @@
 		last = w
 		mark := func(when float64, into *int) {
 			var from int
-			w.After(when, func() { from = w.ruling.carried })
-			w.After(when+long-1, func() { *into = w.ruling.carried - from })
+			w.After(when, func() { from = w.policyRun.totalBytes })
+			w.After(when+long-1, func() { *into = w.policyRun.totalBytes - from })
 		}
 		mark(at-long, &idle)
 		mark(at, &busy)
@@ -76,7 +76,7 @@
 				event(w)
 			}
 			if change > 0 {
-				w.operate(0, w.change)
+				w.proposeChange(0, w.randomChange)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 	if len(w.Report.Violations) > 0 {
 		t.Fatal(w.Report.Violations)
 	}
-	took = slices.Sorted(slices.Values(last.ruling.took[last.ruling.last]))
+	took = slices.Sorted(slices.Values(last.policyRun.routerDelaysMs[last.policyRun.latest]))
 	return took, float64(busy-idle) / float64(*size), w.MaxBytesPerSecond
 }
 
@@ -120,7 +120,7 @@
 			for _, p := range w.Routers[:zone] {
 				p.Kill()
 				if !with {
-					p.kept = kept{}
+					p.stored = storedPolicy{}
 				}
 				w.After(500, p.start) // the change comes meanwhile
 				w.After(500, func() { w.backAt(p, &back) })
@@ -143,7 +143,7 @@
 	since := w.Now
 	var look func()
 	look = func() {
-		if p.ruled != nil && p.ruled.version.Packed() == w.ruling.last && w.ruling.last != 0 && w.Now > since+1 {
+		if p.policy != nil && p.policy.version.Packed() == w.policyRun.latest && w.policyRun.latest != 0 && w.Now > since+1 {
 			*into = append(*into, w.Now-since)
 			return
 		}
@@ -158,7 +158,7 @@
 	for n, c := range w.Coordinators {
 		at := 4000 + float64(n)*3000
 		w.After(at, func() { w.Isolate(c, true, true, w.Coordinators, 2500) })
-		w.After(at+1200, func() { w.operate(0, w.change) })
+		w.After(at+1200, func() { w.proposeChange(0, w.randomChange) })
 		w.After(at+1500, func() {
 			for _, p := range w.Routers {
 				p.run(p.subscribe)
@@ -171,11 +171,11 @@
 func otherBytes(w *World) {
 	w.After(4000, func() {
 		for _, c := range w.Coordinators {
-			c.broken, c.pieces = true, nil
-			w.After(2000, func() { c.broken, c.pieces = false, nil })
+			c.corruptsChunks, c.chunks = true, nil
+			w.After(2000, func() { c.corruptsChunks, c.chunks = false, nil })
 		}
 		for _, p := range w.Routers[:4] {
-			p.kept = kept{}
+			p.stored = storedPolicy{}
 			w.KillFor(p, 50)
 		}
 	})
--- a/internal/lab/fleet/simulation/recorded_test.go
+++ b/internal/lab/fleet/simulation/recorded_test.go
@@ -48,8 +48,8 @@
 	for _, op := range r.Operations {
 		text += fmt.Sprint(op.Client, op.Number, op.Session, op.StartedMs, op.EndedMs, op.Held, op.Token)
 	}
-	if w.planned != nil {
-		text += fmt.Sprint(w.planned.orders, counts(w.planned.done), w.planned.number, w.planned.lateAt, len(w.planned.log), len(w.planned.told))
+	if w.switchovers != nil {
+		text += fmt.Sprint(w.switchovers.orders, counts(w.switchovers.endedOrders), w.switchovers.writes, w.switchovers.fencedSteps, len(w.switchovers.groupLog), len(w.switchovers.outcomes))
 	}
 	return text
 }
--- a/internal/lab/fleet/simulation/sight.go
+++ b/internal/lab/fleet/simulation/sight.go
@@ -29,7 +29,7 @@
 			"read":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: router.Bounded, StalenessBound: 1500},
 			"write": {LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write}}}
 	var now float64
-	var q queue
+	var q eventQueue
 	seq := 0
 	after := func(ms float64, do func()) {
 		seq++
@@ -147,7 +147,7 @@
 	}
 	for len(q) > 0 {
 		e := heap.Pop(&q).(event)
-		if now = e.at; now > 20000 {
+		if now = e.atMs; now > 20000 {
 			break
 		}
 		e.do()
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -56,7 +56,7 @@
 const (
 	SessionTimeoutMs = 2000.0
 	SafetyMarginMs   = 200.0
-	tick             = 50.0
+	tickMs           = 50.0
 )
 
 // Report is what a run came to.
@@ -88,20 +88,20 @@
 }
 
 type event struct {
-	at  float64
-	seq int
-	do  func()
+	atMs float64
+	seq  int
+	do   func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].atMs < q[j].atMs || q[i].atMs == q[j].atMs && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -110,137 +110,137 @@
 
 // Process is one process of the simulation.
 type Process struct {
-	Name   string
-	w      *World
-	life   int  // grows with each start; what was meant for an earlier one is dropped
-	up     bool // runs, or is stopped
-	asleep bool // stopped: what comes waits
-	waits  []func()
-	ahead  float64 // its clock against the world's
-
-	node    *raftnode.Node // of a coordinator node
-	disk    raftnode.Stored
-	slow    float64 // ms that its disk takes beyond the usual
-	lost    bool    // its folder is, for good
-	joins   bool    // it takes another's place
-	waiting map[uint64]asker
-	read    map[uint64][]string
-
-	agent  *leaseclient.Client
-	duties []string
-	leader string
-	calls  map[uint64]call // by the agent's numbers
-	watch  uint64
-	acting map[string]lease.Token
-	seen   map[string]lease.Token // where Forgets is seeded
-	tries  int
-
-	own     uint64 // requests of its own
-	carrier *carrier
-	guests  *switchover.WriteHolds
-	handing *handing
-	desk    switchover.OrderState
-	member  *member
-
-	ruled    *ruled // a router's part in the policy, and its disk
-	kept     kept
-	tampered bool
-	watchers []*watcher // of a coordinator node
-	pushed   uint64
-	pushing  bool
-	broken   bool
-	pieces   []piece
-}
-
-type asker struct {
-	proc   *Process
-	life   int
-	number uint64
-	done   func(raftnode.Decision) // of a request that is not an agent's
-}
-
-// call is a request without an answer yet.
-type call struct {
-	ops   []int                         // its places in the history, one for each lease that it asks about; none: not kept
-	again func()                        // sends it once more, to who leads
-	done  func(leasestate.Result, bool) // of one that is not the agent\'s
+	Name          string
+	world         *World
+	incarnation   int  // grows with each start; what was meant for an earlier one is dropped
+	up            bool // runs, or is stopped
+	paused        bool // stopped: what comes waits
+	deferred      []func()
+	clockOffsetMs float64 // its clock against the world's
+
+	node        *raftnode.Node // of a coordinator node
+	disk        raftnode.Stored
+	diskDelayMs float64 // ms that its disk takes beyond the usual
+	dataLost    bool    // its folder is, for good
+	joining     bool    // it takes another's place
+	requesters  map[uint64]requester
+	tokenReads  map[uint64][]string
+
+	client       *leaseclient.Client
+	leases       []string
+	knownLeader  string
+	openRequests map[uint64]openRequest // by the agent's numbers
+	watchIndex   uint64
+	heldLeases   map[string]lease.Token
+	seenTokens   map[string]lease.Token // where Forgets is seeded
+	starts       int
+
+	ownRequests uint64 // requests of its own
+	driver      *routerDriver
+	writeHolds  *switchover.WriteHolds
+	switchover  *switchoverLease
+	orderState  switchover.OrderState
+	member      *member
+
+	policy         *policyRouter // a router's part in the policy, and its disk
+	stored         storedPolicy
+	storeTampered  bool
+	watchers       []*watcher // of a coordinator node
+	pushedIndex    uint64
+	pushPending    bool
+	corruptsChunks bool
+	chunks         []policyChunk
+}
+
+type requester struct {
+	process     *Process
+	incarnation int
+	request     uint64
+	onDecision  func(raftnode.Decision) // of a request that is not an agent's
+}
+
+// openRequest is a request without an answer yet.
+type openRequest struct {
+	operations []int                         // its places in the history, one for each lease that it asks about; none: not kept
+	resend     func()                        // sends it once more, to who leads
+	onResult   func(leasestate.Result, bool) // of one that is not the agent\'s
 }
 
 // World is one run.
 type World struct {
 	Report
-	Now          float64
-	opt          Options
-	rand         *rand.Rand
-	queue        queue
-	seq          int
-	Coordinators []*Process
-	Routers      []*Process
-	byName       map[string]*Process
-	cut          map[[2]string]bool // from, to
-	loss         float64
-	number       uint64
-	taken        map[string]lease.Token // by receiver and scope: the highest ever accepted there
-	holders      map[string]string      // by lease and fencing token: who acted under it
-	granted      map[string]string      // by lease and fencing token: to whom, as a leader applied it
-	top          map[string]lease.Token // the highest of these
-	owner        map[string]string      // by lease: who acts, as the world sees it
-	since        map[string]float64     // when it last had none
-	planned      *planned
-	ruling       *ruling
-	streams      int
-	log          *logrus.Logger
+	Now             float64
+	options         Options
+	rand            *rand.Rand
+	queue           eventQueue
+	seq             int
+	Coordinators    []*Process
+	Routers         []*Process
+	processes       map[string]*Process
+	cutLinks        map[[2]string]bool // from, to
+	lossProbability float64
+	lastRequest     uint64
+	highestAccepted map[string]lease.Token // by receiver and scope: the highest ever accepted there
+	tokenHolders    map[string]string      // by lease and fencing token: who acted under it
+	grantedTo       map[string]string      // by lease and fencing token: to whom, as a leader applied it
+	latestGranted   map[string]lease.Token // the highest of these
+	activeHolder    map[string]string      // by lease: who acts, as the world sees it
+	unheldSinceMs   map[string]float64     // when it last had none
+	switchovers     *switchoverRun
+	policyRun       *policyRun
+	lastStream      int
+	logger          *logrus.Logger
 }
 
 // Play runs one world to its end.
 func Play(o Options) *World {
-	w := &World{opt: o, rand: rand.New(rand.NewPCG(o.Seed, 0x9e3779b97f4a7c15)), byName: map[string]*Process{}, cut: map[[2]string]bool{},
-		taken: map[string]lease.Token{}, holders: map[string]string{}, granted: map[string]string{}, top: map[string]lease.Token{}, owner: map[string]string{},
-		since: map[string]float64{}, number: 1 << 32}
+	w := &World{options: o, rand: rand.New(rand.NewPCG(o.Seed, 0x9e3779b97f4a7c15)), processes: map[string]*Process{}, cutLinks: map[[2]string]bool{},
+		highestAccepted: map[string]lease.Token{}, tokenHolders: map[string]string{}, grantedTo: map[string]string{}, latestGranted: map[string]lease.Token{}, activeHolder: map[string]string{},
+		unheldSinceMs: map[string]float64{}, lastRequest: 1 << 32}
 	w.Faults = map[string]int{}
-	w.log = logrus.New()
-	w.log.SetOutput(io.Discard)
-	w.log.SetLevel(logrus.PanicLevel)
+	w.logger = logrus.New()
+	w.logger.SetOutput(io.Discard)
+	w.logger.SetLevel(logrus.PanicLevel)
 	// The engine draws its election time-outs from the system's source; here that must come from the seed.
 	was := crand.Reader
-	crand.Reader = rand.NewChaCha8(seeded(o.Seed))
+	crand.Reader = rand.NewChaCha8(electionSeed(o.Seed))
 	defer func() { crand.Reader = was }()
 
 	for n := range o.Coordinators {
-		p := &Process{Name: fmt.Sprint("c", n+1), w: w, ahead: float64(n) * 1e6}
-		w.Coordinators, w.byName[p.Name] = append(w.Coordinators, p), p
+		p := &Process{Name: fmt.Sprint("c", n+1), world: w, clockOffsetMs: float64(n) * 1e6}
+		w.Coordinators, w.processes[p.Name] = append(w.Coordinators, p), p
 	}
 	for _, p := range w.Coordinators {
 		p.start()
 	}
 	for n := range o.Routers {
-		p := &Process{Name: fmt.Sprint("r", n+1), w: w, ahead: float64(n) * 1e5}
+		p := &Process{Name: fmt.Sprint("r", n+1), world: w, clockOffsetMs: float64(n) * 1e5}
 		if o.MaxHolders == 0 || n < o.MaxHolders {
 			for d := range o.Leases {
-				p.duties = append(p.duties, duty(d))
+				p.leases = append(p.leases, leaseName(d))
 			}
 			if o.Switchover {
-				p.duties = append(p.duties, switchover.LeaseName(0))
+				p.leases = append(p.leases, switchover.LeaseName(0))
 			}
 		}
-		w.Routers, w.byName[p.Name] = append(w.Routers, p), p
+		w.Routers, w.processes[p.Name] = append(w.Routers, p), p
 	}
 	for _, p := range w.Routers {
 		w.After(w.rand.Float64()*200, p.start)
 	}
 	if o.Switchover {
-		w.plan()
+		w.startSwitchovers()
 	}
 	if o.Policy != nil {
-		w.rule()
+		w.startPolicyRun()
 	}
 	switch {
 	case o.Schedule != nil:
 		o.Schedule(w)
 	case !o.NoFaults && o.Policy != nil:
-		w.drawRuling()
+		w.drawPolicyFaults()
 	case !o.NoFaults:
-		w.draw()
+		w.drawFaults()
 	}
 	end := 2 * o.FaultsMs
 	if o.RecoveryMs > 0 {
@@ -249,24 +249,24 @@
 	w.After(end, func() {})
 	for len(w.queue) > 0 && len(w.Violations) == 0 {
 		e := heap.Pop(&w.queue).(event)
-		if e.at > end {
+		if e.atMs > end {
 			break
 		}
-		w.Now = e.at
+		w.Now = e.atMs
 		e.do()
 	}
-	w.finish()
+	w.checkEnd()
 	return w
 }
 
-func seeded(seed uint64) (b [32]byte) {
+func electionSeed(seed uint64) (b [32]byte) {
 	for n := range b {
 		b[n] = byte(seed >> (8 * (n % 8)))
 	}
 	return b
 }
 
-func duty(n int) string { return fmt.Sprint("sight/", n) }
+func leaseName(n int) string { return fmt.Sprint("sight/", n) }
 
 // After has something happen in so many ms.
 func (w *World) After(ms float64, do func()) {
@@ -274,7 +274,7 @@
 	heap.Push(&w.queue, event{w.Now + ms, w.seq, do})
 }
 
-func (w *World) wrong(format string, args ...any) {
+func (w *World) violation(format string, args ...any) {
 	if len(w.Violations) < 20 {
 		w.Violations = append(w.Violations, fmt.Sprintf("%.0f ms: ", w.Now)+fmt.Sprintf(format, args...))
 	}
@@ -285,16 +285,16 @@
 func (w *World) send(from, to *Process, bytes int, do func()) {
 	w.Messages++
 	w.Bytes += bytes
-	if w.ruling != nil {
-		w.spend(from, bytes)
-		w.spend(to, bytes)
+	if w.policyRun != nil {
+		w.countBytes(from, bytes)
+		w.countBytes(to, bytes)
 	}
-	life := to.life
+	life := to.incarnation
 	w.After(0.2+w.rand.ExpFloat64()*0.8, func() {
-		if w.ruling != nil && w.ruling.parted[from] != w.ruling.parted[to] {
+		if w.policyRun != nil && w.policyRun.partitioned[from] != w.policyRun.partitioned[to] {
 			return
 		}
-		if w.cut[[2]string{from.Name, to.Name}] || w.rand.Float64() < w.loss || !to.up || to.life != life {
+		if w.cutLinks[[2]string{from.Name, to.Name}] || w.rand.Float64() < w.lossProbability || !to.up || to.incarnation != life {
 			return
 		}
 		to.run(do)
@@ -303,141 +303,141 @@
 
 // run has a process do something, once it is awake.
 func (p *Process) run(do func()) {
-	if p.asleep {
-		p.waits = append(p.waits, do)
+	if p.paused {
+		p.deferred = append(p.deferred, do)
 		return
 	}
 	do()
-	p.settle()
+	p.carryOut()
 }
 
 // later has a process do something in so many ms, if it is still the same life.
 func (p *Process) later(ms float64, do func()) {
-	life := p.life
-	p.w.After(ms, func() {
-		if p.up && p.life == life {
+	life := p.incarnation
+	p.world.After(ms, func() {
+		if p.up && p.incarnation == life {
 			p.run(do)
 		}
 	})
 }
 
-func (p *Process) clock() float64 { return p.w.Now + p.ahead + 1 }
+func (p *Process) clock() float64 { return p.world.Now + p.clockOffsetMs + 1 }
 
-func (p *Process) isCouncil() bool { return p.Name[0] == 'c' }
+func (p *Process) isCoordinator() bool { return p.Name[0] == 'c' }
 
 func (p *Process) start() {
-	if p.up || p.lost {
+	if p.up || p.dataLost {
 		return
 	}
-	p.life++
-	p.up, p.asleep, p.waits = true, false, nil
-	if p.isCouncil() {
-		p.startCouncil()
+	p.incarnation++
+	p.up, p.paused, p.deferred = true, false, nil
+	if p.isCoordinator() {
+		p.startCoordinator()
 	} else if p.member != nil { // what it keeps is there
 		return
 	} else {
 		p.startRouter()
 	}
-	p.settle()
-	p.beat()
+	p.carryOut()
+	p.scheduleTick()
 }
 
-// beat looks at the clock whenever something is due.
-func (p *Process) beat() {
-	due := tick
-	if p.agent != nil {
-		due = min(max(p.agent.NextDeadline()-p.clock(), 1), 100)
-		if p.ruled != nil { // nothing else looks at the clock for it
-			due = min(max(p.agent.NextDeadline()-p.clock(), 1), 1000)
+// scheduleTick looks at the clock whenever something is due.
+func (p *Process) scheduleTick() {
+	due := tickMs
+	if p.client != nil {
+		due = min(max(p.client.NextDeadline()-p.clock(), 1), 100)
+		if p.policy != nil { // nothing else looks at the clock for it
+			due = min(max(p.client.NextDeadline()-p.clock(), 1), 1000)
 		}
 	}
 	p.later(due, func() {
 		if p.node != nil {
 			p.node.Advance(p.clock())
 		} else {
-			p.agent.Advance(p.clock())
+			p.client.Advance(p.clock())
 		}
-		p.beat()
+		p.scheduleTick()
 	})
 }
 
-func (p *Process) settle() {
+func (p *Process) carryOut() {
 	if p.node != nil {
-		p.settleCouncil()
-	} else if p.agent != nil {
-		if p.ruled != nil {
-			p.goBy()
+		p.carryOutCoordinator()
+	} else if p.client != nil {
+		if p.policy != nil {
+			p.carryOutPolicy()
 		}
-		if p.settleRouter(); p.handing != nil {
-			p.hand()
-			p.settleRouter()
+		if p.carryOutClient(); p.switchover != nil {
+			p.continueSwitchover()
+			p.carryOutClient()
 		}
 	}
 }
 
 // Kill ends a process at once.
 func (p *Process) Kill() {
-	p.up, p.asleep, p.waits, p.node, p.agent, p.carrier, p.handing, p.ruled = false, false, nil, nil, nil, nil, nil, nil
-	p.desk = switchover.OrderState{}
-	for _, d := range p.duties {
-		p.w.stopped(p, d)
+	p.up, p.paused, p.deferred, p.node, p.client, p.driver, p.switchover, p.policy = false, false, nil, nil, nil, nil, nil, nil
+	p.orderState = switchover.OrderState{}
+	for _, d := range p.leases {
+		p.world.leaseStopped(p, d)
 	}
 }
 
-// Stop has a process stand still; Wake goes on with it.
-func (p *Process) Stop() { p.asleep = p.up }
+// Pause has a process stand still; Wake goes on with it.
+func (p *Process) Pause() { p.paused = p.up }
 
 func (p *Process) Resume() {
-	if !p.asleep {
+	if !p.paused {
 		return
 	}
-	p.asleep = false
-	waits := p.waits
-	p.waits = nil
+	p.paused = false
+	waits := p.deferred
+	p.deferred = nil
 	for _, do := range waits {
 		if !p.up {
 			return
 		}
 		do()
-		p.settle()
+		p.carryOut()
 	}
 }
 
-func (p *Process) startCouncil() {
-	p.waiting, p.read = map[uint64]asker{}, map[uint64][]string{}
-	p.watchers, p.pushed, p.pushing, p.pieces = nil, 0, false, nil
+func (p *Process) startCoordinator() {
+	p.requesters, p.tokenReads = map[uint64]requester{}, map[uint64][]string{}
+	p.watchers, p.pushedIndex, p.pushPending, p.chunks = nil, 0, false, nil
 	var peers []raftnode.Peer
-	for _, o := range p.w.Coordinators {
-		if !o.joins && !p.joins {
+	for _, o := range p.world.Coordinators {
+		if !o.joining && !p.joining {
 			peers = append(peers, raftnode.Peer{Name: o.Name})
 		}
 	}
-	node, fresh, err := raftnode.New(raftnode.Settings{Fleet: "f", Name: p.Name, Peers: peers, Epoch: p.w.epoch(), Tick: tick, SnapshotInterval: 200, Logger: p.w.log,
-		SeededDefects: p.w.opt.SeededDefects.Coordinator}, p.disk)
+	node, fresh, err := raftnode.New(raftnode.Settings{Fleet: "f", Name: p.Name, Peers: peers, Epoch: p.world.epoch(), Tick: tickMs, SnapshotInterval: 200, Logger: p.world.logger,
+		SeededDefects: p.world.options.SeededDefects.Coordinator}, p.disk)
 	if err != nil {
-		p.w.wrong("%s does not start: %v", p.Name, err)
+		p.world.violation("%s does not start: %v", p.Name, err)
 		p.up = false
 		return
 	}
 	if fresh != nil {
-		p.store(*fresh)
+		p.save(*fresh)
 	}
 	p.node = node
-	if node.Advance(p.clock()); p.w.opt.Policy != nil {
-		p.later(1000, p.empty)
+	if node.Advance(p.clock()); p.world.options.Policy != nil {
+		p.later(1000, p.sendKeepalives)
 	}
 }
 
 // epoch is the time at which a coordinator would begin, as the program takes it; a defect has it stand still.
 func (w *World) epoch() uint64 {
-	if w.opt.SeededDefects.SameEpoch {
+	if w.options.SeededDefects.SameEpoch {
 		return 1
 	}
 	return 1 + uint64(w.Now/1000)
 }
 
-// store is the process's disk; what it is given is copied, as a disk would.
-func (p *Process) store(d raftnode.Decision) {
+// save is the process's disk; what it is given is copied, as a disk would.
+func (p *Process) save(d raftnode.Decision) {
 	clone := func(m proto.Message) proto.Message { return proto.Clone(m) }
 	if d.Snapshot != nil && d.Snapshot.GetMetadata().GetIndex() > 0 {
 		p.disk.Snapshot = clone(d.Snapshot).(*raftpb.Snapshot)
@@ -459,25 +459,25 @@
 	}
 }
 
-func (p *Process) settleCouncil() {
-	w := p.w
+func (p *Process) carryOutCoordinator() {
+	w := p.world
 	for d, more := p.node.Next(); more; d, more = p.node.Next() {
 		switch d.Action {
 		case raftnode.Save:
-			if w.opt.SeededDefects.AcknowledgeUnsaved {
+			if w.options.SeededDefects.AcknowledgeUnsaved {
 				p.node.Saved()
-				p.later(50, func() { p.store(d) })
+				p.later(50, func() { p.save(d) })
 				continue
 			}
-			p.later(0.3+w.rand.ExpFloat64()*0.5+p.slow, func() {
-				p.store(d)
+			p.later(0.3+w.rand.ExpFloat64()*0.5+p.diskDelayMs, func() {
+				p.save(d)
 				p.node.Saved()
 			})
 		case raftnode.Compact:
-			p.store(d)
+			p.save(d)
 		case raftnode.Send:
 			peer, _ := p.node.Peer(d.Message.GetTo())
-			to := w.byName[peer.Name]
+			to := w.processes[peer.Name]
 			if to == nil {
 				continue
 			}
@@ -491,7 +491,7 @@
 				p.later(20, func() { p.node.SnapshotSent(m.GetTo(), true) })
 			}
 		case raftnode.Done, raftnode.Redirect, raftnode.ResultUnknown:
-			p.answer(d)
+			p.respond(d)
 		case raftnode.LeaderChanged:
 			if d.Leader.Name == p.Name {
 				w.Elections++
@@ -499,10 +499,10 @@
 		case raftnode.Applied:
 			if leads, _ := p.node.IsLeader(); leads && d.Event.Lease != "" && d.Event.Session != "" && !d.Event.Ended {
 				key := d.Event.Lease + " " + d.Event.Token.String()
-				if _, before := w.granted[key]; !before {
-					w.granted[key] = d.Event.Session
-					if d.Event.Token.Compare(w.top[d.Event.Lease]) > 0 {
-						w.top[d.Event.Lease] = d.Event.Token
+				if _, before := w.grantedTo[key]; !before {
+					w.grantedTo[key] = d.Event.Session
+					if d.Event.Token.Compare(w.latestGranted[d.Event.Lease]) > 0 {
+						w.latestGranted[d.Event.Lease] = d.Event.Token
 					}
 					w.Grants++
 				}
@@ -510,109 +510,109 @@
 		}
 	}
 	if err := p.node.Err(); err != nil {
-		w.wrong("%s: %v", p.Name, err)
+		w.violation("%s: %v", p.Name, err)
 		p.Kill()
 		return
 	}
-	if w.ruling != nil {
-		p.push()
+	if w.policyRun != nil {
+		p.pushChanges()
 	}
 }
 
-func (p *Process) answer(d raftnode.Decision) {
-	who, waits := p.waiting[d.Request]
+func (p *Process) respond(d raftnode.Decision) {
+	who, waits := p.requesters[d.Request]
 	if !waits {
 		return
 	}
-	delete(p.waiting, d.Request)
+	delete(p.requesters, d.Request)
 	ans := d.Result
 	var fences []lease.Token
-	if duties, read := p.read[d.Request]; read {
-		delete(p.read, d.Request)
+	if duties, read := p.tokenReads[d.Request]; read {
+		delete(p.tokenReads, d.Request)
 		if d.Action == raftnode.Done {
 			for _, duty := range duties {
 				fences = append(fences, p.node.State().LatestToken(duty))
 			}
 		}
 	}
-	to := who.proc
-	p.w.send(p, to, 64, func() {
-		if who.done != nil {
-			who.done(d)
+	to := who.process
+	p.world.send(p, to, 64, func() {
+		if who.onDecision != nil {
+			who.onDecision(d)
 			return
 		}
-		if to.life == who.life && to.agent != nil {
-			to.heard(who.number, d.Action, ans, fences, d.Leader.Name)
+		if to.incarnation == who.incarnation && to.client != nil {
+			to.responseReceived(who.request, d.Action, ans, fences, d.Leader.Name)
 		}
 	})
 }
 
 func (p *Process) startRouter() {
-	p.tries++
-	p.calls, p.acting, p.seen, p.watch, p.leader = map[uint64]call{}, map[string]lease.Token{}, map[string]lease.Token{}, 0, ""
+	p.starts++
+	p.openRequests, p.heldLeases, p.seenTokens, p.watchIndex, p.knownLeader = map[uint64]openRequest{}, map[string]lease.Token{}, map[string]lease.Token{}, 0, ""
 	margin := SafetyMarginMs
-	if p.w.opt.SeededDefects.OvercountLease {
+	if p.world.options.SeededDefects.OvercountLease {
 		margin = -1000 // as if it were counted from a late answer
 	}
-	p.agent = leaseclient.New(leaseclient.Settings{Name: p.Name, Role: "router", Address: p.Name, Incarnation: uint64(p.tries) * 1000, SessionTimeout: SessionTimeoutMs,
-		SafetyMargin: margin, Leases: p.duties, Seed: p.w.opt.Seed + uint64(len(p.Name)) + uint64(p.tries)<<8 + uint64(p.Name[len(p.Name)-1])<<16})
-	p.agent.Advance(p.clock())
-	for d := range p.w.opt.Leases {
-		p.agent.LearnToken(duty(d))
+	p.client = leaseclient.New(leaseclient.Settings{Name: p.Name, Role: "router", Address: p.Name, Incarnation: uint64(p.starts) * 1000, SessionTimeout: SessionTimeoutMs,
+		SafetyMargin: margin, Leases: p.leases, Seed: p.world.options.Seed + uint64(len(p.Name)) + uint64(p.starts)<<8 + uint64(p.Name[len(p.Name)-1])<<16})
+	p.client.Advance(p.clock())
+	for d := range p.world.options.Leases {
+		p.client.LearnToken(leaseName(d))
 	}
-	if p.w.opt.Policy != nil {
-		p.startRuled()
+	if p.world.options.Policy != nil {
+		p.startPolicyRouter()
 		return
 	}
-	if p.look(); p.w.planned != nil {
-		p.agent.LearnToken(switchover.LeaseName(0))
-		p.carries()
+	if p.pollLeases(); p.world.switchovers != nil {
+		p.client.LearnToken(switchover.LeaseName(0))
+		p.startDriver()
 	}
 }
 
-// look is the watch: it asks some coordinator node what has changed.
-func (p *Process) look() {
-	w := p.w
+// pollLeases is the watch: it asks some coordinator node what has changed.
+func (p *Process) pollLeases() {
+	w := p.world
 	c := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
-	life, since := p.life, p.watch
+	life, since := p.incarnation, p.watchIndex
 	w.send(p, c, 16, func() {
 		u, index := leaseclient.Changes(c.node.State(), since, false)
 		w.send(c, p, 16+48*(len(u.Sessions)+len(u.Leases)), func() {
-			if p.life == life && p.watch == since {
-				p.watch = index
-				p.agent.UpdateReceived(u)
+			if p.incarnation == life && p.watchIndex == since {
+				p.watchIndex = index
+				p.client.UpdateReceived(u)
 			}
 		})
 	})
-	p.later(100+w.rand.Float64()*20, p.look)
+	p.later(100+w.rand.Float64()*20, p.pollLeases)
 }
 
-func (p *Process) settleRouter() {
-	for d, more := p.agent.Next(); more; d, more = p.agent.Next() {
+func (p *Process) carryOutClient() {
+	for d, more := p.client.Next(); more; d, more = p.client.Next() {
 		switch d.Action {
 		case leaseclient.Propose, leaseclient.QueryTokens:
-			p.calls[d.Request] = call{ops: p.begin(d)}
-			p.ask(d, 0)
+			p.openRequests[d.Request] = openRequest{operations: p.recordOperations(d)}
+			p.sendRequest(d, 0)
 		case leaseclient.Start:
-			p.acting[d.Lease] = d.Token
-			if p.w.began(p, d.Lease); d.Lease == switchover.LeaseName(0) {
-				p.desk.BeginLease(d.Token)
-				p.handing = &handing{fence: d.Token}
+			p.heldLeases[d.Lease] = d.Token
+			if p.world.leaseStarted(p, d.Lease); d.Lease == switchover.LeaseName(0) {
+				p.orderState.BeginLease(d.Token)
+				p.switchover = &switchoverLease{token: d.Token}
 			} else {
-				p.act(d.Lease, d.Token)
+				p.sendActs(d.Lease, d.Token)
 			}
 		case leaseclient.Stop:
-			delete(p.acting, d.Lease)
-			if p.w.stopped(p, d.Lease); d.Lease == switchover.LeaseName(0) {
-				p.handing = nil
+			delete(p.heldLeases, d.Lease)
+			if p.world.leaseStopped(p, d.Lease); d.Lease == switchover.LeaseName(0) {
+				p.switchover = nil
 			}
 		}
 	}
 }
 
-// begin notes a request for the history that is checked; takes and reads alone are, and a read for each lease by itself.
-func (p *Process) begin(d leaseclient.Decision) (ops []int) {
-	op, duties := Operation{Client: p.w.client(p), Kind: "stand", StartedMs: p.w.Now, EndedMs: -1}, d.Leases
+// recordOperations notes a request for the history that is checked; takes and reads alone are, and a read for each lease by itself.
+func (p *Process) recordOperations(d leaseclient.Decision) (ops []int) {
+	op, duties := Operation{Client: p.world.clientNumber(p), Kind: "stand", StartedMs: p.world.Now, EndedMs: -1}, d.Leases
 	if d.Action == leaseclient.Propose {
 		if d.Entry.Kind != leasestate.AcquireLease {
 			return nil
@@ -620,193 +620,193 @@
 		op.Session, op.Kind, duties = d.Entry.Session, "take", []string{d.Entry.Lease}
 	}
 	for _, op.Lease = range duties {
-		ops = append(ops, len(p.w.Operations))
-		p.w.Operations = append(p.w.Operations, op)
+		ops = append(ops, len(p.world.Operations))
+		p.world.Operations = append(p.world.Operations, op)
 	}
 	return ops
 }
 
-// ask sends a request to who is thought to lead, or to anybody; unanswered for 300 ms, it has failed.
-func (p *Process) ask(d leaseclient.Decision, tries int) {
-	w := p.w
-	open, waits := p.calls[d.Request]
+// sendRequest sends a request to who is thought to lead, or to anybody; unanswered for 300 ms, it has failed.
+func (p *Process) sendRequest(d leaseclient.Decision, tries int) {
+	w := p.world
+	open, waits := p.openRequests[d.Request]
 	if !waits {
 		return
 	}
 	if tries > 3 {
-		p.fail(d.Request)
+		p.failRequest(d.Request)
 		return
 	}
-	c := w.byName[p.leader]
+	c := w.processes[p.knownLeader]
 	if c == nil {
 		c = w.Coordinators[w.rand.IntN(len(w.Coordinators))]
 	}
-	open.again = func() { p.ask(d, tries+1) }
-	p.calls[d.Request] = open
-	life := p.life
+	open.resend = func() { p.sendRequest(d, tries+1) }
+	p.openRequests[d.Request] = open
+	life := p.incarnation
 	w.send(p, c, 96, func() {
-		w.number++
-		c.waiting[w.number] = asker{proc: p, life: life, number: d.Request}
+		w.lastRequest++
+		c.requesters[w.lastRequest] = requester{process: p, incarnation: life, request: d.Request}
 		c.node.Advance(c.clock())
 		if d.Action == leaseclient.QueryTokens {
-			c.read[w.number] = d.Leases
-			c.node.Read(w.number)
+			c.tokenReads[w.lastRequest] = d.Leases
+			c.node.Read(w.lastRequest)
 		} else {
-			c.node.Propose(w.number, d.Entry)
+			c.node.Propose(w.lastRequest, d.Entry)
 		}
 	})
 	p.later(300, func() {
-		if _, waits := p.calls[d.Request]; waits {
-			p.leader = ""
-			p.fail(d.Request)
+		if _, waits := p.openRequests[d.Request]; waits {
+			p.knownLeader = ""
+			p.failRequest(d.Request)
 		}
 	})
 }
 
-func (p *Process) fail(number uint64) {
-	c := p.calls[number]
-	delete(p.calls, number)
-	p.agent.Advance(p.clock())
-	if c.done != nil {
-		c.done(leasestate.Result{}, false)
+func (p *Process) failRequest(number uint64) {
+	c := p.openRequests[number]
+	delete(p.openRequests, number)
+	p.client.Advance(p.clock())
+	if c.onResult != nil {
+		c.onResult(leasestate.Result{}, false)
 		return
 	}
-	p.agent.Failed(number)
+	p.client.Failed(number)
 }
 
-// heard takes in how the coordinator answered.
-func (p *Process) heard(number uint64, how raftnode.Action, ans leasestate.Result, fences []lease.Token, leader string) {
-	c, open := p.calls[number]
+// responseReceived takes in how the coordinator answered.
+func (p *Process) responseReceived(number uint64, how raftnode.Action, ans leasestate.Result, fences []lease.Token, leader string) {
+	c, open := p.openRequests[number]
 	if !open {
 		return
 	}
 	switch how {
 	case raftnode.Redirect:
-		if p.leader = leader; leader == "" {
-			p.fail(number)
+		if p.knownLeader = leader; leader == "" {
+			p.failRequest(number)
 		} else {
-			c.again()
+			c.resend()
 		}
 	case raftnode.ResultUnknown:
-		p.fail(number)
+		p.failRequest(number)
 	default:
-		delete(p.calls, number)
-		for i, n := range c.ops {
-			op := &p.w.Operations[n]
-			if op.EndedMs, op.Held, op.Token = p.w.Now, ans.Held, ans.Token; fences != nil {
+		delete(p.openRequests, number)
+		for i, n := range c.operations {
+			op := &p.world.Operations[n]
+			if op.EndedMs, op.Held, op.Token = p.world.Now, ans.Held, ans.Token; fences != nil {
 				op.Token = fences[i]
 			}
 		}
-		p.agent.Advance(p.clock())
+		p.client.Advance(p.clock())
 		switch {
-		case c.done != nil:
-			c.done(ans, true)
+		case c.onResult != nil:
+			c.onResult(ans, true)
 		case fences != nil:
-			p.agent.TokensLearned(number, fences)
+			p.client.TokensLearned(number, fences)
 		default:
-			p.agent.Answered(number, ans)
+			p.client.Answered(number, ans)
 		}
 	}
 }
 
-// act has an owner send acts for as long as it may. Between its look and its act it may be stopped.
-func (p *Process) act(duty string, as lease.Token) {
-	w := p.w
-	if now, still := p.acting[duty]; !still || now != as {
+// sendActs has an owner send acts for as long as it may. Between its look and its act it may be stopped.
+func (p *Process) sendActs(duty string, as lease.Token) {
+	w := p.world
+	if now, still := p.heldLeases[duty]; !still || now != as {
 		return
 	}
-	p.agent.Advance(p.clock())
-	if fence, may := p.agent.Valid(duty); may {
-		if holder, later := w.above(duty, fence); later && w.Faults["wiped"] == 0 {
-			w.wrong("%s finds that it may act for %s under %v, which %s was granted", p.Name, duty, fence, holder)
+	p.client.Advance(p.clock())
+	if fence, may := p.client.Valid(duty); may {
+		if holder, later := w.grantedAbove(duty, fence); later && w.Faults["wiped"] == 0 {
+			w.violation("%s finds that it may act for %s under %v, which %s was granted", p.Name, duty, fence, holder)
 		}
 		for range 2 {
 			to := w.Routers[w.rand.IntN(len(w.Routers))]
-			p.later(w.rand.Float64()*30, func() { p.order(to, duty, fence) })
+			p.later(w.rand.Float64()*30, func() { p.sendAct(to, duty, fence) })
 		}
 	}
-	p.later(40+w.rand.Float64()*40, func() { p.act(duty, as) })
+	p.later(40+w.rand.Float64()*40, func() { p.sendActs(duty, as) })
 }
 
-// above tells whether a higher fencing token of a lease has been granted, and to whom.
-func (w *World) above(duty string, fence lease.Token) (string, bool) {
-	top := w.top[duty]
-	return w.granted[duty+" "+top.String()], top.Compare(fence) > 0
+// grantedAbove tells whether a higher fencing token of a lease has been granted, and to whom.
+func (w *World) grantedAbove(duty string, fence lease.Token) (string, bool) {
+	top := w.latestGranted[duty]
+	return w.grantedTo[duty+" "+top.String()], top.Compare(fence) > 0
 }
 
-func (p *Process) order(to *Process, duty string, fence lease.Token) {
-	w := p.w
-	life := p.life
+func (p *Process) sendAct(to *Process, duty string, fence lease.Token) {
+	w := p.world
+	life := p.incarnation
 	w.send(p, to, 80, func() {
-		verdict, highest := to.judge(lease.Scope{Lease: duty, Subject: "g"}, p.Name, fence)
+		verdict, highest := to.checkToken(lease.Scope{Lease: duty, Subject: "g"}, p.Name, fence)
 		switch verdict {
 		case lease.Accepted:
-			w.accept(to, duty, p.Name, fence)
+			w.actAccepted(to, duty, p.Name, fence)
 		case lease.Stale:
 			w.StaleActs++
 		}
 		w.send(to, p, 32, func() {
-			if p.life == life && verdict == lease.Stale {
-				p.agent.ActRejected(duty, highest)
+			if p.incarnation == life && verdict == lease.Stale {
+				p.client.ActRejected(duty, highest)
 			}
 		})
 	})
 }
 
-// judge is the receiver's own, or what is left of it where a defect is seeded.
-func (p *Process) judge(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
+// checkToken is the receiver's own, or what is left of it where a defect is seeded.
+func (p *Process) checkToken(s lease.Scope, holder string, fence lease.Token) (lease.Verdict, lease.Token) {
 	switch {
-	case p.w.opt.SeededDefects.SkipTokenCheck:
+	case p.world.options.SeededDefects.SkipTokenCheck:
 		return lease.Accepted, fence
-	case p.w.opt.SeededDefects.ForgetTokens:
-		if fence.Compare(p.seen[s.Lease]) < 0 {
-			return lease.Stale, p.seen[s.Lease]
+	case p.world.options.SeededDefects.ForgetTokens:
+		if fence.Compare(p.seenTokens[s.Lease]) < 0 {
+			return lease.Stale, p.seenTokens[s.Lease]
 		}
-		p.seen[s.Lease] = fence
+		p.seenTokens[s.Lease] = fence
 		return lease.Accepted, fence
 	}
-	return p.agent.Check(s, holder, fence)
+	return p.client.Check(s, holder, fence)
 }
 
-// accept checks what a receiver took against all that was ever taken there, whatever it remembers.
-func (w *World) accept(at *Process, duty, holder string, fence lease.Token) {
+// actAccepted checks what a receiver took against all that was ever taken there, whatever it remembers.
+func (w *World) actAccepted(at *Process, duty, holder string, fence lease.Token) {
 	w.Acts++
 	key := at.Name + " " + duty
-	if fence.Compare(w.taken[key]) < 0 {
-		w.wrong("%s took an act of %s for %s under %v after one under %v", at.Name, holder, duty, fence, w.taken[key])
+	if fence.Compare(w.highestAccepted[key]) < 0 {
+		w.violation("%s took an act of %s for %s under %v after one under %v", at.Name, holder, duty, fence, w.highestAccepted[key])
 	}
-	w.taken[key] = fence
+	w.highestAccepted[key] = fence
 	one := duty + " " + fence.String()
-	if other := w.holders[one]; other != "" && other != holder {
-		w.wrong("%s: %v is both %s's and %s's", duty, fence, other, holder)
+	if other := w.tokenHolders[one]; other != "" && other != holder {
+		w.violation("%s: %v is both %s's and %s's", duty, fence, other, holder)
 	}
-	w.holders[one] = holder
+	w.tokenHolders[one] = holder
 }
 
-func (w *World) client(p *Process) int { return slices.Index(w.Routers, p) }
+func (w *World) clientNumber(p *Process) int { return slices.Index(w.Routers, p) }
 
-// began and stopped keep the time without an owner.
-func (w *World) began(p *Process, duty string) {
-	if w.owner[duty] == "" {
-		if at, was := w.since[duty]; was {
+// leaseStarted and stopped keep the time without an owner.
+func (w *World) leaseStarted(p *Process, duty string) {
+	if w.activeHolder[duty] == "" {
+		if at, was := w.unheldSinceMs[duty]; was {
 			w.HolderGapsMs = append(w.HolderGapsMs, w.Now-at)
 		}
 	}
-	w.owner[duty] = p.Name
+	w.activeHolder[duty] = p.Name
 }
 
-func (w *World) stopped(p *Process, duty string) {
-	if w.owner[duty] == p.Name {
-		w.owner[duty], w.since[duty] = "", w.Now
+func (w *World) leaseStopped(p *Process, duty string) {
+	if w.activeHolder[duty] == p.Name {
+		w.activeHolder[duty], w.unheldSinceMs[duty] = "", w.Now
 	}
 }
 
-// finish looks at what is left in the end: long after the last fault each lease has an owner.
-func (w *World) finish() {
+// checkEnd looks at what is left in the end: long after the last fault each lease has an owner.
+func (w *World) checkEnd() {
 	w.EndedMs = w.Now
-	for n := range w.opt.Leases {
-		d := duty(n)
-		if w.owner[d] == "" {
+	for n := range w.options.Leases {
+		d := leaseName(n)
+		if w.activeHolder[d] == "" {
 			w.StuckLeases = append(w.StuckLeases, d)
 		}
 	}
@@ -818,10 +818,10 @@
 	if len(w.Violations) == 0 {
 		w.Violations = Linear(w.Operations)
 	}
-	if w.planned != nil {
-		w.Violations = append(w.Violations, w.writesWell()...)
+	if w.switchovers != nil {
+		w.Violations = append(w.Violations, w.checkWrites()...)
 	}
-	if w.ruling != nil && len(w.Violations) == 0 {
-		w.Violations = w.ruledWell()
+	if w.policyRun != nil && len(w.Violations) == 0 {
+		w.Violations = w.checkPolicies()
 	}
 }
--- a/internal/lab/fleet/simulation/simulation_test.go
+++ b/internal/lab/fleet/simulation/simulation_test.go
@@ -53,15 +53,15 @@
 		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d: %v\n%v", seed, w.Violations, w.Faults)
 		}
-		for how, n := range w.planned.done {
+		for how, n := range w.switchovers.endedOrders {
 			done[how] += n
 		}
-		for _, how := range w.planned.told {
+		for _, how := range w.switchovers.outcomes {
 			if how == "committed" {
 				committed++
 			}
 		}
-		late, orders = late+w.planned.lateAt, orders+w.planned.orders
+		late, orders = late+w.switchovers.fencedSteps, orders+w.switchovers.orders
 	}
 	t.Logf("%d schedules, %d orders, ended %v, %d writes committed, %d late steps refused by members", *schedules/2, orders, done, committed, late)
 	if done["done"] < *schedules/2 || committed < 100**schedules {
@@ -76,17 +76,17 @@
 	o.Schedule = func(w *World) {
 		w.After(5000, func() {
 			for _, p := range w.Coordinators {
-				w.StopFor(p, 3000)
+				w.PauseFor(p, 3000)
 			}
 		})
 	}
 	w := Play(o)
 	ended := 0
-	for _, n := range w.planned.done {
+	for _, n := range w.switchovers.endedOrders {
 		ended += n
 	}
-	if len(w.Violations) > 0 || w.planned.orders < 4 || ended != w.planned.orders || w.planned.lateAt > 0 || w.Grants != 2 {
-		t.Errorf("%v, %d orders, ended %v, %d grants, %d steps refused", w.Violations, w.planned.orders, w.planned.done, w.Grants, w.planned.lateAt)
+	if len(w.Violations) > 0 || w.switchovers.orders < 4 || ended != w.switchovers.orders || w.switchovers.fencedSteps > 0 || w.Grants != 2 {
+		t.Errorf("%v, %d orders, ended %v, %d grants, %d steps refused", w.Violations, w.switchovers.orders, w.switchovers.endedOrders, w.Grants, w.switchovers.fencedSteps)
 	}
 }
 
@@ -107,17 +107,17 @@
 // lateSteps has owners of switchover stopped while a step of theirs is about to go out, and the primary changed again, to somebody
 // else, before they wake.
 func lateSteps(w *World) {
-	for at := 3000.0; at < w.opt.FaultsMs; at += 7000 {
-		w.After(at, func() { w.order("m2", 0) })
+	for at := 3000.0; at < w.options.FaultsMs; at += 7000 {
+		w.After(at, func() { w.placeOrder("m2", 0) })
 		for wait := 1.0; wait < 200; wait++ { // the moment in which the new primary is to take over
 			w.After(at+wait, func() {
-				if p := w.Holder(switchover.LeaseName(0)); p != nil && p.handing != nil && p.handing.owner != nil && p.handing.owner.Phase() == "take" &&
-					p.handing.stepping == switchover.Promote && !p.asleep {
-					w.StopFor(p, 5500)
+				if p := w.Holder(switchover.LeaseName(0)); p != nil && p.switchover != nil && p.switchover.executor != nil && p.switchover.executor.Phase() == "take" &&
+					p.switchover.pendingStep == switchover.Promote && !p.paused {
+					w.PauseFor(p, 5500)
 				}
 			})
 		}
-		w.After(at+3500, func() { w.order("m3", 0) })
+		w.After(at+3500, func() { w.placeOrder("m3", 0) })
 	}
 }
 
@@ -147,10 +147,10 @@
 
 // lateWake has owners stopped between their look and their act, and all others restart before they wake.
 func lateWake(w *World) {
-	for at := 3000.0; at < w.opt.FaultsMs; at += 4500 {
+	for at := 3000.0; at < w.options.FaultsMs; at += 4500 {
 		w.After(at, func() {
-			if p := w.Holder(duty(0)); p != nil {
-				w.StopFor(p, 3000)
+			if p := w.Holder(leaseName(0)); p != nil {
+				w.PauseFor(p, 3000)
 				w.After(2930, func() {
 					for _, o := range w.Routers {
 						if o != p {
@@ -166,7 +166,7 @@
 // formerLeader cuts the leader off from the coordinator alone, while routers that just started ask where fencing tokens stand and the
 // lease changes hands.
 func formerLeader(w *World) {
-	for at := 3000.0; at < w.opt.FaultsMs; at += 3000 {
+	for at := 3000.0; at < w.options.FaultsMs; at += 3000 {
 		w.After(at, func() {
 			l := w.Leader()
 			if l == nil {
@@ -182,7 +182,7 @@
 
 // followers kills one of those who follow, again and again, while the leader goes on and counts on what it acknowledged.
 func followers(w *World) {
-	for at := 3000.0; at < w.opt.FaultsMs; at += 1500 {
+	for at := 3000.0; at < w.options.FaultsMs; at += 1500 {
 		w.After(at, func() {
 			l := w.Leader()
 			if l == nil {
@@ -201,7 +201,7 @@
 // Each seeded defect is found by some schedule among the first of a few hundred, and none is found without it.
 func TestPlanted(t *testing.T) {
 	wiped := func(w *World) {
-		w.draw()
+		w.drawFaults()
 		w.After(4000+w.rand.Float64()*4000, w.WipeCoordinators)
 	}
 	for _, c := range []struct {
@@ -243,7 +243,7 @@
 	w := Play(Options{Seed: 3, Coordinators: 3, Routers: 600, Leases: 13, MaxHolders: 40, FaultsMs: 8000, Schedule: func(w *World) {
 		w.After(3000, func() {
 			for _, p := range w.Coordinators {
-				w.StopFor(p, 3000)
+				w.PauseFor(p, 3000)
 			}
 		})
 	}})
