--- /dev/null
+++ b/internal/lab/scale/arrivals.go
@@ -0,0 +1,70 @@
+package scale
+
+import (
+	"slices"
+	"sync"
+)
+
+// maxRecordedTimes bounds the recorded times of each kind.
+const maxRecordedTimes = 2 << 20
+
+// arrivals records when the routers of this process receive what a mark names.
+type arrivals struct {
+	mu       sync.Mutex
+	mark     *Mark // nil: nothing is recorded
+	received ReceivedTimes
+}
+
+// setMark drops what was recorded and records what the mark names from now on.
+func (a *arrivals) setMark(mark *Mark) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.mark, a.received = mark, ReceivedTimes{}
+}
+
+func record(times *[]float64) {
+	if len(*times) < maxRecordedTimes {
+		*times = append(*times, unixMs())
+	}
+}
+
+// policyApplied records that a router applied a version of the policy.
+func (a *arrivals) policyApplied() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.mark != nil && a.mark.Policy {
+		record(&a.received.Policies)
+	}
+}
+
+// listReceived records that a router received a revision of the endpoint list.
+func (a *arrivals) listReceived(revision int64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.mark != nil && a.mark.Revision > 0 && revision >= a.mark.Revision {
+		record(&a.received.Lists)
+	}
+}
+
+// primaryReported records that a router received a report of a primary, once for each mark: it takes the mark for which this router
+// did so last, and returns the one to pass next time.
+func (a *arrivals) primaryReported(member string, last *Mark) *Mark {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.mark == nil || a.mark == last || a.mark.Primary != member {
+		return last
+	}
+	record(&a.received.Primaries)
+	return a.mark
+}
+
+// times returns what was recorded since the mark was set.
+func (a *arrivals) times() *ReceivedTimes {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return &ReceivedTimes{
+		Policies:  slices.Clone(a.received.Policies),
+		Lists:     slices.Clone(a.received.Lists),
+		Primaries: slices.Clone(a.received.Primaries),
+	}
+}
--- /dev/null
+++ b/internal/lab/scale/event_regions.go
@@ -0,0 +1,81 @@
+package scale
+
+import (
+	"fmt"
+
+	"wayloft/internal/lab/fleet"
+)
+
+// cutRegions cuts all links between the two regions for the time of a sample, and waits until the second region's sessions, which the
+// coordinator's majority is not in, are open again.
+func cutRegions(in *Installation, calm interval) (*EventResult, error) {
+	links := in.linksBetweenRegions()
+	for _, link := range links {
+		link.Hole(true, true)
+	}
+	if err := in.wait(in.SampleDuration); err != nil {
+		return nil, err
+	}
+	state, err := in.state()
+	if err != nil {
+		return nil, err
+	}
+	remaining := len(state.State.Sessions)
+	before, err := in.sampleAll()
+	if err != nil {
+		return nil, err
+	}
+	eventMs := unixMs()
+	sessions := in.watchSessions(string(secondRegion), 0) // those from before have ended
+	defer sessions.stop()
+	for _, link := range links {
+		link.Heal()
+	}
+	cutOff := in.routersIn(secondRegion)
+	parts, err := in.waitReceived(eventMs, map[string]int{partSessions: cutOff}, sessions)
+	if err != nil {
+		return nil, err
+	}
+	during, err := in.since(before)
+	if err != nil {
+		return nil, err
+	}
+	return &EventResult{
+		Seconds: (unixMs() - eventMs) / 1000,
+		Parts:   parts,
+		Bytes: map[string]float64{
+			"first region":  eventCost(calm, during, childPids(in.routers[:zones/2]), in.Routers-cutOff),
+			"second region": eventCost(calm, during, childPids(in.routers[zones/2:]), cutOff),
+		},
+		Calls: during.routerCounts(),
+		Notes: []string{
+			fmt.Sprintf("cut for %s; %d of %d sessions remained at the coordinator", in.SampleDuration, remaining, in.Routers+in.RealRouters),
+			"discovery and databases were not cut off; sessions stay open on the side of the coordinator's majority",
+		},
+	}, nil
+}
+
+// linksBetweenRegions are the links of hollow routers to coordinator nodes of the other region, and those between such nodes.
+func (in *Installation) linksBetweenRegions() []*fleet.Link {
+	links := append([]*fleet.Link(nil), in.regionCuts...)
+	for n, from := range in.coordinatorNodes() {
+		for m, to := range in.coordinatorNodes() {
+			link := in.fleet.Link(from.Name, to.Name)
+			if link != nil && coordinatorRegions[n] != coordinatorRegions[m] {
+				links = append(links, link)
+			}
+		}
+	}
+	return links
+}
+
+// routersIn is how many hollow routers a region has.
+func (in *Installation) routersIn(region byte) (count int) {
+	for zone := range zones {
+		if regionOf(zone) == region {
+			first, end := zoneShare(zone, in.Routers)
+			count += end - first
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/lab/scale/event_restart.go
@@ -0,0 +1,110 @@
+package scale
+
+import (
+	"fmt"
+	"slices"
+)
+
+// restartedZone is the zone that the event restarts.
+const restartedZone = 3
+
+// restartZone kills all hollow routers and databases of a zone at once and starts them again, and has the endpoint list say so. It
+// waits until the routers' sessions are open and all routers have the list.
+func restartZone(in *Installation, calm interval) (*EventResult, error) {
+	before, err := in.sampleAll()
+	if err != nil {
+		return nil, err
+	}
+	mark, err := in.markNextRevision()
+	if err != nil {
+		return nil, err
+	}
+	others := slices.DeleteFunc(slices.Clone(in.routers), func(child *Child) bool {
+		return child == nil || child == in.routers[restartedZone]
+	})
+	eventMs := unixMs()
+	sessions := in.watchSessions(routerNamePrefix(restartedZone), eventMs)
+	defer sessions.stop()
+	if err := in.restartProcesses(mark, eventMs); err != nil {
+		return nil, err
+	}
+	restarted := in.zoneRouters(restartedZone)
+	parts, err := in.waitReceived(eventMs, map[string]int{partSessions: restarted, partLists: in.Routers}, sessions)
+	if err != nil {
+		return nil, err
+	}
+	seconds := (unixMs() - eventMs) / 1000
+	if err := in.settle(in.Routers + in.RealRouters); err != nil { // each restarted router asks for the latest tokens of all leases
+		return nil, err
+	}
+	settledSeconds := (unixMs() - eventMs) / 1000
+	during, err := in.since(before)
+	if err != nil {
+		return nil, err
+	}
+	firstMember, endMember := zoneShare(restartedZone, in.Members)
+	return &EventResult{
+		Seconds: seconds,
+		Parts:   parts,
+		Bytes: map[string]float64{
+			"another":   eventCost(calm, during, childPids(others), in.Routers-restarted),
+			"restarted": float64(during.totalTraffic(in.routers[restartedZone].Pid()).bytes()) / float64(restarted),
+		},
+		Calls: restartCalls(during),
+		Notes: []string{
+			fmt.Sprintf("the coordinator received only heartbeats after %.0f s, to the second", settledSeconds),
+			fmt.Sprintf("%d routers and %d databases were killed and restarted", restarted, endMember-firstMember),
+		},
+	}, nil
+}
+
+func (in *Installation) zoneRouters(zone int) int {
+	first, end := zoneShare(zone, in.Routers)
+	return end - first
+}
+
+// markNextRevision has hollow routers record when they receive the next revision of the endpoint list.
+func (in *Installation) markNextRevision() (Mark, error) {
+	response, err := in.discovery.Ask(ChildRequest{Do: CommandCount})
+	if err != nil {
+		return Mark{}, err
+	}
+	mark := Mark{Revision: response.Revision + 1}
+	return mark, in.mark(mark)
+}
+
+// restartProcesses kills the zone's processes, lists its databases as restarted, and starts the processes again.
+func (in *Installation) restartProcesses(mark Mark, eventMs float64) (err error) {
+	databases, routers := in.databases[restartedZone], in.routers[restartedZone]
+	routers.Kill()
+	databases.Kill()
+	in.databases[restartedZone], in.routers[restartedZone] = nil, nil
+	restart := ChildRequest{Do: CommandRestarted, Members: databases.Spec.Names, At: eventMs}
+	if _, err := in.discovery.Ask(restart); err != nil {
+		return err
+	}
+	databasesSpec := databases.Spec
+	databasesSpec.Addrs = databases.Addrs
+	if in.databases[restartedZone], err = in.startChild("databases-again", databasesSpec); err != nil {
+		return err
+	}
+	routersSpec := routers.Spec
+	routersSpec.PaceMs, routersSpec.Mark = 0, &mark
+	in.routers[restartedZone], err = in.startChild("routers-again", routersSpec)
+	return err
+}
+
+// restartCalls are the counts of the routers that restarted, since their start, and the growth of those of the others.
+func restartCalls(during interval) map[string]int64 {
+	calls := map[string]int64{}
+	restarted := zoneName(routersPrefix, restartedZone)
+	for name, n := range during.after.counts[restarted] {
+		calls["restarted "+name] = n
+	}
+	delete(during.before.counts, restarted)
+	delete(during.after.counts, restarted)
+	for name, n := range during.routerCounts() {
+		calls["others "+name] = n
+	}
+	return calls
+}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"errors"
 	"fmt"
 	"math"
 )
@@ -9,49 +10,63 @@
 type Fit struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	Error     float64 `json:"slope_error"` // standard error of the slope; 0 where two points leave none
+	Error     float64 `json:"slope_error"` // standard error of the slope; 0 for two points
 	Residual  float64 `json:"residual"`    // standard deviation of the points from the line
-	Worst     float64 `json:"worst"`       // the largest distance of a point from it
+	Worst     float64 `json:"worst"`       // the largest distance of a point from the line
 	Points    int     `json:"points"`
 }
 
-// FitLine fits y over x. It takes two points at least, of different x.
+// errSameX is returned for points that all have the same x.
+var errSameX = errors.New("fit a line: all points have the same x")
+
+// FitLine fits y over x. It takes at least two points of different x.
 func FitLine(x, y []float64) (Fit, error) {
 	if len(x) != len(y) || len(x) < 2 {
-		return Fit{}, fmt.Errorf("a line through %d and %d values", len(x), len(y))
+		return Fit{}, fmt.Errorf("fit a line: %d values of x, %d of y", len(x), len(y))
 	}
-	n := float64(len(x))
-	var mx, my, xx, xy float64
+	count := float64(len(x))
+	var meanX, meanY, sumXX, sumXY float64
 	for i := range x {
-		mx += x[i] / n
-		my += y[i] / n
+		meanX += x[i] / count
+		meanY += y[i] / count
 	}
 	for i := range x {
-		xx += (x[i] - mx) * (x[i] - mx)
-		xy += (x[i] - mx) * (y[i] - my)
+		sumXX += (x[i] - meanX) * (x[i] - meanX)
+		sumXY += (x[i] - meanX) * (y[i] - meanY)
 	}
-	if xx == 0 {
-		return Fit{}, fmt.Errorf("a line through one place, %v", x[0])
+	if sumXX == 0 {
+		return Fit{}, errSameX
 	}
-	f := Fit{Slope: xy / xx, Points: len(x)}
-	f.Intercept = my - f.Slope*mx
-	var left float64
+	fit := Fit{Slope: sumXY / sumXX, Points: len(x)}
+	fit.Intercept = meanY - fit.Slope*meanX
+	var squares float64
 	for i := range x {
-		off := y[i] - f.Intercept - f.Slope*x[i]
-		left += off * off
-		f.Worst = math.Max(f.Worst, math.Abs(off))
+		distance := y[i] - fit.Intercept - fit.Slope*x[i]
+		squares += distance * distance
+		fit.Worst = math.Max(fit.Worst, math.Abs(distance))
 	}
 	if len(x) > 2 {
-		f.Residual = math.Sqrt(left / (n - 2))
-		f.Error = f.Residual / math.Sqrt(xx)
+		fit.Residual = math.Sqrt(squares / (count - 2))
+		fit.Error = fit.Residual / math.Sqrt(sumXX)
 	}
-	return f, nil
+	return fit, nil
 }
 
-// quantile gives the value below which a part of sorted values lies; the nearest rank.
+// quantile returns a quantile of sorted values by the nearest rank; NaN of none.
 func quantile(sorted []float64, part float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
 	}
-	return sorted[min(len(sorted)-1, max(0, int(math.Ceil(part*float64(len(sorted))))-1))]
+	rank := int(math.Ceil(part * float64(len(sorted))))
+	return sorted[min(len(sorted)-1, max(0, rank-1))]
+}
+
+// meanAndSpread returns the mean of values, and half of the distance between the largest and the smallest.
+func meanAndSpread(values []float64) (mean, spread float64) {
+	least, most := values[0], values[0]
+	for _, v := range values {
+		mean += v / float64(len(values))
+		least, most = min(least, v), max(most, v)
+	}
+	return mean, (most - least) / 2
 }
--- /dev/null
+++ b/internal/lab/scale/health_sharing.go
@@ -0,0 +1,75 @@
+package scale
+
+import (
+	"fmt"
+
+	"wayloft/internal/decide/healthshare"
+	"wayloft/internal/lab/fleet"
+)
+
+func holderName(n int) string { return fmt.Sprint(holderPrefix, n) }
+
+// StartHolders starts the holders of health-share leases, a process and a group each, and waits until each has notified all other
+// routers.
+func (in *Installation) StartHolders() error {
+	for n := range in.Holders {
+		spec, err := in.holderSpec(n)
+		if err != nil {
+			return err
+		}
+		child, err := in.startChild(holderName(n), spec)
+		if err != nil {
+			return err
+		}
+		in.holders = append(in.holders, child)
+	}
+	return fleet.WaitUntil("the holders of health-share leases have notified all routers", in.allNotified)
+}
+
+func (in *Installation) holderSpec(group int) (ChildSpec, error) {
+	spec, err := in.routersSpec(0)
+	if err != nil {
+		return spec, err
+	}
+	if in.Routers == 0 {
+		spec.Council = in.fleet.CoordinatorAddresses()
+	}
+	spec.Names = []string{fmt.Sprint("o", group)}
+	spec.Groups = []int{group}
+	spec.SightMs = float64(in.HealthShareInterval.Microseconds()) / 1000
+	spec.PaceMs = 0
+	return spec, nil
+}
+
+// allNotified reports whether each holder has had a response from as many routers as there are.
+func (in *Installation) allNotified() (bool, error) {
+	counts, err := in.counts()
+	if err != nil {
+		return false, err
+	}
+	for n := range in.holders {
+		if counts[holderName(n)]["verdict_in"] < int64(in.Routers+in.RealRouters) {
+			return false, nil
+		}
+	}
+	return true, nil
+}
+
+// leaseHolders returns who holds the health-share leases of the groups that have a holder here.
+func (in *Installation) leaseHolders() (map[string]string, error) {
+	state, err := in.state()
+	if err != nil {
+		return nil, err
+	}
+	ours := map[string]bool{}
+	for n := range in.holders {
+		ours[healthshare.LeaseName(n)] = true
+	}
+	holders := map[string]string{}
+	for _, lease := range state.State.Duties {
+		if ours[lease.Name] {
+			holders[lease.Name] = lease.Holder
+		}
+	}
+	return holders, nil
+}
--- /dev/null
+++ b/internal/lab/scale/hollow_databases.go
@@ -0,0 +1,160 @@
+package scale
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"wayloft/internal/lab/fleet"
+	"wayloft/internal/pg"
+)
+
+const (
+	// replicationLag is by how much a replica's position is behind the clock.
+	replicationLag = 5 * time.Millisecond
+	// maxMessageBytes is the longest message that is read from a connection.
+	maxMessageBytes = 1 << 16
+)
+
+// What the platform's databases report (router.Role, position) is on the wire.
+const (
+	roleParameter     = "rank"
+	primaryRole       = "source"
+	replicaRole       = "copy"
+	positionParameter = "as_of"
+)
+
+// hollowDatabases are the databases of one process. Each accepts connections, completes the startup, and answers an empty query with
+// its role and position.
+type hollowDatabases struct {
+	addrs []string
+
+	mu      sync.Mutex
+	primary map[string]bool
+
+	accepted, open, checks, others atomic.Int64
+}
+
+func newHollowDatabases(spec ChildSpec) (*hollowDatabases, error) {
+	if len(spec.Addrs) > 0 && len(spec.Addrs) != len(spec.Names) {
+		return nil, fmt.Errorf("addrs: %d for %d databases", len(spec.Addrs), len(spec.Names))
+	}
+	d := &hollowDatabases{primary: map[string]bool{}}
+	for _, id := range spec.Primaries {
+		d.primary[id] = true
+	}
+	for n, name := range spec.Names {
+		listener, err := listen(spec.Addrs, n)
+		if err != nil {
+			return nil, err
+		}
+		d.addrs = append(d.addrs, listener.Addr().String())
+		go d.accept(listener, name)
+	}
+	return d, nil
+}
+
+// listen listens at one of the addresses, or at a free one if there are none.
+func listen(addrs []string, n int) (net.Listener, error) {
+	if len(addrs) == 0 {
+		return fleet.ListenFree()
+	}
+	return net.Listen("tcp", addrs[n])
+}
+
+func (d *hollowDatabases) accept(listener net.Listener, name string) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		d.accepted.Add(1)
+		d.open.Add(1)
+		go func() {
+			defer d.open.Add(-1)
+			defer closeQuietly(conn)
+			d.serve(conn, name)
+		}()
+	}
+}
+
+// serve answers what a connection sends until it ends.
+func (d *hollowDatabases) serve(conn net.Conn, name string) {
+	reader := pg.NewReader(false, maxMessageBytes)
+	buffer := make([]byte, 1<<10)
+	for {
+		n, err := conn.Read(buffer)
+		if err != nil {
+			return
+		}
+		reader.Feed(buffer[:n])
+		responses, open := d.responses(reader, name)
+		if !open {
+			return
+		}
+		if _, err := conn.Write(responses); err != nil {
+			return
+		}
+	}
+}
+
+// responses answers the messages that have arrived completely; open says whether the connection goes on.
+func (d *hollowDatabases) responses(reader *pg.Reader, name string) (out []byte, open bool) {
+	for {
+		message, complete, err := reader.Next()
+		if err != nil || message.Kind == pg.Terminate {
+			return nil, false
+		}
+		if !complete {
+			return out, true
+		}
+		switch {
+		case message.Kind == pg.Startup:
+			out = pg.AppendGreeting(out, 0)
+		case message.Kind == pg.Query && message.Text == "":
+			d.checks.Add(1)
+			out = pg.AppendReadyIdle(pg.AppendEmptyQuery(d.appendHealth(out, name)))
+		default:
+			d.others.Add(1)
+			failure := &pg.Error{Code: pg.InFailedSQLTransaction, Text: "this database is hollow"}
+			out = pg.AppendReadyIdle(pg.AppendError(out, failure, false))
+		}
+	}
+}
+
+// appendHealth appends a database's role and position.
+func (d *hollowDatabases) appendHealth(out []byte, name string) []byte {
+	d.mu.Lock()
+	primary := d.primary[name]
+	d.mu.Unlock()
+	role, position := replicaRole, time.Now().Add(-replicationLag)
+	if primary {
+		role, position = primaryRole, time.Now()
+	}
+	positionMs := float64(position.UnixMicro()) / 1000
+	out = pg.AppendParameterStatus(out, roleParameter, role)
+	return pg.AppendParameterStatus(out, positionParameter, strconv.FormatFloat(positionMs, 'f', 3, 64))
+}
+
+func (d *hollowDatabases) respond(request ChildRequest) (ChildResponse, error) {
+	switch request.Do {
+	case CommandCount:
+		return ChildResponse{Counts: map[string]int64{
+			"accepted": d.accepted.Load(),
+			"open":     d.open.Load(),
+			"checks":   d.checks.Load(),
+			"others":   d.others.Load(),
+		}}, nil
+	case CommandPromote:
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		for n, id := range request.Members {
+			d.primary[id] = n == 0
+		}
+		return ChildResponse{}, nil
+	}
+	return ChildResponse{}, unknownCommand(request.Do)
+}
--- a/internal/lab/scale/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -13,7 +13,7 @@
 )
 
 var build = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "wayloft-size-test-")
+	dir, err := os.MkdirTemp("", "wayloft-scale-test-")
 	if err != nil {
 		return "", err
 	}
@@ -28,26 +28,26 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if binary, err := build(); err == nil {
-		os.RemoveAll(filepath.Dir(binary))
+		_ = os.RemoveAll(filepath.Dir(binary)) // what remains is in the temporary directory
 	}
 	os.Exit(code)
 }
 
-// small is an installation of real processes with sessions so long that no answer is late, so that each call is made once.
-func small(t *testing.T) Options {
+// smallOptions have sessions so long that no response is late, so that each call is made once.
+func smallOptions(t *testing.T) Options {
 	t.Helper()
 	binary, err := build()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := sound()
+	o := validOptions()
 	o.Binary, o.Dir, o.Progress = binary, t.TempDir(), func(text string) { t.Log(time.Now().Format("05.000"), text) }
 	return o
 }
 
-// What routers say and hear is what the design says, at a small size, over real processes: by counts alone.
-func TestSmall(t *testing.T) {
-	o := small(t)
+// Over real processes at a small size, routers send and receive as many messages as they should: by counts alone.
+func TestMeasure_SmallInstallation(t *testing.T) {
+	o := smallOptions(t)
 	in, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
@@ -64,75 +64,75 @@
 		}
 	}
 	exact("sessions", int64(r.Sessions), routers+int64(o.RealRouters))
-	exact("lists", r.Start["lists"], routers) // the whole one, once
+	exact("lists", r.Start["lists"], routers) // the complete one, once
 	exact("entries", r.Start["entries"], routers*members)
-	exact("watches' first words", r.Start["whole_in"], routers)
-	// Each asks once where all groups' two leases stand, as many to a call as one carries, and opens a session; a beat comes when a
-	// sixth of its length is over at the earliest. An answer that names another process is no answer.
-	stands, opens := routers*((2*groups+leaseclient.MaxTokenQuery-1)/leaseclient.MaxTokenQuery), routers
-	answers, beats := r.Start["answer_in"], routers*int64(1+r.StartS/(o.SessionTimeout.Seconds()/6))
-	if answers < stands+opens || answers > stands+opens+beats {
-		t.Errorf("%d answers to %d questions, %d opens and at most %d beats", answers, stands, opens, beats)
-	}
-	asked := r.Start["stand_out"] + r.Start["call_out"]
-	if asked < answers+r.Start["moved_in"] {
-		t.Errorf("%d asked, %d answers and %d more that name another", asked, answers, r.Start["moved_in"])
-	}
-	// In the look nothing happens: no list, no change but of who is there, no question.
-	exact("lists, looked at", r.Counts["lists"], 0)
-	exact("questions, looked at", r.Counts["stand_out"], 0)
-	exact("watches' first words, looked at", r.Counts["whole_in"], 0)
-	exact("orders, looked at", r.Counts["order_in"], 0)
-	d := r.Children["discovery"]
-	exact("whole lists", d["wholes"], routers+int64(o.RealRouters))
-	exact("bytes of whole lists", d["whole_bytes"], d["wholes"]*d["list_bytes"])
+	exact("complete updates", r.Start["whole_in"], routers)
+	// Each asks once for the latest tokens of all groups' two leases, as many to a call as it takes, and opens a session; the interval
+	// of heartbeats is a sixth of the session timeout at least. A redirect is no response.
+	queries, opens := routers*((2*groups+leaseclient.MaxTokenQuery-1)/leaseclient.MaxTokenQuery), routers
+	responses, heartbeats := r.Start["answer_in"], routers*int64(1+r.StartS/(o.SessionTimeout.Seconds()/6))
+	if responses < queries+opens || responses > queries+opens+heartbeats {
+		t.Errorf("%d responses to %d token queries, %d opened sessions and at most %d heartbeats", responses, queries, opens, heartbeats)
+	}
+	calls := r.Start["stand_out"] + r.Start["call_out"]
+	if calls < responses+r.Start["moved_in"] {
+		t.Errorf("%d calls, %d responses and %d redirects", calls, responses, r.Start["moved_in"])
+	}
+	// In the sample nothing happens: no list, no change but of sessions, no token query.
+	exact("lists in the sample", r.Counts["lists"], 0)
+	exact("token queries in the sample", r.Counts["stand_out"], 0)
+	exact("complete updates in the sample", r.Counts["whole_in"], 0)
+	exact("acts in the sample", r.Counts["order_in"], 0)
+	d := r.children["discovery"]
+	exact("complete lists", d["wholes"], routers+int64(o.RealRouters))
+	exact("bytes of complete lists", d["whole_bytes"], d["wholes"]*d["list_bytes"])
 	exact("changes of the list", d["changes"], 0)
 
-	// Health sharing: who holds it is who would; each report of a check is told at most once to each router; a check is on its way, or answered.
+	// Health sharing: the lease has the holder that requested it, and each report reaches each router at most once.
 	if r.Holders["sight/0"] != "o0" || len(r.Holders) != 1 {
-		t.Errorf("sight is held by %v", r.Holders)
+		t.Errorf("holders of health-share leases: %v", r.Holders)
 	}
 	all, err := in.counts()
 	if err != nil {
 		t.Fatal(err)
 	}
-	owner := all["owner-0"]
-	if owner["looks"] == 0 || owner["order_out"] == 0 || owner["order_out"] < owner["verdict_in"] {
-		t.Errorf("%v", owner)
+	holder := all[holderName(0)]
+	if holder["looks"] == 0 || holder["order_out"] == 0 || holder["order_out"] < holder["verdict_in"] {
+		t.Errorf("%v", holder)
 	}
-	// Counts of others were taken before or after: whole words, all of one owner's group.
-	told := sum(all, "routers", "sighted")
-	if told == 0 || told > owner["looks"]*routers {
-		t.Errorf("%d reports were heard by %d routers, of %d looks", told, routers, owner["looks"])
+	// The processes are counted one after the other.
+	reports := all.sum(routersPrefix, "sighted")
+	if reports == 0 || reports > holder["looks"]*routers {
+		t.Errorf("%d reports were received by %d routers, of %d health checks", reports, routers, holder["looks"])
 	}
-	if checks := sum(all, "databases", "checks"); checks == 0 || sum(all, "databases", "others") != 0 {
-		t.Errorf("%d checks, %d of something else", checks, sum(all, "databases", "others"))
+	if checks := all.sum(databasesPrefix, "checks"); checks == 0 || all.sum(databasesPrefix, "others") != 0 {
+		t.Errorf("%d health checks, %d other messages", checks, all.sum(databasesPrefix, "others"))
 	}
-	if accepted := sum(all, "databases", "accepted"); accepted < int64(o.GroupSize) || accepted != sum(all, "databases", "open") {
-		t.Errorf("%d connections to %d databases, %d open", accepted, o.GroupSize, sum(all, "databases", "open"))
+	if accepted := all.sum(databasesPrefix, "accepted"); accepted < int64(o.GroupSize) || accepted != all.sum(databasesPrefix, "open") {
+		t.Errorf("%d connections to %d databases, %d open", accepted, o.GroupSize, all.sum(databasesPrefix, "open"))
 	}
 	rows := map[string]Row{}
 	for _, row := range r.Rows {
 		rows[row.Role] = row
 	}
-	for role, units := range map[string]int{"council leader": 1, "council follower": 2, "hollow router": o.Routers, "real router": o.RealRouters, "discovery service": 1,
-		"database as checked": o.Members, "owner of sight, 1 group": 1} {
+	for role, units := range map[string]int{"coordinator leader": 1, "coordinator follower": 2, "hollow router": o.Routers, "real router": o.RealRouters, "discovery service": 1,
+		"database with health checks": o.Members, "health-share lease holder, 1 group": 1} {
 		row, there := rows[role]
-		if !there || row.Units != units || row.Memory <= 0 || role != "database as checked" && row.Bytes <= 0 {
+		if !there || row.Units != units || row.Memory <= 0 || role != "database with health checks" && row.Bytes <= 0 {
 			t.Errorf("%s: %+v", role, row)
 		}
 	}
 }
 
-// After an event, each router hears of each thing exactly once.
-func TestEvents(t *testing.T) {
+// After an event, each router receives each thing exactly once.
+func TestRunEvent_ReceivedOnce(t *testing.T) {
 	for name, want := range map[string]map[string]int{
 		"change":       {"policies": 16},
-		"restart-zone": {"sessions": 2, "lists": 16}, // two routers of a zone come back, one list says that two databases did
+		"restart-zone": {"sessions": 2, "lists": 16}, // two routers of a zone restart, one list says that two databases did
 		"primary":      {"primaries": 16},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, err := RunEvent(name, small(t))
+			h, err := RunEvent(name, smallOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -147,7 +147,7 @@
 			if name != "restart-zone" {
 				return
 			}
-			// The others give no orders: they aren't told of it, and ask nothing; those that are back begin from nothing.
+			// The others hold no leases: they aren't notified and ask nothing; those that restarted begin without state.
 			if c := h.Calls; c["others change_in"] != 0 || c["others whole_in"] != 0 || c["others stand_out"] != 0 ||
 				c["restarted whole_in"] != 2 || c["restarted lists"] != 1*2 {
 				t.Errorf("%v", c)
@@ -159,10 +159,10 @@
 	}
 }
 
-// Two regions apart and together again: each session that was lost is there again.
-func TestRegions(t *testing.T) {
-	o := small(t)
-	o.SessionTimeout, o.SampleDuration, o.Members, o.GroupSize = time.Second, 3*time.Second, 8, 2 // sessions end while the regions are apart
+// After the links between two regions were cut, each session that had ended opens again.
+func TestRunEvent_RegionsCut(t *testing.T) {
+	o := smallOptions(t)
+	o.SessionTimeout, o.SampleDuration, o.Members, o.GroupSize = time.Second, 3*time.Second, 8, 2 // sessions end while the links are cut
 	h, err := RunEvent("cut-regions", o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/paired.go
+++ b/internal/lab/scale/paired.go
@@ -5,106 +5,108 @@
 	"fmt"
 	"io"
 	"path/filepath"
-	"text/tabwriter"
+	"strings"
 )
 
-// PairResult is what the whole coordinator costs with so many hollow routers, and with as many real ones.
+// PairResult is what the whole coordinator costs with hollow routers, and with as many real ones.
 type PairResult struct {
 	Routers int                   `json:"routers"`
 	Plays   int                   `json:"plays"`
-	Hollow  [][]float64           `json:"hollow"` // by figure, a value a play
+	Hollow  [][]float64           `json:"hollow"` // by figure: a value for each play
 	Real    [][]float64           `json:"real"`
 	Own     map[string][2]float64 `json:"own"` // the routers' own figures, hollow and real, of the last play
 }
 
-var pairFigures = []string{"council's cpu_percent", "council's bytes_per_s with routers", "council's messages_per_s with routers"}
+// pairFigures are the figures of the coordinator that are compared.
+var pairFigures = []string{"coordinator cpu_percent", "coordinator bytes_per_s with routers", "coordinator messages_per_s with routers"}
 
-// MeasurePair plays both, one after the other, so many times.
-func MeasurePair(o Options, plays int) (*PairResult, error) {
-	if o.RealRouters > 0 && o.Routers > 0 && o.RealRouters != o.Routers {
+// MeasurePair measures an installation of hollow routers and one of real routers, in turn, so many times.
+func MeasurePair(options Options, plays int) (*PairResult, error) {
+	if options.RealRouters > 0 && options.Routers > 0 && options.RealRouters != options.Routers {
 		return nil, errors.New("--paired: --routers says how many of each kind, --real must not be given")
 	}
-	o.Holders = 0
-	p := &PairResult{Routers: o.Routers, Plays: plays, Own: map[string][2]float64{}, Hollow: make([][]float64, len(pairFigures)), Real: make([][]float64, len(pairFigures))}
-	hollow, real := o, o
-	hollow.RealRouters, real.Routers, real.RealRouters = 0, 0, o.Routers
-	for _, one := range []Options{hollow, real} {
-		if err := one.Check(); err != nil {
+	options.Holders = 0
+	hollowOptions, realOptions := options, options
+	hollowOptions.RealRouters = 0
+	realOptions.Routers, realOptions.RealRouters = 0, options.Routers
+	for _, o := range []Options{hollowOptions, realOptions} {
+		if err := o.Check(); err != nil {
 			return nil, err
 		}
 	}
-	for n := range plays {
-		for k, one := range []Options{hollow, real} {
-			one.Dir = filepath.Join(o.Dir, fmt.Sprint("pair-", n, "-", k))
-			values, own, err := toCouncil(one)
+	result := &PairResult{Routers: options.Routers, Plays: plays, Own: map[string][2]float64{},
+		Hollow: make([][]float64, len(pairFigures)), Real: make([][]float64, len(pairFigures))}
+	for play := range plays {
+		for kind, o := range []Options{hollowOptions, realOptions} {
+			o.Dir = filepath.Join(options.Dir, fmt.Sprint("pair-", play, "-", kind))
+			values, own, err := measureCoordinatorCost(o)
 			if err != nil {
 				return nil, err
 			}
-			into := [][][]float64{p.Hollow, p.Real}[k]
-			for i, v := range values {
-				into[i] = append(into[i], v)
-			}
-			for _, f := range figures {
-				both := p.Own[f.name]
-				both[k] = f.of(own)
-				p.Own[f.name] = both
-			}
+			result.add(kind, values, own)
 		}
 	}
-	return p, nil
+	return result, nil
 }
 
-// toCouncil measures what routers cost the coordinator, and the routers' own row.
-func toCouncil(o Options) (values []float64, own Row, err error) {
-	in, err := Start(o)
+// add adds a play's figures; kind is 0 for hollow routers and 1 for real ones.
+func (p *PairResult) add(kind int, values []float64, own Row) {
+	plays := [][][]float64{p.Hollow, p.Real}[kind]
+	for n, value := range values {
+		plays[n] = append(plays[n], value)
+	}
+	for _, figure := range figures {
+		pair := p.Own[figure.name]
+		pair[kind] = figure.value(own)
+		p.Own[figure.name] = pair
+	}
+}
+
+// measureCoordinatorCost measures what routers cost the coordinator, in the order of pairFigures, and the routers' own row.
+func measureCoordinatorCost(options Options) (values []float64, own Row, err error) {
+	in, err := Start(options)
 	if err != nil {
 		return nil, own, err
 	}
 	defer in.Close()
-	b, _, err := in.undisturbed()
+	i, _, err := in.measureUndisturbed()
 	if err != nil {
 		return nil, own, err
 	}
-	of := append(pids(in.routers), running(in.kind("router"))...)
-	f := b.flow(of, in.councilPorts())
-	for _, r := range in.rows(b) {
-		if r.Role == "hollow router" || r.Role == "real router" {
-			own = r
+	for _, row := range in.rows(i) {
+		if row.Role == roleHollowRouter || row.Role == roleRealRouter {
+			own = row
 		}
 	}
-	return []float64{b.cpu(running(in.council())...), float64(f.bytes()) / b.seconds, float64(f.segments()) / b.seconds}, own, nil
-}
-
-// mean and spread, half of the distance between the largest and the least.
-func mean(x []float64) (m, half float64) {
-	least, most := x[0], x[0]
-	for _, v := range x {
-		m += v / float64(len(x))
-		least, most = min(least, v), max(most, v)
-	}
-	return m, (most - least) / 2
+	routers := append(childPids(in.routers), processPids(in.realRouters())...)
+	sessions := i.trafficTo(routers, in.coordinatorPorts())
+	return []float64{
+		i.cpuPercent(processPids(in.coordinatorNodes())...),
+		float64(sessions.bytes()) / i.seconds,
+		float64(sessions.segments()) / i.seconds,
+	}, own, nil
 }
 
-// Difference is by how much of the real ones' value the hollow ones' is above it.
+// Difference is by which part of the real routers' figure the hollow ones' is above it.
 func (p *PairResult) Difference(figure int) float64 {
-	h, _ := mean(p.Hollow[figure])
-	r, _ := mean(p.Real[figure])
-	return (h - r) / r
+	hollow, _ := meanAndSpread(p.Hollow[figure])
+	actual, _ := meanAndSpread(p.Real[figure])
+	return (hollow - actual) / actual
 }
 
-// Print writes it as a table.
+// Print writes the result as a table.
 func (p *PairResult) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d hollow against %d real routers, %d plays of each: mean ± half of the range\n", p.Routers, p.Routers, p.Plays)
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "figure\thollow\treal\tdifference")
-	for i, name := range pairFigures {
-		h, hs := mean(p.Hollow[i])
-		r, rs := mean(p.Real[i])
-		fmt.Fprintf(t, "%s\t%.4g ± %.2g\t%.4g ± %.2g\t%+.1f%%\n", name, h, hs, r, rs, 100*p.Difference(i))
+	printText(w, fmt.Sprintf("%d hollow against %d real routers, %d plays of each: mean ± half of the range\n", p.Routers, p.Routers, p.Plays))
+	var table strings.Builder
+	table.WriteString("figure\thollow\treal\tdifference\n")
+	for n, name := range pairFigures {
+		hollow, hollowSpread := meanAndSpread(p.Hollow[n])
+		actual, actualSpread := meanAndSpread(p.Real[n])
+		fmt.Fprintf(&table, "%s\t%.4g ± %.2g\t%.4g ± %.2g\t%+.1f%%\n", name, hollow, hollowSpread, actual, actualSpread, 100*p.Difference(n))
 	}
-	for _, f := range figures {
-		both := p.Own[f.name]
-		fmt.Fprintf(t, "a router's own %s (last play)\t%.4g\t%.4g\t\n", f.name, both[0], both[1])
+	for _, figure := range figures {
+		own := p.Own[figure.name]
+		fmt.Fprintf(&table, "a router's own %s (last play)\t%.4g\t%.4g\t\n", figure.name, own[0], own[1])
 	}
-	t.Flush()
+	printText(w, alignColumns(table.String()))
 }
--- /dev/null
+++ b/internal/lab/scale/propagation.go
@@ -0,0 +1,151 @@
+package scale
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"wayloft/internal/fleetpb"
+)
+
+const (
+	// propagationTimeout bounds the time until all have received what an event changes.
+	propagationTimeout       = 2 * time.Minute
+	propagationCheckInterval = 200 * time.Millisecond
+)
+
+// What routers receive after events, as reports name it.
+const (
+	partPolicies  = "policies"
+	partLists     = "lists"
+	partPrimaries = "primaries"
+	partSessions  = "sessions"
+)
+
+// mark has all hollow routers record when they receive what the mark names.
+func (in *Installation) mark(mark Mark) error {
+	for _, child := range in.routers {
+		if child == nil {
+			continue
+		}
+		if _, err := child.Ask(ChildRequest{Do: CommandMark, Mark: &mark}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// waitReceived waits until each part was received as often as expected, or for the timeout. It returns the times from an event on.
+// Sessions are those that a watch saw; nil: none are expected.
+func (in *Installation) waitReceived(eventMs float64, expected map[string]int, sessions *sessionWatch) ([]Propagation, error) {
+	deadline := time.Now().Add(propagationTimeout)
+	for {
+		times, err := in.receivedTimes()
+		if err != nil {
+			return nil, err
+		}
+		times[partSessions] = sessions.openedTimes()
+		if allReceived(times, expected) || time.Now().After(deadline) {
+			return propagations(eventMs, expected, times), nil
+		}
+		if err := in.wait(propagationCheckInterval); err != nil {
+			return nil, err
+		}
+	}
+}
+
+func allReceived(times map[string][]float64, expected map[string]int) bool {
+	for part, count := range expected {
+		if len(times[part]) < count {
+			return false
+		}
+	}
+	return true
+}
+
+// receivedTimes are the times, Unix ms, at which hollow routers received what the mark names.
+func (in *Installation) receivedTimes() (map[string][]float64, error) {
+	times := map[string][]float64{}
+	for _, child := range in.routers {
+		if child == nil {
+			continue
+		}
+		response, err := child.Ask(ChildRequest{Do: CommandReceivedTimes})
+		if err != nil {
+			return nil, err
+		}
+		times[partPolicies] = append(times[partPolicies], response.Heard.Policies...)
+		times[partLists] = append(times[partLists], response.Heard.Lists...)
+		times[partPrimaries] = append(times[partPrimaries], response.Heard.Primaries...)
+	}
+	return times, nil
+}
+
+func propagations(eventMs float64, expected map[string]int, times map[string][]float64) (parts []Propagation) {
+	for _, part := range slices.Sorted(maps.Keys(expected)) {
+		received := times[part]
+		slices.Sort(received)
+		p := Propagation{What: part, Expected: expected[part], Received: len(received), Median: -1, Worst: -1}
+		if len(received) > 0 {
+			p.Median, p.Worst = quantile(received, 0.5)-eventMs, received[len(received)-1]-eventMs
+		}
+		parts = append(parts, p)
+	}
+	return parts
+}
+
+// sessionWatch records when sessions open, by a watch of its own: hollow routers without leases don't know of other sessions.
+type sessionWatch struct {
+	stop context.CancelFunc
+
+	mu       sync.Mutex
+	openedMs map[string]float64 // Unix ms, by name
+}
+
+// watchSessions records sessions whose names have a prefix and whose processes started at a time, Unix ms, or later.
+func (in *Installation) watchSessions(prefix string, startedMs float64) *sessionWatch {
+	ctx, cancel := context.WithCancel(context.Background())
+	w := &sessionWatch{openedMs: map[string]float64{}, stop: cancel}
+	go func() {
+		for ctx.Err() == nil {
+			err := in.client.Watch(ctx, false, func(update *fleetpb.Update) { w.record(update, prefix, startedMs) })
+			if ctx.Err() == nil {
+				logrus.WithError(err).Debug("watch of sessions ended, it is started again")
+			}
+		}
+	}()
+	return w
+}
+
+func (w *sessionWatch) record(update *fleetpb.Update, prefix string, startedMs float64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, s := range update.Sessions {
+		_, known := w.openedMs[s.Name]
+		if !known && !s.Ended && strings.HasPrefix(s.Name, prefix) && float64(s.Incarnation) >= startedMs {
+			w.openedMs[s.Name] = unixMs()
+		}
+	}
+}
+
+// openedTimes are the times, Unix ms, at which sessions opened; none of a nil watch.
+func (w *sessionWatch) openedTimes() []float64 {
+	if w == nil {
+		return nil
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Collect(maps.Values(w.openedMs))
+}
+
+// eventCost is the bytes of some processes beyond what the same time costs without the event, for each of their routers.
+func eventCost(calm, during interval, pids []int, routers int) float64 {
+	calmRate := float64(calm.totalTraffic(pids...).bytes()) / calm.seconds
+	extra := float64(during.totalTraffic(pids...).bytes()) - calmRate*during.seconds
+	return extra / float64(max(1, routers))
+}
--- /dev/null
+++ b/internal/lab/scale/router_specs.go
@@ -0,0 +1,68 @@
+package scale
+
+import (
+	"fmt"
+	"strings"
+
+	"wayloft/internal/lab/fleet"
+)
+
+// The regions: the first half of the zones and two coordinator nodes are in the first one, the rest in the second.
+const (
+	firstRegion        = 'a'
+	secondRegion       = 'b'
+	coordinatorRegions = "aab" // by node
+)
+
+func regionOf(zone int) byte {
+	if zone < zones/2 {
+		return firstRegion
+	}
+	return secondRegion
+}
+
+// routerNamePrefix begins the names of a zone's routers.
+func routerNamePrefix(zone int) string { return fmt.Sprintf("%c%d-", regionOf(zone), zone) }
+
+// routersSpec specifies the process of a zone's hollow routers. With regions it makes the links to the other region.
+func (in *Installation) routersSpec(zone int) (ChildSpec, error) {
+	spec := ChildSpec{
+		Role:      RoleRouters,
+		Fleet:     in.fleet.FleetName,
+		Discovery: in.discovery.Addrs[0],
+		SessionMs: float64(in.SessionTimeout.Milliseconds()),
+		PaceMs:    float64(in.startInterval().Microseconds()) / 1000 * zones, // the zones start at the same time
+		Via:       map[string]string{},
+	}
+	first, end := zoneShare(zone, in.Routers)
+	for n := first; n < end; n++ {
+		spec.Names = append(spec.Names, fmt.Sprint(routerNamePrefix(zone), n))
+	}
+	if len(spec.Names) == 0 {
+		return spec, nil
+	}
+	for n, p := range in.coordinatorNodes() {
+		addr := p.Addr
+		if in.Regions && coordinatorRegions[n] != regionOf(zone) {
+			link, err := fleet.NewSwitch(routerNamePrefix(zone), p.Name, p.Addr)
+			if err != nil {
+				return spec, err
+			}
+			in.regionCuts = append(in.regionCuts, link)
+			addr = link.Addr
+			spec.Via[p.Name] = addr
+		}
+		spec.Council = append(spec.Council, addr)
+	}
+	return spec, nil
+}
+
+// realRouterKeys are the settings of a real router beyond those of the fleet: in [fleet] its size, and above it the endpoint list.
+func (in *Installation) realRouterKeys(string) (inFleet, above string) {
+	var keys strings.Builder
+	fmt.Fprintf(&keys, "discovery = %q\n", in.discovery.Addrs[0])
+	for _, m := range in.members {
+		fmt.Fprintf(&keys, "[[members]]\nid = %q\naddress = %q\nzone = %q\ngroup = %d\n", m.ID, m.Addr, m.Zone, m.Group)
+	}
+	return fmt.Sprintf("routers = %d\n", in.Routers+in.RealRouters), keys.String()
+}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,8 +1,10 @@
-// Package scale measures what each role of an installation costs at which size, on one machine: the real coordinator and some real
-// routers as processes of the program, and around them hollow routers, databases and a discovery service, many to a process, which
-// run the real session, watch, agent, list and health sharing code over real sockets without clients. It owns the processes that it started and
-// the account of what they did, counted from outside wherever that can be; it must never end what it did not start, go beyond
-// its bounds, or be part of a router.
+// Package scale measures what each role of an installation costs at a size, on one machine. It starts the real coordinator and some
+// real routers as processes of the program, and around them hollow routers, hollow databases and a discovery service, many to a
+// process: these run the real session, watch, lease client, list and health sharing code over real sockets, without clients.
+//
+// `wayloft lab size` calls Measure, Sweep, MeasurePair and RunEvent; its child processes call RunHollow. Costs are read from the
+// kernel, and message counts from the gRPC codec, so that the measured code runs as it is. An Installation owns the processes that
+// it started and ends all of them in Close. The package never exceeds the bounds that Options.Check sets, and no router uses it.
 package scale
 
 import (
@@ -13,135 +15,155 @@
 	"wayloft/internal/decide/leaseclient"
 )
 
+// Bounds of an installation.
 const (
-	zones         = 8   // hollow routers and databases are spread over so many, a process each
-	councils      = 3   // coordinator nodes
-	mostProcesses = 300 // in all
-	mostMemory    = 12 << 10
-	mostRouters   = 2000 // hollow ones
-	mostMembers   = 4000
-	mostOwners    = 64
+	zones                = 8 // hollow routers and databases are spread over them, a process each
+	coordinators         = 3
+	maxProcesses         = 300
+	maxMemoryMiB         = 12 << 10
+	maxRouters           = 2000 // hollow ones
+	maxMembers           = 4000
+	maxHolders           = 64
+	maxGroupSize         = 1000
+	maxSampleDuration    = time.Hour
+	minSessionTimeout    = 200 * time.Millisecond
+	maxSessionTimeout    = time.Minute
+	maxStartInterval     = 10 * time.Second
+	minHealthSharePeriod = 10 * time.Millisecond
+	maxHealthSharePeriod = time.Minute
 )
 
-// What a process of each kind may take at most, in MiB, for the bound on all of them; measured ones took less.
+// The memory that a process of each kind takes at most, for the bound on all of them.
 const (
-	councilMiB   = 300
-	realMiB      = 100
-	baseMiB      = 40 // of a process of hollow ones
-	hollowMiB    = 6  // of one router of them
-	memberKiB    = 512
-	discoveryKiB = 512 // for each watcher
-	toldKiB      = 256 // for each owner of health sharing and router that it tells
+	coordinatorMiB       = 300
+	realRouterMiB        = 100
+	hollowProcessMiB     = 40
+	hollowRouterMiB      = 6
+	memberKiB            = 512
+	discoveryKiB         = 512 // for each watch
+	healthShareReportKiB = 256 // for each holder and each router that it notifies
 )
 
-// Options say what is started.
+// What routers that start may ask of the coordinator. It is several times less than the coordinator answers, since a late response
+// is asked for again.
+const (
+	maxStartCallsPerSecond = 2500 // each router opens a session and asks for the latest tokens of each group's leases
+	// Each start is announced to all other routers.
+	maxStartAnnouncementsPerSecond = 5000
+	leasesPerGroup                 = 2
+)
+
+var errInterrupted = errors.New("interrupted")
+
+// Options configure an installation.
 type Options struct {
 	Binary              string // the program
-	Dir                 string // for settings, logs and what the coordinator stores
+	Dir                 string // for settings, logs and the coordinator's data
 	Routers             int    // hollow
-	RealRouters         int    // routers, processes each
+	RealRouters         int    // a process each
 	Members             int    // hollow databases
-	GroupSize           int    // of which so many are a group
-	Holders             int    // of health sharing, one group each, while health sharing is looked at; 0: health sharing is not looked at
+	GroupSize           int    // members of a group
+	Holders             int    // of health-share leases, one group each; 0: health sharing is not measured
 	HealthShareInterval time.Duration
-	SampleDuration      time.Duration // of each look
+	SampleDuration      time.Duration
 	SessionTimeout      time.Duration // of routers with the coordinator
-	StartInterval       time.Duration // between the starts of two routers; 0: by how much each asks of the coordinator
-	Regions             bool          // two, with a switch on each link between them
-	Progress            func(string)  // hears how a start goes on; nil: nobody
+	StartInterval       time.Duration // between the starts of two routers; 0: by what the coordinator can answer
+	Regions             bool          // two regions, with a link that can be cut between each two processes of different ones
+	Progress            func(string)  // receives the progress of the start; nil: nobody does
 	Stop                <-chan struct{}
 }
 
-// Check says what is wrong with them, by the flag that has it.
+// Check reports what is wrong with the options, by the flag of the command that sets it.
 func (o Options) Check() error {
-	least := func(flag string, x, from, to int) error {
-		if x < from || x > to {
-			return fmt.Errorf("--%s: from %d to %d, not %d", flag, from, to, x)
-		}
-		return nil
-	}
-	span := func(flag string, x, from, to time.Duration) error {
-		if x < from || x > to {
-			return fmt.Errorf("--%s: from %s to %s, not %s", flag, from, to, x)
-		}
-		return nil
-	}
-	if err := errors.Join(least("routers", o.Routers, 0, mostRouters), least("real", o.RealRouters, 0, mostProcesses),
-		least("members", o.Members, 1, mostMembers), least("group", o.GroupSize, 1, 1000), least("owners", o.Holders, 0, mostOwners),
-		span("for", o.SampleDuration, time.Second, time.Hour), span("session", o.SessionTimeout, 200*time.Millisecond, time.Minute),
-		span("pace", o.StartInterval, 0, 10*time.Second)); err != nil {
+	if err := errors.Join(
+		checkRange("routers", o.Routers, 0, maxRouters),
+		checkRange("real", o.RealRouters, 0, maxProcesses),
+		checkRange("members", o.Members, 1, maxMembers),
+		checkRange("group", o.GroupSize, 1, maxGroupSize),
+		checkRange("owners", o.Holders, 0, maxHolders),
+		checkRange("for", o.SampleDuration, time.Second, maxSampleDuration),
+		checkRange("session", o.SessionTimeout, minSessionTimeout, maxSessionTimeout),
+		checkRange("pace", o.StartInterval, 0, maxStartInterval),
+	); err != nil {
 		return err
 	}
 	if o.Routers+o.RealRouters == 0 {
 		return errors.New("--routers, --real: one router at least, of either kind")
 	}
 	if o.Holders > 0 {
-		if err := span("sight", o.HealthShareInterval, 10*time.Millisecond, time.Minute); err != nil {
+		if err := checkRange("sight", o.HealthShareInterval, minHealthSharePeriod, maxHealthSharePeriod); err != nil {
 			return err
 		}
 	}
 	if groups := o.groups(); o.Holders > groups {
 		return fmt.Errorf("--owners: %d, but there are %d groups", o.Holders, groups)
 	}
-	if n := o.Processes(); n > mostProcesses {
-		return fmt.Errorf("--real: %d processes in all, %d at most", n, mostProcesses)
+	if n := o.Processes(); n > maxProcesses {
+		return fmt.Errorf("--real: %d processes in all, %d at most", n, maxProcesses)
 	}
-	if mib := o.Memory(); mib > mostMemory {
-		return fmt.Errorf("--routers, --real, --members: would take %d MiB, %d at most", mib, mostMemory)
+	if mib := o.Memory(); mib > maxMemoryMiB {
+		return fmt.Errorf("--routers, --real, --members: would take %d MiB, %d at most", mib, maxMemoryMiB)
 	}
 	return nil
 }
 
-func (o Options) groups() int { return (o.Members + o.GroupSize - 1) / o.GroupSize }
+func checkRange[T int | time.Duration](flag string, value, least, most T) error {
+	if value < least || value > most {
+		return fmt.Errorf("--%s: from %v to %v, not %v", flag, least, most, value)
+	}
+	return nil
+}
 
-// Routers that start may ask so many calls a second of the coordinator together, several times less than it answers, since what is
-// late is asked again: each opens a session and asks where two leases of each group stand. And so many words a second may be said of them: each
-// start is told to all others.
-const startCalls, startWords = 2500, 5000
+// Processes is how many processes the installation has, this one among them.
+func (o Options) Processes() int {
+	const thisAndDiscovery = 2
+	return thisAndDiscovery + coordinators + min(zones, o.Routers) + min(zones, o.Members) + o.RealRouters + o.Holders
+}
+
+// Memory is what they take at most, in MiB.
+func (o Options) Memory() int {
+	kib := o.Members*memberKiB + (o.Routers+o.RealRouters+o.Holders)*discoveryKiB + o.Routers*o.Holders*healthShareReportKiB
+	return coordinators*coordinatorMiB + o.RealRouters*realRouterMiB + o.Processes()*hollowProcessMiB + o.Routers*hollowRouterMiB + kib>>10
+}
+
+func (o Options) groups() int { return (o.Members + o.GroupSize - 1) / o.GroupSize }
 
-// questions is how many calls a router that starts asks where leases stand.
-func (o Options) questions() int {
-	return (2*o.groups() + leaseclient.MaxTokenQuery - 1) / leaseclient.MaxTokenQuery
+// tokenQueries is how many calls a router that starts needs to ask for the latest tokens of all leases.
+func (o Options) tokenQueries() int {
+	return (leasesPerGroup*o.groups() + leaseclient.MaxTokenQuery - 1) / leaseclient.MaxTokenQuery
 }
 
-func (o Options) pace() time.Duration {
+// startInterval is the time between the starts of two routers.
+func (o Options) startInterval() time.Duration {
 	if o.StartInterval > 0 {
 		return o.StartInterval
 	}
-	return max(time.Duration(1+o.questions())*time.Second/startCalls, time.Duration(o.Routers+o.RealRouters)*time.Second/startWords)
+	forCalls := time.Duration(1+o.tokenQueries()) * time.Second / maxStartCallsPerSecond
+	forAnnouncements := time.Duration(o.Routers+o.RealRouters) * time.Second / maxStartAnnouncementsPerSecond
+	return max(forCalls, forAnnouncements)
 }
 
-// wait waits, unless all is to end.
-func (o Options) wait(d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// wait waits for a time, or until Stop is closed.
+func (o Options) wait(duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-o.Stop:
-		return errors.New("interrupted")
+		return errInterrupted
 	}
 }
 
-// Processes is how many are started, this one among them.
-func (o Options) Processes() int {
-	return 2 + councils + min(zones, o.Routers) + min(zones, o.Members) + o.RealRouters + o.Holders
-}
-
-// Memory is what they may take at most, in MiB.
-func (o Options) Memory() int {
-	kib := o.Members*memberKiB + (o.Routers+o.RealRouters+o.Holders)*discoveryKiB + o.Routers*o.Holders*toldKiB
-	return councils*councilMiB + o.RealRouters*realMiB + o.Processes()*baseMiB + o.Routers*hollowMiB + kib>>10
-}
-
-// zone tells in which zone the nth of so many is, and share how many of them a zone has.
-func zone(n, of int) int { return n * zones / max(of, 1) }
+// zoneOf returns the zone of one of so many.
+func zoneOf(n, count int) int { return n * zones / max(count, 1) }
 
-func share(z, of int) (from, to int) {
-	for from < of && zone(from, of) < z {
-		from++
+// zoneShare returns which of so many a zone has: those from first on, before end.
+func zoneShare(zone, count int) (first, end int) {
+	for first < count && zoneOf(first, count) < zone {
+		first++
 	}
-	for to = from; to < of && zone(to, of) == z; to++ {
+	for end = first; end < count && zoneOf(end, count) == zone; end++ {
 	}
-	return from, to
+	return first, end
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -9,43 +9,40 @@
 	"testing"
 	"time"
 
-	"google.golang.org/grpc/encoding"
-	"google.golang.org/grpc/encoding/proto"
-
 	"wayloft/internal/discovery"
 	"wayloft/internal/fleetpb"
 )
 
-func TestLine(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	for _, c := range []struct {
-		what string
+		name string
 		x, y []float64
 		want Fit
 	}{
 		{"straight", []float64{1, 2, 3, 4}, []float64{5, 7, 9, 11}, Fit{Slope: 2, Intercept: 3, Points: 4}},
 		{"level", []float64{1, 2, 3}, []float64{4, 4, 4}, Fit{Intercept: 4, Points: 3}},
 		{"two points", []float64{0, 10}, []float64{0, 5}, Fit{Slope: 0.5, Points: 2}},
-		// Off the line by 1, -2 and 1: a sum of squares of 6 over one degree of freedom, and 2 for the places.
+		// Distances of 1, -2 and 1: a sum of squares of 6 over one degree of freedom, and 2 for x.
 		{"bent", []float64{0, 1, 2}, []float64{1, -2, 1}, Fit{Intercept: 0, Points: 3, Residual: math.Sqrt(6), Error: math.Sqrt(3), Worst: 2}},
 	} {
 		got, err := FitLine(c.x, c.y)
 		if err != nil {
-			t.Errorf("%s: %v", c.what, err)
+			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
 		for _, pair := range [][2]float64{{got.Slope, c.want.Slope}, {got.Intercept, c.want.Intercept}, {got.Residual, c.want.Residual}, {got.Error, c.want.Error},
 			{got.Worst, c.want.Worst}} {
 			if math.Abs(pair[0]-pair[1]) > 1e-9 {
-				t.Errorf("%s: %+v, not %+v", c.what, got, c.want)
+				t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
 			}
 		}
 		if got.Points != c.want.Points {
-			t.Errorf("%s: %d points", c.what, got.Points)
+			t.Errorf("%s: %d points", c.name, got.Points)
 		}
 	}
-	for what, c := range map[string][2][]float64{"one point": {{1}, {1}}, "one place": {{2, 2}, {1, 3}}, "unequal": {{1, 2}, {1}}} {
+	for name, c := range map[string][2][]float64{"one point": {{1}, {1}}, "same x": {{2, 2}, {1, 3}}, "unequal": {{1, 2}, {1}}} {
 		if _, err := FitLine(c[0], c[1]); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("%s: no error", name)
 		}
 	}
 }
@@ -56,16 +53,16 @@
 		t.Error(a, b, c)
 	}
 	if !math.IsNaN(quantile(nil, 0.5)) {
-		t.Error("a quantile of nothing")
+		t.Error("quantile of no values")
 	}
 }
 
-// Each of so many is in one zone, and zones differ by one at most.
-func TestZones(t *testing.T) {
+// Each of so many is in one zone, and the sizes of zones differ by one at most.
+func TestZoneShare(t *testing.T) {
 	for _, of := range []int{1, 3, 8, 76, 610, 820} {
 		at, least, most := 0, of, 0
 		for z := range zones {
-			from, to := share(z, of)
+			from, to := zoneShare(z, of)
 			if from == to {
 				least = 0
 				continue
@@ -81,16 +78,16 @@
 	}
 }
 
-func sound() Options {
+func validOptions() Options {
 	return Options{Routers: 16, RealRouters: 1, Members: 16, GroupSize: 4, Holders: 1, HealthShareInterval: 250 * time.Millisecond, SampleDuration: time.Second, SessionTimeout: 12 * time.Second}
 }
 
-// What is out of bounds is refused before anything is started, by the name of its flag.
-func TestCheck(t *testing.T) {
-	if err := sound().Check(); err != nil {
+// Options out of bounds are rejected before anything is started, by the name of their flag.
+func TestOptions_OutOfBounds(t *testing.T) {
+	if err := validOptions().Check(); err != nil {
 		t.Fatal(err)
 	}
-	for want, spoil := range map[string]func(*Options){
+	for want, change := range map[string]func(*Options){
 		"--routers: from 0 to 2000, not -1":           func(o *Options) { o.Routers = -1 },
 		"--real: from 0 to 300, not 301":              func(o *Options) { o.RealRouters = 301 },
 		"--members: from 1 to 4000, not 0":            func(o *Options) { o.Members = 0 },
@@ -106,38 +103,38 @@
 		"--routers, --real, --members: would take 15": func(o *Options) { o.Routers = 2000 },
 		"--routers, --real, --members: would take 14": func(o *Options) { o.RealRouters, o.Members, o.Routers = 80, 4000, 0 },
 	} {
-		o := sound()
-		spoil(&o)
+		o := validOptions()
+		change(&o)
 		if err := o.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, not %s", err, want)
 		}
 	}
-	if _, err := RunEvent("nothing", sound()); err == nil || !strings.Contains(err.Error(), "--event: change, cut-regions, primary, restart-zone") {
+	if _, err := RunEvent("nothing", validOptions()); err == nil || !strings.Contains(err.Error(), "--event: change, cut-regions, primary, restart-zone") {
 		t.Error(err)
 	}
-	o := sound()
+	o := validOptions()
 	o.Routers = 15
 	if _, err := RunEvent("restart-zone", o); err == nil || !strings.Contains(err.Error(), "takes 16 hollow routers") {
 		t.Error(err)
 	}
-	if _, err := Sweep(sound(), []int{1, 2}, nil); err == nil || !strings.HasPrefix(err.Error(), "--sizes: 3 at least") {
+	if _, err := Sweep(validOptions(), []int{1, 2}, nil); err == nil || !strings.HasPrefix(err.Error(), "--sizes: 3 at least") {
 		t.Error(err)
 	}
-	if _, err := MeasurePair(sound(), 1); err == nil || !strings.HasPrefix(err.Error(), "--paired") {
+	if _, err := MeasurePair(validOptions(), 1); err == nil || !strings.HasPrefix(err.Error(), "--paired") {
 		t.Error(err)
 	}
-	// The users' size itself fits.
+	// The largest installation that is measured fits.
 	o = Options{Routers: 610, RealRouters: 10, Members: 820, GroupSize: 5, Holders: 1, HealthShareInterval: 250 * time.Millisecond, SampleDuration: 10 * time.Second, SessionTimeout: 2 * time.Second}
 	if err := o.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestTable(t *testing.T) {
+func TestRows_OverAllowance(t *testing.T) {
 	rows := []Row{{Role: "a", CPU: 1.5, Bytes: 6000, Memory: 10, Allowance: routerAllowance}, {Role: "b", CPU: 99, Bytes: 1e9, Memory: 1e9},
 		{Role: "c", CPU: 1.4, Bytes: 6001, Memory: 65, Allowance: routerAllowance}}
 	for n := range rows {
-		rows[n].judge()
+		rows[n].compare()
 	}
 	if rows[0].OK || !rows[1].OK || rows[2].OK {
 		t.Error(rows)
@@ -156,7 +153,7 @@
 	}
 }
 
-func TestSlopes(t *testing.T) {
+func TestSweepResult_Fit(t *testing.T) {
 	s := &SweepResult{}
 	for _, n := range SweepSizes(80) {
 		s.Reports = append(s.Reports, &Report{Routers: n, RealRouters: 2, Rows: []Row{{Role: "a", CPU: 3 + 0.5*float64(n+2)}, {Role: fmt.Sprint("only ", n)}}})
@@ -175,31 +172,31 @@
 	}
 }
 
-// The kernel's count of a connection is what was read from it, to the byte, and is found by the process that has it.
-func TestSockets(t *testing.T) {
+// The kernel's count of a connection is what was read from it, to the byte.
+func TestReadTraffic_CountsBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer closeQuietly(l)
 	from, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer from.Close()
+	defer closeQuietly(from)
 	to, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
+	defer closeQuietly(to)
 	port := func(a net.Addr) uint16 { return uint16(a.(*net.TCPAddr).Port) }
-	key := func(all map[end]flow) (flow, bool) {
-		for e, f := range all {
-			if e.local == port(l.Addr()) && e.peer == port(from.LocalAddr()) {
-				return f, true
+	find := func(all map[endpoint]traffic) (traffic, bool) {
+		for end, found := range all {
+			if end.localPort == port(l.Addr()) && end.peerPort == port(from.LocalAddr()) {
+				return found, true
 			}
 		}
-		return flow{}, false
+		return traffic{}, false
 	}
 	total := 0
 	for _, n := range []int{0, 1, 1000, 12345} {
@@ -213,35 +210,44 @@
 			}
 			n -= got
 		}
-		all, err := sockets()
+		all, err := readTraffic()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f, there := key(all); !there || f.in != int64(total) || f.out != 0 {
-			t.Errorf("%d bytes went in, the kernel says %+v, %v", total, f, there)
+		if f, there := find(all); !there || f.bytesReceived != int64(total) || f.bytesSent != 0 {
+			t.Errorf("%d bytes were received, the kernel says %+v, %v", total, f, there)
 		}
 	}
 }
 
-// Of a connection that was there before, only what came since counts; of a new one all; of one that is gone nothing.
-func TestBetween(t *testing.T) {
-	kept, made, gone := end{inode: 1, peer: 80}, end{inode: 2, peer: 80}, end{inode: 3, peer: 80}
-	b := between{seconds: 2, before: &look{flows: map[end]flow{kept: {out: 10, in: 20}, gone: {out: 1000}}, of: map[end]int{kept: 7, gone: 7}},
-		then: &look{flows: map[end]flow{kept: {out: 15, in: 30, segmentsOut: 2}, made: {in: 4, segmentsIn: 1}}, of: map[end]int{kept: 7, made: 8}}}
-	if f := b.flow([]int{7}, []uint16{80}); f.bytes() != 15 || f.segments() != 2 {
+// Of a connection that was open before, only the traffic since counts; of a new one all; of one that has ended none.
+func TestInterval_Traffic(t *testing.T) {
+	kept, opened, ended := endpoint{inode: 1, peerPort: 80}, endpoint{inode: 2, peerPort: 80}, endpoint{inode: 3, peerPort: 80}
+	i := interval{
+		seconds: 2,
+		before: &sample{
+			traffic:       map[endpoint]traffic{kept: {bytesSent: 10, bytesReceived: 20}, ended: {bytesSent: 1000}},
+			endpointOwner: map[endpoint]int{kept: 7, ended: 7},
+		},
+		after: &sample{
+			traffic:       map[endpoint]traffic{kept: {bytesSent: 15, bytesReceived: 30, segmentsSent: 2}, opened: {bytesReceived: 4, segmentsReceived: 1}},
+			endpointOwner: map[endpoint]int{kept: 7, opened: 8},
+		},
+	}
+	if f := i.trafficTo([]int{7}, []uint16{80}); f.bytes() != 15 || f.segments() != 2 {
 		t.Error(f)
 	}
-	if f := b.all(7, 8); f.bytes() != 19 || f.segments() != 3 {
+	if f := i.totalTraffic(7, 8); f.bytes() != 19 || f.segments() != 3 {
 		t.Error(f)
 	}
-	if f := b.flow([]int{7, 8}, []uint16{81}); f.bytes() != 0 {
+	if f := i.trafficTo([]int{7, 8}, []uint16{81}); f.bytes() != 0 {
 		t.Error(f)
 	}
 }
 
-// Messages are counted by what they are, with the bytes that they become, and pass through as they were.
-func TestCounter(t *testing.T) {
-	c := &counter{CodecV2: encoding.GetCodecV2(proto.Name)}
+// Messages are counted by kind, with their encoded bytes, and pass through unchanged.
+func TestMessageCounter(t *testing.T) {
+	c := newMessageCounter()
 	for _, m := range []any{&fleetpb.Request{Stand: "sight/1"}, &fleetpb.Request{Stands: []string{"sight/1"}}, &fleetpb.Request{Entry: []byte{1, 2}}, &fleetpb.Answer{Held: true}, &fleetpb.Answer{Moved: true},
 		&fleetpb.Update{Whole: true}, &fleetpb.Update{Index: 3}, &fleetpb.Order{Duty: "sight/1"}, &fleetpb.Verdict{},
 		&fleetpb.PolicyFrom{}, &fleetpb.PolicyPart{}} {
@@ -260,7 +266,7 @@
 		t.Fatal(err, out)
 	}
 	counts := map[string]int64{}
-	c.counts(counts)
+	c.addTo(counts)
 	want := map[string]int64{"stand_out": 2, "call_out": 1, "answer_out": 1, "moved_out": 1, "whole_out": 1, "alive_out": 1, "order_out": 1, "verdict_out": 1, "fetch_out": 1, "part_out": 1,
 		"change_out": 1, "change_in": 1, "change_in_bytes": int64(b.Len()), "call_out_bytes": 4, "verdict_out_bytes": 0}
 	for k, n := range want {
@@ -270,54 +276,54 @@
 	}
 }
 
-// A watcher of the real kind is told the whole list first and then each change, each in as many bytes as the service counts.
-func TestDirectory(t *testing.T) {
-	d, err := newDirectory([]Entry{{ID: "a", Addr: "127.0.0.1:1", Phase: "in_service", Started: 1}, {ID: "b", Addr: "127.0.0.1:2", Group: 1, Phase: "in_service", Started: 1}})
+// A watch receives the complete list first and then each change, each in as many bytes as the service counts.
+func TestDiscoveryServer_Watch(t *testing.T) {
+	d, err := newDiscoveryServer([]Entry{{ID: "a", Addr: "127.0.0.1:1", Phase: "in_service", Started: 1}, {ID: "b", Addr: "127.0.0.1:2", Group: 1, Phase: "in_service", Started: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan *discovery.List, 16)
-	w := discovery.NewWatcher(d.addr, 0, func(l *discovery.List) { told <- l }, func(error) {})
+	lists := make(chan *discovery.List, 16)
+	w := discovery.NewWatcher(d.addr, 0, func(l *discovery.List) { lists <- l }, func(error) {})
 	go w.Watch(t.Context())
-	if l := <-told; !l.Complete || len(l.Entries) != 2 || l.Revision != 1 {
+	if l := <-lists; !l.Complete || len(l.Entries) != 2 || l.Revision != 1 {
 		t.Fatalf("%+v", l)
 	}
-	if at := d.restarted([]string{"b"}, 5000); at != 2 {
+	if at := d.markRestarted([]string{"b"}, 5000); at != 2 {
 		t.Fatal(at)
 	}
-	l := <-told
+	l := <-lists
 	for len(l.Entries) == 0 { // an empty line: nothing had changed yet
-		l = <-told
+		l = <-lists
 	}
 	if l.Complete || len(l.Entries) != 1 || l.Entries[0].Started != 5000 || l.Revision != 2 {
 		t.Fatalf("%+v", l)
 	}
-	a, err := d.answer(ChildRequest{Do: "count"})
+	a, err := d.respond(ChildRequest{Do: CommandCount})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := a.Counts; c["wholes"] != 1 || c["changes"] != 1 || c["watches"] != 1 || c["whole_bytes"] != int64(len(line(listed{1, true, []Entry{
-		{ID: "a", Addr: "127.0.0.1:1", Phase: "in_service", Started: 1}, {ID: "b", Addr: "127.0.0.1:2", Group: 1, Phase: "in_service", Started: 1}}}))) {
+	if c := a.Counts; c["wholes"] != 1 || c["changes"] != 1 || c["watches"] != 1 || c["whole_bytes"] != int64(len(listLine{1, true, []Entry{
+		{ID: "a", Addr: "127.0.0.1:1", Phase: "in_service", Started: 1}, {ID: "b", Addr: "127.0.0.1:2", Group: 1, Phase: "in_service", Started: 1}}}.encode())) {
 		t.Error(c)
 	}
-	// Who is further behind than changes are kept hears the whole list again.
-	for range mostChanges {
-		d.restarted([]string{"a"}, 6000)
+	// A watch that is further behind than changes are kept receives the complete list again.
+	for range maxKeptChanges {
+		d.markRestarted([]string{"a"}, 6000)
 	}
-	if out, at, _ := d.next(1); at != mostChanges+2 || !strings.Contains(string(out), `"complete":true`) {
+	if out, at, _ := d.linesSince(1); at != maxKeptChanges+2 || !strings.Contains(string(out), `"complete":true`) {
 		t.Errorf("at %d: %.60s", at, out)
 	}
-	if out, _, _ := d.next(2); strings.Count(string(out), "\n") != mostChanges {
+	if out, _, _ := d.linesSince(2); strings.Count(string(out), "\n") != maxKeptChanges {
 		t.Errorf("%d lines", strings.Count(string(out), "\n"))
 	}
 }
 
-// A process of hollow ones says what is wrong with what it is asked.
-func TestHollowWords(t *testing.T) {
+// A hollow process reports what is wrong with a specification or a request.
+func TestRunHollow_InvalidInput(t *testing.T) {
 	for _, c := range [][2]string{{`{"role":"cook"}`, `role: unknown value \"cook\"`}, {`{"role":"discovery"}` + "\n" + `{"do":"sing"}`, `do: unknown value \"sing\"`},
 		{`{"role":"databases","names":["a"],"addrs":["x","y"]}`, "addrs: 2 for 1"}} {
 		var out strings.Builder
-		RunHollow(strings.NewReader(c[0]), &out)
+		_ = RunHollow(strings.NewReader(c[0]), &out) // the response has the error
 		if !strings.Contains(out.String(), c[1]) {
 			t.Errorf("%s: %s", c[0], out.String())
 		}
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -6,10 +6,13 @@
 	"io"
 	"path/filepath"
 	"slices"
-	"text/tabwriter"
+	"strings"
 )
 
-// Slope is how one figure of a role goes up with the number of routers.
+// minSizes is how many sizes a line is fitted to: two say nothing about how straight it is.
+const minSizes = 3
+
+// Slope is how a figure of a role grows with the number of routers.
 type Slope struct {
 	Role   string    `json:"role"`
 	Figure string    `json:"figure"`
@@ -18,97 +21,103 @@
 	Y      []float64 `json:"values"`
 }
 
-// SweepResult is a sweep over sizes.
+// SweepResult is the result of Sweep.
 type SweepResult struct {
 	Reports []*Report `json:"reports"`
 	Slopes  []Slope   `json:"slopes"`
 	Failed  string    `json:"failed,omitempty"` // the size at which it ended early, and why
 }
 
-// leastSizes is how many sizes a line is put through: of two, nothing tells how far it is from straight.
-const leastSizes = 3
-
-// SweepSizes gives those of a sweep up to a number of routers.
-func SweepSizes(routers int) []int {
-	var out []int
+// SweepSizes returns the sizes of a sweep up to a number of routers.
+func SweepSizes(routers int) (sizes []int) {
 	for _, part := range []int{8, 4, 2, 1} {
-		if n := max(1, routers/part); !slices.Contains(out, n) {
-			out = append(out, n)
+		if n := max(1, routers/part); !slices.Contains(sizes, n) {
+			sizes = append(sizes, n)
 		}
 	}
-	return out
+	return sizes
 }
 
-// Sweep measures one installation after the other.
-func Sweep(o Options, sizes []int, done func(*Report)) (*SweepResult, error) {
-	if len(sizes) < leastSizes {
-		return nil, fmt.Errorf("--sizes: %d at least, not %d", leastSizes, len(sizes))
+// Sweep measures one installation after the other and passes on each report. If one fails, the result has those before it, and the
+// lines through them if they are enough.
+func Sweep(options Options, sizes []int, onReport func(*Report)) (*SweepResult, error) {
+	if len(sizes) < minSizes {
+		return nil, fmt.Errorf("--sizes: %d at least, not %d", minSizes, len(sizes))
 	}
-	for _, n := range sizes {
-		one := o
-		one.Routers = n
-		if err := one.Check(); err != nil {
+	for _, routers := range sizes {
+		options.Routers = routers
+		if err := options.Check(); err != nil {
 			return nil, err
 		}
 	}
-	s := &SweepResult{}
+	result := &SweepResult{}
 	for n, routers := range sizes {
-		one := o
-		one.Routers, one.Dir = routers, filepath.Join(o.Dir, fmt.Sprint("size-", n))
-		r, err := Measure(one)
-		if err != nil { // those that ran are worth their line
-			s.Failed = fmt.Sprintf("%d routers: %v", routers, err)
-			if len(s.Reports) >= leastSizes {
-				err = s.fit()
-			} else {
-				err = nil
-			}
-			return s, errors.Join(errors.New(s.Failed), err)
+		sized := options
+		sized.Routers, sized.Dir = routers, filepath.Join(options.Dir, fmt.Sprint("size-", n))
+		report, err := Measure(sized)
+		if err != nil {
+			return result, result.fail(routers, err)
 		}
-		if done != nil {
-			done(r)
+		if onReport != nil {
+			onReport(report)
 		}
-		s.Reports = append(s.Reports, r)
+		result.Reports = append(result.Reports, report)
 	}
-	return s, s.fit()
+	return result, result.fit()
 }
 
+// fail records the size that failed, and fits lines to those before it.
+func (s *SweepResult) fail(routers int, cause error) error {
+	failure := fmt.Errorf("%d routers: %w", routers, cause)
+	s.Failed = failure.Error()
+	if len(s.Reports) < minSizes {
+		return failure
+	}
+	return errors.Join(failure, s.fit())
+}
+
+// figures are those of a row that lines are fitted to.
 var figures = []struct {
-	name string
-	of   func(Row) float64
-}{{"cpu_percent", func(r Row) float64 { return r.CPU }}, {"bytes_per_s", func(r Row) float64 { return r.Bytes }},
-	{"messages_per_s", func(r Row) float64 { return r.Messages }}, {"memory_mb", func(r Row) float64 { return r.Memory }}}
+	name  string
+	value func(Row) float64
+}{
+	{"cpu_percent", func(r Row) float64 { return r.CPU }},
+	{"bytes_per_s", func(r Row) float64 { return r.Bytes }},
+	{"messages_per_s", func(r Row) float64 { return r.Messages }},
+	{"memory_mb", func(r Row) float64 { return r.Memory }},
+}
 
-// fit puts lines through all figures of all roles that are in each report.
+// fit fits a line to each figure of each role that all reports have.
 func (s *SweepResult) fit() error {
 	for n, first := range s.Reports[0].Rows {
-		for _, f := range figures {
-			one := Slope{Role: first.Role, Figure: f.name}
-			for _, r := range s.Reports {
-				if n < len(r.Rows) && r.Rows[n].Role == first.Role {
-					one.X, one.Y = append(one.X, float64(r.Routers+r.RealRouters)), append(one.Y, f.of(r.Rows[n]))
+		for _, figure := range figures {
+			slope := Slope{Role: first.Role, Figure: figure.name}
+			for _, report := range s.Reports {
+				if n < len(report.Rows) && report.Rows[n].Role == first.Role {
+					slope.X = append(slope.X, float64(report.Routers+report.RealRouters))
+					slope.Y = append(slope.Y, figure.value(report.Rows[n]))
 				}
 			}
-			if len(one.X) < len(s.Reports) {
+			if len(slope.X) < len(s.Reports) {
 				continue
 			}
 			var err error
-			if one.Fit, err = FitLine(one.X, one.Y); err != nil {
+			if slope.Fit, err = FitLine(slope.X, slope.Y); err != nil {
 				return err
 			}
-			s.Slopes = append(s.Slopes, one)
+			s.Slopes = append(s.Slopes, slope)
 		}
 	}
 	return nil
 }
 
-// PrintSlopes writes them as a table.
+// PrintSlopes writes slopes as a table.
 func PrintSlopes(w io.Writer, slopes []Slope) {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "role\tfigure\tintercept\tslope a router\tits error\tresidual\tworst\tpoints")
+	var table strings.Builder
+	table.WriteString("role\tfigure\tintercept\tslope a router\tits error\tresidual\tworst\tpoints\n")
 	for _, s := range slopes {
-		fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.2g\t%.2g\t%.2g\t%d\n", s.Role, s.Figure, s.Fit.Intercept, s.Fit.Slope, s.Fit.Error, s.Fit.Residual,
-			s.Fit.Worst, s.Fit.Points)
+		fmt.Fprintf(&table, "%s\t%s\t%.4g\t%.4g\t%.2g\t%.2g\t%.2g\t%d\n",
+			s.Role, s.Figure, s.Fit.Intercept, s.Fit.Slope, s.Fit.Error, s.Fit.Residual, s.Fit.Worst, s.Fit.Points)
 	}
-	t.Flush()
+	printText(w, alignColumns(table.String()))
 }
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -7,24 +7,30 @@
 	"text/tabwriter"
 )
 
-// Allowance is what the users give a unit of a role; 0: nothing was said.
+// Allowance is what a unit of a role may cost; 0: there is no bound.
 type Allowance struct {
 	CPU    float64 `json:"cpu_percent,omitempty"`
 	Bytes  float64 `json:"bytes_per_s,omitempty"`
 	Memory float64 `json:"memory_mb,omitempty"`
 }
 
-// What the users allow a router for the fleet's part, and the machines set aside: together they may say what all routers may.
+// What a router may cost for its part in the fleet, and a coordinator node. The nodes may have the traffic of all routers together.
+const (
+	routerBytesPerSecond = 6000
+	allowedRouters       = 610
+	coordinatorMachines  = 6
+)
+
 var (
-	routerAllowance  = Allowance{CPU: 1.4, Bytes: 6000, Memory: 64}
-	machineAllowance = Allowance{Bytes: 610 * 6000 / 6}
+	routerAllowance  = Allowance{CPU: 1.4, Bytes: routerBytesPerSecond, Memory: 64}
+	machineAllowance = Allowance{Bytes: allowedRouters * routerBytesPerSecond / coordinatorMachines}
 )
 
 // Row is what a unit of a role costs.
 type Row struct {
 	Role      string             `json:"role"`
 	Processes int                `json:"processes"`
-	Units     int                `json:"units"` // in them, over which the figures are averaged
+	Units     int                `json:"units"` // in the processes; the figures are averages over them
 	CPU       float64            `json:"cpu_percent"`
 	Bytes     float64            `json:"bytes_per_s"`    // both ways
 	Messages  float64            `json:"messages_per_s"` // segments with payload, both ways
@@ -32,43 +38,47 @@
 	Allowance Allowance          `json:"allowance"`
 	OK        bool               `json:"ok"`
 	Over      []string           `json:"over,omitempty"`
-	More      map[string]float64 `json:"more,omitempty"` // a second and unit
+	More      map[string]float64 `json:"more,omitempty"` // further figures, per second and unit
 }
 
-// judge fills in what is over the allowance.
-func (r *Row) judge() {
+// compare sets what is over the allowance.
+func (r *Row) compare() {
 	r.Over = nil
-	for _, f := range []struct {
-		name            string
-		need, allowance float64
-	}{{"cpu_percent", r.CPU, r.Allowance.CPU}, {"bytes_per_s", r.Bytes, r.Allowance.Bytes}, {"memory_mb", r.Memory, r.Allowance.Memory}} {
-		if f.allowance > 0 && f.need > f.allowance {
-			r.Over = append(r.Over, fmt.Sprintf("%s %s %.4g of %.4g", r.Role, f.name, f.need, f.allowance))
+	for _, figure := range []struct {
+		name             string
+		value, allowance float64
+	}{
+		{"cpu_percent", r.CPU, r.Allowance.CPU},
+		{"bytes_per_s", r.Bytes, r.Allowance.Bytes},
+		{"memory_mb", r.Memory, r.Allowance.Memory},
+	} {
+		if figure.allowance > 0 && figure.value > figure.allowance {
+			r.Over = append(r.Over, fmt.Sprintf("%s %s %.4g of %.4g", r.Role, figure.name, figure.value, figure.allowance))
 		}
 	}
 	r.OK = len(r.Over) == 0
 }
 
-func allowed(x float64) string {
-	if x == 0 {
-		return "-"
+// PrintRows writes rows as a table, and a line that says what is over its allowance.
+func PrintRows(w io.Writer, rows []Row) {
+	var table strings.Builder
+	table.WriteString("role\tprocesses\tunits\tcpu_percent\t(allowed)\tbytes_per_s\t(allowed)\tmessages_per_s\tmemory_mb\t(allowed)\tok\n")
+	for _, r := range rows {
+		fmt.Fprintf(&table, "%s\t%d\t%d\t%.3f\t%s\t%.0f\t%s\t%.1f\t%.2f\t%s\t%v\n",
+			r.Role, r.Processes, r.Units, r.CPU, formatAllowance(r.Allowance.CPU), r.Bytes, formatAllowance(r.Allowance.Bytes),
+			r.Messages, r.Memory, formatAllowance(r.Allowance.Memory), r.OK)
 	}
-	return fmt.Sprintf("%.4g", x)
+	printText(w, alignColumns(table.String())+OverAllowance(rows)+"\n")
 }
 
-// PrintRows writes rows as a table, and the line that says what is over.
-func PrintRows(w io.Writer, rows []Row) {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "role\tprocesses\tunits\tcpu_percent\t(allowed)\tbytes_per_s\t(allowed)\tmessages_per_s\tmemory_mb\t(allowed)\tok")
-	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%s\t%.0f\t%s\t%.1f\t%.2f\t%s\t%v\n", r.Role, r.Processes, r.Units, r.CPU, allowed(r.Allowance.CPU), r.Bytes,
-			allowed(r.Allowance.Bytes), r.Messages, r.Memory, allowed(r.Allowance.Memory), r.OK)
+func formatAllowance(allowance float64) string {
+	if allowance == 0 {
+		return "-"
 	}
-	t.Flush()
-	fmt.Fprintln(w, OverAllowance(rows))
+	return fmt.Sprintf("%.4g", allowance)
 }
 
-// OverAllowance names what is over its allowance.
+// OverAllowance is a line that says which rows are over their allowance.
 func OverAllowance(rows []Row) string {
 	var over []string
 	for _, r := range rows {
@@ -79,3 +89,16 @@
 	}
 	return "over: " + strings.Join(over, "; ")
 }
+
+// alignColumns aligns the columns of lines, which tabs separate.
+func alignColumns(lines string) string {
+	const columnGap = 2
+	var aligned strings.Builder
+	w := tabwriter.NewWriter(&aligned, 0, 4, columnGap, ' ', 0)
+	_, _ = io.WriteString(w, lines) // a strings.Builder takes all
+	_ = w.Flush()
+	return aligned.String()
+}
+
+// printText writes a command's output. A command whose output can't be written has nobody to tell.
+func printText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
