--- a/internal/lab/scale/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -70,7 +70,7 @@
 	// Each asks once for the latest tokens of all groups' two leases, as many to a call as it takes, and opens a session; the interval
 	// of heartbeats is a sixth of the session timeout at least. A redirect is no response.
 	queries, opens := routers*((2*groups+leaseclient.MaxTokenQuery-1)/leaseclient.MaxTokenQuery), routers
-	responses, heartbeats := r.Start["answer_in"], routers*int64(1+r.StartS/(o.SessionTimeout.Seconds()/6))
+	responses, heartbeats := r.Start["answer_in"], routers*int64(1+r.startCountsAfter.Seconds()/(o.SessionTimeout.Seconds()/6))
 	if responses < queries+opens || responses > queries+opens+heartbeats {
 		t.Errorf("%d responses to %d token queries, %d opened sessions and at most %d heartbeats", responses, queries, opens, heartbeats)
 	}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -31,6 +31,7 @@
 	HealthSharing    map[string]int64  `json:"sight,omitempty"`   // that of hollow routers and lease holders together in the sample with health sharing
 
 	children         childCounts   // at the end of the first sample
+	startCountsAfter time.Duration // from the start of the installation until Start was counted
 }
 
 // Measure starts an installation, samples it while nothing happens, then while there are lease holders of health sharing, and ends it.
@@ -58,6 +59,7 @@
 	report.Seconds, report.DiscardedSamples = calm.seconds, discarded
 	report.Rows = in.rows(calm)
 	report.Start, report.Counts, report.children = calm.before.counts.ofRouters(), calm.routerCounts(), calm.after.counts
+	report.startCountsAfter = calm.before.at.Sub(in.startedAt)
 	if in.Holders == 0 {
 		return report, nil
 	}
