--- a/internal/lab/scale/event_regions.go
+++ b/internal/lab/scale/event_regions.go
@@ -57,7 +57,7 @@
 
 // linksBetweenRegions are the links of hollow routers to coordinator nodes of the other region, and those between such nodes.
 func (in *Installation) linksBetweenRegions() []*fleet.Link {
-	links := append([]*fleet.Link(nil), in.regionCuts...)
+	links := append([]*fleet.Link(nil), in.regionLinks...)
 	for n, from := range in.coordinatorNodes() {
 		for m, to := range in.coordinatorNodes() {
 			link := in.fleet.Link(from.Name, to.Name)
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
-	"strconv"
 	"sync"
 	"time"
 
@@ -21,34 +19,20 @@
 	snapshotInterval = 10000 // entries of the coordinator's log
 )
 
-// Names of hollow processes begin so; the number of a zone, or of a lease holder, follows.
-const (
-	routersPrefix   = "routers-"
-	databasesPrefix = "databases-"
-	holderPrefix    = "owner-" // as reports have it
-	discoveryName   = "discovery"
-)
-
-// Kinds of processes, as fleet.Process has them.
-const (
-	coordinatorKind = "council"
-	routerKind      = "router"
-)
-
 // Installation is all that was started.
 type Installation struct {
 	Options
 	Settled time.Duration // from the start until all had settled
 
-	startedAt  time.Time
-	fleet      *fleet.Fleet // coordinator and real routers
-	discovery  *Child
-	databases  []*Child // by zone; nil where it has none
-	routers    []*Child // by zone; nil where it has none
-	holders    []*Child // of health-share leases, by group
-	members    []Entry
-	client     *client.Client
-	regionCuts []*fleet.Link // between hollow routers and coordinator nodes of the other region
+	startedAt   time.Time
+	fleet       *fleet.Fleet // coordinator and real routers
+	discovery   *Child
+	databases   []*Child // by zone; nil where it has none
+	routers     []*Child // by zone; nil where it has none
+	holders     []*Child // of health-share leases, by group
+	members     []Entry
+	client      *client.Client
+	regionLinks []*fleet.Link // between hollow routers and coordinator nodes of the other region
 }
 
 // Start starts all but lease holders of health sharing, and waits until the installation has settled.
@@ -207,92 +191,11 @@
 	if in.fleet != nil {
 		in.fleet.Close()
 	}
-	for _, link := range in.regionCuts {
+	for _, link := range in.regionLinks {
 		link.Close()
 	}
 }
 
-func zoneName(prefix string, zone int) string { return fmt.Sprint(prefix, zone) }
-
-// children returns all hollow processes, by name.
-func (in *Installation) children() map[string]*Child {
-	all := map[string]*Child{}
-	for zone := range zones {
-		if child := in.routers[zone]; child != nil {
-			all[zoneName(routersPrefix, zone)] = child
-		}
-		if child := in.databases[zone]; child != nil {
-			all[zoneName(databasesPrefix, zone)] = child
-		}
-	}
-	for n, child := range in.holders {
-		all[holderName(n)] = child
-	}
-	if in.discovery != nil {
-		all[discoveryName] = in.discovery
-	}
-	return all
-}
-
-func (in *Installation) processesOf(kind string) (all []*fleet.Process) {
-	for _, p := range in.fleet.Processes() {
-		if p.Kind == kind {
-			all = append(all, p)
-		}
-	}
-	return all
-}
-
-func (in *Installation) coordinatorNodes() []*fleet.Process { return in.processesOf(coordinatorKind) }
-func (in *Installation) realRouters() []*fleet.Process      { return in.processesOf(routerKind) }
-
-// coordinatorPorts are the ports at which coordinator nodes are reached, directly and by links.
-func (in *Installation) coordinatorPorts() []uint16 {
-	all := ports(in.fleet.CoordinatorAddresses()...)
-	for _, link := range in.regionCuts {
-		all = append(all, ports(link.Addr)...)
-	}
-	for _, from := range in.fleet.Processes() {
-		for _, to := range in.coordinatorNodes() {
-			if link := in.fleet.Link(from.Name, to.Name); link != nil {
-				all = append(all, ports(link.Addr)...)
-			}
-		}
-	}
-	return all
-}
-
-func ports(addrs ...string) (all []uint16) {
-	for _, addr := range addrs {
-		_, text, err := net.SplitHostPort(addr)
-		if err != nil {
-			continue
-		}
-		if port, err := strconv.ParseUint(text, 10, 16); err == nil {
-			all = append(all, uint16(port))
-		}
-	}
-	return all
-}
-
-func childPids(children []*Child) (pids []int) {
-	for _, child := range children {
-		if child != nil {
-			pids = append(pids, child.Pid())
-		}
-	}
-	return pids
-}
-
-func processPids(processes []*fleet.Process) (pids []int) {
-	for _, p := range processes {
-		if pid := p.Pid(); pid > 0 {
-			pids = append(pids, pid)
-		}
-	}
-	return pids
-}
-
 // state asks the coordinator for the lease state.
 func (in *Installation) state() (*fleetpb.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -101,7 +101,8 @@
 
 // sessionWatch records when sessions open, by a watch of its own: hollow routers without leases don't know of other sessions.
 type sessionWatch struct {
-	stop context.CancelFunc
+	cancel context.CancelFunc
+	ended  chan struct{}
 
 	mu       sync.Mutex
 	openedMs map[string]float64 // Unix ms, by name
@@ -110,8 +111,9 @@
 // watchSessions records sessions whose names have a prefix and whose processes started at a time, Unix ms, or later.
 func (in *Installation) watchSessions(prefix string, startedMs float64) *sessionWatch {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &sessionWatch{openedMs: map[string]float64{}, stop: cancel}
+	w := &sessionWatch{openedMs: map[string]float64{}, cancel: cancel, ended: make(chan struct{})}
 	go func() {
+		defer close(w.ended)
 		for ctx.Err() == nil {
 			err := in.client.Watch(ctx, false, func(update *fleetpb.Update) { w.record(update, prefix, startedMs) })
 			if ctx.Err() == nil {
@@ -122,6 +124,12 @@
 	return w
 }
 
+// stop ends the watch and waits until it has ended.
+func (w *sessionWatch) stop() {
+	w.cancel()
+	<-w.ended
+}
+
 func (w *sessionWatch) record(update *fleetpb.Update, prefix string, startedMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/scale/router_specs.go
+++ b/internal/lab/scale/router_specs.go
@@ -48,7 +48,7 @@
 			if err != nil {
 				return spec, err
 			}
-			in.regionCuts = append(in.regionCuts, link)
+			in.regionLinks = append(in.regionLinks, link)
 			addr = link.Addr
 			spec.Via[p.Name] = addr
 		}
