--- a/internal/lab/fleet/simulation/health_sharing.go
+++ b/internal/lab/fleet/simulation/health_sharing.go
@@ -61,23 +61,10 @@
 }
 
 func healthSharingSettings(routers int) *router.Settings {
-	return &router.Settings{
-		Routers:           routers,
-		ListPollTimeout:   10000,
-		SlowStartFloor:    0.2,
-		SlowStartDuration: 1000,
-		OverloadMultiple:  2.5,
-		OverloadWindow:    2000,
-		MaxAttempts:       6,
-		CanHealthCheck:    true,
-		CanCancel:         true,
-		RetryAfter:        1000,
-		Tenants:           map[string]float64{},
-		RequestClasses: map[string]*router.RequestClass{
-			"read":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: router.Bounded, StalenessBound: 1500},
-			"write": {LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write},
-		},
-	}
+	return newRouterSettings(routers, map[string]*router.RequestClass{
+		"read":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: router.Bounded, StalenessBound: 1500},
+		"write": {LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write},
+	})
 }
 
 // healthSharingWorld is one run of RunHealthSharing.
@@ -139,7 +126,7 @@
 	number    int
 	router    *router.Router
 	positions map[string]float64 // by member, as this router knows them
-	timersSet int                // only the last one fires
+	timer     resettableTimer
 }
 
 // start lists the members and schedules the first request.
@@ -165,7 +152,7 @@
 		case router.SendAttempt:
 			r.sendAttempt(d)
 		case router.SetTimer:
-			r.setTimer(d.Time - r.world.Now)
+			r.timer.set(r.world.After, d.Time-r.world.Now, func() { r.update((*router.Router).TimerFired) })
 		}
 	}
 }
@@ -217,16 +204,6 @@
 	})
 }
 
-func (r *sharingRouter) setTimer(ms float64) {
-	r.timersSet++
-	timer := r.timersSet
-	r.world.After(ms, func() {
-		if timer == r.timersSet {
-			r.update(func(to *router.Router) { to.TimerFired() })
-		}
-	})
-}
-
 // reportsReceived handles reports of the prober.
 func (r *sharingRouter) reportsReceived(reports []healthshare.Report) {
 	for _, report := range reports {
--- a/internal/lab/fleet/simulation/policy_checker.go
+++ b/internal/lab/fleet/simulation/policy_checker.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// MaxControlBytesPerSecond is what control traffic may take of a router's bandwidth in any second, both ways.
-	MaxControlBytesPerSecond = 6 << 10
+	// maxControlBytesPerSecond is what control traffic may take of a router's bandwidth in any second, both ways.
+	maxControlBytesPerSecond = 6 << 10
 	// messageOverheadBytes is what HTTP/2, TCP and IP headers are assumed to add to each message.
 	messageOverheadBytes = 100
 	// maxPropagationMs bounds how long the last change of a run, after all faults, takes from being in force until all routers have
@@ -164,9 +164,9 @@
 		violations = append(violations, fmt.Sprintf("the last change, after all faults, was not applied everywhere within %.0f ms (%.0f)",
 			maxPropagationMs, w.policyRun.latestPropagationMs))
 	}
-	if w.MaxBytesPerSecond > MaxControlBytesPerSecond {
+	if w.MaxBytesPerSecond > maxControlBytesPerSecond {
 		violations = append(violations, fmt.Sprintf("a router sent and received %d bytes in a second, at most are allowed %d",
-			w.MaxBytesPerSecond, MaxControlBytesPerSecond))
+			w.MaxBytesPerSecond, maxControlBytesPerSecond))
 	}
 	return violations[:min(len(violations), maxPolicyViolations)]
 }
--- a/internal/lab/fleet/simulation/process.go
+++ b/internal/lab/fleet/simulation/process.go
@@ -10,8 +10,8 @@
 	maxPolicyAdvanceMs = 1000
 )
 
-// Process is one simulated process: a coordinator node, a router, a member of the group or an operator. What is embedded is
-// the part of each role; it is empty in processes of other roles.
+// Process is one simulated process: a coordinator node, a router, a member of the group or an operator. The fields of
+// other roles are empty.
 type Process struct {
 	Name          string
 	world         *World
--- /dev/null
+++ b/internal/lab/fleet/simulation/router_settings.go
@@ -0,0 +1,22 @@
+package simulation
+
+import "wayloft/router"
+
+// newRouterSettings are the settings of simulated routers; runs differ in how many routers they have and in the request classes.
+// Times are ms.
+func newRouterSettings(routers int, classes map[string]*router.RequestClass) *router.Settings {
+	return &router.Settings{
+		Routers:           routers,
+		ListPollTimeout:   10000,
+		SlowStartFloor:    0.2,
+		SlowStartDuration: 1000,
+		OverloadMultiple:  2.5,
+		OverloadWindow:    2000,
+		MaxAttempts:       6,
+		CanHealthCheck:    true,
+		CanCancel:         true,
+		RetryAfter:        1000,
+		RequestClasses:    classes,
+		Tenants:           map[string]float64{},
+	}
+}
--- a/internal/lab/fleet/simulation/switchover_router.go
+++ b/internal/lab/fleet/simulation/switchover_router.go
@@ -20,34 +20,25 @@
 	meanExtraWriteMs = 4
 )
 
-var routerSettings = &router.Settings{
-	Routers:           5,
-	ListPollTimeout:   10000,
-	SlowStartFloor:    0.2,
-	SlowStartDuration: 1000,
-	OverloadMultiple:  2.5,
-	OverloadWindow:    2000,
-	MaxAttempts:       6,
-	CanHealthCheck:    true,
-	CanCancel:         true,
-	RetryAfter:        1000,
-	RequestClasses: map[string]*router.RequestClass{"write": {LatencyObjective: 2000, Deadline: 10000, PriorityWeight: 1,
-		LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write}},
-	Tenants: map[string]float64{},
-}
+// The router's settings say how many routers there are, whatever the run has.
+const switchoverRouters = 5
+
+var switchoverSettings = newRouterSettings(switchoverRouters, map[string]*router.RequestClass{
+	"write": {LatencyObjective: 2000, Deadline: 10000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write},
+})
 
 // routerDriver carries out the decisions of one router and sends it its clients' writes.
 type routerDriver struct {
-	process   *Process
-	router    *router.Router
-	timersSet int            // only the last one fires
-	attempts  map[string]int // by request
+	process  *Process
+	router   *router.Router
+	timer    resettableTimer
+	attempts map[string]int // by request
 }
 
 // startDriver starts a router and its clients.
 func (p *Process) startDriver() {
 	seed := p.world.options.Seed + uint64(p.Name[len(p.Name)-1])
-	p.driver = &routerDriver{process: p, router: router.New(routerSettings, seed), attempts: map[string]int{}}
+	p.driver = &routerDriver{process: p, router: router.New(switchoverSettings, seed), attempts: map[string]int{}}
 	p.writeHolds = switchover.NewWriteHolds(maxHoldMs)
 	p.driver.update(func(r *router.Router) {
 		r.BeginList()
@@ -91,21 +82,11 @@
 		case router.HealthCheck:
 			c.healthCheck(w.processes[d.Member])
 		case router.SetTimer:
-			c.setTimer(d.Time - w.Now)
+			c.timer.set(c.process.later, d.Time-w.Now, func() { c.update((*router.Router).TimerFired) })
 		}
 	}
 }
 
-func (c *routerDriver) setTimer(ms float64) {
-	c.timersSet++
-	timer := c.timersSet
-	c.process.later(ms, func() {
-		if timer == c.timersSet {
-			c.update(func(r *router.Router) { r.TimerFired() })
-		}
-	})
-}
-
 // sendAttempt sends a write to a member. One that is out of reach resets the connection after a time, when the write may have run.
 func (c *routerDriver) sendAttempt(id string, attempt int, to *Process) {
 	p, w, startedMs := c.process, c.process.world, c.process.world.Now
--- a/internal/lab/fleet/simulation/timeline.go
+++ b/internal/lab/fleet/simulation/timeline.go
@@ -56,6 +56,20 @@
 	return last
 }
 
+// resettableTimer fires at the time for which it was set last.
+type resettableTimer struct{ settings int }
+
+// set schedules the timer in place of an earlier setting.
+func (t *resettableTimer) set(schedule func(ms float64, do func()), ms float64, fire func()) {
+	t.settings++
+	setting := t.settings
+	schedule(ms, func() {
+		if setting == t.settings {
+			fire()
+		}
+	})
+}
+
 // once separates the first of several responses to a request, or its timeout, from those that follow.
 type once bool
 
