--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -75,19 +75,16 @@
 	StuckLeases []string // leases without an acting holder at the end
 }
 
-// OperationKind is the kind of an Operation. Linear judges all kinds alike, by what the response says.
-type OperationKind string
-
-// The kinds of operations.
+// Kinds of operations. Linear judges both alike, by what the response says.
 const (
-	AcquireOperation OperationKind = "acquire" // a lease is requested
-	ReadOperation    OperationKind = "read"    // the latest token of a lease is asked for
+	AcquireOperation = "acquire" // a lease is requested
+	ReadOperation    = "read"    // the latest token of a lease is asked for
 )
 
 // Operation is one request about a lease to the coordinator as its client saw it.
 type Operation struct {
 	Client             int
-	Kind               OperationKind
+	Kind               string // AcquireOperation or ReadOperation
 	Lease, Session     string
 	StartedMs, EndedMs float64 // EndedMs is negative while there is no response
 	Held               bool
