--- a/internal/lab/fleet/simulation/lease_test.go
+++ b/internal/lab/fleet/simulation/lease_test.go
@@ -111,7 +111,7 @@
 	for _, c := range []struct {
 		name     string
 		schedule func(*World)
-		seed     func(*SeededDefects)
+		enable   func(*SeededDefects)
 	}{
 		{"token not checked", pauseHolderDuringAct, func(d *SeededDefects) { d.SkipTokenCheck = true }},
 		{"tokens forgotten", pauseHolderDuringAct, func(d *SeededDefects) { d.ForgetTokens = true }},
@@ -125,7 +125,7 @@
 			for seed := range uint64(200) {
 				o := leaseOptions(seed)
 				o.Schedule = c.schedule
-				if c.seed(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyAnswer { // it sends requests without end
+				if c.enable(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyAnswer { // it sends requests without end
 					o.FaultsMs = 1600
 				}
 				if w := Play(o); len(w.Violations) > 0 {
--- a/internal/lab/fleet/simulation/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -199,7 +199,7 @@
 	for _, c := range []struct {
 		name     string
 		schedule func(*World)
-		seed     func(*SeededDefects)
+		enable   func(*SeededDefects)
 	}{
 		{"hash not checked", serveOtherBytes, func(d *SeededDefects) { d.Policy.SkipHashCheck = true }},
 		{"older versions accepted", isolateNodesInTurn, func(d *SeededDefects) { d.Policy.AcceptOlderVersions = true }},
@@ -212,7 +212,7 @@
 			for seed := range uint64(60) {
 				o := policyOptions(seed)
 				o.Routers, o.Policy.ZoneRouters, o.Schedule = 12, 4, c.schedule
-				c.seed(&o.SeededDefects)
+				c.enable(&o.SeededDefects)
 				if w := Play(o); len(w.Violations) > 0 {
 					t.Logf("seed %d: %.200s", seed, w.Violations[0])
 					o.SeededDefects = SeededDefects{}
