--- a/internal/lab/fleet/simulation/faults.go
+++ b/internal/lab/fleet/simulation/faults.go
@@ -7,157 +7,134 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// draw schedules faults by chance, and their ends: after half of the run all is well again but for what is lost for good.
-func (w *World) draw() {
-	kinds := []func() string{w.stop, w.kill, w.sever, w.oneWay, w.isolate, w.slowDisk, w.lossy, w.killOwner, w.stopOwner, w.stopLeader, w.killLeader,
-		w.restartReceivers, w.killMost, w.loseFolder}
-	n := 2 + w.rand.IntN(6)
-	for range n {
-		f := kinds[w.rand.IntN(len(kinds))]
-		w.After(1500+w.rand.Float64()*(w.opt.FaultsMs-1500), func() { w.Faults[f()]++ })
-	}
-	if w.rand.IntN(12) == 0 { // all of the coordinator's folders at once; it begins anew
-		w.After(2500+w.rand.Float64()*(w.opt.FaultsMs-2500), func() { w.WipeCoordinators() })
-	}
-	w.After(w.opt.FaultsMs+3000, func() {
-		clear(w.cut)
-		w.loss = 0
-	})
-}
+const (
+	// firstFaultMs is when faults begin; the fleet has started by then.
+	firstFaultMs = 1500
+	// repairMs is the time from the end of the faults until what is still cut or lossy is repaired.
+	repairMs = 3000
+	// How long a fault lasts, ms: the least, and the mean of what is drawn on top.
+	minFaultMs       = 100
+	meanExtraFaultMs = 1500
+	// joinDelayMs and replaceDelayMs are from the loss of a node's data directory to the start of the node that replaces it, and
+	// to the change of the membership.
+	joinDelayMs    = 300
+	replaceDelayMs = 400
+	// operatorRetryMs is how long an operator's command waits before it is tried again.
+	operatorRetryMs = 500
+)
 
-// lasting is how long a fault lasts.
-func (w *World) lasting() float64 { return 100 + w.rand.ExpFloat64()*1500 }
+// coordinatorsWiped is the fault after which the coordinator starts again without its state.
+const coordinatorsWiped = "coordinators wiped"
 
-func (w *World) anyone() *Process {
-	all := append(append([]*Process(nil), w.Coordinators...), w.Routers...)
-	if w.planned != nil {
-		all = append(all, w.planned.members...)
+// drawFaults schedules random faults and their ends: halfway through the run all is repaired but what is lost for good.
+func (w *World) drawFaults() {
+	kinds := []func() string{w.pauseAny, w.killAny, w.cutLink, w.cutOneWay, w.isolateAny, w.slowAnyDisk, w.dropMessages, w.killHolder, w.pauseHolder,
+		w.pauseLeader, w.killLeader, w.restartReceivers, w.restartCoordinators, w.loseDataDirectory}
+	w.scheduleRandom(2+w.rand.IntN(6), kinds)
+	if w.rand.IntN(12) == 0 {
+		w.After(2500+w.rand.Float64()*(w.options.FaultsMs-2500), w.WipeCoordinators)
 	}
-	return all[w.rand.IntN(len(all))]
+	w.After(w.options.FaultsMs+repairMs, w.repairNetwork)
 }
 
-// Leader gives the process that leads, as it sees it; nil: none does.
-func (w *World) Leader() *Process {
-	var best *Process
-	var top uint64
-	for _, p := range w.Coordinators {
-		if p.node != nil {
-			if leads, term := p.node.IsLeader(); leads && term >= top {
-				best, top = p, term
-			}
-		}
+// scheduleRandom schedules faults of random kinds at random times. Each kind returns its name for the report.
+func (w *World) scheduleRandom(count int, kinds []func() string) {
+	for range count {
+		inject := kinds[w.rand.IntN(len(kinds))]
+		w.After(firstFaultMs+w.rand.Float64()*(w.options.FaultsMs-firstFaultMs), func() { w.Faults[inject()]++ })
 	}
-	return best
 }
 
-// Holder gives the process that acts for a lease, as it sees it.
-func (w *World) Holder(d string) *Process { return w.byName[w.owner[d]] }
-
-// StopFor, KillFor and CutOff are faults with an end.
-func (w *World) StopFor(p *Process, ms float64) {
-	p.Stop()
-	w.After(ms, p.Resume)
+func (w *World) repairNetwork() {
+	clear(w.cutLinks)
+	w.lossProbability = 0
 }
 
-func (w *World) KillFor(p *Process, ms float64) {
-	p.Kill()
-	w.After(ms, p.start)
-}
+func (w *World) faultDurationMs() float64 { return minFaultMs + w.rand.ExpFloat64()*meanExtraFaultMs }
 
-// Isolate cuts what one process says to others, what they say to it, or both.
-func (w *World) Isolate(p *Process, out, in bool, others []*Process, ms float64) {
-	set := func(on bool) {
-		for _, o := range others {
-			if out {
-				w.cut[[2]string{p.Name, o.Name}] = on
-			}
-			if in {
-				w.cut[[2]string{o.Name, p.Name}] = on
-			}
-		}
+func (w *World) randomProcess() *Process {
+	all := append(append([]*Process(nil), w.Coordinators...), w.Routers...)
+	if w.switchovers != nil {
+		all = append(all, w.switchovers.members...)
 	}
-	set(true)
-	w.After(ms, func() { set(false) })
+	return all[w.rand.IntN(len(all))]
 }
 
-// WipeCoordinators loses the folders of the whole coordinator, which then begins anew.
-func (w *World) WipeCoordinators() {
-	w.Faults["wiped"]++
-	for _, p := range w.Coordinators {
-		p.Kill()
-		p.disk = raftnode.Stored{}
-		w.After(1200+w.rand.Float64()*200, p.start)
+func (w *World) randomLease() string {
+	if w.options.Switchover && w.rand.IntN(2) == 0 {
+		return switchover.LeaseName(0)
 	}
+	return leaseName(w.rand.IntN(w.options.Leases))
+}
+
+func (w *World) pauseAny() string {
+	w.PauseFor(w.randomProcess(), w.faultDurationMs())
+	return "process paused"
 }
 
-func (w *World) stop() string { w.StopFor(w.anyone(), w.lasting()); return "stop" }
-func (w *World) kill() string { w.KillFor(w.anyone(), w.lasting()); return "kill" }
+func (w *World) killAny() string {
+	w.KillFor(w.randomProcess(), w.faultDurationMs())
+	return "process killed"
+}
 
-func (w *World) sever() string {
-	w.Isolate(w.anyone(), true, true, []*Process{w.anyone(), w.anyone()}, w.lasting())
-	return "cut"
+func (w *World) cutLink() string {
+	w.Isolate(w.randomProcess(), true, true, []*Process{w.randomProcess(), w.randomProcess()}, w.faultDurationMs())
+	return "link cut"
 }
 
-func (w *World) oneWay() string {
-	out := w.rand.IntN(2) == 0
-	w.Isolate(w.anyone(), out, !out, w.Coordinators, w.lasting())
-	return "one way"
+func (w *World) cutOneWay() string {
+	outgoing := w.rand.IntN(2) == 0
+	w.Isolate(w.randomProcess(), outgoing, !outgoing, w.Coordinators, w.faultDurationMs())
+	return "link cut one way"
 }
 
-func (w *World) isolate() string {
-	p := w.anyone()
+func (w *World) isolateAny() string {
+	p := w.randomProcess()
 	others := w.Routers
 	if w.rand.IntN(2) == 0 {
 		others = w.Coordinators
 	}
-	w.Isolate(p, true, true, others, w.lasting())
-	return "cut off"
+	w.Isolate(p, true, true, others, w.faultDurationMs())
+	return "process isolated"
 }
 
-func (w *World) slowDisk() string {
-	p := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
-	p.slow = 20 + w.rand.Float64()*400
-	w.After(w.lasting(), func() { p.slow = 0 })
+func (w *World) slowAnyDisk() string {
+	p := w.randomCoordinator()
+	p.diskDelayMs = 20 + w.rand.Float64()*400
+	w.After(w.faultDurationMs(), func() { p.diskDelayMs = 0 })
 	return "slow disk"
 }
 
-func (w *World) lossy() string {
-	w.loss = 0.05 + w.rand.Float64()*0.2
-	w.After(w.lasting(), func() { w.loss = 0 })
-	return "loss"
+func (w *World) dropMessages() string {
+	w.lossProbability = 0.05 + w.rand.Float64()*0.2
+	w.After(w.faultDurationMs(), func() { w.lossProbability = 0 })
+	return "messages lost"
 }
 
-func (w *World) some() string {
-	if w.opt.Switchover && w.rand.IntN(2) == 0 {
-		return switchover.LeaseName(0)
+func (w *World) killHolder() string {
+	if p := w.Holder(w.randomLease()); p != nil {
+		w.KillFor(p, w.faultDurationMs())
 	}
-	return duty(w.rand.IntN(w.opt.Leases))
+	return "lease holder killed"
 }
 
-func (w *World) killOwner() string {
-	if p := w.Holder(w.some()); p != nil {
-		w.KillFor(p, w.lasting())
+func (w *World) pauseHolder() string {
+	if p := w.Holder(w.randomLease()); p != nil {
+		w.PauseFor(p, SessionTimeoutMs+w.faultDurationMs())
 	}
-	return "owner killed"
+	return "lease holder paused"
 }
 
-func (w *World) stopOwner() string {
-	if p := w.Holder(w.some()); p != nil {
-		w.StopFor(p, SessionTimeoutMs+w.lasting())
-	}
-	return "owner stopped"
-}
-
-func (w *World) stopLeader() string {
+func (w *World) pauseLeader() string {
 	if p := w.Leader(); p != nil {
-		w.StopFor(p, 1000+w.lasting())
+		w.PauseFor(p, 1000+w.faultDurationMs())
 	}
-	return "leader stopped"
+	return "leader paused"
 }
 
 func (w *World) killLeader() string {
 	if p := w.Leader(); p != nil {
-		w.KillFor(p, w.lasting())
+		w.KillFor(p, w.faultDurationMs())
 	}
 	return "leader killed"
 }
@@ -171,40 +148,54 @@
 	return "half of the routers restarted"
 }
 
-// killMost kills all of the coordinator in one moment, and starts it again from its folders.
-func (w *World) killMost() string {
+// restartCoordinators kills all coordinator nodes at once and starts them again from their data directories.
+func (w *World) restartCoordinators() string {
 	for _, p := range w.Coordinators {
 		w.KillFor(p, 100+w.rand.Float64()*400)
 	}
-	return "council restarted"
+	return "coordinators restarted"
+}
+
+// WipeCoordinators loses the data directories of all coordinator nodes, which then start again without state.
+func (w *World) WipeCoordinators() {
+	w.Faults[coordinatorsWiped]++
+	for _, p := range w.Coordinators {
+		p.Kill()
+		p.disk = raftnode.Stored{}
+		w.After(1200+w.rand.Float64()*200, p.start)
+	}
 }
 
-// loseFolder loses one process's folder for good. It can't come back under its name, since it has forgotten its votes: an
-// operator has another take its place.
-func (w *World) loseFolder() string {
-	p := w.Coordinators[w.rand.IntN(len(w.Coordinators))]
-	if w.Faults["folder lost"] > 0 || !p.up { // two of three are a lost majority: an operator's to recover
-		return "folder lost, not played"
+// loseDataDirectory loses one node's data directory for good. The node can't return under its name, since it doesn't know how it
+// voted: an operator replaces it. This happens once in a run, as two of three nodes are a quorum.
+func (w *World) loseDataDirectory() string {
+	const lost, skipped = "data directory lost", "data directory lost, skipped"
+	p := w.randomCoordinator()
+	if w.Faults[lost] > 0 || !p.up {
+		return skipped
 	}
 	p.Kill()
-	p.lost = true
-	next := &Process{Name: fmt.Sprint("c", len(w.Coordinators)+1), w: w, joins: true, ahead: p.ahead}
-	w.Coordinators, w.byName[next.Name] = append(w.Coordinators, next), next
-	w.After(300, next.start)
-	w.After(400, func() { w.replace(p, next) })
-	return "folder lost"
-}
-
-// replace is the operator's command, again until it is taken.
-func (w *World) replace(old, next *Process) {
-	if l := w.Leader(); l != nil && !l.asleep {
-		w.number++
-		l.run(func() { l.node.ChangeMembership(w.number, []raftnode.Peer{{Name: next.Name}}, []string{old.Name}) })
-		for _, s := range l.node.Peers() {
-			if s.Name == next.Name {
+	p.dataLost = true
+	replacement := &Process{Name: fmt.Sprint("c", len(w.Coordinators)+1), world: w, clockOffsetMs: p.clockOffsetMs}
+	replacement.joining = true
+	w.addCoordinator(replacement)
+	w.After(joinDelayMs, replacement.start)
+	w.After(replaceDelayMs, func() { w.replaceNode(p, replacement) })
+	return lost
+}
+
+// replaceNode is an operator's change of the membership, repeated until it has taken effect.
+func (w *World) replaceNode(old, replacement *Process) {
+	if leader := w.Leader(); leader != nil && !leader.paused {
+		w.lastRequest++
+		leader.run(func() {
+			leader.node.ChangeMembership(w.lastRequest, []raftnode.Peer{{Name: replacement.Name}}, []string{old.Name})
+		})
+		for _, peer := range leader.node.Peers() {
+			if peer.Name == replacement.Name {
 				return
 			}
 		}
 	}
-	w.After(500, func() { w.replace(old, next) })
+	w.After(operatorRetryMs, func() { w.replaceNode(old, replacement) })
 }
