--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -97,7 +97,7 @@
 	now := p.session.frontend.driver.Now()
 	switch {
 	case p.state == pooledEnded:
-	case p.forwardsCopy(m.Kind):
+	case p.forwardsCopy(m.Kind) && len(p.queue) == 0: // CopyDone must not overtake data that is queued
 		p.forwardCopy(m)
 	case p.state == unitAwaitingReady || len(p.queue) > 0 || p.session.conn.Unsent() >= maxUnreadBytes:
 		m.Raw = append([]byte(nil), m.Raw...)
--- /dev/null
+++ b/internal/server/copyorder_test.go
@@ -0,0 +1,50 @@
+//go:build debug
+
+package server
+
+import (
+	"strings"
+	"testing"
+
+	"wayloft/internal/failpoint"
+	"wayloft/internal/fakes"
+	"wayloft/internal/fakes/pgserver"
+	"wayloft/internal/lab"
+	"wayloft/internal/pg"
+)
+
+// A client sends COPY data before the member accepts it, as pgx does, and its CopyDone is read in the same batch of events as the member's
+// CopyInResponse, behind it: the data, which is queued, must reach the member before CopyDone does.
+func TestPool_CopyDoneInBatchOfCopyInResponse(t *testing.T) {
+	received, accept := make(chan bool, 1), make(chan bool)
+	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
+		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
+			if m.Kind == pg.Query && strings.HasPrefix(m.Text, "COPY") {
+				received <- true
+				<-accept
+			}
+			return nil
+		}
+	})
+	leaves, copies := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
+	copies.Send(queryMessage("COPY rows (handle, blob) FROM STDIN") + string(pg.AppendCopyData(nil, "copied\tv\n")))
+	<-received
+	blocked, unblock := make(chan bool), make(chan bool)
+	defer failpoint.Set("clients.closed", func() { blocked <- true; <-unblock })()
+	closeSocket(leaves)
+	<-blocked // the event loop
+	posted := make(chan bool, 100)
+	defer failpoint.Set("eventloop.posted", func() { posted <- true })()
+	close(accept)
+	<-posted // the member's CopyInResponse
+	copies.Send(string(pg.AppendBodyless(nil, 'c')))
+	<-posted // the client's CopyDone
+	failpoint.Set("clients.closed", func() {})
+	close(unblock)
+	if got := copies.Answer(); got != "ok ready" {
+		t.Errorf("the copy: %q", got)
+	}
+	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'copied'"); got != "v ok ready" {
+		t.Errorf("what was copied: %q", got)
+	}
+}
