--- a/cmd/wayloft/coordinator_run.go
+++ b/cmd/wayloft/coordinator_run.go
@@ -58,10 +58,10 @@
 		Address:          advertisedAddress(set),
 		Peers:            peers,
 		PeerAddresses:    set.PeerAddresses,
-		Tick:             float64(set.Tick),
+		TickMs:           float64(set.Tick),
 		SnapshotInterval: uint64(set.SnapshotInterval),
 		MaxConnections:   set.MaxConnections,
-		ClockOffset:      float64(set.ClockOffset),
+		ClockOffsetMs:    float64(set.ClockOffset),
 		KnownEpoch:       c.Above,
 		AuditLog:         log,
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -34,7 +34,7 @@
 
 // Limits are the limits and options of a backend.
 type Limits struct {
-	DialTimeout     float64          // ms until a connection must be ready, and for a health check
+	DialTimeoutMs   float64          // ms until a connection must be ready, and for a health check
 	HealthReports   bool             // a health check asks for a report of role and position
 	MaxResponse     int              // bytes of one response
 	ResponseBudget  int              // bytes that all responses together may hold while they are incomplete
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -27,7 +27,7 @@
 	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: classes}, 1), classes, func() {})
 	limits := Limits{
-		DialTimeout:    5000,
+		DialTimeoutMs:  5000,
 		MaxResponse:    maxResponse,
 		ResponseBudget: 4 * maxResponse,
 		Logins:         map[string]Login{PlatformPool: {"api", "ledger"}},
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -53,7 +53,7 @@
 // HealthCheck asks a member for its role and position.
 func (b *Backend) HealthCheck(memberID string) {
 	now := b.driver.Now()
-	b.startJob(&job{started: now, deadline: now + b.limits.DialTimeout, notAfter: math.Inf(1)}, memberID)
+	b.startJob(&job{started: now, deadline: now + b.limits.DialTimeoutMs, notAfter: math.Inf(1)}, memberID)
 }
 
 // CancelAttempt gives up on an attempt, which may have run if it was written.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -150,7 +150,7 @@
 		return
 	}
 	started := b.driver.Now()
-	b.driver.Dial(m.addr, b.limits.DialTimeout, func(socket *eventloop.Conn, err error) {
+	b.driver.Dial(m.addr, b.limits.DialTimeoutMs, func(socket *eventloop.Conn, err error) {
 		defer b.carryOutDecisions()
 		if err != nil {
 			b.poolInput().OpenFailed(d.Conn, failureCause(err))
@@ -162,7 +162,7 @@
 			b.poolInput().Opened(c.id)
 			return
 		}
-		c.logIn(started + b.limits.DialTimeout)
+		c.logIn(started + b.limits.DialTimeoutMs)
 	})
 }
 
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -159,7 +159,7 @@
 		}
 	}()
 	driver.runOnLoop(func() {
-		backend.limits.DialTimeout = 20000
+		backend.limits.DialTimeoutMs = 20000
 		backend.List(listOf(l.Addr().String(), router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -150,7 +150,7 @@
 	c.unusable = true
 	now := c.backend.driver.Now()
 	key := c.cancelKey
-	j := &job{cancelKey: &key, member: c.member, started: now, deadline: now + c.backend.limits.DialTimeout, notAfter: math.Inf(1)}
+	j := &job{cancelKey: &key, member: c.member, started: now, deadline: now + c.backend.limits.DialTimeoutMs, notAfter: math.Inf(1)}
 	j.timer = c.backend.driver.After(j.deadline-now, func() { c.backend.endJob(j, router.TimedOut) })
 	c.backend.requestConn(j)
 	c.backend.carryOutDecisions()
@@ -173,7 +173,7 @@
 // dropUnlessAnswered closes the connection unless the member answers in time what is sent between two requests. It guards against a
 // connection that is kept for nobody.
 func (c *memberConn) dropUnlessAnswered() {
-	c.backend.driver.After(c.backend.limits.DialTimeout, func() {
+	c.backend.driver.After(c.backend.limits.DialTimeoutMs, func() {
 		if c.job == nil && c.internalPending > 0 {
 			c.drop()
 		}
--- a/internal/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -74,7 +74,7 @@
 		Dir:              filepath.Join(c.dir, name),
 		Address:          addr,
 		Peers:            c.peers,
-		Tick:             20,
+		TickMs:           20,
 		SnapshotInterval: 1000,
 		MaxConnections:   32,
 		AuditLog:         auditLog,
--- a/internal/coordinator/helpers_test.go
+++ b/internal/coordinator/helpers_test.go
@@ -23,7 +23,7 @@
 		Name:             "c",
 		Dir:              dir,
 		Peers:            []raftnode.Peer{{Name: "c", Addr: listener.Addr().String()}},
-		Tick:             10,
+		TickMs:           10,
 		SnapshotInterval: 1000,
 		MaxConnections:   8,
 		AuditLog:         &audit.Log{},
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -203,7 +203,7 @@
 // follow feeds a node the stream that the leader of an earlier version sent to the node of this name, and returns the state that it came to.
 func follow(t *testing.T, set Settings, stream string, index uint64) string {
 	t.Helper()
-	set.Tick, set.SnapshotInterval = 10000, 1000 // it begins no election of its own
+	set.TickMs, set.SnapshotInterval = 10000, 1000 // it begins no election of its own
 	node, conn := startNode(t, set)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
@@ -295,7 +295,7 @@
 
 // Requests of earlier routers and operators have the answers that they had, except for the epochs in tokens, which depend on when the coordinator began.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
-	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, Tick: 10, SnapshotInterval: 1000})
+	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, TickMs: 10, SnapshotInterval: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
 	want := map[string]string{"open r1": "held:true", "open r2": "held:true", "stands": "fences 2", "take r1": "held:true count 1",
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -131,7 +131,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rpc.Jitter(time.Duration(s.settings.Tick * float64(time.Millisecond)))):
+		case <-time.After(rpc.Jitter(time.Duration(s.settings.TickMs * float64(time.Millisecond)))):
 		}
 	}
 }
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -46,10 +46,10 @@
 	Address          string            // where its peers reach it
 	Peers            []raftnode.Peer   // the initial members of the cluster; empty: it joins one that exists
 	PeerAddresses    map[string]string // by name, in place of the addresses that the cluster knows
-	Tick             float64           // ms between heartbeats
+	TickMs           float64           // ms between heartbeats
 	SnapshotInterval uint64            // entries between two snapshots, at which the log is compacted
 	MaxConnections   int               // at once
-	ClockOffset      float64           // ms that this process's clock is ahead, for tests
+	ClockOffsetMs    float64           // ms that this process's clock is ahead, for tests
 	KnownEpoch       uint64            // a new cluster takes a later epoch, whatever its wall clock says; 0: none is known
 	AuditLog         *audit.Log
 	SeededDefects    SeededDefects
@@ -150,7 +150,7 @@
 func (s *Server) newGRPCServer() *grpc.Server {
 	interceptors := rpc.NewInterceptors(s.settings.Fleet)
 	server := grpc.NewServer(
-		grpc.MaxRecvMsgSize(rpc.MaxMessageSize),
+		grpc.MaxRecvMsgSize(rpc.MaxMessageBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
 		grpc.ConnectionTimeout(connectionTimeout),
 		grpc.ChainUnaryInterceptor(interceptors.Unary),
@@ -208,4 +208,4 @@
 }
 
 // now returns the time in ms on a monotonic clock that also runs while the machine sleeps.
-func (s *Server) now() float64 { return rpc.Boottime() + s.settings.ClockOffset }
+func (s *Server) now() float64 { return rpc.Boottime() + s.settings.ClockOffsetMs }
--- a/internal/coordinator/storage.go
+++ b/internal/coordinator/storage.go
@@ -111,7 +111,7 @@
 		Peers:            s.settings.Peers,
 		Epoch:            rpc.EpochAt(time.Now()),
 		KnownEpoch:       s.settings.KnownEpoch,
-		Tick:             s.settings.Tick,
+		Tick:             s.settings.TickMs,
 		SnapshotInterval: s.settings.SnapshotInterval,
 		Logger:           log,
 	}, stored)
--- a/internal/coordinator/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -247,7 +247,7 @@
 // A node opened from a data directory of the earlier program applies what was committed there.
 func TestStoredNode_AppliesWhatWasCommitted(t *testing.T) {
 	for _, node := range storedNodes {
-		c, err := Open(Settings{Fleet: "lab", Name: node, Dir: unpackStored(t, node), Tick: 10, SnapshotInterval: 100})
+		c, err := Open(Settings{Fleet: "lab", Name: node, Dir: unpackStored(t, node), TickMs: 10, SnapshotInterval: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -287,7 +287,7 @@
 			if err := os.WriteFile(path, bytes.ReplaceAll(database, value, corrupted), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			c, err := Open(Settings{Fleet: "lab", Name: node, Dir: dir, Tick: 10, SnapshotInterval: 100})
+			c, err := Open(Settings{Fleet: "lab", Name: node, Dir: dir, TickMs: 10, SnapshotInterval: 100})
 			if err == nil {
 				closeAndCheck(t, c.store)
 				t.Errorf("%s: opened though a bit of %s has changed", node, name)
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -63,24 +63,24 @@
 
 // Settings of a Node.
 type Settings struct {
-	Fleet               string
-	Name                string              // of this process, unique in the fleet
-	Kind                string              // of this process: "router"
-	Coordinators        []string            // addresses of coordinator nodes
-	AddressOverrides    map[string]string   // addresses to reach processes by, by their names
-	ListenAddress       string              // for orders; the listener itself is given to Run
-	Address             string              // for orders, as the session announces it to other processes
-	SessionTimeoutMs    float64             // after which a silent session ends
-	SafetyMarginMs      float64             // by which a lease holder stops before its lease ends
-	HealthSharePeriodMs float64             // between two checks of a member as lease holder; 0: this process acquires no lease for it
-	SwitchoverEnabled   bool                // this process acquires switchover leases
-	Switchover          switchover.Settings // as lease holder
-	Adapter             *Adapter            // as lease holder of a switchover
-	MaxHoldMs           float64             // the longest that writes are held here for one switchover
-	ClockOffsetMs       float64             // by which this process's clock is ahead, for tests
-	AuditLog            *audit.Log
-	PolicyRate          float64 // bytes a second that fetching the policy may take; 0: 2560
-	Store               Store   // of the policy; nil: none
+	Fleet                string
+	Name                 string              // of this process, unique in the fleet
+	Kind                 string              // of this process: "router"
+	Coordinators         []string            // addresses of coordinator nodes
+	AddressOverrides     map[string]string   // addresses to reach processes by, by their names
+	ListenAddress        string              // for orders; the listener itself is given to Run
+	Address              string              // for orders, as the session announces it to other processes
+	SessionTimeoutMs     float64             // after which a silent session ends
+	SafetyMarginMs       float64             // by which a lease holder stops before its lease ends
+	HealthSharePeriodMs  float64             // between two checks of a member as lease holder; 0: this process acquires no lease for it
+	SwitchoverEnabled    bool                // this process acquires switchover leases
+	Switchover           switchover.Settings // as lease holder
+	Adapter              *Adapter            // as lease holder of a switchover
+	MaxHoldMs            float64             // the longest that writes are held here for one switchover
+	ClockOffsetMs        float64             // by which this process's clock is ahead, for tests
+	AuditLog             *audit.Log
+	PolicyBytesPerSecond float64 // bytes a second that fetching the policy may take; 0: 2560
+	Store                Store   // of the policy; nil: none
 }
 
 // Node is a process's connection to its fleet. Its fields belong to its event loop, the goroutine of Run, unless they say otherwise.
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -33,7 +33,7 @@
 }
 
 func newPolicyState(settings Settings, seed uint64) *policyState {
-	return &policyState{follower: policy.NewFollower(policy.Settings{Rate: settings.PolicyRate, Seed: seed, Decompress: rpc.Decompress})}
+	return &policyState{follower: policy.NewFollower(policy.Settings{Rate: settings.PolicyBytesPerSecond, Seed: seed, Decompress: rpc.Decompress})}
 }
 
 // loadPolicy starts with the stored version.
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -52,7 +52,7 @@
 			Dir:              t.TempDir(),
 			Address:          p.Addr,
 			Peers:            peers,
-			Tick:             20,
+			TickMs:           20,
 			SnapshotInterval: 1000,
 			MaxConnections:   100,
 		})
@@ -149,7 +149,7 @@
 		h.t.Fatal(err)
 	}
 	node := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addresses, Address: l.Addr().String(), SessionTimeoutMs: 2000, SafetyMarginMs: 200,
-		PolicyRate: 1 << 20, Store: s}, p)
+		PolicyBytesPerSecond: 1 << 20, Store: s}, p)
 	loop := run(func(ctx context.Context) {
 		for {
 			select {
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -25,8 +25,8 @@
 
 // Kinds of operations in a history.
 const (
-	acquireOperation = "take"
-	readOperation    = "stand"
+	acquireOperation = simulation.AcquireOperation
+	readOperation    = simulation.ReadOperation
 )
 
 // Probe is a number of clients of the coordinator that acquire and release one lease and read its latest token, whatever happens to the
@@ -72,7 +72,7 @@
 	if len(p.operations) < minProbeResponses {
 		return []string{fmt.Sprintf("the coordinator gave only %d responses", len(p.operations))}
 	}
-	return simulation.Linear(p.operations)
+	return simulation.CheckLinearizable(p.operations)
 }
 
 func (p *Probe) add(operation simulation.Operation) {
--- a/internal/lab/fleet/probe_test.go
+++ b/internal/lab/fleet/probe_test.go
@@ -14,11 +14,11 @@
 		return o
 	}
 	good := []simulation.Operation{operation("a", 0, 1, true, 1), operation("b", 2, 5, true, 2), operation("", 3, 4, false, 1), operation("", 6, 7, false, 2), operation("a", 8, 9, false, 2)}
-	if wrong := simulation.Linear(good); len(wrong) > 0 {
+	if wrong := simulation.CheckLinearizable(good); len(wrong) > 0 {
 		t.Error(wrong)
 	}
 	for what, bad := range map[string]simulation.Operation{"an old read": operation("", 10, 11, false, 1), "two holders": operation("a", 10, 11, true, 2)} {
-		if wrong := simulation.Linear(append(good[:len(good):len(good)], bad)); len(wrong) == 0 {
+		if wrong := simulation.CheckLinearizable(append(good[:len(good):len(good)], bad)); len(wrong) == 0 {
 			t.Error(what, "was not found")
 		}
 	}
--- a/internal/lab/fleet/simulation/linearizability.go
+++ b/internal/lab/fleet/simulation/linearizability.go
@@ -54,9 +54,9 @@
 	return true, next
 }
 
-// Linear checks that a history of lease requests is linearizable: one process that handled one request after the other could have
+// CheckLinearizable checks that a history of lease requests is linearizable: one process that handled one request after the other could have
 // given the same responses. It returns what is wrong.
-func Linear(operations []Operation) (violations []string) {
+func CheckLinearizable(operations []Operation) (violations []string) {
 	histories := historyByLease(operations)
 	for _, name := range slices.Sorted(maps.Keys(histories)) {
 		history := histories[name]
--- a/internal/lab/fleet/simulation/world.go
+++ b/internal/lab/fleet/simulation/world.go
@@ -173,7 +173,7 @@
 		}
 	}
 	if len(w.Violations) == 0 {
-		w.Violations = Linear(w.Operations)
+		w.Violations = CheckLinearizable(w.Operations)
 	}
 	if w.switchovers != nil {
 		w.Violations = append(w.Violations, w.checkWrites()...)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -26,8 +26,8 @@
 	versionKey = "wayloft-form"
 )
 
-// MaxMessageSize is the most bytes that one message may have, in either direction.
-const MaxMessageSize = 4 << 20
+// MaxMessageBytes is the most bytes that one message may have, in either direction.
+const MaxMessageBytes = 4 << 20
 
 // How a connection is established and how the loss of the other end is noticed.
 const (
@@ -57,7 +57,7 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithNoProxy(),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageSize)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: backoff.Config{BaseDelay: minConnectBackoff,
 			Multiplier: backoffMultiplier, Jitter: backoffJitter, MaxDelay: maxConnectBackoff}}),
 		// Guards against a peer that vanished without closing its connection.
--- a/internal/server/parts.go
+++ b/internal/server/parts.go
@@ -79,7 +79,7 @@
 // newBackend builds the backend with its connection pool.
 func newBackend(driver *eventloop.Driver, config *Config) *backend.Backend {
 	limits := backend.Limits{
-		DialTimeout:     config.runtime.DialTimeoutMs,
+		DialTimeoutMs:   config.runtime.DialTimeoutMs,
 		HealthReports:   config.runtime.HealthReports,
 		MaxResponse:     config.maxMessageBytes(),
 		ResponseBudget:  config.memoryBytes / responseBudgetDivisor,
--- a/internal/server/seeded_defects_test.go
+++ b/internal/server/seeded_defects_test.go
@@ -3,6 +3,7 @@
 package server
 
 import (
+	"slices"
 	"testing"
 
 	"wayloft/internal/decide/session"
@@ -19,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			var a noteChecker
 			_, _, bad := runMixedCluster(t, &a, 600, defects)
-			found := append(bad, a.mismatches...)
+			found := slices.Concat(bad, a.mismatches)
 			if len(found) == 0 {
 				t.Fatal("nothing was found")
 			}
