--- a/internal/coordinator/clients.go
+++ b/internal/coordinator/clients.go
@@ -67,7 +67,7 @@
 	}
 	switch entry.Kind {
 	case leasestate.AcquireLease:
-		failpoint.Point("council.asked") // not yet proposed
+		failpoint.Point("coordinator.requested") // not yet proposed
 	case leasestate.ProposePolicy:
 		failpoint.Point("policy.asked") // the same
 	}
--- a/internal/coordinator/decisions.go
+++ b/internal/coordinator/decisions.go
@@ -15,7 +15,7 @@
 	var saveLate []raftnode.Decision // the seeded defect's
 	for d, more := s.node.Next(); more; d, more = s.node.Next() {
 		if d.Action == raftnode.Save && s.settings.SeededDefects.EarlyAcknowledge {
-			failpoint.Point("council.save")
+			failpoint.Point("coordinator.save")
 			saveLate = append(saveLate, d)
 			s.node.Saved()
 			continue
@@ -43,7 +43,7 @@
 func (s *Server) carryOut(d raftnode.Decision) bool {
 	switch d.Action {
 	case raftnode.Save:
-		failpoint.Point("council.save")
+		failpoint.Point("coordinator.save")
 		if !s.save(d) {
 			return false
 		}
@@ -72,9 +72,9 @@
 	leads, _ := s.node.IsLeader()
 	switch {
 	case leads && event.Lease != "" && !event.Ended:
-		failpoint.Point("council.granted") // committed and not yet answered
+		failpoint.Point("coordinator.granted") // committed and not yet answered
 	case leads && event.Policy > 0:
-		failpoint.Point("council.policy") // the same
+		failpoint.Point("coordinator.policy_committed") // the same
 	}
 	if event.Index <= s.auditedIndex { // applied again from the data directory that was reopened
 		return
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -80,7 +80,7 @@
 		if token, valid := n.leases.Valid(name); !valid || token != sharer.token { // the last check before the order is sent
 			return
 		}
-		failpoint.Point("sight.looked") // between the check and the order
+		failpoint.Point("healthshare.checked") // between the check and the order
 		sharer.unanswered[session.Name] = true
 		n.sendOrder(session, order, func(*fleetpb.Verdict, error) { delete(sharer.unanswered, session.Name) })
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -90,7 +90,7 @@
 	if f.drainPhase != drainEndingSessions || len(f.sessions) > 0 {
 		return
 	}
-	failpoint.Hit("clients.last")
+	failpoint.Hit("frontend.last_session")
 	if f.gate.empty() {
 		f.driver.Stop()
 	}
--- a/internal/frontend/gate.go
+++ b/internal/frontend/gate.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		failpoint.Hit("clients.accepted")
+		failpoint.Hit("frontend.accepted")
 		g.accepted.Add(1)
 		g.pending = accepted
 	}
@@ -85,7 +85,7 @@
 }
 
 func (g *gate) accept() (net.Conn, error) {
-	if err := failpoint.Error("clients.accept"); err != nil {
+	if err := failpoint.Error("frontend.accept"); err != nil {
 		return nil, err
 	}
 	return g.Listener.Accept()
--- a/internal/frontend/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -34,7 +34,7 @@
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			f := newTestFrontend(t, 10)
 			f.dial(statementDatabase, true)
-			calls := failCalls(t, "clients.accept", 3, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)})
+			calls := failCalls(t, "frontend.accept", 3, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)})
 			f.dialAndClose() // served by the call of accept that was waiting already
 			f.dialAndClose()
 			if calls.Load() == 0 {
@@ -70,7 +70,7 @@
 func TestGate_AcceptedConnectionWaitsForDescriptorWhileDraining(t *testing.T) {
 	f := newTestFrontend(t, 10)
 	var ends atomic.Int64 // times that the process would have ended
-	t.Cleanup(failpoint.Set("clients.last", func() { ends.Add(1) }))
+	t.Cleanup(failpoint.Set("frontend.last_session", func() { ends.Add(1) }))
 	t.Cleanup(failpoint.SetError("eventloop.adopt", func() error {
 		if ends.Load() < 3 {
 			return os.NewSyscallError("dup", unix.EMFILE)
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -106,7 +106,7 @@
 // Data receives bytes of the client.
 func (s *session) Data(data []byte) {
 	if s.state != sessionOpen {
-		failpoint.Hit("clients.ignored")
+		failpoint.Hit("frontend.ignored")
 		return
 	}
 	s.frontend.sweepIndex.activate(s, s.frontend.driver.Now())
@@ -156,7 +156,7 @@
 // receive handles one complete message of the client.
 func (s *session) receive(m pg.Message) {
 	if m.Kind == pg.Query {
-		failpoint.Hit("clients.query")
+		failpoint.Hit("frontend.query")
 	}
 	switch {
 	case m.Kind == pg.SSLRequest:
@@ -246,6 +246,6 @@
 	delete(s.frontend.sessions, s)
 	s.frontend.sweepIndex.remove(s)
 	<-s.frontend.acceptSlots
-	failpoint.Hit("clients.closed")
+	failpoint.Hit("frontend.closed")
 	s.frontend.stopAfterLastSession()
 }
--- a/internal/server/copyorder_test.go
+++ b/internal/server/copyorder_test.go
@@ -30,7 +30,7 @@
 	copies.Send(queryMessage("COPY rows (handle, blob) FROM STDIN") + string(pg.AppendCopyData(nil, "copied\tv\n")))
 	<-received
 	blocked, unblock := make(chan bool), make(chan bool)
-	defer failpoint.Set("clients.closed", func() { blocked <- true; <-unblock })()
+	defer failpoint.Set("frontend.closed", func() { blocked <- true; <-unblock })()
 	closeSocket(leaves)
 	<-blocked // the event loop
 	posted := make(chan bool, 100)
@@ -39,7 +39,7 @@
 	<-posted // the member's CopyInResponse
 	copies.Send(string(pg.AppendBodyless(nil, 'c')))
 	<-posted // the client's CopyDone
-	failpoint.Set("clients.closed", func() {})
+	failpoint.Set("frontend.closed", func() {})
 	close(unblock)
 	if got := copies.Answer(); got != "ok ready" {
 		t.Errorf("the copy: %q", got)
--- a/internal/server/drainraces_test.go
+++ b/internal/server/drainraces_test.go
@@ -25,8 +25,8 @@
 	addr, term, ended := startRouterWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
 		"127.0.0.1:1", 256, newPrimary(t).Addr)
 	var read, ignored atomic.Int64
-	defer failpoint.Set("clients.query", func() { read.Add(1) })()
-	defer failpoint.Set("clients.ignored", func() { ignored.Add(1) })()
+	defer failpoint.Set("frontend.query", func() { read.Add(1) })()
+	defer failpoint.Set("frontend.ignored", func() { ignored.Add(1) })()
 	type result struct {
 		asked, answered int
 		last            time.Time
@@ -88,9 +88,9 @@
 	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	first := fakes.NewClient(t, addr, true)
 	held, release := make(chan bool, 10), make(chan bool)
-	defer failpoint.Set("clients.accepted", func() { held <- true; <-release })()
+	defer failpoint.Set("frontend.accepted", func() { held <- true; <-release })()
 	empty := make(chan bool, 100)
-	defer failpoint.Set("clients.last", func() { empty <- true })()
+	defer failpoint.Set("frontend.last_session", func() { empty <- true })()
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
 	var late []*fakes.Client
 	for n := range arriving {
--- a/internal/server/gatedmember_test.go
+++ b/internal/server/gatedmember_test.go
@@ -131,6 +131,6 @@
 func notifyClosedClients(t *testing.T) (wait func()) {
 	t.Helper()
 	gone := make(chan bool, 100)
-	t.Cleanup(failpoint.Set("clients.closed", func() { gone <- true }))
+	t.Cleanup(failpoint.Set("frontend.closed", func() { gone <- true }))
 	return func() { <-gone }
 }
