--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	base := session.NoSettings
 	if set {
-		base, _ = session.StartupSettings(pg.StartupParameters{{"application_name", "x"}})
+		base, _ = session.StartupSettings(pg.StartupParameters{{Name: "application_name", Value: "x"}})
 	}
 	clientSession := session.New(session.Policy{MaxSettingsBytes: 1 << 12, MaxStatements: 8}, base)
 	sql := fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait)
--- a/internal/decide/session/connection.go
+++ b/internal/decide/session/connection.go
@@ -1,5 +1,7 @@
 package session
 
+import "wayloft/internal/pg"
+
 // settingsState is what a transaction that fails takes back.
 type settingsState struct {
 	client Settings // what the client has set
@@ -7,8 +9,8 @@
 }
 
 // with returns the state after a SET or RESET on the connection.
-func (s settingsState) with(startup Settings, pairs ...[2]string) settingsState {
-	return settingsState{client: s.client.with(startup, pairs...), server: s.server.with(NoSettings, pairs...)}
+func (s settingsState) with(startup Settings, settings ...pg.Setting) settingsState {
+	return settingsState{client: s.client.with(startup, settings...), server: s.server.with(NoSettings, settings...)}
 }
 
 // Settings returns the settings that the session's connection should have.
--- a/internal/decide/session/model_test.go
+++ b/internal/decide/session/model_test.go
@@ -107,8 +107,8 @@
 }
 
 func (m *serverModel) set(c pg.Command) {
-	for _, pair := range c.Pairs {
-		name, value := pair[0], pair[1]
+	for _, pair := range c.Settings {
+		name, value := pair.Name, pair.Value
 		switch {
 		case c.Local && m.status == StatusIdle:
 		case c.Local:
--- a/internal/decide/session/query.go
+++ b/internal/decide/session/query.go
@@ -48,8 +48,8 @@
 		return nil
 	}
 	size := s.current.client.size
-	for _, pair := range c.Pairs {
-		size += len(pair[0]) + len(pair[1])
+	for _, setting := range c.Settings {
+		size += len(setting.Name) + len(setting.Value)
 	}
 	if size > s.policy.MaxSettingsBytes {
 		return &pg.Error{Code: pg.ProgramLimitExceeded, Text: "the settings of this session are too long"}
@@ -84,10 +84,10 @@
 
 // answerSet sets a setting of the router's own.
 func (s *Session) answerSet(c Command) []byte {
-	if c.Local || s.status != StatusIdle && !s.deferred.pending() || !isRouterSetting(c.Pairs[0][0]) {
+	if c.Local || s.status != StatusIdle && !s.deferred.pending() || !isRouterSetting(c.Settings[0].Name) {
 		return nil
 	}
-	s.setLocally(s.current.client.with(s.startup, c.Pairs...))
+	s.setLocally(s.current.client.with(s.startup, c.Settings...))
 	return completed("SET", s.status)
 }
 
@@ -107,7 +107,7 @@
 	}
 	switch c.Kind {
 	case pg.Reset:
-		s.setLocally(s.current.client.with(s.startup, [2]string{c.Name, ""}))
+		s.setLocally(s.current.client.with(s.startup, pg.Setting{Name: c.Name}))
 	case pg.ResetAll:
 		s.setLocally(s.startup)
 	case pg.DiscardAll:
--- a/internal/decide/session/scenario_test.go
+++ b/internal/decide/session/scenario_test.go
@@ -84,11 +84,11 @@
 
 func (p *scenarioPlayer) setPolicy(words string) {
 	for _, pair := range pairsOf(words) {
-		switch pair[0] {
+		switch pair.Name {
 		case "read":
-			p.policy.ReadClass = pair[1]
+			p.policy.ReadClass = pair.Value
 		case "write":
-			p.policy.WriteClass = pair[1]
+			p.policy.WriteClass = pair.Value
 		case "allow-sticky":
 			p.policy.AllowSticky = true
 		case "always-sticky":
@@ -212,10 +212,10 @@
 }
 
 // pairsOf parses words of the form NAME=VALUE.
-func pairsOf(words string) (pairs [][2]string) {
+func pairsOf(words string) (pairs []pg.Setting) {
 	for _, word := range strings.Fields(words) {
 		name, value, _ := strings.Cut(word, "=")
-		pairs = append(pairs, [2]string{name, value})
+		pairs = append(pairs, pg.Setting{Name: name, Value: value})
 	}
 	return pairs
 }
--- a/internal/decide/session/server.go
+++ b/internal/decide/session/server.go
@@ -85,10 +85,10 @@
 	switch c.Kind {
 	case pg.Set:
 		if !c.Local {
-			s.current = s.current.with(s.startup, c.Pairs...)
+			s.current = s.current.with(s.startup, c.Settings...)
 		}
 	case pg.Reset:
-		s.current = s.current.with(s.startup, [2]string{c.Name, ""})
+		s.current = s.current.with(s.startup, pg.Setting{Name: c.Name})
 	case pg.ResetAll:
 		s.current = settingsState{client: s.startup, server: NoSettings}
 	case pg.DiscardAll:
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -5,6 +5,8 @@
 	"unique"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"wayloft/internal/pg"
 )
 
 // Settings are what a client, or a connection, has set: names in lower case and values as they were written. They are immutable, so that
@@ -37,10 +39,10 @@
 func (s Settings) Get(name string) (value string, set bool) { return s.tree.Get([]byte(name)) }
 
 // with returns the settings with these names and values set. An empty value sets what base has, or removes the setting.
-func (s Settings) with(base Settings, pairs ...[2]string) Settings {
+func (s Settings) with(base Settings, settings ...pg.Setting) Settings {
 	tree := s.tree
-	for _, pair := range pairs {
-		name, value := pair[0], pair[1]
+	for _, setting := range settings {
+		name, value := setting.Name, setting.Value
 		if value == "" {
 			value, _ = base.Get(name)
 		}
--- a/internal/decide/session/settings_test.go
+++ b/internal/decide/session/settings_test.go
@@ -10,8 +10,8 @@
 // Equal settings are the same, however they came about, and only what differs is set.
 func TestSettings_EqualHaveSameID(t *testing.T) {
 	a := settingsOf("x=1 y=2")
-	b := settingsOf("y=3").with(NoSettings, [2]string{"x", "1"}, [2]string{"y", "2"})
-	none := a.with(NoSettings, [2]string{"x", ""}, [2]string{"y", ""})
+	b := settingsOf("y=3").with(NoSettings, pg.Setting{Name: "x", Value: "1"}, pg.Setting{Name: "y", Value: "2"})
+	none := a.with(NoSettings, pg.Setting{Name: "x", Value: ""}, pg.Setting{Name: "y", Value: ""})
 	if a.ID() != b.ID() || none.ID() != NoSettings.ID() {
 		t.Error("equal settings differ")
 	}
@@ -38,7 +38,7 @@
 		{"replication", "off", ""},
 		{"TimeZone", "UTC", "timezone='UTC'"},
 	} {
-		settings, startupError := StartupSettings(pg.StartupParameters{{"user", "u"}, {c.name, c.value}})
+		settings, startupError := StartupSettings(pg.StartupParameters{{Name: "user", Value: "u"}, {Name: c.name, Value: c.value}})
 		got := describeSettings(settings)
 		if startupError != nil {
 			got = startupError.Code
@@ -63,7 +63,7 @@
 
 func BenchmarkDifference(b *testing.B) {
 	has := settingsOf("a=1 b=2 c=3 d=4")
-	for name, should := range map[string]Settings{"equal": has, "one": has.with(NoSettings, [2]string{"b", "9"})} {
+	for name, should := range map[string]Settings{"equal": has, "one": has.with(NoSettings, pg.Setting{Name: "b", Value: "9"})} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
--- a/internal/decide/session/startup.go
+++ b/internal/decide/session/startup.go
@@ -10,7 +10,7 @@
 func StartupSettings(parameters pg.StartupParameters) (Settings, *pg.Error) {
 	s := NoSettings
 	for _, parameter := range parameters {
-		name, value := strings.ToLower(parameter[0]), parameter[1]
+		name, value := strings.ToLower(parameter.Name), parameter.Value
 		switch {
 		case name == "user" || name == "database" || strings.HasPrefix(name, "_pq_."):
 		case name == "replication":
@@ -37,7 +37,7 @@
 	if value == "" {
 		return s
 	}
-	return s.with(NoSettings, [2]string{strings.ToLower(name), pg.QuoteLiteral(value)})
+	return s.with(NoSettings, pg.Setting{Name: strings.ToLower(name), Value: pg.QuoteLiteral(value)})
 }
 
 func asksForReplication(value string) bool {
--- a/internal/fakes/pgserver/connection.go
+++ b/internal/fakes/pgserver/connection.go
@@ -199,8 +199,8 @@
 	c.key = pg.CancelKey{Process: uint32(c.id), Secret: rand.Uint32()}
 	s.mu.Unlock()
 	for _, p := range m.Startup {
-		if p[0] != "user" && p[0] != "database" && p[0] != "options" {
-			c.startup[strings.ToLower(p[0])] = p[1]
+		if p.Name != "user" && p.Name != "database" && p.Name != "options" {
+			c.startup[strings.ToLower(p.Name)] = p.Value
 		}
 	}
 	c.settings = maps.Clone(c.startup)
--- a/internal/fakes/pgserver/transaction.go
+++ b/internal/fakes/pgserver/transaction.go
@@ -137,8 +137,8 @@
 }
 
 func (c *connection) set(command pg.Command) {
-	for _, pair := range command.Pairs {
-		name, text := pair[0], pair[1]
+	for _, pair := range command.Settings {
+		name, text := pair.Name, pair.Value
 		if strings.HasPrefix(name, "no_such") {
 			c.fail("42704", "unrecognized configuration parameter")
 			return
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -28,7 +28,7 @@
 
 // Connect connects a client and waits until it may send queries. The parameters, names with values, go with the startup message. An error
 // of the other side is a *pg.Error.
-func Connect(address string, parameters ...[2]string) (*Client, error) {
+func Connect(address string, parameters ...pg.Setting) (*Client, error) {
 	connection, err := net.DialTimeout("tcp", address, responseTimeout)
 	if err != nil {
 		return nil, err
--- a/internal/lab/idle_sessions.go
+++ b/internal/lab/idle_sessions.go
@@ -13,7 +13,7 @@
 // are idle.
 func WithIdleSessions(address string, sessions int, f func()) error {
 	for n := range sessions {
-		client, err := Connect(address, [2]string{"application_name", "rest"})
+		client, err := Connect(address, pg.Setting{Name: "application_name", Value: "rest"})
 		if err != nil {
 			return fmt.Errorf("session %d: %w", n, err)
 		}
--- a/internal/pg/append_client.go
+++ b/internal/pg/append_client.go
@@ -3,13 +3,13 @@
 import "encoding/binary"
 
 // AppendStartup appends a startup message, with further parameters each as a name and a value.
-func AppendStartup(out []byte, user, database string, parameters ...[2]string) []byte {
+func AppendStartup(out []byte, user, database string, parameters ...Setting) []byte {
 	return appendMessage(out, noType, func(out []byte) []byte {
 		out = binary.BigEndian.AppendUint32(out, protocolMajorVersion<<16)
 		out = appendCString(appendCString(out, "user"), user)
 		out = appendCString(appendCString(out, "database"), database)
 		for _, parameter := range parameters {
-			out = appendCString(appendCString(out, parameter[0]), parameter[1])
+			out = appendCString(appendCString(out, parameter.Name), parameter.Value)
 		}
 		return append(out, 0)
 	})
--- a/internal/pg/append_server.go
+++ b/internal/pg/append_server.go
@@ -6,7 +6,7 @@
 const statusIdle byte = 'I'
 
 // greetingParameters are what clients rely on before the first member is known.
-var greetingParameters = [...][2]string{
+var greetingParameters = [...]Setting{
 	{"server_version", "16.0"},
 	{"client_encoding", "UTF8"},
 	{"server_encoding", "UTF8"},
@@ -20,7 +20,7 @@
 	}
 	out = AppendAuthenticationOK(out)
 	for _, parameter := range greetingParameters {
-		out = AppendParameterStatus(out, parameter[0], parameter[1])
+		out = AppendParameterStatus(out, parameter.Name, parameter.Value)
 	}
 	out = AppendBackendKeyData(out, CancelKey{})
 	return AppendReadyIdle(out)
--- a/internal/pg/command.go
+++ b/internal/pg/command.go
@@ -8,7 +8,7 @@
 // The kinds of commands, with the fields that are set for them.
 const (
 	OtherCommand     CommandKind = iota
-	Set                          // Pairs, Local
+	Set                          // Settings, Local
 	Reset                        // Name
 	ResetAll                     // RESET ALL
 	Begin                        // ReadOnly, ReadWrite, Simple
@@ -27,8 +27,8 @@
 type Command struct {
 	Kind         CommandKind
 	Name         string
-	Pairs        [][2]string // names in lower case and values as written, empty for DEFAULT
-	Local        bool        // for the transaction only
+	Settings     []Setting // names in lower case and values as written, empty for DEFAULT
+	Local        bool      // for the transaction only
 	ReadOnly     bool
 	ReadWrite    bool
 	Simple       bool   // all words are known transaction modes: a server accepts it
--- a/internal/pg/command_test.go
+++ b/internal/pg/command_test.go
@@ -14,8 +14,8 @@
 // describeCommand returns the kind of a command and those of its fields that are set.
 func describeCommand(c Command) string {
 	words := []string{commandNames[c.Kind], c.Name}
-	if c.Pairs != nil {
-		words = append(words, fmt.Sprint(c.Pairs))
+	if c.Settings != nil {
+		words = append(words, formatSettings(c.Settings))
 	}
 	for _, flag := range []struct {
 		isSet bool
@@ -117,3 +117,12 @@
 		}
 	})
 }
+
+// formatSettings gives settings as the cases have them: [[name value] [name value]].
+func formatSettings(settings []Setting) string {
+	var pairs [][2]string
+	for _, setting := range settings {
+		pairs = append(pairs, [2]string{setting.Name, setting.Value})
+	}
+	return fmt.Sprint(pairs)
+}
--- a/internal/pg/decode_client.go
+++ b/internal/pg/decode_client.go
@@ -48,7 +48,7 @@
 		if !ok {
 			return parameters
 		}
-		parameters = append(parameters, [2]string{name, value})
+		parameters = append(parameters, Setting{Name: name, Value: value})
 		b = rest
 	}
 	return parameters
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -76,14 +76,17 @@
 // CancelKey identifies a session in a CancelRequest.
 type CancelKey struct{ Process, Secret uint32 }
 
-// StartupParameters are the parameters of a startup message in their order, each a name and a value.
-type StartupParameters [][2]string
+// Setting is a parameter of a startup message or of SET, with its value.
+type Setting struct{ Name, Value string }
+
+// StartupParameters are the parameters of a startup message in their order.
+type StartupParameters []Setting
 
 // Get returns the value of a parameter, empty if it is not given.
 func (p StartupParameters) Get(name string) string {
 	for _, parameter := range p {
-		if parameter[0] == name {
-			return parameter[1]
+		if parameter.Name == name {
+			return parameter.Value
 		}
 	}
 	return ""
--- a/internal/pg/setting.go
+++ b/internal/pg/setting.go
@@ -28,7 +28,7 @@
 }
 
 func setOne(name, value string) Command {
-	return Command{Kind: Set, Pairs: [][2]string{{name, value}}}
+	return Command{Kind: Set, Settings: []Setting{{Name: name, Value: value}}}
 }
 
 // parseSetTarget parses the rest of SET from what is set on. word has been read there, at start.
@@ -85,7 +85,7 @@
 		return Command{}
 	}
 	c := Command{Kind: Set}
-	add := func(name, value string) { c.Pairs = append(c.Pairs, [2]string{name, value}) }
+	add := func(name, value string) { c.Settings = append(c.Settings, Setting{Name: name, Value: value}) }
 	for word := l.keyword(); word != ""; word = l.keyword() {
 		switch word {
 		case "isolation":
--- a/internal/server/mixedrun_test.go
+++ b/internal/server/mixedrun_test.go
@@ -56,7 +56,7 @@
 		m := &mixedClient{id: id, random: rand.New(rand.NewPCG(seed, uint64(id))), settings: owner, committed: clone(owner), prepared: map[string]string{},
 			codes: map[string]int{}}
 		m.client = fakes.NewClient(t, addr, false)
-		_, _ = m.client.Write(pg.AppendStartup(nil, "api", "ledger", [2]string{"options", fmt.Sprintf("-c m.owner=%d", id)}))
+		_, _ = m.client.Write(pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: fmt.Sprintf("-c m.owner=%d", id)}))
 		if got := m.client.Answer(); got != "ready" {
 			t.Fatalf("client %d: %q", id, got)
 		}
--- a/internal/server/pool_test.go
+++ b/internal/server/pool_test.go
@@ -297,8 +297,8 @@
 	hello := string(pg.AppendStartup(nil, "api", "ledger"))
 	for _, c := range []struct{ name, send, want string }{
 		{"another database", string(pg.AppendStartup(nil, "api", "none")), "3D000 closed"},
-		{"replication", string(pg.AppendStartup(nil, "api", "ledger", [2]string{"replication", "database"})), "0A000 closed"},
-		{"options", string(pg.AppendStartup(nil, "api", "ledger", [2]string{"options", "-x 1"})), "22023 closed"},
+		{"replication", string(pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "replication", Value: "database"})), "0A000 closed"},
+		{"options", string(pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: "-x 1"})), "22023 closed"},
 		{"an unknown message", hello + "?\x00\x00\x00\x04", "ready, 08P01 closed"},
 		{"half a Parse", hello + "P\x00\x00\x00\x05x", "ready, 08P01 closed"},
 		{"a Bind whose lengths lie", hello + "B\x00\x00\x00\x0e\x00\x00\x00\x00\x00\x01\x7f\xff\xff\xff", "ready, 08P01 closed"},
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -15,7 +15,7 @@
 func TestTranscript_Pooled(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2, ExtraKeys: "pins = true\nstatements = 4\nsettings = \"300B\"\n"}, nil)
 	var out strings.Builder
-	startup := pg.AppendStartup(nil, "api", "ledger", [2]string{"application_name", "guard"})
+	startup := pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "application_name", Value: "guard"})
 	client := func(name string) *transcriptClient { return newTranscriptClient(t, &out, addr, name, startup) }
 
 	c := client("simple queries")
@@ -85,7 +85,7 @@
 		client(one.name).send(one.bytes, 1)
 	}
 	newTranscriptClient(t, &out, addr, "no such database", pg.AppendStartup(nil, "api", "none"))
-	newTranscriptClient(t, &out, addr, "setting of the startup", pg.AppendStartup(nil, "api", "ledger", [2]string{"options", "-c a.x=7"})).send(
+	newTranscriptClient(t, &out, addr, "setting of the startup", pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: "-c a.x=7"})).send(
 		transcriptQueries("SHOW a.x"), 1)
 	newTranscriptClient(t, &out, addr, "TLS", append([]byte{}, "\x00\x00\x00\x08\x04\xd2\x16\x2f"...))
 	recording.CompareText(t, "transcript-pooled.txt", out.String())
