--- a/internal/decide/lease/exploration_test.go
+++ b/internal/decide/lease/exploration_test.go
@@ -160,7 +160,7 @@
 		"receiver forgets":                     {defects{forgets: true}, receiverRestarted, "was accepted after one under"},
 		"receiver isn't told of the new epoch": {defects{tellsLatestGrant: true}, receiverRestartedAfterLoss, "was accepted after one under"},
 		"lease is counted for too long":        {defects{overstayMs: 4}, uninterrupted, "may act under"},
-		"epoch is not raised":                  {defects{sameEpoch: true}, stateLost, "one fence, one holder"},
+		"epoch is not raised":                  {defects{sameEpoch: true}, stateLost, "one fencing token, one holder"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if wrong, _ := playLateAct(test.defects, test.between); !strings.Contains(wrong, test.want) {
--- a/internal/decide/lease/receiver.go
+++ b/internal/decide/lease/receiver.go
@@ -81,7 +81,7 @@
 		return Stale, highest
 	}
 	if token == last.token && last.holder != "" && last.holder != holder {
-		invariant.Check(false, "one fence, one holder")
+		invariant.Check(false, "one fencing token, one holder")
 		last.conflicting = true
 	}
 	if last.conflicting && token == last.token {
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -310,7 +310,7 @@
 			w.pull(m.holder)
 		}
 	case verdict == lease.Conflicting:
-		w.wrong = "one fence, one holder"
+		w.wrong = "one fencing token, one holder"
 	case verdict == lease.Accepted && m.token.Compare(w.accepted) < 0:
 		w.wrong = fmt.Sprintf("an act under %v was accepted after one under %v", m.token, w.accepted)
 	case verdict == lease.Accepted:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
 // Package discovery reads the endpoint list: the members in service, as the platform's list service reports them. A Watcher follows the
 // list over HTTP and calls back with each list or change; DecodeList decodes one that was read elsewhere.
 //
-// The program (cmd/wayloft) starts a Watcher and posts what it delivers to the event loop. The package owns the connection to the list
+// The router (internal/server) starts a Watcher and posts what it delivers to the event loop. The package owns the connection to the list
 // service and the form of its lists. It never judges a member, and delivers only complete, valid lists.
 package discovery
 
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -259,7 +259,7 @@
 // carryOutForRequest carries out a decision for a request that must be open and have nothing in flight.
 func (d *Driver) carryOutForRequest(decision router.Decision) {
 	open := d.requests[decision.RequestID]
-	invariant.Check(open != nil && !open.request.Finished() && open.inFlight == 0, "decisions are for open txns with nothing out")
+	invariant.Check(open != nil && !open.request.Finished() && open.inFlight == 0, "decisions are for open requests with no attempt out")
 	if open == nil || open.request.Finished() {
 		return
 	}
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -120,7 +120,7 @@
 		logrus.WithFields(logrus.Fields{"lease": header.scope.Lease, "holder": header.holder, "token": header.token, "higher_token": highest}).
 			Warn("rejected an order of a former lease holder")
 	case lease.Conflicting:
-		invariant.Check(false, "one fence, one holder")
+		invariant.Check(false, "one fencing token, one holder")
 	}
 	done(verdict)
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -3,7 +3,7 @@
 // request of its own, in transaction pooling mode a request is a transaction. The package also bounds what clients may use, ends idle
 // sessions and drains the process.
 //
-// cmd/wayloft creates a Frontend and starts it on a listener; the event loop calls it for each connection. It hands requests to the
+// internal/server creates a Frontend and starts it on a listener; the event loop calls it for each connection. It hands requests to the
 // event loop's driver and never knows a member. It never gives a request a response that neither a member nor a decision made.
 //
 // All of it runs on the event loop, except for the listener that Gate returns.
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -1,5 +1,5 @@
 // Package lab is what a router is tried out with: a cluster of fake members on loopback, clients that load a router, and a router as a process
-// of its own whose idle cost is measured. The `wayloft lab` commands and the tests of cmd/wayloft call it, and internal/lab/fleet has its
+// of its own whose idle cost is measured. The `wayloft lab` commands and the tests of internal/server call it, and internal/lab/fleet has its
 // clients from here. It decides nothing for a router, and the router never imports it.
 package lab
 
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -2,7 +2,7 @@
 // switchover executors and policy followers, over a simulated network, disks and clocks, without sockets or operating system processes.
 //
 // Play runs one World; one seed gives one run, and checkers look for violations of what the fleet guarantees. RunHealthSharing
-// runs routers before one group to compare health checks with and without sharing. Linear checks a history of lease requests; the
+// runs routers before one group to compare health checks with and without sharing. CheckLinearizable checks a history of lease requests; the
 // tests of real processes use it too. The package is for tests and measurements. It decides about time and faults, and never
 // about what the packages under internal/decide and router decide.
 package simulation
@@ -75,7 +75,7 @@
 	StuckLeases []string // leases without an acting holder at the end
 }
 
-// Kinds of operations. Linear judges both alike, by what the response says.
+// Kinds of operations. CheckLinearizable judges both alike, by what the response says.
 const (
 	AcquireOperation = "acquire" // a lease is requested
 	ReadOperation    = "read"    // the latest token of a lease is asked for
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -2,7 +2,7 @@
 // real routers as processes of the program, and around them hollow routers, hollow databases and a discovery service, many to a
 // process: these run the real session, watch, lease client, list and health sharing code over real sockets, without clients.
 //
-// `wayloft lab size` calls Measure, Sweep, MeasurePair and RunEvent; its child processes call RunHollow. Costs are read from the
+// `wayloft lab scale` calls Measure, Sweep, MeasurePair and RunEvent; its child processes call RunHollow. Costs are read from the
 // kernel, and message counts from the gRPC codec, so that the measured code runs as it is. An Installation owns the processes that
 // it started and ends all of them in Close. The package never exceeds the bounds that Options.Check sets, and no router uses it.
 package scale
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -56,7 +56,7 @@
 }
 
 func (r *Request) finish(response Response) {
-	invariant.Check(!r.finished, "one final answer for a txn")
+	invariant.Check(!r.finished, "one final response for a request")
 	if !r.finished {
 		r.finished = true
 		r.deliver(response)
