--- a/internal/decide/policy/canonical.go
+++ b/internal/decide/policy/canonical.go
@@ -44,11 +44,11 @@
 }
 
 // decode reads what encode gave, and nothing else: another form of the same values is ErrMalformed, since hashes are over bytes.
-func decode(b []byte, into any) error {
-	if err := canonical.Unmarshal(b, into); err != nil {
+func decode(b []byte, dst any) error {
+	if err := canonical.Unmarshal(b, dst); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if !bytes.Equal(encode(into), b) {
+	if !bytes.Equal(encode(dst), b) {
 		return fmt.Errorf("%w: not the canonical form", ErrMalformed)
 	}
 	return nil
--- a/internal/decide/policy/document_test.go
+++ b/internal/decide/policy/document_test.go
@@ -12,30 +12,30 @@
 	"pgregory.net/rapid"
 )
 
-var fields = rapid.OneOf(
+var fieldGenerator = rapid.OneOf(
 	rapid.Just("over_share_value"),
 	rapid.Map(rapid.StringMatching(`[a-z.]{1,8}`), func(name string) string { return "txn_types." + name + ".value" }),
 	rapid.Map(rapid.StringMatching(`[a-z]{1,4}`), func(name string) string { return "tenants." + name + ".rate" }),
 )
 
-var documents = rapid.Custom(func(t *rapid.T) Document {
-	return rapid.MapOfN(fields, rapid.Map(rapid.IntRange(0, 1), func(n int) string { return FormatNumber(float64(n)) }), 0, 12).Draw(t, "document")
+var documentGenerator = rapid.Custom(func(t *rapid.T) Document {
+	return rapid.MapOfN(fieldGenerator, rapid.Map(rapid.IntRange(0, 1), func(n int) string { return FormatNumber(float64(n)) }), 0, 12).Draw(t, "document")
 })
 
 // A difference leads from one document to another, also once it was encoded and decoded; no other document has the same hash.
 func TestDifference_LeadsFromOneDocumentToAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := documents.Draw(t, "a"), documents.Draw(t, "b")
-		x, err := DecodeDifference(Diff(a, b).Encode())
+		a, b := documentGenerator.Draw(t, "a"), documentGenerator.Draw(t, "b")
+		diff, err := DecodeDifference(Diff(a, b).Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
 		before := maps.Clone(a)
-		c, err := a.Apply(x)
+		c, err := a.Apply(diff)
 		if err != nil || !maps.Equal(c, b) || c.Hash() != b.Hash() || !maps.Equal(a, before) {
-			t.Fatalf("%v with %v is %v, %v", a, x, c, err)
+			t.Fatalf("%v with %v is %v, %v", a, diff, c, err)
 		}
-		if x.Empty() != maps.Equal(a, b) || (a.Hash() == b.Hash()) != maps.Equal(a, b) {
+		if diff.Empty() != maps.Equal(a, b) || (a.Hash() == b.Hash()) != maps.Equal(a, b) {
 			t.Fatal("the hash, or an empty difference, doesn't tell whether they are the same")
 		}
 		d, err := Decode(b.Encode())
@@ -52,7 +52,7 @@
 // very same document.
 func TestDifference_AppliedToAnotherBaseIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, other := documents.Draw(t, "a"), documents.Draw(t, "b"), documents.Draw(t, "other")
+		a, b, other := documentGenerator.Draw(t, "a"), documentGenerator.Draw(t, "b"), documentGenerator.Draw(t, "other")
 		c, err := other.Apply(Diff(a, b))
 		if err == nil && c.Hash() == b.Hash() && !maps.Equal(c, b) {
 			t.Fatal(c)
@@ -62,17 +62,17 @@
 
 // Bytes that Encode doesn't give are ErrMalformed, those beyond the bounds ErrTooLarge.
 func TestDecode_RejectsMalformedOrOversized(t *testing.T) {
-	loose, err := cbor.Marshal(map[string]string{"over_share_value": "1"})
+	valid, err := cbor.Marshal(map[string]string{"over_share_value": "1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	many := map[string]string{}
+	tooManyFields := map[string]string{}
 	for n := range MaxFields + 1 {
-		many[fmt.Sprint(n)] = ""
+		tooManyFields[fmt.Sprint(n)] = ""
 	}
-	wide := map[string]string{}
+	tooManyBytes := map[string]string{}
 	for n := range 1100 {
-		wide[fmt.Sprintf("%0250d", n)] = ""
+		tooManyBytes[fmt.Sprintf("%0250d", n)] = ""
 	}
 	for name, c := range map[string]struct {
 		bytes []byte
@@ -81,8 +81,8 @@
 		"empty":                  {nil, ErrMalformed},
 		"null":                   {[]byte{0xf6}, ErrMalformed},
 		"list":                   {[]byte{0x80}, ErrMalformed},
-		"truncated":              {loose[:len(loose)-1], ErrMalformed},
-		"trailing byte":          {append(slices.Clone(loose), 0), ErrMalformed},
+		"truncated":              {valid[:len(valid)-1], ErrMalformed},
+		"trailing byte":          {append(slices.Clone(valid), 0), ErrMalformed},
 		"duplicate key":          {[]byte{0xa2, 0x61, 'a', 0x60, 0x61, 'a', 0x60}, ErrMalformed},
 		"keys out of order":      {[]byte{0xa2, 0x61, 'b', 0x60, 0x61, 'a', 0x60}, ErrMalformed},
 		"length in a long form":  {[]byte{0xb8, 0x01, 0x61, 'a', 0x60}, ErrMalformed},
@@ -93,15 +93,15 @@
 		"empty name":             {encode(map[string]string{"": "a"}), ErrTooLarge},
 		"long name":              {encode(map[string]string{strings.Repeat("a", MaxFieldNameBytes+1): "a"}), ErrTooLarge},
 		"long value":             {encode(map[string]string{"a": strings.Repeat("a", MaxValueBytes+1)}), ErrTooLarge},
-		"too many fields":        {encode(many), ErrMalformed},
-		"too many bytes":         {encode(wide), ErrTooLarge},
+		"too many fields":        {encode(tooManyFields), ErrMalformed},
+		"too many bytes":         {encode(tooManyBytes), ErrTooLarge},
 		"50 MiB of zeros":        {make([]byte, 50<<20), ErrTooLarge},
 	} {
 		if d, err := Decode(c.bytes); !errors.Is(err, c.err) {
 			t.Errorf("%s: %d fields, %v", name, len(d), err)
 		}
 	}
-	if d, err := Decode(loose); err != nil || len(d) != 1 {
+	if d, err := Decode(valid); err != nil || len(d) != 1 {
 		t.Error(d, err)
 	}
 }
@@ -116,8 +116,8 @@
 		if d, err := Decode(b); err == nil && !slices.Equal(d.Encode(), b) {
 			t.Errorf("%x is read as %v", b, d)
 		}
-		if x, err := DecodeDifference(b); err == nil && !slices.Equal(x.Encode(), b) {
-			t.Errorf("%x is read as %v", b, x)
+		if diff, err := DecodeDifference(b); err == nil && !slices.Equal(diff.Encode(), b) {
+			t.Errorf("%x is read as %v", b, diff)
 		}
 		if all, err := DecodeChanges(b); err == nil && !slices.Equal(EncodeChanges(all), b) {
 			t.Errorf("%x is read as %v", b, all)
@@ -128,7 +128,7 @@
 // A document with one damaged byte is rejected, or is decoded as what its bytes say.
 func TestDecode_DamagedByte(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := documents.Draw(t, "d").Encode()
+		b := documentGenerator.Draw(t, "d").Encode()
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "by"))
 		if d, err := Decode(b); err == nil && !slices.Equal(d.Encode(), b) {
--- a/internal/decide/policy/fetch.go
+++ b/internal/decide/policy/fetch.go
@@ -122,10 +122,10 @@
 
 // finishFetch makes the document of all parts. If its hash doesn't fit it is dropped, and the full document is fetched.
 func (f *Follower) finishFetch() {
-	all := f.partial
+	complete := f.partial
 	f.partial = Part{}
-	if d, ok := f.assemble(all); ok {
-		f.accept(all.Version, d)
+	if d, ok := f.assemble(complete); ok {
+		f.accept(complete.Version, d)
 		return
 	}
 	f.HashMismatches++
@@ -134,14 +134,14 @@
 }
 
 // assemble gives the document that all parts together make; false: none, or not the version's.
-func (f *Follower) assemble(all Part) (Document, bool) {
-	content, err := f.settings.Decompress(all.Bytes, MaxHistoryBytes)
+func (f *Follower) assemble(complete Part) (Document, bool) {
+	content, err := f.settings.Decompress(complete.Bytes, MaxHistoryBytes)
 	if err != nil {
 		return nil, false
 	}
-	if all.Full {
+	if complete.Full {
 		d, err := Decode(content)
-		return d, err == nil && (d.Hash() == all.Version.Hash || f.settings.SeededDefects.SkipHashCheck)
+		return d, err == nil && (d.Hash() == complete.Version.Hash || f.settings.SeededDefects.SkipHashCheck)
 	}
 	changes, err := DecodeChanges(content)
 	if err != nil {
@@ -153,5 +153,5 @@
 			return nil, false
 		}
 	}
-	return d, d.Hash() == all.Version.Hash || f.settings.SeededDefects.SkipBaseCheck
+	return d, d.Hash() == complete.Version.Hash || f.settings.SeededDefects.SkipBaseCheck
 }
--- a/internal/decide/policy/fields.go
+++ b/internal/decide/policy/fields.go
@@ -32,7 +32,7 @@
 // Reasons that several rules have.
 const (
 	reasonWeighedAtOneRouter = "it weighs one router's own requests against each other; each request is weighed at one router"
-	reasonDoneTwice          = "a repeat by way of another router would be done twice"
+	reasonExecutedTwice      = "a repeat by way of another router would be done twice"
 )
 
 // Largest values of fields that are numbers.
@@ -52,13 +52,13 @@
 	{"txn_types", "effect", ClassStrict, "it says whether a request may be sent twice: one router would repeat what another must not", nil},
 	{"txn_types", "level", ClassStrict, "it says which members may serve a read: one router would read from where another must not", nil},
 	{"txn_types", "bound", ClassStrict, "it says how old a read may be: a session that changes routers would see time go back", nil},
-	{"txn_types", "window", ClassStrict, "it says for how long a mark of what was done is looked for: " + reasonDoneTwice, nil},
+	{"txn_types", "window", ClassStrict, "it says for how long a mark of what was done is looked for: " + reasonExecutedTwice, nil},
 	{"txn_types", "expiry", ClassStrict, "it says for how long a request may be under way: another router's window may be shorter than that", nil},
-	{"txn_types", "scope", ClassStrict, "it says among which requests a mark is looked for: " + reasonDoneTwice, nil},
+	{"txn_types", "scope", ClassStrict, "it says among which requests a mark is looked for: " + reasonExecutedTwice, nil},
 }
 
-// fieldNotKnown is the reason of fields without a rule.
-const fieldNotKnown = "no field of a policy"
+// reasonUnknownField is the reason of fields without a rule.
+const reasonUnknownField = "no field of a policy"
 
 func validateShare(value string) error  { return validateNumber(value, maxShare) }
 func validateAmount(value string) error { return validateNumber(value, maxAmount) }
@@ -69,8 +69,8 @@
 	if err != nil || !(x >= 0) || x > limit || math.Signbit(x) {
 		return fmt.Errorf("must be a number from 0 to %g, not %.32q", limit, value)
 	}
-	if short := FormatNumber(x); short != value {
-		return fmt.Errorf("must be written %s, not %.32q", short, value)
+	if shortest := FormatNumber(x); shortest != value {
+		return fmt.Errorf("must be written %s, not %.32q", shortest, value)
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 	if rule, _ := findRule(field); rule != nil {
 		return rule.class, rule.reason
 	}
-	return ClassUnknown, fieldNotKnown
+	return ClassUnknown, reasonUnknownField
 }
 
 // Violation is one thing that keeps a change from being made; Field is empty where it is about the change as a whole.
@@ -123,22 +123,22 @@
 func ValidateChange(current, next Document) []Violation { return Diff(current, next).Validate() }
 
 // Validate gives everything that is wrong with a difference, by field; none: it may be made. The reasons are part of responses on the wire.
-func (x Difference) Validate() (violations []Violation) {
-	for _, field := range x.Fields() {
+func (diff Difference) Validate() (violations []Violation) {
+	for _, field := range diff.Fields() {
 		rule, _ := findRule(field)
 		switch {
 		case rule == nil:
-			violations = append(violations, Violation{field, fieldNotKnown})
+			violations = append(violations, Violation{field, reasonUnknownField})
 		case rule.class == ClassStrict:
 			violations = append(violations, Violation{field, "can't be changed yet by a policy: " + rule.reason})
 		default:
-			value, set := x.Set[field]
+			value, set := diff.Set[field]
 			if err := rule.validate(value); set && err != nil {
 				violations = append(violations, Violation{field, err.Error()})
 			}
 		}
 	}
-	if err := x.Check(); err != nil {
+	if err := diff.Check(); err != nil {
 		violations = append(violations, Violation{"", err.Error()})
 	}
 	return slices.Clip(violations)
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -72,13 +72,13 @@
 	confirmed bool     // the coordinator announced fetched; else it comes from the store
 	target    Version  // the latest version that was announced
 
-	applied            Version
-	lastOffered        uint64 // packed version that the caller was last asked to apply
-	reoffer            bool   // lastOffered must be applied again: its document is another now
-	rejected           uint64 // packed version that the router could not apply; 0: none
-	rejectReason       string
-	acknowledgePending bool
-	storePending       bool
+	applied         Version
+	lastApplyIssued uint64 // packed version that the caller was last asked to apply
+	reapply         bool   // lastApplyIssued must be applied again: its document has changed
+	rejected        uint64 // packed version that the router could not apply; 0: none
+	rejectReason    string
+	ackPending      bool
+	storePending    bool
 
 	fetching     bool    // a request is in flight
 	needsFull    bool    // the full document must be fetched
@@ -170,8 +170,8 @@
 	if v.Packed() < f.fetched.Packed() && !f.settings.SeededDefects.AcceptOlderVersions {
 		return
 	}
-	if v.Packed() == f.lastOffered && v.Hash != f.fetched.Hash {
-		f.reoffer = true
+	if v.Packed() == f.lastApplyIssued && v.Hash != f.fetched.Hash {
+		f.reapply = true
 	}
 	f.fetched, f.document, f.confirmed, f.needsFull = v, d, true, false
 	f.resetFetch()
@@ -187,7 +187,7 @@
 	if v.Packed() < f.applied.Packed() && !f.settings.SeededDefects.AcceptOlderVersions {
 		return
 	}
-	f.applied, f.acknowledgePending = v, true
+	f.applied, f.ackPending = v, true
 	if f.rejected <= v.Packed() {
 		f.rejected, f.rejectReason = 0, ""
 	}
@@ -201,20 +201,20 @@
 	if len(reason) > MaxReasonBytes {
 		reason = reason[:MaxReasonBytes]
 	}
-	f.rejected, f.rejectReason, f.acknowledgePending = v.Packed(), reason, true
+	f.rejected, f.rejectReason, f.ackPending = v.Packed(), reason, true
 }
 
 // Next gives the next decision; false: none is left.
 func (f *Follower) Next() (Decision, bool) {
 	switch {
-	case f.fetched.Number > 0 && (f.fetched.Packed() != f.lastOffered || f.reoffer):
-		f.lastOffered, f.reoffer = f.fetched.Packed(), false
+	case f.fetched.Number > 0 && (f.fetched.Packed() != f.lastApplyIssued || f.reapply):
+		f.lastApplyIssued, f.reapply = f.fetched.Packed(), false
 		if f.settings.SeededDefects.AcknowledgeEarly {
-			f.applied, f.acknowledgePending = f.fetched, true
+			f.applied, f.ackPending = f.fetched, true
 		}
 		return Decision{Action: Apply, Version: f.fetched, Document: f.document}, true
-	case f.acknowledgePending && f.mayAcknowledge():
-		f.acknowledgePending = false
+	case f.ackPending && f.mayAcknowledge():
+		f.ackPending = false
 		return Decision{Action: Acknowledge, Applied: f.applied.Packed(), Rejected: f.rejected, Reason: f.rejectReason}, true
 	case f.storePending:
 		f.storePending = false
--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -26,11 +26,11 @@
 	document     Document
 	applied      Version
 	actions      []Action
-	fetched      int // bytes
-	last         Decision
+	fetchedBytes int // bytes
+	lastDecision Decision
 	rejectReason string // why the router applies nothing; empty: it does
-	tampered     bool   // what is fetched is changed on the way
-	failing      bool   // requests fail
+	tamper       bool   // what is fetched is changed on the way
+	failRequests bool   // requests fail
 }
 
 func newHarness(t *testing.T) *harness {
@@ -57,7 +57,7 @@
 		h.follower.Advance(h.now)
 		for d, more := h.follower.Next(); more; d, more = h.follower.Next() {
 			h.actions = append(h.actions, d.Action)
-			switch h.last = d; d.Action {
+			switch h.lastDecision = d; d.Action {
 			case Apply:
 				if d.Document.Hash() != d.Version.Hash {
 					h.t.Fatalf("%s has a document of another hash", d.Version)
@@ -72,7 +72,7 @@
 				h.document, h.applied = d.Document, d.Version
 				h.follower.Applied(d.Version)
 			case Fetch:
-				if h.failing {
+				if h.failRequests {
 					h.follower.FetchFailed()
 					continue
 				}
@@ -88,23 +88,23 @@
 	if !known {
 		return Part{}
 	}
-	if h.tampered && full {
+	if h.tamper && full {
 		d := maps.Clone(h.history.Document)
 		d["over_share_value"] = "0.99"
 		content = d.Encode()
-	} else if h.tampered {
+	} else if h.tamper {
 		content = EncodeChanges([]Change{{h.history.Version, Difference{Set: map[string]string{"over_share_value": "0.99"}}}})
 	}
 	at := min(request.Offset, len(content))
 	end := min(at+request.MaxBytes, len(content))
-	h.fetched += end - at + requestOverhead
+	h.fetchedBytes += end - at + requestOverhead
 	return Part{Version: h.history.Version, Full: full, Offset: at, Total: len(content), Bytes: content[at:end]}
 }
 
 // count tells how many decisions of a kind there were.
 func (h *harness) count(action Action) (n int) {
-	for _, one := range h.actions {
-		if one == action {
+	for _, a := range h.actions {
+		if a == action {
 			n++
 		}
 	}
@@ -152,16 +152,16 @@
 	h.announce()
 	h.advanceTo(20000)
 	h.requireApplied(h.history.Version)
-	full := h.fetched
+	full := h.fetchedBytes
 	h.propose(tenantRates(30, "2"))
 	h.propose(Document{"over_share_value": "0.5"})
 	h.announce()
-	h.fetched = 0
+	h.fetchedBytes = 0
 	started := h.now
 	h.advanceTo(started + 3000)
 	h.requireApplied(h.history.Version)
-	if h.fetched > full/4 {
-		t.Errorf("%d bytes for the differences, %d for the full document", h.fetched, full)
+	if h.fetchedBytes > full/4 {
+		t.Errorf("%d bytes for the differences, %d for the full document", h.fetchedBytes, full)
 	}
 }
 
@@ -171,8 +171,8 @@
 	h.propose(tenantRates(2700, "123.45"))
 	h.announce()
 	h.advanceTo(10000)
-	if most := int(defaultRate*10) + partBytes + requestOverhead; h.fetched > most || h.fetched < most/2 {
-		t.Errorf("%d bytes in 10 h, %d may be", h.fetched, most)
+	if limit := int(defaultRate*10) + partBytes + requestOverhead; h.fetchedBytes > limit || h.fetchedBytes < limit/2 {
+		t.Errorf("%d bytes in 10 h, %d may be", h.fetchedBytes, limit)
 	}
 	h.advanceTo(60000)
 	h.requireApplied(h.history.Version)
@@ -186,15 +186,15 @@
 	h.advanceTo(2000)
 	before := h.history.Version
 	h.propose(Document{"over_share_value": "0.3"})
-	h.tampered = true
+	h.tamper = true
 	h.announce()
 	fetched := h.count(Fetch)
 	h.advanceTo(12000)
 	h.requireApplied(before)
-	if n := h.count(Fetch) - fetched; n < 4 || n > 20 || h.follower.HashMismatches != n || !h.last.Request.Full {
-		t.Errorf("%d requests, %d mismatches, %+v", n, h.follower.HashMismatches, h.last.Request)
+	if n := h.count(Fetch) - fetched; n < 4 || n > 20 || h.follower.HashMismatches != n || !h.lastDecision.Request.Full {
+		t.Errorf("%d requests, %d mismatches, %+v", n, h.follower.HashMismatches, h.lastDecision.Request)
 	}
-	h.tampered = false
+	h.tamper = false
 	h.advanceTo(15000)
 	h.requireApplied(h.history.Version)
 	other := Difference{Set: map[string]string{"over_share_value": "0.9"}} // announced, and not the one that led to the version
@@ -255,7 +255,7 @@
 	}
 	h.announce()
 	h.advanceTo(6000)
-	if h.last.Action != Store && h.last.Applied != stored.Packed() || h.count(Acknowledge) != 1 || h.count(Fetch) != 0 {
+	if h.lastDecision.Action != Store && h.lastDecision.Applied != stored.Packed() || h.count(Acknowledge) != 1 || h.count(Fetch) != 0 {
 		t.Error(h.actions)
 	}
 	h.propose(Document{"over_share_value": "0.3"})
@@ -272,7 +272,7 @@
 	h.announce()
 	h.advanceTo(3000)
 	h.requireApplied(h.history.Version)
-	if h.last.Applied != h.history.Version.Packed() && h.last.Action != Store {
+	if h.lastDecision.Applied != h.history.Version.Packed() && h.lastDecision.Action != Store {
 		t.Error(h.actions)
 	}
 
@@ -296,7 +296,7 @@
 	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[1].Difference)
 	h.advanceTo(4000)
 	h.requireApplied(before)
-	if d := h.last; d.Action != Acknowledge || d.Applied != before.Packed() || d.Rejected != h.history.Version.Packed() || d.Reason != "no memory" {
+	if d := h.lastDecision; d.Action != Acknowledge || d.Applied != before.Packed() || d.Rejected != h.history.Version.Packed() || d.Reason != "no memory" {
 		t.Errorf("%+v", d)
 	}
 	h.rejectReason = ""
@@ -304,8 +304,8 @@
 	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[2].Difference)
 	h.advanceTo(6000)
 	h.requireApplied(h.history.Version)
-	if h.last.Action != Store || h.follower.rejected != 0 {
-		t.Errorf("%+v", h.last)
+	if h.lastDecision.Action != Store || h.follower.rejected != 0 {
+		t.Errorf("%+v", h.lastDecision)
 	}
 }
 
@@ -313,13 +313,13 @@
 func TestFollower_FailedFetchesBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.propose(Document{"over_share_value": "0.2"})
-	h.failing = true
+	h.failRequests = true
 	h.announce()
 	h.advanceTo(60000)
 	if n := h.count(Fetch); n < 30 || n > 70 {
 		t.Errorf("%d requests in a minute", n)
 	}
-	h.failing = false
+	h.failRequests = false
 	h.advanceTo(63000)
 	h.requireApplied(h.history.Version)
 }
--- a/internal/decide/policy/history.go
+++ b/internal/decide/policy/history.go
@@ -9,10 +9,10 @@
 const (
 	maxHistoryChanges  = 64
 	maxDifferenceBytes = 512 << 10 // of all differences of a history
-	maxVersionBytes    = 1 << 10   // of one change besides its difference, encoded
+	maxChangeOverhead  = 1 << 10   // of one change besides its difference, encoded
 
 	// MaxHistoryBytes bounds the changes of a history, encoded.
-	MaxHistoryBytes = maxDifferenceBytes + maxHistoryChanges*maxVersionBytes
+	MaxHistoryBytes = maxDifferenceBytes + maxHistoryChanges*maxChangeOverhead
 )
 
 // History is what the replicated state keeps of the policy: the version in force with its document, and the changes that led to it. The
@@ -32,7 +32,7 @@
 		return h.Version, ""
 	}
 	v = Version{Epoch: epoch, Number: h.Version.Number + 1, Hash: p.Hash, Base: h.Version.Packed(), Author: p.Author, Reason: p.Reason}
-	if rejection := h.reject(v, p); rejection != "" {
+	if rejection := h.rejectionReason(v, p); rejection != "" {
 		return Version{}, rejection
 	}
 	if err := p.Check(); err != nil {
@@ -56,8 +56,8 @@
 	return v.Number > 0 && p.Base == v.Base && p.Hash == v.Hash && p.Author == v.Author && p.Reason == v.Reason
 }
 
-// reject tells why a proposal can't become this version; empty: it can, as far as the history says.
-func (h *History) reject(v Version, p Proposal) string {
+// rejectionReason tells why a proposal can't become this version; empty: it can, as far as the history says.
+func (h *History) rejectionReason(v Version, p Proposal) string {
 	foreignEpoch, _ := SplitPacked(h.ForeignVersion)
 	switch {
 	case p.Base != v.Base:
--- a/internal/decide/policy/history_test.go
+++ b/internal/decide/policy/history_test.go
@@ -79,9 +79,9 @@
 	if v, rejection := propose(history, 6, Document{"over_share_value": "0.3"}); rejection != "" || v.String() != "6.3" {
 		t.Error(v, rejection)
 	}
-	lost := &History{}
-	lost.Acknowledged(Version{Epoch: 5, Number: 4}.Packed())
-	if v, rejection := propose(lost, 8, Document{"over_share_value": "0.3"}); rejection != "" || v.String() != "8.1" {
+	restarted := &History{}
+	restarted.Acknowledged(Version{Epoch: 5, Number: 4}.Packed())
+	if v, rejection := propose(restarted, 8, Document{"over_share_value": "0.3"}); rejection != "" || v.String() != "8.1" {
 		t.Error("a coordinator that started anew, in a later epoch:", v, rejection)
 	}
 }
@@ -143,7 +143,7 @@
 					base.Epoch, base.Number = SplitPacked(packed)
 					from = documentsByVersion[packed]
 				}
-				v, rejection := history.Propose(epoch, Propose(base, from, documents.Draw(t, "next"), "a", "r"))
+				v, rejection := history.Propose(epoch, Propose(base, from, documentGenerator.Draw(t, "next"), "a", "r"))
 				if rejection == "" && v != before && base.Packed() != before.Packed() {
 					t.Fatalf("made from %s, accepted though %s was in force", base, before)
 				}
@@ -152,7 +152,7 @@
 			if packed < before.Packed() || history.Check() != nil {
 				t.Fatal(history.Version, before, history.Check())
 			}
-			if had, known := documentsByVersion[packed]; known && had.Hash() != history.Document.Hash() {
+			if previous, known := documentsByVersion[packed]; known && previous.Hash() != history.Document.Hash() {
 				t.Fatalf("%s is two documents", history.Version)
 			}
 			if documentsByVersion[packed] = history.Document; packed == 0 {
