--- a/internal/decide/switchover/executor.go
+++ b/internal/decide/switchover/executor.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	countIntervalMs     = 10.0 // ms between two commands to a router whose writes are still running
-	maxCommandFailures  = 3    // of a command to one router, which is passed over from then on
-	maxPriorFailures    = 6    // of the command before ReleaseWrites, beyond which a router isn't asked to release
-	maxRestoreAttempts  = 3    // of promoting the old primary again
-	promoteTimeout      = 4.0  // times MaxHold since the start, after which a promotion of unknown outcome is rolled back
-	rollbackTimeout     = 8.0  // times MaxHold since the start, after which an operator must decide
-	retryPausesPerStep  = 4.0  // a step of unknown outcome is repeated after StepTimeout divided by this
-	stageNotRecorded    = -1   // the phase is being recorded: nothing of it may be done yet
-	stageFirst          = 0
-	stageSecond         = 1
-	undoneWithoutReason = "taken back" // why a rollback goes on, where its first holder can't be asked
+	countIntervalMs       = 10.0 // ms between two commands to a router whose writes are still running
+	maxCommandFailures    = 3    // of a command to one router, which is passed over from then on
+	maxPriorFailures      = 6    // of the command before ReleaseWrites, beyond which a router isn't asked to release
+	maxRestoreAttempts    = 3    // of promoting the old primary again
+	promoteTimeoutFactor  = 4.0  // times MaxHold since the start, after which a promotion of unknown outcome is rolled back
+	rollbackTimeoutFactor = 8.0  // times MaxHold since the start, after which an operator must decide
+	retryDelayDivisor     = 4.0  // a step of unknown outcome is repeated after StepTimeout divided by this
+	stageNotRecorded      = -1   // the phase is being recorded: nothing of it may be done yet
+	stageFirst            = 0
+	stageSecond           = 1
+	reasonUnrecorded      = "taken back" // why a rollback goes on, where its first holder can't be asked
 )
 
 // Executor carries out one order. Inputs update its state, Next gives its decisions. It is not safe for concurrent use.
@@ -30,7 +30,7 @@
 	phase                  Phase
 	stage                  int     // how far the phase has come: stageNotRecorded, then the steps at members done
 	stageStarted           float64 // when the stage started, or its last attempt ended
-	awaiting               bool    // an answer of the caller
+	awaitingAnswer         bool    // an answer of the caller
 	attempts               int     // of the stage's step, that ended with an unknown outcome
 	rank                   uint64
 	mayHaveSteppedDown     bool // a member may have been asked to step down, by this lease holder or one before
@@ -43,12 +43,12 @@
 
 // routerState is what the executor knows of one router.
 type routerState struct {
-	command     RouterCommand // the last
-	commandedAt float64
-	awaiting    bool // its answer
-	holding     bool
-	running     int // writes
-	failures    int // of the command, in a row
+	command        RouterCommand // the last
+	commandedAt    float64
+	awaitingAnswer bool // its answer
+	holding        bool
+	running        int // writes
+	failures       int // of the command, in a row
 }
 
 // NewExecutor continues an order from its recorded steps, at this time in ms. The rank is that of the last step under the holder's
@@ -62,7 +62,7 @@
 	e := &Executor{settings: settings, now: now, startedAt: now, newPrimary: newPrimary, rank: rank, routers: map[string]*routerState{}}
 	if len(steps) == 0 {
 		e.decisions = append(e.decisions, Decision{Action: FindPrimary})
-		e.awaiting = true
+		e.awaitingAnswer = true
 		return e, nil
 	}
 	last, err := parseStep(steps[len(steps)-1], newPrimary)
@@ -82,7 +82,7 @@
 		e.enterPhase(phaseAbandon)
 		return
 	case phaseRollback, phaseAbandon:
-		e.reason = undoneWithoutReason
+		e.reason = reasonUnrecorded
 	}
 	e.mayHaveSteppedDown = last.phase != phaseAbandon
 	e.enterPhase(last.phase)
@@ -96,15 +96,15 @@
 
 // PrimaryFound takes in which member accepts writes, or why that is not known.
 func (e *Executor) PrimaryFound(member string, err error) {
-	if e.phase != phaseFind || !e.awaiting {
+	if e.phase != phaseFind || !e.awaitingAnswer {
 		return
 	}
-	e.awaiting = false
+	e.awaitingAnswer = false
 	switch {
 	case err != nil:
-		e.end("nothing was changed: " + err.Error())
+		e.endOrder("nothing was changed: " + err.Error())
 	case member == e.newPrimary:
-		e.end("done: " + e.newPrimary + " is the primary already")
+		e.endOrder("done: " + e.newPrimary + " is the primary already")
 	default:
 		e.oldPrimary = member
 		e.enterPhase(phaseHold)
@@ -120,40 +120,40 @@
 		e.finished = true
 		return
 	}
-	e.stage, e.awaiting, e.stageStarted = stageFirst, false, e.now
+	e.stage, e.awaitingAnswer, e.stageStarted = stageFirst, false, e.now
 	e.advancePhase()
 }
 
 // StepDone takes in how a step at a member ended, and why.
-func (e *Executor) StepDone(outcome Outcome, why string) {
-	if !e.awaiting || e.stage == stageNotRecorded {
+func (e *Executor) StepDone(outcome Outcome, reason string) {
+	if !e.awaitingAnswer || e.stage == stageNotRecorded {
 		return
 	}
-	e.awaiting = false
+	e.awaitingAnswer = false
 	switch outcome {
 	case Fenced:
 		e.finished = true // another process holds the lease now
 	case Succeeded:
 		e.nextStage()
 	default:
-		e.stepNotDone(outcome, why)
+		e.handleUnsuccessfulStep(outcome, reason)
 	}
 	e.advancePhase()
 }
 
-// stepNotDone undoes the switchover, gives up, or has the step repeated, which does no harm.
-func (e *Executor) stepNotDone(outcome Outcome, why string) {
+// handleUnsuccessfulStep undoes the switchover, gives up, or has the step repeated, which does no harm.
+func (e *Executor) handleUnsuccessfulStep(outcome Outcome, reason string) {
 	elapsed := e.now - e.startedAt
 	switch {
 	case outcome == Failed && (e.phase == phaseStepDown || e.phase == phasePromote):
-		e.undo(why)
-	case e.phase == phasePromote && elapsed > promoteTimeout*e.settings.MaxHoldMs, e.phase == phaseStepDown && elapsed > e.settings.MaxHoldMs:
-		e.undo("not done in time: " + why)
-	case e.phase == phaseRollback && e.stage == stageFirst && elapsed > rollbackTimeout*e.settings.MaxHoldMs:
+		e.undo(reason)
+	case e.phase == phasePromote && elapsed > promoteTimeoutFactor*e.settings.MaxHoldMs, e.phase == phaseStepDown && elapsed > e.settings.MaxHoldMs:
+		e.undo("not done in time: " + reason)
+	case e.phase == phaseRollback && e.stage == stageFirst && elapsed > rollbackTimeoutFactor*e.settings.MaxHoldMs:
 		// Whether the new primary was promoted only it can tell: promoting the old one again might make two that accept writes.
-		e.end("stuck: nobody can tell whether " + e.newPrimary + " takes writes, and " + e.oldPrimary + " takes none; an operator must look: " + why)
+		e.endOrder("stuck: nobody can tell whether " + e.newPrimary + " takes writes, and " + e.oldPrimary + " takes none; an operator must look: " + reason)
 	case e.phase == phaseRollback && e.stage == stageSecond && e.attempts >= maxRestoreAttempts: // all that can be done has been
-		e.reason += "; " + why
+		e.reason += "; " + reason
 		e.nextStage()
 	default:
 		e.attempts++
@@ -164,8 +164,8 @@
 func (e *Executor) nextStage() { e.stage, e.attempts = e.stage+1, 0 }
 
 // undo takes back what was done, if anything was.
-func (e *Executor) undo(why string) {
-	e.reason = why
+func (e *Executor) undo(reason string) {
+	e.reason = reason
 	if e.mayHaveSteppedDown {
 		e.enterPhase(phaseRollback)
 	} else {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (e *Executor) end(outcome string) {
+func (e *Executor) endOrder(outcome string) {
 	if e.finished {
 		return
 	}
@@ -183,14 +183,14 @@
 
 // enterPhase has a phase recorded; it starts once it is.
 func (e *Executor) enterPhase(phase Phase) {
-	e.phase, e.stage, e.awaiting, e.attempts = phase, stageNotRecorded, true, 0
+	e.phase, e.stage, e.awaitingAnswer, e.attempts = phase, stageNotRecorded, true, 0
 	step := recordedStep{phase: phase, oldPrimary: e.oldPrimary, newPrimary: e.newPrimary}
 	e.decisions = append(e.decisions, Decision{Action: RecordStep, Text: step.String()})
 }
 
 // advancePhase goes on as far as possible.
 func (e *Executor) advancePhase() {
-	if e.finished || e.stage == stageNotRecorded || e.awaiting && (e.phase == phaseStepDown || e.phase == phasePromote) {
+	if e.finished || e.stage == stageNotRecorded || e.awaitingAnswer && (e.phase == phaseStepDown || e.phase == phasePromote) {
 		return
 	}
 	switch e.phase {
@@ -204,13 +204,13 @@
 		e.advancePromote()
 	case phaseRelease:
 		if e.writesReleased() {
-			e.end("done: " + e.newPrimary + " is the primary in place of " + e.oldPrimary)
+			e.endOrder("done: " + e.newPrimary + " is the primary in place of " + e.oldPrimary)
 		}
 	case phaseRollback:
 		e.advanceRollback()
 	case phaseAbandon:
 		if e.writesReleased() {
-			e.endUndone()
+			e.endReverted()
 		}
 	}
 }
@@ -245,21 +245,21 @@
 		e.commandMember(e.oldPrimary, Promote)
 	default:
 		if e.writesReleased() {
-			e.endUndone()
+			e.endReverted()
 		}
 	}
 }
 
-func (e *Executor) endUndone() {
-	e.end("taken back, " + e.oldPrimary + " is the primary: " + e.reason)
+func (e *Executor) endReverted() {
+	e.endOrder("taken back, " + e.oldPrimary + " is the primary: " + e.reason)
 }
 
 // commandMember has a member take a step, unless its answer is awaited or the pause after an attempt isn't over.
 func (e *Executor) commandMember(member string, step MemberStep) {
-	if e.awaiting || e.attempts > 0 && e.now-e.stageStarted < e.settings.StepTimeoutMs/retryPausesPerStep {
+	if e.awaitingAnswer || e.attempts > 0 && e.now-e.stageStarted < e.settings.StepTimeoutMs/retryDelayDivisor {
 		return
 	}
-	e.awaiting = true
+	e.awaitingAnswer = true
 	e.mayHaveSteppedDown = e.mayHaveSteppedDown || step == StepDown
 	if e.attempts == 0 {
 		e.rank++
--- a/internal/decide/switchover/executor_test.go
+++ b/internal/decide/switchover/executor_test.go
@@ -64,8 +64,8 @@
 // guardValue is what a step shows to a guard row.
 func (c *cluster) guardValue(d Decision) int { return c.token<<RankBits | int(d.Rank) }
 
-// carryOut carries one decision out as it was meant to be.
-func (c *cluster) carryOut(d Decision) {
+// execute carries one decision out as it was meant to be.
+func (c *cluster) execute(d Decision) {
 	c.log = append(c.log, fmt.Sprint(d.Action))
 	switch d.Action {
 	case FindPrimary:
@@ -87,7 +87,7 @@
 	t.Helper()
 	for range 1000 {
 		for d, more := c.executor.Next(); more; d, more = c.executor.Next() {
-			c.carryOut(d)
+			c.execute(d)
 		}
 		if c.executor.Finished() {
 			return
@@ -122,16 +122,16 @@
 // A lease holder that finds a step recorded by one that was lost, before or after it took the step, ends with one primary.
 func TestExecutor_NextLeaseHolderResumesAtEachStep(t *testing.T) {
 	for _, step := range []Phase{phaseHold, phaseStepDown, phasePromote, phaseRelease, phaseRollback, phaseAbandon} {
-		for _, took := range []bool{false, true} {
+		for _, applied := range []bool{false, true} {
 			c := newCluster()
 			c.steps = []leasestate.Step{{Text: string(step) + " m1 m2"}}
-			if step == phasePromote || step == phaseRelease || step == phaseStepDown && took {
+			if step == phasePromote || step == phaseRelease || step == phaseStepDown && applied {
 				c.primary["m1"] = false
 			}
-			if step == phaseRelease || step == phasePromote && took {
+			if step == phaseRelease || step == phasePromote && applied {
 				c.primary["m2"] = true
 			}
-			if step == phaseRollback && took {
+			if step == phaseRollback && applied {
 				c.primary["m1"] = false // it had yielded before it was taken back
 			}
 			c.token = 1
@@ -142,7 +142,7 @@
 				want = "m1"
 			}
 			if !slices.Equal(c.primaries(), []string{want}) || c.outcome == "" {
-				t.Errorf("%s, taken %v: %v accept writes, %q\n%v", step, took, c.primaries(), c.outcome, c.log)
+				t.Errorf("%s, taken %v: %v accept writes, %q\n%v", step, applied, c.primaries(), c.outcome, c.log)
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 
 // Running writes are waited for until the drain timeout; a router that can't be reached is not.
 func TestExecutor_WaitsForRunningWritesWithinTheBound(t *testing.T) {
-	play := func(answer func(c *cluster, d Decision)) float64 {
+	timeOfFirstMemberCommand := func(answer func(c *cluster, d Decision)) float64 {
 		c := newCluster()
 		for startExecutor(t, c); c.now < 5000; c.now += 20 {
 			c.executor.Advance(c.now)
@@ -168,14 +168,14 @@
 				case CommandMember:
 					return c.now
 				default:
-					c.carryOut(d)
+					c.execute(d)
 				}
 			}
 		}
 		return c.now
 	}
 	commands := 0
-	at := play(func(c *cluster, d Decision) {
+	at := timeOfFirstMemberCommand(func(c *cluster, d Decision) {
 		if d.Command == HoldWrites && d.MaxHoldMs != 3000 {
 			t.Fatalf("asked to hold for %v", d.MaxHoldMs)
 		}
@@ -189,7 +189,7 @@
 	if at < 200 || at > 400 || commands > 30 {
 		t.Errorf("went on after %v ms and %d commands; the last write ended after 200", at, commands)
 	}
-	if at := play(func(c *cluster, d Decision) { c.executor.RouterAnswered(d.Target, d.Command, true, 1) }); at < 1000 || at > 1200 {
+	if at := timeOfFirstMemberCommand(func(c *cluster, d Decision) { c.executor.RouterAnswered(d.Target, d.Command, true, 1) }); at < 1000 || at > 1200 {
 		t.Errorf("a write that never ends held it up for %v ms, 1,000 were said", at)
 	}
 }
@@ -199,15 +199,15 @@
 func TestExecutor_NeverTwoPrimariesWhateverFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster()
-		type lateStep struct {
+		type delayedStep struct {
 			member string
 			step   MemberStep
 			token  int
 		}
-		var inFlight []lateStep
+		var inFlight []delayedStep
 		deliver := func() {
-			for _, l := range inFlight {
-				c.applyStep(l.member, l.step, l.token)
+			for _, delayed := range inFlight {
+				c.applyStep(delayed.member, delayed.step, delayed.token)
 			}
 			inFlight = nil
 		}
@@ -236,7 +236,7 @@
 			how := rapid.IntRange(0, 9).Draw(t, "how")
 			switch {
 			case d.Action == CommandMember && holders > 1 && how == 0: // it is sent, and no answer comes
-				inFlight = append(inFlight, lateStep{d.Target, d.Step, c.guardValue(d)})
+				inFlight = append(inFlight, delayedStep{d.Target, d.Step, c.guardValue(d)})
 				c.executor.StepDone(Unknown, "lost")
 			case d.Action == CommandMember && how == 1:
 				c.executor.StepDone(Failed, "no")
@@ -248,13 +248,13 @@
 			case d.Action == CommandRouter && how < 3:
 				c.executor.RouterAnswered(d.Target, d.Command, false, 0)
 			default:
-				c.carryOut(d)
+				c.execute(d)
 			}
 		}
 		if strings.HasPrefix(c.outcome, "done") && !slices.Equal(c.primaries(), []string{"m2"}) {
 			t.Fatal(c.outcome, c.primaries(), c.log)
 		}
-		if two := c.primaries(); len(two) > 1 {
+		if accepting := c.primaries(); len(accepting) > 1 {
 			t.Fatal("two accept writes", c.log)
 		}
 	})
--- a/internal/decide/switchover/orders.go
+++ b/internal/decide/switchover/orders.go
@@ -55,4 +55,4 @@
 
 // NeedsNewToken tells whether the lease must be acquired under another fencing token before another order is started: few ranks are left
 // under this one.
-func (s *OrderState) NeedsNewToken() bool { return s.rank > 1<<RankBits-spareRanks }
+func (s *OrderState) NeedsNewToken() bool { return s.rank > 1<<RankBits-minFreeRanks }
--- a/internal/decide/switchover/routers.go
+++ b/internal/decide/switchover/routers.go
@@ -24,10 +24,10 @@
 // RouterAnswered takes in a router's answer to a command: whether it carried it out, and how many of its writes are running.
 func (e *Executor) RouterAnswered(router string, command RouterCommand, ok bool, running int) {
 	r := e.routers[router]
-	if r == nil || !r.awaiting || r.command != command {
+	if r == nil || !r.awaitingAnswer || r.command != command {
 		return
 	}
-	r.awaiting = false
+	r.awaitingAnswer = false
 	if ok {
 		r.failures = 0
 		r.holding, r.running = command != ReleaseWrites, running
@@ -45,7 +45,7 @@
 	for _, name := range slices.Sorted(maps.Keys(e.routers)) {
 		r := e.routers[name]
 		switch {
-		case r.awaiting:
+		case r.awaitingAnswer:
 			pending++
 		case !r.holding && r.failures < maxCommandFailures:
 			pending++
@@ -67,7 +67,7 @@
 	for _, name := range slices.Sorted(maps.Keys(e.routers)) {
 		r := e.routers[name]
 		switch {
-		case r.awaiting:
+		case r.awaitingAnswer:
 			pending++
 		case r.command != ReleaseWrites && r.failures < maxPriorFailures,
 			r.command == ReleaseWrites && r.failures > 0 && r.failures < maxCommandFailures:
@@ -82,6 +82,6 @@
 	if r.command != command {
 		r.failures = 0
 	}
-	r.command, r.awaiting, r.commandedAt = command, true, e.now
+	r.command, r.awaitingAnswer, r.commandedAt = command, true, e.now
 	e.decisions = append(e.decisions, Decision{Action: CommandRouter, Target: name, Command: command, MaxHoldMs: e.settings.MaxHoldMs})
 }
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -26,8 +26,8 @@
 // RankBits is how many bits of a guard row's number, below the fencing token, hold a step's rank.
 const RankBits = 10
 
-// spareRanks is how many ranks must be left under a fencing token for another order to be started under it.
-const spareRanks = 100
+// minFreeRanks is how many ranks must be left under a fencing token for another order to be started under it.
+const minFreeRanks = 100
 
 // Settings are the bounds of a switchover. Times are ms.
 type Settings struct {
