--- a/internal/decide/policy/canonical.go
+++ b/internal/decide/policy/canonical.go
@@ -8,10 +8,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxNesting is how deep encoded values may be nested.
+// maxNesting is the maximum nesting depth of decoded values.
 const maxNesting = 8
 
-// canonical encodes and decodes CBOR in the deterministic form of RFC 8949 section 4.2.1: one form for each value.
+// canonical encodes and decodes CBOR in the deterministic encoding of RFC 8949 section 4.2.1, in which each value has exactly one form.
 var canonical = newCanonicalMode()
 
 type canonicalMode struct {
@@ -38,18 +38,19 @@
 func encode(v any) []byte {
 	b, err := canonical.Marshal(v)
 	if err != nil {
-		panic(err) // documents and changes hold texts and numbers alone, which can always be encoded
+		panic(err) // unreachable: documents and changes hold only strings and numbers, which can always be encoded
 	}
 	return b
 }
 
-// decode reads what encode gave, and nothing else: another form of the same values is ErrMalformed, since hashes are over bytes.
+// decode decodes the output of encode. Any other encoding of the same value is ErrMalformed, because hashes are computed over the encoded
+// bytes.
 func decode(b []byte, dst any) error {
 	if err := canonical.Unmarshal(b, dst); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if !bytes.Equal(encode(dst), b) {
-		return fmt.Errorf("%w: not the canonical form", ErrMalformed)
+		return fmt.Errorf("%w: not in canonical form", ErrMalformed)
 	}
 	return nil
 }
--- a/internal/decide/policy/change.go
+++ b/internal/decide/policy/change.go
@@ -6,28 +6,28 @@
 	"unicode/utf8"
 )
 
-// Change is a version and the difference that led to it from the one before.
+// Change is a version and its difference from the preceding version.
 type Change struct {
 	Version    Version    `cbor:"1,keyasint"`
 	Difference Difference `cbor:"2,keyasint"`
 }
 
-// Proposal asks for a change. It is accepted only while Base is the version in force (compare and set).
+// Proposal requests a change. It is accepted only while Base is the version in force (compare-and-set).
 type Proposal struct {
-	Base       uint64     `cbor:"1,keyasint"` // packed version that it was made from; 0: none
+	Base       uint64     `cbor:"1,keyasint"` // packed version that the difference was computed from; 0: none
 	Difference Difference `cbor:"2,keyasint"`
-	Hash       [32]byte   `cbor:"3,keyasint"` // of the document that it leads to
+	Hash       [32]byte   `cbor:"3,keyasint"` // of the resulting document
 	Author     string     `cbor:"4,keyasint"`
 	Reason     string     `cbor:"5,keyasint"`
 }
 
-// Propose makes the proposal that leads from the version in force, with the document current, to the document next.
+// Propose returns a proposal to replace the document current, of the version base that is in force, by the document next.
 func Propose(base Version, current, next Document, author, reason string) Proposal {
 	return Proposal{Base: base.Packed(), Difference: Diff(current, next), Hash: next.Hash(), Author: author, Reason: reason}
 }
 
-// Check tells whether a proposal is within the bounds: ErrTooLarge or ErrMalformed. Whether its fields may change is checked by
-// Difference.Validate.
+// Check returns ErrTooLarge or ErrMalformed unless the proposal is well-formed and within the size limits. Difference.Validate checks
+// whether its fields may change.
 func (p Proposal) Check() error {
 	for _, text := range []string{p.Author, p.Reason} {
 		if len(text) > MaxReasonBytes || !utf8.ValidString(text) {
@@ -37,10 +37,11 @@
 	return p.Difference.Check()
 }
 
-// EncodeChanges gives the canonical bytes of consecutive changes, as parts that aren't of the full document carry them.
+// EncodeChanges returns the canonical encoding of consecutive changes, which is the content of parts that don't carry the full document.
 func EncodeChanges(changes []Change) []byte { return encode(changes) }
 
-// DecodeChanges reads what EncodeChanges gave. Other bytes, or more than a history holds, are ErrMalformed or ErrTooLarge.
+// DecodeChanges decodes the output of EncodeChanges. It returns ErrMalformed for any other bytes, and ErrTooLarge for more changes or bytes
+// than a history holds.
 func DecodeChanges(b []byte) (changes []Change, err error) {
 	if len(b) > MaxHistoryBytes {
 		return nil, fmt.Errorf("policy: changes: %w: %d bytes, %d at most", ErrTooLarge, len(b), MaxHistoryBytes)
--- a/internal/decide/policy/difference.go
+++ b/internal/decide/policy/difference.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Difference leads from one document to another.
+// Difference is the set of field changes that turns one document into another.
 type Difference struct {
-	Set     map[string]string `cbor:"1,keyasint,omitempty"` // fields that are new or have another value
-	Removed []string          `cbor:"2,keyasint,omitempty"` // in order
+	Set     map[string]string `cbor:"1,keyasint,omitempty"` // added fields and fields with a new value
+	Removed []string          `cbor:"2,keyasint,omitempty"` // sorted
 }
 
-// Bytes that Difference.Size assumes for a field besides its texts.
+// Encoding overhead in bytes that Difference.Size assumes for each field, in addition to its name and value.
 const (
 	setFieldOverhead     = 6
 	removedFieldOverhead = 3
 )
 
-// Diff gives what leads from one document to another.
+// Diff returns the difference that turns one document into another.
 func Diff(from, to Document) Difference {
 	var diff Difference
 	for field, value := range to {
@@ -38,9 +38,9 @@
 	return diff
 }
 
-// Apply gives the document that a difference leads to; d stays as it is. A difference that was not made from d is ErrMismatch where that
-// shows: a removed field must exist, and a set one must have had another value. It doesn't show always, so a caller that has the hash
-// compares it.
+// Apply returns the document that results from applying a difference to d; d is not modified. It returns ErrMismatch if the difference
+// evidently was not computed from d: a removed field must exist, and a set field must have had another value. This does not detect every
+// wrong base document, so callers that know the expected hash must compare it.
 func (d Document) Apply(diff Difference) (Document, error) {
 	next := maps.Clone(d)
 	if next == nil {
@@ -64,12 +64,13 @@
 	return next, next.Check()
 }
 
-// Encode gives the canonical bytes of a difference.
+// Encode returns the canonical encoding of a difference.
 func (diff Difference) Encode() []byte { return encode(diff) }
 
-// DecodeDifference reads what Encode gave. Other bytes, or more than a document's bounds allow, are ErrMalformed or ErrTooLarge.
+// DecodeDifference decodes the output of Encode. It returns ErrMalformed for any other bytes, and ErrTooLarge for more than the size limits
+// allow.
 func DecodeDifference(b []byte) (diff Difference, err error) {
-	const maxBytes = 2 * MaxDocumentBytes // one document may be removed, and another set
+	const maxBytes = 2 * MaxDocumentBytes // a difference may remove one whole document and set another
 	if len(b) > maxBytes {
 		return diff, fmt.Errorf("policy: difference: %w: %d bytes, %d at most", ErrTooLarge, len(b), maxBytes)
 	}
@@ -79,8 +80,8 @@
 	return diff, diff.Check()
 }
 
-// Check tells whether a difference is within a document's bounds, and names removed fields in order and once: else ErrTooLarge or
-// ErrMalformed.
+// Check returns ErrTooLarge unless the difference is within the limits of a document, and ErrMalformed unless its removed fields are sorted
+// and unique.
 func (diff Difference) Check() error {
 	if err := Document(diff.Set).Check(); err != nil {
 		return err
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// Size is about the bytes that an encoded difference takes, never less than its texts; it costs less than Encode.
+// Size estimates the encoded size of a difference in bytes, at least the length of all its names and values. It is cheaper than Encode.
 func (diff Difference) Size() (bytes int) {
 	for field, value := range diff.Set {
 		bytes += len(field) + len(value) + setFieldOverhead
@@ -110,10 +111,10 @@
 	return bytes
 }
 
-// Empty tells whether a difference changes nothing.
+// Empty reports whether a difference changes nothing.
 func (diff Difference) Empty() bool { return len(diff.Set)+len(diff.Removed) == 0 }
 
-// Fields names all fields that a difference changes, in order.
+// Fields returns the sorted names of all fields that a difference changes.
 func (diff Difference) Fields() []string {
 	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(diff.Set)), diff.Removed...)))
 }
--- a/internal/decide/policy/document.go
+++ b/internal/decide/policy/document.go
@@ -1,12 +1,12 @@
-// Package policy decides how what all routers of a fleet must agree on is changed: the form of a document and the difference between two
-// (Document, Difference), which fields may change (Classify), the versions that were in force (History, kept in the replicated state), and
-// how one router comes to the version in force (Follower).
+// Package policy manages changes to the policy, the settings on which all routers of a fleet must agree: the encoding of a document and of
+// the difference between two documents (Document, Difference), which fields may change (Classify), the versions that have been in force
+// (History, kept in the replicated state), and how a router obtains the version in force (Follower).
 //
-// Only lenient fields can be changed: two versions of them may be in force at different routers for a bounded time without harm. Changes
-// of strict fields are rejected with their reason.
+// Only lenient fields can be changed: routers may apply different versions of them for a bounded time without harm. Changes to strict
+// fields are rejected with a reason.
 //
-// The package does no I/O, reads no clock and draws randomness from a seeded source only. It never gives a document to apply whose hash
-// isn't that of its version.
+// The package does no I/O, reads no clock, and takes randomness only from a seeded source. It never hands out a document to apply whose
+// hash differs from that of its version.
 package policy
 
 import (
@@ -18,31 +18,32 @@
 	"unicode/utf8"
 )
 
-// Bounds of a document, and of a difference.
+// Size limits of documents and differences.
 const (
-	MaxDocumentBytes  = 256 << 10 // of the canonical bytes
+	MaxDocumentBytes  = 256 << 10 // of the canonical encoding
 	MaxFields         = 20000
 	MaxFieldNameBytes = 256
 	MaxValueBytes     = 256
-	MaxReasonBytes    = 200 // of an author, a reason, or of why a version could not be applied
+	MaxReasonBytes    = 200 // of an author, the reason for a change, or the reason why a version could not be applied
 )
 
-// Errors of documents, differences and what holds them. Their texts are part of responses on the wire.
+// Errors about documents, differences and the types that contain them. Their texts are sent in responses on the wire, so they must not
+// change.
 var (
-	// ErrMalformed means bytes that Encode doesn't give.
+	// ErrMalformed means that bytes are not the canonical encoding of any value, or that a decoded value is invalid.
 	ErrMalformed = errors.New("unsound")
-	// ErrTooLarge means something beyond the bounds.
+	// ErrTooLarge means that a size limit is exceeded.
 	ErrTooLarge = errors.New("too large")
-	// ErrMismatch means a difference that doesn't lead from the document at hand to the hash that is stated.
+	// ErrMismatch means that a difference does not apply to the base document, or that a document does not have the stated hash.
 	ErrMismatch = errors.New("the hash doesn't fit")
 )
 
-// Document is what all routers agree on: flat fields with one form for each value, like "txn_types.order.value" = "3.5",
-// "tenants.acme.rate" = "120", "over_share_value" = "0.2". For a field that is missing, each router's own file holds. A Document must not
-// be changed once it was passed on; nil is the document without fields.
+// Document holds the settings on which all routers agree, as a flat map of fields in which each value has exactly one textual form, such as
+// "txn_types.order.value" = "3.5", "tenants.acme.rate" = "120" or "over_share_value" = "0.2". For a field that is not in the document, each
+// router uses its own configuration file. A Document must not be modified after it has been passed on. A nil Document has no fields.
 type Document map[string]string
 
-// Encode gives the canonical bytes: CBOR in the deterministic form of RFC 8949 section 4.2.1.
+// Encode returns the canonical encoding: CBOR in the deterministic encoding of RFC 8949 section 4.2.1.
 func (d Document) Encode() []byte {
 	if d == nil {
 		d = Document{}
@@ -50,10 +51,10 @@
 	return encode(d)
 }
 
-// Hash is the SHA-256 of the canonical bytes.
+// Hash returns the SHA-256 of the canonical encoding.
 func (d Document) Hash() [32]byte { return sha256.Sum256(d.Encode()) }
 
-// Decode reads canonical bytes. Other bytes, or a document beyond the bounds, are ErrMalformed or ErrTooLarge.
+// Decode decodes the output of Encode. It returns ErrMalformed for any other bytes, and ErrTooLarge for a document beyond the size limits.
 func Decode(b []byte) (Document, error) {
 	if len(b) > MaxDocumentBytes {
 		return nil, fmt.Errorf("policy: %w: %d bytes, %d at most", ErrTooLarge, len(b), MaxDocumentBytes)
@@ -63,12 +64,14 @@
 		return nil, fmt.Errorf("policy: %w", err)
 	}
 	if d == nil {
-		return nil, fmt.Errorf("policy: %w: no document", ErrMalformed)
+		return nil, fmt.Errorf("policy: %w: null instead of a document", ErrMalformed)
 	}
 	return d, d.Check()
 }
 
-// Check tells whether a document is within the bounds: ErrTooLarge, or ErrMalformed with the field's name.
+// Check returns ErrTooLarge if the document exceeds a size limit, and ErrMalformed, with the name of the field, if a name or value is not
+// UTF-8. History.Propose returns errors of Check and Apply, so their texts are part of responses on the wire
+// and must not change.
 func (d Document) Check() error {
 	if len(d) > MaxFields {
 		return fmt.Errorf("policy: %w: %d fields, %d at most", ErrTooLarge, len(d), MaxFields)
--- a/internal/decide/policy/document_test.go
+++ b/internal/decide/policy/document_test.go
@@ -22,7 +22,8 @@
 	return rapid.MapOfN(fieldGenerator, rapid.Map(rapid.IntRange(0, 1), func(n int) string { return FormatNumber(float64(n)) }), 0, 12).Draw(t, "document")
 })
 
-// A difference leads from one document to another, also once it was encoded and decoded; no other document has the same hash.
+// Applying the difference of two documents to the first produces the second, also after the difference has been encoded and decoded.
+// Documents have the same hash only if they are equal.
 func TestDifference_LeadsFromOneDocumentToAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := documentGenerator.Draw(t, "a"), documentGenerator.Draw(t, "b")
@@ -33,10 +34,10 @@
 		before := maps.Clone(a)
 		c, err := a.Apply(diff)
 		if err != nil || !maps.Equal(c, b) || c.Hash() != b.Hash() || !maps.Equal(a, before) {
-			t.Fatalf("%v with %v is %v, %v", a, diff, c, err)
+			t.Fatalf("applying to %v the difference %v: got %v, %v", a, diff, c, err)
 		}
 		if diff.Empty() != maps.Equal(a, b) || (a.Hash() == b.Hash()) != maps.Equal(a, b) {
-			t.Fatal("the hash, or an empty difference, doesn't tell whether they are the same")
+			t.Fatal("equal hashes or an empty difference don't match equal documents")
 		}
 		d, err := Decode(b.Encode())
 		if err != nil || !maps.Equal(d, b) {
@@ -48,8 +49,8 @@
 	})
 }
 
-// A difference that is applied to another document than its own is an error, leads to another hash than the one that is stated, or to the
-// very same document.
+// Applying a difference to a document from which it was not computed returns an error, or produces a document with a hash other than the
+// stated one, or the correct document.
 func TestDifference_AppliedToAnotherBaseIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, other := documentGenerator.Draw(t, "a"), documentGenerator.Draw(t, "b"), documentGenerator.Draw(t, "other")
@@ -60,7 +61,7 @@
 	})
 }
 
-// Bytes that Encode doesn't give are ErrMalformed, those beyond the bounds ErrTooLarge.
+// Decode returns ErrMalformed for bytes that are not a canonical encoding, and ErrTooLarge for a document beyond the size limits.
 func TestDecode_RejectsMalformedOrOversized(t *testing.T) {
 	valid, err := cbor.Marshal(map[string]string{"over_share_value": "1"})
 	if err != nil {
@@ -98,7 +99,7 @@
 		"50 MiB of zeros":        {make([]byte, 50<<20), ErrTooLarge},
 	} {
 		if d, err := Decode(c.bytes); !errors.Is(err, c.err) {
-			t.Errorf("%s: %d fields, %v", name, len(d), err)
+			t.Errorf("%s: got %d fields and error %v", name, len(d), err)
 		}
 	}
 	if d, err := Decode(valid); err != nil || len(d) != 1 {
@@ -106,7 +107,7 @@
 	}
 }
 
-// Any bytes are rejected, or are those that Encode gives for what was decoded.
+// Arbitrary bytes are either rejected, or are exactly the encoding of the decoded value.
 func FuzzDecode(f *testing.F) {
 	f.Add(Document{"over_share_value": "0.2"}.Encode())
 	f.Add(Diff(Document{"a": "1"}, Document{"b": "2"}).Encode())
@@ -114,30 +115,30 @@
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if d, err := Decode(b); err == nil && !slices.Equal(d.Encode(), b) {
-			t.Errorf("%x is read as %v", b, d)
+			t.Errorf("%x is decoded as %v", b, d)
 		}
 		if diff, err := DecodeDifference(b); err == nil && !slices.Equal(diff.Encode(), b) {
-			t.Errorf("%x is read as %v", b, diff)
+			t.Errorf("%x is decoded as %v", b, diff)
 		}
-		if all, err := DecodeChanges(b); err == nil && !slices.Equal(EncodeChanges(all), b) {
-			t.Errorf("%x is read as %v", b, all)
+		if changes, err := DecodeChanges(b); err == nil && !slices.Equal(EncodeChanges(changes), b) {
+			t.Errorf("%x is decoded as %v", b, changes)
 		}
 	})
 }
 
-// A document with one damaged byte is rejected, or is decoded as what its bytes say.
+// A document with one corrupted byte is either rejected, or decoded as a value of which the corrupted bytes are the exact encoding.
 func TestDecode_DamagedByte(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := documentGenerator.Draw(t, "d").Encode()
-		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
-		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "by"))
+		offset := rapid.IntRange(0, len(b)-1).Draw(t, "offset")
+		b[offset] ^= byte(rapid.IntRange(1, 255).Draw(t, "mask"))
 		if d, err := Decode(b); err == nil && !slices.Equal(d.Encode(), b) {
-			t.Fatalf("%x is read as %v", b, d)
+			t.Fatalf("%x is decoded as %v", b, d)
 		}
 	})
 }
 
-// Each field of a policy has its class, and any other name has none.
+// Classify returns the class of each field of a policy, and ClassUnknown for any other name.
 func TestClassify_EachField(t *testing.T) {
 	for field, class := range map[string]FieldClass{
 		"over_share_value": ClassLenient, "txn_types.order.value": ClassLenient, "txn_types.order.late_value": ClassLenient, "tenants.acme.rate": ClassLenient,
@@ -148,7 +149,7 @@
 		"txn_types.order.Value": ClassUnknown, "x.over_share_value": ClassUnknown, "listen": ClassUnknown, "txn_types.order.value.": ClassUnknown,
 	} {
 		if got, reason := Classify(field); got != class || reason == "" {
-			t.Errorf("%q is %v: %s", field, got, reason)
+			t.Errorf("%q: got class %v, reason %q", field, got, reason)
 		}
 	}
 	if table, name, key, known := SplitField("txn_types.a.b.late_value"); table != "txn_types" || name != "a.b" || key != "late_value" || !known {
@@ -156,25 +157,25 @@
 	}
 }
 
-// Everything that is wrong is listed, each with its field.
+// ValidateChange lists every violation with its field and a reason.
 func TestValidateChange_ListsEveryViolation(t *testing.T) {
 	current := Document{"txn_types.order.effect": "idempotent", "txn_types.order.value": "1"}
 	got := ValidateChange(current, Document{"txn_types.order.value": "-1", "tenants.a.rate": "1e3", "tenants.b.rate": "NaN", "over_share_value": "1.5", "memory": "1GiB",
 		"tenants.ok.rate": "12.5", "txn_types.order.late_value": "0x1p4"})
-	var named []string
-	for _, f := range got {
-		named = append(named, f.Field)
-		if f.Reason == "" {
-			t.Error(f)
+	var violated []string
+	for _, v := range got {
+		violated = append(violated, v.Field)
+		if v.Reason == "" {
+			t.Error(v)
 		}
 	}
 	if want := []string{"memory", "over_share_value", "tenants.a.rate", "tenants.b.rate", "txn_types.order.effect", "txn_types.order.late_value",
-		"txn_types.order.value"}; !slices.Equal(named, want) {
-		t.Errorf("%v, %v", named, got)
+		"txn_types.order.value"}; !slices.Equal(violated, want) {
+		t.Errorf("violations of %v: %v", violated, got)
 	}
 }
 
-// A version's packed form and its text lead back to it, and packed versions grow with epoch and number.
+// Formatting and parsing a version round-trips through its packed form, and packed versions are ordered by epoch and number.
 func TestVersion_PackedAndText(t *testing.T) {
 	v := Version{Epoch: 94000000, Number: 7}
 	if v.String() != "94000000.7" || (Version{Epoch: 3}).String() != "none" {
@@ -185,10 +186,10 @@
 	}
 	for _, bad := range []string{"", "7", "1.0", "01.2", "1.2 ", "1.2.3", "-1.2", "9999999999.1", "1.4294967296"} {
 		if packed, err := ParsePacked(bad); err == nil {
-			t.Errorf("%q is %x", bad, packed)
+			t.Errorf("%q is parsed as %x", bad, packed)
 		}
 	}
 	if (Version{Epoch: 1, Number: maxNumber}).Packed() >= (Version{Epoch: 2, Number: 1}).Packed() {
-		t.Error("a later epoch must be above all of an earlier one")
+		t.Error("a version of a later epoch must be greater than all of an earlier one")
 	}
 }
--- a/internal/decide/policy/fetch.go
+++ b/internal/decide/policy/fetch.go
@@ -3,33 +3,33 @@
 import "math"
 
 const (
-	partBytes          = 1 << 10 // compressed: small, so that a second in which several parts come isn't far above any other
-	requestOverhead    = 300     // bytes that a request and its response take besides the part, headers included; assumed
-	firstFetchSpreadMs = 500.0   // ms over which a first request is delayed at random: routers that start or see a change together must not ask together
-	minRetryDelayMs    = 200.0   // ms until the first retry; doubled with each
-	maxRetryDelayMs    = 2000.0  // ms
+	partBytes          = 1 << 10 // compressed; small, so that several parts within one second don't cause a traffic peak
+	requestOverhead    = 300     // assumed bytes of a request and its response, headers included, in addition to the part
+	firstFetchSpreadMs = 500.0   // maximum random delay of a first request, so that routers that start or see a change together don't send it together
+	minRetryDelayMs    = 200.0   // delay of the first retry; doubles with each retry
+	maxRetryDelayMs    = 2000.0
 
-	// maxCompressedBytes bounds all parts together: compressing the longest content must not make more than this of it.
+	// maxCompressedBytes limits the total size of all parts. Compression must not expand even the longest content beyond it.
 	maxCompressedBytes = 2 * MaxHistoryBytes
 )
 
-// Part is a piece of what a router fetches: the changes after a version that it has, or the full document.
+// Part is one part of the compressed content that a router fetches: the changes after the version it has, or the full document.
 type Part struct {
-	Version Version // that all parts together lead to
-	Full    bool    // the document's canonical bytes; else EncodeChanges of all changes after the version that the request named
-	Offset  int     // of Bytes, in all of it
-	Total   int     // bytes of all parts, compressed
-	Bytes   []byte  // compressed: Settings.Decompress undoes it once all parts are there
+	Version Version // that results from applying all parts
+	Full    bool    // the content is the canonical encoding of the document; else it is EncodeChanges of all changes after the requested version
+	Offset  int     // of Bytes in the compressed content
+	Total   int     // size of the compressed content in bytes
+	Bytes   []byte  // compressed; Settings.Decompress is called on the concatenation of all parts
 }
 
-// scheduleFetch has the first part requested after a random delay, unless a request is in flight or due already.
+// scheduleFetch schedules the request for the first part after a random delay, unless a request is in flight or already scheduled.
 func (f *Follower) scheduleFetch() {
 	if !f.fetching && math.IsInf(f.nextFetch, 1) {
 		f.nextFetch = math.Max(f.now+firstFetchSpreadMs*f.random.Next(), f.allowedAt)
 	}
 }
 
-// scheduleRetry has a request that failed repeated, with a backoff and a random part.
+// scheduleRetry schedules the retry of a failed request, with exponential backoff and jitter.
 func (f *Follower) scheduleRetry() {
 	if !f.needsFetch() {
 		f.resetFetch()
@@ -39,35 +39,35 @@
 	f.nextFetch = math.Max(f.now+f.retryDelayMs*(1-f.random.Next()/2), f.allowedAt)
 }
 
-// resetFetch forgets the parts fetched so far.
+// resetFetch discards the parts fetched so far and cancels the scheduled request.
 func (f *Follower) resetFetch() { f.partial, f.nextFetch, f.retryDelayMs = Part{}, math.Inf(1), 0 }
 
-// needsFetch tells whether the document of the latest announced version isn't here.
+// needsFetch reports whether the document of the latest announced version has yet to be fetched.
 func (f *Follower) needsFetch() bool {
 	target, known := f.target.Packed(), f.fetched.Packed()
 	return target > known || target == known && f.target.Hash != f.fetched.Hash || f.settings.SeededDefects.AcceptOlderVersions && target != known
 }
 
-// nextRequest names the part to fetch next.
+// nextRequest returns the request for the next part.
 func (f *Follower) nextRequest() Request {
 	request := Request{Have: f.fetched.Packed(), Hash: f.fetched.Hash, Want: f.target.Packed(), Full: f.needsFull, Offset: len(f.partial.Bytes),
 		MaxBytes: partBytes}
 	if f.settings.SeededDefects.AcceptOlderVersions && request.Want < request.Have {
 		request.Have, request.Full = 0, true
 	}
-	if request.Offset > 0 { // a fetch that was started is finished: else changes that come faster than it ends would starve it
+	if request.Offset > 0 { // complete a fetch in progress first: changes that arrive faster than it completes would otherwise starve it
 		request.Want, request.Full = f.partial.Version.Packed(), f.partial.Full
 	}
 	return request
 }
 
-// PartReceived takes in the response to a request.
+// PartReceived processes the response to a request.
 func (f *Follower) PartReceived(part Part) {
 	if !f.fetching {
 		return
 	}
 	f.fetching = false
-	if !part.wellFormed() || f.outdated(part) { // the coordinator node lags, or worse
+	if !part.wellFormed() || f.outdated(part) { // the coordinator node lags behind or is faulty
 		f.scheduleRetry()
 		return
 	}
@@ -92,18 +92,18 @@
 	}
 }
 
-// wellFormed tells whether a part is one that a coordinator node of any build may send.
+// wellFormed reports whether the sizes and the version of a part are valid for a coordinator node of any build.
 func (p Part) wellFormed() bool {
 	return p.Version.Packed() > 0 && p.Total > 0 && p.Total <= maxCompressedBytes && len(p.Bytes) > 0 && p.Offset+len(p.Bytes) <= p.Total &&
 		len(p.Bytes) <= partBytes
 }
 
-// continues tells whether a part is the next after the earlier ones.
+// continues reports whether a part directly follows the parts fetched so far.
 func (p Part) continues(earlier Part) bool {
 	return p.Version == earlier.Version && p.Full == earlier.Full && p.Total == earlier.Total && p.Offset == len(earlier.Bytes)
 }
 
-// outdated tells whether a part is of a version that is no later than the one that is here.
+// outdated reports whether a part belongs to a version older than, or identical to, the fetched one.
 func (f *Follower) outdated(part Part) bool {
 	if f.settings.SeededDefects.AcceptOlderVersions {
 		return false
@@ -112,7 +112,7 @@
 	return received < known || received == known && part.Version.Hash == f.fetched.Hash
 }
 
-// FetchFailed takes in that a request brought no part.
+// FetchFailed records that a request failed, and schedules its retry.
 func (f *Follower) FetchFailed() {
 	if f.fetching {
 		f.fetching = false
@@ -120,7 +120,8 @@
 	}
 }
 
-// finishFetch makes the document of all parts. If its hash doesn't fit it is dropped, and the full document is fetched.
+// finishFetch builds the document from all parts. If that fails or the hash does not match, the parts are discarded and the full document
+// is fetched.
 func (f *Follower) finishFetch() {
 	complete := f.partial
 	f.partial = Part{}
@@ -133,7 +134,7 @@
 	f.scheduleRetry()
 }
 
-// assemble gives the document that all parts together make; false: none, or not the version's.
+// assemble returns the document built from all parts, or false if the content is invalid or the hash does not match that of the version.
 func (f *Follower) assemble(complete Part) (Document, bool) {
 	content, err := f.settings.Decompress(complete.Bytes, MaxHistoryBytes)
 	if err != nil {
--- a/internal/decide/policy/fields.go
+++ b/internal/decide/policy/fields.go
@@ -8,41 +8,42 @@
 	"strings"
 )
 
-// FieldClass tells whether two versions of a field may be in force at different routers at the same time.
+// FieldClass determines whether routers may apply different versions of a field at the same time.
 type FieldClass int
 
-// Classes of fields.
+// Field classes.
 const (
-	ClassUnknown FieldClass = iota // no field of a policy
-	ClassLenient                   // they may, for a bounded time
-	ClassStrict                    // they may not; a change is rejected until it can be made at all routers at once or at none
+	ClassUnknown FieldClass = iota // not a field of a policy
+	ClassLenient                   // allowed, for a bounded time
+	ClassStrict                    // not allowed; changes are rejected as long as they can't be made atomically at all routers
 )
 
 func (c FieldClass) String() string { return [...]string{"unknown", "lenient", "strict"}[c] }
 
-// fieldRule is one kind of field. Its name is the table, a name that the fleet gives and the key, with dots between; without a table it is
-// the key alone.
+// fieldRule describes one kind of field. The name of such a field is table.name.key, where the fleet's configuration chooses the name, or
+// only the key if there is no table.
 type fieldRule struct {
 	table, key string
 	class      FieldClass
 	reason     string
-	validate   func(value string) error // of lenient fields
+	validate   func(value string) error // nil for strict fields
 }
 
-// Reasons that several rules have.
+// Reasons shared by several rules.
 const (
 	reasonWeighedAtOneRouter = "it weighs one router's own requests against each other; each request is weighed at one router"
 	reasonExecutedTwice      = "a repeat by way of another router would be done twice"
 )
 
-// Largest values of fields that are numbers.
+// Maximum values of numeric fields.
 const (
 	maxShare  = 1
 	maxAmount = 1e12
 )
 
-// fieldRules is the one list of what may change. The reason of a lenient field says why an overlap does no harm, that of a strict one what
-// harm it does. Operators see them, and they are part of responses on the wire.
+// fieldRules lists all fields of a policy. The reason of a lenient field says why it is harmless that routers apply different versions for
+// some time, the reason of a strict field what harm that does. Reasons are shown to operators and sent in responses on the wire, so their
+// texts must not change.
 var fieldRules = []fieldRule{
 	{"", "over_share_value", ClassLenient, reasonWeighedAtOneRouter, validateShare},
 	{"txn_types", "value", ClassLenient, reasonWeighedAtOneRouter, validateAmount},
@@ -57,13 +58,13 @@
 	{"txn_types", "scope", ClassStrict, "it says among which requests a mark is looked for: " + reasonExecutedTwice, nil},
 }
 
-// reasonUnknownField is the reason of fields without a rule.
+// reasonUnknownField is the reason for fields without a rule.
 const reasonUnknownField = "no field of a policy"
 
 func validateShare(value string) error  { return validateNumber(value, maxShare) }
 func validateAmount(value string) error { return validateNumber(value, maxAmount) }
 
-// validateNumber wants a decimal number from 0 to limit in its shortest form, so that one value has one form.
+// validateNumber checks for a decimal number from 0 to limit in its shortest form, so that each value has exactly one form.
 func validateNumber(value string, limit float64) error {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(x >= 0) || x > limit || math.Signbit(x) {
@@ -75,11 +76,11 @@
 	return nil
 }
 
-// FormatNumber writes a number in the form that a field's value has.
+// FormatNumber formats a number as the value of a field.
 func FormatNumber(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
-// findRule gives a field's rule, and the name that the fleet gave within it; nil: it has none. Such a name may hold dots, so the first part
-// and the last tell the rule.
+// findRule returns the rule of a field and the name between its table and its key, or nil if it has no rule. The name may contain dots, so
+// only the first and the last component determine the rule.
 func findRule(field string) (rule *fieldRule, name string) {
 	table, rest, dotted := strings.Cut(field, ".")
 	for n := range fieldRules {
@@ -97,8 +98,8 @@
 	return nil, ""
 }
 
-// SplitField gives a field's parts: "txn_types.order.value" is of table "txn_types", name "order", key "value"; a field without a table is
-// key alone. known is false for what is no field of a policy.
+// SplitField splits a field into its components: "txn_types.order.value" has table "txn_types", name "order" and key "value"; a field without
+// a table has only a key. known is false if it is not a field of a policy.
 func SplitField(field string) (table, name, key string, known bool) {
 	rule, name := findRule(field)
 	if rule == nil {
@@ -107,7 +108,7 @@
 	return rule.table, name, rule.key, true
 }
 
-// Classify tells how a field may change, and why.
+// Classify returns the class of a field, and the reason for it.
 func Classify(field string) (FieldClass, string) {
 	if rule, _ := findRule(field); rule != nil {
 		return rule.class, rule.reason
@@ -115,14 +116,15 @@
 	return ClassUnknown, reasonUnknownField
 }
 
-// Violation is one thing that keeps a change from being made; Field is empty where it is about the change as a whole.
+// Violation is one reason why a change is not allowed. Field is empty if the reason applies to the change as a whole.
 type Violation struct{ Field, Reason string }
 
-// ValidateChange gives everything that keeps one document from following another, by field; none: it may. Fields that are the same in both
+// ValidateChange returns all violations of a change from one document to the next, like Validate. Fields that are the same in both documents
 // are not checked.
 func ValidateChange(current, next Document) []Violation { return Diff(current, next).Validate() }
 
-// Validate gives everything that is wrong with a difference, by field; none: it may be made. The reasons are part of responses on the wire.
+// Validate returns all violations of a difference, sorted by field, followed by one of the change as a whole, if any. There are none if the
+// change is allowed. The reasons are sent in responses on the wire, so their texts must not change.
 func (diff Difference) Validate() (violations []Violation) {
 	for _, field := range diff.Fields() {
 		rule, _ := findRule(field)
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -6,49 +6,49 @@
 	"wayloft/internal/decide/random"
 )
 
-// defaultRate, in bytes a second, holds where the settings give no rate: at most two parts in any second, so that all other control
-// traffic has room within 6 KB a second.
+// defaultRate is the fetch rate in bytes per second if Settings.Rate is 0. It allows at most two parts in any second, which leaves room for
+// all other control traffic within a budget of 6 KB per second.
 const defaultRate = 2560.0
 
-// Settings of a Follower.
+// Settings are the settings of a Follower.
 type Settings struct {
-	Rate          float64                                   // bytes a second that fetching may take, the cost of each request included; 0: 2560
-	Seed          uint64                                    // of the random delays
-	Decompress    func(b []byte, limit int) ([]byte, error) // of all parts together; an error if that is longer than limit
+	Rate          float64                                   // maximum bytes per second for fetching, including request overhead; 0 means 2560
+	Seed          uint64                                    // for the random delays
+	Decompress    func(b []byte, limit int) ([]byte, error) // of the concatenated parts; returns an error if the result is longer than limit
 	SeededDefects SeededDefects
 }
 
-// SeededDefects are defects that tests switch on to show that checkers find them. The program never sets one.
+// SeededDefects are deliberate defects that tests enable to verify that checkers detect them. The program never enables them.
 type SeededDefects struct {
-	SkipHashCheck       bool // accepts a full document whatever its hash
-	AcceptOlderVersions bool // follows whichever coordinator node announced last
-	SkipBaseCheck       bool // applies a difference to whatever document it has
-	TrustStored         bool // takes what was stored for what is in force
+	SkipHashCheck       bool // accepts a full document without checking its hash
+	AcceptOlderVersions bool // follows the latest announcement, even if its version is older
+	SkipBaseCheck       bool // applies a difference without checking that it leads to the announced hash
+	TrustStored         bool // treats the stored version as the one in force
 	AcknowledgeEarly    bool // acknowledges a version before the router has applied it
 }
 
 // Action is the kind of a Decision.
 type Action int
 
-// Actions for the caller to carry out.
+// Actions for the caller to perform.
 const (
-	Fetch       Action = iota // ask a coordinator node for the part that Request names, then call PartReceived or FetchFailed
-	Apply                     // have the router apply Document, of Version, then call Applied or ApplyFailed
-	Store                     // keep Version and Document for the next start; nothing waits for it
-	Acknowledge               // tell the coordinator with the next heartbeat what is Applied, and what was Rejected for which Reason
+	Fetch       Action = iota // request the part that Request describes from a coordinator node, then call PartReceived or FetchFailed
+	Apply                     // make the router apply Document, which belongs to Version, then call Applied or ApplyFailed
+	Store                     // store Version and Document for the next start; no confirmation is expected
+	Acknowledge               // send Applied, Rejected and Reason to the coordinator with the next heartbeat
 )
 
-// Request names the part of the policy that is wanted. Versions are packed.
+// Request describes the next part to fetch. Versions are packed.
 type Request struct {
-	Have     uint64   // the version whose document is here; 0: none
+	Have     uint64   // the version whose document the router has; 0: none
 	Hash     [32]byte // of that document
-	Want     uint64   // the version that is wanted: a coordinator node that doesn't know it must say so
-	Full     bool     // the full document: differences don't fit what is here
+	Want     uint64   // the requested version; a coordinator node that doesn't have it must report that
+	Full     bool     // the full document is requested, because differences don't apply to the router's document
 	Offset   int      // of the part
-	MaxBytes int      // of the part
+	MaxBytes int      // maximum size of the part
 }
 
-// Decision is one thing for the caller to do; only the fields of its Action are set.
+// Decision is one action for the caller to perform. Only the fields that belong to its Action are set.
 type Decision struct {
 	Action   Action
 	Request  Request  // Fetch
@@ -56,25 +56,25 @@
 	Document Document // Apply, Store
 	Applied  uint64   // Acknowledge: packed version that the router has applied
 	Rejected uint64   // Acknowledge: packed version that the router could not apply; 0: none
-	Reason   string   // Acknowledge: why it could not
+	Reason   string   // Acknowledge: why it could not be applied
 }
 
-// Follower decides how one router follows the policy: which version it applies and what it has to fetch. It never goes back to an older
-// version of an epoch, whichever coordinator node announces it, and never gives a document to apply whose hash isn't the version's. It is
-// not safe for concurrent use.
+// Follower decides which version of the policy a router applies and what it fetches. It never returns to an older version, whichever
+// coordinator node announces it, and never hands out a document to apply whose hash differs from that of its version. It is not safe for
+// concurrent use.
 type Follower struct {
 	settings Settings
 	now      float64
 	random   random.Source
 
-	fetched   Version  // the latest version whose document is here, complete and of its hash
+	fetched   Version  // the latest version whose complete document is available, with a matching hash
 	document  Document // of fetched
-	confirmed bool     // the coordinator announced fetched; else it comes from the store
-	target    Version  // the latest version that was announced
+	confirmed bool     // the coordinator has announced fetched; else it was loaded from the store
+	target    Version  // the latest announced version
 
 	applied         Version
-	lastApplyIssued uint64 // packed version that the caller was last asked to apply
-	reapply         bool   // lastApplyIssued must be applied again: its document has changed
+	lastApplyIssued uint64 // packed version of the latest Apply decision
+	reapply         bool   // lastApplyIssued must be applied again, because its document was replaced
 	rejected        uint64 // packed version that the router could not apply; 0: none
 	rejectReason    string
 	ackPending      bool
@@ -83,16 +83,16 @@
 	fetching     bool    // a request is in flight
 	needsFull    bool    // the full document must be fetched
 	partial      Part    // the parts fetched so far
-	nextFetch    float64 // when the next request is due; infinite: none is
-	allowedAt    float64 // when the rate allows another request
+	nextFetch    float64 // when the next request is due; infinite: none is scheduled
+	allowedAt    float64 // when the rate limit allows another request
 	retryDelayMs float64
 
-	Stale          int // announcements of versions older than a known one
-	HashMismatches int // documents that were dropped because their hash didn't fit
-	Conflicts      int // announcements of another document under a known version
+	Stale          int // ignored announcements of a version older than the fetched or announced one
+	HashMismatches int // fetched or stored documents discarded because they were invalid or had another hash
+	Conflicts      int // announcements of a known version with a different document hash
 }
 
-// NewFollower makes a Follower that knows no version.
+// NewFollower returns a Follower without any version.
 func NewFollower(settings Settings) *Follower {
 	if settings.Rate == 0 {
 		settings.Rate = defaultRate
@@ -100,12 +100,12 @@
 	return &Follower{settings: settings, random: random.Source{Seed: settings.Seed}, nextFetch: math.Inf(1)}
 }
 
-// Advance sets the time in ms; all that follows until the next call happens then.
+// Advance sets the current time in ms, which applies to all inputs until the next call. Time never goes backwards.
 func (f *Follower) Advance(now float64) { f.now = math.Max(f.now, now) }
 
-// Stored takes in, at the start, the version that was kept from an earlier run. It is applied until the coordinator has announced what is
-// in force: all fields of a policy may overlap, and a router that can't reach the coordinator is nearer to the others with it than
-// without.
+// Stored supplies the version stored by an earlier run, at startup. It is applied until the coordinator announces the version in force:
+// different versions of all fields may be in force for some time, and a router that can't reach the coordinator differs less from the
+// others with the stored version than without any.
 func (f *Follower) Stored(v Version, d Document) {
 	if f.fetched.Number > 0 || v.Number == 0 {
 		return
@@ -117,8 +117,8 @@
 	f.fetched, f.document = v, d
 }
 
-// VersionAnnounced takes in a version that a coordinator node announced, and the difference that led to it, if that came with it. The node
-// may lag: a version older than a known one is ignored.
+// VersionAnnounced processes a version announced by a coordinator node, with its difference from the preceding version, or nil. The node may
+// lag behind, so a version older than a known one is ignored.
 func (f *Follower) VersionAnnounced(v Version, difference *Difference) {
 	if f.ignoresAnnouncement(v) {
 		return
@@ -135,13 +135,13 @@
 			return
 		}
 	}
-	if v.Packed() == f.fetched.Packed() { // stored under this version, with another document: no difference leads from that one
+	if v.Packed() == f.fetched.Packed() { // the stored document of this version is a different one, so no difference applies to it
 		f.needsFull = true
 	}
 	f.scheduleFetch()
 }
 
-// ignoresAnnouncement tells whether an announcement says nothing new, or nothing that may be believed.
+// ignoresAnnouncement reports whether an announcement contains nothing new, or is stale or conflicting.
 func (f *Follower) ignoresAnnouncement(v Version) bool {
 	announced, known := v.Packed(), f.fetched.Packed()
 	switch {
@@ -165,7 +165,7 @@
 	return false
 }
 
-// accept takes over a document whose hash fits.
+// accept adopts a document whose hash matches its version.
 func (f *Follower) accept(v Version, d Document) {
 	if v.Packed() < f.fetched.Packed() && !f.settings.SeededDefects.AcceptOlderVersions {
 		return
@@ -182,7 +182,7 @@
 	}
 }
 
-// Applied takes in that the router has applied a version.
+// Applied records that the router has applied a version.
 func (f *Follower) Applied(v Version) {
 	if v.Packed() < f.applied.Packed() && !f.settings.SeededDefects.AcceptOlderVersions {
 		return
@@ -196,7 +196,7 @@
 	}
 }
 
-// ApplyFailed takes in that the router could not apply a version, and why; the router keeps what it had until there is another version.
+// ApplyFailed records that the router could not apply a version, and why. The router keeps its current version until another one is available.
 func (f *Follower) ApplyFailed(v Version, reason string) {
 	if len(reason) > MaxReasonBytes {
 		reason = reason[:MaxReasonBytes]
@@ -204,7 +204,7 @@
 	f.rejected, f.rejectReason, f.ackPending = v.Packed(), reason, true
 }
 
-// Next gives the next decision; false: none is left.
+// Next returns the next decision, or false if there is none.
 func (f *Follower) Next() (Decision, bool) {
 	switch {
 	case f.fetched.Number > 0 && (f.fetched.Packed() != f.lastApplyIssued || f.reapply):
@@ -229,16 +229,17 @@
 	return Decision{}, false
 }
 
-// mayAcknowledge tells whether what was applied may be acknowledged: a stored document is not yet known to be that of its version.
+// mayAcknowledge reports whether the applied version may be acknowledged. A stored version may not be until the coordinator has announced it,
+// because the coordinator may have a different document under that version.
 func (f *Follower) mayAcknowledge() bool {
 	return f.confirmed || f.applied != f.fetched || f.settings.SeededDefects.TrustStored
 }
 
-// NextDeadline is when Advance must be called again at the latest; infinite: nothing waits for a time.
+// NextDeadline returns the time by which Advance must be called again, or infinity if no time is scheduled.
 func (f *Follower) NextDeadline() float64 { return f.nextFetch }
 
-// AppliedVersion is the version that the router has applied.
+// AppliedVersion returns the version that the router has applied.
 func (f *Follower) AppliedVersion() Version { return f.applied }
 
-// FetchedVersion is the latest version whose document is here.
+// FetchedVersion returns the latest version whose document is available.
 func (f *Follower) FetchedVersion() Version { return f.fetched }
--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// passThrough is a decompression that changes nothing.
+// passThrough is a Settings.Decompress for content that is not compressed.
 func passThrough(b []byte, limit int) ([]byte, error) {
 	if len(b) > limit {
 		return nil, errors.New("too long")
@@ -17,7 +17,7 @@
 	return b, nil
 }
 
-// harness is a follower, the history that it follows, and the router that applies what it decides.
+// harness connects a follower with the history that it follows, and with a router that applies its decisions.
 type harness struct {
 	t            *testing.T
 	follower     *Follower
@@ -26,18 +26,18 @@
 	document     Document
 	applied      Version
 	actions      []Action
-	fetchedBytes int // bytes
+	fetchedBytes int
 	lastDecision Decision
-	rejectReason string // why the router applies nothing; empty: it does
-	tamper       bool   // what is fetched is changed on the way
-	failRequests bool   // requests fail
+	rejectReason string // the router can't apply any version, for this reason; empty: it can
+	tamper       bool   // fetched content is modified in transit
+	failRequests bool   // all requests fail
 }
 
 func newHarness(t *testing.T) *harness {
 	return &harness{t: t, follower: NewFollower(Settings{Seed: 1, Decompress: passThrough}), history: &History{}}
 }
 
-// propose puts a change in force.
+// propose changes some fields and fails the test unless the change is put in force.
 func (h *harness) propose(d Document) Version {
 	h.t.Helper()
 	v, rejection := propose(h.history, 3, d)
@@ -47,23 +47,23 @@
 	return v
 }
 
-// announce announces the version in force without the difference.
+// announce announces the version in force without its difference.
 func (h *harness) announce() { h.follower.VersionAnnounced(h.history.Version, nil) }
 
-// advanceTo lets time pass, in steps of 10 ms, and carries decisions out.
-func (h *harness) advanceTo(at float64) {
+// advanceTo advances the time in steps of 10 ms and executes decisions.
+func (h *harness) advanceTo(end float64) {
 	h.t.Helper()
-	for ; h.now <= at; h.now += 10 {
+	for ; h.now <= end; h.now += 10 {
 		h.follower.Advance(h.now)
 		for d, more := h.follower.Next(); more; d, more = h.follower.Next() {
 			h.actions = append(h.actions, d.Action)
 			switch h.lastDecision = d; d.Action {
 			case Apply:
 				if d.Document.Hash() != d.Version.Hash {
-					h.t.Fatalf("%s has a document of another hash", d.Version)
+					h.t.Fatalf("the document to apply does not have the hash of version %s", d.Version)
 				}
 				if d.Version.Packed() < h.applied.Packed() {
-					h.t.Fatalf("went back from %s to %s", h.applied, d.Version)
+					h.t.Fatalf("version %s is to be applied after the later %s", d.Version, h.applied)
 				}
 				if h.rejectReason != "" {
 					h.follower.ApplyFailed(d.Version, h.rejectReason)
@@ -82,7 +82,7 @@
 	}
 }
 
-// servePart answers a request as a coordinator node does.
+// servePart responds to a request like a coordinator node.
 func (h *harness) servePart(request Request) Part {
 	content, full, known := h.history.Serve(request)
 	if !known {
@@ -95,13 +95,13 @@
 	} else if h.tamper {
 		content = EncodeChanges([]Change{{h.history.Version, Difference{Set: map[string]string{"over_share_value": "0.99"}}}})
 	}
-	at := min(request.Offset, len(content))
-	end := min(at+request.MaxBytes, len(content))
-	h.fetchedBytes += end - at + requestOverhead
-	return Part{Version: h.history.Version, Full: full, Offset: at, Total: len(content), Bytes: content[at:end]}
+	start := min(request.Offset, len(content))
+	end := min(start+request.MaxBytes, len(content))
+	h.fetchedBytes += end - start + requestOverhead
+	return Part{Version: h.history.Version, Full: full, Offset: start, Total: len(content), Bytes: content[start:end]}
 }
 
-// count tells how many decisions of a kind there were.
+// count returns the number of decisions with an action.
 func (h *harness) count(action Action) (n int) {
 	for _, a := range h.actions {
 		if a == action {
@@ -115,11 +115,11 @@
 func (h *harness) requireApplied(v Version) {
 	h.t.Helper()
 	if h.applied != v || h.document.Hash() != v.Hash {
-		h.t.Fatalf("applied %s, not %s; %v", h.applied, v, h.actions)
+		h.t.Fatalf("applied version %s, want %s; actions: %v", h.applied, v, h.actions)
 	}
 }
 
-// tenantRates is a document of n fields of one value.
+// tenantRates returns a document with n fields of the same value.
 func tenantRates(n int, value string) Document {
 	d := Document{}
 	for tenant := range n {
@@ -128,7 +128,7 @@
 	return d
 }
 
-// A version whose difference was announced with it is applied at once, then acknowledged, then stored, without a fetch.
+// A version that is announced together with its difference is applied immediately without a fetch, then acknowledged, then stored.
 func TestFollower_AnnouncedDifferenceIsAppliedWithoutFetch(t *testing.T) {
 	h := newHarness(t)
 	h.propose(Document{"over_share_value": "0.2"})
@@ -138,14 +138,15 @@
 	if fmt.Sprint(h.actions) != fmt.Sprint([]Action{Apply, Acknowledge, Store}) || h.follower.NextDeadline() != math.Inf(1) {
 		t.Error(h.actions, h.follower.NextDeadline())
 	}
-	h.follower.VersionAnnounced(h.history.Version, nil) // once more
+	h.follower.VersionAnnounced(h.history.Version, nil) // a repeated announcement
 	h.advanceTo(5000)
 	if len(h.actions) != 3 {
 		t.Error(h.actions)
 	}
 }
 
-// What wasn't announced is fetched: the changes after the version that is here, where they lead on, in place of the full document.
+// If the difference was not announced, the follower fetches the changes after its version instead of the full document, if the history still
+// has them.
 func TestFollower_FetchesDifferencesWhereTheyLeadOn(t *testing.T) {
 	h := newHarness(t)
 	h.propose(tenantRates(300, "1"))
@@ -165,20 +166,20 @@
 	}
 }
 
-// A fetch takes no more bytes a second than the settings allow, and at least half of them.
+// A fetch uses no more bytes per second than the rate limit allows, and at least half of it.
 func TestFollower_FetchStaysWithinTheRate(t *testing.T) {
 	h := newHarness(t)
 	h.propose(tenantRates(2700, "123.45"))
 	h.announce()
 	h.advanceTo(10000)
 	if limit := int(defaultRate*10) + partBytes + requestOverhead; h.fetchedBytes > limit || h.fetchedBytes < limit/2 {
-		t.Errorf("%d bytes in 10 h, %d may be", h.fetchedBytes, limit)
+		t.Errorf("fetched %d bytes in 10 s, the limit is %d, the minimum half of it", h.fetchedBytes, limit)
 	}
 	h.advanceTo(60000)
 	h.requireApplied(h.history.Version)
 }
 
-// A document whose hash doesn't fit is never applied; the full document is fetched, with a backoff.
+// A document with the wrong hash is never applied; the full document is fetched instead, with backoff.
 func TestFollower_HashMismatchIsNeverApplied(t *testing.T) {
 	h := newHarness(t)
 	h.propose(Document{"over_share_value": "0.2"})
@@ -192,19 +193,19 @@
 	h.advanceTo(12000)
 	h.requireApplied(before)
 	if n := h.count(Fetch) - fetched; n < 4 || n > 20 || h.follower.HashMismatches != n || !h.lastDecision.Request.Full {
-		t.Errorf("%d requests, %d mismatches, %+v", n, h.follower.HashMismatches, h.lastDecision.Request)
+		t.Errorf("%d requests, %d hash mismatches, last request %+v", n, h.follower.HashMismatches, h.lastDecision.Request)
 	}
 	h.tamper = false
 	h.advanceTo(15000)
 	h.requireApplied(h.history.Version)
-	other := Difference{Set: map[string]string{"over_share_value": "0.9"}} // announced, and not the one that led to the version
+	other := Difference{Set: map[string]string{"over_share_value": "0.9"}} // announced, but not the difference of the version
 	h.propose(Document{"over_share_value": "0.4"})
 	h.follower.VersionAnnounced(h.history.Version, &other)
 	h.advanceTo(18000)
 	h.requireApplied(h.history.Version)
 }
 
-// Announcements of older versions are ignored, whichever node makes them; the first version of a new epoch is later than all before.
+// Announcements of older versions are ignored. The first version of a new epoch is later than all versions of earlier epochs.
 func TestFollower_OlderVersionIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	old := h.propose(Document{"over_share_value": "0.2"})
@@ -219,15 +220,15 @@
 		t.Error(h.follower.Stale)
 	}
 	h.history = &History{}
-	if v, why := propose(h.history, 9, Document{"over_share_value": "0.2"}); why != "" || v.Number != 1 {
-		t.Fatal(v, why)
+	if v, rejection := propose(h.history, 9, Document{"over_share_value": "0.2"}); rejection != "" || v.Number != 1 {
+		t.Fatal(v, rejection)
 	}
 	h.follower.VersionAnnounced(h.history.Version, &h.history.Changes[0].Difference)
 	h.advanceTo(8000)
 	h.requireApplied(h.history.Version)
 }
 
-// Another document under a version that the coordinator has announced before is never applied.
+// A different document under a version that the coordinator has already announced is never applied.
 func TestFollower_ConflictingDocumentIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	v := h.propose(Document{"over_share_value": "0.2"})
@@ -242,8 +243,8 @@
 	}
 }
 
-// A stored version is applied from the start, acknowledged once the coordinator has announced it, and replaced where the coordinator has
-// another document under its version; one whose hash doesn't fit is ignored.
+// A stored version is applied at startup, acknowledged once the coordinator has announced it, and replaced if the coordinator has another
+// document under the same version. A stored document with the wrong hash is ignored.
 func TestFollower_StoredVersion(t *testing.T) {
 	h := newHarness(t)
 	stored, document := h.propose(Document{"over_share_value": "0.2"}), h.history.Document
@@ -285,7 +286,7 @@
 	}
 }
 
-// A version that the router can't apply is reported, with the reason; the router keeps what it had, and applies the next.
+// A version that the router can't apply is reported with the reason. The router keeps its current version, and applies the next one.
 func TestFollower_ApplyFailureIsReported(t *testing.T) {
 	h := newHarness(t)
 	before := h.propose(Document{"over_share_value": "0.2"})
@@ -309,7 +310,7 @@
 	}
 }
 
-// While requests fail, each retry comes later than the one before, up to a bound.
+// While requests fail, retries back off up to a maximum delay; fetching resumes once requests succeed.
 func TestFollower_FailedFetchesBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.propose(Document{"over_share_value": "0.2"})
@@ -324,11 +325,11 @@
 	h.requireApplied(h.history.Version)
 }
 
-// Changes that come faster than the full document can be fetched don't starve a router: a fetch that was started is finished.
+// Changes that arrive faster than the full document can be fetched don't starve a router, because a fetch in progress is completed.
 func TestFollower_FrequentChangesDoNotStarveAFetch(t *testing.T) {
 	h := newHarness(t)
 	h.propose(tenantRates(200, "123.45"))
-	served := *h.history // the version that is being fetched, as it was when the fetch started
+	served := *h.history // the history as it was when the current fetch started
 	serve := func(request Request) Part {
 		if request.Offset > 0 && request.Want == served.Version.Packed() {
 			current := h.history
@@ -358,11 +359,11 @@
 		}
 	}
 	if behind := h.history.Version.Number - h.applied.Number; h.applied.Number == 0 || behind > 10 {
-		t.Errorf("%s after half a minute, %s is in force", h.applied, h.history.Version)
+		t.Errorf("applied version %s after 30 s, while %s is in force", h.applied, h.history.Version)
 	}
 }
 
-// A malformed part is dropped, and so is one that wasn't requested.
+// Malformed parts and unrequested parts are ignored.
 func TestFollower_MalformedPartsAreIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.propose(tenantRates(300, "1"))
@@ -376,9 +377,9 @@
 			t.Fatal(d, more)
 		}
 		f.PartReceived(p)
-		f.PartReceived(p) // nothing was requested
+		f.PartReceived(p) // not requested
 		if d, more := f.Next(); more {
-			t.Errorf("%d: %+v", n, d)
+			t.Errorf("part %d: unexpected decision %+v", n, d)
 		}
 	}
 }
--- a/internal/decide/policy/history.go
+++ b/internal/decide/policy/history.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// A history is kept for routers that are a few versions behind, and for operators.
+// Limits of a history, which serves routers that are a few versions behind, and operators.
 const (
 	maxHistoryChanges  = 64
-	maxDifferenceBytes = 512 << 10 // of all differences of a history
-	maxChangeOverhead  = 1 << 10   // of one change besides its difference, encoded
+	maxDifferenceBytes = 512 << 10 // all differences of a history, encoded
+	maxChangeOverhead  = 1 << 10   // bytes of one encoded change in addition to its difference
 
-	// MaxHistoryBytes bounds the changes of a history, encoded.
+	// MaxHistoryBytes is the maximum encoded size of the changes of a history.
 	MaxHistoryBytes = maxDifferenceBytes + maxHistoryChanges*maxChangeOverhead
 )
 
-// History is what the replicated state keeps of the policy: the version in force with its document, and the changes that led to it. The
-// same calls give the same History on all nodes. So which fields may change is checked before a proposal comes here, by
-// Difference.Validate: builds may differ in that, and the replicated state must not.
+// History is the part of the replicated state that belongs to the policy: the version in force, its document, and the changes that led to
+// it. The same calls must produce the same History on all nodes. Therefore Difference.Validate checks which fields may change before a
+// proposal is replicated: builds may differ in these rules, but the replicated state must not.
 type History struct {
 	Version        Version  `cbor:"1,keyasint"`
 	Document       Document `cbor:"2,keyasint"`
-	Changes        []Change `cbor:"3,keyasint"` // the latest last; each follows the one before
-	ForeignVersion uint64   `cbor:"4,keyasint"` // packed version that a router has applied though it was never in force here; 0: none
+	Changes        []Change `cbor:"3,keyasint"` // consecutive, the latest last
+	ForeignVersion uint64   `cbor:"4,keyasint"` // packed version that a router has applied, but that was never in force in this state; 0: none
 }
 
-// Propose takes a proposal in. It gives the version that the proposal became, or why it is rejected; that text is part of the replicated
-// state and of responses on the wire. A proposal repeated while its version is in force is that version.
+// Propose applies a proposal. It returns the resulting version, or the reason for the rejection, which is sent in responses on the wire, so
+// its text must not change. Repeating a proposal while its version is in force returns that version.
 func (h *History) Propose(epoch uint64, p Proposal) (v Version, rejection string) {
 	if h.isInForce(p) {
 		return h.Version, ""
@@ -50,13 +50,13 @@
 	return v, ""
 }
 
-// isInForce tells whether the version in force came of this very proposal.
+// isInForce reports whether the version in force resulted from this proposal.
 func (h *History) isInForce(p Proposal) bool {
 	v := h.Version
 	return v.Number > 0 && p.Base == v.Base && p.Hash == v.Hash && p.Author == v.Author && p.Reason == v.Reason
 }
 
-// rejectionReason tells why a proposal can't become this version; empty: it can, as far as the history says.
+// rejectionReason returns why a proposal can't become this version, or an empty string if the history does not prevent it.
 func (h *History) rejectionReason(v Version, p Proposal) string {
 	foreignEpoch, _ := SplitPacked(h.ForeignVersion)
 	switch {
@@ -73,11 +73,12 @@
 	return ""
 }
 
-// newEpochReason is the reason of the version that BeginEpoch gives. It is stored.
+// newEpochReason is the reason recorded for the version that BeginEpoch creates. It is part of the replicated state.
 const newEpochReason = "a new epoch"
 
-// BeginEpoch gives what is in force a number in a new epoch, which is above all numbers given before: a router that has applied a later
-// version than a coordinator whose state went back follows the coordinator again. It reports whether anything is in force.
+// BeginEpoch puts the current document in force under a new version in a new epoch, which is later than all earlier versions. If the
+// coordinator's state was reset to an older one, routers that have applied a version later than this state then follow the coordinator
+// again. It reports whether it created a version: not if none is in force, or if the version would be out of range.
 func (h *History) BeginEpoch(epoch uint64) bool {
 	v := h.Version
 	if v.Number == 0 || epoch > maxNumber || v.Number == maxNumber {
@@ -88,7 +89,7 @@
 	return true
 }
 
-// install puts a change in force, and drops the oldest changes beyond the bounds.
+// install puts a change in force, and drops the oldest changes that exceed the limits.
 func (h *History) install(change Change, d Document) {
 	h.Version, h.Document = change.Version, d
 	h.Changes = append(h.Changes, change)
@@ -105,14 +106,16 @@
 	return size
 }
 
-// Acknowledged takes in which packed version a session has applied. It guards against numbers that are given twice, after state was lost.
+// Acknowledged records the packed version that a session has applied. After a loss of state, this prevents the same version number from
+// being assigned twice.
 func (h *History) Acknowledged(packed uint64) {
 	if packed > h.Version.Packed() {
 		h.ForeignVersion = max(h.ForeignVersion, packed)
 	}
 }
 
-// ChangesSince gives the changes that lead from a packed version to the one in force; false: they aren't kept, or it never was in force.
+// ChangesSince returns the changes that lead from a packed version to the one in force, or false if they are no longer kept or the version
+// was never in force.
 func (h *History) ChangesSince(packed uint64) ([]Change, bool) {
 	for n := len(h.Changes) - 1; n >= 0; n-- {
 		if h.Changes[n].Version.Base == packed {
@@ -122,8 +125,9 @@
 	return nil, false
 }
 
-// Serve gives what leads the requester to the version in force: the encoded changes after the one it has, or the full document, whichever
-// is shorter. known is false where this history is behind what is asked for, so that another node must be asked.
+// Serve returns the content that takes the requester to the version in force: the encoded changes after the version it has, or the full
+// document if that is shorter, requested, or the only option. known is false if this history is empty, or older than the version that the
+// requester wants or has, in which case another node must be asked.
 func (h *History) Serve(request Request) (content []byte, full, known bool) {
 	current := h.Version.Packed()
 	if current == 0 || request.Want > current || request.Have > current {
@@ -141,7 +145,8 @@
 	return h.Document.Encode(), true, true
 }
 
-// Check tells whether a stored history is sound: its document is within the bounds and of the version's hash (else ErrMismatch).
+// Check validates a stored history: the document must be within the size limits, and the version must have the document's hash and be within
+// range (else ErrMismatch).
 func (h *History) Check() error {
 	if err := h.Document.Check(); err != nil {
 		return err
--- a/internal/decide/policy/history_test.go
+++ b/internal/decide/policy/history_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// propose proposes a change of some fields of the document in force.
+// propose proposes new values for some fields of the document in force.
 func propose(history *History, epoch uint64, change Document) (Version, string) {
 	next := maps.Clone(history.Document)
 	if next == nil {
@@ -20,7 +20,7 @@
 	return history.Propose(epoch, Propose(history.Version, history.Document, next, "a", fmt.Sprintf("%.100s", fmt.Sprint(change))))
 }
 
-// A proposal becomes a version only if it was made from the one in force, applies to its document and leads to the stated hash.
+// A proposal becomes a version only if it is based on the version in force, applies to its document and results in the stated hash.
 func TestHistory_Propose(t *testing.T) {
 	history := &History{}
 	if v, rejection := propose(history, 5, Document{"over_share_value": "0.2"}); rejection != "" || v.String() != "5.1" || history.Version != v || v.Size != len(history.Document.Encode()) {
@@ -28,20 +28,20 @@
 	}
 	first, doc := history.Version, history.Document
 	p := Propose(first, doc, Document{"over_share_value": "0.3"}, "a", "r")
-	other := Propose(first, doc, Document{"over_share_value": "0.4"}, "history", "r")
+	other := Propose(first, doc, Document{"over_share_value": "0.4"}, "b", "r")
 	v, rejection := history.Propose(5, p)
 	if rejection != "" || v.String() != "5.2" || v.Base != first.Packed() {
 		t.Fatal(v, rejection)
 	}
 	if again, rejection := history.Propose(5, p); rejection != "" || again != v || history.Version != v {
-		t.Error("the same once more:", again, rejection)
+		t.Error("repeated proposal:", again, rejection)
 	}
 	if _, rejection := history.Propose(5, other); !strings.Contains(rejection, "5.2 is in force, this was made from 5.1") {
 		t.Error(rejection)
 	}
 	p.Base = v.Packed()
 	if _, rejection := history.Propose(5, p); rejection == "" {
-		t.Error("a difference that was made from another document")
+		t.Error("accepted a difference that was computed from another document")
 	}
 	wrong := Propose(v, history.Document, Document{}, "a", "r")
 	wrong.Hash[0]++
@@ -51,23 +51,24 @@
 	if _, rejection := history.Propose(5, Propose(v, history.Document, history.Document, "a", "none")); rejection != "nothing changes" {
 		t.Error(rejection)
 	}
-	// In a new epoch, what is in force has a number above all that were given before.
+	// A new epoch puts the same document in force under a later version.
 	before := history.Version
 	if !history.BeginEpoch(9) || history.Version.String() != "9.3" || history.Version.Hash != before.Hash || history.Version.Base != before.Packed() {
 		t.Error(history.Version)
 	}
 	if (&History{}).BeginEpoch(9) {
-		t.Error("nothing is in force")
+		t.Error("began an epoch without a version in force")
 	}
 }
 
-// A coordinator whose state went back, without a new epoch, accepts no proposal: its number would be another document's.
+// A coordinator whose state was reset to an older one rejects proposals until a new epoch begins: otherwise it would assign a version number
+// that already belongs to another document.
 func TestHistory_RegressedCoordinatorRejectsProposals(t *testing.T) {
 	history := &History{}
 	propose(history, 5, Document{"over_share_value": "0.2"})
 	history.Acknowledged(history.Version.Packed())
 	if history.ForeignVersion != 0 {
-		t.Error("that version is in force here")
+		t.Error("the version in force is recorded as a foreign one")
 	}
 	history.Acknowledged(Version{Epoch: 5, Number: 4}.Packed())
 	if _, rejection := propose(history, 5, Document{"over_share_value": "0.3"}); !strings.Contains(rejection, "5.4") {
@@ -82,11 +83,11 @@
 	restarted := &History{}
 	restarted.Acknowledged(Version{Epoch: 5, Number: 4}.Packed())
 	if v, rejection := propose(restarted, 8, Document{"over_share_value": "0.3"}); rejection != "" || v.String() != "8.1" {
-		t.Error("a coordinator that started anew, in a later epoch:", v, rejection)
+		t.Error("coordinator without any state, in a later epoch:", v, rejection)
 	}
 }
 
-// The history is bounded in count and bytes; a router that it no longer leads from is served the full document.
+// The history is limited in number of changes and in bytes. A router whose version is no longer in it is served the full document.
 func TestHistory_IsBounded(t *testing.T) {
 	history := &History{}
 	for n := range 100 {
@@ -96,7 +97,7 @@
 		t.Fatal(len(history.Changes))
 	}
 	if _, kept := history.ChangesSince(Version{Epoch: 1, Number: 100 - maxHistoryChanges - 1}.Packed()); kept {
-		t.Error("a change beyond the bound is kept")
+		t.Error("kept a change beyond the limit")
 	}
 	all, kept := history.ChangesSince(Version{Epoch: 1, Number: 90}.Packed())
 	if !kept || len(all) != 10 || all[9].Version != history.Version {
@@ -121,17 +122,17 @@
 		t.Error(full, known)
 	}
 	if _, _, known := history.Serve(Request{Want: history.Version.Packed() + 1}); known {
-		t.Error("a version beyond the one in force is known")
+		t.Error("served a version later than the one in force")
 	}
 }
 
-// Whatever is proposed, each version is one document, and versions grow.
+// For any sequence of proposals and epochs, each version identifies a single document, and versions increase.
 func TestHistory_VersionsGrowAndNameOneDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history, documentsByVersion, epoch := &History{}, map[uint64]Document{}, uint64(1)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			before := history.Version
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
 				epoch++
 				history.BeginEpoch(epoch)
@@ -145,7 +146,7 @@
 				}
 				v, rejection := history.Propose(epoch, Propose(base, from, documentGenerator.Draw(t, "next"), "a", "r"))
 				if rejection == "" && v != before && base.Packed() != before.Packed() {
-					t.Fatalf("made from %s, accepted though %s was in force", base, before)
+					t.Fatalf("accepted a proposal based on %s while %s was in force", base, before)
 				}
 			}
 			packed := history.Version.Packed()
@@ -153,7 +154,7 @@
 				t.Fatal(history.Version, before, history.Check())
 			}
 			if previous, known := documentsByVersion[packed]; known && previous.Hash() != history.Document.Hash() {
-				t.Fatalf("%s is two documents", history.Version)
+				t.Fatalf("version %s identifies two documents", history.Version)
 			}
 			if documentsByVersion[packed] = history.Document; packed == 0 {
 				delete(documentsByVersion, packed)
--- a/internal/decide/policy/version.go
+++ b/internal/decide/policy/version.go
@@ -4,29 +4,29 @@
 	"fmt"
 )
 
-// A packed version has the epoch in the upper bits and the number in the lower ones.
+// A packed version contains the epoch in the upper bits and the number in the lower ones.
 const (
 	numberBits = 32
 	maxNumber  = 1<<numberBits - 1
 )
 
-// noVersion is how no version is written.
+// noVersion is the text form of the absence of a version.
 const noVersion = "none"
 
-// Version identifies one document that was in force. The epoch, of the coordinator's state, and the number order versions: within an epoch
-// the number grows by one with each; a new epoch that an operator starts gives what is in force a new number; a coordinator that lost all
-// its state starts a higher epoch with number 1.
+// Version identifies one document that has been in force. Versions are ordered by the epoch, which is that of the coordinator's state, and
+// then by the number. Each version increments the number. When an operator begins a new epoch, the document in force gets a new version in
+// it; a coordinator that has lost all its state begins a higher epoch with number 1.
 type Version struct {
 	Epoch  uint64   `cbor:"1,keyasint"`
 	Number uint64   `cbor:"2,keyasint"` // 0: nothing has been proposed yet
 	Hash   [32]byte `cbor:"3,keyasint"` // of the document
-	Base   uint64   `cbor:"4,keyasint"` // packed version that it followed; 0: none
-	Size   int      `cbor:"5,keyasint"` // bytes of the document, encoded
+	Base   uint64   `cbor:"4,keyasint"` // packed version that preceded it; 0: none
+	Size   int      `cbor:"5,keyasint"` // encoded size of the document in bytes
 	Author string   `cbor:"6,keyasint"`
 	Reason string   `cbor:"7,keyasint"`
 }
 
-// Check tells whether a coordinator could have given a version; else ErrMalformed.
+// Check returns ErrMalformed if a field of the version is out of range.
 func (v Version) Check() error {
 	if v.Number > maxNumber || v.Epoch > maxNumber || v.Size < 0 || v.Size > MaxDocumentBytes || len(v.Author) > MaxReasonBytes ||
 		len(v.Reason) > MaxReasonBytes {
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Packed gives a version as one number that grows with it: what heartbeats carry, and what is compared; 0: no version. Epochs are seconds
-// and fit until the year 2159; a number that doesn't fit is never given.
+// Packed returns the version as a single integer of the same order, which heartbeats contain and comparisons use; 0: no version. Epochs
+// count seconds and fit until the year 2159; a version with an epoch or number out of range is never created.
 func (v Version) Packed() uint64 {
 	if v.Number == 0 {
 		return 0
@@ -44,15 +44,15 @@
 	return v.Epoch<<numberBits | v.Number
 }
 
-// SplitPacked gives the epoch and the number of a packed version.
+// SplitPacked returns the epoch and the number of a packed version.
 func SplitPacked(packed uint64) (epoch, number uint64) {
 	return packed >> numberBits, packed & maxNumber
 }
 
-// String gives a version as operators write it: 94000000.7 is the 7th of that epoch; "none" before the first.
+// String returns the text form that operators use, such as 94000000.7 for number 7 in epoch 94000000, or "none" for no version.
 func (v Version) String() string { return FormatPacked(v.Packed()) }
 
-// FormatPacked writes a packed version as Version.String does.
+// FormatPacked formats a packed version like Version.String.
 func FormatPacked(packed uint64) string {
 	if packed == 0 {
 		return noVersion
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("%d.%d", epoch, number)
 }
 
-// ParsePacked reads what String wrote, and no other form.
+// ParsePacked parses the output of Version.String, and accepts no other form.
 func ParsePacked(text string) (uint64, error) {
 	if text == noVersion {
 		return 0, nil
