--- a/internal/decide/switchover/executor.go
+++ b/internal/decide/switchover/executor.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	countIntervalMs       = 10.0 // ms between two commands to a router whose writes are still running
-	maxCommandFailures    = 3    // of a command to one router, which is passed over from then on
-	maxPriorFailures      = 6    // of the command before ReleaseWrites, beyond which a router isn't asked to release
-	maxRestoreAttempts    = 3    // of promoting the old primary again
-	promoteTimeoutFactor  = 4.0  // times MaxHold since the start, after which a promotion of unknown outcome is rolled back
-	rollbackTimeoutFactor = 8.0  // times MaxHold since the start, after which an operator must decide
-	retryDelayDivisor     = 4.0  // a step of unknown outcome is repeated after StepTimeout divided by this
-	stageNotRecorded      = -1   // the phase is being recorded: nothing of it may be done yet
+	countIntervalMs       = 10.0 // minimum ms between two commands to a router whose writes are still running
+	maxCommandFailures    = 3    // consecutive failures of a command, after which a router is skipped
+	maxPriorFailures      = 6    // consecutive failures of the previous command, after which a router is not sent ReleaseWrites
+	maxRestoreAttempts    = 3    // retries of promoting the old primary again
+	promoteTimeoutFactor  = 4.0  // times MaxHoldMs since the start, after which a promotion of unknown outcome is rolled back
+	rollbackTimeoutFactor = 8.0  // times MaxHoldMs since the start, after which an operator must intervene
+	retryDelayDivisor     = 4.0  // an unsuccessful step is retried after StepTimeoutMs divided by this
+	stageNotRecorded      = -1   // the phase is being recorded; none of its actions may be performed yet
 	stageFirst            = 0
 	stageSecond           = 1
-	reasonUnrecorded      = "taken back" // why a rollback goes on, where its first holder can't be asked
+	reasonUnrecorded      = "taken back" // reason for an undo that a former lease holder began: recorded steps don't contain the reason
 )
 
-// Executor carries out one order. Inputs update its state, Next gives its decisions. It is not safe for concurrent use.
+// Executor executes one order. Inputs update its state, and Next returns its decisions. It is not safe for concurrent use.
 type Executor struct {
 	settings               Settings
 	now                    float64
 	startedAt              float64
 	oldPrimary, newPrimary string
 	phase                  Phase
-	stage                  int     // how far the phase has come: stageNotRecorded, then the steps at members done
-	stageStarted           float64 // when the stage started, or its last attempt ended
-	awaitingAnswer         bool    // an answer of the caller
-	attempts               int     // of the stage's step, that ended with an unknown outcome
+	stage                  int     // progress within the phase: stageNotRecorded, then the number of completed member steps
+	stageStarted           float64 // when the phase was recorded, or the last unsuccessful attempt ended
+	awaitingAnswer         bool    // of the caller, to the latest decision about the members or the replicated state
+	attempts               int     // unsuccessful attempts at the step of this stage
 	rank                   uint64
-	mayHaveSteppedDown     bool // a member may have been asked to step down, by this lease holder or one before
+	mayHaveSteppedDown     bool // this or a former lease holder may have commanded a member to step down
 	routers                map[string]*routerState
 	decisions              []Decision
-	reason                 string // why it is undone
+	reason                 string // why the switchover is undone
 	finished               bool
-	outcome                string // how the order ended; empty: another lease holder carries it out
+	outcome                string // how the order ended; empty: another lease holder executes it
 }
 
-// routerState is what the executor knows of one router.
+// routerState is the state of one router as known to the executor.
 type routerState struct {
-	command        RouterCommand // the last
+	command        RouterCommand // the latest one
 	commandedAt    float64
-	awaitingAnswer bool // its answer
+	awaitingAnswer bool // to command
 	holding        bool
-	running        int // writes
-	failures       int // of the command, in a row
+	running        int // running writes, as last reported
+	failures       int // consecutive failures of command
 }
 
-// NewExecutor continues an order from its recorded steps, at this time in ms. The rank is that of the last step under the holder's
-// fencing token: a step that was sent and not answered may still arrive after later ones of the same holder, and must be refused as a
-// former holder's is. An order or a step of a later build is an *UnknownFormError.
+// NewExecutor returns an Executor that continues an order from its recorded steps, starting at time now in ms. rank is the rank of the last
+// step under the lease holder's fencing token: a step that was sent but not answered may arrive after later steps of the same holder, and
+// members must refuse it like a step of a former holder. It returns an *UnknownFormError for an order or step written by a later build.
 func NewExecutor(settings Settings, order string, steps []leasestate.Step, rank uint64, now float64) (*Executor, error) {
 	newPrimary, err := parseOrder(order)
 	if err != nil {
@@ -73,11 +73,11 @@
 	return e, nil
 }
 
-// resume continues after the last recorded step, which may have been carried out or not.
+// resume continues from the last recorded step, which may or may not have been performed.
 func (e *Executor) resume(last recordedStep) {
 	e.oldPrimary = last.oldPrimary
 	switch last.phase {
-	case phaseHold: // nothing was asked of the members
+	case phaseHold: // no member has been commanded yet
 		e.reason = "its owner was lost while writes were held"
 		e.enterPhase(phaseAbandon)
 		return
@@ -88,13 +88,13 @@
 	e.enterPhase(last.phase)
 }
 
-// Advance sets the time in ms; all that follows until the next call happens then.
+// Advance sets the current time in ms, which applies to all inputs until the next call. Time never goes backwards.
 func (e *Executor) Advance(now float64) {
 	e.now = math.Max(e.now, now)
 	e.advancePhase()
 }
 
-// PrimaryFound takes in which member accepts writes, or why that is not known.
+// PrimaryFound records which member is primary, or why that could not be determined.
 func (e *Executor) PrimaryFound(member string, err error) {
 	if e.phase != phaseFind || !e.awaitingAnswer {
 		return
@@ -111,7 +111,8 @@
 	}
 }
 
-// StepRecorded takes in whether a step was recorded; if not, this process no longer holds the lease.
+// StepRecorded processes the result of a RecordStep decision. If the step was not recorded, this process stops executing the order, because
+// it may no longer hold the lease.
 func (e *Executor) StepRecorded(ok bool) {
 	if e.stage != stageNotRecorded {
 		return
@@ -124,7 +125,7 @@
 	e.advancePhase()
 }
 
-// StepDone takes in how a step at a member ended, and why.
+// StepDone records the outcome of a member step, and the reason for it.
 func (e *Executor) StepDone(outcome Outcome, reason string) {
 	if !e.awaitingAnswer || e.stage == stageNotRecorded {
 		return
@@ -141,7 +142,7 @@
 	e.advancePhase()
 }
 
-// handleUnsuccessfulStep undoes the switchover, gives up, or has the step repeated, which does no harm.
+// handleUnsuccessfulStep undoes the switchover, gives up, or schedules a retry of the step. Steps are idempotent.
 func (e *Executor) handleUnsuccessfulStep(outcome Outcome, reason string) {
 	elapsed := e.now - e.startedAt
 	switch {
@@ -150,9 +151,9 @@
 	case e.phase == phasePromote && elapsed > promoteTimeoutFactor*e.settings.MaxHoldMs, e.phase == phaseStepDown && elapsed > e.settings.MaxHoldMs:
 		e.undo("not done in time: " + reason)
 	case e.phase == phaseRollback && e.stage == stageFirst && elapsed > rollbackTimeoutFactor*e.settings.MaxHoldMs:
-		// Whether the new primary was promoted only it can tell: promoting the old one again might make two that accept writes.
+		// Only the new primary knows whether it was promoted. Promoting the old primary again could result in two members that accept writes.
 		e.endOrder("stuck: nobody can tell whether " + e.newPrimary + " takes writes, and " + e.oldPrimary + " takes none; an operator must look: " + reason)
-	case e.phase == phaseRollback && e.stage == stageSecond && e.attempts >= maxRestoreAttempts: // all that can be done has been
+	case e.phase == phaseRollback && e.stage == stageSecond && e.attempts >= maxRestoreAttempts: // no option is left
 		e.reason += "; " + reason
 		e.nextStage()
 	default:
@@ -163,7 +164,7 @@
 
 func (e *Executor) nextStage() { e.stage, e.attempts = e.stage+1, 0 }
 
-// undo takes back what was done, if anything was.
+// undo rolls the switchover back, or abandons it if no member can have been commanded to step down.
 func (e *Executor) undo(reason string) {
 	e.reason = reason
 	if e.mayHaveSteppedDown {
@@ -181,14 +182,14 @@
 	e.decisions = append(e.decisions, Decision{Action: EndOrder, Text: outcome})
 }
 
-// enterPhase has a phase recorded; it starts once it is.
+// enterPhase requests that a phase be recorded. The phase starts once that is done.
 func (e *Executor) enterPhase(phase Phase) {
 	e.phase, e.stage, e.awaitingAnswer, e.attempts = phase, stageNotRecorded, true, 0
 	step := recordedStep{phase: phase, oldPrimary: e.oldPrimary, newPrimary: e.newPrimary}
 	e.decisions = append(e.decisions, Decision{Action: RecordStep, Text: step.String()})
 }
 
-// advancePhase goes on as far as possible.
+// advancePhase makes as much progress in the current phase as possible.
 func (e *Executor) advancePhase() {
 	if e.finished || e.stage == stageNotRecorded || e.awaitingAnswer && (e.phase == phaseStepDown || e.phase == phasePromote) {
 		return
@@ -217,7 +218,7 @@
 
 func (e *Executor) advanceStepDown() {
 	switch e.stage {
-	case stageFirst: // a former lease holder's promotion may be on its way to it
+	case stageFirst: // a promotion sent by a former lease holder may still arrive there
 		e.commandMember(e.newPrimary, FenceMember)
 	case stageSecond:
 		e.commandMember(e.oldPrimary, StepDown)
@@ -228,7 +229,7 @@
 
 func (e *Executor) advancePromote() {
 	switch e.stage {
-	case stageFirst: // once more, for a lease holder that resumes here: it does no harm
+	case stageFirst: // repeated for a lease holder that resumes here; the step is idempotent
 		e.commandMember(e.oldPrimary, StepDown)
 	case stageSecond:
 		e.commandMember(e.newPrimary, Promote)
@@ -239,7 +240,7 @@
 
 func (e *Executor) advanceRollback() {
 	switch e.stage {
-	case stageFirst: // it may have been promoted, also by a former lease holder's step that is still on its way
+	case stageFirst: // it may have been promoted, possibly by a step of a former lease holder that is still in flight
 		e.commandMember(e.newPrimary, StepDown)
 	case stageSecond:
 		e.commandMember(e.oldPrimary, Promote)
@@ -254,7 +255,7 @@
 	e.endOrder("taken back, " + e.oldPrimary + " is the primary: " + e.reason)
 }
 
-// commandMember has a member take a step, unless its answer is awaited or the pause after an attempt isn't over.
+// commandMember issues a step to a member, unless an answer is pending or the delay after an unsuccessful attempt has not elapsed.
 func (e *Executor) commandMember(member string, step MemberStep) {
 	if e.awaitingAnswer || e.attempts > 0 && e.now-e.stageStarted < e.settings.StepTimeoutMs/retryDelayDivisor {
 		return
@@ -267,13 +268,13 @@
 	e.decisions = append(e.decisions, Decision{Action: CommandMember, Target: member, Step: step, Rank: e.rank})
 }
 
-// Finished tells whether nothing is left to do: the order has ended, or another process carries it out.
+// Finished reports whether nothing is left to do: the order has ended, or another process executes it, and Next has returned all decisions.
 func (e *Executor) Finished() bool { return e.finished && len(e.decisions) == 0 }
 
-// Phase tells where the switchover is, for people.
+// Phase returns the current phase of the switchover, for diagnostics.
 func (e *Executor) Phase() Phase { return e.phase }
 
-// Next gives the next decision; false: none is left.
+// Next returns the next decision, or false if there is none.
 func (e *Executor) Next() (Decision, bool) {
 	if len(e.decisions) == 0 {
 		return Decision{}, false
--- a/internal/decide/switchover/executor_test.go
+++ b/internal/decide/switchover/executor_test.go
@@ -12,16 +12,16 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// testingT is what *testing.T and *rapid.T have in common.
+// testingT is the common subset of *testing.T and *rapid.T that the helpers use.
 type testingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// cluster is a group of members, the replicated state's steps and some routers, for one order and its holders.
+// cluster simulates a group of members, some routers and the recorded steps of one order, which is executed by successive lease holders.
 type cluster struct {
 	now       float64
-	guardRows map[string]int // by member: the highest fencing token seen
+	guardRows map[string]int // by member: the highest guard value seen, as guardValue returns it
 	primary   map[string]bool
 	steps     []leasestate.Step
 	outcome   string
@@ -32,7 +32,7 @@
 
 var routers = []string{"r1", "r2"}
 
-// startExecutor has the next lease holder carry the order out, from the steps that are recorded.
+// startExecutor starts the executor of the next lease holder from the recorded steps.
 func startExecutor(t testingT, c *cluster) {
 	t.Helper()
 	c.token++
@@ -48,7 +48,7 @@
 	return &cluster{guardRows: map[string]int{}, primary: map[string]bool{"m1": true}}
 }
 
-// applyStep has a member take a step under a fencing token, as its guard row and its own part have it.
+// applyStep simulates a member that checks its guard row and performs a step. token is a guard value.
 func (c *cluster) applyStep(member string, step MemberStep, token int) Outcome {
 	if token < c.guardRows[member] {
 		return Fenced
@@ -61,10 +61,10 @@
 	return Succeeded
 }
 
-// guardValue is what a step shows to a guard row.
+// guardValue returns the number that a step presents to the guard row: the fencing token and the rank.
 func (c *cluster) guardValue(d Decision) int { return c.token<<RankBits | int(d.Rank) }
 
-// execute carries one decision out as it was meant to be.
+// execute executes a decision without faults.
 func (c *cluster) execute(d Decision) {
 	c.log = append(c.log, fmt.Sprint(d.Action))
 	switch d.Action {
@@ -82,7 +82,7 @@
 	}
 }
 
-// run carries decisions out until the order has ended.
+// run executes decisions until the order has ended.
 func (c *cluster) run(t testingT) {
 	t.Helper()
 	for range 1000 {
@@ -95,10 +95,10 @@
 		c.now += 20
 		c.executor.Advance(c.now)
 	}
-	t.Fatal("no end", c.executor.Phase(), c.log)
+	t.Fatal("the order did not end", c.executor.Phase(), c.log)
 }
 
-// primaries lists the members that accept writes.
+// primaries returns the sorted names of the members that accept writes.
 func (c *cluster) primaries() (all []string) {
 	for member, primary := range c.primary {
 		if primary {
@@ -109,7 +109,7 @@
 	return all
 }
 
-// An order without faults ends with the new primary alone accepting writes.
+// Without faults, an order ends with the new primary as the only member that accepts writes.
 func TestExecutor_ChangesThePrimary(t *testing.T) {
 	c := newCluster()
 	startExecutor(t, c)
@@ -119,7 +119,8 @@
 	}
 }
 
-// A lease holder that finds a step recorded by one that was lost, before or after it took the step, ends with one primary.
+// A lease holder that resumes from any step recorded by a failed holder, whether that step was performed or not, ends with exactly one
+// primary.
 func TestExecutor_NextLeaseHolderResumesAtEachStep(t *testing.T) {
 	for _, step := range []Phase{phaseHold, phaseStepDown, phasePromote, phaseRelease, phaseRollback, phaseAbandon} {
 		for _, applied := range []bool{false, true} {
@@ -132,7 +133,7 @@
 				c.primary["m2"] = true
 			}
 			if step == phaseRollback && applied {
-				c.primary["m1"] = false // it had yielded before it was taken back
+				c.primary["m1"] = false // it had stepped down before the rollback
 			}
 			c.token = 1
 			startExecutor(t, c)
@@ -142,20 +143,20 @@
 				want = "m1"
 			}
 			if !slices.Equal(c.primaries(), []string{want}) || c.outcome == "" {
-				t.Errorf("%s, taken %v: %v accept writes, %q\n%v", step, applied, c.primaries(), c.outcome, c.log)
+				t.Errorf("%s, performed %v: %v accept writes, outcome %q\n%v", step, applied, c.primaries(), c.outcome, c.log)
 			}
 		}
 	}
 	var unknown *UnknownFormError
-	if _, err := NewExecutor(Settings{}, FormatOrder("m2"), []leasestate.Step{{Text: "leap m1 m2"}}, 0, 0); !errors.As(err, &unknown) {
-		t.Error("a step of a later build was passed over")
+	if _, err := NewExecutor(Settings{}, FormatOrder("m2"), []leasestate.Step{{Text: "unknown m1 m2"}}, 0, 0); !errors.As(err, &unknown) {
+		t.Error("a step of a later build was accepted")
 	}
-	if _, err := NewExecutor(Settings{}, "away", nil, 0, 0); !errors.As(err, &unknown) {
-		t.Error("an order of a later build was taken")
+	if _, err := NewExecutor(Settings{}, "unknown", nil, 0, 0); !errors.As(err, &unknown) {
+		t.Error("an order of a later build was accepted")
 	}
 }
 
-// Running writes are waited for until the drain timeout; a router that can't be reached is not.
+// The switchover waits for running writes until the drain timeout, but not for a router that can't be reached.
 func TestExecutor_WaitsForRunningWritesWithinTheBound(t *testing.T) {
 	timeOfFirstMemberCommand := func(answer func(c *cluster, d Decision)) float64 {
 		c := newCluster()
@@ -177,7 +178,7 @@
 	commands := 0
 	at := timeOfFirstMemberCommand(func(c *cluster, d Decision) {
 		if d.Command == HoldWrites && d.MaxHoldMs != 3000 {
-			t.Fatalf("asked to hold for %v", d.MaxHoldMs)
+			t.Fatalf("router commanded to hold writes for %v ms", d.MaxHoldMs)
 		}
 		running := 3
 		if c.now > 200 {
@@ -187,15 +188,15 @@
 		c.executor.RouterAnswered(d.Target, d.Command, d.Target != "r2", running)
 	})
 	if at < 200 || at > 400 || commands > 30 {
-		t.Errorf("went on after %v ms and %d commands; the last write ended after 200", at, commands)
+		t.Errorf("continued after %v ms and %d router commands; the last write ended after 200 ms", at, commands)
 	}
 	if at := timeOfFirstMemberCommand(func(c *cluster, d Decision) { c.executor.RouterAnswered(d.Target, d.Command, true, 1) }); at < 1000 || at > 1200 {
-		t.Errorf("a write that never ends held it up for %v ms, 1,000 were said", at)
+		t.Errorf("a write that never ends delayed the switchover by %v ms, the drain timeout is 1,000 ms", at)
 	}
 }
 
-// Whatever fails, is lost or comes late, and however often the lease holder is lost, with its last step still in flight: two members
-// never accept writes, and the last lease holder ends with one that does.
+// Under any combination of failures, lost or delayed steps, and lost lease holders whose last step is still in flight, two members never
+// accept writes at the same time, the order ends, and if it succeeds the new primary is the only member that accepts writes.
 func TestExecutor_NeverTwoPrimariesWhateverFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster()
@@ -215,12 +216,12 @@
 		holders := rapid.IntRange(1, 4).Draw(t, "holders")
 		for n := 0; c.outcome == ""; n++ {
 			if n > 3000 {
-				t.Fatal("no end", c.executor.Phase(), c.log)
+				t.Fatal("the order did not end", c.executor.Phase(), c.log)
 			}
 			if len(c.primaries()) > 1 {
-				t.Fatal("two accept writes", c.log)
+				t.Fatal("two members accept writes", c.log)
 			}
-			if holders > 1 && rapid.IntRange(0, 12).Draw(t, "lost") == 0 {
+			if holders > 1 && rapid.IntRange(0, 12).Draw(t, "lose holder") == 0 {
 				holders--
 				startExecutor(t, c)
 			}
@@ -233,19 +234,19 @@
 				}
 				continue
 			}
-			how := rapid.IntRange(0, 9).Draw(t, "how")
+			fault := rapid.IntRange(0, 9).Draw(t, "fault")
 			switch {
-			case d.Action == CommandMember && holders > 1 && how == 0: // it is sent, and no answer comes
+			case d.Action == CommandMember && holders > 1 && fault == 0: // the step is sent, and no answer arrives
 				inFlight = append(inFlight, delayedStep{d.Target, d.Step, c.guardValue(d)})
 				c.executor.StepDone(Unknown, "lost")
-			case d.Action == CommandMember && how == 1:
+			case d.Action == CommandMember && fault == 1:
 				c.executor.StepDone(Failed, "no")
 			case d.Action == CommandMember:
-				if rapid.IntRange(0, 3).Draw(t, "late") == 0 {
+				if rapid.IntRange(0, 3).Draw(t, "deliver delayed steps") == 0 {
 					deliver()
 				}
 				c.executor.StepDone(c.applyStep(d.Target, d.Step, c.guardValue(d)), "")
-			case d.Action == CommandRouter && how < 3:
+			case d.Action == CommandRouter && fault < 3:
 				c.executor.RouterAnswered(d.Target, d.Command, false, 0)
 			default:
 				c.execute(d)
@@ -255,7 +256,7 @@
 			t.Fatal(c.outcome, c.primaries(), c.log)
 		}
 		if accepting := c.primaries(); len(accepting) > 1 {
-			t.Fatal("two accept writes", c.log)
+			t.Fatal("two members accept writes", c.log)
 		}
 	})
 }
--- a/internal/decide/switchover/holds.go
+++ b/internal/decide/switchover/holds.go
@@ -7,11 +7,11 @@
 	"wayloft/internal/decide/lease"
 )
 
-// WriteHolds is a router's part in switchovers: which groups' writes it holds, and until when. A switchover is identified by its fencing
-// token's epoch and its order's number; for one switchover writes are never held longer than the bound, however often that is asked for.
+// WriteHolds tracks the write holds of a router: for which groups it holds writes, and until when. A switchover is identified by the epoch of
+// its fencing token and the number of its order. Repeated requests for the same switchover never extend its write hold.
 type WriteHolds struct {
 	maxHoldMs float64
-	holds     map[int]writeHold // by group
+	holds     map[int]writeHold // by group index
 }
 
 type writeHold struct {
@@ -20,13 +20,13 @@
 	released      bool
 }
 
-// NewWriteHolds makes a router's part; maxHold is the longest, in ms, that it holds writes for one switchover.
+// NewWriteHolds returns the WriteHolds of a router that holds writes for at most maxHold ms for one switchover.
 func NewWriteHolds(maxHold float64) *WriteHolds {
 	return &WriteHolds{maxHoldMs: maxHold, holds: map[int]writeHold{}}
 }
 
-// Hold gives the time until which a group's writes are held, by the same clock as now; 0: they are not. A bound that is negative or not a
-// number counts as 0.
+// Hold starts or confirms a write hold of a group, for at most bound ms, and returns its end on the same clock as now, or 0 if it has been
+// released. A bound that is negative or NaN counts as 0.
 func (w *WriteHolds) Hold(group int, token lease.Token, number uint64, bound, now float64) (until float64) {
 	if hold, known := w.holds[group]; known && hold.epoch == token.Epoch && hold.number == number {
 		if hold.released {
@@ -42,12 +42,12 @@
 	return until
 }
 
-// Release ends the hold of a group's writes; Hold has no effect for the same switchover from then on.
+// Release ends the write hold of a group. From then on, Hold has no effect for the same switchover.
 func (w *WriteHolds) Release(group int, token lease.Token, number uint64) {
 	w.holds[group] = writeHold{epoch: token.Epoch, number: number, released: true}
 }
 
-// RetainGroups forgets all groups but these.
+// RetainGroups removes the state of all groups that are not in the set.
 func (w *WriteHolds) RetainGroups(groups map[int]bool) {
 	maps.DeleteFunc(w.holds, func(group int, _ writeHold) bool { return !groups[group] })
 }
--- a/internal/decide/switchover/orders.go
+++ b/internal/decide/switchover/orders.go
@@ -5,25 +5,27 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// OrderState is what a process remembers of a group's lease between orders, and between two spells of holding it under one fencing
-// token: the rank that its steps have come to, which members remember, and the order that it ended last. The zero value is that of a
-// process that has never held the lease.
+// OrderState is the state that a process keeps for the lease of a group across orders, and across periods of holding it under the same
+// fencing token: the rank of its latest step, which members store, and the last order that it ended. The zero value is the state of a process
+// that has never held the lease.
 type OrderState struct {
 	token         lease.Token
 	rank          uint64
-	lastEnded     leasestate.Order // the order that ended last, and how
-	endUnreported bool             // the coordinator has yet to record that
+	lastEnded     leasestate.Order // the last order that ended; Text is its outcome
+	endUnreported bool             // the coordinator has yet to record the end of lastEnded
 }
 
-// BeginLease starts a spell of holding the lease under a fencing token; under the same token as before, the state goes on.
+// BeginLease starts a period of holding the lease under a fencing token. It keeps the state if the token is the same as before, and resets
+// it otherwise.
 func (s *OrderState) BeginLease(token lease.Token) {
 	if token != s.token {
 		*s = OrderState{token: token}
 	}
 }
 
-// StartOrder gives an Executor for the open order, or nil where there is none to carry out. The coordinator node that tells of it may
-// lag: orders up to the last that ended are old. An order that this build doesn't know is an *UnknownFormError, and has ended.
+// StartOrder returns an Executor for the open order, or nil if there is none to execute. The coordinator node that reported the order may lag
+// behind, so orders up to the last one that ended are ignored. It returns an *UnknownFormError for an order or step of an unknown format, and
+// ends that order.
 func (s *OrderState) StartOrder(settings Settings, open leasestate.Order, steps []leasestate.Step, now float64) (*Executor, error) {
 	if open.Number <= s.lastEnded.Number {
 		return nil, nil
@@ -35,7 +37,8 @@
 	return executor, err
 }
 
-// Update takes in how far an executor's steps have come, and whether its order is over for this process: ended, or another's.
+// Update records the rank of the executor's latest step, and whether the order is over for this process: it has ended, or another process
+// executes it.
 func (s *OrderState) Update(executor *Executor, number uint64) {
 	s.rank = max(s.rank, executor.rank)
 	if executor.Finished() {
@@ -44,15 +47,15 @@
 	}
 }
 
-// UnreportedEnd gives the order whose end the coordinator has yet to record, if there is one: until then no other order
-// can be given.
+// UnreportedEnd returns the last order that ended, and whether the coordinator has yet to record its end. Until then no other order can be
+// placed.
 func (s *OrderState) UnreportedEnd() (leasestate.Order, bool) { return s.lastEnded, s.endUnreported }
 
-// EndReported takes in that the coordinator has recorded the end of an order.
+// EndReported records that the coordinator has recorded the end of an order.
 func (s *OrderState) EndReported(number uint64) {
 	s.endUnreported = s.endUnreported && s.lastEnded.Number != number
 }
 
-// NeedsNewToken tells whether the lease must be acquired under another fencing token before another order is started: few ranks are left
-// under this one.
+// NeedsNewToken reports whether the lease must be acquired under a new fencing token before another order is started, because too few ranks
+// are left under the current one.
 func (s *OrderState) NeedsNewToken() bool { return s.rank > 1<<RankBits-minFreeRanks }
--- a/internal/decide/switchover/orders_test.go
+++ b/internal/decide/switchover/orders_test.go
@@ -8,8 +8,8 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// What a process remembers of a lease outlives a gap under the same fencing token, not another grant; an order's end is unreported until
-// the coordinator has recorded it.
+// The state for a lease survives losing and regaining it under the same fencing token, but not under a new one. The end of an order is
+// unreported until the coordinator has recorded it.
 func TestOrderState_OutlivesAGapUnderOneToken(t *testing.T) {
 	var state OrderState
 	token := lease.Token{Epoch: 1, Count: 4}
@@ -31,26 +31,26 @@
 	rank := state.rank
 	state.BeginLease(token)
 	if executor, _ := state.StartOrder(settings, order, nil, 0); executor != nil || state.rank != rank || rank == 0 {
-		t.Error("the same token again: the order is started anew, or ranks are", state.rank, rank)
+		t.Error("the order was started again or the rank was reset under the same token:", state.rank, rank)
 	}
 	if executor, _ := state.StartOrder(settings, leasestate.Order{Number: 1, Text: FormatOrder("m3")}, nil, 0); executor != nil {
 		t.Error("an earlier order was started")
 	}
 	state.EndReported(1)
 	if _, unreported := state.UnreportedEnd(); !unreported {
-		t.Error("another order's end was reported")
+		t.Error("the report of another order's end was accepted for this order")
 	}
 	if state.EndReported(2); state.endUnreported {
-		t.Error("reported, and still unreported")
+		t.Error("the end is still unreported after the report")
 	}
-	if _, err := state.StartOrder(settings, leasestate.Order{Number: 3, Text: "away"}, nil, 0); err == nil || !state.endUnreported {
-		t.Error("an order of an unknown form must end, too:", err)
+	if _, err := state.StartOrder(settings, leasestate.Order{Number: 3, Text: "unknown"}, nil, 0); err == nil || !state.endUnreported {
+		t.Error("an order of an unknown format must also end:", err)
 	}
 	state.rank = 1<<RankBits - 1
 	if !state.NeedsNewToken() {
-		t.Error("no ranks are left")
+		t.Error("no new token is required although no ranks are left")
 	}
 	if state.BeginLease(lease.Token{Epoch: 1, Count: 5}); state != (OrderState{token: lease.Token{Epoch: 1, Count: 5}}) {
-		t.Errorf("another token: %+v", state)
+		t.Errorf("state under a new token: %+v", state)
 	}
 }
--- a/internal/decide/switchover/routers.go
+++ b/internal/decide/switchover/routers.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// SetRouters takes in which routers have a session now. Those that come late are asked to hold writes, too; those that went are no
-// longer waited for.
+// SetRouters sets the routers that currently have a session. Routers that join during the switchover also receive its commands; routers that
+// have left are no longer waited for.
 func (e *Executor) SetRouters(names []string) {
 	for _, name := range names {
 		if e.routers[name] == nil {
@@ -21,7 +21,7 @@
 	e.advancePhase()
 }
 
-// RouterAnswered takes in a router's answer to a command: whether it carried it out, and how many of its writes are running.
+// RouterAnswered records a router's answer to a command: whether it executed the command, and how many of its writes are running.
 func (e *Executor) RouterAnswered(router string, command RouterCommand, ok bool, running int) {
 	r := e.routers[router]
 	if r == nil || !r.awaitingAnswer || r.command != command {
@@ -37,8 +37,8 @@
 	e.advancePhase()
 }
 
-// writesDrained has all routers hold writes, and reports whether the switchover may go on: no write is running, or they were waited for
-// long enough. The old primary itself rejects what still runs then.
+// writesDrained commands all routers to hold writes, and reports whether the switchover may continue: no write is running, or the drain
+// timeout has expired. In the latter case the old primary rejects the remaining writes after it has stepped down.
 func (e *Executor) writesDrained() bool {
 	pending := 0
 	timedOut := e.now-e.stageStarted > e.settings.DrainTimeoutMs
@@ -60,8 +60,8 @@
 	return pending == 0 || timedOut
 }
 
-// writesReleased has all routers release writes, and reports whether each has, or can't be reached: that one releases them by itself, at
-// its own bound.
+// writesReleased commands all routers to release writes, and reports whether each has done so or can't be reached. An unreachable router
+// releases them by itself when its own limit expires.
 func (e *Executor) writesReleased() bool {
 	pending := 0
 	for _, name := range slices.Sorted(maps.Keys(e.routers)) {
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -1,13 +1,13 @@
-// Package switchover decides a planned change of a replica set's primary. Executor is the lease holder's part: what is done step by
-// step, each step recorded in the replicated state before it is taken, so that the next lease holder knows where the last one was.
-// WriteHolds is a router's part: how long it holds writes when asked to. OrderState is what a process remembers between orders.
+// Package switchover implements the logic of a planned change of a replica set's primary. Executor runs at the lease holder: it decides the
+// steps, and has each step recorded in the replicated state before it is performed, so that the next lease holder knows where to resume.
+// WriteHolds runs at a router and limits how long it holds writes. OrderState is the state that a process keeps between orders.
 //
-// The package does no I/O and starts no timers; callers pass the time in and carry out its decisions. It never has writes held for
-// longer than a router's own bound, whatever becomes of the lease holder.
+// The package does no I/O and starts no timers; callers pass the time in and execute its decisions. Writes are never held for longer than
+// a router's own limit, even if the lease holder fails.
 //
-// A former lease holder whose step arrives late could release writes to a primary that has stepped down, or promote a second member.
-// So each step carries the fencing token of its holder's grant: a router that has seen a higher token refuses it, and so does a
-// member, by its guard row, in the same transaction as the step.
+// If a step of a former lease holder arrives late, it could release writes to a primary that has stepped down, or promote a second member.
+// Therefore each step carries the fencing token under which its sender holds the lease. A router that has seen a higher token refuses the
+// step; so does a member, which checks its guard row in the same transaction as the step.
 package switchover
 
 import (
@@ -17,107 +17,107 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// LeasePrefix starts the names of switchover leases, as they are on the wire and in stored data.
+// LeasePrefix is the prefix of the names of switchover leases, which are used on the wire and in stored data.
 const LeasePrefix = "handover/"
 
-// LeaseName gives the name of a group's switchover lease.
+// LeaseName returns the name of the switchover lease of a group.
 func LeaseName(group int) string { return fmt.Sprintf("%s%d", LeasePrefix, group) }
 
-// RankBits is how many bits of a guard row's number, below the fencing token, hold a step's rank.
+// RankBits is the number of low-order bits of a guard row's number that contain the rank of a step; the fencing token is above them.
 const RankBits = 10
 
-// minFreeRanks is how many ranks must be left under a fencing token for another order to be started under it.
+// minFreeRanks is the number of ranks that must be left under a fencing token to start another order under it.
 const minFreeRanks = 100
 
-// Settings are the bounds of a switchover. Times are ms.
+// Settings are the time limits of a switchover, in ms.
 type Settings struct {
-	MaxHoldMs      float64 // the longest that a router holds writes
-	DrainTimeoutMs float64 // the part of MaxHold for which running writes are waited for
-	StepTimeoutMs  float64 // for one step at a member, or one command to a router
+	MaxHoldMs      float64 // the longest time for which a router holds writes
+	DrainTimeoutMs float64 // the part of MaxHoldMs spent waiting for running writes to end
+	StepTimeoutMs  float64 // for one member step or one command to a router
 }
 
 // Action is the kind of a Decision.
 type Action int
 
-// Actions for the caller to carry out.
+// Actions for the caller to perform.
 const (
-	FindPrimary   Action = iota // ask the group's members which one is primary, then call PrimaryFound
+	FindPrimary   Action = iota // determine which member of the group is primary, then call PrimaryFound
 	RecordStep                  // record Text in the replicated state, then call StepRecorded
 	CommandRouter               // send Command to the router Target, then call RouterAnswered
-	CommandMember               // have the member Target take Step under the fencing token, then call StepDone
-	EndOrder                    // the order has ended as Text says; OrderState.UnreportedEnd gives it for the coordinator
+	CommandMember               // run Step at the member Target under the fencing token, then call StepDone
+	EndOrder                    // the order has ended with the outcome Text; OrderState.UnreportedEnd returns it for the coordinator
 )
 
-// RouterCommand is what a router is asked to do.
+// RouterCommand is a command to a router.
 type RouterCommand int
 
-// Commands to routers.
+// Router commands.
 const (
 	HoldWrites    RouterCommand = iota // hold new writes of the group
-	CountWrites                        // tell how many writes are running
-	ReleaseWrites                      // hold writes no longer
+	CountWrites                        // report the number of running writes
+	ReleaseWrites                      // stop holding writes
 )
 
-// MemberStep is what a member is asked to do. The values are part of the audit log and of failpoints' names.
+// MemberStep is a step performed at a member. The values appear in the audit log and in the names of failpoints.
 type MemberStep string
 
-// Steps at members. Each may be repeated, and has no effect where the member has seen a higher fencing token.
+// Member steps. They are idempotent, and have no effect at a member that has seen a higher fencing token.
 const (
-	FenceMember MemberStep = "bar"   // refuse lower fencing tokens from now on, nothing else
-	StepDown    MemberStep = "yield" // accept no more writes
+	FenceMember MemberStep = "bar"   // refuse lower fencing tokens from now on; no other effect
+	StepDown    MemberStep = "yield" // stop accepting writes
 	Promote     MemberStep = "take"  // accept writes
 )
 
-// Outcome is how a step at a member ended.
+// Outcome is the outcome of a member step.
 type Outcome int
 
-// Outcomes of a step. The numbers are part of the audit log.
+// Outcomes of a member step. The numeric values appear in the audit log.
 const (
-	Succeeded Outcome = iota // the member took the step
+	Succeeded Outcome = iota // the member performed the step
 	Fenced                   // the member has seen a higher fencing token
-	Failed                   // it had no effect
-	Unknown                  // it may have had an effect
+	Failed                   // the step had no effect
+	Unknown                  // the step may have had an effect
 )
 
-// Decision is one thing for the caller to do; only the fields of its Action are set.
+// Decision is one action for the caller to perform. Only the fields that belong to its Action are set.
 type Decision struct {
 	Action    Action
 	Text      string        // RecordStep, EndOrder
 	Target    string        // CommandRouter: a router; CommandMember: a member
 	Command   RouterCommand // CommandRouter
-	MaxHoldMs float64       // CommandRouter: the longest that the router holds writes, in ms
+	MaxHoldMs float64       // CommandRouter: the longest time for which the router holds writes
 	Step      MemberStep    // CommandMember
-	Rank      uint64        // CommandMember: orders steps under one fencing token; the member refuses a lower rank as it does a lower token
+	Rank      uint64        // CommandMember: orders the steps under one fencing token; the member refuses a lower rank like a lower token
 }
 
-// Phase is where a switchover is. Its text is how steps start in the replicated state, followed by the old and the new primary.
+// Phase is a phase of a switchover. A step recorded in the replicated state consists of this text, the old and the new primary.
 type Phase string
 
-// Phases. A recorded phase says what is done next, so it may have been carried out or not.
+// Phases. A phase is recorded before its actions are performed, so a recorded phase may or may not have been completed.
 const (
-	phaseFind     Phase = ""        // which member is primary is not known yet; never recorded
-	phaseHold     Phase = "hold"    // routers hold new writes, running ones end
+	phaseFind     Phase = ""        // the current primary is not known yet; never recorded
+	phaseHold     Phase = "hold"    // routers hold new writes while running ones end
 	phaseStepDown Phase = "yield"   // the old primary steps down
 	phasePromote  Phase = "take"    // the new primary is promoted
 	phaseRelease  Phase = "release" // routers release writes
-	phaseRollback Phase = "back"    // undone: the new primary steps down, the old one is promoted again, routers release writes
-	phaseAbandon  Phase = "leave"   // undone before anything was asked of a member: routers release writes
+	phaseRollback Phase = "back"    // undo: the new primary steps down, the old one is promoted again, routers release writes
+	phaseAbandon  Phase = "leave"   // undo before any member has been commanded: routers release writes
 )
 
-// UnknownFormError tells of an order or a step in a form that this build doesn't know: a later build has written it.
+// UnknownFormError means that an order or a recorded step has a format unknown to this build, because a later build wrote it.
 type UnknownFormError struct {
 	Kind string // "order" or "step"
 	Text string
 }
 
-// Error is recorded as the end of the order, so its text is stored data.
+// Error returns a text that is recorded as the outcome of the order. It is stored data, so it must not change.
 func (e *UnknownFormError) Error() string {
 	return fmt.Sprintf("the %s %q is none that this build knows", e.Kind, e.Text)
 }
 
 const orderPrefix = "to "
 
-// FormatOrder gives the text of an order that makes a member the primary.
+// FormatOrder returns the text of an order to make a member the primary.
 func FormatOrder(newPrimary string) string { return orderPrefix + newPrimary }
 
 func parseOrder(text string) (newPrimary string, err error) {
@@ -128,7 +128,7 @@
 	return newPrimary, nil
 }
 
-// recordedStep is a step as the replicated state has it.
+// recordedStep is a parsed step of the replicated state.
 type recordedStep struct {
 	phase                  Phase
 	oldPrimary, newPrimary string
@@ -138,7 +138,7 @@
 	return string(s.phase) + " " + s.oldPrimary + " " + s.newPrimary
 }
 
-// parseStep reads a step of an order that makes newPrimary the primary.
+// parseStep parses a recorded step of an order to make newPrimary the primary.
 func parseStep(step leasestate.Step, newPrimary string) (recordedStep, error) {
 	words := strings.Fields(step.Text)
 	if len(words) != 3 || words[2] != newPrimary {
