--- a/internal/decide/switchover/routers.go
+++ b/internal/decide/switchover/routers.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// SetRouters takes in which routers have a session now. Those that come late are asked to hold writes, too; those that went are no
-// longer waited for.
+// SetRouters sets the routers that currently have a session. Routers that join during the switchover also receive its commands; routers that
+// have left are no longer waited for.
 func (e *Executor) SetRouters(names []string) {
 	for _, name := range names {
 		if e.routers[name] == nil {
@@ -21,13 +21,13 @@
 	e.advancePhase()
 }
 
-// RouterAnswered takes in a router's answer to a command: whether it carried it out, and how many of its writes are running.
+// RouterAnswered records a router's answer to a command: whether it executed the command, and how many of its writes are running.
 func (e *Executor) RouterAnswered(router string, command RouterCommand, ok bool, running int) {
 	r := e.routers[router]
-	if r == nil || !r.awaiting || r.command != command {
+	if r == nil || !r.awaitingAnswer || r.command != command {
 		return
 	}
-	r.awaiting = false
+	r.awaitingAnswer = false
 	if ok {
 		r.failures = 0
 		r.holding, r.running = command != ReleaseWrites, running
@@ -37,15 +37,15 @@
 	e.advancePhase()
 }
 
-// writesDrained has all routers hold writes, and reports whether the switchover may go on: no write is running, or they were waited for
-// long enough. The old primary itself rejects what still runs then.
+// writesDrained commands all routers to hold writes, and reports whether the switchover may continue: no write is running, or the drain
+// timeout has expired. In the latter case the old primary rejects the remaining writes after it has stepped down.
 func (e *Executor) writesDrained() bool {
 	pending := 0
 	timedOut := e.now-e.stageStarted > e.settings.DrainTimeoutMs
 	for _, name := range slices.Sorted(maps.Keys(e.routers)) {
 		r := e.routers[name]
 		switch {
-		case r.awaiting:
+		case r.awaitingAnswer:
 			pending++
 		case !r.holding && r.failures < maxCommandFailures:
 			pending++
@@ -60,14 +60,14 @@
 	return pending == 0 || timedOut
 }
 
-// writesReleased has all routers release writes, and reports whether each has, or can't be reached: that one releases them by itself, at
-// its own bound.
+// writesReleased commands all routers to release writes, and reports whether each has done so or can't be reached. An unreachable router
+// releases them by itself when its own limit expires.
 func (e *Executor) writesReleased() bool {
 	pending := 0
 	for _, name := range slices.Sorted(maps.Keys(e.routers)) {
 		r := e.routers[name]
 		switch {
-		case r.awaiting:
+		case r.awaitingAnswer:
 			pending++
 		case r.command != ReleaseWrites && r.failures < maxPriorFailures,
 			r.command == ReleaseWrites && r.failures > 0 && r.failures < maxCommandFailures:
@@ -82,6 +82,6 @@
 	if r.command != command {
 		r.failures = 0
 	}
-	r.command, r.awaiting, r.commandedAt = command, true, e.now
+	r.command, r.awaitingAnswer, r.commandedAt = command, true, e.now
 	e.decisions = append(e.decisions, Decision{Action: CommandRouter, Target: name, Command: command, MaxHoldMs: e.settings.MaxHoldMs})
 }
