--- a/internal/decide/leasestate/codec_test.go
+++ b/internal/decide/leasestate/codec_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("%d of %d bytes read as %v", size, len(encoded), restored.Leases())
 		}
 	}
-	state.data.Version = formatVersion + 1
+	state.data.Version = formatWithPolicy + 1
 	if _, err := Restore("f", state.Snapshot()); !errors.Is(err, ErrNewerVersion) {
 		t.Error("a later snapshot:", err)
 	}
--- a/internal/decide/leasestate/entry.go
+++ b/internal/decide/leasestate/entry.go
@@ -109,7 +109,7 @@
 	if !e.Kind.known() {
 		return fmt.Errorf("entry: %w: kind %.32q", ErrNewerVersion, e.Kind)
 	}
-	if size := e.longestText(); size > maxTextBytes {
+	if size := e.longestTextBytes(); size > maxTextBytes {
 		return fmt.Errorf("entry: %w: a text of %d bytes, %d at most", ErrMalformed, size, maxTextBytes)
 	}
 	if (e.Kind == ProposePolicy) != (e.Proposal != nil) {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// longestText returns the bytes of the longest text outside of a proposal, which has bounds of its own.
-func (e *Entry) longestText() (size int) {
+// longestTextBytes returns the bytes of the longest text outside of a proposal, which has bounds of its own.
+func (e *Entry) longestTextBytes() (size int) {
 	for _, text := range []string{e.Session, e.Role, e.Lease, e.To, e.Text, e.Address, e.Reason} {
 		size = max(size, len(text))
 	}
--- a/internal/decide/leasestate/errors.go
+++ b/internal/decide/leasestate/errors.go
@@ -21,13 +21,13 @@
 	// RefusedNoSession is of an entry whose session isn't open, or is open under another incarnation: it must be opened first.
 	RefusedNoSession Refusal = "no such session"
 
-	refusedAppliedBefore    Refusal = "applied before"
+	refusedAlreadyApplied   Refusal = "applied before"
 	refusedStateBehind      Refusal = "a receiver knows a higher fence than this council"
 	refusedNotHolder        Refusal = "not the holder"
 	refusedNoSuccessor      Refusal = "the successor has no session"
 	refusedInvalidSession   Refusal = "a session needs a name and a length"
 	refusedTooManySessions  Refusal = "too many sessions"
-	refusedLaterIncarnation Refusal = "a later incarnation has this name"
-	refusedLeaseName        Refusal = "no duty named, or too many"
+	refusedOlderIncarnation Refusal = "a later incarnation has this name"
+	refusedLeaseNameOrCount Refusal = "no duty named, or too many"
 	refusedEmptyOrder       Refusal = "an order needs words"
 )
--- a/internal/decide/leasestate/leases.go
+++ b/internal/decide/leasestate/leases.go
@@ -40,8 +40,8 @@
 	if found := s.data.Leases[name]; found != nil {
 		return found, ""
 	}
-	if name == "" || len(s.data.Leases) >= maxNames {
-		return nil, refusedLeaseName
+	if name == "" || len(s.data.Leases) >= maxSessionsOrLeases {
+		return nil, refusedLeaseNameOrCount
 	}
 	created := &Lease{}
 	s.data.Leases[name] = created
@@ -70,8 +70,8 @@
 	}
 }
 
-// applyOfHolder applies an entry that only the holder of a lease may propose, under the token of its grant.
-func (s *State) applyOfHolder(entry Entry) Result {
+// applyHolderEntry applies an entry that only the holder of a lease may propose, under the token of its grant.
+func (s *State) applyHolderEntry(entry Entry) Result {
 	held := s.data.Leases[entry.Lease]
 	if held == nil {
 		return Result{Refusal: refusedNotHolder}
--- a/internal/decide/leasestate/policy.go
+++ b/internal/decide/leasestate/policy.go
@@ -21,7 +21,7 @@
 // refuse.
 func (s *State) policyHistory() *policy.History {
 	if s.data.Policy == nil {
-		s.data.Policy, s.data.Version = &policy.History{}, formatVersion
+		s.data.Policy, s.data.Version = &policy.History{}, formatWithPolicy
 	}
 	return s.data.Policy
 }
--- a/internal/decide/leasestate/session.go
+++ b/internal/decide/leasestate/session.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxNames bounds sessions and leases, each. A lease is never deleted, since its fencing token must not be forgotten.
-const maxNames = 10000
+// maxSessionsOrLeases bounds sessions and leases, each. A lease is never deleted, since its fencing token must not be forgotten.
+const maxSessionsOrLeases = 10000
 
 // Session is a process as the coordinator knows it.
 type Session struct {
@@ -45,10 +45,10 @@
 	switch {
 	case entry.Session == "" || entry.Timeout == 0:
 		return Result{Refusal: refusedInvalidSession}
-	case open == nil && len(s.data.Sessions) >= maxNames:
+	case open == nil && len(s.data.Sessions) >= maxSessionsOrLeases:
 		return Result{Refusal: refusedTooManySessions}
 	case open != nil && entry.Incarnation < open.Incarnation:
-		return Result{Refusal: refusedLaterIncarnation, Number: open.Incarnation}
+		return Result{Refusal: refusedOlderIncarnation, Number: open.Incarnation}
 	case open != nil && entry.Incarnation == open.Incarnation: // the same request once more
 		open.LastHeartbeat = s.data.Now
 		s.reportPolicy(open, entry.Policy, entry.RejectedPolicy, entry.Reason)
@@ -69,8 +69,8 @@
 	return Result{Held: true}
 }
 
-// applyOfSession applies an entry that needs an open session of the same incarnation; each is a heartbeat, too.
-func (s *State) applyOfSession(entry Entry) Result {
+// applySessionEntry applies an entry that needs an open session of the same incarnation; each is a heartbeat, too.
+func (s *State) applySessionEntry(entry Entry) Result {
 	session := s.data.Sessions[entry.Session]
 	if session == nil || session.Incarnation != entry.Incarnation {
 		return Result{Refusal: RefusedNoSession}
@@ -86,7 +86,7 @@
 	case AcquireLease:
 		return s.acquireLease(entry)
 	default:
-		return s.applyOfHolder(entry)
+		return s.applyHolderEntry(entry)
 	}
 }
 
--- a/internal/decide/leasestate/snapshot.go
+++ b/internal/decide/leasestate/snapshot.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	initialFormat = 1 // of a snapshot without a policy: builds that know no policy can read it
-	formatVersion = 2 // of one with a policy
-	maxNesting    = 8 // of arrays and maps in an entry or a snapshot
+	formatWithoutPolicy = 1 // of a snapshot without a policy: builds that know no policy can read it
+	formatWithPolicy    = 2 // of one with a policy
+	maxNesting          = 8 // of arrays and maps in an entry or a snapshot
 )
 
 // snapshot is the whole state as it is stored.
@@ -86,8 +86,8 @@
 	if err := cbor.Unmarshal(encoded, &header); err != nil {
 		return fmt.Errorf("snapshot: %w: %w", ErrMalformed, err)
 	}
-	if header.Version > formatVersion {
-		return fmt.Errorf("snapshot: %w: version %d, this build knows %d", ErrNewerVersion, header.Version, formatVersion)
+	if header.Version > formatWithPolicy {
+		return fmt.Errorf("snapshot: %w: version %d, this build knows %d", ErrNewerVersion, header.Version, formatWithPolicy)
 	}
 	if header.Fleet != fleet {
 		return fmt.Errorf("snapshot: of fleet %.64q, not of %q", header.Fleet, fleet)
--- a/internal/decide/leasestate/state.go
+++ b/internal/decide/leasestate/state.go
@@ -23,7 +23,7 @@
 // New returns an empty state of a fleet, in the first epoch.
 func New(fleet string) *State {
 	return &State{snapshot{
-		Version:  initialFormat,
+		Version:  formatWithoutPolicy,
 		Fleet:    fleet,
 		Epoch:    1,
 		Sessions: map[string]*Session{},
@@ -55,7 +55,7 @@
 // Apply applies one log entry. index is its place in the log: an entry at or below the index already reached changes nothing.
 func (s *State) Apply(index uint64, entry Entry) Result {
 	if index <= s.data.Index {
-		return Result{Refusal: refusedAppliedBefore}
+		return Result{Refusal: refusedAlreadyApplied}
 	}
 	s.data.Index = index
 	s.data.Now += entry.Elapsed
@@ -67,7 +67,7 @@
 	case OpenSession:
 		return s.openSession(entry)
 	case KeepAlive, CloseSession, AcquireLease, ReleaseLease, TransferLease, RecordStep, CompleteOrder:
-		return s.applyOfSession(entry)
+		return s.applySessionEntry(entry)
 	case KeepAliveAll:
 		s.keepAliveAll(entry.Heartbeats)
 	case ProposePolicy:
--- a/internal/decide/raftnode/clock.go
+++ b/internal/decide/raftnode/clock.go
@@ -37,7 +37,7 @@
 	// A heartbeat that came in time must not find its session expired by the time that passed while it waited. The one tick more is for
 	// entries that are proposed and not applied: untilExpiry doesn't count the time that they advance by.
 	expiresSoon := anySession && n.NextDeadline()+n.settings.Tick-n.lastEntryTime > float64(untilExpiry)
-	if ticked || n.flushNow || expiresSoon {
+	if ticked || n.flushHeartbeats || expiresSoon {
 		n.proposeHeartbeats()
 	}
 	if anySession && !n.advanceTimePending && n.now-n.lastEntryTime > float64(untilExpiry) {
--- a/internal/decide/raftnode/membership.go
+++ b/internal/decide/raftnode/membership.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxPeers         = 9    // of a cluster: more only make it slower
-	maxRemovedPeers  = 1000 // remembered
-	caughtUpDistance = 64   // entries that a node may lack and still count as caught up
+	maxPeers        = 9    // of a cluster: more only make it slower
+	maxRemovedPeers = 1000 // remembered
+	maxCaughtUpLag  = 64   // entries that a node may lack and still count as caught up
 )
 
 // Peer is a coordinator node. It is stored as it is here.
@@ -116,14 +116,14 @@
 
 func membershipChange(add []Peer, remove []string) *raftpb.ConfChangeV2 {
 	change := &raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionJointImplicit.Enum()}
-	single := func(kind raftpb.ConfChangeType, name string) {
+	addChange := func(kind raftpb.ConfChangeType, name string) {
 		change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(ID(name))})
 	}
 	for _, peer := range add {
-		single(raftpb.ConfChangeAddNode, peer.Name)
+		addChange(raftpb.ConfChangeAddNode, peer.Name)
 	}
 	for _, name := range remove {
-		single(raftpb.ConfChangeRemoveNode, name)
+		addChange(raftpb.ConfChangeRemoveNode, name)
 	}
 	return change
 }
@@ -146,14 +146,14 @@
 		peer.ID = ID(peer.Name)
 		n.peers[peer.ID] = peer
 	}
-	n.forgetPeersThatLeft()
+	n.dropRemovedPeers()
 	if committed.Proposer == n.id {
-		n.answer(committed.Request, leasestate.Result{Held: true})
+		n.complete(committed.Request, leasestate.Result{Held: true})
 	}
 	return nil
 }
 
-func (n *Node) forgetPeersThatLeft() {
+func (n *Node) dropRemovedPeers() {
 	for _, id := range slices.Sorted(maps.Keys(n.peers)) {
 		if slices.Contains(n.confState.GetVoters(), id) || slices.Contains(n.confState.GetVotersOutgoing(), id) {
 			continue
@@ -185,7 +185,7 @@
 			status.Applied, status.CaughtUp, status.Known = n.applied, true, true
 		} else if follower, ok := progress[id]; ok && n.isLeader {
 			status.Applied, status.Known = follower.Match, true
-			status.CaughtUp = follower.RecentActive && follower.Match+caughtUpDistance >= n.applied
+			status.CaughtUp = follower.RecentActive && follower.Match+maxCaughtUpLag >= n.applied
 		}
 		all = append(all, status)
 	}
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -9,19 +9,19 @@
 const (
 	maxHeartbeatsPerEntry = 512
 	maxElapsed            = 60000 // ms that one entry may advance the lease state's time by, its own limit
-	maxPolicyFindings     = 50    // reported about one policy proposal
+	maxPolicyViolations   = 50    // reported about one policy proposal
 
-	// tickShareOfTimeout: a heartbeat waits for the tick only if its session's timeout is at least this many ticks. Its sender waits for
+	// minBatchedTimeoutTicks: a heartbeat waits for the tick only if its session's timeout is at least this many ticks. Its sender waits for
 	// an answer for a quarter of the timeout.
-	tickShareOfTimeout = 16
+	minBatchedTimeoutTicks = 16
 )
 
 // proposal is an entry of the log: a change of the lease state, and the requests that wait for it.
 type proposal struct {
-	Proposer    uint64   `cbor:"1,keyasint"` // node that proposed it
-	Request     uint64   `cbor:"2,keyasint"` // of that node; 0: nobody waits
-	Entry       []byte   `cbor:"3,keyasint"`
-	AlsoAnswers []uint64 `cbor:"4,keyasint,omitempty"` // requests whose heartbeats the entry holds, in their order
+	Proposer          uint64   `cbor:"1,keyasint"` // node that proposed it
+	Request           uint64   `cbor:"2,keyasint"` // of that node; 0: nobody waits
+	Entry             []byte   `cbor:"3,keyasint"`
+	HeartbeatRequests []uint64 `cbor:"4,keyasint,omitempty"` // requests whose heartbeats the entry holds, in their order
 }
 
 type pendingHeartbeat struct {
@@ -41,7 +41,7 @@
 		n.queueHeartbeat(request, entry)
 	default:
 		if entry.Kind == leasestate.ProposePolicy {
-			if reason := rejectionReason(entry); reason != "" {
+			if reason := proposalViolations(entry); reason != "" {
 				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: leasestate.Refusal(reason)}})
 				return
 			}
@@ -56,17 +56,17 @@
 	if err := n.propose(entry, request, nil); err != nil {
 		n.resultUnknown(request)
 	} else if n.settings.SeededDefects.EarlyAnswer {
-		n.answer(request, n.preview(entry))
+		n.complete(request, n.previewResult(entry))
 	}
 }
 
-// rejectionReason returns all that is wrong with the fields of a policy proposal; "" if nothing is. It is checked before the proposal gets
+// proposalViolations returns all that is wrong with the fields of a policy proposal; "" if nothing is. It is checked before the proposal gets
 // into the log, because there every build must apply it in the same way, whichever fields it knows.
-func rejectionReason(entry leasestate.Entry) string {
+func proposalViolations(entry leasestate.Entry) string {
 	var lines []string
 	for _, finding := range entry.Proposal.Difference.Validate() {
 		lines = append(lines, finding.Field+": "+finding.Reason)
-		if len(lines) == maxPolicyFindings {
+		if len(lines) == maxPolicyViolations {
 			lines = append(lines, "and more")
 			break
 		}
@@ -74,8 +74,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// preview returns what an entry would come to if it were committed; a seeded defect answers with it.
-func (n *Node) preview(entry leasestate.Entry) leasestate.Result {
+// previewResult returns what an entry would come to if it were committed; a seeded defect answers with it.
+func (n *Node) previewResult(entry leasestate.Entry) leasestate.Result {
 	state, err := leasestate.Restore(n.settings.Fleet, n.state.Snapshot())
 	if err != nil {
 		return leasestate.Result{Refusal: leasestate.Refusal(err.Error())}
@@ -88,8 +88,8 @@
 	n.heartbeats = append(n.heartbeats, pendingHeartbeat{request, leasestate.Heartbeat{Session: entry.Session, Incarnation: entry.Incarnation,
 		RejectedActs: entry.RejectedActs, Policy: entry.Policy, RejectedPolicy: entry.RejectedPolicy, Reason: entry.Reason}})
 	session, open := n.state.Session(entry.Session)
-	if !open || float64(session.Timeout) < tickShareOfTimeout*n.settings.Tick {
-		n.flushNow = true
+	if !open || float64(session.Timeout) < minBatchedTimeoutTicks*n.settings.Tick {
+		n.flushHeartbeats = true
 	}
 }
 
@@ -97,7 +97,7 @@
 // would write hundreds of entries a second for a fleet of hundreds. The driver calls Advance at each input, so Advance doesn't call this
 // each time.
 func (n *Node) proposeHeartbeats() {
-	n.flushNow = false
+	n.flushHeartbeats = false
 	for len(n.heartbeats) > 0 {
 		batch := n.heartbeats[:min(len(n.heartbeats), maxHeartbeatsPerEntry)]
 		n.heartbeats = n.heartbeats[len(batch):]
@@ -117,10 +117,10 @@
 
 // propose has an entry advance the lease state's time by this leader's clock, and passes it to raft. An error means that raft has dropped
 // it.
-func (n *Node) propose(entry leasestate.Entry, request uint64, alsoAnswers []uint64) error {
+func (n *Node) propose(entry leasestate.Entry, request uint64, heartbeatRequests []uint64) error {
 	elapsed := min(max(0, n.now-n.lastEntryTime), maxElapsed)
 	entry.Elapsed = uint64(elapsed)
-	err := n.raftNode.Propose(encode(proposal{Proposer: n.id, Request: request, Entry: leasestate.Encode(entry), AlsoAnswers: alsoAnswers}))
+	err := n.raftNode.Propose(encode(proposal{Proposer: n.id, Request: request, Entry: leasestate.Encode(entry), HeartbeatRequests: heartbeatRequests}))
 	if err != nil {
 		return err
 	}
@@ -161,8 +161,8 @@
 	}
 }
 
-// answer ends a request that still waits.
-func (n *Node) answer(request uint64, result leasestate.Result) {
+// complete ends a request that still waits.
+func (n *Node) complete(request uint64, result leasestate.Result) {
 	if n.pending[request] {
 		delete(n.pending, request)
 		n.decide(Decision{Action: Done, Request: request, Result: result})
--- a/internal/decide/raftnode/raftnode.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -23,7 +23,7 @@
 
 const (
 	electionTicks       = 10 // etcd's own ratio: a heartbeat each tick, an election after ten without
-	entriesBehind       = 64 // kept behind a snapshot, so that a follower that lags a little needs no snapshot
+	trailingEntries     = 64 // kept behind a snapshot, so that a follower that lags a little needs no snapshot
 	maxPendingRequests  = 10000
 	maxInflightMessages = 64      // to one peer without an acknowledgement
 	maxMessageSize      = 1 << 18 // bytes of entries
@@ -110,12 +110,12 @@
 	isLeader bool
 	leader   uint64
 
-	ready        *raft.Ready // handed out by a Save decision and not yet saved
-	decisions    []Decision  // to be pulled by Next
-	pending      map[uint64]bool
-	pendingReads map[uint64]uint64  // index that must be applied before the read is answered; 0: not known yet
-	heartbeats   []pendingHeartbeat // proposed together at the next tick
-	flushNow     bool               // one of heartbeats can't wait for the tick
+	ready           *raft.Ready // handed out by a Save decision and not yet saved
+	decisions       []Decision  // to be pulled by Next
+	pending         map[uint64]bool
+	pendingReads    map[uint64]uint64  // index that must be applied before the read is answered; 0: not known yet
+	heartbeats      []pendingHeartbeat // proposed together at the next tick
+	flushHeartbeats bool               // one of heartbeats can't wait for the tick
 }
 
 // New returns a node that continues from what was stored. If nothing was stored and Settings.Peers are given, it is a member of a new
--- a/internal/decide/raftnode/ready.go
+++ b/internal/decide/raftnode/ready.go
@@ -71,19 +71,19 @@
 			return
 		}
 	}
-	n.readIndexesKnown(ready.ReadStates)
+	n.recordReadIndexes(ready.ReadStates)
 	n.raftNode.Advance(*ready)
 	if ready.SoftState != nil {
-		n.leaderObserved(ready.SoftState)
+		n.updateLeader(ready.SoftState)
 	}
-	n.answerReads()
+	n.completeReads()
 	if n.applied-n.snapshotIndex >= n.settings.SnapshotInterval || n.membersChanged {
 		n.takeSnapshot()
 	}
 }
 
-// readIndexesKnown notes which index must be applied before each read is answered.
-func (n *Node) readIndexesKnown(states []raft.ReadState) {
+// recordReadIndexes notes which index must be applied before each read is answered.
+func (n *Node) recordReadIndexes(states []raft.ReadState) {
 	for _, state := range states {
 		var request uint64
 		if err := cbor.Unmarshal(state.RequestCtx, &request); err != nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// answerReads answers the reads whose index is applied.
-func (n *Node) answerReads() {
+// completeReads answers the reads whose index is applied.
+func (n *Node) completeReads() {
 	for _, request := range slices.Sorted(maps.Keys(n.pendingReads)) {
 		if index := n.pendingReads[request]; index > 0 && index <= n.applied {
 			delete(n.pendingReads, request)
@@ -105,8 +105,8 @@
 	}
 }
 
-// leaderObserved takes in who leads. Requests that wait at a node that no longer leads may have been carried out or not.
-func (n *Node) leaderObserved(state *raft.SoftState) {
+// updateLeader takes in who leads. Requests that wait at a node that no longer leads may have been carried out or not.
+func (n *Node) updateLeader(state *raft.SoftState) {
 	if n.leader != state.Lead {
 		n.leader = state.Lead
 		n.decide(Decision{Action: LeaderChanged, Leader: n.peers[state.Lead]})
@@ -120,7 +120,7 @@
 		n.beginTerm()
 		return
 	}
-	n.heartbeats, n.flushNow = nil, false
+	n.heartbeats, n.flushHeartbeats = nil, false
 	for _, request := range slices.Sorted(maps.Keys(n.pending)) {
 		n.resultUnknown(request)
 	}
@@ -149,10 +149,10 @@
 		if change.Kind == leasestate.AdvanceTime {
 			n.advanceTimePending = false
 		}
-		n.answer(committed.Request, result)
-		for i, request := range committed.AlsoAnswers {
+		n.complete(committed.Request, result)
+		for i, request := range committed.HeartbeatRequests {
 			if n.pending[request] {
-				n.answer(request, n.heartbeatResult(change.Heartbeats[i]))
+				n.complete(request, n.heartbeatResult(change.Heartbeats[i]))
 			}
 		}
 	}
--- a/internal/decide/raftnode/snapshot.go
+++ b/internal/decide/raftnode/snapshot.go
@@ -22,8 +22,8 @@
 	RemovedPeers []uint64        `cbor:"4,keyasint"` // IDs that can't be used again
 }
 
-// deterministic encodes equal values to equal bytes.
-var deterministic = func() cbor.EncMode {
+// deterministicEncoder encodes equal values to equal bytes.
+var deterministicEncoder = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err) // its options alone can be wrong
@@ -32,7 +32,7 @@
 }()
 
 func encode(value any) []byte {
-	encoded, err := deterministic.Marshal(value)
+	encoded, err := deterministicEncoder.Marshal(value)
 	if err != nil {
 		panic(err) // numbers, strings and bytes always have an encoding
 	}
@@ -105,7 +105,7 @@
 		n.err = err
 		return
 	}
-	compacted := max(n.applied, entriesBehind) - min(entriesBehind, n.settings.SnapshotInterval/2) // the last index that is dropped
+	compacted := max(n.applied, trailingEntries) - min(trailingEntries, n.settings.SnapshotInterval/2) // the last index that is dropped
 	if compacted >= first {
 		if err := n.log.Compact(compacted); err != nil {
 			n.err = err
