--- a/internal/decide/leasestate/codec_test.go
+++ b/internal/decide/leasestate/codec_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestDecode_UnknownOrMalformed(t *testing.T) {
-	later, _ := cbor.Marshal(map[int]any{1: "take", 2: 5, 99: "what a later build means"})
+	later, _ := cbor.Marshal(map[int]any{1: "take", 2: 5, 99: "field of a later build"})
 	kind, _ := cbor.Marshal(map[int]any{1: "merge"})
 	long, _ := cbor.Marshal(map[int]any{1: "take", 7: strings.Repeat("x", maxTextBytes+1)})
 	for name, test := range map[string]struct {
@@ -34,21 +34,21 @@
 	state := newTestState("a")
 	state.apply(acquire("a"))
 	encoded := state.Snapshot()
-	if _, err := Restore("g", encoded); err == nil || !strings.Contains(err.Error(), `of fleet "f", not of "g"`) {
-		t.Error("another fleet's:", err)
+	if _, err := Restore("g", encoded); err == nil || !strings.Contains(err.Error(), `belongs to fleet "f", not to fleet "g"`) {
+		t.Error("snapshot of another fleet:", err)
 	}
 	for size := range encoded {
 		if restored, err := Restore("f", encoded[:size]); err == nil {
-			t.Fatalf("%d of %d bytes read as %v", size, len(encoded), restored.Leases())
+			t.Fatalf("a snapshot truncated to %d of %d bytes was restored, with leases %v", size, len(encoded), restored.Leases())
 		}
 	}
 	state.data.Version = formatWithPolicy + 1
 	if _, err := Restore("f", state.Snapshot()); !errors.Is(err, ErrNewerVersion) {
-		t.Error("a later snapshot:", err)
+		t.Error("snapshot of a later format:", err)
 	}
 }
 
-// What a proposal holds is bounded before it gets into the log.
+// Entries whose proposal is missing, unexpected or too large are rejected when they are decoded, before they get into the log.
 func TestDecode_ProposalBounds(t *testing.T) {
 	large := map[string]string{}
 	for n := range 1100 {
@@ -56,8 +56,8 @@
 	}
 	p := &policy.Proposal{Difference: policy.Difference{Set: map[string]string{"a": "b"}}}
 	for name, entry := range map[string]Entry{
-		"no proposal":                {Kind: ProposePolicy},
-		"proposal of another kind":   {Kind: AdvanceTime, Proposal: p},
+		"missing proposal":           {Kind: ProposePolicy},
+		"proposal in another kind":   {Kind: AdvanceTime, Proposal: p},
 		"proposal with long reason":  {Kind: ProposePolicy, Proposal: &policy.Proposal{Reason: strings.Repeat("x", 201)}},
 		"large proposal":             {Kind: ProposePolicy, Proposal: &policy.Proposal{Difference: policy.Difference{Set: large}}},
 		"heartbeat with long reason": {Kind: KeepAlive, Reason: strings.Repeat("x", maxTextBytes+1)},
@@ -82,7 +82,7 @@
 		if restored, err := Restore("f", encoded); err == nil {
 			restored.Apply(restored.Index()+1, Entry{Kind: AdvanceTime, Elapsed: 1})
 			if _, err := Restore("f", restored.Snapshot()); err != nil {
-				t.Fatal("what was read can not be read again:", err)
+				t.Fatal("the snapshot of a restored state can't be restored:", err)
 			}
 		}
 	})
--- a/internal/decide/leasestate/entry.go
+++ b/internal/decide/leasestate/entry.go
@@ -11,35 +11,37 @@
 )
 
 const (
-	maxTextBytes = 256   // of a name, a reason or a step
-	maxElapsedMs = 60000 // in one entry, and of a session's timeout: a leader that stood still for longer has to resign
+	maxTextBytes = 256 // length limit of each name, reason, step and other text field of an entry
+	// maxElapsedMs limits the elapsed time of one entry and the timeout of a session. A leader that was paused for longer doesn't need more:
+	// it restarts all session timeouts instead of counting the pause.
+	maxElapsedMs = 60000
 )
 
-// Kind tells what an entry does. Its text is in the log.
+// Kind is the operation of an entry. Its text is stored in the log.
 type Kind string
 
-// The kinds of entries, with the fields that each of them sets.
+// The kinds of entries, with the Entry fields that each of them uses.
 const (
-	BeginTerm     Kind = "lead"   // a new leader begins: all sessions get their whole timeout again; Epoch is taken by a state that has none
-	AdvanceTime   Kind = "tick"   // time has passed
-	OpenSession   Kind = "open"   // Session begins, or begins again with a higher Incarnation; Role, Timeout, Address
-	KeepAlive     Kind = "beat"   // a heartbeat of Session
-	KeepAliveAll  Kind = "beats"  // Heartbeats of many sessions
-	CloseSession  Kind = "end"    // Session ends at its own request
+	BeginTerm     Kind = "lead"   // first entry of a new leader: restarts all session timeouts; a state without an epoch takes Epoch
+	AdvanceTime   Kind = "tick"   // only advances the time by Elapsed
+	OpenSession   Kind = "open"   // opens Session, or replaces it by one of a higher Incarnation; Role, Timeout, Address
+	KeepAlive     Kind = "beat"   // heartbeat of Session
+	KeepAliveAll  Kind = "beats"  // heartbeats of many sessions: Heartbeats
+	CloseSession  Kind = "end"    // closes Session at its own request
 	AcquireLease  Kind = "take"   // Session requests Lease
-	ReleaseLease  Kind = "free"   // Session gives Lease back, held under Token
-	TransferLease Kind = "pass"   // Session gives Lease, held under Token, to the session named To, if that is open
-	RecordStep    Kind = "note"   // Session records a step of Lease, held under Token, before it is taken: Text
-	ReportToken   Kind = "told"   // a receiver has seen a higher Token of Lease than is known here
-	BeginEpoch    Kind = "ascend" // an operator begins a new Epoch
-	PlaceOrder    Kind = "order"  // an operator orders something of the holder of Lease: Text
-	CompleteOrder Kind = "did"    // Session ended order Number of Lease, held under Token; Text tells the outcome
-	// ProposePolicy asks for a change of the policy: Proposal. Builds that don't know it stop at such an entry, so all nodes of the
-	// coordinator must know it before the first.
+	ReleaseLease  Kind = "free"   // Session releases Lease, which it holds under Token
+	TransferLease Kind = "pass"   // Session transfers Lease, which it holds under Token, to the session To, if that is open
+	RecordStep    Kind = "note"   // Session, which holds Lease under Token, records the step Text before it executes it
+	ReportToken   Kind = "told"   // a receiver has seen a higher Token for Lease than the latest grant in this state
+	BeginEpoch    Kind = "ascend" // an operator starts a new Epoch
+	PlaceOrder    Kind = "order"  // an operator places the order Text for the holder of Lease
+	CompleteOrder Kind = "did"    // Session, which holds Lease under Token, has completed order Number with the outcome Text
+	// ProposePolicy requests a change of the policy: Proposal. A build that doesn't know this kind stops at such an entry, so all coordinator
+	// nodes must be upgraded before the first one is proposed.
 	ProposePolicy Kind = "propose"
 )
 
-// known tells whether this build can apply entries of the kind.
+// known reports whether this build can apply entries of the kind.
 func (k Kind) known() bool {
 	switch k {
 	case BeginTerm, AdvanceTime, OpenSession, KeepAlive, KeepAliveAll, CloseSession, AcquireLease, ReleaseLease, TransferLease,
@@ -49,30 +51,30 @@
 	return false
 }
 
-// Entry is one entry of the log; only the fields of its kind are set.
+// Entry is one log entry. Only the fields that its kind uses are set.
 type Entry struct {
 	Kind           Kind             `cbor:"1,keyasint"`
-	Elapsed        uint64           `cbor:"2,keyasint,omitempty"` // ms on the leader's clock since its entry before
+	Elapsed        uint64           `cbor:"2,keyasint,omitempty"` // ms on the leader's clock since its previous entry
 	Session        string           `cbor:"3,keyasint,omitempty"`
 	Incarnation    uint64           `cbor:"4,keyasint,omitempty"`
 	Role           string           `cbor:"5,keyasint,omitempty"`
-	Timeout        uint64           `cbor:"6,keyasint,omitempty"` // ms without a heartbeat that the session outlives
+	Timeout        uint64           `cbor:"6,keyasint,omitempty"` // ms; the session expires after a longer time without a heartbeat
 	Lease          string           `cbor:"7,keyasint,omitempty"`
 	Token          lease.Token      `cbor:"8,keyasint,omitzero"`
 	To             string           `cbor:"9,keyasint,omitempty"`
 	Text           string           `cbor:"10,keyasint,omitempty"`
 	Epoch          uint64           `cbor:"11,keyasint,omitempty"`
-	Address        string           `cbor:"12,keyasint,omitempty"` // where Session receives acts of lease holders
-	Policy         uint64           `cbor:"13,keyasint,omitempty"` // number of the policy's version that Session has applied
+	Address        string           `cbor:"12,keyasint,omitempty"` // at which Session receives the acts of lease holders
+	Policy         uint64           `cbor:"13,keyasint,omitempty"` // packed policy version that Session has applied
 	Number         uint64           `cbor:"14,keyasint,omitempty"`
 	Heartbeats     []Heartbeat      `cbor:"15,keyasint,omitempty"`
-	RejectedActs   uint64           `cbor:"16,keyasint,omitempty"` // acts that Session rejected for their fencing token since its start
+	RejectedActs   uint64           `cbor:"16,keyasint,omitempty"` // acts that Session has rejected since its start for a stale fencing token
 	Proposal       *policy.Proposal `cbor:"17,keyasint,omitempty"`
-	RejectedPolicy uint64           `cbor:"18,keyasint,omitempty"` // number of a version that Session couldn't apply
-	Reason         string           `cbor:"19,keyasint,omitempty"` // why it couldn't
+	RejectedPolicy uint64           `cbor:"18,keyasint,omitempty"` // packed policy version that Session couldn't apply
+	Reason         string           `cbor:"19,keyasint,omitempty"` // why Session couldn't apply RejectedPolicy
 }
 
-// Heartbeat is the heartbeat of one session within a KeepAliveAll entry; the fields are those of the same names in Entry.
+// Heartbeat is the heartbeat of one session in a KeepAliveAll entry. Its fields have the same meaning as in Entry.
 type Heartbeat struct {
 	Session        string `cbor:"1,keyasint"`
 	Incarnation    uint64 `cbor:"2,keyasint"`
@@ -82,17 +84,17 @@
 	Reason         string `cbor:"6,keyasint,omitempty"`
 }
 
-// Encode returns an entry's bytes for the log.
+// Encode returns the encoding of an entry in the log.
 func Encode(entry Entry) []byte {
 	encoded, err := canonical.encoder.Marshal(entry)
 	if err != nil {
-		panic(err) // an entry has no value that can't be encoded
+		panic(err) // all field types of Entry can be encoded
 	}
 	return encoded
 }
 
-// Decode reads an entry. One with a kind or a field that this build doesn't know is refused as a whole with ErrNewerVersion, one that no
-// build writes with ErrMalformed.
+// Decode decodes an entry. The error matches ErrNewerVersion if the kind or a field is unknown to this build, and ErrMalformed if the
+// bytes can't have been written by any build.
 func Decode(encoded []byte) (Entry, error) {
 	var entry Entry
 	if err := canonical.decoder.Unmarshal(encoded, &entry); err != nil {
@@ -104,7 +106,7 @@
 	return entry, entry.validate()
 }
 
-// validate refuses what Decode must not let in.
+// validate checks what the encoding doesn't: the kind, the limits, and that exactly the entries of kind ProposePolicy have a proposal.
 func (e *Entry) validate() error {
 	if !e.Kind.known() {
 		return fmt.Errorf("entry: %w: kind %.32q", ErrNewerVersion, e.Kind)
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// longestTextBytes returns the bytes of the longest text outside of a proposal, which has bounds of its own.
+// longestTextBytes returns the length of the longest text field, except for those of the proposal, which has its own limits.
 func (e *Entry) longestTextBytes() (size int) {
 	for _, text := range []string{e.Session, e.Role, e.Lease, e.To, e.Text, e.Address, e.Reason} {
 		size = max(size, len(text))
--- a/internal/decide/leasestate/errors.go
+++ b/internal/decide/leasestate/errors.go
@@ -2,23 +2,25 @@
 
 import "errors"
 
-// Decoding errors, matched by errors.Is.
+// Decoding errors, to be matched with errors.Is.
 var (
-	// ErrNewerVersion means that a later build wrote an entry or a snapshot: a node that can't read it must stop, not skip it.
+	// ErrNewerVersion means that the entry or snapshot was written by a later build. The node must stop: skipping it would make its state
+	// diverge from that of the other nodes.
 	ErrNewerVersion = errors.New("written by a later version")
-	// ErrMalformed means that no build writes such bytes.
+	// ErrMalformed means that the bytes can't have been written by any build.
 	ErrMalformed = errors.New("malformed")
 )
 
-// Refusal is why an entry was refused. Its text goes over the wire and to operators as it is; code decides by the constants alone.
+// Refusal is the reason why an entry was rejected. Its text is sent on the wire and shown to operators. Code compares it only with the
+// constants below.
 type Refusal string
 
-// Error returns the refusal's text.
+// Error implements error.
 func (r Refusal) Error() string { return string(r) }
 
-// Refusals that don't name anything of the state. Their texts are on the wire.
+// Refusals whose text doesn't depend on the state. The texts are part of the wire protocol.
 const (
-	// RefusedNoSession is of an entry whose session isn't open, or is open under another incarnation: it must be opened first.
+	// RefusedNoSession means that the entry's session isn't open, or is open with another incarnation: it must be opened first.
 	RefusedNoSession Refusal = "no such session"
 
 	refusedAlreadyApplied   Refusal = "applied before"
--- a/internal/decide/leasestate/events.go
+++ b/internal/decide/leasestate/events.go
@@ -7,27 +7,28 @@
 	"wayloft/internal/decide/lease"
 )
 
-// maxEvents is how many events are kept for watchers: one that is further behind reads the whole state again.
+// maxEvents is the number of latest events that are kept for watchers. A watcher that is further behind reads the whole state again.
 const maxEvents = 1000
 
-// Event is one change that watchers are notified of: of a session, a lease or the policy.
+// Event is one change of a session, a lease or the policy that watchers are notified of.
 type Event struct {
-	Index   uint64      `cbor:"1,keyasint"`           // of the entry that made it
-	Session string      `cbor:"2,keyasint,omitempty"` // that began or ended; of a lease its holder
-	Ended   bool        `cbor:"3,keyasint,omitempty"` // the session, or its hold of the lease
+	Index   uint64      `cbor:"1,keyasint"`           // of the entry that caused it
+	Session string      `cbor:"2,keyasint,omitempty"` // that was opened or ended; for an event of a lease, its holder
+	Ended   bool        `cbor:"3,keyasint,omitempty"` // the session has ended or no longer holds the lease
 	Lease   string      `cbor:"4,keyasint,omitempty"`
 	Token   lease.Token `cbor:"5,keyasint,omitzero"`
 	Reason  EndReason   `cbor:"6,keyasint,omitempty"` // why the session ended
-	Policy  uint64      `cbor:"7,keyasint,omitempty"` // number of the version that is in force now
+	Policy  uint64      `cbor:"7,keyasint,omitempty"` // packed policy version that is now in force
 }
 
-// emit keeps an event of the entry that is being applied.
+// emit records an event of the entry that is being applied.
 func (s *State) emit(event Event) {
 	event.Index = s.data.Index
 	s.data.Events = appendBounded(s.data.Events, event, maxEvents)
 }
 
-// Since returns the events after an index, or false where some of them are no longer kept: then the whole state must be read again.
+// Since returns the events of the entries after index. It returns false if some of them are no longer kept; the caller must then read the
+// whole state again.
 func (s *State) Since(index uint64) ([]Event, bool) {
 	events := s.data.Events
 	if len(events) == maxEvents && index < events[0].Index {
@@ -37,7 +38,7 @@
 	return slices.Clone(events[first:]), true
 }
 
-// appendBounded appends to a list of which the latest elements are kept.
+// appendBounded appends to a list and drops its oldest elements beyond the limit.
 func appendBounded[T any](list []T, element T, most int) []T {
 	list = append(list, element)
 	if excess := len(list) - most; excess > 0 {
--- a/internal/decide/leasestate/helpers_test.go
+++ b/internal/decide/leasestate/helpers_test.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// testState is a state with the index of its log.
+// testState is a State and the index of the last entry that was applied to it.
 type testState struct {
 	*State
 	index uint64
@@ -39,7 +39,7 @@
 
 func token(epoch, count uint64) lease.Token { return lease.Token{Epoch: epoch, Count: count} }
 
-// proposeShare proposes a document of one field.
+// proposeShare proposes a policy document with a single field.
 func (state *testState) proposeShare(share string) Result {
 	now := state.Policy()
 	p := policy.Propose(now.Version, now.Document, policy.Document{"over_share_value": share}, "a", "to "+share)
--- a/internal/decide/leasestate/leases.go
+++ b/internal/decide/leasestate/leases.go
@@ -6,24 +6,25 @@
 	"wayloft/internal/decide/lease"
 )
 
-// Lease is the right of one process at a time to act for the fleet in one matter.
+// Lease is the exclusive right of one process at a time to perform one duty for the fleet.
 type Lease struct {
-	Holder       string      `cbor:"1,keyasint"` // a session; empty: nobody
-	Token        lease.Token `cbor:"2,keyasint"` // of the latest grant; it never goes back
-	Since        uint64      `cbor:"3,keyasint"` // time of the state at which it was granted or became free
-	Queue        []string    `cbor:"4,keyasint"` // sessions that requested it, the next holder first
-	ForeignToken lease.Token `cbor:"5,keyasint"` // the highest that a receiver has seen though it was never granted here
-	Steps        []Step      `cbor:"6,keyasint"` // since the open order was placed, or the latest ended
-	Open         Order       `cbor:"7,keyasint"` // the order that the holder has to carry out
-	Ended        Order       `cbor:"8,keyasint"` // the latest that was ended, with its outcome
+	Holder       string      `cbor:"1,keyasint"` // session name; empty if the lease is free
+	Token        lease.Token `cbor:"2,keyasint"` // of the latest grant; it never decreases
+	Since        uint64      `cbor:"3,keyasint"` // state time at which the lease was granted or became free
+	Queue        []string    `cbor:"4,keyasint"` // sessions that wait for the lease, the next holder first
+	ForeignToken lease.Token `cbor:"5,keyasint"` // highest token that a receiver has reported and that isn't a grant in this state
+	Steps        []Step      `cbor:"6,keyasint"` // since the open order was placed or the previous one completed
+	Open         Order       `cbor:"7,keyasint"` // order that the holder must execute; number 0 if there is none
+	Ended        Order       `cbor:"8,keyasint"` // order completed last, with its outcome
 }
 
-// dequeue drops a session's request.
+// dequeue removes a session from the queue.
 func (l *Lease) dequeue(session string) {
 	l.Queue = slices.DeleteFunc(l.Queue, func(queued string) bool { return queued == session })
 }
 
-// nextToken returns the fencing token of the next grant in an epoch. Where the epoch has no more tokens it is of the epoch after.
+// nextToken returns the fencing token of the next grant in an epoch. If the epoch's tokens are exhausted, it is the first one of the epoch
+// after.
 func (l *Lease) nextToken(epoch uint64) lease.Token {
 	next := lease.Token{Epoch: epoch, Count: 1}
 	if l.Token.Epoch == epoch {
@@ -35,7 +36,7 @@
 	return next
 }
 
-// findOrCreateLease returns a lease, created free where it was never asked for.
+// findOrCreateLease returns a lease; it creates a free one if there is none with that name.
 func (s *State) findOrCreateLease(name string) (*Lease, Refusal) {
 	if found := s.data.Leases[name]; found != nil {
 		return found, ""
@@ -48,7 +49,8 @@
 	return created, ""
 }
 
-// acquireLease queues a session's request and grants the lease if it is free. A holder that requests it again gets the same token.
+// acquireLease adds the session to the lease's queue and grants the lease if it is free. A holder that requests it again gets the same
+// token.
 func (s *State) acquireLease(entry Entry) Result {
 	requested, refusal := s.findOrCreateLease(entry.Lease)
 	if requested == nil {
@@ -70,7 +72,7 @@
 	}
 }
 
-// applyHolderEntry applies an entry that only the holder of a lease may propose, under the token of its grant.
+// applyHolderEntry applies an entry that only the holder of a lease may propose, with the token of its grant.
 func (s *State) applyHolderEntry(entry Entry) Result {
 	held := s.data.Leases[entry.Lease]
 	if held == nil {
@@ -94,7 +96,7 @@
 	return Result{Token: held.Token}
 }
 
-// transferLease has the holder's successor granted a lease next, whoever else is in the queue.
+// transferLease releases a lease and grants it to the successor that the holder has chosen, ahead of the queue.
 func (s *State) transferLease(held *Lease, entry Entry) Result {
 	if s.data.Sessions[entry.To] == nil {
 		return Result{Held: true, Token: held.Token, Refusal: refusedNoSuccessor}
@@ -105,9 +107,9 @@
 	return Result{Token: held.Token}
 }
 
-// grantLease gives a free lease to the first of its queue. Guards against fencing tokens that go back after state was lost: where a
-// receiver has seen a token that this state doesn't know, there may have been higher ones in its epoch, so nobody gets the lease until
-// an operator has begun a later epoch.
+// grantLease grants a free lease to the first session in its queue. It prevents fencing tokens from decreasing after a loss of state: if a
+// receiver has reported a token that isn't known here, even higher ones may have been granted in that token's epoch, so the lease isn't
+// granted until an operator has started a later epoch.
 func (s *State) grantLease(name string) {
 	free := s.data.Leases[name]
 	if len(free.Queue) == 0 || free.Holder != "" {
@@ -123,7 +125,7 @@
 	s.emit(Event{Lease: name, Token: next, Session: free.Holder})
 }
 
-// freeLease takes a lease from its holder, if it has one, and grants it to the next of its queue at once.
+// freeLease takes a lease from its holder, if it has one, and grants it to the next session in the queue.
 func (s *State) freeLease(name string) {
 	held := s.data.Leases[name]
 	if held.Holder != "" {
@@ -133,9 +135,9 @@
 	s.grantLease(name)
 }
 
-// reportToken takes in that a receiver has seen a fencing token that was never granted here, or one that was granted to another
-// session than the one that acted under it, where the receiver names that: this state is older than what the fleet has seen. The lease
-// is taken from its holder, whose acts would be rejected, and is granted again in a later epoch only.
+// reportToken handles a receiver's report of a fencing token that it has seen. The state is older than what the fleet has seen if that token
+// was never granted here, or was granted to a session other than the one that the report says has used it. The lease is then taken from its
+// holder, whose acts would be rejected, and is granted again only in a later epoch.
 func (s *State) reportToken(entry Entry) Result {
 	reported, refusal := s.findOrCreateLease(entry.Lease)
 	if reported == nil {
@@ -153,8 +155,8 @@
 	return Result{Token: reported.Token, Refusal: refusedStateBehind}
 }
 
-// LatestToken returns the fencing token below which nothing of a lease is in force any more: what a receiver learns that knows nothing
-// yet. In an epoch without a grant it is the epoch's beginning, since the grants of epochs before are over.
+// LatestToken returns the lowest fencing token of a lease that can still be valid. Receivers that have no token in memory start from it. If
+// the lease hasn't been granted in the current epoch, this is the epoch's token with count 0, since a new epoch ends all earlier grants.
 func (s *State) LatestToken(name string) lease.Token {
 	latest := lease.Token{Epoch: s.data.Epoch}
 	if granted := s.data.Leases[name]; granted != nil && granted.Token.Compare(latest) > 0 {
--- a/internal/decide/leasestate/orders.go
+++ b/internal/decide/leasestate/orders.go
@@ -6,22 +6,22 @@
 	"wayloft/internal/decide/lease"
 )
 
-// maxSteps is how many of a lease's steps are kept: the latest.
+// maxSteps is the number of latest steps that are kept for each lease.
 const maxSteps = 16
 
-// Order is what an operator asks of a lease's holder. Orders of one lease are numbered from 1; number 0 is none.
+// Order is an operator's instruction to the holder of a lease. The orders of a lease are numbered from 1; number 0 means no order.
 type Order struct {
 	Number uint64 `cbor:"1,keyasint" json:"number"`
-	Text   string `cbor:"2,keyasint" json:"text"` // what is asked; of an ended one its outcome
+	Text   string `cbor:"2,keyasint" json:"text"` // instruction; for a completed order, its outcome
 }
 
-// Step is what a holder recorded before it did it, for itself and for the next holder.
+// Step is a step that a holder recorded before executing it, so that the next holder can continue from it.
 type Step struct {
-	Token lease.Token `cbor:"1,keyasint"` // under which the lease was held
+	Token lease.Token `cbor:"1,keyasint"` // under which the holder had the lease
 	Text  string      `cbor:"2,keyasint"`
 }
 
-// placeOrder opens an operator's order; the same text again, while it is open, is the same order.
+// placeOrder opens an operator's order. It is idempotent: while an order is open, one with the same text is the same order.
 func (s *State) placeOrder(entry Entry) Result {
 	ordered, refusal := s.findOrCreateLease(entry.Lease)
 	switch {
@@ -39,13 +39,12 @@
 	return Result{Held: true, Token: ordered.Token, Number: ordered.Open.Number}
 }
 
-// recordStep keeps a step of the holder's.
 func (s *State) recordStep(held *Lease, entry Entry) {
 	held.Steps = appendBounded(held.Steps, Step{held.Token, entry.Text}, maxSteps)
 	s.emit(Event{Lease: entry.Lease, Token: held.Token, Session: held.Holder})
 }
 
-// completeOrder ends the open order with its outcome, if it is the one that the holder names.
+// completeOrder closes the open order with its outcome, if its number is the one in the entry.
 func (s *State) completeOrder(held *Lease, entry Entry) {
 	if entry.Number == 0 || entry.Number != held.Open.Number {
 		return
--- a/internal/decide/leasestate/orders_test.go
+++ b/internal/decide/leasestate/orders_test.go
@@ -2,44 +2,45 @@
 
 import "testing"
 
-func TestRecordStep_OfHolderOnlyAndLatestKept(t *testing.T) {
+func TestRecordStep_OnlyByHolderAndLatestKept(t *testing.T) {
 	state := newTestState("a", "b")
 	state.apply(acquire("a"))
-	note := Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Text: "hold"}
-	requireEqual(t, "noted", state.apply(note).Held, true)
+	record := Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Text: "hold"}
+	requireEqual(t, "recorded by the holder", state.apply(record).Held, true)
 	state.apply(Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1)})
 	state.apply(acquire("b"))
-	note.Text = "late"
-	requireEqual(t, "a former holder's", state.apply(note).Token, token(1, 2))
+	record.Text = "late"
+	requireEqual(t, "token returned to a former holder", state.apply(record).Token, token(1, 2))
 	for range 40 {
 		state.apply(Entry{Kind: RecordStep, Session: "b", Incarnation: 1, Lease: "d", Token: token(1, 2), Text: "go"})
 	}
 	stored, _ := state.Lease("d")
-	requireEqual(t, "kept", len(stored.Steps), maxSteps)
+	requireEqual(t, "number of steps kept", len(stored.Steps), maxSteps)
 	for _, s := range stored.Steps {
 		requireEqual(t, "step", s.Text, "go")
 	}
 }
 
-// An operator's order is open until some holder of its lease ends it, whoever that is by then; the same words again are the same.
+// An operator's order stays open, with its recorded steps, across changes of the holder until one of them completes it. Placing the same
+// text again while it is open is idempotent.
 func TestOrder_OpenUntilSomeHolderCompletesIt(t *testing.T) {
 	state := newTestState("a", "b")
 	order := Entry{Kind: PlaceOrder, Lease: "d", Text: "to m2"}
-	requireEqual(t, "number", state.apply(order).Number, uint64(1))
-	requireEqual(t, "again", state.apply(order).Number, uint64(1))
-	requireEqual(t, "another", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Refusal, Refusal("order 1 is open: to m2"))
+	requireEqual(t, "number of the first order", state.apply(order).Number, uint64(1))
+	requireEqual(t, "number of the same order again", state.apply(order).Number, uint64(1))
+	requireEqual(t, "another order while one is open", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Refusal, Refusal("order 1 is open: to m2"))
 	state.apply(acquire("a"))
 	state.apply(Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Text: "hold"})
-	did := Entry{Kind: CompleteOrder, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Number: 1, Text: "done"}
+	complete := Entry{Kind: CompleteOrder, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Number: 1, Text: "done"}
 	state.apply(acquire("b"))
 	state.apply(Entry{Kind: CloseSession, Session: "a", Incarnation: 1})
-	requireEqual(t, "a former holder's", state.apply(did).Refusal, Refusal("no such session"))
+	requireEqual(t, "completed by a former holder", state.apply(complete).Refusal, Refusal("no such session"))
 	stored, _ := state.Lease("d")
-	requireEqual(t, "steps that the next holder finds", len(stored.Steps), 1)
-	did.Session, did.Token = "b", token(1, 2)
-	requireEqual(t, "ended", state.apply(did).Number, uint64(1))
+	requireEqual(t, "steps left for the next holder", len(stored.Steps), 1)
+	complete.Session, complete.Token = "b", token(1, 2)
+	requireEqual(t, "completed by the new holder", state.apply(complete).Number, uint64(1))
 	stored, _ = state.Lease("d")
-	requireEqual(t, "what is kept", stored.Ended, Order{1, "done"})
-	requireEqual(t, "open", stored.Open.Number, uint64(0))
-	requireEqual(t, "the next", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Number, uint64(2))
+	requireEqual(t, "completed order", stored.Ended, Order{1, "done"})
+	requireEqual(t, "open order", stored.Open.Number, uint64(0))
+	requireEqual(t, "number of the next order", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Number, uint64(2))
 }
--- a/internal/decide/leasestate/policy.go
+++ b/internal/decide/leasestate/policy.go
@@ -2,8 +2,8 @@
 
 import "wayloft/internal/decide/policy"
 
-// proposePolicy applies a change of the policy. Whether its fields may change is judged before the entry gets into the log
-// (policy.Difference.Judge): a build with another table of fields would make another state of the same entry.
+// proposePolicy applies a change of the policy. Whether its fields may change is checked before the entry is proposed
+// (policy.Difference.Validate) and not here: builds whose tables of fields differ would compute different states from the same entry.
 func (s *State) proposePolicy(entry Entry) Result {
 	history := s.policyHistory()
 	before := history.Version
@@ -17,8 +17,8 @@
 	return Result{Held: true, Number: version.Number}
 }
 
-// policyHistory returns the history of policies, for a change. From the first change on snapshots have the format that earlier builds
-// refuse.
+// policyHistory returns the policy history for modification. Once it exists, snapshots are written in the format that builds without policy
+// support reject.
 func (s *State) policyHistory() *policy.History {
 	if s.data.Policy == nil {
 		s.data.Policy, s.data.Version = &policy.History{}, formatWithPolicy
@@ -26,7 +26,8 @@
 	return s.data.Policy
 }
 
-// Policy returns the policy in force and its history, empty before the first proposal. The caller must neither change nor keep it.
+// Policy returns the policy in force and its history, which is empty before the first proposal. The caller must neither modify nor retain
+// it.
 func (s *State) Policy() *policy.History {
 	if s.data.Policy == nil {
 		return &policy.History{}
--- a/internal/decide/leasestate/session.go
+++ b/internal/decide/leasestate/session.go
@@ -2,44 +2,44 @@
 
 import "slices"
 
-// maxSessionsOrLeases bounds sessions and leases, each. A lease is never deleted, since its fencing token must not be forgotten.
+// maxSessionsOrLeases limits the number of sessions, and that of leases. A lease is never deleted, since its fencing token must not be lost.
 const maxSessionsOrLeases = 10000
 
-// Session is a process as the coordinator knows it.
+// Session is the coordinator's record of one process.
 type Session struct {
 	Incarnation    uint64 `cbor:"1,keyasint"`
 	Role           string `cbor:"2,keyasint"`
-	Timeout        uint64 `cbor:"3,keyasint"` // ms without a heartbeat that it outlives
-	LastHeartbeat  uint64 `cbor:"4,keyasint"` // on the state's time
+	Timeout        uint64 `cbor:"3,keyasint"` // ms; the session expires after a longer time without a heartbeat
+	LastHeartbeat  uint64 `cbor:"4,keyasint"` // state time
 	Address        string `cbor:"5,keyasint"`
-	Policy         uint64 `cbor:"6,keyasint"`           // number of the policy's version that it has applied, as it last reported
-	RejectedActs   uint64 `cbor:"7,keyasint"`           // acts that it rejected for their fencing token
-	RejectedPolicy uint64 `cbor:"8,keyasint,omitempty"` // number of a version that it couldn't apply
-	Reason         string `cbor:"9,keyasint,omitempty"` // why it couldn't
+	Policy         uint64 `cbor:"6,keyasint"`           // packed policy version that it has applied, as last reported
+	RejectedActs   uint64 `cbor:"7,keyasint"`           // number of acts that it has rejected because of a stale fencing token
+	RejectedPolicy uint64 `cbor:"8,keyasint,omitempty"` // packed policy version that it couldn't apply
+	Reason         string `cbor:"9,keyasint,omitempty"` // why it couldn't apply RejectedPolicy
 }
 
-// EndReason is why a session ended. Its text is in snapshots and in the audit log.
+// EndReason is the reason why a session ended. Its text is stored in snapshots and in the audit log.
 type EndReason string
 
 const (
-	// EndExpired is of a session without a heartbeat for longer than its timeout.
+	// EndExpired means that the session had no heartbeat for longer than its timeout.
 	EndExpired EndReason = "silent"
-	// EndReplaced is of a session whose process was started again: the new one knows nothing of what the session held.
+	// EndReplaced means that the process was restarted. The new process doesn't know which leases the session held.
 	EndReplaced EndReason = "anew"
-	// EndClosed is of a session that ended at its own request.
+	// EndClosed means that the session was closed at its own request.
 	EndClosed EndReason = "left"
 )
 
-// heartbeat takes in that a session's process was alive now.
+// heartbeat restarts the session's timeout.
 func (s *Session) heartbeat(now, rejectedActs uint64) {
 	s.LastHeartbeat = now
 	s.RejectedActs = max(s.RejectedActs, rejectedActs)
 }
 
-// expiresAt is the time after which a session ends that has no further heartbeat.
+// expiresAt returns the state time after which the session expires unless it has another heartbeat.
 func (s *Session) expiresAt() uint64 { return s.LastHeartbeat + s.Timeout }
 
-// openSession begins a session, or one of a higher incarnation in its place.
+// openSession opens a session, or replaces an open one by one of a higher incarnation.
 func (s *State) openSession(entry Entry) Result {
 	open := s.data.Sessions[entry.Session]
 	switch {
@@ -49,7 +49,7 @@
 		return Result{Refusal: refusedTooManySessions}
 	case open != nil && entry.Incarnation < open.Incarnation:
 		return Result{Refusal: refusedOlderIncarnation, Number: open.Incarnation}
-	case open != nil && entry.Incarnation == open.Incarnation: // the same request once more
+	case open != nil && entry.Incarnation == open.Incarnation: // a retry of the request
 		open.LastHeartbeat = s.data.Now
 		s.reportPolicy(open, entry.Policy, entry.RejectedPolicy, entry.Reason)
 		return Result{Held: true}
@@ -69,7 +69,7 @@
 	return Result{Held: true}
 }
 
-// applySessionEntry applies an entry that needs an open session of the same incarnation; each is a heartbeat, too.
+// applySessionEntry applies an entry that requires an open session with the same incarnation. Every such entry also counts as a heartbeat.
 func (s *State) applySessionEntry(entry Entry) Result {
 	session := s.data.Sessions[entry.Session]
 	if session == nil || session.Incarnation != entry.Incarnation {
@@ -90,7 +90,7 @@
 	}
 }
 
-// keepAliveAll takes in the heartbeats of many sessions; those of other incarnations count for nothing.
+// keepAliveAll applies the heartbeats of many sessions. Those of other incarnations are ignored.
 func (s *State) keepAliveAll(heartbeats []Heartbeat) {
 	for _, heartbeat := range heartbeats {
 		session := s.data.Sessions[heartbeat.Session]
@@ -102,8 +102,8 @@
 	}
 }
 
-// reportPolicy records which version of the policy a session has applied, and which it rejected. There is no event of it: each of
-// hundreds of watchers would be notified of hundreds of sessions.
+// reportPolicy records which policy version a session has applied and which it has rejected. It emits no event, because hundreds of watchers
+// would each be notified about hundreds of sessions.
 func (s *State) reportPolicy(session *Session, applied, rejected uint64, reason string) {
 	session.Policy, session.RejectedPolicy, session.Reason = applied, rejected, reason
 	if applied > 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// expireSessions ends the sessions without a heartbeat for longer than their timeout.
+// expireSessions ends the sessions that had no heartbeat for longer than their timeout.
 func (s *State) expireSessions() {
 	var expired []string
 	for name, session := range s.data.Sessions {
@@ -119,14 +119,14 @@
 			expired = append(expired, name)
 		}
 	}
-	slices.Sort(expired) // the order of a map isn't the same on every node
+	slices.Sort(expired) // map iteration order differs between nodes
 	for _, name := range expired {
 		s.endSession(name, EndExpired)
 	}
 }
 
-// UntilExpiry returns how many ms of the leader's time may pass until the first session ends that has no further heartbeat; false: no
-// session is open.
+// UntilExpiry returns the ms on the leader's clock until the first session expires unless it has another heartbeat; false if no session is
+// open.
 func (s *State) UntilExpiry() (remainingMs uint64, found bool) {
 	for _, session := range s.data.Sessions {
 		remaining := session.expiresAt() - min(s.data.Now, session.expiresAt())
@@ -137,7 +137,7 @@
 	return remainingMs, found
 }
 
-// endSession ends an open session: its leases go to the next of their queues.
+// endSession ends an open session and grants its leases to the next sessions in their queues.
 func (s *State) endSession(name string, reason EndReason) {
 	s.data.RejectedActs += s.data.Sessions[name].RejectedActs
 	delete(s.data.Sessions, name)
--- a/internal/decide/leasestate/snapshot.go
+++ b/internal/decide/leasestate/snapshot.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	formatWithoutPolicy = 1 // of a snapshot without a policy: builds that know no policy can read it
-	formatWithPolicy    = 2 // of one with a policy
-	maxNesting          = 8 // of arrays and maps in an entry or a snapshot
+	formatWithoutPolicy = 1 // of a snapshot without a policy; builds without policy support can read it
+	formatWithPolicy    = 2 // of a snapshot with a policy; the latest
+	maxNesting          = 8 // nesting limit of arrays and maps in an entry or a snapshot
 )
 
-// snapshot is the whole state as it is stored.
+// snapshot is the whole state in the form in which it is stored.
 type snapshot struct {
-	Version      uint64              `cbor:"1,keyasint"` // of the format
+	Version      uint64              `cbor:"1,keyasint"` // of the snapshot format
 	Fleet        string              `cbor:"2,keyasint"`
 	Epoch        uint64              `cbor:"3,keyasint"`
-	Now          uint64              `cbor:"4,keyasint"` // ms that have passed by the leaders' clocks
-	Index        uint64              `cbor:"5,keyasint"` // of the latest entry applied
+	Now          uint64              `cbor:"4,keyasint"` // ms; sum of the elapsed times of all entries
+	Index        uint64              `cbor:"5,keyasint"` // of the last applied entry
 	Sessions     map[string]*Session `cbor:"6,keyasint"`
 	Leases       map[string]*Lease   `cbor:"7,keyasint"`
 	Events       []Event             `cbor:"8,keyasint"`
-	RejectedActs uint64              `cbor:"9,keyasint"`            // by sessions that have ended
-	Policy       *policy.History     `cbor:"10,keyasint,omitempty"` // nil: nothing was ever proposed
+	RejectedActs uint64              `cbor:"9,keyasint"`            // by the sessions that have ended
+	Policy       *policy.History     `cbor:"10,keyasint,omitempty"` // nil until a policy is proposed or a session reports one
 }
 
-// codec is a form of CBOR.
+// codec is a pair of CBOR modes.
 type codec struct {
 	encoder cbor.EncMode
 	decoder cbor.DecMode
 }
 
-// canonical is CBOR's deterministic form, one encoding for each value (RFC 8949, 4.2.1), read strictly.
+// canonical encodes in CBOR's deterministic form (RFC 8949, section 4.2.1), in which each value has one encoding, and decodes strictly.
 var canonical = newCanonicalCodec()
 
 func newCanonicalCodec() codec {
@@ -47,22 +47,22 @@
 		MaxNestedLevels:   maxNesting,
 	}.DecMode()
 	if err := cmp.Or(encoderErr, decoderErr); err != nil {
-		panic(err) // the options are constant
+		panic(err) // the options are constants
 	}
 	return codec{encoder, decoder}
 }
 
-// Snapshot returns the whole state as bytes, the same for the same entries.
+// Snapshot returns the encoded state. States that result from the same entries have identical snapshots.
 func (s *State) Snapshot() []byte {
 	encoded, err := canonical.encoder.Marshal(s.data)
 	if err != nil {
-		panic(err) // a state has no value that can't be encoded
+		panic(err) // all field types of snapshot can be encoded
 	}
 	return encoded
 }
 
-// Restore reads a snapshot of the fleet named. One that a later build wrote is refused with ErrNewerVersion, a damaged one with
-// ErrMalformed, and one of another fleet, too.
+// Restore decodes a snapshot. The error matches ErrNewerVersion if a later build wrote the snapshot, and ErrMalformed if it is damaged. A
+// snapshot of another fleet is also an error.
 func Restore(fleet string, encoded []byte) (*State, error) {
 	if err := checkHeader(fleet, encoded); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-// checkHeader reads of a snapshot only what every version has, before the rest is read strictly.
+// checkHeader checks the version and the fleet, which all versions of the format have, before the rest is decoded strictly.
 func checkHeader(fleet string, encoded []byte) error {
 	var header struct {
 		Version uint64 `cbor:"1,keyasint"`
@@ -90,16 +90,16 @@
 		return fmt.Errorf("snapshot: %w: version %d, this build knows %d", ErrNewerVersion, header.Version, formatWithPolicy)
 	}
 	if header.Fleet != fleet {
-		return fmt.Errorf("snapshot: of fleet %.64q, not of %q", header.Fleet, fleet)
+		return fmt.Errorf("snapshot: belongs to fleet %.64q, not to fleet %q", header.Fleet, fleet)
 	}
 	return nil
 }
 
-// validate refuses a snapshot whose parts don't fit together.
+// validate checks that the parts of the snapshot are consistent.
 func (s *snapshot) validate() error {
 	for name, held := range s.Leases {
 		if held == nil || held.Holder != "" && s.Sessions[held.Holder] == nil {
-			return fmt.Errorf("snapshot: %w: the holder of %q has no session", ErrMalformed, name)
+			return fmt.Errorf("snapshot: %w: lease %q is empty or its holder has no session", ErrMalformed, name)
 		}
 	}
 	for name, session := range s.Sessions {
--- a/internal/decide/leasestate/state.go
+++ b/internal/decide/leasestate/state.go
@@ -1,12 +1,14 @@
-// Package leasestate is the replicated state machine of the coordinator cluster: the sessions of the fleet's processes, leases with
-// their holders, request queues and fencing tokens, operators' orders with the steps recorded for them, and the policy in force.
+// Package leasestate implements the replicated state machine of the coordinator cluster. It holds the sessions of the fleet's processes,
+// the leases with their holders, wait queues and fencing tokens, the operators' orders with the steps recorded for them, and the policy in
+// force.
 //
-// It is deterministic: it reads no clock, draws no random numbers and does no I/O, so the same log entries give the same state
-// and the same bytes of snapshot on every node.
+// It is deterministic: it reads no clock, draws no random numbers and does no I/O, so the same log entries produce the same state
+// and byte-identical snapshots on every node.
 //
-// Time enters only through the log: each entry carries the ms that passed on the leader's clock since the leader's entry before.
-// A new leader can't know for how long the log stood still, so its first entry restarts every session's timeout. A lease lasts as long
-// as its holder's session; the holder counts that time from before its request was sent, so its own count ends first.
+// Time enters only through the log: each entry carries the milliseconds that have elapsed on the leader's clock since the leader's previous
+// entry. A new leader can't know how much time has passed since the last entry of the previous one, so its first entry restarts every
+// session's timeout. A lease is valid as long as its holder's session. The holder measures that time from before it sent its request, so it
+// considers the lease expired before the coordinator does.
 package leasestate
 
 import (
@@ -17,10 +19,10 @@
 	"wayloft/internal/decide/lease"
 )
 
-// State is the state after all entries applied so far. It isn't safe for concurrent use.
+// State is the result of all entries applied so far. It isn't safe for concurrent use.
 type State struct{ data snapshot }
 
-// New returns an empty state of a fleet, in the first epoch.
+// New returns an empty state for a fleet, in epoch 1.
 func New(fleet string) *State {
 	return &State{snapshot{
 		Version:  formatWithoutPolicy,
@@ -31,28 +33,28 @@
 	}}
 }
 
-// NewUninitialized returns an empty state that takes its epoch from the first leader's BeginTerm entry. Guards against a coordinator
-// cluster that is created a second time by mistake: its tokens are above all that the one before has granted.
+// NewUninitialized returns an empty state that takes its epoch from the first leader's BeginTerm entry. If a coordinator cluster is created
+// a second time by mistake, its fencing tokens are then higher than all that the previous cluster granted.
 func NewUninitialized(fleet string) *State {
 	s := New(fleet)
 	s.data.Epoch = 0
 	return s
 }
 
-// Result is the answer to the process that proposed an entry.
+// Result is the response to the process that proposed an entry.
 type Result struct {
-	// Held tells that the session is open, or that it holds the lease, under Token; of an order or a proposal, that it is accepted.
+	// Held reports that the session is open, that it holds the lease under Token, or that the order or the policy proposal was accepted.
 	Held bool
-	// Token is the one of the grant; where the lease was refused, the highest known.
+	// Token is the fencing token of the lease's latest grant, also if another session holds the lease.
 	Token lease.Token
-	// Refusal is why the entry was refused; empty where it wasn't.
+	// Refusal is the reason why the entry was rejected; empty if it wasn't.
 	Refusal Refusal
-	// Number is the number of the order or of the policy's version; of an OpenSession that was refused, the incarnation that has the
-	// session's name.
+	// Number is the number of the order or of the policy version. For an OpenSession entry that was rejected as older, it is the incarnation
+	// of the open session.
 	Number uint64
 }
 
-// Apply applies one log entry. index is its place in the log: an entry at or below the index already reached changes nothing.
+// Apply applies one log entry. index is its index in the log; an entry that is already applied changes nothing.
 func (s *State) Apply(index uint64, entry Entry) Result {
 	if index <= s.data.Index {
 		return Result{Refusal: refusedAlreadyApplied}
@@ -82,7 +84,7 @@
 	return Result{}
 }
 
-// beginTerm takes in that a new leader begins: all sessions get their whole timeout again.
+// beginTerm handles the first entry of a new leader: it restarts the timeout of every session, and sets the epoch if there is none yet.
 func (s *State) beginTerm(epoch uint64) {
 	if s.data.Epoch == 0 {
 		s.data.Epoch = epoch
@@ -92,7 +94,8 @@
 	}
 }
 
-// beginEpoch raises the epoch at an operator's request; all leases are granted anew, under tokens above all before.
+// beginEpoch raises the epoch at an operator's request. Every lease is taken from its holder and granted to the next session in its queue,
+// under a token higher than all previous ones.
 func (s *State) beginEpoch(epoch uint64) Result {
 	if epoch <= s.data.Epoch {
 		return Result{Refusal: Refusal(fmt.Sprintf("epoch %d has begun already", s.data.Epoch))}
@@ -107,7 +110,7 @@
 	return Result{}
 }
 
-// Session returns the open session of that name, or false.
+// Session returns a copy of an open session; false if there is none with that name.
 func (s *State) Session(name string) (Session, bool) {
 	session := s.data.Sessions[name]
 	if session == nil {
@@ -116,7 +119,7 @@
 	return *session, true
 }
 
-// Lease returns a copy of the lease of that name, or false where it was never asked for.
+// Lease returns a copy of a lease; false if no entry has ever named it.
 func (s *State) Lease(name string) (Lease, bool) {
 	stored := s.data.Leases[name]
 	if stored == nil {
@@ -127,23 +130,23 @@
 	return found, true
 }
 
-// Sessions returns the names of all open sessions, sorted.
+// Sessions returns the names of all open sessions in sorted order.
 func (s *State) Sessions() []string { return slices.Sorted(maps.Keys(s.data.Sessions)) }
 
-// Leases returns the names of all leases, sorted.
+// Leases returns the names of all leases in sorted order.
 func (s *State) Leases() []string { return slices.Sorted(maps.Keys(s.data.Leases)) }
 
-// Index returns the index of the latest entry applied.
+// Index returns the index of the last applied entry.
 func (s *State) Index() uint64 { return s.data.Index }
 
-// Now returns the state's time: the ms that have passed by the leaders' clocks.
+// Now returns the state's time in ms: the sum of the elapsed times of all entries.
 func (s *State) Now() uint64 { return s.data.Now }
 
-// RejectedActs returns how many acts were rejected for their fencing token by sessions that have ended since.
+// RejectedActs returns how many acts the sessions that have ended by now had rejected because of a stale fencing token.
 func (s *State) RejectedActs() uint64 { return s.data.RejectedActs }
 
 // Fleet returns the name of the fleet.
 func (s *State) Fleet() string { return s.data.Fleet }
 
-// Epoch returns the present epoch; 0 before the first leader has begun.
+// Epoch returns the current epoch; 0 before the first BeginTerm entry of an uninitialized state.
 func (s *State) Epoch() uint64 { return s.data.Epoch }
--- a/internal/decide/leasestate/state_test.go
+++ b/internal/decide/leasestate/state_test.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// drawEntry draws an entry of any kind, with fields that fit the state as often as not.
+// drawEntry draws an entry of any kind. Its fields are drawn from a few values, so that entries often match the state.
 func drawEntry(t *rapid.T) Entry {
 	kinds := []Kind{BeginTerm, AdvanceTime, OpenSession, KeepAlive, CloseSession, AcquireLease, ReleaseLease, TransferLease, RecordStep,
 		ReportToken, BeginEpoch, KeepAliveAll, PlaceOrder, CompleteOrder, ProposePolicy}
@@ -41,11 +41,11 @@
 	return entry
 }
 
-// invariants are what holds of a state after each entry, given the states before.
+// invariants checks what must hold after each entry, given the previous states.
 type invariants struct {
-	tokens        map[string]lease.Token // by lease
-	holders       map[string]string      // who was granted the latest token
-	hashes        map[uint64][32]byte    // of the policy's versions
+	tokens        map[string]lease.Token // latest token by lease
+	holders       map[string]string      // session that was granted the latest token, by lease
+	hashes        map[uint64][32]byte    // of the policy documents, by packed version
 	policyVersion uint64
 }
 
@@ -54,7 +54,7 @@
 	now := state.Policy().Version
 	version := now.Packed()
 	if hash, known := i.hashes[version]; known && hash != now.Hash || version < i.policyVersion {
-		t.Fatalf("policy %s after %s", now, policy.FormatPacked(i.policyVersion))
+		t.Fatalf("policy version %s follows %s", now, policy.FormatPacked(i.policyVersion))
 	}
 	i.hashes[version], i.policyVersion = now.Hash, version
 	for _, name := range state.Leases() {
@@ -67,7 +67,7 @@
 	stored, _ := state.Lease(name)
 	last := i.tokens[name]
 	if stored.Token.Compare(last) < 0 || stored.Token == last && stored.Holder != "" && stored.Holder != i.holders[name] {
-		t.Fatalf("%s: %v of %q after %v of %q", name, stored.Token, stored.Holder, last, i.holders[name])
+		t.Fatalf("%s: token %v held by %q follows token %v of %q", name, stored.Token, stored.Holder, last, i.holders[name])
 	}
 	if stored.Token != last {
 		i.holders[name] = stored.Holder
@@ -79,26 +79,26 @@
 	for n, queued := range stored.Queue {
 		_, open := state.Session(queued)
 		if !open || queued == stored.Holder || strings.Count(strings.Join(stored.Queue, " "), queued) > 1 {
-			t.Fatalf("%s: queue %v at %d", name, stored.Queue, n)
+			t.Fatalf("%s: queue %v is invalid at index %d", name, stored.Queue, n)
 		}
 	}
 }
 
-// Whatever the entries: fencing tokens of a lease only grow with its holders, a holder has a session, no one is queued twice, a
-// snapshot in the middle changes nothing, and bytes are the same again.
+// For any sequence of entries: the fencing token of a lease grows with each new holder, each holder has an open session, no session is in a
+// queue twice, restoring a snapshot in between doesn't change the state, and encoding is deterministic.
 func TestState_InvariantsHoldForAnyEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		restoreAfter := rapid.IntRange(0, 60).Draw(t, "restore after")
-		state, undisturbed := newTestState("a"), newTestState("a")
+		state, reference := newTestState("a"), newTestState("a")
 		holding := invariants{tokens: map[string]lease.Token{}, holders: map[string]string{}, hashes: map[uint64][32]byte{}}
 		for n := range rapid.IntRange(1, 60).Draw(t, "entries") {
 			entry := drawEntry(t)
 			decoded, err := Decode(Encode(entry))
 			if err != nil || !reflect.DeepEqual(decoded, entry) {
-				t.Fatalf("%+v came back as %+v, %v", entry, decoded, err)
+				t.Fatalf("%+v was decoded as %+v, %v", entry, decoded, err)
 			}
 			state.apply(entry)
-			undisturbed.apply(entry)
+			reference.apply(entry)
 			if n == restoreAfter {
 				restored, err := Restore("f", state.Snapshot())
 				if err != nil {
@@ -108,8 +108,8 @@
 			}
 			holding.check(t, state)
 		}
-		if !bytes.Equal(state.Snapshot(), undisturbed.Snapshot()) {
-			t.Fatal("a snapshot in the middle changed the state")
+		if !bytes.Equal(state.Snapshot(), reference.Snapshot()) {
+			t.Fatal("restoring a snapshot changed the state")
 		}
 	})
 }
