--- a/internal/decide/raftnode/clock.go
+++ b/internal/decide/raftnode/clock.go
@@ -2,7 +2,7 @@
 
 import "wayloft/internal/decide/leasestate"
 
-// maxMissedTicks is how many ticks a node may miss and still make up for.
+// maxMissedTicks is the largest number of missed ticks that a node makes up for.
 const maxMissedTicks = 3
 
 // Advance passes in the time, in ms on a monotonic clock that also runs while the machine sleeps.
@@ -11,8 +11,8 @@
 		n.lastTick, n.now = now, now
 	}
 	n.now = max(n.now, now)
-	// A process that was paused doesn't make up for all the ticks that it missed: messages of its peers, which wait already, must count
-	// before an election begins.
+	// A process that was paused doesn't make up for all missed ticks: it must first process the messages of its peers that have arrived in
+	// the meantime, or it would begin an election needlessly.
 	paused := n.now-n.lastTick > maxMissedTicks*n.settings.Tick
 	if paused {
 		n.lastTick = n.now - n.settings.Tick
@@ -28,14 +28,14 @@
 	}
 }
 
-// advanceLeader proposes what is due by the leader's time.
+// advanceLeader proposes the entries that are due by the leader's clock.
 func (n *Node) advanceLeader(ticked, paused bool) {
-	if paused { // it may have missed heartbeats: as a new leader, it gives all sessions their whole timeout
+	if paused { // heartbeats may have been missed: like a new leader, restart the timeouts of all sessions
 		n.beginTerm()
 	}
 	untilExpiry, anySession := n.state.UntilExpiry()
-	// A heartbeat that came in time must not find its session expired by the time that passed while it waited. The one tick more is for
-	// entries that are proposed and not applied: untilExpiry doesn't count the time that they advance by.
+	// A session must not expire while a heartbeat that arrived in time waits to be proposed. One more tick is added because untilExpiry
+	// doesn't include the elapsed time of entries that are proposed but not yet applied.
 	expiresSoon := anySession && n.NextDeadline()+n.settings.Tick-n.lastEntryTime > float64(untilExpiry)
 	if ticked || n.flushHeartbeats || expiresSoon {
 		n.proposeHeartbeats()
@@ -45,13 +45,13 @@
 	}
 }
 
-// NextDeadline returns the time at which Advance must be called again at the latest.
+// NextDeadline returns the time by which Advance must be called again.
 func (n *Node) NextDeadline() float64 { return n.lastTick + n.settings.Tick }
 
-// beginTerm begins the account of time of a new leader.
+// beginTerm starts counting elapsed time on this leader's clock and proposes the BeginTerm entry.
 func (n *Node) beginTerm() {
 	n.lastEntryTime = n.now
 	epoch := max(n.settings.Epoch, n.settings.KnownEpoch+1)
-	// An entry that raft drops needs no other: a node that leads again proposes a new one.
+	// If raft drops the entry, it isn't retried: a node that becomes the leader again proposes a new one.
 	_ = n.propose(leasestate.Entry{Kind: leasestate.BeginTerm, Epoch: epoch}, 0, nil)
 }
--- a/internal/decide/raftnode/durable.go
+++ b/internal/decide/raftnode/durable.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// ErrDataLoss is returned for a data directory that lacks what this node had stored and may have acknowledged.
-var ErrDataLoss = errors.New("council: the folder has lost what was acknowledged")
+// ErrDataLoss means that the data directory lacks data that this node had stored and may have acknowledged to others.
+var ErrDataLoss = errors.New("the data directory has lost what was acknowledged")
 
-// Durable tracks what of this node is on its disk, as far as others may rely on it. After a write has failed it judges what is read
-// again: that must be what was stored before, with or without the write that failed.
+// Durable tracks which of the node's data on disk other nodes may rely on. After a failed write, the data is read again, and Durable checks
+// that it is the data from before, with or without the failed write.
 type Durable struct {
 	stored    durableState
-	attempted durableState // with the write that is in progress, or has failed
+	attempted durableState // stored, plus the write that is in progress or has failed
 }
 
-// durableState is the vote, the commit index and the end of the log.
+// durableState is the term, the vote, the commit index and the last log index.
 type durableState struct {
 	term, vote, commit, last uint64
 }
 
-// Loaded passes in what was read.
+// Loaded passes in the data that was read at startup.
 func (d *Durable) Loaded(stored Stored) {
 	d.stored = durableStateOf(stored)
 	d.attempted = d.stored
 }
 
-// Attempt passes in a decision that is about to be stored.
+// Attempt reports that a decision is about to be stored.
 func (d *Durable) Attempt(decision Decision) {
 	next := d.stored
 	if hardState := decision.HardState; hardState != nil {
@@ -41,16 +41,16 @@
 	d.attempted = next
 }
 
-// Confirm passes in that the decision of the latest Attempt is on disk.
+// Confirm reports that the decision of the last Attempt is on disk.
 func (d *Durable) Confirm() { d.stored = d.attempted }
 
-// Check returns ErrDataLoss, wrapped, if what is read again lacks something that was stored.
+// Check returns an error that wraps ErrDataLoss if the data that was read again lacks something that had been stored.
 func (d *Durable) Check(read Stored) error {
 	got := durableStateOf(read)
 	if got.covers(d.stored) || got.covers(d.attempted) {
 		return nil
 	}
-	return fmt.Errorf("%w: it holds %s, and held %s", ErrDataLoss, got, d.stored)
+	return fmt.Errorf("%w: found %s; expected at least %s", ErrDataLoss, got, d.stored)
 }
 
 func durableStateOf(stored Stored) durableState {
@@ -62,12 +62,12 @@
 	return state
 }
 
-// covers returns whether nothing of another state is lost. A vote counts in its own term alone.
+// covers reports whether s has everything that other has. A vote is valid only in its own term.
 func (s durableState) covers(other durableState) bool {
 	keepsVote := s.term > other.term || other.vote == 0 || s.vote == other.vote
 	return s.term >= other.term && keepsVote && s.commit >= other.commit && s.last >= other.last
 }
 
 func (s durableState) String() string {
-	return fmt.Sprintf("term %d with a vote for %x, %d entries, %d of them committed", s.term, s.vote, s.last, s.commit)
+	return fmt.Sprintf("term %d, vote %x, last index %d, commit index %d", s.term, s.vote, s.last, s.commit)
 }
--- a/internal/decide/raftnode/durable_test.go
+++ b/internal/decide/raftnode/durable_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-// What is read after a write failed is what was stored before, or with the write; anything less is refused.
+// Data that is read again after a failed write must be the data from before, with or without that write. Anything less is data loss.
 func TestDurable_Check(t *testing.T) {
 	snapshot := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(40), Term: proto.Uint64(3)}}
 	var d Durable
@@ -32,16 +32,16 @@
 		read    Stored
 		lost    bool
 	}{
-		{"as it was", Decision{Action: Save, HardState: hardState(4, 8, 9)}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 10)}, false},
-		{"with the write that failed", Decision{Action: Save, HardState: hardState(4, 8, 9)}, Stored{HardState: hardState(4, 8, 9), Entries: entries(3, 1, 10)}, false},
+		{"without the failed write", Decision{Action: Save, HardState: hardState(4, 8, 9)}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 10)}, false},
+		{"with the failed write", Decision{Action: Save, HardState: hardState(4, 8, 9)}, Stored{HardState: hardState(4, 8, 9), Entries: entries(3, 1, 10)}, false},
 		{"older term", Decision{}, Stored{HardState: hardState(2, 7, 6), Entries: entries(3, 1, 10)}, true},
-		{"another vote", Decision{}, Stored{HardState: hardState(3, 8, 6), Entries: entries(3, 1, 10)}, true},
+		{"different vote in the same term", Decision{}, Stored{HardState: hardState(3, 8, 6), Entries: entries(3, 1, 10)}, true},
 		{"no vote", Decision{}, Stored{HardState: hardState(3, 0, 6), Entries: entries(3, 1, 10)}, true},
-		{"less committed", Decision{}, Stored{HardState: hardState(3, 7, 5), Entries: entries(3, 1, 10)}, true},
+		{"lower commit index", Decision{}, Stored{HardState: hardState(3, 7, 5), Entries: entries(3, 1, 10)}, true},
 		{"entries missing", Decision{}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 9)}, true},
-		{"entries missing, though the write would have added some", Decision{Action: Save, Entries: entries(3, 11, 12)}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 9)}, true},
-		{"conflicting entries replaced by the write that failed", Decision{Action: Save, Entries: entries(3, 7, 8)}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 8)}, false},
-		{"snapshot of the write that failed", Decision{Action: Save, HardState: hardState(3, 7, 40), Snapshot: snapshot}, Stored{HardState: hardState(3, 7, 40), Snapshot: snapshot}, false},
+		{"entries missing although the failed write appended some", Decision{Action: Save, Entries: entries(3, 11, 12)}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 9)}, true},
+		{"conflicting entries replaced by the failed write", Decision{Action: Save, Entries: entries(3, 7, 8)}, Stored{HardState: hardState(3, 7, 6), Entries: entries(3, 1, 8)}, false},
+		{"snapshot of the failed write", Decision{Action: Save, HardState: hardState(3, 7, 40), Snapshot: snapshot}, Stored{HardState: hardState(3, 7, 40), Snapshot: snapshot}, false},
 		{"empty", Decision{}, Stored{}, true},
 	} {
 		d.Attempt(c.attempt)
--- a/internal/decide/raftnode/heartbeats_test.go
+++ b/internal/decide/raftnode/heartbeats_test.go
@@ -10,7 +10,7 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// threeNodes is a coordinator of three over disks in memory, on one clock, that counts what the three say to each other.
+// threeNodes is a cluster of three nodes with in-memory disks and a common clock. It counts the messages between the nodes.
 type threeNodes struct {
 	t        *testing.T
 	nodes    []*Node
@@ -20,8 +20,8 @@
 	unknown  int
 	messages map[raftpb.MessageType]int
 	bytes    map[raftpb.MessageType]int
-	entries  int               // as stored by the leader
-	sent     map[[2]uint64]int // appends of an entry to a process
+	entries  int               // stored by the leader
+	sent     map[[2]uint64]int // number of times that an entry was sent, by node ID and entry index
 }
 
 func newThreeNodes(t *testing.T) *threeNodes {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// settle carries out what the three decide until none has another decision: messages take no time.
+// settle executes the decisions of the three nodes until there are no more. Messages are delivered without delay.
 func (c *threeNodes) settle() {
 	for again := true; again; {
 		again = false
@@ -91,7 +91,7 @@
 	}
 }
 
-// advance wakes all three, as a host does at each tick and whenever something has come in.
+// advance calls Advance on all three nodes, as a driver does at each tick and at each input.
 func (c *threeNodes) advance(now float64) {
 	c.now = now
 	for _, n := range c.nodes {
@@ -109,14 +109,14 @@
 	return c.number
 }
 
-// threeNodesWithSessions is a coordinator of three with a leader, and sessions of a length.
-func threeNodesWithSessions(t *testing.T, sessions int, length uint64) *threeNodes {
+// threeNodesWithSessions returns a cluster of three nodes that has a leader and open sessions with the given timeout.
+func threeNodesWithSessions(t *testing.T, sessions int, timeout uint64) *threeNodes {
 	c := newThreeNodes(t)
 	for c.leader() == nil {
 		c.advance(c.now + 10)
 	}
 	for n := range sessions {
-		c.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: sessionName(n), Incarnation: 1, Timeout: length})
+		c.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: sessionName(n), Incarnation: 1, Timeout: timeout})
 	}
 	c.resetCounts()
 	return c
@@ -128,13 +128,13 @@
 	return c.propose(leasestate.Entry{Kind: leasestate.KeepAlive, Session: sessionName(n), Incarnation: 1})
 }
 
-// Each session's heartbeat comes alone, at a time of its own, as those of hundreds of routers do: what the three nodes write and send grows
-// with their ticks and not with the number of heartbeats, and all are answered.
+// Heartbeats of hundreds of sessions arrive one by one, at different times, as those of hundreds of routers do. What the three nodes write and
+// send must grow with the number of ticks and not of heartbeats, and each heartbeat must have a result.
 func TestHeartbeats_AreBatchedByTick(t *testing.T) {
 	const sessions, seconds = 600, 2
 	c := threeNodesWithSessions(t, sessions, 2000)
 	start, heartbeats, before := c.now, 0, len(c.done)
-	for ; c.now < start+seconds*1000; heartbeats++ { // one each ms: each session sends one each 600 ms
+	for ; c.now < start+seconds*1000; heartbeats++ { // one per ms, so each session sends one every 600 ms
 		c.advance(c.now + 1)
 		c.heartbeat(heartbeats % sessions)
 	}
@@ -148,12 +148,12 @@
 			twice++
 		}
 	}
-	t.Logf("%d heartbeats: %d entries, %d bytes (%.0f a heartbeat); by kind: messages %v, bytes %v; %d entries sent twice to one node", heartbeats, c.entries,
+	t.Logf("%d heartbeats: %d entries, %d bytes (%.0f per heartbeat); by type: messages %v, bytes %v; %d entries sent twice to one node", heartbeats, c.entries,
 		all, float64(all)/float64(heartbeats), c.messages, c.bytes, twice)
 	if most := seconds*10 + 2; c.entries > most {
 		t.Errorf("%d entries for %d heartbeats in %d ticks", c.entries, heartbeats, seconds*10)
 	}
-	if messages > heartbeats/4 || all > 60*heartbeats || twice > 0 { // a name in an entry has some 20 bytes, and goes to two
+	if messages > heartbeats/4 || all > 60*heartbeats || twice > 0 { // a heartbeat takes about 20 bytes in an entry, which is sent to two nodes
 		t.Errorf("%d messages of %d bytes for %d heartbeats, %d entries sent twice", messages, all, heartbeats, twice)
 	}
 	for n := range heartbeats {
@@ -162,31 +162,32 @@
 		}
 	}
 	if len(c.done)-before != heartbeats || c.unknown > 0 {
-		t.Errorf("%d answers for %d heartbeats, %d with an unknown result", len(c.done)-before, heartbeats, c.unknown)
+		t.Errorf("%d results for %d heartbeats, %d unknown results", len(c.done)-before, heartbeats, c.unknown)
 	}
 }
 
-// A heartbeat doesn't wait for the tick where that is long against its session's timeout.
+// A heartbeat doesn't wait for the next tick if the tick is long compared with its session's timeout.
 func TestHeartbeat_OfShortSessionIsProposedAtOnce(t *testing.T) {
 	c := threeNodesWithSessions(t, 1, 1500)
-	c.advance(c.leader().NextDeadline()) // the whole of a tick is left
+	c.advance(c.leader().NextDeadline()) // a whole tick is left until the next one
 	if number := c.heartbeat(0); !c.done[number].Held {
-		t.Error("waits although its sender waits for a quarter of the timeout alone")
+		t.Error("the heartbeat waits for the tick, although its sender waits for only a quarter of the timeout")
 	}
 }
 
-// A heartbeat of a session that is not open is rejected without waiting for the tick.
+// A heartbeat of a session that isn't open is rejected without waiting for the next tick.
 func TestHeartbeat_WithoutSessionIsRejectedAtOnce(t *testing.T) {
 	c := threeNodesWithSessions(t, 1, 2000)
 	c.advance(c.leader().NextDeadline())
 	if number := c.heartbeat(7); c.done[number].Refusal != leasestate.RefusedNoSession {
-		t.Errorf("%+v", c.done[number])
+		t.Errorf("not rejected at once: %+v", c.done[number])
 	}
 }
 
-// A heartbeat that comes while its session is open keeps it open, however near its expiry.
+// A heartbeat that arrives while its session is open keeps the session open, however close to expiry it is. The time that a heartbeat waits
+// for the tick must not expire the session.
 func TestHeartbeat_NearExpiryKeepsSessionOpen(t *testing.T) {
-	for ms := range 300 { // at each ms up to its expiry and beyond: a heartbeat that comes while it is open keeps it open
+	for ms := range 300 { // at each ms before the expiry and after it
 		c := threeNodesWithSessions(t, 1, 2000)
 		lastHeartbeat := c.now
 		for to := lastHeartbeat + 1750 + float64(ms); c.now < to; {
@@ -196,33 +197,33 @@
 		number := c.heartbeat(0)
 		c.advance(c.leader().NextDeadline())
 		if a, answered := c.done[number]; a.Held != open || !answered {
-			t.Fatalf("%d ms without a heartbeat, open %v: %+v, answered %v", 1750+ms, open, a, answered)
+			t.Fatalf("%d ms without a heartbeat, open %v: result %+v, known %v", 1750+ms, open, a, answered)
 		}
 	}
 }
 
-// A heartbeat that waits is proposed before a request that comes after it.
+// A heartbeat that waits for the tick is proposed before a request that arrives later.
 func TestHeartbeat_IsAppliedBeforeLaterRequests(t *testing.T) {
 	c := threeNodesWithSessions(t, 2, 2000)
 	c.advance(c.leader().NextDeadline())
 	first := c.heartbeat(0)
 	if _, answered := c.done[first]; answered {
-		t.Fatal("it did not wait")
+		t.Fatal("the heartbeat didn't wait for the tick")
 	}
 	at := c.leader().Applied()
 	then := c.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: sessionName(1), Incarnation: 1, Lease: "d"})
 	if !c.done[first].Held || !c.done[then].Held || c.leader().Applied() != at+2 {
-		t.Errorf("%+v, %+v, %d entries", c.done[first], c.done[then], c.leader().Applied()-at)
+		t.Errorf("results %+v and %+v, %d entries", c.done[first], c.done[then], c.leader().Applied()-at)
 	}
 }
 
-// A heartbeat that waits when its node stops leading has an unknown result.
+// A heartbeat that is waiting for the tick when its node loses leadership has an unknown result.
 func TestHeartbeat_IsUnknownWhenLeadershipIsLost(t *testing.T) {
 	c := threeNodesWithSessions(t, 1, 2000)
 	c.advance(c.leader().NextDeadline())
 	c.heartbeat(0)
 	l := c.leader()
-	for c.unknown == 0 && l == c.leader() { // nobody hears it any more
+	for c.unknown == 0 && l == c.leader() { // the other nodes receive none of its messages
 		l.Advance(l.NextDeadline())
 		for d, more := l.Next(); more; d, more = l.Next() {
 			switch d.Action {
@@ -234,6 +235,6 @@
 		}
 	}
 	if c.unknown != 1 {
-		t.Errorf("%d lost", c.unknown)
+		t.Errorf("%d unknown results, want 1", c.unknown)
 	}
 }
--- a/internal/decide/raftnode/incarnations.go
+++ b/internal/decide/raftnode/incarnations.go
@@ -7,25 +7,26 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// maxKnownIncarnations bounds how many nodes are remembered, with those that left.
+// maxKnownIncarnations limits the number of remembered nodes, including those that have left the cluster.
 const maxKnownIncarnations = 4 * maxPeers
 
-// Identity is what a node sends its peers about its data directory when it connects.
+// Identity describes a node's data directory. The node sends it to a peer when it connects.
 type Identity struct {
 	Name         string   `cbor:"1,keyasint"`
-	StorageID    uint64   `cbor:"2,keyasint"` // drawn when the directory was created
-	Incarnations []uint64 `cbor:"3,keyasint"` // drawn at each start, the latest last
-	Term         uint64   `cbor:"4,keyasint"` // stored at this start
-	LastIndex    uint64   `cbor:"5,keyasint"` // of the log, at this start
+	StorageID    uint64   `cbor:"2,keyasint"` // random, generated when the directory was created
+	Incarnations []uint64 `cbor:"3,keyasint"` // random, one generated at each start; the latest is last
+	Term         uint64   `cbor:"4,keyasint"` // stored at this start of the node
+	LastIndex    uint64   `cbor:"5,keyasint"` // of the log at this start of the node
 }
 
-// KnownIncarnations remembers the data directories of the cluster's other nodes. Raft requires that a node remembers what it voted for and
-// what it acknowledged. A node whose directory was lost, or replaced by an older copy, may break that, so its messages are rejected. It
-// can't detect a copy that is as old as the latest start, if this node was started since and received nothing in between.
+// KnownIncarnations keeps track of the data directories of the cluster's other nodes. Raft requires that a node remembers its votes and what
+// it has acknowledged. A node whose directory was lost or replaced by an older copy may violate that, so its messages are rejected. A copy
+// that was taken after the other node's latest start isn't detected if this node was restarted since and has received no message from that
+// node in between.
 type KnownIncarnations struct {
-	Known        map[string]StorageIdentity `cbor:"1,keyasint"` // by node; to be stored when Handshake says that it has changed
-	acknowledged map[string]uint64          // index up to which the node acknowledged entries that are committed
-	terms        map[string]uint64          // the highest that the node has stored, by what it sent
+	Known        map[string]StorageIdentity `cbor:"1,keyasint"` // by node name; must be stored when Handshake reports a change
+	acknowledged map[string]uint64          // by node name: last committed index that the node has acknowledged
+	terms        map[string]uint64          // by node name: highest term that the node's messages prove to be stored
 }
 
 // StorageIdentity is the identity of a data directory at its latest known start.
@@ -34,25 +35,25 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// HandshakeReason says why a node is rejected.
+// HandshakeReason is the reason why a node is rejected.
 type HandshakeReason int
 
-// The reasons why a node is rejected.
+// Reasons why a node is rejected.
 const (
 	IdentityMissing HandshakeReason = iota
-	StorageReplaced                 // it has another data directory than before
-	StorageOutdated                 // its data directory is an older copy
+	StorageReplaced                 // its data directory isn't the one that it had before
+	StorageOutdated                 // its data directory is an older copy of the one that it had
 	TooManyNodes
 )
 
-// HandshakeError is the error of a node that is rejected.
+// HandshakeError is the error for a node that is rejected.
 type HandshakeError struct {
 	Reason HandshakeReason
 	Node   string
 }
 
-// Error returns the text that the rejected node receives and logs. It is on the wire, so it keeps the words of the settings: a folder is a
-// data directory and the council the coordinator cluster.
+// Error returns the text that the rejected node receives and logs. It is part of the wire protocol and uses the terms of the settings file:
+// "folder" is the data directory, and "council" is the coordinator cluster.
 func (e *HandshakeError) Error() string {
 	switch e.Reason {
 	case IdentityMissing:
@@ -67,13 +68,13 @@
 	return "too many processes have been met"
 }
 
-// NewKnownIncarnations returns one that knows no node.
+// NewKnownIncarnations returns an empty KnownIncarnations.
 func NewKnownIncarnations() *KnownIncarnations {
 	return &KnownIncarnations{Known: map[string]StorageIdentity{}, acknowledged: map[string]uint64{}, terms: map[string]uint64{}}
 }
 
-// Handshake judges a node that connects. A node that is rejected gets a *HandshakeError. If changed, Known must be stored before the first
-// message of the node is passed on.
+// Handshake checks the identity of a node that connects. It returns a *HandshakeError if the node is rejected. If changed is true, Known must
+// be stored before a message of that node is passed to Node.Step.
 func (k *KnownIncarnations) Handshake(identity Identity) (changed bool, err error) {
 	name := identity.Name
 	if len(identity.Incarnations) == 0 || name == "" {
@@ -84,7 +85,7 @@
 	switch {
 	case known && previous.StorageID != identity.StorageID:
 		return false, &HandshakeError{StorageReplaced, name}
-	case known && previous.Incarnation == incarnation: // it runs on: what it stored at its start is less than what it has sent since
+	case known && previous.Incarnation == incarnation: // same run: Term and LastIndex are as of its start, lower than what it sent since
 		return false, nil
 	case known && !slices.Contains(identity.Incarnations, previous.Incarnation),
 		identity.Term < k.terms[name],
@@ -97,12 +98,11 @@
 	return true, nil
 }
 
-// MessageReceived notes what a message proves to be on its sender's disk. committed is the latest index that this node knows to be
-// committed.
+// MessageReceived records what a message proves to be on its sender's disk. committed is the last index that this node knows to be committed.
 func (k *KnownIncarnations) MessageReceived(name string, message *raftpb.Message, committed uint64) {
 	switch message.GetType() {
 	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp:
-		return // these carry a term that nobody has stored
+		return // pre-vote messages carry a term that no node has stored
 	case raftpb.MsgAppResp:
 		if !message.GetReject() {
 			k.acknowledged[name] = max(k.acknowledged[name], min(message.GetIndex(), committed))
@@ -111,7 +111,7 @@
 	k.terms[name] = max(k.terms[name], message.GetTerm())
 }
 
-// Retain forgets all nodes but those named.
+// Retain removes all nodes except those named.
 func (k *KnownIncarnations) Retain(names map[string]bool) {
 	for name := range k.Known {
 		if !names[name] {
--- a/internal/decide/raftnode/membership.go
+++ b/internal/decide/raftnode/membership.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	maxPeers        = 9    // of a cluster: more only make it slower
-	maxRemovedPeers = 1000 // remembered
-	maxCaughtUpLag  = 64   // entries that a node may lack and still count as caught up
+	maxPeers        = 9    // of a cluster; more nodes would only make it slower
+	maxRemovedPeers = 1000 // number of IDs of removed nodes that are remembered
+	maxCaughtUpLag  = 64   // entries that a node may be behind and still count as caught up
 )
 
-// Peer is a coordinator node. It is stored as it is here.
+// Peer is a coordinator node. It is stored in snapshots and in the log with these fields.
 type Peer struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint"`
 	Addr string `cbor:"3,keyasint"`
 }
 
-// ID returns a node's Raft ID, which is drawn from its name and never 0.
+// ID returns a node's Raft ID: a hash of its name, never 0.
 func ID(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
 	return cmp.Or(h.Sum64(), 1)
 }
 
-// CheckPeers returns an error if these can't be the initial members of a cluster that this node belongs to.
+// CheckPeers returns an error if the peers can't be the initial members of a cluster to which the named node belongs.
 func CheckPeers(name string, peers []Peer) error {
 	nameByID, names := map[uint64]string{}, map[string]bool{}
 	for _, peer := range peers {
@@ -57,16 +57,16 @@
 	return fmt.Errorf("peers %q and %q have one number: rename one", name, other)
 }
 
-// membershipContext is stored with a change of the membership: the request that waits for it and the peers that join. Its keys are the
-// fields' names.
+// membershipContext is stored in the log with a membership change: the request that waits for it and the peers that join. Its CBOR keys are
+// text and differ from the field names.
 type membershipContext struct {
 	Proposer uint64 `cbor:"By"`
 	Request  uint64 `cbor:"Number"`
 	Add      []Peer `cbor:"Add"`
 }
 
-// ChangeMembership has nodes join or leave the cluster, through a joint configuration. The request ends by Done, whose result says why
-// it was rejected, by Redirect or by ResultUnknown. A node that left can't join again under its name.
+// ChangeMembership adds nodes to the cluster and removes others, with a joint configuration. The request completes with Done, whose result
+// has the reason if the change was rejected, with Redirect or with ResultUnknown. A removed node can't join again under the same name.
 func (n *Node) ChangeMembership(request uint64, add []Peer, remove []string) {
 	if !n.isLeader {
 		n.redirect(request)
@@ -78,15 +78,15 @@
 		change.Context = encode(membershipContext{Proposer: n.id, Request: request, Add: add})
 		err = n.raftNode.ProposeConfChange(change)
 	}
-	if err != nil { // its text is the reason that the operator sees
+	if err != nil { // the operator sees its text
 		n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: leasestate.Refusal(err.Error())}})
 		return
 	}
 	n.pending[request] = true
 }
 
-// checkMembershipChange returns why a change is rejected; of several reasons, the one that concerns the cluster as a whole, or else the
-// last.
+// checkMembershipChange returns the reason why a change is rejected. If there are several, it is the one that concerns the cluster as a
+// whole, or else the last one found.
 func (n *Node) checkMembershipChange(add []Peer, remove []string) error {
 	var err error
 	for _, peer := range add {
@@ -128,14 +128,14 @@
 	return change
 }
 
-// applyMembership applies a committed change of the membership.
+// applyMembership applies a committed membership change.
 func (n *Node) applyMembership(entry *raftpb.Entry) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
 		return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
 	}
 	n.confState = n.raftNode.ApplyConfChange(change)
-	n.membersChanged = true // a node that joins takes no snapshot that lacks it
+	n.membersChanged = true // a node that joins needs a snapshot whose configuration includes it
 	var committed membershipContext
 	if len(change.GetContext()) > 0 {
 		if err := cbor.Unmarshal(change.GetContext(), &committed); err != nil {
@@ -166,16 +166,16 @@
 	}
 }
 
-// PeerStatus is the state of one coordinator node, as this one sees it.
+// PeerStatus is the status of one coordinator node as seen by this node.
 type PeerStatus struct {
 	Peer
 	Leader   bool
-	Applied  uint64 // index; of other nodes, what the leader knows to be in their log
-	CaughtUp bool   // it lacks at most a few entries
-	Known    bool   // Applied and CaughtUp are known
+	Applied  uint64 // index; for other nodes, the last one that the leader knows to be in their log
+	CaughtUp bool   // it is at most a few entries behind
+	Known    bool   // whether Applied and CaughtUp are known
 }
 
-// Peers returns the cluster's members as this node knows them, by name.
+// Peers returns the cluster's members as this node knows them, sorted by name.
 func (n *Node) Peers() []PeerStatus {
 	var all []PeerStatus
 	progress := n.raftNode.Status().Progress
@@ -193,7 +193,7 @@
 	return all
 }
 
-// Peer returns a member of the cluster by its ID.
+// Peer returns the member of the cluster with an ID.
 func (n *Node) Peer(id uint64) (peer Peer, known bool) {
 	peer, known = n.peers[id]
 	return peer, known
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -8,20 +8,20 @@
 
 const (
 	maxHeartbeatsPerEntry = 512
-	maxElapsed            = 60000 // ms that one entry may advance the lease state's time by, its own limit
-	maxPolicyViolations   = 50    // reported about one policy proposal
+	maxElapsed            = 60000 // ms; the limit that leasestate.Decode has for the elapsed time of one entry
+	maxPolicyViolations   = 50    // violations reported for one policy proposal
 
-	// minBatchedTimeoutTicks: a heartbeat waits for the tick only if its session's timeout is at least this many ticks. Its sender waits for
-	// an answer for a quarter of the timeout.
+	// minBatchedTimeoutTicks is the shortest session timeout, in ticks, with which a heartbeat may wait for the next tick. The sender waits
+	// for a response for only a quarter of the timeout.
 	minBatchedTimeoutTicks = 16
 )
 
-// proposal is an entry of the log: a change of the lease state, and the requests that wait for it.
+// proposal is the content of a log entry: an entry of the lease state, and the requests that wait for it.
 type proposal struct {
-	Proposer          uint64   `cbor:"1,keyasint"` // node that proposed it
-	Request           uint64   `cbor:"2,keyasint"` // of that node; 0: nobody waits
+	Proposer          uint64   `cbor:"1,keyasint"` // ID of the node that proposed it
+	Request           uint64   `cbor:"2,keyasint"` // of that node; 0 if no request waits
 	Entry             []byte   `cbor:"3,keyasint"`
-	HeartbeatRequests []uint64 `cbor:"4,keyasint,omitempty"` // requests whose heartbeats the entry holds, in their order
+	HeartbeatRequests []uint64 `cbor:"4,keyasint,omitempty"` // requests of the entry's heartbeats, in the same order
 }
 
 type pendingHeartbeat struct {
@@ -29,13 +29,13 @@
 	leasestate.Heartbeat
 }
 
-// Propose proposes an entry for a request, whose number no other request may have. Each request ends by one decision: Done, Redirect or
-// ResultUnknown.
+// Propose proposes an entry for a request, which must have a unique number. Each request completes with exactly one decision: Done, Redirect
+// or ResultUnknown.
 func (n *Node) Propose(request uint64, entry leasestate.Entry) {
 	switch {
 	case !n.isLeader:
 		n.redirect(request)
-	case len(n.pending) >= maxPendingRequests: // a rejection would mean that somebody else holds what was asked for
+	case len(n.pending) >= maxPendingRequests: // not a rejection, which would mean that another session holds the lease
 		n.decide(Decision{Action: ResultUnknown, Request: request})
 	case entry.Kind == leasestate.KeepAlive:
 		n.queueHeartbeat(request, entry)
@@ -51,7 +51,7 @@
 }
 
 func (n *Node) proposeRequest(request uint64, entry leasestate.Entry) {
-	n.proposeHeartbeats() // those that came first are applied first
+	n.proposeHeartbeats() // preserves the order of arrival
 	n.pending[request] = true
 	if err := n.propose(entry, request, nil); err != nil {
 		n.resultUnknown(request)
@@ -60,8 +60,8 @@
 	}
 }
 
-// proposalViolations returns all that is wrong with the fields of a policy proposal; "" if nothing is. It is checked before the proposal gets
-// into the log, because there every build must apply it in the same way, whichever fields it knows.
+// proposalViolations returns what is wrong with the fields of a policy proposal, one violation per line; empty if nothing is. This is checked
+// before the proposal gets into the log, because every build must apply a log entry in the same way, whichever fields it knows.
 func proposalViolations(entry leasestate.Entry) string {
 	var lines []string
 	for _, finding := range entry.Proposal.Difference.Validate() {
@@ -74,7 +74,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// previewResult returns what an entry would come to if it were committed; a seeded defect answers with it.
+// previewResult returns the result that an entry would have if it were committed. Only the seeded defect EarlyAnswer uses it.
 func (n *Node) previewResult(entry leasestate.Entry) leasestate.Result {
 	state, err := leasestate.Restore(n.settings.Fleet, n.state.Snapshot())
 	if err != nil {
@@ -93,9 +93,9 @@
 	}
 }
 
-// proposeHeartbeats proposes the heartbeats that came since the last tick, many in an entry. With an entry for each, a cluster of three
-// would write hundreds of entries a second for a fleet of hundreds. The driver calls Advance at each input, so Advance doesn't call this
-// each time.
+// proposeHeartbeats proposes the heartbeats that have arrived since the last tick, batched into entries. With one entry per heartbeat, a
+// cluster of three nodes would write hundreds of entries per second for a fleet of hundreds of processes. The driver calls Advance at each
+// input, so Advance doesn't call this every time.
 func (n *Node) proposeHeartbeats() {
 	n.flushHeartbeats = false
 	for len(n.heartbeats) > 0 {
@@ -115,8 +115,7 @@
 	}
 }
 
-// propose has an entry advance the lease state's time by this leader's clock, and passes it to raft. An error means that raft has dropped
-// it.
+// propose sets the entry's elapsed time from this leader's clock and proposes it to raft. An error means that raft has dropped the proposal.
 func (n *Node) propose(entry leasestate.Entry, request uint64, heartbeatRequests []uint64) error {
 	elapsed := min(max(0, n.now-n.lastEntryTime), maxElapsed)
 	entry.Elapsed = uint64(elapsed)
@@ -131,8 +130,8 @@
 	return nil
 }
 
-// Read asks for a linearizable read. The request ends by Done once everything that was answered before Read is applied here and this node
-// is confirmed to have led meanwhile, or by Redirect or ResultUnknown. The driver reads State when it carries out Done.
+// Read requests a linearizable read. The request completes with Done once a quorum has confirmed that this node still leads and every entry
+// whose result was returned before Read is applied here, or with Redirect or ResultUnknown. The driver reads State when it executes Done.
 func (n *Node) Read(request uint64) {
 	switch {
 	case !n.isLeader:
@@ -153,7 +152,7 @@
 	n.decide(Decision{Action: Redirect, Request: request, Leader: n.peers[n.leader]})
 }
 
-// resultUnknown ends a request that still waits.
+// resultUnknown completes a request with an unknown result if it is still pending.
 func (n *Node) resultUnknown(request uint64) {
 	if n.pending[request] {
 		delete(n.pending, request)
@@ -161,7 +160,7 @@
 	}
 }
 
-// complete ends a request that still waits.
+// complete completes a request with a result if it is still pending.
 func (n *Node) complete(request uint64, result leasestate.Result) {
 	if n.pending[request] {
 		delete(n.pending, request)
--- a/internal/decide/raftnode/raftnode.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -1,12 +1,11 @@
-// Package raftnode decides what one coordinator node does: Raft, by etcd's state machine, over the entries of the replicated lease state.
-// It has neither clock nor socket nor disk. It owns the part of the log that is in memory, the lease state, the coordinator cluster's
-// membership and the requests that wait for an answer. It must never do I/O or read a clock, and it never answers before what the answer
-// rests on is durable.
+// Package raftnode is the state machine of one coordinator node. It replicates the entries of the lease state (package leasestate) with
+// etcd's Raft implementation, and owns the in-memory log, the lease state, the membership of the coordinator cluster and the pending
+// requests. It never does I/O or reads a clock, and it never responds to a request before what the response depends on is durable.
 //
 // The driver passes in the time (Advance), messages (Step) and requests (Propose, Read, ChangeMembership), pulls decisions (Next), and
-// calls Saved once what a Save decision holds is on disk. The simulation drives the same code over a simulated disk and network.
+// calls Saved once the contents of a Save decision are on disk. The simulation drives the same code over a simulated disk and network.
 //
-// Methods must not be called at the same time. Times are in ms.
+// Methods must not be called concurrently. Times are in ms.
 package raftnode
 
 import (
@@ -22,33 +21,33 @@
 )
 
 const (
-	electionTicks       = 10 // etcd's own ratio: a heartbeat each tick, an election after ten without
-	trailingEntries     = 64 // kept behind a snapshot, so that a follower that lags a little needs no snapshot
+	electionTicks       = 10 // etcd's default ratio: a heartbeat each tick, an election after ten ticks without one
+	trailingEntries     = 64 // log entries kept before a snapshot, so that a follower with a small lag needs no snapshot
 	maxPendingRequests  = 10000
-	maxInflightMessages = 64      // to one peer without an acknowledgement
-	maxMessageSize      = 1 << 18 // bytes of entries
-	maxUncommittedSize  = 4 << 20 // bytes of entries that wait for a quorum
+	maxInflightMessages = 64      // unacknowledged messages to one peer
+	maxMessageSize      = 1 << 18 // bytes of entries in one message
+	maxUncommittedSize  = 4 << 20 // bytes of entries that no quorum has acknowledged yet
 )
 
-// SeededDefects are defects that tests plant to show that checkers find them; the program sets none of them.
+// SeededDefects enables defects with which tests show that the checkers detect them. The program never sets any.
 type SeededDefects struct {
-	EarlyAnswer bool // answers when an entry is proposed, not when it is committed
-	StaleRead   bool // a leader answers reads without confirming that it still leads
+	EarlyAnswer bool // responds when an entry is proposed instead of when it is committed
+	StaleRead   bool // as leader, responds to reads without confirming its leadership
 }
 
 // Settings configure a Node.
 type Settings struct {
 	Fleet, Name      string
-	Peers            []Peer  // the initial members, this node among them; empty: it joins a cluster that exists
-	Epoch            uint64  // of a new cluster; it must be above those of earlier ones
-	KnownEpoch       uint64  // a new cluster's epoch is above this one too; guards against a wall clock that was stepped back; 0: none
-	Tick             float64 // ms between heartbeats; an election begins after ten to twenty without
-	SnapshotInterval uint64  // entries between two snapshots, at which the log is compacted
+	Peers            []Peer  // initial members including this node; empty if it joins an existing cluster
+	Epoch            uint64  // of a new cluster; must be higher than those of previous clusters
+	KnownEpoch       uint64  // a new cluster's epoch is also above this one, in case the wall clock was stepped back; 0 if none is known
+	Tick             float64 // ms between heartbeats; an election begins after 10 to 20 ticks without one
+	SnapshotInterval uint64  // entries between two snapshots; each compacts the log
 	Logger           raft.Logger
 	SeededDefects    SeededDefects
 }
 
-// Stored is what a node reads from its disk. HardState and Snapshot are nil on a new one.
+// Stored is what a node reads from its data directory at startup. HardState and Snapshot are nil on a new node.
 type Stored struct {
 	HardState *raftpb.HardState
 	Entries   []*raftpb.Entry
@@ -58,25 +57,25 @@
 // Action is the kind of a Decision.
 type Action int
 
-// What a driver does for each kind of decision.
+// The actions, with what the driver must do for each.
 const (
-	Save          Action = iota // store HardState, Entries (replacing what is stored from the first one on) and Snapshot, synced; then call Saved
-	Compact                     // store Snapshot and delete the entries before CompactBelow; nothing waits for it
+	Save          Action = iota // store and sync HardState, Entries (replacing stored ones from the first index on) and Snapshot; then call Saved
+	Compact                     // store Snapshot and delete the entries before CompactBelow; nothing depends on its completion
 	Send                        // send Message to another node
-	Done                        // answer Request with Result
-	Redirect                    // Request must go to Leader; its name is empty if none is known
-	ResultUnknown               // Request may have been carried out or not
-	LeaderChanged               // Leader leads now; its name is empty if nobody does
+	Done                        // complete Request with Result
+	Redirect                    // redirect Request to Leader, whose name is empty if no leader is known
+	ResultUnknown               // complete Request with an unknown result: it may or may not have been applied
+	LeaderChanged               // the leader is now Leader, whose name is empty if there is none
 	Applied                     // Event was applied to the lease state
 )
 
-// Decision is one thing for the driver to do. Only the fields that its Action names are set.
+// Decision is one instruction to the driver. Only the fields that its Action uses are set.
 type Decision struct {
 	Action       Action
 	HardState    *raftpb.HardState
 	Entries      []*raftpb.Entry
 	Snapshot     *raftpb.Snapshot
-	CompactBelow uint64 // index
+	CompactBelow uint64 // log index
 	Message      *raftpb.Message
 	Request      uint64
 	Result       leasestate.Result
@@ -91,46 +90,46 @@
 	raftNode *raft.RawNode
 	log      *raft.MemoryStorage
 	state    *leasestate.State
-	err      error // why it can't go on
+	err      error // why the node can't continue; nil while it works
 
 	peers          map[uint64]Peer
 	removedPeers   []uint64
 	confState      *raftpb.ConfState
 	membersChanged bool // since the last snapshot
 
-	applied       uint64 // index
-	snapshotIndex uint64
-	eventIndex    uint64 // of the latest event that a decision has reported
+	applied       uint64 // index of the last applied entry
+	snapshotIndex uint64 // last index in the latest snapshot
+	eventIndex    uint64 // index up to which events were reported by decisions
 
 	now                float64
-	lastTick           float64 // when it was due
-	lastEntryTime      float64 // time up to which this leader's entries have counted elapsed time
-	advanceTimePending bool    // an AdvanceTime entry of this leader isn't applied yet
+	lastTick           float64 // time at which the last tick was due
+	lastEntryTime      float64 // time up to which the Elapsed fields of this leader's entries have accounted
+	advanceTimePending bool    // this leader has proposed an AdvanceTime entry that isn't applied yet
 
 	isLeader bool
 	leader   uint64
 
-	ready           *raft.Ready // handed out by a Save decision and not yet saved
-	decisions       []Decision  // to be pulled by Next
+	ready           *raft.Ready // returned by a Save decision and not yet saved
+	decisions       []Decision  // to be returned by Next
 	pending         map[uint64]bool
-	pendingReads    map[uint64]uint64  // index that must be applied before the read is answered; 0: not known yet
-	heartbeats      []pendingHeartbeat // proposed together at the next tick
-	flushHeartbeats bool               // one of heartbeats can't wait for the tick
+	pendingReads    map[uint64]uint64  // index that must be applied before the read completes; 0 if not known yet
+	heartbeats      []pendingHeartbeat // to be proposed in one batch at the next tick
+	flushHeartbeats bool               // one of the heartbeats can't wait for the next tick
 }
 
-// New returns a node that continues from what was stored. If nothing was stored and Settings.Peers are given, it is a member of a new
-// cluster, and initial is a Save decision that must be on disk before the node is used; no call of Saved answers it. It returns an error
-// for settings that contradict each other and for stored data that can't be decoded or lacks committed entries.
+// New returns a node that continues from the stored data. If nothing is stored and Settings.Peers is not empty, the node is a member of a
+// new cluster, and initial is a Save decision that must be on disk before the node is used; Saved isn't called for it. New returns an error
+// for inconsistent settings, and for stored data that can't be decoded or lacks committed entries.
 func New(settings Settings, stored Stored) (node *Node, initial *Decision, err error) {
 	if settings.SnapshotInterval == 0 || settings.Tick <= 0 || settings.Name == "" {
-		return nil, nil, errors.New("council: name, tick and keep must be given")
+		return nil, nil, errors.New("raftnode: Settings.Name, Tick and SnapshotInterval must be given")
 	}
 	settings.Peers = slices.Clone(settings.Peers)
 	for i := range settings.Peers {
 		settings.Peers[i].ID = ID(settings.Peers[i].Name)
 	}
 	if err := CheckPeers(settings.Name, settings.Peers); err != nil {
-		return nil, nil, fmt.Errorf("council: %w", err)
+		return nil, nil, fmt.Errorf("council.peers: %w", err)
 	}
 	if stored.HardState == nil && stored.Snapshot == nil && len(settings.Peers) > 0 {
 		stored.Snapshot = InitialSnapshot(settings.Fleet, settings.Peers)
@@ -148,7 +147,7 @@
 	return node, initial, err
 }
 
-// load fills the log in memory, and the lease state, from what was stored.
+// load restores the in-memory log and the lease state from the stored data.
 func (n *Node) load(stored Stored) error {
 	if stored.Snapshot != nil {
 		if err := n.restore(stored.Snapshot); err != nil {
@@ -171,7 +170,7 @@
 		return err
 	}
 	if committed := stored.HardState.GetCommit(); committed > last {
-		return fmt.Errorf("council: stored up to %d though %d was committed: the folder is not whole", last, committed)
+		return fmt.Errorf("raft log ends at index %d, before commit index %d: the data directory is incomplete", last, committed)
 	}
 	return nil
 }
@@ -195,34 +194,34 @@
 	}
 }
 
-// Err returns why this node can't go on: an entry or a snapshot that it doesn't know or that is malformed, or a data directory that has
-// lost what the node acknowledged. It is nil while the node works.
+// Err returns the error because of which this node can't continue: an entry or a snapshot that is malformed or was written by a later build,
+// or a data directory that has lost what the node acknowledged. It returns nil while the node works.
 func (n *Node) Err() error { return n.err }
 
-// Applied returns the index of the latest entry that is applied here; all entries up to it are committed.
+// Applied returns the index of the last entry that this node has applied. All entries up to it are committed.
 func (n *Node) Applied() uint64 { return n.applied }
 
-// State returns the lease state as far as it is applied here. The caller must neither change nor keep it.
+// State returns the lease state after the entries that this node has applied. The caller must neither modify nor retain it.
 func (n *Node) State() *leasestate.State { return n.state }
 
-// IsLeader returns whether this node leads, as far as it knows, and its term.
+// IsLeader reports whether this node considers itself the leader, and returns its term.
 func (n *Node) IsLeader() (bool, uint64) { return n.isLeader, n.raftNode.BasicStatus().GetTerm() }
 
-// Step passes in a message of another node. A message that no correct node sends is an error and changes nothing.
+// Step passes in a message from another node. A message that no correct node sends is an error and changes nothing.
 func (n *Node) Step(message *raftpb.Message) error {
 	if n.err != nil {
 		return n.err
 	}
 	if message.GetTo() != n.id {
-		return fmt.Errorf("a message for %d, this is %d", message.GetTo(), n.id)
+		return fmt.Errorf("message is addressed to node %d, this is node %d", message.GetTo(), n.id)
 	}
-	if message.GetType() == raftpb.MsgSnap { // one that can't be decoded must not replace the log
+	if message.GetType() == raftpb.MsgSnap { // a snapshot that can't be decoded must not replace the log
 		if _, _, err := DecodeSnapshot(n.settings.Fleet, message.GetSnapshot()); err != nil {
 			return err
 		}
 	}
-	// Guards against a data directory that has lost entries: etcd's raft panics where a peer counts on what this node had acknowledged and
-	// no longer has. It must end this node alone, and say why.
+	// etcd's raft panics if a peer relies on entries that this node acknowledged and its data directory has lost since. The node stops with
+	// an error that says so.
 	defer func() {
 		if cause := recover(); cause != nil {
 			n.err = fmt.Errorf("%w: %v", ErrDataLoss, panicText(cause))
@@ -231,7 +230,7 @@
 	return n.raftNode.Step(message)
 }
 
-// panicText returns the text of a panic; a logger's panics with a log entry.
+// panicText returns the text of a panic value. A logger panics with a log entry, whose text is its String method's.
 func panicText(cause any) any {
 	if entry, ok := cause.(interface{ String() (string, error) }); ok {
 		if text, err := entry.String(); err == nil {
@@ -241,10 +240,10 @@
 	return cause
 }
 
-// Unreachable passes in that messages to a node can't be delivered.
+// Unreachable reports that messages to a node can't be delivered.
 func (n *Node) Unreachable(id uint64) { n.raftNode.ReportUnreachable(id) }
 
-// SnapshotSent passes in whether a snapshot was delivered to a node.
+// SnapshotSent reports whether a snapshot was delivered to a node.
 func (n *Node) SnapshotSent(id uint64, delivered bool) {
 	result := raft.SnapshotFailure
 	if delivered {
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -19,7 +19,7 @@
 	return l
 }
 
-// singleNode is a coordinator of one over a disk in memory.
+// singleNode is a single-node cluster with an in-memory disk.
 type singleNode struct {
 	t          *testing.T
 	node       *Node
@@ -59,14 +59,14 @@
 	}
 }
 
-func (a *singleNode) pass(ms float64) {
+func (a *singleNode) runFor(ms float64) {
 	for until := a.now + ms; a.now < until; a.now += 5 {
 		a.node.Advance(a.now)
-		a.carryOut()
+		a.executeDecisions()
 	}
 }
 
-func (a *singleNode) carryOut() {
+func (a *singleNode) executeDecisions() {
 	for d, more := a.node.Next(); more; d, more = a.node.Next() {
 		switch d.Action {
 		case Save, Compact:
@@ -84,70 +84,70 @@
 func (a *singleNode) propose(e leasestate.Entry) leasestate.Result {
 	a.number++
 	a.node.Propose(a.number, e)
-	a.pass(20)
-	ans, ok := a.done[a.number]
+	a.runFor(20)
+	result, ok := a.done[a.number]
 	if !ok {
-		a.t.Fatalf("%+v was not answered", e)
+		a.t.Fatalf("%+v has no result", e)
 	}
-	return ans
+	return result
 }
 
-// One that begins takes its epoch from its clock, answers what is durable, cuts its log, and comes back with the same state.
+// A new single-node cluster uses the epoch of its settings, completes requests, compacts its log, and has the same state after a restart.
 func TestNode_SingleNodeCluster(t *testing.T) {
 	a := newSingleNode(t, Stored{})
 	if a.node.Propose(99, leasestate.Entry{Kind: leasestate.AdvanceTime}); a.redirected != 0 {
-		t.Fatal("a decision before it was pulled")
+		t.Fatal("a decision was executed before Next returned it")
 	}
-	a.pass(500)
+	a.runFor(500)
 	if a.redirected != 1 {
-		t.Error("a node that does not lead must redirect")
+		t.Error("a node that isn't the leader must redirect")
 	}
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	got := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"})
 	if !got.Held || got.Token.Epoch != 7 || got.Token.Count != 1 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first grant: %+v", got)
 	}
 	for range 300 {
 		a.propose(leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1})
 	}
 	if len(a.disk.Entries) > 250 {
-		t.Errorf("%d entries are kept", len(a.disk.Entries))
+		t.Errorf("%d entries are stored after compaction", len(a.disk.Entries))
 	}
 	before := a.node.State().Snapshot()
 	b := newSingleNode(t, a.disk)
-	b.pass(1)
+	b.runFor(1)
 	if string(b.node.State().Snapshot()) != string(before) && b.node.Applied() >= a.node.Applied() {
-		t.Error("another state after a restart")
+		t.Error("the state differs after a restart")
 	}
-	b.pass(500)
+	b.runFor(500)
 	if again := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); again.Token != got.Token {
-		t.Errorf("a repeat gets %v, not %v", again.Token, got.Token)
+		t.Errorf("repeated request: token %v, want %v", again.Token, got.Token)
 	}
 	b.number++
 	b.node.Read(b.number)
-	b.pass(30)
+	b.runFor(30)
 	if _, read := b.done[b.number]; !read {
-		t.Error("a read was not answered")
+		t.Error("the read didn't complete")
 	}
 }
 
-// Silence ends a session by the leader's time; one that stood still ends nobody's.
+// A session expires by the leader's clock. A pause of the leader itself must not expire sessions, since it couldn't receive heartbeats.
 func TestSessionTimeout_NotByTheLeadersOwnPause(t *testing.T) {
 	a := newSingleNode(t, Stored{})
-	a.pass(500)
+	a.runFor(500)
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 1000})
-	a.pass(900)
+	a.runFor(900)
 	if _, open := a.node.State().Session("s"); !open {
-		t.Fatal("ended too soon")
+		t.Fatal("the session expired before its timeout")
 	}
-	a.now += 5000 // stopped and woken
-	a.pass(100)
+	a.now += 5000 // the process is paused
+	a.runFor(100)
 	if _, open := a.node.State().Session("s"); !open {
-		t.Fatal("ended for the leader's own pause")
+		t.Fatal("the session expired because of the leader's own pause")
 	}
-	a.pass(1200)
+	a.runFor(1200)
 	if _, open := a.node.State().Session("s"); open {
-		t.Error("silent for longer than its length, and still there")
+		t.Error("the session is open after its timeout without a heartbeat")
 	}
 }
 
@@ -169,7 +169,7 @@
 		}
 	}
 	a := newSingleNode(t, Stored{})
-	a.pass(500)
+	a.runFor(500)
 	for want, change := range map[string]func(uint64){
 		"nothing to change": func(n uint64) { a.node.ChangeMembership(n, nil, nil) },
 		"is not of this":    func(n uint64) { a.node.ChangeMembership(n, []Peer{{Name: "c2"}}, []string{"c9"}) },
@@ -177,60 +177,60 @@
 	} {
 		a.number++
 		change(a.number)
-		if a.pass(20); !strings.Contains(string(a.done[a.number].Refusal), want) {
+		if a.runFor(20); !strings.Contains(string(a.done[a.number].Refusal), want) {
 			t.Errorf("%q, want %q", a.done[a.number].Refusal, want)
 		}
 	}
-	// Data of another fleet, data that lacks committed entries, and an entry of a later build.
+	// Stored data of another fleet, stored data that lacks committed entries, and a log entry of a later build.
 	if _, _, err := New(Settings{Fleet: "g", Name: "c1", Tick: 10, SnapshotInterval: 100, Logger: quietLogger()}, a.disk); err == nil {
 		t.Error("data of another fleet was accepted")
 	}
-	short := a.disk
-	short.HardState = &raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(0), Commit: proto.Uint64(1000)}
-	if _, _, err := New(Settings{Fleet: "f", Name: "c1", Tick: 10, SnapshotInterval: 100, Logger: quietLogger()}, short); err == nil {
-		t.Error("data that lacks entries was accepted")
+	incomplete := a.disk
+	incomplete.HardState = &raftpb.HardState{Term: proto.Uint64(9), Vote: proto.Uint64(0), Commit: proto.Uint64(1000)}
+	if _, _, err := New(Settings{Fleet: "f", Name: "c1", Tick: 10, SnapshotInterval: 100, Logger: quietLogger()}, incomplete); err == nil {
+		t.Error("data that lacks committed entries was accepted")
 	}
 	if a.node.raftNode.Propose(encode(proposal{Proposer: 1, Request: 1, Entry: encode(map[int]any{1: "merge"})})) != nil {
-		t.Fatal("not proposed")
+		t.Fatal("the entry was not proposed")
 	}
-	if a.pass(30); a.node.Err() == nil {
+	if a.runFor(30); a.node.Err() == nil {
 		t.Error("an entry of a later build was skipped")
 	}
 }
 
-// From the data of one node a cluster of one begins, in a later epoch, with all that the node had.
+// Recover creates a single-node cluster in a later epoch from the data of one of three nodes, with all entries of that node.
 func TestRecover_SingleNodeInLaterEpoch(t *testing.T) {
 	a := newSingleNode(t, Stored{})
-	a.pass(500)
+	a.runFor(500)
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	previous := a.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}).Token
 	three := a.disk
 	three.Snapshot = proto.Clone(three.Snapshot).(*raftpb.Snapshot)
-	_, reg, err := DecodeSnapshot("f", three.Snapshot)
+	_, state, err := DecodeSnapshot("f", three.Snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	three.Snapshot.Data = EncodeSnapshot(map[uint64]Peer{ID("c1"): {ID("c1"), "c1", ""}, ID("c2"): {ID("c2"), "c2", "b"}, ID("c3"): {ID("c3"), "c3", "c"}}, nil, reg)
+	three.Snapshot.Data = EncodeSnapshot(map[uint64]Peer{ID("c1"): {ID("c1"), "c1", ""}, ID("c2"): {ID("c2"), "c2", "b"}, ID("c3"): {ID("c3"), "c3", "c"}}, nil, state)
 	r, err := Recover("f", "c1", "a", three, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.PreviousEpoch != 7 || r.Epoch != 13 || len(r.RemovedPeers) != 2 {
-		t.Errorf("%+v", r)
+		t.Errorf("recovery %+v", r)
 	}
 	b := newSingleNode(t, Stored{HardState: r.Decision.HardState, Snapshot: r.Decision.Snapshot})
-	b.pass(500)
+	b.runFor(500)
 	if got := b.propose(leasestate.Entry{Kind: leasestate.AcquireLease, Session: "s", Incarnation: 1, Lease: "d"}); !got.Held || got.Token.Compare(previous) <= 0 || got.Token.Epoch != 13 {
-		t.Errorf("%+v after %v", got, previous)
+		t.Errorf("grant after the recovery: %+v; token before: %v", got, previous)
 	}
 	b.number++
 	b.node.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
-	if b.pass(20); !strings.Contains(string(b.done[b.number].Refusal), "was of this council before") {
-		t.Errorf("a node that was removed joined again: %+v", b.done[b.number])
+	if b.runFor(20); !strings.Contains(string(b.done[b.number].Refusal), "was of this council before") {
+		t.Errorf("a removed node joined again under its name: %+v", b.done[b.number])
 	}
 	three.Entries = append(three.Entries[:1:1], three.Entries[2:]...)
 	if _, err := Recover("f", "c1", "a", three, 0); err == nil {
-		t.Error("recovered over a gap in the log")
+		t.Error("recovered from a log with a gap")
 	}
 }
 
@@ -271,37 +271,37 @@
 		}
 	}
 	handshake("first", id, true, "")
-	handshake("again", id, false, "")
+	handshake("reconnected", id, false, "")
 	id.Incarnations = []uint64{10, 11}
-	handshake("started again", id, true, "")
+	handshake("restarted", id, true, "")
 	m.MessageReceived("c2", &raftpb.Message{Type: raftpb.MsgAppResp.Enum(), Index: proto.Uint64(90), Term: proto.Uint64(4)}, 80)
-	handshake("by another connection, of the same start", id, false, "")
+	handshake("another connection of the same run", id, false, "")
 	older := id
 	older.Incarnations = []uint64{10, 12}
-	handshake("an older copy, by its starts", older, false, "older copy")
+	handshake("older copy that lacks the latest start", older, false, "older copy")
 	older = id
 	older.Incarnations = []uint64{10, 11, 13}
 	older.Term, older.LastIndex = 4, 79
-	handshake("an older copy, by what it acknowledged", older, false, "older copy")
+	handshake("older copy that lacks acknowledged entries", older, false, "older copy")
 	older.LastIndex, older.Term = 80, 3
-	handshake("an older copy, by its term", older, false, "older copy")
+	handshake("older copy with an earlier term", older, false, "older copy")
 	older.Term = 4
-	handshake("complete", older, true, "")
+	handshake("complete data directory", older, true, "")
 	m.MessageReceived("c2", &raftpb.Message{Type: raftpb.MsgPreVote.Enum(), Term: proto.Uint64(99)}, 80)
-	handshake("a term that nobody stored counts for nothing", older, false, "")
+	handshake("the term of a pre-vote is ignored", older, false, "")
 	other := id
 	other.StorageID = 6
 	handshake("another data directory", other, false, "another folder")
-	handshake("nobody", Identity{}, false, "doesn't say")
+	handshake("without an identity", Identity{}, false, "doesn't say")
 	m.Retain(map[string]bool{})
-	handshake("after it left", other, true, "")
+	handshake("new data directory after the node was removed", other, true, "")
 }
 
-// A policy proposal with fields that can't be changed gets into no log, and its answer has all that is wrong; one that is accepted is there
-// after a restart; heartbeats that carry a policy version are still batched.
+// A policy proposal with fields that can't be changed is rejected before it gets into the log, with all violations in its result. An accepted
+// one is still in force after a restart. Heartbeats that report a policy version are batched, too.
 func TestPolicy_ProposalsAndHeartbeats(t *testing.T) {
 	a := newSingleNode(t, Stored{})
-	a.pass(500)
+	a.runFor(500)
 	propose := func(d policy.Document) leasestate.Result {
 		b := a.node.State().Policy()
 		p := policy.Propose(b.Version, b.Document, d, "a", "r")
@@ -310,14 +310,14 @@
 	at := a.node.Applied()
 	got := propose(policy.Document{"txn_types.order.effect": "idempotent", "memory": "1", "over_share_value": "0.2"})
 	if got.Held || !strings.Contains(string(got.Refusal), "txn_types.order.effect: can't be changed yet") || !strings.Contains(string(got.Refusal), "memory: no field") || a.node.Applied() != at {
-		t.Fatal(got, a.node.Applied(), at)
+		t.Fatal("invalid proposal:", got, a.node.Applied(), at)
 	}
 	if got = propose(policy.Document{"over_share_value": "0.2"}); !got.Held || got.Number != 1 {
-		t.Fatal(got)
+		t.Fatal("valid proposal:", got)
 	}
 	version := a.node.State().Policy().Version
 	if version.Epoch != 7 {
-		t.Error(version)
+		t.Error("policy version:", version)
 	}
 	a.propose(leasestate.Entry{Kind: leasestate.OpenSession, Session: "s", Incarnation: 1, Timeout: 60000})
 	at = a.node.Applied()
@@ -325,13 +325,13 @@
 		a.number++
 		a.node.Propose(a.number, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "s", Incarnation: 1, Policy: version.Packed()})
 	}
-	a.pass(20)
+	a.runFor(20)
 	if s, _ := a.node.State().Session("s"); s.Policy != version.Packed() || a.node.Applied() > at+2 {
-		t.Errorf("%+v, %d entries", s, a.node.Applied()-at)
+		t.Errorf("session %+v, %d entries", s, a.node.Applied()-at)
 	}
 	b := newSingleNode(t, a.disk)
-	b.pass(500)
+	b.runFor(500)
 	if p := b.node.State().Policy(); p.Version != version || p.Document["over_share_value"] != "0.2" {
-		t.Error(p)
+		t.Error("policy after a restart:", p)
 	}
 }
--- a/internal/decide/raftnode/ready.go
+++ b/internal/decide/raftnode/ready.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// Next returns the next decision; false if there is none, or while a Save decision waits for Saved.
+// Next returns the next decision; false if there is none, also because a Save decision awaits the call of Saved.
 func (n *Node) Next() (Decision, bool) {
 	for {
 		if len(n.decisions) > 0 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// appendToLog keeps in memory what raft wants stored.
+// appendToLog updates the in-memory log with what raft wants to be stored.
 func (n *Node) appendToLog(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := n.log.ApplySnapshot(ready.Snapshot); err != nil {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// Saved passes in that what the last Save decision holds is on disk. Messages and answers that rest on it are decided now.
+// Saved reports that the contents of the last Save decision are on disk. The messages and responses that depend on them become decisions
+// now.
 func (n *Node) Saved() {
 	ready := n.ready
 	if ready == nil {
@@ -82,12 +83,12 @@
 	}
 }
 
-// recordReadIndexes notes which index must be applied before each read is answered.
+// recordReadIndexes records which index must be applied before each read completes.
 func (n *Node) recordReadIndexes(states []raft.ReadState) {
 	for _, state := range states {
 		var request uint64
 		if err := cbor.Unmarshal(state.RequestCtx, &request); err != nil {
-			continue // no read of this node's
+			continue // not a read of this node
 		}
 		if _, waits := n.pendingReads[request]; waits {
 			n.pendingReads[request] = state.Index
@@ -95,7 +96,7 @@
 	}
 }
 
-// completeReads answers the reads whose index is applied.
+// completeReads completes the reads whose index is applied.
 func (n *Node) completeReads() {
 	for _, request := range slices.Sorted(maps.Keys(n.pendingReads)) {
 		if index := n.pendingReads[request]; index > 0 && index <= n.applied {
@@ -105,7 +106,8 @@
 	}
 }
 
-// updateLeader takes in who leads. Requests that wait at a node that no longer leads may have been carried out or not.
+// updateLeader handles a change of the leader or of this node's role. If this node is no longer the leader, its pending requests may or may
+// not be applied, so they complete with an unknown result.
 func (n *Node) updateLeader(state *raft.SoftState) {
 	if n.leader != state.Lead {
 		n.leader = state.Lead
@@ -130,7 +132,7 @@
 	}
 }
 
-// apply applies a committed entry. An entry that can't be decoded is an error: all nodes stop at it rather than diverge.
+// apply applies a committed entry. An entry that can't be decoded is an error, at which all nodes stop so that their states don't diverge.
 func (n *Node) apply(entry *raftpb.Entry) error {
 	n.applied = entry.GetIndex()
 	switch entry.GetType() {
@@ -174,7 +176,7 @@
 	return committed, change, nil
 }
 
-// heartbeatResult returns the answer to one heartbeat of an entry of many.
+// heartbeatResult returns the result of one heartbeat of a KeepAliveAll entry.
 func (n *Node) heartbeatResult(heartbeat leasestate.Heartbeat) leasestate.Result {
 	if session, open := n.state.Session(heartbeat.Session); open && session.Incarnation == heartbeat.Incarnation {
 		return leasestate.Result{Held: true}
--- a/internal/decide/raftnode/recovery.go
+++ b/internal/decide/raftnode/recovery.go
@@ -13,21 +13,21 @@
 )
 
 // ErrNothingStored is returned by Recover for a data directory without a snapshot.
-var ErrNothingStored = errors.New("nothing is stored here")
+var ErrNothingStored = errors.New("the data directory has no snapshot")
 
 // Recovery is the result of Recover.
 type Recovery struct {
-	Decision       Decision // a Save that replaces all that is stored
-	Epoch          uint64   // the new one
+	Decision       Decision // Save decision that replaces all stored data
+	Epoch          uint64   // of the new cluster
 	PreviousEpoch  uint64
-	LastIndex      uint64 // of the last entry that is kept
-	CommittedIndex uint64 // of the last entry known to be committed; those after it may or may not have been
+	LastIndex      uint64 // of the last entry that is retained
+	CommittedIndex uint64 // last index known to be committed; later entries may or may not have been
 	RemovedPeers   []Peer
 }
 
-// Recover makes a cluster of one from what one node of a cluster had stored, in an epoch above both the previous one and knownEpoch. All
-// entries of the node are kept, also those that it doesn't know to be committed, because the nodes that knew are lost. What only those had
-// is lost too; the later epoch keeps that from doing harm, since receivers reject tokens of earlier ones.
+// Recover creates a single-node cluster from the stored data of one node, in an epoch above both the previous one and knownEpoch. It retains
+// all entries of the node, including those that the node doesn't know to be committed, because the nodes that would know are lost. Entries
+// that only those nodes had are lost, too. The new epoch makes that harmless, since receivers reject fencing tokens of earlier epochs.
 func Recover(fleet, name, addr string, stored Stored, knownEpoch uint64) (Recovery, error) {
 	if stored.Snapshot == nil {
 		return Recovery{}, ErrNothingStored
@@ -72,7 +72,7 @@
 			continue
 		}
 		if entry.GetIndex() != last+1 {
-			return 0, 0, fmt.Errorf("entry %d is missing", last+1)
+			return 0, 0, fmt.Errorf("log entry %d is missing", last+1)
 		}
 		last, term = entry.GetIndex(), entry.GetTerm()
 		if entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 {
--- a/internal/decide/raftnode/snapshot.go
+++ b/internal/decide/raftnode/snapshot.go
@@ -11,22 +11,22 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// snapshotFormat is the version of a snapshot's encoding.
+// snapshotFormat is the version of the snapshot encoding.
 const snapshotFormat = uint64(1)
 
-// snapshotData is what a snapshot holds.
+// snapshotData is the content of a Raft snapshot.
 type snapshotData struct {
 	Format       uint64          `cbor:"1,keyasint"`
 	Peers        map[uint64]Peer `cbor:"2,keyasint"` // by ID
 	State        []byte          `cbor:"3,keyasint"`
-	RemovedPeers []uint64        `cbor:"4,keyasint"` // IDs that can't be used again
+	RemovedPeers []uint64        `cbor:"4,keyasint"` // IDs of nodes that left, which can't be used again
 }
 
-// deterministicEncoder encodes equal values to equal bytes.
+// deterministicEncoder encodes equal values as identical bytes.
 var deterministicEncoder = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // its options alone can be wrong
+		panic(err) // only invalid options cause an error, and these are constants
 	}
 	return mode
 }()
@@ -34,13 +34,13 @@
 func encode(value any) []byte {
 	encoded, err := deterministicEncoder.Marshal(value)
 	if err != nil {
-		panic(err) // numbers, strings and bytes always have an encoding
+		panic(err) // only types that can be encoded are passed
 	}
 	return encoded
 }
 
-// DecodeSnapshot returns what a snapshot holds: the cluster's members by ID, and the lease state. The error matches
-// leasestate.ErrUnknown for a later format and leasestate.ErrUnsound for malformed data.
+// DecodeSnapshot returns the content of a snapshot: the cluster's members by ID, and the lease state. The error matches
+// leasestate.ErrNewerVersion for a later format and leasestate.ErrMalformed for malformed data.
 func DecodeSnapshot(fleet string, snapshot *raftpb.Snapshot) (map[uint64]Peer, *leasestate.State, error) {
 	data, state, err := decodeSnapshot(fleet, snapshot)
 	return data.Peers, state, err
@@ -58,13 +58,13 @@
 	return data, state, err
 }
 
-// EncodeSnapshot returns the data of a snapshot. removedPeers are the IDs of nodes that left.
+// EncodeSnapshot returns the data of a snapshot. removedPeers are the IDs of the nodes that left the cluster.
 func EncodeSnapshot(peers map[uint64]Peer, removedPeers []uint64, state *leasestate.State) []byte {
 	return encode(snapshotData{Format: snapshotFormat, Peers: peers, State: state.Snapshot(), RemovedPeers: removedPeers})
 }
 
-// InitialSnapshot returns the snapshot that a new cluster begins with, equal at each of its nodes. It has no epoch yet: the first leader
-// sets it.
+// InitialSnapshot returns the snapshot with which a new cluster starts, identical on all of its nodes. Its state has no epoch: the first
+// leader sets it.
 func InitialSnapshot(fleet string, peers []Peer) *raftpb.Snapshot {
 	confState := &raftpb.ConfState{}
 	byID := map[uint64]Peer{}
@@ -79,7 +79,7 @@
 	}
 }
 
-// restore replaces the lease state and the membership by those of a snapshot.
+// restore replaces the lease state and the membership with those of a snapshot.
 func (n *Node) restore(snapshot *raftpb.Snapshot) error {
 	data, state, err := decodeSnapshot(n.settings.Fleet, snapshot)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// takeSnapshot takes a snapshot and compacts the log up to a few entries behind it.
+// takeSnapshot takes a snapshot and compacts the log, except for the last entries before it.
 func (n *Node) takeSnapshot() {
 	snapshot, err := n.log.CreateSnapshot(n.applied, n.confState, EncodeSnapshot(n.peers, n.removedPeers, n.state))
 	if err != nil {
@@ -105,7 +105,7 @@
 		n.err = err
 		return
 	}
-	compacted := max(n.applied, trailingEntries) - min(trailingEntries, n.settings.SnapshotInterval/2) // the last index that is dropped
+	compacted := max(n.applied, trailingEntries) - min(trailingEntries, n.settings.SnapshotInterval/2) // last index that is deleted
 	if compacted >= first {
 		if err := n.log.Compact(compacted); err != nil {
 			n.err = err
