--- a/internal/decide/leasestate/leases.go
+++ b/internal/decide/leasestate/leases.go
@@ -6,7 +6,7 @@
 	"wayloft/internal/decide/lease"
 )
 
-// Lease is the exclusive right of one process at a time to perform one duty for the fleet.
+// Lease is the exclusive right of one process at a time to perform one task for the fleet.
 type Lease struct {
 	Holder       string      `cbor:"1,keyasint"` // session name; empty if the lease is free
 	Token        lease.Token `cbor:"2,keyasint"` // of the latest grant; it never decreases
