--- a/internal/decide/connpool/backoff.go
+++ b/internal/decide/connpool/backoff.go
@@ -21,8 +21,8 @@
 	raiseAt         float64
 }
 
-// refused lowers the limit to the connections that are established.
-func (l *learnedLimit) refused(established int, now float64) {
+// recordRefusal lowers the limit to the connections that are established.
+func (l *learnedLimit) recordRefusal(established int, now float64) {
 	if l.conns > 0 {
 		l.raiseIntervalMs = math.Min(2*l.raiseIntervalMs, maxLimitRaiseIntervalMs)
 	}
@@ -30,8 +30,8 @@
 	l.raiseAt = now + l.raiseIntervalMs
 }
 
-// raise raises a limit that is due. One far above the number of connections is dropped.
-func (l *learnedLimit) raise(total int, now float64) {
+// raiseIfDue raises a limit that is due. One far above the number of connections is dropped.
+func (l *learnedLimit) raiseIfDue(total int, now float64) {
 	if l.conns == 0 || now < l.raiseAt {
 		return
 	}
@@ -49,7 +49,7 @@
 	retryAt  float64
 }
 
-func (b *connectBackoff) failed(established int, now float64) {
+func (b *connectBackoff) recordFailure(established int, now float64) {
 	b.failures++
 	if established == 0 {
 		b.retryAt = now + math.Min(maxConnectBackoffMs, connectBackoffUnitMs*math.Exp2(b.failures))
@@ -62,7 +62,7 @@
 	if sub.bounds.WaitTimeoutMs == 0 || m.established() > 0 {
 		return false
 	}
-	return p.now < m.backoff.retryAt || m.limit.conns > 0 && m.opening > 0
+	return p.now < m.connectBackoff.retryAt || m.learnedLimit.conns > 0 && m.opening > 0
 }
 
 // localBackoff spaces dials to a member after failures for lack of this host's own resources, so that one at a time is tried.
@@ -71,21 +71,21 @@
 	dialAt   float64
 }
 
-func (b *localBackoff) failed(now float64) {
+func (b *localBackoff) recordFailure(now float64) {
 	b.failures++
-	b.dialAt = now + b.pauseMs()
+	b.dialAt = now + b.delayMs()
 }
 
-// dialStarted spaces the dials even where one of them hangs.
-func (b *localBackoff) dialStarted(now float64) {
+// recordDial spaces the dials even where one of them hangs.
+func (b *localBackoff) recordDial(now float64) {
 	if b.failures > 0 {
-		b.dialAt = now + b.pauseMs()
+		b.dialAt = now + b.delayMs()
 	}
 }
 
 func (b *localBackoff) paused(now float64) bool { return b.failures > 0 && now < b.dialAt }
 
-func (b *localBackoff) pauseMs() float64 {
+func (b *localBackoff) delayMs() float64 {
 	return math.Min(maxLocalPauseMs, minLocalPauseMs*math.Exp2(b.failures-1))
 }
 
@@ -95,8 +95,8 @@
 	if c == nil || c.state != connOpening {
 		return
 	}
-	p.forgetConn(c)
-	p.noteOpenFailure(c.sub.member, cause)
+	p.removeConn(c)
+	p.recordOpenFailure(c.sub.member, cause)
 	w := c.openedFor
 	if w == nil || !w.waiting {
 		return
@@ -109,14 +109,14 @@
 	}
 }
 
-func (p *Pool) noteOpenFailure(m *memberState, cause FailureCause) {
+func (p *Pool) recordOpenFailure(m *memberState, cause FailureCause) {
 	if cause == NoLocalResources {
-		m.local.failed(p.now)
+		m.localBackoff.recordFailure(p.now)
 		return
 	}
-	m.local.failures = 0
+	m.localBackoff.failures = 0
 	if cause == TooManyConnections {
-		m.limit.refused(m.established(), p.now)
+		m.learnedLimit.recordRefusal(m.established(), p.now)
 	}
-	m.backoff.failed(m.established(), p.now)
+	m.connectBackoff.recordFailure(m.established(), p.now)
 }
--- a/internal/decide/connpool/bench_test.go
+++ b/internal/decide/connpool/bench_test.go
@@ -10,7 +10,7 @@
 	for n := range b.N {
 		p.Advance(float64(n))
 		p.Request(Request{ID: "r", Key: Key{"a", "x"}})
-		for d, more := p.Next(); more; d, more = p.Next() {
+		for d, ok := p.Next(); ok; d, ok = p.Next() {
 			switch d.Action {
 			case Open:
 				p.Opened(d.Conn)
--- a/internal/decide/connpool/capacity.go
+++ b/internal/decide/connpool/capacity.go
@@ -3,7 +3,7 @@
 // mayOpen reports whether a sub-pool may open one more connection. It may close an idle connection to make room.
 func (p *Pool) mayOpen(sub *subPool) bool {
 	m, bounds := sub.member, sub.bounds
-	if !m.listed || m.local.paused(p.now) {
+	if !m.listed || m.localBackoff.paused(p.now) {
 		return false
 	}
 	if bounds.PerMember > 0 && sub.total >= bounds.PerMember {
@@ -41,7 +41,7 @@
 
 // memberLimit returns how many connections a member may have; 0 for no limit.
 func (p *Pool) memberLimit(m *memberState) int {
-	learned, configured := m.limit.conns, p.settings.MaxPerMember
+	learned, configured := m.learnedLimit.conns, p.settings.MaxPerMember
 	if learned > 0 && configured > 0 {
 		return min(learned, configured)
 	}
@@ -50,22 +50,22 @@
 
 // fairShare returns how many of a member's connections each pool is entitled to, and whether one that has waiters has fewer.
 func (p *Pool) fairShare(m *memberState) (share int, starved bool) {
-	users := 0
+	activeSubPools := 0
 	for _, sub := range m.subPools {
 		if sub.inUse() {
-			users++
+			activeSubPools++
 		}
 	}
-	share = max(1, p.memberLimit(m)/max(1, users))
+	share = max(1, p.memberLimit(m)/max(1, activeSubPools))
 	for _, sub := range m.subPools {
 		starved = starved || sub.waiting > 0 && sub.total < share
 	}
 	return share, starved
 }
 
-// mustCedeSlot reports whether a connection must be closed, rather than reused, since another pool with waiters has less than its
+// mustYieldSlot reports whether a connection must be closed, rather than reused, since another pool with waiters has less than its
 // share of the member and this one has more. Without it, a pool that is always busy would never free a slot.
-func (p *Pool) mustCedeSlot(c *conn) bool {
+func (p *Pool) mustYieldSlot(c *conn) bool {
 	m := c.sub.member
 	limit := p.memberLimit(m)
 	if limit == 0 || m.total < limit {
--- a/internal/decide/connpool/conn.go
+++ b/internal/decide/connpool/conn.go
@@ -63,14 +63,14 @@
 	m.total++
 	m.opening++
 	p.poolTotals[sub.key.Pool]++
-	m.local.dialStarted(p.now)
+	m.localBackoff.recordDial(p.now)
 
 	d := Decision{Action: Open, Conn: c.id, Key: sub.key}
 	if w != nil {
-		w.dialed = true
+		w.dialing = true
 		d.RequestID = w.ID
 	}
-	p.decide(d)
+	p.emit(d)
 }
 
 // Opened says that a connection is established.
@@ -83,10 +83,10 @@
 	p.markDirty(m)
 	c.sub.opening--
 	m.opening--
-	m.backoff.failures = 0
-	m.local.failures = 0
+	m.connectBackoff.failures = 0
+	m.localBackoff.failures = 0
 	if c.openedFor != nil {
-		c.openedFor.dialed = false
+		c.openedFor.dialing = false
 		c.openedFor = nil
 	}
 	c.openedAt = p.now
@@ -107,7 +107,7 @@
 	}
 	c.affinity = affinity
 	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
-	if c.expired(p.now) || p.mustCedeSlot(c) {
+	if c.expired(p.now) || p.mustYieldSlot(c) {
 		p.closeConn(c)
 		return
 	}
@@ -126,13 +126,13 @@
 }
 
 // SetTurn says who must send next on a busy connection: the client or the member.
-func (p *Pool) SetTurn(connID int, clientsTurn bool) {
+func (p *Pool) SetTurn(connID int, awaitingClient bool) {
 	c := p.conns[connID]
 	if c == nil || c.state != connBusy {
 		return
 	}
 	timeoutMs := c.sub.bounds.IdleInTransactionTimeoutMs
-	if clientsTurn && timeoutMs > 0 {
+	if awaitingClient && timeoutMs > 0 {
 		p.idleInTransactionTimers.Put(&c.idleInTransaction, p.now+timeoutMs)
 		return
 	}
@@ -142,17 +142,17 @@
 // ConnectionClosed says that a connection has ended, in whatever state it was.
 func (p *Pool) ConnectionClosed(connID int) {
 	if c := p.conns[connID]; c != nil {
-		p.forgetConn(c)
+		p.removeConn(c)
 	}
 }
 
 // closeConn has the driver close a connection.
 func (p *Pool) closeConn(c *conn) {
-	p.decide(Decision{Action: Close, Conn: c.id, Key: c.sub.key})
-	p.forgetConn(c)
+	p.emit(Decision{Action: Close, Conn: c.id, Key: c.sub.key})
+	p.removeConn(c)
 }
 
-func (p *Pool) forgetConn(c *conn) {
+func (p *Pool) removeConn(c *conn) {
 	sub, m := c.sub, c.sub.member
 	p.markDirty(m)
 	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
@@ -167,7 +167,7 @@
 		sub.opening--
 		m.opening--
 		if c.openedFor != nil {
-			c.openedFor.dialed = false
+			c.openedFor.dialing = false
 		}
 	case connIdle:
 		sub.removeIdle(c)
--- a/internal/decide/connpool/invariants_test.go
+++ b/internal/decide/connpool/invariants_test.go
@@ -35,7 +35,7 @@
 			m.drawInput()
 			m.pull()
 		}
-		m.end()
+		m.shutDown()
 	})
 }
 
@@ -53,7 +53,7 @@
 
 // pull takes all decisions, and checks each of them and what holds after it.
 func (m *poolModel) pull() {
-	for d, more := m.pool.Next(); more; d, more = m.pool.Next() {
+	for d, ok := m.pool.Next(); ok; d, ok = m.pool.Next() {
 		m.apply(d)
 		m.checkLimits()
 	}
@@ -162,7 +162,7 @@
 			m.pool.ConnectionClosed(id)
 		}
 	case 11:
-		m.cancelOnly()
+		m.cancelSingleRequest()
 	}
 }
 
@@ -174,8 +174,8 @@
 	m.pool.Request(Request{ID: id, Key: key, Tenant: rapid.SampledFrom([]string{"", "t", "u"}).Draw(m.t, "tenant")})
 }
 
-// cancelOnly cancels the request that waits, if there is only one.
-func (m *poolModel) cancelOnly() {
+// cancelSingleRequest cancels the request that waits, if there is only one.
+func (m *poolModel) cancelSingleRequest() {
 	if len(m.requests) != 1 {
 		return
 	}
@@ -185,8 +185,8 @@
 	}
 }
 
-// end removes the members and closes what is left.
-func (m *poolModel) end() {
+// shutDown removes the members and closes what is left.
+func (m *poolModel) shutDown() {
 	m.pool.MemberListed("a", false)
 	m.pool.MemberListed("b", false)
 	m.pull()
--- a/internal/decide/connpool/member.go
+++ b/internal/decide/connpool/member.go
@@ -9,17 +9,17 @@
 
 // memberState is one member: its connections by pool, and what limits the opening of more.
 type memberState struct {
-	id       string
-	listed   bool // the member takes new work
-	dirty    bool // changed since the last sweep
-	timer    timerqueue.Timer[*memberState]
-	subPools map[string]*subPool // by the pool's name
-	total    int                 // connections, those being opened among them
-	opening  int
+	id         string
+	listed     bool // the member takes new work
+	dirty      bool // changed since the last sweep
+	sweepTimer timerqueue.Timer[*memberState]
+	subPools   map[string]*subPool // by the pool's name
+	total      int                 // connections, those being opened among them
+	opening    int
 
-	limit   learnedLimit
-	backoff connectBackoff
-	local   localBackoff
+	learnedLimit   learnedLimit
+	connectBackoff connectBackoff
+	localBackoff   localBackoff
 }
 
 // established returns the number of connections that are up.
@@ -48,8 +48,8 @@
 func (p *Pool) member(id string) *memberState {
 	m := p.members[id]
 	if m == nil {
-		m = &memberState{id: id, subPools: map[string]*subPool{}, limit: learnedLimit{raiseIntervalMs: minLimitRaiseIntervalMs}}
-		m.timer.Of = m
+		m = &memberState{id: id, subPools: map[string]*subPool{}, learnedLimit: learnedLimit{raiseIntervalMs: minLimitRaiseIntervalMs}}
+		m.sweepTimer.Of = m
 		p.members[id] = m
 	}
 	p.markDirty(m)
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -93,7 +93,7 @@
 	return p.popDecision(), true
 }
 
-func (p *Pool) decide(d Decision) { p.decisions = append(p.decisions, d) }
+func (p *Pool) emit(d Decision) { p.decisions = append(p.decisions, d) }
 
 func (p *Pool) popDecision() Decision {
 	d := p.decisions[0]
--- a/internal/decide/connpool/recorded_test.go
+++ b/internal/decide/connpool/recorded_test.go
@@ -16,8 +16,8 @@
 	now         float64
 	lastRequest int
 	conns       map[int]string // by number: opening, busy, or idle
-	order       []int          // the numbers of conns, in the order in which they were opened
-	out         strings.Builder
+	connOrder   []int          // the numbers of conns, in the order in which they were opened
+	transcript  strings.Builder
 }
 
 // TestRecordedDecisions compares the decisions on random inputs with the recorded ones.
@@ -38,10 +38,10 @@
 			r.pool.MemberListed(member, true)
 		}
 		for step := range 1000 {
-			fmt.Fprintf(&r.out, "%d %d ", seed, step)
+			fmt.Fprintf(&r.transcript, "%d %d ", seed, step)
 			r.step()
 		}
-		out.WriteString(r.out.String())
+		out.WriteString(r.transcript.String())
 	}
 	recording.Compare(t, "recorded-decisions.digest", out.String())
 }
@@ -55,41 +55,41 @@
 		r.now += float64(r.rand.IntN(4))
 	}
 	r.pool.Advance(r.now)
-	fmt.Fprintf(&r.out, "at %v ", r.now)
+	fmt.Fprintf(&r.transcript, "at %v ", r.now)
 	r.input()
-	for d, more := r.pool.Next(); more; d, more = r.pool.Next() {
-		fmt.Fprintf(&r.out, "[%d conn %d %v want %q reason %d fresh %v] ", d.Action, d.Conn, d.Key, d.RequestID, d.Reason, d.Unsettled)
+	for d, ok := r.pool.Next(); ok; d, ok = r.pool.Next() {
+		fmt.Fprintf(&r.transcript, "[%d conn %d %v want %q reason %d fresh %v] ", d.Action, d.Conn, d.Key, d.RequestID, d.Reason, d.Unsettled)
 		switch d.Action {
 		case Open:
 			r.conns[d.Conn] = "opening"
-			r.order = append(r.order, d.Conn)
+			r.connOrder = append(r.connOrder, d.Conn)
 		case Assign:
 			r.conns[d.Conn] = "busy"
 		case Close:
-			r.forget(d.Conn)
+			r.removeConn(d.Conn)
 		case CloseIdleInTransaction:
 			r.pool.ConnectionClosed(d.Conn)
-			r.forget(d.Conn)
+			r.removeConn(d.Conn)
 		}
 	}
-	fmt.Fprintf(&r.out, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.OpenCount(), r.pool.WaitingCount(), r.pool.IdleCount("m1"), r.pool.IdleCount("m2"),
+	fmt.Fprintf(&r.transcript, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.OpenCount(), r.pool.WaitingCount(), r.pool.IdleCount("m1"), r.pool.IdleCount("m2"),
 		r.pool.IdleCount("m3"), r.pool.NextDeadline(), r.pool.NextSweep())
 }
 
-func (r *recordedPool) forget(conn int) {
+func (r *recordedPool) removeConn(conn int) {
 	delete(r.conns, conn)
-	for n, opened := range r.order {
+	for n, opened := range r.connOrder {
 		if opened == conn {
-			r.order = append(r.order[:n:n], r.order[n+1:]...)
+			r.connOrder = append(r.connOrder[:n:n], r.connOrder[n+1:]...)
 			return
 		}
 	}
 }
 
-// draw returns a connection in a state; 0 if there is none.
-func (r *recordedPool) draw(state string) int {
+// drawConn returns a connection in a state; 0 if there is none.
+func (r *recordedPool) drawConn(state string) int {
 	var all []int
-	for _, conn := range r.order {
+	for _, conn := range r.connOrder {
 		if r.conns[conn] == state {
 			all = append(all, conn)
 		}
@@ -111,51 +111,51 @@
 			request.Affinity = r.rand.IntN(3)
 		}
 		r.pool.Request(request)
-		fmt.Fprintf(&r.out, "request %v ", request)
+		fmt.Fprintf(&r.transcript, "request %v ", request)
 	case choice < 39:
 		id := fmt.Sprint("w", max(1, r.lastRequest-r.rand.IntN(4)))
 		r.pool.Cancel(id)
-		fmt.Fprintf(&r.out, "cancel %s ", id)
+		fmt.Fprintf(&r.transcript, "cancel %s ", id)
 	case choice < 58:
-		conn := r.draw("opening")
+		conn := r.drawConn("opening")
 		r.pool.Opened(conn)
 		if conn > 0 {
 			r.conns[conn] = "idle"
 		}
-		fmt.Fprintf(&r.out, "opened %d ", conn)
+		fmt.Fprintf(&r.transcript, "opened %d ", conn)
 	case choice < 65:
-		conn, cause := r.draw("opening"), FailureCause(r.rand.IntN(3))
+		conn, cause := r.drawConn("opening"), FailureCause(r.rand.IntN(3))
 		r.pool.OpenFailed(conn, cause)
-		r.forget(conn)
-		fmt.Fprintf(&r.out, "failed %d %d ", conn, cause)
+		r.removeConn(conn)
+		fmt.Fprintf(&r.transcript, "failed %d %d ", conn, cause)
 	case choice < 84:
-		conn, affinity := r.draw("busy"), r.rand.IntN(3)
+		conn, affinity := r.drawConn("busy"), r.rand.IntN(3)
 		if conn > 0 {
 			r.conns[conn] = "idle"
 		}
 		r.pool.Release(conn, affinity)
-		fmt.Fprintf(&r.out, "free %d %d ", conn, affinity)
+		fmt.Fprintf(&r.transcript, "free %d %d ", conn, affinity)
 	case choice < 88:
-		conn, clientsTurn := r.draw("busy"), r.rand.IntN(2) == 0
-		r.pool.SetTurn(conn, clientsTurn)
-		fmt.Fprintf(&r.out, "turn %d %v ", conn, clientsTurn)
+		conn, awaitingClient := r.drawConn("busy"), r.rand.IntN(2) == 0
+		r.pool.SetTurn(conn, awaitingClient)
+		fmt.Fprintf(&r.transcript, "turn %d %v ", conn, awaitingClient)
 	case choice < 92:
-		conn := r.draw([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
+		conn := r.drawConn([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
 		r.pool.ConnectionClosed(conn)
-		r.forget(conn)
-		fmt.Fprintf(&r.out, "gone %d ", conn)
+		r.removeConn(conn)
+		fmt.Fprintf(&r.transcript, "gone %d ", conn)
 	case choice < 94:
 		listed := r.rand.IntN(3) > 0
 		r.pool.MemberListed(member, listed)
-		fmt.Fprintf(&r.out, "listed %s %v ", member, listed)
+		fmt.Fprintf(&r.transcript, "listed %s %v ", member, listed)
 	case choice < 95:
 		r.pool.RetireConnections(member)
-		fmt.Fprintf(&r.out, "renew %s ", member)
+		fmt.Fprintf(&r.transcript, "renew %s ", member)
 	case choice < 96:
 		r.pool.CloseIdle(member)
-		fmt.Fprintf(&r.out, "close idle %s ", member)
+		fmt.Fprintf(&r.transcript, "close idle %s ", member)
 	default:
 		r.pool.MemberListed(member, true)
-		fmt.Fprintf(&r.out, "wait ")
+		fmt.Fprintf(&r.transcript, "wait ")
 	}
 }
--- a/internal/decide/connpool/scenario_test.go
+++ b/internal/decide/connpool/scenario_test.go
@@ -130,7 +130,7 @@
 	}
 	s.pulled = true
 	s.decisions = nil
-	for d, more := s.pool.Next(); more; d, more = s.pool.Next() {
+	for d, ok := s.pool.Next(); ok; d, ok = s.pool.Next() {
 		s.decisions = append(s.decisions, describe(d))
 	}
 }
--- a/internal/decide/connpool/sweep.go
+++ b/internal/decide/connpool/sweep.go
@@ -32,7 +32,7 @@
 
 func (p *Pool) sweepMember(m *memberState) {
 	p.sweepVisits++
-	m.limit.raise(m.total, p.now)
+	m.learnedLimit.raiseIfDue(m.total, p.now)
 	for _, pool := range slices.Sorted(maps.Keys(m.subPools)) {
 		sub := m.subPools[pool]
 		p.sweepSubPool(sub)
@@ -40,13 +40,13 @@
 			delete(m.subPools, pool)
 		}
 	}
-	p.memberTimers.Drop(&m.timer)
+	p.memberTimers.Drop(&m.sweepTimer)
 	if !m.listed && len(m.subPools) == 0 {
 		delete(p.members, m.id)
 		return
 	}
 	if deadline := m.nextDeadline(p.now); !math.IsInf(deadline, 1) {
-		p.memberTimers.Put(&m.timer, deadline)
+		p.memberTimers.Put(&m.sweepTimer, deadline)
 	}
 }
 
@@ -60,13 +60,13 @@
 	if sub.bounds.WaitTimeoutMs > 0 {
 		p.timeOutWaiters(sub)
 	}
-	if sub.lacksMinIdle() && p.now >= sub.member.backoff.retryAt && p.mayOpen(sub) {
+	if sub.lacksMinIdle() && p.now >= sub.member.connectBackoff.retryAt && p.mayOpen(sub) {
 		p.openConn(sub, nil)
 	}
 }
 
 func (p *Pool) timeOutWaiters(sub *subPool) {
-	for w := sub.longestWaiting(); w != nil && p.now-w.since >= sub.bounds.WaitTimeoutMs; w = sub.longestWaiting() {
+	for w := sub.longestWaiting(); w != nil && p.now-w.enqueuedAt >= sub.bounds.WaitTimeoutMs; w = sub.longestWaiting() {
 		p.reject(w, WaitTimedOut)
 	}
 }
@@ -80,15 +80,15 @@
 	}
 	slices.SortFunc(overdue, func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 	for _, c := range overdue {
-		p.decide(Decision{Action: CloseIdleInTransaction, Conn: c.id, Key: c.sub.key})
+		p.emit(Decision{Action: CloseIdleInTransaction, Conn: c.id, Key: c.sub.key})
 	}
 }
 
 // nextDeadline returns when a sweep has something to do for a member although nothing changes; +Inf if never.
 func (m *memberState) nextDeadline(now float64) float64 {
 	deadline := math.Inf(1)
-	if m.limit.conns > 0 {
-		deadline = m.limit.raiseAt
+	if m.learnedLimit.conns > 0 {
+		deadline = m.learnedLimit.raiseAt
 	}
 	for _, sub := range m.subPools {
 		deadline = math.Min(deadline, sub.nextDeadline(now))
@@ -108,11 +108,11 @@
 	}
 	if s.bounds.WaitTimeoutMs > 0 {
 		for _, queue := range s.queues {
-			deadline = math.Min(deadline, queue[0].since+s.bounds.WaitTimeoutMs)
+			deadline = math.Min(deadline, queue[0].enqueuedAt+s.bounds.WaitTimeoutMs)
 		}
 	}
 	if s.lacksMinIdle() {
-		deadline = math.Min(deadline, max(now, s.member.backoff.retryAt, s.member.local.dialAt))
+		deadline = math.Min(deadline, max(now, s.member.connectBackoff.retryAt, s.member.localBackoff.dialAt))
 	}
 	return deadline
 }
--- a/internal/decide/connpool/sweep_test.go
+++ b/internal/decide/connpool/sweep_test.go
@@ -12,7 +12,7 @@
 )
 
 func pullAll(p *Pool) (decisions []Decision) {
-	for d, more := p.Next(); more; d, more = p.Next() {
+	for d, ok := p.Next(); ok; d, ok = p.Next() {
 		decisions = append(decisions, d)
 	}
 	return decisions
@@ -61,30 +61,30 @@
 // everything, and NextDeadline is never later than the next of these decisions.
 func TestSweep_DecidesAsFullSweep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &sweepComparison{t: t, now: 1000, pool: New(modelSettings), full: New(modelSettings), conns: map[int]Action{}}
+		s := &sweepComparison{t: t, now: 1000, pool: New(modelSettings), fullPool: New(modelSettings), conns: map[int]Action{}}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			s.sweepUntil(s.now + rapid.SampledFrom([]float64{0, 1, 30, 120, 400, 3000}).Draw(t, "ms"))
 			s.drawInput()
-			s.visitAll()
-			s.compare(pullAll(s.pool), pullAll(s.full))
+			s.markAllDirty()
+			s.compare(pullAll(s.pool), pullAll(s.fullPool))
 		}
 	})
 }
 
 // sweepComparison gives the same inputs to two pools. The sweeps of one visit everything.
 type sweepComparison struct {
-	t          *rapid.T
-	now        float64
-	pool, full *Pool
-	requests   []string       // not cancelled
-	lastID     int            // of a request
-	conns      map[int]Action // the last decision on each connection; Close once it is established and not in use
+	t              *rapid.T
+	now            float64
+	pool, fullPool *Pool
+	requests       []string       // not cancelled
+	lastRequestID  int            // of a request
+	conns          map[int]Action // the last decision on each connection; Close once it is established and not in use
 }
 
-// visitAll has the next sweep of the full pool visit everything.
-func (s *sweepComparison) visitAll() {
-	for _, m := range s.full.members {
-		s.full.markDirty(m)
+// markAllDirty has the next sweep of the full pool visit everything.
+func (s *sweepComparison) markAllDirty() {
+	for _, m := range s.fullPool.members {
+		s.fullPool.markDirty(m)
 	}
 }
 
@@ -93,7 +93,7 @@
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		s.t.Fatalf("at %v: decided %v, with a sweep over everything %v", s.now, got, want)
 	}
-	s.pool.nextSweepAt = s.full.nextSweepAt
+	s.pool.nextSweepAt = s.fullPool.nextSweepAt
 	for _, d := range got {
 		switch d.Action {
 		case Open, Assign:
@@ -106,11 +106,11 @@
 
 // sweepUntil drives both pools up to a time: the full one at each of its sweeps, the other one at its deadlines.
 func (s *sweepComparison) sweepUntil(end float64) {
-	for s.full.nextSweepAt <= end {
-		s.now = math.Max(s.now, s.full.nextSweepAt)
-		s.full.Advance(s.now)
-		s.visitAll()
-		want := pullAll(s.full)
+	for s.fullPool.nextSweepAt <= end {
+		s.now = math.Max(s.now, s.fullPool.nextSweepAt)
+		s.fullPool.Advance(s.now)
+		s.markAllDirty()
+		want := pullAll(s.fullPool)
 		var got []Decision
 		if s.pool.NextDeadline() <= s.now {
 			s.pool.Advance(s.now)
@@ -138,10 +138,10 @@
 
 // sweepInput is one drawn input.
 type sweepInput struct {
-	step                 int
+	kind                 int
 	member, pool, tenant string
 	cause                FailureCause
-	yes                  bool
+	flag                 bool
 	opening, busy        int // connections, 0 for none
 }
 
@@ -151,26 +151,26 @@
 		pool:    rapid.SampledFrom([]string{"x", "y", "z"}).Draw(s.t, "pool"),
 		tenant:  rapid.SampledFrom([]string{"", "t"}).Draw(s.t, "tenant"),
 		cause:   FailureCause(rapid.IntRange(0, 2).Draw(s.t, "cause")),
-		yes:     rapid.IntRange(0, 3).Draw(s.t, "yes") > 0,
+		flag:    rapid.IntRange(0, 3).Draw(s.t, "yes") > 0,
 		opening: s.drawConn(Open),
 		busy:    s.drawConn(Assign),
-		step:    rapid.IntRange(0, 9).Draw(s.t, "step"),
+		kind:    rapid.IntRange(0, 9).Draw(s.t, "step"),
 	}
-	if in.step == 1 {
-		s.lastID++
-		s.requests = append(s.requests, strconv.Itoa(s.lastID))
+	if in.kind == 1 {
+		s.lastRequestID++
+		s.requests = append(s.requests, strconv.Itoa(s.lastRequestID))
 	}
-	for _, p := range []*Pool{s.pool, s.full} {
+	for _, p := range []*Pool{s.pool, s.fullPool} {
 		p.Advance(s.now)
 		s.apply(p, in)
 	}
-	s.note(in)
+	s.trackState(in)
 }
 
 func (s *sweepComparison) apply(p *Pool, in sweepInput) {
-	switch in.step {
+	switch in.kind {
 	case 0:
-		p.MemberListed(in.member, in.yes)
+		p.MemberListed(in.member, in.flag)
 	case 1:
 		p.Request(Request{ID: s.requests[len(s.requests)-1], Key: Key{in.member, in.pool}, Tenant: in.tenant})
 	case 2, 3:
@@ -180,7 +180,7 @@
 	case 5, 6:
 		p.Release(in.busy, nil)
 	case 7:
-		p.SetTurn(in.busy, in.yes)
+		p.SetTurn(in.busy, in.flag)
 	case 8:
 		p.ConnectionClosed(cmp.Or(in.busy, in.opening))
 	case 9:
@@ -190,9 +190,9 @@
 	}
 }
 
-// note keeps the states of connections and requests after an input.
-func (s *sweepComparison) note(in sweepInput) {
-	switch in.step {
+// trackState keeps the states of connections and requests after an input.
+func (s *sweepComparison) trackState(in sweepInput) {
+	switch in.kind {
 	case 2, 3:
 		if in.opening > 0 {
 			s.conns[in.opening] = Close
@@ -249,7 +249,7 @@
 	attempts, now := 0, 0.0
 	for ; now < 2000; now = p.NextDeadline() {
 		p.Advance(now)
-		for d, more := p.Next(); more; d, more = p.Next() {
+		for d, ok := p.Next(); ok; d, ok = p.Next() {
 			if d.Action == Open {
 				attempts++
 				p.OpenFailed(d.Conn, TooManyConnections)
--- a/internal/decide/connpool/waiter.go
+++ b/internal/decide/connpool/waiter.go
@@ -5,21 +5,21 @@
 // waiter is a request that has no connection yet.
 type waiter struct {
 	Request
-	sub     *subPool
-	since   float64
-	waiting bool // false once it is served, rejected or cancelled
-	dialed  bool // a connection is being opened for it
+	sub        *subPool
+	enqueuedAt float64
+	waiting    bool // false once it is served, rejected or cancelled
+	dialing    bool // a connection is being opened for it
 }
 
-// before orders waiters by the time at which they came.
-func (w *waiter) before(other *waiter) bool {
-	return w.since < other.since || w.since == other.since && w.ID < other.ID
+// enqueuedBefore orders waiters by the time at which they came.
+func (w *waiter) enqueuedBefore(other *waiter) bool {
+	return w.enqueuedAt < other.enqueuedAt || w.enqueuedAt == other.enqueuedAt && w.ID < other.ID
 }
 
 // Request asks for a connection. Assign or Reject answers it, unless it is cancelled.
 func (p *Pool) Request(r Request) {
 	sub := p.subPool(r.Key)
-	w := &waiter{Request: r, sub: sub, since: p.now, waiting: true}
+	w := &waiter{Request: r, sub: sub, enqueuedAt: p.now, waiting: true}
 	if sub.queues[r.Tenant] == nil {
 		sub.tenants = append(sub.tenants, r.Tenant)
 	}
@@ -40,7 +40,7 @@
 
 func (p *Pool) reject(w *waiter, reason RejectReason) {
 	p.removeWaiter(w)
-	p.decide(Decision{Action: Reject, RequestID: w.ID, Key: w.sub.key, Reason: reason})
+	p.emit(Decision{Action: Reject, RequestID: w.ID, Key: w.sub.key, Reason: reason})
 }
 
 // removeWaiter takes a waiter out of its queue.
@@ -54,8 +54,8 @@
 		p.contended = slices.DeleteFunc(p.contended, func(other *subPool) bool { return other == sub })
 	}
 	queue := sub.queues[w.Tenant]
-	position := slices.Index(queue, w)
-	queue = slices.Delete(queue, position, position+1)
+	index := slices.Index(queue, w)
+	queue = slices.Delete(queue, index, index+1)
 	if len(queue) > 0 {
 		sub.queues[w.Tenant] = queue
 		return
@@ -69,13 +69,13 @@
 	for sub.waiting > 0 && len(sub.idle) > 0 {
 		p.assign(p.popWaiter(sub))
 	}
-	for w := sub.firstUndialed(); w != nil && sub.opening < sub.waiting && p.mayOpen(sub); w = sub.firstUndialed() {
+	for w := sub.firstNotDialing(); w != nil && sub.opening < sub.waiting && p.mayOpen(sub); w = sub.firstNotDialing() {
 		p.openConn(sub, w)
 	}
 	if sub.bounds.WaitTimeoutMs > 0 && sub.member.listed {
 		return
 	}
-	for w := sub.firstUndialed(); w != nil && (sub.waiting > sub.opening || !sub.member.listed); w = sub.firstUndialed() {
+	for w := sub.firstNotDialing(); w != nil && (sub.waiting > sub.opening || !sub.member.listed); w = sub.firstNotDialing() {
 		p.reject(w, NoCapacity)
 	}
 }
@@ -98,7 +98,7 @@
 	unsettled := !c.settled(p.now)
 	c.state = connBusy
 	c.uses++
-	p.decide(Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: sub.key, Unsettled: unsettled})
+	p.emit(Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: sub.key, Unsettled: unsettled})
 }
 
 // preferredIdle chooses among idle connections: a settled one first, then one of the same affinity, then the one that was used
@@ -107,14 +107,14 @@
 	var best *conn
 	bestRank := -1
 	for _, c := range slices.Backward(s.idle) {
-		if rank := c.rank(affinity, now); rank > bestRank {
+		if rank := c.reuseRank(affinity, now); rank > bestRank {
 			best, bestRank = c, rank
 		}
 	}
 	return best
 }
 
-func (c *conn) rank(affinity any, now float64) (rank int) {
+func (c *conn) reuseRank(affinity any, now float64) (rank int) {
 	if affinity != nil && c.affinity == affinity {
 		rank++
 	}
@@ -124,18 +124,18 @@
 	return rank
 }
 
-// firstUndialed returns the first waiter that no connection is being opened for, tenants in turn; nil if there is none.
-func (s *subPool) firstUndialed() *waiter {
-	for position := 0; ; position++ {
+// firstNotDialing returns the first waiter that no connection is being opened for, tenants in turn; nil if there is none.
+func (s *subPool) firstNotDialing() *waiter {
+	for index := 0; ; index++ {
 		exhausted := true
 		for _, tenant := range s.tenants {
 			queue := s.queues[tenant]
-			if position >= len(queue) {
+			if index >= len(queue) {
 				continue
 			}
 			exhausted = false
-			if !queue[position].dialed {
-				return queue[position]
+			if !queue[index].dialing {
+				return queue[index]
 			}
 		}
 		if exhausted {
@@ -148,7 +148,7 @@
 func (s *subPool) longestWaiting() *waiter {
 	var first *waiter
 	for _, queue := range s.queues {
-		if first == nil || queue[0].before(first) {
+		if first == nil || queue[0].enqueuedBefore(first) {
 			first = queue[0]
 		}
 	}
