--- a/internal/decide/session/begin.go
+++ b/internal/decide/session/begin.go
@@ -36,13 +36,13 @@
 		}
 		s.status, s.deferred = StatusInTransaction, deferredBegin{}
 		s.deferred.add(c, text)
-		return completed(beginTag(text), s.status)
+		return completionReply(beginTag(text), s.status)
 	case pg.SetTransaction:
 		if !s.deferred.pending() || len(s.deferred.statements) >= maxDeferredStatements || !c.Simple {
 			return nil
 		}
 		s.deferred.add(c, text)
-		return completed("SET", StatusInTransaction)
+		return completionReply("SET", StatusInTransaction)
 	case pg.Commit:
 		return s.endDeferred("COMMIT")
 	default:
@@ -56,7 +56,7 @@
 		return nil
 	}
 	s.status, s.deferred = StatusIdle, deferredBegin{}
-	return completed(tag, StatusIdle)
+	return completionReply(tag, StatusIdle)
 }
 
 // beginTag returns the command tag with which a server answers a statement that begins a transaction.
--- a/internal/decide/session/connection.go
+++ b/internal/decide/session/connection.go
@@ -20,9 +20,9 @@
 func (s *Session) ServerSettings() Settings { return s.current.server }
 
 // AttachConnection has the session go on with a connection that has these settings.
-func (s *Session) AttachConnection(has Settings) {
-	s.current.server = has
-	s.transactionStart.server = has
+func (s *Session) AttachConnection(serverSettings Settings) {
+	s.current.server = serverSettings
+	s.transactionStart.server = serverSettings
 }
 
 // SettingsStatements returns the statements that bring the settings of the session's connection to the session's own.
@@ -42,8 +42,8 @@
 	}
 }
 
-// setLocally sets the client's settings without a member. No transaction takes them back.
-func (s *Session) setLocally(settings Settings) {
+// setClientSettings sets the client's settings without a member. No transaction takes them back.
+func (s *Session) setClientSettings(settings Settings) {
 	s.current.client = settings
 	s.transactionStart.client = settings
 }
--- a/internal/decide/session/extended.go
+++ b/internal/decide/session/extended.go
@@ -33,7 +33,7 @@
 		return reject(m.Kind, &pg.Error{Code: pg.ProgramLimitExceeded, Text: "too many prepared statements in this session"})
 	}
 	statement := newPreparedStatement(m)
-	if fault := s.fault(statement.Command); fault != nil {
+	if fault := s.policyError(statement.Command); fault != nil {
 		return reject(m.Kind, fault)
 	}
 	s.prepared, _, _ = s.prepared.Insert([]byte(m.Name), statement)
@@ -48,7 +48,7 @@
 func (s *Session) bind(m pg.Message) []Message {
 	statement, known := s.prepared.Get([]byte(m.Name))
 	if !known {
-		return reject(m.Kind, unknownStatement(m.Name))
+		return reject(m.Kind, unknownStatementError(m.Name))
 	}
 	s.portals[m.Portal] = statement.Command
 	return []Message{{Action: Bind, Kind: m.Kind, Portal: m.Portal, Statement: statement, Raw: append([]byte(nil), m.Tail...)}}
@@ -63,7 +63,7 @@
 	}
 	statement, known := s.prepared.Get([]byte(m.Name))
 	if !known {
-		return reject(m.Kind, unknownStatement(m.Name))
+		return reject(m.Kind, unknownStatementError(m.Name))
 	}
 	return []Message{{Action: DescribeStatement, Kind: m.Kind, Statement: statement}}
 }
@@ -95,7 +95,7 @@
 	s.confirmed = s.prepared
 }
 
-func unknownStatement(name string) *pg.Error {
+func unknownStatementError(name string) *pg.Error {
 	return &pg.Error{Code: pg.InvalidSQLStatementName, Text: `prepared statement "` + name + `" does not exist`}
 }
 
--- a/internal/decide/session/loss.go
+++ b/internal/decide/session/loss.go
@@ -36,13 +36,13 @@
 	return mayHaveCommitted
 }
 
-// queryAfterLoss answers a simple query in a transaction whose connection is lost: only the end of the transaction is accepted.
-func (s *Session) queryAfterLoss(first Command) []byte {
+// queryAfterConnectionLoss answers a simple query in a transaction whose connection is lost: only the end of the transaction is accepted.
+func (s *Session) queryAfterConnectionLoss(first Command) []byte {
 	if !endsTransaction(first) {
-		return failed(errTransactionAborted, StatusFailed)
+		return errorReply(errTransactionAborted, StatusFailed)
 	}
 	s.status = StatusIdle
-	return completed("ROLLBACK", StatusIdle)
+	return completionReply("ROLLBACK", StatusIdle)
 }
 
 // FailedTransactionReply answers a unit of an extended query in a transaction whose connection is lost: only the end of the transaction is
@@ -59,7 +59,7 @@
 	}
 	s.expected, s.firstCommand, s.prepared = nil, nil, s.confirmed
 	if s.status == StatusFailed {
-		return failed(errTransactionAborted, StatusFailed)
+		return errorReply(errTransactionAborted, StatusFailed)
 	}
 	var out []byte
 	for _, message := range messages {
--- a/internal/decide/session/message.go
+++ b/internal/decide/session/message.go
@@ -73,10 +73,10 @@
 	return []Message{{Action: Reject, Kind: kind, Fault: fault}}
 }
 
-func completed(tag string, status byte) []byte {
+func completionReply(tag string, status byte) []byte {
 	return pg.AppendReadyForQuery(pg.AppendCommandComplete(nil, tag), status)
 }
 
-func failed(fault *pg.Error, status byte) []byte {
+func errorReply(fault *pg.Error, status byte) []byte {
 	return pg.AppendReadyForQuery(pg.AppendError(nil, fault, false), status)
 }
--- a/internal/decide/session/model_test.go
+++ b/internal/decide/session/model_test.go
@@ -169,23 +169,23 @@
 // modelPool is a session on a pool of connections, as the router has them, beside a server that the client has to itself.
 type modelPool struct {
 	t           *rapid.T
-	alone       *serverModel
+	reference   *serverModel
 	connections []*serverModel
-	known       []Settings // what the router takes each connection to have
+	tracked     []Settings // what the router takes each connection to have
 	session     *Session
-	carrier     int // the connection that carries the session; noCarrier: none
+	attached    int // the connection that carries the session; noCarrier: none
 }
 
-const noCarrier = -1
+const notAttached = -1
 
 // query has the client send a query, and passes the messages between the session and its connection.
 func (p *modelPool) query(sql string) {
-	_, messages := p.session.Query(sql, pg.AppendQuery(nil, sql), p.carrier >= 0)
-	if messages != nil && p.carrier == noCarrier {
+	_, messages := p.session.Query(sql, pg.AppendQuery(nil, sql), p.attached >= 0)
+	if messages != nil && p.attached == notAttached {
 		p.attach(rapid.IntRange(0, len(p.connections)-1).Draw(p.t, "connection"))
 	}
 	for _, message := range messages {
-		p.connections[p.carrier].query(queryText(message), func(m pg.Message) {
+		p.connections[p.attached].query(queryText(message), func(m pg.Message) {
 			if message.Action != ForwardDiscardReply {
 				p.session.ServerMessage(&m)
 			}
@@ -195,8 +195,8 @@
 
 // attach has a connection carry the session, and brings it to the session's settings.
 func (p *modelPool) attach(n int) {
-	p.carrier = n
-	p.session.AttachConnection(p.known[n])
+	p.attached = n
+	p.session.AttachConnection(p.tracked[n])
 	for _, text := range p.session.SettingsStatements() {
 		p.connections[n].query(text, func(m pg.Message) {
 			if m.Kind == pg.ErrorResponse {
@@ -209,16 +209,16 @@
 
 // release takes the connection from the session once its transaction has ended.
 func (p *modelPool) release(sql string) {
-	if p.carrier == noCarrier || p.session.TransactionStatus() != StatusIdle {
+	if p.attached == notAttached || p.session.TransactionStatus() != StatusIdle {
 		return
 	}
-	p.known[p.carrier] = p.session.ServerSettings()
-	connection := p.connections[p.carrier]
-	got, want := describeSettings(p.known[p.carrier]), connection.describe()
+	p.tracked[p.attached] = p.session.ServerSettings()
+	connection := p.connections[p.attached]
+	got, want := describeSettings(p.tracked[p.attached]), connection.describe()
 	if got != want || connection.status != StatusIdle {
 		p.t.Fatalf("after %q the connection has [%s], the session expects [%s]", sql, want, got)
 	}
-	p.carrier = noCarrier
+	p.attached = notAttached
 }
 
 // Whatever a client sets, begins, saves and takes back, on whatever connection: after each transaction the connection has the settings that
@@ -230,25 +230,25 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := &modelPool{
 			t:           t,
-			alone:       newServerModel(),
+			reference:   newServerModel(),
 			connections: []*serverModel{newServerModel(), newServerModel(), newServerModel()},
-			known:       []Settings{NoSettings, NoSettings, NoSettings},
+			tracked:     []Settings{NoSettings, NoSettings, NoSettings},
 			session:     New(Policy{MaxSettingsBytes: 1000, MaxStatements: 9}, NoSettings),
-			carrier:     noCarrier,
+			attached:    notAttached,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			sql := rapid.SampledFrom(statements).Draw(t, "sql")
-			p.alone.query(sql, func(pg.Message) {})
-			if p.alone.status == StatusFailed && p.session.TransactionStatus() == StatusIdle {
+			p.reference.query(sql, func(pg.Message) {})
+			if p.reference.status == StatusFailed && p.session.TransactionStatus() == StatusIdle {
 				t.Fatal("the session knows of no transaction")
 			}
 			p.query(sql)
 			p.release(sql)
 			status := p.session.TransactionStatus()
-			if status != p.alone.status {
-				t.Fatalf("after %q: status %c, alone %c", sql, status, p.alone.status)
+			if status != p.reference.status {
+				t.Fatalf("after %q: status %c, alone %c", sql, status, p.reference.status)
 			}
-			if got, want := describeSettings(p.session.Settings()), p.alone.describe(); status == StatusIdle && got != want {
+			if got, want := describeSettings(p.session.Settings()), p.reference.describe(); status == StatusIdle && got != want {
 				t.Fatalf("after %q the session has [%s], alone [%s]", sql, got, want)
 			}
 		}
--- a/internal/decide/session/query.go
+++ b/internal/decide/session/query.go
@@ -2,12 +2,12 @@
 
 import "wayloft/internal/pg"
 
-// Query handles a simple query. It returns either the answer for the client, or the messages for a member. carried says whether a
+// Query handles a simple query. It returns either the answer for the client, or the messages for a member. hasConn says whether a
 // connection carries the transaction.
-func (s *Session) Query(sql string, raw []byte, carried bool) (answer []byte, messages []Message) {
+func (s *Session) Query(sql string, raw []byte, hasConn bool) (answer []byte, messages []Message) {
 	texts := pg.SplitStatements(sql)
 	if len(texts) == 0 {
-		if carried {
+		if hasConn {
 			return nil, []Message{{Kind: pg.Query, Raw: raw}}
 		}
 		return pg.AppendReadyForQuery(pg.AppendEmptyQuery(nil), s.status), nil
@@ -15,19 +15,19 @@
 	commands := make([]Command, len(texts))
 	for n, text := range texts {
 		commands[n] = parseCommand(text)
-		if fault := s.fault(commands[n]); fault != nil {
+		if fault := s.policyError(commands[n]); fault != nil {
 			s.failTransaction()
-			if carried {
+			if hasConn {
 				return nil, reject(pg.Query, fault)
 			}
-			return failed(fault, s.status), nil
+			return errorReply(fault, s.status), nil
 		}
 	}
-	if s.status == StatusFailed && !carried {
-		return s.queryAfterLoss(commands[0]), nil
+	if s.status == StatusFailed && !hasConn {
+		return s.queryAfterConnectionLoss(commands[0]), nil
 	}
 	if len(commands) == 1 {
-		if answer := s.answerLocally(commands[0], texts[0], carried); answer != nil {
+		if answer := s.answerLocally(commands[0], texts[0], hasConn); answer != nil {
 			return answer, nil
 		}
 	}
@@ -38,8 +38,8 @@
 	return nil, append(messages, Message{Kind: pg.Query, Raw: raw})
 }
 
-// fault returns the error for a statement that the pool does not allow, else nil.
-func (s *Session) fault(c Command) *pg.Error {
+// policyError returns the error for a statement that the pool does not allow, else nil.
+func (s *Session) policyError(c Command) *pg.Error {
 	if c.StickyReason != "" && !s.policy.AllowSticky {
 		text := c.StickyReason + " can't follow its client to another connection, and this pool pins none"
 		return &pg.Error{Code: pg.FeatureNotSupported, Text: text}
@@ -66,14 +66,14 @@
 }
 
 // answerLocally answers a statement for which no member is needed, or not yet; nil if one is.
-func (s *Session) answerLocally(c Command, text string, carried bool) []byte {
+func (s *Session) answerLocally(c Command, text string, hasConn bool) []byte {
 	switch c.Kind {
 	case pg.Begin, pg.SetTransaction, pg.Commit, pg.Rollback:
 		return s.answerDeferred(c, text)
 	case pg.Set:
 		return s.answerSet(c)
 	case pg.Show:
-		return s.answerShow(c, carried)
+		return s.answerShow(c, hasConn)
 	case pg.Reset, pg.ResetAll, pg.DiscardAll:
 		return s.answerReset(c)
 	case pg.Deallocate:
@@ -87,13 +87,13 @@
 	if c.Local || s.status != StatusIdle && !s.deferred.pending() || !isRouterSetting(c.Settings[0].Name) {
 		return nil
 	}
-	s.setLocally(s.current.client.with(s.startup, c.Settings...))
-	return completed("SET", s.status)
+	s.setClientSettings(s.current.client.with(s.startup, c.Settings...))
+	return completionReply("SET", s.status)
 }
 
 // answerShow shows a setting of the router's own.
-func (s *Session) answerShow(c Command, carried bool) []byte {
-	if !isRouterSetting(c.Name) || carried && s.status != StatusIdle {
+func (s *Session) answerShow(c Command, hasConn bool) []byte {
+	if !isRouterSetting(c.Name) || hasConn && s.status != StatusIdle {
 		return nil
 	}
 	row := pg.AppendTextRow(nil, c.Name, pg.Unquote(s.setting(c.Name)))
@@ -107,15 +107,15 @@
 	}
 	switch c.Kind {
 	case pg.Reset:
-		s.setLocally(s.current.client.with(s.startup, pg.Setting{Name: c.Name}))
+		s.setClientSettings(s.current.client.with(s.startup, pg.Setting{Name: c.Name}))
 	case pg.ResetAll:
-		s.setLocally(s.startup)
+		s.setClientSettings(s.startup)
 	case pg.DiscardAll:
-		s.setLocally(s.startup)
+		s.setClientSettings(s.startup)
 		s.deallocateAll()
-		return completed("DISCARD ALL", StatusIdle)
+		return completionReply("DISCARD ALL", StatusIdle)
 	}
-	return completed("RESET", StatusIdle)
+	return completionReply("RESET", StatusIdle)
 }
 
 // answerDeallocate removes prepared statements of the session. Members keep theirs, which are shared.
@@ -125,12 +125,12 @@
 			return nil
 		}
 		s.deallocateAll()
-		return completed("DEALLOCATE ALL", StatusIdle)
+		return completionReply("DEALLOCATE ALL", StatusIdle)
 	}
 	if _, known := s.prepared.Get([]byte(c.Name)); !known || s.status == StatusFailed {
 		return nil
 	}
 	s.prepared, _, _ = s.prepared.Delete([]byte(c.Name))
 	s.confirmed = s.prepared
-	return completed("DEALLOCATE", s.status)
+	return completionReply("DEALLOCATE", s.status)
 }
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -24,10 +24,10 @@
 
 // recordedSession drives one session by drawn inputs, and writes down what it decides on each.
 type recordedSession struct {
-	rand    *rand.Rand
-	session *Session
-	unit    []Message // what goes to a member, of the unit that is not complete
-	out     strings.Builder
+	rand       *rand.Rand
+	session    *Session
+	unit       []Message // what goes to a member, of the unit that is not complete
+	transcript strings.Builder
 }
 
 // TestRecordedDecisions compares the decisions on drawn inputs with a recording. The words that it prints are those of the recording.
@@ -42,11 +42,11 @@
 	for seed := range uint64(16) {
 		r := &recordedSession{rand: rand.New(rand.NewPCG(seed, 1)), session: New(policies[seed%4], settingsOf("work_mem='4MB'"))}
 		for step := range 1000 {
-			fmt.Fprintf(&r.out, "%d %d ", seed, step)
+			fmt.Fprintf(&r.transcript, "%d %d ", seed, step)
 			r.step()
-			r.state()
+			r.recordState()
 		}
-		out.WriteString(r.out.String())
+		out.WriteString(r.transcript.String())
 	}
 	recording.Compare(t, "recorded-decisions.digest", out.String())
 }
@@ -56,31 +56,31 @@
 	case draw < 25:
 		sql := r.query()
 		answer, messages := r.session.Query(sql, pg.AppendQuery(nil, sql), r.rand.IntN(2) == 0)
-		fmt.Fprintf(&r.out, "query %.40q answer %q ops %s", sql, answer, recordedMessages(messages))
+		fmt.Fprintf(&r.transcript, "query %.40q answer %q ops %s", sql, answer, recordedMessages(messages))
 	case draw < 50:
 		r.extended()
 	case draw < 80:
 		r.serverMessage()
 	case draw < 84:
 		answer, ok := r.session.LocalReply(r.unit)
-		fmt.Fprintf(&r.out, "here %q %v", answer, ok)
+		fmt.Fprintf(&r.transcript, "here %q %v", answer, ok)
 		r.unit = nil
 	case draw < 87:
-		fmt.Fprintf(&r.out, "dead %q", r.session.FailedTransactionReply(r.unit))
+		fmt.Fprintf(&r.transcript, "dead %q", r.session.FailedTransactionReply(r.unit))
 		r.unit = nil
 	case draw < 90:
-		fmt.Fprintf(&r.out, "begin %s", recordedMessages(r.session.FlushDeferredBegin()))
+		fmt.Fprintf(&r.transcript, "begin %s", recordedMessages(r.session.FlushDeferredBegin()))
 	case draw < 93:
 		has := settingsOf(fmt.Sprintf("work_mem='%dMB'", r.rand.IntN(5)))
-		fmt.Fprintf(&r.out, "on %q", settingsStatements(has, r.session.Settings()))
+		fmt.Fprintf(&r.transcript, "on %q", settingsStatements(has, r.session.Settings()))
 		r.session.AttachConnection(has)
 	case draw < 97:
 		before := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "brought %v %q", before, settingsStatements(r.session.ServerSettings(), r.session.Settings()))
+		fmt.Fprintf(&r.transcript, "brought %v %q", before, settingsStatements(r.session.ServerSettings(), r.session.Settings()))
 		r.session.SettingsApplied(before)
 	default:
 		sent := r.rand.IntN(2) == 0
-		fmt.Fprintf(&r.out, "lost %v %v", sent, r.session.ConnectionLost(sent))
+		fmt.Fprintf(&r.transcript, "lost %v %v", sent, r.session.ConnectionLost(sent))
 		r.unit = nil
 	}
 }
@@ -111,7 +111,7 @@
 	}
 	messages := r.session.Extended(clientMessage(encoded))
 	r.unit = append(r.unit, messages...)
-	fmt.Fprintf(&r.out, "extended %q ops %s fail <nil>", encoded[:min(len(encoded), 40)], recordedMessages(messages))
+	fmt.Fprintf(&r.transcript, "extended %q ops %s fail <nil>", encoded[:min(len(encoded), 40)], recordedMessages(messages))
 }
 
 // serverMessage passes in a drawn message of the member.
@@ -128,24 +128,24 @@
 		m.Status = "IITTE"[r.rand.IntN(5)]
 	}
 	r.session.ServerMessage(m)
-	fmt.Fprintf(&r.out, "heard %d %q %d", m.Kind, m.Text, m.Status)
+	fmt.Fprintf(&r.transcript, "heard %d %q %d", m.Kind, m.Text, m.Status)
 }
 
-// state writes down all that the session can be asked for.
-func (r *recordedSession) state() {
+// recordState writes down all that the session can be asked for.
+func (r *recordedSession) recordState() {
 	attributes := r.session.RequestAttributes()
 	id := ""
 	if attributes.Label != nil {
 		id = attributes.Label.ID
 	}
-	fmt.Fprintf(&r.out, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n",
-		r.session.TransactionStatus(), r.session.stickyReason, r.session.Sticky(), nothingOpen(r.session),
+	fmt.Fprintf(&r.transcript, " | %c pinned %q kept %v outside %v label %q %q %q %v own %q settings %s there %s\n",
+		r.session.TransactionStatus(), r.session.stickyReason, r.session.Sticky(), noneInProgress(r.session),
 		id, attributes.RequestClass, attributes.Tenant, attributes.Unclassified, r.session.RouterSetting("tenant"),
 		describeSettings(r.session.Settings()), describeSettings(r.session.ServerSettings()))
 }
 
-// nothingOpen reports whether the session has no transaction and no unit on its way.
-func nothingOpen(s *Session) bool {
+// noneInProgress reports whether the session has no transaction and no unit on its way.
+func noneInProgress(s *Session) bool {
 	return s.status == StatusIdle && len(s.expected) == 0 && s.firstCommand == nil
 }
 
--- a/internal/decide/session/server.go
+++ b/internal/decide/session/server.go
@@ -15,7 +15,7 @@
 
 // expectCompletion notes what a statement will have done once the member says so.
 func (s *Session) expectCompletion(c Command) {
-	s.noteCommand(c)
+	s.recordCommand(c)
 	s.expected = append(s.expected, expectedReply{kind: pg.CommandComplete, command: c})
 }
 
@@ -24,8 +24,8 @@
 	s.expected = append(s.expected, expectedReply{kind: kind, prepared: s.prepared})
 }
 
-// noteCommand notes what a statement says of its request before it has run.
-func (s *Session) noteCommand(c Command) {
+// recordCommand notes what a statement says of its request before it has run.
+func (s *Session) recordCommand(c Command) {
 	if s.firstCommand == nil {
 		s.firstCommand = &c
 	} else if s.firstCommand.Label == nil && c.Label != nil && s.firstCommand.Kind == pg.Begin {
@@ -41,15 +41,15 @@
 func (s *Session) ServerMessage(m *pg.Message) {
 	switch m.Kind {
 	case pg.ParseComplete, pg.CloseComplete:
-		if reply := s.takeExpected(m.Kind); reply != nil {
+		if reply := s.popExpected(m.Kind); reply != nil {
 			s.confirmed = reply.prepared
 		}
 	case pg.CommandComplete:
-		if reply := s.takeExpected(pg.CommandComplete); reply != nil {
-			s.apply(reply.command, m.Text)
+		if reply := s.popExpected(pg.CommandComplete); reply != nil {
+			s.applyCompletion(reply.command, m.Text)
 		}
 	case pg.EmptyQuery, pg.PortalSuspended:
-		s.takeExpected(pg.CommandComplete)
+		s.popExpected(pg.CommandComplete)
 	case pg.ErrorResponse:
 		s.errorReceived, s.expected, s.prepared = true, nil, s.confirmed
 	case pg.ReadyForQuery:
@@ -57,8 +57,8 @@
 	}
 }
 
-// takeExpected removes the first expected reply if it is of this kind, else it returns nil.
-func (s *Session) takeExpected(kind pg.Kind) *expectedReply {
+// popExpected removes the first expected reply if it is of this kind, else it returns nil.
+func (s *Session) popExpected(kind pg.Kind) *expectedReply {
 	if len(s.expected) == 0 || s.expected[0].kind != kind {
 		return nil
 	}
@@ -67,8 +67,8 @@
 	return &first
 }
 
-// apply applies what a statement has done, which the member answered with this command tag.
-func (s *Session) apply(c Command, tag string) {
+// applyCompletion applies what a statement has done, which the member answered with this command tag.
+func (s *Session) applyCompletion(c Command, tag string) {
 	switch c.Kind {
 	case pg.Set, pg.Reset, pg.ResetAll, pg.DiscardAll:
 		s.applySettings(c)
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -63,10 +63,10 @@
 
 // settingsStatements returns the statements that bring a connection from the settings that it has to those that it should have. Only what
 // differs is set.
-func settingsStatements(has, should Settings) []string {
+func settingsStatements(current, desired Settings) []string {
 	var statements []string
 	authorization := ""
-	forEachDifference(has, should, func(name, value string) {
+	forEachDifference(current, desired, func(name, value string) {
 		switch {
 		case isRouterSetting(name):
 		case name == "session_authorization":
@@ -79,35 +79,35 @@
 		return statements
 	}
 	statements = append([]string{authorization}, statements...) // first, since it resets the role
-	if role, set := should.Get("role"); set {
+	if role, set := desired.Get("role"); set {
 		statements = append(statements, "SET role TO "+role)
 	}
 	return statements
 }
 
 // forEachDifference calls f for each setting that differs, in the order of their names, with the value that it should have; "": none.
-func forEachDifference(has, should Settings, f func(name, value string)) {
-	if has.id == should.id {
+func forEachDifference(current, desired Settings, f func(name, value string)) {
+	if current.id == desired.id {
 		return
 	}
-	hasIterator, shouldIterator := has.tree.Root().Iterator(), should.tree.Root().Iterator()
-	hasName, hasValue, hasMore := hasIterator.Next()
-	shouldName, shouldValue, shouldMore := shouldIterator.Next()
-	for hasMore || shouldMore {
-		order := strings.Compare(string(hasName), string(shouldName))
+	currentIterator, desiredIterator := current.tree.Root().Iterator(), desired.tree.Root().Iterator()
+	currentName, currentValue, currentMore := currentIterator.Next()
+	desiredName, desiredValue, desiredMore := desiredIterator.Next()
+	for currentMore || desiredMore {
+		order := strings.Compare(string(currentName), string(desiredName))
 		switch {
-		case !shouldMore || hasMore && order < 0:
-			f(string(hasName), "")
-			hasName, hasValue, hasMore = hasIterator.Next()
-		case !hasMore || order > 0:
-			f(string(shouldName), shouldValue)
-			shouldName, shouldValue, shouldMore = shouldIterator.Next()
+		case !desiredMore || currentMore && order < 0:
+			f(string(currentName), "")
+			currentName, currentValue, currentMore = currentIterator.Next()
+		case !currentMore || order > 0:
+			f(string(desiredName), desiredValue)
+			desiredName, desiredValue, desiredMore = desiredIterator.Next()
 		default:
-			if hasValue != shouldValue {
-				f(string(shouldName), shouldValue)
+			if currentValue != desiredValue {
+				f(string(desiredName), desiredValue)
 			}
-			hasName, hasValue, hasMore = hasIterator.Next()
-			shouldName, shouldValue, shouldMore = shouldIterator.Next()
+			currentName, currentValue, currentMore = currentIterator.Next()
+			desiredName, desiredValue, desiredMore = desiredIterator.Next()
 		}
 	}
 }
--- a/internal/decide/session/startup.go
+++ b/internal/decide/session/startup.go
@@ -14,7 +14,7 @@
 		switch {
 		case name == "user" || name == "database" || strings.HasPrefix(name, "_pq_."):
 		case name == "replication":
-			if asksForReplication(value) {
+			if requestsReplication(value) {
 				return s, &pg.Error{Code: pg.FeatureNotSupported, Text: "replication does not go through a router"}
 			}
 		case name == "options":
@@ -23,24 +23,24 @@
 				return s, err
 			}
 			for _, option := range options {
-				s = s.withStartup(option.name, option.value)
+				s = s.withStartupValue(option.name, option.value)
 			}
 		default:
-			s = s.withStartup(name, value)
+			s = s.withStartupValue(name, value)
 		}
 	}
 	return s, nil
 }
 
-// withStartup returns the settings with a value of a startup message, which is not quoted there.
-func (s Settings) withStartup(name, value string) Settings {
+// withStartupValue returns the settings with a value of a startup message, which is not quoted there.
+func (s Settings) withStartupValue(name, value string) Settings {
 	if value == "" {
 		return s
 	}
 	return s.with(NoSettings, pg.Setting{Name: strings.ToLower(name), Value: pg.QuoteLiteral(value)})
 }
 
-func asksForReplication(value string) bool {
+func requestsReplication(value string) bool {
 	switch strings.ToLower(value) {
 	case "", "false", "off", "no", "0":
 		return false
