--- a/internal/decide/connpool/backoff.go
+++ b/internal/decide/connpool/backoff.go
@@ -6,22 +6,22 @@
 	minLimitRaiseIntervalMs = 1000.0
 	maxLimitRaiseIntervalMs = 60000.0
 
-	connectBackoffUnitMs = 10.0 // doubled at each failure, the first one included
+	connectBackoffUnitMs = 10.0 // doubled for each consecutive failure, including the first
 	maxConnectBackoffMs  = 1000.0
 
 	minLocalPauseMs = 10.0
 	maxLocalPauseMs = 100.0
 )
 
-// learnedLimit is how many connections a member is believed to accept, since it refused one more. It is raised one by one, more
-// slowly where the member goes on refusing.
+// learnedLimit estimates how many connections a member accepts, after the member has refused one with "too many connections". The
+// limit is raised by one connection at a time; the interval doubles each time the member refuses again.
 type learnedLimit struct {
-	conns           int // 0: none
+	conns           int // 0 means no limit
 	raiseIntervalMs float64
 	raiseAt         float64
 }
 
-// recordRefusal lowers the limit to the connections that are established.
+// recordRefusal sets the limit to the number of established connections.
 func (l *learnedLimit) recordRefusal(established int, now float64) {
 	if l.conns > 0 {
 		l.raiseIntervalMs = math.Min(2*l.raiseIntervalMs, maxLimitRaiseIntervalMs)
@@ -30,7 +30,7 @@
 	l.raiseAt = now + l.raiseIntervalMs
 }
 
-// raiseIfDue raises a limit that is due. One far above the number of connections is dropped.
+// raiseIfDue raises the limit by one once its interval has passed, and removes a limit that is far above the number of connections.
 func (l *learnedLimit) raiseIfDue(total int, now float64) {
 	if l.conns == 0 || now < l.raiseAt {
 		return
@@ -43,9 +43,9 @@
 	}
 }
 
-// connectBackoff delays attempts to connect to a member that has no established connection.
+// connectBackoff delays connection attempts to a member that has no established connection.
 type connectBackoff struct {
-	failures float64 // in a row
+	failures float64 // consecutive
 	retryAt  float64
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// mustBackOff reports whether requests that can wait must not have a connection opened yet.
+// mustBackOff reports whether a sub-pool whose requests can wait must not open a connection yet.
 func (p *Pool) mustBackOff(sub *subPool) bool {
 	m := sub.member
 	if sub.bounds.WaitTimeoutMs == 0 || m.established() > 0 {
@@ -65,9 +65,10 @@
 	return p.now < m.connectBackoff.retryAt || m.learnedLimit.conns > 0 && m.opening > 0
 }
 
-// localBackoff spaces dials to a member after failures for lack of this host's own resources, so that one at a time is tried.
+// localBackoff spaces out dials to a member after dials have failed for lack of resources on this host, so that only one is tried at
+// a time.
 type localBackoff struct {
-	failures float64 // in a row
+	failures float64 // consecutive
 	dialAt   float64
 }
 
@@ -76,7 +77,7 @@
 	b.dialAt = now + b.delayMs()
 }
 
-// recordDial spaces the dials even where one of them hangs.
+// recordDial starts the delay when a dial starts, so that dials are spaced out even if one of them hangs.
 func (b *localBackoff) recordDial(now float64) {
 	if b.failures > 0 {
 		b.dialAt = now + b.delayMs()
@@ -89,7 +90,7 @@
 	return math.Min(maxLocalPauseMs, minLocalPauseMs*math.Exp2(b.failures-1))
 }
 
-// OpenFailed says that a connection could not be established. NoLocalResources does not count against the member.
+// OpenFailed records that a connection could not be established. NoLocalResources does not count against the member.
 func (p *Pool) OpenFailed(connID int, cause FailureCause) {
 	c := p.conns[connID]
 	if c == nil || c.state != connOpening {
--- a/internal/decide/connpool/capacity.go
+++ b/internal/decide/connpool/capacity.go
@@ -1,6 +1,6 @@
 package connpool
 
-// mayOpen reports whether a sub-pool may open one more connection. It may close an idle connection to make room.
+// mayOpen reports whether a sub-pool may open another connection. It may close an idle connection to make room for it.
 func (p *Pool) mayOpen(sub *subPool) bool {
 	m, bounds := sub.member, sub.bounds
 	if !m.listed || m.localBackoff.paused(p.now) {
@@ -12,7 +12,7 @@
 	return p.poolHasRoom(sub) && !p.mustBackOff(sub) && p.memberHasRoom(sub) && p.routerHasRoom()
 }
 
-// poolHasRoom reports whether the pool's limit over all members allows one more connection.
+// poolHasRoom reports whether the pool's limit across all members allows another connection.
 func (p *Pool) poolHasRoom(sub *subPool) bool {
 	pool := sub.key.Pool
 	if sub.bounds.Total == 0 || p.poolTotals[pool] < sub.bounds.Total {
@@ -21,7 +21,7 @@
 	return p.closeLongestIdle(func(c *conn) bool { return c.sub.key.Pool == pool })
 }
 
-// memberHasRoom reports whether the member's limit over all pools allows one more connection to this one.
+// memberHasRoom reports whether the member's limit across all pools allows this sub-pool another connection.
 func (p *Pool) memberHasRoom(sub *subPool) bool {
 	m := sub.member
 	limit := p.memberLimit(m)
@@ -30,7 +30,7 @@
 	}
 	share, starved := p.fairShare(m)
 	if starved && sub.total >= share && m.total+1 >= limit {
-		return false // the last slot is for a pool below its share
+		return false // the last slot is reserved for a pool below its fair share
 	}
 	return m.total < limit || p.closeLongestIdle(func(c *conn) bool { return c.sub.member == m })
 }
@@ -39,7 +39,7 @@
 	return len(p.conns) < p.settings.MaxTotal || p.closeLongestIdle(func(*conn) bool { return true })
 }
 
-// memberLimit returns how many connections a member may have; 0 for no limit.
+// memberLimit returns the maximum number of connections to a member; 0 means no limit.
 func (p *Pool) memberLimit(m *memberState) int {
 	learned, configured := m.learnedLimit.conns, p.settings.MaxPerMember
 	if learned > 0 && configured > 0 {
@@ -48,7 +48,7 @@
 	return max(learned, configured)
 }
 
-// fairShare returns how many of a member's connections each pool is entitled to, and whether one that has waiters has fewer.
+// fairShare returns how many of a member's connections each active pool is entitled to, and whether any pool with waiters has fewer.
 func (p *Pool) fairShare(m *memberState) (share int, starved bool) {
 	activeSubPools := 0
 	for _, sub := range m.subPools {
@@ -63,8 +63,9 @@
 	return share, starved
 }
 
-// mustYieldSlot reports whether a connection must be closed, rather than reused, since another pool with waiters has less than its
-// share of the member and this one has more. Without it, a pool that is always busy would never free a slot.
+// mustYieldSlot reports whether a released connection must be closed instead of reused, because its pool has more than its fair
+// share of the member's connections while another pool with waiters has less. Without this, a pool that is always busy would never
+// free a slot.
 func (p *Pool) mustYieldSlot(c *conn) bool {
 	m := c.sub.member
 	limit := p.memberLimit(m)
@@ -75,7 +76,7 @@
 	return starved && c.sub.total > share
 }
 
-// closeLongestIdle closes the connection that has been idle longest among the eligible ones, and reports whether there was one.
+// closeLongestIdle closes the eligible connection that has been idle longest and reports whether there was one.
 func (p *Pool) closeLongestIdle(eligible func(*conn) bool) bool {
 	var longest *conn
 	for _, m := range p.members {
@@ -95,7 +96,7 @@
 	return true
 }
 
-// idleBefore orders idle connections by the time at which they became idle.
+// idleBefore reports whether c became idle before another connection. Ties are broken by ID.
 func (c *conn) idleBefore(other *conn) bool {
 	return c.idleSince < other.idleSince || c.idleSince == other.idleSince && c.id < other.id
 }
--- a/internal/decide/connpool/conn.go
+++ b/internal/decide/connpool/conn.go
@@ -7,8 +7,8 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// minLifetimeFraction of a maximum age or number of uses is the least that a connection gets. The rest is drawn, so that
-// connections opened together don't expire together.
+// minLifetimeFraction is the smallest fraction of the maximum age and the maximum number of uses that a connection gets. The rest is
+// random, so that connections opened together do not expire together.
 const minLifetimeFraction = 0.75
 
 type connState int
@@ -23,15 +23,15 @@
 	id        int
 	sub       *subPool
 	state     connState
-	openedFor *waiter // set while opening, if a request waits for this connection
-	retired   bool    // not to be reused
-	affinity  any     // of its last use
+	openedFor *waiter // the waiter it is being opened for, if any; nil once established
+	retired   bool    // must not be reused
+	affinity  any     // set by the last Release
 
 	openedAt  float64
 	idleSince float64
 	uses      int
-	maxAgeMs  float64
-	maxUses   int
+	maxAgeMs  float64 // randomized; see minLifetimeFraction
+	maxUses   int     // randomized; see minLifetimeFraction
 
 	idleInTransaction timerqueue.Timer[*conn]
 }
@@ -44,12 +44,12 @@
 		bounds.MaxUses > 0 && c.uses >= c.maxUses
 }
 
-// settled reports whether nothing of an earlier response can still arrive.
+// settled reports whether nothing of an earlier response can still arrive: the connection is unused or its reuse delay has passed.
 func (c *conn) settled(now float64) bool {
 	return c.uses == 0 || now-c.idleSince >= c.sub.bounds.ReuseDelayMs
 }
 
-// openConn opens a connection, for a waiter or, where that is nil, for MinIdle.
+// openConn opens a connection for a waiter, or for MinIdle if w is nil.
 func (p *Pool) openConn(sub *subPool, w *waiter) {
 	p.lastConnID++
 	c := &conn{id: p.lastConnID, sub: sub, state: connOpening, openedFor: w}
@@ -73,7 +73,7 @@
 	p.emit(d)
 }
 
-// Opened says that a connection is established.
+// Opened records that a connection is established.
 func (p *Pool) Opened(connID int) {
 	c := p.conns[connID]
 	if c == nil || c.state != connOpening {
@@ -99,7 +99,7 @@
 	return minLifetimeFraction + (1-minLifetimeFraction)*p.random.Next()
 }
 
-// Release says that a busy connection can be reused, and gives its affinity.
+// Release returns a busy connection to the pool and sets its affinity.
 func (p *Pool) Release(connID int, affinity any) {
 	c := p.conns[connID]
 	if c == nil || c.state != connBusy {
@@ -125,7 +125,8 @@
 	c.sub.idle = append(c.sub.idle, c)
 }
 
-// SetTurn says who must send next on a busy connection: the client or the member.
+// SetTurn records whether a busy connection is waiting for its client or for the member. The idle-in-transaction timeout runs while
+// it waits for the client.
 func (p *Pool) SetTurn(connID int, awaitingClient bool) {
 	c := p.conns[connID]
 	if c == nil || c.state != connBusy {
@@ -139,14 +140,14 @@
 	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
 }
 
-// ConnectionClosed says that a connection has ended, in whatever state it was.
+// ConnectionClosed records that a connection has ended, whatever its state.
 func (p *Pool) ConnectionClosed(connID int) {
 	if c := p.conns[connID]; c != nil {
 		p.removeConn(c)
 	}
 }
 
-// closeConn has the driver close a connection.
+// closeConn asks the driver to close a connection and removes it from the pool.
 func (p *Pool) closeConn(c *conn) {
 	p.emit(Decision{Action: Close, Conn: c.id, Key: c.sub.key})
 	p.removeConn(c)
--- a/internal/decide/connpool/decision.go
+++ b/internal/decide/connpool/decision.go
@@ -1,29 +1,30 @@
 package connpool
 
-// Key names a sub-pool: connections of the same key are interchangeable.
+// Key identifies a sub-pool. Connections with the same key are interchangeable.
 type Key struct{ Member, Pool string }
 
-// Request asks for a connection, for an attempt or a health check.
+// Request is a request for a connection, made for an attempt or a health check.
 type Request struct {
 	ID       string
 	Key      Key
 	Tenant   string
-	Affinity any // connections released with an equal value are preferred; must be comparable
+	Affinity any // prefers connections released with an equal value; must be comparable
 }
 
 // Action is what a Decision asks the driver to do.
 type Action int
 
 const (
-	// Open a connection that will be known as Conn. RequestID is the request it is opened for, if any.
+	// Open asks to open a connection with the ID Conn. RequestID is the request it is opened for, if any.
 	Open Action = iota
-	// Assign the connection Conn to the request RequestID.
+	// Assign asks to assign the connection Conn to the request RequestID.
 	Assign
-	// Close the connection Conn.
+	// Close asks to close the connection Conn.
 	Close
-	// Reject the request RequestID.
+	// Reject asks to reject the request RequestID.
 	Reject
-	// CloseIdleInTransaction ends the session of the client that has held Conn for too long without sending anything.
+	// CloseIdleInTransaction asks to end the session of the client that has held Conn without sending anything for longer than the
+	// idle-in-transaction timeout.
 	CloseIdleInTransaction
 )
 
@@ -31,9 +32,9 @@
 type RejectReason int
 
 const (
-	// NoCapacity means that no connection may be opened here. It says nothing about the member.
+	// NoCapacity means that the router may not open a connection. It does not indicate a fault of the member.
 	NoCapacity RejectReason = iota
-	// WaitTimedOut means that the request has waited for its pool's WaitTimeoutMs.
+	// WaitTimedOut means that the request has waited for the WaitTimeoutMs of its pool.
 	WaitTimedOut
 	// ConnectFailed means that the connection opened for the request could not be established.
 	ConnectFailed
@@ -43,20 +44,21 @@
 type FailureCause int
 
 const (
-	// Unreachable means that the member could not be reached, or refused the login.
+	// Unreachable means that the member could not be reached or rejected the login.
 	Unreachable FailureCause = iota
 	// TooManyConnections means that the member has reached its own connection limit.
 	TooManyConnections
-	// NoLocalResources means that this host lacked a descriptor, port, memory or route. It says nothing about the member.
+	// NoLocalResources means that this host lacked a file descriptor, port, memory or a route. It does not indicate a fault of the
+	// member.
 	NoLocalResources
 )
 
-// Decision is one thing for the driver to do. Only the fields that its action names are set.
+// Decision is an action for the driver to perform. Only the fields that apply to the action are set.
 type Decision struct {
 	Action    Action
 	Conn      int
 	Key       Key
 	RequestID string
 	Reason    RejectReason
-	Unsettled bool // with Assign: the reuse delay has not passed, and more of the last response may still arrive
+	Unsettled bool // for Assign: the reuse delay has not passed, so more of the last response may still arrive
 }
--- a/internal/decide/connpool/invariants_test.go
+++ b/internal/decide/connpool/invariants_test.go
@@ -15,7 +15,7 @@
 	modelWaitTimeoutMs  = 500.0
 )
 
-// modelSettings have a pool with all bounds, one with MinIdle, and one whose requests don't wait.
+// modelSettings has a pool with most bounds set, one with MinIdle, and one whose requests do not wait.
 var modelSettings = Settings{MaxTotal: modelConns, MaxPerMember: modelConnsPerMember, Pools: map[string]Bounds{
 	"x": {PerMember: modelConnsPerKey, WaitTimeoutMs: modelWaitTimeoutMs, IdleTimeoutMs: 900, MaxAgeMs: 5000, MaxUses: 7,
 		IdleInTransactionTimeoutMs: 300},
@@ -23,8 +23,8 @@
 	"z": {ReuseDelayMs: 2},
 }}
 
-// TestPool_InvariantsInAnyOrder has any inputs come in any order: no limit is exceeded, no connection is assigned twice, each
-// request is answered once or cancelled, none waits while a connection of its key is idle, and at the end nothing is retained.
+// TestPool_InvariantsInAnyOrder applies random inputs and checks that no limit is exceeded, no connection is assigned twice, each
+// request is answered once or cancelled, no request waits while a connection with its key is idle, and no state is left at the end.
 func TestPool_InvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &poolModel{t: t, pool: New(modelSettings), now: 1000, conns: map[int]connState{}, keys: map[int]Key{},
@@ -39,19 +39,19 @@
 	})
 }
 
-// poolModel is what the driver knows of a pool.
+// poolModel tracks the state of a pool as its driver sees it.
 type poolModel struct {
 	t           *rapid.T
 	pool        *Pool
 	now         float64
 	lastRequest int
 	conns       map[int]connState
-	keys        map[int]Key // of connections
+	keys        map[int]Key // by connection
 	requests    map[string]Key
 	requestedAt map[string]float64
 }
 
-// pull takes all decisions, and checks each of them and what holds after it.
+// pull applies all pending decisions and checks each decision and the state after it.
 func (m *poolModel) pull() {
 	for d, ok := m.pool.Next(); ok; d, ok = m.pool.Next() {
 		m.apply(d)
@@ -67,14 +67,14 @@
 		m.conns[d.Conn], m.keys[d.Conn] = connOpening, d.Key
 	case Assign:
 		if !known || state != connIdle || m.keys[d.Conn] != m.requests[d.RequestID] {
-			m.t.Fatalf("%s for %v: connection is known: %v, in state %d, of %v", describe(d), m.requests[d.RequestID], known, state,
+			m.t.Fatalf("%s for %v: connection exists: %v, state %d, key %v", describe(d), m.requests[d.RequestID], known, state,
 				m.keys[d.Conn])
 		}
 		m.conns[d.Conn] = connBusy
 		delete(m.requests, d.RequestID)
 	case Close:
 		if !known || state == connBusy {
-			m.t.Fatalf("%s: connection is known: %v, in state %d", describe(d), known, state)
+			m.t.Fatalf("%s: connection exists: %v, state %d", describe(d), known, state)
 		}
 		delete(m.conns, d.Conn)
 	case Reject:
@@ -84,7 +84,7 @@
 		delete(m.requests, d.RequestID)
 	case CloseIdleInTransaction:
 		if !known || state != connBusy {
-			m.t.Fatalf("%s: connection is known: %v, in state %d", describe(d), known, state)
+			m.t.Fatalf("%s: connection exists: %v, state %d", describe(d), known, state)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	for _, member := range []string{"a", "b"} {
 		if len(m.conns) > modelConns || byMember[member] > modelConnsPerMember || byKey[Key{member, "x"}] > modelConnsPerKey {
-			m.t.Fatalf("a limit is exceeded: %v", byKey)
+			m.t.Fatalf("connection limit exceeded: %v", byKey)
 		}
 	}
 }
@@ -107,16 +107,16 @@
 	for id, key := range m.requests {
 		for connID, state := range m.conns {
 			if state == connIdle && m.keys[connID] == key {
-				m.t.Fatalf("request %s waits for %v, and connection %d is idle", id, key, connID)
+				m.t.Fatalf("request %s waits for %v although connection %d is idle", id, key, connID)
 			}
 		}
 		if waited := m.now - m.requestedAt[id]; key.Pool != "z" && waited > modelWaitTimeoutMs+sweepIntervalMs {
-			m.t.Fatalf("request %s still waits after %v ms", id, waited)
+			m.t.Fatalf("request %s is still waiting after %v ms", id, waited)
 		}
 	}
 }
 
-// drawConn draws a connection in one of these states; 0 if there is none.
+// drawConn draws a connection in the given state; 0 if there is none.
 func (m *poolModel) drawConn(state connState) int {
 	var ids []int
 	for id, current := range m.conns {
@@ -133,7 +133,7 @@
 
 func (m *poolModel) drawInput() {
 	member := rapid.SampledFrom([]string{"a", "b"}).Draw(m.t, "member")
-	switch rapid.IntRange(0, 11).Draw(m.t, "step") {
+	switch rapid.IntRange(0, 11).Draw(m.t, "input") {
 	case 0:
 		m.pool.MemberListed(member, rapid.Bool().Draw(m.t, "listed"))
 	case 1:
@@ -174,7 +174,7 @@
 	m.pool.Request(Request{ID: id, Key: key, Tenant: rapid.SampledFrom([]string{"", "t", "u"}).Draw(m.t, "tenant")})
 }
 
-// cancelSingleRequest cancels the request that waits, if there is only one.
+// cancelSingleRequest cancels the waiting request if there is exactly one.
 func (m *poolModel) cancelSingleRequest() {
 	if len(m.requests) != 1 {
 		return
@@ -185,7 +185,7 @@
 	}
 }
 
-// shutDown removes the members and closes what is left.
+// shutDown removes the members, closes the remaining connections and checks that no state is left.
 func (m *poolModel) shutDown() {
 	m.pool.MemberListed("a", false)
 	m.pool.MemberListed("b", false)
@@ -201,7 +201,7 @@
 	}
 	p := m.pool
 	if len(p.conns)+len(p.members)+len(p.waiters)+len(p.contended)+len(p.poolTotals)+len(m.requests) > 0 {
-		m.t.Fatalf("retained: %d connections, %d members, %d waiters, %d contended sub-pools, %d totals, %d unanswered requests",
+		m.t.Fatalf("left over: %d connections, %d members, %d waiters, %d contended sub-pools, %d totals, %d unanswered requests",
 			len(p.conns), len(p.members), len(p.waiters), len(p.contended), len(p.poolTotals), len(m.requests))
 	}
 }
--- a/internal/decide/connpool/member.go
+++ b/internal/decide/connpool/member.go
@@ -7,14 +7,14 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// memberState is one member: its connections by pool, and what limits the opening of more.
+// memberState holds the connections to one member, by pool, and the limits on opening more.
 type memberState struct {
 	id         string
-	listed     bool // the member takes new work
+	listed     bool // the member accepts new requests
 	dirty      bool // changed since the last sweep
 	sweepTimer timerqueue.Timer[*memberState]
-	subPools   map[string]*subPool // by the pool's name
-	total      int                 // connections, those being opened among them
+	subPools   map[string]*subPool // by pool name
+	total      int                 // connections, including those being opened
 	opening    int
 
 	learnedLimit   learnedLimit
@@ -22,29 +22,29 @@
 	localBackoff   localBackoff
 }
 
-// established returns the number of connections that are up.
+// established returns the number of established connections.
 func (m *memberState) established() int { return m.total - m.opening }
 
-// subPool holds the connections of one key and the requests that wait for one.
+// subPool holds the connections of one key and the requests waiting for one of them.
 type subPool struct {
 	key     Key
 	bounds  Bounds
 	member  *memberState
-	total   int // connections, those being opened among them
+	total   int // connections, including those being opened
 	opening int
-	idle    []*conn              // the longest idle first
-	queues  map[string][]*waiter // by tenant; none is empty
-	tenants []string             // those with a queue, in the order of their turns
+	idle    []*conn              // longest idle first
+	queues  map[string][]*waiter // by tenant; no queue is empty
+	tenants []string             // tenants with a queue, in round-robin order
 	waiting int                  // requests in all queues
 }
 
 // inUse reports whether the sub-pool has connections or waiters.
 func (s *subPool) inUse() bool { return s.total > 0 || s.waiting > 0 }
 
-// lacksMinIdle reports whether a connection must be opened for MinIdle. They are opened one at a time.
+// lacksMinIdle reports whether a connection must be opened for MinIdle. Such connections are opened one at a time.
 func (s *subPool) lacksMinIdle() bool { return s.total < s.bounds.MinIdle && s.opening == 0 }
 
-// member returns the state of a member, a new one if it is not known. It becomes dirty.
+// member returns the state of a member, creating it if necessary, and marks it dirty.
 func (p *Pool) member(id string) *memberState {
 	m := p.members[id]
 	if m == nil {
@@ -56,7 +56,7 @@
 	return m
 }
 
-// markDirty has the next sweep visit a member. Whatever changes a member, its sub-pools or connections must call it.
+// markDirty makes the next sweep visit a member. It must be called on every change to the member, its sub-pools or its connections.
 func (p *Pool) markDirty(m *memberState) {
 	if !m.dirty {
 		m.dirty = true
@@ -64,7 +64,7 @@
 	}
 }
 
-// subPool returns the sub-pool of a key, a new one if it is not known.
+// subPool returns the sub-pool of a key, creating it if necessary.
 func (p *Pool) subPool(key Key) *subPool {
 	m := p.member(key.Member)
 	sub := m.subPools[key.Pool]
@@ -75,7 +75,7 @@
 	return sub
 }
 
-// MemberListed says whether a member takes new work. One that does not keeps its busy connections and nothing else.
+// MemberListed sets whether a member accepts new requests. A member that does not accept them keeps only its busy connections.
 func (p *Pool) MemberListed(memberID string, listed bool) {
 	p.member(memberID).listed = listed
 	if !listed {
@@ -89,7 +89,8 @@
 	}
 }
 
-// RetireConnections has no connection to a member reused that was opened before: the member was restarted, has moved, or is gone.
+// RetireConnections prevents the reuse of all current connections to a member. It is called when the member has restarted, has
+// moved or has been removed.
 func (p *Pool) RetireConnections(memberID string) {
 	p.CloseIdle(memberID)
 	for _, c := range p.conns {
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -1,10 +1,10 @@
-// Package connpool decides which connection to a member a request gets, when connections are opened, kept and closed, and who
-// waits for one. It enforces the limits on their number: in all, for each member, and for each pool.
+// Package connpool decides which connection to a member a request gets, when connections are opened, kept and closed, and which
+// requests wait for one. It enforces connection limits: in total, per member and per pool.
 //
-// It is a state machine without I/O or clock. Its driver, internal/backend, calls Advance with the time, then the inputs, which
-// only update state, then pulls Next until nothing is left, and calls again at NextDeadline. Times are Unix ms. The pool numbers
-// the connections; the driver names the requests. It never chooses a member: package router has done so before a request comes
-// here.
+// The pool is a state machine without I/O or a clock. Its driver, internal/backend, calls Advance with the current time, then the
+// inputs, which only update state, then Next until there are no more decisions. It does so again at NextDeadline at the latest.
+// Times are Unix milliseconds. The pool assigns connection IDs; the driver assigns request IDs. The pool does not choose the member:
+// package router does so before a request gets here.
 package connpool
 
 import (
@@ -15,7 +15,7 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// Pool holds the state of all connections of one router.
+// Pool holds the state of all connections from one router to its members.
 type Pool struct {
 	settings   Settings
 	now        float64
@@ -23,19 +23,20 @@
 	lastConnID int
 	conns      map[int]*conn
 	members    map[string]*memberState
-	poolTotals map[string]int // connections by pool
+	poolTotals map[string]int // number of connections by pool
 	waiters    map[string]*waiter
-	contended  []*subPool // those with waiters, the longest contended first
-	decisions  []Decision // decided, and not yet pulled
+	contended  []*subPool // sub-pools with waiters, longest contended first
+	decisions  []Decision // not yet returned by Next
 
-	assignmentDue bool // waiters may be served since something has changed
+	assignmentDue bool // the state has changed, so waiters may be served
 	nextSweepAt   float64
 
-	// A sweep visits only what has changed or is due, so that its cost does not grow with what is idle.
+	// A sweep visits only members and connections that have changed or are due, so that its cost does not grow with the number of
+	// idle ones.
 	dirty                   []*memberState // changed since the last sweep
 	memberTimers            timerqueue.Queue[*memberState]
 	idleInTransactionTimers timerqueue.Queue[*conn]
-	sweepVisits             int // members and connections visited so far
+	sweepVisits             int // total number of members and connections visited
 }
 
 // New returns a pool without members or connections.
@@ -50,10 +51,11 @@
 	}
 }
 
-// Advance sets the time. All inputs and decisions until the next call happen at this time.
+// Advance sets the current time. All inputs and decisions until the next call happen at this time.
 func (p *Pool) Advance(now float64) { p.now, p.assignmentDue = now, true }
 
-// NextDeadline returns when Next may have decisions although no input has come. After an input, this may be as early as NextSweep.
+// NextDeadline returns the earliest time at which Next may have decisions without further input. After an input, this may be as
+// early as NextSweep.
 func (p *Pool) NextDeadline() float64 {
 	if len(p.dirty) > 0 || len(p.contended) > 0 {
 		return p.nextSweepAt
@@ -89,7 +91,7 @@
 	if len(p.decisions) == 0 {
 		return Decision{}, false
 	}
-	p.assignmentDue = true // a connection closed just now may make room for another waiter
+	p.assignmentDue = true // a connection closed above may make room for another waiter
 	return p.popDecision(), true
 }
 
@@ -103,10 +105,10 @@
 	return d
 }
 
-// OpenCount returns the number of connections, those being opened among them.
+// OpenCount returns the number of connections, including those being opened.
 func (p *Pool) OpenCount() int { return len(p.conns) }
 
-// WaitingCount returns the number of requests that wait for a connection.
+// WaitingCount returns the number of requests waiting for a connection.
 func (p *Pool) WaitingCount() int { return len(p.waiters) }
 
 // IdleCount returns the number of idle connections to a member.
--- a/internal/decide/connpool/recorded_test.go
+++ b/internal/decide/connpool/recorded_test.go
@@ -9,18 +9,19 @@
 	"wayloft/internal/fakes/recording"
 )
 
-// recordedPool gives random inputs to a pool and records its decisions.
+// recordedPool applies random inputs to a pool and records its decisions.
 type recordedPool struct {
 	rand        *rand.Rand
 	pool        *Pool
 	now         float64
 	lastRequest int
-	conns       map[int]string // by number: opening, busy, or idle
-	connOrder   []int          // the numbers of conns, in the order in which they were opened
+	conns       map[int]string // state by ID: opening, busy or idle
+	connOrder   []int          // IDs of conns in the order of opening
 	transcript  strings.Builder
 }
 
-// TestRecordedDecisions compares the decisions on random inputs with the recorded ones.
+// TestRecordedDecisions compares the decisions on random inputs with the recorded ones. The recording is a digest of the transcript,
+// so the texts written to the transcript must not change.
 func TestRecordedDecisions(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// drawConn returns a connection in a state; 0 if there is none.
+// drawConn returns a random connection in the given state; 0 if there is none.
 func (r *recordedPool) drawConn(state string) int {
 	var all []int
 	for _, conn := range r.connOrder {
--- a/internal/decide/connpool/scenario_test.go
+++ b/internal/decide/connpool/scenario_test.go
@@ -10,20 +10,20 @@
 	"wayloft/internal/fakes/scenario"
 )
 
-// TestScenarios runs testdata/*.txt. A scenario has one step a line; # starts a comment.
+// TestScenarios runs the scenarios in testdata/*.txt. A scenario has one step per line; # starts a comment.
 //
 //	settings maxtotal=9 maxpermember=4
 //	pool x permember=2 total=4 minidle=1 wait=100 idle=1000 maxage=9000 maxuses=5 reusedelay=2 idleintransaction=500
-//	at 120                                 the time of what follows
-//	listed a / unlisted a / retire a       a member
-//	request 1 a/x tenant=t affinity=s      a request, by its ID
+//	at 120                                 sets the time of the following steps
+//	listed a / unlisted a / retire a       input for a member
+//	request 1 a/x tenant=t affinity=s      input for a request, by ID
 //	cancel 1
-//	opened 1 / unreachable 1 / toomanyconnections 1 / nolocalresources 1 / closed 1    a connection, by its number
+//	opened 1 / unreachable 1 / toomanyconnections 1 / nolocalresources 1 / closed 1    input for a connection, by ID
 //	release 1 affinity=s / turn 1 client / turn 1 member
-//	expect open 1 a/x 1                    a decision among those pulled after the last input, each expected once
+//	expect open 1 a/x 1                    checks for a decision since the last input; each decision matches once
 //	expect assign 1 1 unsettled
 //	expect reject 1 nocapacity
-//	nothing                                no further decision
+//	nothing                                checks that no decision is left
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
 		player := &scenarioPlayer{settings: Settings{MaxTotal: 100, Pools: map[string]Bounds{}}}
@@ -35,8 +35,8 @@
 	settings  Settings
 	pool      *Pool
 	now       float64
-	decisions []string // pulled and not yet expected
-	pulled    bool     // since the last input
+	decisions []string // pulled but not yet matched by an expect step
+	pulled    bool     // decisions have been pulled since the last input
 }
 
 var (
@@ -47,7 +47,7 @@
 		"nolocalresources": NoLocalResources}
 )
 
-// describe returns a decision as scenarios have it.
+// describe formats a decision as in scenarios.
 func describe(d Decision) string {
 	name := actionNames[d.Action]
 	if d.Action == Reject {
@@ -77,7 +77,7 @@
 		return s.expect(strings.Join(arguments, " "))
 	case "nothing":
 		if s.pull(); len(s.decisions) > 0 {
-			return fmt.Errorf("left: %s", strings.Join(s.decisions, "; "))
+			return fmt.Errorf("unexpected decisions: %s", strings.Join(s.decisions, "; "))
 		}
 		return nil
 	}
@@ -98,7 +98,7 @@
 	return err
 }
 
-// setOptions sets the fields that options of the form name=value name.
+// setOptions sets fields from options of the form name=value.
 func setOptions(options []string, fields map[string]any) error {
 	for _, option := range options {
 		name, value, _ := strings.Cut(option, "=")
@@ -139,7 +139,7 @@
 	s.pull()
 	position := slices.Index(s.decisions, decision)
 	if position < 0 {
-		return fmt.Errorf("decisions left: %s", strings.Join(s.decisions, "; "))
+		return fmt.Errorf("no such decision; remaining decisions: %s", strings.Join(s.decisions, "; "))
 	}
 	s.decisions = slices.Delete(s.decisions, position, position+1)
 	return nil
--- a/internal/decide/connpool/sweep.go
+++ b/internal/decide/connpool/sweep.go
@@ -9,8 +9,8 @@
 
 const sweepIntervalMs = 100.0
 
-// sweep closes connections that have been idle too long, opens those for MinIdle, times out waiters and idle transactions, and
-// forgets members that are not used.
+// sweep closes connections that have expired or have been idle too long, opens connections for MinIdle, times out waiters and idle
+// transactions, raises learned limits, and removes unused members.
 func (p *Pool) sweep() {
 	p.nextSweepAt = p.now + sweepIntervalMs
 	p.assignmentDue = true
@@ -23,7 +23,7 @@
 	slices.SortFunc(members, func(a, b *memberState) int { return cmp.Compare(a.id, b.id) })
 	for _, m := range members {
 		m.dirty = false
-		if p.members[m.id] == m { // otherwise it was forgotten, and perhaps listed again since
+		if p.members[m.id] == m { // otherwise it has been removed, and may have been added again since
 			p.sweepMember(m)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// nextDeadline returns when a sweep has something to do for a member although nothing changes; +Inf if never.
+// nextDeadline returns when a sweep must visit a member again if nothing changes; +Inf if never.
 func (m *memberState) nextDeadline(now float64) float64 {
 	deadline := math.Inf(1)
 	if m.learnedLimit.conns > 0 {
--- a/internal/decide/connpool/sweep_test.go
+++ b/internal/decide/connpool/sweep_test.go
@@ -41,24 +41,24 @@
 	before := p.sweepVisits
 	for n := range 100 {
 		if d := pullAt(300 + 100*float64(n)); d > 0 {
-			t.Fatalf("%d decisions though nothing happened", d)
+			t.Fatalf("got %d decisions without any input", d)
 		}
 	}
 	if visits := p.sweepVisits - before; visits != 0 {
-		t.Errorf("100 sweeps over %d members with a connection each visited %d of them, none was due", members, visits)
+		t.Errorf("100 sweeps over %d members with one connection each: %d visits, want none since nothing is due", members, visits)
 	}
 	if deadline := p.NextDeadline(); deadline < 60000 {
-		t.Errorf("next deadline is %v, the first idle timeout is at 60000", deadline)
+		t.Errorf("next deadline is %v, want at least 60000, the first idle timeout", deadline)
 	}
 	p.Advance(11000)
 	p.Request(Request{ID: "2", Key: Key{"9", "x"}})
 	if before = p.sweepVisits; p.NextDeadline() > 11000 || pullAt(11000) != 1 || p.sweepVisits > before+1 {
-		t.Errorf("one member has a request: %d visited, next deadline is %v", p.sweepVisits-before, p.NextDeadline())
+		t.Errorf("after a request for one member: %d visits, next deadline %v", p.sweepVisits-before, p.NextDeadline())
 	}
 }
 
-// TestSweep_DecidesAsFullSweep has any inputs come in any order: sweeps that visit only what is due decide the same as sweeps over
-// everything, and NextDeadline is never later than the next of these decisions.
+// TestSweep_DecidesAsFullSweep applies random inputs and checks that sweeps which visit only what is due make the same decisions as
+// sweeps over everything, and that NextDeadline is never later than the next of these decisions.
 func TestSweep_DecidesAsFullSweep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &sweepComparison{t: t, now: 1000, pool: New(modelSettings), fullPool: New(modelSettings), conns: map[int]Action{}}
@@ -71,17 +71,17 @@
 	})
 }
 
-// sweepComparison gives the same inputs to two pools. The sweeps of one visit everything.
+// sweepComparison applies the same inputs to two pools. Sweeps of fullPool visit everything.
 type sweepComparison struct {
 	t              *rapid.T
 	now            float64
 	pool, fullPool *Pool
-	requests       []string       // not cancelled
-	lastRequestID  int            // of a request
-	conns          map[int]Action // the last decision on each connection; Close once it is established and not in use
+	requests       []string // IDs of requests that have not been cancelled
+	lastRequestID  int
+	conns          map[int]Action // last decision on each connection; Close for an idle one
 }
 
-// markAllDirty has the next sweep of the full pool visit everything.
+// markAllDirty makes the next sweep of fullPool visit everything.
 func (s *sweepComparison) markAllDirty() {
 	for _, m := range s.fullPool.members {
 		s.fullPool.markDirty(m)
@@ -91,7 +91,7 @@
 // compare fails the test if the decisions differ.
 func (s *sweepComparison) compare(got, want []Decision) {
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		s.t.Fatalf("at %v: decided %v, with a sweep over everything %v", s.now, got, want)
+		s.t.Fatalf("at %v: got decisions %v, want %v as from a full sweep", s.now, got, want)
 	}
 	s.pool.nextSweepAt = s.fullPool.nextSweepAt
 	for _, d := range got {
@@ -104,7 +104,7 @@
 	}
 }
 
-// sweepUntil drives both pools up to a time: the full one at each of its sweeps, the other one at its deadlines.
+// sweepUntil drives both pools up to a time: fullPool at each of its sweeps, the other pool at its deadlines.
 func (s *sweepComparison) sweepUntil(end float64) {
 	for s.fullPool.nextSweepAt <= end {
 		s.now = math.Max(s.now, s.fullPool.nextSweepAt)
@@ -121,7 +121,7 @@
 	s.now = end
 }
 
-// drawConn draws a connection by the last decision on it; 0 if there is none.
+// drawConn draws a connection whose last decision is the given one; 0 if there is none.
 func (s *sweepComparison) drawConn(last Action) int {
 	var ids []int
 	for id, action := range s.conns {
@@ -136,13 +136,13 @@
 	return ids[rapid.IntRange(0, len(ids)-1).Draw(s.t, "connection")]
 }
 
-// sweepInput is one drawn input.
+// sweepInput is a random input.
 type sweepInput struct {
 	kind                 int
 	member, pool, tenant string
 	cause                FailureCause
 	flag                 bool
-	opening, busy        int // connections, 0 for none
+	opening, busy        int // connections; 0 means none
 }
 
 func (s *sweepComparison) drawInput() {
@@ -151,10 +151,10 @@
 		pool:    rapid.SampledFrom([]string{"x", "y", "z"}).Draw(s.t, "pool"),
 		tenant:  rapid.SampledFrom([]string{"", "t"}).Draw(s.t, "tenant"),
 		cause:   FailureCause(rapid.IntRange(0, 2).Draw(s.t, "cause")),
-		flag:    rapid.IntRange(0, 3).Draw(s.t, "yes") > 0,
+		flag:    rapid.IntRange(0, 3).Draw(s.t, "flag") > 0,
 		opening: s.drawConn(Open),
 		busy:    s.drawConn(Assign),
-		kind:    rapid.IntRange(0, 9).Draw(s.t, "step"),
+		kind:    rapid.IntRange(0, 9).Draw(s.t, "kind"),
 	}
 	if in.kind == 1 {
 		s.lastRequestID++
@@ -190,7 +190,7 @@
 	}
 }
 
-// trackState keeps the states of connections and requests after an input.
+// trackState updates the states of connections and requests after an input.
 func (s *sweepComparison) trackState(in sweepInput) {
 	switch in.kind {
 	case 2, 3:
@@ -212,9 +212,9 @@
 	}
 }
 
-// TestMemberListed_AfterMemberWasForgotten guards against a last sweep of a forgotten member that forgets the member listed under
-// the same name since.
-func TestMemberListed_AfterMemberWasForgotten(t *testing.T) {
+// TestMemberListed_AfterMemberWasRemoved guards against a pending sweep of a removed member that also removes a new member listed
+// under the same ID.
+func TestMemberListed_AfterMemberWasRemoved(t *testing.T) {
 	p := New(Settings{MaxTotal: 9, Pools: map[string]Bounds{"x": {WaitTimeoutMs: 500}}})
 	expect := func(now float64, want ...Action) {
 		t.Helper()
@@ -224,7 +224,7 @@
 			got = append(got, d.Action)
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("at %v: %v, not %v", now, got, want)
+			t.Fatalf("at %v: got %v, want %v", now, got, want)
 		}
 	}
 	expect(0)
@@ -241,7 +241,7 @@
 	expect(810, Close)
 }
 
-// TestNextDeadline_RetriesConnectForWaiters guards against waiters that are served only once another input comes.
+// TestNextDeadline_RetriesConnectForWaiters guards against waiters that are not served until another input arrives.
 func TestNextDeadline_RetriesConnectForWaiters(t *testing.T) {
 	p := New(Settings{MaxTotal: 9, Pools: map[string]Bounds{"x": {WaitTimeoutMs: 60000}}})
 	p.MemberListed("a", true)
@@ -256,7 +256,7 @@
 			}
 		}
 	}
-	if attempts < 7 { // at 0, and after 20, 40, 80, 160, 320 and 640 ms more, each with a sweep interval at most
-		t.Errorf("%d attempts by %v", attempts, now)
+	if attempts < 7 { // at 0, then after 20, 40, 80, 160, 320 and 640 ms, each delayed by at most one sweep interval
+		t.Errorf("got %d attempts until %v, want at least 7", attempts, now)
 	}
 }
--- a/internal/decide/connpool/waiter.go
+++ b/internal/decide/connpool/waiter.go
@@ -7,16 +7,16 @@
 	Request
 	sub        *subPool
 	enqueuedAt float64
-	waiting    bool // false once it is served, rejected or cancelled
+	waiting    bool // false once served, rejected or cancelled
 	dialing    bool // a connection is being opened for it
 }
 
-// enqueuedBefore orders waiters by the time at which they came.
+// enqueuedBefore reports whether w was enqueued before another waiter. Ties are broken by ID.
 func (w *waiter) enqueuedBefore(other *waiter) bool {
 	return w.enqueuedAt < other.enqueuedAt || w.enqueuedAt == other.enqueuedAt && w.ID < other.ID
 }
 
-// Request asks for a connection. Assign or Reject answers it, unless it is cancelled.
+// Request asks for a connection. Unless it is cancelled, an Assign or Reject decision follows.
 func (p *Pool) Request(r Request) {
 	sub := p.subPool(r.Key)
 	w := &waiter{Request: r, sub: sub, enqueuedAt: p.now, waiting: true}
@@ -31,7 +31,7 @@
 	}
 }
 
-// Cancel withdraws a request that still waits.
+// Cancel withdraws a request that is still waiting.
 func (p *Pool) Cancel(requestID string) {
 	if w := p.waiters[requestID]; w != nil {
 		p.removeWaiter(w)
@@ -43,7 +43,7 @@
 	p.emit(Decision{Action: Reject, RequestID: w.ID, Key: w.sub.key, Reason: reason})
 }
 
-// removeWaiter takes a waiter out of its queue.
+// removeWaiter removes a waiter from its queue.
 func (p *Pool) removeWaiter(w *waiter) {
 	sub := w.sub
 	p.markDirty(sub.member)
@@ -64,7 +64,7 @@
 	sub.tenants = slices.DeleteFunc(sub.tenants, func(other string) bool { return other == w.Tenant })
 }
 
-// serveWaiters assigns idle connections to waiters, opens more for those left, and rejects those that may not wait.
+// serveWaiters assigns idle connections to waiters, opens connections for the remaining ones, and rejects those that may not wait.
 func (p *Pool) serveWaiters(sub *subPool) {
 	for sub.waiting > 0 && len(sub.idle) > 0 {
 		p.assign(p.popWaiter(sub))
@@ -80,7 +80,7 @@
 	}
 }
 
-// popWaiter takes the waiter to be served next: first come, first served within a tenant, and tenants in turn.
+// popWaiter removes and returns the waiter to serve next: FIFO within a tenant, round-robin between tenants.
 func (p *Pool) popWaiter(sub *subPool) *waiter {
 	tenant := sub.tenants[0]
 	w := sub.queues[tenant][0]
@@ -101,8 +101,8 @@
 	p.emit(Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: sub.key, Unsettled: unsettled})
 }
 
-// preferredIdle chooses among idle connections: a settled one first, then one of the same affinity, then the one that was used
-// last, so that connections that are not needed stay idle until they are closed.
+// preferredIdle returns the idle connection to reuse. It prefers settled connections, then connections with the same affinity, then
+// the most recently used one, so that surplus connections stay idle until they time out.
 func (s *subPool) preferredIdle(affinity any, now float64) *conn {
 	var best *conn
 	bestRank := -1
@@ -124,7 +124,8 @@
 	return rank
 }
 
-// firstNotDialing returns the first waiter that no connection is being opened for, tenants in turn; nil if there is none.
+// firstNotDialing returns the first waiter for which no connection is being opened, round-robin between tenants; nil if there is
+// none.
 func (s *subPool) firstNotDialing() *waiter {
 	for index := 0; ; index++ {
 		exhausted := true
@@ -144,7 +145,7 @@
 	}
 }
 
-// longestWaiting returns the waiter that came first; nil if there is none.
+// longestWaiting returns the waiter that was enqueued first; nil if there is none.
 func (s *subPool) longestWaiting() *waiter {
 	var first *waiter
 	for _, queue := range s.queues {
