--- a/internal/decide/session/begin.go
+++ b/internal/decide/session/begin.go
@@ -6,20 +6,20 @@
 	"wayloft/internal/pg"
 )
 
-// maxDeferredStatements is how many statements of a transaction are deferred at most.
+// maxDeferredStatements is the maximum number of statements of a transaction that are deferred.
 const maxDeferredStatements = 4
 
-// deferredBegin is a BEGIN, and the SET TRANSACTION that followed it, while no member has received them. The transaction takes a connection
-// only with its first statement: until then nothing is known of what it needs.
+// deferredBegin holds a BEGIN and the SET TRANSACTION statements after it until they are sent to a member. A transaction gets a
+// connection only at the first statement that needs a member, because what the transaction needs is not known before.
 type deferredBegin struct {
 	statements          []string
-	readOnly, readWrite bool // the access mode that they ask for; neither: the default
+	readOnly, readWrite bool // the requested access mode; neither means the default
 }
 
-// pending reports whether anything is deferred.
+// pending reports whether any statement is deferred.
 func (d *deferredBegin) pending() bool { return len(d.statements) > 0 }
 
-// add defers one more statement.
+// add defers a statement.
 func (d *deferredBegin) add(c Command, text string) {
 	d.statements = append(d.statements, text)
 	if c.Kind == pg.Begin || c.ReadOnly || c.ReadWrite {
@@ -27,7 +27,8 @@
 	}
 }
 
-// answerDeferred answers a statement that begins a transaction, or belongs to one that no member knows of; nil if a member must answer it.
+// answerDeferred answers a statement that begins a transaction, or that belongs to a transaction not yet begun on a member. It returns
+// nil if a member must answer the statement.
 func (s *Session) answerDeferred(c Command, text string) []byte {
 	switch c.Kind {
 	case pg.Begin:
@@ -50,7 +51,7 @@
 	}
 }
 
-// endDeferred ends a transaction that no member knows of; nil if one does.
+// endDeferred ends a transaction that has not yet begun on a member. It returns nil if there is no such transaction.
 func (s *Session) endDeferred(tag string) []byte {
 	if !s.deferred.pending() {
 		return nil
@@ -59,7 +60,7 @@
 	return completionReply(tag, StatusIdle)
 }
 
-// beginTag returns the command tag with which a server answers a statement that begins a transaction.
+// beginTag returns the command tag of a statement that begins a transaction.
 func beginTag(text string) string {
 	if strings.HasPrefix(strings.ToLower(strings.TrimSpace(text)), "start") {
 		return "START TRANSACTION"
@@ -67,8 +68,8 @@
 	return "BEGIN"
 }
 
-// FlushDeferredBegin returns the deferred begin of the transaction, which goes before its first statement. It is empty if the member has
-// received it.
+// FlushDeferredBegin returns and clears the deferred statements of the transaction, which must be sent before the first statement that
+// needs a member. It returns nil if none are deferred.
 func (s *Session) FlushDeferredBegin() (messages []Message) {
 	if !s.deferred.pending() {
 		return nil
--- a/internal/decide/session/extended.go
+++ b/internal/decide/session/extended.go
@@ -6,7 +6,7 @@
 	"wayloft/internal/pg"
 )
 
-// Extended handles one message of an extended query or of a COPY, and returns what a member is to receive.
+// Extended handles a client message of an extended query or a COPY and returns the messages for the member.
 func (s *Session) Extended(m pg.Message) []Message {
 	switch m.Kind {
 	case pg.Parse:
@@ -54,7 +54,7 @@
 	return []Message{{Action: Bind, Kind: m.Kind, Portal: m.Portal, Statement: statement, Raw: append([]byte(nil), m.Tail...)}}
 }
 
-// targetPortal is the target of a Describe or Close message that names a portal.
+// targetPortal marks the target of a Describe or Close message as a portal.
 const targetPortal = 'P'
 
 func (s *Session) describe(m pg.Message) []Message {
@@ -77,7 +77,8 @@
 	return forward(m)
 }
 
-// close closes a portal, or a prepared statement of the session: members keep theirs, which are shared.
+// close closes a portal or a prepared statement of the session. A prepared statement is closed in the session only, since the one on
+// the server connection is shared with other sessions.
 func (s *Session) close(m pg.Message) []Message {
 	if m.Target == targetPortal {
 		delete(s.portals, m.Portal)
@@ -99,7 +100,7 @@
 	return &pg.Error{Code: pg.InvalidSQLStatementName, Text: `prepared statement "` + name + `" does not exist`}
 }
 
-// LocalReply answers a unit that needs no member. It reports false if the unit needs one.
+// LocalReply answers a unit that does not need a member. It reports false if the unit needs one.
 func (s *Session) LocalReply(messages []Message) (answer []byte, local bool) {
 	for _, message := range messages {
 		switch {
--- a/internal/decide/session/loss.go
+++ b/internal/decide/session/loss.go
@@ -2,13 +2,13 @@
 
 import "wayloft/internal/pg"
 
-// errTransactionAborted answers statements of a failed transaction.
+// errTransactionAborted is the reply to statements in a failed transaction.
 var errTransactionAborted = &pg.Error{
 	Code: pg.InFailedSQLTransaction,
 	Text: "current transaction is aborted, commands ignored until end of transaction block",
 }
 
-// First bytes of messages without a body, and the type byte of ParameterDescription.
+// Type bytes of server messages.
 const (
 	parseCompleteByte        = '1'
 	bindCompleteByte         = '2'
@@ -17,11 +17,12 @@
 	parameterDescriptionByte = 't'
 )
 
-// ConnectionLost records that the connection that carried the session has ended, or that its request got none. sent says whether anything
-// was sent. It reports whether the transaction may have committed all the same. The session goes on as after a transaction that failed.
+// ConnectionLost records that the session's server connection has ended, or that its request did not get one. sent reports whether
+// anything was sent to the member. The result reports whether the transaction may have committed nevertheless. The session then behaves
+// as after a failed transaction.
 func (s *Session) ConnectionLost(sent bool) (mayHaveCommitted bool) {
 	mayHaveCommitted = sent && s.mayCommit
-	if s.status != StatusIdle { // the client must end the transaction that it believes to be open
+	if s.status != StatusIdle { // to the client the transaction is still open, so it must end it
 		s.status = StatusFailed
 	}
 	s.current = settingsState{client: s.transactionStart.client, server: NoSettings}
@@ -36,7 +37,8 @@
 	return mayHaveCommitted
 }
 
-// queryAfterConnectionLoss answers a simple query in a transaction whose connection is lost: only the end of the transaction is accepted.
+// queryAfterConnectionLoss answers a simple query in a transaction whose connection has been lost. Only a statement that ends the
+// transaction is accepted.
 func (s *Session) queryAfterConnectionLoss(first Command) []byte {
 	if !endsTransaction(first) {
 		return errorReply(errTransactionAborted, StatusFailed)
@@ -45,8 +47,8 @@
 	return completionReply("ROLLBACK", StatusIdle)
 }
 
-// FailedTransactionReply answers a unit of an extended query in a transaction whose connection is lost: only the end of the transaction is
-// accepted.
+// FailedTransactionReply answers an extended query unit in a transaction whose connection has been lost. Only a statement that ends the
+// transaction is accepted.
 func (s *Session) FailedTransactionReply(messages []Message) []byte {
 	for _, message := range messages {
 		if message.Action != Prepare && message.Action != Bind {
@@ -70,7 +72,7 @@
 
 func endsTransaction(c Command) bool { return c.Kind == pg.Commit || c.Kind == pg.Rollback }
 
-// appendRollbackReply appends the reply to one message of a unit that ends a transaction.
+// appendRollbackReply appends the reply to one message of a unit that ends a failed transaction.
 func appendRollbackReply(out []byte, message Message) []byte {
 	switch message.Kind {
 	case pg.Parse:
--- a/internal/decide/session/message.go
+++ b/internal/decide/session/message.go
@@ -9,21 +9,21 @@
 	"wayloft/internal/pg"
 )
 
-// Action is what a connection does with a Message.
+// Action is what the server connection does with a Message.
 type Action int
 
-// Actions, each with the fields of Message that it uses besides Kind.
+// The actions, with the fields of Message that each uses besides Kind.
 const (
-	Forward             Action = iota // send Raw as the client sent it
-	Prepare                           // prepare Statement, unless the member has it
+	Forward             Action = iota // send Raw unchanged
+	Prepare                           // prepare Statement unless the connection has it prepared
 	Bind                              // bind Portal to Statement; Raw is the client's message from the parameter formats on
 	DescribeStatement                 // describe Statement
-	AnswerLocally                     // answer the client with Raw, in its turn
-	Reject                            // have the member fail as well, and answer the client with Fault
-	ForwardDiscardReply               // send Raw, whose reply the client does not receive
+	AnswerLocally                     // reply to the client with Raw, in order with the other replies
+	Reject                            // make the member fail too, and reply to the client with Fault
+	ForwardDiscardReply               // send Raw and discard the reply
 )
 
-// Message is a message of the client in the form in which a member receives it.
+// Message is a client message as prepared for a server connection.
 type Message struct {
 	Action    Action
 	Kind      pg.Kind
@@ -33,13 +33,13 @@
 	Fault     *pg.Error
 }
 
-// Command is what one statement does, and its label.
+// Command is a parsed statement and its label.
 type Command struct {
 	pg.Command
-	Label *pg.Statement // the comment that classifies the request; nil: none
+	Label *pg.Statement // the comment that classifies the request; nil if there is none
 }
 
-// parseCommand reads one statement.
+// parseCommand parses a single statement.
 func parseCommand(sql string) Command {
 	c := Command{Command: pg.ParseCommand(sql)}
 	if label, err := pg.ParseStatement(strings.TrimSpace(sql)); err == nil {
@@ -48,9 +48,9 @@
 	return c
 }
 
-// PreparedStatement is a statement with the types of its parameters. Clients that prepare the same share its text.
+// PreparedStatement is a statement with its parameter types. Clients that prepare the same statement share its text.
 type PreparedStatement struct {
-	Tail unique.Handle[string] // the bytes of a Parse message from the statement on
+	Tail unique.Handle[string] // the bytes of the Parse message from the statement text on
 	Hash uint64                // of Tail
 	Command
 }
@@ -63,12 +63,12 @@
 	}
 }
 
-// forward returns a message that is sent as the client sent it.
+// forward returns a message to be sent unchanged.
 func forward(m pg.Message) []Message {
 	return []Message{{Action: Forward, Kind: m.Kind, Portal: m.Portal, Raw: append([]byte(nil), m.Raw...)}}
 }
 
-// reject returns a message that fails at the member as well, so that nothing before it in the unit takes effect.
+// reject returns a message that makes the member fail too, so that nothing before it in the unit takes effect.
 func reject(kind pg.Kind, fault *pg.Error) []Message {
 	return []Message{{Action: Reject, Kind: kind, Fault: fault}}
 }
--- a/internal/decide/session/query.go
+++ b/internal/decide/session/query.go
@@ -2,8 +2,8 @@
 
 import "wayloft/internal/pg"
 
-// Query handles a simple query. It returns either the answer for the client, or the messages for a member. hasConn says whether a
-// connection carries the transaction.
+// Query handles a simple query. It returns either the answer for the client or the messages for a member. hasConn reports whether the
+// transaction has a server connection.
 func (s *Session) Query(sql string, raw []byte, hasConn bool) (answer []byte, messages []Message) {
 	texts := pg.SplitStatements(sql)
 	if len(texts) == 0 {
@@ -38,7 +38,7 @@
 	return nil, append(messages, Message{Kind: pg.Query, Raw: raw})
 }
 
-// policyError returns the error for a statement that the pool does not allow, else nil.
+// policyError returns an error if the policy of the pool does not allow a statement, else nil.
 func (s *Session) policyError(c Command) *pg.Error {
 	if c.StickyReason != "" && !s.policy.AllowSticky {
 		text := c.StickyReason + " can't follow its client to another connection, and this pool pins none"
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// failTransaction has an open transaction accept only its end.
+// failTransaction marks an open transaction as failed. Statements are rejected until the client ends it.
 func (s *Session) failTransaction() {
 	if s.status == StatusInTransaction {
 		s.status = StatusFailed
@@ -65,7 +65,7 @@
 	}
 }
 
-// answerLocally answers a statement for which no member is needed, or not yet; nil if one is.
+// answerLocally answers a statement that needs no member, or none yet. It returns nil if a member must answer the statement.
 func (s *Session) answerLocally(c Command, text string, hasConn bool) []byte {
 	switch c.Kind {
 	case pg.Begin, pg.SetTransaction, pg.Commit, pg.Rollback:
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// answerSet sets a setting of the router's own.
+// answerSet answers a SET of one of the router's own settings.
 func (s *Session) answerSet(c Command) []byte {
 	if c.Local || s.status != StatusIdle && !s.deferred.pending() || !isRouterSetting(c.Settings[0].Name) {
 		return nil
@@ -91,7 +91,7 @@
 	return completionReply("SET", s.status)
 }
 
-// answerShow shows a setting of the router's own.
+// answerShow answers a SHOW of one of the router's own settings.
 func (s *Session) answerShow(c Command, hasConn bool) []byte {
 	if !isRouterSetting(c.Name) || hasConn && s.status != StatusIdle {
 		return nil
@@ -100,7 +100,8 @@
 	return pg.AppendReadyForQuery(pg.AppendCommandComplete(row, "SHOW"), s.status)
 }
 
-// answerReset takes settings back. The next connection gets the session's settings in any case.
+// answerReset answers RESET, RESET ALL and DISCARD ALL. Unless a server connection holds state of the session, no member is needed: the
+// next server connection gets the session's settings anyway.
 func (s *Session) answerReset(c Command) []byte {
 	if !s.detached() {
 		return nil
@@ -118,7 +119,8 @@
 	return completionReply("RESET", StatusIdle)
 }
 
-// answerDeallocate removes prepared statements of the session. Members keep theirs, which are shared.
+// answerDeallocate answers DEALLOCATE. The statements are removed from the session only, since those on server connections are shared
+// with other sessions.
 func (s *Session) answerDeallocate(c Command) []byte {
 	if c.Name == "" {
 		if !s.detached() {
--- a/internal/decide/session/server.go
+++ b/internal/decide/session/server.go
@@ -6,25 +6,25 @@
 	"wayloft/internal/pg"
 )
 
-// expectedReply is a reply of the member that changes the session.
+// expectedReply is a reply expected from the member that changes the session state.
 type expectedReply struct {
 	kind     pg.Kind                          // ParseComplete, CloseComplete or CommandComplete
-	prepared *iradix.Tree[*PreparedStatement] // ParseComplete, CloseComplete: the prepared statements that it confirms
-	command  Command                          // CommandComplete: what is done
+	prepared *iradix.Tree[*PreparedStatement] // for ParseComplete and CloseComplete: the prepared statements that the reply confirms
+	command  Command                          // for CommandComplete: the completed command
 }
 
-// expectCompletion notes what a statement will have done once the member says so.
+// expectCompletion records a statement, whose effects are applied once the member reports its completion.
 func (s *Session) expectCompletion(c Command) {
 	s.recordCommand(c)
 	s.expected = append(s.expected, expectedReply{kind: pg.CommandComplete, command: c})
 }
 
-// expectPrepared notes that a reply of this kind will confirm the prepared statements that are asked for now.
+// expectPrepared records that a reply of the given kind will confirm the current prepared statements.
 func (s *Session) expectPrepared(kind pg.Kind) {
 	s.expected = append(s.expected, expectedReply{kind: kind, prepared: s.prepared})
 }
 
-// recordCommand notes what a statement says of its request before it has run.
+// recordCommand records what is known of a request from a statement before the statement has run.
 func (s *Session) recordCommand(c Command) {
 	if s.firstCommand == nil {
 		s.firstCommand = &c
@@ -37,7 +37,7 @@
 	s.mayCommit = s.mayCommit || c.Kind == pg.Commit || s.status == StatusIdle && c.Kind != pg.Begin
 }
 
-// ServerMessage handles a message of the member that the client receives.
+// ServerMessage handles a message from the member that is passed on to the client.
 func (s *Session) ServerMessage(m *pg.Message) {
 	switch m.Kind {
 	case pg.ParseComplete, pg.CloseComplete:
@@ -57,7 +57,7 @@
 	}
 }
 
-// popExpected removes the first expected reply if it is of this kind, else it returns nil.
+// popExpected removes and returns the first expected reply if it is of the given kind; otherwise it returns nil.
 func (s *Session) popExpected(kind pg.Kind) *expectedReply {
 	if len(s.expected) == 0 || s.expected[0].kind != kind {
 		return nil
@@ -67,7 +67,7 @@
 	return &first
 }
 
-// applyCompletion applies what a statement has done, which the member answered with this command tag.
+// applyCompletion applies the effects of a statement that the member has completed with the given command tag.
 func (s *Session) applyCompletion(c Command, tag string) {
 	switch c.Kind {
 	case pg.Set, pg.Reset, pg.ResetAll, pg.DiscardAll:
--- a/internal/decide/session/session.go
+++ b/internal/decide/session/session.go
@@ -1,76 +1,77 @@
-// Package session decides what follows a client from one server connection to the next in transaction pooling: its transaction status, its
-// settings, its prepared statements and the position of its last commit. It decides which messages are answered without a member, which
-// go to one and in what form, and what the loss of a connection means for the client.
+// Package session holds the client session state that transaction pooling preserves across server connections: the transaction status,
+// the settings, the prepared statements and the position of the last commit. It decides which messages are answered without a member,
+// which are sent to a member and in what form, and what the loss of a server connection means for the client.
 //
-// The frontend keeps a Session for each pooled client. It passes in each message of the client (Query; or Extended for each message up to a
-// Sync or Flush), sends what it gets back to a member, and passes in each message of the member that the client receives (ServerMessage).
-// The backend brings connections to the session's settings (SettingsStatements) and reports it (AttachConnection, SettingsApplied).
+// The frontend keeps a Session for each pooled client. It passes in each client message (Query, or Extended for each message up to a
+// Sync or Flush), sends the returned messages to a member, and passes in each message from the member that goes to the client
+// (ServerMessage). The backend applies the session's settings to server connections (SettingsStatements) and reports this
+// (AttachConnection, SettingsApplied). A unit is a simple query, or the messages of extended queries up to a Sync.
 //
-// The package never sends anything, reads no clock and chooses no member. A Session is not safe for concurrent use.
+// The package does no I/O, reads no clock and chooses no member. A Session is not safe for concurrent use.
 package session
 
 import iradix "github.com/hashicorp/go-immutable-radix/v2"
 
 const (
-	// MaxReplayBytes is how many bytes of a response are kept back so that its request may still be retried on another connection. A
-	// longer response is passed on as it comes.
+	// MaxReplayBytes is the maximum number of response bytes that are buffered so that the request can still be retried on another
+	// connection. A longer response is streamed to the client.
 	MaxReplayBytes = 16 << 10
-	// MaxPreparedPerConnection is how many statements a connection keeps prepared between two requests.
+	// MaxPreparedPerConnection is the maximum number of prepared statements that a server connection keeps between requests.
 	MaxPreparedPerConnection = 256
 )
 
-// Transaction statuses, as ReadyForQuery has them.
+// Transaction statuses, as in ReadyForQuery.
 const (
-	StatusIdle          byte = 'I' // outside a transaction
+	StatusIdle          byte = 'I' // not in a transaction
 	StatusInTransaction byte = 'T'
-	StatusFailed        byte = 'E' // in a transaction that has failed: only its end is accepted
+	StatusFailed        byte = 'E' // in a failed transaction: statements are rejected until it ends
 )
 
-// Policy is what a pool defines for its sessions.
+// Policy defines how a pool treats its sessions.
 type Policy struct {
-	ReadClass        string // request class of transactions without a label that are declared read only
-	WriteClass       string // request class of all others without a label; may be empty
-	AllowSticky      bool   // a session may keep its connection for state that can't follow it
+	ReadClass        string // request class of unlabelled transactions that are declared read-only
+	WriteClass       string // request class of all other unlabelled transactions; may be empty
+	AllowSticky      bool   // a session may keep its connection for state that can't follow it to another connection
 	AlwaysSticky     bool   // a session keeps its connection from its first statement on
-	MaxSettingsBytes int    // of one session
-	MaxStatements    int    // prepared statements of one session
+	MaxSettingsBytes int    // maximum total size of a session's settings
+	MaxStatements    int    // maximum number of prepared statements of a session
 	SeededDefects    SeededDefects
 }
 
-// SeededDefects are defects that tests switch on to show that checkers find them. The program never sets one.
+// SeededDefects are defects that tests enable to show that checkers detect them. They are never enabled outside tests.
 type SeededDefects struct {
-	SkipSettings             bool // a connection does not get the session's settings
-	KeepRolledBackSettings   bool // settings outlive the rollback of their transaction
-	ReuseAnyStatement        bool // any statement counts as prepared on a connection that has one
-	ForgetLastCommitPosition bool // reads are not bound to the session's last commit
+	SkipSettings             bool // server connections do not get the session's settings
+	KeepRolledBackSettings   bool // settings survive the rollback of their transaction
+	ReuseAnyStatement        bool // a connection with any prepared statement is taken to have every statement prepared
+	ForgetLastCommitPosition bool // reads need not see the session's last commit
 }
 
-// Session is the state of one client that follows it from connection to connection.
+// Session is the state of one client that is preserved across server connections.
 type Session struct {
-	// LastCommitPosition is the position of the client's last commit, in ms; 0: none. The caller sets it.
+	// LastCommitPosition is the position of the client's last commit in ms, or 0 if there is none. The caller sets it.
 	LastCommitPosition float64
 
 	policy       Policy
-	stickyReason string // why it keeps its connection; "": it doesn't
+	stickyReason string // why the session keeps its connection; "" if it does not
 
-	startup          Settings // the settings that the client started with
+	startup          Settings // from the client's startup message
 	current          settingsState
-	transactionStart settingsState // what a transaction that fails goes back to
-	savepoints       []savepoint   // of the transaction
+	transactionStart settingsState // restored when the transaction is rolled back
+	savepoints       []savepoint   // of the current transaction
 
-	prepared  *iradix.Tree[*PreparedStatement] // by the client's name, as the client has asked for
-	confirmed *iradix.Tree[*PreparedStatement] // the same, as members have confirmed
+	prepared  *iradix.Tree[*PreparedStatement] // by the client's name for them, as requested by the client
+	confirmed *iradix.Tree[*PreparedStatement] // the same, as confirmed by members
 	portals   map[string]Command
 
-	status        byte            // as the client received it last
-	deferred      deferredBegin   // the begin of the transaction, while no member has received it
-	firstCommand  *Command        // of the transaction: it says which member the request needs
-	expected      []expectedReply // replies of the member, in order
-	errorReceived bool            // an error has come since the last ReadyForQuery
-	mayCommit     bool            // something on its way to the member may commit
+	status        byte            // transaction status last sent to the client
+	deferred      deferredBegin   // start of the transaction, if not yet sent to a member
+	firstCommand  *Command        // first command of the transaction, by which the request is classified
+	expected      []expectedReply // expected replies of the member, in order
+	errorReceived bool            // an error has been received since the last ReadyForQuery
+	mayCommit     bool            // a command sent to the member may commit
 }
 
-// New returns the session of a client that starts with these settings.
+// New returns a session for a client with the given startup settings.
 func New(policy Policy, startup Settings) *Session {
 	none := iradix.New[*PreparedStatement]()
 	initial := settingsState{client: startup, server: NoSettings}
@@ -88,13 +89,13 @@
 	return s
 }
 
-// SeededDefects returns the defects that a test has switched on.
+// SeededDefects returns the defects that a test has enabled.
 func (s *Session) SeededDefects() SeededDefects { return s.policy.SeededDefects }
 
-// TransactionStatus returns the transaction status as the client knows it.
+// TransactionStatus returns the transaction status as seen by the client.
 func (s *Session) TransactionStatus() byte { return s.status }
 
-// Sticky reports whether the session keeps its connection between its transactions.
+// Sticky reports whether the session keeps its server connection between transactions.
 func (s *Session) Sticky() bool { return s.stickyReason != "" }
 
 func (s *Session) resetSticky() {
@@ -104,5 +105,5 @@
 	}
 }
 
-// detached reports whether no connection has state of the session: no member is needed to change it.
+// detached reports whether no server connection holds state of the session, so that the state can be changed without a member.
 func (s *Session) detached() bool { return s.status == StatusIdle && !s.Sticky() }
--- a/internal/decide/session/settings.go
+++ b/internal/decide/session/settings.go
@@ -9,15 +9,15 @@
 	"wayloft/internal/pg"
 )
 
-// Settings are what a client, or a connection, has set: names in lower case and values as they were written. They are immutable, so that
-// whoever has some may keep them.
+// Settings are the settings of a client session or a server connection, with lower-case names and values as written in the statement.
+// They are immutable and can be shared.
 type Settings struct {
 	tree *iradix.Tree[string]
 	id   unique.Handle[string] // equal for equal settings
-	size int                   // bytes of names and values, each with a terminator
+	size int                   // size in bytes of names and values, each with a terminator
 }
 
-// NoSettings are the settings of a connection that has set nothing.
+// NoSettings are the settings of a connection on which nothing has been set.
 var NoSettings = newSettings(iradix.New[string]())
 
 func newSettings(tree *iradix.Tree[string]) Settings {
@@ -38,7 +38,8 @@
 // Get returns the value of a setting, and whether it is set.
 func (s Settings) Get(name string) (value string, set bool) { return s.tree.Get([]byte(name)) }
 
-// with returns the settings with these names and values set. An empty value sets what base has, or removes the setting.
+// with returns a copy of the settings with the given ones set. An empty value stands for the value in base; if base has none, the
+// setting is removed.
 func (s Settings) with(base Settings, settings ...pg.Setting) Settings {
 	tree := s.tree
 	for _, setting := range settings {
@@ -58,11 +59,11 @@
 	return newSettings(tree)
 }
 
-// isRouterSetting reports whether a setting is the router's own, and never sent to a member.
+// isRouterSetting reports whether a setting is one of the router's own, which are never sent to a member.
 func isRouterSetting(name string) bool { return strings.HasPrefix(name, routerSettingPrefix) }
 
-// settingsStatements returns the statements that bring a connection from the settings that it has to those that it should have. Only what
-// differs is set.
+// settingsStatements returns the statements that change a connection's settings from current to desired. Settings that are equal in
+// both are not set again.
 func settingsStatements(current, desired Settings) []string {
 	var statements []string
 	authorization := ""
@@ -78,14 +79,15 @@
 	if authorization == "" {
 		return statements
 	}
-	statements = append([]string{authorization}, statements...) // first, since it resets the role
+	statements = append([]string{authorization}, statements...) // first, because it resets the role
 	if role, set := desired.Get("role"); set {
 		statements = append(statements, "SET role TO "+role)
 	}
 	return statements
 }
 
-// forEachDifference calls f for each setting that differs, in the order of their names, with the value that it should have; "": none.
+// forEachDifference calls f for each setting that differs, in name order, with the desired value, which is "" if the setting is to be
+// removed.
 func forEachDifference(current, desired Settings, f func(name, value string)) {
 	if current.id == desired.id {
 		return
@@ -123,7 +125,7 @@
 	switch {
 	case value == "":
 		return "RESET " + quoteName(name)
-	case name == "timezone": // its value may be an interval, which SET ... TO does not take
+	case name == "timezone": // the value may be an interval, which SET ... TO does not accept
 		return "SET TIME ZONE " + value
 	default:
 		return "SET " + quoteName(name) + " TO " + value
--- a/internal/decide/session/startup.go
+++ b/internal/decide/session/startup.go
@@ -6,7 +6,7 @@
 	"wayloft/internal/pg"
 )
 
-// StartupSettings returns the settings of a client's startup message: its parameters, and the settings among its command-line options.
+// StartupSettings returns the settings in a client's startup message: its parameters and the settings in its command-line options.
 func StartupSettings(parameters pg.StartupParameters) (Settings, *pg.Error) {
 	s := NoSettings
 	for _, parameter := range parameters {
@@ -32,7 +32,7 @@
 	return s, nil
 }
 
-// withStartupValue returns the settings with a value of a startup message, which is not quoted there.
+// withStartupValue returns the settings with a value from a startup message added. Such values are unquoted.
 func (s Settings) withStartupValue(name, value string) Settings {
 	if value == "" {
 		return s
@@ -50,7 +50,7 @@
 
 type option struct{ name, value string }
 
-// parseOptions reads command-line options that set something: -c name=value, -cname=value or --name=value.
+// parseOptions parses command-line options of the forms -c name=value, -cname=value and --name=value.
 func parseOptions(text string) (options []option, err *pg.Error) {
 	words := splitOptions(text)
 	for n := 0; n < len(words); n++ {
@@ -75,7 +75,7 @@
 	return options, nil
 }
 
-// splitOptions splits at blanks. A backslash takes the next character as it is.
+// splitOptions splits command-line options at spaces and tabs. A backslash escapes the next character.
 func splitOptions(text string) (words []string) {
 	var word strings.Builder
 	for n := 0; n <= len(text); n++ {
--- a/internal/decide/session/transaction.go
+++ b/internal/decide/session/transaction.go
@@ -2,18 +2,18 @@
 
 import "wayloft/internal/pg"
 
-// savepoint is a point of the transaction to which it can go back.
+// savepoint is a savepoint of the current transaction, with the settings to restore.
 type savepoint struct {
 	name  string
 	state settingsState
 }
 
-// beginTransaction has the transaction go back to the present settings if it fails.
+// beginTransaction saves the current settings, to be restored if the transaction is rolled back.
 func (s *Session) beginTransaction() {
 	s.transactionStart, s.savepoints = s.current, nil
 }
 
-// applyTransaction applies a statement that begins or ends a transaction or a part of one.
+// applyTransaction applies a completed transaction or savepoint statement.
 func (s *Session) applyTransaction(c Command, tag string) {
 	switch c.Kind {
 	case pg.Begin:
@@ -21,7 +21,7 @@
 			s.beginTransaction()
 		}
 	case pg.Commit, pg.Rollback:
-		if tag == "ROLLBACK" && !s.policy.SeededDefects.KeepRolledBackSettings { // also of a COMMIT, if the transaction has failed
+		if tag == "ROLLBACK" && !s.policy.SeededDefects.KeepRolledBackSettings { // also the tag of a COMMIT in a failed transaction
 			s.current = s.transactionStart
 		}
 		s.beginTransaction()
@@ -38,7 +38,7 @@
 	}
 }
 
-// findSavepoint returns the index of the latest savepoint of this name, -1 if there is none.
+// findSavepoint returns the index of the latest savepoint with the given name, or -1 if there is none.
 func (s *Session) findSavepoint(name string) int {
 	for n := len(s.savepoints) - 1; n >= 0; n-- {
 		if s.savepoints[n].name == name {
@@ -48,7 +48,7 @@
 	return -1
 }
 
-// readyForQuery ends a unit.
+// readyForQuery handles a ReadyForQuery, which ends a unit.
 func (s *Session) readyForQuery(status byte) {
 	if status == StatusIdle {
 		if s.errorReceived {
