--- a/internal/decide/session/model_test.go
+++ b/internal/decide/session/model_test.go
@@ -11,11 +11,11 @@
 	"wayloft/internal/pg"
 )
 
-// serverModel is a server's view of one session's settings, made as simple as can be: each savepoint is a copy of everything.
+// serverModel is a simple model of a server's settings for one session. Each savepoint is a full copy of the settings.
 type serverModel struct {
 	settings   map[string]string
-	local      map[string]string // by SET LOCAL: hides settings until the transaction ends
-	savepoints []modelSavepoint  // the first is the begin of the transaction
+	local      map[string]string // set by SET LOCAL; overrides settings until the transaction ends
+	savepoints []modelSavepoint  // the first one is the start of the transaction
 	status     byte
 }
 
@@ -36,7 +36,7 @@
 	m.settings, m.local = maps.Clone(m.savepoints[n].settings), maps.Clone(m.savepoints[n].local)
 }
 
-// run runs one statement as a server would; it reports false for an error.
+// run executes one statement as a server would; it reports false for an error.
 func (m *serverModel) run(sql string) (tag string, ok bool) {
 	c := pg.ParseCommand(sql)
 	if m.status == StatusFailed && c.Kind != pg.Commit && c.Kind != pg.Rollback && c.Kind != pg.RollbackTo {
@@ -123,9 +123,9 @@
 	}
 }
 
-// query runs a whole simple query, with what its implicit transaction takes back, and passes on the messages that answer it.
+// query executes a simple query, including the rollback of its implicit transaction, and passes the reply messages to receive.
 func (m *serverModel) query(sql string, receive func(pg.Message)) {
-	var implicit map[string]string // the settings at the begin of an implicit transaction
+	var implicit map[string]string // the settings at the start of an implicit transaction
 	for _, text := range pg.SplitStatements(sql) {
 		if m.status == StatusIdle && implicit == nil {
 			implicit = maps.Clone(m.settings)
@@ -136,7 +136,7 @@
 			m.fail(implicit)
 			break
 		}
-		if tag == "ROLLBACK" && implicit != nil { // it takes the implicit transaction back
+		if tag == "ROLLBACK" && implicit != nil { // ROLLBACK rolls back the implicit transaction
 			m.settings = implicit
 		}
 		receive(pg.Message{Kind: pg.CommandComplete, Text: tag})
@@ -147,7 +147,7 @@
 	receive(pg.Message{Kind: pg.ReadyForQuery, Status: m.status})
 }
 
-// fail handles an error. Outside a transaction the implicit transaction, which began with these settings, is taken back.
+// fail handles an error. Outside an explicit transaction it rolls back the implicit one, which began with the given settings.
 func (m *serverModel) fail(implicit map[string]string) {
 	switch m.status {
 	case StatusInTransaction:
@@ -157,7 +157,7 @@
 	}
 }
 
-// describe returns the settings as describeSettings does.
+// describe formats the settings like describeSettings.
 func (m *serverModel) describe() string {
 	var words []string
 	for _, name := range slices.Sorted(maps.Keys(m.settings)) {
@@ -166,19 +166,19 @@
 	return strings.Join(words, " ")
 }
 
-// modelPool is a session on a pool of connections, as the router has them, beside a server that the client has to itself.
+// modelPool runs a session over a pool of connections, as the router does, next to a reference server that has only this client.
 type modelPool struct {
 	t           *rapid.T
 	reference   *serverModel
 	connections []*serverModel
-	tracked     []Settings // what the router takes each connection to have
+	tracked     []Settings // settings of each connection as tracked by the router
 	session     *Session
-	attached    int // the connection that carries the session; noCarrier: none
+	attached    int // index of the session's connection, or notAttached
 }
 
 const notAttached = -1
 
-// query has the client send a query, and passes the messages between the session and its connection.
+// query sends a client query and passes messages between the session and its connection.
 func (p *modelPool) query(sql string) {
 	_, messages := p.session.Query(sql, pg.AppendQuery(nil, sql), p.attached >= 0)
 	if messages != nil && p.attached == notAttached {
@@ -193,21 +193,21 @@
 	}
 }
 
-// attach has a connection carry the session, and brings it to the session's settings.
+// attach gives the session a connection and applies the session's settings to it.
 func (p *modelPool) attach(n int) {
 	p.attached = n
 	p.session.AttachConnection(p.tracked[n])
 	for _, text := range p.session.SettingsStatements() {
 		p.connections[n].query(text, func(m pg.Message) {
 			if m.Kind == pg.ErrorResponse {
-				p.t.Fatalf("%s is rejected", text)
+				p.t.Fatalf("the server rejected %s", text)
 			}
 		})
 	}
 	p.session.SettingsApplied(true)
 }
 
-// release takes the connection from the session once its transaction has ended.
+// release detaches the connection from the session if no transaction is open.
 func (p *modelPool) release(sql string) {
 	if p.attached == notAttached || p.session.TransactionStatus() != StatusIdle {
 		return
@@ -216,13 +216,14 @@
 	connection := p.connections[p.attached]
 	got, want := describeSettings(p.tracked[p.attached]), connection.describe()
 	if got != want || connection.status != StatusIdle {
-		p.t.Fatalf("after %q the connection has [%s], the session expects [%s]", sql, want, got)
+		p.t.Fatalf("after %q: connection has settings [%s], session expects [%s]", sql, want, got)
 	}
 	p.attached = notAttached
 }
 
-// Whatever a client sets, begins, saves and takes back, on whatever connection: after each transaction the connection has the settings that
-// the session expects, and the session has those that one server alone would have had for it.
+// TestSession_SettingsFollowClient runs random SET, RESET, transaction and savepoint statements over random connections. After each
+// transaction, the connection must have the settings that the session expects, and the session must have the settings that a single
+// server would have.
 func TestSession_SettingsFollowClient(t *testing.T) {
 	statements := []string{"SET a.x = '1'", "SET a.x = '2'", "SET a.y = '1'", "SET LOCAL a.x = '3'", "SET a.x TO DEFAULT", "RESET a.x",
 		"RESET ALL", "BEGIN", "COMMIT", "ROLLBACK", "SAVEPOINT s", "SAVEPOINT s", "ROLLBACK TO s", "RELEASE s", "SELECT 1", "SELEKT",
@@ -240,16 +241,16 @@
 			sql := rapid.SampledFrom(statements).Draw(t, "sql")
 			p.reference.query(sql, func(pg.Message) {})
 			if p.reference.status == StatusFailed && p.session.TransactionStatus() == StatusIdle {
-				t.Fatal("the session knows of no transaction")
+				t.Fatal("the reference server has a failed transaction, the session has none")
 			}
 			p.query(sql)
 			p.release(sql)
 			status := p.session.TransactionStatus()
 			if status != p.reference.status {
-				t.Fatalf("after %q: status %c, alone %c", sql, status, p.reference.status)
+				t.Fatalf("after %q: status %c, on the reference server %c", sql, status, p.reference.status)
 			}
 			if got, want := describeSettings(p.session.Settings()), p.reference.describe(); status == StatusIdle && got != want {
-				t.Fatalf("after %q the session has [%s], alone [%s]", sql, got, want)
+				t.Fatalf("after %q: session has settings [%s], the reference server [%s]", sql, got, want)
 			}
 		}
 	})
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -22,15 +22,16 @@
 
 var recordedTags = []string{"SELECT 1", "BEGIN", "COMMIT", "ROLLBACK", "SET", "RESET", "SAVEPOINT", "RELEASE", "DISCARD ALL", "INSERT 0 1"}
 
-// recordedSession drives one session by drawn inputs, and writes down what it decides on each.
+// recordedSession applies random inputs to a session and records its decisions.
 type recordedSession struct {
 	rand       *rand.Rand
 	session    *Session
-	unit       []Message // what goes to a member, of the unit that is not complete
+	unit       []Message // messages for the member in the incomplete unit
 	transcript strings.Builder
 }
 
-// TestRecordedDecisions compares the decisions on drawn inputs with a recording. The words that it prints are those of the recording.
+// TestRecordedDecisions compares the decisions on random inputs with the recorded ones. The recording is a digest of the transcript, so
+// the texts written to the transcript must not change.
 func TestRecordedDecisions(t *testing.T) {
 	policies := []Policy{
 		{MaxSettingsBytes: 200, MaxStatements: 3},
@@ -71,9 +72,9 @@
 	case draw < 90:
 		fmt.Fprintf(&r.transcript, "begin %s", recordedMessages(r.session.FlushDeferredBegin()))
 	case draw < 93:
-		has := settingsOf(fmt.Sprintf("work_mem='%dMB'", r.rand.IntN(5)))
-		fmt.Fprintf(&r.transcript, "on %q", settingsStatements(has, r.session.Settings()))
-		r.session.AttachConnection(has)
+		serverSettings := settingsOf(fmt.Sprintf("work_mem='%dMB'", r.rand.IntN(5)))
+		fmt.Fprintf(&r.transcript, "on %q", settingsStatements(serverSettings, r.session.Settings()))
+		r.session.AttachConnection(serverSettings)
 	case draw < 97:
 		before := r.rand.IntN(2) == 0
 		fmt.Fprintf(&r.transcript, "brought %v %q", before, settingsStatements(r.session.ServerSettings(), r.session.Settings()))
@@ -85,10 +86,10 @@
 	}
 }
 
-// query draws a statement.
+// query draws a random statement.
 func (r *recordedSession) query() string { return recordedQueries[r.rand.IntN(len(recordedQueries))] }
 
-// extended passes in a drawn message of an extended query.
+// extended passes a random extended query message to the session.
 func (r *recordedSession) extended() {
 	name, portal := []string{"", "s1", "s2", "s3"}[r.rand.IntN(4)], []string{"", "p1"}[r.rand.IntN(2)]
 	sql := r.query()
@@ -114,7 +115,7 @@
 	fmt.Fprintf(&r.transcript, "extended %q ops %s fail <nil>", encoded[:min(len(encoded), 40)], recordedMessages(messages))
 }
 
-// serverMessage passes in a drawn message of the member.
+// serverMessage passes a random message from the member to the session.
 func (r *recordedSession) serverMessage() {
 	kinds := []pg.Kind{pg.ParseComplete, pg.CloseComplete, pg.CommandComplete, pg.CommandComplete, pg.CommandComplete, pg.EmptyQuery,
 		pg.PortalSuspended, pg.ErrorResponse, pg.ReadyForQuery, pg.ReadyForQuery, pg.ReadyForQuery}
@@ -131,7 +132,7 @@
 	fmt.Fprintf(&r.transcript, "heard %d %q %d", m.Kind, m.Text, m.Status)
 }
 
-// recordState writes down all that the session can be asked for.
+// recordState records all observable state of the session.
 func (r *recordedSession) recordState() {
 	attributes := r.session.RequestAttributes()
 	id := ""
@@ -144,12 +145,12 @@
 		describeSettings(r.session.Settings()), describeSettings(r.session.ServerSettings()))
 }
 
-// noneInProgress reports whether the session has no transaction and no unit on its way.
+// noneInProgress reports whether the session has neither an open transaction nor a unit in progress.
 func noneInProgress(s *Session) bool {
 	return s.status == StatusIdle && len(s.expected) == 0 && s.firstCommand == nil
 }
 
-// recordedActions are the names of actions in the recording.
+// recordedActions maps actions to their names in the recording.
 var recordedActions = map[Action]string{
 	Forward:             "forward",
 	Prepare:             "prepare",
--- a/internal/decide/session/scenario_test.go
+++ b/internal/decide/session/scenario_test.go
@@ -10,25 +10,25 @@
 	"wayloft/internal/pg"
 )
 
-// A scenario is a text file, one step a line; # starts a comment.
+// TestScenarios runs the scenarios in testdata/*.txt. A scenario has one step per line; # starts a comment.
 //
 //	policy read=CLASS write=CLASS allow-sticky always-sticky
-//	start NAME=VALUE ...            the settings that the client starts with
-//	carried yes|no                  whether a connection carries the transaction
+//	start NAME=VALUE ...            sets the client's startup settings
+//	has-connection yes|no           sets whether the transaction has a server connection
 //	query SQL                       the client sends a simple query
 //	parse NAME SQL, bind NAME, execute, close NAME, sync
-//	                                the client sends a message of an extended query; - is the unnamed statement
-//	failed-transaction              the unit is answered in a transaction whose connection is lost
-//	reply MESSAGES                  checks what the client is answered without a member
-//	send ACTIONS                    checks what goes to a member
+//	                                the client sends an extended query message; - is the unnamed statement
+//	failed-transaction              the unit is answered in a transaction whose connection has been lost
+//	reply MESSAGES                  checks the local reply to the client
+//	send ACTIONS                    checks the messages for the member
 //	server complete TAG, server parse-complete, server close-complete, server error, server ready STATUS
-//	                                the member answers
-//	attach NAME=VALUE ...           the session goes on with a connection that has these settings
-//	apply-settings SQL; SQL         checks what brings the connection to the session's settings, and applies it
+//	                                the member sends a reply
+//	attach NAME=VALUE ...           the session continues on a connection with these settings
+//	apply-settings SQL; SQL         checks the statements that apply the session's settings, and records them as applied
 //	connection-lost, never-sent     the connection has ended, or the request got none
-//	may-have-committed yes|no       checks whether the transaction that was lost may have committed
+//	may-have-committed yes|no       checks whether the lost transaction may have committed
 //	settings NAME=VALUE ...         checks the session's settings
-//	request CLASS of ID for TENANT  checks the attributes of the request; none: no request class
+//	request CLASS of ID for TENANT  checks the request attributes; none means unclassified
 //	status I|T|E, sticky REASON     checks the transaction status, and why the session keeps its connection
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
@@ -37,14 +37,14 @@
 	})
 }
 
-// scenarioPlayer carries out the steps of one scenario.
+// scenarioPlayer runs the steps of one scenario.
 type scenarioPlayer struct {
 	policy  Policy
-	session *Session // begins with the first step that is not of its setup
+	session *Session // created by start, or by the first step after the setup
 
-	carried          bool
-	reply            string    // what the client was answered without a member
-	unit             []Message // what goes to a member
+	hasConn          bool
+	reply            string    // local reply to the client
+	unit             []Message // messages for the member
 	mayHaveCommitted bool
 }
 
@@ -67,15 +67,15 @@
 	return p.check(word, rest)
 }
 
-// setUp carries out a step that says how the session starts.
+// setUp runs a setup step. It reports false for other steps.
 func (p *scenarioPlayer) setUp(word, rest string) bool {
 	switch word {
 	case "policy":
 		p.setPolicy(rest)
 	case "start":
 		p.session = New(p.policy, settingsOf(rest))
-	case "carried":
-		p.carried = rest == "yes"
+	case "has-connection":
+		p.hasConn = rest == "yes"
 	default:
 		return false
 	}
@@ -97,12 +97,12 @@
 	}
 }
 
-// clientSends carries out a step in which the client sends something.
+// clientSends runs a step in which the client sends a message. It reports false for other steps.
 func (p *scenarioPlayer) clientSends(word, rest string) bool {
 	const unnamed = "-"
 	switch word {
 	case "query":
-		answer, messages := p.session.Query(rest, pg.AppendQuery(nil, rest), p.carried)
+		answer, messages := p.session.Query(rest, pg.AppendQuery(nil, rest), p.hasConn)
 		p.reply, p.unit = describeReply(answer), messages
 	case "parse":
 		name, sql, _ := strings.Cut(rest, " ")
@@ -128,7 +128,7 @@
 	p.unit = append(p.unit, p.session.Extended(clientMessage(encoded))...)
 }
 
-// clientMessage decodes a message of a client.
+// clientMessage decodes a client message.
 func clientMessage(encoded []byte) pg.Message {
 	reader := pg.NewReader(false, 1<<16)
 	reader.Feed(pg.AppendStartup(nil, "a", "b"))
@@ -144,7 +144,7 @@
 	return m
 }
 
-// connectionChanges carries out a step in which the session gets a connection or loses it.
+// connectionChanges runs a step in which the session gets or loses a connection. It reports false for other steps.
 func (p *scenarioPlayer) connectionChanges(word, rest string) bool {
 	switch word {
 	case "attach":
@@ -159,7 +159,7 @@
 	return true
 }
 
-// serverSends carries out a step in which the member answers.
+// serverSends runs a step in which the member sends a reply.
 func (p *scenarioPlayer) serverSends(step string) error {
 	kind, rest, _ := strings.Cut(step, " ")
 	m := pg.Message{Text: rest}
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// check carries out a step that compares.
+// check runs a step that compares a result with the expected one.
 func (p *scenarioPlayer) check(word, want string) error {
 	var got string
 	switch word {
@@ -222,7 +222,7 @@
 
 func settingsOf(words string) Settings { return NoSettings.with(NoSettings, pairsOf(words)...) }
 
-// describeReply names messages for a client, one word each.
+// describeReply describes each message to a client in one word.
 func describeReply(encoded []byte) string {
 	reader := pg.NewReader(true, 1<<16)
 	reader.EnableExtended()
@@ -257,7 +257,7 @@
 	ForwardDiscardReply: "forward-discard-reply",
 }
 
-// describeMessages names messages for a member.
+// describeMessages lists the actions of messages for a member.
 func describeMessages(messages []Message) string {
 	var words []string
 	for _, message := range messages {
@@ -273,9 +273,9 @@
 	return strings.Join(words, ", ")
 }
 
-// queryText returns the statement of a message that holds a simple query.
+// queryText returns the SQL text of a simple query message.
 func queryText(message Message) string {
-	const header = 5 // the kind and the length
+	const header = 5 // message type and length
 	return strings.TrimRight(string(message.Raw[header:]), "\x00")
 }
 
--- a/internal/decide/session/settings_test.go
+++ b/internal/decide/session/settings_test.go
@@ -7,20 +7,21 @@
 	"wayloft/internal/pg"
 )
 
-// Equal settings are the same, however they came about, and only what differs is set.
+// TestSettings_EqualHaveSameID checks that equal settings have the same ID no matter in which order they were set.
 func TestSettings_EqualHaveSameID(t *testing.T) {
 	a := settingsOf("x=1 y=2")
 	b := settingsOf("y=3").with(NoSettings, pg.Setting{Name: "x", Value: "1"}, pg.Setting{Name: "y", Value: "2"})
 	none := a.with(NoSettings, pg.Setting{Name: "x", Value: ""}, pg.Setting{Name: "y", Value: ""})
 	if a.ID() != b.ID() || none.ID() != NoSettings.ID() {
-		t.Error("equal settings differ")
+		t.Error("equal settings have different IDs")
 	}
 }
 
+// TestSettingsStatements checks that only settings that differ are set.
 func TestSettingsStatements(t *testing.T) {
-	has := settingsOf("x=1 y=2")
-	should := settingsOf("session_authorization=bob role=r wayloft.txn_type=t timezone='UTC' x=1")
-	got := strings.Join(settingsStatements(has, should), "; ")
+	current := settingsOf("x=1 y=2")
+	desired := settingsOf("session_authorization=bob role=r wayloft.txn_type=t timezone='UTC' x=1")
+	got := strings.Join(settingsStatements(current, desired), "; ")
 	want := `SET SESSION AUTHORIZATION bob; SET "role" TO r; SET TIME ZONE 'UTC'; RESET "y"; SET role TO r`
 	if got != want {
 		t.Errorf("got %s, want %s", got, want)
@@ -62,12 +63,12 @@
 }
 
 func BenchmarkDifference(b *testing.B) {
-	has := settingsOf("a=1 b=2 c=3 d=4")
-	for name, should := range map[string]Settings{"equal": has, "one": has.with(NoSettings, pg.Setting{Name: "b", Value: "9"})} {
+	current := settingsOf("a=1 b=2 c=3 d=4")
+	for name, desired := range map[string]Settings{"equal": current, "one": current.with(NoSettings, pg.Setting{Name: "b", Value: "9"})} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				settingsStatements(has, should)
+				settingsStatements(current, desired)
 			}
 		})
 	}
