--- a/internal/decide/session/extended.go
+++ b/internal/decide/session/extended.go
@@ -26,15 +26,15 @@
 }
 
 func (s *Session) parse(m pg.Message) []Message {
-	if _, taken := s.prepared.Get([]byte(m.Name)); taken && m.Name != "" {
+	if _, exists := s.prepared.Get([]byte(m.Name)); exists && m.Name != "" {
 		return reject(m.Kind, &pg.Error{Code: pg.DuplicatePreparedStatement, Text: `prepared statement "` + m.Name + `" already exists`})
 	}
 	if s.prepared.Len() >= s.policy.MaxStatements {
 		return reject(m.Kind, &pg.Error{Code: pg.ProgramLimitExceeded, Text: "too many prepared statements in this session"})
 	}
 	statement := newPreparedStatement(m)
-	if fault := s.policyError(statement.Command); fault != nil {
-		return reject(m.Kind, fault)
+	if pgErr := s.policyError(statement.Command); pgErr != nil {
+		return reject(m.Kind, pgErr)
 	}
 	s.prepared, _, _ = s.prepared.Insert([]byte(m.Name), statement)
 	s.expectPrepared(pg.ParseComplete)
@@ -46,8 +46,8 @@
 }
 
 func (s *Session) bind(m pg.Message) []Message {
-	statement, known := s.prepared.Get([]byte(m.Name))
-	if !known {
+	statement, found := s.prepared.Get([]byte(m.Name))
+	if !found {
 		return reject(m.Kind, unknownStatementError(m.Name))
 	}
 	s.portals[m.Portal] = statement.Command
@@ -61,16 +61,16 @@
 	if m.Target == targetPortal {
 		return forward(m)
 	}
-	statement, known := s.prepared.Get([]byte(m.Name))
-	if !known {
+	statement, found := s.prepared.Get([]byte(m.Name))
+	if !found {
 		return reject(m.Kind, unknownStatementError(m.Name))
 	}
 	return []Message{{Action: DescribeStatement, Kind: m.Kind, Statement: statement}}
 }
 
 func (s *Session) execute(m pg.Message) []Message {
-	command, known := s.portals[m.Portal]
-	if !known {
+	command, found := s.portals[m.Portal]
+	if !found {
 		return reject(m.Kind, &pg.Error{Code: pg.InvalidCursorName, Text: `portal "` + m.Portal + `" does not exist`})
 	}
 	s.expectCompletion(command)
--- a/internal/decide/session/message.go
+++ b/internal/decide/session/message.go
@@ -69,14 +69,14 @@
 }
 
 // reject returns a message that makes the member fail too, so that nothing before it in the unit takes effect.
-func reject(kind pg.Kind, fault *pg.Error) []Message {
-	return []Message{{Action: Reject, Kind: kind, Fault: fault}}
+func reject(kind pg.Kind, pgErr *pg.Error) []Message {
+	return []Message{{Action: Reject, Kind: kind, Fault: pgErr}}
 }
 
 func completionReply(tag string, status byte) []byte {
 	return pg.AppendReadyForQuery(pg.AppendCommandComplete(nil, tag), status)
 }
 
-func errorReply(fault *pg.Error, status byte) []byte {
-	return pg.AppendReadyForQuery(pg.AppendError(nil, fault, false), status)
+func errorReply(pgErr *pg.Error, status byte) []byte {
+	return pg.AppendReadyForQuery(pg.AppendError(nil, pgErr, false), status)
 }
--- a/internal/decide/session/query.go
+++ b/internal/decide/session/query.go
@@ -15,12 +15,12 @@
 	commands := make([]Command, len(texts))
 	for n, text := range texts {
 		commands[n] = parseCommand(text)
-		if fault := s.policyError(commands[n]); fault != nil {
+		if pgErr := s.policyError(commands[n]); pgErr != nil {
 			s.failTransaction()
 			if hasConn {
-				return nil, reject(pg.Query, fault)
+				return nil, reject(pg.Query, pgErr)
 			}
-			return errorReply(fault, s.status), nil
+			return errorReply(pgErr, s.status), nil
 		}
 	}
 	if s.status == StatusFailed && !hasConn {
@@ -129,7 +129,7 @@
 		s.deallocateAll()
 		return completionReply("DEALLOCATE ALL", StatusIdle)
 	}
-	if _, known := s.prepared.Get([]byte(c.Name)); !known || s.status == StatusFailed {
+	if _, found := s.prepared.Get([]byte(c.Name)); !found || s.status == StatusFailed {
 		return nil
 	}
 	s.prepared, _, _ = s.prepared.Delete([]byte(c.Name))
