--- a/internal/decide/connpool/backoff.go
+++ b/internal/decide/connpool/backoff.go
@@ -6,23 +6,23 @@
 	minLimitRaiseIntervalMs = 1000.0
 	maxLimitRaiseIntervalMs = 60000.0
 
-	connectBackoffUnitMs = 10.0 // doubled at each failure, the first one included
+	connectBackoffUnitMs = 10.0 // doubled for each consecutive failure, including the first
 	maxConnectBackoffMs  = 1000.0
 
 	minLocalPauseMs = 10.0
 	maxLocalPauseMs = 100.0
 )
 
-// learnedLimit is how many connections a member is believed to accept, since it refused one more. It is raised one by one, more
-// slowly where the member goes on refusing.
+// learnedLimit estimates how many connections a member accepts, after the member has refused one with "too many connections". The
+// limit is raised by one connection at a time; the interval doubles each time the member refuses again.
 type learnedLimit struct {
-	conns           int // 0: none
+	conns           int // 0 means no limit
 	raiseIntervalMs float64
 	raiseAt         float64
 }
 
-// refused lowers the limit to the connections that are established.
-func (l *learnedLimit) refused(established int, now float64) {
+// recordRefusal sets the limit to the number of established connections.
+func (l *learnedLimit) recordRefusal(established int, now float64) {
 	if l.conns > 0 {
 		l.raiseIntervalMs = math.Min(2*l.raiseIntervalMs, maxLimitRaiseIntervalMs)
 	}
@@ -30,8 +30,8 @@
 	l.raiseAt = now + l.raiseIntervalMs
 }
 
-// raise raises a limit that is due. One far above the number of connections is dropped.
-func (l *learnedLimit) raise(total int, now float64) {
+// raiseIfDue raises the limit by one once its interval has passed, and removes a limit that is far above the number of connections.
+func (l *learnedLimit) raiseIfDue(total int, now float64) {
 	if l.conns == 0 || now < l.raiseAt {
 		return
 	}
@@ -43,60 +43,61 @@
 	}
 }
 
-// connectBackoff delays attempts to connect to a member that has no established connection.
+// connectBackoff delays connection attempts to a member that has no established connection.
 type connectBackoff struct {
-	failures float64 // in a row
+	failures float64 // consecutive
 	retryAt  float64
 }
 
-func (b *connectBackoff) failed(established int, now float64) {
+func (b *connectBackoff) recordFailure(established int, now float64) {
 	b.failures++
 	if established == 0 {
 		b.retryAt = now + math.Min(maxConnectBackoffMs, connectBackoffUnitMs*math.Exp2(b.failures))
 	}
 }
 
-// mustBackOff reports whether requests that can wait must not have a connection opened yet.
+// mustBackOff reports whether a sub-pool whose requests can wait must not open a connection yet.
 func (p *Pool) mustBackOff(sub *subPool) bool {
 	m := sub.member
 	if sub.bounds.WaitTimeoutMs == 0 || m.established() > 0 {
 		return false
 	}
-	return p.now < m.backoff.retryAt || m.limit.conns > 0 && m.opening > 0
+	return p.now < m.connectBackoff.retryAt || m.learnedLimit.conns > 0 && m.opening > 0
 }
 
-// localBackoff spaces dials to a member after failures for lack of this host's own resources, so that one at a time is tried.
+// localBackoff spaces out dials to a member after dials have failed for lack of resources on this host, so that only one is tried at
+// a time.
 type localBackoff struct {
-	failures float64 // in a row
+	failures float64 // consecutive
 	dialAt   float64
 }
 
-func (b *localBackoff) failed(now float64) {
+func (b *localBackoff) recordFailure(now float64) {
 	b.failures++
-	b.dialAt = now + b.pauseMs()
+	b.dialAt = now + b.delayMs()
 }
 
-// dialStarted spaces the dials even where one of them hangs.
-func (b *localBackoff) dialStarted(now float64) {
+// recordDial starts the delay when a dial starts, so that dials are spaced out even if one of them hangs.
+func (b *localBackoff) recordDial(now float64) {
 	if b.failures > 0 {
-		b.dialAt = now + b.pauseMs()
+		b.dialAt = now + b.delayMs()
 	}
 }
 
 func (b *localBackoff) paused(now float64) bool { return b.failures > 0 && now < b.dialAt }
 
-func (b *localBackoff) pauseMs() float64 {
+func (b *localBackoff) delayMs() float64 {
 	return math.Min(maxLocalPauseMs, minLocalPauseMs*math.Exp2(b.failures-1))
 }
 
-// OpenFailed says that a connection could not be established. NoLocalResources does not count against the member.
+// OpenFailed records that a connection could not be established. NoLocalResources does not count against the member.
 func (p *Pool) OpenFailed(connID int, cause FailureCause) {
 	c := p.conns[connID]
 	if c == nil || c.state != connOpening {
 		return
 	}
-	p.forgetConn(c)
-	p.noteOpenFailure(c.sub.member, cause)
+	p.removeConn(c)
+	p.recordOpenFailure(c.sub.member, cause)
 	w := c.openedFor
 	if w == nil || !w.waiting {
 		return
@@ -109,14 +110,14 @@
 	}
 }
 
-func (p *Pool) noteOpenFailure(m *memberState, cause FailureCause) {
+func (p *Pool) recordOpenFailure(m *memberState, cause FailureCause) {
 	if cause == NoLocalResources {
-		m.local.failed(p.now)
+		m.localBackoff.recordFailure(p.now)
 		return
 	}
-	m.local.failures = 0
+	m.localBackoff.failures = 0
 	if cause == TooManyConnections {
-		m.limit.refused(m.established(), p.now)
+		m.learnedLimit.recordRefusal(m.established(), p.now)
 	}
-	m.backoff.failed(m.established(), p.now)
+	m.connectBackoff.recordFailure(m.established(), p.now)
 }
--- a/internal/decide/connpool/waiter.go
+++ b/internal/decide/connpool/waiter.go
@@ -5,21 +5,21 @@
 // waiter is a request that has no connection yet.
 type waiter struct {
 	Request
-	sub     *subPool
-	since   float64
-	waiting bool // false once it is served, rejected or cancelled
-	dialed  bool // a connection is being opened for it
+	sub        *subPool
+	enqueuedAt float64
+	waiting    bool // false once served, rejected or cancelled
+	dialing    bool // a connection is being opened for it
 }
 
-// before orders waiters by the time at which they came.
-func (w *waiter) before(other *waiter) bool {
-	return w.since < other.since || w.since == other.since && w.ID < other.ID
+// enqueuedBefore reports whether w was enqueued before another waiter. Ties are broken by ID.
+func (w *waiter) enqueuedBefore(other *waiter) bool {
+	return w.enqueuedAt < other.enqueuedAt || w.enqueuedAt == other.enqueuedAt && w.ID < other.ID
 }
 
-// Request asks for a connection. Assign or Reject answers it, unless it is cancelled.
+// Request asks for a connection. Unless it is cancelled, an Assign or Reject decision follows.
 func (p *Pool) Request(r Request) {
 	sub := p.subPool(r.Key)
-	w := &waiter{Request: r, sub: sub, since: p.now, waiting: true}
+	w := &waiter{Request: r, sub: sub, enqueuedAt: p.now, waiting: true}
 	if sub.queues[r.Tenant] == nil {
 		sub.tenants = append(sub.tenants, r.Tenant)
 	}
@@ -31,7 +31,7 @@
 	}
 }
 
-// Cancel withdraws a request that still waits.
+// Cancel withdraws a request that is still waiting.
 func (p *Pool) Cancel(requestID string) {
 	if w := p.waiters[requestID]; w != nil {
 		p.removeWaiter(w)
@@ -40,10 +40,10 @@
 
 func (p *Pool) reject(w *waiter, reason RejectReason) {
 	p.removeWaiter(w)
-	p.decide(Decision{Action: Reject, RequestID: w.ID, Key: w.sub.key, Reason: reason})
+	p.emit(Decision{Action: Reject, RequestID: w.ID, Key: w.sub.key, Reason: reason})
 }
 
-// removeWaiter takes a waiter out of its queue.
+// removeWaiter removes a waiter from its queue.
 func (p *Pool) removeWaiter(w *waiter) {
 	sub := w.sub
 	p.markDirty(sub.member)
@@ -54,8 +54,8 @@
 		p.contended = slices.DeleteFunc(p.contended, func(other *subPool) bool { return other == sub })
 	}
 	queue := sub.queues[w.Tenant]
-	position := slices.Index(queue, w)
-	queue = slices.Delete(queue, position, position+1)
+	index := slices.Index(queue, w)
+	queue = slices.Delete(queue, index, index+1)
 	if len(queue) > 0 {
 		sub.queues[w.Tenant] = queue
 		return
@@ -64,23 +64,23 @@
 	sub.tenants = slices.DeleteFunc(sub.tenants, func(other string) bool { return other == w.Tenant })
 }
 
-// serveWaiters assigns idle connections to waiters, opens more for those left, and rejects those that may not wait.
+// serveWaiters assigns idle connections to waiters, opens connections for the remaining ones, and rejects those that may not wait.
 func (p *Pool) serveWaiters(sub *subPool) {
 	for sub.waiting > 0 && len(sub.idle) > 0 {
 		p.assign(p.popWaiter(sub))
 	}
-	for w := sub.firstUndialed(); w != nil && sub.opening < sub.waiting && p.mayOpen(sub); w = sub.firstUndialed() {
+	for w := sub.firstNotDialing(); w != nil && sub.opening < sub.waiting && p.mayOpen(sub); w = sub.firstNotDialing() {
 		p.openConn(sub, w)
 	}
 	if sub.bounds.WaitTimeoutMs > 0 && sub.member.listed {
 		return
 	}
-	for w := sub.firstUndialed(); w != nil && (sub.waiting > sub.opening || !sub.member.listed); w = sub.firstUndialed() {
+	for w := sub.firstNotDialing(); w != nil && (sub.waiting > sub.opening || !sub.member.listed); w = sub.firstNotDialing() {
 		p.reject(w, NoCapacity)
 	}
 }
 
-// popWaiter takes the waiter to be served next: first come, first served within a tenant, and tenants in turn.
+// popWaiter removes and returns the waiter to serve next: FIFO within a tenant, round-robin between tenants.
 func (p *Pool) popWaiter(sub *subPool) *waiter {
 	tenant := sub.tenants[0]
 	w := sub.queues[tenant][0]
@@ -98,23 +98,23 @@
 	unsettled := !c.settled(p.now)
 	c.state = connBusy
 	c.uses++
-	p.decide(Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: sub.key, Unsettled: unsettled})
+	p.emit(Decision{Action: Assign, Conn: c.id, RequestID: w.ID, Key: sub.key, Unsettled: unsettled})
 }
 
-// preferredIdle chooses among idle connections: a settled one first, then one of the same affinity, then the one that was used
-// last, so that connections that are not needed stay idle until they are closed.
+// preferredIdle returns the idle connection to reuse. It prefers settled connections, then connections with the same affinity, then
+// the most recently used one, so that surplus connections stay idle until they time out.
 func (s *subPool) preferredIdle(affinity any, now float64) *conn {
 	var best *conn
 	bestRank := -1
 	for _, c := range slices.Backward(s.idle) {
-		if rank := c.rank(affinity, now); rank > bestRank {
+		if rank := c.reuseRank(affinity, now); rank > bestRank {
 			best, bestRank = c, rank
 		}
 	}
 	return best
 }
 
-func (c *conn) rank(affinity any, now float64) (rank int) {
+func (c *conn) reuseRank(affinity any, now float64) (rank int) {
 	if affinity != nil && c.affinity == affinity {
 		rank++
 	}
@@ -124,18 +124,19 @@
 	return rank
 }
 
-// firstUndialed returns the first waiter that no connection is being opened for, tenants in turn; nil if there is none.
-func (s *subPool) firstUndialed() *waiter {
-	for position := 0; ; position++ {
+// firstNotDialing returns the first waiter for which no connection is being opened, round-robin between tenants; nil if there is
+// none.
+func (s *subPool) firstNotDialing() *waiter {
+	for index := 0; ; index++ {
 		exhausted := true
 		for _, tenant := range s.tenants {
 			queue := s.queues[tenant]
-			if position >= len(queue) {
+			if index >= len(queue) {
 				continue
 			}
 			exhausted = false
-			if !queue[position].dialed {
-				return queue[position]
+			if !queue[index].dialing {
+				return queue[index]
 			}
 		}
 		if exhausted {
@@ -144,11 +145,11 @@
 	}
 }
 
-// longestWaiting returns the waiter that came first; nil if there is none.
+// longestWaiting returns the waiter that was enqueued first; nil if there is none.
 func (s *subPool) longestWaiting() *waiter {
 	var first *waiter
 	for _, queue := range s.queues {
-		if first == nil || queue[0].before(first) {
+		if first == nil || queue[0].enqueuedBefore(first) {
 			first = queue[0]
 		}
 	}
--- a/internal/decide/session/extended.go
+++ b/internal/decide/session/extended.go
@@ -6,7 +6,7 @@
 	"wayloft/internal/pg"
 )
 
-// Extended handles one message of an extended query or of a COPY, and returns what a member is to receive.
+// Extended handles a client message of an extended query or a COPY and returns the messages for the member.
 func (s *Session) Extended(m pg.Message) []Message {
 	switch m.Kind {
 	case pg.Parse:
@@ -26,15 +26,15 @@
 }
 
 func (s *Session) parse(m pg.Message) []Message {
-	if _, taken := s.prepared.Get([]byte(m.Name)); taken && m.Name != "" {
+	if _, exists := s.prepared.Get([]byte(m.Name)); exists && m.Name != "" {
 		return reject(m.Kind, &pg.Error{Code: pg.DuplicatePreparedStatement, Text: `prepared statement "` + m.Name + `" already exists`})
 	}
 	if s.prepared.Len() >= s.policy.MaxStatements {
 		return reject(m.Kind, &pg.Error{Code: pg.ProgramLimitExceeded, Text: "too many prepared statements in this session"})
 	}
 	statement := newPreparedStatement(m)
-	if fault := s.fault(statement.Command); fault != nil {
-		return reject(m.Kind, fault)
+	if pgErr := s.policyError(statement.Command); pgErr != nil {
+		return reject(m.Kind, pgErr)
 	}
 	s.prepared, _, _ = s.prepared.Insert([]byte(m.Name), statement)
 	s.expectPrepared(pg.ParseComplete)
@@ -46,38 +46,39 @@
 }
 
 func (s *Session) bind(m pg.Message) []Message {
-	statement, known := s.prepared.Get([]byte(m.Name))
-	if !known {
-		return reject(m.Kind, unknownStatement(m.Name))
+	statement, found := s.prepared.Get([]byte(m.Name))
+	if !found {
+		return reject(m.Kind, unknownStatementError(m.Name))
 	}
 	s.portals[m.Portal] = statement.Command
 	return []Message{{Action: Bind, Kind: m.Kind, Portal: m.Portal, Statement: statement, Raw: append([]byte(nil), m.Tail...)}}
 }
 
-// targetPortal is the target of a Describe or Close message that names a portal.
+// targetPortal marks the target of a Describe or Close message as a portal.
 const targetPortal = 'P'
 
 func (s *Session) describe(m pg.Message) []Message {
 	if m.Target == targetPortal {
 		return forward(m)
 	}
-	statement, known := s.prepared.Get([]byte(m.Name))
-	if !known {
-		return reject(m.Kind, unknownStatement(m.Name))
+	statement, found := s.prepared.Get([]byte(m.Name))
+	if !found {
+		return reject(m.Kind, unknownStatementError(m.Name))
 	}
 	return []Message{{Action: DescribeStatement, Kind: m.Kind, Statement: statement}}
 }
 
 func (s *Session) execute(m pg.Message) []Message {
-	command, known := s.portals[m.Portal]
-	if !known {
+	command, found := s.portals[m.Portal]
+	if !found {
 		return reject(m.Kind, &pg.Error{Code: pg.InvalidCursorName, Text: `portal "` + m.Portal + `" does not exist`})
 	}
 	s.expectCompletion(command)
 	return forward(m)
 }
 
-// close closes a portal, or a prepared statement of the session: members keep theirs, which are shared.
+// close closes a portal or a prepared statement of the session. A prepared statement is closed in the session only, since the one on
+// the server connection is shared with other sessions.
 func (s *Session) close(m pg.Message) []Message {
 	if m.Target == targetPortal {
 		delete(s.portals, m.Portal)
@@ -95,11 +96,11 @@
 	s.confirmed = s.prepared
 }
 
-func unknownStatement(name string) *pg.Error {
+func unknownStatementError(name string) *pg.Error {
 	return &pg.Error{Code: pg.InvalidSQLStatementName, Text: `prepared statement "` + name + `" does not exist`}
 }
 
-// LocalReply answers a unit that needs no member. It reports false if the unit needs one.
+// LocalReply answers a unit that does not need a member. It reports false if the unit needs one.
 func (s *Session) LocalReply(messages []Message) (answer []byte, local bool) {
 	for _, message := range messages {
 		switch {
