--- a/router/admission.go
+++ b/router/admission.go
@@ -3,16 +3,17 @@
 import "math"
 
 const (
-	maxAdmission      = 1.5 // the admission probability rises above 1, so that a few slow answers in a row change nothing
-	targetSlowShare   = 0.2 // share of answers that may be slow
+	maxAdmission      = 1.5 // above 1, so that a few slow responses in a row change nothing
+	targetSlowShare   = 0.2 // target share of slow responses
 	admissionIncrease = 0.075
-	admissionDecrease = 0.3 // four times the increase: the two balance at one slow answer in five
+	admissionDecrease = 0.3 // four times the increase: the two balance at one slow response in five
 )
 
-// adjustAdmission moves the probability of admitting requests to where one answer in five is slow, as adjustLimit does with a
-// member's limit. It guards against overload where each router sends a member so little that not even the smallest limit
-// holds it back: each router moves a little. The fewer are admitted, the more an answer speaks for. headroom is how many times
-// over the answer was quick enough; 0 for a refusal or no answer.
+// adjustAdmission moves the admission probability toward the point where one response in five is slow, as adjustLimit
+// does for the concurrency limit of a member. It guards against overload by many routers that each send a member so
+// little that even the smallest limit does not hold them back: each router then contributes a small reduction. The fewer
+// requests are admitted, the more a single fast response raises the probability. headroom is half the latency objective
+// divided by the latency, 0 for an overloaded or missing response.
 func (r *Router) adjustAdmission(a *attempt, headroom float64) {
 	m, g := a.member, a.member.group
 	isPrimary := m == r.primary(g)
@@ -25,23 +26,24 @@
 			*admission -= admissionDecrease * *admission / math.Max(1, m.concurrencyLimit)
 		}
 	}
-	if a.infrequent { // else the member's limit sees to it
+	if a.infrequent { // otherwise the concurrency limit of the member applies
 		r.slowResponses.of(isPrimary).Add(r.now, maxSmoothingSpan, slow, 1)
 		g.slowResponses.of(isPrimary).Add(r.now, maxSmoothingSpan, slow, 1)
 	}
 	m.adjustLimit(headroom, float64(r.settings.Routers))
 }
 
-// relativeSlowShare is the share of a group's answers that were slow, divided by that of all groups, or by one in five if that is
-// more. It guards against an overload of a few groups that has requests of all others rejected, or hides behind them.
+// relativeSlowShare returns the share of slow responses of a group divided by that of all groups, or by the target share
+// if that is larger. Otherwise an overload of a few groups would cause requests of all other groups to be rejected, or
+// would disappear in the average.
 func (r *Router) relativeSlowShare(g *group, isPrimary bool) float64 {
 	all, own := r.slowResponses.of(isPrimary), g.slowResponses.of(isPrimary)
 	share := math.Max(targetSlowShare, all.Total.Read(r.now, maxSmoothingSpan)/math.Max(1, all.Weight.Read(r.now, maxSmoothingSpan)))
 	return own.Estimate(r.now, maxSmoothingSpan, priorWeight, share) / share
 }
 
-// admits decides whether to admit a request, or to let it use a primary (load shedding): the larger its weight for its work
-// against that of others, the likelier.
+// admits decides at random whether to admit a request, or to let a read use a primary (load shedding). The probability
+// grows with the ratio of weight to work of the request, relative to the average request.
 func (r *Router) admits(req *request, toPrimary bool) bool {
 	meanWeight := r.arrivedWeight.Read(r.now, maxSmoothingSpan) / r.arrivals.Read(r.now, maxSmoothingSpan)
 	probability := *r.admission.of(toPrimary) / r.relativeSlowShare(req.group, toPrimary)
@@ -49,7 +51,8 @@
 		r.random.Next() < math.Pow(probability, meanWeight*req.class.LatencyObjective/req.weight)
 }
 
-// expectedValue is the weight to be expected for a ms of work, if latencies are exponentially distributed around the usual one.
+// expectedValue returns the expected weight earned per ms of work, assuming exponentially distributed latencies with the
+// usual latency as their mean.
 func (r *Router) expectedValue(req *request) float64 {
 	usual := r.usualLatency(req)
 	beforeDeadline := 1 - math.Exp(math.Min(0, r.now-req.deadline)/usual)
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Above both of these, refused connections show that connection tables are full; fewer are single connections that failed.
+// Refused connections above both thresholds show that connection tables are full; fewer are isolated connection
+// failures.
 const (
-	fewRefusals        = 0.5 // refused connections, decaying
-	arrivalsPerRefusal = 20  // one refused connection for so many requests
+	fewRefusals        = 0.5 // refused connections, as a decaying sum
+	arrivalsPerRefusal = 20  // one refused connection per this many requests
 )
 
 // attempt is one sending of a request to a member.
@@ -16,24 +17,24 @@
 	member          *member
 	request         *request
 	sentAt          float64
-	waitingSince    float64 // since when the member has had to answer
+	waitingSince    float64 // since when a response of the member is due
 	expectedLatency float64
 	inFlight        bool
 	misrouted       bool
 	canceled        bool
-	infrequent      bool // attempts at the member are so rare that even the smallest concurrency limit would not hold this one back
-	idle            bool // the member has nothing to answer: it is the pool's turn, or the client's
-	clientsTurn     bool // idle, and the client has had part of the response
+	infrequent      bool // attempts at the member are so rare that even the smallest concurrency limit would not delay this one
+	idle            bool // no response of the member is due: the attempt waits for a pooled connection or for the client
+	clientsTurn     bool // idle after part of the response has been passed to the client
 
-	retryNotBefore      float64 // it ended as not sent: the request goes to this member again then at the earliest
-	previousAttemptSent float64 // the member's record before this attempt, for undoNotSent
+	retryNotBefore      float64 // earliest time at which the request may be sent to this member again after NotSent
+	previousAttemptSent float64 // state of the member before this attempt, for undoNotSent
 	previousTrialReady  bool
 }
 
-// AttemptEnded says how an attempt of a request ended. index is the attempt's place among those of the request, latency the time
-// in ms from sending it to its end. finished says that the request needs no further attempt, since its final response is out
-// or in this answer. role and position are what the answer told of the member: RoleUnknown and Never if nothing. Each attempt
-// ends once; calls for others are ignored.
+// AttemptEnded records how an attempt of a request ended. index is the attempt's index within the request; latency is
+// the time in ms from sending the attempt to its end. finished tells that the request needs no further attempt because
+// its final response is out or part of this one. role and position are what the response reported about the member,
+// RoleUnknown and Never if nothing. Each attempt ends once; calls for other attempts are ignored.
 func (r *Router) AttemptEnded(id string, index int, outcome Outcome, latency float64, finished bool, role Role, position float64) {
 	a := r.attemptInFlight(id, index)
 	if a == nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// attemptInFlight finds an attempt, nil if it is not in flight (any more).
+// attemptInFlight returns an attempt, or nil if it is not in flight.
 func (r *Router) attemptInFlight(id string, index int) *attempt {
 	req := r.requests[id]
 	if req == nil || index >= len(req.attempts) || !req.attempts[index].inFlight {
@@ -68,8 +69,9 @@
 	return req.attempts[index]
 }
 
-// TurnChanged says who has to act in an attempt that takes more than one turn: the member, or, where idle, the client or the
-// connection pool. responseBegun says that part of the response is with the client, so that the request is never sent again.
+// TurnChanged tells what an attempt that consists of several exchanges waits for: the member or, if idle is set, the
+// client or the connection pool. responseBegun tells that part of the response has been passed to the client, so that
+// the request must never be sent again.
 func (r *Router) TurnChanged(id string, index int, idle, responseBegun bool) {
 	a := r.attemptInFlight(id, index)
 	if a == nil {
@@ -92,7 +94,7 @@
 	a.idle, a.clientsTurn = idle, clientsTurn
 }
 
-// recordAttemptEnd updates the record of a member from the end of an attempt.
+// recordAttemptEnd updates the state of a member when an attempt at it ends.
 func (r *Router) recordAttemptEnd(a *attempt, outcome Outcome, latency float64, role Role, position float64) {
 	m, req := a.member, a.request
 	if outcome.isAnswer() {
@@ -123,7 +125,7 @@
 	}
 }
 
-// removeInFlight takes an attempt off its member's load.
+// removeInFlight removes an attempt from the load of its member.
 func (r *Router) removeInFlight(a *attempt) {
 	m := a.member
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(other *attempt) bool { return other == a })
@@ -149,8 +151,9 @@
 	r.adjustAdmission(a, req.class.LatencyObjective/2/latency)
 }
 
-// recordNoResponse weighs whether an attempt without an answer was lost on the way, or only takes long, so that it counts as at
-// least that slow: a loss is the more likely the quicker others are and the more are lost.
+// recordNoResponse estimates the probability that the response to an attempt was lost; otherwise it is late, and its
+// latency counts as at least the time waited. A loss is more likely the faster other responses are and the more
+// responses have been lost.
 func (r *Router) recordNoResponse(a *attempt) {
 	m, req, waited := a.member, a.request, r.now-a.waitingSince
 	loss := r.lossShare()
@@ -158,7 +161,7 @@
 	r.lostAttempts.Add(r.now, r.smoothingSpan, lost)
 	m.failures.Add(r.now, r.smoothingSpan, lost)
 	req.stats.latency.Add(r.now, r.smoothingSpan, (1-lost)*(waited+a.expectedLatency), 1-lost)
-	if lost < 0.5 && waited > math.Min(req.class.LatencyObjective/2, 2*a.expectedLatency) { // else its client's time was short
+	if lost < 0.5 && waited > math.Min(req.class.LatencyObjective/2, 2*a.expectedLatency) { // otherwise the attempt ended early because the client had little time left
 		r.adjustAdmission(a, 0)
 	}
 }
--- a/router/classstats.go
+++ b/router/classstats.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	sameTimeout        = 50.0 // timeouts are the same within this part of the deadline: the clock's tick and the network
-	maxTimeoutVotes    = 10.0 // few, since all clients may change their timeout at once
-	trustedVotes       = 3.0  // votes above which the rarer timeout counts as common
-	firstTryVotes      = 3.0  // of a try that can't be a retry
-	noRetriesExpected  = 0.5  // unsuccessful ends below which no client can be back
-	latencyGuessFactor = 4    // an answer is assumed to take this part of the latency objective until some were measured
+	sameTimeout        = 50.0 // timeouts that differ by up to deadline/sameTimeout are equal: clock ticks and network delay
+	maxTimeoutVotes    = 10.0 // low, because all clients may change their timeout at the same time
+	trustedVotes       = 3.0  // with more votes than this, the rarer timeout is also a common one
+	firstTryVotes      = 3.0  // votes of a request that can't be a retry
+	noRetriesExpected  = 0.5  // with fewer unsuccessful ends than this, no retries are to be expected
+	latencyGuessFactor = 4    // until latencies are measured, the latency objective divided by this is assumed
 )
 
-// classStats is what one request class has shown of itself.
+// classStats holds the measurements of one request class.
 type classStats struct {
-	latency          decay.Mean // until an answer, ms
+	latency          decay.Mean // until a response in ms, with estimates for late ones
 	arrivals         decay.Sum
-	unsuccessfulEnds decay.Sum        // tries that ended here without success, whose clients may come back
-	timeouts         [2]commonTimeout // the times to live that most tries have
+	unsuccessfulEnds decay.Sum        // requests that ended here without success and whose clients may retry
+	timeouts         [2]commonTimeout // the two most common client timeouts
 }
 
-// commonTimeout is a time to live, in ms, that many tries have, and how many lately.
+// commonTimeout is a client timeout in ms that many requests carry, with a count of recent ones.
 type commonTimeout struct{ timeout, votes float64 }
 
-// estimateAge estimates for how long the client of a request has been trying, in ms. Most first tries have one of two times to
-// live, and a retry has what the earlier tries left of it. It guards against overload by retries that look new; the second
-// time, against taking clients for old when others turn impatient. It misjudges clients whose time to live is rare.
+// estimateAge estimates how long, in ms, the client has already been waiting since its original request. Most original
+// requests carry one of two common timeouts, and a retry carries what is left of its timeout. This guards against
+// overload by retries that look like new requests; the second timeout prevents original requests from being taken for
+// retries when other clients switch to a shorter timeout. Clients with a rare timeout are misjudged.
 func (s *classStats) estimateAge(now float64, class *RequestClass, ttl float64, isRetry bool) float64 {
-	isFirstTry := !isRetry && s.unsuccessfulEnds.Read(now, 2*class.Deadline) < noRetriesExpected // nobody can be back
+	isFirstTry := !isRetry && s.unsuccessfulEnds.Read(now, 2*class.Deadline) < noRetriesExpected // no client can be retrying
 	known := slices.IndexFunc(s.timeouts[:], func(c commonTimeout) bool {
 		return math.Abs(ttl-c.timeout) <= class.Deadline/sameTimeout
 	})
@@ -46,8 +47,9 @@
 	return math.Max(0, class.Deadline-ttl)
 }
 
-// vote counts a time to live for the timeout that it is known as; known below 0: against the rarer one, which it replaces once
-// that has no votes left. It returns which of the two was the rarer one before.
+// vote counts a request's timeout for the common timeout with index known. If known is negative, it counts against the
+// rarer common timeout, which it replaces once that has no votes left. It returns the index of the timeout that was
+// rarer before.
 func (s *classStats) vote(known int, ttl float64, isFirstTry bool) (rarer int) {
 	if s.timeouts[1].votes < s.timeouts[0].votes {
 		rarer = 1
@@ -67,18 +69,18 @@
 	return rarer
 }
 
-// usualLatency is the smoothed latency of a request class over all members, in ms. Whoever sets a latency objective expects
-// answers well inside it: until some were measured, a quarter of it is assumed.
+// usualLatency returns the smoothed latency of a request class over all members, in ms. Latency objectives are normally
+// set with ample margin: until latencies are measured, a quarter of the objective is assumed.
 func (r *Router) usualLatency(req *request) float64 {
 	return req.stats.latency.Estimate(r.now, r.smoothingSpan, priorWeight, req.class.LatencyObjective/latencyGuessFactor)
 }
 
-// latencyRatio is the member's smoothed latency divided by what is usual.
+// latencyRatio returns the smoothed latency of the member relative to the usual latency.
 func (r *Router) latencyRatio(m *member) float64 {
 	return (m.latencyRatios.Read(r.now, r.smoothingSpan) + priorWeight) / (m.successes.Read(r.now, r.smoothingSpan) + priorWeight)
 }
 
-// expectedLatency is the latency, in ms, that is to be expected of the request at the member.
+// expectedLatency returns the expected latency of the request at the member, in ms.
 func (r *Router) expectedLatency(req *request, m *member) float64 {
 	return r.usualLatency(req) * r.latencyRatio(m)
 }
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// nextWaiting goes over the requests that wait, the largest expected value first, and gives the next decision about one.
+// nextWaiting goes through the waiting requests in order of descending expected value and returns the next decision
+// about one.
 func (r *Router) nextWaiting() (Decision, bool) {
 	r.sortWaiting()
 	for r.cursor < len(r.waiting) {
@@ -34,7 +35,7 @@
 	r.waitingSorted = true
 }
 
-// dispatch sends or ends one waiting request; false: it goes on waiting.
+// dispatch sends or ends a waiting request, or returns false if it must keep waiting.
 func (r *Router) dispatch(req *request) (Decision, bool) {
 	if req.attemptInFlight || req.finished {
 		return Decision{}, false
@@ -57,8 +58,8 @@
 	return r.send(req, m), true
 }
 
-// sameChoice tells whether two requests have the same choice of members, so that one finds none where the other has just found
-// none.
+// sameChoice reports whether two requests can be served by the same members, so that if none was found for one, none
+// will be found for the other.
 func sameChoice(a, b *request) bool {
 	unrestricted := func(req *request) bool {
 		return !req.sticky && req.requiredPosition == Never && len(req.attempts) == 0
@@ -66,8 +67,8 @@
 	return a.group == b.group && a.class == b.class && a.class.Level != Bounded && unrestricted(a) && unrestricted(b)
 }
 
-// recordUnplaced notes that no member was found for the request, and has the group's members checked, unless it is only that a
-// known primary is full.
+// recordUnplaced records that no member was found for the request. The members of the group are then checked, unless the
+// only reason is that a known primary has no capacity.
 func (r *Router) recordUnplaced(req *request) {
 	r.lastUnplaced = req
 	if g := req.group; !req.needsPrimary() || r.primaryUnavailable(g) {
@@ -76,7 +77,7 @@
 	}
 }
 
-// selectMember chooses a member for the request; nil: it waits.
+// selectMember selects a member for the request; nil if it must wait.
 func (r *Router) selectMember(req *request) *member {
 	if req.sticky {
 		return r.ifEligible(req, req.stickyMember)
@@ -87,7 +88,7 @@
 	return r.selectReadMember(req)
 }
 
-// send begins an attempt of the request at the member.
+// send starts an attempt of the request at the member.
 func (r *Router) send(req *request, m *member) Decision {
 	expected := r.expectedLatency(req, m)
 	a := &attempt{
@@ -100,18 +101,19 @@
 		r.busyMembers = append(r.busyMembers, m)
 	}
 	m.inFlight, m.load = append(m.inFlight, a), m.load+1
-	req.attemptInFlight = true // no other is sent before it has ended
+	req.attemptInFlight = true // no other attempt is sent until this one has ended
 	m.lastAttemptSent, m.trialReady = r.now, false
 	m.slowStartBudget.Spend(req.class.LatencyObjective)
 	decision := Decision{Action: SendAttempt, RequestID: req.id, Member: m.id, NotAfter: r.notAfter(req, m)}
 	if req.effect == Idempotent && !r.settings.CanCancel {
-		decision.Wait = r.lostAfter(a) // a time-out in place of a cancellation
+		decision.Wait = r.lostAfter(a) // a timeout instead of a cancellation
 	}
 	return decision
 }
 
-// notAfter is until when the attempt may be written: its connection may take a while to come up, while the data that is known
-// to be at the member ages (rule 5) and the idempotency window closes (rule 2). The router may be stalled after it has asked.
+// notAfter returns the latest time at which the attempt may be written. While its connection is being established, the
+// data known to be at the member ages (rule 5) and the idempotency window runs out (rule 2). The router may also stall
+// between its last check of the time and the write.
 func (r *Router) notAfter(req *request, m *member) float64 {
 	latest := math.Inf(1)
 	if req.class.Level == Bounded && r.settings.Lag == LagAnswers && m != r.primary(m.group) {
@@ -123,7 +125,7 @@
 	return latest
 }
 
-// cannotSucceed tells that no attempt of the request can do any good any more.
+// cannotSucceed reports whether no further attempt of the request can earn anything.
 func (r *Router) cannotSucceed(req *request) bool {
 	inTime := r.now + r.usualLatency(req)
 	class, attempts := req.class, req.sentAttempts()
@@ -136,23 +138,23 @@
 		req.mayHaveRunSince != Never && r.retryForbidden(req)
 }
 
-// unsentTooLong: a request that could not be sent in half of its time is ended, so that its client has the other half to come
-// back in, perhaps to another router.
+// unsentTooLong reports whether a request that could not be sent within half of its time is to be ended, so that its
+// client can use the other half for a retry, possibly at another router.
 func (r *Router) unsentTooLong(req *request) bool {
 	return r.now+2*tick > req.halfTime &&
 		(r.primaryUnavailable(req.group) || r.now > req.firstArrival+req.class.LatencyObjective)
 }
 
-// retryForbidden tells whether a request that may have run must not be sent again.
+// retryForbidden reports whether a request that may have run must not be sent again.
 func (r *Router) retryForbidden(req *request) bool {
 	class := req.class
 	return req.effect == NonIdempotent ||
-		class.Level == Write && req.lastOutcome == Reset || // docs/design.md: a write that met a reset ends in an error
+		class.Level == Write && req.lastOutcome == Reset || // docs/design.md: a write whose connection was reset ends with an error
 		class.Effect == IdempotentWithKey && r.now-req.mayHaveRunSince > class.IdempotencyWindow-maxStall
 }
 
-// endRequest gives a request its final response without success: rejected if it can't have run or a retry does no harm when its
-// client comes back, else failed.
+// endRequest gives a request its unsuccessful final response: a rejection if the request can't have run or a retry by
+// the client will be harmless, otherwise a failure.
 func (r *Router) endRequest(req *request) Decision {
 	r.endUnsuccessful(req)
 	comesBack := r.now + r.settings.RetryAfter
@@ -162,6 +164,6 @@
 	if req.mayHaveRunSince != Never && !harmless {
 		return Decision{Action: FailRequest, RequestID: req.id}
 	}
-	// A retry could not be answered in time either; the wait may be longer than needed after a short overload.
+	// An earlier retry could not be served in time either; after a short overload the wait may be longer than needed.
 	return Decision{Action: RejectRequest, RequestID: req.id, Wait: r.settings.RetryAfter}
 }
--- a/router/eligible.go
+++ b/router/eligible.go
@@ -1,6 +1,6 @@
 package router
 
-// ifEligible returns the member if the request may be sent there now, else nil. m may be nil.
+// ifEligible returns m if the request may be sent there now, otherwise nil. m may be nil.
 func (r *Router) ifEligible(req *request, m *member) *member {
 	if m == nil || !r.eligible(req, m) {
 		return nil
@@ -8,7 +8,7 @@
 	return m
 }
 
-// eligible is the one place that every attempt passes: it tells whether the request may be sent to the member now.
+// eligible reports whether the request may be sent to the member now. Every attempt must pass this check.
 func (r *Router) eligible(req *request, m *member) bool {
 	if m.draining || m.down || req.attemptInFlight || req.finished || req.pausedAt(m, r.now) {
 		return false
@@ -19,7 +19,7 @@
 	if !r.retryRecognizedBy(req, m) || !r.freshEnough(req, m) {
 		return false
 	}
-	// Guards against full connection tables: after a refused connection, a pause, where checks go on passing.
+	// Guards against full connection tables: pauses after a refused connection while health checks keep passing.
 	if m.connectFailed && r.now-m.lastAttemptSent < r.expectedLatency(req, m) {
 		return false
 	}
@@ -32,13 +32,15 @@
 	return r.slowStartAllows(m, req) && m.hasCapacity(r.now, r.expectedLatency(req, m))
 }
 
-// retryRecognizedBy: rule 2, a request with an idempotency key that may have run stays where its retries are recognized.
+// retryRecognizedBy implements rule 2: a request with an idempotency key that may have run is only sent to members that
+// recognize it as a retry.
 func (r *Router) retryRecognizedBy(req *request, m *member) bool {
 	return req.mayHaveRunSince == Never || req.class.Effect != IdempotentWithKey || req.class.Scope != ScopeZone ||
 		m.zone == req.mayHaveRunZone
 }
 
-// freshEnough: rule 5, where members answer with whatever they hold, only a known position will do.
+// freshEnough implements rule 5: where members respond with whatever data they have, only a known position qualifies a
+// member.
 func (r *Router) freshEnough(req *request, m *member) bool {
 	return req.class.Level == Any || r.settings.Lag != LagAnswers || m.position >= r.provenPosition(req) ||
 		m == r.primary(m.group)
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	restingCheckPeriod = 1000.0 // ms: the shortest check period where nothing presses (docs/design.md)
-	requestsPerCheck   = 4.0    // requests that pay for a resting check: few enough to notice a change; checks have a cost
-	recheckPeriod      = 500.0  // ms: check period while a group has no primary (docs/design.md); also between two trials
+	restingCheckPeriod = 1000.0 // ms: shortest health check period in routine operation (docs/design.md)
+	requestsPerCheck   = 4.0    // requests per routine check: few enough to notice changes, enough to justify the cost of a check
+	recheckPeriod      = 500.0  // ms: check period while a group has no primary (docs/design.md), and interval between trials
 )
 
-// requestCheck has the member checked as soon as the least gap between two checks allows.
+// requestCheck requests a check of the member as soon as the minimum interval between two checks has passed.
 func (m *member) requestCheck() {
 	m.checkRequested = true
 	m.group.checkTimer.Set(Never)
@@ -20,7 +20,7 @@
 	}
 }
 
-// nextCheck visits only groups with a check that may be due, in the order in which they became active.
+// nextCheck visits only groups with a check that may be due, in the order in which the groups became active.
 func (r *Router) nextCheck() (Decision, bool) {
 	if !r.settings.CanHealthCheck {
 		return Decision{}, false
@@ -41,8 +41,8 @@
 	return Decision{}, false
 }
 
-// checkDue is when the member is to be checked next. The period follows need: members that are unknown or down are checked
-// sooner, and so are all while requests wait for a primary.
+// checkDue returns when the member is to be checked next. The period depends on need: unknown and down members are
+// checked more often, and so are all members of a group while requests wait for its primary.
 func (r *Router) checkDue(m *member) float64 {
 	g, downFor := m.group, m.lastCheckSent-m.downAt
 	perMember := float64(len(g.members)) * r.smoothingSpan / g.arrivals.Read(r.now, r.smoothingSpan)
@@ -53,12 +53,13 @@
 		return m.lastCheckSent + restingCheckPeriod
 	case m.checkRequested:
 		return m.lastCheckSent + tick
-	// Guards against many routers that ask all members of all groups: one by one until what waits can go.
+	// Many routers must not check all members of all groups at once: members that were never checked are checked one by
+	// one until the waiting requests can be sent.
 	case m.lastCheckSent == Never && g.lastUnplaced == r.now:
 		return g.checkPendingSince + 2*tick
 	case m.lastCheckSent == Never:
 		return m.listedAt + requestsPerCheck*perMember
-	case m.down && downFor < recheckPeriod: // the check may have met the same broken connection as the request
+	case m.down && downFor < recheckPeriod: // the check may have failed on the same broken connection as the request
 		return m.lastCheckSent + math.Max(tick, downFor)
 	case r.primaryUnavailable(g) && r.now-g.lastUnplaced < recheckPeriod:
 		return m.lastCheckSent + recheckPeriod
@@ -68,9 +69,10 @@
 	return r.restingCheckDue(m, perMember)
 }
 
-// restingCheckDue is well inside the smallest staleness bound where enough reads need positions to pay for it. Else some
-// requests pay for each check, lest many routers with little traffic check more than they send, and an answer to a request
-// counts as a check. perMember is the time in ms in which the group has one request for each member.
+// restingCheckDue returns when a routine check of the member is due. If enough reads need positions to justify it, that
+// is well within the smallest staleness bound. Otherwise each check needs a number of requests, so that many routers
+// with little traffic do not send more checks than requests, and a response to a request counts as a check. perMember is
+// the time in ms in which the group gets one request per member.
 func (r *Router) restingCheckDue(m *member, perMember float64) float64 {
 	g := m.group
 	forReads := 2 * float64(len(g.members)) * r.smoothingSpan / g.positionReads.Read(r.now, r.smoothingSpan)
@@ -79,7 +81,7 @@
 	return lastReport + math.Max(r.minCheckPeriod, math.Min(forReads, resting))
 }
 
-// HealthChecked conveys the end of a health check. What the member reported in it comes by Reported.
+// HealthChecked records the end of a health check. The state that the member reported is passed to Reported.
 func (r *Router) HealthChecked(memberID string, outcome Outcome) {
 	m := r.members[memberID]
 	if m == nil {
@@ -88,21 +90,21 @@
 	m.checkInFlight, m.group.checkPendingSince = false, Never
 	m.group.checkTimer.Set(Never)
 	switch outcome {
-	case Overloaded: // too crowded to be checked: it is there, and nothing else is told
-	case NotSent: // never made, since no connection was left on this host: nothing is told
+	case Overloaded: // too loaded to be checked: the member is running, but nothing else is known
+	case NotSent: // no check was made, since this host had no connection left: nothing is known
 		if !m.down {
 			m.requestCheck()
 		}
 	case ServerError:
-		// Guards against checks that fail where members serve: an error shows that the member is there. The requests
-		// themselves then find out what it does (eligible, writeCandidate).
+		// Guards against health checks that fail on working members: an error response shows that the member is running.
+		// Its role and position are then learned from requests (eligible, writeCandidate).
 		m.lastCheckErrored, m.down = true, false
 	case Succeeded:
 		m.lastCheckErrored = false
 		r.recordCheckPassed(m)
 	default:
 		m.lastCheckErrored = false
-		// An answer to a request since the check went out is the better evidence.
+		// A response to a request that came after the check was sent is stronger evidence.
 		if (!m.down || m.connectFailed) && m.lastResponse < m.lastCheckSent {
 			m.down, m.connectFailed = false, false
 			r.markDown(m)
@@ -110,9 +112,10 @@
 	}
 }
 
-// recordCheckPassed guards against restarts that the list does not tell yet: a member that is back after an absence may not be
-// primary any more, and is taken as starting slowly until the list has had time to tell. If the list does not, only this router
-// could not reach the member. One that is back at once lost a connection and keeps its role: reports may be older than that.
+// recordCheckPassed guards against restarts that the list does not show yet: a member that returns after an absence may
+// no longer be primary, and is presumed to be in slow start until the list has had time to show it. If the list shows no
+// restart, only this router could not reach the member. A member that is back at once has only lost a connection and
+// keeps its role, since reports may be older than the loss.
 func (r *Router) recordCheckPassed(m *member) {
 	if m.connectFailed && m.down {
 		r.refusedConnections.Add(r.now, maxSmoothingSpan, 1)
@@ -127,8 +130,8 @@
 	m.trialReady = m.suspected && m.lastCheckSent >= m.suspectedAt && m.lastAttemptSent < m.suspectedAt
 }
 
-// markDown marks the member down and unknown, and has it checked; if it was primary and did not only refuse a connection, its
-// whole group.
+// markDown marks the member as down and unknown and requests a check of it. If it was primary and has not merely refused
+// a connection, all members of its group are checked.
 func (r *Router) markDown(m *member) {
 	if !m.down {
 		m.downAt = r.now
--- a/router/membership.go
+++ b/router/membership.go
@@ -11,73 +11,74 @@
 )
 
 const (
-	listPacedAfter   = 2000.0 // ms after which a call for the list has paced the next one: a heartbeat of the watch
-	listPacedPause   = 250.0  // ms until that next one, by half more or less
-	listPausesInPoll = 8      // else the pause is this part of the poll timeout, a second at most
+	listPacedAfter   = 2000.0 // ms: a failed list request that took this long, a heartbeat of the watch, has delayed the next one
+	listPacedPause   = 250.0  // ms: mean pause before the next request after that, with jitter of one half
+	listPausesInPoll = 8      // otherwise the mean pause is the poll timeout divided by this, at most one second
 )
 
-// member is this router's own record of one server.
+// member is this router's state of one member.
 type member struct {
 	id, zone string
 	group    *group
 
 	// From the endpoint list.
-	draining  bool    // it drains or is removed: it gets no new attempt
+	draining  bool    // draining or removed: gets no new attempts
 	startedAt float64 // Never: long ago
-	listedAt  float64 // when it was first listed
+	listedAt  float64 // when it first appeared in the list
 
 	// Role and position.
-	known                bool    // a check or answer has come since it was last marked unknown
-	lastConfirmedPrimary float64 // the latest time at which it was known to be primary
-	lastKnownNotPrimary  float64 // and not to be
-	position             float64 // it surely has every commit up to then
-	replicationLag       float64 // how far behind it was at the last check or misrouted read
+	known                bool    // a check or response has arrived since the member was last marked unknown
+	lastConfirmedPrimary float64 // latest time at which it was known to be primary
+	lastKnownNotPrimary  float64 // latest time at which it was known not to be primary
+	position             float64 // it has certainly applied every commit up to this position
+	replicationLag       float64 // lag at the last check or misrouted read
 
 	// Health.
-	down              bool    // reset or failed to connect, and no check has passed since
-	downAt            float64 // since when
-	connectFailed     bool    // it refused the last connection: it is down, or only full
-	lastCheckErrored  bool    // its last check came back with an error
-	checkRequested    bool    // to be checked as soon as the least gap allows
+	down              bool    // its connection was reset or refused, and no check has passed since
+	downAt            float64 // when it was marked down
+	connectFailed     bool    // it refused the last connection: it is down or its connection table is full
+	lastCheckErrored  bool    // the last check ended with an error response
+	checkRequested    bool    // to be checked once the minimum interval between checks has passed
 	checkInFlight     bool
 	lastCheckSent     float64
-	lastPeerReport    float64 // when another router's check of it was last reported
+	lastPeerReport    float64 // when a health check by another router was last reported
 	lastResponse      float64
-	presumedRestartAt float64 // when it last came back from what may have been a restart
+	presumedRestartAt float64 // when it last returned after an absence that may have been a restart
 	suspected         bool    // has not responded for too long; cleared by any response to an attempt
-	suspectedAt       float64 // when the suspicion began
-	trialReady        bool    // a check has passed since, and no trial has gone out
-	answeredUpTo      float64 // when the latest attempt that it has answered was sent
+	suspectedAt       float64 // when it became suspected
+	trialReady        bool    // a check has passed since then, and no trial has been sent
+	answeredUpTo      float64 // when the latest attempt that it has responded to was sent
 	longestSilence    decay.Sum
-	latencyRatios     decay.Sum // latencies of successes, each against the usual
+	latencyRatios     decay.Sum // sum of latencies of successes, each relative to the usual latency
 	successes         decay.Sum
-	failures          decay.Sum // failed, refused or lost
+	failures          decay.Sum // failed, refused or lost attempts
 
 	// Load and capacity.
 	inFlight         []*attempt
-	load             float64 // attempts in flight, without those that wait for their clients
+	load             float64 // attempts in flight, except those that wait for their clients
 	lastAttemptSent  float64
-	concurrencyLimit float64 // how many of this router's attempts it may have in flight
-	limitFound       bool    // the limit has been reached once, so that it grows slowly
+	concurrencyLimit float64 // limit on this router's attempts in flight at the member
+	limitFound       bool    // the limit has been reached once and now grows slowly
 	slowStartBudget  slowstart.Bucket
 }
 
-// group is a replica set: one primary and its replicas.
+// group is a replica set: a primary and its replicas.
 type group struct {
 	id                    int
 	members               []*member                    // in the order in which they are asked
-	active                bool                         // it has had traffic here
-	lastUnplaced          float64                      // when a request last found no member
+	active                bool                         // it has had requests at this router
+	lastUnplaced          float64                      // when no member was last found for a request
 	writesHeldUntil       float64                      // writes wait until then
 	checkTimer            timerqueue.FairTimer[*group] // when a check may be due
-	checkPendingSince     float64                      // when its latest check went out; Never: one has come back since
+	checkPendingSince     float64                      // when the latest check was sent; Never if a check has ended since
 	arrivals              decay.Sum                    // requests
 	positionReads         decay.Sum                    // reads that need a known position
 	lastIdempotentArrival float64
 	slowResponses         byRole[decay.Mean]
 }
 
-// findGroup returns a group, new if there is none. Only groups that the list names are kept: clients may name any.
+// findGroup returns a group, creating it if necessary. Only groups of the endpoint list are stored, because clients can
+// name any group.
 func (r *Router) findGroup(id int, listed bool) *group {
 	if g := r.groups[id]; g != nil {
 		return g
@@ -90,7 +91,7 @@
 	return g
 }
 
-// activate has the group's members checked from its first request on.
+// activate starts health checks of the group's members with its first request.
 func (r *Router) activate(g *group) {
 	if !g.active {
 		g.active = true
@@ -98,11 +99,11 @@
 	}
 }
 
-// BeginList begins an endpoint list, complete or of changes; ListMember calls and one EndList follow.
+// BeginList starts an endpoint list, which is complete or contains changes; ListMember calls and one EndList follow.
 func (r *Router) BeginList() { r.listed = map[string]bool{} }
 
-// ListMember conveys one member of a list. started is when it started, Never if long ago; a later start than that known
-// before begins slow start. Whether a member is primary is never taken from a list.
+// ListMember passes in one member of a list. started is when the member started, Never if long ago; if that is later
+// than the start known so far, slow start begins. The list is never used to determine which member is primary.
 func (r *Router) ListMember(id, zone string, groupID int, state State, started float64) {
 	g := r.findGroup(groupID, true)
 	m := r.members[id]
@@ -129,12 +130,12 @@
 		concurrencyLimit: initialConcurrencyLimit,
 	}
 	r.members[id] = m
-	place := int(r.random.Next() * float64(len(g.members)+1)) // each router asks members in an order of its own
+	place := int(r.random.Next() * float64(len(g.members)+1)) // each router has its own random order
 	g.members = slices.Insert(g.members, place, m)
 	return m
 }
 
-// EndList ends a list. Members that a complete list lacks are forgotten, as are those removed, unless the settings have
+// EndList ends a list. Removed members and members missing from a complete list are forgotten, unless the settings have
 // soft removal.
 func (r *Router) EndList(complete bool) {
 	up := 0.0
@@ -154,7 +155,7 @@
 	}
 }
 
-// removeMember forgets a member. Attempts that are in flight there keep its record.
+// removeMember forgets a member. Attempts in flight there keep a reference to its state.
 func (r *Router) removeMember(m *member) {
 	m.draining = true
 	delete(r.members, m.id)
@@ -171,7 +172,7 @@
 	})
 }
 
-// rebindWaiting gives requests that wait the group that the list has now: it may be new, or listed again.
+// rebindWaiting assigns waiting requests to the current group of the list, which may be new or listed again.
 func (r *Router) rebindWaiting() {
 	for _, req := range r.waiting {
 		if g := r.groups[req.group.id]; g != nil && g != req.group {
@@ -181,9 +182,9 @@
 	}
 }
 
-// ListFailed says that a call for the list failed or its watch broke. The next call has jitter, since many routers must not
-// ask again at once. One that failed only after a long time, a silent watch or a call that hung, is followed sooner: it has
-// spread the routers already, and the next one may hang too.
+// ListFailed tells that a list request failed or its watch broke. The next request has jitter, so that many routers do
+// not ask again at once. It comes sooner if the failed one took long, as a silent watch or a hanging call does: the
+// routers are already spread out in time, and the next request may hang too.
 func (r *Router) ListFailed() {
 	if !r.settings.PollsList {
 		return
@@ -200,6 +201,6 @@
 		return Decision{}, false
 	}
 	r.listRequestedAt = r.now
-	r.nextListRequest = r.now + r.settings.ListPollTimeout/2 // unless an answer comes before
+	r.nextListRequest = r.now + r.settings.ListPollTimeout/2 // unless a response arrives first
 	return Decision{Action: RequestList}, true
 }
--- a/router/read.go
+++ b/router/read.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	askWaitShare     = 8    // a read waits this part of its latency objective for checks made on its behalf
-	spillLimitShare  = 2    // reads may use this part of the primary's limit where all replicas that would do are full
-	failureExponent  = 4    // of the share of successes, in the weight of a member
-	retryDiscount    = 10.0 // a member that has not answered a request is this many times less likely to get it again
-	sameZonePriority = 2.0  // crossing zones has a price; more would overload zones with few members
+	askWaitShare     = 8    // a read waits for checks on its behalf for its latency objective divided by this
+	spillLimitShare  = 2    // while all suitable replicas are full, reads may use the concurrency limit of the primary divided by this
+	failureExponent  = 4    // exponent of the success share in the sampling weight of a member
+	retryDiscount    = 10.0 // factor by which a member that has not served a request is less likely to get it again
+	sameZonePriority = 2.0  // crossing zones has a cost; a larger factor would overload zones with few members
 )
 
-// readCandidates are the replicas that a read may go to, by what is known of their positions.
+// readCandidates holds the replicas that may serve a read, by what is known of their positions.
 type readCandidates struct {
-	trial     *member   // a suspected member whose trial is due
+	trial     *member   // suspected member that is due for a trial
 	fresh     []*member // known to have the position
-	likely    []*member // seemed to have it, by their replication lag at the last check
+	likely    []*member // likely to have the position, by their replication lag at the last check
 	others    []*member // neither
-	unsure    []*member // not eligible, but seemed to have the position
-	full      bool      // one that has the position is not eligible
-	unchecked bool      // one was never checked
+	unsure    []*member // likely to have the position, but not eligible
+	full      bool      // a replica that has the position is not eligible
+	unchecked bool      // a replica has never been checked
 }
 
-// selectReadMember chooses a member for a request that does not need the primary; nil: it waits.
+// selectReadMember selects a member for a request that does not need the primary; nil if it must wait.
 func (r *Router) selectReadMember(req *request) *member {
 	found := r.readCandidates(req)
 	if found.trial != nil {
@@ -36,7 +36,7 @@
 	}
 	primary := r.primary(req.group)
 	if found.full {
-		// Guards against a shortage of replicas.
+		// Guards against a shortage of replicas: the primary takes some of the reads.
 		if found.unchecked || primary == nil || primary.load >= primary.concurrencyLimit/spillLimitShare {
 			return nil
 		}
@@ -51,7 +51,7 @@
 	return r.ifEligible(req, primary)
 }
 
-// readCandidates sorts the replicas of the request's group by their use for it.
+// readCandidates classifies the replicas of the request's group.
 func (r *Router) readCandidates(req *request) readCandidates {
 	var found readCandidates
 	primary, needed := r.primary(req.group), r.provenPosition(req)
@@ -79,8 +79,8 @@
 	return found
 }
 
-// selectByLag chooses where members see to the position themselves: those that seemed fresh enough, at the first attempt the
-// one that lagged least, then the primary.
+// selectByLag selects a member where members enforce the required position themselves: one that is likely to be fresh
+// enough, on the first attempt otherwise the one with the smallest lag, then the primary.
 func (r *Router) selectByLag(req *request, found readCandidates, primary *member) *member {
 	switch {
 	case len(found.likely) > 0:
@@ -93,8 +93,8 @@
 	return r.ifEligible(req, primary)
 }
 
-// waitsForChecks tells whether the request waits a moment for the health checks of two members that seemed fresh enough, as
-// waiting operations do (docs/design.md). The first call requests the checks.
+// waitsForChecks reports whether the request waits briefly for health checks of two members that are likely to be fresh
+// enough, as waiting operations do (docs/design.md). The first call requests the checks.
 func (r *Router) waitsForChecks(req *request, unsure []*member) bool {
 	if len(unsure) > 0 && r.settings.CanHealthCheck && req.checksRequestedAt == Never {
 		req.checksRequestedAt = r.now
@@ -107,7 +107,8 @@
 		slices.ContainsFunc(req.group.members, checkPending)
 }
 
-// drawMember draws one member at random. The weight of each falls with the square of its smoothed latency times one plus its load.
+// drawMember selects a member by weighted random sampling. The weight falls with the square of smoothed latency times (1
+// + load).
 func (r *Router) drawMember(req *request, from []*member) *member {
 	var drawn *member
 	highest := Never
@@ -123,7 +124,7 @@
 func (r *Router) drawWeight(req *request, m *member) float64 {
 	successes, failures := m.successes.Read(r.now, r.smoothingSpan), m.failures.Read(r.now, r.smoothingSpan)
 	cost := r.latencyRatio(m) * (1 + m.load)
-	// Guards against members that fail or reject quickly, whose latency would draw more requests to them.
+	// Guards against members that fail or reject quickly: their low latency would attract more requests.
 	weight := math.Pow((successes+1)/(successes+failures+1), failureExponent) / (cost * cost)
 	if req.triedAt(m) {
 		weight /= retryDiscount
@@ -134,8 +135,8 @@
 	return weight
 }
 
-// provenPosition is the position that a member must be known to have. Where members answer with whatever they hold, data must be
-// young enough even if this router is stalled before it writes.
+// provenPosition returns the position that a member must be known to have. Where members respond with whatever data they
+// have, the data must still be fresh enough if this router stalls before the write.
 func (r *Router) provenPosition(req *request) float64 {
 	if req.class.Level == Bounded && r.settings.Lag == LagAnswers {
 		return req.minimumPosition(r.now) + maxStall
--- a/router/request.go
+++ b/router/request.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// request is what a client asked once, until its final response is out and no attempt is in flight any more.
+// request is one client request, kept until its final response is out and it has no attempt in flight.
 type request struct {
 	id, session string
 	class       *RequestClass
 	stats       *classStats
 	group       *group
-	effect      Effect // of its class; NonIdempotent once part of the response is with the client
+	effect      Effect // effect of its class; NonIdempotent once part of the response has been passed to the client
 
-	firstArrival     float64 // the client's first try, as far as it can be told
-	deadline         float64 // of this try
-	halfTime         float64 // when half of this try's time is over
-	requiredPosition float64 // that a session or fresh read must see
-	weight           float64 // its priority weight, lowered when its tenant is over quota
-	rank             float64 // its place among those that wait: the largest first
+	firstArrival     float64 // estimated arrival of the client's original request, of which this may be a retry
+	deadline         float64 // when the client stops waiting for this request
+	halfTime         float64 // when half of the client's waiting time has passed
+	requiredPosition float64 // position that a session or fresh read must see
+	weight           float64 // priority weight, reduced while its tenant is over quota
+	rank             float64 // order among waiting requests, largest first
 
 	attempts          []*attempt
-	notSentCount      int     // of these, those that ended as not sent
-	attemptInFlight   bool    // one at a time
-	lastOutcome       Outcome // of the last attempt
-	mayHaveRunSince   float64 // when the earliest attempt that may have run was sent; Never: none
-	mayHaveRunZone    string  // the zone of its member
-	checksRequestedAt float64 // when members were checked on its behalf
+	notSentCount      int     // attempts that ended as not sent
+	attemptInFlight   bool    // at most one at a time
+	lastOutcome       Outcome // outcome of the last attempt
+	mayHaveRunSince   float64 // when the earliest attempt that may have run was sent; Never if there is none
+	mayHaveRunZone    string  // zone of the member of that attempt
+	checksRequestedAt float64 // when health checks were requested on its behalf
 	admitted          bool
-	finished          bool // it has had its final response
+	finished          bool // its final response is out
 
-	sticky       bool    // only stickyMember may take it
-	stickyMember *member // nil if that is not in the list
+	sticky       bool    // only stickyMember may serve it
+	stickyMember *member // nil if that member is not in the list
 }
 
-// Arrive takes a request in. It returns false, and does nothing, if the settings have no such class. tokenAge is the age of the
-// session token that came with it, 0 for none; ttl is how long the client waits from now; isRetry says that the client marked
-// it as a retry.
+// Arrive adds a request. If the settings have no such class, it returns false and does nothing. tokenAge is the age of
+// the session token that came with the request, 0 for none; ttl is how long the client waits from now on; isRetry tells
+// that the client marked the request as a retry.
 func (r *Router) Arrive(id, tenant, session, className string, groupID int, tokenAge, ttl float64, isRetry bool) bool {
 	class := r.settings.RequestClasses[className]
 	if class == nil {
@@ -60,12 +60,12 @@
 	return true
 }
 
-// requiredPosition is the position that a new request must see, whenever it is sent; Never for none.
+// requiredPosition returns the position that a new request must see no matter when it is sent, Never for none.
 func (r *Router) requiredPosition(class *RequestClass, session string, tokenAge float64) float64 {
 	switch {
 	case class.Level == Session && r.settings.RemembersCommits && r.sessionCommits.Position(session) != 0:
 		return r.sessionCommits.Position(session)
-	case class.Level == Session && tokenAge != 0: // an age below 0 is no error: a commit may be dated a little ahead
+	case class.Level == Session && tokenAge != 0: // a negative age is valid: a commit may carry a timestamp slightly ahead of this clock
 		return r.now - tokenAge
 	case class.Level == Fresh:
 		return r.now
@@ -73,7 +73,7 @@
 	return Never
 }
 
-// recordArrival measures what arrives, and lowers the weight of a request whose tenant is over its quota.
+// recordArrival updates the arrival measurements and reduces the weight of a request whose tenant is over quota.
 func (r *Router) recordArrival(req *request, tenant string) {
 	class, g := req.class, req.group
 	r.arrivals.Add(r.now, maxSmoothingSpan, 1)
@@ -85,7 +85,7 @@
 	if class.Effect == Idempotent {
 		g.lastIdempotentArrival = r.now
 	}
-	if class.Level == Bounded && r.settings.Lag == LagAnswers { // else members see to the bound themselves
+	if class.Level == Bounded && r.settings.Lag == LagAnswers { // otherwise the members enforce the bound themselves
 		g.positionReads.Add(r.now, r.smoothingSpan, 1)
 	}
 	if arrivals := r.tenantArrivals[tenant]; arrivals != nil {
@@ -97,16 +97,16 @@
 	r.arrivedWeight.Add(r.now, maxSmoothingSpan, req.weight/class.LatencyObjective)
 }
 
-// Pin says that a request that has just arrived may go to one member alone, to which its session's connection leads.
+// Pin restricts a request that has just arrived to one member, to which the connection of its session leads.
 func (r *Router) Pin(id, memberID string) {
 	if req := r.requests[id]; req != nil {
 		req.sticky, req.stickyMember = true, r.members[memberID]
 	}
 }
 
-// Queued says for how many ms a request that has just arrived had waited for its turn behind other requests of its client. It
-// shortens the time that the client has left, so that no answer comes when nobody waits any more; the latency objective
-// counts from now.
+// Queued tells for how many ms a request that has just arrived had been queued behind earlier requests of its client.
+// The client's remaining waiting time shrinks by that, so that no response is produced after the client has stopped
+// waiting; the latency objective still counts from now.
 func (r *Router) Queued(id string, waited float64) {
 	if req := r.requests[id]; req != nil {
 		req.deadline -= waited
@@ -114,20 +114,20 @@
 	}
 }
 
-// ClientGone says that the client of a request has left: no response is owed any more.
+// ClientGone tells that the client of a request has disconnected and needs no response.
 func (r *Router) ClientGone(id string) {
 	if req := r.requests[id]; req != nil {
 		r.endUnsuccessful(req)
 	}
 }
 
-// endUnsuccessful ends a request without success; its client may come back.
+// endUnsuccessful ends a request without success; its client may retry.
 func (r *Router) endUnsuccessful(req *request) {
 	req.stats.unsuccessfulEnds.Add(r.now, 2*req.class.Deadline, 1)
 	r.release(req)
 }
 
-// release ends a request, and forgets it once no attempt of it is in flight any more.
+// release ends a request, and forgets it once it has no attempt in flight.
 func (r *Router) release(req *request) {
 	req.finished = true
 	if !req.attemptInFlight {
@@ -135,9 +135,10 @@
 	}
 }
 
-// rememberCommit keeps the position of a session's last commit, and at times drops those that every member has by now.
+// rememberCommit stores the position of a session's last commit and from time to time discards those that all members
+// have applied.
 func (r *Router) rememberCommit(session string, position float64) {
-	r.sessionCommits.Record(session, cmp.Or(math.Max(position, 0), r.now)) // no position was told: now
+	r.sessionCommits.Record(session, cmp.Or(math.Max(position, 0), r.now)) // if no position was reported, the current time
 	if !r.sessionCommits.PruneDue() {
 		return
 	}
@@ -152,7 +153,7 @@
 
 func (req *request) needsPrimary() bool { return req.class.Level == Write || req.class.Level == Fresh }
 
-// minimumPosition is the position that the request must see if it is sent now.
+// minimumPosition returns the position that the request must see if it is sent now.
 func (req *request) minimumPosition(now float64) float64 {
 	if req.class.Level == Bounded {
 		return now - req.class.StalenessBound
@@ -160,7 +161,7 @@
 	return req.requiredPosition
 }
 
-// sentAttempts counts the attempts that were sent, or may yet be.
+// sentAttempts returns the number of attempts that were sent or may still be.
 func (req *request) sentAttempts() int { return len(req.attempts) - req.notSentCount }
 
 func (req *request) triedAt(m *member) bool {
--- a/router/retry.go
+++ b/router/retry.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-const maxNotSentPause = 100.0 // ms between two attempts at one member that end as not sent, at the most; tick at the least
+const maxNotSentPause = 100.0 // ms: longest pause between two attempts at a member that end as not sent; the shortest is a tick
 
-// nextCancellation takes attempts of idempotent requests back so that they are sent again: at members that are suspected, and
-// where the answer is lost rather than late, if a retry can still be in time. A request that only takes long then runs twice.
+// nextCancellation cancels attempts of idempotent requests so that they are retried: attempts at suspected members, and
+// attempts whose response is probably lost rather than late, provided that a retry can be in time. A request that merely
+// takes long may run twice.
 func (r *Router) nextCancellation() (Decision, bool) {
 	if !r.settings.CanCancel {
 		return Decision{}, false
@@ -36,17 +37,18 @@
 	return retryUseful && waited > r.lostAfter(a) || m.suspected && waited > a.expectedLatency
 }
 
-// lostAfter is after how many ms an answer is lost rather than late, or than one pause explains.
+// lostAfter returns the time in ms after which a response counts as lost: longer than a late response or a single pause
+// explains.
 func (r *Router) lostAfter(a *attempt) float64 {
 	return math.Max(lostThreshold*a.expectedLatency, r.silenceTolerance(a.member))
 }
 
-// undoNotSent takes back what an attempt that was not sent has counted for: the member has had nothing of it.
+// undoNotSent reverts the accounting of an attempt that was not sent: the member has received nothing of it.
 func (a *attempt) undoNotSent(now float64) {
 	m, req := a.member, a.request
 	req.notSentCount++
 	a.retryNotBefore = now + req.notSentPause(m)
-	if math.Max(m.startedAt, m.presumedRestartAt) <= a.sentAt { // else the member's slow start has begun anew since
+	if math.Max(m.startedAt, m.presumedRestartAt) <= a.sentAt { // otherwise the member's slow start has begun again since
 		m.slowStartBudget.Spend(-req.class.LatencyObjective)
 	}
 	if m.lastAttemptSent == a.sentAt {
@@ -55,8 +57,9 @@
 	}
 }
 
-// notSentPause is for how many ms the request is not sent to a member to which it could not be sent: a backoff that doubles. That
-// was no attempt, and its cause may pass in a moment; the pause guards against asking one member without end in one instant.
+// notSentPause returns for how many ms the request is not sent again to a member after NotSent: a backoff that doubles
+// each time. NotSent does not count as an attempt and its cause may pass at any moment; the pause prevents endless
+// attempts at one member in the same instant.
 func (req *request) notSentPause(m *member) float64 {
 	pause := tick
 	for _, a := range req.attempts {
@@ -67,7 +70,7 @@
 	return math.Min(pause, maxNotSentPause)
 }
 
-// pausedAt tells whether the request could not be sent to the member just now.
+// pausedAt reports whether the request is in the pause after NotSent at the member.
 func (req *request) pausedAt(m *member, now float64) bool {
 	return req.notSentCount > 0 && slices.ContainsFunc(req.attempts, func(a *attempt) bool {
 		return a.member == m && now < a.retryNotBefore
--- a/router/roles.go
+++ b/router/roles.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Reported conveys a member's report of role and position. It may be old, so that its role counts as of its position.
+// Reported passes in a member's report of its role and position. The report may be old, so its role is valid as of its
+// position.
 func (r *Router) Reported(memberID string, role Role, position float64) {
 	if m := r.members[memberID]; m != nil {
 		m.recordRole(role, position, position)
@@ -13,22 +14,23 @@
 	}
 }
 
-// PeerReported conveys the result of another router's health check. It counts as evidence of the position alone, which does
-// not regress while the member runs; a report from before its last start is ignored. A role tells only whom to ask first.
+// PeerReported passes in the result of another router's health check. It is evidence of the position only, which does
+// not regress while the member runs; a report from before the member's last start is ignored. The reported role only
+// affects which member is asked first.
 func (r *Router) PeerReported(memberID string, started float64, role Role, position float64) {
 	m := r.members[memberID]
 	if m == nil || started < m.startedAt {
 		return
 	}
 	r.Reported(memberID, RoleUnknown, position)
-	m.lastPeerReport = r.now // stands in for a resting check until peers go quiet
+	m.lastPeerReport = r.now // replaces a routine check while peers keep reporting
 	if g := m.group; role == Primary {
 		others := slices.DeleteFunc(g.members, func(other *member) bool { return other == m })
 		g.members = slices.Insert(others, 0, m)
 	}
 }
 
-// recordRole takes in a role as of a time, and a position. Neither a time nor a position goes back.
+// recordRole records a role as of a time, and a position. Neither the time nor the position moves back.
 func (m *member) recordRole(role Role, at, position float64) {
 	m.position = math.Max(m.position, position)
 	m.known = m.known || role != RoleUnknown
@@ -40,7 +42,8 @@
 	}
 }
 
-// recordMisrouted: a misrouted write proves that the member is not primary, a read that its lag is larger than supposed.
+// recordMisrouted: a misrouted write proves that the member is not primary, a misrouted read that its lag is larger than
+// recorded.
 func (r *Router) recordMisrouted(m *member, req *request, wasPrimary bool) {
 	if req.needsPrimary() {
 		m.lastKnownNotPrimary, m.known = r.now, false
@@ -55,7 +58,8 @@
 	}
 }
 
-// primary is the member that was confirmed as primary last, and of which nothing later says otherwise; nil if none was.
+// primary returns the member that was most recently confirmed as primary and for which no later evidence contradicts
+// that, or nil.
 func (r *Router) primary(g *group) *member {
 	var latest *member
 	for _, m := range g.members {
@@ -69,14 +73,15 @@
 	return latest
 }
 
-// primaryUnavailable tells whether writes of the group must wait: no primary is known, it is suspected, or writes are held.
+// primaryUnavailable reports whether writes of the group must wait: no primary is known, it is suspected, or a write
+// hold is active.
 func (r *Router) primaryUnavailable(g *group) bool {
 	p := r.primary(g)
 	return p == nil || p.suspected || r.now < g.writesHeldUntil
 }
 
-// HoldWrites has writes of a group wait until a time, as if it had no primary (a planned switchover). A time that has passed
-// ends the hold, and all members are asked for their roles.
+// HoldWrites holds writes of a group until a time, as if it had no primary (for a planned switchover). A time in the
+// past ends the hold, and all members are checked for their roles.
 func (r *Router) HoldWrites(groupID int, until float64) {
 	g := r.findGroup(groupID, false)
 	g.writesHeldUntil = until
--- a/router/router.go
+++ b/router/router.go
@@ -13,62 +13,62 @@
 )
 
 const (
-	tick                = 10.0     // ms between two looks at what waits, and least between two checks of one member (docs/design.md)
-	minSmoothingSpan    = 3000.0   // ms over which measurements decay, at the least: a few latency objectives
-	maxSmoothingSpan    = 30000.0  // and at the most: faults come and go in tens of seconds
-	smoothingSample     = 30.0     // requests that a smoothing span should hold, so that one answer does not swing it
-	priorWeight         = 3.0      // answers that an initial assumption weighs as much as
-	maxStall            = 100.0    // ms that this router may be stalled between its clock and a write, less the slack of the rules
-	silenceLooksPerWait = 5        // looks at a silence in one expected wait
-	earlyTimerLeeway    = tick / 2 // ms: a timer that fires earlier than by this tells nothing of pauses
-	checksPerBound      = 3        // health checks in one staleness bound
+	tick                = 10.0     // ms; shortest timer delay, and shortest interval between two checks of a member (docs/design.md)
+	minSmoothingSpan    = 3000.0   // ms; lower bound of the time constant of measurements, a few latency objectives long
+	maxSmoothingSpan    = 30000.0  // ms; upper bound of it, because faults come and go within tens of seconds
+	smoothingSample     = 30.0     // requests that the time constant should span, so that a single response has little influence
+	priorWeight         = 3.0      // an initial estimate weighs as much as this many responses
+	maxStall            = 100.0    // ms that this router may stall between reading its clock and a write, minus the slack of the rules
+	silenceLooksPerWait = 5        // suspicion updates per expected latency while a member does not respond
+	earlyTimerLeeway    = tick / 2 // ms; a timer that fires earlier than this before its deadline says nothing about pauses
+	checksPerBound      = 3        // health checks per staleness bound
 )
 
-// Router decides for one instance. See the package comment for how it is driven.
+// Router makes the decisions of one router instance. The package comment describes how to drive it.
 type Router struct {
 	settings       *Settings
 	random         random.Source
 	now, startedAt float64
-	smoothingSpan  float64 // ms over which measurements decay
+	smoothingSpan  float64 // time constant of the decaying measurements in ms
 
 	// Members, groups and the endpoint list.
 	members         map[string]*member
 	groups          map[int]*group
-	listed          map[string]bool              // the list being read: member to whether it is not removed
-	busyMembers     []*member                    // those with attempts in flight
-	membersToClose  []*member                    // whose idle connections are to be closed
-	activeGroups    timerqueue.FairQueue[*group] // groups that have had traffic, by when a check may be due
-	minCheckPeriod  float64                      // the shortest check period
-	mostMembersUp   float64                      // the most members that were up at once
-	nextListRequest float64                      // when to ask for the list again
-	listRequestedAt float64                      // when it was asked for last
+	listed          map[string]bool              // the list being received: member id to false if it is removed, else true
+	busyMembers     []*member                    // members with attempts in flight
+	membersToClose  []*member                    // members whose idle connections are to be closed
+	activeGroups    timerqueue.FairQueue[*group] // groups that have had requests, by when a health check may be due
+	minCheckPeriod  float64                      // shortest health check period
+	mostMembersUp   float64                      // largest number of members that were up at the same time
+	nextListRequest float64                      // when to request the list next
+	listRequestedAt float64                      // when the list was last requested
 
 	// Requests.
 	requests          map[string]*request
 	waiting           []*request
-	waitingSorted     bool     // since the last input
-	cursor            int      // which of waiting is looked at next
-	lastUnplaced      *request // the last request for which no member was found, since the last input
-	suspicionsUpdated bool     // since the last input
-	timerAt           float64  // when the timer that is out fires; +Inf: none is
+	waitingSorted     bool     // reset by Advance and by inputs that add to waiting
+	cursor            int      // index in waiting of the request to handle next
+	lastUnplaced      *request // last request for which no member was found; reset by Advance
+	suspicionsUpdated bool     // suspicions are up to date; reset by Advance
+	timerAt           float64  // deadline of the pending timer; +Inf if there is none
 	sessionCommits    lastcommit.Commits
 	statsByClass      map[*RequestClass]*classStats
 	tenantArrivals    map[string]*decay.Sum
 
 	// Measurements over all groups.
-	admission          byRole[float64]    // probability of admitting a request
-	slowResponses      byRole[decay.Mean] // share of responses that were slow
+	admission          byRole[float64]    // admission probability of requests
+	slowResponses      byRole[decay.Mean] // share of slow responses
 	arrivals           decay.Sum          // requests
-	arrivedWeight      decay.Sum          // weight by work of the requests that arrived
-	completedWork      decay.Sum          // latency objectives of requests that succeeded: unlike latency, steady under overload
-	workRate           float64            // the most of it in a ms for each member
-	refusedConnections decay.Sum          // by members whose checks went on passing
+	arrivedWeight      decay.Sum          // sum of weight divided by latency objective over the requests that arrived
+	completedWork      decay.Sum          // sum of latency objectives of successful requests; steady under overload, unlike latency
+	workRate           float64            // highest rate of completed work per ms and member so far
+	refusedConnections decay.Sum          // by members whose health checks kept passing
 	answeredAttempts   decay.Sum
-	lostAttempts       decay.Sum // whose answers were lost rather than late
-	timerLateness      decay.Sum // the most that a timer fired late: pauses of this router itself
+	lostAttempts       decay.Sum // attempts whose response was lost rather than late
+	timerLateness      decay.Sum // decaying maximum of timer delays: pauses of this router
 }
 
-// byRole holds one value for the primaries and one for the replicas.
+// byRole holds one value for primaries and one for replicas.
 type byRole[T any] struct{ primary, replica T }
 
 func (b *byRole[T]) of(primary bool) *T {
@@ -78,7 +78,8 @@
 	return &b.replica
 }
 
-// New returns a router with no members. Equal seeds and inputs give equal decisions; routers of one fleet need different seeds.
+// New returns a router without members. Equal seeds and inputs give equal decisions; the routers of a fleet need
+// different seeds.
 func New(settings *Settings, seed uint64) *Router {
 	r := &Router{
 		settings:        settings,
@@ -104,9 +105,9 @@
 	return r
 }
 
-// UpdateSettings takes settings that differ from the present ones in weights and tenants alone. Requests that are open keep
-// the class they arrived with. Measurements of a class or tenant are kept by its name, and the weight of past arrivals is
-// scaled to the new weights.
+// UpdateSettings applies settings that differ from the current ones only in weights and tenants. Open requests keep the
+// class they arrived with. Measurements of a class or tenant carry over by name, and the measured weight of past
+// arrivals is scaled to the new weights.
 func (r *Router) UpdateSettings(settings *Settings) {
 	stats, tenants := map[*RequestClass]*classStats{}, map[string]*decay.Sum{}
 	oldWeight, newWeight := 0.0, 0.0
@@ -127,15 +128,15 @@
 	}
 }
 
-// Advance sets the time; all inputs and decisions until the next call happen then. Drivers pass a clock that
-// does not go back.
+// Advance sets the current time, at which all inputs and decisions up to the next call take place. The time passed in
+// must not decrease.
 func (r *Router) Advance(now float64) {
 	r.now, r.startedAt = now, cmp.Or(r.startedAt, now)
 	r.cursor, r.waitingSorted, r.suspicionsUpdated, r.lastUnplaced = 0, false, false, nil
 }
 
-// TimerFired says that the timer of the last SetTimer decision has fired. It may have fired in a batch of events whose time is
-// earlier than the timer's: Next then asks for another, since none is out any more.
+// TimerFired records that the timer of the last SetTimer decision has fired. It may be part of a batch of events whose
+// time is before the timer's deadline; Next then asks for a new timer, since none is pending any more.
 func (r *Router) TimerFired() {
 	if r.now > r.timerAt-earlyTimerLeeway {
 		r.timerLateness.Max(r.now, maxSmoothingSpan, r.now-r.timerAt)
@@ -143,7 +144,7 @@
 	r.timerAt = math.Inf(1)
 }
 
-// Next returns the next decision; false: there is none until the next input.
+// Next returns the next decision, or false if there is none until the next input.
 func (r *Router) Next() (Decision, bool) {
 	if !r.suspicionsUpdated {
 		r.updateSuspicions()
@@ -158,7 +159,8 @@
 	return Decision{}, false
 }
 
-// nextIdleClose guards against full connection tables: idle connections of this router keep others out. It costs a handshake.
+// nextIdleClose guards against full connection tables: idle connections of this router keep other routers from
+// connecting. The cost is a new handshake later.
 func (r *Router) nextIdleClose() (Decision, bool) {
 	last := len(r.membersToClose) - 1
 	if last < 0 {
@@ -178,7 +180,7 @@
 	return Decision{Action: SetTimer, Time: deadline}, true
 }
 
-// nextDeadline is when something may have to be done next if no input comes; one tick from now at the earliest.
+// nextDeadline returns when the router must run next if no input arrives, at least one tick from now.
 func (r *Router) nextDeadline() float64 {
 	deadline := r.nextListRequest
 	if len(r.waiting) > 0 {
@@ -193,7 +195,7 @@
 				deadline = math.Min(deadline, lost)
 			}
 		}
-		if !m.suspected { // a little more silence may be enough to suspect it
+		if !m.suspected { // a slightly longer silence may be enough to suspect it
 			deadline = math.Min(deadline, r.now+m.inFlight[0].expectedLatency/silenceLooksPerWait)
 		}
 	}
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -6,15 +6,16 @@
 	"wayloft/internal/decide/slowstart"
 )
 
-// beginSlowStart begins the member's slow start, and its concurrency limit anew. If it was primary, it may be no more.
+// beginSlowStart starts the member's slow start and resets its concurrency limit. If it was primary, it may no longer
+// be.
 func (m *member) beginSlowStart() {
 	m.lastKnownNotPrimary = math.Max(m.lastKnownNotPrimary, m.downAt)
 	m.concurrencyLimit, m.limitFound = math.Min(initialConcurrencyLimit, m.concurrencyLimit), false
 	m.slowStartBudget = slowstart.Bucket{}
 }
 
-// slowStartShare is the least share of its usual work that a member can do by now. A restart that was only presumed counts until
-// the list has had time to tell of it.
+// slowStartShare returns the share of its normal work that a member can do by now, at the least. A presumed restart
+// counts only until the list has had time to show it.
 func (r *Router) slowStartShare(m *member) float64 {
 	start := m.startedAt
 	if r.now-m.presumedRestartAt < r.settings.ListPollTimeout/2 {
@@ -24,8 +25,8 @@
 	return math.Min(1, floor+(1-floor)*(r.now-start)/r.settings.SlowStartDuration)
 }
 
-// slowStartAllows tells whether a member in slow start may be sent one more request (rule 4): what this router sends it stays
-// under the allowed multiple of its share of the work that members usually complete.
+// slowStartAllows reports whether a member in slow start may be sent one more request (rule 4): what this router sends
+// it must stay below the overload multiple of its share of the work that members normally complete.
 func (r *Router) slowStartAllows(m *member, req *request) bool {
 	share := r.slowStartShare(m)
 	if share >= 1 {
@@ -36,9 +37,10 @@
 		float64(r.settings.Routers), r.random.Next)
 }
 
-// recordCompletedWork keeps the best average of completed work, for each of the most members that were ever up, lest a loss of
-// many members raises it, less the standard deviation of few requests, since the deviations of all routers add up. It guards
-// against restarts of many members, and lulls.
+// recordCompletedWork keeps the highest average rate of completed work per member. The maximum guards against restarts
+// of many members and against quiet periods. The rate is divided by the largest number of members that were ever up,
+// since losing many members would otherwise raise it. The standard deviation due to the small number of requests is
+// subtracted, since the deviations of all routers add up.
 func (r *Router) recordCompletedWork(req *request) {
 	work := req.class.LatencyObjective
 	r.completedWork.Add(r.now, maxSmoothingSpan, work)
--- a/router/suspicion.go
+++ b/router/suspicion.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	suspicionThreshold = 10.0                   // expected waits without a response; a healthy member has it once in 20,000 (e^-10)
-	checkThreshold     = suspicionThreshold / 2 // expected waits after which the member is checked
-	priorLossShare     = 0.001                  // share of answers assumed to be lost on the way until some were
-	lostThreshold      = 5.5                    // expected waits; one healthy request in 250 takes longer (e^-5.5)
+	suspicionThreshold = 10.0                   // expected latencies without a response; a healthy member has it once in 20,000 (e^-10)
+	checkThreshold     = suspicionThreshold / 2 // expected latencies after which the member is checked
+	priorLossShare     = 0.001                  // assumed share of lost responses until some have been observed
+	lostThreshold      = 5.5                    // expected latencies; one healthy request in 250 takes longer (e^-5.5)
 )
 
-// updateSuspicions is the failure detector: it suspects members that take requests and answer none, since they are hung,
-// vanished or cut off. It runs after the answers of the present batch of inputs have been taken in. A long pause looks the
-// same for a while; the first answer clears the suspicion.
+// updateSuspicions is the failure detector: it suspects members that accept requests but do not respond, because they
+// hang, have vanished or are unreachable. It runs after all responses of the current batch of inputs have been recorded.
+// A long pause of a member looks the same for a while; the first response clears the suspicion.
 //
-// A pause silences all attempts at a member together, so that the sum of their waits alone proves nothing: a silence must
-// also be longer than silenceTolerance.
+// A pause delays all attempts at a member at the same time, so the sum of their waiting times alone proves nothing: the
+// silence must also be longer than silenceTolerance.
 func (r *Router) updateSuspicions() {
 	r.suspicionsUpdated = true
 	for _, m := range r.busyMembers {
@@ -32,9 +32,9 @@
 	}
 }
 
-// silence is how long the member has not responded, summed over its attempts in flight, in expected waits, as far as losses
-// on the way do not explain it, and since when. Attempts that answers to later ones have overtaken are lost, or long, and
-// do not count.
+// silence returns for how long the member has not responded and since when. The duration is in expected latencies,
+// summed over its attempts in flight; each contributes at most -ln(lossShare), since its response may just have been
+// lost. Attempts that were overtaken by responses to later ones are lost or long-running and do not count.
 func (r *Router) silence(m *member) (waits, since float64) {
 	since = r.now
 	for _, a := range m.inFlight {
@@ -47,13 +47,14 @@
 	return waits, since
 }
 
-// silenceTolerance is for how many ms all attempts at a member may stay without an answer and prove nothing: twice the
-// longest unlikely silence that it has ended by an answer, and twice the pauses of this router itself.
+// silenceTolerance returns for how many ms all attempts at a member may go without a response before that proves
+// anything: twice the longest improbable silence that the member has ended with a response, or a tick
+// plus twice the longest recent delay of a timer, which a pause of this router causes, if that is longer.
 func (r *Router) silenceTolerance(m *member) float64 {
 	return math.Max(2*m.longestSilence.Read(r.now, maxSmoothingSpan), tick+2*r.timerLateness.Read(r.now, maxSmoothingSpan))
 }
 
-// recordResponse takes in that a member has responded to an attempt, whatever it said.
+// recordResponse records that a member has responded to an attempt, with any outcome.
 func (r *Router) recordResponse(a *attempt) {
 	m := a.member
 	if silence, since := r.silence(m); silence > checkThreshold {
@@ -63,14 +64,15 @@
 	m.suspected, m.down, m.connectFailed = false, false, false
 }
 
-// lossShare is the share of this router's attempts that get no answer though they may run.
+// lossShare returns the share of this router's attempts that may run but get no response.
 func (r *Router) lossShare() float64 {
 	lost := r.lostAttempts.Read(r.now, r.smoothingSpan)
 	return (lost + priorWeight*priorLossShare) / (lost + r.answeredAttempts.Read(r.now, r.smoothingSpan) + priorWeight)
 }
 
-// trialAllowed tells whether the request may be the trial of a suspected member: the first one as soon as a check has passed
-// since, then one each recheckPeriod. A request that may not run twice is a trial only where no idempotent ones come.
+// trialAllowed reports whether the request may be the trial of a suspected member: the first trial as soon as a check
+// has passed since the suspicion, then one per recheckPeriod. A request that is not idempotent is used only where no
+// idempotent requests arrive.
 func (r *Router) trialAllowed(m *member, req *request) bool {
 	if !m.trialReady && r.now-m.lastAttemptSent < recheckPeriod {
 		return false
--- a/router/write.go
+++ b/router/write.go
@@ -1,7 +1,8 @@
 package router
 
-// writeCandidate is the member to which a request that needs the primary may be sent now, nil if there is none. Where no
-// primary is known and checks tell nothing, requests themselves ask the members for it: a replica rejects a write untouched.
+// writeCandidate returns the member to which a request that needs the primary may be sent now, or nil. Where no primary
+// is known and health checks reveal no roles, requests are sent to members until one accepts: a replica rejects a write
+// without effect.
 func (r *Router) writeCandidate(req *request) *member {
 	if primary := r.primary(req.group); primary != nil {
 		return r.ifEligible(req, primary)
