--- a/router/activegroups_test.go
+++ b/router/activegroups_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// routerWithGroups returns a router with so many groups of one member, each of which has had a request, and a function that
-// carries out all decisions at a time.
+// routerWithGroups returns a router with this many single-member groups, each of which has had a request, and a function
+// that carries out all decisions at a given time.
 func routerWithGroups(groups int) (r *Router, pull func(now float64) (out []Decision)) {
 	r = New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000,
 		OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000, RequestClasses: map[string]*RequestClass{
@@ -35,7 +35,7 @@
 		r.Advance(float64(2 + n))
 		r.Arrive(fmt.Sprint("t", n), "", "", "any", n, 0, 1000, false)
 		pull(float64(2 + n))
-		pull(float64(2 + n)) // what waited for the check
+		pull(float64(2 + n)) // requests that waited for the check
 	}
 	return r, pull
 }
@@ -46,7 +46,7 @@
 			r, pull := routerWithGroups(groups)
 			now := 5000.0
 			for n := range b.N {
-				now += 0.36 // 2,790 a second
+				now += 0.36 // 2,790 requests per second
 				id := fmt.Sprint("x", n)
 				r.Advance(now)
 				r.Arrive(id, "", "", "any", n%groups, 0, 1000, false)
@@ -56,11 +56,12 @@
 	}
 }
 
-// Guards against inputs whose cost grows with the number of active groups, and not with what is due.
+// Guards against inputs whose cost grows with the number of active groups rather than with the number of groups that are
+// due.
 func TestArrive_VisitsNoOtherGroup(t *testing.T) {
 	r, pull := routerWithGroups(820)
 	now := 1e6
-	for len(pull(now)) > 0 { // what was due meanwhile
+	for len(pull(now)) > 0 { // work that became due in the meantime
 		now++
 	}
 	before := r.activeGroups.Expirations
@@ -70,7 +71,7 @@
 		r.Arrive(fmt.Sprint("x", n), "", "", "any", 7, 0, 1000, false)
 		pull(now)
 	}
-	if n := r.activeGroups.Expirations - before; n > 100 { // its arrival, and at most one check's end
+	if n := r.activeGroups.Expirations - before; n > 100 { // one visit for the arrival, at most one for the end of a check
 		t.Errorf("50 requests of one group visited groups %d times, of %d active ones", n, r.activeGroups.Len())
 	}
 }
--- a/router/healthcheck_test.go
+++ b/router/healthcheck_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// While another router's health checks are reported, a router leaves its own resting checks out; they are back within a period once
-// the reports end.
+// While health checks by another router are reported, a router skips its own routine checks; they resume within one
+// period after the reports stop.
 func TestPeerReported_SparesHealthChecks(t *testing.T) {
 	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Bounded, StalenessBound: 900}
 	roles := map[string]Role{"a": Primary, "b": Replica, "c": Replica}
--- a/router/membership_test.go
+++ b/router/membership_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Memory follows what is there now: members that come and go, with their groups, and requests, some for groups that were never
-// listed, leave nothing behind, while attempts in flight at a member that left still end.
+// Guards against memory leaks: members that come and go with their groups, and requests, some for groups that were never
+// listed, must leave nothing behind, while attempts in flight at a removed member still end.
 func TestRouter_MemoryLevelsOff(t *testing.T) {
 	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Any}
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 1, SlowStartDuration: 1, OverloadMultiple: 2,
@@ -56,9 +56,8 @@
 	}
 }
 
-// Where lists are asked for, a failed call is followed by another within 1.5 s and not in the same instant, whatever time
-// the settings leave: the watch is given up after 2.5 s of silence, and a change must be known after 6 s, also if one more
-// call is refused.
+// After a failed list request, the next one follows within 1.5 s, but not in the same instant, for any poll timeout: the
+// watch is given up after 2.5 s of silence, and a change must be known after 6 s even if one more request fails.
 func TestListFailed_NextRequestInTime(t *testing.T) {
 	for _, within := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 50; seed++ {
@@ -88,8 +87,8 @@
 	}
 }
 
-// Where lists are asked for, what a watch that fell silent misses is asked for within 6 s, also where the next call hangs too;
-// and within 4 s of a call that was made by itself, at a move, and hangs. Each hangs for the 2.5 s after which it is given up.
+// Changes that a silent watch misses are requested within 6 s even if the next request hangs as well, and within 4 s
+// after a request that was made without a preceding failure and hangs. Each is given up after 2.5 s.
 func TestListFailed_TwoSilentWatchesInARow(t *testing.T) {
 	const hang = 2500
 	for _, within := range []float64{2000, 10000, 40000} {
@@ -116,7 +115,7 @@
 			now = 50
 			r.Advance(now)
 			r.BeginList()
-			r.EndList(false) // the first is answered
+			r.EndList(false) // the first request is answered
 			now = 30000
 			silent := now
 			fail()
--- a/router/notafter_test.go
+++ b/router/notafter_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What allows an attempt holds for a time, which goes with it: a position known of a member ages, and the window for
-// retries closes, while its connection comes up.
+// An attempt is permitted only for a limited time, which is passed on with it: while its connection is being
+// established, a member's known position ages and the window for retries closes.
 func TestSendAttempt_NotAfter(t *testing.T) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
 		"read": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Bounded, StalenessBound: 700},
@@ -56,8 +56,8 @@
 	}
 }
 
-// A router may be stalled for 0.15 s between its clock and a write, and the rules have 50 ms of slack: nothing is decided
-// that would be over by then, on either side of the moment.
+// A router may stall for 0.15 s between reading its clock and a write, and the rules grant 50 ms of slack: nothing may
+// be decided that would be too late after such a stall. Tests both sides of the limit.
 func TestSendAttempt_LeavesRoomForAStall(t *testing.T) {
 	const stall, slack = 150.0, 50.0
 	set := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
--- a/router/notsent_test.go
+++ b/router/notsent_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// notSentRouter has one request arrive at 1000 with a second to live, in a group whose members are up, and gives what runs one
-// step: each attempt then ends as not sent until the time free, and succeeds from then on.
+// notSentRouter sets up a request that arrives at 1000 with a ttl of one second, in a group whose members are all up. It
+// returns a function that runs one step; attempts end as not sent before the time free and succeed from then on.
 func notSentRouter(members int, free float64) (step func(now float64) (attempts int, final *Decision)) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: map[string]*RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, LateWeightShare: 1}}}, 1)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Attempts that come back not sent, since this host had no connection left for a moment, are no attempts at all: the request is
-// answered once there is one, however many came back before.
+// NotSent, because this host has no connection left for a moment, must not count as an attempt: the request is served
+// once a connection is free, regardless of how often it could not be sent before.
 func TestNotSent_ConnectionComesFree(t *testing.T) {
 	for _, members := range []int{1, 3, 7} {
 		step := notSentRouter(members, 1300)
@@ -67,8 +67,8 @@
 	}
 }
 
-// Where no connection ever comes free, each member is tried once at an instant and at growing intervals, and the request has its
-// one final answer before its time is over.
+// If no connection ever becomes free, each member is tried once per instant and at growing intervals, and the request
+// gets exactly one final response before its deadline.
 func TestNotSent_NoConnectionComesFree(t *testing.T) {
 	for _, members := range []int{1, 3, 7} {
 		step := notSentRouter(members, 1e9)
@@ -90,8 +90,8 @@
 	}
 }
 
-// What an attempt that was not sent has counted for is undone: the budget of a member in slow start, the trial of one that is
-// suspected, and the time of the last attempt.
+// The effects of an attempt that was not sent on the state of its member are reverted: the budget of slow start, the
+// trial of a suspected member and the time of the last attempt.
 func TestNotSent_RestoresMemberRecord(t *testing.T) {
 	const objective, window = 500.0, 2000.0
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 0.2, SlowStartDuration: 10000,
@@ -120,8 +120,8 @@
 	}
 }
 
-// Where no connection is left on this host, each attempt ends as not sent at once. Guards against trying one member after the other
-// for as long as the request lives, in one instant: no other event would be handled meanwhile.
+// If this host has no connection left, each attempt ends as not sent at once. Guards against trying one member after
+// another in the same instant for the lifetime of the request, while no other event is handled.
 func TestNotSent_AttemptsInOneInstantAreBounded(t *testing.T) {
 	for _, members := range []int{1, 2, 5} {
 		r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: map[string]*RequestClass{
--- a/router/scenario_test.go
+++ b/router/scenario_test.go
@@ -11,25 +11,25 @@
 	"wayloft/internal/fakes/scenario"
 )
 
-// A scenario is a text file, one step a line; # starts a comment.
+// A scenario is a text file with one step per line; # starts a comment.
 //
-//	set routers=2 lag=answers ...      settings, or "no-traffic": none before; then: class NAME level=write effect=non-idempotent ...
-//	at 120                             the time; what follows happens then; "paused": the router stood still up to then
-//	turn t1 idle begun                 of the attempt sent last: it is idle, and part of the response is with the client
-//	list complete a/2 b:draining c@-5  members, / and a group, states, @ the time of a start; "list changes" for changes only
+//	set routers=2 lag=answers ...      settings; "no-traffic": no requests before; then: class NAME level=write effect=non-idempotent ...
+//	at 120                             sets the time of the steps that follow; "paused": the router was paused until then
+//	turn t1 idle begun                 last attempt sent: it is idle, and part of the response has been passed to the client
+//	list complete a/2 b:draining c@-5  members with optional group (/), state (:) and start time (@); "list changes": changes only
 //	list failed
 //	arrive t1 CLASS ttl=500 token-age=20 session=s tenant=n group=2 marked
-//	ended t1 misrouted role=replica position=90 finished     the attempt sent last
+//	ended t1 misrouted role=replica position=90 finished     last attempt sent
 //	checked a ok role=primary position=100             or another outcome
 //	client-gone t1
-//	peer-report a started=-5 role=primary position=100       another router's check; started: Never unless it says
-//	hold 2000 | hold none                          writes of group 1 wait until then
-//	tenant n rate=10 over-quota=0.1                its quota, and the weight above it; before the first "at"
-//	update CLASS weight=5 late=0.2 | update tenant n rate=20 | update tenant n gone     later settings
-//	want send t1 a|b                   a decision that must be among those just pulled; it is used up
-//	never send t1                      none such may be left among them; a rejection tells its wait: reject t1 400
+//	peer-report a started=-5 role=primary position=100       check by another router; started is Never by default
+//	hold 2000 | hold none                          holds writes of group 1 until then
+//	tenant n rate=10 over-quota=0.1                quota, and weight of requests over quota; before the first "at"
+//	update CLASS weight=5 late=0.2 | update tenant n rate=20 | update tenant n gone     changed settings
+//	want send t1 a|b                   this decision must be among those just returned; it is removed from them
+//	never send t1                      no such decision may remain among them; rejections include the retry-after: reject t1 400
 //
-// All members are in group 1, unless it says otherwise, and in the zone of their name's first letter.
+// Members are in group 1 by default, and in the zone named by the first letter of their name.
 var (
 	outcomeWords = map[string]Outcome{"ok": Succeeded, "error": ServerError, "overloaded": Overloaded, "timeout": TimedOut,
 		"connect-failed": ConnectFailed, "reset": Reset, "canceled": Canceled, "not-sent": NotSent, "misrouted": Misrouted}
@@ -55,19 +55,19 @@
 	})
 }
 
-// player plays one scenario against a router.
+// player runs one scenario against a router.
 type player struct {
 	settings    *Settings
 	router      *Router
 	now         float64
-	noTraffic   bool // the group has had no traffic before
-	inputsCame  bool // since the last pull
+	noTraffic   bool // the group has had no requests before
+	inputsCame  bool // inputs have arrived since the last pull
 	decisions   []string
 	lastAttempt map[string]Decision // by request
 	attempts    map[string]int
 }
 
-// options are the key=value words of a step; a bare word is a key without a value.
+// options holds the key=value words of a step; a word without = is a key without a value.
 type options map[string]string
 
 func parseOptions(words []string) options {
@@ -93,7 +93,7 @@
 	return otherwise
 }
 
-// lookUp finds the meaning of a word; an empty one is the zero value.
+// lookUp returns the meaning of a word; an empty word stands for the zero value.
 func lookUp[T any](meanings map[string]T, word string) (meaning T, err error) {
 	meaning, known := meanings[word]
 	if !known && word != "" {
@@ -184,7 +184,7 @@
 			p.router.activate(p.router.findGroup(1, true))
 		}
 	}
-	if due := p.router.timerAt; due < p.now { // it fired in time, unless the step says that the router stood still
+	if due := p.router.timerAt; due < p.now { // the timer fired on time, unless the step says that the router was paused
 		if paused {
 			due = p.now
 		}
@@ -273,7 +273,7 @@
 		p.router.ListMember(id, id[:1], int(parseNumber(group, 1)), state, parseNumber(started, Never))
 	}
 	p.router.EndList(words[0] == "complete")
-	if !p.noTraffic { // traffic has had all that are listed checked
+	if !p.noTraffic { // as if earlier requests had caused checks of all listed members
 		for _, m := range p.router.findGroup(1, true).members {
 			m.checkRequested = m.checkRequested || m.lastCheckSent == Never
 		}
@@ -281,7 +281,7 @@
 	return nil
 }
 
-// expect looks for a decision with these words, each of which may have alternatives.
+// expect searches for a decision with these words, each of which may be a list of alternatives.
 func (p *player) expect(want bool, words []string) error {
 	for _, action := range strings.Split(words[0], "|") {
 		if !slices.Contains(slices.Collect(maps.Values(actionWords)), action) {
@@ -309,7 +309,7 @@
 	return nil
 }
 
-// pull takes all decisions, if inputs have come since the last time.
+// pull fetches all decisions if inputs have arrived since the last call.
 func (p *player) pull() error {
 	if !p.inputsCame {
 		return nil
--- a/router/settings_test.go
+++ b/router/settings_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Later settings apply to later requests alone, and nothing that was learned is lost: the measurements of tenants and request classes
-// stay, those of a tenant that has no quota any more go, and weights that all grow alike change no decision.
+// New settings apply to later requests only, and no measurements are lost: those of tenants and request classes are
+// kept, those of a tenant that no longer has a quota are dropped, and scaling all weights by the same factor changes no
+// decision.
 func TestUpdateSettings_KeepsWhatWasLearned(t *testing.T) {
 	made := func(scale float64, tenants map[string]float64) *Settings {
 		s := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 1, OverloadMultiple: 2, OverloadWindow: 1000,
@@ -26,7 +27,7 @@
 		r.ListMember("a", "z", 1, Up, Never)
 		r.ListMember("b", "z", 1, Up, Never)
 		r.EndList(true)
-		for at := 150; at < 60000; at += 150 { // few requests: the admission probability depends on the weight
+		for at := 150; at < 60000; at += 150 { // few enough requests that the admission probability depends on the weight
 			r.Advance(float64(at))
 			r.TimerFired()
 			if every > 0 && at%every == 0 {
@@ -42,7 +43,7 @@
 					r.HealthChecked(d.Member, Succeeded)
 				case SendAttempt:
 					how := Succeeded
-					if at > 20000 && at < 40000 && at%900 != 0 { // an overload
+					if at > 20000 && at < 40000 && at%900 != 0 { // overload
 						how = Overloaded
 					}
 					r.AttemptEnded(d.RequestID, sent[d.RequestID], how, 20, how == Succeeded, Replica, float64(at))
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -8,19 +8,19 @@
 	"wayloft/internal/decide/random"
 )
 
-// fleet is many routers of the same group that know nothing of each other. Members answer after a fixed time whatever
-// they hold, so that nothing but slow start holds routers back.
+// fleet is a number of routers that serve the same group independently. Members respond after a fixed time regardless of
+// load, so that only slow start limits the routers.
 type fleet struct {
 	t        *testing.T
 	settings *Settings
 	now      float64
 	routers  []*Router
-	shares   []float64 // of the traffic
+	shares   []float64 // share of the traffic of each router
 	random   random.Source
-	rate     float64 // requests a ms over all
+	rate     float64 // requests per ms over all routers
 	ids      int
 	due      []answer
-	sent     map[string][]float64 // to a member, by time
+	sent     map[string][]float64 // send times by member
 	primary  string
 }
 
@@ -54,7 +54,7 @@
 	return f
 }
 
-// list gives all routers a list with each member's state and start.
+// list passes a list to all routers, with the state and start of each member.
 func (f *fleet) list(states map[string]State, started map[string]float64) {
 	for _, r := range f.routers {
 		r.Advance(f.now)
@@ -116,13 +116,13 @@
 	}
 }
 
-// The budget of slow start holds for the fleet: what a member in slow start is sent by all routers together, in each window that
-// the settings name, stays under what they allow it then, but for what chance explains.
+// The slow start budget holds for the whole fleet: in every window of the configured length, all routers together send a
+// member in slow start no more than the settings permit at that time, apart from random variation.
 func TestSlowStart_BudgetHoldsForTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		routers int
-		rate    float64 // requests a second
-		load    float64 // of what the members can do, before
+		rate    float64 // requests per second
+		load    float64 // share of the members' capacity used before slow start
 	}{{1, 100, 1}, {7, 100, 1}, {7, 20, 1}, {3, 100, 1}, {20, 100, 1}, {30, 100, 1}, {30, 400, 0.6}, {300, 100, 1}, {300, 400, 1}, {900, 300, 1}} {
 		for seed := uint64(1); seed <= 2; seed++ {
 			t.Run(fmt.Sprintf("%d routers, %.0f/s, load %.1f, seed %d", c.routers, c.rate, c.load, seed), func(t *testing.T) {
@@ -131,18 +131,18 @@
 				up := map[string]State{}
 				f.list(up, nil)
 				f.run(20000)
-				capacity := c.rate / fleetMembers / c.load / 1000 // what one member can do, requests a ms
+				capacity := c.rate / fleetMembers / c.load / 1000 // capacity of one member in requests per ms
 				start := f.now
 				f.list(map[string]State{"m1": Removed}, nil)
 				f.run(1000)
 				f.list(up, map[string]float64{"m1": start}) // in slow start
 				f.run(6500)
-				f.list(map[string]State{"m2": Draining, "m3": Draining}, map[string]float64{"m1": start}) // all their reads are left to it
+				f.list(map[string]State{"m2": Draining, "m3": Draining}, map[string]float64{"m1": start}) // the member in slow start has to serve all their reads
 				f.rate *= 2
 				f.run(3500)
 				var all []float64
 				for _, at := range f.sent["m1"] {
-					if at >= start && at < start+f.settings.SlowStartDuration { // after that its slow start is over
+					if at >= start && at < start+f.settings.SlowStartDuration { // its slow start ends then
 						all = append(all, at)
 					}
 				}
--- a/router/timer_test.go
+++ b/router/timer_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A timer may fire in a batch of events that began before its time. It was the only one, so the router asks for another: else
-// requests that wait would wait for ever.
+// A timer may fire in a batch of events whose time is before its deadline. Since no other timer is pending then, the
+// router must ask for a new one; otherwise waiting requests would wait forever.
 func TestTimerFired_Early(t *testing.T) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: map[string]*RequestClass{
 		"write": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, Effect: NonIdempotent, Level: Write}}}, 1)
@@ -25,7 +25,7 @@
 		t.Fatal("no timer while a request waits")
 	}
 	for n := range 3 {
-		r.Advance(1001 + float64(n)) // a batch that began then, and in which it fired
+		r.Advance(1001 + float64(n)) // the time of a batch in which the timer fired
 		r.TimerFired()
 		if at, _ = next(); at <= r.now {
 			t.Fatalf("time %d: no timer is out any more", n)
