--- a/router/activegroups_test.go
+++ b/router/activegroups_test.go
@@ -72,6 +72,6 @@
 		pull(now)
 	}
 	if n := r.activeGroups.Expirations - before; n > 100 { // one visit for the arrival, at most one for the end of a check
-		t.Errorf("50 requests of one group visited groups %d times, of %d active ones", n, r.activeGroups.Len())
+		t.Errorf("50 requests for one group caused %d group visits with %d active groups", n, r.activeGroups.Len())
 	}
 }
--- a/router/admission.go
+++ b/router/admission.go
@@ -27,8 +27,8 @@
 		}
 	}
 	if a.infrequent { // otherwise the concurrency limit of the member applies
-		r.slowResponses.of(isPrimary).Add(r.now, maxSmoothingSpan, slow, 1)
-		g.slowResponses.of(isPrimary).Add(r.now, maxSmoothingSpan, slow, 1)
+		r.slowResponses.of(isPrimary).Add(r.now, maxSmoothingTime, slow, 1)
+		g.slowResponses.of(isPrimary).Add(r.now, maxSmoothingTime, slow, 1)
 	}
 	m.adjustLimit(headroom, float64(r.settings.Routers))
 }
@@ -38,14 +38,14 @@
 // would disappear in the average.
 func (r *Router) relativeSlowShare(g *group, isPrimary bool) float64 {
 	all, own := r.slowResponses.of(isPrimary), g.slowResponses.of(isPrimary)
-	share := math.Max(targetSlowShare, all.Total.Read(r.now, maxSmoothingSpan)/math.Max(1, all.Weight.Read(r.now, maxSmoothingSpan)))
-	return own.Estimate(r.now, maxSmoothingSpan, priorWeight, share) / share
+	share := math.Max(targetSlowShare, all.Total.Read(r.now, maxSmoothingTime)/math.Max(1, all.Weight.Read(r.now, maxSmoothingTime)))
+	return own.Estimate(r.now, maxSmoothingTime, priorWeight, share) / share
 }
 
 // admits decides at random whether to admit a request, or to let a read use a primary (load shedding). The probability
 // grows with the ratio of weight to work of the request, relative to the average request.
 func (r *Router) admits(req *request, toPrimary bool) bool {
-	meanWeight := r.arrivedWeight.Read(r.now, maxSmoothingSpan) / r.arrivals.Read(r.now, maxSmoothingSpan)
+	meanWeight := r.arrivedWeight.Read(r.now, maxSmoothingTime) / r.arrivals.Read(r.now, maxSmoothingTime)
 	probability := *r.admission.of(toPrimary) / r.relativeSlowShare(req.group, toPrimary)
 	return probability >= 1 ||
 		r.random.Next() < math.Pow(probability, meanWeight*req.class.LatencyObjective/req.weight)
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -8,8 +8,8 @@
 // Refused connections above both thresholds show that connection tables are full; fewer are isolated connection
 // failures.
 const (
-	fewRefusals        = 0.5 // refused connections, as a decaying sum
-	arrivalsPerRefusal = 20  // one refused connection per this many requests
+	minRefusalsForFullTable = 0.5 // refused connections, as a decaying sum
+	arrivalsPerRefusal      = 20  // one refused connection per this many requests
 )
 
 // attempt is one sending of a request to a member.
@@ -17,14 +17,14 @@
 	member          *member
 	request         *request
 	sentAt          float64
-	waitingSince    float64 // since when a response of the member is due
+	waitingSince    float64 // since when the attempt has been waiting for the member
 	expectedLatency float64
 	inFlight        bool
 	misrouted       bool
 	canceled        bool
 	infrequent      bool // attempts at the member are so rare that even the smallest concurrency limit would not delay this one
 	idle            bool // no response of the member is due: the attempt waits for a pooled connection or for the client
-	clientsTurn     bool // idle after part of the response has been passed to the client
+	awaitingClient  bool // idle after part of the response has been passed to the client
 
 	retryNotBefore      float64 // earliest time at which the request may be sent to this member again after NotSent
 	previousAttemptSent float64 // state of the member before this attempt, for undoNotSent
@@ -85,24 +85,24 @@
 	} else if !a.idle && idle && responseBegun {
 		r.recordResponse(a)
 	}
-	clientsTurn := idle && responseBegun
-	if clientsTurn && !a.clientsTurn {
+	awaitingClient := idle && responseBegun
+	if awaitingClient && !a.awaitingClient {
 		a.member.load--
-	} else if !clientsTurn && a.clientsTurn {
+	} else if !awaitingClient && a.awaitingClient {
 		a.member.load++
 	}
-	a.idle, a.clientsTurn = idle, clientsTurn
+	a.idle, a.awaitingClient = idle, awaitingClient
 }
 
 // recordAttemptEnd updates the state of a member when an attempt at it ends.
 func (r *Router) recordAttemptEnd(a *attempt, outcome Outcome, latency float64, role Role, position float64) {
 	m, req := a.member, a.request
-	if outcome.isAnswer() {
+	if outcome.isResponse() {
 		r.recordResponse(a)
 	}
 	r.removeInFlight(a)
-	if outcome.isAnswer() {
-		r.answeredAttempts.Add(r.now, r.smoothingSpan, 1)
+	if outcome.isResponse() {
+		r.respondedAttempts.Add(r.now, r.smoothingTime, 1)
 		wasPrimary := r.primary(m.group) == m
 		m.recordRole(role, r.now, position)
 		if outcome == Misrouted {
@@ -113,9 +113,9 @@
 	case Succeeded:
 		r.recordSuccess(a, latency)
 	case ServerError:
-		m.failures.Add(r.now, r.smoothingSpan, 1)
+		m.failures.Add(r.now, r.smoothingTime, 1)
 	case ConnectFailed, Reset:
-		m.failures.Add(r.now, r.smoothingSpan, 1)
+		m.failures.Add(r.now, r.smoothingTime, 1)
 		m.connectFailed = outcome == ConnectFailed
 		r.markDown(m)
 	case TimedOut, Canceled:
@@ -129,15 +129,15 @@
 func (r *Router) removeInFlight(a *attempt) {
 	m := a.member
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(other *attempt) bool { return other == a })
-	if !a.clientsTurn {
+	if !a.awaitingClient {
 		m.load--
 	}
 	if len(m.inFlight) > 0 {
 		return
 	}
 	r.busyMembers = slices.DeleteFunc(r.busyMembers, func(other *member) bool { return other == m })
-	if r.refusedConnections.Read(r.now, maxSmoothingSpan) > math.Max(fewRefusals, r.arrivals.Value/arrivalsPerRefusal) {
-		r.membersToClose = append(r.membersToClose, m)
+	if r.refusedConnections.Read(r.now, maxSmoothingTime) > math.Max(minRefusalsForFullTable, r.arrivals.Value/arrivalsPerRefusal) {
+		r.idleCloseQueue = append(r.idleCloseQueue, m)
 	}
 }
 
@@ -145,9 +145,9 @@
 	m, req := a.member, a.request
 	r.recordCompletedWork(req)
 	usual := r.usualLatency(req)
-	req.stats.latency.Add(r.now, r.smoothingSpan, latency, 1)
-	m.latencyRatios.Add(r.now, r.smoothingSpan, latency/usual)
-	m.successes.Add(r.now, r.smoothingSpan, 1)
+	req.stats.latency.Add(r.now, r.smoothingTime, latency, 1)
+	m.latencyRatios.Add(r.now, r.smoothingTime, latency/usual)
+	m.successes.Add(r.now, r.smoothingTime, 1)
 	r.adjustAdmission(a, req.class.LatencyObjective/2/latency)
 }
 
@@ -158,9 +158,9 @@
 	m, req, waited := a.member, a.request, r.now-a.waitingSince
 	loss := r.lossShare()
 	lost := loss / (loss + (1-loss)*math.Exp(-(waited/a.expectedLatency)))
-	r.lostAttempts.Add(r.now, r.smoothingSpan, lost)
-	m.failures.Add(r.now, r.smoothingSpan, lost)
-	req.stats.latency.Add(r.now, r.smoothingSpan, (1-lost)*(waited+a.expectedLatency), 1-lost)
+	r.lostAttempts.Add(r.now, r.smoothingTime, lost)
+	m.failures.Add(r.now, r.smoothingTime, lost)
+	req.stats.latency.Add(r.now, r.smoothingTime, (1-lost)*(waited+a.expectedLatency), 1-lost)
 	if lost < 0.5 && waited > math.Min(req.class.LatencyObjective/2, 2*a.expectedLatency) { // otherwise the attempt ended early because the client had little time left
 		r.adjustAdmission(a, 0)
 	}
--- a/router/capacity.go
+++ b/router/capacity.go
@@ -6,7 +6,7 @@
 	initialConcurrencyLimit = 1.0 // attempts in flight at a new member; low because all routers may start at the same time
 	minConcurrencyLimit     = 0.2 // one attempt in flight a fifth of the time, so that the recovery of a member is still noticed
 	minLimitStep            = 0.1
-	limitStepShare          = 50 // the step is the limit divided by this
+	limitStepDivisor        = 50 // the step is the limit divided by this
 	limitDecreaseSteps      = 4  // a slow response lowers the limit by as many steps as four fast ones raise it
 )
 
@@ -16,15 +16,15 @@
 // ordered by weight. Where the limit is seldom adjusted, it may hold back too much. headroom is half the latency
 // objective divided by the latency.
 func (m *member) adjustLimit(headroom, routers float64) {
-	step := math.Max(minLimitStep, m.concurrencyLimit/limitStepShare)
+	step := math.Max(minLimitStep, m.concurrencyLimit/limitStepDivisor)
 	quick := headroom > 1
-	inUse := m.load+1 >= m.concurrencyLimit-1 || !m.limitFound && 2*m.load+2 >= m.concurrencyLimit
+	inUse := m.load+1 >= m.concurrencyLimit-1 || !m.limitReached && 2*m.load+2 >= m.concurrencyLimit
 	switch {
 	case !quick:
 		m.concurrencyLimit = math.Max(minConcurrencyLimit, m.concurrencyLimit-limitDecreaseSteps*step*math.Min(1, m.concurrencyLimit))
-		m.limitFound = true
+		m.limitReached = true
 	case !inUse: // the response does not show that a higher limit is possible
-	case m.limitFound:
+	case m.limitReached:
 		m.concurrencyLimit += step
 	default:
 		// Until the first slow response the limit grows faster; the risk that one router may take is divided among all
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -44,7 +44,7 @@
 		return r.endRequest(req), true
 	}
 	req.admitted = true
-	if r.lastUnplaced != nil && sameChoice(r.lastUnplaced, req) {
+	if r.lastUnplaced != nil && sameCandidates(r.lastUnplaced, req) {
 		return Decision{}, false
 	}
 	m := r.selectMember(req)
@@ -58,9 +58,9 @@
 	return r.send(req, m), true
 }
 
-// sameChoice reports whether two requests can be served by the same members, so that if none was found for one, none
+// sameCandidates reports whether two requests can be served by the same members, so that if none was found for one, none
 // will be found for the other.
-func sameChoice(a, b *request) bool {
+func sameCandidates(a, b *request) bool {
 	unrestricted := func(req *request) bool {
 		return !req.sticky && req.requiredPosition == Never && len(req.attempts) == 0
 	}
@@ -106,7 +106,7 @@
 	m.slowStartBudget.Spend(req.class.LatencyObjective)
 	decision := Decision{Action: SendAttempt, RequestID: req.id, Member: m.id, NotAfter: r.notAfter(req, m)}
 	if req.effect == Idempotent && !r.settings.CanCancel {
-		decision.Wait = r.lostAfter(a) // a timeout instead of a cancellation
+		decision.Wait = r.lossTimeout(a) // a timeout instead of a cancellation
 	}
 	return decision
 }
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	restingCheckPeriod = 1000.0 // ms: shortest health check period in routine operation (docs/design.md)
+	routineCheckPeriod = 1000.0 // ms: shortest health check period in routine operation (docs/design.md)
 	requestsPerCheck   = 4.0    // requests per routine check: few enough to notice changes, enough to justify the cost of a check
 	recheckPeriod      = 500.0  // ms: check period while a group has no primary (docs/design.md), and interval between trials
 )
@@ -45,12 +45,12 @@
 // checked more often, and so are all members of a group while requests wait for its primary.
 func (r *Router) checkDue(m *member) float64 {
 	g, downFor := m.group, m.lastCheckSent-m.downAt
-	perMember := float64(len(g.members)) * r.smoothingSpan / g.arrivals.Read(r.now, r.smoothingSpan)
+	perMember := float64(len(g.members)) * r.smoothingTime / g.arrivals.Read(r.now, r.smoothingTime)
 	switch {
 	case m.draining:
 		return math.Inf(1)
 	case m.checkInFlight:
-		return m.lastCheckSent + restingCheckPeriod
+		return m.lastCheckSent + routineCheckPeriod
 	case m.checkRequested:
 		return m.lastCheckSent + tick
 	// Many routers must not check all members of all groups at once: members that were never checked are checked one by
@@ -66,19 +66,19 @@
 	case !m.known:
 		return m.lastCheckSent + math.Max(recheckPeriod, perMember)
 	}
-	return r.restingCheckDue(m, perMember)
+	return r.routineCheckDue(m, perMember)
 }
 
-// restingCheckDue returns when a routine check of the member is due. If enough reads need positions to justify it, that
+// routineCheckDue returns when a routine check of the member is due. If enough reads need positions to justify it, that
 // is well within the smallest staleness bound. Otherwise each check needs a number of requests, so that many routers
 // with little traffic do not send more checks than requests, and a response to a request counts as a check. perMember is
 // the time in ms in which the group gets one request per member.
-func (r *Router) restingCheckDue(m *member, perMember float64) float64 {
+func (r *Router) routineCheckDue(m *member, perMember float64) float64 {
 	g := m.group
-	forReads := 2 * float64(len(g.members)) * r.smoothingSpan / g.positionReads.Read(r.now, r.smoothingSpan)
+	forReads := 2 * float64(len(g.members)) * r.smoothingTime / g.positionReads.Read(r.now, r.smoothingTime)
 	lastReport := math.Max(m.lastCheckSent, m.lastPeerReport)
-	resting := math.Max(restingCheckPeriod, requestsPerCheck*perMember) + math.Max(0, m.lastResponse-lastReport)
-	return lastReport + math.Max(r.minCheckPeriod, math.Min(forReads, resting))
+	routine := math.Max(routineCheckPeriod, requestsPerCheck*perMember) + math.Max(0, m.lastResponse-lastReport)
+	return lastReport + math.Max(r.minCheckPeriod, math.Min(forReads, routine))
 }
 
 // HealthChecked records the end of a health check. The state that the member reported is passed to Reported.
@@ -118,10 +118,10 @@
 // keeps its role, since reports may be older than the loss.
 func (r *Router) recordCheckPassed(m *member) {
 	if m.connectFailed && m.down {
-		r.refusedConnections.Add(r.now, maxSmoothingSpan, 1)
+		r.refusedConnections.Add(r.now, maxSmoothingTime, 1)
 	} else if m.down && r.now-m.downAt > recheckPeriod {
 		m.lastKnownNotPrimary = math.Max(m.lastKnownNotPrimary, m.downAt)
-		if r.now-m.presumedRestartAt > maxSmoothingSpan {
+		if r.now-m.presumedRestartAt > maxSmoothingTime {
 			m.presumedRestartAt = r.now
 			m.beginSlowStart()
 		}
--- a/router/healthcheck_test.go
+++ b/router/healthcheck_test.go
@@ -11,7 +11,7 @@
 func TestPeerReported_SparesHealthChecks(t *testing.T) {
 	read := &RequestClass{LatencyObjective: 500, PriorityWeight: 1, Deadline: 1000, Level: Bounded, StalenessBound: 900}
 	roles := map[string]Role{"a": Primary, "b": Replica, "c": Replica}
-	play := func(peersUpTo float64) (checks []float64) {
+	checkTimes := func(peersUpTo float64) (checks []float64) {
 		r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 1, SlowStartDuration: 1, OverloadMultiple: 2, OverloadWindow: 1000,
 			RequestClasses: map[string]*RequestClass{"read": read}}, 1)
 		r.Advance(1)
@@ -42,12 +42,12 @@
 		}
 		return checks
 	}
-	alone, helped, quiet := play(0), play(1e9), play(5000)
+	alone, helped, quiet := checkTimes(0), checkTimes(1e9), checkTimes(5000)
 	if len(helped) > 6 || len(alone) < 60 {
-		t.Errorf("%d checks, %d with peer reports", len(alone), len(helped))
+		t.Errorf("%d checks without peer reports, %d with them", len(alone), len(helped))
 	}
 	back := slices.IndexFunc(quiet, func(at float64) bool { return at > 5000 })
-	if back < 0 || quiet[back] > 4800+restingCheckPeriod+100 {
-		t.Errorf("peers went quiet at 4,800; checks: %v", quiet)
+	if back < 0 || quiet[back] > 4800+routineCheckPeriod+100 {
+		t.Errorf("last peer reports at 4,800; checks: %v", quiet)
 	}
 }
--- a/router/membership.go
+++ b/router/membership.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	listPacedAfter   = 2000.0 // ms: a failed list request that took this long, a heartbeat of the watch, has delayed the next one
-	listPacedPause   = 250.0  // ms: mean pause before the next request after that, with jitter of one half
-	listPausesInPoll = 8      // otherwise the mean pause is the poll timeout divided by this, at most one second
+	longListRequest          = 2000.0 // ms: a failed list request that took this long, a heartbeat of the watch, has delayed the next one
+	longListRequestPause     = 250.0  // ms: mean pause before the next request after that, with jitter of one half
+	listPausesPerPollTimeout = 8      // otherwise the mean pause is the poll timeout divided by this, at most one second
 )
 
 // member is this router's state of one member.
@@ -47,7 +47,7 @@
 	suspected         bool    // has not responded for too long; cleared by any response to an attempt
 	suspectedAt       float64 // when it became suspected
 	trialReady        bool    // a check has passed since then, and no trial has been sent
-	answeredUpTo      float64 // when the latest attempt that it has responded to was sent
+	respondedUpTo     float64 // when the latest attempt that it has responded to was sent
 	longestSilence    decay.Sum
 	latencyRatios     decay.Sum // sum of latencies of successes, each relative to the usual latency
 	successes         decay.Sum
@@ -58,7 +58,7 @@
 	load             float64 // attempts in flight, except those that wait for their clients
 	lastAttemptSent  float64
 	concurrencyLimit float64 // limit on this router's attempts in flight at the member
-	limitFound       bool    // the limit has been reached once and now grows slowly
+	limitReached     bool    // a slow response has shown the limit, which now grows slowly
 	slowStartBudget  slowstart.Bucket
 }
 
@@ -100,7 +100,7 @@
 }
 
 // BeginList starts an endpoint list, which is complete or contains changes; ListMember calls and one EndList follow.
-func (r *Router) BeginList() { r.listed = map[string]bool{} }
+func (r *Router) BeginList() { r.pendingList = map[string]bool{} }
 
 // ListMember passes in one member of a list. started is when the member started, Never if long ago; if that is later
 // than the start known so far, slow start begins. The list is never used to determine which member is primary.
@@ -110,7 +110,7 @@
 	if m == nil {
 		m = r.addMember(id, zone, g)
 	}
-	r.listed[id] = state != Removed
+	r.pendingList[id] = state != Removed
 	g.checkTimer.Set(r.now)
 	if started > m.startedAt {
 		m.startedAt = started
@@ -140,7 +140,7 @@
 func (r *Router) EndList(complete bool) {
 	up := 0.0
 	for id, m := range r.members {
-		present, mentioned := r.listed[id]
+		present, mentioned := r.pendingList[id]
 		if !present && (mentioned || complete) && !r.settings.SoftRemoval {
 			r.removeMember(m)
 		} else if !m.draining {
@@ -149,7 +149,7 @@
 	}
 	r.dropEmptyGroups()
 	r.rebindWaiting()
-	r.mostMembersUp = math.Max(r.mostMembersUp, up)
+	r.maxMembersUp = math.Max(r.maxMembersUp, up)
 	if r.settings.PollsList && r.nextListRequest != Never {
 		r.nextListRequest = math.Inf(1)
 	}
@@ -189,9 +189,9 @@
 	if !r.settings.PollsList {
 		return
 	}
-	pause := math.Min(r.settings.ListPollTimeout/listPausesInPoll, restingCheckPeriod)
-	if r.now-r.listRequestedAt >= listPacedAfter {
-		pause = math.Min(pause, listPacedPause)
+	pause := math.Min(r.settings.ListPollTimeout/listPausesPerPollTimeout, routineCheckPeriod)
+	if r.now-r.listRequestedAt >= longListRequest {
+		pause = math.Min(pause, longListRequestPause)
 	}
 	r.nextListRequest = math.Min(r.nextListRequest, r.now+pause*(0.5+r.random.Next()))
 }
--- a/router/membership_test.go
+++ b/router/membership_test.go
@@ -25,7 +25,7 @@
 		}
 		return sent, ended
 	}
-	var late []Decision
+	var unfinished []Decision
 	for n := range 500 {
 		at := float64(n) * 1000
 		r.Advance(at)
@@ -35,22 +35,22 @@
 			r.ListMember(fmt.Sprint("m", n-1), "z", n-1, Removed, at-1000)
 		}
 		r.EndList(n%2 == 0)
-		for _, d := range late {
+		for _, d := range unfinished {
 			r.AttemptEnded(d.RequestID, 0, TimedOut, 900, true, RoleUnknown, Never)
 		}
 		r.Arrive(fmt.Sprint("t", n), "", "", "read", n, 0, 1000, false)
 		r.Arrive(fmt.Sprint("u", n), "", "", "read", -n, 0, 1000, false)
 		pull(at)
-		if late, _ = pull(at + 1); len(late) != 1 || late[0].Member != fmt.Sprint("m", n) {
-			t.Fatalf("%d: sent %v", n, late)
+		if unfinished, _ = pull(at + 1); len(unfinished) != 1 || unfinished[0].Member != fmt.Sprint("m", n) {
+			t.Fatalf("%d: sent %v", n, unfinished)
 		}
 		if _, ended := pull(at + 990); n > 0 && ended != 1 {
-			t.Fatalf("%d: %d ended, want the one without a group", n, ended)
+			t.Fatalf("%d: %d requests ended, want only the one without a group", n, ended)
 		}
 		for name, kept := range map[string]int{"members": len(r.members), "groups": len(r.groups), "active groups": r.activeGroups.Len(),
-			"requests": len(r.requests), "busy members": len(r.busyMembers), "waiting": len(r.waiting), "members to close": len(r.membersToClose)} {
+			"requests": len(r.requests), "busy members": len(r.busyMembers), "waiting": len(r.waiting), "idle close queue": len(r.idleCloseQueue)} {
 			if kept > 2 {
-				t.Fatalf("%d: %d %s are kept", n, kept, name)
+				t.Fatalf("%d: %d %s are still in memory", n, kept, name)
 			}
 		}
 	}
@@ -59,10 +59,10 @@
 // After a failed list request, the next one follows within 1.5 s, but not in the same instant, for any poll timeout: the
 // watch is given up after 2.5 s of silence, and a change must be known after 6 s even if one more request fails.
 func TestListFailed_NextRequestInTime(t *testing.T) {
-	for _, within := range []float64{2000, 10000, 40000} {
+	for _, pollTimeout := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 50; seed++ {
-			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
-			watches := func(now float64) (asked bool) {
+			r := New(&Settings{PollsList: true, ListPollTimeout: pollTimeout, Routers: 1}, seed)
+			listRequested := func(now float64) (asked bool) {
 				r.Advance(now)
 				r.TimerFired()
 				for d, more := r.Next(); more; d, more = r.Next() {
@@ -70,17 +70,17 @@
 				}
 				return asked
 			}
-			if !watches(1) {
-				t.Fatal("no call at first")
+			if !listRequested(1) {
+				t.Fatal("no initial list request")
 			}
 			r.Advance(50)
 			r.ListFailed()
-			if watches(50) {
-				t.Errorf("within %.0f, seed %d: asked again at once", within, seed)
+			if listRequested(50) {
+				t.Errorf("poll timeout %.0f, seed %d: list requested again at once", pollTimeout, seed)
 			}
-			for now := 60.0; !watches(now); now += 10 {
+			for now := 60.0; !listRequested(now); now += 10 {
 				if now > 50+1500 {
-					t.Fatalf("within %.0f, seed %d: not asked after %.0f ms", within, seed, now-50)
+					t.Fatalf("poll timeout %.0f, seed %d: list not requested after %.0f ms", pollTimeout, seed, now-50)
 				}
 			}
 		}
@@ -91,11 +91,11 @@
 // after a request that was made without a preceding failure and hangs. Each is given up after 2.5 s.
 func TestListFailed_TwoSilentWatchesInARow(t *testing.T) {
 	const hang = 2500
-	for _, within := range []float64{2000, 10000, 40000} {
+	for _, pollTimeout := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 200; seed++ {
-			r := New(&Settings{PollsList: true, ListPollTimeout: within, Routers: 1}, seed)
+			r := New(&Settings{PollsList: true, ListPollTimeout: pollTimeout, Routers: 1}, seed)
 			now := 0.0
-			watch := func() float64 {
+			awaitListRequest := func() float64 {
 				for ; ; now += tick {
 					r.Advance(now)
 					r.TimerFired()
@@ -106,25 +106,25 @@
 					}
 				}
 			}
-			fail := func() {
+			failListRequest := func() {
 				now += hang
 				r.Advance(now)
 				r.ListFailed()
 			}
-			watch()
+			awaitListRequest()
 			now = 50
 			r.Advance(now)
 			r.BeginList()
 			r.EndList(false) // the first request is answered
 			now = 30000
-			silent := now
-			fail()
-			if asked := watch(); asked-silent > 4000-tick {
-				t.Errorf("within %.0f, seed %d: asked %.0f ms after the first silence", within, seed, asked-silent)
+			silentSince := now
+			failListRequest()
+			if asked := awaitListRequest(); asked-silentSince > 4000-tick {
+				t.Errorf("poll timeout %.0f, seed %d: list requested %.0f ms after the first silence", pollTimeout, seed, asked-silentSince)
 			}
-			fail()
-			if asked := watch(); asked-silent > 6000-tick {
-				t.Errorf("within %.0f, seed %d: asked %.0f ms after two silences", within, seed, asked-silent)
+			failListRequest()
+			if asked := awaitListRequest(); asked-silentSince > 6000-tick {
+				t.Errorf("poll timeout %.0f, seed %d: list requested %.0f ms after the first of two silences", pollTimeout, seed, asked-silentSince)
 			}
 		}
 	}
--- a/router/notafter_test.go
+++ b/router/notafter_test.go
@@ -43,7 +43,7 @@
 		r.Advance(1000)
 		r.Arrive(c.class, "", "", c.class, 1, 0, 2000, false)
 		if to, by := sentTo(c.class); to != c.to || by != c.by {
-			t.Errorf("%s: to %s until %v, want %s until %v", c.class, to, by, c.to, c.by)
+			t.Errorf("%s: sent to %s with NotAfter %v, want %s with %v", c.class, to, by, c.to, c.by)
 		}
 		if c.class != "put" {
 			r.AttemptEnded(c.class, 0, Succeeded, 10, true, Replica, Never)
@@ -52,7 +52,7 @@
 	r.Advance(1100)
 	r.AttemptEnded("put", 0, ServerError, 100, false, Primary, Never)
 	if _, by := sentTo("put"); by != 1000+900-maxStall {
-		t.Errorf("a retry until %v, want %v", by, 1900-maxStall)
+		t.Errorf("retry with NotAfter %v, want %v", by, 1900-maxStall)
 	}
 }
 
@@ -95,7 +95,7 @@
 		r.Arrive("1", "", "", "read", 1, 0, 2000, false)
 		d := sent(r)
 		if d.Member == "c" && d.NotAfter+stall > c.position+300+slack {
-			t.Errorf("position %v: written by %v after a stall, its data is too old from %v on", c.position, d.NotAfter+stall, c.position+300+slack)
+			t.Errorf("position %v: after a stall it may be written as late as %v, but the data is too old from %v on", c.position, d.NotAfter+stall, c.position+300+slack)
 		}
 		if (d.Member == "c") != (c.to == "c") {
 			t.Errorf("position %v: sent to %q, want %q", c.position, d.Member, c.to)
@@ -108,13 +108,13 @@
 		r := begin(1000)
 		r.Arrive("1", "", "", "put", 1, 0, 5000, false)
 		if sent(r).Member != "p" {
-			t.Fatal("the first was not sent")
+			t.Fatal("the first attempt was not sent")
 		}
 		r.Advance(c.at)
 		r.Reported("p", Primary, c.at)
 		r.AttemptEnded("1", 0, ServerError, 10, false, Primary, Never)
 		if d := sent(r); (d.Member == "p") != c.sent || c.sent && d.NotAfter+stall > 1000+900+slack {
-			t.Errorf("a retry at %v: sent to %q by %v", c.at, d.Member, d.NotAfter)
+			t.Errorf("retry at %v: sent to %q with NotAfter %v", c.at, d.Member, d.NotAfter)
 		}
 	}
 }
--- a/router/notsent_test.go
+++ b/router/notsent_test.go
@@ -55,14 +55,14 @@
 				before += attempts
 			}
 			if final != nil && (final.Action != SendAttempt || now < 1300 || now > 1300+maxNotSentPause) {
-				t.Errorf("%d members: decision %d at %.0f", members, final.Action, now)
+				t.Errorf("%d members: final decision %d at %.0f", members, final.Action, now)
 			}
 		}
 		if final == nil {
-			t.Errorf("%d members: no final answer", members)
+			t.Errorf("%d members: no final response", members)
 		}
 		if before < members {
-			t.Errorf("%d members: %d attempts before a connection came free", members, before)
+			t.Errorf("%d members: %d attempts before a connection became free", members, before)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		return m.slowStartBudget.Allows(1000, 0, objective, window, 1, func() float64 { return 1 })
 	}
 	if !allowed() {
-		t.Fatal("the budget does not allow one")
+		t.Fatal("the slow start budget does not allow a request")
 	}
 	r.Arrive("t", "", "", "read", 1, 0, 3000, false)
 	if d, _ := r.Next(); d.Action != SendAttempt || allowed() || m.trialReady {
--- a/router/read.go
+++ b/router/read.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	askWaitShare     = 8    // a read waits for checks on its behalf for its latency objective divided by this
-	spillLimitShare  = 2    // while all suitable replicas are full, reads may use the concurrency limit of the primary divided by this
-	failureExponent  = 4    // exponent of the success share in the sampling weight of a member
-	retryDiscount    = 10.0 // factor by which a member that has not served a request is less likely to get it again
-	sameZonePriority = 2.0  // crossing zones has a cost; a larger factor would overload zones with few members
+	checkWaitDivisor      = 8    // a read waits for checks on its behalf for its latency objective divided by this
+	spilloverLimitDivisor = 2    // while all suitable replicas are full, reads may use the concurrency limit of the primary divided by this
+	failureExponent       = 4    // exponent of the success share in the sampling weight of a member
+	retryDiscount         = 10.0 // factor by which a member that has not served a request is less likely to get it again
+	sameZoneFactor        = 2.0  // crossing zones has a cost; a larger factor would overload zones with few members
 )
 
 // readCandidates holds the replicas that may serve a read, by what is known of their positions.
 type readCandidates struct {
-	trial     *member   // suspected member that is due for a trial
-	fresh     []*member // known to have the position
-	likely    []*member // likely to have the position, by their replication lag at the last check
-	others    []*member // neither
-	unsure    []*member // likely to have the position, but not eligible
-	full      bool      // a replica that has the position is not eligible
-	unchecked bool      // a replica has never been checked
+	trial                 *member   // suspected member that is due for a trial
+	fresh                 []*member // known to have the position
+	likelyFresh           []*member // likely to have the position, by their replication lag at the last check
+	others                []*member // neither
+	likelyFreshIneligible []*member // likely to have the position, but not eligible
+	hasFreshIneligible    bool      // a replica that has the position is not eligible
+	hasUnchecked          bool      // a replica has never been checked
 }
 
 // selectReadMember selects a member for a request that does not need the primary; nil if it must wait.
@@ -32,12 +32,12 @@
 		return found.trial
 	}
 	if len(found.fresh) > 0 {
-		return r.drawMember(req, found.fresh)
+		return r.sampleMember(req, found.fresh)
 	}
 	primary := r.primary(req.group)
-	if found.full {
+	if found.hasFreshIneligible {
 		// Guards against a shortage of replicas: the primary takes some of the reads.
-		if found.unchecked || primary == nil || primary.load >= primary.concurrencyLimit/spillLimitShare {
+		if found.hasUnchecked || primary == nil || primary.load >= primary.concurrencyLimit/spilloverLimitDivisor {
 			return nil
 		}
 		return r.ifEligible(req, primary)
@@ -45,7 +45,7 @@
 	if r.settings.Lag != LagAnswers {
 		return r.selectByLag(req, found, primary)
 	}
-	if found.unchecked || r.waitsForChecks(req, found.unsure) {
+	if found.hasUnchecked || r.waitsForChecks(req, found.likelyFreshIneligible) {
 		return nil
 	}
 	return r.ifEligible(req, primary)
@@ -56,24 +56,24 @@
 	var found readCandidates
 	primary, needed := r.primary(req.group), r.provenPosition(req)
 	for _, m := range req.group.members {
-		eligible, seemsFresh := r.eligible(req, m), r.now-m.replicationLag >= needed
+		eligible, likelyFresh := r.eligible(req, m), r.now-m.replicationLag >= needed
 		switch {
 		case eligible && m.suspected:
 			found.trial = m
 			return found
 		case m == primary || m.suspected || m.draining || m.down || req.misroutedBy(m):
 		case m.lastCheckSent == Never:
-			found.unchecked = r.settings.CanHealthCheck
+			found.hasUnchecked = r.settings.CanHealthCheck
 		case eligible && m.position >= needed:
 			found.fresh = append(found.fresh, m)
-		case eligible && seemsFresh:
-			found.likely = append(found.likely, m)
+		case eligible && likelyFresh:
+			found.likelyFresh = append(found.likelyFresh, m)
 		case eligible:
 			found.others = append(found.others, m)
 		case m.position >= needed:
-			found.full = true
-		case seemsFresh && m.known:
-			found.unsure = append(found.unsure, m)
+			found.hasFreshIneligible = true
+		case likelyFresh && m.known:
+			found.likelyFreshIneligible = append(found.likelyFreshIneligible, m)
 		}
 	}
 	return found
@@ -83,9 +83,9 @@
 // enough, on the first attempt otherwise the one with the smallest lag, then the primary.
 func (r *Router) selectByLag(req *request, found readCandidates, primary *member) *member {
 	switch {
-	case len(found.likely) > 0:
-		return r.drawMember(req, found.likely)
-	case found.unchecked:
+	case len(found.likelyFresh) > 0:
+		return r.sampleMember(req, found.likelyFresh)
+	case found.hasUnchecked:
 		return nil
 	case len(req.attempts) == 0 && len(found.others) > 0:
 		return slices.MinFunc(found.others, func(a, b *member) int { return cmp.Compare(a.replicationLag, b.replicationLag) })
@@ -95,34 +95,34 @@
 
 // waitsForChecks reports whether the request waits briefly for health checks of two members that are likely to be fresh
 // enough, as waiting operations do (docs/design.md). The first call requests the checks.
-func (r *Router) waitsForChecks(req *request, unsure []*member) bool {
-	if len(unsure) > 0 && r.settings.CanHealthCheck && req.checksRequestedAt == Never {
+func (r *Router) waitsForChecks(req *request, candidates []*member) bool {
+	if len(candidates) > 0 && r.settings.CanHealthCheck && req.checksRequestedAt == Never {
 		req.checksRequestedAt = r.now
-		r.drawMember(req, unsure).requestCheck()
-		r.drawMember(req, unsure).requestCheck()
+		r.sampleMember(req, candidates).requestCheck()
+		r.sampleMember(req, candidates).requestCheck()
 		return true
 	}
 	checkPending := func(m *member) bool { return m.checkInFlight && !m.suspected && !m.down }
-	return r.now-req.checksRequestedAt < req.class.LatencyObjective/askWaitShare &&
+	return r.now-req.checksRequestedAt < req.class.LatencyObjective/checkWaitDivisor &&
 		slices.ContainsFunc(req.group.members, checkPending)
 }
 
-// drawMember selects a member by weighted random sampling. The weight falls with the square of smoothed latency times (1
+// sampleMember selects a member by weighted random sampling. The weight falls with the square of smoothed latency times (1
 // + load).
-func (r *Router) drawMember(req *request, from []*member) *member {
-	var drawn *member
+func (r *Router) sampleMember(req *request, from []*member) *member {
+	var selected *member
 	highest := Never
 	for _, m := range from {
-		key := math.Log(r.random.Next()) / r.drawWeight(req, m) // Efraimidis and Spirakis: the highest key wins
-		if drawn == nil || key > highest {
-			drawn, highest = m, key
+		key := math.Log(r.random.Next()) / r.samplingWeight(req, m) // Efraimidis and Spirakis: the highest key wins
+		if selected == nil || key > highest {
+			selected, highest = m, key
 		}
 	}
-	return drawn
+	return selected
 }
 
-func (r *Router) drawWeight(req *request, m *member) float64 {
-	successes, failures := m.successes.Read(r.now, r.smoothingSpan), m.failures.Read(r.now, r.smoothingSpan)
+func (r *Router) samplingWeight(req *request, m *member) float64 {
+	successes, failures := m.successes.Read(r.now, r.smoothingTime), m.failures.Read(r.now, r.smoothingTime)
 	cost := r.latencyRatio(m) * (1 + m.load)
 	// Guards against members that fail or reject quickly: their low latency would attract more requests.
 	weight := math.Pow((successes+1)/(successes+failures+1), failureExponent) / (cost * cost)
@@ -130,7 +130,7 @@
 		weight /= retryDiscount
 	}
 	if m.zone == r.settings.Zone {
-		weight *= sameZonePriority
+		weight *= sameZoneFactor
 	}
 	return weight
 }
--- a/router/request.go
+++ b/router/request.go
@@ -76,25 +76,25 @@
 // recordArrival updates the arrival measurements and reduces the weight of a request whose tenant is over quota.
 func (r *Router) recordArrival(req *request, tenant string) {
 	class, g := req.class, req.group
-	r.arrivals.Add(r.now, maxSmoothingSpan, 1)
-	req.stats.arrivals.Add(r.now, maxSmoothingSpan, 1)
-	r.smoothingSpan = math.Max(minSmoothingSpan, math.Min(maxSmoothingSpan, smoothingSample*maxSmoothingSpan/r.arrivals.Value))
-	g.arrivals.Add(r.now, r.smoothingSpan, 1)
+	r.arrivals.Add(r.now, maxSmoothingTime, 1)
+	req.stats.arrivals.Add(r.now, maxSmoothingTime, 1)
+	r.smoothingTime = math.Max(minSmoothingTime, math.Min(maxSmoothingTime, smoothingSample*maxSmoothingTime/r.arrivals.Value))
+	g.arrivals.Add(r.now, r.smoothingTime, 1)
 	g.checkTimer.Set(r.now)
 	r.activate(g)
 	if class.Effect == Idempotent {
 		g.lastIdempotentArrival = r.now
 	}
 	if class.Level == Bounded && r.settings.Lag == LagAnswers { // otherwise the members enforce the bound themselves
-		g.positionReads.Add(r.now, r.smoothingSpan, 1)
+		g.positionReads.Add(r.now, r.smoothingTime, 1)
 	}
 	if arrivals := r.tenantArrivals[tenant]; arrivals != nil {
-		rate := arrivals.Add(r.now, r.smoothingSpan, 1) * 1000 / r.smoothingSpan
+		rate := arrivals.Add(r.now, r.smoothingTime, 1) * 1000 / r.smoothingTime
 		if rate > r.settings.Tenants[tenant]/float64(r.settings.Routers) {
 			req.weight *= r.settings.OverQuotaWeight
 		}
 	}
-	r.arrivedWeight.Add(r.now, maxSmoothingSpan, req.weight/class.LatencyObjective)
+	r.arrivedWeight.Add(r.now, maxSmoothingTime, req.weight/class.LatencyObjective)
 }
 
 // Pin restricts a request that has just arrived to one member, to which the connection of its session leads.
--- a/router/retry.go
+++ b/router/retry.go
@@ -34,13 +34,13 @@
 	usual := r.usualLatency(req)
 	retryUseful := r.now+usual < req.firstArrival+req.class.LatencyObjective ||
 		req.class.LateWeightShare > 0 && r.now+usual < req.deadline
-	return retryUseful && waited > r.lostAfter(a) || m.suspected && waited > a.expectedLatency
+	return retryUseful && waited > r.lossTimeout(a) || m.suspected && waited > a.expectedLatency
 }
 
-// lostAfter returns the time in ms after which a response counts as lost: longer than a late response or a single pause
+// lossTimeout returns the time in ms after which a response counts as lost: longer than a late response or a single pause
 // explains.
-func (r *Router) lostAfter(a *attempt) float64 {
-	return math.Max(lostThreshold*a.expectedLatency, r.silenceTolerance(a.member))
+func (r *Router) lossTimeout(a *attempt) float64 {
+	return math.Max(lossThreshold*a.expectedLatency, r.silenceTolerance(a.member))
 }
 
 // undoNotSent reverts the accounting of an attempt that was not sent: the member has received nothing of it.
--- a/router/roles.go
+++ b/router/roles.go
@@ -53,7 +53,7 @@
 		return
 	}
 	m.replicationLag = math.Max(m.replicationLag, r.now-req.minimumPosition(r.now))
-	if r.now-m.lastCheckSent > restingCheckPeriod {
+	if r.now-m.lastCheckSent > routineCheckPeriod {
 		m.requestCheck()
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	tick                = 10.0     // ms; shortest timer delay, and shortest interval between two checks of a member (docs/design.md)
-	minSmoothingSpan    = 3000.0   // ms; lower bound of the time constant of measurements, a few latency objectives long
-	maxSmoothingSpan    = 30000.0  // ms; upper bound of it, because faults come and go within tens of seconds
-	smoothingSample     = 30.0     // requests that the time constant should span, so that a single response has little influence
-	priorWeight         = 3.0      // an initial estimate weighs as much as this many responses
-	maxStall            = 100.0    // ms that this router may stall between reading its clock and a write, minus the slack of the rules
-	silenceLooksPerWait = 5        // suspicion updates per expected latency while a member does not respond
-	earlyTimerLeeway    = tick / 2 // ms; a timer that fires earlier than this before its deadline says nothing about pauses
-	checksPerBound      = 3        // health checks per staleness bound
+	tick                    = 10.0     // ms; shortest timer delay, and shortest interval between two checks of a member (docs/design.md)
+	minSmoothingTime        = 3000.0   // ms; lower bound of the time constant of measurements, a few latency objectives long
+	maxSmoothingTime        = 30000.0  // ms; upper bound of it, because faults come and go within tens of seconds
+	smoothingSample         = 30.0     // requests that the time constant should span, so that a single response has little influence
+	priorWeight             = 3.0      // an initial estimate weighs as much as this many responses
+	maxStall                = 100.0    // ms that this router may stall between reading its clock and a write, minus the slack of the rules
+	suspicionUpdatesPerWait = 5        // suspicion updates per expected latency while a member does not respond
+	earlyTimerLeeway        = tick / 2 // ms; a timer that fires earlier than this before its deadline says nothing about pauses
+	checksPerStalenessBound = 3
 )
 
 // Router makes the decisions of one router instance. The package comment describes how to drive it.
@@ -29,17 +29,17 @@
 	settings       *Settings
 	random         random.Source
 	now, startedAt float64
-	smoothingSpan  float64 // time constant of the decaying measurements in ms
+	smoothingTime  float64 // time constant of the decaying measurements in ms
 
 	// Members, groups and the endpoint list.
 	members         map[string]*member
 	groups          map[int]*group
-	listed          map[string]bool              // the list being received: member id to false if it is removed, else true
+	pendingList     map[string]bool              // the list being received: member id to false if it is removed, else true
 	busyMembers     []*member                    // members with attempts in flight
-	membersToClose  []*member                    // members whose idle connections are to be closed
+	idleCloseQueue  []*member                    // members whose idle connections are to be closed
 	activeGroups    timerqueue.FairQueue[*group] // groups that have had requests, by when a health check may be due
 	minCheckPeriod  float64                      // shortest health check period
-	mostMembersUp   float64                      // largest number of members that were up at the same time
+	maxMembersUp    float64                      // largest number of members that were up at the same time
 	nextListRequest float64                      // when to request the list next
 	listRequestedAt float64                      // when the list was last requested
 
@@ -50,7 +50,7 @@
 	cursor            int      // index in waiting of the request to handle next
 	lastUnplaced      *request // last request for which no member was found; reset by Advance
 	suspicionsUpdated bool     // suspicions are up to date; reset by Advance
-	timerAt           float64  // deadline of the pending timer; +Inf if there is none
+	timerDeadline     float64  // deadline of the pending timer; +Inf if there is none
 	sessionCommits    lastcommit.Commits
 	statsByClass      map[*RequestClass]*classStats
 	tenantArrivals    map[string]*decay.Sum
@@ -61,9 +61,9 @@
 	arrivals           decay.Sum          // requests
 	arrivedWeight      decay.Sum          // sum of weight divided by latency objective over the requests that arrived
 	completedWork      decay.Sum          // sum of latency objectives of successful requests; steady under overload, unlike latency
-	workRate           float64            // highest rate of completed work per ms and member so far
+	workRatePerMember  float64            // highest rate of completed work per ms and member so far
 	refusedConnections decay.Sum          // by members whose health checks kept passing
-	answeredAttempts   decay.Sum
+	respondedAttempts  decay.Sum
 	lostAttempts       decay.Sum // attempts whose response was lost rather than late
 	timerLateness      decay.Sum // decaying maximum of timer delays: pauses of this router
 }
@@ -85,12 +85,12 @@
 		settings:        settings,
 		random:          random.Source{Seed: seed},
 		nextListRequest: math.Inf(1),
-		timerAt:         math.Inf(1),
+		timerDeadline:   math.Inf(1),
 		members:         map[string]*member{},
 		groups:          map[int]*group{},
 		requests:        map[string]*request{},
-		minCheckPeriod:  restingCheckPeriod,
-		smoothingSpan:   maxSmoothingSpan,
+		minCheckPeriod:  routineCheckPeriod,
+		smoothingTime:   maxSmoothingTime,
 		admission:       byRole[float64]{primary: maxAdmission, replica: maxAdmission},
 	}
 	if settings.PollsList {
@@ -99,7 +99,7 @@
 	r.UpdateSettings(settings)
 	for _, class := range settings.RequestClasses {
 		if class.Level == Bounded {
-			r.minCheckPeriod = math.Min(r.minCheckPeriod, class.StalenessBound/checksPerBound)
+			r.minCheckPeriod = math.Min(r.minCheckPeriod, class.StalenessBound/checksPerStalenessBound)
 		}
 	}
 	return r
@@ -115,7 +115,7 @@
 		class := settings.RequestClasses[name]
 		previous := cmp.Or(r.settings.RequestClasses[name], class)
 		stats[class] = cmp.Or(r.statsByClass[previous], &classStats{})
-		work := stats[class].arrivals.Read(r.now, maxSmoothingSpan) / class.LatencyObjective
+		work := stats[class].arrivals.Read(r.now, maxSmoothingTime) / class.LatencyObjective
 		oldWeight += work * previous.PriorityWeight
 		newWeight += work * class.PriorityWeight
 	}
@@ -138,10 +138,10 @@
 // TimerFired records that the timer of the last SetTimer decision has fired. It may be part of a batch of events whose
 // time is before the timer's deadline; Next then asks for a new timer, since none is pending any more.
 func (r *Router) TimerFired() {
-	if r.now > r.timerAt-earlyTimerLeeway {
-		r.timerLateness.Max(r.now, maxSmoothingSpan, r.now-r.timerAt)
+	if r.now > r.timerDeadline-earlyTimerLeeway {
+		r.timerLateness.Max(r.now, maxSmoothingTime, r.now-r.timerDeadline)
 	}
-	r.timerAt = math.Inf(1)
+	r.timerDeadline = math.Inf(1)
 }
 
 // Next returns the next decision, or false if there is none until the next input.
@@ -162,21 +162,21 @@
 // nextIdleClose guards against full connection tables: idle connections of this router keep other routers from
 // connecting. The cost is a new handshake later.
 func (r *Router) nextIdleClose() (Decision, bool) {
-	last := len(r.membersToClose) - 1
+	last := len(r.idleCloseQueue) - 1
 	if last < 0 {
 		return Decision{}, false
 	}
-	m := r.membersToClose[last]
-	r.membersToClose = r.membersToClose[:last]
+	m := r.idleCloseQueue[last]
+	r.idleCloseQueue = r.idleCloseQueue[:last]
 	return Decision{Action: CloseIdleConnections, Member: m.id}, true
 }
 
 func (r *Router) nextTimer() (Decision, bool) {
 	deadline := r.nextDeadline()
-	if deadline >= r.timerAt {
+	if deadline >= r.timerDeadline {
 		return Decision{}, false
 	}
-	r.timerAt = deadline
+	r.timerDeadline = deadline
 	return Decision{Action: SetTimer, Time: deadline}, true
 }
 
@@ -191,12 +191,12 @@
 	}
 	for _, m := range r.busyMembers {
 		for _, a := range m.inFlight {
-			if lost := a.waitingSince + r.lostAfter(a); !a.canceled && !a.idle && lost > r.now {
+			if lost := a.waitingSince + r.lossTimeout(a); !a.canceled && !a.idle && lost > r.now {
 				deadline = math.Min(deadline, lost)
 			}
 		}
 		if !m.suspected { // a slightly longer silence may be enough to suspect it
-			deadline = math.Min(deadline, r.now+m.inFlight[0].expectedLatency/silenceLooksPerWait)
+			deadline = math.Min(deadline, r.now+m.inFlight[0].expectedLatency/suspicionUpdatesPerWait)
 		}
 	}
 	return math.Max(deadline, r.now+tick)
--- a/router/scenario_test.go
+++ b/router/scenario_test.go
@@ -47,7 +47,7 @@
 
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
-		p := &player{settings: &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2,
+		p := &scenarioRunner{settings: &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2,
 			SlowStartDuration: 10000, OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000,
 			RequestClasses: map[string]*RequestClass{}, Tenants: map[string]float64{}},
 			lastAttempt: map[string]Decision{}, attempts: map[string]int{}}
@@ -55,16 +55,16 @@
 	})
 }
 
-// player runs one scenario against a router.
-type player struct {
-	settings    *Settings
-	router      *Router
-	now         float64
-	noTraffic   bool // the group has had no requests before
-	inputsCame  bool // inputs have arrived since the last pull
-	decisions   []string
-	lastAttempt map[string]Decision // by request
-	attempts    map[string]int
+// scenarioRunner runs one scenario against a router.
+type scenarioRunner struct {
+	settings      *Settings
+	router        *Router
+	now           float64
+	noTraffic     bool // the group has had no requests before
+	inputsPending bool // inputs have arrived since the last pull
+	decisions     []string
+	lastAttempt   map[string]Decision // by request
+	attempts      map[string]int
 }
 
 // options holds the key=value words of a step; a word without = is a key without a value.
@@ -84,17 +84,17 @@
 	return has
 }
 
-func (o options) number(key string, otherwise float64) float64 { return parseNumber(o[key], otherwise) }
+func (o options) number(key string, fallback float64) float64 { return parseNumber(o[key], fallback) }
 
-func parseNumber(text string, otherwise float64) float64 {
+func parseNumber(text string, fallback float64) float64 {
 	if x, err := strconv.ParseFloat(text, 64); err == nil {
 		return x
 	}
-	return otherwise
+	return fallback
 }
 
-// lookUp returns the meaning of a word; an empty word stands for the zero value.
-func lookUp[T any](meanings map[string]T, word string) (meaning T, err error) {
+// lookUpWord returns the meaning of a word; an empty word stands for the zero value.
+func lookUpWord[T any](meanings map[string]T, word string) (meaning T, err error) {
 	meaning, known := meanings[word]
 	if !known && word != "" {
 		err = fmt.Errorf("unknown word %q", word)
@@ -102,7 +102,7 @@
 	return meaning, err
 }
 
-func (p *player) step(words []string) error {
+func (p *scenarioRunner) step(words []string) error {
 	o := parseOptions(words[1:])
 	switch words[0] {
 	case "set":
@@ -118,7 +118,7 @@
 	case "want", "never":
 		return p.expect(words[0] == "want", words[1:])
 	}
-	p.inputsCame = true
+	p.inputsPending = true
 	switch words[0] {
 	case "list":
 		return p.list(words[1:])
@@ -133,7 +133,7 @@
 	case "client-gone":
 		p.router.ClientGone(words[1])
 	case "peer-report":
-		role, err := lookUp(roleWords, o["role"])
+		role, err := lookUpWord(roleWords, o["role"])
 		p.router.PeerReported(words[1], o.number("started", Never), role, o.number("position", Never))
 		return err
 	case "hold":
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (p *player) set(o options) (err error) {
+func (p *scenarioRunner) set(o options) (err error) {
 	s := p.settings
 	s.Routers = int(o.number("routers", float64(s.Routers)))
 	s.MaxAttempts = int(o.number("attempts", float64(s.MaxAttempts)))
@@ -155,20 +155,20 @@
 	s.ClientsMarkRetries, s.SoftRemoval = o.has("marks-retries"), o.has("soft-removal")
 	s.CanHealthCheck = !o.has("no-checks")
 	p.noTraffic = o.has("no-traffic")
-	s.Lag, err = lookUp(lagWords, o["lag"])
+	s.Lag, err = lookUpWord(lagWords, o["lag"])
 	return err
 }
 
-func (p *player) class(name string, o options) error {
-	effect, err := lookUp(effectWords, o["effect"])
+func (p *scenarioRunner) class(name string, o options) error {
+	effect, err := lookUpWord(effectWords, o["effect"])
 	if err != nil {
 		return err
 	}
-	level, err := lookUp(levelWords, o["level"])
+	level, err := lookUpWord(levelWords, o["level"])
 	if err != nil {
 		return err
 	}
-	scope, err := lookUp(scopeWords, o["scope"])
+	scope, err := lookUpWord(scopeWords, o["scope"])
 	p.settings.RequestClasses[name] = &RequestClass{
 		LatencyObjective: o.number("objective", 500), Deadline: o.number("deadline", 3000), PriorityWeight: o.number("weight", 1),
 		LateWeightShare: o.number("late", 0), Effect: effect, Scope: scope, IdempotencyWindow: o.number("window", 5000),
@@ -176,7 +176,7 @@
 	return err
 }
 
-func (p *player) at(now float64, paused bool) {
+func (p *scenarioRunner) at(now float64, paused bool) {
 	p.now = now
 	if p.router == nil {
 		p.router = New(p.settings, 1)
@@ -184,7 +184,7 @@
 			p.router.activate(p.router.findGroup(1, true))
 		}
 	}
-	if due := p.router.timerAt; due < p.now { // the timer fired on time, unless the step says that the router was paused
+	if due := p.router.timerDeadline; due < p.now { // the timer fired on time, unless the step says that the router was paused
 		if paused {
 			due = p.now
 		}
@@ -192,10 +192,10 @@
 	}
 	p.router.TimerFired()
 	p.router.Advance(p.now)
-	p.inputsCame = true
+	p.inputsPending = true
 }
 
-func (p *player) arrive(id, class string, o options) error {
+func (p *scenarioRunner) arrive(id, class string, o options) error {
 	if !p.router.Arrive(id, o["tenant"], o["session"], class, int(o.number("group", 1)), o.number("token-age", 0),
 		o.number("ttl", 1000), o.has("marked")) {
 		return fmt.Errorf("unknown request class")
@@ -206,32 +206,32 @@
 	return nil
 }
 
-func (p *player) ended(id, outcomeWord string, o options) error {
+func (p *scenarioRunner) ended(id, outcomeWord string, o options) error {
 	attempt, sent := p.lastAttempt[id]
 	outcome, known := outcomeWords[outcomeWord]
 	if !sent || !known {
-		return fmt.Errorf("never sent, or unknown outcome")
+		return fmt.Errorf("request was not sent, or unknown outcome")
 	}
-	role, err := lookUp(roleWords, o["role"])
+	role, err := lookUpWord(roleWords, o["role"])
 	p.router.AttemptEnded(id, attempt.Attempt, outcome, p.now-attempt.Time, o.has("finished") || outcome == Succeeded, role,
 		o.number("position", Never))
 	return err
 }
 
-func (p *player) checked(id, outcomeWord string, o options) error {
+func (p *scenarioRunner) checked(id, outcomeWord string, o options) error {
 	outcome, known := outcomeWords[outcomeWord]
 	if !known {
 		return fmt.Errorf("unknown outcome")
 	}
 	p.router.HealthChecked(id, outcome)
-	role, err := lookUp(roleWords, o["role"])
+	role, err := lookUpWord(roleWords, o["role"])
 	if role != RoleUnknown {
 		p.router.Reported(id, role, o.number("position", Never))
 	}
 	return err
 }
 
-func (p *player) update(words []string, o options) error {
+func (p *scenarioRunner) update(words []string, o options) error {
 	next := *p.router.settings
 	next.RequestClasses, next.Tenants = maps.Clone(next.RequestClasses), maps.Clone(next.Tenants)
 	class := next.RequestClasses[words[0]]
@@ -252,7 +252,7 @@
 	return nil
 }
 
-func (p *player) list(words []string) error {
+func (p *scenarioRunner) list(words []string) error {
 	switch words[0] {
 	case "failed":
 		p.router.ListFailed()
@@ -266,7 +266,7 @@
 		word, started, _ := strings.Cut(word, "@")
 		id, stateWord, _ := strings.Cut(word, ":")
 		id, group, _ := strings.Cut(id, "/")
-		state, err := lookUp(stateWords, stateWord)
+		state, err := lookUpWord(stateWords, stateWord)
 		if err != nil {
 			return err
 		}
@@ -282,7 +282,7 @@
 }
 
 // expect searches for a decision with these words, each of which may be a list of alternatives.
-func (p *player) expect(want bool, words []string) error {
+func (p *scenarioRunner) expect(want bool, words []string) error {
 	for _, action := range strings.Split(words[0], "|") {
 		if !slices.Contains(slices.Collect(maps.Values(actionWords)), action) {
 			return fmt.Errorf("unknown action %q", action)
@@ -301,7 +301,7 @@
 		return true
 	})
 	if want != (found >= 0) {
-		return fmt.Errorf("decisions left: %s", strings.Join(p.decisions, "; "))
+		return fmt.Errorf("remaining decisions: %s", strings.Join(p.decisions, "; "))
 	}
 	if want {
 		p.decisions = slices.Delete(p.decisions, found, found+1)
@@ -310,11 +310,11 @@
 }
 
 // pull fetches all decisions if inputs have arrived since the last call.
-func (p *player) pull() error {
-	if !p.inputsCame {
+func (p *scenarioRunner) pull() error {
+	if !p.inputsPending {
 		return nil
 	}
-	p.inputsCame = false
+	p.inputsPending = false
 	p.decisions = p.decisions[:0]
 	for n := 0; ; n++ {
 		decision, more := p.router.Next()
@@ -322,7 +322,7 @@
 			return nil
 		}
 		if n > maxDecisionsAtOnce {
-			return fmt.Errorf("decisions without end")
+			return fmt.Errorf("more decisions at once than the limit")
 		}
 		if decision.Action == SendAttempt {
 			decision.Attempt, decision.Time = p.attempts[decision.RequestID], p.now
--- a/router/settings_test.go
+++ b/router/settings_test.go
@@ -11,7 +11,7 @@
 // kept, those of a tenant that no longer has a quota are dropped, and scaling all weights by the same factor changes no
 // decision.
 func TestUpdateSettings_KeepsWhatWasLearned(t *testing.T) {
-	made := func(scale float64, tenants map[string]float64) *Settings {
+	newSettings := func(scale float64, tenants map[string]float64) *Settings {
 		s := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 1, OverloadMultiple: 2, OverloadWindow: 1000,
 			RetryAfter: 1000, OverQuotaWeight: 0.1, Tenants: tenants, RequestClasses: map[string]*RequestClass{}}
 		for n, name := range []string{"light", "fair", "heavy"} {
@@ -20,8 +20,8 @@
 		return s
 	}
 	quotas := map[string]float64{"acme": 100, "zeta": 5}
-	play := func(every int, scale float64) (decisions []string, rejected int) {
-		r, sent := New(made(1, quotas), 7), map[string]int{}
+	simulate := func(every int, scale float64) (decisions []string, rejected int) {
+		r, sent := New(newSettings(1, quotas), 7), map[string]int{}
 		r.Advance(1)
 		r.BeginList()
 		r.ListMember("a", "z", 1, Up, Never)
@@ -32,7 +32,7 @@
 			r.TimerFired()
 			if every > 0 && at%every == 0 {
 				factor := math.Pow(scale, float64(at/every))
-				r.UpdateSettings(made(factor, quotas))
+				r.UpdateSettings(newSettings(factor, quotas))
 			}
 			r.Arrive(fmt.Sprint(at), []string{"acme", "zeta", ""}[at/150%3], "", []string{"heavy", "light", "fair", "light"}[at/150%4], 1, 0, 1000, false)
 			for d, more := r.Next(); more; d, more = r.Next() {
@@ -42,11 +42,11 @@
 					r.Reported(d.Member, Replica, float64(at))
 					r.HealthChecked(d.Member, Succeeded)
 				case SendAttempt:
-					how := Succeeded
+					outcome := Succeeded
 					if at > 20000 && at < 40000 && at%900 != 0 { // overload
-						how = Overloaded
+						outcome = Overloaded
 					}
-					r.AttemptEnded(d.RequestID, sent[d.RequestID], how, 20, how == Succeeded, Replica, float64(at))
+					r.AttemptEnded(d.RequestID, sent[d.RequestID], outcome, 20, outcome == Succeeded, Replica, float64(at))
 					sent[d.RequestID]++
 				case RejectRequest:
 					rejected++
@@ -55,30 +55,30 @@
 		}
 		return decisions, rejected
 	}
-	want, rejected := play(0, 1)
+	want, rejected := simulate(0, 1)
 	if rejected == 0 {
-		t.Fatal("there was no overload")
+		t.Fatal("no request was rejected: there was no overload")
 	}
 	for _, c := range []struct {
 		every int
 		scale float64
 	}{{1500, 1}, {9000, 2}, {6000, 0.5}} {
-		if got, _ := play(c.every, c.scale); !slices.Equal(got, want) {
-			t.Errorf("weights times %v each %d ms led to other decisions", c.scale, c.every)
+		if got, _ := simulate(c.every, c.scale); !slices.Equal(got, want) {
+			t.Errorf("scaling the weights by %v every %d ms changed the decisions", c.scale, c.every)
 		}
 	}
 
-	set := made(1, quotas)
+	set := newSettings(1, quotas)
 	r := New(set, 1)
 	r.Advance(1000)
 	r.Arrive("open", "acme", "", "heavy", 1, 0, 1000, false)
 	open, stats, arrivals := r.requests["open"], r.statsByClass[set.RequestClasses["heavy"]], r.tenantArrivals["acme"]
-	next := made(3, map[string]float64{"acme": 7, "new": 1})
+	next := newSettings(3, map[string]float64{"acme": 7, "new": 1})
 	next.RequestClasses["heavy"].LateWeightShare = 0
 	r.UpdateSettings(next)
 	r.Arrive("later", "acme", "", "heavy", 1, 0, 1000, false)
 	if later := r.requests["later"]; open.weight != 100 || open.class.LateWeightShare != 0.5 || later.weight != 300 || later.class.LateWeightShare != 0 {
-		t.Errorf("the open request: %v, %v late; the later one: %v, %v", open.weight, open.class.LateWeightShare, later.weight, later.class.LateWeightShare)
+		t.Errorf("open request: weight %v, late share %v; later request: weight %v, late share %v", open.weight, open.class.LateWeightShare, later.weight, later.class.LateWeightShare)
 	}
 	if r.statsByClass[next.RequestClasses["heavy"]] != stats || r.tenantArrivals["acme"] != arrivals || r.tenantArrivals["new"] == nil || r.tenantArrivals["zeta"] != nil ||
 		len(r.statsByClass) != 3 || len(r.tenantArrivals) != 2 {
--- a/router/slowstart.go
+++ b/router/slowstart.go
@@ -10,7 +10,7 @@
 // be.
 func (m *member) beginSlowStart() {
 	m.lastKnownNotPrimary = math.Max(m.lastKnownNotPrimary, m.downAt)
-	m.concurrencyLimit, m.limitFound = math.Min(initialConcurrencyLimit, m.concurrencyLimit), false
+	m.concurrencyLimit, m.limitReached = math.Min(initialConcurrencyLimit, m.concurrencyLimit), false
 	m.slowStartBudget = slowstart.Bucket{}
 }
 
@@ -32,7 +32,7 @@
 	if share >= 1 {
 		return true
 	}
-	rate := r.settings.OverloadMultiple * share * r.workRate
+	rate := r.settings.OverloadMultiple * share * r.workRatePerMember
 	return m.slowStartBudget.Allows(r.now, rate, req.class.LatencyObjective, r.settings.OverloadWindow,
 		float64(r.settings.Routers), r.random.Next)
 }
@@ -43,8 +43,8 @@
 // subtracted, since the deviations of all routers add up.
 func (r *Router) recordCompletedWork(req *request) {
 	work := req.class.LatencyObjective
-	r.completedWork.Add(r.now, maxSmoothingSpan, work)
-	span := maxSmoothingSpan * (1 - math.Exp(-math.Max(maxSmoothingSpan/3, r.now-r.startedAt)/maxSmoothingSpan))
+	r.completedWork.Add(r.now, maxSmoothingTime, work)
+	span := maxSmoothingTime * (1 - math.Exp(-math.Max(maxSmoothingTime/3, r.now-r.startedAt)/maxSmoothingTime))
 	sum := r.completedWork.Value
-	r.workRate = math.Max(r.workRate, sum/(1+math.Sqrt(work/sum))/span/r.mostMembersUp)
+	r.workRatePerMember = math.Max(r.workRatePerMember, sum/(1+math.Sqrt(work/sum))/span/r.maxMembersUp)
 }
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -19,12 +19,12 @@
 	random   random.Source
 	rate     float64 // requests per ms over all routers
 	ids      int
-	due      []answer
+	pending  []pendingResponse
 	sent     map[string][]float64 // send times by member
 	primary  string
 }
 
-type answer struct {
+type pendingResponse struct {
 	at     float64
 	router int
 	id     string
@@ -77,8 +77,8 @@
 		for n := range f.routers {
 			f.routers[n].Advance(f.now)
 		}
-		later := f.due[:0]
-		for _, a := range f.due {
+		later := f.pending[:0]
+		for _, a := range f.pending {
 			if a.at > f.now {
 				later = append(later, a)
 				continue
@@ -94,7 +94,7 @@
 				r.AttemptEnded(a.id, 0, Succeeded, fleetLatency, true, role, f.now)
 			}
 		}
-		f.due = append([]answer(nil), later...)
+		f.pending = append([]pendingResponse(nil), later...)
 		for n, r := range f.routers {
 			for x := f.rate * fleetTick * f.shares[n]; x > 0; x-- {
 				if x >= 1 || f.random.Next() < x {
@@ -107,9 +107,9 @@
 				switch d.Action {
 				case SendAttempt:
 					f.sent[d.Member] = append(f.sent[d.Member], f.now)
-					f.due = append(f.due, answer{f.now + fleetLatency, n, d.RequestID, d.Member, false})
+					f.pending = append(f.pending, pendingResponse{f.now + fleetLatency, n, d.RequestID, d.Member, false})
 				case HealthCheck:
-					f.due = append(f.due, answer{f.now + fleetTick, n, "", d.Member, true})
+					f.pending = append(f.pending, pendingResponse{f.now + fleetTick, n, "", d.Member, true})
 				}
 			}
 		}
@@ -151,19 +151,19 @@
 					for last < len(all) && all[last] < all[n]+f.settings.OverloadWindow {
 						last++
 					}
-					inMiddle := all[n] + f.settings.OverloadWindow/2 - start
-					share := f.settings.SlowStartFloor + (1-f.settings.SlowStartFloor)*inMiddle/f.settings.SlowStartDuration
+					windowCenter := all[n] + f.settings.OverloadWindow/2 - start
+					share := f.settings.SlowStartFloor + (1-f.settings.SlowStartFloor)*windowCenter/f.settings.SlowStartDuration
 					budget := f.settings.OverloadMultiple * share * capacity * f.settings.OverloadWindow
 					if over := (float64(last-n) - budget) / math.Sqrt(budget); over > worst {
 						worst, where, most, allowed = over, all[n]-start, last-n, budget
 					}
 				}
-				t.Logf("most at %.0f ms: %d of %.1f, %.2f standard deviations over; %d in all", where, most, allowed, worst, len(all))
+				t.Logf("worst window at %.0f ms: %d sent, %.1f allowed, %.2f standard deviations over; %d in total", where, most, allowed, worst, len(all))
 				if float64(most) > allowed+2*math.Sqrt(allowed)+2 {
-					t.Errorf("%d sent from %.0f ms after its start on, %.1f allowed and %.1f for chance", most, where, allowed, 2*math.Sqrt(allowed)+2)
+					t.Errorf("%d sent in the window from %.0f ms after its start, want at most %.1f plus %.1f for random variation", most, where, allowed, 2*math.Sqrt(allowed)+2)
 				}
 				if float64(len(all)) < 0.1*capacity*10000 {
-					t.Errorf("only %d sent while it was warming up: slow start lets nothing through", len(all))
+					t.Errorf("only %d sent during slow start: it is too strict", len(all))
 				}
 			})
 		}
--- a/router/suspicion.go
+++ b/router/suspicion.go
@@ -6,7 +6,7 @@
 	suspicionThreshold = 10.0                   // expected latencies without a response; a healthy member has it once in 20,000 (e^-10)
 	checkThreshold     = suspicionThreshold / 2 // expected latencies after which the member is checked
 	priorLossShare     = 0.001                  // assumed share of lost responses until some have been observed
-	lostThreshold      = 5.5                    // expected latencies; one healthy request in 250 takes longer (e^-5.5)
+	lossThreshold      = 5.5                    // expected latencies; one healthy request in 250 takes longer (e^-5.5)
 )
 
 // updateSuspicions is the failure detector: it suspects members that accept requests but do not respond, because they
@@ -38,7 +38,7 @@
 func (r *Router) silence(m *member) (waits, since float64) {
 	since = r.now
 	for _, a := range m.inFlight {
-		if a.waitingSince >= m.answeredUpTo && !a.idle {
+		if a.waitingSince >= m.respondedUpTo && !a.idle {
 			from := math.Max(a.waitingSince, m.lastResponse)
 			waits += math.Min((r.now-from)/a.expectedLatency, -math.Log(r.lossShare()))
 			since = math.Min(since, from)
@@ -51,23 +51,23 @@
 // anything: twice the longest improbable silence that the member has ended with a response, or a tick
 // plus twice the longest recent delay of a timer, which a pause of this router causes, if that is longer.
 func (r *Router) silenceTolerance(m *member) float64 {
-	return math.Max(2*m.longestSilence.Read(r.now, maxSmoothingSpan), tick+2*r.timerLateness.Read(r.now, maxSmoothingSpan))
+	return math.Max(2*m.longestSilence.Read(r.now, maxSmoothingTime), tick+2*r.timerLateness.Read(r.now, maxSmoothingTime))
 }
 
 // recordResponse records that a member has responded to an attempt, with any outcome.
 func (r *Router) recordResponse(a *attempt) {
 	m := a.member
 	if silence, since := r.silence(m); silence > checkThreshold {
-		m.longestSilence.Max(r.now, maxSmoothingSpan, r.now-since)
+		m.longestSilence.Max(r.now, maxSmoothingTime, r.now-since)
 	}
-	m.lastResponse, m.answeredUpTo = r.now, math.Max(m.answeredUpTo, a.waitingSince)
+	m.lastResponse, m.respondedUpTo = r.now, math.Max(m.respondedUpTo, a.waitingSince)
 	m.suspected, m.down, m.connectFailed = false, false, false
 }
 
 // lossShare returns the share of this router's attempts that may run but get no response.
 func (r *Router) lossShare() float64 {
-	lost := r.lostAttempts.Read(r.now, r.smoothingSpan)
-	return (lost + priorWeight*priorLossShare) / (lost + r.answeredAttempts.Read(r.now, r.smoothingSpan) + priorWeight)
+	lost := r.lostAttempts.Read(r.now, r.smoothingTime)
+	return (lost + priorWeight*priorLossShare) / (lost + r.respondedAttempts.Read(r.now, r.smoothingTime) + priorWeight)
 }
 
 // trialAllowed reports whether the request may be the trial of a suspected member: the first trial as soon as a check
@@ -78,5 +78,5 @@
 		return false
 	}
 	return req.effect == Idempotent ||
-		m.known && len(m.inFlight) == 0 && r.now-req.group.lastIdempotentArrival > maxSmoothingSpan
+		m.known && len(m.inFlight) == 0 && r.now-req.group.lastIdempotentArrival > maxSmoothingTime
 }
--- a/router/timer_test.go
+++ b/router/timer_test.go
@@ -22,13 +22,13 @@
 	r.Arrive("t", "", "", "write", 1, 0, 1000, false)
 	at, _ := next()
 	if at <= 1000 {
-		t.Fatal("no timer while a request waits")
+		t.Fatal("no timer requested while a request waits")
 	}
 	for n := range 3 {
 		r.Advance(1001 + float64(n)) // the time of a batch in which the timer fired
 		r.TimerFired()
 		if at, _ = next(); at <= r.now {
-			t.Fatalf("time %d: no timer is out any more", n)
+			t.Fatalf("iteration %d: no timer is pending", n)
 		}
 	}
 	for n := 0; ; n++ {
@@ -38,7 +38,7 @@
 		if at, rejected = next(); rejected {
 			return
 		} else if at == 0 || n > 200 {
-			t.Fatal("never rejected")
+			t.Fatal("the request was never rejected")
 		}
 	}
 }
--- a/router/types.go
+++ b/router/types.go
@@ -22,8 +22,8 @@
 	Misrouted                    // the member is not the primary, or lags too far behind for this read
 )
 
-// isAnswer reports whether the outcome is a response of the member, of any kind.
-func (o Outcome) isAnswer() bool {
+// isResponse reports whether the outcome is a response of the member, of any kind.
+func (o Outcome) isResponse() bool {
 	return o == Succeeded || o == ServerError || o == Overloaded || o == Misrouted
 }
 
