--- a/router/attempt.go
+++ b/router/attempt.go
@@ -32,7 +32,7 @@
 }
 
 // AttemptEnded records how an attempt of a request ended. index is the attempt's index within the request; latency is
-// the time in ms from sending the attempt to its end. finished tells that the request needs no further attempt because
+// the time in ms from sending the attempt to its end. finished means that the request needs no further attempt because
 // its final response is out or part of this one. role and position are what the response reported about the member,
 // RoleUnknown and Never if nothing. Each attempt ends once; calls for other attempts are ignored.
 func (r *Router) AttemptEnded(id string, index int, outcome Outcome, latency float64, finished bool, role Role, position float64) {
@@ -69,8 +69,8 @@
 	return req.attempts[index]
 }
 
-// TurnChanged tells what an attempt that consists of several exchanges waits for: the member or, if idle is set, the
-// client or the connection pool. responseBegun tells that part of the response has been passed to the client, so that
+// TurnChanged reports what an attempt that consists of several exchanges waits for: the member or, if idle is set, the
+// client or the connection pool. responseBegun means that part of the response has been passed to the client, so that
 // the request must never be sent again.
 func (r *Router) TurnChanged(id string, index int, idle, responseBegun bool) {
 	a := r.attemptInFlight(id, index)
--- a/router/membership.go
+++ b/router/membership.go
@@ -67,7 +67,7 @@
 	id                    int
 	members               []*member                    // in the order in which they are asked
 	active                bool                         // it has had requests at this router
-	lastUnplaced          float64                      // when no member was last found for a request
+	lastUnplaced          float64                      // when a request last found no suitable member
 	writesHeldUntil       float64                      // writes wait until then
 	checkTimer            timerqueue.FairTimer[*group] // when a check may be due
 	checkPendingSince     float64                      // when the latest check was sent; Never if a check has ended since
@@ -182,7 +182,7 @@
 	}
 }
 
-// ListFailed tells that a list request failed or its watch broke. The next request has jitter, so that many routers do
+// ListFailed reports that a list request failed or its watch broke. The next request has jitter, so that many routers do
 // not ask again at once. It comes sooner if the failed one took long, as a silent watch or a hanging call does: the
 // routers are already spread out in time, and the next request may hang too.
 func (r *Router) ListFailed() {
--- a/router/read.go
+++ b/router/read.go
@@ -107,8 +107,8 @@
 		slices.ContainsFunc(req.group.members, checkPending)
 }
 
-// sampleMember selects a member by weighted random sampling. The weight falls with the square of smoothed latency times (1
-// + load).
+// sampleMember selects a member by weighted random sampling. The weight falls with the square of the product of smoothed
+// latency and 1 + load.
 func (r *Router) sampleMember(req *request, from []*member) *member {
 	var selected *member
 	highest := Never
--- a/router/request.go
+++ b/router/request.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Queued tells for how many ms a request that has just arrived had been queued behind earlier requests of its client.
+// Queued reports for how many ms a request that has just arrived had been queued behind earlier requests of its client.
 // The client's remaining waiting time shrinks by that, so that no response is produced after the client has stopped
 // waiting; the latency objective still counts from now.
 func (r *Router) Queued(id string, waited float64) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// ClientGone tells that the client of a request has disconnected and needs no response.
+// ClientGone reports that the client of a request has disconnected and needs no response.
 func (r *Router) ClientGone(id string) {
 	if req := r.requests[id]; req != nil {
 		r.endUnsuccessful(req)
--- a/router/router.go
+++ b/router/router.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	tick                    = 10.0     // ms; shortest timer delay, and shortest interval between two checks of a member (docs/design.md)
+	tick                    = 10.0     // ms; interval of passes over waiting requests, shortest interval between checks of a member (docs/design.md)
 	minSmoothingTime        = 3000.0   // ms; lower bound of the time constant of measurements, a few latency objectives long
 	maxSmoothingTime        = 30000.0  // ms; upper bound of it, because faults come and go within tens of seconds
 	smoothingSample         = 30.0     // requests that the time constant should span, so that a single response has little influence
--- a/router/suspicion.go
+++ b/router/suspicion.go
@@ -49,7 +49,7 @@
 
 // silenceTolerance returns for how many ms all attempts at a member may go without a response before that proves
 // anything: twice the longest improbable silence that the member has ended with a response, or a tick
-// plus twice the longest recent delay of a timer, which a pause of this router causes, if that is longer.
+// plus twice the longest recent delay of a timer, which shows a pause of this router, if that is longer.
 func (r *Router) silenceTolerance(m *member) float64 {
 	return math.Max(2*m.longestSilence.Read(r.now, maxSmoothingTime), tick+2*r.timerLateness.Read(r.now, maxSmoothingTime))
 }
