--- a/router/classstats.go
+++ b/router/classstats.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	timeoutToleranceDivisor = 50.0 // timeouts that differ by up to deadline/timeoutToleranceDivisor are equal: clock ticks and network delay
+	timeoutToleranceDivisor = 50.0 // timeouts within this part of the deadline are equal: clock ticks and network delay
 	maxTimeoutVotes         = 10.0 // low, because all clients may change their timeout at the same time
 	commonTimeoutVotes      = 3.0  // with more votes than this, the rarer timeout is also a common one
 	originalVotes           = 3.0  // votes of a request that can't be a retry
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -127,12 +127,12 @@
 
 // cannotSucceed reports whether no further attempt of the request can earn anything.
 func (r *Router) cannotSucceed(req *request) bool {
-	inTime := r.now + r.usualLatency(req)
+	expectedEnd := r.now + r.usualLatency(req)
 	class, attempts := req.class, req.sentAttempts()
 	lateIsWorthless := class.LateWeightShare == 0
 	return attempts >= r.settings.MaxAttempts ||
-		inTime > req.deadline ||
-		lateIsWorthless && inTime > req.firstArrival+class.LatencyObjective ||
+		expectedEnd > req.deadline ||
+		lateIsWorthless && expectedEnd > req.firstArrival+class.LatencyObjective ||
 		req.sticky && (req.stickyMember == nil || req.stickyMember.draining || req.stickyMember.down) ||
 		attempts == 0 && r.unsentTooLong(req) ||
 		req.mayHaveRunSince != Never && r.retryForbidden(req)
@@ -157,10 +157,10 @@
 // the client will be harmless, otherwise a failure.
 func (r *Router) endRequest(req *request) Decision {
 	r.endUnsuccessful(req)
-	comesBack := r.now + r.settings.RetryAfter
+	retryAt := r.now + r.settings.RetryAfter
 	harmless := req.effect == Idempotent ||
 		req.effect == IdempotentWithKey && req.class.Scope == ScopeAll &&
-			comesBack-req.mayHaveRunSince < req.class.IdempotencyWindow
+			retryAt-req.mayHaveRunSince < req.class.IdempotencyWindow
 	if req.mayHaveRunSince != Never && !harmless {
 		return Decision{Action: FailRequest, RequestID: req.id}
 	}
--- a/router/read.go
+++ b/router/read.go
@@ -8,7 +8,7 @@
 
 const (
 	checkWaitDivisor      = 8    // a read waits for checks on its behalf for its latency objective divided by this
-	spilloverLimitDivisor = 2    // while all suitable replicas are full, reads may use the concurrency limit of the primary divided by this
+	spilloverLimitDivisor = 2    // while suitable replicas are full, reads may use the limit of the primary divided by this
 	failureExponent       = 4    // exponent of the success share in the sampling weight of a member
 	retryDiscount         = 10.0 // factor by which a member that has not served a request is less likely to get it again
 	sameZoneFactor        = 2.0  // crossing zones has a cost; a larger factor would overload zones with few members
--- a/router/request.go
+++ b/router/request.go
@@ -36,7 +36,7 @@
 }
 
 // Arrive adds a request. If the settings have no such class, it returns false and does nothing. tokenAge is the age of
-// the session token that came with the request, 0 for none; ttl is how long the client waits from now on; isRetry tells
+// the session token that came with the request, 0 for none; ttl is how long the client waits from now on; isRetry means
 // that the client marked the request as a retry.
 func (r *Router) Arrive(id, tenant, session, className string, groupID int, tokenAge, ttl float64, isRetry bool) bool {
 	class := r.settings.RequestClasses[className]
--- a/router/router.go
+++ b/router/router.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	tick                    = 10.0     // ms; interval of passes over waiting requests, shortest interval between checks of a member (docs/design.md)
+	tick                    = 10.0     // ms between passes over waiting requests, minimum between checks of a member (docs/design.md)
 	minSmoothingTime        = 3000.0   // ms; lower bound of the time constant of measurements, a few latency objectives long
 	maxSmoothingTime        = 30000.0  // ms; upper bound of it, because faults come and go within tens of seconds
 	smoothingSample         = 30.0     // requests that the time constant should span, so that a single response has little influence
 	priorWeight             = 3.0      // an initial estimate weighs as much as this many responses
-	maxStall                = 100.0    // ms that this router may stall between reading its clock and a write, minus the slack of the rules
+	maxStall                = 100.0    // ms that this router may stall between clock reading and write, minus the slack of the rules
 	suspicionUpdatesPerWait = 5        // suspicion updates per expected latency while a member does not respond
 	earlyTimerLeeway        = tick / 2 // ms; a timer that fires earlier than this before its deadline says nothing about pauses
 	checksPerStalenessBound = 3
