--- a/router/notafter_test.go
+++ b/router/notafter_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What allows an attempt holds for a time, which goes with it: a position known of a member ages, and the window for
-// retries closes, while its connection comes up.
+// An attempt is permitted only for a limited time, which is passed on with it: while its connection is being
+// established, a member's known position ages and the window for retries closes.
 func TestSendAttempt_NotAfter(t *testing.T) {
 	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
 		"read": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Bounded, StalenessBound: 700},
@@ -43,7 +43,7 @@
 		r.Advance(1000)
 		r.Arrive(c.class, "", "", c.class, 1, 0, 2000, false)
 		if to, by := sentTo(c.class); to != c.to || by != c.by {
-			t.Errorf("%s: to %s until %v, want %s until %v", c.class, to, by, c.to, c.by)
+			t.Errorf("%s: sent to %s with NotAfter %v, want %s with %v", c.class, to, by, c.to, c.by)
 		}
 		if c.class != "put" {
 			r.AttemptEnded(c.class, 0, Succeeded, 10, true, Replica, Never)
@@ -52,12 +52,12 @@
 	r.Advance(1100)
 	r.AttemptEnded("put", 0, ServerError, 100, false, Primary, Never)
 	if _, by := sentTo("put"); by != 1000+900-maxStall {
-		t.Errorf("a retry until %v, want %v", by, 1900-maxStall)
+		t.Errorf("retry with NotAfter %v, want %v", by, 1900-maxStall)
 	}
 }
 
-// A router may be stalled for 0.15 s between its clock and a write, and the rules have 50 ms of slack: nothing is decided
-// that would be over by then, on either side of the moment.
+// A router may stall for 0.15 s between reading its clock and a write, and the rules grant 50 ms of slack: nothing may
+// be decided that would be too late after such a stall. Tests both sides of the limit.
 func TestSendAttempt_LeavesRoomForAStall(t *testing.T) {
 	const stall, slack = 150.0, 50.0
 	set := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
@@ -95,7 +95,7 @@
 		r.Arrive("1", "", "", "read", 1, 0, 2000, false)
 		d := sent(r)
 		if d.Member == "c" && d.NotAfter+stall > c.position+300+slack {
-			t.Errorf("position %v: written by %v after a stall, its data is too old from %v on", c.position, d.NotAfter+stall, c.position+300+slack)
+			t.Errorf("position %v: after a stall it may be written as late as %v, but the data is too old from %v on", c.position, d.NotAfter+stall, c.position+300+slack)
 		}
 		if (d.Member == "c") != (c.to == "c") {
 			t.Errorf("position %v: sent to %q, want %q", c.position, d.Member, c.to)
@@ -108,13 +108,13 @@
 		r := begin(1000)
 		r.Arrive("1", "", "", "put", 1, 0, 5000, false)
 		if sent(r).Member != "p" {
-			t.Fatal("the first was not sent")
+			t.Fatal("the first attempt was not sent")
 		}
 		r.Advance(c.at)
 		r.Reported("p", Primary, c.at)
 		r.AttemptEnded("1", 0, ServerError, 10, false, Primary, Never)
 		if d := sent(r); (d.Member == "p") != c.sent || c.sent && d.NotAfter+stall > 1000+900+slack {
-			t.Errorf("a retry at %v: sent to %q by %v", c.at, d.Member, d.NotAfter)
+			t.Errorf("retry at %v: sent to %q with NotAfter %v", c.at, d.Member, d.NotAfter)
 		}
 	}
 }
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -8,23 +8,23 @@
 	"wayloft/internal/decide/random"
 )
 
-// fleet is many routers of the same group that know nothing of each other. Members answer after a fixed time whatever
-// they hold, so that nothing but slow start holds routers back.
+// fleet is a number of routers that serve the same group independently. Members respond after a fixed time regardless of
+// load, so that only slow start limits the routers.
 type fleet struct {
 	t        *testing.T
 	settings *Settings
 	now      float64
 	routers  []*Router
-	shares   []float64 // of the traffic
+	shares   []float64 // share of the traffic of each router
 	random   random.Source
-	rate     float64 // requests a ms over all
+	rate     float64 // requests per ms over all routers
 	ids      int
-	due      []answer
-	sent     map[string][]float64 // to a member, by time
+	pending  []pendingResponse
+	sent     map[string][]float64 // send times by member
 	primary  string
 }
 
-type answer struct {
+type pendingResponse struct {
 	at     float64
 	router int
 	id     string
@@ -54,7 +54,7 @@
 	return f
 }
 
-// list gives all routers a list with each member's state and start.
+// list passes a list to all routers, with the state and start of each member.
 func (f *fleet) list(states map[string]State, started map[string]float64) {
 	for _, r := range f.routers {
 		r.Advance(f.now)
@@ -77,8 +77,8 @@
 		for n := range f.routers {
 			f.routers[n].Advance(f.now)
 		}
-		later := f.due[:0]
-		for _, a := range f.due {
+		later := f.pending[:0]
+		for _, a := range f.pending {
 			if a.at > f.now {
 				later = append(later, a)
 				continue
@@ -94,7 +94,7 @@
 				r.AttemptEnded(a.id, 0, Succeeded, fleetLatency, true, role, f.now)
 			}
 		}
-		f.due = append([]answer(nil), later...)
+		f.pending = append([]pendingResponse(nil), later...)
 		for n, r := range f.routers {
 			for x := f.rate * fleetTick * f.shares[n]; x > 0; x-- {
 				if x >= 1 || f.random.Next() < x {
@@ -107,22 +107,22 @@
 				switch d.Action {
 				case SendAttempt:
 					f.sent[d.Member] = append(f.sent[d.Member], f.now)
-					f.due = append(f.due, answer{f.now + fleetLatency, n, d.RequestID, d.Member, false})
+					f.pending = append(f.pending, pendingResponse{f.now + fleetLatency, n, d.RequestID, d.Member, false})
 				case HealthCheck:
-					f.due = append(f.due, answer{f.now + fleetTick, n, "", d.Member, true})
+					f.pending = append(f.pending, pendingResponse{f.now + fleetTick, n, "", d.Member, true})
 				}
 			}
 		}
 	}
 }
 
-// The budget of slow start holds for the fleet: what a member in slow start is sent by all routers together, in each window that
-// the settings name, stays under what they allow it then, but for what chance explains.
+// The slow start budget holds for the whole fleet: in every window of the configured length, all routers together send a
+// member in slow start no more than the settings permit at that time, apart from random variation.
 func TestSlowStart_BudgetHoldsForTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		routers int
-		rate    float64 // requests a second
-		load    float64 // of what the members can do, before
+		rate    float64 // requests per second
+		load    float64 // share of the members' capacity used before slow start
 	}{{1, 100, 1}, {7, 100, 1}, {7, 20, 1}, {3, 100, 1}, {20, 100, 1}, {30, 100, 1}, {30, 400, 0.6}, {300, 100, 1}, {300, 400, 1}, {900, 300, 1}} {
 		for seed := uint64(1); seed <= 2; seed++ {
 			t.Run(fmt.Sprintf("%d routers, %.0f/s, load %.1f, seed %d", c.routers, c.rate, c.load, seed), func(t *testing.T) {
@@ -131,18 +131,18 @@
 				up := map[string]State{}
 				f.list(up, nil)
 				f.run(20000)
-				capacity := c.rate / fleetMembers / c.load / 1000 // what one member can do, requests a ms
+				capacity := c.rate / fleetMembers / c.load / 1000 // capacity of one member in requests per ms
 				start := f.now
 				f.list(map[string]State{"m1": Removed}, nil)
 				f.run(1000)
 				f.list(up, map[string]float64{"m1": start}) // in slow start
 				f.run(6500)
-				f.list(map[string]State{"m2": Draining, "m3": Draining}, map[string]float64{"m1": start}) // all their reads are left to it
+				f.list(map[string]State{"m2": Draining, "m3": Draining}, map[string]float64{"m1": start}) // the member in slow start has to serve all their reads
 				f.rate *= 2
 				f.run(3500)
 				var all []float64
 				for _, at := range f.sent["m1"] {
-					if at >= start && at < start+f.settings.SlowStartDuration { // after that its slow start is over
+					if at >= start && at < start+f.settings.SlowStartDuration { // its slow start ends then
 						all = append(all, at)
 					}
 				}
@@ -151,19 +151,19 @@
 					for last < len(all) && all[last] < all[n]+f.settings.OverloadWindow {
 						last++
 					}
-					inMiddle := all[n] + f.settings.OverloadWindow/2 - start
-					share := f.settings.SlowStartFloor + (1-f.settings.SlowStartFloor)*inMiddle/f.settings.SlowStartDuration
+					windowCenter := all[n] + f.settings.OverloadWindow/2 - start
+					share := f.settings.SlowStartFloor + (1-f.settings.SlowStartFloor)*windowCenter/f.settings.SlowStartDuration
 					budget := f.settings.OverloadMultiple * share * capacity * f.settings.OverloadWindow
 					if over := (float64(last-n) - budget) / math.Sqrt(budget); over > worst {
 						worst, where, most, allowed = over, all[n]-start, last-n, budget
 					}
 				}
-				t.Logf("most at %.0f ms: %d of %.1f, %.2f standard deviations over; %d in all", where, most, allowed, worst, len(all))
+				t.Logf("worst window at %.0f ms: %d sent, %.1f allowed, %.2f standard deviations over; %d in total", where, most, allowed, worst, len(all))
 				if float64(most) > allowed+2*math.Sqrt(allowed)+2 {
-					t.Errorf("%d sent from %.0f ms after its start on, %.1f allowed and %.1f for chance", most, where, allowed, 2*math.Sqrt(allowed)+2)
+					t.Errorf("%d sent in the window from %.0f ms after its start, want at most %.1f plus %.1f for random variation", most, where, allowed, 2*math.Sqrt(allowed)+2)
 				}
 				if float64(len(all)) < 0.1*capacity*10000 {
-					t.Errorf("only %d sent while it was warming up: slow start lets nothing through", len(all))
+					t.Errorf("only %d sent during slow start: it is too strict", len(all))
 				}
 			})
 		}
