--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -1,54 +1,55 @@
-// Package backoff decides when storage that failed is tried again: soon at first, then at spans that double up to a bound. It
-// owns the count of failures in a row; it must never do I/O or read a clock.
+// Package backoff schedules retries of failed storage operations with exponential backoff: the delay doubles with each
+// consecutive failure, up to a maximum. It must never do I/O or read a clock.
 package backoff
 
 import "math"
 
-// Times are ms.
+// Delays in ms.
 const (
-	shortest = 100.0  // until the first retry
-	longest  = 5000.0 // between two retries
+	initialDelay = 100.0  // before the first retry
+	maxDelay     = 5000.0 // upper bound of the delay between retries
 )
 
-// Storage is the retry schedule of one store. The zero value is of a store that works.
+// Storage is the retry schedule of one store. The zero value represents a store that works.
 type Storage struct {
-	failing bool
-	wait    float64
-	due     float64
-	since   float64 // when it worked again last
-	worked  bool
+	failing      bool
+	delay        float64
+	retryAt      float64
+	recoveredAt  float64 // time of the latest recovery
+	hasRecovered bool
 }
 
-// Fail notes a failure at a time and gives whether it is the first of its run. A store that fails again soon after it came
-// back goes on with the span that it had reached, so that one that works now and then isn't tried at the shortest span forever.
+// Fail records a failure and reports whether it is the first since the store last worked. If the store fails again soon after
+// it recovered, the delay keeps growing from the value that it had reached; otherwise a store that works intermittently would
+// always be retried at the initial delay.
 func (s *Storage) Fail(now float64) (first bool) {
 	first = !s.failing
 	switch {
-	case s.wait == 0, first && s.worked && now-s.since > longest:
-		s.wait = shortest
+	case s.delay == 0, first && s.hasRecovered && now-s.recoveredAt > maxDelay:
+		s.delay = initialDelay
 	default:
-		s.wait = math.Min(2*s.wait, longest)
+		s.delay = math.Min(2*s.delay, maxDelay)
 	}
-	s.failing, s.due = true, now+s.wait
+	s.failing, s.retryAt = true, now+s.delay
 	return first
 }
 
-// Succeed notes that the store works and gives whether it failed before.
+// Succeed records that the store works and reports whether it was failing before.
 func (s *Storage) Succeed(now float64) (recovered bool) {
 	if !s.failing {
 		return false
 	}
-	s.failing, s.worked, s.since = false, true, now
+	s.failing, s.hasRecovered, s.recoveredAt = false, true, now
 	return true
 }
 
-// Failing tells whether the latest try failed.
+// Failing reports whether the latest attempt failed.
 func (s *Storage) Failing() bool { return s.failing }
 
-// Due is when the store may be tried again; infinite while it works.
+// Due returns when the store may be tried again, +Inf while it works.
 func (s *Storage) Due() float64 {
 	if !s.failing {
 		return math.Inf(1)
 	}
-	return s.due
+	return s.retryAt
 }
--- a/internal/decide/slowstart/slowstart.go
+++ b/internal/decide/slowstart/slowstart.go
@@ -1,59 +1,62 @@
-// Package slowstart limits what one of many routers sends to a member in slow start, so that all routers together stay within the
-// member's budget though they know nothing of each other. It is a token bucket that reads no clock and knows no requests.
+// Package slowstart limits the rate at which a router sends requests to a member in slow start, so that all routers together
+// stay within the member's budget without coordinating. It is a token bucket; it reads no clock, and its callers pass only the
+// size of a request.
 package slowstart
 
 import "math"
 
 const (
-	sharesPerWindow = 4.0  // unused tokens expire after one part of so many of the window
-	deviations      = 3.8  // standard deviations between the mean and the rule's limit: one full window in ten thousand is over
-	smallBudget     = 30.0 // calls; a budget below it has the wider tolerance
+	tokenLifetimesPerWindow = 4.0  // a token's lifetime is the window divided by this
+	standardDeviations      = 3.8  // from the mean to the limit: one fully used window in ten thousand exceeds it
+	smallBudgetRequests     = 30.0 // budgets below this have the wider tolerance
 )
 
-// Bucket holds the tokens for one member. The zero value is for a member that has just started.
+// Bucket is the token bucket for one member. The zero value is ready for a member that has just started.
 type Bucket struct {
-	tokens, filledAt float64
-	started          bool
+	tokens, refilledAt float64
+	initialized        bool
 }
 
-// allowed is the most calls of mean size in a window that keep the rule, where the settings have a budget of so many calls.
-func allowed(budget float64) float64 {
-	if budget < smallBudget {
+// maxRequestsPerWindow returns the highest number of mean-size requests per window that the slow start limit tolerates for a
+// configured budget, also in requests: N + 2 sqrt(N) + 2, and N + 3 sqrt(N) + 3 for small budgets.
+func maxRequestsPerWindow(budget float64) float64 {
+	if budget < smallBudgetRequests {
 		return budget + 3*math.Sqrt(budget) + 3
 	}
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// planned is the mean number of calls in a window with which all routers together stay within what is allowed. None knows
-// when the others send, so that their sum varies: its variance is at most its mean, and at most a quarter for each
-// router, since each evens out its own part but for one call. The last term is for the skew of such a sum.
-func planned(budget, routers float64) float64 {
-	limit := allowed(budget) - (deviations*deviations-1)/6
-	root := (math.Sqrt(deviations*deviations+4*limit) - deviations) / 2
-	return math.Min(budget, math.Max(root*root, limit-deviations*math.Sqrt(routers)/2))
+// targetMeanRequests returns the mean number of requests per window at which all routers together stay within
+// maxRequestsPerWindow. Routers send independently of each other, so the total varies: its variance is at most its mean, and
+// at most 1/4 per router, because a router's own count varies by one request only. The term (z^2-1)/6, with z standard
+// deviations, corrects for the skewness of the total (Cornish-Fisher expansion).
+func targetMeanRequests(budget, routers float64) float64 {
+	limit := maxRequestsPerWindow(budget) - (standardDeviations*standardDeviations-1)/6
+	meanRoot := (math.Sqrt(standardDeviations*standardDeviations+4*limit) - standardDeviations) / 2
+	return math.Min(budget, math.Max(meanRoot*meanRoot, limit-standardDeviations*math.Sqrt(routers)/2))
 }
 
-// Allows tells whether one more call of this size may be sent now. The budget of all routers together over a window (in ms) is
-// rate*routers*window; rate is this router's part, in units of size for each ms. random returns numbers in [0, 1).
+// Allows reports whether one more request of this size may be sent now. The budget of all routers together over a window (in
+// ms) is rate*routers*window; rate is this router's share, in units of size per ms. random returns numbers in [0, 1).
 //
-// The bucket starts at a random level, since a part is often far less than one call: so routers take turns. Tokens expire,
-// since all routers would spend in one burst what they had saved up: no window sees more than the rate over it and over the
-// lifetime of a token, and both together are its whole budget.
+// The bucket starts at a random level because a router's share is often far less than one request: the routers then send at
+// different times. Tokens expire because all routers could otherwise spend their accumulated tokens in one burst. The rate is
+// reduced so that what accrues over a window and over one token lifetime together is the window's whole budget.
 func (b *Bucket) Allows(now, rate, size, window, routers float64, random func() float64) bool {
-	if !b.started {
-		b.started, b.tokens, b.filledAt = true, size*random(), now
+	if !b.initialized {
+		b.initialized, b.tokens, b.refilledAt = true, size*random(), now
 	}
 	if budget := rate * routers * window / size; budget > 0 {
-		rate *= planned(budget, routers) / budget
+		rate *= targetMeanRequests(budget, routers) / budget
 	}
-	lifetime := window / sharesPerWindow
-	rate *= sharesPerWindow / (sharesPerWindow + 1)
-	b.tokens, b.filledAt = b.tokens+rate*(now-b.filledAt), now
+	lifetime := window / tokenLifetimesPerWindow
+	rate *= tokenLifetimesPerWindow / (tokenLifetimesPerWindow + 1)
+	b.tokens, b.refilledAt = b.tokens+rate*(now-b.refilledAt), now
 	if expired := b.tokens - rate*lifetime - size; expired > 0 {
 		b.tokens -= size * math.Ceil(expired/size)
 	}
 	return b.tokens >= size
 }
 
-// Spend takes the tokens of a call that was sent; a negative size gives them back.
+// Spend removes the tokens of a request that was sent; a negative size returns them.
 func (b *Bucket) Spend(size float64) { b.tokens -= size }
