--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -1,8 +1,9 @@
-// Package healthshare decides shared health checking: one lease holder checks the members of a group for the whole fleet and sends its
-// reports to all routers. Prober decides when each member is checked and when reports are sent; CheckReport bounds what a router accepts.
+// Package healthshare implements shared health checking: one lease holder checks the members of a group for the whole fleet and sends
+// its reports to all routers. Prober decides when to check each member and when to send reports; CheckReport validates reports received
+// from other processes.
 //
-// A report never tells a router which member is primary. It gives a position, which within one run of a member never goes back, so a late
-// report is weak and not wrong, and a hint which member to ask first.
+// A report never determines which member a router takes for the primary. It carries a position, which never goes back while a member
+// runs, so a delayed report is weak evidence but never false, and a hint which member to check first.
 //
 // The package does no I/O and starts no timers; callers pass the time in and carry out its decisions.
 package healthshare
@@ -13,67 +14,67 @@
 	"slices"
 )
 
-// MaxReports is how many reports one message may hold, and how many members of one group are checked.
+// MaxReports limits the reports in one message, and the members checked per group.
 const MaxReports = 1000
 
 const (
-	batchFraction     = 0.25   // of the period: how long reports wait for each other, so that one message carries several
-	maxMemberIDBytes  = 256    // of a member's ID
-	maxPositionLeadMs = 1000.0 // how far a position may be ahead of this machine's clock, as for a router's own checks
+	batchDelayFraction = 0.25   // of the period: the longest that a report is held back so that one message carries several
+	maxMemberIDBytes   = 256    // length of a member's ID
+	maxPositionLeadMs  = 1000.0 // by which a position may be ahead of this machine's clock, as in a router's own checks
 )
 
-// LeasePrefix starts the names of leases for shared health checking, as they are on the wire and in stored data.
+// LeasePrefix is the prefix of lease names for shared health checking, on the wire and in stored data.
 const LeasePrefix = "sight/"
 
-// LeaseName gives the name of a group's lease for shared health checking.
+// LeaseName returns the name of a group's lease for shared health checking.
 func LeaseName(group int) string { return fmt.Sprintf("%s%d", LeasePrefix, group) }
 
 // Report is the result of one health check. Times are Unix ms.
 type Report struct {
 	Member   string
-	Started  float64 // when the member was started, as the list has it; 0: long ago
-	Position float64 // 0: the member gave none
+	Started  float64 // the member's start time from the endpoint list; 0: long ago
+	Position float64 // 0: the member reported none
 	Primary  bool
 	Replica  bool
-	At       float64 // when the check was answered, by the clock of the process that made it
+	At       float64 // when the response to the check arrived, by the clock of the process that made it
 }
 
 // Action is the kind of a Decision.
 type Action int
 
-// Actions for the caller to carry out.
+// Actions that the caller carries out.
 const (
 	Probe Action = iota // check Member, then call Reported
 	Share               // send Reports to all other routers
 )
 
-// Decision is one thing for the caller to do; only the fields of its Action are set.
+// Decision is one action for the caller to carry out; only the fields of its Action are set.
 type Decision struct {
 	Action  Action
 	Member  string   // Probe
 	Reports []Report // Share
 }
 
-// Prober decides the checks of one group. Times are ms by any clock that doesn't go back. It is not safe for concurrent use.
+// Prober schedules the health checks of one group. Times are ms on any monotonic clock. It is not safe for concurrent use.
 type Prober struct {
 	periodMs     float64
 	now          float64
 	members      []string
-	lastMember   int // index of the member that was probed last
+	lastProbed   int // index of the member probed last
 	nextProbe    float64
-	pending      map[string]Report // by member, not yet shared
-	pendingSince float64           // when the first of them came
+	pending      map[string]Report // not yet shared, by member ID
+	pendingSince float64           // when the first of them was received
 }
 
-// NewProber makes a Prober that has each member checked once in a period, given in ms.
+// NewProber returns a Prober that checks each member once per period, in ms.
 func NewProber(periodMs float64) *Prober {
 	return &Prober{periodMs: periodMs, pending: map[string]Report{}}
 }
 
-// Advance sets the time in ms; all that follows until the next call happens then.
+// Advance sets the current time in ms. It applies to all inputs until the next call.
 func (p *Prober) Advance(now float64) { p.now = math.Max(p.now, now) }
 
-// SetMembers takes in which members are in the group now, MaxReports of them at most.
+// SetMembers replaces the members of the group; those beyond MaxReports are ignored.
 func (p *Prober) SetMembers(ids []string) {
 	p.members = slices.Clone(ids[:min(len(ids), MaxReports)])
 	for id := range p.pending {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Reported takes in the result of a check, whoever asked for it; one of a member of another group is ignored.
+// Reported records the result of a health check, whatever caused it. Results for members of other groups are ignored.
 func (p *Prober) Reported(report Report) {
 	if !slices.Contains(p.members, report.Member) {
 		return
@@ -94,21 +95,21 @@
 	p.pending[report.Member] = report
 }
 
-// Next gives the next decision; false: none is left.
+// Next returns the next decision, or false if none is left.
 func (p *Prober) Next() (Decision, bool) {
-	if len(p.pending) > 0 && (p.now-p.pendingSince >= batchFraction*p.periodMs || len(p.pending) == len(p.members)) {
+	if len(p.pending) > 0 && (p.now-p.pendingSince >= batchDelayFraction*p.periodMs || len(p.pending) == len(p.members)) {
 		return Decision{Action: Share, Reports: p.takePending()}, true
 	}
 	if len(p.members) == 0 || p.nextProbe > p.now {
 		return Decision{}, false
 	}
-	// Probes are spread evenly over the period. What was missed during a pause of more than a period isn't made up for.
+	// Probes are spread evenly over the period. After a pause of more than a period the missed probes are skipped.
 	p.nextProbe = math.Max(p.nextProbe, p.now-p.periodMs) + p.periodMs/float64(len(p.members))
-	p.lastMember = (p.lastMember + 1) % len(p.members)
-	return Decision{Action: Probe, Member: p.members[p.lastMember]}, true
+	p.lastProbed = (p.lastProbed + 1) % len(p.members)
+	return Decision{Action: Probe, Member: p.members[p.lastProbed]}, true
 }
 
-// takePending gives the reports that are not yet shared, in the members' order.
+// takePending removes and returns the reports that are not yet shared, in the order of the members.
 func (p *Prober) takePending() (reports []Report) {
 	for _, id := range p.members {
 		if report, found := p.pending[id]; found {
@@ -119,11 +120,11 @@
 	return reports
 }
 
-// NextDeadline is when Advance must be called again at the latest; infinite: nothing waits for a time.
+// NextDeadline returns when Advance must be called next at the latest, +Inf if nothing is scheduled.
 func (p *Prober) NextDeadline() float64 {
 	deadline := math.Inf(1)
 	if len(p.pending) > 0 {
-		deadline = p.pendingSince + batchFraction*p.periodMs
+		deadline = p.pendingSince + batchDelayFraction*p.periodMs
 	}
 	if len(p.members) > 0 {
 		deadline = math.Min(deadline, p.nextProbe)
@@ -131,7 +132,7 @@
 	return deadline
 }
 
-// CheckReport tells what is wrong with a report that came from another process, at this Unix time in ms; nil: nothing.
+// CheckReport validates a report received from another process; now is the Unix time in ms.
 func CheckReport(report Report, now float64) error {
 	for name, value := range map[string]float64{"started": report.Started, "position": report.Position, "at": report.At} {
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
--- a/internal/decide/healthshare/healthshare_test.go
+++ b/internal/decide/healthshare/healthshare_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Each member is probed once in a period, one after the other; reports are batched and sent soon; a member that left is neither probed nor
-// reported.
+// Members are probed in turn, each once per period. Reports are batched and sent within the batch delay. A removed member is neither
+// probed nor reported.
 func TestProber_ProbesEvenlyAndBatchesReports(t *testing.T) {
 	prober := NewProber(400)
 	prober.SetMembers([]string{"a", "b", "c", "d"})
@@ -28,10 +28,10 @@
 			case Share:
 				for _, r := range d.Reports {
 					if shared[r.Member]++; at-r.Position > 110 {
-						t.Errorf("a report of %s waited for %v ms", r.Member, at-r.Position)
+						t.Errorf("a report of %s was held back for %v ms", r.Member, at-r.Position)
 					}
 					if at > 2000 && (r.Member == "c" || r.Member == "d") {
-						t.Error("shared a report of a member that left")
+						t.Error("shared a report of a removed member")
 					}
 				}
 			}
@@ -42,12 +42,12 @@
 	}
 	for _, g := range gaps[1:19] {
 		if g != 100 {
-			t.Errorf("probed after %v ms, not evenly", g)
+			t.Errorf("probed after %v ms, want 100", g)
 		}
 	}
 }
 
-// A process that was paused doesn't make up for the probes that it missed.
+// After a pause of the process, the probes that it missed are skipped.
 func TestProber_DoesNotCatchUpAfterAPause(t *testing.T) {
 	prober := NewProber(100)
 	prober.SetMembers([]string{"a", "b"})
@@ -63,13 +63,13 @@
 	}
 }
 
-// Reports of other processes are accepted within bounds alone.
+// Reports from other processes are accepted only if all their values are within bounds.
 func TestCheckReport_Bounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		r  Report
-		ok bool
+		report Report
+		valid  bool
 	}{
-		"sound":               {Report{Member: "a", Position: 5000, At: 5000, Primary: true}, true},
+		"valid":               {Report{Member: "a", Position: 5000, At: 5000, Primary: true}, true},
 		"no position":         {Report{Member: "a", At: 5000}, true},
 		"slightly ahead":      {Report{Member: "a", Position: 5900, At: 5000}, true},
 		"too far ahead":       {Report{Member: "a", Position: 7000, At: 5000}, false},
@@ -80,7 +80,7 @@
 		"negative":            {Report{Member: "a", At: -1}, false},
 		"oversized member":    {Report{Member: string(make([]byte, 300))}, false},
 	} {
-		if err := CheckReport(c.r, 5000); (err == nil) != c.ok {
+		if err := CheckReport(c.report, 5000); (err == nil) != c.valid {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/decide/lastcommit/lastcommit.go
+++ b/internal/decide/lastcommit/lastcommit.go
@@ -1,24 +1,25 @@
-// Package lastcommit remembers the position of each session's last commit, where session tokens are the router's own memory. It
-// bounds that memory with Prune; which member has which position is for its caller to know.
+// Package lastcommit stores the position of each session's last commit, for the mode in which the router itself keeps session
+// tokens. Prune bounds the memory used; the caller tracks which positions the members have applied.
 package lastcommit
 
 import "maps"
 
-const minPruneSize = 1000 // sessions up to which nothing is pruned
+const minPruneSize = 1000 // sessions, added to the threshold for the next Prune
 
-// Commits holds positions by session. The zero value is empty.
+// Commits maps sessions to positions. The zero value is empty.
 type Commits struct {
-	positions  map[string]float64
-	pruneAbove int
+	positions      map[string]float64
+	pruneThreshold int
 }
 
-// Position returns the position of a session's last commit, 0 for none.
+// Position returns the position of the session's last commit, 0 if none is known.
 func (c *Commits) Position(session string) float64 { return c.positions[session] }
 
-// PruneDue tells whether Prune should be called: the sessions have doubled since the last time.
-func (c *Commits) PruneDue() bool { return len(c.positions) > c.pruneAbove }
+// PruneDue reports whether Prune should be called. After a call it is due again when the number of sessions
+// exceeds twice the number that the call left, plus minPruneSize.
+func (c *Commits) PruneDue() bool { return len(c.positions) > c.pruneThreshold }
 
-// Record takes in a commit of the session. A session's position never goes back.
+// Record records a commit of the session. A session's position never goes back.
 func (c *Commits) Record(session string, position float64) {
 	if c.positions == nil {
 		c.positions = map[string]float64{}
@@ -26,8 +27,8 @@
 	c.positions[session] = max(c.positions[session], position)
 }
 
-// Prune forgets commits up to a position that every member has applied.
+// Prune drops the commits up to a position that every member has applied.
 func (c *Commits) Prune(appliedByAll float64) {
 	maps.DeleteFunc(c.positions, func(_ string, position float64) bool { return position <= appliedByAll })
-	c.pruneAbove = 2*len(c.positions) + minPruneSize
+	c.pruneThreshold = 2*len(c.positions) + minPruneSize
 }
--- a/internal/decide/lastcommit/lastcommit_test.go
+++ b/internal/decide/lastcommit/lastcommit_test.go
@@ -14,12 +14,12 @@
 		}
 	}
 	if commits.Position("1999") != 5000 || commits.Position("2999") != 3000 && commits.Position("2999") != 0 {
-		t.Errorf("%v, %v", commits.Position("1999"), commits.Position("2999"))
+		t.Errorf("positions %v and %v", commits.Position("1999"), commits.Position("2999"))
 	}
 	if commits.Prune(4990); len(commits.positions) != 10 || commits.Position("0") != 0 || commits.PruneDue() {
-		t.Errorf("%d are kept", len(commits.positions))
+		t.Errorf("%d sessions are kept after pruning", len(commits.positions))
 	}
 	if commits.Record("1999", 3); commits.Position("1999") != 5000 {
-		t.Error("it went back")
+		t.Error("a session's position went back")
 	}
 }
--- a/internal/decide/random/random.go
+++ b/internal/decide/random/random.go
@@ -1,5 +1,5 @@
-// Package random provides a deterministic sequence of random numbers for decisions: the same seed and the same calls give the
-// same decisions again, in tests and simulations. It reads neither a clock nor the system's randomness, and is not for secrets.
+// Package random provides a deterministic pseudo-random number generator for decisions: with the same seed and the same calls, tests
+// and simulations reproduce the same decisions. It reads neither a clock nor the system's entropy, and must not be used for secrets.
 package random
 
 import (
@@ -8,11 +8,11 @@
 )
 
 const (
-	goldenRatio = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio (Fibonacci hashing)
-	mantissa    = 53                 // bits of a float64's mantissa
+	fibonacciMultiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+	mantissaBits        = 53                 // precision of a float64
 )
 
-// Source is a sequence of random numbers. Each owner of decisions has its own; it is not safe for concurrent use.
+// Source generates pseudo-random numbers. Each component that makes decisions has its own; it is not safe for concurrent use.
 type Source struct {
 	Seed  uint64
 	draws uint64
@@ -24,7 +24,7 @@
 	hash := fnv.New64a()
 	hash.Write(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.Seed), s.draws))
 	bits := hash.Sum64()
-	bits ^= bits >> 32 // FNV leaves its high bits poor on short inputs
-	bits *= goldenRatio
-	return float64(bits>>(64-mantissa)) / (1 << mantissa)
+	bits ^= bits >> 32 // FNV-1a mixes short inputs poorly into its high bits
+	bits *= fibonacciMultiplier
+	return float64(bits>>(64-mantissaBits)) / (1 << mantissaBits)
 }
