--- a/internal/decide/syscallerror/syscallerror.go
+++ b/internal/decide/syscallerror/syscallerror.go
@@ -1,6 +1,6 @@
-// Package syscallerror classifies the errors of socket system calls: whether a failure is about this host, about the peer, or
-// about neither, so that the call is made again. It is a table without I/O; it must never make a system call, wait, or
-// decide what becomes of a request.
+// Package syscallerror classifies errors of socket system calls by cause: this host, the peer, or a transient condition after
+// which the call is retried. It consists of lookup tables; it must never make a system call, wait, or decide what happens to a
+// request.
 package syscallerror
 
 import (
@@ -12,37 +12,37 @@
 // Call is the system call that failed.
 type Call int
 
-// The calls that a router makes on its sockets.
+// The system calls that a router makes on its sockets.
 const (
 	Accept   Call = iota
-	Socket        // socket and the options that are set on it before connect
-	Connect       // connect, and the pending error that is read once it has ended
-	Register      // what hands a connected descriptor to the poller: dup, epoll_ctl
+	Socket        // socket, and the socket options set before connect
+	Connect       // connect, and the pending error that is read when it has completed
+	Register      // registering a connected descriptor with the poller: dup, epoll_ctl
 	Read
 	Write
 	Poll
 )
 
-// Cause tells whom a failure is about.
+// Cause is the cause of a failure.
 type Cause int
 
-// The causes of a failure.
+// Causes of a failure.
 const (
-	Peer          Cause = iota // the other end, or the path to it alone
-	Transient                  // nobody: the call is made again
-	HostResources              // this host has run out of descriptors, ports or memory
-	HostNetwork                // this host has no network, no route, or a rule of its own forbids it
+	Peer          Cause = iota // the remote end, or only the path to it
+	Transient                  // neither side: the call is retried
+	HostResources              // this host is out of descriptors, ports or memory
+	HostNetwork                // this host has no network or no route, or a local firewall rule rejects the call
 )
 
-// RetryPauseMs is the pause in ms before a call is made again that failed for want of resources, where nothing tells when
-// there are some: it bounds the rate of calls that are bound to fail.
+// RetryPauseMs is the pause in ms before retrying a call that failed for lack of resources, where no event signals that
+// resources are available again. It limits the rate of failing calls.
 const RetryPauseMs = 20.0
 
-// Local tells that a failure is about this host, and says nothing of the peer.
+// Local reports whether the failure is caused by this host and thus says nothing about the peer.
 func (c Cause) Local() bool { return c == HostResources || c == HostNetwork }
 
-// everywhere holds what an error number means whichever call it comes from.
-var everywhere = map[unix.Errno]Cause{
+// commonCauses maps error numbers that have the same meaning for all calls without an entry in callCauses.
+var commonCauses = map[unix.Errno]Cause{
 	unix.EINTR:   Transient,
 	unix.EAGAIN:  Transient,
 	unix.EMFILE:  HostResources,
@@ -51,21 +51,21 @@
 	unix.ENOMEM:  HostResources,
 }
 
-// byCall holds what an error number means for one call, where that differs.
+// callCauses maps error numbers whose meaning is specific to a call. It takes precedence over commonCauses.
 //
-// A failed connect: ENETUNREACH counts for this host, EHOSTUNREACH for the member. The kernel answers ENETUNREACH where the
-// routing table has no entry that leads to the address, and where a gateway says that it has none: the members behind the
-// lost route fail together, and none of them is down. Were it counted against them, the end of a lost route would find
-// healthy members treated as restarted, in slow start and no longer known as primaries. EHOSTUNREACH follows from an
-// address that nobody answers for on the last hop (neighbour discovery, or ICMP host unreachable): it names one host, which
-// is gone. ENETDOWN is an interface of this host's; EACCES and EPERM a local firewall rule. EAGAIN (no free entry for a
-// local port), EADDRINUSE and EADDRNOTAVAIL are this host's ports.
+// connect: ENETUNREACH is attributed to this host, EHOSTUNREACH to the member. The kernel returns ENETUNREACH if the routing
+// table has no entry for the address, or if a gateway reports that it has none: all members behind the lost route fail
+// together, and none of them is down. If it were attributed to them, healthy members would be treated as restarted once the
+// route is back: in slow start and no longer known as primaries. EHOSTUNREACH means that no host answers for the address on
+// the last hop (neighbour discovery, or ICMP host unreachable): it concerns one host, which is gone. ENETDOWN means that an
+// interface of this host is down; EACCES and EPERM come from a local firewall rule. EAGAIN (no free entry for a local port),
+// EADDRINUSE and EADDRNOTAVAIL mean that this host lacks a free port.
 //
-// A failed accept: Linux hands pending errors of the new connection to accept, which man 2 accept has servers treat like
-// EAGAIN. They are about a connection that is gone before anything of it was read.
+// accept: Linux passes pending errors of the new connection to accept, and man 2 accept asks servers to treat them like EAGAIN.
+// They concern a connection that failed before anything was read from it.
 //
-// On an established connection each network error means that it is broken, as ECONNRESET does.
-var byCall = map[Call]map[unix.Errno]Cause{
+// On an established connection, every network error means that the connection is broken, as ECONNRESET does.
+var callCauses = map[Call]map[unix.Errno]Cause{
 	Connect: {
 		unix.EAGAIN:        HostResources,
 		unix.EADDRINUSE:    HostResources,
@@ -89,28 +89,28 @@
 		unix.ECONNRESET:   Transient,
 		unix.EPERM:        HostNetwork,
 	},
-	Poll: {unix.EAGAIN: HostResources}, // it is ENOMEM by another name
+	Poll: {unix.EAGAIN: HostResources}, // here EAGAIN reports a lack of memory, like ENOMEM
 }
 
-// otherwise is what an error means that no table names. No peer takes part in socket, in poll, or in registering a
-// descriptor.
-var otherwise = map[Call]Cause{
+// defaultCauses maps each call to the cause of errors in neither of the other tables. No peer is involved in socket, in poll, or
+// in registering a descriptor.
+var defaultCauses = map[Call]Cause{
 	Accept: HostResources, Socket: HostResources, Connect: Peer, Register: HostResources, Read: Peer, Write: Peer,
 	Poll: HostResources,
 }
 
-// Of tells whom the error of a call is about. An error that holds no error number, such as a connect's time-out, is judged
-// by its call alone.
+// Of returns the cause of an error of a call. An error that wraps no error number, such as a connect timeout, is classified by
+// its call alone.
 func Of(call Call, err error) Cause {
 	var number unix.Errno
 	if !errors.As(err, &number) {
-		return otherwise[call]
+		return defaultCauses[call]
 	}
-	if cause, ok := byCall[call][number]; ok {
+	if cause, ok := callCauses[call][number]; ok {
 		return cause
 	}
-	if cause, ok := everywhere[number]; ok {
+	if cause, ok := commonCauses[number]; ok {
 		return cause
 	}
-	return otherwise[call]
+	return defaultCauses[call]
 }
--- a/internal/decide/syscallerror/syscallerror_test.go
+++ b/internal/decide/syscallerror/syscallerror_test.go
@@ -36,7 +36,7 @@
 	} {
 		for _, errno := range c.errs {
 			if got := Of(c.call, fmt.Errorf("wrapped: %w", errno)); got != c.want {
-				t.Errorf("call %d, %v: %d, want %d", c.call, errno, got, c.want)
+				t.Errorf("call %d, %v: cause %d, want %d", c.call, errno, got, c.want)
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 	timeout := errors.New("i/o timeout")
 	for call, want := range map[Call]Cause{Connect: Peer, Read: Peer, Write: Peer, Socket: HostResources, Register: HostResources} {
 		if got := Of(call, timeout); got != want {
-			t.Errorf("call %d: %d, want %d", call, got, want)
+			t.Errorf("call %d: cause %d, want %d", call, got, want)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 func TestLocal(t *testing.T) {
 	for cause, want := range map[Cause]bool{Peer: false, Transient: false, HostResources: true, HostNetwork: true} {
 		if cause.Local() != want {
-			t.Errorf("cause %d is local: %v", cause, !want)
+			t.Errorf("cause %d: local %v", cause, !want)
 		}
 	}
 }
--- a/internal/decide/timerqueue/timerqueue.go
+++ b/internal/decide/timerqueue/timerqueue.go
@@ -1,33 +1,33 @@
-// Package timerqueue orders timers by deadline, so that their owner finds what is due without visiting what is not. It reads no
-// clock: times are float64 in the unit of the caller.
+// Package timerqueue provides priority queues of timers, so that their owner finds those that are due without scanning the others. It
+// reads no clock: times are float64 in the caller's unit.
 //
-// Queue is a binary heap (J. W. J. Williams, Algorithm 232, 1964): putting or dropping one of n timers takes log n steps, finding
-// the first takes one. FairQueue returns due timers in the order in which they were added.
+// Queue is a binary heap (J. W. J. Williams, Algorithm 232, 1964): adding, moving or removing one of n timers takes O(log n) steps,
+// finding the earliest O(1). FairQueue returns due timers in the order in which they were added.
 package timerqueue
 
 import "container/heap"
 
-// Timer is an entry of a Queue, for a value of its owner. A value has one Timer for each queue that it may be in. The zero value,
-// with Of set, is in none.
+// Timer is an entry of a Queue that belongs to the value Of. A value has one Timer for each queue that it may be in. A zero Timer
+// with Of set is in no queue.
 type Timer[T any] struct {
-	Of       T
-	deadline float64
-	place    int // its index in the heap plus one; 0: it is in none
+	Of           T
+	deadline     float64
+	indexPlusOne int // index in the heap plus one; 0: not in a queue
 }
 
-// At returns the deadline. It counts only while the timer is In a queue.
+// At returns the deadline, which is meaningful only while the timer is in a queue.
 func (t *Timer[T]) At() float64 { return t.deadline }
 
-// In tells whether the timer is in its queue.
-func (t *Timer[T]) In() bool { return t.place > 0 }
+// In reports whether the timer is in a queue.
+func (t *Timer[T]) In() bool { return t.indexPlusOne > 0 }
 
-// Queue holds timers, the one with the earliest deadline in front. The zero value is empty.
+// Queue is a priority queue of timers, ordered by deadline. The zero value is empty.
 type Queue[T any] struct{ timers timerHeap[T] }
 
 // Len returns the number of timers.
 func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// First returns the timer with the earliest deadline, nil if there is none.
+// First returns the timer with the earliest deadline, or nil if the queue is empty.
 func (q *Queue[T]) First() *Timer[T] {
 	if len(q.timers) == 0 {
 		return nil
@@ -35,11 +35,11 @@
 	return q.timers[0]
 }
 
-// Put adds a timer, or moves it if it is in the queue already.
+// Put adds a timer, or changes its deadline if it is already in the queue.
 func (q *Queue[T]) Put(t *Timer[T], deadline float64) {
 	t.deadline = deadline
 	if t.In() {
-		heap.Fix(&q.timers, t.place-1)
+		heap.Fix(&q.timers, t.indexPlusOne-1)
 	} else {
 		heap.Push(&q.timers, t)
 	}
@@ -48,7 +48,7 @@
 // Drop removes a timer, if it is in the queue.
 func (q *Queue[T]) Drop(t *Timer[T]) {
 	if t.In() {
-		heap.Remove(&q.timers, t.place-1)
+		heap.Remove(&q.timers, t.indexPlusOne-1)
 	}
 }
 
@@ -59,13 +59,13 @@
 func (h timerHeap[T]) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
 func (h timerHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i+1, j+1
+	h[i].indexPlusOne, h[j].indexPlusOne = i+1, j+1
 }
 
 func (h *timerHeap[T]) Push(x any) {
 	t := x.(*Timer[T])
 	*h = append(*h, t)
-	t.place = len(*h)
+	t.indexPlusOne = len(*h)
 }
 
 func (h *timerHeap[T]) Pop() any {
@@ -73,6 +73,6 @@
 	t := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	t.place = 0
+	t.indexPlusOne = 0
 	return t
 }
--- a/internal/decide/timerqueue/timerqueue_test.go
+++ b/internal/decide/timerqueue/timerqueue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put, moved and dropped: the first is the one that a sorted list has in front, and all come out in order.
+// After any sequence of Put and Drop, the queue contains the expected timers and returns them sorted by deadline.
 func TestQueue_MatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
@@ -16,40 +16,40 @@
 		for n := range all {
 			all[n] = &Timer[int]{Of: n}
 		}
-		at := map[int]float64{}
+		deadlines := map[int]float64{}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			n := rapid.IntRange(0, len(all)-1).Draw(t, "which")
 			if rapid.Bool().Draw(t, "drop") {
 				q.Drop(all[n])
-				delete(at, n)
+				delete(deadlines, n)
 			} else {
-				at[n] = float64(rapid.IntRange(0, 5).Draw(t, "at"))
-				q.Put(all[n], at[n])
+				deadlines[n] = float64(rapid.IntRange(0, 5).Draw(t, "at"))
+				q.Put(all[n], deadlines[n])
 			}
-			if all[n].In() != has(at, n) || q.Len() != len(at) {
-				t.Fatalf("%d in: %v, of %d; should be %v", n, all[n].In(), q.Len(), at)
+			if all[n].In() != contains(deadlines, n) || q.Len() != len(deadlines) {
+				t.Fatalf("timer %d in the queue: %v, %d timers in total; want %v", n, all[n].In(), q.Len(), deadlines)
 			}
 		}
-		var order []float64
-		for i := q.First(); i != nil; i = q.First() {
-			if i.At() != at[i.Of] {
-				t.Fatalf("%d is due at %v, not %v", i.Of, i.At(), at[i.Of])
+		var popped []float64
+		for timer := q.First(); timer != nil; timer = q.First() {
+			if timer.At() != deadlines[timer.Of] {
+				t.Fatalf("timer %d is due at %v, want %v", timer.Of, timer.At(), deadlines[timer.Of])
 			}
-			order = append(order, i.At())
-			q.Drop(i)
+			popped = append(popped, timer.At())
+			q.Drop(timer)
 		}
-		if len(order) != len(at) || !slices.IsSorted(order) {
-			t.Fatalf("out came %v of %v", order, at)
+		if len(popped) != len(deadlines) || !slices.IsSorted(popped) {
+			t.Fatalf("popped deadlines %v, want those of %v in order", popped, deadlines)
 		}
 	})
 }
 
-func has(m map[int]float64, n int) bool {
+func contains(m map[int]float64, n int) bool {
 	_, in := m[n]
 	return in
 }
 
-// Whatever is added, removed and set: the first is the one that a walk over a list in order finds due.
+// After any sequence of Add, Remove and Set, First returns the due timer that a scan of a list in insertion order finds first.
 func TestFairQueue_MatchesWalkOverList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FairQueue[int]
@@ -60,34 +60,34 @@
 		}
 		now := 0.0
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			one := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
-			at := slices.Index(list, one)
+			timer := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
+			index := slices.Index(list, timer)
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				if at < 0 {
-					q.Add(one)
-					list = append(list, one)
+				if index < 0 {
+					q.Add(timer)
+					list = append(list, timer)
 				}
 			case 1:
-				if q.Remove(one); at >= 0 {
-					list = slices.Delete(list, at, at+1)
+				if q.Remove(timer); index >= 0 {
+					list = slices.Delete(list, index, index+1)
 				}
 			case 2, 3:
-				one.Set(float64(rapid.IntRange(0, 9).Draw(t, "at")))
+				timer.Set(float64(rapid.IntRange(0, 9).Draw(t, "at")))
 			case 4:
 				now++
 			}
 			first := slices.IndexFunc(list, func(o *FairTimer[int]) bool { return o.At() <= now })
 			if got := q.First(now); (got == nil) != (first < 0) || got != nil && got != list[first] {
-				t.Fatalf("the first due is %v, the list has %d", got, first)
+				t.Fatalf("first due timer: %v, want the one at index %d of the list", got, first)
 			}
 			earliest := math.Inf(1)
 			for _, o := range list {
 				earliest = math.Min(earliest, o.At())
 			}
-			// Of those that are due the one that was added first counts.
+			// If timers are due, Earliest may return the deadline of the one that was added first, not the earliest.
 			if got := q.Earliest(); q.Len() != len(list) || got != earliest && (got > now || earliest > now) {
-				t.Fatalf("%d, the earliest at %v; should be %d, %v", q.Len(), got, len(list), earliest)
+				t.Fatalf("%d timers, earliest deadline %v; want %d and %v", q.Len(), got, len(list), earliest)
 			}
 		}
 	})
