--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -1,13 +1,13 @@
-// Package clockoffset estimates how far the cluster's clock, on which members date their positions, is ahead of the
-// router's own monotonic clock. It owns the samples and the estimate; it reads no clock and does no I/O. All times are
-// milliseconds.
+// Package clockoffset estimates the offset of the cluster's clock, to which the members' positions refer, from the
+// router's own monotonic clock. It keeps the samples and the estimate; it reads no clock and does no I/O. All times are
+// in milliseconds.
 //
-// A position is never later than the cluster's present, so a position p that was received at r bounds the offset from
-// below: offset >= p-r. A primary's position is its present, so one that was asked for at s bounds it from above as
-// well: offset <= p-s. A sample that is late (an old report, a primary that is cut off) only lowers both ends. Too low
-// an estimate makes positions look newer than they are, which allows stale reads. Hence the estimate rises as soon as
-// primaries agree, falls only on steady evidence and only before a primary has confirmed it, and always takes the upper
-// end of the agreed interval.
+// A position is never later than the current time on the cluster's clock, so a position p received at r is a lower bound
+// of the offset: offset >= p-r. A primary's position is its current time, so if it was requested at s it is an upper
+// bound as well: offset <= p-s. A late sample (an old report, a partitioned primary) only lowers both bounds. An estimate
+// that is too low makes positions look newer than they are, which permits stale reads. Therefore the estimate rises as
+// soon as primaries agree, falls only on steady evidence and only until a primary has confirmed it, and always takes the
+// upper end of the agreed interval.
 package clockoffset
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// RiseToleranceMs is by how much positions may lie ahead of the estimate before it rises: members round their clocks.
+	// RiseToleranceMs is how far positions may be ahead of the estimate before it rises: members round their clocks.
 	RiseToleranceMs = 20.0
-	// FallToleranceMs is by how much primaries' positions may lie behind the estimate before it falls.
+	// FallToleranceMs is how far primaries' positions may be behind the estimate before it falls.
 	FallToleranceMs = 250.0
 
-	maxReportDelayMs      = 10000.0 // twice the longest delay of a report: a position older than this isn't merely late
-	minSteadyMs           = 200.0   // for how long a primary must show one offset before the estimate may fall
-	maxIntervalMs         = 500.0   // a wider interval is too little evidence for a fall
-	confirmIntervalMs     = 50.0    // between the samples of a primary that contradicts the start value
-	roundingMs            = 2.0     // positions are rounded to ms, commits up
-	replicaConfirmDelayMs = 1000.0  // after which replicas alone confirm the start value, if they don't contradict it
-	sampleLifetimeMs      = 60000.0 // a member without a response for so long has no vote
-	maxMembers            = 64      // members whose samples are kept
-	minPositionMs         = 1e12    // a lower position (before September 2001) is no reading of a clock,
+	maxReportDelayMs      = 10000.0 // twice the longest delay of a report: a late report doesn't explain an older position
+	minSteadyMs           = 200.0   // how long a primary's samples must be consistent before the estimate may fall
+	maxIntervalMs         = 500.0   // a wider interval is insufficient evidence for lowering the estimate
+	confirmIntervalMs     = 50.0    // between the samples of a primary that contradicts the initial offset
+	roundingMs            = 2.0     // positions are rounded to ms, those of commits upward
+	replicaConfirmDelayMs = 1000.0  // after which replicas alone confirm the initial offset, if they don't contradict it
+	sampleLifetimeMs      = 60000.0 // a member that hasn't responded for this long is ignored
+	maxMembers            = 64      // number of members whose samples are kept
+	minPositionMs         = 1e12    // a lower position (before September 2001) can't be a clock reading,
 	maxPositionMs         = 1e13    // nor is a higher one (after November 2286)
 )
 
@@ -38,33 +38,33 @@
 	Member   string
 	Primary  bool
 	Position float64 // on the cluster's clock
-	Sent     float64 // on the router's clock: when the member was asked; -Inf if it isn't known
-	Received float64 // on the router's clock: not before the position came
+	Sent     float64 // on the router's clock: when the position was requested; -Inf if unknown
+	Received float64 // on the router's clock: when the position arrived, or later
 }
 
-// Estimate is the offset and what it rests on. Its zero value begins with offset 0, which means that the router's clock
-// was set right at its start, and isn't settled.
+// Estimate is the estimated offset and the samples that it is based on. The zero value has the initial offset 0, which
+// assumes that the router's clock was right when the router started, and isn't settled.
 type Estimate struct {
 	offset      float64
-	settled     bool // it may be used
-	confirmed   bool // by a primary: from here on it only rises
+	settled     bool // may be used
+	confirmed   bool // by a primary; it only rises from then on
 	sampled     bool
 	firstSample float64
 	members     map[string]*memberSamples
 }
 
-// memberSamples is what one member has reported.
+// memberSamples summarizes the samples of one member.
 type memberSamples struct {
-	primary      bool
-	lastReceived float64    // when its last sample was received
-	count        int        // samples, two at most
-	lows         [2]float64 // lower bounds from the last two samples
-	steady       interval   // the intersection of the intervals that its latest samples have in common
-	steadySince  float64    // when the first of that run was received
-	lastSent     float64    // when the last of it was asked for
+	primary        bool
+	lastReceived   float64    // when the latest sample was received
+	count          int        // number of samples, up to 2
+	lowerBounds    [2]float64 // from the latest two samples, newest first
+	steadyInterval interval   // intersection of the intervals of the latest run of consistent samples
+	steadySince    float64    // when the first sample of that run was received
+	lastSent       float64    // when the latest sample of that run was requested
 }
 
-// interval holds the offsets that a sample allows.
+// interval is the range of offsets consistent with a sample.
 type interval struct{ low, high float64 }
 
 func (i interval) overlaps(o interval) bool {
@@ -75,10 +75,11 @@
 	return interval{max(i.low, o.low), min(i.high, o.high)}
 }
 
-// Offset is the cluster's clock less the router's.
+// Offset returns the cluster's clock minus the router's.
 func (e *Estimate) Offset() float64 { return e.offset }
 
-// Settled reports whether the estimate is confirmed. Until then no position can be judged.
+// Settled reports whether the estimate may be used: a primary or, after a delay, replicas have confirmed it. Until then
+// positions can't be converted to the router's clock.
 func (e *Estimate) Settled(now float64) bool {
 	if !e.settled && e.sampled && now-e.firstSample >= replicaConfirmDelayMs && e.replicasConfirm(now) {
 		e.settled = true
@@ -86,7 +87,7 @@
 	return e.settled
 }
 
-// Add takes in a sample, and corrects the estimate where members agree that it is wrong.
+// Add adds a sample, and corrects the estimate if the members agree that it is wrong.
 func (e *Estimate) Add(s Sample) {
 	if !(s.Position >= minPositionMs && s.Position < maxPositionMs) {
 		return
@@ -95,8 +96,8 @@
 		e.sampled, e.firstSample = true, s.Received
 	}
 	bounds := interval{s.Position - s.Received, s.Position - s.Sent}
-	if w := e.samplesOf(s.Member, s.Primary, s.Received); w != nil {
-		w.add(s.Primary, s.Sent, s.Received, bounds)
+	if m := e.findOrAddMember(s.Member, s.Primary, s.Received); m != nil {
+		m.add(s.Primary, s.Sent, s.Received, bounds)
 	}
 	if !s.Primary {
 		return
@@ -105,46 +106,47 @@
 	switch {
 	case e.confirmed && !rises:
 	case !rises && bounds.high >= e.offset-maxReportDelayMs && bounds.high-bounds.low <= maxReportDelayMs:
-		e.settled, e.confirmed = true, true // the clock at the start and a primary agree
+		e.settled, e.confirmed = true, true // the initial offset and a primary agree
 	default:
-		e.correct(s.Received)
+		e.correctOffset(s.Received)
 	}
 }
 
-// Confirm reports whether, and in how many ms, a member should be checked again, so that it is soon known which clock is wrong.
+// Confirm reports whether a member should be checked again, and after how many ms, to find out soon which clock is wrong.
 func (e *Estimate) Confirm(member string) (wait float64, wanted bool) {
-	w := e.members[member]
-	return confirmIntervalMs, w != nil && w.primary && !e.confirmed
+	m := e.members[member]
+	return confirmIntervalMs, m != nil && m.primary && !e.confirmed
 }
 
-// Forget drops the samples of a member.
+// Forget removes a member and its samples.
 func (e *Estimate) Forget(member string) { delete(e.members, member) }
 
-// samplesOf finds a member's record, or makes one; nil: there is no room. A member keeps its place while it responds, else none
-// of many would show one offset for long enough.
-func (e *Estimate) samplesOf(member string, primary bool, now float64) *memberSamples {
-	if w := e.members[member]; w != nil {
-		return w
+// findOrAddMember returns a member's samples, adding the member if it is new, or nil if there is no room. A member is kept while it
+// responds; with many members, none would otherwise be kept long enough for its samples to count as steady.
+func (e *Estimate) findOrAddMember(member string, primary bool, now float64) *memberSamples {
+	if m := e.members[member]; m != nil {
+		return m
 	}
 	if e.members == nil {
 		e.members = map[string]*memberSamples{}
 	}
-	if len(e.members) >= maxMembers && !e.makeRoom(primary, now) {
+	if len(e.members) >= maxMembers && !e.evictMember(primary, now) {
 		return nil
 	}
-	w := &memberSamples{lastReceived: now}
-	e.members[member] = w
-	return w
+	m := &memberSamples{lastReceived: now}
+	e.members[member] = m
+	return m
 }
 
-// makeRoom drops the member that has sent nothing for longest, if that is too long, or if it is a replica and a primary comes.
-func (e *Estimate) makeRoom(primary bool, now float64) bool {
+// evictMember removes the member that has been silent longest among those that may be removed: members silent for sampleLifetimeMs
+// and, to make room for a primary, replicas. It reports whether there was one.
+func (e *Estimate) evictMember(primary bool, now float64) bool {
 	oldest, found := "", false
-	for id, w := range e.members {
-		if now-w.lastReceived < sampleLifetimeMs && (w.primary || !primary) {
+	for id, m := range e.members {
+		if now-m.lastReceived < sampleLifetimeMs && (m.primary || !primary) {
 			continue
 		}
-		if o := e.members[oldest]; !found || w.lastReceived < o.lastReceived || w.lastReceived == o.lastReceived && id < oldest {
+		if o := e.members[oldest]; !found || m.lastReceived < o.lastReceived || m.lastReceived == o.lastReceived && id < oldest {
 			oldest, found = id, true
 		}
 	}
@@ -154,58 +156,60 @@
 	return found
 }
 
-func (w *memberSamples) add(primary bool, sent, now float64, bounds interval) {
-	if w.primary != primary {
-		*w = memberSamples{primary: primary}
+func (m *memberSamples) add(primary bool, sent, now float64, bounds interval) {
+	if m.primary != primary {
+		*m = memberSamples{primary: primary}
 	}
-	w.lastReceived = now
-	w.lows[0], w.lows[1] = bounds.low, w.lows[0]
-	if w.count == 0 || !w.steady.overlaps(bounds) {
-		w.steady, w.steadySince = bounds, now
+	m.lastReceived = now
+	m.lowerBounds[0], m.lowerBounds[1] = bounds.low, m.lowerBounds[0]
+	if m.count == 0 || !m.steadyInterval.overlaps(bounds) {
+		m.steadyInterval, m.steadySince = bounds, now
 	} else {
-		w.steady = w.steady.intersect(bounds)
+		m.steadyInterval = m.steadyInterval.intersect(bounds)
 	}
-	w.lastSent = sent
-	w.count = min(w.count+1, len(w.lows))
+	m.lastSent = sent
+	m.count = min(m.count+1, len(m.lowerBounds))
 }
 
-// low is the lower bound that the member vouches for; one that stands alone has to show it twice in a row.
-func (w *memberSamples) low(alone bool) float64 {
+// lowerBound returns the lower bound that the member's latest two samples support. With one sample it is the bound of that one, but
+// -Inf if there is no other primary: a single sample of a single primary isn't trusted.
+func (m *memberSamples) lowerBound(onlyPrimary bool) float64 {
 	switch {
-	case w.count == len(w.lows):
-		return min(w.lows[0], w.lows[1])
-	case alone:
+	case m.count == len(m.lowerBounds):
+		return min(m.lowerBounds[0], m.lowerBounds[1])
+	case onlyPrimary:
 		return math.Inf(-1)
 	}
-	return w.lows[0]
+	return m.lowerBounds[0]
 }
 
-// steadyHigh is the upper bound that the member has shown for long enough, and else +Inf. A position that stands still
-// can't pass: what was asked for after the first answer has nothing in common with it.
-func (w *memberSamples) steadyHigh() float64 {
-	if w.lastSent-w.steadySince < minSteadyMs || w.steady.high-w.steady.low > maxIntervalMs {
+// steadyUpperBound returns the upper bound if the member's samples have been consistent for long enough, else +Inf. A
+// position that doesn't advance never qualifies: the interval of a sample requested after the first response doesn't
+// overlap that of the first.
+func (m *memberSamples) steadyUpperBound() float64 {
+	if m.lastSent-m.steadySince < minSteadyMs || m.steadyInterval.high-m.steadyInterval.low > maxIntervalMs {
 		return math.Inf(1)
 	}
-	return w.steady.high
+	return m.steadyInterval.high
 }
 
-// correct moves the estimate to where a majority of primaries agree that it must be, if they do.
-func (e *Estimate) correct(now float64) {
+// correctOffset corrects the estimate if a majority of primaries agree that it is too low, or too high.
+func (e *Estimate) correctOffset(now float64) {
 	primaries := e.primaries(now)
 	if len(primaries) == 0 {
 		return
 	}
 	majority := len(primaries)/2 + 1
 	var lows, highs []float64
-	for _, w := range primaries {
-		lows = append(lows, w.low(len(primaries) == 1))
-		highs = append(highs, w.steadyHigh())
+	for _, m := range primaries {
+		lows = append(lows, m.lowerBound(len(primaries) == 1))
+		highs = append(highs, m.steadyUpperBound())
 	}
 	slices.Sort(lows)
-	low, high := lows[len(lows)-majority], agreedHigh(highs, majority)
+	low, high := lows[len(lows)-majority], agreedUpperBound(highs, majority)
 	switch {
 	case low > e.offset+RiseToleranceMs:
-		e.offset = safeEnd(primaries, low)
+		e.offset = minUpperBound(primaries, low)
 	case !e.confirmed && high < e.offset-FallToleranceMs:
 		e.offset = high
 	default:
@@ -214,8 +218,8 @@
 	e.settled, e.confirmed = true, true
 }
 
-// agreedHigh is the highest bound on which so many members agree; +Inf: there is none.
-func agreedHigh(highs []float64, majority int) float64 {
+// agreedUpperBound returns the highest bound on which a majority agrees to within maxIntervalMs, or +Inf if there is none.
+func agreedUpperBound(highs []float64, majority int) float64 {
 	slices.Sort(highs)
 	for n := len(highs); n >= majority; n-- {
 		if high := highs[n-1]; !math.IsInf(high, 1) && high-highs[n-majority] <= maxIntervalMs {
@@ -225,38 +229,38 @@
 	return math.Inf(1)
 }
 
-// safeEnd is the least upper bound that members show whose lower bound is at least low.
-func safeEnd(primaries []*memberSamples, low float64) float64 {
-	end := math.Inf(1)
-	for _, w := range primaries {
-		if w.steady.low >= low {
-			end = min(end, w.steady.high)
+// minUpperBound returns the lowest upper bound among the primaries whose lower bound is at least low, or low if there is none.
+func minUpperBound(primaries []*memberSamples, low float64) float64 {
+	upperBound := math.Inf(1)
+	for _, m := range primaries {
+		if m.steadyInterval.low >= low {
+			upperBound = min(upperBound, m.steadyInterval.high)
 		}
 	}
-	if math.IsInf(end, 1) {
+	if math.IsInf(upperBound, 1) {
 		return low
 	}
-	return end
+	return upperBound
 }
 
 func (e *Estimate) primaries(now float64) (all []*memberSamples) {
-	for _, w := range e.members {
-		if w.primary && now-w.lastReceived < sampleLifetimeMs {
-			all = append(all, w)
+	for _, m := range e.members {
+		if m.primary && now-m.lastReceived < sampleLifetimeMs {
+			all = append(all, m)
 		}
 	}
 	return all
 }
 
-// replicasConfirm reports whether no primary has responded, and most replicas don't contradict the estimate.
+// replicasConfirm reports whether no primary has responded and most replicas don't contradict the estimate.
 func (e *Estimate) replicasConfirm(now float64) bool {
 	agree, contradict := 0, 0
-	for _, w := range e.members {
+	for _, m := range e.members {
 		switch {
-		case now-w.lastReceived >= sampleLifetimeMs:
-		case w.primary:
+		case now-m.lastReceived >= sampleLifetimeMs:
+		case m.primary:
 			return false
-		case w.lows[0] > e.offset+RiseToleranceMs:
+		case m.lowerBounds[0] > e.offset+RiseToleranceMs:
 			contradict++
 		default:
 			agree++
--- a/internal/decide/clockoffset/clockoffset_test.go
+++ b/internal/decide/clockoffset/clockoffset_test.go
@@ -10,26 +10,26 @@
 
 const start = 1.7672256e12 // the router's clock when it starts
 
-// world has members that tell positions of a cluster whose clock is ahead of the router's by offset.
-type world struct {
+// simulation simulates members that report positions of a cluster whose clock is ahead of the router's by offset.
+type simulation struct {
 	Estimate
 	now, offset float64
 }
 
-// receive has a member answer after a round trip, with a position that is this old.
-func (w *world) receive(member string, primary bool, roundTrip, age float64) {
-	w.now += roundTrip
-	w.Add(Sample{Member: member, Primary: primary, Position: w.now - roundTrip/2 + w.offset - age, Sent: w.now - roundTrip,
-		Received: w.now})
+// respond has a member respond after roundTrip ms, with a position that is age ms old.
+func (s *simulation) respond(member string, primary bool, roundTrip, age float64) {
+	s.now += roundTrip
+	s.Add(Sample{Member: member, Primary: primary, Position: s.now - roundTrip/2 + s.offset - age, Sent: s.now - roundTrip,
+		Received: s.now})
 }
 
-// receiveFromEach has several primaries answer in turn, a second apart.
-func (w *world) receiveFromEach(primaries, rounds int) {
+// respondInTurn has all primaries respond one after the other, in rounds a second apart.
+func (s *simulation) respondInTurn(primaries, rounds int) {
 	for range rounds {
 		for n := range primaries {
-			w.receive(fmt.Sprint("p", n), true, 2, 0)
+			s.respond(fmt.Sprint("p", n), true, 2, 0)
 		}
-		w.now += 1000
+		s.now += 1000
 	}
 }
 
@@ -41,133 +41,133 @@
 func TestEstimate_FindsTheOffset(t *testing.T) {
 	for _, offset := range []float64{0, 0.6 * second, 5 * second, hour, -hour, -400 * 24 * hour} {
 		for _, primaries := range []int{1, 2, 3, 7, 200} {
-			w := &world{now: start, offset: offset}
-			if w.Settled(w.now) {
+			s := &simulation{now: start, offset: offset}
+			if s.Settled(s.now) {
 				t.Fatal("settled without a sample")
 			}
-			w.receiveFromEach(primaries, 3)
-			if !w.Settled(w.now) || w.Offset() < offset-0.001 || w.Offset() > offset+3 {
-				t.Errorf("offset %.0f, %d primaries: got %.3f, settled %v", offset, primaries, w.Offset(), w.Settled(w.now))
+			s.respondInTurn(primaries, 3)
+			if !s.Settled(s.now) || s.Offset() < offset-0.001 || s.Offset() > offset+3 {
+				t.Errorf("offset %.0f, %d primaries: got %.3f, settled %v", offset, primaries, s.Offset(), s.Settled(s.now))
 			}
-			if offset == 0 && w.Offset() != 0 {
-				t.Errorf("it moved to %v where the clock was right", w.Offset())
+			if offset == 0 && s.Offset() != 0 {
+				t.Errorf("the estimate moved to %v although the clock was right", s.Offset())
 			}
-			if len(w.members) > maxMembers {
-				t.Errorf("%d members are kept", len(w.members))
+			if len(s.members) > maxMembers {
+				t.Errorf("%d members are kept", len(s.members))
 			}
 		}
 	}
 }
 
-// What a primary has confirmed never falls: what was dated by it, a session's commit above all, would be met too early. Nor
-// does a clock that is ahead by less than a report may be late.
+// An estimate that a primary has confirmed never falls: conditions on times derived from it, above all a session's last commit,
+// would be considered met too early. Nor does an unconfirmed estimate fall if a late report may explain the difference.
 func TestEstimate_NeverFallsOnceConfirmed(t *testing.T) {
 	for _, before := range []int{0, 1} {
-		w := &world{now: start}
-		w.receiveFromEach(before, 1)
-		w.offset = -3 * second
-		w.receiveFromEach(1, 300)
-		if !w.Settled(w.now) || w.Offset() != 0 {
-			t.Errorf("settled %v, it fell to %.0f", w.Settled(w.now), w.Offset())
+		s := &simulation{now: start}
+		s.respondInTurn(before, 1)
+		s.offset = -3 * second
+		s.respondInTurn(1, 300)
+		if !s.Settled(s.now) || s.Offset() != 0 {
+			t.Errorf("settled %v, the estimate fell to %.0f", s.Settled(s.now), s.Offset())
 		}
 	}
 }
 
-// What took longer than the tolerance confirms nothing: a transaction of an hour would fit any clock.
-func TestEstimate_LongAnswersConfirmNothing(t *testing.T) {
-	w := &world{now: start, offset: -hour}
-	w.receive("p0", true, 3*hour, 0)
-	if w.Settled(w.now) {
-		t.Error("settled")
+// A response that took longer than maxReportDelayMs confirms nothing: a transaction of an hour would be consistent with any clock.
+func TestEstimate_SlowResponsesConfirmNothing(t *testing.T) {
+	s := &simulation{now: start, offset: -hour}
+	s.respond("p0", true, 3*hour, 0)
+	if s.Settled(s.now) {
+		t.Error("settled by a slow response")
 	}
-	if w.receiveFromEach(1, 3); math.Abs(w.Offset()+hour) > 3 {
-		t.Errorf("got %.0f", w.Offset())
+	if s.respondInTurn(1, 3); math.Abs(s.Offset()+hour) > 3 {
+		t.Errorf("got %.0f", s.Offset())
 	}
 }
 
-// What only replicas have confirmed, by time that passed, falls.
-func TestEstimate_FallsWhereOnlyReplicasConfirmed(t *testing.T) {
-	w := &world{now: start, offset: -hour}
-	w.receive("r", false, 2, 0)
-	w.now += replicaConfirmDelayMs
-	if !w.Settled(w.now) {
-		t.Fatal("replicas alone don't settle it")
+// An estimate that only replicas have confirmed, after the delay, may still fall.
+func TestEstimate_FallsIfOnlyReplicasConfirmed(t *testing.T) {
+	s := &simulation{now: start, offset: -hour}
+	s.respond("r", false, 2, 0)
+	s.now += replicaConfirmDelayMs
+	if !s.Settled(s.now) {
+		t.Fatal("replicas alone don't settle the estimate")
 	}
-	if w.receiveFromEach(1, 3); math.Abs(w.Offset()+hour) > 3 {
-		t.Errorf("got %.0f", w.Offset())
+	if s.respondInTurn(1, 3); math.Abs(s.Offset()+hour) > 3 {
+		t.Errorf("got %.0f", s.Offset())
 	}
 }
 
-// One value that is wrong, or one member that always is, moves nothing.
-func TestEstimate_ResistsOneSpoiltMember(t *testing.T) {
-	for _, wrong := range []float64{hour, -hour, 0.6 * second, -20 * second, 8e12} {
+// Neither a single wrong value nor one member that is always wrong leads to a wrong estimate.
+func TestEstimate_ResistsOneFaultyMember(t *testing.T) {
+	for _, errorMs := range []float64{hour, -hour, 0.6 * second, -20 * second, 8e12} {
 		for _, offset := range []float64{0, hour, -hour} {
-			once := &world{now: start, offset: offset}
-			once.receiveFromEach(1, 3)
-			before := once.Offset()
-			once.receive("p0", true, 2, -wrong)
-			once.receiveFromEach(1, 1)
-			if once.Offset() != before {
-				t.Errorf("one value off by %.0f moved it from %.0f to %.0f", wrong, before, once.Offset())
+			transient := &simulation{now: start, offset: offset}
+			transient.respondInTurn(1, 3)
+			before := transient.Offset()
+			transient.respond("p0", true, 2, -errorMs)
+			transient.respondInTurn(1, 1)
+			if transient.Offset() != before {
+				t.Errorf("one value off by %.0f moved it from %.0f to %.0f", errorMs, before, transient.Offset())
 			}
-			if offset+wrong == 0 {
-				continue // two faults that agree: the wall confirms the spoilt member, which costs service and no stale read
+			if offset+errorMs == 0 {
+				continue // two faults that agree: the initial offset confirms the faulty member, which costs availability but no stale read
 			}
-			always := &world{now: start, offset: offset}
+			permanent := &simulation{now: start, offset: offset}
 			for range 200 {
-				always.receive("wrong", true, 2, -wrong)
-				always.receiveFromEach(2, 1)
-				if always.Offset() != 0 && math.Abs(always.Offset()-offset) > 3 {
-					t.Fatalf("offset %.0f, a member off by %.0f: got %.0f", offset, wrong, always.Offset())
+				permanent.respond("wrong", true, 2, -errorMs)
+				permanent.respondInTurn(2, 1)
+				if permanent.Offset() != 0 && math.Abs(permanent.Offset()-offset) > 3 {
+					t.Fatalf("offset %.0f, a member off by %.0f: got %.0f", offset, errorMs, permanent.Offset())
 				}
 			}
-			if math.Abs(always.Offset()-offset) > 3 {
-				t.Errorf("offset %.0f, a member off by %.0f: stayed at %.0f", offset, wrong, always.Offset())
+			if math.Abs(permanent.Offset()-offset) > 3 {
+				t.Errorf("offset %.0f, a member off by %.0f: stayed at %.0f", offset, errorMs, permanent.Offset())
 			}
 		}
 	}
 }
 
-// A primary that is cut off reports the same position all the time.
-func TestEstimate_IgnoresAPositionThatStandsStill(t *testing.T) {
+// A partitioned primary keeps reporting the same position, which must not lower the estimate.
+func TestEstimate_IgnoresUnchangingPosition(t *testing.T) {
 	for _, settled := range []bool{true, false} {
-		w := &world{now: start}
+		s := &simulation{now: start}
 		if settled {
-			w.receiveFromEach(1, 1)
+			s.respondInTurn(1, 1)
 		}
 		for age := 60 * second; age < 600*second; age += second {
-			w.now += second - 2
-			w.receive("p0", true, 2, age)
+			s.now += second - 2
+			s.respond("p0", true, 2, age)
 		}
-		if w.Offset() != 0 {
-			t.Errorf("settled %v: it went to %.0f", settled, w.Offset())
+		if s.Offset() != 0 {
+			t.Errorf("settled %v: the estimate moved to %.0f", settled, s.Offset())
 		}
 	}
 }
 
-// Until a primary has responded, replicas alone confirm the clock after a while, unless they show that it is behind.
+// Until a primary has responded, replicas alone confirm the initial offset after a delay, unless they show that it is too low.
 func TestEstimate_ReplicasAlone(t *testing.T) {
 	for _, c := range []struct {
 		offset, lag float64
 		want        bool
 	}{{0, 50, true}, {0, 30 * second, true}, {hour, 50, false}, {0.6 * second, 50, false}} {
-		w := &world{now: start, offset: c.offset}
-		w.receive("r1", false, 2, c.lag)
-		w.receive("r2", false, 2, c.lag+100)
-		if w.Settled(w.now) {
-			t.Errorf("%v: settled at once", c)
+		s := &simulation{now: start, offset: c.offset}
+		s.respond("r1", false, 2, c.lag)
+		s.respond("r2", false, 2, c.lag+100)
+		if s.Settled(s.now) {
+			t.Errorf("%v: settled without the delay", c)
 		}
-		if w.now += replicaConfirmDelayMs; w.Settled(w.now) != c.want || w.Offset() != 0 {
-			t.Errorf("%v: settled %v, offset %.0f", c, w.Settled(w.now), w.Offset())
+		if s.now += replicaConfirmDelayMs; s.Settled(s.now) != c.want || s.Offset() != 0 {
+			t.Errorf("%v: settled %v, offset %.0f", c, s.Settled(s.now), s.Offset())
 		}
-		if w.receiveFromEach(1, 2); !w.Settled(w.now) || math.Abs(w.Offset()-c.offset) > 3 {
-			t.Errorf("%v: with a primary: settled %v, offset %.0f", c, w.Settled(w.now), w.Offset())
+		if s.respondInTurn(1, 2); !s.Settled(s.now) || math.Abs(s.Offset()-c.offset) > 3 {
+			t.Errorf("%v: with a primary: settled %v, offset %.0f", c, s.Settled(s.now), s.Offset())
 		}
 	}
 }
 
-// What can't be a Unix time in ms is ignored.
-func TestEstimate_IgnoresWhatIsNoClock(t *testing.T) {
+// Positions that can't be Unix times in ms are ignored.
+func TestEstimate_IgnoresImplausiblePositions(t *testing.T) {
 	var e Estimate
 	for _, position := range []float64{0, 1, 17, -5, 1e18, math.Inf(1), math.NaN()} {
 		for range 3 {
@@ -175,17 +175,17 @@
 		}
 	}
 	if e.Offset() != 0 || e.Settled(start+hour) || len(e.members) > 0 {
-		t.Errorf("offset %v, %d witnesses", e.Offset(), len(e.members))
+		t.Errorf("offset %v, %d members are kept", e.Offset(), len(e.members))
 	}
 }
 
-// Whatever the delays and late reports, an estimate that has settled is never lower than the truth by more than what the
-// interval of one sample hides, unless every report so far was late; and a right clock is never corrected.
+// With random delays and late reports, a settled estimate is too low by at most RiseToleranceMs plus the width of one sample's
+// interval, unless every report so far was late. If the router's clock is right, the estimate never changes.
 func TestEstimate_NeverTooLow(t *testing.T) {
 	for seed := range uint64(300) {
 		draw := random.Source{Seed: seed + 1}
 		offsets := []float64{0, 0.6 * second, hour, -hour, -4 * second}
-		w := &world{now: start + seed2ms(seed), offset: offsets[seed%uint64(len(offsets))]}
+		s := &simulation{now: start + seedToMs(seed), offset: offsets[seed%uint64(len(offsets))]}
 		primaries := 1 + int(draw.Next()*6)
 		for range 2000 {
 			age := 0.0
@@ -193,31 +193,31 @@
 				age = draw.Next() * 5 * second
 			}
 			if draw.Next() < 0.3 {
-				w.receive("r", false, 1+draw.Next()*20, draw.Next()*30*second)
+				s.respond("r", false, 1+draw.Next()*20, draw.Next()*30*second)
 			} else {
-				w.receive(fmt.Sprint("p", int(draw.Next()*float64(primaries))), true, 1+draw.Next()*20, age)
+				s.respond(fmt.Sprint("p", int(draw.Next()*float64(primaries))), true, 1+draw.Next()*20, age)
 			}
-			w.now += draw.Next() * 200
-			if w.offset == 0 && w.Offset() != 0 {
-				t.Fatalf("seed %d: a right clock was corrected by %.1f", seed, w.Offset())
+			s.now += draw.Next() * 200
+			if s.offset == 0 && s.Offset() != 0 {
+				t.Fatalf("seed %d: the clock was right, but the estimate moved to %.1f", seed, s.Offset())
 			}
 		}
-		if low := w.offset - w.Offset(); !w.Settled(w.now) || low > RiseToleranceMs+21 {
-			t.Errorf("seed %d, offset %.0f: settled %v, too low by %.1f", seed, w.offset, w.Settled(w.now), low)
+		if low := s.offset - s.Offset(); !s.Settled(s.now) || low > RiseToleranceMs+21 {
+			t.Errorf("seed %d, offset %.0f: settled %v, too low by %.1f", seed, s.offset, s.Settled(s.now), low)
 		}
 	}
 }
 
-func seed2ms(seed uint64) float64 { return float64(seed) * 17 }
+func seedToMs(seed uint64) float64 { return float64(seed) * 17 }
 
 func TestEstimate_Forgets(t *testing.T) {
-	w := &world{now: start}
-	w.receiveFromEach(3, 2)
-	if w.Forget("p1"); len(w.members) != 2 {
-		t.Errorf("%d are kept", len(w.members))
+	s := &simulation{now: start}
+	s.respondInTurn(3, 2)
+	if s.Forget("p1"); len(s.members) != 2 {
+		t.Errorf("%d members are kept", len(s.members))
 	}
-	w.now += sampleLifetimeMs
-	if got := len(w.primaries(w.now)); got != 0 {
-		t.Errorf("%d that were silent for long have a vote", got)
+	s.now += sampleLifetimeMs
+	if got := len(s.primaries(s.now)); got != 0 {
+		t.Errorf("%d members that were silent for too long still count", got)
 	}
 }
