--- a/internal/decide/lease/exploration_test.go
+++ b/internal/decide/lease/exploration_test.go
@@ -8,46 +8,46 @@
 	"testing"
 )
 
-var deep = flag.Int("deep", 7, "steps that the small world is explored for")
+var explorationDepth = flag.Int("deep", 7, "number of steps to which the lease model is explored")
 
 // deliverLatest delivers the latest message of a kind from or to a holder.
-func (w *world) deliverLatest(kind messageKind, holder int) {
-	for n, m := range slices.Backward(w.network) {
-		if m.kind == kind && m.holder == holder {
-			w.step(step{stepDeliver, n})
+func (m *model) deliverLatest(kind messageKind, holder int) {
+	for n, msg := range slices.Backward(m.network) {
+		if msg.kind == kind && msg.holder == holder {
+			m.step(step{stepDeliver, n})
 			return
 		}
 	}
 }
 
-// grantFirst has holder 0 granted the lease, act, and check that it may act again.
-func (w *world) grantFirst() {
-	w.deliverLatest(requestMessage, 0)
-	w.deliverLatest(responseMessage, 0)
-	w.step(step{stepCheck, 0})
-	w.step(step{stepSend, 0})
-	w.deliverLatest(actMessage, 0)
-	w.step(step{stepCheck, 0})
+// grantToHolder0 has holder 0 granted the lease, send an operation, and check its lease for the next one.
+func (m *model) grantToHolder0() {
+	m.deliverLatest(requestMessage, 0)
+	m.deliverLatest(responseMessage, 0)
+	m.step(step{stepCheck, 0})
+	m.step(step{stepSend, 0})
+	m.deliverLatest(operationMessage, 0)
+	m.step(step{stepCheck, 0})
 }
 
-// contended is a world in which holder 0 has acted and checked that it may act again, and holder 1 has requested the lease in vain.
-func contended(d defects) *world {
-	w := newWorld(d)
-	w.grantFirst()
-	w.deliverLatest(requestMessage, 1)
-	w.deliverLatest(responseMessage, 1)
-	return w
+// newContendedModel returns a model in which holder 0 holds the lease (grantToHolder0), and a request of holder 1 was denied.
+func newContendedModel(d defects) *model {
+	m := newModel(d)
+	m.grantToHolder0()
+	m.deliverLatest(requestMessage, 1)
+	m.deliverLatest(responseMessage, 1)
+	return m
 }
 
-// exploration is what exploring the world found.
+// exploration is the result of exploring the model.
 type exploration struct {
-	path     []step // the first to something wrong
-	wrong    string
-	states   int
-	rejected int // states in which a late act had been rejected
+	path      []step // the first to a violation
+	violation string
+	states    int
+	rejected  int // states in which a late operation has been rejected
 }
 
-// explore plays every order of steps up to a depth, or until something is wrong.
+// explore runs every sequence of steps up to a depth, or until it finds a violation.
 func explore(d defects, depth int) (found exploration) {
 	seen := map[uint64]bool{}
 	paths := [][]step{nil}
@@ -56,18 +56,18 @@
 		for _, path := range paths {
 			for _, next := range replay(d, path).steps() {
 				path := append(slices.Clone(path), next)
-				w := replay(d, path)
-				if w.wrong != "" {
-					found.path, found.wrong = path, w.wrong
+				m := replay(d, path)
+				if m.violation != "" {
+					found.path, found.violation = path, m.violation
 					return found
 				}
-				key := w.key()
+				key := m.stateHash()
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
 				found.states++
-				if w.rejected > 0 {
+				if m.lateRejected > 0 {
 					found.rejected++
 				}
 				longer = append(longer, path)
@@ -78,28 +78,28 @@
 	return found
 }
 
-func replay(d defects, path []step) *world {
-	w := contended(d)
+func replay(d defects, path []step) *model {
+	m := newContendedModel(d)
 	for _, s := range path {
-		w.step(s)
+		m.step(s)
 	}
-	return w
+	return m
 }
 
-// Every order of messages, losses, pauses, restarts and one loss of the coordinator's state, up to a depth: no act is accepted
-// under a fencing token lower than one that was accepted before, and nobody may act while the coordinator has another holder.
-func TestSmallWorld_NoLateActAccepted(t *testing.T) {
-	found := explore(defects{}, *deep)
-	if found.wrong != "" {
-		t.Fatalf("%s\nafter %v", found.wrong, found.path)
+// With every order of messages, losses, pauses, restarts and one loss of the coordinator's state, up to a depth: no operation is
+// accepted under a fencing token lower than one accepted before, and no holder may act while the coordinator has another holder.
+func TestLeaseModel_NoLateOperationAccepted(t *testing.T) {
+	found := explore(defects{}, *explorationDepth)
+	if found.violation != "" {
+		t.Fatalf("%s\nafter %v", found.violation, found.path)
 	}
-	t.Logf("%d states in %d steps, a late act rejected in %d of them", found.states, *deep, found.rejected)
+	t.Logf("%d states within %d steps, a late operation rejected in %d of them", found.states, *explorationDepth, found.rejected)
 	if found.states < 1000 || found.rejected == 0 {
-		t.Errorf("only %d states, %d with a late act", found.states, found.rejected)
+		t.Errorf("only %d states, %d with a rejected late operation", found.states, found.rejected)
 	}
 }
 
-// interruption is what happens between a late act and its arrival.
+// interruption is what happens between the check for a late operation and its arrival.
 type interruption int
 
 const (
@@ -109,69 +109,69 @@
 	receiverRestartedAfterLoss
 )
 
-// playLateAct plays the hard case: holder 0 has checked that it may act and is stopped; holder 1 is granted the lease and acts; the
-// receiver restarts; holder 0 wakes and sends.
-func playLateAct(d defects, between interruption) (wrong string, w *world) {
+// runLateOperation runs the critical case: holder 0 checks its lease and is paused; holder 1 is granted the lease and sends an operation;
+// the receiver may restart; holder 0 resumes and sends its operation. With overrunMs, holder 0 isn't paused but checks its lease late.
+func runLateOperation(d defects, between interruption) (violation string, m *model) {
 	defer func() {
-		if failure := recover(); failure != nil { // an invariant's, in a debug build
-			wrong = fmt.Sprint(failure)
+		if failure := recover(); failure != nil { // a failed invariant panics in a debug build
+			violation = fmt.Sprint(failure)
 		}
 	}()
-	w = newWorld(d)
-	w.grantFirst()
-	if d.overstayMs == 0 {
-		w.step(step{stepSleep, 0})
+	m = newModel(d)
+	m.grantToHolder0()
+	if d.overrunMs == 0 {
+		m.step(step{stepPause, 0})
 	}
 	if between == stateLost {
-		w.step(step{kind: stepWipe})
+		m.step(step{kind: stepLoseState})
 	}
-	w.step(step{kind: stepTick})
-	w.step(step{kind: stepTick})
-	if d.overstayMs > 0 {
-		w.step(step{stepCheck, 0})
+	m.step(step{kind: stepTick})
+	m.step(step{kind: stepTick})
+	if d.overrunMs > 0 {
+		m.step(step{stepCheck, 0})
 	}
-	w.deliverLatest(requestMessage, 1)
-	w.deliverLatest(responseMessage, 1)
-	w.step(step{stepCheck, 1})
-	w.step(step{stepSend, 1})
-	w.deliverLatest(actMessage, 1)
+	m.deliverLatest(requestMessage, 1)
+	m.deliverLatest(responseMessage, 1)
+	m.step(step{stepCheck, 1})
+	m.step(step{stepSend, 1})
+	m.deliverLatest(operationMessage, 1)
 	if between == receiverRestartedAfterLoss {
-		w.step(step{kind: stepWipe})
+		m.step(step{kind: stepLoseState})
 	}
 	if between == receiverRestarted || between == receiverRestartedAfterLoss {
-		w.step(step{kind: stepRestart})
-		w.deliverLatest(queryMessage, 0)
-		w.deliverLatest(queryMessage, 0)
+		m.step(step{kind: stepRestart})
+		m.deliverLatest(queryMessage, 0)
+		m.deliverLatest(queryMessage, 0)
 	}
-	if w.asleep[0] {
-		w.step(step{stepWake, 0})
+	if m.paused[0] {
+		m.step(step{stepResume, 0})
 	}
-	w.deliverLatest(actMessage, 0)
-	return w.wrong, w
+	m.deliverLatest(operationMessage, 0)
+	return m.violation, m
 }
 
-func TestSmallWorld_SeededDefectsAreFound(t *testing.T) {
+func TestLeaseModel_SeededDefectsAreFound(t *testing.T) {
 	for name, test := range map[string]struct {
 		defects defects
 		between interruption
 		want    string
 	}{
-		"receiver accepts all":                 {defects{acceptsAll: true}, uninterrupted, "was accepted after one under"},
-		"receiver forgets":                     {defects{forgets: true}, receiverRestarted, "was accepted after one under"},
-		"receiver isn't told of the new epoch": {defects{tellsLatestGrant: true}, receiverRestartedAfterLoss, "was accepted after one under"},
-		"lease is counted for too long":        {defects{overstayMs: 4}, uninterrupted, "may act under"},
-		"epoch is not raised":                  {defects{sameEpoch: true}, stateLost, "one fencing token, one holder"},
+		"receiver accepts every operation":         {defects{receiverAcceptsAll: true}, uninterrupted, "was accepted after one under"},
+		"receiver loses its tokens in a restart":   {defects{receiverForgets: true}, receiverRestarted, "was accepted after one under"},
+		"receiver isn't informed of the new epoch": {defects{reportsLatestGrant: true}, receiverRestartedAfterLoss, "was accepted after one under"},
+		"holder acts beyond the end of its lease":  {defects{overrunMs: 4}, uninterrupted, "may act under"},
+		"epoch isn't increased":                    {defects{epochReused: true}, stateLost, "one fencing token, one holder"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if wrong, _ := playLateAct(test.defects, test.between); !strings.Contains(wrong, test.want) {
-				t.Errorf("not found: %q", wrong)
+			if violation, _ := runLateOperation(test.defects, test.between); !strings.Contains(violation, test.want) {
+				t.Errorf("defect not found: %q", violation)
 			}
-			wrong, w := playLateAct(defects{}, test.between)
-			if wrong != "" || w.rejected != 1 {
-				t.Errorf("without it: %q, %d late acts rejected", wrong, w.rejected)
+			violation, m := runLateOperation(defects{}, test.between)
+			if violation != "" || m.lateRejected != 1 {
+				t.Errorf("without the defect: %q, %d late operations rejected", violation, m.lateRejected)
 			}
-			if _, valid := w.holders[0].Valid(); valid {
-				t.Error("the holder that woke up goes on")
+			if _, valid := m.holders[0].Valid(); valid {
+				t.Error("the resumed holder's lease is still valid")
 			}
 		})
 	}
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	renewAfterShare = 1.0 / 3 // of a lease's duration until it is renewed: two more requests may fail before it ends
-	jitterShare     = 1.0 / 6 // of it by which renewals are drawn earlier, so that those of a fleet don't come together
-	retryAfterShare = 1.0 / 8 // of it until an unanswered request is sent again
-	queuedDurations = 8.0     // lease durations until a queued candidate asks again: the notice of its turn may have been lost
+	renewAfterFraction   = 1.0 / 3 // of the lease duration, after which a renewal is requested: two more requests may fail before the lease ends
+	jitterFraction       = 1.0 / 6 // of the lease duration, by which renewals are randomly advanced so that those of a fleet don't coincide
+	retryAfterFraction   = 1.0 / 8 // of the lease duration, after which an unanswered request is retried
+	queuedRetryDurations = 8.0     // lease durations after which a queued candidate requests again: the notice of its turn may have been lost
 )
 
-// Settings of a holder; they don't change. Times are ms.
+// Settings of a holder. They don't change. Times are in ms.
 type Settings struct {
-	Duration     float64 // of a lease, as the coordinator counts it
-	SafetyMargin float64 // before the lease ends, in which the holder no longer acts: the time that an act takes, and the clocks' drift
-	Seed         uint64  // of the jitter
+	Duration     float64 // of a lease, as the coordinator measures it
+	SafetyMargin float64 // before the end of a lease, during which the holder no longer acts: covers the time an operation takes and clock drift
+	Seed         uint64  // of the random jitter
 }
 
-// Action is the kind of a decision.
+// Action is the kind of a Decision.
 type Action int
 
-// What the driver of a holder has to do.
+// Actions that the driver carries out.
 const (
-	RequestLease  Action = iota // send a request for the lease, or to renew it, with the number Request
-	ReleaseLease                // report to the coordinator that the lease held under Token is released
+	RequestLease  Action = iota // send a request for the lease, or for its renewal, numbered Request
+	ReleaseLease                // tell the coordinator that the lease held under Token is released
 	TransferLease               // ask the coordinator to grant the lease held under Token to To next
-	Stop                        // end what acts under Token: nothing more may go out
-	Start                       // begin to act under Token
+	Stop                        // stop all work under Token: no further operation may be sent
+	Start                       // start acting as the holder, under Token
 )
 
-// Decision is one thing that the driver has to do; only the fields of its action are set.
+// Decision is one action for the driver to carry out; only the fields of its Action are set.
 type Decision struct {
 	Action  Action
 	Request uint64
@@ -41,25 +41,26 @@
 	To      string
 }
 
-// Holder is one process's part in one lease, as a candidate and as its holder. While it is valid nobody else is granted the lease, as
-// long as the clocks of holder and coordinator drift by less than the safety margin over a lease. It isn't safe for concurrent use.
+// Holder is the state machine of one process for one lease, as a candidate and as the lease's holder. While it is valid no other process
+// is granted the lease, provided that the clocks of holder and coordinator drift apart by less than the safety margin over a lease
+// duration. It is not safe for concurrent use.
 type Holder struct {
-	settings       Settings
-	now            float64
-	wanted         bool               // the process would hold the lease
-	acting         bool               // Start was decided, and no Stop since
-	token          Token              // of the latest grant
-	validUntil     float64            // end of the grant, less the safety margin
-	latestRequest  uint64             // number of the latest request
-	unanswered     map[uint64]float64 // when each request without an answer was sent, by number
-	nextRequestAt  float64
-	random         random.Source
-	decisions      []Decision // not yet pulled by Next
-	highestForeign Token      // the highest that is known to be another process's, or nobody's
-	highestSeen    Token      // the highest that a receiver named: it may be this process's own next one
-}
-
-// NewHolder returns a holder that doesn't want the lease yet.
+	settings        Settings
+	now             float64
+	wanted          bool               // the process wants to hold the lease
+	acting          bool               // the latest of Start and Stop was Start
+	token           Token              // of the latest grant
+	validUntil      float64            // end of the grant minus the safety margin
+	latestRequest   uint64             // number of the latest request
+	unanswered      map[uint64]float64 // send times of the requests without a response, by number
+	nextRequestAt   float64
+	random          random.Source
+	decisions       []Decision // not yet returned by Next
+	highestForeign  Token      // the highest token known to be another process's, or no longer held by any
+	highestReported Token      // the highest token that a receiver reported: it may be of this process's own next grant
+}
+
+// NewHolder returns a Holder that doesn't request the lease before Acquire.
 func NewHolder(settings Settings) *Holder {
 	return &Holder{
 		settings:   settings,
@@ -69,25 +70,26 @@
 	}
 }
 
-// Advance sets the time of all that follows until the next call. A holder whose machine slept finds its lease over.
+// Advance sets the current time, which applies to all inputs until the next call. If the machine was suspended for longer than the
+// lease, this is where the holder stops.
 func (h *Holder) Advance(now float64) {
 	h.now = math.Max(h.now, now) // a clock that goes back must not lengthen a lease
 	if h.acting && h.now >= h.validUntil {
 		h.stop()
 	}
-	// A grant counts from its request: an answer to one that is older than a lease brings no time.
+	// A grant counts from its request, so a response to a request older than the lease duration can't extend the lease.
 	maps.DeleteFunc(h.unanswered, func(_ uint64, sentAt float64) bool { return sentAt <= h.now-h.settings.Duration })
 }
 
-// Acquire says that the process would hold the lease.
+// Acquire starts requesting the lease.
 func (h *Holder) Acquire() {
 	if !h.wanted {
 		h.wanted, h.nextRequestAt = true, h.now
 	}
 }
 
-// Release says that the process would no longer hold the lease: what it holds is given back, or transferred to the process named.
-// Grants that are still on their way no longer count.
+// Release stops requesting the lease. A lease that is held is released, or transferred to successor if one is named. Grants that are
+// still in flight are ignored.
 func (h *Holder) Release(successor string) {
 	if !h.wanted {
 		return
@@ -99,21 +101,21 @@
 	}
 	h.stop()
 	if successor != "" {
-		h.decide(Decision{Action: TransferLease, Token: h.token, To: successor})
+		h.emit(Decision{Action: TransferLease, Token: h.token, To: successor})
 	} else {
-		h.decide(Decision{Action: ReleaseLease, Token: h.token})
+		h.emit(Decision{Action: ReleaseLease, Token: h.token})
 	}
 }
 
-// Granted says that a request was answered with a grant, or with more time, under a token. The time counts from when the request was
-// sent: when the coordinator counted it, the holder can't know.
+// Granted handles a response that grants or renews the lease under a token. The lease counts from when the request was sent, since the
+// holder can't know when the coordinator handled it.
 func (h *Holder) Granted(request uint64, token Token) {
 	sentAt, pending := h.unanswered[request]
-	if !pending || !h.wanted || h.overtaken(token) {
+	if !pending || !h.wanted || h.superseded(token) {
 		return
 	}
 	delete(h.unanswered, request)
-	if h.acting && token != h.token { // another held the lease in between: what began under the old token must end
+	if h.acting && token != h.token { // another process held the lease in between: work under the old token must stop
 		h.stop()
 	}
 	validUntil := sentAt + h.settings.Duration - h.settings.SafetyMargin
@@ -121,51 +123,51 @@
 		validUntil = math.Max(validUntil, h.validUntil)
 	}
 	h.token, h.validUntil = token, validUntil
-	renewAt := sentAt + h.settings.Duration*(renewAfterShare-jitterShare*h.random.Next())
+	renewAt := sentAt + h.settings.Duration*(renewAfterFraction-jitterFraction*h.random.Next())
 	h.nextRequestAt = math.Min(renewAt, math.Max(validUntil, h.now))
 	if !h.acting && h.now < h.validUntil {
 		h.acting = true
-		h.decide(Decision{Action: Start, Token: token})
+		h.emit(Decision{Action: Start, Token: token})
 	}
 }
 
-// overtaken reports whether a grant under a token is known to be over.
-func (h *Holder) overtaken(token Token) bool {
+// superseded reports whether a grant under the token is known to have ended.
+func (h *Holder) superseded(token Token) bool {
 	notAboveForeign := h.highestForeign != (Token{}) && token.Compare(h.highestForeign) <= 0
-	return token.Compare(h.token) < 0 || token.Compare(h.highestSeen) < 0 || notAboveForeign
+	return token.Compare(h.token) < 0 || token.Compare(h.highestReported) < 0 || notAboveForeign
 }
 
-// Denied says that a request was answered with another's hold: the process is in the lease's queue and is notified of its turn. It asks
-// again after many leases only, since a fleet of candidates must not weigh on the coordinator.
+// Denied handles a response saying that another process holds the lease: this process is in the lease's queue and is notified of its
+// turn. It requests again only after several lease durations, so that a fleet of candidates doesn't load the coordinator.
 func (h *Holder) Denied(request uint64) {
 	_, pending := h.unanswered[request]
 	delete(h.unanswered, request)
-	if !pending || request != h.latestRequest { // its turn may have come since
+	if !pending || request != h.latestRequest { // an older request: this process's turn may have come since
 		return
 	}
-	h.nextRequestAt = h.now + h.settings.Duration*queuedDurations*(1-jitterShare*h.random.Next())
+	h.nextRequestAt = h.now + h.settings.Duration*queuedRetryDurations*(1-jitterFraction*h.random.Next())
 	if h.acting { // the coordinator has another holder
 		h.stop()
 	}
 }
 
-// ActRejected says that a receiver rejected an act and named a higher token: the grant is over, whatever the clock says. Whose the higher
-// token is the receiver doesn't say: a grant under it may be on its way here.
+// ActRejected handles the rejection of an operation by a receiver that has seen a higher token: the grant has ended, whatever the clock
+// says. The receiver doesn't report whose token it is: a grant to this process under that token may be in flight.
 func (h *Holder) ActRejected(higher Token) {
 	if higher.Compare(h.token) <= 0 {
 		return
 	}
-	if higher.Compare(h.highestSeen) > 0 {
-		h.highestSeen = higher
+	if higher.Compare(h.highestReported) > 0 {
+		h.highestReported = higher
 	}
 	if h.acting {
 		h.stop()
 	}
 }
 
-// Lost says that the coordinator has the lease under a token as another's, or as nobody's.
+// Lost handles the coordinator's report that under this token another process holds the lease, or none does.
 func (h *Holder) Lost(token Token) {
-	if token.Compare(h.token) < 0 { // from before this process's own grant
+	if token.Compare(h.token) < 0 { // older than this process's own grant
 		return
 	}
 	if token.Compare(h.highestForeign) > 0 {
@@ -176,7 +178,7 @@
 	}
 }
 
-// RequestNow says that a grant is to be had, since it is this process's turn: it sends a request at once.
+// RequestNow sends a request without delay, because it is this process's turn to be granted the lease.
 func (h *Holder) RequestNow() {
 	if h.wanted {
 		h.nextRequestAt = h.now
@@ -185,15 +187,15 @@
 
 func (h *Holder) stop() {
 	h.acting, h.validUntil = false, math.Min(h.validUntil, h.now)
-	h.decide(Decision{Action: Stop, Token: h.token})
+	h.emit(Decision{Action: Stop, Token: h.token})
 }
 
-func (h *Holder) decide(decision Decision) { h.decisions = append(h.decisions, decision) }
+func (h *Holder) emit(decision Decision) { h.decisions = append(h.decisions, decision) }
 
-// Valid reports whether an act may be sent now, and returns the token that goes with it. Call it right before the act.
+// Valid reports whether an operation may be sent now, and returns the token to send with it. Call it immediately before sending.
 func (h *Holder) Valid() (Token, bool) { return h.token, h.acting && h.now < h.validUntil }
 
-// NextDeadline returns when Advance must be called next at the latest; +Inf: not because of time.
+// NextDeadline returns when Advance must be called next at the latest, +Inf if nothing is scheduled.
 func (h *Holder) NextDeadline() float64 {
 	deadline := math.Inf(1)
 	if h.acting {
@@ -205,7 +207,7 @@
 	return deadline
 }
 
-// Next returns the next decision, or false if none is left. All must be pulled after each input.
+// Next returns the next decision, or false if none is left. Call it after each input until it returns false.
 func (h *Holder) Next() (Decision, bool) {
 	if len(h.decisions) > 0 {
 		decision := h.decisions[0]
@@ -217,6 +219,6 @@
 	}
 	h.latestRequest++
 	h.unanswered[h.latestRequest] = h.now
-	h.nextRequestAt = h.now + h.settings.Duration*retryAfterShare*(1+h.random.Next())
+	h.nextRequestAt = h.now + h.settings.Duration*retryAfterFraction*(1+h.random.Next())
 	return Decision{Action: RequestLease, Request: h.latestRequest}, true
 }
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Requests that were never answered are forgotten after a lease's duration, also while others are answered.
-func TestHolder_ForgetsUnansweredRequests(t *testing.T) {
+// Requests without a response are dropped after the lease duration, also while other requests are answered.
+func TestHolder_DropsUnansweredRequests(t *testing.T) {
 	h := NewHolder(Settings{Duration: 1000, SafetyMargin: 100, Seed: 1})
 	h.Acquire()
 	for now := 0.0; now < 100000; now += 50 {
@@ -17,15 +17,15 @@
 			}
 		}
 		if _, valid := h.Valid(); !valid {
-			t.Fatalf("%v: not acting", now)
+			t.Fatalf("at %v: lease not valid", now)
 		}
 		if len(h.unanswered) > 10 {
-			t.Fatalf("%v: %d requests are kept", now, len(h.unanswered))
+			t.Fatalf("at %v: %d unanswered requests are kept", now, len(h.unanswered))
 		}
 	}
 }
 
-// Guards against a look at one lease that costs by how many others there are: each heartbeat looks at all of them.
+// Guards against Highest taking time proportional to the number of all leases: each heartbeat calls it for every lease.
 func TestReceiver_HighestExaminesOneLeaseOnly(t *testing.T) {
 	const leases = 820
 	r := NewReceiver()
@@ -36,7 +36,7 @@
 	}
 	for n := range leases {
 		if token, holder := r.Highest(fmt.Sprint("sight/", n)); token.Count != uint64(n) || holder != "a" {
-			t.Fatalf("lease %d: %v of %q", n, token, holder)
+			t.Fatalf("lease %d: highest token %v, holder %q", n, token, holder)
 		}
 	}
 	if r.ScopesExamined != leases {
--- a/internal/decide/lease/receiver.go
+++ b/internal/decide/lease/receiver.go
@@ -2,77 +2,77 @@
 
 import "wayloft/internal/invariant"
 
-// Scope is what the acts of a lease are about, a group for example. A receiver remembers tokens by scope.
+// Scope identifies what operations under a lease affect, for example a group. A receiver tracks tokens by scope.
 type Scope struct{ Lease, Subject string }
 
-// Verdict is a receiver's decision on an act.
+// Verdict is a receiver's decision on an operation.
 type Verdict int
 
-// Verdicts: an act is carried out only where it is Accepted.
+// Verdicts. An operation is carried out only if it is Accepted.
 const (
 	Accepted    Verdict = iota
-	Stale               // a higher token has been seen; it goes into the answer
-	NotLearned          // the coordinator has not yet said which token is in force
-	Conflicting         // the same token came from two holders: the fleet's state is broken, and nothing more is accepted under it
+	Stale               // a higher token has been seen; the response reports it
+	NotLearned          // the coordinator hasn't reported yet which token is in force
+	Conflicting         // two holders used the same token: the fleet's state is broken, and no more operations are accepted under it
 )
 
-// Receiver remembers the highest fencing token that it has seen of each scope, and accepts no act under a lower one. It begins knowing
-// nothing, and accepts no act of a lease before TokenLearned: what it saw before it restarted may have been higher. It isn't safe for
-// concurrent use.
+// Receiver keeps the highest fencing token seen per scope, and accepts no operation under a lower one. It starts without any tokens, and
+// accepts no operation under a lease before TokenLearned: before a restart it may have seen a higher token. It is not safe for concurrent
+// use.
 type Receiver struct {
-	learned map[string]Token              // the latest token known to the coordinator, by lease
-	seen    map[string]map[string]seenAct // the latest act accepted, by lease and subject
+	learned        map[string]Token                    // the latest token that the coordinator reported, by lease
+	lastOperations map[string]map[string]lastOperation // the latest accepted operation, by lease and subject
 
-	Rejected       int // acts rejected for their token since the start
-	ScopesExamined int // scopes gone over to find what is known of a lease, since the start
+	Rejected       int // number of operations rejected as Stale
+	ScopesExamined int // number of scopes that Highest has examined
 }
 
-// seenAct is what a receiver remembers of a scope.
-type seenAct struct {
+// lastOperation describes the latest operation accepted for a scope.
+type lastOperation struct {
 	token       Token
 	holder      string
-	conflicting bool // two holders acted under the token
+	conflicting bool // two holders have used the token
 }
 
-// NewReceiver returns a receiver that knows no token.
+// NewReceiver returns a receiver without any tokens.
 func NewReceiver() *Receiver {
-	return &Receiver{learned: map[string]Token{}, seen: map[string]map[string]seenAct{}}
+	return &Receiver{learned: map[string]Token{}, lastOperations: map[string]map[string]lastOperation{}}
 }
 
-// TokenLearned says which token is the latest that the coordinator has granted of a lease. It never lowers what is known.
+// TokenLearned records the token that the coordinator reports as the latest of a lease. It never lowers a token already known.
 func (r *Receiver) TokenLearned(lease string, token Token) {
 	if known, ok := r.learned[lease]; !ok || token.Compare(known) > 0 {
 		r.learned[lease] = token
 	}
 }
 
-// Forget drops what is known of a lease that the fleet no longer has; until it is learned again no act of it is accepted.
+// Forget drops all tokens of a lease that no longer exists. No operation under it is accepted until TokenLearned is called again.
 func (r *Receiver) Forget(lease string) {
 	delete(r.learned, lease)
-	delete(r.seen, lease)
+	delete(r.lastOperations, lease)
 }
 
-// CloseScope drops the memory of a scope that is gone; its token still holds for the lease's other scopes.
+// CloseScope drops a scope that no longer exists. Its highest token then applies to the whole lease.
 func (r *Receiver) CloseScope(scope Scope) {
-	subjects := r.seen[scope.Lease]
+	subjects := r.lastOperations[scope.Lease]
 	last, found := subjects[scope.Subject]
 	if !found {
 		return
 	}
 	delete(subjects, scope.Subject)
 	if len(subjects) == 0 {
-		delete(r.seen, scope.Lease)
+		delete(r.lastOperations, scope.Lease)
 	}
 	r.TokenLearned(scope.Lease, last.token)
 }
 
-// Check decides on an act of a holder under a token. It also returns the highest token known of the scope.
+// Check decides on a holder's operation under a token. It also returns the highest token known for the scope.
 func (r *Receiver) Check(scope Scope, holder string, token Token) (verdict Verdict, highest Token) {
 	highest, learned := r.learned[scope.Lease]
 	if !learned {
 		return NotLearned, Token{}
 	}
-	last := r.seen[scope.Lease][scope.Subject]
+	last := r.lastOperations[scope.Lease][scope.Subject]
 	if last.token.Compare(highest) > 0 {
 		highest = last.token
 	}
@@ -85,31 +85,31 @@
 		last.conflicting = true
 	}
 	if last.conflicting && token == last.token {
-		r.remember(scope, last)
+		r.record(scope, last)
 		return Conflicting, highest
 	}
-	r.remember(scope, seenAct{token: token, holder: holder})
+	r.record(scope, lastOperation{token: token, holder: holder})
 	return Accepted, token
 }
 
-func (r *Receiver) remember(scope Scope, act seenAct) {
-	if r.seen[scope.Lease] == nil {
-		r.seen[scope.Lease] = map[string]seenAct{}
+func (r *Receiver) record(scope Scope, operation lastOperation) {
+	if r.lastOperations[scope.Lease] == nil {
+		r.lastOperations[scope.Lease] = map[string]lastOperation{}
 	}
-	r.seen[scope.Lease][scope.Subject] = act
+	r.lastOperations[scope.Lease][scope.Subject] = operation
 }
 
-// Learned reports whether acts of a lease may be accepted yet.
+// Learned reports whether the token of a lease is known, so that operations under it can be accepted.
 func (r *Receiver) Learned(lease string) bool {
 	_, learned := r.learned[lease]
 	return learned
 }
 
-// Highest returns the highest token known of a lease, over all its scopes, and who acted under it, if somebody did. A coordinator that
-// knows only a lower one, or another holder, must not grant the lease.
+// Highest returns the highest token known for a lease, over all its scopes, and the holder that used it, if any. A coordinator that
+// knows only a lower token, or another holder, must not grant the lease.
 func (r *Receiver) Highest(lease string) (highest Token, holder string) {
 	highest = r.learned[lease]
-	for _, last := range r.seen[lease] {
+	for _, last := range r.lastOperations[lease] {
 		r.ScopesExamined++
 		if last.token.Compare(highest) >= 0 {
 			highest, holder = last.token, last.holder
--- a/internal/decide/lease/scenario_test.go
+++ b/internal/decide/lease/scenario_test.go
@@ -10,29 +10,29 @@
 	"wayloft/internal/fakes/scenario"
 )
 
-// A scenario plays one holder with a lease of 1,000 ms and a margin of 100, and one receiver.
+// A scenario runs one holder, with a lease duration of 1,000 ms and a safety margin of 100 ms, and one receiver.
 //
 //	advance 120 | acquire | release [SUCCESSOR] | request_now
-//	granted REQUEST 1.2 | denied REQUEST | rejected 1.3 (by a receiver) | lost 1.3 (as the coordinator says)
-//	want request [NUMBER] | start 1.2 | stop 1.2 | release 1.2 | transfer 1.2 SUCCESSOR      a decision, in any order
-//	never ACTION                                                                             no such decision is left
-//	valid 1.2 | invalid                                                                      whether the holder may act
+//	granted REQUEST 1.2 | denied REQUEST | rejected 1.3 (by a receiver) | lost 1.3 (reported by the coordinator)
+//	want request [NUMBER] | start 1.2 | stop 1.2 | release 1.2 | transfer 1.2 SUCCESSOR      an expected decision, in any order
+//	never ACTION                                                                             no such decision is pending
+//	valid 1.2 | invalid                                                                      whether the holder's lease is valid
 //	learned LEASE 1.2 | act LEASE SUBJECT HOLDER 1.2 VERDICT [HIGHEST] | restart | close_scope LEASE SUBJECT
 func TestScenarios(t *testing.T) {
 	scenario.Play(t, func() func(string) error {
-		p := &player{
+		r := &scenarioRunner{
 			holder:   NewHolder(Settings{Duration: 1000, SafetyMargin: 100, Seed: 1}),
 			receiver: NewReceiver(),
 		}
-		return func(line string) error { return p.step(strings.Fields(line)) }
+		return func(line string) error { return r.step(strings.Fields(line)) }
 	})
 }
 
-// player carries out the steps of one scenario.
-type player struct {
+// scenarioRunner runs the steps of one scenario.
+type scenarioRunner struct {
 	holder    *Holder
 	receiver  *Receiver
-	decisions []string // pulled, and not yet wanted by the scenario
+	decisions []string // returned by Next, and not yet expected by a step
 }
 
 var (
@@ -51,47 +51,47 @@
 	return Token{Epoch: parseNumber(epoch), Count: parseNumber(count)}
 }
 
-func (p *player) step(words []string) error {
+func (r *scenarioRunner) step(words []string) error {
 	verb, args := words[0], words[1:]
 	switch verb {
 	case "advance":
-		p.holder.Advance(float64(parseNumber(args[0])))
+		r.holder.Advance(float64(parseNumber(args[0])))
 	case "acquire":
-		p.holder.Acquire()
+		r.holder.Acquire()
 	case "release":
-		p.holder.Release(strings.Join(args, ""))
+		r.holder.Release(strings.Join(args, ""))
 	case "request_now":
-		p.holder.RequestNow()
+		r.holder.RequestNow()
 	case "granted":
-		p.holder.Granted(parseNumber(args[0]), parseToken(args[1]))
+		r.holder.Granted(parseNumber(args[0]), parseToken(args[1]))
 	case "denied":
-		p.holder.Denied(parseNumber(args[0]))
+		r.holder.Denied(parseNumber(args[0]))
 	case "lost":
-		p.holder.Lost(parseToken(args[0]))
+		r.holder.Lost(parseToken(args[0]))
 	case "rejected":
-		p.holder.ActRejected(parseToken(args[0]))
+		r.holder.ActRejected(parseToken(args[0]))
 	case "valid", "invalid":
-		return p.expectValid(verb == "valid", args)
+		return r.expectValid(verb == "valid", args)
 	case "want", "never":
-		return p.expectDecision(verb == "want", strings.Join(args, " "))
+		return r.expectDecision(verb == "want", strings.Join(args, " "))
 	default:
-		return p.receiverStep(verb, args)
+		return r.receiverStep(verb, args)
 	}
 	return nil
 }
 
-func (p *player) receiverStep(verb string, args []string) error {
+func (r *scenarioRunner) receiverStep(verb string, args []string) error {
 	switch verb {
 	case "learned":
-		p.receiver.TokenLearned(args[0], parseToken(args[1]))
+		r.receiver.TokenLearned(args[0], parseToken(args[1]))
 	case "restart":
-		p.receiver = NewReceiver()
+		r.receiver = NewReceiver()
 	case "close_scope":
-		p.receiver.CloseScope(Scope{args[0], args[1]})
+		r.receiver.CloseScope(Scope{args[0], args[1]})
 	case "act":
-		verdict, highest := p.receiver.Check(Scope{args[0], args[1]}, args[2], parseToken(args[3]))
+		verdict, highest := r.receiver.Check(Scope{args[0], args[1]}, args[2], parseToken(args[3]))
 		if verdictNames[verdict] != args[4] || len(args) > 5 && highest != parseToken(args[5]) {
-			return fmt.Errorf("%s, highest %v", verdictNames[verdict], highest)
+			return fmt.Errorf("verdict %s, highest token %v", verdictNames[verdict], highest)
 		}
 	default:
 		return fmt.Errorf("unknown step")
@@ -99,33 +99,33 @@
 	return nil
 }
 
-func (p *player) expectValid(want bool, args []string) error {
-	token, valid := p.holder.Valid()
+func (r *scenarioRunner) expectValid(want bool, args []string) error {
+	token, valid := r.holder.Valid()
 	if valid != want || want && token.String() != args[0] {
-		return fmt.Errorf("valid %v under %v", valid, token)
+		return fmt.Errorf("valid %v, token %v", valid, token)
 	}
 	return nil
 }
 
-// expectDecision looks for a decision among those that are pulled and not yet wanted.
-func (p *player) expectDecision(want bool, decision string) error {
-	for d, more := p.holder.Next(); more; d, more = p.holder.Next() {
-		p.decisions = append(p.decisions, describe(d))
+// expectDecision checks whether a decision is pending, and removes it if it is expected.
+func (r *scenarioRunner) expectDecision(want bool, decision string) error {
+	for d, more := r.holder.Next(); more; d, more = r.holder.Next() {
+		r.decisions = append(r.decisions, formatDecision(d))
 	}
-	found := slices.IndexFunc(p.decisions, func(line string) bool { return strings.HasPrefix(line+" ", decision+" ") })
+	found := slices.IndexFunc(r.decisions, func(line string) bool { return strings.HasPrefix(line+" ", decision+" ") })
 	switch {
 	case found < 0 && want:
-		return fmt.Errorf("left: %s", strings.Join(p.decisions, "; "))
+		return fmt.Errorf("not found; pending decisions: %s", strings.Join(r.decisions, "; "))
 	case found < 0:
 		return nil
 	case !want:
-		return fmt.Errorf("there is %s", p.decisions[found])
+		return fmt.Errorf("unexpected decision: %s", r.decisions[found])
 	}
-	p.decisions = slices.Delete(p.decisions, found, found+1)
+	r.decisions = slices.Delete(r.decisions, found, found+1)
 	return nil
 }
 
-func describe(d Decision) string {
+func formatDecision(d Decision) string {
 	if d.Action == RequestLease {
 		return fmt.Sprint(actionNames[d.Action], " ", d.Request)
 	}
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -11,16 +11,16 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// defects are seeded in the world, each to be found.
+// defects are the seeded defects that the checks of the model must find.
 type defects struct {
-	acceptsAll       bool    // the receiver accepts whatever comes
-	forgets          bool    // a receiver that restarted accepts acts without having asked
-	sameEpoch        bool    // a coordinator that lost its state begins again in the same epoch
-	tellsLatestGrant bool    // a restarted receiver learns the latest grant's token, which a new epoch may not have
-	overstayMs       float64 // ms that a holder acts beyond its lease
+	receiverAcceptsAll bool    // the receiver accepts every operation
+	receiverForgets    bool    // a restarted receiver accepts operations without having queried the coordinator
+	epochReused        bool    // a coordinator that lost its state restarts in the same epoch
+	reportsLatestGrant bool    // a restarted receiver learns the token of the latest grant; a new epoch may not have one yet
+	overrunMs          float64 // ms by which a holder acts beyond the end of its lease
 }
 
-// Of the world's lease, in ms.
+// Times in ms.
 const (
 	duration = 3
 	margin   = 1
@@ -31,14 +31,14 @@
 
 var scope = lease.Scope{Lease: leaseName, Subject: "g"}
 
-// messageKind is what a message of the world's network is.
+// messageKind is the kind of a message on the model's network.
 type messageKind string
 
 const (
-	requestMessage  messageKind = "request"  // of a holder for the lease
-	responseMessage messageKind = "response" // of the coordinator to it
-	actMessage      messageKind = "act"      // of a holder, to the receiver
-	queryMessage    messageKind = "query"    // of a receiver for the token in force, and its answer
+	requestMessage   messageKind = "request"  // from a holder to the coordinator, for the lease
+	responseMessage  messageKind = "response" // from the coordinator to the holder
+	operationMessage messageKind = "act"      // an operation, from a holder to the receiver
+	queryMessage     messageKind = "query"    // from a receiver to the coordinator for the token in force, and the response
 )
 
 type message struct {
@@ -46,26 +46,26 @@
 	holder   int
 	number   uint64
 	token    lease.Token
-	answered bool // granted, or the answer of a query
+	answered bool // of a response: granted; of a query: this is its response
 }
 
-// stepKind is what may happen in the world.
+// stepKind is the kind of a step of the model.
 type stepKind string
 
 const (
-	stepTick    stepKind = "tick"    // time passes
-	stepSleep   stepKind = "sleep"   // a holder is stopped
-	stepWake    stepKind = "wake"    // it runs on
-	stepCheck   stepKind = "check"   // it finds that it may act
-	stepSend    stepKind = "send"    // it sends the act for which it checked
-	stepDeliver stepKind = "deliver" // a message arrives
-	stepLose    stepKind = "lose"    // a message is lost
-	stepRestart stepKind = "restart" // the receiver restarts
-	stepWipe    stepKind = "wipe"    // the coordinator's state is lost
-	stepLead    stepKind = "lead"    // the coordinator has a new leader
+	stepTick        stepKind = "tick"         // time passes
+	stepPause       stepKind = "pause"        // a holder is paused
+	stepResume      stepKind = "resume"       // a paused holder resumes
+	stepCheck       stepKind = "check"        // a holder finds its lease valid
+	stepSend        stepKind = "send"         // a holder sends the operation for which it checked
+	stepDeliver     stepKind = "deliver"      // a message arrives
+	stepLoseMessage stepKind = "lose_message" // a message is lost
+	stepRestart     stepKind = "restart"      // the receiver restarts
+	stepLoseState   stepKind = "lose_state"   // the coordinator's state is lost
+	stepElectLeader stepKind = "elect_leader" // the coordinator has a new leader
 )
 
-// step is one thing that happens, to a holder or to a message of the network by index.
+// step is one transition of the model. index is of the holder, or of the message on the network, that it concerns.
 type step struct {
 	kind  stepKind
 	index int
@@ -73,257 +73,259 @@
 
 func (s step) String() string { return fmt.Sprint(string(s.kind), " ", s.index) }
 
-// most is how often each of these may happen.
-var most = map[stepKind]int{stepTick: 3, stepSleep: 1, stepSend: 3, stepLose: 1, stepRestart: 1, stepWipe: 1, stepLead: 1}
+// maxOccurrences bounds the number of steps by kind; other kinds are unbounded.
+var maxOccurrences = map[stepKind]int{stepTick: 3, stepPause: 1, stepSend: 3, stepLoseMessage: 1, stepRestart: 1, stepLoseState: 1,
+	stepElectLeader: 1}
 
-// world is two holders, a receiver and a coordinator, with a network that delays and loses, pauses, restarts and one loss of
-// the coordinator's state.
-type world struct {
+// model is a small model of two holders, a receiver and a coordinator, with a network that delays, reorders and loses messages, pauses of
+// the holders, restarts of the receiver, and one loss of the coordinator's state.
+type model struct {
 	defects
-	now      float64
-	holders  [2]*lease.Holder
-	asleep   [2]bool
-	checked  [2]lease.Token // under which the holder has found that it may act, and has not yet sent the act
-	state    *leasestate.State
-	index    uint64
-	epoch    uint64
-	receiver *lease.Receiver
-	restarts int
-	network  []message
-	done     map[stepKind]int
-	accepted lease.Token // the highest, by any incarnation of the receiver
-	rejected int
-	wrong    string
+	now             float64
+	holders         [2]*lease.Holder
+	paused          [2]bool
+	checkedTokens   [2]lease.Token // by holder: the token of a check after which the operation has not yet been sent
+	state           *leasestate.State
+	logIndex        uint64
+	epoch           uint64
+	receiver        *lease.Receiver
+	restarts        int
+	network         []message
+	occurrences     map[stepKind]int
+	highestAccepted lease.Token // over all incarnations of the receiver
+	lateRejected    int
+	violation       string
 }
 
-func newWorld(d defects) *world {
-	w := &world{defects: d, state: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), done: map[stepKind]int{}}
-	w.receiver.TokenLearned(leaseName, w.state.LatestToken(leaseName))
-	for n := range w.holders {
-		w.holders[n] = lease.NewHolder(lease.Settings{Duration: duration, SafetyMargin: margin - d.overstayMs, Seed: uint64(n)})
-		w.holders[n].Acquire()
-		w.pull(n)
+func newModel(d defects) *model {
+	m := &model{defects: d, state: leasestate.New("f"), epoch: 1, receiver: lease.NewReceiver(), occurrences: map[stepKind]int{}}
+	m.receiver.TokenLearned(leaseName, m.state.LatestToken(leaseName))
+	for n := range m.holders {
+		m.holders[n] = lease.NewHolder(lease.Settings{Duration: duration, SafetyMargin: margin - d.overrunMs, Seed: uint64(n)})
+		m.holders[n].Acquire()
+		m.executeDecisions(n)
 	}
-	return w
+	return m
 }
 
 func holderName(holder int) string { return fmt.Sprint(holder) }
 
-func (w *world) apply(entry leasestate.Entry) leasestate.Result {
-	w.index++
-	return w.state.Apply(w.index, entry)
+func (m *model) apply(entry leasestate.Entry) leasestate.Result {
+	m.logIndex++
+	return m.state.Apply(m.logIndex, entry)
 }
 
-func (w *world) send(m message) { w.network = append(w.network, m) }
+func (m *model) send(msg message) { m.network = append(m.network, msg) }
 
-// pull carries out a holder's decisions.
-func (w *world) pull(holder int) {
-	for d, more := w.holders[holder].Next(); more; d, more = w.holders[holder].Next() {
+// executeDecisions carries out the pending decisions of a holder.
+func (m *model) executeDecisions(holder int) {
+	for d, more := m.holders[holder].Next(); more; d, more = m.holders[holder].Next() {
 		switch d.Action {
-		case lease.RequestLease: // one goes in place of the one before, if that is still on its way
-			w.network = slices.DeleteFunc(w.network, func(m message) bool { return m.kind == requestMessage && m.holder == holder })
-			w.send(message{kind: requestMessage, holder: holder, number: d.Request})
+		case lease.RequestLease: // replaces the previous request if that is still in flight
+			m.network = slices.DeleteFunc(m.network, func(msg message) bool { return msg.kind == requestMessage && msg.holder == holder })
+			m.send(message{kind: requestMessage, holder: holder, number: d.Request})
 		case lease.Stop:
-			w.checked[holder] = lease.Token{} // it ends what it was about to do, if it is awake to hear of it
+			m.checkedTokens[holder] = lease.Token{} // the holder cancels its unsent operation, unless it is paused
 		}
 	}
 }
 
-// may reports whether something may happen once more.
-func (w *world) may(kind stepKind) bool { return w.done[kind] < most[kind] }
+// canOccur reports whether another step of this kind is within its bound.
+func (m *model) canOccur(kind stepKind) bool { return m.occurrences[kind] < maxOccurrences[kind] }
 
-// steps returns what may happen next.
-func (w *world) steps() (all []step) {
-	if w.may(stepTick) {
+// steps returns all possible next steps.
+func (m *model) steps() (all []step) {
+	if m.canOccur(stepTick) {
 		all = append(all, step{kind: stepTick})
 	}
-	for holder := range w.holders {
-		all = append(all, w.holderSteps(holder)...)
+	for holder := range m.holders {
+		all = append(all, m.holderSteps(holder)...)
 	}
-	for n, m := range w.network {
-		if m.kind == responseMessage && w.asleep[m.holder] {
+	for n, msg := range m.network {
+		if msg.kind == responseMessage && m.paused[msg.holder] {
 			continue
 		}
 		all = append(all, step{stepDeliver, n})
-		if m.kind != actMessage && w.may(stepLose) {
-			all = append(all, step{stepLose, n})
+		if msg.kind != operationMessage && m.canOccur(stepLoseMessage) {
+			all = append(all, step{stepLoseMessage, n})
 		}
 	}
-	for _, kind := range []stepKind{stepRestart, stepWipe, stepLead} {
-		if w.may(kind) {
+	for _, kind := range []stepKind{stepRestart, stepLoseState, stepElectLeader} {
+		if m.canOccur(kind) {
 			all = append(all, step{kind: kind})
 		}
 	}
 	return all
 }
 
-func (w *world) holderSteps(holder int) (all []step) {
-	if w.asleep[holder] {
-		return []step{{stepWake, holder}}
+func (m *model) holderSteps(holder int) (all []step) {
+	if m.paused[holder] {
+		return []step{{stepResume, holder}}
 	}
-	if w.may(stepSleep) {
-		all = append(all, step{stepSleep, holder})
+	if m.canOccur(stepPause) {
+		all = append(all, step{stepPause, holder})
 	}
-	hasChecked := w.checked[holder] != lease.Token{}
-	if _, valid := w.holders[holder].Valid(); valid && !hasChecked {
+	hasChecked := m.checkedTokens[holder] != lease.Token{}
+	if _, valid := m.holders[holder].Valid(); valid && !hasChecked {
 		all = append(all, step{stepCheck, holder})
-	} else if hasChecked && w.may(stepSend) {
+	} else if hasChecked && m.canOccur(stepSend) {
 		all = append(all, step{stepSend, holder})
 	}
 	return all
 }
 
-func (w *world) step(s step) {
-	if _, bounded := most[s.kind]; bounded {
-		w.done[s.kind]++
+func (m *model) step(s step) {
+	if _, bounded := maxOccurrences[s.kind]; bounded {
+		m.occurrences[s.kind]++
 	}
 	switch s.kind {
 	case stepTick:
-		w.tick()
-	case stepSleep:
-		w.asleep[s.index] = true
-	case stepWake:
-		w.wake(s.index)
+		m.tick()
+	case stepPause:
+		m.paused[s.index] = true
+	case stepResume:
+		m.resume(s.index)
 	case stepCheck:
-		w.check(s.index)
+		m.checkValid(s.index)
 	case stepSend:
-		w.send(message{kind: actMessage, holder: s.index, token: w.checked[s.index]})
-		w.checked[s.index] = lease.Token{}
-	case stepLose:
-		w.takeMessage(s.index)
+		m.send(message{kind: operationMessage, holder: s.index, token: m.checkedTokens[s.index]})
+		m.checkedTokens[s.index] = lease.Token{}
+	case stepLoseMessage:
+		m.removeMessage(s.index)
 	case stepRestart:
-		w.restartReceiver()
-	case stepWipe:
-		w.wipe()
-	case stepLead:
-		w.apply(leasestate.Entry{Kind: leasestate.BeginTerm})
+		m.restartReceiver()
+	case stepLoseState:
+		m.loseCoordinatorState()
+	case stepElectLeader:
+		m.apply(leasestate.Entry{Kind: leasestate.BeginTerm})
 	case stepDeliver:
-		w.deliver(w.takeMessage(s.index))
+		m.deliver(m.removeMessage(s.index))
 	}
 }
 
-func (w *world) takeMessage(n int) message {
-	m := w.network[n]
-	w.network = append(w.network[:n:n], w.network[n+1:]...)
-	return m
+func (m *model) removeMessage(n int) message {
+	msg := m.network[n]
+	m.network = append(m.network[:n:n], m.network[n+1:]...)
+	return msg
 }
 
-func (w *world) tick() {
-	w.now += tickMs
-	w.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: tickMs})
-	for holder := range w.holders {
-		if !w.asleep[holder] {
-			w.holders[holder].Advance(w.now)
-			w.pull(holder)
+func (m *model) tick() {
+	m.now += tickMs
+	m.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: tickMs})
+	for holder := range m.holders {
+		if !m.paused[holder] {
+			m.holders[holder].Advance(m.now)
+			m.executeDecisions(holder)
 		}
 	}
 }
 
-// wake has a holder go on where it stood: what it has checked may go out before it looks at its clock.
-func (w *world) wake(holder int) {
-	w.asleep[holder] = false
-	if w.checked[holder] != (lease.Token{}) {
-		w.send(message{kind: actMessage, holder: holder, token: w.checked[holder]})
+// resume lets a paused holder continue where it was interrupted: after its check, it sends the operation before it reads the clock.
+func (m *model) resume(holder int) {
+	m.paused[holder] = false
+	if m.checkedTokens[holder] != (lease.Token{}) {
+		m.send(message{kind: operationMessage, holder: holder, token: m.checkedTokens[holder]})
 	}
-	w.holders[holder].Advance(w.now)
-	w.pull(holder)
+	m.holders[holder].Advance(m.now)
+	m.executeDecisions(holder)
 }
 
-func (w *world) check(holder int) {
-	w.checked[holder], _ = w.holders[holder].Valid()
-	if held, _ := w.state.Lease(leaseName); held.Holder != holderName(holder) && w.done[stepWipe] == 0 {
-		w.wrong = fmt.Sprintf("holder %d may act under %v while the coordinator has %q at %v", holder, w.checked[holder], held.Holder, held.Token)
+func (m *model) checkValid(holder int) {
+	m.checkedTokens[holder], _ = m.holders[holder].Valid()
+	if held, _ := m.state.Lease(leaseName); held.Holder != holderName(holder) && m.occurrences[stepLoseState] == 0 {
+		m.violation = fmt.Sprintf("holder %d may act under %v while the coordinator has holder %q under %v", holder,
+			m.checkedTokens[holder], held.Holder, held.Token)
 	}
 }
 
-func (w *world) restartReceiver() {
-	w.receiver = lease.NewReceiver()
-	w.restarts++
-	if w.forgets {
-		w.receiver.TokenLearned(leaseName, lease.Token{})
+func (m *model) restartReceiver() {
+	m.receiver = lease.NewReceiver()
+	m.restarts++
+	if m.receiverForgets {
+		m.receiver.TokenLearned(leaseName, lease.Token{})
 		return
 	}
-	w.send(message{kind: queryMessage, number: uint64(w.restarts)})
+	m.send(message{kind: queryMessage, number: uint64(m.restarts)})
 }
 
-func (w *world) wipe() {
-	w.state = leasestate.New("f")
-	if w.sameEpoch {
+func (m *model) loseCoordinatorState() {
+	m.state = leasestate.New("f")
+	if m.epochReused {
 		return
 	}
-	w.epoch++
-	w.apply(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: w.epoch})
+	m.epoch++
+	m.apply(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: m.epoch})
 }
 
-func (w *world) deliver(m message) {
-	switch m.kind {
+func (m *model) deliver(msg message) {
+	switch msg.kind {
 	case requestMessage:
-		w.answerRequest(m)
+		m.answerRequest(msg)
 	case responseMessage:
-		if m.answered {
-			w.holders[m.holder].Granted(m.number, m.token)
+		if msg.answered {
+			m.holders[msg.holder].Granted(msg.number, msg.token)
 		} else {
-			w.holders[m.holder].Denied(m.number)
+			m.holders[msg.holder].Denied(msg.number)
 		}
-		w.pull(m.holder)
+		m.executeDecisions(msg.holder)
 	case queryMessage:
-		w.answerQuery(m)
-	case actMessage:
-		w.judge(m)
+		m.answerQuery(msg)
+	case operationMessage:
+		m.deliverOperation(msg)
 	}
 }
 
-func (w *world) answerRequest(m message) {
-	name := holderName(m.holder)
-	if _, open := w.state.Session(name); !open {
-		w.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: duration})
+func (m *model) answerRequest(msg message) {
+	name := holderName(msg.holder)
+	if _, open := m.state.Session(name); !open {
+		m.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: name, Incarnation: 1, Timeout: duration})
 	}
-	result := w.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: leaseName})
-	w.send(message{kind: responseMessage, holder: m.holder, number: m.number, token: result.Token, answered: result.Held})
+	result := m.apply(leasestate.Entry{Kind: leasestate.AcquireLease, Session: name, Incarnation: 1, Lease: leaseName})
+	m.send(message{kind: responseMessage, holder: msg.holder, number: msg.number, token: result.Token, answered: result.Held})
 }
 
-// answerQuery has the coordinator answer a query, or the receiver learn from the answer.
-func (w *world) answerQuery(m message) {
-	if m.answered {
-		w.receiver.TokenLearned(leaseName, m.token)
+// answerQuery has the coordinator answer a query, or the receiver process the response.
+func (m *model) answerQuery(msg message) {
+	if msg.answered {
+		m.receiver.TokenLearned(leaseName, msg.token)
 		return
 	}
-	m.answered, m.token = true, w.state.LatestToken(leaseName)
-	if w.tellsLatestGrant {
-		held, _ := w.state.Lease(leaseName)
-		m.token = held.Token
+	msg.answered, msg.token = true, m.state.LatestToken(leaseName)
+	if m.reportsLatestGrant {
+		held, _ := m.state.Lease(leaseName)
+		msg.token = held.Token
 	}
-	w.send(m)
+	m.send(msg)
 }
 
-// judge has the receiver decide on an act, and the world on the decision.
-func (w *world) judge(m message) {
-	verdict, highest := lease.Accepted, m.token
-	if !w.acceptsAll {
-		verdict, highest = w.receiver.Check(scope, holderName(m.holder), m.token)
+// deliverOperation has the receiver decide on an operation, and checks the verdict.
+func (m *model) deliverOperation(msg message) {
+	verdict, highest := lease.Accepted, msg.token
+	if !m.receiverAcceptsAll {
+		verdict, highest = m.receiver.Check(scope, holderName(msg.holder), msg.token)
 	}
 	switch {
 	case verdict == lease.Stale:
-		w.rejected++
-		w.holders[m.holder].ActRejected(highest)
-		if !w.asleep[m.holder] {
-			w.pull(m.holder)
+		m.lateRejected++
+		m.holders[msg.holder].ActRejected(highest)
+		if !m.paused[msg.holder] {
+			m.executeDecisions(msg.holder)
 		}
 	case verdict == lease.Conflicting:
-		w.wrong = "one fencing token, one holder"
-	case verdict == lease.Accepted && m.token.Compare(w.accepted) < 0:
-		w.wrong = fmt.Sprintf("an act under %v was accepted after one under %v", m.token, w.accepted)
+		m.violation = "one fencing token, one holder"
+	case verdict == lease.Accepted && msg.token.Compare(m.highestAccepted) < 0:
+		m.violation = fmt.Sprintf("an operation under %v was accepted after one under %v", msg.token, m.highestAccepted)
 	case verdict == lease.Accepted:
-		w.accepted = m.token
+		m.highestAccepted = msg.token
 	}
 }
 
-// key returns a hash by which states of the world are distinguished.
-func (w *world) key() uint64 {
-	network := slices.SortedFunc(slices.Values(w.network), func(a, b message) int {
+// stateHash returns a hash that identifies the state of the model.
+func (m *model) stateHash() uint64 {
+	network := slices.SortedFunc(slices.Values(m.network), func(a, b message) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.holder, b.holder), cmp.Compare(a.number, b.number), a.token.Compare(b.token))
 	})
-	state := fmt.Sprintf("%v %+v %+v %v %v %v %v %v %+v %v", w.now, *w.holders[0], *w.holders[1], w.asleep, w.checked, w.epoch, network,
-		w.done, *w.receiver, w.accepted)
-	return xxhash.Sum64(append([]byte(state), w.state.Snapshot()...))
+	state := fmt.Sprintf("%v %+v %+v %v %v %v %v %v %+v %v", m.now, *m.holders[0], *m.holders[1], m.paused, m.checkedTokens, m.epoch, network,
+		m.occurrences, *m.receiver, m.highestAccepted)
+	return xxhash.Sum64(append([]byte(state), m.state.Snapshot()...))
 }
