--- a/internal/decide/lease/exploration_test.go
+++ b/internal/decide/lease/exploration_test.go
@@ -47,7 +47,7 @@
 	rejected  int // states in which a late operation has been rejected
 }
 
-// explore runs every sequence of steps up to a depth, or until it finds a violation.
+// explore visits every state that is reachable within depth steps, or stops at the first violation. States are compared by hash.
 func explore(d defects, depth int) (found exploration) {
 	seen := map[uint64]bool{}
 	paths := [][]step{nil}
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Guards against Highest taking time proportional to the number of all leases: each heartbeat calls it for every lease.
+// Guards against Highest taking time proportional to the number of all leases: leaseclient calls it for every watched lease at each heartbeat response.
 func TestReceiver_HighestExaminesOneLeaseOnly(t *testing.T) {
 	const leases = 820
 	r := NewReceiver()
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -35,10 +35,10 @@
 type messageKind string
 
 const (
-	requestMessage   messageKind = "request"  // from a holder to the coordinator, for the lease
-	responseMessage  messageKind = "response" // from the coordinator to the holder
-	operationMessage messageKind = "act"      // an operation, from a holder to the receiver
-	queryMessage     messageKind = "query"    // from a receiver to the coordinator for the token in force, and the response
+	requestMessage   messageKind = "request"   // from a holder to the coordinator, for the lease
+	responseMessage  messageKind = "response"  // from the coordinator to the holder
+	operationMessage messageKind = "operation" // an operation, from a holder to the receiver
+	queryMessage     messageKind = "query"     // from a receiver to the coordinator for the token in force, and the response
 )
 
 type message struct {
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -78,12 +78,12 @@
 
 // The target mean leaves a margin for random variation with any number of routers, and is the whole budget if few routers share it.
 func TestTargetMeanRequests_AllowsForRandomVariation(t *testing.T) {
-	for _, c := range []struct{ budget, routers, least, most float64 }{
+	for _, c := range []struct{ budget, routers, lowest, highest float64 }{
 		{2, 1, 2, 2}, {30, 1, 30, 30}, {200, 1, 200, 200}, {30, 7, 30, 30}, {200, 100, 200, 200},
 		{29, 900, 26, 27}, {30, 900, 22, 24}, {200, 900, 177, 180}, {30, 1e6, 22, 24}, {0.01, 900, 0.01, 0.01},
 	} {
-		if got := targetMeanRequests(c.budget, c.routers); got < c.least || got > c.most {
-			t.Errorf("budget %v of %v routers: target mean %v, want %v to %v", c.budget, c.routers, got, c.least, c.most)
+		if got := targetMeanRequests(c.budget, c.routers); got < c.lowest || got > c.highest {
+			t.Errorf("budget %v of %v routers: target mean %v, want %v to %v", c.budget, c.routers, got, c.lowest, c.highest)
 		}
 	}
 }
--- a/internal/decide/timerqueue/timerqueue_test.go
+++ b/internal/decide/timerqueue/timerqueue_test.go
@@ -50,7 +50,7 @@
 }
 
 // After any sequence of Add, Remove and Set, First returns the due timer that a scan of a list in insertion order finds first.
-func TestFairQueue_MatchesWalkOverList(t *testing.T) {
+func TestFairQueue_MatchesScanOfList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FairQueue[int]
 		var list []*FairTimer[int]
