--- a/internal/eventloop/cancel_test.go
+++ b/internal/eventloop/cancel_test.go
@@ -8,7 +8,7 @@
 	"wayloft/router"
 )
 
-// recordingBackend records the attempts that it is given; its health checks succeed.
+// recordingBackend records the attempts passed to it; its health checks succeed.
 type recordingBackend struct {
 	Backend
 	driver   *Driver
@@ -24,7 +24,7 @@
 func (b *recordingBackend) CloseIdle(string) {}
 func (b *recordingBackend) Abandon(string)   {}
 
-// runFor500Ms carries out all that is due in the next 500 ms of the module's time.
+// runFor500Ms carries out everything that is due in the next 500 ms of the module's time.
 func runFor500Ms(driver *Driver) {
 	for range 10 {
 		driver.now += 50
@@ -38,8 +38,8 @@
 	}
 }
 
-// A request of a session is cancelled while an attempt of it is in flight, which then ends in a way that a retry would follow: none
-// does, and the client gets its one response. A request that was not cancelled is retried.
+// Guards against retrying a cancelled request. It is cancelled while an attempt is in flight, and the attempt then ends with an outcome
+// that is normally retried. The client must receive exactly one response; a request that was not cancelled must be retried.
 func TestDriver_NoRetryAfterCancel(t *testing.T) {
 	for _, outcome := range []router.Outcome{router.Reset, router.ConnectFailed, router.Overloaded, router.ServerError, router.TimedOut, router.NotSent} {
 		for _, cancelled := range []bool{true, false} {
@@ -60,7 +60,7 @@
 			}
 			runFor500Ms(driver)
 			if len(members.attempts) != 1 {
-				t.Fatalf("%d attempts at first, %d responses", len(members.attempts), responses)
+				t.Fatalf("%d initial attempts, want 1; %d responses", len(members.attempts), responses)
 			}
 			if cancelled {
 				req.Stream.MarkCancelled()
--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -7,30 +7,31 @@
 	"wayloft/router"
 )
 
-// Positions and members' start times are on the cluster's clock (Unix ms); the decision module runs on the loop's clock. They are
-// translated in this file and in starttimes.go, and nowhere else.
+// Positions and members' start times are on the cluster's clock (Unix ms), and the decision module runs on the loop's clock. All
+// conversions are in this file and in starttimes.go.
 
 const (
-	// maxPosition is more than any Unix time in ms.
+	// maxPosition is later than any plausible Unix time in ms.
 	maxPosition = 1e15
-	// settleCheckInterval is how often, in ms, the driver looks whether held reports can be judged.
+	// settleCheckInterval is the interval in ms at which the driver checks whether the cluster's clock is settled while reports are
+	// pending.
 	settleCheckInterval = 250.0
 )
 
-// RecordPosition adds a position that a member reported to the estimate of the cluster's clock. sent is when the member was asked,
-// on the loop's clock; router.Never if that isn't known. It must be called before the position is passed on by
+// RecordPosition adds a position reported by a member to the estimate of the cluster's clock. sent is the time on the loop's clock at
+// which the member was asked, or router.Never if unknown. RecordPosition must be called before the position is passed to
 // Driver.AttemptEnded or Driver.Reported.
 func (l *Loop) RecordPosition(member string, role router.Role, position, sent float64) {
 	l.clusterClock.Add(clockoffset.Sample{Member: member, Primary: role == router.Primary, Position: position, Sent: sent,
 		Received: l.Clock()})
 }
 
-// Forget drops what a member that is gone has reported.
+// Forget drops the positions reported by a member that was removed.
 func (l *Loop) Forget(member string) {
 	l.clusterClock.Forget(member)
 }
 
-// Possible reports whether a member can have this position by now.
+// Possible reports whether a member can have reached this position by now.
 func (l *Loop) Possible(position float64) bool {
 	if !(position > 0 && position < maxPosition) {
 		return false
@@ -38,23 +39,24 @@
 	return !l.clusterClock.Settled(l.Clock()) || position <= l.ClusterNow()+MaxPositionAhead
 }
 
-// ClusterNow returns the present time on the cluster's clock, as far as it is known.
+// ClusterNow returns the estimated time of the current batch on the cluster's clock.
 func (l *Loop) ClusterNow() float64 { return l.now + l.clusterClock.Offset() }
 
-// ToLoop translates a time on the cluster's clock to one on the loop's clock.
+// ToLoop converts a time from the cluster's clock to the loop's clock.
 func (l *Loop) ToLoop(at float64) float64 { return at - l.clusterClock.Offset() }
 
-// FromLoop translates a time on the loop's clock to one on the cluster's clock.
+// FromLoop converts a time from the loop's clock to the cluster's clock.
 func (l *Loop) FromLoop(at float64) float64 { return at + l.clusterClock.Offset() }
 
-// heldReport is a member's report that came before the cluster's clock was settled.
-type heldReport struct {
+// pendingReport is a member's report that was received before the cluster's clock was settled.
+type pendingReport struct {
 	member   string
 	role     router.Role
 	position float64
 }
 
-// positionOnLoop translates a member's position for the module: Never if there is none, or if it can't be judged yet.
+// positionOnLoop converts a member's position to the loop's clock, for the module. It returns Never if there is no position or the
+// cluster's clock is not settled yet.
 func (d *Driver) positionOnLoop(position float64) float64 {
 	if position == router.Never || !d.clockSettled() {
 		return router.Never
@@ -62,7 +64,8 @@
 	return d.ToLoop(position)
 }
 
-// clockSettled reports whether positions can be judged. The first time that they can, it passes on the reports that were held.
+// clockSettled reports whether the estimate of the cluster's clock is settled, so that positions can be validated and converted. When
+// it first is, clockSettled forwards the pending reports.
 func (d *Driver) clockSettled() bool {
 	if !d.clusterClock.Settled(d.Clock()) {
 		return false
@@ -74,8 +77,8 @@
 	if d.onClockSettled != nil {
 		d.onClockSettled()
 	}
-	reports := d.heldReports
-	d.heldReports = nil
+	reports := d.pendingReports
+	d.pendingReports = nil
 	for _, report := range reports {
 		if d.Possible(report.position) {
 			d.forwardReport(report)
@@ -84,7 +87,7 @@
 	return true
 }
 
-// RecordPosition does what Loop.RecordPosition does, and has the member checked again if that helps to settle the clock.
+// RecordPosition calls Loop.RecordPosition, and schedules another health check of the member if that helps to settle the clock.
 func (d *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
 	d.Loop.RecordPosition(member, role, position, sent)
 	if wait, wanted := d.clusterClock.Confirm(member); wanted && d.confirmsPositions && !d.confirming[member] {
@@ -100,57 +103,58 @@
 	}
 }
 
-// MembersCheckStaleness tells the driver that members themselves refuse a read, or have it wait, if they lag behind its position.
+// MembersCheckStaleness tells the driver that members themselves reject or delay a read whose position they have not reached.
 func (d *Driver) MembersCheckStaleness() { d.membersCheckStaleness = true }
 
-// EnablePositionChecks allows the driver to check members again to settle the cluster's clock. It must be called only if a health
-// check brings a report.
+// EnablePositionChecks allows the driver to make additional health checks to settle the cluster's clock. It must only be called if
+// health checks return a report.
 func (d *Driver) EnablePositionChecks() { d.confirmsPositions = true }
 
-// OnClockSettled sets a function that is called once, as soon as times on the cluster's clock can be translated.
+// OnClockSettled sets a function that is called once, as soon as times on the cluster's clock can be converted.
 func (d *Driver) OnClockSettled(f func()) { d.onClockSettled = f }
 
-// holdReport keeps the latest report of a member until it can be judged.
-func (d *Driver) holdReport(report heldReport) {
-	for i, earlier := range d.heldReports {
+// queueReport keeps a member's latest report until the cluster's clock is settled.
+func (d *Driver) queueReport(report pendingReport) {
+	for i, earlier := range d.pendingReports {
 		if earlier.member == report.member {
-			d.heldReports[i] = report
+			d.pendingReports[i] = report
 			return
 		}
 	}
-	d.heldReports = append(d.heldReports, report)
-	if len(d.heldReports) == 1 {
-		d.recheckSettled()
+	d.pendingReports = append(d.pendingReports, report)
+	if len(d.pendingReports) == 1 {
+		d.scheduleSettledCheck()
 	}
 }
 
-// recheckSettled checks periodically whether the clock is settled: reports of replicas alone may settle it as time passes.
-func (d *Driver) recheckSettled() {
+// scheduleSettledCheck checks periodically until the clock is settled: reports from replicas alone can settle it as time passes.
+func (d *Driver) scheduleSettledCheck() {
 	d.After(settleCheckInterval, func() {
 		if !d.clockSettled() {
-			d.recheckSettled()
+			d.scheduleSettledCheck()
 		}
 	})
 }
 
-func (d *Driver) forwardReport(report heldReport) {
+func (d *Driver) forwardReport(report pendingReport) {
 	d.routerInput().Reported(report.member, report.role, d.ToLoop(report.position))
 	if d.onReport != nil {
 		d.onReport(report.member, report.role, report.position)
 	}
 }
 
-// positionAge returns the age in ms of the position that a session's read must see, as the module takes it: 0 for no position.
+// positionAge returns the age in ms of the position that a session's read must see, in the form that the module expects: 0 means that
+// no position is required.
 func (d *Driver) positionAge(after, now float64) float64 {
 	if after == 0 {
 		return 0
 	}
-	// Until positions can be judged, the read needs a member that has everything up to now, unless members check it themselves.
+	// Until the clock is settled, the read requires a member that is current as of now, unless members check the position themselves.
 	age := 0.0
 	if d.clockSettled() || d.membersCheckStaleness {
 		age = now - d.ToLoop(after)
 	}
-	if age == 0 { // the module reads 0 as no position, and now - age is still exactly the position
+	if age == 0 { // 0 would mean no position to the module; now - age is still exactly the position
 		age = math.SmallestNonzeroFloat64
 	}
 	return age
--- a/internal/eventloop/clusterclock_test.go
+++ b/internal/eventloop/clusterclock_test.go
@@ -12,10 +12,11 @@
 	"wayloft/router"
 )
 
-// clusterTime is the present time on the cluster's clock.
+// clusterTime returns the current time on the cluster's clock.
 func clusterTime() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// newDriverAt returns a driver on a machine whose wall clock is ahead by so much, and the members whose reports it forwards.
+// newDriverAt returns a driver on a machine whose wall clock is ahead by the given duration, and the members whose reports it has
+// forwarded.
 func newDriverAt(ahead time.Duration) (*Driver, *[]string) {
 	classes := map[string]*router.RequestClass{"read": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, Effect: router.Idempotent, Level: router.Session}}
 	driver := New(NewLoopAt(256, time.Now().Add(ahead)), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true,
@@ -26,7 +27,7 @@
 	return driver, &forwarded
 }
 
-// report records a member's position of this age, as the result of a health check that began just now. It returns whether the
+// report records a position of the given age in ms, as the result of a health check that has just started. It reports whether the
 // position is possible.
 func (driver *Driver) report(member string, role router.Role, age float64) bool {
 	sent := driver.Clock()
@@ -40,25 +41,25 @@
 	return true
 }
 
-// A replica that lags by about as much as the wall clock is behind looks fresh by it. Its position must not be used before a primary
-// has reported; the order is forced: the replica reports first.
+// Guards against stale reads from a replica that lags by about as much as the local wall clock is behind, and so appears current. Its
+// position must not be used until a primary has reported. The test forces the order: the replica reports first.
 func TestDriver_PositionsWaitForPrimary(t *testing.T) {
 	driver, forwarded := newDriverAt(-600 * time.Millisecond)
 	driver.report("replica", router.Replica, 700)
 	if driver.positionOnLoop(clusterTime()) != router.Never || len(*forwarded) != 0 {
-		t.Errorf("a position is used on the report of a replica alone: %v", *forwarded)
+		t.Errorf("a position is used although only a replica has reported: %v", *forwarded)
 	}
 	driver.report("primary", router.Primary, 0)
 	driver.report("primary", router.Primary, 0)
 	if got := fmt.Sprint(*forwarded); got != "[replica primary]" && got != "[replica primary primary]" {
 		t.Errorf("forwarded %s", got)
 	}
-	if off := math.Abs(driver.ClusterNow() - clusterTime()); off > 100 {
-		t.Errorf("the cluster's present is taken to be off by %.0f ms", off)
+	if difference := math.Abs(driver.ClusterNow() - clusterTime()); difference > 100 {
+		t.Errorf("the estimate of the cluster's clock is off by %.0f ms", difference)
 	}
 }
 
-// If the wall clock is right, nothing waits for a second report, and nothing is translated.
+// With a correct wall clock, no report is delayed until a second one arrives, and the clock offset is zero.
 func TestDriver_PositionsWithCorrectClock(t *testing.T) {
 	driver, forwarded := newDriverAt(0)
 	driver.report("primary", router.Primary, 0)
@@ -67,11 +68,11 @@
 		t.Errorf("forwarded %s, offset %v", got, driver.FromLoop(0))
 	}
 	if driver.report("replica", router.Replica, -2*MaxPositionAhead) {
-		t.Error("a position of the future is possible")
+		t.Error("a position in the future is possible")
 	}
 }
 
-// A session's position is judged by the cluster's clock; before that is known, none is rejected.
+// A session's position is validated against the cluster's clock. No position is rejected before that clock is known.
 func TestDriver_ArriveWithWrongClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, -600 * time.Millisecond, 0, time.Hour} {
 		driver, _ := newDriverAt(ahead)
@@ -85,7 +86,7 @@
 		if err := arrive("unsettled", clusterTime()); err != nil {
 			t.Errorf("ahead by %v, before any report: %v", ahead, err)
 		}
-		for started := time.Now(); !driver.clockSettled(); { // an hour ahead takes a second of steady reports
+		for started := time.Now(); !driver.clockSettled(); { // a clock that is an hour ahead takes a second of steady reports
 			if driver.report("primary", router.Primary, 0); time.Since(started) > 20*time.Second {
 				t.Fatal("the clock never settled")
 			}
@@ -94,13 +95,13 @@
 			t.Errorf("ahead by %v: %v", ahead, err)
 		}
 		if err := arrive("future", clusterTime()+3*MaxPositionAhead); !errors.Is(err, ErrFuturePosition) {
-			t.Errorf("ahead by %v, a position of the future: got %v", ahead, err)
+			t.Errorf("ahead by %v, a position in the future: got %v", ahead, err)
 		}
 	}
 }
 
-// A start in the member list is on the cluster's clock. It is translated once, and is never in the future.
-func TestStartTimes_TranslatedOnce(t *testing.T) {
+// Start times in the endpoint list are on the cluster's clock. Each is converted once, and the result is never in the future.
+func TestStartTimes_ConvertedOnce(t *testing.T) {
 	driver, _ := newDriverAt(-time.Hour)
 	starts := NewStartTimes(driver.Loop)
 	reported := clusterTime() - 5000
@@ -114,17 +115,17 @@
 		t.Errorf("started %.0f ms ago, want 5000", age)
 	}
 	if starts.Compare("a", reported) != at || starts.Of("a", reported) != at {
-		t.Error("one start has two translations")
+		t.Error("one start time has two converted values")
 	}
 	if starts.Of("b", router.Never) != router.Never || starts.Compare("b", 0) != router.Never {
-		t.Error("a start long ago is translated to a time")
+		t.Error("a start long ago is converted to a time")
 	}
-	if starts.Retain(map[string]bool{"b": true}); len(starts.translated) != 0 {
-		t.Errorf("%d members are retained, want none", len(starts.translated))
+	if starts.Retain(map[string]bool{"b": true}); len(starts.converted) != 0 {
+		t.Errorf("%d members are retained, want none", len(starts.converted))
 	}
 }
 
-// checkRecorder records which members are checked.
+// checkRecorder records the members whose health is checked.
 type checkRecorder struct {
 	Backend
 	checked []string
@@ -132,34 +133,34 @@
 
 func (c *checkRecorder) HealthCheck(member string) { c.checked = append(c.checked, member) }
 
-// A primary whose position contradicts the wall clock is checked again soon, unless it has gone meanwhile; one that confirms the wall
-// clock is not.
+// A primary whose position contradicts the wall clock is checked again soon, unless it has been removed in the meantime. A primary that
+// confirms the wall clock is not checked again.
 func TestDriver_ContradictingPositionIsConfirmed(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		ahead      time.Duration
-		gone       bool
+		removed    bool
 		wantTimers int
 		want       string
-	}{{"wrong clock", -time.Hour, false, 1, "[primary]"}, {"gone", -time.Hour, true, 1, "[]"}, {"right clock", 0, false, 0, "[]"}} {
+	}{{"wrong clock", -time.Hour, false, 1, "[primary]"}, {"removed", -time.Hour, true, 1, "[]"}, {"correct clock", 0, false, 0, "[]"}} {
 		t.Run(c.name, func(t *testing.T) {
 			driver, _ := newDriverAt(c.ahead)
 			members := &checkRecorder{}
 			driver.SetBackend(members)
 			driver.EnablePositionChecks()
 			driver.report("primary", router.Primary, 0)
-			if c.gone {
+			if c.removed {
 				driver.Forget("primary")
 			}
 			if len(driver.confirming) != c.wantTimers {
-				t.Fatalf("%d checks are to come, want %d", len(driver.confirming), c.wantTimers)
+				t.Fatalf("%d checks are scheduled, want %d", len(driver.confirming), c.wantTimers)
 			}
 			for len(driver.confirming) > 0 {
 				select {
 				case f := <-driver.mailbox:
 					f()
 				case <-time.After(20 * time.Second):
-					t.Fatal("no check comes")
+					t.Fatal("the scheduled check was not made")
 				}
 			}
 			if got := fmt.Sprint(members.checked); got != c.want {
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -10,15 +10,15 @@
 	"wayloft/router"
 )
 
-// Backend carries attempts and health checks to members. It reports the end of each by Driver.AttemptEnded,
-// Driver.StatementFailed and Driver.HealthChecked.
+// Backend sends attempts and health checks to members. It reports their results to Driver.AttemptEnded, Driver.StatementFailed and
+// Driver.HealthChecked.
 type Backend interface {
-	// SendAttempt sends a request to a member. The attempt times out after timeout ms, if that isn't 0, and must not be written
-	// after the time notAfter.
+	// SendAttempt sends a request to a member. The attempt times out after timeout ms (0: no timeout) and must not be written after
+	// the time notAfter.
 	SendAttempt(req *request.Request, attempt int, member string, timeout, notAfter float64)
-	// CancelAttempt gives up on an attempt, which may have run if it was written.
+	// CancelAttempt cancels an attempt, which may have run if it was already written.
 	CancelAttempt(requestID string, attempt int)
-	// Abandon gives up whatever of a request may not have run yet: its client has gone.
+	// Abandon cancels the parts of a request that cannot have run yet, because its client has disconnected.
 	Abandon(requestID string)
 	// HealthCheck asks a member for its role and position.
 	HealthCheck(member string)
@@ -26,8 +26,8 @@
 	CloseIdle(member string)
 }
 
-// Driver drives a decision module: it feeds events in, carries out the decisions, and keeps the module's timer. It makes no
-// decisions of its own. All methods but Run must be called on the loop's goroutine.
+// Driver drives a decision module: it passes events in as inputs, carries out the decisions and manages the module's timer. It makes
+// no decisions itself. All methods except Run must be called on the loop's goroutine.
 type Driver struct {
 	*Loop
 	router      *router.Router
@@ -36,37 +36,37 @@
 	requestList func()
 	onReport    func(member string, role router.Role, position float64)
 	requests    map[string]*openRequest // by request id
-	hasInput    bool                    // the module has had an input in this batch
+	hasInput    bool                    // the module has received an input in this batch
 	timer       *time.Timer
 
 	onClockSettled    func()
-	settledNotified   bool            // onClockSettled was called
-	heldReports       []heldReport    // one a listed member at most
-	confirmsPositions bool            // members may be checked again to settle the clock
-	confirming        map[string]bool // members that are to be checked again soon
+	settledNotified   bool            // onClockSettled has been called
+	pendingReports    []pendingReport // received before the clock was settled, at most one per listed member
+	confirmsPositions bool            // additional health checks are allowed, to settle the clock
+	confirming        map[string]bool // members with a scheduled additional health check
 
 	membersCheckStaleness bool
 }
 
-// openRequest is a request that is not finished, or has an attempt in flight.
+// openRequest is a request that is unfinished or has an attempt in flight.
 type openRequest struct {
 	request  *request.Request
-	attempts int // so far
+	attempts int // started so far
 	inFlight int
 }
 
-// The errors of Driver.Arrive. Their texts are what clients are told.
+// The errors of Driver.Arrive. Clients receive their texts.
 var (
 	ErrRequestClass   = errors.New("txn type is not in the settings")
 	ErrDuplicateID    = errors.New("id is in use")
 	ErrFuturePosition = errors.New("after lies in the future")
 )
 
-// MaxPositionAhead is how many ms a position may lie ahead of the cluster's clock, whoever names it.
+// MaxPositionAhead is how far, in ms, a position reported by a member or given by a client may be ahead of the cluster's clock.
 const MaxPositionAhead = 1000.0
 
-// New returns a driver of a decision module. classes are the request classes of the settings; requestList is called when the module
-// wants the member list.
+// New returns a driver for a decision module. classes are the request classes from the settings; requestList is called when the
+// module requests the endpoint list.
 func New(loop *Loop, module *router.Router, classes map[string]*router.RequestClass, requestList func()) *Driver {
 	return &Driver{
 		Loop:        loop,
@@ -78,13 +78,13 @@
 	}
 }
 
-// SetBackend sets what carries attempts and health checks. It must be called before Run.
+// SetBackend sets the backend that sends attempts and health checks. It must be called before Run.
 func (d *Driver) SetBackend(b Backend) { d.backend = b }
 
 // Run runs the loop until it is stopped.
 func (d *Driver) Run() { d.Loop.Run(d.carryOutDecisions) }
 
-// routerInput returns the module for an input. It tells it the time before the first input of a batch.
+// routerInput returns the module to receive an input. It advances the module's clock before the first input of each batch.
 func (d *Driver) routerInput() *router.Router {
 	if !d.hasInput {
 		d.hasInput = true
@@ -93,7 +93,7 @@
 	return d.router
 }
 
-// Arrive takes in a request. An error means that it was not taken in: ErrRequestClass, ErrDuplicateID or ErrFuturePosition.
+// Arrive accepts a new request. It returns ErrRequestClass, ErrDuplicateID or ErrFuturePosition if the request is not accepted.
 func (d *Driver) Arrive(req *request.Request) error {
 	if d.requests[req.ID] != nil {
 		return ErrDuplicateID
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// ClientGone records that the client of a request has gone away: no response is owed any more, and what is not written yet is not
-// written. It guards against an attempt that waits for a connection to come up, and is sent long after.
+// ClientGone records that the client of a request has disconnected. No response is owed any more, and attempts that have not been
+// written are dropped: otherwise an attempt waiting for a connection to be established could be sent long after its client has left.
 func (d *Driver) ClientGone(req *request.Request) {
 	if req.ClientGone() {
 		d.routerInput().ClientGone(req.ID)
@@ -128,14 +128,14 @@
 	}
 }
 
-// AttemptEnded records how an attempt ended. took is how many ms the member took; role and position are what it reported of itself,
-// or RoleUnknown and Never; rows is the answer of an attempt that succeeded.
-func (d *Driver) AttemptEnded(req *request.Request, attempt int, _ string, outcome router.Outcome, took float64,
+// AttemptEnded records the outcome of an attempt. latency is the time in ms that the member took; role and position are what the
+// member reported about itself, or RoleUnknown and Never; rows is the response of a successful attempt.
+func (d *Driver) AttemptEnded(req *request.Request, attempt int, _ string, outcome router.Outcome, latency float64,
 	role router.Role, position float64, rows []byte) {
-	// Its client has received a part of the answer, or has cancelled it: no further attempt may begin.
+	// The client has received part of the response or has cancelled the request: it must not be retried.
 	noRetry := req.Stream != nil && (req.Stream.Started() || req.Stream.Cancelled())
 	done := req.Finished() || outcome == router.Succeeded || noRetry
-	d.routerInput().AttemptEnded(req.ID, attempt, outcome, took, done, role, d.positionOnLoop(position))
+	d.routerInput().AttemptEnded(req.ID, attempt, outcome, latency, done, role, d.positionOnLoop(position))
 	if outcome == router.Succeeded && !req.Finished() {
 		req.Succeed(rows)
 	} else if noRetry && !req.Finished() {
@@ -145,14 +145,14 @@
 	d.dropIfDone(req.ID)
 }
 
-// TurnChanged records who must act next in a request of several messages: the member, or, where waiting is set, the client or the
+// TurnChanged records who must act next in a request of several messages: the member or, if waiting is set, the client or the
 // connection pool.
 func (d *Driver) TurnChanged(req *request.Request, attempt int, waiting bool) {
 	d.routerInput().TurnChanged(req.ID, attempt, waiting, req.Stream != nil && req.Stream.Started())
 }
 
-// StatementFailed records that a member found an error in the statement of an attempt. The statement did not run, and the error says
-// nothing about the member.
+// StatementFailed records that a member reported an error in the statement itself. The statement did not run, and the error says
+// nothing about the member's health.
 func (d *Driver) StatementFailed(req *request.Request, attempt int, _ string, e *pg.Error) {
 	d.routerInput().AttemptEnded(req.ID, attempt, router.NotSent, 0, true, router.RoleUnknown, router.Never)
 	if !req.Finished() {
@@ -162,29 +162,30 @@
 	d.dropIfDone(req.ID)
 }
 
-// HealthChecked records how a health check ended.
+// HealthChecked records the outcome of a health check.
 func (d *Driver) HealthChecked(member string, outcome router.Outcome) {
 	d.routerInput().HealthChecked(member, outcome)
 }
 
-// Reported passes a member's report of its role and position on to the module, once its position can be judged.
+// Reported passes a member's report of its role and position to the module, as soon as the cluster's clock is known well enough to
+// validate the position.
 func (d *Driver) Reported(member string, role router.Role, position float64) {
-	report := heldReport{member, role, position}
+	report := pendingReport{member, role, position}
 	if !d.clockSettled() {
-		d.holdReport(report)
+		d.queueReport(report)
 		return
 	}
 	d.forwardReport(report)
 }
 
-// OnReport sets a function that is also called with members' reports, their positions on the cluster's clock. It must not block.
+// OnReport sets a function that also receives the members' reports, with positions on the cluster's clock. It must not block.
 func (d *Driver) OnReport(f func(member string, role router.Role, position float64)) { d.onReport = f }
 
-// HealthCheck checks a member on behalf of other routers. The module is told the result, too.
+// HealthCheck checks a member on behalf of other routers. The module receives the result as well.
 func (d *Driver) HealthCheck(member string) { d.backend.HealthCheck(member) }
 
-// PeerReported passes on what another router's health check found; position is on the cluster's clock. It does nothing before
-// positions can be judged.
+// PeerReported passes the result of another router's health check to the module; position is on the cluster's clock. The result is
+// ignored if the cluster's clock is not settled yet or the position is not possible.
 func (d *Driver) PeerReported(member string, started float64, role router.Role, position float64) {
 	if !d.clockSettled() || position != router.Never && !d.Possible(position) {
 		return
@@ -192,14 +193,14 @@
 	d.routerInput().PeerReported(member, started, role, d.positionOnLoop(position))
 }
 
-// HoldWrites has writes of a group wait until this time; an earlier time releases them.
+// HoldWrites places a write hold on a group until the given time. A time that has passed releases the hold.
 func (d *Driver) HoldWrites(group int, until float64) { d.routerInput().HoldWrites(group, until) }
 
-// UpdateSettings passes on settings with other values and tenants. The request classes that there are, and what is fixed of them,
-// stay as they are.
+// UpdateSettings passes changed settings to the module. Values and tenants may change; the set of request classes and their fixed
+// properties may not.
 func (d *Driver) UpdateSettings(set *router.Settings) { d.routerInput().UpdateSettings(set) }
 
-// Writes counts the requests of a group that need its primary: those with an attempt in flight, and those that wait.
+// Writes counts the requests of a group that require its primary, separately those with an attempt in flight and those waiting.
 func (d *Driver) Writes(group int) (inFlight, waiting int) {
 	for _, open := range d.requests {
 		class := d.classes[open.request.RequestClass]
@@ -215,17 +216,17 @@
 	return inFlight, waiting
 }
 
-// List returns the module, to be told of the member list.
+// List returns the module to receive endpoint list inputs.
 func (d *Driver) List() *router.Router { return d.routerInput() }
 
-// dropIfDone drops a request that is finished and has nothing in flight; until then its id is in use.
+// dropIfDone forgets a request that is finished and has no attempt in flight. Until then its id counts as in use.
 func (d *Driver) dropIfDone(id string) {
 	if open := d.requests[id]; open.request.Finished() && open.inFlight == 0 {
 		delete(d.requests, id)
 	}
 }
 
-// carryOutDecisions carries out the module's decisions at the end of a batch, if the batch had an input.
+// carryOutDecisions carries out the module's decisions at the end of a batch, if the module received an input in it.
 func (d *Driver) carryOutDecisions() {
 	if !d.hasInput {
 		return
@@ -256,10 +257,11 @@
 	}
 }
 
-// carryOutForRequest carries out a decision for a request that must be open and have nothing in flight.
+// carryOutForRequest carries out a decision on a request, which must be unfinished and have no attempt in flight.
 func (d *Driver) carryOutForRequest(decision router.Decision) {
 	open := d.requests[decision.RequestID]
-	invariant.Check(open != nil && !open.request.Finished() && open.inFlight == 0, "decisions are for open requests with no attempt out")
+	invariant.Check(open != nil && !open.request.Finished() && open.inFlight == 0,
+		"a decision concerns an unfinished request with no attempt in flight")
 	if open == nil || open.request.Finished() {
 		return
 	}
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -9,12 +9,12 @@
 	"wayloft/router"
 )
 
-// noBackend is a backend for tests in which nothing is decided for a member: any call panics.
+// noBackend is a backend for tests that send nothing to members: any call panics.
 type noBackend struct{ Backend }
 
-// The module's timer fires while a batch is handled that began before its time. The module must set another: there may be no other
-// input, and the waiting request must get its response. The order is forced: the timer is in the mailbox when the batch, begun
-// earlier, takes it out.
+// The module's timer fires during a batch that started before the time of the timer. The module must set another timer: there may be no
+// other input, and the waiting request must receive a response. The test forces the order: the timer event is handled in a batch whose
+// time is earlier than the timer's.
 func TestDriver_TimerFiresInEarlierBatch(t *testing.T) {
 	classes := map[string]*router.RequestClass{"write": {LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, Effect: router.NonIdempotent, Level: router.Write}}
 	driver := New(NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: classes}, 1), classes, func() {})
@@ -36,16 +36,16 @@
 			f()
 			driver.carryOutDecisions()
 		case <-time.After(20 * time.Second):
-			t.Fatal("no timer fires any more, and a request waits")
+			t.Fatal("no timer is set although a request is waiting")
 		}
 	}
 	for range 3 {
-		driver.now = started + 1 // the batch's time, when it began
+		driver.now = started + 1 // the time at which the batch started
 		fireTimer()
 	}
 	driver.now = started + 600
 	fireTimer()
 	if responses != 1 {
-		t.Errorf("%d responses at half of its time, want one", responses)
+		t.Errorf("%d responses after 600 ms of its 1000 ms, want one", responses)
 	}
 }
