--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	// lingerTimeout is how long a peer that has been sent everything may take to close its end.
+	// lingerTimeout is how long a peer may take to close its end after all data has been sent.
 	lingerTimeout = time.Second
-	// unsentLingerFactor multiplies lingerTimeout for a peer that has not read everything yet.
+	// unsentLingerFactor multiplies lingerTimeout while there are unsent bytes.
 	unsentLingerFactor = 3
 )
 
-// Handler receives a connection's bytes and its end, on the loop.
+// Handler is notified on the loop of a connection's data and of its end.
 type Handler interface {
-	// Data receives bytes; the handler may keep them.
+	// Data receives bytes; the handler may retain the slice.
 	Data(data []byte)
-	// Closed is called once when the connection has ended, unless the handler's side closed it by Close.
+	// Closed is called once when the connection has ended, unless it was closed locally by Close.
 	Closed()
 }
 
-// Conn is a connection. Its exported methods must be called on the loop.
+// Conn is a TCP connection. Its exported methods must be called on the loop.
 type Conn struct {
 	loop    *Loop
 	nb      *nbio.Conn
 	handler Handler
 	closed  bool
-	inbound bool // it was accepted, not dialled
-
-	readMu     sync.Mutex   // held while the poller reads and counts, and while the loop checks for unread bytes and ends the connection
-	received   atomic.Int64 // bytes; guarded by readMu
-	handled    int64        // bytes of received that have come to the loop
-	unhandled  [][]byte     // what came before there was a handler; the mailbox bounds it
-	discarding atomic.Bool  // the poller discards what still comes
-
-	polledBatch  int64 // the batch in which the operating system was last polled about the connection
-	polledEvents int16 // what the poll returned
-
-	submitted    int64        // bytes given to Write
-	written      atomic.Int64 // bytes that the operating system has taken
-	delayedWrite []byte       // to be written once this host has memory for it; maxUnsent bounds it
-	finishAt     atomic.Int64 // end once so many bytes are written; 0: don't
+	inbound bool // accepted rather than dialled
+
+	// readMu is held while the poller reads and counts bytes, and while the loop checks for unread bytes and ends the connection.
+	readMu     sync.Mutex
+	received   atomic.Int64 // bytes read and not discarded; guarded by readMu
+	handled    int64        // received bytes that the loop has processed
+	unhandled  [][]byte     // data received before a handler was set; bounded by the mailbox
+	discarding atomic.Bool  // the poller discards further data
+
+	polledBatch  int64 // batch in which the descriptor was last polled
+	polledEvents int16 // result of that poll
+
+	submitted    int64        // bytes passed to Write
+	written      atomic.Int64 // bytes accepted by the operating system
+	delayedWrite []byte       // to be written when this host has memory again; bounded by maxUnsent
+	finishAt     atomic.Int64 // value of written at which the connection is finished; 0: it is not being finished
 }
 
-// control calls f with the descriptor while that is sure to be the connection's own.
+// control calls f with the descriptor. It holds nbio's lock, so that the descriptor can't be closed and reused in the meantime.
 func (c *Conn) control(f func(fd int) error) error {
 	c.nb.Lock()
 	defer c.nb.Unlock()
@@ -62,13 +63,13 @@
 	if err != nil {
 		return err
 	}
-	var inner error
-	return errors.Join(raw.Control(func(fd uintptr) { inner = f(int(fd)) }), inner)
+	var callErr error
+	return errors.Join(raw.Control(func(fd uintptr) { callErr = f(int(fd)) }), callErr)
 }
 
-// Handle sets who receives the connection's bytes and its end from now on, including what has come already. It guards against a
-// peer that sends something, or ends the connection, before whoever dialled is told that it is up: the dialler would wait for
-// either until its time-out.
+// Handle sets the handler. Data that was received earlier, and an end of the connection that was already reported, are delivered to
+// it as well. A peer may send data or close the connection before the dialler is told that it is established; without this the
+// dialler would wait until its timeout.
 func (c *Conn) Handle(handler Handler) {
 	unhandled, closed := c.unhandled, c.closed
 	c.handler, c.unhandled = handler, nil
@@ -85,7 +86,7 @@
 	})
 }
 
-// notifyClosed tells the handler, once, that the connection has ended.
+// notifyClosed notifies the handler, at most once, that the connection has ended.
 func (c *Conn) notifyClosed() {
 	if !c.closed {
 		c.closed = true
@@ -96,27 +97,27 @@
 	failpoint.Hit("eventloop.closed")
 }
 
-// fail ends the connection after a failed write, so that the peer learns of it whatever the error was.
+// fail ends the connection after a failed write. It shuts the socket down so that the peer is notified whatever the error was.
 func (c *Conn) fail() {
 	c.Drop()
 	c.loop.Defer(c.notifyClosed)
 }
 
-// Close ends the connection at once. The poller closes the descriptor; the handler's Closed is not called.
+// Close ends the connection immediately, without calling the handler's Closed. The poller closes the descriptor.
 func (c *Conn) Close() {
 	c.closed = true
 	c.Drop()
 }
 
-// Drop ends the connection at once; the handler's Closed follows.
+// Drop ends the connection immediately; the handler's Closed is called afterwards.
 func (c *Conn) Drop() {
 	c.discarding.Store(true)
 	c.shutdown(unix.SHUT_RDWR)
 }
 
-// Finish ends the connection once the peer has received everything that was written. It then waits up to lingerTimeout for the
-// peer to close its end, since closing a socket with unread bytes resets the connection, and the peer could lose the last
-// response. A peer that does not read either is given unsentLingerFactor times as long, for both together.
+// Finish closes the connection gracefully. Once all data is written, it shuts down the sending direction and waits up to
+// lingerTimeout for the peer to close its end: closing a socket with unread bytes resets the connection, and the peer could lose the
+// last response. If the peer does not read, writing and lingering together may take unsentLingerFactor times as long.
 func (c *Conn) Finish() {
 	c.discarding.Store(true)
 	if c.closed || c.finishAt.Load() > 0 {
@@ -130,15 +131,15 @@
 	}
 }
 
-// DropIfQuiescent does what Drop does, unless something has come that the handler has not received, or something is not written
-// yet. It reports whether it did. The check and the end are one step as the poller sees it: whatever the poller reads afterwards
-// came after the end, and its sender can tell.
-func (c *Conn) DropIfQuiescent() bool { return c.ifQuiescent(c.Drop) }
+// DropIfQuiescent drops the connection, unless there are received bytes that the handler has not seen or unsent bytes. It reports
+// whether it did. The check and the shutdown are atomic with respect to the poller's reads: bytes that the poller reads later arrived
+// after the shutdown, and their sender can tell that they were not accepted.
+func (c *Conn) DropIfQuiescent() bool { return c.endIfQuiescent(c.Drop) }
 
-// FinishIfQuiescent does what Finish does, under the condition of DropIfQuiescent. It reports whether it did.
-func (c *Conn) FinishIfQuiescent() bool { return c.ifQuiescent(c.Finish) }
+// FinishIfQuiescent calls Finish under the same condition as DropIfQuiescent. It reports whether it did.
+func (c *Conn) FinishIfQuiescent() bool { return c.endIfQuiescent(c.Finish) }
 
-func (c *Conn) ifQuiescent(end func()) bool {
+func (c *Conn) endIfQuiescent(end func()) bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if c.closed || !c.Sent() || c.unreadLocked() {
@@ -149,14 +150,14 @@
 	return true
 }
 
-// shutdownWrite ends the sending direction, and the whole connection after lingerTimeout.
+// shutdownWrite shuts down the sending direction, and drops the connection after lingerTimeout.
 func (c *Conn) shutdownWrite() {
 	c.shutdown(unix.SHUT_WR)
 	c.loop.After(float64(lingerTimeout.Milliseconds()), c.Drop)
 }
 
-// shutdown shuts one or both directions down. The poller closes a connection that is shut down both ways.
+// shutdown shuts down one or both directions. The poller closes a connection that is shut down in both.
 func (c *Conn) shutdown(how int) {
-	// It fails only for a connection that has ended already, which is what is wanted: the poller reports its end.
+	// This fails only if the connection has already ended, in which case the poller reports it.
 	_ = c.control(func(fd int) error { return unix.Shutdown(fd, how) })
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -13,7 +13,7 @@
 	"wayloft/internal/failpoint"
 )
 
-// DialError is the failure of a dial. Unwrap returns its cause.
+// DialError is returned when a dial fails.
 type DialError struct {
 	Call syscallerror.Call // the system call that failed
 	Err  error
@@ -21,14 +21,14 @@
 
 func (e *DialError) Error() string { return fmt.Sprintf("dial: %v", e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Cause returns whether the failure is about the peer or about this host.
+// Cause classifies the failure: whether it concerns the peer or this host.
 func (e *DialError) Cause() syscallerror.Cause { return syscallerror.Of(e.Call, e.Err) }
 
-// Dial connects to addr within timeout ms. done is called once, on the loop; a failure is a *DialError. The poller's own dialler is
-// not used: nbio 1.6.8 takes the first four of an address's sixteen bytes for an IPv4 address, and connects to 0.0.0.0.
+// Dial connects to addr, with a timeout in ms. done is called once, on the loop; its error is a *DialError. nbio's own dialler is not
+// used because nbio 1.6.8 uses the first four bytes of a 16-byte address as the IPv4 address, and so connects to 0.0.0.0.
 func (l *Loop) Dial(addr string, timeout float64, done func(*Conn, error)) {
 	go func() {
 		c, err := l.dial(addr, time.Duration(timeout*float64(time.Millisecond)))
@@ -44,14 +44,14 @@
 	}
 	nb, err := adopt(std)
 	if err != nil {
-		_ = std.Close() // nothing was sent on it, and the dial's error is what the caller needs
+		_ = std.Close() // nothing was sent, and the caller needs the first error
 		return nil, &DialError{syscallerror.Register, err}
 	}
 	failpoint.Hit("eventloop.connected")
 	l.engineMu.Lock()
 	defer l.engineMu.Unlock()
 	if l.engineStopped {
-		_ = nb.Close() // nothing was sent on it, and the loop has ended
+		_ = nb.Close() // nothing was sent, and the loop has ended
 		return nil, &DialError{syscallerror.Register, net.ErrClosed}
 	}
 	c := l.attach(nb, false)
@@ -68,7 +68,7 @@
 	return net.DialTimeout("tcp", addr, timeout)
 }
 
-// failedCall returns which system call of net's dial failed.
+// failedCall returns which system call of net.DialTimeout failed.
 func failedCall(err error) syscallerror.Call {
 	var call *os.SyscallError
 	if errors.As(err, &call) && (call.Syscall == "socket" || call.Syscall == "setsockopt") {
@@ -77,7 +77,7 @@
 	return syscallerror.Connect
 }
 
-// adopt converts a connection to the poller's type. If that fails, std is still open and the caller's.
+// adopt converts a connection to the poller's type. On failure std stays open and owned by the caller.
 func adopt(std net.Conn) (*nbio.Conn, error) {
 	if err := failpoint.Error("eventloop.adopt"); err != nil {
 		return nil, err
@@ -85,8 +85,8 @@
 	return nbio.NBConn(std)
 }
 
-// Adopt converts a connection that was accepted to the poller's type. It fails for want of a descriptor; the connection is then still
-// open and the caller's. It may be called on any goroutine.
+// Adopt converts an accepted connection to the poller's type. It fails if no descriptor is available; the connection then stays open
+// and owned by the caller. Adopt is safe for concurrent use.
 func Adopt(std net.Conn) (net.Conn, error) {
 	nb, err := adopt(std)
 	if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,10 @@
-// Package eventloop runs a router. Loop is the one goroutine on which the router's events happen, with its mailbox, clock, timers
-// and sockets, which a single nbio poller serves; it does not know what the bytes on them mean. Driver joins a loop to the
-// decision module of package router: it feeds events in and carries out the decisions, but makes none of its own.
+// Package eventloop runs a router's event loop. Loop is the single goroutine that handles all of the router's events. It owns the
+// mailbox, the clock, the timers and the sockets, which one nbio poller serves, and it does not interpret the bytes on them. Driver
+// connects a loop to the decision module of package router: it passes events in as inputs and carries out the decisions, but makes
+// no decisions itself.
 //
-// Times are float64 milliseconds on the loop's clock unless a comment says otherwise. Methods must be called on the loop's
-// goroutine unless their comment says otherwise.
+// Times are float64 milliseconds on the loop's clock unless stated otherwise. Methods must be called on the loop's goroutine unless
+// their doc comment says otherwise.
 package eventloop
 
 import (
@@ -16,33 +17,33 @@
 	"wayloft/internal/failpoint"
 )
 
-// mailboxCapacity is how many events wait for the loop at most; whoever posts more is blocked meanwhile.
+// mailboxCapacity is the maximum number of queued events. Post blocks while the mailbox is full.
 const mailboxCapacity = 256
 
-// Loop is one goroutine that handles events in batches, and all that wakes it.
+// Loop is a single goroutine that handles events in batches, together with the mailbox, timers and poller that wake it.
 type Loop struct {
 	mailbox     chan func()
-	deferred    []func() // to be run on the loop after what is running
+	deferred    []func() // run on the loop after the current event
 	start       time.Time
-	wallAtStart float64 // the machine's wall clock at start, Unix ms: the origin of Clock, and used for nothing else
+	wallAtStart float64 // the machine's wall clock at start, Unix ms; used only as the origin of Clock
 	now         float64
-	batch       int64 // counts the batches of events
+	batch       int64 // number of the current batch of events
 	stopping    bool
 	engine      *nbio.Engine
 
 	clusterClock clockoffset.Estimate
-	readBuffer   []byte // belongs to the poller
+	readBuffer   []byte // used only by the poller
 
-	maxUnsent int64 // bytes that a peer may leave unread; 0: any number
+	maxUnsent int64 // limit of unsent bytes per connection; 0: unlimited
 
-	engineMu      sync.Mutex // held while the poller is given a connection that was dialled
-	engineStopped bool       // guarded by engineMu: the poller is given no more connections
+	engineMu      sync.Mutex // held while a dialled connection is registered with the poller
+	engineStopped bool       // guarded by engineMu: no more connections may be registered
 }
 
-// NewLoop returns a loop that can hold this many descriptors.
+// NewLoop returns a loop for at most the given number of descriptors.
 func NewLoop(descriptors int) *Loop { return NewLoopAt(descriptors, time.Now()) }
 
-// NewLoopAt returns a loop as NewLoop does, on a machine whose wall clock shows this time.
+// NewLoopAt is NewLoop with an explicit reading of the machine's wall clock.
 func NewLoopAt(descriptors int, wall time.Time) *Loop {
 	l := &Loop{
 		mailbox:     make(chan func(), mailboxCapacity),
@@ -51,41 +52,43 @@
 		readBuffer:  make([]byte, readSize),
 	}
 	l.now = l.wallAtStart
-	nbio.MaxOpenFiles = 2*descriptors + 1024 // the size of nbio's table; the process's own limit is lower
+	nbio.MaxOpenFiles = 2*descriptors + 1024 // the size of nbio's connection table; the process's descriptor limit is lower
 	return l
 }
 
-// Now returns the time in ms at which the present batch of events is taken to happen, on the loop's clock. It is the Unix time
-// only if the machine's wall clock was right at the start: times that are sent to others must be taken from ClusterNow.
+// Now returns the time of the current batch of events, in ms on the loop's clock. It equals Unix time only if the machine's wall
+// clock was correct at startup, so times that are sent to other processes must come from ClusterNow.
 func (l *Loop) Now() float64 { return l.now }
 
-// Clock returns the present time in ms on the loop's clock, which may be later than Now. The wall clock was read once, at the
-// start; since then the clock is monotonic. It may be called on any goroutine.
+// Clock returns the current time in ms on the loop's clock, which may be later than Now. The wall clock is read only once, at
+// startup; from then on the clock is monotonic. Clock is safe for concurrent use.
 func (l *Loop) Clock() float64 {
 	return l.wallAtStart + float64(time.Since(l.start).Microseconds())/1000
 }
 
-// beginBatch sets the time of a new batch of events.
+// beginBatch starts a new batch of events at the current time.
 func (l *Loop) beginBatch() {
 	l.batch++
 	l.now = l.Clock()
 }
 
-// Post has f run on the loop. It blocks while the mailbox is full, and must not be called on the loop's goroutine.
+// Post queues f to run on the loop. It blocks while the mailbox is full, so it must not be called on the loop's goroutine.
 func (l *Loop) Post(f func()) { l.mailbox <- f }
 
-// Defer has f run on the loop after what is running.
+// Defer schedules f to run on the loop after the current event: later in the same batch, or in the next batch if called from the
+// endBatch function of Run.
 func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
-// After has f run on the loop in so many ms, unless the timer is stopped. A timer that is stopped late may still run f.
+// After schedules f to run on the loop after ms milliseconds, unless the timer is stopped before it fires. f may still run if the
+// timer has already posted it to the mailbox.
 func (l *Loop) After(ms float64, f func()) *time.Timer {
 	return time.AfterFunc(time.Duration(max(0, ms)*float64(time.Millisecond)), func() { l.Post(f) })
 }
 
-// Stop has Run return after the present batch.
+// Stop makes Run return after the current batch.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Run handles events in batches, each followed by a call of endBatch, until Stop is called. Then it stops the poller.
+// Run handles events in batches and calls endBatch after each, until Stop is called. It then stops the poller.
 func (l *Loop) Run(endBatch func()) {
 	failpoint.Hit("eventloop.starting")
 	for !l.stopping {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -11,17 +11,17 @@
 	"github.com/lesismal/nbio"
 )
 
-// closeSocket closes a socket of the test's own, whose end the test does not depend on.
+// closeSocket closes a socket of the test and ignores the error, which the test does not depend on.
 func closeSocket(c io.Closer) { _ = c.Close() }
 
-// Guards against a dial that reaches another address than the one it was given.
+// Guards against a dial that connects to an address other than the requested one.
 func TestLoop_DialReachesAddress(t *testing.T) {
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Listen(front, 1<<20, func(*Conn) {}); err != nil {
+	if err := l.Listen(listener, 1<<20, func(*Conn) {}); err != nil {
 		t.Fatal(err)
 	}
 	target, err := net.Listen("tcp", "127.0.0.2:0")
@@ -46,13 +46,13 @@
 				t.Fatalf("connected: %v, want %v", got, want)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("a dial never ended")
+			t.Fatal("a dial did not complete")
 		}
 	}
 }
 
-// runLoop runs a loop, and its poller with it, until the test is over: a failpoint at which a later test holds a goroutine must not be
-// reached by this loop.
+// runLoop runs a loop and its poller until the test ends. It waits for the loop to stop, so that the loop can't reach a failpoint that a
+// later test sets.
 func runLoop(t *testing.T, l *Loop) {
 	t.Helper()
 	ended := make(chan bool)
@@ -60,20 +60,20 @@
 	t.Cleanup(func() { l.Post(l.Stop); <-ended })
 }
 
-// Guards against taking an interrupted call for the end of a connection: under load the runtime's own signals interrupted one call in
-// some thousands, and the session was dropped with its request while the client went on waiting.
+// Guards against treating an interrupted system call as the end of a connection. Under load, the Go runtime's signals interrupted one
+// call in several thousand, and the session and its request were dropped while the client kept waiting.
 func TestConn_SignalsDoNotEndIt(t *testing.T) {
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	accepted := make(chan *Conn, 1)
-	if err := l.Listen(front, 1<<20, func(c *Conn) { accepted <- c }); err != nil {
+	if err := l.Listen(listener, 1<<20, func(c *Conn) { accepted <- c }); err != nil {
 		t.Fatal(err)
 	}
 	runLoop(t, l)
-	client, err := net.Dial("tcp", front.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,12 +97,12 @@
 	defer func() { close(stop); <-stopped }()
 	for n := range 100000 {
 		if state := c.pollReadable(); state != 0 {
-			t.Fatalf("call %d: state %#x of a connection that is up", n, state)
+			t.Fatalf("call %d: events %#x on an established, idle connection", n, state)
 		}
 	}
 }
 
-// byteCounter is a handler that counts bytes, and calls a function at the first ones.
+// byteCounter is a handler that counts bytes and calls onFirst when the first ones arrive.
 type byteCounter struct {
 	bytes   int
 	onFirst func()
@@ -117,29 +117,29 @@
 
 func (c *byteCounter) Closed() {}
 
-// What comes on a connection after its end is decided is discarded before it reaches the loop, and a peer that never stops sending does
-// not keep the poller from another connection.
+// Data received on a connection after Finish is discarded before it reaches the loop, and a peer that keeps sending does not prevent the
+// poller from serving another connection.
 func TestConn_DiscardsAfterFinish(t *testing.T) {
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	flood, finished, calm := &byteCounter{}, make(chan bool), make(chan bool)
+	flood, finished, otherServed := &byteCounter{}, make(chan bool), make(chan bool)
 	conns := 0
-	if err := l.Listen(front, 1<<20, func(c *Conn) {
+	if err := l.Listen(listener, 1<<20, func(c *Conn) {
 		if conns++; conns == 1 {
 			flood.onFirst = func() { c.Finish(); close(finished) }
 			c.Handle(flood)
 			return
 		}
-		c.Handle(&byteCounter{onFirst: func() { close(calm) }})
+		c.Handle(&byteCounter{onFirst: func() { close(otherServed) }})
 	}); err != nil {
 		t.Fatal(err)
 	}
 	runLoop(t, l)
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", front.Addr().String())
+		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -149,11 +149,11 @@
 		return c
 	}
 	flooding := dial()
-	flooded := make(chan bool)
-	defer func() { closeSocket(flooding); <-flooded }()
+	floodEnded := make(chan bool)
+	defer func() { closeSocket(flooding); <-floodEnded }()
 	<-finished
 	go func() {
-		defer close(flooded)
+		defer close(floodEnded)
 		for buf := make([]byte, 1<<16); ; {
 			if _, err := flooding.Write(buf); err != nil {
 				return
@@ -161,19 +161,18 @@
 		}
 	}()
 	defer closeSocket(dial())
-	<-calm
+	<-otherServed
 	if _, err := flooding.Read(make([]byte, 1)); err == nil {
-		t.Error("it was answered")
+		t.Error("the flooding peer received a response")
 	}
 	handled := make(chan int)
 	l.Post(func() { handled <- flood.bytes })
 	if got := <-handled; got != 1 {
-		t.Errorf("%d bytes reached the handler, want the first alone", got)
+		t.Errorf("%d bytes reached the handler, want only the first", got)
 	}
 }
 
-// Unread bytes alone don't make a connection look closed; a half-close does, also with unread bytes before it. No poller has read any
-// of it.
+// Unread bytes alone do not make PeerClosed true; a half-close does, even when unread bytes precede it. No poller reads the connection.
 func TestConn_PeerClosed(t *testing.T) {
 	send := func(p *net.TCPConn) error {
 		_, err := p.Write([]byte("more"))
@@ -184,28 +183,28 @@
 		act  func(*net.TCPConn) error
 		want bool
 	}{
-		"idle":                {func(*net.TCPConn) error { return nil }, false},
-		"has sent":            {send, false},
-		"shuts down writing":  {(*net.TCPConn).CloseWrite, true},
-		"sends, shuts down":   {func(p *net.TCPConn) error { return errors.Join(send(p), p.CloseWrite()) }, true},
-		"closes":              {(*net.TCPConn).Close, true},
-		"resets":              {reset, true},
-		"sends and resets":    {func(p *net.TCPConn) error { return errors.Join(send(p), reset(p)) }, true},
-		"closed by this side": {nil, true},
+		"idle":               {func(*net.TCPConn) error { return nil }, false},
+		"sends":              {send, false},
+		"shuts down writing": {(*net.TCPConn).CloseWrite, true},
+		"sends, shuts down":  {func(p *net.TCPConn) error { return errors.Join(send(p), p.CloseWrite()) }, true},
+		"closes":             {(*net.TCPConn).Close, true},
+		"resets":             {reset, true},
+		"sends and resets":   {func(p *net.TCPConn) error { return errors.Join(send(p), reset(p)) }, true},
+		"closed locally":     {nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := NewLoop(256) // no poller reads what the peer does
-			front, err := net.Listen("tcp", "127.0.0.1:0")
+			l := NewLoop(256) // without Listen there is no poller
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer closeSocket(front)
-			peer, err := net.Dial("tcp", front.Addr().String())
+			defer closeSocket(listener)
+			peer, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer closeSocket(peer)
-			std, err := front.Accept()
+			std, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -227,20 +226,20 @@
 	}
 }
 
-// BenchmarkConn_PeerClosed measures what each attempt pays to check for its client's end.
+// BenchmarkConn_PeerClosed measures the cost of checking whether the client has disconnected, which each attempt incurs.
 func BenchmarkConn_PeerClosed(b *testing.B) {
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer closeSocket(front)
-	peer, err := net.Dial("tcp", front.Addr().String())
+	defer closeSocket(listener)
+	peer, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer closeSocket(peer)
-	std, err := front.Accept()
+	std, err := listener.Accept()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -252,7 +251,7 @@
 	c := l.attach(nb, true)
 	for b.Loop() {
 		if c.PeerClosed() {
-			b.Fatal("a connection that is up")
+			b.Fatal("an open connection is reported as closed")
 		}
 	}
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -8,13 +8,13 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// Listen starts the poller. accept is called on the loop with each connection that comes in on the listener, before any of its
-// bytes. A peer that leaves more than maxUnsent bytes unread loses its connection. Listen must be called once, before Run.
+// Listen starts the poller. accept is called on the loop for each inbound connection, before any of its data is delivered. A
+// connection with more than maxUnsent unsent bytes is closed. Listen must be called once, before Run.
 func (l *Loop) Listen(listener net.Listener, maxUnsent int, accept func(*Conn)) error {
 	logging.SetLevel(logging.LevelNone)
 	engine := nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{listener.Addr().String()}, NPoller: 1,
 		ReadBufferSize: readSize, MaxWriteBufferSize: maxUnsent,
-		// Level-triggered: edge-triggered, nbio reads one connection for as long as its peer goes on sending.
+		// Level-triggered, because in edge-triggered mode nbio keeps reading from one connection for as long as its peer keeps sending.
 		EpollMod: nbio.EPOLLLT,
 		Listen:   func(string, string) (net.Listener, error) { return listener, nil }})
 	engine.OnOpen(func(nb *nbio.Conn) {
@@ -45,8 +45,8 @@
 	return engine.Start()
 }
 
-// attach makes the Conn of a connection of nbio's, and connOf finds it. The lock orders the two for the poller, which learns of
-// a connection only from the operating system.
+// attach creates the Conn of an nbio connection, and connOf looks it up. The lock makes the session visible to the poller, which
+// learns of a connection only through the operating system and so has no other synchronization with attach.
 func (l *Loop) attach(nb *nbio.Conn, inbound bool) *Conn {
 	c := &Conn{loop: l, nb: nb, inbound: inbound}
 	nb.Lock()
@@ -62,13 +62,13 @@
 	return c
 }
 
-// stopEngine closes the listener and the connections that are left, without calling their handlers. It discards what is posted
-// meanwhile, and waits for the poller for lingerTimeout at most.
+// stopEngine closes the listener and the remaining connections without calling their handlers. It discards events posted in the
+// meantime, and waits at most lingerTimeout for the poller to stop.
 func (l *Loop) stopEngine() {
 	if l.engine == nil {
 		return
 	}
-	// Guards against a dial that succeeds just now: the poller must not be given another connection while it stops.
+	// A dial may complete concurrently: no connection may be registered with the poller once it is stopping.
 	l.engineMu.Lock()
 	l.engineStopped = true
 	l.engineMu.Unlock()
--- a/internal/eventloop/race_test.go
+++ b/internal/eventloop/race_test.go
@@ -13,7 +13,7 @@
 	"wayloft/internal/failpoint"
 )
 
-// channelHandler is a handler that passes on what it receives.
+// channelHandler is a handler that forwards data and the end of the connection to channels.
 type channelHandler struct {
 	data   chan string
 	closed chan bool
@@ -22,20 +22,20 @@
 func (h *channelHandler) Data(b []byte) { h.data <- string(b) }
 func (h *channelHandler) Closed()       { close(h.closed) }
 
-// connectedPair runs a loop until the test is over. It returns a connection of the loop, the peer's end of it, and its handler.
+// connectedPair runs a loop until the test ends. It returns the loop, an inbound connection, the peer's end of it, and its handler.
 func connectedPair(t *testing.T, maxUnsent int) (*Loop, *Conn, *net.TCPConn, *channelHandler) {
 	t.Helper()
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	h, accepted := &channelHandler{make(chan string, 10), make(chan bool)}, make(chan *Conn, 1)
-	if err := l.Listen(front, maxUnsent, func(c *Conn) { c.Handle(h); accepted <- c }); err != nil {
+	if err := l.Listen(listener, maxUnsent, func(c *Conn) { c.Handle(h); accepted <- c }); err != nil {
 		t.Fatal(err)
 	}
 	runLoop(t, l)
-	peer, err := net.Dial("tcp", front.Addr().String())
+	peer, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,31 +43,31 @@
 	return l, <-accepted, peer.(*net.TCPConn), h
 }
 
-// The poller has read a request, and not yet counted it, when its connection is about to be ended: the request reaches the handler, and
-// the connection stays. While the poller is held between the two steps, no end can be decided.
+// Guards against ending a connection when the poller has read a request but not yet counted it. A failpoint stops the poller between the
+// two steps: meanwhile the connection can't be ended, and afterwards the request reaches the handler and the connection stays open.
 func TestConn_EndWhilePollerReads(t *testing.T) {
 	for name, end := range map[string]func(*Conn) bool{"finish": (*Conn).FinishIfQuiescent, "drop": (*Conn).DropIfQuiescent} {
 		t.Run(name, func(t *testing.T) {
 			l, c, peer, h := connectedPair(t, 1<<20)
 			ended := make(chan bool, 1)
 			tryEnd := func() { l.Post(func() { ended <- end(c) }) }
-			twoSteps := false
+			unlocked := false
 			restore := failpoint.Set("eventloop.read", sync.OnceFunc(func() {
-				if twoSteps = c.readMu.TryLock(); twoSteps { // nothing keeps the end out: let it happen now
+				if unlocked = c.readMu.TryLock(); unlocked { // the lock is not held: let the end happen now
 					c.readMu.Unlock()
 					tryEnd()
 					ended <- <-ended
 					return
 				}
-				tryEnd() // before what was read reaches the handler
+				tryEnd() // before the data reaches the handler
 			}))
 			if _, err := peer.Write([]byte("request")); err != nil {
 				t.Fatal(err)
 			}
-			over := <-ended
+			wasEnded := <-ended
 			restore()
-			if over || twoSteps {
-				t.Fatalf("ended over a request that was read before: %v; the poller reads and counts in two steps: %v", over, twoSteps)
+			if wasEnded || unlocked {
+				t.Fatalf("connection ended despite a request that was already read: %v; read and count are not atomic: %v", wasEnded, unlocked)
 			}
 			if got := <-h.data; got != "request" {
 				t.Errorf("received %q", got)
@@ -76,45 +76,45 @@
 	}
 }
 
-// A request comes between the check for unread bytes and the end of the connection: the poller does not read it before the end, so that
-// its sender can tell that it was not accepted; the answer before it reaches the sender.
+// A request arrives between the check for unread bytes and the end of the connection. The poller must not read it before the end, so that
+// its sender can tell that it was not accepted. The response to the previous request still reaches the sender.
 func TestConn_RequestComesWhileItEnds(t *testing.T) {
 	l, c, peer, h := connectedPair(t, 1<<20)
 	var order []string
 	var mu sync.Mutex
-	note := func(event string) {
+	record := func(event string) {
 		mu.Lock()
 		defer mu.Unlock()
 		order = append(order, event)
 	}
-	defer failpoint.Set("eventloop.read", func() { note("read") })()
+	defer failpoint.Set("eventloop.read", func() { record("read") })()
 	unlocked := false
 	defer failpoint.Set("eventloop.quiescent", func() {
 		if unlocked = c.readMu.TryLock(); unlocked {
 			c.readMu.Unlock()
 		}
-		if _, err := peer.Write([]byte("request")); err != nil { // it is with this side's system when this returns
+		if _, err := peer.Write([]byte("request")); err != nil { // when Write returns, the data is in the local receive buffer
 			t.Error(err)
 		}
-		note("ending")
+		record("ending")
 	})()
 	ended := make(chan bool, 1)
-	l.Post(func() { c.Write([]byte("answer")); ended <- c.FinishIfQuiescent() })
+	l.Post(func() { c.Write([]byte("response")); ended <- c.FinishIfQuiescent() })
 	if !<-ended {
-		t.Fatal("a quiescent connection did not end")
+		t.Fatal("a quiescent connection was not finished")
 	}
-	if got, err := io.ReadAll(peer); string(got) != "answer" || err != nil {
-		t.Errorf("the peer read %q, %v; want the answer and the end", got, err)
+	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
+		t.Errorf("the peer read %q, %v; want the response and EOF", got, err)
 	}
 	closeSocket(peer)
 	<-h.closed
 	mu.Lock()
 	defer mu.Unlock()
 	if unlocked {
-		t.Error("the poller may read while the end is decided")
+		t.Error("the poller may read between the check and the end")
 	}
 	if len(order) == 0 || order[0] != "ending" {
-		t.Errorf("the order is %v", order)
+		t.Errorf("events %v, want ending first", order)
 	}
 	select {
 	case got := <-h.data:
@@ -123,38 +123,38 @@
 	}
 }
 
-// A connection with unsent bytes is not quiescent, and the answer reaches the peer.
+// A connection with unsent bytes is not quiescent, and the whole response reaches the peer.
 func TestConn_UnsentIsNotQuiescent(t *testing.T) {
 	l, c, peer, _ := connectedPair(t, 64<<20)
-	answer := make([]byte, 32<<20)
+	response := make([]byte, 32<<20)
 	ended := make(chan bool, 1)
-	l.Post(func() { c.Write(answer); ended <- c.FinishIfQuiescent() })
+	l.Post(func() { c.Write(response); ended <- c.FinishIfQuiescent() })
 	if <-ended {
-		t.Error("ended though not all was written")
+		t.Error("finished although there are unsent bytes")
 	}
-	if n, err := io.ReadFull(peer, answer); err != nil {
+	if n, err := io.ReadFull(peer, response); err != nil {
 		t.Errorf("the peer read %d bytes: %v", n, err)
 	}
 }
 
-// A peer accepts a connection and at once sends something, or ends it, before the loop is told that the connection is up. The handler
-// receives both all the same, in their order, and doesn't wait for a time-out.
+// A peer accepts a connection and immediately sends data or closes it, before the loop learns that the connection is established. The
+// handler must receive both, in order, without waiting for a timeout.
 func TestConn_PeerActsBeforeDialIsReported(t *testing.T) {
 	for _, c := range []struct {
 		name, sends string
 		reset       bool
-	}{{"closes", "", false}, {"resets", "", true}, {"sends and closes", "no room", false}} {
+	}{{"closes", "", false}, {"resets", "", true}, {"sends and closes", "too many connections", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _, _, _ := connectedPair(t, 1<<20)
-			front, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer closeSocket(front)
+			defer closeSocket(listener)
 			notified := make(chan bool, 10)
 			defer failpoint.Set("eventloop.closed", func() { notified <- true })()
-			defer failpoint.Set("eventloop.dialed", func() { // the poller has it, and the loop has not been told
-				peer, err := front.Accept()
+			defer failpoint.Set("eventloop.dialed", func() { // the connection is registered with the poller, and the loop has not been notified
+				peer, err := listener.Accept()
 				if err != nil {
 					t.Error(err)
 					return
@@ -168,11 +168,11 @@
 					}
 				}
 				closeSocket(peer)
-				<-notified // the loop has been told of the end
+				<-notified // the loop has handled the end of the connection
 			})()
 			h := &channelHandler{make(chan string, 10), make(chan bool)}
 			l.Post(func() {
-				l.Dial(front.Addr().String(), 10000, func(conn *Conn, err error) {
+				l.Dial(listener.Addr().String(), 10000, func(conn *Conn, err error) {
 					if err != nil {
 						t.Error(err)
 						return
@@ -184,7 +184,7 @@
 			select {
 			case <-h.closed:
 			case <-time.After(20 * time.Second):
-				t.Fatal("its end was never reported")
+				t.Fatal("the end of the connection was not reported")
 			}
 			if c.sends != "" {
 				select {
@@ -193,92 +193,93 @@
 						t.Errorf("received %q", got)
 					}
 				default:
-					t.Error("what it sent was not received")
+					t.Error("the data sent by the peer was not received")
 				}
 			}
 		})
 	}
 }
 
-// eventLog is a handler that records what it receives, and when its batch is over.
+// eventLog is a handler that records the data it receives, the end of the connection and the end of each batch after its first event.
 type eventLog struct {
-	mu     sync.Mutex
-	events []string
-	over   chan bool
-	closed chan bool
+	mu         sync.Mutex
+	events     []string
+	batchEnded chan bool
+	closed     chan bool
 }
 
-func (log *eventLog) note(event string) {
+func (log *eventLog) record(event string) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if len(log.events) > 0 || event != "batch over" {
+	if len(log.events) > 0 || event != "batch ended" {
 		log.events = append(log.events, event)
 	}
-	if event == "batch over" && len(log.events) == 2 {
-		close(log.over)
+	if event == "batch ended" && len(log.events) == 2 {
+		close(log.batchEnded)
 	}
 }
-func (log *eventLog) Data(b []byte) { log.note(string(b)) }
-func (log *eventLog) Closed()       { log.note("closed"); close(log.closed) }
+func (log *eventLog) Data(b []byte) { log.record(string(b)) }
+func (log *eventLog) Closed()       { log.record("closed"); close(log.closed) }
 
-// A request and its client's end have both come before the poller reads. The handler is told of the end in the batch of the request, so
-// that nothing is decided for the request in between: the poller is held behind the request until that batch is over.
+// A request and the end of its client's connection both arrive before the poller reads. The handler must be notified of the end in the
+// same batch as the request, so that no decision is made on the request in between. The poller is blocked after posting the request
+// until that batch has ended.
 func TestConn_EndArrivesWithBytesBeforeIt(t *testing.T) {
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, other := &eventLog{over: make(chan bool), closed: make(chan bool)}, &channelHandler{make(chan string, 10), make(chan bool)}
+	log, other := &eventLog{batchEnded: make(chan bool), closed: make(chan bool)}, &channelHandler{make(chan string, 10), make(chan bool)}
 	accepted := make(chan bool, 2)
 	handlers := []Handler{log, other}
-	if err := l.Listen(front, 1<<20, func(c *Conn) { c.Handle(handlers[0]); handlers = handlers[1:]; accepted <- true }); err != nil {
+	if err := l.Listen(listener, 1<<20, func(c *Conn) { c.Handle(handlers[0]); handlers = handlers[1:]; accepted <- true }); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan bool)
-	go func() { l.Run(func() { log.note("batch over") }); close(ended) }()
+	go func() { l.Run(func() { log.record("batch ended") }); close(ended) }()
 	defer func() { l.Post(l.Stop); <-ended }()
 	var peers [2]net.Conn
 	for n := range peers {
-		if peers[n], err = net.Dial("tcp", front.Addr().String()); err != nil {
+		if peers[n], err = net.Dial("tcp", listener.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
 		defer closeSocket(peers[n])
 		<-accepted
 	}
-	held, release := make(chan bool), make(chan bool)
-	defer failpoint.Set("eventloop.read", sync.OnceFunc(func() { held <- true; <-release }))()
+	blocked, release := make(chan bool), make(chan bool)
+	defer failpoint.Set("eventloop.read", sync.OnceFunc(func() { blocked <- true; <-release }))()
 	posted := 0
 	defer failpoint.Set("eventloop.posted", func() {
-		if posted++; posted == 2 { // the request; the first is the other's
-			<-log.over
+		if posted++; posted == 2 { // the request; the first post is from the other connection
+			<-log.batchEnded
 		}
 	})()
 	if _, err := peers[1].Write([]byte("other")); err != nil {
 		t.Fatal(err)
 	}
-	<-held
+	<-blocked
 	if _, err := peers[0].Write([]byte("request")); err != nil {
 		t.Fatal(err)
 	}
-	closeSocket(peers[0]) // both are with this side's system now
+	closeSocket(peers[0]) // the request and the end have now reached this side's socket
 	close(release)
 	<-log.closed
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	if len(log.events) < 2 || log.events[0] != "request" || log.events[1] != "closed" {
-		t.Errorf("the order is %v", log.events)
+		t.Errorf("events %v, want request and closed first", log.events)
 	}
 }
 
-// A dial succeeds while the loop ends: the poller is not given its connection any more, and the peer sees the end.
+// A dial succeeds while the loop is stopping: its connection is not registered with the poller, and the peer sees EOF.
 func TestLoop_DialWhileItEnds(t *testing.T) {
 	l := NewLoop(256)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Listen(front, 1<<20, func(*Conn) {}); err != nil {
+	if err := l.Listen(listener, 1<<20, func(*Conn) {}); err != nil {
 		t.Fatal(err)
 	}
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -297,12 +298,12 @@
 	defer closeSocket(peer)
 	l.Post(l.Stop)
 	if err := <-dialed; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the dial ended with %v", err)
+		t.Errorf("the dial returned %v, want net.ErrClosed", err)
 	}
 	if err := peer.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the peer saw %v, want the end", err)
+		t.Errorf("the peer read %v, want EOF", err)
 	}
 }
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// readSize is how many bytes are read at once; with mailboxCapacity it bounds what waits for the loop.
+	// readSize is the size of the read buffer in bytes; together with mailboxCapacity it bounds the data queued for the loop.
 	readSize = 1 << 14
-	// maxReadsPerTurn is how often one connection is read in a row before others have their turn.
+	// maxReadsPerTurn is how often one connection is read in succession before the poller serves others.
 	maxReadsPerTurn = 64
 
 	retryPause = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
 )
 
-// receive reads what has come, up to a bound, and posts it to the loop. It runs on the poller. The end of an inbound connection is
-// posted together with the bytes before it. This guards against a request that waited to be read for longer than its client waited
-// for the response, and would be forwarded before the loop learns that the client has gone.
+// receive reads the available data, up to a limit, and posts it to the loop. It runs on the poller. The end of an inbound connection
+// is posted together with the bytes before it. Otherwise, if a client gives up while its request is still unread, the request would
+// be forwarded before the loop learns that the client has disconnected.
 func (c *Conn) receive() {
 	buffer := c.loop.readBuffer
-	var data []byte // read, and not posted yet
+	var data []byte // read but not posted yet
 	defer func() { c.postData(data, false) }()
 	for range maxReadsPerTurn {
 		n, accepted, err := c.readOnce(buffer)
@@ -41,10 +41,10 @@
 		case errors.Is(err, syscall.EAGAIN):
 			return
 		case endsConnection(err):
-			// Its result can't matter: the descriptor is closed either way, and the poller's OnClose reports the end.
+			// The result is irrelevant: the descriptor is closed in any case, and the poller's OnClose reports the end.
 			_ = c.nb.CloseWithError(err)
 			return
-		case err != nil: // the host is short of memory: the poller comes back, since what came is still there
+		case err != nil: // this host is short of memory: polling is level-triggered, so the unread data wakes the poller again
 			time.Sleep(retryPause)
 			return
 		case n == 0 || n < len(buffer) && !c.inbound:
@@ -53,12 +53,12 @@
 	}
 }
 
-// endsConnection reports whether a read's error is the end of its connection.
+// endsConnection reports whether a read error means that the connection has ended.
 func endsConnection(err error) bool {
 	return err != nil && syscallerror.Of(syscallerror.Read, err) == syscallerror.Peer
 }
 
-// postData posts bytes to the loop, if there are any, and the end of the connection behind them if it has ended.
+// postData posts bytes to the loop, if there are any, followed by the end of the connection if ended is set.
 func (c *Conn) postData(data []byte, ended bool) {
 	if data == nil {
 		return
@@ -77,9 +77,9 @@
 	failpoint.Hit("eventloop.posted")
 }
 
-// readOnce reads and counts in one step, as whoever asks for unread bytes sees it. It guards against a connection that is ended
-// between the two: bytes that were read before the end would be discarded after it, and their sender can't know. accepted reports
-// whether there are bytes that are not to be discarded.
+// readOnce reads from the connection and counts the bytes, atomically with respect to checks for unread bytes. If the connection
+// could be ended between the two, bytes read before the end would be discarded without their sender being able to tell. accepted
+// reports whether bytes were read that must not be discarded.
 func (c *Conn) readOnce(buffer []byte) (n int, accepted bool, err error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -93,7 +93,7 @@
 	return n, accepted, err
 }
 
-// Unread reports whether something has come that the handler has not received yet: bytes, or the end of the connection.
+// Unread reports whether there is something that the handler has not received yet: bytes, or the end of the connection.
 func (c *Conn) Unread() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -105,17 +105,17 @@
 	return c.received.Load() != c.handled || c.polledEvents != 0
 }
 
-// PeerClosed reports whether the peer has closed the connection, or its sending direction, even if the handler has not been told
-// yet or there are unread bytes before the end. It makes a system call each time.
+// PeerClosed reports whether the peer has closed the connection or its sending direction, even if the handler has not been notified
+// yet or unread bytes precede the end. Each call makes a system call.
 func (c *Conn) PeerClosed() bool {
 	const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	return c.closed || c.poll(unix.POLLRDHUP)&closedEvents != 0
 }
 
-// pollReadable asks the operating system whether something can be read, or the connection has ended.
+// pollReadable asks the operating system whether there is something to read or the connection has ended.
 func (c *Conn) pollReadable() int16 { return c.poll(unix.POLLIN) }
 
-// poll asks the operating system about these events, and whether the connection is broken.
+// poll asks the operating system for the given events and for error conditions.
 func (c *Conn) poll(events int16) (ready int16) {
 	err := c.control(func(fd int) error {
 		ready = pollDescriptor(fd, events)
@@ -127,8 +127,8 @@
 	return ready
 }
 
-// pollDescriptor polls until a call is not interrupted. A call that fails for want of memory does not mean that the connection has
-// ended: there may be something to be read.
+// pollDescriptor polls a descriptor, and repeats interrupted calls. A call that fails for lack of memory does not mean that the
+// connection has ended: the result is then POLLIN, since there may be something to read.
 func pollDescriptor(fd int, events int16) int16 {
 	for {
 		descriptors := []unix.PollFd{{Fd: int32(fd), Events: events}}
@@ -139,7 +139,7 @@
 		switch {
 		case err == nil:
 			return descriptors[0].Revents
-		case syscallerror.Of(syscallerror.Poll, err) != syscallerror.Transient: // transient: e.g. the Go runtime's own signals
+		case syscallerror.Of(syscallerror.Poll, err) != syscallerror.Transient: // transient: interrupted, e.g. by the Go runtime's signals
 			return unix.POLLIN
 		}
 	}
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -12,11 +12,12 @@
 	"wayloft/internal/failpoint"
 )
 
-var errTooMuchUnsent = errors.New("write: the peer leaves too much unread")
+var errTooMuchUnsent = errors.New("write: too many unsent bytes, the peer is not reading")
 
-// Write sends b, now or as the peer reads. If it can't be sent, the handler's Closed follows. It polls the connection before its
-// first write in a batch. This guards against nbio closing the descriptor in a write that fails: the number would be used again at
-// once, and an event for the old connection that the poller still holds would close the new one. Only the poller may close.
+// Write sends b, immediately or as the peer reads. If the write fails, the connection ends and the handler's Closed is called. Only
+// the poller may close the descriptor, but nbio closes it when a write fails: the descriptor number could then be reused at once, and
+// an event of the old connection that the poller has yet to handle would close the new one. Write therefore polls the connection
+// before the first write of a batch.
 func (c *Conn) Write(b []byte) {
 	if c.closed || c.finishAt.Load() > 0 {
 		return
@@ -36,17 +37,17 @@
 	}
 }
 
-// send writes what the operating system takes now, and leaves the rest to the poller. It guards against nbio's own first write and
-// its bound, which both close the descriptor at once if they fail: only the poller may.
+// send writes as much as the operating system accepts and leaves the rest to the poller. It makes the first write and the check
+// against maxUnsent itself, because nbio closes the descriptor immediately when either fails, and only the poller may do that.
 func (c *Conn) send(b []byte) error {
 	if limit := c.loop.maxUnsent; limit > 0 && c.Unsent() > limit {
 		return errTooMuchUnsent
 	}
-	if c.delayedWrite != nil { // b goes behind it
+	if c.delayedWrite != nil { // b must follow it
 		c.delayedWrite = append(c.delayedWrite, b...)
 		return nil
 	}
-	if c.Unsent() > int64(len(b)) { // the poller has some to write first
+	if c.Unsent() > int64(len(b)) { // the poller has earlier bytes to write first
 		_, err := c.nb.Write(b)
 		return err
 	}
@@ -59,7 +60,7 @@
 		return nil
 	case err != nil && syscallerror.Of(syscallerror.Write, err) == syscallerror.HostResources:
 		c.delayedWrite = slices.Clone(b)
-		c.loop.After(syscallerror.RetryPauseMs, c.resend)
+		c.loop.After(syscallerror.RetryPauseMs, c.sendDelayed)
 		return nil
 	case err != nil && !errors.Is(err, syscall.EAGAIN):
 		return err
@@ -68,8 +69,8 @@
 	return err
 }
 
-// resend writes what was delayed for want of memory.
-func (c *Conn) resend() {
+// sendDelayed retries a write that was delayed because this host was out of memory.
+func (c *Conn) sendDelayed() {
 	b := c.delayedWrite
 	if c.delayedWrite = nil; c.closed {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// writeOnce makes one write that is not interrupted. It returns how many bytes the operating system has taken.
+// writeOnce makes one write, and repeats it if it is interrupted. It returns the number of bytes accepted by the operating system.
 func (c *Conn) writeOnce(b []byte) (n int, err error) {
 	err = c.control(func(fd int) error {
 		for {
@@ -96,17 +97,17 @@
 	return n, err
 }
 
-// recordWritten counts bytes that the operating system has taken. It reports whether they are the last before the connection is to
-// be finished.
+// recordWritten counts bytes accepted by the operating system. It reports whether they are the last ones of a connection that is
+// being finished.
 func (c *Conn) recordWritten(n int) (last bool) {
 	return n > 0 && c.written.Add(int64(n)) == c.finishAt.Load()
 }
 
-// Written returns how many bytes the operating system has taken.
+// Written returns the number of bytes accepted by the operating system.
 func (c *Conn) Written() int64 { return c.written.Load() }
 
-// Unsent returns how many bytes the operating system has not taken yet, since the peer is slow to read.
+// Unsent returns the number of bytes passed to Write that the operating system has not accepted yet.
 func (c *Conn) Unsent() int64 { return c.submitted - c.written.Load() }
 
-// Sent reports whether the operating system has taken all that was written.
+// Sent reports whether the operating system has accepted all bytes passed to Write.
 func (c *Conn) Sent() bool { return c.written.Load() == c.submitted }
