--- a/internal/discovery/change_address_test.go
+++ b/internal/discovery/change_address_test.go
@@ -16,7 +16,7 @@
 
 const emptyList = `{"revision":5,"complete":true,"members":[]}`
 
-// TestChangeAddress_DropsListOfOldAddress changes the address after a list of the old one was read and before it is delivered.
+// TestChangeAddress_DropsListOfOldAddress changes the address between reading and delivering a list of the old address.
 func TestChangeAddress_DropsListOfOldAddress(t *testing.T) {
 	previous := newFakeService(t, respond(testChange+"\n"))
 	next := newFakeService(t, respondAndClose(emptyList), respond("\n"))
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestChangeAddress_InAnyState changes the address in any state of a request to the old one, and with any response of the new one to
-// its first request: it is requested for its complete list at once, without waiting for a timeout of the old one, and nothing of the
-// old one is delivered afterwards.
+// TestChangeAddress_InAnyState changes the address in every state of a request to the old one, and with every kind of first response from
+// the new one. The complete list must be requested from the new address immediately, without waiting for a timeout of the old one, and
+// nothing from the old address may be delivered afterwards.
 func TestChangeAddress_InAnyState(t *testing.T) {
 	states := map[string]func(net.Conn){
 		"hung":                hang,
@@ -48,7 +48,7 @@
 		"responds":    respondAndClose(drainingList),
 		"hangs":       hang,
 		"unavailable": sendAndReset("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-		"resets":      sendAndReset("HTTP/1.1 200 OK\r\n\r\n" + drainingList), // without an end of the response
+		"resets":      sendAndReset("HTTP/1.1 200 OK\r\n\r\n" + drainingList), // the end of the response is missing
 		"not JSON":    respondAndClose(drainingList[:30]),
 	}
 	for state, respondOld := range states {
@@ -87,7 +87,7 @@
 	}
 }
 
-// expectDrainingList fails the test unless the list of the new address comes, after at most three of the old one.
+// expectDrainingList fails the test unless the list of the new address is delivered, after at most three from the old one.
 func expectDrainingList(t *testing.T, delivered <-chan *List) {
 	t.Helper()
 	for n := 0; ; n++ {
@@ -99,13 +99,13 @@
 			return
 		}
 		if n > 2 {
-			t.Fatalf("delivered %+v of the old address", l)
+			t.Fatalf("delivered %+v from the old address", l)
 		}
 	}
 }
 
-// TestChangeAddress_BetweenRequests changes the address when a watch has ended, in the pause before the next one or, where lists are
-// polled, without a request: the change itself has the new address requested.
+// TestChangeAddress_BetweenRequests changes the address after a watch has ended: during the backoff before the next one or, when polling,
+// while no request is pending. The change itself must trigger a request to the new address.
 func TestChangeAddress_BetweenRequests(t *testing.T) {
 	for _, polls := range []bool{false, true} {
 		previous := newFakeService(t, sendAndReset(""))
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestChangeAddress_TwiceAndBack changes the address twice before the first change is noticed, back to where it was.
+// TestChangeAddress_TwiceAndBack changes the address to another one and back before the first change is handled.
 func TestChangeAddress_TwiceAndBack(t *testing.T) {
 	first := newFakeService(t, respond("\n"))
 	second := newFakeService(t, respond(`{"revision":9,"complete":true,"members":[]}`))
--- a/internal/discovery/fake_service_test.go
+++ b/internal/discovery/fake_service_test.go
@@ -12,25 +12,26 @@
 
 const (
 	testEntry = `{"id":"a","host_port":"127.0.0.1:5433","locality":"z","cell":3,"phase":"in_service","size":1.0,"up_since_ms":7}`
-	// testChange is a change with one entry.
+	// testChange is a change that contains one entry.
 	testChange = `{"revision":43,"complete":false,"members":[` + testEntry + `]}`
-	// testRevision is the revision that the watchers of the tests know.
+	// testRevision is the initial revision of the watchers in the tests.
 	testRevision = 41
 
 	fullListURL = "/api/targets"
 )
 
-// watchURL is what a watcher requests for the changes after a revision.
+// watchURL returns the URL that a watcher requests to get the changes after a revision.
 func watchURL(revision int) string { return fmt.Sprintf("/api/targets?stream=1&index=%d", revision) }
 
-// fakeService is a list service that handles each connection as a test says. It closes those left open when the test ends.
+// fakeService is a list service that handles each connection with a function of the test. It closes the remaining connections when the
+// test ends.
 type fakeService struct {
 	net.Listener
-	requests    chan string // the URLs
+	requests    chan string // the requested URLs
 	connections []net.Conn
 }
 
-// newFakeService starts a service. Each handler handles one request, the last one all that follow.
+// newFakeService starts a service. Each handler handles one request, and the last one also handles all further requests.
 func newFakeService(t *testing.T, handlers ...func(net.Conn)) *fakeService {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +73,7 @@
 
 func (s *fakeService) address() string { return s.Addr().String() }
 
-// expectRequest fails the test if the next request is not for a URL.
+// expectRequest fails the test unless the next request is for the given URL.
 func (s *fakeService) expectRequest(t *testing.T, want string) {
 	t.Helper()
 	if got := <-s.requests; got != want {
@@ -80,7 +81,7 @@
 	}
 }
 
-// closeSocket closes a socket of the test, whose other end may have closed it already.
+// closeSocket closes a socket of the test and ignores the error, since the peer may have closed the connection already.
 func closeSocket(c io.Closer) { _ = c.Close() }
 
 // send sends bytes and leaves the connection open.
@@ -93,7 +94,7 @@
 	return send("HTTP/1.1 200 OK\r\n\r\n" + body)
 }
 
-// respondAndClose sends a whole response.
+// respondAndClose sends a response and closes the connection, which marks the end of the response.
 func respondAndClose(body string) func(net.Conn) {
 	return func(c net.Conn) {
 		respond(body)(c)
@@ -117,7 +118,7 @@
 
 func ignoreError(error) {}
 
-// watchOrPoll starts a watcher. Polling begins with one request.
+// watchOrPoll starts a watcher. If it polls, watchOrPoll also makes the first request.
 func watchOrPoll(ctx context.Context, w *Watcher, polls bool, requests chan struct{}) {
 	if !polls {
 		go w.Watch(ctx)
@@ -127,7 +128,7 @@
 	requests <- struct{}{}
 }
 
-// requestAgain returns a failed callback that requests another poll, as a router does.
+// requestAgain returns an onError callback that requests another poll, as the router does.
 func requestAgain(requests chan<- struct{}) func(error) {
 	return func(error) {
 		select {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Poll watches once for each request and for each change of address, until ctx ends.
+// Poll runs one watch for each request and for each change of address, until ctx is done.
 func (w *Watcher) Poll(ctx context.Context, requests <-chan struct{}) {
 	for {
 		select {
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// TestPoll_NextRequestAfterHang requests a poll while the one before hangs, which must end by itself.
+// TestPoll_NextRequestAfterHang requests a poll while the previous one hangs. The hanging poll must time out so that the next can run.
 func TestPoll_NextRequestAfterHang(t *testing.T) {
 	s := newFakeService(t, hang, respond(testChange+"\n"))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Watch follows the list until ctx ends. When a watch ends, it starts another one after a backoff.
+// Watch follows the list until ctx is done. When a watch ends, it starts another after a backoff.
 func (w *Watcher) Watch(ctx context.Context) {
 	backoff := minBackoff
 	for {
@@ -16,7 +16,7 @@
 			return
 		}
 		if time.Since(started) >= w.heartbeatTimeout {
-			backoff = minBackoff // a watch this long keeps the rate of requests low by itself
+			backoff = minBackoff // watches of this length already limit the request rate
 		}
 		select {
 		case <-ctx.Done():
@@ -29,7 +29,7 @@
 	}
 }
 
-// jitter spreads the requests of many routers.
+// jitter randomizes a backoff, so that the requests of many routers are spread over time.
 func jitter(backoff time.Duration) time.Duration {
 	return time.Duration((minJitter + (maxJitter-minJitter)*rand.Float64()) * float64(backoff))
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -18,22 +18,23 @@
 	}
 }
 
-// TestWatch_RecoversFromAnyTwoFaults has each faulty response end by itself, whichever comes next: the third request succeeds.
+// TestWatch_RecoversFromAnyTwoFaults combines every two faulty responses: the watcher must recover from both, so that the third request
+// succeeds.
 func TestWatch_RecoversFromAnyTwoFaults(t *testing.T) {
 	faults := map[string]func(net.Conn){
 		"silent":               hang,
 		"silent after a line":  respond("\n"),
 		"silent in a line":     respond(testChange[:40]),
 		"silent in a list":     respond("{\n"),
-		"lines but no end":     func(c net.Conn) { respond("{\"x\":[\n")(c); send("\n\n")(c) },
-		"reset at once":        sendAndReset(""),
+		"list never completed": func(c net.Conn) { respond("{\"x\":[\n")(c); send("\n\n")(c) },
+		"immediate reset":      sendAndReset(""),
 		"reset after a line":   sendAndReset("HTTP/1.1 200 OK\r\n\r\n\n"),
 		"reset in a line":      sendAndReset("HTTP/1.1 200 OK\r\n\r\n" + testChange[:40]),
 		"unavailable":          sendAndReset("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-		"not HTTP":             sendAndReset("what?\r\n\r\n"),
+		"not HTTP":             sendAndReset("unexpected\r\n\r\n"),
 		"incomplete header":    send("HTTP/1.1 200"),
 		"not JSON":             respond("{,}\n"),
-		"revisions start over": respond(strings.Replace(testChange, "43", "2", 1) + "\n"),
+		"revisions restart":    respond(strings.Replace(testChange, "43", "2", 1) + "\n"),
 	}
 	for first, firstFault := range faults {
 		for second, secondFault := range faults {
@@ -56,34 +57,34 @@
 	}
 }
 
-// TestTimeouts_ChangesKnownInTime compares what the constants allow with what the list service and its users rely on.
+// TestTimeouts_ChangesKnownInTime compares the worst cases that the constants allow with the limits that must be met.
 func TestTimeouts_ChangesKnownInTime(t *testing.T) {
 	const (
-		changeLimit       = 6 * time.Second // from when the service has a change and can be reached
-		addressLimit      = 4 * time.Second // from a change of address
-		gapLimit          = 400 * time.Millisecond
+		changeLimit       = 6 * time.Second        // after the service has a change and is reachable
+		addressLimit      = 4 * time.Second        // after a change of address
+		gapLimit          = 400 * time.Millisecond // between two requests that end immediately
 		heartbeatInterval = 2 * time.Second
 	)
 	shortPause := time.Duration(maxJitter * float64(minBackoff))
 	longPause := time.Duration(maxJitter * float64(maxBackoff))
 	for name, longest := range map[string]time.Duration{
-		"the connection goes silent, and the next request hangs": 2 * (heartbeatTimeout + shortPause),
-		"the service comes back while a request hangs":           heartbeatTimeout + shortPause,
-		"requests are refused until the service comes back":      longPause,
-		"a list goes on coming and never ends":                   maxListTimeouts*heartbeatTimeout + shortPause,
+		"the connection becomes silent and the next request hangs": 2 * (heartbeatTimeout + shortPause),
+		"the service recovers while a request hangs":               heartbeatTimeout + shortPause,
+		"requests are refused until the service recovers":          longPause,
+		"a list keeps arriving and is never completed":             maxListTimeouts*heartbeatTimeout + shortPause,
 	} {
 		if longest >= changeLimit {
-			t.Errorf("%s: known after %v, the limit is %v", name, longest, changeLimit)
+			t.Errorf("%s: a change is known after %v, the limit is %v", name, longest, changeLimit)
 		}
 	}
 	if longest := heartbeatTimeout + shortPause; longest >= addressLimit { // the first request to the new address hangs
-		t.Errorf("known %v after a change of address, the limit is %v", longest, addressLimit)
+		t.Errorf("a list is known %v after a change of address, the limit is %v", longest, addressLimit)
 	}
 	if longPause > gapLimit {
-		t.Errorf("between two requests that end at once up to %v pass, in which nothing new is known", longPause)
+		t.Errorf("the pause between two requests that end immediately is up to %v, longer than the limit", longPause)
 	}
 	if heartbeatTimeout <= heartbeatInterval {
-		t.Errorf("a watch ends after %v without a heartbeat, and they come every %v", heartbeatTimeout, heartbeatInterval)
+		t.Errorf("a watch ends after %v without a heartbeat, but the interval of heartbeats is %v", heartbeatTimeout, heartbeatInterval)
 	}
 }
 
@@ -91,7 +92,7 @@
 	for range 1000 {
 		pause := jitter(maxBackoff)
 		if pause < maxBackoff/2 || pause >= maxBackoff*3/2 {
-			t.Fatalf("a backoff of %v became a pause of %v", maxBackoff, pause)
+			t.Fatalf("jitter(%v) = %v, out of bounds", maxBackoff, pause)
 		}
 	}
 }
