--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -11,7 +11,7 @@
 	"wayloft/router"
 )
 
-// states translates the list's word for the state of a member.
+// states maps the values of the list's phase field to member states.
 var states = map[string]router.State{
 	"in_service":  router.Up,
 	"terminating": router.Draining,
@@ -26,7 +26,7 @@
 	return DecodeList(v)
 }
 
-// DecodeList decodes a list. Its errors are of type InvalidListError.
+// DecodeList decodes a list. It returns errors of type InvalidListError.
 func DecodeList(v *fastjson.Value) (*List, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil, InvalidListError{Err: errors.New("must be an object")}
@@ -36,7 +36,7 @@
 	for index, member := range fields.Array("members") {
 		entry, err := decodeEntry(member)
 		if err != nil {
-			return nil, InvalidListError{Place: fmt.Sprintf("members[%d]", index), Err: err}
+			return nil, InvalidListError{Path: fmt.Sprintf("members[%d]", index), Err: err}
 		}
 		list.Entries = append(list.Entries, entry)
 	}
@@ -46,7 +46,7 @@
 	return list, nil
 }
 
-// decodeEntry decodes one member. The keys host_port, locality, cell and phase are the list's words for address, zone, group and state.
+// decodeEntry decodes a member. In the list, the fields host_port, locality, cell and phase hold its address, zone, group and state.
 func decodeEntry(v *fastjson.Value) (Entry, error) {
 	fields := &settings.Fields{Value: v}
 	entry := Entry{
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,24 +1,25 @@
-// Package discovery reads the endpoint list: the members in service, as the platform's list service reports them. A Watcher follows the
-// list over HTTP and calls back with each list or change; DecodeList decodes one that was read elsewhere.
+// Package discovery reads the endpoint list: the members in service, as reported by the platform's list service. A Watcher follows the
+// list over HTTP and calls back with each list or change; DecodeList decodes a list obtained elsewhere.
 //
-// The router (internal/server) starts a Watcher and posts what it delivers to the event loop. The package owns the connection to the list
-// service and the form of its lists. It never judges a member, and delivers only complete, valid lists.
+// The router (internal/server) starts a Watcher and posts the lists that it delivers to the event loop. The package is responsible for
+// the connection to the list service and for the format of its lists. It makes no decisions about members and delivers only lists that
+// were received in full and are valid.
 package discovery
 
 import "wayloft/router"
 
-// Entry is one member in the list.
+// Entry is a member in the list.
 type Entry struct {
 	ID, Addr, Zone string
 	Group          int
 	State          router.State
-	Started        float64 // Unix time in ms; router.Never if not given
+	Started        float64 // Unix time in ms; router.Never if unknown
 }
 
-// List is either the complete list, or the entries that have changed.
+// List is either the complete list or a change: the entries that differ from an earlier revision.
 type List struct {
 	Revision int64
-	Complete bool // members that are not in Entries are removed
+	Complete bool // members not in Entries have been removed
 	Entries  []Entry
 }
 
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,31 +5,32 @@
 	"fmt"
 )
 
-// ErrNoHeartbeat ends a watch on which nothing was received for too long, or a list that was never completed.
+// ErrNoHeartbeat ends a watch that received nothing within the heartbeat timeout, or only part of a list that was not completed in time.
 var ErrNoHeartbeat = errors.New("no heartbeat")
 
-// errAddressChanged ends the watch of an address that is no longer in force.
+// errAddressChanged ends a watch of an address that has been replaced.
 var errAddressChanged = errors.New("address changed")
 
-// InvalidListError is the error of a list that was received and can't be used.
+// InvalidListError is returned for a received list that is invalid.
 type InvalidListError struct {
-	Place string // of an entry, as members[3]; empty for the list as a whole
-	Err   error
+	Path string // path of the invalid entry, such as members[3]; empty for the list as a whole
+	Err  error
 }
 
 func (e InvalidListError) Error() string {
-	if e.Place == "" {
+	if e.Path == "" {
 		return e.Err.Error()
 	}
-	return e.Place + "." + e.Err.Error()
+	return e.Path + "." + e.Err.Error()
 }
 
-// Unwrap returns what is wrong at the place.
+// Unwrap returns the error at the path.
 func (e InvalidListError) Unwrap() error { return e.Err }
 
 var errListTooLong = errors.New("line or list too long")
 
-// olderRevisionError is the error of a list that is older than the last one, which happens when the list service has lost its state.
+// olderRevisionError is returned for a list whose revision is older than the last known one. This happens when the list service has lost
+// its state.
 type olderRevisionError struct{ received, known int64 }
 
 func (e *olderRevisionError) Error() string {
--- a/internal/discovery/split.go
+++ b/internal/discovery/split.go
@@ -1,30 +1,30 @@
 package discovery
 
-// listSplitter splits a stream into lists and empty lines. A list is complete with its last bracket, whether or not its line ends
-// there, and may take several lines.
+// listSplitter splits a stream into lists and empty lines. A list may span several lines and is complete at its last closing bracket,
+// whether or not the line ends there.
 type listSplitter struct {
-	text        []byte // of the list so far, without its line ends
+	text        []byte // the current list so far, without newlines
 	size        int    // bytes consumed since the last list
-	depth       int    // open brackets
+	depth       int    // unclosed brackets
 	inString    bool
 	escaped     bool // the next byte follows a backslash in a string
-	lineHasText bool // the line has more than blanks
+	lineHasText bool // the line contains more than whitespace
 }
 
-// split consumes bytes up to the end of a list or an empty line. It returns how many it has consumed, and whether something is complete:
-// then text is a list, or what can't become one any more, or empty for an empty line.
+// split consumes bytes up to the end of a list or an empty line. It returns the number of bytes consumed, and whether an item is
+// complete. The text of a complete item is a list, invalid text that no further input could complete, or empty for an empty line.
 //
-// The state is kept in local variables and text is appended line by line, since a field access for each byte costs many times as much.
+// The state is kept in local variables and text is appended line by line, because accessing fields for each byte is many times slower.
 func (s *listSplitter) split(input []byte) (consumed int, complete bool) {
 	depth, inString, escaped, lineHasText := s.depth, s.inString, s.escaped, s.lineHasText
-	appended, textIsEmpty := 0, len(s.text) == 0 // input up to appended is in text
+	appended, textIsEmpty := 0, len(s.text) == 0 // input before index appended is already in text
 	n := 0
 	for n < len(input) && !complete {
 		b := input[n]
 		n++
 		if b == '\n' {
-			// A string ends within its line, and an empty line comes only between lists: otherwise the rest of an invalid list
-			// would be waited for.
+			// A string can't span lines, and empty lines occur only between lists. Otherwise the splitter would wait for the rest of an
+			// invalid list.
 			complete = depth <= 0 || inString || !lineHasText
 			s.text = append(s.text, input[appended:n-1]...)
 			appended, lineHasText = n, false
--- a/internal/discovery/split_test.go
+++ b/internal/discovery/split_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// splitAll returns what a splitter makes of a text that comes in parts of a size, and the number of bytes that it has consumed. The
-// last element is the rest.
+// splitAll passes a text to a splitter in parts of the given size. It returns the split lists, followed by the incomplete remainder, and
+// the number of bytes consumed.
 func splitAll(text string, partSize int) (lists []string, consumed int) {
 	var s listSplitter
 	for len(text) > 0 {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // the status is the error
+		_ = response.Body.Close() // the caller needs the status as the error
 		return nil, fmt.Errorf("get %s: status %d", url, response.StatusCode)
 	}
 	return response.Body, nil
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = body.Close() }() // it was only read
+	defer func() { _ = body.Close() }() // read-only: the error is irrelevant
 	text, err := io.ReadAll(io.LimitReader(timedReader{body, heartbeat}, maxListBytes+1))
 	if err != nil {
 		return fmt.Errorf("read list: %w", err)
@@ -50,13 +50,13 @@
 	return w.deliverUnlessCanceled(ctx, list, true)
 }
 
-// followChanges requests the changes after the last known revision, and delivers each list that it receives.
+// followChanges requests the changes after the last known revision and delivers each list received.
 func (w *Watcher) followChanges(ctx context.Context, url string, heartbeat *heartbeatTimer) error {
 	body, err := w.get(ctx, fmt.Sprintf("%s?stream=1&index=%d", url, w.revision))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = body.Close() }() // it was only read
+	defer func() { _ = body.Close() }() // read-only: the error is irrelevant
 	lists := listReader{input: timedReader{body, heartbeat}}
 	for first := true; ; first = false {
 		text, err := lists.next()
@@ -70,8 +70,8 @@
 	}
 }
 
-// handleLine delivers a list. Of the empty lines only a first one is delivered, as a list without entries: it responds that nothing has
-// changed.
+// handleLine delivers a list. An empty line is delivered only if it is the first line of a response, where it means that nothing has
+// changed; it is delivered as a list without entries.
 func (w *Watcher) handleLine(ctx context.Context, text []byte, first bool) error {
 	if len(text) == 0 {
 		if !first {
@@ -93,11 +93,11 @@
 type listReader struct {
 	input    io.Reader
 	buffer   [readBufferSize]byte
-	unread   []byte // part of buffer
+	unread   []byte // the unread part of buffer
 	splitter listSplitter
 }
 
-// next returns the next list, or empty text for an empty line. The text is valid until the next call.
+// next returns the text of the next list, or empty text for an empty line. It is valid until the next call.
 func (r *listReader) next() ([]byte, error) {
 	r.splitter = listSplitter{text: r.splitter.text[:0]}
 	for {
@@ -115,7 +115,8 @@
 	}
 }
 
-// fill reads until there are unread bytes. Those that come with an error are used first.
+// fill reads until there are unread bytes. Bytes returned together with an error are processed first; the next read returns the error
+// again.
 func (r *listReader) fill() error {
 	for len(r.unread) == 0 {
 		n, err := r.input.Read(r.buffer[:])
--- a/internal/discovery/syscall_test.go
+++ b/internal/discovery/syscall_test.go
@@ -13,20 +13,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyConn fails its reads or, without an error, reads one byte at a time.
+// faultyConn is a connection whose reads fail with readError or, if it is nil, return one byte at a time.
 type faultyConn struct {
 	net.Conn
 	readError error
 }
 
-func (c *faultyConn) Read(into []byte) (int, error) {
+func (c *faultyConn) Read(p []byte) (int, error) {
 	if c.readError != nil {
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.readError)}
 	}
-	return c.Conn.Read(into[:min(1, len(into))])
+	return c.Conn.Read(p[:min(1, len(p))])
 }
 
-// faultyDialer has a system call fail for the first two connections. All reads are short.
+// faultyDialer makes a system call fail on the first two connections. On all others, reads return one byte at a time.
 type faultyDialer struct {
 	call  string
 	errno unix.Errno
@@ -50,7 +50,8 @@
 	return &faultyConn{Conn: c}, nil
 }
 
-// TestWatcher_SystemCallFails has a system call fail twice in a row: each is reported as a failed watch, and the third one succeeds.
+// TestWatcher_SystemCallFails makes a system call fail twice in succession. Each failure must be reported as the error of a watch, and the
+// third watch must succeed.
 func TestWatcher_SystemCallFails(t *testing.T) {
 	calls := map[string][]unix.Errno{
 		"socket": {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES},
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// TestWatchOnce_DeliversValidLists has the first thing that is invalid end the watch, after the lists before it were delivered.
+// TestWatchOnce_DeliversValidLists checks that the first invalid item ends the watch, after all lists before it were delivered.
 func TestWatchOnce_DeliversValidLists(t *testing.T) {
 	for _, c := range []struct{ name, sent, delivered, want string }{
 		{"changes", testChange + "\n\n" + `{"revision":44,"complete":true,"members":[]}` + "\n", "43 false a; 44 true", "EOF"},
 		{"the same change twice", testChange + "\n" + testChange + "\n", "43 false a; 43 false a", "EOF"},
-		{"nothing new", "\n\n", "41 false", "EOF"},
+		{"no changes", "\n\n", "41 false", "EOF"},
 		{"cut within a line", testChange + "\n" + testChange[:40], "43 false a", "EOF"},
 		{"not JSON", testChange + "\n{,}\n" + testChange + "\n", "43 false a", "not JSON"},
 		{"not an object", "[]\n", "", "must be an object"},
-		{"unknown state", strings.Replace(testChange, "in_service", "asleep", 1) + "\n", "", `members[0].phase: unknown value "asleep"`},
+		{"unknown state", strings.Replace(testChange, "in_service", "standby", 1) + "\n", "", `members[0].phase: unknown value "standby"`},
 		{"no address", strings.Replace(testChange, ":5433", "", 1) + "\n", "", "members[0].host_port"},
 		{"no id", strings.Replace(testChange, `"id"`, `"ip"`, 1) + "\n", "", "members[0].id"},
 		{"a line without end", strings.Repeat(" ", maxListBytes+1), "", "line or list too long"},
@@ -30,13 +30,13 @@
 		{"indented", "{\n \"revision\": 43,\n \"complete\": false,\n \"members\": [\n  " + strings.ReplaceAll(testEntry, ",", ",\n\t") +
 			"\n ]\n}\n\n" + `{"revision":44,` + "\n" + `"complete":true,"members":[]}` + "\n", "43 false a; 44 true", "EOF"},
 		{"brackets in a string", strings.Replace(testChange, `"id":"a"`, `"id":"a}]\\\"{"`, 1) + "\n", `43 false a}]\"{`, "EOF"},
-		{"no end of its line", testChange, "43 false a", "EOF"},
-		{"two in a line, with CRLF", testChange + " " + testChange + "\r\n\r\n{\r\n\"revision\":44,\"complete\":true,\r\n\"members\":[]}\r\n",
+		{"no newline at the end", testChange, "43 false a", "EOF"},
+		{"two lists in a line, with CRLF", testChange + " " + testChange + "\r\n\r\n{\r\n\"revision\":44,\"complete\":true,\r\n\"members\":[]}\r\n",
 			"43 false a; 43 false a; 44 true", "EOF"},
-		{"more closed than opened", "}" + testChange + "\n", "", "not JSON"},
+		{"unmatched closing bracket", "}" + testChange + "\n", "", "not JSON"},
 		{"indented and cut", "{\n \"revision\": 43,\n", "", "EOF"},
-		{"never closed", "{\"revision\": 43,\n\n" + testChange + "\n", "", "not JSON"},
-		{"a string that is cut", "{\"revis\n" + testChange + "\n", "", "not JSON"},
+		{"unclosed bracket", "{\"revision\": 43,\n\n" + testChange + "\n", "", "not JSON"},
+		{"string cut by a newline", "{\"revis\n" + testChange + "\n", "", "not JSON"},
 		{"missing field", strings.Replace(testChange, `"phase":"in_service",`, "", 1) + "\n", "", "members[0].phase: must be text"},
 		{"wrong type", strings.Replace(testChange, "43", `"43"`, 1) + "\n", "", "revision: must be a number"},
 		{"lines without end", strings.Repeat(strings.Repeat("[", 1<<12)+"\n", maxListBytes>>12+1), "", "line or list too long"},
@@ -46,7 +46,7 @@
 				if r.URL.String() != watchURL(testRevision) {
 					t.Errorf("requested %s", r.URL)
 				}
-				_, _ = io.WriteString(w, c.sent) // the watcher may end within an invalid list
+				_, _ = io.WriteString(w, c.sent) // the watcher may end the watch before it has read all of an invalid list
 				w.(http.Flusher).Flush()
 				if c.sent == "" {
 					<-r.Context().Done()
@@ -61,7 +61,7 @@
 				}
 				delivered = append(delivered, line)
 			}, nil)
-			w.heartbeatTimeout = time.Hour // so that a slow machine ends none of them
+			w.heartbeatTimeout = time.Hour // so that no watch times out on a slow machine
 			if c.name == "silence" {
 				w.heartbeatTimeout = 50 * time.Millisecond
 			}
@@ -78,8 +78,8 @@
 
 func TestWatchOnce_TypedErrors(t *testing.T) {
 	for _, c := range []struct {
-		name, sent, place string
-		want              error // nil: any
+		name, sent, path string
+		want             error // nil: any
 	}{
 		{"list too long", strings.Repeat(" ", maxListBytes+1), "", errListTooLong},
 		{"invalid entry", strings.Replace(testChange, `"members":[`, `"members":[`+testEntry+`,{},`, 1), "members[1]", nil},
@@ -89,8 +89,8 @@
 			s := newFakeService(t, respondAndClose(c.sent))
 			err := NewWatcher(s.address(), testRevision, ignoreList, nil).watchOnce(context.Background())
 			var invalid InvalidListError
-			if !errors.As(err, &invalid) || invalid.Place != c.place {
-				t.Errorf("ended with %v, want an InvalidListError at %q", err, c.place)
+			if !errors.As(err, &invalid) || invalid.Path != c.path {
+				t.Errorf("ended with %v, want an InvalidListError at %q", err, c.path)
 			}
 			if c.want != nil && !errors.Is(err, c.want) {
 				t.Errorf("ended with %v, want %v", err, c.want)
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestWatchOnce_ListNeverEnds has bytes of one list keep coming, with pauses shorter than the heartbeat timeout.
+// TestWatchOnce_ListNeverEnds guards against a list whose bytes keep arriving, with pauses shorter than the heartbeat timeout, but which is
+// never completed.
 func TestWatchOnce_ListNeverEnds(t *testing.T) {
 	const heartbeatTimeout, interval = 100 * time.Millisecond, 10 * time.Millisecond
 	s := newFakeService(t, func(c net.Conn) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// TestWatchOnce_RevisionsRestart has the list service lose its state: the complete list is requested within the same watch, without a
-// pause, and accepted although its revision is lower.
+// TestWatchOnce_RevisionsRestart covers a list service that has lost its state: the complete list is requested within the same watch,
+// without a pause, and accepted although its revision is lower.
 func TestWatchOnce_RevisionsRestart(t *testing.T) {
 	for _, first := range []string{strings.Replace(testChange, "43", "2", 1), strings.Replace(testChange, "43", "40", 1),
 		`{"revision":3,"complete":true,"members":[]}`, "{\n \"revision\": 40,\n \"complete\": true,\n \"members\": []\n}"} {
@@ -148,8 +149,9 @@
 	}
 }
 
-// TestWatchOnce_RevisionsKeepGoingBack has the watch end at the second time, so that requests are paced as after any other error.
-func TestWatchOnce_RevisionsKeepGoingBack(t *testing.T) {
+// TestWatchOnce_RevisionsRestartRepeatedly checks that the second restart of revisions ends the watch, so that the backoff limits the rate
+// of requests as after any other error.
+func TestWatchOnce_RevisionsRestartRepeatedly(t *testing.T) {
 	list := respondAndClose(`{"revision":30,"complete":true,"members":[]}`)
 	older := respond(strings.Replace(testChange, "43", "7", 1) + "\n")
 	s := newFakeService(t, older, list, older, list, respondAndClose("\n"))
@@ -184,8 +186,8 @@
 	}
 }
 
-// TestChangeAddress_FetchesFullList changes the address while the old one has a watch open. The new one is requested at once and for
-// the complete list, whose revisions may start elsewhere. A list that is invalid there changes nothing, and is requested again.
+// TestChangeAddress_FetchesFullList changes the address during a watch of the old one. The complete list must be requested immediately from
+// the new address, whose revisions may be unrelated. An invalid list from the new address changes nothing, and is requested again.
 func TestChangeAddress_FetchesFullList(t *testing.T) {
 	previous := newFakeService(t, respond(testChange+"\n"))
 	next := newFakeService(t,
@@ -215,7 +217,7 @@
 	}
 }
 
-// TestWatch_DeliversListAtItsLastBracket has nothing come behind a list.
+// TestWatch_DeliversListAtItsLastBracket checks that a list is delivered although nothing follows it, not even a newline.
 func TestWatch_DeliversListAtItsLastBracket(t *testing.T) {
 	const timeout = 20 * time.Second
 	indented := "{\n \"revision\": 44,\n \"complete\": true,\n \"members\": [\n  " + testEntry + "\n ]\n}"
@@ -235,7 +237,7 @@
 						t.Errorf("delivered %+v, want %d entries", l, entries)
 					}
 				case <-time.After(timeout):
-					t.Fatal("not delivered")
+					t.Fatal("a list was not delivered in time")
 				}
 			}
 			if len(s.requests) != 1 {
