--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -58,7 +58,7 @@
 	return err != nil && syscallerror.Of(syscallerror.Read, err) == syscallerror.Peer
 }
 
-// postData posts bytes to the loop, if there are any, followed by the end of the connection if ended is set.
+// postData posts bytes to the loop, followed by the end of the connection if ended is set. Without bytes it posts nothing.
 func (c *Conn) postData(data []byte, ended bool) {
 	if data == nil {
 		return
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -106,7 +106,7 @@
 // Written returns the number of bytes accepted by the operating system.
 func (c *Conn) Written() int64 { return c.written.Load() }
 
-// Unsent returns the number of bytes passed to Write that the operating system has not accepted yet.
+// Unsent returns the number of bytes passed to Write that the operating system has not accepted yet, because the peer is slow to read.
 func (c *Conn) Unsent() int64 { return c.submitted - c.written.Load() }
 
 // Sent reports whether the operating system has accepted all bytes passed to Write.
