--- a/internal/decide/leaseclient/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxPolicyBytes = 1 << 10 // of versions and their differences in one update
-	versionBytes   = 80      // of a version with its hash, without its texts
+	maxPolicyUpdateBytes = 1 << 10 // of versions and their differences in one update
+	versionOverheadBytes = 80      // of a version with its hash, without its texts
 )
 
 // Changes returns the update for a watcher that knows everything up to an entry of the log, and the index up to which it knows everything
@@ -21,7 +21,7 @@
 	if since == 0 || since > state.Index() || !kept {
 		return completeUpdate(state, withoutSessions), state.Index()
 	}
-	return updateOf(state, events, withoutSessions), state.Index()
+	return incrementalUpdate(state, events, withoutSessions), state.Index()
 }
 
 // completeUpdate returns the whole state.
@@ -34,8 +34,8 @@
 	return update
 }
 
-// updateOf returns what has become of all that the events name.
-func updateOf(state *leasestate.State, events []leasestate.Event, withoutSessions bool) Update {
+// incrementalUpdate returns what has become of all that the events name.
+func incrementalUpdate(state *leasestate.State, events []leasestate.Event, withoutSessions bool) Update {
 	sessions, leases, versions := map[string]bool{}, map[string]bool{}, 0
 	for _, event := range events {
 		switch {
@@ -63,12 +63,12 @@
 	if history.Version.Number == 0 {
 		return nil
 	}
-	room := maxPolicyBytes
+	remainingBytes := maxPolicyUpdateBytes
 	oldest := max(0, len(history.Changes)-versions)
 	for n := len(history.Changes) - 1; n >= oldest; n-- {
 		change := history.Changes[n]
-		room -= change.Difference.Size() + len(change.Version.Author) + len(change.Version.Reason) + versionBytes
-		if room < 0 {
+		remainingBytes -= change.Difference.Size() + len(change.Version.Author) + len(change.Version.Reason) + versionOverheadBytes
+		if remainingBytes < 0 {
 			break
 		}
 		latest = append(latest, Policy{change.Version, &change.Difference})
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -11,8 +11,8 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// maxKnown bounds sessions, leases and token queries, each, that are kept of what the coordinator says: twice what it keeps itself.
-const maxKnown = 20000
+// maxTracked bounds sessions, leases and token queries, each, that are kept of what the coordinator says: twice what it keeps itself.
+const maxTracked = 20000
 
 // Settings of a client; they don't change. Times are ms.
 type Settings struct {
@@ -61,7 +61,7 @@
 	started   bool // Advance has been called
 	startedAt float64
 	now       float64
-	random    random.Source
+	rng       random.Source
 	decisions []Decision // not yet pulled by Next
 
 	latestRequest uint64
@@ -100,10 +100,10 @@
 func New(settings Settings) *Client {
 	c := &Client{
 		settings:     settings,
-		random:       random.Source{Seed: settings.Seed},
+		rng:          random.Source{Seed: settings.Seed},
 		pending:      map[uint64]pendingRequest{},
 		incarnation:  newIncarnation(settings.Incarnation),
-		heartbeat:    never(),
+		heartbeat:    notScheduled(),
 		holders:      map[string]*holder{},
 		candidates:   map[string]float64{},
 		receiver:     lease.NewReceiver(),
@@ -120,7 +120,7 @@
 
 // Advance sets the time of all that follows until the next call.
 func (c *Client) Advance(now float64) {
-	c.watchOwnClock(now)
+	c.checkStartupWindow(now)
 	c.now = math.Max(c.now, now)
 	for _, name := range slices.Sorted(maps.Keys(c.candidates)) {
 		if c.candidates[name] <= c.now {
@@ -134,7 +134,7 @@
 // Next returns the next decision, or false if none is left. All must be pulled after each input.
 func (c *Client) Next() (Decision, bool) {
 	if len(c.decisions) == 0 && !c.shuttingDown {
-		c.decideDue()
+		c.decideDueRequests()
 	}
 	if len(c.decisions) == 0 {
 		return Decision{}, false
@@ -144,8 +144,8 @@
 	return decision, true
 }
 
-// decideDue decides what is due of the session, or else of the token queries.
-func (c *Client) decideDue() {
+// decideDueRequests decides what is due of the session, or else of the token queries.
+func (c *Client) decideDueRequests() {
 	switch {
 	case !c.sessionOpen && c.opening.dueAt <= c.now:
 		c.requestSession()
@@ -179,10 +179,10 @@
 
 // propose decides to propose an entry of this process's session.
 func (c *Client) propose(entry leasestate.Entry) {
-	c.proposeAs(pendingRequest{kind: entry.Kind}, c.Signed(entry))
+	c.proposeRequest(pendingRequest{kind: entry.Kind}, c.Signed(entry))
 }
 
-func (c *Client) proposeAs(request pendingRequest, entry leasestate.Entry) {
+func (c *Client) proposeRequest(request pendingRequest, entry leasestate.Entry) {
 	c.decide(Decision{Action: Propose, Request: c.addPending(request), Entry: entry})
 }
 
@@ -195,10 +195,10 @@
 func (c *Client) decide(decision Decision) { c.decisions = append(c.decisions, decision) }
 
 // retryLater puts something off that brought no answer.
-func (c *Client) retryLater(b *backoff) { b.retry(c.now, c.settings.SessionTimeout, &c.random) }
+func (c *Client) retryLater(b *backoff) { b.scheduleRetry(c.now, c.settings.SessionTimeout, &c.rng) }
 
-// takePending ends a request; false: there is none of this number.
-func (c *Client) takePending(number uint64) (pendingRequest, bool) {
+// removePending ends a request; false: there is none of this number.
+func (c *Client) removePending(number uint64) (pendingRequest, bool) {
 	request, found := c.pending[number]
 	delete(c.pending, number)
 	return request, found
@@ -206,7 +206,7 @@
 
 // Answered takes in the coordinator's answer to a request.
 func (c *Client) Answered(number uint64, result leasestate.Result) {
-	request, found := c.takePending(number)
+	request, found := c.removePending(number)
 	if !found {
 		return
 	}
@@ -216,21 +216,21 @@
 	}
 	switch request.kind {
 	case leasestate.OpenSession:
-		c.sessionAnswered(result)
+		c.handleOpenSessionResponse(result)
 	case leasestate.KeepAlive:
-		c.heartbeatAnswered()
+		c.heartbeatAcknowledged()
 	case leasestate.AcquireLease:
-		c.leaseAnswered(request, result)
+		c.handleAcquireResponse(request, result)
 	case leasestate.CloseSession:
 		c.shutdownComplete = true
 	case tokenQuery:
-		c.tokensAnswered(request.leases, nil) // an answer that has no tokens
+		c.handleTokens(request.leases, nil) // an answer that has no tokens
 	}
 }
 
 // Failed says that a request brought no answer, or none that this build knows.
 func (c *Client) Failed(number uint64) {
-	request, found := c.takePending(number)
+	request, found := c.removePending(number)
 	if !found {
 		return
 	}
@@ -243,6 +243,6 @@
 	case leasestate.CloseSession:
 		c.shutdownComplete = true // the session's timeout will end it
 	case tokenQuery:
-		c.tokensAnswered(request.leases, nil)
+		c.handleTokens(request.leases, nil)
 	}
 }
--- a/internal/decide/leaseclient/helpers_test.go
+++ b/internal/decide/leaseclient/helpers_test.go
@@ -38,14 +38,14 @@
 }
 
 // runUntil lets time pass, in steps of 10 ms, with requests answered or not.
-func (h *harness) runUntil(end float64, answers bool) (starts, stops int) {
+func (h *harness) runUntil(end float64, respond bool) (starts, stops int) {
 	for ; h.now < end; h.now += 10 {
 		h.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
 		h.client.Advance(h.now)
 		for decision, more := h.client.Next(); more; decision, more = h.client.Next() {
 			switch decision.Action {
 			case Propose:
-				if h.log = append(h.log, decision.Entry.Kind); answers {
+				if h.log = append(h.log, decision.Entry.Kind); respond {
 					h.client.Answered(decision.Request, h.apply(decision.Entry))
 				} else {
 					h.client.Failed(decision.Request)
--- a/internal/decide/leaseclient/leases.go
+++ b/internal/decide/leaseclient/leases.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	requestSpreadShare = 0.5  // of a session's timeout, over which processes come to request a lease
-	maxHolders         = 1000 // leases that one process requests
+	requestSpreadFactor = 0.5  // of a session's timeout, over which processes come to request a lease
+	maxHolders          = 1000 // leases that one process requests
 )
 
 // holder is this process's part in one lease.
@@ -30,7 +30,7 @@
 	if candidate || c.holders[name] != nil || c.shuttingDown || full {
 		return
 	}
-	c.candidates[name] = c.now + c.settings.SessionTimeout*requestSpreadShare*c.random.Next()
+	c.candidates[name] = c.now + c.settings.SessionTimeout*requestSpreadFactor*c.rng.Next()
 }
 
 func (c *Client) startRequesting(name string) {
@@ -115,17 +115,17 @@
 // pullDecisions carries out what a holder decides, and sets its timer.
 func (c *Client) pullDecisions(h *holder) {
 	for decision, more := h.Next(); more; decision, more = h.Next() {
-		c.carryOut(h, decision)
+		c.applyDecision(h, decision)
 	}
 	c.deadlines.Put(&h.timer, h.NextDeadline())
 }
 
-func (c *Client) carryOut(h *holder, decision lease.Decision) {
+func (c *Client) applyDecision(h *holder, decision lease.Decision) {
 	switch decision.Action {
 	case lease.RequestLease:
 		if c.sessionOpen { // else it is requested again once there is a session
 			request := pendingRequest{kind: leasestate.AcquireLease, lease: h.lease, holderRequest: decision.Request}
-			c.proposeAs(request, c.Signed(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
+			c.proposeRequest(request, c.Signed(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
 		}
 	case lease.ReleaseLease:
 		c.propose(leasestate.Entry{Kind: leasestate.ReleaseLease, Lease: h.lease, Token: decision.Token})
@@ -139,8 +139,8 @@
 	}
 }
 
-// leaseAnswered takes in the answer to a request for a lease.
-func (c *Client) leaseAnswered(request pendingRequest, result leasestate.Result) {
+// handleAcquireResponse takes in the answer to a request for a lease.
+func (c *Client) handleAcquireResponse(request pendingRequest, result leasestate.Result) {
 	h := c.holder(request.lease)
 	if h == nil {
 		return
--- a/internal/decide/leaseclient/session.go
+++ b/internal/decide/leaseclient/session.go
@@ -9,25 +9,25 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// heartbeatShare is the share of a session's timeout between two heartbeats: two more may fail before it ends.
-const heartbeatShare = 1.0 / 3
+// heartbeatIntervalFactor is the share of a session's timeout between two heartbeats: two more may fail before it ends.
+const heartbeatIntervalFactor = 1.0 / 3
 
-// watchOwnClock ends the time in which this process counts as one that is starting: after a while, or once it was stopped in between.
-func (c *Client) watchOwnClock(now float64) {
+// checkStartupWindow ends the time in which this process counts as one that is starting: after a while, or once it was stopped in between.
+func (c *Client) checkStartupWindow(now float64) {
 	if !c.started {
 		c.started, c.startedAt = true, now
 		return
 	}
 	paused := now-c.now > pausedTimeouts*c.settings.SessionTimeout
-	if paused || now-c.startedAt > startingTimeouts*c.settings.SessionTimeout {
-		c.incarnation.late = true
+	if paused || now-c.startedAt > startupTimeouts*c.settings.SessionTimeout {
+		c.incarnation.startupExpired = true
 	}
 }
 
 // requestSession decides to ask for a session; nothing else is asked before it is open.
 func (c *Client) requestSession() {
 	c.opening.dueAt = math.Inf(1)
-	c.incarnation.prepare()
+	c.incarnation.prepareRequest()
 	c.propose(leasestate.Entry{
 		Kind:           leasestate.OpenSession,
 		Role:           c.settings.Role,
@@ -50,13 +50,13 @@
 	})
 }
 
-// sessionAnswered takes in the answer to the request for a session.
-func (c *Client) sessionAnswered(result leasestate.Result) {
+// handleOpenSessionResponse takes in the answer to the request for a session.
+func (c *Client) handleOpenSessionResponse(result leasestate.Result) {
 	if c.shuttingDown {
 		return
 	}
 	if !result.Held { // another process has this name, or its session hasn't ended yet
-		if c.incarnation.refused(result.Number, c.now-c.startedAt, &c.random) {
+		if c.incarnation.refused(result.Number, c.now-c.startedAt, &c.rng) {
 			c.opening.dueAt = c.now
 		} else {
 			c.retryLater(&c.opening)
@@ -64,8 +64,8 @@
 		return
 	}
 	c.incarnation.opened()
-	c.sessionOpen, c.opening = true, never()
-	c.heartbeatAnswered()
+	c.sessionOpen, c.opening = true, notScheduled()
+	c.heartbeatAcknowledged()
 	for _, name := range slices.Sorted(maps.Keys(c.holders)) {
 		h := c.holder(name)
 		h.RequestNow()
@@ -73,13 +73,13 @@
 	}
 }
 
-// heartbeatAnswered has the next heartbeat sent in time, and higher tokens reported once more where the coordinator doesn't know them.
-func (c *Client) heartbeatAnswered() {
+// heartbeatAcknowledged has the next heartbeat sent in time, and higher tokens reported once more where the coordinator doesn't know them.
+func (c *Client) heartbeatAcknowledged() {
 	for _, name := range slices.Sorted(maps.Keys(c.leases)) {
 		c.reportHigherToken(c.leases[name])
 	}
-	interval := c.settings.SessionTimeout * heartbeatShare
-	c.heartbeat = backoff{dueAt: c.now + interval*(1-jitterShare*c.random.Next())}
+	interval := c.settings.SessionTimeout * heartbeatIntervalFactor
+	c.heartbeat = backoff{dueAt: c.now + interval*(1-jitterFactor*c.rng.Next())}
 }
 
 // sessionLost takes in that the coordinator has ended this session, or never had it. What was held ends by the holders' own account of
@@ -89,7 +89,7 @@
 		return
 	}
 	c.Reopened++
-	c.sessionOpen, c.heartbeat, c.opening = false, never(), backoff{dueAt: c.now}
+	c.sessionOpen, c.heartbeat, c.opening = false, notScheduled(), backoff{dueAt: c.now}
 	c.incarnation.reopen()
 }
 
--- a/internal/decide/leaseclient/tokens.go
+++ b/internal/decide/leaseclient/tokens.go
@@ -12,8 +12,8 @@
 const MaxTokenQuery = 256
 
 const (
-	maxQueryBytes      = 16 << 10 // of names in one query; a longer name goes alone
-	reportAgainTimeout = 4.0      // session timeouts between two reports to the coordinator of a token that it doesn't know
+	maxQueryBytes          = 16 << 10 // of names in one query; a longer name goes alone
+	reportIntervalTimeouts = 4.0      // session timeouts between two reports to the coordinator of a token that it doesn't know
 )
 
 // Check decides on another process's act. Of a lease whose token this receiver doesn't know it accepts none, and asks the coordinator. It
@@ -34,7 +34,7 @@
 
 // LearnToken has the coordinator asked for a lease's latest token, unless that is known.
 func (c *Client) LearnToken(name string) {
-	if !c.receiver.Learned(name) && c.tokenQueries[name] == nil && len(c.tokenQueries) < maxKnown {
+	if !c.receiver.Learned(name) && c.tokenQueries[name] == nil && len(c.tokenQueries) < maxTracked {
 		c.tokenQueries[name] = &backoff{dueAt: c.now}
 	}
 }
@@ -52,7 +52,7 @@
 		return
 	}
 	slices.Sort(due)
-	queried := due[:queryLength(due)]
+	queried := due[:queryBatchSize(due)]
 	for _, name := range queried {
 		c.tokenQueries[name].dueAt = math.Inf(1)
 	}
@@ -60,8 +60,8 @@
 	c.decide(Decision{Action: QueryTokens, Request: number, Leases: slices.Clone(queried)})
 }
 
-// queryLength returns how many of the names fit into one query; at least one.
-func queryLength(names []string) int {
+// queryBatchSize returns how many of the names fit into one query; at least one.
+func queryBatchSize(names []string) int {
 	bytes := 0
 	for n, name := range names {
 		bytes += len(name)
@@ -77,12 +77,12 @@
 func (c *Client) TokensLearned(number uint64, tokens []lease.Token) {
 	if request, found := c.pending[number]; found && request.kind == tokenQuery {
 		delete(c.pending, number)
-		c.tokensAnswered(request.leases, tokens)
+		c.handleTokens(request.leases, tokens)
 	}
 }
 
-// tokensAnswered learns the tokens of the first leases. The others are put off together: each by itself would be a query of its own.
-func (c *Client) tokensAnswered(names []string, tokens []lease.Token) {
+// handleTokens learns the tokens of the first leases. The others are put off together: each by itself would be a query of its own.
+func (c *Client) handleTokens(names []string, tokens []lease.Token) {
 	if len(tokens) > len(names) {
 		tokens = nil
 	}
@@ -96,7 +96,7 @@
 	}
 	var common backoff
 	for _, name := range unanswered {
-		common.waitMs = math.Max(common.waitMs, c.tokenQueries[name].waitMs)
+		common.delayMs = math.Max(common.delayMs, c.tokenQueries[name].delayMs)
 	}
 	c.retryLater(&common)
 	for _, name := range unanswered {
@@ -106,19 +106,19 @@
 
 // reportHigherToken reports to the coordinator a token that this receiver has seen and the coordinator, by what its watch says of the lease,
 // doesn't know or has granted to another.
-func (c *Client) reportHigherToken(watched Lease) {
-	highest, holder := c.receiver.Highest(watched.Name)
-	order := highest.Compare(watched.Token)
-	sameHolder := holder == "" || watched.Holder == "" || holder == watched.Holder
+func (c *Client) reportHigherToken(latest Lease) {
+	highest, holder := c.receiver.Highest(latest.Name)
+	order := highest.Compare(latest.Token)
+	sameHolder := holder == "" || latest.Holder == "" || holder == latest.Holder
 	if order < 0 || order == 0 && sameHolder {
 		return
 	}
-	reportedAt, reported := c.reportedAt[watched.Name]
-	if reported && c.now-reportedAt < reportAgainTimeout*c.settings.SessionTimeout || !c.sessionOpen {
+	reportedAt, reported := c.reportedAt[latest.Name]
+	if reported && c.now-reportedAt < reportIntervalTimeouts*c.settings.SessionTimeout || !c.sessionOpen {
 		return
 	}
-	c.reportedAt[watched.Name] = c.now
+	c.reportedAt[latest.Name] = c.now
 	// The session is that of the process that acted under the token.
-	entry := leasestate.Entry{Kind: leasestate.ReportToken, Lease: watched.Name, Token: highest, Session: holder}
-	c.proposeAs(pendingRequest{kind: leasestate.ReportToken}, entry)
+	entry := leasestate.Entry{Kind: leasestate.ReportToken, Lease: latest.Name, Token: highest, Session: holder}
+	c.proposeRequest(pendingRequest{kind: leasestate.ReportToken}, entry)
 }
--- a/internal/decide/leaseclient/watch.go
+++ b/internal/decide/leaseclient/watch.go
@@ -50,31 +50,31 @@
 	for _, session := range update.Sessions {
 		if session.Ended {
 			delete(c.sessions, session.Name)
-		} else if len(c.sessions) < maxKnown {
+		} else if len(c.sessions) < maxTracked {
 			c.sessions[session.Name] = session
 		}
 	}
-	for _, watched := range update.Leases {
-		c.leaseWatched(watched)
+	for _, latest := range update.Leases {
+		c.updateLease(latest)
 	}
 }
 
-// leaseWatched takes in what an update says of one lease.
-func (c *Client) leaseWatched(watched Lease) {
-	if len(c.leases) < maxKnown {
-		c.leases[watched.Name] = watched
+// updateLease takes in what an update says of one lease.
+func (c *Client) updateLease(latest Lease) {
+	if len(c.leases) < maxTracked {
+		c.leases[latest.Name] = latest
 	}
-	if h := c.holder(watched.Name); h != nil {
-		if watched.Holder != c.settings.Name {
-			h.Lost(watched.Token)
-		} else if token, valid := h.Valid(); !valid || token != watched.Token {
+	if h := c.holder(latest.Name); h != nil {
+		if latest.Holder != c.settings.Name {
+			h.Lost(latest.Token)
+		} else if token, valid := h.Valid(); !valid || token != latest.Token {
 			h.RequestNow()
 		}
 		c.pullDecisions(h)
 	}
-	c.reportHigherToken(watched)
-	if c.receiver.Learned(watched.Name) && watched.Holder != "" {
-		c.receiver.TokenLearned(watched.Name, watched.Token) // before its holder's first act arrives
+	c.reportHigherToken(latest)
+	if c.receiver.Learned(latest.Name) && latest.Holder != "" {
+		c.receiver.TokenLearned(latest.Name, latest.Token) // before its holder's first act arrives
 	}
 }
 
@@ -93,6 +93,6 @@
 
 // Lease returns what the watch has reported of a lease.
 func (c *Client) Lease(name string) (Lease, bool) {
-	watched, found := c.leases[name]
-	return watched, found
+	latest, found := c.leases[name]
+	return latest, found
 }
