--- a/internal/decide/leaseclient/backoff.go
+++ b/internal/decide/leaseclient/backoff.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	initialDelayFactor = 1.0 / 8 // of a session's timeout until the first retry of what failed
-	maxDelayFactor     = 2.0     // of it between two retries, after many: a fleet that waits for its coordinator must not overload it
-	jitterFactor       = 0.5     // of each wait, drawn: what came together must not stay together
+	initialDelayFactor = 1.0 / 8 // first retry delay, as a multiple of the session timeout
+	maxDelayFactor     = 2.0     // longest retry delay, likewise: processes that wait for the coordinator must not overload it
+	jitterFactor       = 0.5     // largest part of a delay that jitter takes off, so that processes that failed together don't retry together
 )
 
-// backoff is when something is asked next, until it is answered. The zero backoff is due at once.
+// backoff schedules the attempts of a request until it is answered. The zero value is due at once.
 type backoff struct {
 	dueAt   float64
-	delayMs float64 // before the draw; 0: nothing failed yet
+	delayMs float64 // before jitter; 0: no attempt has failed yet
 }
 
-// notScheduled returns a backoff that isn't due, while an answer is awaited or nothing is to be asked.
+// notScheduled returns a backoff that is never due: a response is awaited, or there is nothing to request.
 func notScheduled() backoff { return backoff{dueAt: math.Inf(1)} }
 
-// scheduleRetry puts the next attempt off, twice as far each time, by a part that is drawn.
+// scheduleRetry schedules the next attempt after an exponential delay with jitter.
 func (b *backoff) scheduleRetry(now, sessionTimeout float64, rng *random.Source) {
 	b.delayMs = math.Min(math.Max(2*b.delayMs, sessionTimeout*initialDelayFactor), sessionTimeout*maxDelayFactor)
 	b.dueAt = now + b.delayMs*(1-jitterFactor*rng.Next())
--- a/internal/decide/leaseclient/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxPolicyUpdateBytes = 1 << 10 // of versions and their differences in one update
-	versionOverheadBytes = 80      // of a version with its hash, without its texts
+	maxPolicyUpdateBytes = 1 << 10 // bound on policy versions and their differences in one update
+	versionOverheadBytes = 80      // size of a version with its hash, without its author and reason
 )
 
-// Changes returns the update for a watcher that knows everything up to an entry of the log, and the index up to which it knows everything
-// then: what has changed, or the whole state where the changes are no longer kept or the watcher is ahead of this state. Without sessions
-// those of others are left out: a process that acts on no others needs none, and there may be hundreds.
+// Changes returns the update for a watcher that has seen the log up to the index since, and the index that the update brings it to. The
+// update holds what has changed, or the whole state if since is 0, the events after it are no longer kept, or the watcher is ahead of this
+// state. withoutSessions leaves out all sessions: a process that sends no orders doesn't need them, and there may be hundreds.
 func Changes(state *leasestate.State, since uint64, withoutSessions bool) (Update, uint64) {
 	events, kept := state.Since(since)
 	if since == 0 || since > state.Index() || !kept {
@@ -24,7 +24,7 @@
 	return incrementalUpdate(state, events, withoutSessions), state.Index()
 }
 
-// completeUpdate returns the whole state.
+// completeUpdate returns an update with the whole state.
 func completeUpdate(state *leasestate.State, withoutSessions bool) Update {
 	update := Update{Complete: true, WithoutSessions: withoutSessions, Policies: latestPolicies(state.Policy(), 1)}
 	if !withoutSessions {
@@ -34,7 +34,7 @@
 	return update
 }
 
-// incrementalUpdate returns what has become of all that the events name.
+// incrementalUpdate returns an update with the current state of the sessions, leases and policy versions that the events refer to.
 func incrementalUpdate(state *leasestate.State, events []leasestate.Event, withoutSessions bool) Update {
 	sessions, leases, versions := map[string]bool{}, map[string]bool{}, 0
 	for _, event := range events {
@@ -58,7 +58,8 @@
 	return update
 }
 
-// latestPolicies returns the latest versions, the one in force last, with as many of the differences as fit, from the latest back.
+// latestPolicies returns up to the given number of the latest policy versions with their differences, the one in force last. Older versions
+// that would exceed maxPolicyUpdateBytes are left out. If not even the latest fits, it returns that one without its difference.
 func latestPolicies(history *policy.History, versions int) (latest []Policy) {
 	if history.Version.Number == 0 {
 		return nil
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -11,30 +11,30 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// maxTracked bounds sessions, leases and token queries, each, that are kept of what the coordinator says: twice what it keeps itself.
+// maxTracked bounds the sessions, the leases and the token queries that a client keeps, each: twice the coordinator's own limit.
 const maxTracked = 20000
 
-// Settings of a client; they don't change. Times are ms.
+// Settings configure a client and don't change. Times are ms.
 type Settings struct {
-	Name, Role, Address          string   // of the process; Address receives the acts of lease holders
-	Incarnation                  uint64   // Unix ms of the process's start, as the wall clock has it
-	SessionTimeout, SafetyMargin float64  // of the session, and of each lease before the session ends
-	Leases                       []string // that it requests from the start
-	Seed                         uint64   // of the jitter
+	Name, Role, Address          string   // of the process; Address receives orders from lease holders
+	Incarnation                  uint64   // Unix ms of the process's start, by the wall clock
+	SessionTimeout, SafetyMargin float64  // SafetyMargin is how long before the end of a lease this process stops acting under it
+	Leases                       []string // requested from the start
+	Seed                         uint64   // of the random numbers for jitter
 }
 
 // Action is the kind of a decision.
 type Action int
 
-// What the driver of a client has to do.
+// Actions that the driver of a client carries out.
 const (
 	Propose     Action = iota // propose Entry to the coordinator, as request number Request
-	QueryTokens               // ask the coordinator which tokens of Leases are the latest, as request Request; TokensLearned takes the answer
-	Start                     // Lease is this process's, under Token
-	Stop                      // it no longer is: nothing more may go out under Token
+	QueryTokens               // query the coordinator for the latest tokens of Leases, as request number Request; TokensLearned takes the response
+	Start                     // this process holds Lease, under Token
+	Stop                      // it no longer holds Lease: nothing more may be sent under Token
 )
 
-// Decision is one thing that the driver has to do; only the fields of its action are set.
+// Decision is one action for the driver; only the fields that its Action uses are set.
 type Decision struct {
 	Action  Action
 	Request uint64
@@ -44,56 +44,56 @@
 	Token   lease.Token
 }
 
-// pendingRequest is a request to the coordinator that isn't answered yet.
+// pendingRequest is a request to the coordinator without a response yet.
 type pendingRequest struct {
-	kind          leasestate.Kind // of the entry proposed, or tokenQuery
-	lease         string          // of an AcquireLease
-	holderRequest uint64          // its number at the lease's holder
+	kind          leasestate.Kind // of the proposed entry, or tokenQuery
+	lease         string          // of an AcquireLease entry
+	holderRequest uint64          // number that the lease's Holder gave to an AcquireLease request
 	leases        []string        // of a token query
 }
 
 // tokenQuery is the kind of a request that proposes no entry.
 const tokenQuery leasestate.Kind = ""
 
-// Client is one process's part in the fleet. It isn't safe for concurrent use.
+// Client manages one process's session and leases, and checks orders from lease holders. It isn't safe for concurrent use.
 type Client struct {
 	settings  Settings
 	started   bool // Advance has been called
 	startedAt float64
 	now       float64
 	rng       random.Source
-	decisions []Decision // not yet pulled by Next
+	decisions []Decision // not yet returned by Next
 
 	latestRequest uint64
-	pending       map[uint64]pendingRequest // by number
+	pending       map[uint64]pendingRequest // by request number
 
 	incarnation      incarnation
 	sessionOpen      bool
-	opening          backoff // of the request for a session
+	opening          backoff // of the request to open a session
 	heartbeat        backoff
 	shuttingDown     bool
 	shutdownComplete bool
 
-	appliedPolicy   uint64 // number of the version that this process has applied
+	appliedPolicy   uint64 // number of the policy version that this process has applied
 	rejectedPolicy  uint64 // number of one that it couldn't apply
 	rejectionReason string
 
 	holders    map[string]*holder // by lease
 	deadlines  timerqueue.Queue[*holder]
-	candidates map[string]float64 // leases that this process will request, and from when
+	candidates map[string]float64 // when to begin requesting a lease, by lease
 
 	receiver     *lease.Receiver
-	tokenQueries map[string]*backoff // by lease whose token this receiver has yet to learn
-	reportedAt   map[string]float64  // by lease: when a higher token was reported to the coordinator
+	tokenQueries map[string]*backoff // by lease whose token the receiver hasn't learned yet
+	reportedAt   map[string]float64  // when a higher token was last reported to the coordinator, by lease
 
-	sessions         map[string]Session // as the watch has them, by name
+	sessions         map[string]Session // as last reported by the watch, by name
 	leases           map[string]Lease
 	sessionsComplete bool
 
-	holdersAdvanced int // holders advanced so far because of time alone
+	holdersAdvanced int // how often a holder was advanced because its timer was due
 
-	Reopened     int // sessions that the coordinator had ended
-	RejectedActs int // acts of others rejected for their fencing token
+	Reopened     int // how often the session was opened again after the coordinator had ended it
+	RejectedActs int // orders and switchover steps rejected for a stale fencing token
 }
 
 // New returns a client without a session.
@@ -118,7 +118,7 @@
 	return c
 }
 
-// Advance sets the time of all that follows until the next call.
+// Advance sets the current time for all calls until the next Advance.
 func (c *Client) Advance(now float64) {
 	c.checkStartupWindow(now)
 	c.now = math.Max(c.now, now)
@@ -131,7 +131,7 @@
 	c.advanceDueHolders()
 }
 
-// Next returns the next decision, or false if none is left. All must be pulled after each input.
+// Next returns the next decision, or false if none is left. After each input the driver must call it until it returns false.
 func (c *Client) Next() (Decision, bool) {
 	if len(c.decisions) == 0 && !c.shuttingDown {
 		c.decideDueRequests()
@@ -144,7 +144,7 @@
 	return decision, true
 }
 
-// decideDueRequests decides what is due of the session, or else of the token queries.
+// decideDueRequests decides the request of the session that is due, or else a token query.
 func (c *Client) decideDueRequests() {
 	switch {
 	case !c.sessionOpen && c.opening.dueAt <= c.now:
@@ -156,7 +156,7 @@
 	}
 }
 
-// NextDeadline returns when Advance must be called next at the latest; +Inf: not because of time.
+// NextDeadline returns the latest time of the next call of Advance; +Inf: no timer is pending.
 func (c *Client) NextDeadline() float64 {
 	deadline := math.Min(c.opening.dueAt, c.heartbeat.dueAt)
 	if first := c.deadlines.First(); first != nil {
@@ -171,17 +171,18 @@
 	return deadline
 }
 
-// Signed returns an entry as one of this process's present session.
+// Signed returns an entry with the name and incarnation of this process's session.
 func (c *Client) Signed(entry leasestate.Entry) leasestate.Entry {
 	entry.Session, entry.Incarnation = c.settings.Name, c.incarnation.current
 	return entry
 }
 
-// propose decides to propose an entry of this process's session.
+// propose decides to propose an entry for this process's session.
 func (c *Client) propose(entry leasestate.Entry) {
 	c.proposeRequest(pendingRequest{kind: entry.Kind}, c.Signed(entry))
 }
 
+// proposeRequest decides to propose an entry as it is, and keeps request until the response arrives.
 func (c *Client) proposeRequest(request pendingRequest, entry leasestate.Entry) {
 	c.decide(Decision{Action: Propose, Request: c.addPending(request), Entry: entry})
 }
@@ -194,17 +195,17 @@
 
 func (c *Client) decide(decision Decision) { c.decisions = append(c.decisions, decision) }
 
-// retryLater puts something off that brought no answer.
+// retryLater schedules the next attempt of a request that got no response.
 func (c *Client) retryLater(b *backoff) { b.scheduleRetry(c.now, c.settings.SessionTimeout, &c.rng) }
 
-// removePending ends a request; false: there is none of this number.
+// removePending removes and returns a pending request; false: there is none with this number.
 func (c *Client) removePending(number uint64) (pendingRequest, bool) {
 	request, found := c.pending[number]
 	delete(c.pending, number)
 	return request, found
 }
 
-// Answered takes in the coordinator's answer to a request.
+// Answered handles the coordinator's response to a request.
 func (c *Client) Answered(number uint64, result leasestate.Result) {
 	request, found := c.removePending(number)
 	if !found {
@@ -224,11 +225,11 @@
 	case leasestate.CloseSession:
 		c.shutdownComplete = true
 	case tokenQuery:
-		c.handleTokens(request.leases, nil) // an answer that has no tokens
+		c.handleTokens(request.leases, nil) // the response has no tokens
 	}
 }
 
-// Failed says that a request brought no answer, or none that this build knows.
+// Failed records that a request got no response, or none that this build understands.
 func (c *Client) Failed(number uint64) {
 	request, found := c.removePending(number)
 	if !found {
@@ -241,7 +242,7 @@
 	case leasestate.KeepAlive:
 		c.retryLater(&c.heartbeat)
 	case leasestate.CloseSession:
-		c.shutdownComplete = true // the session's timeout will end it
+		c.shutdownComplete = true // the session will expire
 	case tokenQuery:
 		c.handleTokens(request.leases, nil)
 	}
--- a/internal/decide/leaseclient/doc.go
+++ b/internal/decide/leaseclient/doc.go
@@ -1,7 +1,8 @@
-// Package leaseclient decides one process's part in the fleet: its session with the coordinator, the leases that it requests and holds,
-// and which lease holders' acts it accepts. It is a state machine without clock or I/O, and keeps the process from nothing of its own
-// work: all that it says is "you may act for the fleet now" or "no longer".
+// Package leaseclient is one process's client of the coordinator: it keeps the process's session open, requests and holds leases, and
+// decides which orders from lease holders the process accepts. It is a state machine without clock or I/O. It never blocks the process's
+// own work: its decisions only say when the process may begin to act under a lease, and when it must stop.
 //
-// The driver feeds it time, answers, the coordinator's watch and others' acts, and pulls what to ask of the coordinator and which
-// leases begin and end. Times are ms on a clock that also runs while the machine sleeps.
+// The driver feeds it the time, the coordinator's responses and watch updates, and the orders that arrive. In return it pulls the
+// requests to send to the coordinator and the leases that begin and end. Times are ms on a clock that keeps running while the machine
+// is suspended.
 package leaseclient
