--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -18,7 +18,7 @@
 type Settings struct {
 	Name, Role, Address          string   // of the process; Address receives orders from lease holders
 	Incarnation                  uint64   // Unix ms of the process's start, by the wall clock
-	SessionTimeout, SafetyMargin float64  // SafetyMargin is how long before the end of a lease this process stops acting under it
+	SessionTimeout, SafetyMargin float64  // of the session; of a lease, before whose end this process stops acting
 	Leases                       []string // requested from the start
 	Seed                         uint64   // of the random numbers for jitter
 }
--- a/internal/decide/leaseclient/leases.go
+++ b/internal/decide/leaseclient/leases.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	requestSpreadFactor = 0.5  // of a session's timeout, over which processes come to request a lease
-	maxHolders          = 1000 // leases that one process requests
+	requestSpreadFactor = 0.5  // of the session timeout, over which processes spread their first requests for a lease
+	maxHolders          = 1000 // bound on the leases that one process requests
 )
 
-// holder is this process's part in one lease.
+// holder is this process's state for one lease, as a candidate or as the lease holder.
 type holder struct {
 	*lease.Holder
 	lease string
 	timer timerqueue.Timer[*holder]
 }
 
-// Acquire says that this process would hold a lease, too. It requests it from a drawn time on, so that the first process that starts
-// doesn't get all leases.
+// Acquire makes this process a candidate for a lease. It begins to request the lease after a random delay, so that the first process that
+// starts doesn't get all leases.
 func (c *Client) Acquire(name string) {
 	_, candidate := c.candidates[name]
 	full := len(c.holders)+len(c.candidates) >= maxHolders
@@ -33,6 +33,7 @@
 	c.candidates[name] = c.now + c.settings.SessionTimeout*requestSpreadFactor*c.rng.Next()
 }
 
+// startRequesting creates the holder of a lease, whose first request is due at once.
 func (c *Client) startRequesting(name string) {
 	h := &holder{
 		Holder: lease.NewHolder(lease.Settings{
@@ -49,10 +50,10 @@
 	c.deadlines.Put(&h.timer, h.NextDeadline())
 }
 
-// Release gives a lease up, held or not.
+// Release gives up a lease, whether it is held or only requested.
 func (c *Client) Release(name string) {
 	delete(c.candidates, name)
-	// An answer to this holder's request must not be taken for one to the request of a later holder of the lease.
+	// A response to this holder's request must not be matched to the request of a holder created later for the same lease.
 	maps.DeleteFunc(c.pending, func(_ uint64, request pendingRequest) bool {
 		return request.kind == leasestate.AcquireLease && request.lease == name
 	})
@@ -64,7 +65,7 @@
 	}
 }
 
-// Transfer hands a lease that this process holds on to the session named; this process requests it no more.
+// Transfer transfers a lease that this process holds to the session of the given name. This process no longer requests it.
 func (c *Client) Transfer(name, successor string) {
 	if h := c.holder(name); h != nil {
 		h.Release(successor)
@@ -72,7 +73,7 @@
 	}
 }
 
-// Valid reports whether this process may act for a lease now, and returns the fencing token that goes with the act. Call it right before the act.
+// Valid reports whether this process may act under a lease now, and returns the fencing token to send along. Call it right before sending.
 func (c *Client) Valid(name string) (lease.Token, bool) {
 	if h := c.holder(name); h != nil {
 		return h.Valid()
@@ -80,7 +81,7 @@
 	return lease.Token{}, false
 }
 
-// ActRejected says that a receiver rejected an act of this process and named a higher token.
+// ActRejected records that a receiver rejected an order of this process and named a higher token.
 func (c *Client) ActRejected(name string, higher lease.Token) {
 	if h := c.holder(name); h != nil {
 		h.ActRejected(higher)
@@ -88,7 +89,7 @@
 	}
 }
 
-// holder returns the part in a lease, advanced to the present time; nil: there is none.
+// holder returns the holder of a lease, advanced to the current time; nil: there is none.
 func (c *Client) holder(name string) *holder {
 	h := c.holders[name]
 	if h != nil {
@@ -97,7 +98,7 @@
 	return h
 }
 
-// advanceDueHolders advances the holders that time has something to decide. The others are advanced when they are next used.
+// advanceDueHolders advances the holders whose timers are due. The others are advanced when they are next used.
 func (c *Client) advanceDueHolders() {
 	var due []*holder
 	for timer := c.deadlines.First(); timer != nil && timer.At() <= c.now; timer = c.deadlines.First() {
@@ -112,7 +113,7 @@
 	}
 }
 
-// pullDecisions carries out what a holder decides, and sets its timer.
+// pullDecisions applies a holder's decisions and sets its timer.
 func (c *Client) pullDecisions(h *holder) {
 	for decision, more := h.Next(); more; decision, more = h.Next() {
 		c.applyDecision(h, decision)
@@ -123,7 +124,7 @@
 func (c *Client) applyDecision(h *holder, decision lease.Decision) {
 	switch decision.Action {
 	case lease.RequestLease:
-		if c.sessionOpen { // else it is requested again once there is a session
+		if c.sessionOpen { // otherwise it is requested again once a session is open
 			request := pendingRequest{kind: leasestate.AcquireLease, lease: h.lease, holderRequest: decision.Request}
 			c.proposeRequest(request, c.Signed(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
 		}
@@ -132,14 +133,14 @@
 	case lease.TransferLease:
 		c.propose(leasestate.Entry{Kind: leasestate.TransferLease, Lease: h.lease, Token: decision.Token, To: decision.To})
 	case lease.Start:
-		c.receiver.TokenLearned(h.lease, decision.Token) // acts of a former holder are stale here from now on
+		c.receiver.TokenLearned(h.lease, decision.Token) // orders of earlier holders are stale here from now on
 		c.decide(Decision{Action: Start, Lease: h.lease, Token: decision.Token})
 	case lease.Stop:
 		c.decide(Decision{Action: Stop, Lease: h.lease, Token: decision.Token})
 	}
 }
 
-// handleAcquireResponse takes in the answer to a request for a lease.
+// handleAcquireResponse handles the response to a request for a lease.
 func (c *Client) handleAcquireResponse(request pendingRequest, result leasestate.Result) {
 	h := c.holder(request.lease)
 	if h == nil {
--- a/internal/decide/leaseclient/session.go
+++ b/internal/decide/leaseclient/session.go
@@ -9,10 +9,12 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// heartbeatIntervalFactor is the share of a session's timeout between two heartbeats: two more may fail before it ends.
+// heartbeatIntervalFactor is the longest heartbeat interval as a fraction of the session timeout: two more heartbeats may fail before the
+// session expires.
 const heartbeatIntervalFactor = 1.0 / 3
 
-// checkStartupWindow ends the time in which this process counts as one that is starting: after a while, or once it was stopped in between.
+// checkStartupWindow ends the startup of this process's incarnation when it has taken too long, or when the process was paused since the
+// last call.
 func (c *Client) checkStartupWindow(now float64) {
 	if !c.started {
 		c.started, c.startedAt = true, now
@@ -24,7 +26,7 @@
 	}
 }
 
-// requestSession decides to ask for a session; nothing else is asked before it is open.
+// requestSession decides to request a session; nothing else is requested before it is open.
 func (c *Client) requestSession() {
 	c.opening.dueAt = math.Inf(1)
 	c.incarnation.prepareRequest()
@@ -50,12 +52,12 @@
 	})
 }
 
-// handleOpenSessionResponse takes in the answer to the request for a session.
+// handleOpenSessionResponse handles the response to a request to open a session.
 func (c *Client) handleOpenSessionResponse(result leasestate.Result) {
 	if c.shuttingDown {
 		return
 	}
-	if !result.Held { // another process has this name, or its session hasn't ended yet
+	if !result.Held { // another process has this name, or its session hasn't expired yet
 		if c.incarnation.refused(result.Number, c.now-c.startedAt, &c.rng) {
 			c.opening.dueAt = c.now
 		} else {
@@ -73,7 +75,7 @@
 	}
 }
 
-// heartbeatAcknowledged has the next heartbeat sent in time, and higher tokens reported once more where the coordinator doesn't know them.
+// heartbeatAcknowledged schedules the next heartbeat, and reports higher tokens again that the coordinator doesn't know.
 func (c *Client) heartbeatAcknowledged() {
 	for _, name := range slices.Sorted(maps.Keys(c.leases)) {
 		c.reportHigherToken(c.leases[name])
@@ -82,8 +84,8 @@
 	c.heartbeat = backoff{dueAt: c.now + interval*(1-jitterFactor*c.rng.Next())}
 }
 
-// sessionLost takes in that the coordinator has ended this session, or never had it. What was held ends by the holders' own account of
-// time; the process opens a session again as another incarnation.
+// sessionLost handles a response which shows that the coordinator has ended this session, or never had it. The leases that were held end by
+// the holders' own timers; the process opens a session again as another incarnation.
 func (c *Client) sessionLost() {
 	if !c.sessionOpen || c.shuttingDown {
 		return
@@ -93,11 +95,11 @@
 	c.incarnation.reopen()
 }
 
-// HasSession reports whether this process has a session, as far as it knows.
+// HasSession reports whether this process has an open session, as far as it knows.
 func (c *Client) HasSession() bool { return c.sessionOpen }
 
-// PolicyApplied says which version of the policy this process has applied, by its number, and which it couldn't apply, with the reason, if
-// there is one. The next heartbeat, sent at once, reports it to the coordinator.
+// PolicyApplied records the number of the policy version that this process has applied, and that of one that it couldn't apply, if any, with
+// the reason. The next heartbeat, which is sent at once, reports them to the coordinator.
 func (c *Client) PolicyApplied(applied, rejected uint64, reason string) {
 	if c.appliedPolicy == applied && c.rejectedPolicy == rejected && c.rejectionReason == reason {
 		return
@@ -108,7 +110,7 @@
 	}
 }
 
-// Shutdown ends this process's part: it stops what it does for the fleet, and closes its session, which gives back all leases.
+// Shutdown stops all acting under leases and closes the session, which releases all leases.
 func (c *Client) Shutdown() {
 	if c.shuttingDown {
 		return
@@ -119,7 +121,7 @@
 		h := c.holder(name)
 		h.Release("")
 		for decision, more := h.Next(); more; decision, more = h.Next() {
-			if decision.Action == lease.Stop { // the session's end gives back all leases at once
+			if decision.Action == lease.Stop { // the end of the session releases all leases at once
 				c.decide(Decision{Action: Stop, Lease: name, Token: decision.Token})
 			}
 		}
@@ -131,5 +133,5 @@
 	c.propose(leasestate.Entry{Kind: leasestate.CloseSession, RejectedActs: uint64(c.RejectedActs)})
 }
 
-// ShutdownComplete reports whether the session is closed, or the request to close it has failed and its timeout will end it.
+// ShutdownComplete reports whether the session is closed, or the request to close it has failed and the session will expire.
 func (c *Client) ShutdownComplete() bool { return c.shutdownComplete }
--- a/internal/decide/leaseclient/tokens.go
+++ b/internal/decide/leaseclient/tokens.go
@@ -8,16 +8,16 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// MaxTokenQuery is how many leases one query for tokens names at most.
+// MaxTokenQuery is the maximum number of leases in one token query.
 const MaxTokenQuery = 256
 
 const (
-	maxQueryBytes          = 16 << 10 // of names in one query; a longer name goes alone
-	reportIntervalTimeouts = 4.0      // session timeouts between two reports to the coordinator of a token that it doesn't know
+	maxQueryBytes          = 16 << 10 // of lease names in one query; a longer name is queried alone
+	reportIntervalTimeouts = 4.0      // session timeouts between two reports of a lease's higher token to a coordinator that doesn't know it
 )
 
-// Check decides on another process's act. Of a lease whose token this receiver doesn't know it accepts none, and asks the coordinator. It
-// also returns the highest token known.
+// Check decides whether an order from a lease holder is accepted. While the receiver hasn't learned the lease's token it accepts none, and
+// queries the coordinator for the token. Check also returns the highest token known.
 func (c *Client) Check(scope lease.Scope, holder string, token lease.Token) (lease.Verdict, lease.Token) {
 	verdict, highest := c.receiver.Check(scope, holder, token)
 	switch verdict {
@@ -29,18 +29,18 @@
 	return verdict, highest
 }
 
-// CloseScope drops what is known of a scope that is gone.
+// CloseScope discards what is known of a scope that no longer exists.
 func (c *Client) CloseScope(scope lease.Scope) { c.receiver.CloseScope(scope) }
 
-// LearnToken has the coordinator asked for a lease's latest token, unless that is known.
+// LearnToken schedules a query for a lease's latest token, unless the receiver has learned it.
 func (c *Client) LearnToken(name string) {
 	if !c.receiver.Learned(name) && c.tokenQueries[name] == nil && len(c.tokenQueries) < maxTracked {
 		c.tokenQueries[name] = &backoff{dueAt: c.now}
 	}
 }
 
-// queryTokens asks for the tokens of all leases that are due, as many as one query carries. Guards against a start that asks once for
-// each lease: of many processes together that is more than a coordinator answers.
+// queryTokens queries the tokens of all leases that are due, as many as fit into one query. It guards against one query per lease at
+// startup: many processes that start together would send more than a coordinator can answer.
 func (c *Client) queryTokens() {
 	var due []string
 	for name, query := range c.tokenQueries {
@@ -60,7 +60,7 @@
 	c.decide(Decision{Action: QueryTokens, Request: number, Leases: slices.Clone(queried)})
 }
 
-// queryBatchSize returns how many of the names fit into one query; at least one.
+// queryBatchSize returns how many of the first names fit into one query; at least one.
 func queryBatchSize(names []string) int {
 	bytes := 0
 	for n, name := range names {
@@ -72,8 +72,8 @@
 	return len(names)
 }
 
-// TokensLearned takes in the coordinator's answer to a query: tokens of its leases, in their order. Leases past the answer's end are asked
-// for again; an answer with more tokens than were asked for counts as none.
+// TokensLearned handles the coordinator's response to a token query: the tokens of its leases, in the same order. If the response is shorter
+// than the query, the remaining leases are queried again; if it is longer, it counts as empty.
 func (c *Client) TokensLearned(number uint64, tokens []lease.Token) {
 	if request, found := c.pending[number]; found && request.kind == tokenQuery {
 		delete(c.pending, number)
@@ -81,7 +81,8 @@
 	}
 }
 
-// handleTokens learns the tokens of the first leases. The others are put off together: each by itself would be a query of its own.
+// handleTokens learns the tokens of the first leases. The others are retried at one common time; retried at different times, each would need
+// a query of its own.
 func (c *Client) handleTokens(names []string, tokens []lease.Token) {
 	if len(tokens) > len(names) {
 		tokens = nil
@@ -104,8 +105,8 @@
 	}
 }
 
-// reportHigherToken reports to the coordinator a token that this receiver has seen and the coordinator, by what its watch says of the lease,
-// doesn't know or has granted to another.
+// reportHigherToken reports a token that this receiver has seen to the coordinator, if the coordinator's latest state of the lease has a lower
+// one, or has the same one with another holder.
 func (c *Client) reportHigherToken(latest Lease) {
 	highest, holder := c.receiver.Highest(latest.Name)
 	order := highest.Compare(latest.Token)
@@ -118,7 +119,7 @@
 		return
 	}
 	c.reportedAt[latest.Name] = c.now
-	// The session is that of the process that acted under the token.
+	// Session is that of the process that acted under the token, not of this one.
 	entry := leasestate.Entry{Kind: leasestate.ReportToken, Lease: latest.Name, Token: highest, Session: holder}
 	c.proposeRequest(pendingRequest{kind: leasestate.ReportToken}, entry)
 }
--- a/internal/decide/leaseclient/watch.go
+++ b/internal/decide/leaseclient/watch.go
@@ -9,14 +9,14 @@
 	"wayloft/internal/decide/policy"
 )
 
-// Session is what the coordinator's watch says of a session.
+// Session is a session as the coordinator's watch reports it.
 type Session struct {
 	Name, Role, Address string
-	Incarnation, Policy uint64 // Policy is the number of the version that the process has applied
+	Incarnation, Policy uint64 // Policy is the number of the policy version that the process has applied
 	Ended               bool
 }
 
-// Lease is what the coordinator's watch says of a lease.
+// Lease is a lease as the coordinator's watch reports it.
 type Lease struct {
 	Name, Holder string
 	Token        lease.Token
@@ -24,23 +24,23 @@
 	Steps        []leasestate.Step
 }
 
-// Update is one message of the watch: the whole state, or what has changed.
+// Update is one message of the coordinator's watch: the whole state, or what has changed.
 type Update struct {
 	Complete        bool // the whole state
-	WithoutSessions bool // the watcher didn't ask for sessions
+	WithoutSessions bool // Sessions is empty since the watcher didn't ask for sessions
 	Sessions        []Session
 	Leases          []Lease
-	Policies        []Policy // versions of the policy, the one in force last
+	Policies        []Policy // policy versions, the one in force last
 }
 
-// Policy is a version of the policy and its difference to the version before; nil where that is too long for an update.
+// Policy is a policy version and its difference from the version before, which is nil if it is too long for an update.
 type Policy struct {
 	Version    policy.Version
 	Difference *policy.Difference
 }
 
-// UpdateReceived takes in an update of the watch. It may be old: a higher fencing token is true whenever it arrives, a lower one says only
-// that the coordinator should be asked.
+// UpdateReceived applies an update of the watch. The update may be old: a higher fencing token is valid whenever it arrives, but a lower one
+// only shows that the coordinator should be asked.
 func (c *Client) UpdateReceived(update Update) {
 	if update.Complete {
 		clear(c.sessions)
@@ -59,7 +59,7 @@
 	}
 }
 
-// updateLease takes in what an update says of one lease.
+// updateLease applies what an update reports of one lease.
 func (c *Client) updateLease(latest Lease) {
 	if len(c.leases) < maxTracked {
 		c.leases[latest.Name] = latest
@@ -74,14 +74,14 @@
 	}
 	c.reportHigherToken(latest)
 	if c.receiver.Learned(latest.Name) && latest.Holder != "" {
-		c.receiver.TokenLearned(latest.Name, latest.Token) // before its holder's first act arrives
+		c.receiver.TokenLearned(latest.Name, latest.Token) // before its holder's first order arrives
 	}
 }
 
-// SessionsComplete reports whether Sessions has all that the coordinator has: a watch may leave them out.
+// SessionsComplete reports whether Sessions returns all sessions that the coordinator has: a watch may leave them out.
 func (c *Client) SessionsComplete() bool { return c.sessionsComplete }
 
-// Sessions returns the sessions of a role that the watch has reported, by name.
+// Sessions returns the sessions of a role that the watch has reported, sorted by name.
 func (c *Client) Sessions(role string) (found []Session) {
 	for _, name := range slices.Sorted(maps.Keys(c.sessions)) {
 		if c.sessions[name].Role == role {
