--- a/internal/decide/leaseclient/changes_test.go
+++ b/internal/decide/leaseclient/changes_test.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// An update has what has changed, and the whole state for a watcher that is behind or ahead.
+// An update holds only what has changed, or the whole state for a watcher that is too far behind or is ahead.
 func TestChanges_OnlyWhatChangedUnlessBehindOrAhead(t *testing.T) {
 	h := newHarness(t, "d")
 	h.runUntil(500, true)
@@ -22,12 +22,12 @@
 		t.Errorf("%+v", update)
 	}
 	if update, _ = Changes(h.state, index+1000, false); !update.Complete {
-		t.Error("a watcher that is ahead of this state must get all of it")
+		t.Error("a watcher that is ahead of this state must receive the whole state")
 	}
 }
 
-// An update has versions with their differences, as far as these are short; what sessions say of them makes no update, and a watcher
-// without sessions gets none.
+// An update holds the new policy versions, with their differences where these are short enough. A session's report of the version that it
+// has applied causes no update, and a watcher without sessions receives no sessions.
 func TestChanges_PoliciesWithShortDifferences(t *testing.T) {
 	h := newHarness(t)
 	h.runUntil(500, true)
@@ -43,13 +43,13 @@
 	h.runUntil(1000, true)
 	h.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "q", Incarnation: 1, Timeout: 60000})
 	if session, _ := h.state.Session("p"); session.Policy != second.Packed() {
-		t.Error("the coordinator doesn't know of it:", session)
+		t.Error("the coordinator doesn't know the applied version:", session)
 	}
 	if update, _ := Changes(h.state, next, true); len(update.Sessions)+len(update.Policies) != 0 || !update.WithoutSessions {
 		t.Errorf("%+v", update)
 	}
 	if update, _ := Changes(h.state, next, false); len(update.Sessions) != 1 || update.Sessions[0].Name != "q" {
-		t.Errorf("only the new session has changed: %+v", update)
+		t.Errorf("the update must hold the new session only: %+v", update)
 	}
 	update, _ = Changes(h.state, 0, true)
 	if !update.Complete || len(update.Sessions) != 0 || len(update.Policies) != 1 || update.Policies[0].Version != second {
@@ -65,6 +65,6 @@
 	h.apply(leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &proposal})
 	update, _ = Changes(h.state, index, true)
 	if len(update.Policies) != 1 || update.Policies[0].Difference != nil || update.Policies[0].Version != h.state.Policy().Version {
-		t.Errorf("too long for an update: %+v", update)
+		t.Errorf("a difference that is too long for an update must be left out: %+v", update)
 	}
 }
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -29,7 +29,7 @@
 // Actions that the driver of a client carries out.
 const (
 	Propose     Action = iota // propose Entry to the coordinator, as request number Request
-	QueryTokens               // query the coordinator for the latest tokens of Leases, as request number Request; TokensLearned takes the response
+	QueryTokens               // query the coordinator for the latest tokens of Leases, as request Request; TokensLearned takes the response
 	Start                     // this process holds Lease, under Token
 	Stop                      // it no longer holds Lease: nothing more may be sent under Token
 )
--- a/internal/decide/leaseclient/client_test.go
+++ b/internal/decide/leaseclient/client_test.go
@@ -8,7 +8,8 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// A session is opened before anything is asked for; a lease is held on, and lost and found again with the coordinator.
+// The client opens its session before any other request. It keeps its lease while the coordinator responds, loses it in an outage, and
+// acquires it again afterwards.
 func TestClient_HoldsLeaseAndRegainsItAfterOutage(t *testing.T) {
 	h := newHarness(t, "d")
 	starts, stops := h.runUntil(5000, true)
@@ -20,18 +21,18 @@
 		t.Fatal(token, valid)
 	}
 	if starts, stops := h.runUntil(8000, false); starts != 0 || stops != 1 {
-		t.Fatalf("without the coordinator: %d starts, %d stops", starts, stops)
+		t.Fatalf("during the outage: %d starts, %d stops", starts, stops)
 	}
 	h.log = nil
 	if starts, _ := h.runUntil(14000, true); starts != 1 || h.client.Reopened != 1 || h.count(leasestate.OpenSession) != 1 {
-		t.Fatalf("back: %d starts, reopened %d times, %v", starts, h.client.Reopened, h.log)
+		t.Fatalf("after the outage: %d starts, reopened %d times, %v", starts, h.client.Reopened, h.log)
 	}
 	if token, valid = h.client.Valid("d"); !valid || token.Count != 2 {
-		t.Error("its session had ended, the grant must be another:", token, valid)
+		t.Error("the session had expired, so the lease must be a new grant:", token, valid)
 	}
 }
 
-// While the coordinator is away each attempt comes later than the one before, up to a bound.
+// While the coordinator is unreachable the delay between session requests grows, up to a bound.
 func TestClient_SessionRequestsBackOff(t *testing.T) {
 	h := newHarness(t)
 	h.runUntil(60000, false)
@@ -40,23 +41,24 @@
 	}
 }
 
-// A client that shuts down stops first, gives back what it holds, and is done once that is answered or can't be.
+// A client that shuts down stops acting under its leases first, then closes its session, and has finished once that request is answered or
+// has failed.
 func TestShutdown_StopsFirstAndGivesBack(t *testing.T) {
-	for _, answers := range []bool{true, false} {
+	for _, respond := range []bool{true, false} {
 		h := newHarness(t, "d")
 		h.runUntil(500, true)
 		h.client.Shutdown()
-		_, stops := h.runUntil(600, answers)
+		_, stops := h.runUntil(600, respond)
 		if _, valid := h.client.Valid("d"); valid || stops != 1 || !h.client.ShutdownComplete() {
-			t.Errorf("answered %v: valid %v, %d stops, complete %v", answers, valid, stops, h.client.ShutdownComplete())
+			t.Errorf("responses %v: valid %v, %d stops, complete %v", respond, valid, stops, h.client.ShutdownComplete())
 		}
-		if _, open := h.state.Session("p"); open == answers {
-			t.Errorf("answered %v: its session is there: %v", answers, open)
+		if _, open := h.state.Session("p"); open == respond {
+			t.Errorf("responses %v: session open: %v", respond, open)
 		}
 	}
 }
 
-// Guards against a look at the time that costs by how many leases a process has or would have, and not by what is due.
+// Guards against a cost of Advance that grows with the number of leases held or requested, and not with the number of timers due.
 func TestAdvance_TouchesOnlyDueHolders(t *testing.T) {
 	var leases []string
 	for n := range 200 {
@@ -64,17 +66,17 @@
 	}
 	h := newHarness(t, leases...)
 	if starts, _ := h.runUntil(10000, true); starts != len(leases) {
-		t.Fatalf("%d leases of %d began", starts, len(leases))
+		t.Fatalf("%d leases of %d started", starts, len(leases))
 	}
 	if requests := h.count(leasestate.AcquireLease); h.client.holdersAdvanced > requests+len(leases) || requests < 20*len(leases) {
-		t.Errorf("in 1,000 looks holders were gone over %d times; they asked %d times, which is what time had them do", h.client.holdersAdvanced, requests)
+		t.Errorf("1,000 calls of Advance advanced holders %d times, for %d lease requests", h.client.holdersAdvanced, requests)
 	}
 	if _, stops := h.runUntil(12000, false); stops != len(leases) || h.client.NextDeadline() <= h.now-10 {
-		t.Errorf("without the coordinator %d leases of %d ended in time; due at %v, it is %v", stops, len(leases), h.client.NextDeadline(), h.now)
+		t.Errorf("without the coordinator %d leases of %d ended in time; next deadline %v, now %v", stops, len(leases), h.client.NextDeadline(), h.now)
 	}
 }
 
-// The version that a process has applied is reported with the next heartbeat, at once, and again when its session is opened again.
+// The policy version that a process has applied is reported at once by a heartbeat, and again when the session is reopened.
 func TestPolicyApplied_ReportedAtOnceAndAfterReopening(t *testing.T) {
 	h := newHarness(t)
 	h.runUntil(500, true)
@@ -93,7 +95,7 @@
 	}
 	h.runUntil(h.now+4000, false)
 	if _, open := h.state.Session("p"); open {
-		t.Fatal("its session was to end")
+		t.Fatal("the session must have expired")
 	}
 	h.runUntil(h.now+6000, true)
 	if session, _ := h.state.Session("p"); session.Policy != version.Packed() || h.client.Reopened != 1 {
@@ -101,16 +103,16 @@
 	}
 }
 
-// A process's clock is its own: where one machine was booted years before another, its sessions and leases are as long.
+// A client's behavior doesn't depend on its clock's origin: sessions and leases last as long on a machine that was booted years earlier.
 func TestClient_IndependentOfClockOrigin(t *testing.T) {
 	var log []string
-	for _, booted := range []float64{0, 1e11} {
+	for _, bootedAt := range []float64{0, 1e11} {
 		h := newHarness(t, "d")
-		h.client.Advance(booted)
-		h.now = booted
-		starts, stops := h.runUntil(booted+5000, true)
+		h.client.Advance(bootedAt)
+		h.now = bootedAt
+		starts, stops := h.runUntil(bootedAt+5000, true)
 		_, valid := h.client.Valid("d")
-		_, ended := h.runUntil(booted+7000, false)
+		_, ended := h.runUntil(bootedAt+7000, false)
 		log = append(log, fmt.Sprint(starts, stops, valid, ended, h.log))
 	}
 	if log[0] != log[1] {
--- a/internal/decide/leaseclient/helpers_test.go
+++ b/internal/decide/leaseclient/helpers_test.go
@@ -8,14 +8,14 @@
 	"wayloft/internal/decide/policy"
 )
 
-// harness is a client and a lease state that answers it at once.
+// harness is a client with a coordinator's lease state that responds to it at once.
 type harness struct {
 	t      *testing.T
 	client *Client
 	state  *leasestate.State
 	index  uint64
 	now    float64
-	log    []leasestate.Kind // of the entries proposed
+	log    []leasestate.Kind // kinds of the entries proposed so far
 }
 
 func newHarness(t *testing.T, leases ...string) *harness {
@@ -37,7 +37,7 @@
 	return tokens
 }
 
-// runUntil lets time pass, in steps of 10 ms, with requests answered or not.
+// runUntil advances the time to end in steps of 10 ms. respond says whether the coordinator responds to proposals.
 func (h *harness) runUntil(end float64, respond bool) (starts, stops int) {
 	for ; h.now < end; h.now += 10 {
 		h.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
@@ -71,17 +71,17 @@
 	return n
 }
 
-// propose has the replicated state take a document of one field.
-func (h *harness) propose(share string) policy.Version {
+// propose commits a policy document of one field and returns its version.
+func (h *harness) propose(value string) policy.Version {
 	history := h.state.Policy()
-	proposal := policy.Propose(history.Version, history.Document, policy.Document{"over_share_value": share}, "a", "to "+share)
+	proposal := policy.Propose(history.Version, history.Document, policy.Document{"over_share_value": value}, "a", "to "+value)
 	if result := h.apply(leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &proposal}); !result.Held {
 		h.t.Fatal(result)
 	}
 	return h.state.Policy().Version
 }
 
-// tokenQueries pulls the token queries that are due, and has all else answered.
+// tokenQueries returns the token queries that are due, without a response, and responds to all proposals.
 func (h *harness) tokenQueries() (all []Decision) {
 	h.client.Advance(h.now)
 	for decision, more := h.client.Next(); more; decision, more = h.client.Next() {
--- a/internal/decide/leaseclient/incarnation_test.go
+++ b/internal/decide/leaseclient/incarnation_test.go
@@ -12,17 +12,17 @@
 	today = 1_796_000_000_000 // Unix ms
 )
 
-// sameNameProcesses are processes of one name, each with a client of its own, before one state machine. Each call of tick lets 10 ms go by for
-// all; a stopped one is fed nothing.
+// sameNameProcesses are processes of the same name, each with its own client, that use one state machine. Each call of tick advances the
+// time by 10 ms for all of them; the client of a stopped one isn't called.
 type sameNameProcesses struct {
 	t             *testing.T
 	state         *leasestate.State
 	index         uint64
 	now           float64
 	clients       []*Client
-	stopped       map[*Client]bool
-	disconnected  map[*Client]bool // requests bring no answer and arrive nowhere
-	responsesLost map[*Client]bool // requests arrive, and their answers are lost
+	stopped       map[*Client]bool // paused or killed
+	disconnected  map[*Client]bool // requests are lost
+	responsesLost map[*Client]bool // requests arrive, but their responses are lost
 }
 
 func newSameNameProcesses(t *testing.T) *sameNameProcesses {
@@ -75,7 +75,7 @@
 	}
 }
 
-// hasSession reports whether the name's session is this process's.
+// hasSession reports whether the open session of the name belongs to this process.
 func (p *sameNameProcesses) hasSession(client *Client) bool {
 	s, open := p.state.Session("p")
 	return open && s.Incarnation == client.incarnation.current && client.HasSession()
@@ -85,12 +85,12 @@
 	p.t.Helper()
 	if !p.hasSession(client) {
 		s, open := p.state.Session("p")
-		p.t.Fatalf("%s: the session is %d (open: %v), not the expected process's (%d, open: %v)",
+		p.t.Fatalf("%s: the session has incarnation %d (open: %v), not that of the expected process (%d, open: %v)",
 			phase, s.Incarnation, open, client.incarnation.current, client.HasSession())
 	}
 }
 
-// A process that is started after the wall clock went back takes its predecessor's name at once.
+// A process that starts after the wall clock was stepped back replaces its predecessor's session at once.
 func TestIncarnation_StartAfterClockSteppedBack(t *testing.T) {
 	p := newSameNameProcesses(t)
 	first := p.start(today)
@@ -100,13 +100,13 @@
 	for start := range uint64(3) {
 		next := p.start(today - (start+1)*hour)
 		p.tick()
-		p.requireSessionOf(next, "start after the clock went back")
+		p.requireSessionOf(next, "start after the clock was stepped back")
 		p.stopped[next] = true
 	}
 }
 
-// A process that was stopped for longer than its session's timeout, while another was started under its name by an earlier wall clock,
-// doesn't win the name back when it runs again.
+// A process is paused for longer than its session timeout, and another one starts under its name with a wall clock that was stepped back.
+// When the paused process resumes, it doesn't regain the name.
 func TestIncarnation_StoppedProcessDoesNotRegainItsName(t *testing.T) {
 	for _, stepBack := range []uint64{hour, 3000} {
 		p := newSameNameProcesses(t)
@@ -128,7 +128,8 @@
 	}
 }
 
-// A process that was stopped before its first session was opened has met no other process, and still is the former one.
+// A process that was paused before its first session was opened doesn't take the name from one that started during the pause, although no
+// request of its own was refused yet.
 func TestIncarnation_StoppedBeforeItsFirstSession(t *testing.T) {
 	p := newSameNameProcesses(t)
 	earlier := p.start(today)
@@ -145,7 +146,8 @@
 	}
 }
 
-// The same where it was stopped before it received the refusal of its first request.
+// A process that was paused before it received the refusal of its first request doesn't take the name from one that started during the
+// pause.
 func TestIncarnation_StoppedBeforeItsFirstAnswer(t *testing.T) {
 	p := newSameNameProcesses(t)
 	killed := p.start(today + hour)
@@ -167,7 +169,7 @@
 	p.requireSessionOf(later, "the earlier process runs again")
 }
 
-// A process that once met a later one of its name stays below it, also where both must open a session again.
+// A process that was refused because of a later one of the same name stays below it, even when both must reopen their sessions.
 func TestIncarnation_EarlierProcessStaysBelowLaterOne(t *testing.T) {
 	p := newSameNameProcesses(t)
 	earlier := p.start(today)
@@ -178,16 +180,16 @@
 	p.run(100)
 	p.stopped[earlier] = false
 	p.run(10 * sessionTimeout)
-	p.requireSessionOf(later, "before")
+	p.requireSessionOf(later, "both run")
 	p.disconnected[later] = true
 	p.run(10 * sessionTimeout)
-	p.requireSessionOf(earlier, "the later process is cut off for long: the name is free")
+	p.requireSessionOf(earlier, "the later process is disconnected for long: its session has expired")
 	p.disconnected[later] = false
 	p.run(10 * sessionTimeout)
-	p.requireSessionOf(later, "the later process is back")
+	p.requireSessionOf(later, "the later process is connected again")
 }
 
-// With a clock that goes on, the process that was started last has the name, whoever loses sessions.
+// While the clock isn't stepped, the process that started last holds the name, whichever process loses its session.
 func TestIncarnation_LastStartedProcessHoldsTheName(t *testing.T) {
 	p := newSameNameProcesses(t)
 	earlier := p.start(today)
@@ -199,26 +201,26 @@
 	p.run(5 * sessionTimeout)
 	p.disconnected[earlier] = false
 	p.run(5 * sessionTimeout)
-	p.requireSessionOf(earlier, "the later one is cut off")
+	p.requireSessionOf(earlier, "the later process is disconnected")
 	p.disconnected[later] = false
 	p.run(5 * sessionTimeout)
-	p.requireSessionOf(later, "it is back")
+	p.requireSessionOf(later, "the later process has reconnected")
 }
 
-// A request whose answer was lost may have been granted: who meets a higher incarnation after it can't know whether that one was there
-// before, and waits.
+// A request whose response was lost may have been granted. A process that is refused for a higher incarnation after that can't know whether
+// that one is its predecessor's, so it doesn't take over.
 func TestIncarnation_UnknownOutcomePreventsTakeover(t *testing.T) {
 	p := newSameNameProcesses(t)
 	earlier := p.start(today - hour)
 	p.responsesLost[earlier] = true
-	p.tick() // granted, and it doesn't know
+	p.tick() // granted, but the response is lost
 	p.requireAnySession()
 	later := p.start(today)
 	p.tick()
 	p.requireSessionOf(later, "later process")
 	p.responsesLost[earlier] = false
 	p.run(20 * sessionTimeout)
-	p.requireSessionOf(later, "the earlier process asks again")
+	p.requireSessionOf(later, "the earlier process requests a session again")
 	if later.Reopened != 0 {
 		t.Error("the later process lost its session")
 	}
@@ -232,7 +234,7 @@
 	}
 }
 
-// A process that comes to a coordinator which restored an older state, with its own first session in it, gets its name back.
+// A process regains its name from a coordinator that has restored an older state in which the process's own first session is open.
 func TestIncarnation_OwnOlderSession(t *testing.T) {
 	p := newSameNameProcesses(t)
 	client := p.start(today)
@@ -242,7 +244,7 @@
 	p.run(3 * sessionTimeout)
 	p.disconnected[client] = false
 	p.run(3 * sessionTimeout)
-	p.requireSessionOf(client, "opened again")
+	p.requireSessionOf(client, "session reopened")
 	below := client.incarnation.current
 	restored, err := leasestate.Restore("f", snapshot)
 	if err != nil {
@@ -252,11 +254,12 @@
 	p.run(5 * sessionTimeout)
 	p.requireSessionOf(client, "after the restore")
 	if client.incarnation.current-below > 10 {
-		t.Errorf("it took its own session for another's: %d after %d", client.incarnation.current, below)
+		t.Errorf("it mistook its own session for another process's: incarnation %d after %d", client.incarnation.current, below)
 	}
 }
 
-// A process to which a coordinator of an earlier build doesn't name the incarnation that has its name waits for that session's end.
+// A coordinator of an earlier build doesn't report the incarnation that it refuses a process for. The process then waits for the end of that
+// session.
 func TestIncarnation_RefusedWithoutNumber(t *testing.T) {
 	i, rng := newIncarnation(today), random.Source{Seed: 1}
 	if i.refused(0, 10, &rng) || i.current != today/reopenedDivisor {
@@ -264,7 +267,7 @@
 	}
 }
 
-// Of two that are started together, the later one may ask first: it keeps the name.
+// Of two processes that start at about the same time the later one may request its session first. It keeps the name.
 func TestIncarnation_TwoStartsTogether(t *testing.T) {
 	p := newSameNameProcesses(t)
 	earlier := p.start(today)
@@ -275,13 +278,14 @@
 	p.requireSessionOf(later, "later process")
 	p.stopped[earlier] = false
 	p.run(20 * sessionTimeout)
-	p.requireSessionOf(later, "the earlier process asks, too")
+	p.requireSessionOf(later, "the earlier process requests a session, too")
 	if later.Reopened != 0 {
 		t.Error("the later process lost its session")
 	}
 }
 
-// A number is taken above a predecessor's once: who has the name at the second refusal came after the first request.
+// A process takes a number above its predecessor's only once: the process that holds the name at a second refusal came after its first
+// request.
 func TestIncarnation_TakesOverOnce(t *testing.T) {
 	i, rng := newIncarnation(today), random.Source{Seed: 1}
 	if !i.refused(today+hour, 10, &rng) || i.current <= today+hour || i.current > today+hour+1+takeoverSpread {
@@ -292,7 +296,7 @@
 	}
 }
 
-// No two sessions of one process have one number, and a clock that was never set gives numbers in order, too.
+// Each session of a process has a number of its own, and a clock that was never set gives numbers in order, too.
 func TestIncarnation_Numbers(t *testing.T) {
 	for _, wallClockMs := range []uint64{0, 1, 1000, today, minInitialNumber - 1} {
 		i, seen := newIncarnation(wallClockMs), map[uint64]bool{}
--- a/internal/decide/leaseclient/tokens_test.go
+++ b/internal/decide/leaseclient/tokens_test.go
@@ -10,13 +10,14 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// A receiver asks for the latest token before it accepts any act, and accepts no lower one then; a holder knows the token of its own lease.
+// A receiver learns the latest token of a lease before it accepts any order, and then rejects lower tokens. A lease holder knows the token of
+// its own lease.
 func TestCheck_LearnsTokenFirstAndRejectsLower(t *testing.T) {
 	h := newHarness(t, "d")
 	scope := lease.Scope{Lease: "e", Subject: "g"}
 	old := lease.Token{Epoch: 1, Count: 2}
 	if verdict, _ := h.client.Check(scope, "q", old); verdict != lease.NotLearned {
-		t.Fatal("accepted an act of a lease that it knows nothing of:", verdict)
+		t.Fatal("accepted an order of a lease whose token it hasn't learned:", verdict)
 	}
 	h.runUntil(500, true)
 	if verdict, _ := h.client.Check(scope, "q", old); verdict != lease.Accepted {
@@ -24,14 +25,15 @@
 	}
 	h.client.UpdateReceived(Update{Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 5}}}})
 	if verdict, highest := h.client.Check(scope, "q", old); verdict != lease.Stale || highest.Count != 5 || h.client.RejectedActs != 1 {
-		t.Error("the watch has a higher token:", verdict, highest)
+		t.Error("the watch has reported a higher token:", verdict, highest)
 	}
 	if verdict, _ := h.client.Check(lease.Scope{Lease: "d", Subject: "g"}, "q", lease.Token{Epoch: 1}); verdict != lease.Stale {
-		t.Error("its own lease's former holder:", verdict)
+		t.Error("order of the earlier holder of its own lease:", verdict)
 	}
 }
 
-// A higher token is reported to a coordinator whose state regressed, with the holder whose act was accepted, and again while that lasts.
+// A higher token is reported to a coordinator whose state has regressed, with the holder whose order was accepted, and again for as long as
+// the coordinator doesn't know it.
 func TestClient_ReportsHigherTokenAgain(t *testing.T) {
 	h := newHarness(t)
 	h.client.LearnToken("e")
@@ -40,15 +42,15 @@
 	h.client.UpdateReceived(Update{Complete: true, Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 2}}}})
 	h.runUntil(1000, true)
 	if stored, _ := h.state.Lease("e"); stored.ForeignToken.Count != 7 {
-		t.Fatalf("the coordinator knows nothing of it: %+v, %v", stored, h.log)
+		t.Fatalf("the coordinator doesn't know the reported token: %+v, %v", stored, h.log)
 	}
 	if h.runUntil(9000, true); h.count(leasestate.ReportToken) < 2 || h.count(leasestate.ReportToken) > 4 {
 		t.Errorf("reported %d times in 9 s", h.count(leasestate.ReportToken))
 	}
 }
 
-// Guards against a start that asks the coordinator once a lease: what is due together goes in one query, as many as one carries; what
-// brought no answer, or a part of one, is asked for again together, later.
+// Guards against one query per lease at startup: leases that are due together share a query, up to its limit. Leases for which no token was
+// returned are queried again together, after a delay.
 func TestQueryTokens_DueLeasesShareQueries(t *testing.T) {
 	h := newHarness(t)
 	learn := func(n int) {
@@ -62,13 +64,13 @@
 		t.Fatalf("%d queries for 328 leases, not 2 of 256 and 72", len(all))
 	}
 	if learn(328); len(h.tokenQueries()) != 0 {
-		t.Fatal("asked again what is being asked")
+		t.Fatal("leases of pending queries were queried again")
 	}
-	// The answer has the tokens of the first ten alone, and the query for those after 256 fails.
+	// The first response has only the tokens of the first ten leases, and the second query fails.
 	h.client.TokensLearned(all[0].Request, h.latestTokens(all[0].Leases)[:10])
 	h.client.Failed(all[1].Request)
 	if n := len(h.tokenQueries()); n != 0 {
-		t.Fatalf("asked again at once, %d times", n)
+		t.Fatalf("queried again without a delay, %d times", n)
 	}
 	known := func() (n int) {
 		for i := range 328 {
@@ -81,23 +83,23 @@
 	if n := known(); n != 10 {
 		t.Fatalf("knows the tokens of %d leases, not 10", n)
 	}
-	h.now = 1000 // both are due again
+	h.now = 1000 // all leases without a token are due again
 	if all = h.tokenQueries(); len(all) != 2 || len(all[0].Leases) != 256 || len(all[1].Leases) != 62 || all[0].Leases[0] != "d/010" {
-		t.Fatalf("%d queries again, not 2 of 256 and 62", len(all))
+		t.Fatalf("%d queries after the delay, not 2 of 256 and 62", len(all))
 	}
-	// An answer with more tokens than were asked for, or without any, counts as none.
+	// A response with more tokens than were queried, or without any, counts as empty.
 	h.client.TokensLearned(all[0].Request, make([]lease.Token, 257))
 	h.client.Answered(all[1].Request, leasestate.Result{})
-	h.client.TokensLearned(all[1].Request, h.latestTokens(all[1].Leases)) // late: it was given up
+	h.client.TokensLearned(all[1].Request, h.latestTokens(all[1].Leases)) // late: the query has ended
 	if n := known(); n != 10 {
 		t.Fatalf("knows the tokens of %d leases, not 10", n)
 	}
 	if h.runUntil(10000, true); known() != 328 {
-		t.Errorf("knows the tokens of %d leases in the end, not 328", known())
+		t.Errorf("knows the tokens of %d leases at the end, not 328", known())
 	}
 }
 
-// While no answer comes, leases that were asked about together stay together, and each attempt comes later than the one before.
+// While no response arrives, leases that were queried together stay in one query, and the delay between attempts grows.
 func TestQueryTokens_BacksOffTogether(t *testing.T) {
 	h := newHarness(t)
 	for i := range 100 {
@@ -108,7 +110,7 @@
 		h.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 10})
 		for _, decision := range h.tokenQueries() {
 			if n++; len(decision.Leases) != 100 {
-				t.Fatalf("attempt %d is about %d leases", n, len(decision.Leases))
+				t.Fatalf("attempt %d queries %d leases, not 100", n, len(decision.Leases))
 			}
 			h.client.Failed(decision.Request)
 		}
@@ -118,7 +120,7 @@
 	}
 }
 
-// Each lease in a query is learned with its own token; long names go in queries of their own.
+// Each lease in a query is learned with its own token. A long name is queried alone.
 func TestQueryTokens_AnswersInOrderAndLongNamesAlone(t *testing.T) {
 	h := newHarness(t)
 	long := strings.Repeat("b", maxQueryBytes+1)
--- a/internal/decide/leaseclient/watch_test.go
+++ b/internal/decide/leaseclient/watch_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// A watch without sessions says nothing of which processes there are.
+// After a complete update of a watch without sessions, the sessions are not known to be complete.
 func TestSessionsComplete_FalseForWatchWithoutSessions(t *testing.T) {
 	h := newHarness(t)
 	h.client.UpdateReceived(Update{Complete: true, Sessions: []Session{{Name: "q", Role: "router"}}})
 	if !h.client.SessionsComplete() || len(h.client.Sessions("router")) != 1 {
-		t.Error("all sessions were in the update")
+		t.Error("the update had all sessions")
 	}
 	h.client.UpdateReceived(Update{Complete: true, WithoutSessions: true})
 	if h.client.SessionsComplete() || len(h.client.Sessions("router")) != 0 {
-		t.Error("no session was in the update")
+		t.Error("the update had no sessions")
 	}
 }
