--- a/internal/request/stream.go
+++ b/internal/request/stream.go
@@ -7,17 +7,17 @@
 	"wayloft/internal/pg"
 )
 
-// Stream is a request of several messages, such as one in the extended protocol or a COPY. It passes the client's operations on
-// to the connection that carries the request, and the member's messages back to the client. Until the client has received
-// anything, the stream buffers the member's messages and keeps the client's operations, so that they can be replayed on another
-// connection; from then on nothing is ever replayed.
+// Stream is a request of several messages, such as one of the extended query protocol or a COPY. It forwards the client's
+// messages to the connection that carries the request, and the member's messages to the client. Until the client has received
+// anything, the stream buffers the member's messages and keeps the client's, so that they can be replayed on another
+// connection. After that, nothing is replayed.
 type Stream struct {
-	Pool     string // the pool whose connections may carry it
+	Pool     string // name of the connection pool whose connections may carry it
 	Client   ClientSession
-	Reserved BackendConn // the connection reserved for the client's session, if any: no other may carry it
+	Reserved BackendConn // the connection reserved for the client session, if any; no other may carry the request
 
-	LastError *pg.Error // the error that the last attempt ended with, if the client has not received it
-	Position  float64   // the latest position that the member reported, in ms; 0: none
+	LastError *pg.Error // the error that ended the last attempt, if the client has not received it
+	Position  float64   // the latest position reported by the member, in ms; 0: none
 
 	backend        BackendConn
 	onClientGone   func()
@@ -26,52 +26,52 @@
 	bufferedBytes  int
 	started        bool // the client has received something
 	flushRequested bool // the client has asked for a flush
-	cancelled      bool // the client has cancelled it
+	cancelled      bool // the client has cancelled the request
 }
 
 // BackendConn is a connection to a member, as a stream uses it.
 type BackendConn interface {
-	// Send passes operations of the client on to the member.
-	Send(ops []session.Message)
-	// Cancel asks the member to stop what runs on the connection, if anything does.
+	// Send forwards messages of the client to the member.
+	Send(messages []session.Message)
+	// Cancel asks the member to cancel the statement that runs on the connection, if any.
 	Cancel()
-	// Member returns the id of the member at the other end.
+	// Member returns the id of the member that the connection leads to.
 	Member() string
-	// Release gives a reserved connection back.
+	// Release ends the reservation of a reserved connection.
 	Release()
 }
 
-// ClientSession is a client's session, as a stream uses it.
+// ClientSession is a client session, as a stream uses it.
 type ClientSession interface {
-	// Session returns the state that follows the client from connection to connection.
+	// Session returns the session state that is kept when the client's requests move to other connections.
 	Session() *session.Session
-	// DeliverMessages passes the member's messages on to the client. The messages are not valid after it returns.
+	// DeliverMessages forwards the member's messages to the client. The messages are not valid after it returns.
 	DeliverMessages(messages []pg.Message)
-	// ServerParameters tells the client which parameters the member reports of itself.
+	// ServerParameters reports the member's server parameters to the client.
 	ServerParameters(parameters *iradix.Tree[string])
-	// Reserve keeps the connection for the session, which must release it.
+	// Reserve reserves the connection for the session, which must release it.
 	Reserve(connection BackendConn)
 	// Terminate ends the session with this error.
 	Terminate(e *pg.Error)
 }
 
-// Send passes operations of the client on, and keeps them for a replay while one is still possible.
-func (s *Stream) Send(ops []session.Message) {
+// Send forwards messages of the client, and keeps them while a replay is still possible.
+func (s *Stream) Send(messages []session.Message) {
 	if !s.started {
-		s.replayLog = append(s.replayLog, ops...)
+		s.replayLog = append(s.replayLog, messages...)
 	}
-	for _, op := range ops {
-		s.flushRequested = s.flushRequested || op.Kind == pg.Flush
+	for _, message := range messages {
+		s.flushRequested = s.flushRequested || message.Kind == pg.Flush
 	}
 	if s.backend != nil {
-		s.backend.Send(ops)
+		s.backend.Send(messages)
 	}
 }
 
-// OnClientGone sets the function that is called once if the client goes away.
+// OnClientGone sets the function that is called once if the client disconnects.
 func (s *Stream) OnClientGone(f func()) { s.onClientGone = f }
 
-// ClientGone records that the client has gone away.
+// ClientGone records that the client has disconnected.
 func (s *Stream) ClientGone() {
 	if f := s.onClientGone; f != nil {
 		s.onClientGone = nil
@@ -79,13 +79,13 @@
 	}
 }
 
-// Attach begins an attempt on a connection.
+// Attach starts an attempt on a connection.
 func (s *Stream) Attach(connection BackendConn) {
 	s.backend = connection
 	connection.Send(s.replayLog)
 }
 
-// MarkCancelled records that the client has cancelled the attempt that runs: no further attempt may begin.
+// MarkCancelled records that the client has cancelled the running attempt: no further attempt may start.
 func (s *Stream) MarkCancelled() { s.cancelled = true }
 
 // Cancelled reports whether the client has cancelled the request.
@@ -94,14 +94,14 @@
 // Backend returns the connection that carries the request, or nil.
 func (s *Stream) Backend() BackendConn { return s.backend }
 
-// Replay sends the client's operations once more on the same connection. It must be called only if none of them has run.
+// Replay sends the client's messages again on the same connection. It may be called only if none of them has been executed.
 func (s *Stream) Replay() {
 	s.buffered, s.bufferedBytes = nil, 0
 	s.backend.Send(s.replayLog)
 }
 
-// Receive takes a message of the member. It is buffered until the client has received something already, has asked for a flush or
-// must act on the message, or the buffer has grown too large.
+// Receive buffers a message of the member. It flushes the buffer if the client has received something already, has requested a
+// flush or must act on the message, or if the buffer has grown too large.
 func (s *Stream) Receive(message pg.Message) {
 	message.Raw = append([]byte(nil), message.Raw...)
 	s.buffered = append(s.buffered, message)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// Flush delivers the buffered messages to the client. From then on nothing is replayed.
+// Flush delivers the buffered messages to the client. After that, nothing is replayed.
 func (s *Stream) Flush() {
 	if len(s.buffered) == 0 {
 		return
@@ -132,13 +132,14 @@
 	s.Client.DeliverMessages(messages)
 }
 
-// NextQuery begins the client's next query, for which no flush has been asked yet.
+// NextQuery starts the client's next query, for which no flush has been requested yet.
 func (s *Stream) NextQuery() { s.flushRequested = false }
 
 // Started reports whether the client has received anything.
 func (s *Stream) Started() bool { return s.started }
 
-// Detach records that the connection no longer carries the request, and keeps the error among the buffered messages, if any.
+// Detach records that the connection no longer carries the request, and sets LastError to the first error among the buffered
+// messages, or to nil if there is none.
 func (s *Stream) Detach() {
 	if s.backend == nil {
 		return
