--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -18,7 +18,7 @@
 type Settings struct {
 	Name, Role, Address          string   // of the process; Address receives orders from lease holders
 	Incarnation                  uint64   // Unix ms of the process's start, by the wall clock
-	SessionTimeout, SafetyMargin float64  // of the session; of a lease, before whose end this process stops acting
+	SessionTimeout, SafetyMargin float64  // SafetyMargin is how long before a lease ends its holder stops acting
 	Leases                       []string // requested from the start
 	Seed                         uint64   // of the random numbers for jitter
 }
@@ -92,7 +92,7 @@
 
 	holdersAdvanced int // how often a holder was advanced because its timer was due
 
-	Reopened     int // how often the session was opened again after the coordinator had ended it
+	Reopened     int // how often the coordinator had ended the session, which is then opened again
 	RejectedActs int // orders and switchover steps rejected for a stale fencing token
 }
 
--- a/internal/decide/leaseclient/client_test.go
+++ b/internal/decide/leaseclient/client_test.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// The client opens its session before any other request. It keeps its lease while the coordinator responds, loses it in an outage, and
+// The client opens its session before it proposes anything else. It keeps its lease while the coordinator responds, loses it in an outage, and
 // acquires it again afterwards.
 func TestClient_HoldsLeaseAndRegainsItAfterOutage(t *testing.T) {
 	h := newHarness(t, "d")
--- a/internal/decide/leaseclient/session.go
+++ b/internal/decide/leaseclient/session.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// requestSession decides to request a session; nothing else is requested before it is open.
+// requestSession decides to request a session. Leases are requested only once it is open.
 func (c *Client) requestSession() {
 	c.opening.dueAt = math.Inf(1)
 	c.incarnation.prepareRequest()
