--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -11,30 +11,30 @@
 	"wayloft/internal/decide/timerqueue"
 )
 
-// maxKnown bounds sessions, leases and token queries, each, that are kept of what the coordinator says: twice what it keeps itself.
-const maxKnown = 20000
+// maxTracked bounds the sessions, the leases and the token queries that a client keeps, each: twice the coordinator's own limit.
+const maxTracked = 20000
 
-// Settings of a client; they don't change. Times are ms.
+// Settings configure a client and don't change. Times are ms.
 type Settings struct {
-	Name, Role, Address          string   // of the process; Address receives the acts of lease holders
-	Incarnation                  uint64   // Unix ms of the process's start, as the wall clock has it
-	SessionTimeout, SafetyMargin float64  // of the session, and of each lease before the session ends
-	Leases                       []string // that it requests from the start
-	Seed                         uint64   // of the jitter
+	Name, Role, Address          string   // of the process; Address receives orders from lease holders
+	Incarnation                  uint64   // Unix ms of the process's start, by the wall clock
+	SessionTimeout, SafetyMargin float64  // SafetyMargin is how long before a lease ends its holder stops acting
+	Leases                       []string // requested from the start
+	Seed                         uint64   // of the random numbers for jitter
 }
 
 // Action is the kind of a decision.
 type Action int
 
-// What the driver of a client has to do.
+// Actions that the driver of a client carries out.
 const (
 	Propose     Action = iota // propose Entry to the coordinator, as request number Request
-	QueryTokens               // ask the coordinator which tokens of Leases are the latest, as request Request; TokensLearned takes the answer
-	Start                     // Lease is this process's, under Token
-	Stop                      // it no longer is: nothing more may go out under Token
+	QueryTokens               // query the coordinator for the latest tokens of Leases, as request Request; TokensLearned takes the response
+	Start                     // this process holds Lease, under Token
+	Stop                      // it no longer holds Lease: nothing more may be sent under Token
 )
 
-// Decision is one thing that the driver has to do; only the fields of its action are set.
+// Decision is one action for the driver; only the fields that its Action uses are set.
 type Decision struct {
 	Action  Action
 	Request uint64
@@ -44,66 +44,66 @@
 	Token   lease.Token
 }
 
-// pendingRequest is a request to the coordinator that isn't answered yet.
+// pendingRequest is a request to the coordinator without a response yet.
 type pendingRequest struct {
-	kind          leasestate.Kind // of the entry proposed, or tokenQuery
-	lease         string          // of an AcquireLease
-	holderRequest uint64          // its number at the lease's holder
+	kind          leasestate.Kind // of the proposed entry, or tokenQuery
+	lease         string          // of an AcquireLease entry
+	holderRequest uint64          // number that the lease's Holder gave to an AcquireLease request
 	leases        []string        // of a token query
 }
 
 // tokenQuery is the kind of a request that proposes no entry.
 const tokenQuery leasestate.Kind = ""
 
-// Client is one process's part in the fleet. It isn't safe for concurrent use.
+// Client manages one process's session and leases, and checks orders from lease holders. It isn't safe for concurrent use.
 type Client struct {
 	settings  Settings
 	started   bool // Advance has been called
 	startedAt float64
 	now       float64
-	random    random.Source
-	decisions []Decision // not yet pulled by Next
+	rng       random.Source
+	decisions []Decision // not yet returned by Next
 
 	latestRequest uint64
-	pending       map[uint64]pendingRequest // by number
+	pending       map[uint64]pendingRequest // by request number
 
 	incarnation      incarnation
 	sessionOpen      bool
-	opening          backoff // of the request for a session
+	opening          backoff // of the request to open a session
 	heartbeat        backoff
 	shuttingDown     bool
 	shutdownComplete bool
 
-	appliedPolicy   uint64 // number of the version that this process has applied
+	appliedPolicy   uint64 // number of the policy version that this process has applied
 	rejectedPolicy  uint64 // number of one that it couldn't apply
 	rejectionReason string
 
 	holders    map[string]*holder // by lease
 	deadlines  timerqueue.Queue[*holder]
-	candidates map[string]float64 // leases that this process will request, and from when
+	candidates map[string]float64 // when to begin requesting a lease, by lease
 
 	receiver     *lease.Receiver
-	tokenQueries map[string]*backoff // by lease whose token this receiver has yet to learn
-	reportedAt   map[string]float64  // by lease: when a higher token was reported to the coordinator
+	tokenQueries map[string]*backoff // by lease whose token the receiver hasn't learned yet
+	reportedAt   map[string]float64  // when a higher token was last reported to the coordinator, by lease
 
-	sessions         map[string]Session // as the watch has them, by name
+	sessions         map[string]Session // as last reported by the watch, by name
 	leases           map[string]Lease
 	sessionsComplete bool
 
-	holdersAdvanced int // holders advanced so far because of time alone
+	holdersAdvanced int // how often a holder was advanced because its timer was due
 
-	Reopened     int // sessions that the coordinator had ended
-	RejectedActs int // acts of others rejected for their fencing token
+	Reopened     int // how often the coordinator had ended the session, which is then opened again
+	RejectedActs int // orders and switchover steps rejected for a stale fencing token
 }
 
 // New returns a client without a session.
 func New(settings Settings) *Client {
 	c := &Client{
 		settings:     settings,
-		random:       random.Source{Seed: settings.Seed},
+		rng:          random.Source{Seed: settings.Seed},
 		pending:      map[uint64]pendingRequest{},
 		incarnation:  newIncarnation(settings.Incarnation),
-		heartbeat:    never(),
+		heartbeat:    notScheduled(),
 		holders:      map[string]*holder{},
 		candidates:   map[string]float64{},
 		receiver:     lease.NewReceiver(),
@@ -118,9 +118,9 @@
 	return c
 }
 
-// Advance sets the time of all that follows until the next call.
+// Advance sets the current time for all calls until the next Advance.
 func (c *Client) Advance(now float64) {
-	c.watchOwnClock(now)
+	c.checkStartupWindow(now)
 	c.now = math.Max(c.now, now)
 	for _, name := range slices.Sorted(maps.Keys(c.candidates)) {
 		if c.candidates[name] <= c.now {
@@ -131,10 +131,10 @@
 	c.advanceDueHolders()
 }
 
-// Next returns the next decision, or false if none is left. All must be pulled after each input.
+// Next returns the next decision, or false if none is left. After each input the driver must call it until it returns false.
 func (c *Client) Next() (Decision, bool) {
 	if len(c.decisions) == 0 && !c.shuttingDown {
-		c.decideDue()
+		c.decideDueRequests()
 	}
 	if len(c.decisions) == 0 {
 		return Decision{}, false
@@ -144,8 +144,8 @@
 	return decision, true
 }
 
-// decideDue decides what is due of the session, or else of the token queries.
-func (c *Client) decideDue() {
+// decideDueRequests decides the request of the session that is due, or else a token query.
+func (c *Client) decideDueRequests() {
 	switch {
 	case !c.sessionOpen && c.opening.dueAt <= c.now:
 		c.requestSession()
@@ -156,7 +156,7 @@
 	}
 }
 
-// NextDeadline returns when Advance must be called next at the latest; +Inf: not because of time.
+// NextDeadline returns the latest time of the next call of Advance; +Inf: no timer is pending.
 func (c *Client) NextDeadline() float64 {
 	deadline := math.Min(c.opening.dueAt, c.heartbeat.dueAt)
 	if first := c.deadlines.First(); first != nil {
@@ -171,18 +171,19 @@
 	return deadline
 }
 
-// Signed returns an entry as one of this process's present session.
+// Signed returns an entry with the name and incarnation of this process's session.
 func (c *Client) Signed(entry leasestate.Entry) leasestate.Entry {
 	entry.Session, entry.Incarnation = c.settings.Name, c.incarnation.current
 	return entry
 }
 
-// propose decides to propose an entry of this process's session.
+// propose decides to propose an entry for this process's session.
 func (c *Client) propose(entry leasestate.Entry) {
-	c.proposeAs(pendingRequest{kind: entry.Kind}, c.Signed(entry))
+	c.proposeRequest(pendingRequest{kind: entry.Kind}, c.Signed(entry))
 }
 
-func (c *Client) proposeAs(request pendingRequest, entry leasestate.Entry) {
+// proposeRequest decides to propose an entry as it is, and keeps request until the response arrives.
+func (c *Client) proposeRequest(request pendingRequest, entry leasestate.Entry) {
 	c.decide(Decision{Action: Propose, Request: c.addPending(request), Entry: entry})
 }
 
@@ -194,19 +195,19 @@
 
 func (c *Client) decide(decision Decision) { c.decisions = append(c.decisions, decision) }
 
-// retryLater puts something off that brought no answer.
-func (c *Client) retryLater(b *backoff) { b.retry(c.now, c.settings.SessionTimeout, &c.random) }
+// retryLater schedules the next attempt of a request that got no response.
+func (c *Client) retryLater(b *backoff) { b.scheduleRetry(c.now, c.settings.SessionTimeout, &c.rng) }
 
-// takePending ends a request; false: there is none of this number.
-func (c *Client) takePending(number uint64) (pendingRequest, bool) {
+// removePending removes and returns a pending request; false: there is none with this number.
+func (c *Client) removePending(number uint64) (pendingRequest, bool) {
 	request, found := c.pending[number]
 	delete(c.pending, number)
 	return request, found
 }
 
-// Answered takes in the coordinator's answer to a request.
+// Answered handles the coordinator's response to a request.
 func (c *Client) Answered(number uint64, result leasestate.Result) {
-	request, found := c.takePending(number)
+	request, found := c.removePending(number)
 	if !found {
 		return
 	}
@@ -216,21 +217,21 @@
 	}
 	switch request.kind {
 	case leasestate.OpenSession:
-		c.sessionAnswered(result)
+		c.handleOpenSessionResponse(result)
 	case leasestate.KeepAlive:
-		c.heartbeatAnswered()
+		c.heartbeatAcknowledged()
 	case leasestate.AcquireLease:
-		c.leaseAnswered(request, result)
+		c.handleAcquireResponse(request, result)
 	case leasestate.CloseSession:
 		c.shutdownComplete = true
 	case tokenQuery:
-		c.tokensAnswered(request.leases, nil) // an answer that has no tokens
+		c.handleTokens(request.leases, nil) // the response has no tokens
 	}
 }
 
-// Failed says that a request brought no answer, or none that this build knows.
+// Failed records that a request got no response, or none that this build understands.
 func (c *Client) Failed(number uint64) {
-	request, found := c.takePending(number)
+	request, found := c.removePending(number)
 	if !found {
 		return
 	}
@@ -241,8 +242,8 @@
 	case leasestate.KeepAlive:
 		c.retryLater(&c.heartbeat)
 	case leasestate.CloseSession:
-		c.shutdownComplete = true // the session's timeout will end it
+		c.shutdownComplete = true // the session will expire
 	case tokenQuery:
-		c.tokensAnswered(request.leases, nil)
+		c.handleTokens(request.leases, nil)
 	}
 }
