--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -70,7 +70,7 @@
 			if c.name == "login never answered" {
 				dialTimeout = 200 // the attempt ends with it
 			}
-			driver, backend := startWithin(t, 10, dialTimeout)
+			driver, backend := startWithDialTimeout(t, 10, dialTimeout)
 			m := fakes.NewMember(t, c.greet, func(string) *fakes.Reply { return c.answer })
 			driver.runOnLoop(func() {
 				backend.List(listOf(m.Addr, router.Up))
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -20,7 +20,7 @@
 	job          *job
 	ready        bool // the member has accepted the login
 	queryWritten bool // the job's query was given to conn
-	fence        fenceState
+	barrier      barrierState
 
 	rows          []byte // the response so far
 	stage         responseStage
@@ -35,15 +35,15 @@
 	*streamState // nil unless its pool carries requests of several messages
 }
 
-// fenceState is how far the empty query is answered that goes before a job's query on a connection that was just used. Whatever comes
+// barrierState is how far the empty query is answered that goes before a job's query on a connection that was just used. Whatever comes
 // before its answer belongs to the job before. It guards against a second copy of the last response, which would be taken for the
 // response to this query.
-type fenceState int
+type barrierState int
 
 const (
-	fenceNone     fenceState = iota // no empty query was sent, or all of its answer has come
-	fenceAnswered                   // the ReadyForQuery after its answer is still to come
-	fenceSent                       // its answer is still to come
+	barrierNone    barrierState = iota // no empty query was sent, or all of its answer has come
+	barrierReplied                     // the ReadyForQuery after its answer is still to come
+	barrierSent                        // its answer is still to come
 )
 
 // connectFailed ends a connection that has not become ready.
@@ -51,7 +51,7 @@
 	if c.backend.conns[c.id] == c {
 		c.backend.poolInput().OpenFailed(c.id, cause)
 		c.conn.Close()
-		c.forget()
+		c.unregister()
 		c.backend.carryOutDecisions()
 	}
 }
@@ -64,7 +64,7 @@
 		return c.startStream(j)
 	}
 	out := c.buildQuery(j)
-	if c.backend.withheld(j) {
+	if c.backend.endIfUnsendable(j) {
 		return false
 	}
 	c.receivedBytes = 0
@@ -94,7 +94,7 @@
 
 // buildQuery returns the bytes of the job's query. A statement's comment has the time that is left to its client right now.
 func (c *memberConn) buildQuery(j *job) (out []byte) {
-	if c.fence != fenceNone {
+	if c.barrier != barrierNone {
 		// The answer to an empty query comes first, and nothing that the member sent earlier can come after it.
 		out = pg.AppendQuery(out)
 	}
@@ -116,12 +116,12 @@
 	if c.backend.conns[c.id] == c {
 		c.backend.poolInput().ConnectionClosed(c.id)
 		c.conn.Close()
-		c.forget()
+		c.unregister()
 		c.backend.driver.Defer(c.backend.carryOutDecisions) // the pool may open another
 	}
 }
 
-func (c *memberConn) forget() {
+func (c *memberConn) unregister() {
 	delete(c.backend.conns, c.id)
 	c.backend.bufferedBytes -= c.bufferedBytes
 	c.bufferedBytes = 0
@@ -134,16 +134,16 @@
 		return
 	}
 	if j := c.job; j != nil {
-		c.backend.endJob(j, c.outcomeOfClose())
+		c.backend.endJob(j, c.closeOutcome())
 	} else if c.streamState != nil && c.reservedFor != nil {
 		c.reservedFor.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: "the connection that this session kept has ended"})
 	}
 	c.drop()
 }
 
-// outcomeOfClose returns what the end of the connection means for its job. The job never ran if its last byte was not written; a complete
+// closeOutcome returns what the end of the connection means for its job. The job never ran if its last byte was not written; a complete
 // response or an error that came before the end still counts.
-func (c *memberConn) outcomeOfClose() router.Outcome {
+func (c *memberConn) closeOutcome() router.Outcome {
 	switch {
 	case c.streamState != nil && c.querySent() && c.internalPending == 0 && !c.nothingExpected():
 		return router.Reset
@@ -182,7 +182,7 @@
 	}
 	c.rows, c.value = nil, nil
 	c.reader.Shrink()
-	c.countBuffered()
+	c.updateBufferedBytes()
 	c.backend.poolInput().Release(c.id, c.settingsID())
 	c.backend.driver.Defer(c.backend.carryOutDecisions)
 }
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -35,11 +35,11 @@
 	pools := map[string]connpool.Bounds{PlatformPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}
 	backend := New(driver, limits, connpool.New(connpool.Settings{MaxTotal: 10, Pools: pools}))
 	driver.SetBackend(backend)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := driver.Listen(front, 1<<20, func(*eventloop.Conn) {}); err != nil {
+	if err := driver.Listen(listener, 1<<20, func(*eventloop.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
 	list := &discovery.List{Complete: true}
@@ -64,9 +64,9 @@
 // This host has no port or no route for a while, or for longer than a request's deadline: the request has one final response in time, it
 // succeeds as soon as a dial does, and dials are few however long the shortage lasts.
 func TestRouter_ShortageOfThisHost(t *testing.T) {
-	const deadline, forever = 3000.0, 1 << 40
+	const deadline, always = 3000.0, 1 << 40
 	for _, errno := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
-		for _, failing := range []int64{1, 8, forever} {
+		for _, failing := range []int64{1, 8, always} {
 			for _, members := range []int{1, 3} {
 				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", dials that fail: ", failing, ", members: ", members), func(t *testing.T) {
 					var addrs []string
@@ -98,14 +98,14 @@
 					})
 					response := <-responses
 					took := time.Since(started)
-					if want := failing < forever; (response.Rows != nil) != want || response.Rejected == want {
+					if want := failing < always; (response.Rows != nil) != want || response.Rejected == want {
 						t.Errorf("responded %+v after %v", response, took)
 					}
 					if took > time.Duration(deadline)*time.Millisecond {
 						t.Errorf("responded after %v", took)
 					}
-					if most := int64(members) * (6 + took.Milliseconds()/100); failing == forever && dials.Load() > most {
-						t.Errorf("%d dials in %v, want %d at most", dials.Load(), took, most)
+					if maxDials := int64(members) * (6 + took.Milliseconds()/100); failing == always && dials.Load() > maxDials {
+						t.Errorf("%d dials in %v, want %d at most", dials.Load(), took, maxDials)
 					}
 					t.Logf("%d dials in %v", dials.Load(), took)
 				})
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -50,10 +50,10 @@
 // start runs a backend whose connections have more time to come up than they need on a busy machine.
 func start(t *testing.T, maxConns int) (*testDriver, *Backend) {
 	t.Helper()
-	return startWithin(t, maxConns, 5000)
+	return startWithDialTimeout(t, maxConns, 5000)
 }
 
-func startWithin(t *testing.T, maxConns int, dialTimeout float64) (*testDriver, *Backend) {
+func startWithDialTimeout(t *testing.T, maxConns int, dialTimeout float64) (*testDriver, *Backend) {
 	t.Helper()
 	return startPools(t, maxConns, dialTimeout, connpool.Bounds{})
 }
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -20,7 +20,7 @@
 	deadline        float64 // the job times out then
 	notAfter        float64 // it must not be written later
 	writtenAt       float64 // when the write of its query began
-	memberMs        float64 // ms that the member has taken so far; only for streams, in which the client has turns, too
+	memberTimeMs    float64 // ms that the member has taken so far; only for streams, in which the client has turns, too
 	memberTurnSince float64 // since when the stream waits for the member; 0: it doesn't
 	timer           *time.Timer
 	poolRequest     string      // its id in the pool
@@ -104,7 +104,7 @@
 
 // endMemberTurn adds the time since the stream began to wait for the member to what the member has taken.
 func (j *job) endMemberTurn(now float64) {
-	j.memberMs += now - j.memberTurnSince
+	j.memberTimeMs += now - j.memberTurnSince
 	j.memberTurnSince = 0
 }
 
@@ -113,9 +113,9 @@
 	return now > j.notAfter || j.request != nil && now >= j.deadline
 }
 
-// withheld reports whether a job must not be written, and ends it if so: its time is over, or its client has gone. It must be called
+// endIfUnsendable reports whether a job must not be written, and ends it if so: its time is over, or its client has gone. It must be called
 // right before the write, and checks the client last, after all readings of the clock.
-func (b *Backend) withheld(j *job) bool {
+func (b *Backend) endIfUnsendable(j *job) bool {
 	if j.expired(b.driver.Clock()) {
 		b.driver.Defer(func() { b.endJob(j, router.NotSent) })
 		return true
@@ -149,7 +149,7 @@
 		}
 		return
 	}
-	if j.gaveUp(outcome) && (j.conn == nil || j.conn.closeIfUnsent()) {
+	if j.timedOutOrCanceled(outcome) && (j.conn == nil || j.conn.closeIfUnsent()) {
 		outcome = router.NotSent // given up before it was written: that says nothing about the member
 	}
 	result := b.detachConn(j, outcome)
@@ -164,8 +164,8 @@
 	}
 }
 
-// gaveUp reports whether the outcome means that an attempt ended without waiting for its member any longer.
-func (j *job) gaveUp(outcome router.Outcome) bool {
+// timedOutOrCanceled reports whether the outcome means that an attempt ended without waiting for its member any longer.
+func (j *job) timedOutOrCanceled(outcome router.Outcome) bool {
 	return j.request != nil && (outcome == router.TimedOut || outcome == router.Canceled)
 }
 
@@ -185,7 +185,7 @@
 	took := b.driver.Now() - j.started
 	if j.request.Stream != nil {
 		j.request.Stream.OnClientGone(nil)
-		took = j.memberMs
+		took = j.memberTimeMs
 	}
 	if outcome == router.ServerError && result.statementError != nil {
 		b.driver.StatementFailed(j.request, j.attempt, j.member.id, result.statementError)
--- a/internal/backend/list_test.go
+++ b/internal/backend/list_test.go
@@ -41,7 +41,7 @@
 // An attempt that is not written yet when its member starts draining is not sent any more; one that is in flight goes on. A changed
 // address, or a new start, closes the idle connections.
 func TestList_Changes(t *testing.T) {
-	driver, backend := startWithin(t, 10, 200)
+	driver, backend := startWithDialTimeout(t, 10, 200)
 	silent := fakes.NewMember(t, &fakes.Reply{}, nil)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	driver.runOnLoop(func() {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -69,7 +69,7 @@
 	case connpool.Close:
 		if c != nil {
 			c.conn.Close()
-			c.forget()
+			c.unregister()
 		}
 	case connpool.Reject:
 		delete(b.waiting, d.RequestID)
@@ -98,12 +98,12 @@
 		b.requestConn(j)
 		return
 	}
-	c.fence = fenceNone
+	c.barrier = barrierNone
 	if d.Unsettled && c.streamState == nil {
-		c.fence = fenceSent
+		c.barrier = barrierSent
 	}
 	if !c.startJob(j) {
-		c.fence = fenceNone
+		c.barrier = barrierNone
 		b.poolInput().Release(d.Conn, c.settingsID())
 	}
 }
@@ -129,17 +129,17 @@
 	b.poolRequests++
 	j.poolRequest = strconv.Itoa(b.poolRequests)
 	b.waiting[j.poolRequest] = j
-	wanted := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: PlatformPool}}
+	poolRequest := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: PlatformPool}}
 	switch {
 	case j.cancelKey != nil:
-		wanted.Key.Pool = CancelPool
+		poolRequest.Key.Pool = CancelPool
 	case j.request != nil && j.request.Stream != nil:
 		stream := j.request.Stream
-		wanted.Key.Pool = stream.Pool
-		wanted.Tenant = j.request.Tenant
-		wanted.Affinity = stream.Client.Session().Settings().ID()
+		poolRequest.Key.Pool = stream.Pool
+		poolRequest.Tenant = j.request.Tenant
+		poolRequest.Affinity = stream.Client.Session().Settings().ID()
 	}
-	b.poolInput().Request(wanted)
+	b.poolInput().Request(poolRequest)
 }
 
 // dial opens a connection. It can be used once the member has accepted the login.
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -22,8 +22,8 @@
 // closeSocket closes a socket of the test's own, whose end the test does not depend on.
 func closeSocket(c io.Closer) { _ = c.Close() }
 
-// drain reads a connection until it ends, however it does.
-func drain(c io.Reader) { _, _ = io.Copy(io.Discard, c) }
+// readToEOF reads a connection until it ends, however it does.
+func readToEOF(c io.Reader) { _, _ = io.Copy(io.Discard, c) }
 
 // stalledMember is a member that accepts a login and then reads nothing.
 type stalledMember struct {
@@ -69,8 +69,8 @@
 			driver.Defer(func() { b.endJob(b.attempts["1"], router.TimedOut) })
 		}},
 	} {
-		for _, drained := range []bool{true, false} {
-			t.Run(fmt.Sprint(c.name, ", read meanwhile: ", drained), func(t *testing.T) {
+		for _, readMeanwhile := range []bool{true, false} {
+			t.Run(fmt.Sprint(c.name, ", read meanwhile: ", readMeanwhile), func(t *testing.T) {
 				driver, backend := start(t, 10)
 				m := newStalledMember(t)
 				statement, err := pg.ParseStatement("/* id=1,c=x,d=60000 */ SELECT " + long)
@@ -97,16 +97,16 @@
 						conn = c
 					}
 				})
-				if drained {
+				if readMeanwhile {
 					defer failpoint.Set("backend.unsent", sync.OnceFunc(func() {
-						go drain(peer)
+						go readToEOF(peer)
 						for !conn.conn.Sent() {
 							runtime.Gosched()
 						}
 					}))()
 				}
 				want := c.want
-				if !drained {
+				if !readMeanwhile {
 					want = "0 not sent 0 0 false"
 				}
 				driver.runOnLoop(func() { c.giveUp(backend, driver) })
@@ -223,7 +223,7 @@
 // A batch of events takes long, and an attempt is decided at its end: the member receives at most what its client has left by then, and the
 // attempt times out when the client's time is over, not that much later.
 func TestSendAttempt_DeadlineAfterLongBatch(t *testing.T) {
-	const lag, left, later = 1500.0, 2000.0, 750.0
+	const batchMs, remainingMs, laterMs = 1500.0, 2000.0, 750.0
 	driver, backend := start(t, 4)
 	received := make(chan string, 10)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -244,19 +244,19 @@
 	var began float64
 	driver.runOnLoop(func() {
 		began = driver.Now()
-		for driver.Clock() < began+lag {
+		for driver.Clock() < began+batchMs {
 			runtime.Gosched()
 		}
-		backend.SendAttempt(newRequest(driver, "first", left), 0, "a", 0, math.Inf(1))
+		backend.SendAttempt(newRequest(driver, "first", remainingMs), 0, "a", 0, math.Inf(1))
 	})
 	driver.runOnLoop(func() {
-		backend.SendAttempt(newRequest(driver, "second", began+left+later-driver.Now()), 1, "a", 0, math.Inf(1))
+		backend.SendAttempt(newRequest(driver, "second", began+remainingMs+laterMs-driver.Now()), 1, "a", 0, math.Inf(1))
 	})
 	for range 2 {
 		sql := <-received
 		d := deadlineOf(t, sql)
-		if strings.Contains(sql, "id=first") && d > left-lag {
-			t.Errorf("the deadline sent is %.0f ms, %.0f at most are left", d, left-lag)
+		if strings.Contains(sql, "id=first") && d > remainingMs-batchMs {
+			t.Errorf("the deadline sent is %.0f ms, %.0f at most are left", d, remainingMs-batchMs)
 		}
 	}
 	for _, want := range []string{"0 timed out 0 0 false", "1 timed out 0 0 false"} {
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -28,19 +28,19 @@
 
 const msPerSecond = 1000
 
-// rolesOnWire are the roles by their names on the wire.
-var rolesOnWire = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
+// rolesByWireName are the roles by their names on the wire.
+var rolesByWireName = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
 
 // isRouterParameter reports whether a parameter is for the router and not for the client.
 func isRouterParameter(name string) bool {
 	return name == roleParameter || name == positionParameter || name == reportParameter
 }
 
-// recordParameter records a parameter that is for the router.
-func (c *memberConn) recordParameter(name, value string) {
+// recordRouterParameter records a parameter that is for the router.
+func (c *memberConn) recordRouterParameter(name, value string) {
 	switch name {
 	case roleParameter:
-		c.role = rolesOnWire[value]
+		c.role = rolesByWireName[value]
 	case positionParameter:
 		if x, err := strconv.ParseFloat(value, 64); err == nil && x > 0 {
 			c.position = x
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -17,8 +17,8 @@
 	stageReady    // the connection is ready for the next query
 )
 
-// maxUnsolicitedFactor times Limits.MaxResponse is how many bytes may come on a connection since its last job began.
-const maxUnsolicitedFactor = 2
+// maxReceivedFactor times Limits.MaxResponse is how many bytes may come on a connection since its last job began.
+const maxReceivedFactor = 2
 
 // errorOutcomes are the error codes that say that the statement did not run.
 var errorOutcomes = map[string]router.Outcome{
@@ -39,25 +39,25 @@
 // Data implements eventloop.Handler. A response is kept until it is complete; bytes that violate the protocol end the connection.
 func (c *memberConn) Data(b []byte) {
 	if c.pool == CancelPool { // a server sends nothing in reply to a cancel request
-		c.failProtocol()
+		c.closeOnProtocolError()
 		return
 	}
 	// Guards against an endless row of messages that are skipped one by one, on an idle connection, too.
 	c.receivedBytes += len(b)
-	if c.streamState == nil && c.receivedBytes > maxUnsolicitedFactor*c.backend.limits.MaxResponse {
-		c.failProtocol()
+	if c.streamState == nil && c.receivedBytes > maxReceivedFactor*c.backend.limits.MaxResponse {
+		c.closeOnProtocolError()
 		return
 	}
 	c.reader.Feed(b)
 	for c.backend.conns[c.id] == c {
 		m, complete, err := c.reader.Next()
-		c.countBuffered()
+		c.updateBufferedBytes()
 		if !complete && err == nil {
 			c.enforceBudget()
 			return
 		}
 		if err != nil || !c.handle(&m) {
-			c.failProtocol()
+			c.closeOnProtocolError()
 			return
 		}
 	}
@@ -68,20 +68,20 @@
 func (c *memberConn) enforceBudget() {
 	if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
 		c.backend.OverBudget++
-		c.failProtocol()
+		c.closeOnProtocolError()
 	}
 }
 
-// countBuffered updates the sum of what all connections hold of responses.
-func (c *memberConn) countBuffered() {
+// updateBufferedBytes updates the sum of what all connections hold of responses.
+func (c *memberConn) updateBufferedBytes() {
 	buffered := len(c.rows) + c.reader.Buffered()
 	c.backend.bufferedBytes += buffered - c.bufferedBytes
 	c.bufferedBytes = buffered
 }
 
-// failProtocol ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
+// closeOnProtocolError ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
 // the response can be trusted. It guards against taking garbage for the loss of a member that is up.
-func (c *memberConn) failProtocol() {
+func (c *memberConn) closeOnProtocolError() {
 	c.backend.ProtocolErrors++
 	c.stage, c.queryError = stageNone, nil
 	if j := c.job; j != nil && !c.closeIfUnsent() {
@@ -104,13 +104,13 @@
 	case pg.Ignored, pg.AuthenticationOK:
 		return true
 	case pg.ParameterStatus:
-		c.recordParameter(m.Name, m.Text)
+		c.recordRouterParameter(m.Name, m.Text)
 		return true
 	case pg.EmptyQuery:
-		if c.fence != fenceSent {
+		if c.barrier != barrierSent {
 			return false
 		}
-		c.fence = fenceAnswered
+		c.barrier = barrierReplied
 		return true
 	case pg.ErrorResponse:
 		return c.handleError(m.Error)
@@ -123,9 +123,9 @@
 // handleError processes an error of the member: it refuses the login, or answers the job's query.
 func (c *memberConn) handleError(e *pg.Error) bool {
 	if !c.ready {
-		return c.loginRefused(e)
+		return c.handleLoginError(e)
 	}
-	if c.job == nil || c.fence != fenceNone {
+	if c.job == nil || c.barrier != barrierNone {
 		return false
 	}
 	c.queryError = e
@@ -134,9 +134,9 @@
 
 // handleReady processes a ReadyForQuery: after the login, after the empty query of the fence, or after a response.
 func (c *memberConn) handleReady() bool {
-	if c.fence != fenceNone {
-		answered := c.fence == fenceAnswered
-		c.fence = fenceNone
+	if c.barrier != barrierNone {
+		answered := c.barrier == barrierReplied
+		c.barrier = barrierNone
 		return answered
 	}
 	return c.becomeReady() || c.finishResponse()
@@ -144,7 +144,7 @@
 
 // handleResponseMessage appends a message to the response; false: it can't be its next part. A response is one row of one column.
 func (c *memberConn) handleResponseMessage(m *pg.Message) bool {
-	if c.job == nil || !c.ready || c.queryError != nil || c.fence != fenceNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
+	if c.job == nil || !c.ready || c.queryError != nil || c.barrier != barrierNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
 		return false
 	}
 	switch {
@@ -175,8 +175,8 @@
 	return true
 }
 
-// loginRefused processes an error that came before the member accepted the login.
-func (c *memberConn) loginRefused(e *pg.Error) bool {
+// handleLoginError processes an error that came before the member accepted the login.
+func (c *memberConn) handleLoginError(e *pg.Error) bool {
 	cause := connpool.Unreachable
 	if e.Code == pg.TooManyConnections {
 		cause = connpool.TooManyConnections
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -36,7 +36,7 @@
 	staleStatement    *session.PreparedStatement // the statement whose plan was invalid, if nothing has run: the request is replayed
 	parameters        *iradix.Tree[string]       // what the member has reported
 	copyingIn         bool                       // the client sends the data of a COPY
-	clientPartWritten bool                       // some of the client's operations were written
+	clientOpsWritten  bool                       // some of the client's operations were written
 	reservedFor       request.ClientSession      // the session that the connection is reserved for, between its requests
 }
 
@@ -83,11 +83,11 @@
 // startStream starts a request on the connection, unless it is withheld: first the session's settings, then the client's operations. It
 // reports whether it did.
 func (c *memberConn) startStream(j *job) bool {
-	if c.backend.withheld(j) {
+	if c.backend.endIfUnsendable(j) {
 		return false
 	}
 	c.attach(j)
-	c.clientPartWritten, c.copyingIn = false, false
+	c.clientOpsWritten, c.copyingIn = false, false
 	c.replayed, c.staleStatement = false, nil
 	c.reservedFor = nil
 	stream := j.request.Stream
@@ -167,12 +167,12 @@
 	c.expected = append(c.expected, expectedReply{kind: pg.Query})
 	c.internalPending++
 	c.conn.Write(pg.AppendQuery(nil, discardAll))
-	c.dropUnlessAnswered()
+	c.dropOnReplyTimeout()
 }
 
-// dropUnlessAnswered closes the connection unless the member answers in time what is sent between two requests. It guards against a
+// dropOnReplyTimeout closes the connection unless the member answers in time what is sent between two requests. It guards against a
 // connection that is kept for nobody.
-func (c *memberConn) dropUnlessAnswered() {
+func (c *memberConn) dropOnReplyTimeout() {
 	c.backend.driver.After(c.backend.limits.DialTimeoutMs, func() {
 		if c.job == nil && c.internalPending > 0 {
 			c.drop()
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -6,8 +6,8 @@
 	"wayloft/router"
 )
 
-// answerLocally delivers the replies at the head of the queue that need no member.
-func (c *memberConn) answerLocally() {
+// deliverLocalReplies delivers the replies at the head of the queue that need no member.
+func (c *memberConn) deliverLocalReplies() {
 	for len(c.expected) > 0 && c.expected[0].localReply != nil {
 		reply := c.expected[0]
 		c.expected = c.expected[1:]
@@ -45,7 +45,7 @@
 		c.cancelKey = m.Key
 		return true
 	case pg.ParameterStatus:
-		c.recordParameter(m.Name, m.Text)
+		c.recordRouterParameter(m.Name, m.Text)
 		if !isRouterParameter(m.Name) {
 			c.recordClientParameter(m.Name, m.Text)
 		}
@@ -62,7 +62,7 @@
 		return true
 	case pg.ErrorResponse:
 		if !c.ready {
-			return c.loginRefused(m.Error)
+			return c.handleLoginError(m.Error)
 		}
 		return c.handleStreamError(m)
 	case pg.ReadyForQuery:
@@ -99,7 +99,7 @@
 		}
 		c.job.request.Stream.Receive(*m)
 	}
-	c.answerLocally()
+	c.deliverLocalReplies()
 	return true
 }
 
@@ -151,7 +151,7 @@
 	}
 	if c.internalPending > 0 {
 		c.internalPending--
-		return c.internalDone(m)
+		return c.finishInternalQuery(m)
 	}
 	j := c.job
 	if j == nil {
@@ -190,8 +190,8 @@
 	c.conn.Write(pg.AppendSync(out))
 }
 
-// internalDone goes on after an internal query was answered.
-func (c *memberConn) internalDone(m *pg.Message) bool {
+// finishInternalQuery goes on after an internal query was answered.
+func (c *memberConn) finishInternalQuery(m *pg.Message) bool {
 	switch {
 	case c.job == nil && c.unusable:
 		c.drop()
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -23,8 +23,8 @@
 	refusedStatement = statementNamePrefix + "refused"
 )
 
-// emptyBind ends a Bind message: no parameter formats, no parameters and no result formats, each a 16-bit count.
-var emptyBind = []byte{0, 0, 0, 0, 0, 0}
+// emptyBindSuffix ends a Bind message: no parameter formats, no parameters and no result formats, each a 16-bit count.
+var emptyBindSuffix = []byte{0, 0, 0, 0, 0, 0}
 
 // Send implements request.BackendConn. Operations wait while internal queries are pending, since they must not run without these.
 func (c *memberConn) Send(ops []session.Message) {
@@ -40,12 +40,12 @@
 		return
 	}
 	out := c.encodeAll(ops)
-	if !c.clientPartWritten && c.backend.withheld(c.job) { // the internal queries may have taken a while
+	if !c.clientOpsWritten && c.backend.endIfUnsendable(c.job) { // the internal queries may have taken a while
 		return
 	}
-	c.clientPartWritten = c.clientPartWritten || c.internalPending == 0
+	c.clientOpsWritten = c.clientOpsWritten || c.internalPending == 0
 	c.conn.Write(out)
-	c.answerLocally()
+	c.deliverLocalReplies()
 }
 
 // encodeAll returns the operations as they are sent to this member. Those that come after operations whose replies the client does not
@@ -98,7 +98,7 @@
 		if op.Kind == pg.Query {
 			return pg.AppendQuery(out, refusedQuery)
 		}
-		return pg.AppendBind(out, "", refusedStatement, emptyBind)
+		return pg.AppendBind(out, "", refusedStatement, emptyBindSuffix)
 	}
 	switch op.Kind {
 	case pg.Query, pg.Sync, pg.Execute, pg.Describe, pg.Close:
@@ -113,11 +113,11 @@
 // appendQuery appends a simple query. The comment of a statement gets the time that is left to its client right now, since the client may
 // have sent it long ago.
 func (c *memberConn) appendQuery(out, raw []byte) []byte {
-	const headerBytes, endBytes = 5, 1 // the type and length before the text; the zero byte behind it
-	if len(raw) < headerBytes+endBytes {
+	const headerBytes, terminatorBytes = 5, 1 // the type and length before the text; the zero byte behind it
+	if len(raw) < headerBytes+terminatorBytes {
 		return append(out, raw...)
 	}
-	statement, err := pg.ParseStatement(strings.TrimSpace(string(raw[headerBytes : len(raw)-endBytes])))
+	statement, err := pg.ParseStatement(strings.TrimSpace(string(raw[headerBytes : len(raw)-terminatorBytes])))
 	if err != nil {
 		return append(out, raw...)
 	}
@@ -167,5 +167,5 @@
 		out = c.closePrepared(out, old)
 	}
 	c.writeInternalSync(out)
-	c.dropUnlessAnswered()
+	c.dropOnReplyTimeout()
 }
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -91,8 +91,8 @@
 		}
 	}
 	driver.runOnLoop(func() { ended = driver.Clock() })
-	if most := 5 + int64((ended-started)/100); dials.Load() > most {
-		t.Errorf("%d dials for %d attempts in %.0f ms, want %d at most", dials.Load(), attempts, ended-started, most)
+	if maxDials := 5 + int64((ended-started)/100); dials.Load() > maxDials {
+		t.Errorf("%d dials for %d attempts in %.0f ms, want %d at most", dials.Load(), attempts, ended-started, maxDials)
 	}
 }
 
@@ -129,8 +129,8 @@
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "17") })
 	var reads atomic.Int64
-	between := []error{0: unix.EINTR, 1: unix.EINTR, 2: unix.EAGAIN, 10: unix.ENOMEM, 49: nil}
-	defer failpoint.SetError("eventloop.read", func() error { return between[reads.Add(1)%int64(len(between))] })()
+	readErrors := []error{0: unix.EINTR, 1: unix.EINTR, 2: unix.EAGAIN, 10: unix.ENOMEM, 49: nil}
+	defer failpoint.SetError("eventloop.read", func() error { return readErrors[reads.Add(1)%int64(len(readErrors))] })()
 	defer failpoint.SetLimit("eventloop.read", 1)()
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -47,12 +47,12 @@
 	return req
 }
 
-// server is a member that answers as a test wants it to, and accepts settings.
-type server struct{ *fakes.Member }
+// fakeServer is a member that answers as a test wants it to, and accepts settings.
+type fakeServer struct{ *fakes.Member }
 
-func newServer(t *testing.T, answer func(sql string) *fakes.Reply) *server {
+func newFakeServer(t *testing.T, answer func(sql string) *fakes.Reply) *fakeServer {
 	t.Helper()
-	return &server{fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
+	return &fakeServer{fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		if r := answer(sql); r != nil {
 			return r
 		}
@@ -63,12 +63,12 @@
 	})}
 }
 
-// newServerWithHeldSettings returns a member that reports the statement that makes the setting of newStreamRequest's session, and answers
+// newFakeServerWithDelayedSettings returns a member that reports the statement that makes the setting of newStreamRequest's session, and answers
 // it only when it may.
-func newServerWithHeldSettings(t *testing.T) (m *server, arrived <-chan bool, mayAnswer chan<- bool) {
+func newFakeServerWithDelayedSettings(t *testing.T) (m *fakeServer, arrived <-chan bool, mayAnswer chan<- bool) {
 	t.Helper()
 	settingsArrived, answerSettings := make(chan bool), make(chan bool)
-	m = newServer(t, func(sql string) *fakes.Reply {
+	m = newFakeServer(t, func(sql string) *fakes.Reply {
 		if strings.Contains(sql, "application_name") {
 			settingsArrived <- true
 			<-answerSettings
@@ -79,7 +79,7 @@
 }
 
 // received reports whether the member was sent a statement with this id.
-func (s *server) received(id string) bool {
+func (s *fakeServer) received(id string) bool {
 	_, asked := s.Seen()
 	return strings.Contains(strings.Join(asked, "|"), "id="+id+",")
 }
@@ -114,7 +114,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
-			m := newServer(t, func(sql string) *fakes.Reply {
+			m := newFakeServer(t, func(sql string) *fakes.Reply {
 				if strings.Contains(sql, "id=holds,") {
 					<-answer
 				}
@@ -162,7 +162,7 @@
 
 // A client closes its connection while the session's settings are being made for its attempt: the statement is not written.
 func TestStream_ClientClosesDuringSettings(t *testing.T) {
-	m, settingsArrived, answerSettings := newServerWithHeldSettings(t)
+	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	closed := false // the loop's
 	driver.runOnLoop(func() {
@@ -184,7 +184,7 @@
 
 // The time after which an attempt must not be written passes while the session's settings are being made: the statement is not written.
 func TestStream_TooLateAfterSettings(t *testing.T) {
-	m, settingsArrived, answerSettings := newServerWithHeldSettings(t)
+	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
@@ -203,7 +203,7 @@
 
 // A client cancels while the session's settings are being made, at a member that has sent no cancel key: the statement is not written.
 func TestStream_CancelledDuringSettings(t *testing.T) {
-	m, settingsArrived, answerSettings := newServerWithHeldSettings(t)
+	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	var cancelled *request.Request
 	driver.runOnLoop(func() {
@@ -225,16 +225,16 @@
 // The deadline that a member receives is at most what the client has left at the write, also for an attempt that is decided in a batch
 // that began long before, or that waited on its connection, or for a connection.
 func TestSendAttempt_DeadlineAtWrite(t *testing.T) {
-	const lag, left = 400.0, 20000.0
+	const batchMs, remainingMs = 400.0, 20000.0
 	plain := func(_ *testing.T, driver *testDriver, id string) *request.Request {
-		return newRequest(driver, id, left)
+		return newRequest(driver, id, remainingMs)
 	}
 	pipelined := func(_ *testing.T, driver *testDriver, id string) *request.Request {
-		return request.New(newRequest(driver, id, left).Statement, driver.Now()-300, func(request.Response) {}) // its last byte came then
+		return request.New(newRequest(driver, id, remainingMs).Statement, driver.Now()-300, func(request.Response) {}) // its last byte came then
 	}
 	pooled := func(set bool) func(*testing.T, *testDriver, string) *request.Request {
 		return func(t *testing.T, driver *testDriver, id string) *request.Request {
-			return newStreamRequest(t, driver, id, left, set)
+			return newStreamRequest(t, driver, id, remainingMs, set)
 		}
 	}
 	for _, c := range []struct {
@@ -256,7 +256,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
-			m := newServer(t, func(sql string) *fakes.Reply {
+			m := newFakeServer(t, func(sql string) *fakes.Reply {
 				if strings.Contains(sql, "id=holds,") {
 					<-answer
 				}
@@ -276,7 +276,7 @@
 			fakes.Until(t, "the one before has arrived", func() bool { return m.received(before) })
 			var from, began float64
 			delayBatch := func() { // the batch goes on for lag ms
-				for from = driver.Clock(); driver.Clock() < from+lag; {
+				for from = driver.Clock(); driver.Clock() < from+batchMs; {
 					runtime.Gosched()
 				}
 			}
@@ -296,8 +296,8 @@
 			fakes.Until(t, "the query has arrived", func() bool { return m.received("late") })
 			_, asked := m.Seen()
 			d := deadlineOf(t, asked[slices.IndexFunc(asked, func(s string) bool { return strings.Contains(s, "id=late,") })])
-			if most := began + left - (from + lag); d > most {
-				t.Errorf("the deadline sent is %.0f ms, %.1f at most are left", d, most)
+			if maxDeadline := began + remainingMs - (from + batchMs); d > maxDeadline {
+				t.Errorf("the deadline sent is %.0f ms, %.1f at most are left", d, maxDeadline)
 			}
 			if c.wait > 0 && d > c.wait {
 				t.Errorf("the deadline sent is %.0f ms, the time-out is %.0f", d, c.wait)
@@ -328,7 +328,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newServer(t, func(string) *fakes.Reply { return nil })
+			m := newFakeServer(t, func(string) *fakes.Reply { return nil })
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			driver.runOnLoop(func() {
 				backend.List(listOf(m.Addr, router.Up))
