--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,10 +1,11 @@
-// Package backend is the router's side towards the members. It owns the connections to them, the attempts and health checks on these
-// connections, and their time-outs. The event loop's driver calls it, and learns by Driver how each attempt and health check ended.
+// Package backend manages the router's connections to the members. It sends attempts and health checks over these connections and enforces
+// their timeouts. The event loop's driver calls it, and receives the outcome of each attempt and health check through Driver.
 //
-// Which connection is used, and when one is opened or closed, is decided by package connpool; which member an attempt goes to, by package
-// router. Nothing is sent without such a decision, no attempt is reported as not sent if it may have run, and each attempt has one outcome.
+// Package connpool decides which connection is used and when one is opened or closed; package router decides which member an attempt goes
+// to. Nothing is sent without such a decision, an attempt that may have run is never reported as not sent, and each attempt has exactly one
+// outcome.
 //
-// All of it runs on the event loop. Times are in ms on the loop's clock unless a comment says otherwise.
+// All of it runs on the event loop. Times are in ms on the loop's clock unless stated otherwise.
 package backend
 
 import (
@@ -21,97 +22,98 @@
 	"wayloft/router"
 )
 
-// The pools that every member has.
+// Pools that exist for every member.
 const (
-	// PlatformPool has the connections for statements of sessions that are not pooled, and for health checks.
+	// PlatformPool holds the connections for health checks and for statements of sessions that are not pooled.
 	PlatformPool = "platform"
-	// CancelPool has the connections for cancel requests.
+	// CancelPool holds the connections for cancel requests.
 	CancelPool = "cancels"
 )
 
-// Login is what a pool's connections log in with.
+// Login is the user and database that a pool's connections log in with.
 type Login struct{ User, Database string }
 
-// Limits are the limits and options of a backend.
+// Limits holds the limits and options of a Backend.
 type Limits struct {
-	DialTimeoutMs   float64          // ms until a connection must be ready, and for a health check
-	HealthReports   bool             // a health check asks for a report of role and position
-	MaxResponse     int              // bytes of one response
-	ResponseBudget  int              // bytes that all responses together may hold while they are incomplete
-	QueueStatements bool             // statements may wait for a connection, since there are fewer of them than clients
-	KeepRemoved     bool             // members that were removed from the list may still be used
-	MaxPrepared     int              // prepared statements that a connection keeps
-	Logins          map[string]Login // by pool
-	PrimaryClasses  map[string]bool  // request classes that need the primary
+	DialTimeoutMs   float64          // timeout in ms for a connection to become ready, and for a health check
+	HealthReports   bool             // health checks query the member's role and position
+	MaxResponse     int              // maximum size of one response in bytes
+	ResponseBudget  int              // maximum size in bytes of all incomplete responses together
+	QueueStatements bool             // statements wait for a connection, set if there are fewer connections than clients
+	KeepRemoved     bool             // members that are removed from the list may still be used
+	MaxPrepared     int              // maximum number of prepared statements kept on a connection
+	Logins          map[string]Login // by pool name
+	PrimaryClasses  map[string]bool  // request classes that require the primary
 }
 
-// Driver is the event loop as the backend uses it, and receives how attempts and health checks end. eventloop.Driver implements it.
+// Driver is the part of the event loop that the backend uses. It also receives the outcomes of attempts and health checks. eventloop.Driver
+// implements it.
 type Driver interface {
-	// Now returns the time at which the present batch of events is taken to happen.
+	// Now returns the timestamp of the current batch of events.
 	Now() float64
-	// Clock returns the time right now.
+	// Clock returns the current time.
 	Clock() float64
-	// After calls f on the event loop after a time in ms. A timer that is stopped late may still call f.
+	// After calls f on the event loop after ms milliseconds. A timer that is stopped too late may still call f.
 	After(ms float64, f func()) *time.Timer
-	// Defer calls f on the event loop after what is running.
+	// Defer calls f on the event loop after the current callback has returned.
 	Defer(f func())
-	// Dial connects to an address within a time-out in ms, and calls done on the event loop.
+	// Dial connects to an address within a timeout in ms, and calls done on the event loop.
 	Dial(addr string, timeout float64, done func(*eventloop.Conn, error))
 
-	// RecordPosition adds a position that a member reported to the estimate of the cluster's clock; sent is when it was asked.
+	// RecordPosition adds a position reported by a member to the estimate of the cluster's clock; sent is when the query was written.
 	RecordPosition(member string, role router.Role, position, sent float64)
-	// Possible reports whether a member can have a position, as far as the cluster's clock is known.
+	// Possible reports whether a position is plausible, given the estimate of the cluster's clock.
 	Possible(position float64) bool
-	// Forget drops what a member reported.
+	// Forget discards everything that a member has reported.
 	Forget(member string)
 
-	// TurnChanged reports whether an attempt waits for a connection or its client (waiting), or for its member.
+	// TurnChanged reports what an attempt waits for: a connection or its client if waiting is set, or else its member.
 	TurnChanged(req *request.Request, attempt int, waiting bool)
-	// ClientGone reports that the client of a request was found to be gone.
+	// ClientGone reports that the client of a request has disconnected.
 	ClientGone(req *request.Request)
-	// AttemptEnded reports the outcome of an attempt. took is how many ms the member took; role and position are what it reported, or
-	// RoleUnknown and Never; rows is the response.
+	// AttemptEnded reports the outcome of an attempt. took is the time in ms that the member took; role and position are those that the
+	// member reported, or RoleUnknown and Never; rows is the response.
 	AttemptEnded(req *request.Request, attempt int, member string, outcome router.Outcome, took float64, role router.Role,
 		position float64, rows []byte)
-	// StatementFailed reports that an attempt ended by an error of its statement, in place of AttemptEnded.
+	// StatementFailed is called instead of AttemptEnded if an attempt ended with an error of the statement itself.
 	StatementFailed(req *request.Request, attempt int, member string, e *pg.Error)
 	// HealthChecked reports the outcome of a health check.
 	HealthChecked(member string, outcome router.Outcome)
-	// Reported reports a member's role and position, from a health check or a response.
+	// Reported passes on a member's role and position, reported in a health check or with a response.
 	Reported(member string, role router.Role, position float64)
 }
 
-// Backend holds the connections to all members. Its exported fields are counters.
+// Backend manages the connections to all members. Its exported fields are counters.
 type Backend struct {
 	driver        Driver
 	limits        Limits
 	pool          *connpool.Pool
 	members       map[string]*member
-	conns         map[int]*memberConn             // by the pool's ids, once they are dialled
-	attempts      map[string]*job                 // the attempt in flight, by request id
-	waiting       map[string]*job                 // jobs that wait for a connection, by their ids in the pool
-	parameters    map[string]*iradix.Tree[string] // what members of a pool reported last
-	poolRequests  int                             // requests to the pool so far; the last one's id
-	carryingOut   bool                            // guards against carrying out decisions while doing so
-	timerAt       float64                         // when the pool must be asked for decisions; +Inf: no timer is set
+	conns         map[int]*memberConn             // established connections, by the pool's connection id
+	attempts      map[string]*job                 // attempts in flight, by request id
+	waiting       map[string]*job                 // jobs waiting for a connection, by pool request id
+	parameters    map[string]*iradix.Tree[string] // parameters last reported by members, by pool
+	poolRequests  int                             // number of requests made to the pool; also the last request's id
+	carryingOut   bool                            // set while decisions are carried out, to prevent recursion
+	timerAt       float64                         // when timer fires to carry out the pool's decisions; +Inf if no timer is set
 	timer         *time.Timer
-	bufferedBytes int // bytes of incomplete responses
+	bufferedBytes int // size of all incomplete responses
 
-	NoConnection     int // attempts and health checks for which the pool had no room
-	OverBudget       int // responses given up since all of them exceeded ResponseBudget
-	ProtocolErrors   int // connections that ended since something came on them that can't be a response
-	QueueTimeouts    int // attempts that waited for a connection for as long as their pool allows
-	IdleTransactions int // transactions ended since their client was idle for too long
+	NoConnection     int // attempts and health checks rejected because the pool had no capacity
+	OverBudget       int // responses discarded because all responses together exceeded ResponseBudget
+	ProtocolErrors   int // connections closed because of a protocol violation by the member
+	QueueTimeouts    int // attempts that timed out waiting for a connection
+	IdleTransactions int // transactions terminated because their client was idle for too long
 }
 
-// member is a database server of the list.
+// member is a database server from the member list.
 type member struct {
 	id, addr    string
 	unavailable bool    // draining or removed
-	started     float64 // as the list has it
+	started     float64 // start time, from the list
 }
 
-// New returns a backend that has no members yet.
+// New returns a Backend without members.
 func New(driver Driver, limits Limits, pool *connpool.Pool) *Backend {
 	b := &Backend{
 		driver:     driver,
@@ -128,8 +130,9 @@
 	return b
 }
 
-// List applies a member list, complete or of changes. Attempts in flight go on; those that are not written yet end if their member is
-// draining or removed, since they were decided before the list changed and must not be sent long after.
+// List applies a member list, which is either complete or contains only changes. Attempts that are already written continue. Attempts that
+// are not written yet end as not sent if their member is draining or removed: they were decided before the list changed, and must not be
+// sent long afterwards.
 func (b *Backend) List(list *discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Entries {
@@ -146,7 +149,7 @@
 	b.driver.Defer(b.carryOutDecisions)
 }
 
-// listMember applies an entry of a list. Connections to a former address or start of the member are not used again.
+// listMember applies one list entry. If the member's address or start time has changed, its existing connections are not reused.
 func (b *Backend) listMember(entry discovery.Entry) {
 	m := b.members[entry.ID]
 	if m == nil {
@@ -159,7 +162,7 @@
 	b.poolInput().MemberListed(entry.ID, !m.unavailable)
 }
 
-// removeMember removes a member that is no longer in the list. Jobs in flight to it still refer to it.
+// removeMember handles a member that is no longer listed. Its jobs in flight keep their reference to it.
 func (b *Backend) removeMember(m *member) {
 	m.unavailable = true
 	b.poolInput().MemberListed(m.id, b.limits.KeepRemoved)
@@ -169,7 +172,7 @@
 	}
 }
 
-// endUnavailable ends the attempts that are not written yet and the reserved sessions whose member is draining or removed.
+// endUnavailable ends unwritten attempts and terminates sessions with a reserved connection if their member is draining or removed.
 func (b *Backend) endUnavailable() {
 	for _, j := range b.attempts {
 		if j.member.unavailable && (j.conn == nil || !j.conn.queryWritten) {
@@ -183,13 +186,13 @@
 	}
 }
 
-// Connections returns how many connections there are or are being opened.
+// Connections returns the number of connections, including those being opened.
 func (b *Backend) Connections() int { return b.pool.OpenCount() }
 
-// Waiting returns how many jobs wait for a connection.
+// Waiting returns the number of jobs waiting for a connection.
 func (b *Backend) Waiting() int { return b.pool.WaitingCount() }
 
-// KnownParameters returns the parameters that members of a pool reported last, which a client receives when it connects.
+// KnownParameters returns the server parameters last reported on a pool's connections. A client receives them when it connects.
 func (b *Backend) KnownParameters(pool string) *iradix.Tree[string] {
 	if t := b.parameters[pool]; t != nil {
 		return t
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -9,44 +9,44 @@
 	"wayloft/router"
 )
 
-// memberConn is one connection to a member. It carries one job at a time.
+// memberConn is a connection to a member. It carries one job at a time.
 type memberConn struct {
 	backend      *Backend
-	id           int // the pool's
+	id           int // the pool's connection id
 	pool         string
 	member       *member
 	conn         *eventloop.Conn
 	reader       *pg.Reader
 	job          *job
 	ready        bool // the member has accepted the login
-	queryWritten bool // the job's query was given to conn
+	queryWritten bool // the job's query was passed to conn, though it may not be sent yet
 	barrier      barrierState
 
 	rows          []byte // the response so far
 	stage         responseStage
-	value         []byte    // the only value of a health check's response
-	queryError    *pg.Error // the error that the member answered
+	value         []byte    // the single value in the response to a health check
+	queryError    *pg.Error // the member's error response
 	role          router.Role
-	position      float64 // on the cluster's clock; router.Never: none
+	position      float64 // on the cluster's clock; router.Never if none was reported
 	report        string
-	bufferedBytes int // bytes that it holds of Backend.buffered
-	receivedBytes int // since its last job began
+	bufferedBytes int // this connection's share of Backend.bufferedBytes
+	receivedBytes int // bytes received since the last job began
 
-	*streamState // nil unless its pool carries requests of several messages
+	*streamState // nil unless the pool carries multi-message requests
 }
 
-// barrierState is how far the empty query is answered that goes before a job's query on a connection that was just used. Whatever comes
-// before its answer belongs to the job before. It guards against a second copy of the last response, which would be taken for the
-// response to this query.
+// barrierState is the state of the barrier: an empty query that is sent ahead of a job's query on a recently used connection. Everything that
+// arrives before the reply to the empty query belongs to the previous job. Without the barrier, a duplicate of the previous response would
+// be taken for the response to this job's query.
 type barrierState int
 
 const (
-	barrierNone    barrierState = iota // no empty query was sent, or all of its answer has come
-	barrierReplied                     // the ReadyForQuery after its answer is still to come
-	barrierSent                        // its answer is still to come
+	barrierNone    barrierState = iota // no empty query was sent, or its reply is complete
+	barrierReplied                     // EmptyQueryResponse was received; ReadyForQuery is still expected
+	barrierSent                        // no reply was received yet
 )
 
-// connectFailed ends a connection that has not become ready.
+// connectFailed closes a connection that did not become ready.
 func (c *memberConn) connectFailed(cause connpool.FailureCause) {
 	if c.backend.conns[c.id] == c {
 		c.backend.poolInput().OpenFailed(c.id, cause)
@@ -56,9 +56,9 @@
 	}
 }
 
-// startJob writes the job's query, unless it is withheld. It reports whether it did.
+// startJob writes the job's query, unless endIfUnsendable ends the job. It reports whether the query was written.
 func (c *memberConn) startJob(j *job) bool {
-	invariant.Check(j.request == nil || j.request.Stream != nil || !j.request.Finished(), "nothing is sent for a client that has gone")
+	invariant.Check(j.request == nil || j.request.Stream != nil || !j.request.Finished(), "no attempt is sent for a disconnected client")
 	if c.streamState != nil && j.cancelKey == nil {
 		c.receivedBytes = 0
 		return c.startStream(j)
@@ -83,7 +83,7 @@
 	return true
 }
 
-// attach makes a job the one on the connection, whose query is written now, and forgets what the member reported for the one before.
+// attach assigns a job, whose query is about to be written, to the connection. It resets what the member reported during the previous job.
 func (c *memberConn) attach(j *job) {
 	c.job = j
 	j.conn = c
@@ -92,10 +92,10 @@
 	c.role, c.position, c.report = router.RoleUnknown, router.Never, ""
 }
 
-// buildQuery returns the bytes of the job's query. A statement's comment has the time that is left to its client right now.
+// buildQuery returns the encoded query of the job. The deadline in a statement's comment is set to the time that its client has left now.
 func (c *memberConn) buildQuery(j *job) (out []byte) {
 	if c.barrier != barrierNone {
-		// The answer to an empty query comes first, and nothing that the member sent earlier can come after it.
+		// The reply to the empty query precedes the response to the job's query, and nothing that the member sent earlier can follow it.
 		out = pg.AppendQuery(out)
 	}
 	switch {
@@ -111,13 +111,13 @@
 	return out
 }
 
-// drop closes the connection. A job on it must have been taken off.
+// drop closes the connection. Its job, if any, must have been detached.
 func (c *memberConn) drop() {
 	if c.backend.conns[c.id] == c {
 		c.backend.poolInput().ConnectionClosed(c.id)
 		c.conn.Close()
 		c.unregister()
-		c.backend.driver.Defer(c.backend.carryOutDecisions) // the pool may open another
+		c.backend.driver.Defer(c.backend.carryOutDecisions) // the pool may open a new connection
 	}
 }
 
@@ -127,7 +127,7 @@
 	c.bufferedBytes = 0
 }
 
-// Closed implements eventloop.Handler: the connection has ended.
+// Closed implements eventloop.Handler. It is called when the connection has ended.
 func (c *memberConn) Closed() {
 	if !c.ready {
 		c.connectFailed(connpool.Unreachable)
@@ -141,13 +141,13 @@
 	c.drop()
 }
 
-// closeOutcome returns what the end of the connection means for its job. The job never ran if its last byte was not written; a complete
-// response or an error that came before the end still counts.
+// closeOutcome returns the outcome of the job when its connection ends. A job whose last byte was not written did not run; a complete
+// response or an error that was received before the connection ended still counts.
 func (c *memberConn) closeOutcome() router.Outcome {
 	switch {
 	case c.streamState != nil && c.querySent() && c.internalPending == 0 && !c.nothingExpected():
 		return router.Reset
-	case c.streamState != nil: // the stream waited for its client, or only internal queries were sent
+	case c.streamState != nil: // the stream was waiting for its client, or only internal queries were sent
 		return router.ConnectFailed
 	case c.queryError != nil:
 		return errorOutcome(c.queryError.Code)
@@ -159,12 +159,11 @@
 	return router.ConnectFailed
 }
 
-// querySent reports whether the last byte of the job's query was written, so that it may be running.
+// querySent reports whether the last byte of the job's query was written, in which case it may be running.
 func (c *memberConn) querySent() bool { return c.queryWritten && c.conn.Sent() }
 
-// closeIfUnsent reports whether the last byte of the job's query was not written and never will be; it closes the connection then. The
-// poller may be writing the rest just now: the connection must be closed first and checked again, since nothing is written after
-// that.
+// closeIfUnsent closes the connection if the last byte of the job's query was not written, and reports whether it never will be. The
+// poller may be writing the rest concurrently, so the check is repeated after Close, when nothing more can be written.
 func (c *memberConn) closeIfUnsent() bool {
 	if c.querySent() {
 		return false
@@ -174,7 +173,7 @@
 	return !c.querySent()
 }
 
-// returnToPool keeps the connection for the next job.
+// returnToPool releases the connection to the pool for reuse. It closes the connection instead if unparsed bytes are left on it.
 func (c *memberConn) returnToPool() {
 	if c.reader.Buffered() > 0 {
 		c.drop()
@@ -187,7 +186,7 @@
 	c.backend.driver.Defer(c.backend.carryOutDecisions)
 }
 
-// settingsID returns what identifies the settings that the connection was left with, for the pool.
+// settingsID returns the id of the connection's current settings, which the pool uses for affinity.
 func (c *memberConn) settingsID() any {
 	if c.streamState == nil {
 		return nil
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -10,37 +10,37 @@
 	"wayloft/router"
 )
 
-// job is one attempt, health check or cancel request.
+// job is an attempt, a health check or a cancel request.
 type job struct {
-	request         *request.Request // nil: a health check or cancel request
-	cancelKey       *pg.CancelKey    // of the query that a cancel request is for
-	attempt         int              // the attempt's number
+	request         *request.Request // nil for a health check or cancel request
+	cancelKey       *pg.CancelKey    // set only for a cancel request: identifies the query to cancel
+	attempt         int              // attempt number
 	member          *member
 	started         float64
-	deadline        float64 // the job times out then
-	notAfter        float64 // it must not be written later
+	deadline        float64 // when the job times out
+	notAfter        float64 // latest time at which it may be written
 	writtenAt       float64 // when the write of its query began
-	memberTimeMs    float64 // ms that the member has taken so far; only for streams, in which the client has turns, too
-	memberTurnSince float64 // since when the stream waits for the member; 0: it doesn't
+	memberTimeMs    float64 // ms spent waiting for the member so far; only for streams, which also wait for the client
+	memberTurnSince float64 // since when the stream has been waiting for the member; 0 if it is not
 	timer           *time.Timer
-	poolRequest     string      // its id in the pool
-	conn            *memberConn // nil while it waits for one
+	poolRequest     string      // id of its request to the pool
+	conn            *memberConn // nil while waiting for a connection
 	ended           bool
-	waitingReported bool // the driver was notified that it waits for a connection
+	waitingReported bool // the driver was notified that the job waits for a connection
 }
 
-// jobResult is what a member answered to a job, as far as it can be trusted.
+// jobResult holds the parts of a member's response to a job that can be trusted.
 type jobResult struct {
-	rows           []byte    // the response to an attempt
-	value          []byte    // the response to a health check
-	statementError *pg.Error // an error of the statement itself
+	rows           []byte    // response to an attempt
+	value          []byte    // response to a health check
+	statementError *pg.Error // error caused by the statement itself
 	role           router.Role
-	position       float64 // on the cluster's clock; router.Never: none
-	report         string  // a report that came with the response
+	position       float64 // on the cluster's clock; router.Never if none was reported
+	report         string  // report included in the response
 }
 
-// SendAttempt sends a request to a member. The attempt times out after timeout ms, if that is more than 0, and at the request's deadline.
-// It is not written after the time notAfter.
+// SendAttempt sends a request to a member. The attempt times out at the request's deadline, or after timeout ms if timeout is positive and
+// that is earlier. It is not written later than notAfter.
 func (b *Backend) SendAttempt(req *request.Request, attempt int, memberID string, timeout, notAfter float64) {
 	j := &job{request: req, attempt: attempt, started: b.driver.Now(), deadline: req.Deadline, notAfter: notAfter}
 	if timeout > 0 {
@@ -50,37 +50,38 @@
 	b.startJob(j, memberID)
 }
 
-// HealthCheck asks a member for its role and position.
+// HealthCheck starts a health check of a member, which queries its role and position if Limits.HealthReports is set.
 func (b *Backend) HealthCheck(memberID string) {
 	now := b.driver.Now()
 	b.startJob(&job{started: now, deadline: now + b.limits.DialTimeoutMs, notAfter: math.Inf(1)}, memberID)
 }
 
-// CancelAttempt gives up on an attempt, which may have run if it was written.
+// CancelAttempt cancels an attempt. The attempt may have run if it was written.
 func (b *Backend) CancelAttempt(requestID string, attempt int) {
 	if j := b.attempts[requestID]; j != nil && j.attempt == attempt {
 		b.driver.Defer(func() { b.endJob(j, router.Canceled) })
 	}
 }
 
-// Abandon ends an attempt whose client has gone, unless it may be running already. A stream is ended by its own OnClientGone.
+// Abandon ends the attempt of a disconnected client unless it may already be running. A stream is ended by its OnClientGone callback
+// instead.
 func (b *Backend) Abandon(requestID string) {
 	if j := b.attempts[requestID]; j != nil && j.request.Stream == nil && (j.conn == nil || !j.conn.querySent()) {
 		b.endJob(j, router.Canceled)
 	}
 }
 
-// startJob starts a job, or has it wait for a connection.
+// startJob starts a job, or queues it until a connection is available.
 func (b *Backend) startJob(j *job, memberID string) {
 	m := b.members[memberID]
-	invariant.Check(m != nil, "attempts and health checks go to listed members")
+	invariant.Check(m != nil, "attempts and health checks are sent only to listed members")
 	if m == nil || j.deadline <= j.started {
 		j.member = &member{id: memberID}
 		b.driver.Defer(func() { b.endJob(j, router.NotSent) })
 		return
 	}
 	j.member = m
-	// The batch of events may have taken long already, so the timer counts from Clock and not from Now.
+	// The current batch of events may have been running for a while, so the timer is relative to Clock rather than Now.
 	j.timer = b.driver.After(j.deadline-b.driver.Clock(), func() { b.endJob(j, router.TimedOut) })
 	if j.request != nil && j.request.Stream != nil {
 		b.startStream(j)
@@ -88,13 +89,13 @@
 	}
 	b.requestConn(j)
 	b.carryOutDecisions()
-	// The time that a statement waits for a connection doesn't count against the member.
+	// The time that a statement waits for a connection must not count against the member.
 	if b.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended {
 		b.driver.Defer(func() { b.reportWaiting(j) })
 	}
 }
 
-// reportWaiting notifies the driver that an attempt waits for a connection.
+// reportWaiting notifies the driver that an attempt is waiting for a connection.
 func (b *Backend) reportWaiting(j *job) {
 	if j.conn == nil && !j.ended {
 		j.waitingReported = true
@@ -102,19 +103,20 @@
 	}
 }
 
-// endMemberTurn adds the time since the stream began to wait for the member to what the member has taken.
+// endMemberTurn ends the stream's current wait for the member, and adds its duration to memberTimeMs.
 func (j *job) endMemberTurn(now float64) {
 	j.memberTimeMs += now - j.memberTurnSince
 	j.memberTurnSince = 0
 }
 
-// expired reports whether a job must not be written any more: the decision for it no longer holds, or its client's time is over.
+// expired reports whether it is too late to write a job: the decision behind it no longer holds after notAfter, or the deadline of the attempt
+// has passed.
 func (j *job) expired(now float64) bool {
 	return now > j.notAfter || j.request != nil && now >= j.deadline
 }
 
-// endIfUnsendable reports whether a job must not be written, and ends it if so: its time is over, or its client has gone. It must be called
-// right before the write, and checks the client last, after all readings of the clock.
+// endIfUnsendable reports whether a job must not be written because it has expired or its client has disconnected, and ends it if so. It must
+// be called immediately before the write. It checks the client last, after reading the clock.
 func (b *Backend) endIfUnsendable(j *job) bool {
 	if j.expired(b.driver.Clock()) {
 		b.driver.Defer(func() { b.endJob(j, router.NotSent) })
@@ -130,7 +132,8 @@
 	return true
 }
 
-// endJob reports the outcome of a job, once. A connection whose response is incomplete is closed before the outcome is reported.
+// endJob ends a job and reports its outcome; further calls have no effect. A connection with an incomplete response is closed before the
+// outcome is reported.
 func (b *Backend) endJob(j *job, outcome router.Outcome) {
 	if j.ended {
 		return
@@ -150,10 +153,11 @@
 		return
 	}
 	if j.timedOutOrCanceled(outcome) && (j.conn == nil || j.conn.closeIfUnsent()) {
-		outcome = router.NotSent // given up before it was written: that says nothing about the member
+		outcome = router.NotSent // it ended before it was written, which says nothing about the member
 	}
 	result := b.detachConn(j, outcome)
-	// The router suspects the member now. Its idle connections are closed, too: if it vanished, they would stay open and silent.
+	// The member becomes suspected. Close its idle connections as well: if the member has become unreachable, they would stay open without
+	// ever failing.
 	if outcome == router.Reset || outcome == router.ConnectFailed || outcome == router.TimedOut && j.request == nil {
 		b.CloseIdle(j.member.id)
 	}
@@ -164,23 +168,23 @@
 	}
 }
 
-// timedOutOrCanceled reports whether the outcome means that an attempt ended without waiting for its member any longer.
+// timedOutOrCanceled reports whether an attempt ended because it timed out or was cancelled, rather than by its member.
 func (j *job) timedOutOrCanceled(outcome router.Outcome) bool {
 	return j.request != nil && (outcome == router.TimedOut || outcome == router.Canceled)
 }
 
-// endHealthCheck reports the outcome of a health check, and passes on the report in its response.
+// endHealthCheck reports the outcome of a health check, after the report contained in its response.
 func (b *Backend) endHealthCheck(j *job, outcome router.Outcome, result jobResult) {
 	accepted := b.acceptReport(j, string(result.value))
 	if outcome == router.Succeeded && b.limits.HealthReports && !accepted {
-		outcome = router.ServerError // it answers, but not with a report
+		outcome = router.ServerError // the response does not contain a valid report
 	}
 	b.driver.HealthChecked(j.member.id, outcome)
 }
 
-// endAttempt reports the outcome of an attempt, and the report that came with its response.
+// endAttempt reports the outcome of an attempt, and the report included in its response.
 func (b *Backend) endAttempt(j *job, outcome router.Outcome, result jobResult) {
-	invariant.Check(b.attempts[j.request.ID] == j, "one attempt of a request at a time")
+	invariant.Check(b.attempts[j.request.ID] == j, "a request has at most one attempt in flight")
 	delete(b.attempts, j.request.ID)
 	took := b.driver.Now() - j.started
 	if j.request.Stream != nil {
@@ -195,8 +199,8 @@
 	b.acceptReport(j, result.report)
 }
 
-// detachConn takes a job off its connection, if it has one, and returns what the member answered. The connection goes on to the next
-// job if the response is complete; else it is closed.
+// detachConn detaches a job from its connection, if it has one, and returns the member's response. The connection is reused if the response
+// is complete; otherwise it is closed.
 func (b *Backend) detachConn(j *job, outcome router.Outcome) jobResult {
 	result := jobResult{role: router.RoleUnknown, position: router.Never}
 	c := j.conn
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -19,14 +19,14 @@
 	b.driver.Defer(b.carryOutDecisions)
 }
 
-// poolInput returns the pool for an input, at the present time.
+// poolInput advances the pool to the current time and returns it, ready for an input.
 func (b *Backend) poolInput() *connpool.Pool {
 	b.pool.Advance(b.driver.Now())
 	b.setTimer(b.pool.NextSweep())
 	return b.pool
 }
 
-// setTimer has decisions carried out at this time, unless a timer is set for an earlier one.
+// setTimer schedules carryOutDecisions for the given time, unless the timer is already set for that time or an earlier one.
 func (b *Backend) setTimer(at float64) {
 	if at >= b.timerAt {
 		return
@@ -36,14 +36,14 @@
 	}
 	b.timerAt = at
 	b.timer = b.driver.After(at-b.driver.Now(), func() {
-		if b.timerAt == at { // a timer that is stopped late may still fire
+		if b.timerAt == at { // a timer that is stopped too late may still fire
 			b.timerAt = math.Inf(1)
 			b.carryOutDecisions()
 		}
 	})
 }
 
-// carryOutDecisions carries out what the pool decides, until it has no more decisions.
+// carryOutDecisions carries out the pool's decisions until there are none left.
 func (b *Backend) carryOutDecisions() {
 	if b.carryingOut {
 		return
@@ -86,14 +86,14 @@
 	}
 }
 
-// assign starts a job on the connection that the pool gives it.
+// assign starts a job on the connection that the pool has assigned to it.
 func (b *Backend) assign(d connpool.Decision, c *memberConn, j *job) {
-	invariant.Check(c != nil && j != nil && !j.ended, "a connection is given to who waits for it")
+	invariant.Check(c != nil && j != nil && !j.ended, "an established connection is assigned to a waiting job")
 	if c == nil || j == nil {
 		b.pool.ConnectionClosed(d.Conn)
 		return
 	}
-	if c.conn.Unread() { // its end, or bytes that don't belong there: a query would be answered by a reset
+	if c.conn.Unread() { // the connection has ended or has unexpected bytes: a query on it would only fail with a reset
 		c.drop()
 		b.requestConn(j)
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// reject ends a job for which the pool has no connection.
+// reject ends a job that the pool has rejected.
 func (b *Backend) reject(reason connpool.RejectReason, j *job) {
 	outcome := router.NotSent
 	switch reason {
@@ -142,7 +142,7 @@
 	b.poolInput().Request(poolRequest)
 }
 
-// dial opens a connection. It can be used once the member has accepted the login.
+// dial opens a connection. The connection can be used once the member has accepted the login.
 func (b *Backend) dial(d connpool.Decision) {
 	m := b.members[d.Key.Member]
 	if m == nil {
@@ -166,7 +166,7 @@
 	})
 }
 
-// newConn returns the connection that a socket is to a member. It receives what comes on the socket.
+// newConn wraps a connected socket in a memberConn and registers it as the socket's handler.
 func (b *Backend) newConn(d connpool.Decision, m *member, socket *eventloop.Conn) *memberConn {
 	c := &memberConn{
 		backend: b,
@@ -181,7 +181,7 @@
 	return c
 }
 
-// logIn logs in with the pool's login. The connection is closed if the member has not accepted that by the deadline.
+// logIn sends the pool's login. The connection is closed if the member has not accepted the login by the deadline.
 func (c *memberConn) logIn(deadline float64) {
 	if c.pool != PlatformPool {
 		c.reader.EnableExtended()
@@ -196,7 +196,7 @@
 	})
 }
 
-// failureCause returns why a dial failed. A failure of this host's own must not count against the member.
+// failureCause returns why a dial failed. Failures caused by this host must not count against the member.
 func failureCause(err error) connpool.FailureCause {
 	var dial *eventloop.DialError
 	if errors.As(err, &dial) && dial.Cause() != syscallerror.Peer {
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -8,7 +8,7 @@
 	"wayloft/router"
 )
 
-// The names on the wire by which a member reports its role, its position and its state, and the names within the state.
+// The wire names of the parameters by which a member reports its role, position and state, and of the fields within the state.
 const (
 	roleParameter     = "rank"
 	positionParameter = "as_of"
@@ -17,10 +17,10 @@
 	reportPosition = "x0" // in seconds
 	reportPrimary  = "x1" // 1 for a primary, 0 for a replica
 
-	minPrimaryValue = 0.5 // of reportPrimary
+	minPrimaryValue = 0.5 // smallest value of reportPrimary that means a primary
 )
 
-// The queries of health checks.
+// Health check queries.
 const (
 	reportQuery   = "SHOW " + reportParameter
 	livenessQuery = "SELECT 1"
@@ -28,15 +28,15 @@
 
 const msPerSecond = 1000
 
-// rolesByWireName are the roles by their names on the wire.
+// rolesByWireName maps the wire names of roles to roles.
 var rolesByWireName = map[string]router.Role{"source": router.Primary, "copy": router.Replica}
 
-// isRouterParameter reports whether a parameter is for the router and not for the client.
+// isRouterParameter reports whether a parameter is meant for the router rather than the client.
 func isRouterParameter(name string) bool {
 	return name == roleParameter || name == positionParameter || name == reportParameter
 }
 
-// recordRouterParameter records a parameter that is for the router.
+// recordRouterParameter records a parameter that is meant for the router.
 func (c *memberConn) recordRouterParameter(name, value string) {
 	switch name {
 	case roleParameter:
@@ -50,7 +50,7 @@
 	}
 }
 
-// acceptPosition records the position that came with a response. It returns the position if the member can have it, or else router.Never.
+// acceptPosition records the position included in a response. It returns the position if it is plausible, or else router.Never.
 func (b *Backend) acceptPosition(j *job, role router.Role, position float64) float64 {
 	if position == router.Never {
 		return position
@@ -62,16 +62,16 @@
 	return position
 }
 
-// recordPosition adds a position to the estimate of the cluster's clock. It guards against a response of a member that was removed meanwhile:
-// nothing would drop what it reported.
+// recordPosition adds a position to the estimate of the cluster's clock. It ignores a member that has been removed in the meantime, since its
+// position would never be discarded.
 func (b *Backend) recordPosition(j *job, role router.Role, position float64) {
 	if b.members[j.member.id] == j.member {
 		b.driver.RecordPosition(j.member.id, role, position, j.writtenAt)
 	}
 }
 
-// acceptReport passes a report on to the driver: pairs name=value, separated by commas. It returns false, and passes nothing on, if the
-// report can't be read as a whole or has no position that the member can have.
+// acceptReport parses a report, a comma-separated list of name=value pairs, and passes it on to the driver. It returns false and passes
+// nothing on if any pair is invalid or the report has no plausible position.
 func (b *Backend) acceptReport(j *job, report string) bool {
 	role, position := router.Replica, 0.0
 	for pair := range strings.SplitSeq(report, ",") {
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -6,21 +6,21 @@
 	"wayloft/router"
 )
 
-// responseStage is how far a response has come.
+// responseStage is the progress of receiving a response.
 type responseStage int
 
 const (
 	stageNone responseStage = iota
 	stageColumns
 	stageRow
-	stageComplete // all but the ReadyForQuery after it has come
-	stageReady    // the connection is ready for the next query
+	stageComplete // everything was received except the final ReadyForQuery
+	stageReady    // the final ReadyForQuery was received
 )
 
-// maxReceivedFactor times Limits.MaxResponse is how many bytes may come on a connection since its last job began.
+// maxReceivedFactor times Limits.MaxResponse is the number of bytes that may be received on a connection after its last job began.
 const maxReceivedFactor = 2
 
-// errorOutcomes are the error codes that say that the statement did not run.
+// errorOutcomes maps the error codes which imply that the statement did not run to outcomes.
 var errorOutcomes = map[string]router.Outcome{
 	pg.ReadOnlySQLTransaction: router.Misrouted,
 	pg.SnapshotTooOld:         router.Misrouted,
@@ -28,7 +28,7 @@
 	pg.CannotConnectNow:       router.Overloaded,
 }
 
-// errorOutcome returns the outcome that an error code stands for. After a code that the protocol doesn't name, the statement may have run.
+// errorOutcome returns the outcome for an error code. With any code that is not in errorOutcomes, the statement may have run.
 func errorOutcome(code string) router.Outcome {
 	if outcome, known := errorOutcomes[code]; known {
 		return outcome
@@ -36,13 +36,13 @@
 	return router.ServerError
 }
 
-// Data implements eventloop.Handler. A response is kept until it is complete; bytes that violate the protocol end the connection.
+// Data implements eventloop.Handler. It buffers a response until it is complete, and closes the connection on a protocol violation.
 func (c *memberConn) Data(b []byte) {
 	if c.pool == CancelPool { // a server sends nothing in reply to a cancel request
 		c.closeOnProtocolError()
 		return
 	}
-	// Guards against an endless row of messages that are skipped one by one, on an idle connection, too.
+	// Limits an endless sequence of messages that are skipped one by one, which can arrive on an idle connection as well.
 	c.receivedBytes += len(b)
 	if c.streamState == nil && c.receivedBytes > maxReceivedFactor*c.backend.limits.MaxResponse {
 		c.closeOnProtocolError()
@@ -63,8 +63,8 @@
 	}
 }
 
-// enforceBudget gives up an incomplete response if all of them together exceed their budget. Its statement may have run, and there is no
-// memory for the rest.
+// enforceBudget discards the incomplete response on this connection if all incomplete responses together exceed the budget, since there is no
+// memory for the rest of it. Its statement may have run.
 func (c *memberConn) enforceBudget() {
 	if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
 		c.backend.OverBudget++
@@ -72,15 +72,16 @@
 	}
 }
 
-// updateBufferedBytes updates the sum of what all connections hold of responses.
+// updateBufferedBytes updates this connection's share of the buffered bytes of all responses.
 func (c *memberConn) updateBufferedBytes() {
 	buffered := len(c.rows) + c.reader.Buffered()
 	c.backend.bufferedBytes += buffered - c.bufferedBytes
 	c.bufferedBytes = buffered
 }
 
-// closeOnProtocolError ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
-// the response can be trusted. It guards against taking garbage for the loss of a member that is up.
+// closeOnProtocolError closes a connection on which the member violated the protocol, or whose response exceeds the budget. No part of the
+// response can be trusted. A job whose query was sent may have run; it ends as ServerError rather than Reset, so that invalid data is not
+// mistaken for the loss of a member that is up.
 func (c *memberConn) closeOnProtocolError() {
 	c.backend.ProtocolErrors++
 	c.stage, c.queryError = stageNone, nil
@@ -90,7 +91,7 @@
 	c.Closed()
 }
 
-// handle processes one message; false: it is a protocol violation.
+// handle processes one message. It returns false if the message violates the protocol.
 func (c *memberConn) handle(m *pg.Message) bool {
 	if c.streamState != nil {
 		return c.handleStreamMessage(m)
@@ -98,7 +99,7 @@
 	return c.handleMessage(m)
 }
 
-// handleMessage processes one message on a connection for single statements; false: it is a protocol violation.
+// handleMessage processes one message on a connection for single statements. It returns false if the message violates the protocol.
 func (c *memberConn) handleMessage(m *pg.Message) bool {
 	switch m.Kind {
 	case pg.Ignored, pg.AuthenticationOK:
@@ -120,7 +121,7 @@
 	return c.handleResponseMessage(m)
 }
 
-// handleError processes an error of the member: it refuses the login, or answers the job's query.
+// handleError processes an error from the member, which either refuses the login or is the response to the job's query.
 func (c *memberConn) handleError(e *pg.Error) bool {
 	if !c.ready {
 		return c.handleLoginError(e)
@@ -132,7 +133,7 @@
 	return true
 }
 
-// handleReady processes a ReadyForQuery: after the login, after the empty query of the fence, or after a response.
+// handleReady processes a ReadyForQuery, which ends the login, the reply to the barrier's empty query, or a response.
 func (c *memberConn) handleReady() bool {
 	if c.barrier != barrierNone {
 		answered := c.barrier == barrierReplied
@@ -142,7 +143,8 @@
 	return c.becomeReady() || c.finishResponse()
 }
 
-// handleResponseMessage appends a message to the response; false: it can't be its next part. A response is one row of one column.
+// handleResponseMessage appends a message to the response, which must be one row of one column. It returns false if the message can't be the
+// next part of such a response.
 func (c *memberConn) handleResponseMessage(m *pg.Message) bool {
 	if c.job == nil || !c.ready || c.queryError != nil || c.barrier != barrierNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
 		return false
@@ -164,7 +166,7 @@
 	return true
 }
 
-// becomeReady processes the first ReadyForQuery, after which the connection can be used; false: it was ready already.
+// becomeReady processes the first ReadyForQuery, after which the connection can be used. It returns false if the connection was already ready.
 func (c *memberConn) becomeReady() bool {
 	if c.ready {
 		return false
@@ -175,7 +177,7 @@
 	return true
 }
 
-// handleLoginError processes an error that came before the member accepted the login.
+// handleLoginError processes an error received before the member accepted the login.
 func (c *memberConn) handleLoginError(e *pg.Error) bool {
 	cause := connpool.Unreachable
 	if e.Code == pg.TooManyConnections {
@@ -185,7 +187,7 @@
 	return true
 }
 
-// finishResponse processes the ReadyForQuery after a response.
+// finishResponse processes the ReadyForQuery that ends a response.
 func (c *memberConn) finishResponse() bool {
 	j := c.job
 	if j == nil || c.queryError == nil && c.stage != stageComplete {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -13,47 +13,48 @@
 	"wayloft/router"
 )
 
-// Statements that discard what a session left on a connection. The command tags are the same.
+// Statements that discard session state on a connection. Their command tags are identical to the statements.
 const (
 	discardAll    = "DISCARD ALL"
 	deallocateAll = "DEALLOCATE ALL"
 )
 
-// streamState is what a connection needs to carry requests of several messages: what is prepared and set there, and which replies its
-// member still owes, in order. Queries of the router's own, such as settings, are internal: their replies aren't for the client.
+// streamState is the state that a connection needs to carry multi-message requests: its prepared statements and settings, and the replies
+// expected from the member, in order. Queries that the router itself sends, for instance to apply settings, are called internal; their
+// replies are not forwarded to the client.
 type streamState struct {
-	settings          session.Settings                                   // what the connection has set
-	prepared          *simplelru.LRU[uint64, *session.PreparedStatement] // by hash, from which the name at the member is made
+	settings          session.Settings                                   // settings in effect on the connection
+	prepared          *simplelru.LRU[uint64, *session.PreparedStatement] // by hash, from which the name on the member is derived
 	maxPrepared       int
 	expected          []expectedReply
-	queued            []session.Message // operations that wait until the internal queries are answered
-	internalPending   int               // internal queries that are not answered
+	queued            []session.Message // operations queued until the internal queries are answered
+	internalPending   int               // number of unanswered internal queries
 	transactionStatus byte
 	cancelKey         pg.CancelKey
 	unusable          bool // the connection must be closed after this request
 	lastBound         *session.PreparedStatement
-	replayed          bool                       // the request was replayed already since a prepared plan was invalid
-	staleStatement    *session.PreparedStatement // the statement whose plan was invalid, if nothing has run: the request is replayed
-	parameters        *iradix.Tree[string]       // what the member has reported
-	copyingIn         bool                       // the client sends the data of a COPY
+	replayed          bool                       // the request was already replayed once because of a missing or invalid prepared plan
+	staleStatement    *session.PreparedStatement // the statement whose plan was missing or invalid; set only if nothing has run, so that the request is replayed
+	parameters        *iradix.Tree[string]       // parameters reported by the member
+	copyingIn         bool                       // the client is sending COPY data
 	clientOpsWritten  bool                       // some of the client's operations were written
-	reservedFor       request.ClientSession      // the session that the connection is reserved for, between its requests
+	reservedFor       request.ClientSession      // session that the connection is reserved for; set only between its requests
 }
 
-// expectedReply is one reply that the member owes, or the router gives in its place.
+// expectedReply is a reply that is expected from the member, or that the router gives in its place.
 type expectedReply struct {
-	kind       pg.Kind                    // the message that it replies to
-	forClient  bool                       // it is delivered to the client
-	localReply []byte                     // the reply itself; the member was not asked
-	statement  *session.PreparedStatement // what is prepared, bound or described
-	closing    *session.PreparedStatement // what a Close closes
-	replyError *pg.Error                  // the reply whatever the member answers
+	kind       pg.Kind                    // kind of the message being replied to
+	forClient  bool                       // the reply is delivered to the client
+	localReply []byte                     // the router's own reply; nothing was sent to the member
+	statement  *session.PreparedStatement // statement being prepared, bound or described
+	closing    *session.PreparedStatement // statement being closed
+	replyError *pg.Error                  // error that replaces the member's error
 }
 
 func newStreamState(maxPrepared int) *streamState {
-	const unlimited = 1 << 30 // it is trimmed between requests
+	const unlimited = 1 << 30 // trimPrepared enforces maxPrepared between requests
 	prepared, err := simplelru.NewLRU[uint64, *session.PreparedStatement](unlimited, nil)
-	invariant.Check(err == nil, "a cache can be made")
+	invariant.Check(err == nil, "creating the prepared statement cache succeeds")
 	return &streamState{
 		settings:          session.NoSettings,
 		prepared:          prepared,
@@ -63,7 +64,7 @@
 	}
 }
 
-// startStream starts a request on the connection reserved for its session, or has it wait for one.
+// startStream starts a request on the connection reserved for its session. Without a reserved connection, it requests one from the pool.
 func (b *Backend) startStream(j *job) {
 	stream := j.request.Stream
 	stream.OnClientGone(func() { b.endJob(j, router.NotSent) })
@@ -80,8 +81,8 @@
 	b.carryOutDecisions()
 }
 
-// startStream starts a request on the connection, unless it is withheld: first the session's settings, then the client's operations. It
-// reports whether it did.
+// startStream starts a request on the connection, unless endIfUnsendable ends its job. It sends the session's settings, followed by the
+// client's operations. It reports whether the request was started.
 func (c *memberConn) startStream(j *job) bool {
 	if c.backend.endIfUnsendable(j) {
 		return false
@@ -110,7 +111,7 @@
 	return true
 }
 
-// setTurn records whether the stream waits for the member, or for its client.
+// setTurn records whether the stream is waiting for the member or for its client, and notifies the pool and the driver.
 func (c *memberConn) setTurn(j *job, membersTurn bool) {
 	now := c.backend.driver.Now()
 	if membersTurn && j.memberTurnSince == 0 {
@@ -127,20 +128,20 @@
 	})
 }
 
-// nothingExpected reports whether the member owes no reply.
+// nothingExpected reports whether no reply is expected and no operation is queued.
 func (c *memberConn) nothingExpected() bool { return len(c.expected) == 0 && len(c.queued) == 0 }
 
 // Member implements request.BackendConn.
 func (c *memberConn) Member() string { return c.member.id }
 
-// Cancel implements request.BackendConn: it has the member stop what runs. The connection is not used again, so that the cancel request
-// can't reach the next client's statement, however late it comes.
+// Cancel implements request.BackendConn. It sends a cancel request to the member. The connection is not reused, so that a late cancel request
+// can't cancel the next client's statement.
 func (c *memberConn) Cancel() {
 	if c.job == nil || c.nothingExpected() || c.unusable {
 		return
 	}
 	c.job.request.Stream.MarkCancelled()
-	if c.internalPending > 0 { // nothing of the client's has run
+	if c.internalPending > 0 { // none of the client's operations has run
 		c.unusable = true
 		c.queryError = &pg.Error{Code: pg.QueryCanceled, Text: "canceling statement due to user request"}
 	}
@@ -156,8 +157,7 @@
 	c.backend.carryOutDecisions()
 }
 
-// Release implements request.BackendConn: the session that the connection was reserved for gives it back. What the session left there is
-// discarded.
+// Release implements request.BackendConn. It ends the reservation of the connection and discards the session's state on it.
 func (c *memberConn) Release() {
 	c.reservedFor = nil
 	if c.job != nil || c.backend.conns[c.id] != c {
@@ -170,8 +170,8 @@
 	c.dropOnReplyTimeout()
 }
 
-// dropOnReplyTimeout closes the connection unless the member answers in time what is sent between two requests. It guards against a
-// connection that is kept for nobody.
+// dropOnReplyTimeout closes the connection unless the member answers the internal queries sent between two requests within DialTimeoutMs.
+// Otherwise the connection would stay open without being in use or available in the pool.
 func (c *memberConn) dropOnReplyTimeout() {
 	c.backend.driver.After(c.backend.limits.DialTimeoutMs, func() {
 		if c.job == nil && c.internalPending > 0 {
@@ -180,8 +180,8 @@
 	})
 }
 
-// terminateReserved ends a session whose reserved connection leads to a member that is draining or removed. The session has no request
-// in progress.
+// terminateReserved ends the session that the connection is reserved for, because the member is draining or removed. The session has no
+// request in progress.
 func (c *memberConn) terminateReserved() {
 	client := c.reservedFor
 	c.backend.driver.Defer(func() {
@@ -196,8 +196,8 @@
 	}
 }
 
-// endStream takes a request off the connection, which goes on to the next request, stays reserved for the session, or is closed. It
-// returns the member's error, if that ended the request.
+// endStream detaches a request from the connection, which is then returned to the pool, kept reserved for the session, or closed. If the
+// request ended because of an error while internal queries were pending, endStream returns that error.
 func (c *memberConn) endStream(j *job, outcome router.Outcome) (statementError *pg.Error) {
 	stream := j.request.Stream
 	clientSession := stream.Client.Session()
@@ -207,7 +207,7 @@
 	if outcome == router.Succeeded && c.position > 0 && c.backend.driver.Possible(c.position) {
 		stream.Position = c.position
 	}
-	if outcome != router.ServerError { // only an error that the member answered says what became of the request
+	if outcome != router.ServerError { // only an error response from the member tells what happened to the request
 		defer func() { stream.LastError = nil }()
 	}
 	if j.memberTurnSince > 0 {
@@ -233,7 +233,7 @@
 	return statementError
 }
 
-// reserve keeps the connection for a session between its requests.
+// reserve keeps the connection reserved for a session between its requests.
 func (c *memberConn) reserve(client request.ClientSession) {
 	c.reservedFor = client
 	client.Reserve(c)
@@ -242,7 +242,7 @@
 	}
 }
 
-// returnUnlessPending gives the connection back to the pool once no internal query is pending.
+// returnUnlessPending returns the connection to the pool unless internal queries are still pending.
 func (c *memberConn) returnUnlessPending() {
 	if c.internalPending == 0 {
 		c.returnToPool()
--- a/internal/backend/stream_error.go
+++ b/internal/backend/stream_error.go
@@ -6,7 +6,7 @@
 	"wayloft/router"
 )
 
-// SQLSTATE classes, the first two characters of a code, that are caused by the member.
+// SQLSTATE classes (the first two characters of a code) of errors that are caused by the member.
 const (
 	classSystemError     = "58"
 	classConfigFileError = "F0"
@@ -15,9 +15,9 @@
 	sqlStateClassLength = 2
 )
 
-// handleStreamError processes an error. The member skips all that was sent up to the next Sync.
+// handleStreamError processes an error on a connection for streams. After an error the member skips all messages up to the next Sync.
 func (c *memberConn) handleStreamError(m *pg.Message) bool {
-	if c.job == nil && len(c.expected) == 0 { // the member ends the connection, which nobody uses
+	if c.job == nil && len(c.expected) == 0 { // the member is closing an unused connection
 		c.drop()
 		return true
 	}
@@ -28,7 +28,7 @@
 	failed := c.expected[0]
 	c.skipToSync()
 	stream := c.job.request.Stream
-	if !failed.forClient && failed.kind == pg.Query { // settings that the member does not accept, or a BEGIN
+	if !failed.forClient && failed.kind == pg.Query { // the member refused the session's settings or its BEGIN
 		c.unusable = true
 	}
 	if failed.replyError != nil {
@@ -44,8 +44,8 @@
 	return true
 }
 
-// skipToSync removes the expected replies up to the next Sync or simple query, which the member does not give after an error. What they
-// would have prepared or closed is as it was.
+// skipToSync removes the expected replies up to the next Sync or simple query, since the member does not send them after an error. It
+// reverts the changes to the set of prepared statements that were recorded for the skipped messages.
 func (c *memberConn) skipToSync() {
 	for len(c.expected) > 0 && c.expected[0].kind != pg.Query && c.expected[0].kind != pg.Sync {
 		if skipped := c.expected[0]; skipped.kind == pg.Parse && skipped.statement != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// canReplay reports whether an error says that a prepared plan is missing or invalid, while nothing of the request has run: it is
-// replayed once, with the statement prepared again.
+// canReplay reports whether an error means that a prepared plan is missing or invalid, and no part of the request has run. The request is
+// then replayed, at most once, with the statement prepared again.
 func (c *memberConn) canReplay(failed expectedReply, code string) bool {
 	stream := c.job.request.Stream
 	if stream.Cancelled() || stream.Started() || c.replayed || c.transactionStatus != session.StatusIdle {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// replay sends the request again, of which nothing has run. The stale statement is closed before, so that it is prepared again.
+// replay sends a request again of which no part has run. It closes the stale statement first, so that the statement is prepared again.
 func (c *memberConn) replay(stale *session.PreparedStatement) {
 	if c.hasPrepared(stale) {
 		c.writeInternalSync(c.closePrepared(nil, stale))
@@ -81,8 +81,8 @@
 	c.job.request.Stream.Replay()
 }
 
-// memberOutcome returns the outcome that an error stands for if it is about the member rather than the statement. The driver receives it
-// before the client does, so that the request can be retried.
+// memberOutcome returns the outcome for an error that is caused by the member rather than the statement. The driver is notified before the
+// error is delivered to the client, so that the request can be retried.
 func (c *memberConn) memberOutcome() (router.Outcome, bool) {
 	stream := c.job.request.Stream
 	e := stream.Failure()
@@ -98,7 +98,7 @@
 		return router.Overloaded, true
 	case pg.SnapshotTooOld:
 		return router.Misrouted, true
-	case pg.ReadOnlySQLTransaction: // otherwise the transaction is read-only, not the member
+	case pg.ReadOnlySQLTransaction: // otherwise only the transaction is read-only, not the member
 		if c.backend.limits.PrimaryClasses[c.job.request.RequestClass] && c.role != router.Primary {
 			return router.Misrouted, true
 		}
--- a/internal/backend/stream_reply.go
+++ b/internal/backend/stream_reply.go
@@ -6,7 +6,7 @@
 	"wayloft/router"
 )
 
-// deliverLocalReplies delivers the replies at the head of the queue that need no member.
+// deliverLocalReplies delivers the local replies at the head of the queue.
 func (c *memberConn) deliverLocalReplies() {
 	for len(c.expected) > 0 && c.expected[0].localReply != nil {
 		reply := c.expected[0]
@@ -21,7 +21,7 @@
 	}
 }
 
-// popExpected takes off the first expected reply, if it replies to one of these.
+// popExpected removes and returns the first expected reply if it is a reply to one of the given kinds.
 func (c *memberConn) popExpected(kinds ...pg.Kind) (reply expectedReply, ok bool) {
 	if len(c.expected) == 0 {
 		return reply, false
@@ -36,7 +36,7 @@
 	return reply, false
 }
 
-// handleStreamMessage processes one message on a connection for streams; false: it is a protocol violation.
+// handleStreamMessage processes one message on a connection for streams. It returns false if the message violates the protocol.
 func (c *memberConn) handleStreamMessage(m *pg.Message) bool {
 	switch m.Kind {
 	case pg.AuthenticationOK, pg.Ignored:
@@ -74,7 +74,7 @@
 	return c.handleReply(m)
 }
 
-// recordClientParameter records a parameter that clients receive, too.
+// recordClientParameter records a parameter that is also passed on to clients.
 func (c *memberConn) recordClientParameter(name, value string) {
 	c.parameters, _, _ = c.parameters.Insert([]byte(name), value)
 	c.backend.parameters[c.pool] = c.parameters
@@ -83,7 +83,7 @@
 	}
 }
 
-// handleReply processes a message that belongs to the first expected reply; false: it is a protocol violation.
+// handleReply processes a message that is part of the first expected reply. It returns false if the message violates the protocol.
 func (c *memberConn) handleReply(m *pg.Message) bool {
 	if !c.ready || len(c.expected) == 0 {
 		return false
@@ -103,7 +103,7 @@
 	return true
 }
 
-// matchExpected returns the first expected reply, and whether the message may be a part of it. It takes the reply off the queue if the
+// matchExpected returns the first expected reply, and whether the message can be part of it. It removes the reply from the queue if the
 // message completes it.
 func (c *memberConn) matchExpected(m *pg.Message) (reply expectedReply, ok bool) {
 	first := c.expected[0]
@@ -144,7 +144,7 @@
 	return first, false
 }
 
-// handleStreamReady processes a ReadyForQuery, after an internal query or after what the client sent.
+// handleStreamReady processes a ReadyForQuery, which ends the replies to an internal query or to the client's messages.
 func (c *memberConn) handleStreamReady(m *pg.Message) bool {
 	if _, ok := c.popExpected(pg.Query, pg.Sync); !ok {
 		return false
@@ -172,7 +172,7 @@
 	stream.Receive(*m)
 	stream.Flush()
 	stream.NextQuery()
-	if c.job != j { // the client has terminated its session
+	if c.job != j { // the client terminated its session
 		return true
 	}
 	if m.Status == session.StatusIdle && c.nothingExpected() {
@@ -183,21 +183,22 @@
 	return true
 }
 
-// writeInternalSync writes messages of the router's own and the Sync that ends them.
+// writeInternalSync writes internal messages, followed by a Sync.
 func (c *memberConn) writeInternalSync(out []byte) {
 	c.expected = append(c.expected, expectedReply{kind: pg.Sync})
 	c.internalPending++
 	c.conn.Write(pg.AppendSync(out))
 }
 
-// finishInternalQuery goes on after an internal query was answered.
+// finishInternalQuery continues after the ReadyForQuery that ends an internal query. The queued operations are sent once no internal
+// query is pending.
 func (c *memberConn) finishInternalQuery(m *pg.Message) bool {
 	switch {
 	case c.job == nil && c.unusable:
 		c.drop()
 	case c.job == nil:
 		c.returnUnlessPending()
-	case c.unusable: // the client receives the member's error about its settings or its BEGIN
+	case c.unusable: // the member's error about the settings or the BEGIN is delivered to the client
 		if c.queryError == nil {
 			c.queryError = c.job.request.Stream.Failure()
 		}
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -8,39 +8,40 @@
 	"wayloft/internal/pg"
 )
 
-// Bytes of the protocol that package pg has as arguments.
+// Protocol bytes that are passed to package pg as arguments.
 const (
-	parseCompleteByte byte = '1' // the type of a ParseComplete message
-	statementTarget   byte = 'S' // of a Describe or Close of a prepared statement
+	parseCompleteByte byte = '1' // message type of ParseComplete
+	statementTarget   byte = 'S' // target of a Describe or Close that refers to a prepared statement
 )
 
 const (
-	statementNamePrefix = "wl_" // of what is prepared at a member
-	statementNameBase   = 36    // of the hash in such a name
+	statementNamePrefix = "wl_" // prefix of the names of statements prepared on a member
+	statementNameBase   = 36    // base in which the hash is written in these names
 
-	// What a member receives in place of a message that is refused here. Neither can be executed.
+	// Sent to a member in place of a message that the router refuses. Neither can be executed.
 	refusedQuery     = "refused by wayloft"
 	refusedStatement = statementNamePrefix + "refused"
 )
 
-// emptyBindSuffix ends a Bind message: no parameter formats, no parameters and no result formats, each a 16-bit count.
+// emptyBindSuffix ends a Bind message: the 16-bit counts of parameter formats, parameters and result formats, all zero.
 var emptyBindSuffix = []byte{0, 0, 0, 0, 0, 0}
 
-// Send implements request.BackendConn. Operations wait while internal queries are pending, since they must not run without these.
+// Send implements request.BackendConn. Operations are queued while internal queries are pending, since they must not run before these have
+// succeeded.
 func (c *memberConn) Send(ops []session.Message) {
 	if c.job == nil {
 		return
 	}
-	for _, op := range ops { // the end of the data of a COPY may be among them
+	for _, op := range ops { // one of them may end the COPY data
 		c.copyingIn = c.copyingIn && op.Kind != pg.CopyDone && op.Kind != pg.CopyFail
 	}
-	c.setTurn(c.job, !c.copyingIn) // the member owes no reply while the client sends the data of a COPY
+	c.setTurn(c.job, !c.copyingIn) // the member sends no reply while the client is sending COPY data
 	if c.internalPending > 0 {
 		c.queued = append(c.queued, ops...)
 		return
 	}
 	out := c.encodeAll(ops)
-	if !c.clientOpsWritten && c.backend.endIfUnsendable(c.job) { // the internal queries may have taken a while
+	if !c.clientOpsWritten && c.backend.endIfUnsendable(c.job) { // the job may have expired, or the client disconnected, during the internal queries
 		return
 	}
 	c.clientOpsWritten = c.clientOpsWritten || c.internalPending == 0
@@ -48,8 +49,8 @@
 	c.deliverLocalReplies()
 }
 
-// encodeAll returns the operations as they are sent to this member. Those that come after operations whose replies the client does not
-// receive are queued until these are answered.
+// encodeAll returns the operations encoded for this member. Operations that follow an operation with a discarded reply are queued until
+// that reply has arrived.
 func (c *memberConn) encodeAll(ops []session.Message) (out []byte) {
 	for n, op := range ops {
 		if op.Action != session.ForwardDiscardReply {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// encode appends an operation as it is sent to this member.
+// encode appends an operation, encoded for this member.
 func (c *memberConn) encode(out []byte, op session.Message) []byte {
 	expect := func(reply expectedReply) { c.expected = append(c.expected, reply) }
 	switch op.Action {
@@ -93,7 +94,7 @@
 	case session.AnswerLocally:
 		expect(expectedReply{kind: op.Kind, forClient: true, localReply: op.Raw})
 		return out
-	case session.Reject: // the member must fail too, so that nothing before it takes effect
+	case session.Reject: // the member must fail as well, so that no earlier operation takes effect
 		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Fault})
 		if op.Kind == pg.Query {
 			return pg.AppendQuery(out, refusedQuery)
@@ -110,10 +111,10 @@
 	return append(out, op.Raw...)
 }
 
-// appendQuery appends a simple query. The comment of a statement gets the time that is left to its client right now, since the client may
-// have sent it long ago.
+// appendQuery appends a simple query. The deadline in a statement's comment is updated to the time that its client has left now, since the
+// client may have sent it a while ago.
 func (c *memberConn) appendQuery(out, raw []byte) []byte {
-	const headerBytes, terminatorBytes = 5, 1 // the type and length before the text; the zero byte behind it
+	const headerBytes, terminatorBytes = 5, 1 // message type and length before the text; zero byte after it
 	if len(raw) < headerBytes+terminatorBytes {
 		return append(out, raw...)
 	}
@@ -124,12 +125,12 @@
 	return statement.AppendQuery(out, min(statement.WaitMs, c.job.deadline-c.backend.driver.Clock()))
 }
 
-// statementName returns what a statement is called at the member.
+// statementName returns the name of a prepared statement on the member.
 func statementName(s *session.PreparedStatement) string {
 	return statementNamePrefix + strconv.FormatUint(s.Hash, statementNameBase)
 }
 
-// hasPrepared reports whether the member has the statement prepared.
+// hasPrepared reports whether the statement is prepared on this connection.
 func (c *memberConn) hasPrepared(s *session.PreparedStatement) bool {
 	prepared, ok := c.prepared.Get(s.Hash)
 	if c.job.request.Stream.Client.Session().SeededDefects().ReuseAnyStatement && c.prepared.Len() > 0 {
@@ -138,9 +139,9 @@
 	return ok && prepared.Tail == s.Tail
 }
 
-// prepare appends the preparation of a statement. forClient is set if the client is to receive the reply.
+// prepare appends a Parse message for a statement. forClient is set if the reply is delivered to the client.
 func (c *memberConn) prepare(out []byte, s *session.PreparedStatement, forClient bool) []byte {
-	if old, ok := c.prepared.Peek(s.Hash); ok { // two statements with the same hash
+	if old, ok := c.prepared.Peek(s.Hash); ok { // a different statement with the same hash
 		out = c.closePrepared(out, old)
 	}
 	c.prepared.Add(s.Hash, s)
@@ -148,15 +149,15 @@
 	return pg.AppendParse(out, statementName(s), []byte(s.Tail.Value()))
 }
 
-// closePrepared appends the closing of a prepared statement, whose reply the client does not receive.
+// closePrepared appends a Close message for a prepared statement. The reply is not delivered to the client.
 func (c *memberConn) closePrepared(out []byte, s *session.PreparedStatement) []byte {
 	c.prepared.Remove(s.Hash)
 	c.expected = append(c.expected, expectedReply{kind: pg.Close, closing: s})
 	return pg.AppendClose(out, statementTarget, statementName(s))
 }
 
-// trimPrepared closes the least recently used statements beyond what the connection may keep. It must be called only between requests:
-// a bound statement must not be closed.
+// trimPrepared closes the least recently used prepared statements in excess of maxPrepared. It must be called only between requests, since a
+// bound statement must not be closed.
 func (c *memberConn) trimPrepared() {
 	if c.prepared.Len() <= c.maxPrepared {
 		return
