--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -14,7 +14,7 @@
 	"wayloft/router"
 )
 
-// Each way in which an attempt can end, and whether its connection is used again.
+// Checks every outcome of an attempt, and whether its connection is reused.
 func TestSendAttempt_Outcomes(t *testing.T) {
 	ready := pg.AppendReadyIdle(nil)
 	refusal := pg.AppendError(nil, &pg.Error{Code: pg.TooManyConnections, Text: "no"}, true)
@@ -22,7 +22,7 @@
 		name   string
 		greet  *fakes.Reply
 		answer *fakes.Reply
-		wait   float64 // time-out; 0: none
+		wait   float64 // timeout in ms; 0 for none
 		want   string
 		reused bool
 	}{
@@ -68,7 +68,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			dialTimeout := 5000.0
 			if c.name == "login never answered" {
-				dialTimeout = 200 // the attempt ends with it
+				dialTimeout = 200 // the attempt ends when the dial times out
 			}
 			driver, backend := startWithDialTimeout(t, 10, dialTimeout)
 			m := fakes.NewMember(t, c.greet, func(string) *fakes.Reply { return c.answer })
@@ -101,11 +101,12 @@
 	})
 	if a, b := driver.nextEvent(t), driver.nextEvent(t); a+b != "3 connect failed 0 0 falsecheck connect failed" &&
 		b+a != "3 connect failed 0 0 falsecheck connect failed" {
-		t.Errorf("got %q, %q", a, b)
+		t.Errorf("got %q and %q, want a failed connect for both the attempt and the health check", a, b)
 	}
 }
 
-// A late response must not reach another request: an attempt that is cancelled loses its connection before the next is sent.
+// Guards against a late response reaching another request: the connection of a cancelled attempt must be closed before the next attempt is
+// sent.
 func TestCancelAttempt_ClosesConnection(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -118,7 +119,7 @@
 		backend.List(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
+	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.CancelAttempt("1", 0) })
 	if got := driver.nextEvent(t); got != "0 canceled 0 0 false" {
 		t.Errorf("got %q", got)
@@ -132,7 +133,7 @@
 	}
 }
 
-// A report is read as a whole or not at all: one that can't be read shows only that the member is up.
+// A report with any invalid part must be ignored entirely: it shows only that the member is up. The health check then ends as a server error.
 func TestHealthCheck_Reports(t *testing.T) {
 	driver, backend := start(t, 10)
 	report := ""
@@ -163,15 +164,15 @@
 	}
 }
 
-// What comes behind a response must not be taken for the next one, though the connection is used again at once: an empty query goes
-// first, and its answer separates the two.
+// Guards against taking a duplicate of a response for the response to the next query when a connection is reused immediately. An empty query
+// is sent first, and its reply separates the two.
 func TestSendAttempt_DuplicateResponseIsNotTakenForNext(t *testing.T) {
 	driver, backend := start(t, 1)
 	duplicate := false
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	m.Empty = func() *fakes.Reply {
 		fence := pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
-		if duplicate { // the response before comes once more
+		if duplicate { // the previous response is sent again
 			fence = append(fakes.Row("old", "source", "1").Bytes, fence...)
 		}
 		return &fakes.Reply{Bytes: fence}
@@ -184,12 +185,12 @@
 			t.Errorf("%d: got %q, want %q", n, got, want)
 		}
 	}
-	if accepted, asked := m.Seen(); accepted != 1 || !strings.Contains(strings.Join(asked, "|"), "||") {
-		t.Errorf("%d connections; asked %q", accepted, asked)
+	if accepted, queries := m.Seen(); accepted != 1 || !strings.Contains(strings.Join(queries, "|"), "||") {
+		t.Errorf("%d connections; queries %q", accepted, queries)
 	}
 }
 
-// Responses that together exceed the budget are given up; their statements may have run.
+// Incomplete responses that together exceed the budget are discarded. Their attempts end as server errors, since their statements may have run.
 func TestSendAttempt_ResponsesOverBudget(t *testing.T) {
 	driver, backend := start(t, 20)
 	part := fakes.Rows(strings.Repeat("v", maxResponse-100))
@@ -205,7 +206,7 @@
 			t.Errorf("got %q", got)
 		}
 	}
-	fakes.Until(t, "four are buffered", func() (four bool) {
+	fakes.Until(t, "four incomplete responses are buffered", func() (four bool) {
 		driver.runOnLoop(func() {
 			four = backend.bufferedBytes > 3*maxResponse && backend.bufferedBytes <= 4*maxResponse && backend.OverBudget == 2 && backend.Connections() == 4
 		})
@@ -214,13 +215,14 @@
 	for n := range 6 {
 		driver.runOnLoop(func() { backend.CancelAttempt(fmt.Sprint(n), 0) })
 	}
-	fakes.Until(t, "nothing is buffered", func() (none bool) {
+	fakes.Until(t, "no response is buffered and no connection is open", func() (none bool) {
 		driver.runOnLoop(func() { none = backend.bufferedBytes == 0 && backend.Connections() == 0 })
 		return none
 	})
 }
 
-// At the limit of connections, idle ones are closed first; an attempt that gets none did not run, and says nothing about its member.
+// At the connection limit, idle connections are closed first. An attempt that gets no connection ends as not sent, which says nothing about
+// its member.
 func TestSendAttempt_ConnectionLimit(t *testing.T) {
 	driver, backend := start(t, 1)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
@@ -248,12 +250,12 @@
 	}
 	driver.runOnLoop(func() {
 		if backend.Connections() != 1 || backend.NoConnection != 1 {
-			t.Errorf("%d connections, %d attempts without one; want 1 of each", backend.Connections(), backend.NoConnection)
+			t.Errorf("%d connections, %d attempts without a connection; want 1 of each", backend.Connections(), backend.NoConnection)
 		}
 	})
 }
 
-// awaitPeerClosed holds the loop until a member has closed a connection.
+// awaitPeerClosed blocks the loop until the member has closed the connection.
 func awaitPeerClosed(t *testing.T, c *memberConn) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !c.conn.PeerClosed(); runtime.Gosched() {
@@ -264,7 +266,8 @@
 	}
 }
 
-// A connection whose end has come, though the loop has not handled it yet, is not used: its query would be answered by a reset.
+// A connection that the member has closed must not be used, even if the loop has not handled the close yet: a query on it would fail with a
+// reset.
 func TestSendAttempt_ClosedConnectionIsNotUsed(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
@@ -275,7 +278,7 @@
 	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 	for n := range 20 {
 		driver.runOnLoop(func() {
-			for _, c := range backend.conns { // the end comes while the loop is busy
+			for _, c := range backend.conns { // the close arrives while the loop is busy
 				awaitPeerClosed(t, c)
 			}
 			backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1))
@@ -286,17 +289,17 @@
 	}
 }
 
-// Guards against a timer that wakes an idle router, and against one that is late for what the pool must do by itself.
+// Guards against a timer that wakes an idle router, and against one that fires too late for the pool's next sweep.
 func TestBackend_TimerFollowsPool(t *testing.T) {
 	driver, backend := start(t, 10)
 	driver.runOnLoop(func() { backend.List(listOf("127.0.0.1:1", router.Up)) })
-	for idle := false; !idle; { // the sweep after the list
+	for idle := false; !idle; { // wait for the sweep after the list
 		driver.runOnLoop(func() { idle = math.IsInf(backend.timerAt, 1) })
 	}
 	driver.runOnLoop(func() {
 		backend.poolInput()
 		if at := backend.pool.NextSweep(); backend.timerAt != at {
-			t.Errorf("the pool has had an input, its next sweep is at %v and the timer at %v", at, backend.timerAt)
+			t.Errorf("after an input, the pool's next sweep is at %v, but the timer is set for %v", at, backend.timerAt)
 		}
 	})
 }
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -21,7 +21,7 @@
 	"wayloft/router"
 )
 
-// startRouter runs a decision module, its event loop and its backend, with members of one group.
+// startRouter runs a decision module with its event loop and backend. The members form one group.
 func startRouter(t *testing.T, classes map[string]*router.RequestClass, addrs ...string) *eventloop.Driver {
 	t.Helper()
 	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
@@ -61,14 +61,14 @@
 	return driver
 }
 
-// This host has no port or no route for a while, or for longer than a request's deadline: the request has one final response in time, it
-// succeeds as soon as a dial does, and dials are few however long the shortage lasts.
+// This host has no free port or no route, either for a while or until after the request's deadline. The request must get one final response
+// before its deadline and succeed as soon as a dial succeeds, and the dial rate must stay limited throughout the shortage.
 func TestRouter_ShortageOfThisHost(t *testing.T) {
 	const deadline, always = 3000.0, 1 << 40
 	for _, errno := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
 		for _, failing := range []int64{1, 8, always} {
 			for _, members := range []int{1, 3} {
-				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", dials that fail: ", failing, ", members: ", members), func(t *testing.T) {
+				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", failing dials: ", failing, ", members: ", members), func(t *testing.T) {
 					var addrs []string
 					for range members {
 						addrs = append(addrs, fakes.NewMember(t, nil, func(string) *fakes.Reply {
@@ -99,13 +99,13 @@
 					response := <-responses
 					took := time.Since(started)
 					if want := failing < always; (response.Rows != nil) != want || response.Rejected == want {
-						t.Errorf("responded %+v after %v", response, took)
+						t.Errorf("got response %+v after %v, want success: %v", response, took, want)
 					}
 					if took > time.Duration(deadline)*time.Millisecond {
-						t.Errorf("responded after %v", took)
+						t.Errorf("got the response after %v, past the deadline of %.0f ms", took, deadline)
 					}
 					if maxDials := int64(members) * (6 + took.Milliseconds()/100); failing == always && dials.Load() > maxDials {
-						t.Errorf("%d dials in %v, want %d at most", dials.Load(), took, maxDials)
+						t.Errorf("%d dials in %v, want at most %d", dials.Load(), took, maxDials)
 					}
 					t.Logf("%d dials in %v", dials.Load(), took)
 				})
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -16,7 +16,7 @@
 
 const maxResponse = 160 << 10
 
-// testDriver is a loop that records how attempts and health checks end.
+// testDriver is an event loop that records the outcomes of attempts and health checks.
 type testDriver struct {
 	*eventloop.Loop
 	events chan string
@@ -47,7 +47,7 @@
 	router.TimedOut: "timed out", router.ConnectFailed: "connect failed", router.Reset: "reset", router.Canceled: "canceled",
 	router.NotSent: "not sent", router.Misrouted: "misrouted"}
 
-// start runs a backend whose connections have more time to come up than they need on a busy machine.
+// start runs a backend with a dial timeout that is long enough even on a busy machine.
 func start(t *testing.T, maxConns int) (*testDriver, *Backend) {
 	t.Helper()
 	return startWithDialTimeout(t, maxConns, 5000)
@@ -58,7 +58,7 @@
 	return startPools(t, maxConns, dialTimeout, connpool.Bounds{})
 }
 
-// startPools runs a backend that has a pool for sessions, too; statements wait for a connection for as long as sessions do.
+// startPools runs a backend that also has a pool for sessions. Statements wait for a connection as long as sessions do.
 func startPools(t *testing.T, maxConns int, dialTimeout float64, sessions connpool.Bounds) (*testDriver, *Backend) {
 	t.Helper()
 	driver := &testDriver{eventloop.NewLoop(512), make(chan string, 100)}
@@ -80,21 +80,21 @@
 	return driver, backend
 }
 
-// runOnLoop runs f on the loop and waits for it.
+// runOnLoop runs f on the loop and waits until it has returned.
 func (driver *testDriver) runOnLoop(f func()) {
 	done := make(chan bool)
 	driver.Post(func() { f(); close(done) })
 	<-done
 }
 
-// nextEvent returns how the next attempt or health check ended.
+// nextEvent waits for the next recorded event, such as the outcome of an attempt, and returns it.
 func (driver *testDriver) nextEvent(t *testing.T) string {
 	t.Helper()
 	select {
 	case event := <-driver.events:
 		return event
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came back")
+		t.Fatal("timed out waiting for the outcome of an attempt or health check")
 		return ""
 	}
 }
--- a/internal/backend/list_test.go
+++ b/internal/backend/list_test.go
@@ -10,7 +10,7 @@
 	"wayloft/router"
 )
 
-// Members that come and go leave nothing behind, and an attempt in flight to a member that is removed still has its own outcome.
+// Guards against a leak when members are added and removed. An attempt in flight to a removed member must still end with its own outcome.
 func TestList_RemovedMembersLeaveNothing(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
@@ -21,8 +21,8 @@
 			backend.SendAttempt(newRequest(driver, id, 5000), 0, id, 0, math.Inf(1))
 		})
 		fakes.Until(t, "the query has arrived", func() bool {
-			_, asked := m.Seen()
-			return len(asked) > n
+			_, queries := m.Seen()
+			return len(queries) > n
 		})
 		driver.runOnLoop(func() {
 			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, State: router.Removed}}})
@@ -32,14 +32,14 @@
 		}
 		driver.runOnLoop(func() {
 			if len(backend.members)+len(backend.attempts)+backend.Connections() > 0 {
-				t.Errorf("%d: kept: %d members, %d attempts, %d connections", n, len(backend.members), len(backend.attempts), backend.Connections())
+				t.Errorf("%d: leaked %d members, %d attempts, %d connections", n, len(backend.members), len(backend.attempts), backend.Connections())
 			}
 		})
 	}
 }
 
-// An attempt that is not written yet when its member starts draining is not sent any more; one that is in flight goes on. A changed
-// address, or a new start, closes the idle connections.
+// An attempt that is not written yet when its member starts draining must not be sent. A changed address or start time closes the member's
+// idle connections.
 func TestList_Changes(t *testing.T) {
 	driver, backend := startWithDialTimeout(t, 10, 200)
 	silent := fakes.NewMember(t, &fakes.Reply{}, nil)
@@ -50,7 +50,7 @@
 		backend.List(listOf(silent.Addr, router.Draining))
 	})
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
-		t.Errorf("unsent: got %q", got)
+		t.Errorf("attempt not written before draining: got %q", got)
 	}
 	for n, l := range []*discovery.List{listOf(m.Addr, router.Up), listOf(silent.Addr, router.Up), listOf(m.Addr, router.Up),
 		{Entries: []discovery.Entry{{ID: "a", Addr: m.Addr, Started: 5}}}, {Complete: true}} {
@@ -70,7 +70,8 @@
 	}
 }
 
-// An attempt in flight while its member's address changes has its own outcome, but its connection is not kept for the new address.
+// An attempt in flight while its member's address changes must still end with its own outcome, but its connection must not be reused for the
+// new address.
 func TestList_AddressChangesDuringAttempt(t *testing.T) {
 	driver, backend := start(t, 10)
 	answer := make(chan bool)
@@ -80,7 +81,7 @@
 		backend.List(listOf(old.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, asked := old.Seen(); return len(asked) > 0 })
+	fakes.Until(t, "the query has arrived", func() bool { _, queries := old.Seen(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.List(listOf(moved.Addr, router.Up)) })
 	close(answer)
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
@@ -88,6 +89,6 @@
 	}
 	driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, "2", 5000), 0, "a", 0, math.Inf(1)) })
 	if got := driver.nextEvent(t); got != "0 succeeded 1 2 true" {
-		t.Errorf("after the move: %q", got)
+		t.Errorf("after the address change: got %q", got)
 	}
 }
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -19,13 +19,13 @@
 	"wayloft/router"
 )
 
-// closeSocket closes a socket of the test's own, whose end the test does not depend on.
+// closeSocket closes one of the test's sockets and ignores the error, which does not affect the test.
 func closeSocket(c io.Closer) { _ = c.Close() }
 
-// readToEOF reads a connection until it ends, however it does.
+// readToEOF reads and discards everything on a connection until it ends, with or without an error.
 func readToEOF(c io.Reader) { _, _ = io.Copy(io.Discard, c) }
 
-// stalledMember is a member that accepts a login and then reads nothing.
+// stalledMember is a member that accepts a login and then reads nothing more.
 type stalledMember struct {
 	addr  string
 	conns chan net.Conn
@@ -55,8 +55,8 @@
 	return m
 }
 
-// The rest of a query is written just while its attempt is given up: whether it was sent is decided after the connection is closed, so
-// that an attempt whose last byte was written is never reported as not sent.
+// Guards against a race in which the poller writes the rest of a query while its attempt is being ended. Whether the query was sent must be
+// decided after the connection is closed, so that an attempt whose last byte was written is never reported as not sent.
 func TestEndJob_LastByteIsWrittenMeanwhile(t *testing.T) {
 	long := strings.Repeat("x", 16<<20)
 	for _, c := range []struct {
@@ -83,7 +83,7 @@
 				})
 				peer := <-m.conns
 				defer closeSocket(peer)
-				fakes.Until(t, "a part of the query is written", func() (written bool) {
+				fakes.Until(t, "part of the query is written", func() (written bool) {
 					driver.runOnLoop(func() {
 						for _, c := range backend.conns {
 							written = c.queryWritten && c.conn.Unsent() > 0
@@ -118,8 +118,8 @@
 	}
 }
 
-// A client goes away while its attempt waits for a connection to come up: nothing is sent for it, and the connection serves the next
-// request.
+// A client disconnects while its attempt waits for a connection to be established. The attempt must not be sent, and the connection must serve
+// the next request.
 func TestAbandon_BeforeQueryIsWritten(t *testing.T) {
 	driver, backend := start(t, 1)
 	greet := make(chan bool)
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	defer closeSocket(l)
-	asked := make(chan string, 10)
+	queries := make(chan string, 10)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -151,7 +151,7 @@
 					}
 					continue
 				}
-				asked <- m.Text
+				queries <- m.Text
 				if _, err := c.Write(fakes.Row("v", "source", "1").Bytes); err != nil {
 					t.Error(err)
 				}
@@ -167,7 +167,7 @@
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("got %q", got)
 	}
-	driver.runOnLoop(func() { backend.Abandon("1") }) // a second time
+	driver.runOnLoop(func() { backend.Abandon("1") }) // a second call has no effect
 	close(greet)
 	fakes.Until(t, "the connection is kept", func() (idle bool) {
 		driver.runOnLoop(func() { idle = backend.pool.IdleCount("a") == 1 })
@@ -177,12 +177,12 @@
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Errorf("got %q", got)
 	}
-	if got := <-asked; !strings.Contains(got, "id=2") {
-		t.Errorf("asked %q first", got)
+	if got := <-queries; !strings.Contains(got, "id=2") {
+		t.Errorf("the first query is %q, want the one of request 2", got)
 	}
 }
 
-// A client goes away while its query may be running: the attempt goes on to its end, which says something about the member.
+// A client disconnects while its query may be running. The attempt must continue, since its outcome is information about the member.
 func TestAbandon_WhileQueryRuns(t *testing.T) {
 	driver, backend := start(t, 1)
 	answer := make(chan bool)
@@ -191,7 +191,7 @@
 		backend.List(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, asked := m.Seen(); return len(asked) > 0 })
+	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.Abandon("1") })
 	close(answer)
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
@@ -199,14 +199,14 @@
 	}
 }
 
-// The time after which an attempt must not be written passes before its connection is up: it is not written, and the connection serves the
-// next request.
+// An attempt's notAfter passes before its connection is established. The attempt must not be written, and the connection must serve the next
+// request.
 func TestSendAttempt_TooLate(t *testing.T) {
 	driver, backend := start(t, 1)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
-		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, driver.Clock()) // the time that a connection takes is later
+		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, driver.Clock()) // connecting takes longer than that
 	})
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("got %q", got)
@@ -215,27 +215,27 @@
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Errorf("got %q", got)
 	}
-	if accepted, asked := m.Seen(); accepted != 1 || strings.Contains(strings.Join(asked, ""), "id=1") {
-		t.Errorf("%d connections, asked %q", accepted, asked)
+	if accepted, queries := m.Seen(); accepted != 1 || strings.Contains(strings.Join(queries, ""), "id=1") {
+		t.Errorf("%d connections, queries %q; want 1 connection and no query of request 1", accepted, queries)
 	}
 }
 
-// A batch of events takes long, and an attempt is decided at its end: the member receives at most what its client has left by then, and the
-// attempt times out when the client's time is over, not that much later.
+// An attempt is decided at the end of a long batch of events. The deadline sent to the member must be at most the time that the client has
+// left by then, and the attempt must time out at the client's deadline, not later by the duration of the batch.
 func TestSendAttempt_DeadlineAfterLongBatch(t *testing.T) {
 	const batchMs, remainingMs, laterMs = 1500.0, 2000.0, 750.0
 	driver, backend := start(t, 4)
 	received := make(chan string, 10)
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		received <- sql
-		if strings.Contains(sql, "id=warm") {
+		if strings.Contains(sql, "id=warmup") {
 			return fakes.Row("v", "source", "1")
 		}
 		return nil
 	})
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
-		backend.SendAttempt(newRequest(driver, "warm", 60000), 0, "a", 0, math.Inf(1))
+		backend.SendAttempt(newRequest(driver, "warmup", 60000), 0, "a", 0, math.Inf(1))
 	})
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Fatalf("got %q", got)
@@ -256,7 +256,7 @@
 		sql := <-received
 		d := deadlineOf(t, sql)
 		if strings.Contains(sql, "id=first") && d > remainingMs-batchMs {
-			t.Errorf("the deadline sent is %.0f ms, %.0f at most are left", d, remainingMs-batchMs)
+			t.Errorf("the deadline sent is %.0f ms, want at most %.0f", d, remainingMs-batchMs)
 		}
 	}
 	for _, want := range []string{"0 timed out 0 0 false", "1 timed out 0 0 false"} {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -34,7 +34,7 @@
 	unusable          bool // the connection must be closed after this request
 	lastBound         *session.PreparedStatement
 	replayed          bool                       // the request was already replayed once because of a missing or invalid prepared plan
-	staleStatement    *session.PreparedStatement // the statement whose plan was missing or invalid; set only if nothing has run, so that the request is replayed
+	staleStatement    *session.PreparedStatement // the statement whose plan was missing or invalid; set only if the request is to be replayed
 	parameters        *iradix.Tree[string]       // parameters reported by the member
 	copyingIn         bool                       // the client is sending COPY data
 	clientOpsWritten  bool                       // some of the client's operations were written
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -26,8 +26,8 @@
 // emptyBindSuffix ends a Bind message: the 16-bit counts of parameter formats, parameters and result formats, all zero.
 var emptyBindSuffix = []byte{0, 0, 0, 0, 0, 0}
 
-// Send implements request.BackendConn. Operations are queued while internal queries are pending, since they must not run before these have
-// succeeded.
+// Send implements request.BackendConn. Operations are queued while internal queries are pending, since they must not run before
+// these have succeeded.
 func (c *memberConn) Send(ops []session.Message) {
 	if c.job == nil {
 		return
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -17,13 +17,13 @@
 	"wayloft/router"
 )
 
-// dialError returns the error of a system call as net's dial returns it.
+// dialError returns a system call error wrapped the way that net.Dial returns it.
 func dialError(call string, errno unix.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// A dial that fails for a cause of this host's says nothing about the member: neither an attempt nor a health check counts against it, and
-// the next dial succeeds once the cause is gone. A failure that the member caused counts.
+// A dial that fails because of this host must not count against the member, neither in an attempt nor in a health check, and dials must
+// succeed again once the cause is gone. A failure caused by the member must count against it.
 func TestDial_Fails(t *testing.T) {
 	for _, c := range []struct {
 		point, call string
@@ -57,14 +57,14 @@
 					t.Errorf("got %q, want %q", got, wantCheck)
 				}
 				restore()
-				for n := 1; ; n++ { // until the pool's pause is over
+				for n := 1; ; n++ { // until the pool's backoff is over
 					driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint(n+1), 60000), n, "a", 0, math.Inf(1)) })
 					switch got := driver.nextEvent(t); got {
 					case fmt.Sprint(n, " succeeded 1 1 true"):
 						return
 					case fmt.Sprint(n, want[1:]):
 					default:
-						t.Fatalf("got %q once dials succeed", got)
+						t.Fatalf("got %q after dials can succeed again", got)
 					}
 				}
 			})
@@ -72,7 +72,7 @@
 	}
 }
 
-// However fast attempts are retried while this host has no port left, dials are made at the pool's pace.
+// While this host has no free port, the pool's backoff must limit the dial rate, no matter how fast attempts are retried.
 func TestDial_PacedWhileHostHasNoPort(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, nil)
@@ -92,12 +92,12 @@
 	}
 	driver.runOnLoop(func() { ended = driver.Clock() })
 	if maxDials := 5 + int64((ended-started)/100); dials.Load() > maxDials {
-		t.Errorf("%d dials for %d attempts in %.0f ms, want %d at most", dials.Load(), attempts, ended-started, maxDials)
+		t.Errorf("%d dials for %d attempts in %.0f ms, want at most %d", dials.Load(), attempts, ended-started, maxDials)
 	}
 }
 
-// An established connection that ends by ETIMEDOUT, EHOSTUNREACH or ENETUNREACH is broken, as by ECONNRESET: a query whose last
-// byte was written may have run.
+// An established connection that fails with ETIMEDOUT, EHOSTUNREACH, ENETUNREACH or EPIPE must be treated like one that fails with
+// ECONNRESET: a query whose last byte was written may have run.
 func TestMemberConn_EstablishedConnectionBreaks(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// Reads that are interrupted, find nothing, lack memory for a moment or take one byte at a time give the same response.
+// Reads that are interrupted, return no data, fail temporarily for lack of memory or return a single byte must not change the response.
 func TestMemberConn_InterruptedAndShortReads(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "17") })
@@ -140,6 +140,6 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if reads.Load() < 100 {
-		t.Errorf("%d reads: they were not short", reads.Load())
+		t.Errorf("%d reads, want at least 100: the reads were not short", reads.Load())
 	}
 }
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -18,7 +18,7 @@
 	"wayloft/router"
 )
 
-// fakeSession is a client's session that ignores what it receives.
+// fakeSession is a client session that passes the member's messages to its state and discards everything else.
 type fakeSession struct{ session *session.Session }
 
 func (c *fakeSession) Session() *session.Session { return c.session }
@@ -31,7 +31,7 @@
 func (c *fakeSession) Reserve(request.BackendConn)           {}
 func (c *fakeSession) Terminate(*pg.Error)                   {}
 
-// newStreamRequest returns a request of a session, with one statement. The session has a setting of its own if set is true.
+// newStreamRequest returns a request of a client session with one statement. If set is true, the session has a setting of its own.
 func newStreamRequest(t *testing.T, driver *testDriver, id string, wait float64, set bool) *request.Request {
 	t.Helper()
 	base := session.NoSettings
@@ -47,7 +47,7 @@
 	return req
 }
 
-// fakeServer is a member that answers as a test wants it to, and accepts settings.
+// fakeServer is a member whose responses a test can override, and that accepts settings.
 type fakeServer struct{ *fakes.Member }
 
 func newFakeServer(t *testing.T, answer func(sql string) *fakes.Reply) *fakeServer {
@@ -63,8 +63,8 @@
 	})}
 }
 
-// newFakeServerWithDelayedSettings returns a member that reports the statement that makes the setting of newStreamRequest's session, and answers
-// it only when it may.
+// newFakeServerWithDelayedSettings returns a member that signals arrived when it receives the setting of newStreamRequest's session, and
+// answers it only after a value is sent to mayAnswer.
 func newFakeServerWithDelayedSettings(t *testing.T) (m *fakeServer, arrived <-chan bool, mayAnswer chan<- bool) {
 	t.Helper()
 	settingsArrived, answerSettings := make(chan bool), make(chan bool)
@@ -78,14 +78,14 @@
 	return m, settingsArrived, answerSettings
 }
 
-// received reports whether the member was sent a statement with this id.
+// received reports whether the member received a statement with this id.
 func (s *fakeServer) received(id string) bool {
-	_, asked := s.Seen()
-	return strings.Contains(strings.Join(asked, "|"), "id="+id+",")
+	_, queries := s.Seen()
+	return strings.Contains(strings.Join(queries, "|"), "id="+id+",")
 }
 
-// A client has closed its connection, and the loop has not handled that yet: the router was busy, or the attempt is decided in the batch
-// in which the close comes. No attempt is written, whichever it is, and the connection serves the next request.
+// A client has closed its connection, but the loop has not handled the close yet, because the router was busy or because the attempt is decided
+// in the same batch. No attempt must be written for the client, and the connection must serve the next request.
 func TestSendAttempt_ClientClosedBeforeWrite(t *testing.T) {
 	plain := func(_ *testing.T, driver *testDriver, id string) *request.Request {
 		return newRequest(driver, id, 60000)
@@ -99,23 +99,23 @@
 		name   string
 		new    func(*testing.T, *testDriver, string) *request.Request
 		seq    int
-		queued bool // another attempt, for the only connection
-		noConn bool // no connection is up yet
+		queued bool // the attempt waits while another one uses the only connection
+		noConn bool // no connection is established yet
 	}{
 		{"the first attempt", plain, 0, false, false},
 		{"a retry", plain, 3, false, false},
-		{"one that waits for a connection to come up", plain, 0, false, true},
-		{"one that waits for another's connection", plain, 0, true, false},
+		{"one that waits for a connection to be established", plain, 0, false, true},
+		{"one that waits for a connection in use", plain, 0, true, false},
 		{"in a session", pooled(false), 0, false, false},
 		{"in a session with settings", pooled(true), 0, false, false},
 		{"a retry in a session", pooled(false), 2, false, false},
-		{"in a session, for a connection to come up", pooled(true), 0, false, true},
-		{"in a session, for another's connection", pooled(true), 0, true, false},
+		{"in a session, waiting for a connection to be established", pooled(true), 0, false, true},
+		{"in a session, waiting for a connection in use", pooled(true), 0, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
 			m := newFakeServer(t, func(sql string) *fakes.Reply {
-				if strings.Contains(sql, "id=holds,") {
+				if strings.Contains(sql, "id=blocking,") {
 					<-answer
 				}
 				return nil
@@ -124,17 +124,17 @@
 			backend.limits.QueueStatements = true
 			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 			if !c.noConn && !c.queued {
-				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "warms"), 0, "a", 0, math.Inf(1)) })
+				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "warmup"), 0, "a", 0, math.Inf(1)) })
 				if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
 					t.Fatalf("got %q", got)
 				}
 			}
 			if c.queued {
-				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "holds"), 0, "a", 0, math.Inf(1)) })
-				fakes.Until(t, "the one before has arrived", func() bool { return m.received("holds") })
+				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "blocking"), 0, "a", 0, math.Inf(1)) })
+				fakes.Until(t, "the blocking query has arrived", func() bool { return m.received("blocking") })
 			}
 			driver.runOnLoop(func() {
-				abandoned := c.new(t, driver, "leaves")
+				abandoned := c.new(t, driver, "abandoned")
 				abandoned.ClientClosed = func() bool { return true }
 				backend.SendAttempt(abandoned, c.seq, "a", 0, math.Inf(1))
 			})
@@ -148,26 +148,26 @@
 			}
 			driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "after"), 0, "a", 0, math.Inf(1)) })
 			if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
-				t.Errorf("the next: %q", got)
+				t.Errorf("next attempt: got %q", got)
 			}
 			if accepted, _ := m.Seen(); accepted != 1 {
-				t.Errorf("%d connections, want the one", accepted)
+				t.Errorf("%d connections, want 1", accepted)
 			}
-			if m.received("leaves") {
-				t.Error("written for a client that had closed")
+			if m.received("abandoned") {
+				t.Error("the statement was written for a client that had closed its connection")
 			}
 		})
 	}
 }
 
-// A client closes its connection while the session's settings are being made for its attempt: the statement is not written.
+// A client closes its connection while the session's settings are being applied for its attempt. The statement must not be written.
 func TestStream_ClientClosesDuringSettings(t *testing.T) {
 	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
-	closed := false // the loop's
+	closed := false // accessed only on the loop
 	driver.runOnLoop(func() {
 		backend.List(listOf(m.Addr, router.Up))
-		abandoned := newStreamRequest(t, driver, "leaves", 60000, true)
+		abandoned := newStreamRequest(t, driver, "abandoned", 60000, true)
 		abandoned.ClientClosed = func() bool { return closed }
 		backend.SendAttempt(abandoned, 0, "a", 0, math.Inf(1))
 	})
@@ -177,12 +177,12 @@
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("got %q", got)
 	}
-	if m.received("leaves") {
-		t.Error("written for a client that had closed")
+	if m.received("abandoned") {
+		t.Error("the statement was written for a client that had closed its connection")
 	}
 }
 
-// The time after which an attempt must not be written passes while the session's settings are being made: the statement is not written.
+// An attempt's notAfter passes while the session's settings are being applied. The statement must not be written.
 func TestStream_TooLateAfterSettings(t *testing.T) {
 	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
@@ -191,17 +191,18 @@
 		backend.SendAttempt(newStreamRequest(t, driver, "late", 60000, true), 0, "a", 0, math.Inf(1))
 	})
 	<-settingsArrived
-	driver.runOnLoop(func() { backend.attempts["late"].notAfter = driver.Clock() - 1 }) // it has passed since
+	driver.runOnLoop(func() { backend.attempts["late"].notAfter = driver.Clock() - 1 }) // simulates that the time has passed
 	answerSettings <- true
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("got %q", got)
 	}
 	if m.received("late") {
-		t.Error("written too late")
+		t.Error("the statement was written after notAfter")
 	}
 }
 
-// A client cancels while the session's settings are being made, at a member that has sent no cancel key: the statement is not written.
+// A client cancels its request while the session's settings are being applied on a member that has sent no cancel key. The statement must not
+// be written.
 func TestStream_CancelledDuringSettings(t *testing.T) {
 	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
@@ -218,19 +219,19 @@
 		t.Errorf("got %q", got)
 	}
 	if m.received("cancels") {
-		t.Error("written after it was cancelled")
+		t.Error("the statement was written after it was cancelled")
 	}
 }
 
-// The deadline that a member receives is at most what the client has left at the write, also for an attempt that is decided in a batch
-// that began long before, or that waited on its connection, or for a connection.
+// The deadline sent to a member must be at most the time that the client has left at the write, even if the attempt is decided in a batch that
+// began long before, or waited on its connection or for a connection.
 func TestSendAttempt_DeadlineAtWrite(t *testing.T) {
 	const batchMs, remainingMs = 400.0, 20000.0
 	plain := func(_ *testing.T, driver *testDriver, id string) *request.Request {
 		return newRequest(driver, id, remainingMs)
 	}
 	pipelined := func(_ *testing.T, driver *testDriver, id string) *request.Request {
-		return request.New(newRequest(driver, id, remainingMs).Statement, driver.Now()-300, func(request.Response) {}) // its last byte came then
+		return request.New(newRequest(driver, id, remainingMs).Statement, driver.Now()-300, func(request.Response) {}) // when its last byte arrived
 	}
 	pooled := func(set bool) func(*testing.T, *testDriver, string) *request.Request {
 		return func(t *testing.T, driver *testDriver, id string) *request.Request {
@@ -241,23 +242,23 @@
 		name   string
 		new    func(*testing.T, *testDriver, string) *request.Request
 		seq    int
-		queued bool    // it waits for another's connection meanwhile
-		wait   float64 // the attempt's own time-out
+		queued bool    // the attempt waits while another one uses the only connection
+		wait   float64 // the attempt's own timeout in ms
 	}{
 		{"the first attempt", plain, 0, false, 0},
 		{"a retry", plain, 2, false, 0},
-		{"one with a time-out of its own", plain, 1, false, 2000},
+		{"one with a timeout of its own", plain, 1, false, 2000},
 		{"one that waits for a connection", plain, 0, true, 0},
 		{"pipelined", pipelined, 0, false, 0},
 		{"in a session", pooled(false), 0, false, 0},
 		{"in a session with settings", pooled(true), 0, false, 0},
 		{"a retry in a session", pooled(false), 2, false, 0},
-		{"in a session, for another's connection", pooled(false), 0, true, 0},
+		{"in a session, waiting for a connection in use", pooled(false), 0, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := make(chan bool, 1)
 			m := newFakeServer(t, func(sql string) *fakes.Reply {
-				if strings.Contains(sql, "id=holds,") {
+				if strings.Contains(sql, "id=blocking,") {
 					<-answer
 				}
 				return nil
@@ -265,17 +266,17 @@
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			backend.limits.QueueStatements = true
 			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
-			before := "warms"
+			before := "warmup"
 			if c.queued {
-				before = "holds"
+				before = "blocking"
 			}
 			driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, before), 0, "a", 0, math.Inf(1)) })
 			if !c.queued {
 				driver.nextEvent(t)
 			}
-			fakes.Until(t, "the one before has arrived", func() bool { return m.received(before) })
+			fakes.Until(t, "the previous query has arrived", func() bool { return m.received(before) })
 			var from, began float64
-			delayBatch := func() { // the batch goes on for lag ms
+			delayBatch := func() { // keeps the loop busy for batchMs
 				for from = driver.Clock(); driver.Clock() < from+batchMs; {
 					runtime.Gosched()
 				}
@@ -294,19 +295,19 @@
 			})
 			answer <- true
 			fakes.Until(t, "the query has arrived", func() bool { return m.received("late") })
-			_, asked := m.Seen()
-			d := deadlineOf(t, asked[slices.IndexFunc(asked, func(s string) bool { return strings.Contains(s, "id=late,") })])
+			_, queries := m.Seen()
+			d := deadlineOf(t, queries[slices.IndexFunc(queries, func(s string) bool { return strings.Contains(s, "id=late,") })])
 			if maxDeadline := began + remainingMs - (from + batchMs); d > maxDeadline {
-				t.Errorf("the deadline sent is %.0f ms, %.1f at most are left", d, maxDeadline)
+				t.Errorf("the deadline sent is %.0f ms, want at most %.1f", d, maxDeadline)
 			}
 			if c.wait > 0 && d > c.wait {
-				t.Errorf("the deadline sent is %.0f ms, the time-out is %.0f", d, c.wait)
+				t.Errorf("the deadline sent is %.0f ms, want at most the timeout of %.0f", d, c.wait)
 			}
 		})
 	}
 }
 
-// deadlineOf returns the deadline in ms in a statement's comment.
+// deadlineOf returns the deadline in ms from a statement's comment.
 func deadlineOf(t *testing.T, sql string) (deadline float64) {
 	t.Helper()
 	_, rest, found := strings.Cut(sql, ",d=")
@@ -319,7 +320,7 @@
 	return deadline
 }
 
-// A client's time ends while its attempt is delayed before the write: it is not written.
+// A client's deadline passes while its attempt is delayed before the write. The attempt must not be written.
 func TestSendAttempt_NotWrittenAfterDeadline(t *testing.T) {
 	for name, newRequest := range map[string]func(*testDriver, string, float64) *request.Request{
 		"plain": newRequest,
@@ -332,7 +333,7 @@
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			driver.runOnLoop(func() {
 				backend.List(listOf(m.Addr, router.Up))
-				backend.SendAttempt(newRequest(driver, "warms", 60000), 0, "a", 0, math.Inf(1))
+				backend.SendAttempt(newRequest(driver, "warmup", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
 				t.Fatalf("got %q", got)
@@ -348,7 +349,7 @@
 				t.Errorf("got %q", got)
 			}
 			if m.received("late") {
-				t.Error("written after its client's time")
+				t.Error("the statement was written after its client's deadline")
 			}
 		})
 	}
