--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -171,11 +171,11 @@
 	duplicate := false
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	m.Empty = func() *fakes.Reply {
-		fence := pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
+		barrierReply := pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
 		if duplicate { // the previous response is sent again
-			fence = append(fakes.Row("old", "source", "1").Bytes, fence...)
+			barrierReply = append(fakes.Row("old", "source", "1").Bytes, barrierReply...)
 		}
-		return &fakes.Reply{Bytes: fence}
+		return &fakes.Reply{Bytes: barrierReply}
 	}
 	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
 	for n, want := range []string{"0 succeeded 1 1 true", "0 succeeded 1 1 true", "0 server error 0 0 false"} {
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -99,10 +99,10 @@
 					response := <-responses
 					took := time.Since(started)
 					if want := failing < always; (response.Rows != nil) != want || response.Rejected == want {
-						t.Errorf("got response %+v after %v, want success: %v", response, took, want)
+						t.Errorf("unexpected response %+v after %v", response, took)
 					}
 					if took > time.Duration(deadline)*time.Millisecond {
-						t.Errorf("got the response after %v, past the deadline of %.0f ms", took, deadline)
+						t.Errorf("got the response after %v, past the deadline", took)
 					}
 					if maxDials := int64(members) * (6 + took.Milliseconds()/100); failing == always && dials.Load() > maxDials {
 						t.Errorf("%d dials in %v, want at most %d", dials.Load(), took, maxDials)
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -20,7 +20,7 @@
 // maxReceivedFactor times Limits.MaxResponse is the number of bytes that may be received on a connection after its last job began.
 const maxReceivedFactor = 2
 
-// errorOutcomes maps the error codes which imply that the statement did not run to outcomes.
+// errorOutcomes maps error codes to outcomes. Each of these codes means that the statement did not run.
 var errorOutcomes = map[string]router.Outcome{
 	pg.ReadOnlySQLTransaction: router.Misrouted,
 	pg.SnapshotTooOld:         router.Misrouted,
