--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -21,7 +21,7 @@
 	"wayloft/router"
 )
 
-// startRouter runs a decision module, its event loop and its backend, with members of one group.
+// startRouter runs a decision module with its event loop and backend. The members form one group.
 func startRouter(t *testing.T, classes map[string]*router.RequestClass, addrs ...string) *eventloop.Driver {
 	t.Helper()
 	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
@@ -35,11 +35,11 @@
 	pools := map[string]connpool.Bounds{PlatformPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}
 	backend := New(driver, limits, connpool.New(connpool.Settings{MaxTotal: 10, Pools: pools}))
 	driver.SetBackend(backend)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := driver.Listen(front, 1<<20, func(*eventloop.Conn) {}); err != nil {
+	if err := driver.Listen(listener, 1<<20, func(*eventloop.Conn) {}); err != nil {
 		t.Fatal(err)
 	}
 	list := &discovery.List{Complete: true}
@@ -61,14 +61,14 @@
 	return driver
 }
 
-// This host has no port or no route for a while, or for longer than a request's deadline: the request has one final response in time, it
-// succeeds as soon as a dial does, and dials are few however long the shortage lasts.
+// This host has no free port or no route, either for a while or until after the request's deadline. The request must get one final response
+// before its deadline and succeed as soon as a dial succeeds, and the dial rate must stay limited throughout the shortage.
 func TestRouter_ShortageOfThisHost(t *testing.T) {
-	const deadline, forever = 3000.0, 1 << 40
+	const deadline, always = 3000.0, 1 << 40
 	for _, errno := range []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
-		for _, failing := range []int64{1, 8, forever} {
+		for _, failing := range []int64{1, 8, always} {
 			for _, members := range []int{1, 3} {
-				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", dials that fail: ", failing, ", members: ", members), func(t *testing.T) {
+				t.Run(fmt.Sprint(unix.ErrnoName(errno), ", failing dials: ", failing, ", members: ", members), func(t *testing.T) {
 					var addrs []string
 					for range members {
 						addrs = append(addrs, fakes.NewMember(t, nil, func(string) *fakes.Reply {
@@ -98,14 +98,14 @@
 					})
 					response := <-responses
 					took := time.Since(started)
-					if want := failing < forever; (response.Rows != nil) != want || response.Rejected == want {
-						t.Errorf("responded %+v after %v", response, took)
+					if want := failing < always; (response.Rows != nil) != want || response.Rejected == want {
+						t.Errorf("unexpected response %+v after %v", response, took)
 					}
 					if took > time.Duration(deadline)*time.Millisecond {
-						t.Errorf("responded after %v", took)
+						t.Errorf("got the response after %v, past the deadline", took)
 					}
-					if most := int64(members) * (6 + took.Milliseconds()/100); failing == forever && dials.Load() > most {
-						t.Errorf("%d dials in %v, want %d at most", dials.Load(), took, most)
+					if maxDials := int64(members) * (6 + took.Milliseconds()/100); failing == always && dials.Load() > maxDials {
+						t.Errorf("%d dials in %v, want at most %d", dials.Load(), took, maxDials)
 					}
 					t.Logf("%d dials in %v", dials.Load(), took)
 				})
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -6,21 +6,21 @@
 	"wayloft/router"
 )
 
-// responseStage is how far a response has come.
+// responseStage is the progress of receiving a response.
 type responseStage int
 
 const (
 	stageNone responseStage = iota
 	stageColumns
 	stageRow
-	stageComplete // all but the ReadyForQuery after it has come
-	stageReady    // the connection is ready for the next query
+	stageComplete // everything was received except the final ReadyForQuery
+	stageReady    // the final ReadyForQuery was received
 )
 
-// maxUnsolicitedFactor times Limits.MaxResponse is how many bytes may come on a connection since its last job began.
-const maxUnsolicitedFactor = 2
+// maxReceivedFactor times Limits.MaxResponse is the number of bytes that may be received on a connection after its last job began.
+const maxReceivedFactor = 2
 
-// errorOutcomes are the error codes that say that the statement did not run.
+// errorOutcomes maps error codes to outcomes. Each of these codes means that the statement did not run.
 var errorOutcomes = map[string]router.Outcome{
 	pg.ReadOnlySQLTransaction: router.Misrouted,
 	pg.SnapshotTooOld:         router.Misrouted,
@@ -28,7 +28,7 @@
 	pg.CannotConnectNow:       router.Overloaded,
 }
 
-// errorOutcome returns the outcome that an error code stands for. After a code that the protocol doesn't name, the statement may have run.
+// errorOutcome returns the outcome for an error code. With any code that is not in errorOutcomes, the statement may have run.
 func errorOutcome(code string) router.Outcome {
 	if outcome, known := errorOutcomes[code]; known {
 		return outcome
@@ -36,52 +36,53 @@
 	return router.ServerError
 }
 
-// Data implements eventloop.Handler. A response is kept until it is complete; bytes that violate the protocol end the connection.
+// Data implements eventloop.Handler. It buffers a response until it is complete, and closes the connection on a protocol violation.
 func (c *memberConn) Data(b []byte) {
 	if c.pool == CancelPool { // a server sends nothing in reply to a cancel request
-		c.failProtocol()
+		c.closeOnProtocolError()
 		return
 	}
-	// Guards against an endless row of messages that are skipped one by one, on an idle connection, too.
+	// Limits an endless sequence of messages that are skipped one by one, which can arrive on an idle connection as well.
 	c.receivedBytes += len(b)
-	if c.streamState == nil && c.receivedBytes > maxUnsolicitedFactor*c.backend.limits.MaxResponse {
-		c.failProtocol()
+	if c.streamState == nil && c.receivedBytes > maxReceivedFactor*c.backend.limits.MaxResponse {
+		c.closeOnProtocolError()
 		return
 	}
 	c.reader.Feed(b)
 	for c.backend.conns[c.id] == c {
 		m, complete, err := c.reader.Next()
-		c.countBuffered()
+		c.updateBufferedBytes()
 		if !complete && err == nil {
 			c.enforceBudget()
 			return
 		}
 		if err != nil || !c.handle(&m) {
-			c.failProtocol()
+			c.closeOnProtocolError()
 			return
 		}
 	}
 }
 
-// enforceBudget gives up an incomplete response if all of them together exceed their budget. Its statement may have run, and there is no
-// memory for the rest.
+// enforceBudget discards the incomplete response on this connection if all incomplete responses together exceed the budget, since there is no
+// memory for the rest of it. Its statement may have run.
 func (c *memberConn) enforceBudget() {
 	if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
 		c.backend.OverBudget++
-		c.failProtocol()
+		c.closeOnProtocolError()
 	}
 }
 
-// countBuffered updates the sum of what all connections hold of responses.
-func (c *memberConn) countBuffered() {
+// updateBufferedBytes updates this connection's share of the buffered bytes of all responses.
+func (c *memberConn) updateBufferedBytes() {
 	buffered := len(c.rows) + c.reader.Buffered()
 	c.backend.bufferedBytes += buffered - c.bufferedBytes
 	c.bufferedBytes = buffered
 }
 
-// failProtocol ends a connection on which something came that can't be a response. Its job has failed and may have run, and nothing of
-// the response can be trusted. It guards against taking garbage for the loss of a member that is up.
-func (c *memberConn) failProtocol() {
+// closeOnProtocolError closes a connection on which the member violated the protocol, or whose response exceeds the budget. No part of the
+// response can be trusted. A job whose query was sent may have run; it ends as ServerError rather than Reset, so that invalid data is not
+// mistaken for the loss of a member that is up.
+func (c *memberConn) closeOnProtocolError() {
 	c.backend.ProtocolErrors++
 	c.stage, c.queryError = stageNone, nil
 	if j := c.job; j != nil && !c.closeIfUnsent() {
@@ -90,7 +91,7 @@
 	c.Closed()
 }
 
-// handle processes one message; false: it is a protocol violation.
+// handle processes one message. It returns false if the message violates the protocol.
 func (c *memberConn) handle(m *pg.Message) bool {
 	if c.streamState != nil {
 		return c.handleStreamMessage(m)
@@ -98,19 +99,19 @@
 	return c.handleMessage(m)
 }
 
-// handleMessage processes one message on a connection for single statements; false: it is a protocol violation.
+// handleMessage processes one message on a connection for single statements. It returns false if the message violates the protocol.
 func (c *memberConn) handleMessage(m *pg.Message) bool {
 	switch m.Kind {
 	case pg.Ignored, pg.AuthenticationOK:
 		return true
 	case pg.ParameterStatus:
-		c.recordParameter(m.Name, m.Text)
+		c.recordRouterParameter(m.Name, m.Text)
 		return true
 	case pg.EmptyQuery:
-		if c.fence != fenceSent {
+		if c.barrier != barrierSent {
 			return false
 		}
-		c.fence = fenceAnswered
+		c.barrier = barrierReplied
 		return true
 	case pg.ErrorResponse:
 		return c.handleError(m.Error)
@@ -120,31 +121,32 @@
 	return c.handleResponseMessage(m)
 }
 
-// handleError processes an error of the member: it refuses the login, or answers the job's query.
+// handleError processes an error from the member, which either refuses the login or is the response to the job's query.
 func (c *memberConn) handleError(e *pg.Error) bool {
 	if !c.ready {
-		return c.loginRefused(e)
+		return c.handleLoginError(e)
 	}
-	if c.job == nil || c.fence != fenceNone {
+	if c.job == nil || c.barrier != barrierNone {
 		return false
 	}
 	c.queryError = e
 	return true
 }
 
-// handleReady processes a ReadyForQuery: after the login, after the empty query of the fence, or after a response.
+// handleReady processes a ReadyForQuery, which ends the login, the reply to the barrier's empty query, or a response.
 func (c *memberConn) handleReady() bool {
-	if c.fence != fenceNone {
-		answered := c.fence == fenceAnswered
-		c.fence = fenceNone
+	if c.barrier != barrierNone {
+		answered := c.barrier == barrierReplied
+		c.barrier = barrierNone
 		return answered
 	}
 	return c.becomeReady() || c.finishResponse()
 }
 
-// handleResponseMessage appends a message to the response; false: it can't be its next part. A response is one row of one column.
+// handleResponseMessage appends a message to the response, which must be one row of one column. It returns false if the message can't be the
+// next part of such a response.
 func (c *memberConn) handleResponseMessage(m *pg.Message) bool {
-	if c.job == nil || !c.ready || c.queryError != nil || c.fence != fenceNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
+	if c.job == nil || !c.ready || c.queryError != nil || c.barrier != barrierNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
 		return false
 	}
 	switch {
@@ -164,7 +166,7 @@
 	return true
 }
 
-// becomeReady processes the first ReadyForQuery, after which the connection can be used; false: it was ready already.
+// becomeReady processes the first ReadyForQuery, after which the connection can be used. It returns false if the connection was already ready.
 func (c *memberConn) becomeReady() bool {
 	if c.ready {
 		return false
@@ -175,8 +177,8 @@
 	return true
 }
 
-// loginRefused processes an error that came before the member accepted the login.
-func (c *memberConn) loginRefused(e *pg.Error) bool {
+// handleLoginError processes an error received before the member accepted the login.
+func (c *memberConn) handleLoginError(e *pg.Error) bool {
 	cause := connpool.Unreachable
 	if e.Code == pg.TooManyConnections {
 		cause = connpool.TooManyConnections
@@ -185,7 +187,7 @@
 	return true
 }
 
-// finishResponse processes the ReadyForQuery after a response.
+// finishResponse processes the ReadyForQuery that ends a response.
 func (c *memberConn) finishResponse() bool {
 	j := c.job
 	if j == nil || c.queryError == nil && c.stage != stageComplete {
