--- a/internal/frontend/budget_test.go
+++ b/internal/frontend/budget_test.go
@@ -13,18 +13,18 @@
 		t.Run(database, func(t *testing.T) {
 			f := newTestFrontend(t, 100)
 			client := f.dial(database, true)
-			f.do(func() { f.frontend.heldBytes += 3 * f.frontend.maxHeldBytes })
+			f.runOnLoop(func() { f.frontend.heldBytes += 3 * f.frontend.maxHeldBytes })
 			query := pg.AppendQuery(nil, "/* id=1,c=x,d=100 */ SELECT 1")
 			const part = 9 // bytes
 			f.write(client, query[:part])
-			f.until("a part of the query has come", func() bool { return f.onlySession().reader.Buffered() == part })
-			f.do(func() {
+			f.waitUntil("a part of the query has come", func() bool { return f.onlySession().reader.Buffered() == part })
+			f.runOnLoop(func() {
 				if f.onlySession().state != sessionOpen {
 					t.Error("the session ends before the request is complete")
 				}
 			})
 			f.exchange(client, query[part:], 1)
-			f.do(func() { f.frontend.heldBytes -= 3 * f.frontend.maxHeldBytes })
+			f.runOnLoop(func() { f.frontend.heldBytes -= 3 * f.frontend.maxHeldBytes })
 			f.exchange(client, pg.AppendQuery(nil, ""), 1)
 		})
 	}
--- a/internal/frontend/clientclosed_test.go
+++ b/internal/frontend/clientclosed_test.go
@@ -25,11 +25,11 @@
 			}
 			send(database)
 			var req *request.Request
-			f.until("the request has arrived", func() bool {
-				req = f.anyRequest()
+			f.waitUntil("the request has arrived", func() bool {
+				req = f.onlyRequest()
 				return req != nil
 			})
-			f.do(func() {
+			f.runOnLoop(func() {
 				if req.Abandoned() {
 					t.Error("abandoned at first")
 				}
@@ -44,13 +44,13 @@
 					t.Error("not abandoned before the event loop has handled the end of the connection")
 				}
 			})
-			f.until("the session ends", func() bool { return len(f.frontend.sessions) == 0 })
+			f.waitUntil("the session ends", func() bool { return len(f.frontend.sessions) == 0 })
 		})
 	}
 }
 
-// anyRequest returns the request of the only session, nil if it has none. It must be called on the event loop.
-func (f *testFrontend) anyRequest() *request.Request {
+// onlyRequest returns the request of the only session, nil if it has none. It must be called on the event loop.
+func (f *testFrontend) onlyRequest() *request.Request {
 	s := f.onlySession()
 	if s == nil {
 		return nil
--- a/internal/frontend/clientsession.go
+++ b/internal/frontend/clientsession.go
@@ -19,13 +19,13 @@
 	for n := range messages {
 		p.decisions.ServerMessage(&messages[n])
 		out = append(out, messages[n].Raw...)
-		p.memberAnswered(messages[n].Kind)
+		p.handleMemberMessage(messages[n].Kind)
 	}
 	p.session.conn.Write(out)
 }
 
-// memberAnswered updates the state by a message of the member.
-func (p *pooledSession) memberAnswered(kind pg.Kind) {
+// handleMemberMessage updates the state by a message of the member.
+func (p *pooledSession) handleMemberMessage(kind pg.Kind) {
 	switch kind {
 	case pg.CopyInResponse:
 		p.copying = true
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -17,14 +17,14 @@
 	f := newTestFrontend(t, 100)
 	client := f.dial(statementDatabase, true)
 	var signalled float64
-	f.do(func() {
+	f.runOnLoop(func() {
 		signalled = f.driver.Clock() - acceptPeriodMs - 1
 		f.frontend.Drain(signalled, acceptPeriodMs+1e6)
 	})
 	if rest, err := io.ReadAll(client); err != nil || len(rest) > 0 { // the session ends at once
 		t.Errorf("got %q, %v", rest, err)
 	}
-	f.do(func() {
+	f.runOnLoop(func() {
 		if f.frontend.endingSince > signalled+2*acceptPeriodMs {
 			t.Errorf("it served on until %v ms after the signal", f.frontend.endingSince-signalled)
 		}
@@ -34,7 +34,7 @@
 		{acceptPeriodMs + 1e6 - 100, 500, 100},
 		{acceptPeriodMs + 1e6 + 100, 500, 0},
 	} {
-		f.do(func() {
+		f.runOnLoop(func() {
 			req := request.New(&pg.Statement{WaitMs: c.waitMs}, signalled+c.arrivedMs, func(request.Response) {})
 			f.frontend.limitWait(req)
 			if math.Abs(req.WaitMs-c.wantMs) > 0.01 {
@@ -48,18 +48,18 @@
 func TestDrain_FailsOpenRequestsAtTheEnd(t *testing.T) {
 	classes := map[string]*router.RequestClass{"x": {LatencyObjective: 1e6, Deadline: 1e6, PriorityWeight: 1, Level: router.Write}}
 	settings := &router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: classes}
-	f := startTestFrontend(t, 100, settings, classes, silentBackend{})
-	f.do(func() { f.frontend.SetPooling(nil) })
+	f := startTestFrontend(t, 100, settings, classes, unresponsiveBackend{})
+	f.runOnLoop(func() { f.frontend.SetPooling(nil) })
 	client := fakes.NewClient(t, f.addr, true)
-	f.do(func() {
+	f.runOnLoop(func() {
 		list := f.driver.List()
 		list.BeginList()
 		list.ListMember("m", "z", 2, router.Up, router.Never)
 		list.EndList(true)
 	})
 	client.Ask("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
-	f.until("the request waits for a primary", func() bool { return f.onlySession().request != nil })
-	f.do(func() { f.frontend.Drain(f.driver.Clock()-2*acceptPeriodMs, acceptPeriodMs) })
+	f.waitUntil("the request waits for a primary", func() bool { return f.onlySession().request != nil })
+	f.runOnLoop(func() { f.frontend.Drain(f.driver.Clock()-2*acceptPeriodMs, acceptPeriodMs) })
 	if got := client.Answer(); got != "08007 ready" {
 		t.Errorf("got %q", got)
 	}
@@ -72,11 +72,11 @@
 	<-f.ended
 }
 
-// silentBackend never answers.
-type silentBackend struct{}
+// unresponsiveBackend never answers.
+type unresponsiveBackend struct{}
 
-func (silentBackend) SendAttempt(*request.Request, int, string, float64, float64) {}
-func (silentBackend) Abandon(string)                                              {}
-func (silentBackend) CancelAttempt(string, int)                                   {}
-func (silentBackend) HealthCheck(string)                                          {}
-func (silentBackend) CloseIdle(string)                                            {}
+func (unresponsiveBackend) SendAttempt(*request.Request, int, string, float64, float64) {}
+func (unresponsiveBackend) Abandon(string)                                              {}
+func (unresponsiveBackend) CancelAttempt(string, int)                                   {}
+func (unresponsiveBackend) HealthCheck(string)                                          {}
+func (unresponsiveBackend) CloseIdle(string)                                            {}
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -8,7 +8,7 @@
 // evictIfFull ends one session if there is no room for another. A candidate that can't be ended, since something has just come from its
 // client, is passed over.
 func (f *Frontend) evictIfFull() {
-	for f.occupied() >= f.maxSessions {
+	for f.occupiedSlots() >= f.maxSessions {
 		candidate := f.evictionCandidate(f.driver.Now())
 		if candidate == nil || candidate.endIfQuiescent() {
 			return
@@ -21,7 +21,7 @@
 // any other session. It returns nil if no session can be ended.
 func (f *Frontend) evictionCandidate(now float64) *session {
 	index := &f.sweepIndex
-	if s := index.longestIdle(&index.awaitingFirst, now-newConnectionGraceMs); s != nil {
+	if s := index.longestIdle(&index.awaitingFirstQuery, now-newConnectionGraceMs); s != nil {
 		return s
 	}
 	if s := index.longestIdle(&index.idle, now); s != nil {
@@ -30,19 +30,19 @@
 	if s := index.longestIdleActive(); s != nil {
 		return s
 	}
-	return index.longestIdle(&index.awaitingFirst, now)
+	return index.longestIdle(&index.awaitingFirstQuery, now)
 }
 
 // longestIdle returns the session of a queue that has been idle longest and can end now, nil if none has been idle since before. Sessions
 // that can't end now stay in the queue.
 func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], before float64) *session {
-	var passedOver []*timerqueue.Timer[*session]
-	defer func() { putBack(queue, passedOver) }()
+	var skipped []*timerqueue.Timer[*session]
+	defer func() { requeueTimers(queue, skipped) }()
 	for timer := queue.First(); timer != nil && timer.At() <= before; timer = queue.First() {
 		i.visits++
 		s := timer.Of
 		switch {
-		case s.state >= sessionEnding || queue == &i.awaitingFirst && s.sentQuery:
+		case s.state >= sessionEnding || queue == &i.awaitingFirstQuery && s.sentQuery:
 			queue.Drop(timer)
 		case s.idleSince > timer.At():
 			queue.Put(timer, s.idleSince)
@@ -50,7 +50,7 @@
 			return s
 		default:
 			queue.Drop(timer)
-			passedOver = append(passedOver, timer)
+			skipped = append(skipped, timer)
 		}
 	}
 	return nil
@@ -73,9 +73,9 @@
 // endLongestIdle ends sessions in statement-comment mode that have been idle for too long, and all but the latest of those that are idle.
 func (f *Frontend) endLongestIdle(now float64, maxIdle int) {
 	queue := &f.sweepIndex.idle
-	var passedOver []*timerqueue.Timer[*session]
+	var skipped []*timerqueue.Timer[*session]
 	for timer := queue.First(); timer != nil; timer = queue.First() {
-		tooMany := queue.Len()+len(passedOver) > maxIdle
+		tooMany := queue.Len()+len(skipped) > maxIdle
 		if !tooMany && now <= timer.At()+idleTimeoutMs {
 			break
 		}
@@ -87,15 +87,15 @@
 		}
 		queue.Drop(timer)
 		if !s.endIfQuiescent() { // something has come: it becomes active
-			passedOver = append(passedOver, timer)
+			skipped = append(skipped, timer)
 			maxIdle++
 		}
 	}
-	putBack(queue, passedOver)
+	requeueTimers(queue, skipped)
 }
 
-// putBack adds timers again that were taken out of a queue to see the next.
-func putBack(queue *timerqueue.Queue[*session], timers []*timerqueue.Timer[*session]) {
+// requeueTimers adds timers again that were taken out of a queue to see the next.
+func requeueTimers(queue *timerqueue.Queue[*session], timers []*timerqueue.Timer[*session]) {
 	for _, timer := range timers {
 		queue.Put(timer, timer.At())
 	}
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -22,42 +22,42 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.idleSince, b.idleSince))
 }
 
-// drawnSession is what the property draws for a session.
-type drawnSession struct {
-	since, noted        int // steps: when it became idle, and the earlier time at which the index has it
-	sentQuery, inactive bool
-	ending, busy        bool
+// generatedSession is what the property draws for a session.
+type generatedSession struct {
+	idleStep, indexedStep int // steps: when it became idle, and the earlier time at which the index has it
+	sentQuery, inactive   bool
+	ending, busy          bool
 }
 
-func drawSession(t *rapid.T) drawnSession {
+func generateSession(t *rapid.T) generatedSession {
 	since := rapid.IntRange(0, 9).Draw(t, "since")
-	return drawnSession{
-		since:     since,
-		noted:     rapid.IntRange(0, since).Draw(t, "noted"),
-		sentQuery: rapid.Bool().Draw(t, "sentQuery"),
-		inactive:  rapid.Bool().Draw(t, "inactive"),
-		ending:    rapid.IntRange(0, 5).Draw(t, "ending") == 0,
-		busy:      rapid.IntRange(0, 3).Draw(t, "busy") == 0,
+	return generatedSession{
+		idleStep:    since,
+		indexedStep: rapid.IntRange(0, since).Draw(t, "noted"),
+		sentQuery:   rapid.Bool().Draw(t, "sentQuery"),
+		inactive:    rapid.Bool().Draw(t, "inactive"),
+		ending:      rapid.IntRange(0, 5).Draw(t, "ending") == 0,
+		busy:        rapid.IntRange(0, 3).Draw(t, "busy") == 0,
 	}
 }
 
 // apply puts a session into the drawn state, as it would have come there.
-func (d drawnSession) apply(s *session, now float64) {
+func (d generatedSession) apply(s *session, now float64) {
 	const stepMs, earliestMs = 40.0, 800.0
 	index := &s.frontend.sweepIndex
 	index.remove(s)
 	s.sentQuery, s.state, s.queue = d.sentQuery, sessionOpen, nil
-	s.idleSince = now - earliestMs + stepMs*float64(d.noted)
+	s.idleSince = now - earliestMs + stepMs*float64(d.indexedStep)
 	if !d.sentQuery || !d.inactive {
 		index.add(s) // if it has sent a query, it did so since
 	} else {
 		index.active[s] = true
 		index.deactivateIfIdle(s)
 	}
-	s.idleSince = now - earliestMs + stepMs*float64(d.since)
+	s.idleSince = now - earliestMs + stepMs*float64(d.idleStep)
 	if d.sentQuery && !d.inactive {
 		s.idleSince += 400 // idle since the last sweep; inactive sessions became idle before it
-	} else if !d.sentQuery && d.since%2 == 0 {
+	} else if !d.sentQuery && d.idleStep%2 == 0 {
 		s.idleSince += 760 // a new connection
 	}
 	if d.ending {
@@ -74,15 +74,15 @@
 	f := newTestFrontend(t, 50)
 	sessions := f.connectSilent(12)
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := make([]drawnSession, len(sessions))
-		for n := range drawn {
-			drawn[n] = drawSession(t)
+		generated := make([]generatedSession, len(sessions))
+		for n := range generated {
+			generated[n] = generateSession(t)
 		}
 		var wrong bool
-		f.do(func() {
+		f.runOnLoop(func() {
 			now := f.driver.Now()
 			for n, s := range sessions {
-				drawn[n].apply(s, now)
+				generated[n].apply(s, now)
 			}
 			var want *session
 			for _, s := range sessions {
@@ -101,7 +101,7 @@
 			}
 		})
 		if wrong {
-			t.Fatalf("not the first: %+v", drawn)
+			t.Fatalf("not the first: %+v", generated)
 		}
 	})
 }
@@ -112,7 +112,7 @@
 	for _, c := range []struct{ maxSessions, overdue, left int }{{30, 0, 10}, {30, 4, 6}, {15, 0, 5}, {15, 2, 5}, {15, 7, 3}} {
 		f := newTestFrontend(t, c.maxSessions)
 		sessions := f.connectSilent(idle)
-		f.do(func() {
+		f.runOnLoop(func() {
 			now := f.driver.Now()
 			for n, s := range sessions {
 				s.sentQuery, s.idleSince = true, now-1000+float64(n)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -91,14 +91,14 @@
 		f.gate.open()
 	}
 	f.evictIfFull()
-	if f.occupied() > f.maxSessions && s.state < sessionEnding && !conn.Unread() {
+	if f.occupiedSlots() > f.maxSessions && s.state < sessionEnding && !conn.Unread() {
 		f.NoSessionSlot++
 		s.finishWithError(errTooManySessions)
 	}
 }
 
-// occupied returns how many sessions count against the limit.
-func (f *Frontend) occupied() int { return len(f.sessions) - f.endingSessions }
+// occupiedSlots returns how many sessions count against the limit.
+func (f *Frontend) occupiedSlots() int { return len(f.sessions) - f.endingSessions }
 
 // SessionCounts returns how many sessions there are, and how many of them wait for a response.
 func (f *Frontend) SessionCounts() (all, busy int) {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// do runs a function on the event loop, and waits for it.
-func (f *testFrontend) do(run func()) {
+// runOnLoop runs a function on the event loop, and waits for it.
+func (f *testFrontend) runOnLoop(run func()) {
 	done := make(chan struct{})
 	f.driver.Post(func() {
 		run()
@@ -83,11 +83,11 @@
 	<-done
 }
 
-// until waits until a condition holds, which is checked on the event loop.
-func (f *testFrontend) until(what string, holds func() bool) {
+// waitUntil waits waitUntil a condition holds, which is checked on the event loop.
+func (f *testFrontend) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
 	fakes.Until(f.t, what, func() (now bool) {
-		f.do(func() { now = holds() })
+		f.runOnLoop(func() { now = condition() })
 		return now
 	})
 }
@@ -118,7 +118,7 @@
 		f.connect()
 	}
 	for len(sessions) < n {
-		f.do(func() {
+		f.runOnLoop(func() {
 			sessions = sessions[:0]
 			for s := range f.frontend.sessions {
 				s.inputDeadline = 1e18 // none is ended for its silence meanwhile
--- a/internal/frontend/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -56,7 +56,7 @@
 			if calls.Load() < 5 {
 				t.Errorf("%d calls to adopt a connection, 3 of which fail", calls.Load())
 			}
-			f.do(func() {
+			f.runOnLoop(func() {
 				gate := f.frontend.gate
 				if accepted := gate.accepted.Load(); accepted != 2 || gate.started != 2 {
 					t.Errorf("%d accepted, %d started", accepted, gate.started)
@@ -77,7 +77,7 @@
 		}
 		return nil
 	}))
-	f.do(func() { f.frontend.Drain(f.driver.Clock(), acceptPeriodMs+1e6) })
+	f.runOnLoop(func() { f.frontend.Drain(f.driver.Clock(), acceptPeriodMs+1e6) })
 	f.dialAndClose()
 	if ends.Load() < 3 {
 		t.Error("answered before the process would have ended")
--- a/internal/frontend/pooled_test.go
+++ b/internal/frontend/pooled_test.go
@@ -67,11 +67,11 @@
 		"ended when flushed":     {parse(unitNone), flush(unitFlushed), terminate},
 		"ended in a transaction": {query(unitAwaitingReady), ready(unitNone), terminate},
 	} {
-		t.Run(name, func(t *testing.T) { playPooledSteps(t, steps) })
+		t.Run(name, func(t *testing.T) { runPooledSteps(t, steps) })
 	}
 }
 
-func playPooledSteps(t *testing.T, steps []pooledStep) {
+func runPooledSteps(t *testing.T, steps []pooledStep) {
 	t.Helper()
 	classes := map[string]*router.RequestClass{"read": {LatencyObjective: 60000, Deadline: 60000, PriorityWeight: 1, LateWeightShare: 1}}
 	settings := &router.Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: classes}
@@ -79,7 +79,7 @@
 	f.stopAtEnd()
 	f.dial(pooledDatabase, false)
 	var p *pooledSession
-	f.do(func() { p = f.onlySession().pooled })
+	f.runOnLoop(func() { p = f.onlySession().pooled })
 	for _, step := range steps {
 		checked := make(chan struct{})
 		f.driver.Post(func() {
--- a/internal/frontend/pooling.go
+++ b/internal/frontend/pooling.go
@@ -30,8 +30,8 @@
 // SetPooling sets the pools. It must be called before the first client is accepted.
 func (f *Frontend) SetPooling(pooling *Pooling) { f.pooling = pooling }
 
-// find returns the pool for a client, nil if there is none. A pool for its user comes before a pool for any user.
-func (p *Pooling) find(startup pg.StartupParameters) *Pool {
+// findPool returns the pool for a client, nil if there is none. A pool for its user comes before a pool for any user.
+func (p *Pooling) findPool(startup pg.StartupParameters) *Pool {
 	user := startup.Get("user")
 	database := cmp.Or(startup.Get("database"), user)
 	for _, poolUser := range []string{user, ""} {
@@ -46,6 +46,6 @@
 
 // usesStatementMode reports whether a client's session is in statement-comment mode.
 func (p *Pooling) usesStatementMode(startup pg.StartupParameters) bool {
-	pool := p.find(startup)
+	pool := p.findPool(startup)
 	return pool != nil && pool.StatementMode
 }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -45,12 +45,12 @@
 	pooled   *pooledSession
 
 	// Statement-comment mode. While request is set, or penalized, nothing of the queue is answered; both are never set together.
-	queue              []queuedMessage
-	request            *request.Request // the request that waits for its response
-	statementBytes     int              // of request
-	penalized          bool             // pauses after an error of its client's
-	skippingToSync     bool             // discards messages up to Sync, after an error of the extended protocol
-	answeredSinceSweep int              // messages
+	queue             []queuedMessage
+	request           *request.Request // the request that waits for its response
+	statementBytes    int              // of request
+	penalized         bool             // pauses after an error of its client's
+	skippingToSync    bool             // discards messages up to Sync, after an error of the extended protocol
+	handledSinceSweep int              // messages
 
 	// Times in ms on the loop's clock, and what the sweep compares.
 	sentQuery      bool    // a complete query has come, or the startup message of a pooled session
@@ -79,20 +79,20 @@
 	s.frontend.heldBytes += n
 }
 
-// nothingOwed reports whether no complete message is without its response.
-func (s *session) nothingOwed() bool {
+// noResponsePending reports whether no complete message is without its response.
+func (s *session) noResponsePending() bool {
 	return s.request == nil && len(s.queue) == 0 && (s.pooled == nil || s.pooled.idle())
 }
 
 // idle reports whether nothing at all is on its way: no response is owed, and no part of a message has come.
-func (s *session) idle() bool { return s.nothingOwed() && s.reader.Buffered() == 0 }
+func (s *session) idle() bool { return s.noResponsePending() && s.reader.Buffered() == 0 }
 
 // awaitsInput reports whether no response is owed, and the session waits for a first query or for the rest of a message.
 func (s *session) awaitsInput() bool {
 	if s.pooled != nil {
 		return s.pooled.awaitsInput()
 	}
-	return s.nothingOwed() && (!s.sentQuery || s.reader.Buffered() > 0)
+	return s.noResponsePending() && (!s.sentQuery || s.reader.Buffered() > 0)
 }
 
 // evictable reports whether the session may end without a response being lost.
@@ -100,7 +100,7 @@
 	if s.state >= sessionEnding || s.pooled != nil || s.sentQuery && s.reader.Buffered() > 0 {
 		return false
 	}
-	return s.nothingOwed() && s.conn.Sent()
+	return s.noResponsePending() && s.conn.Sent()
 }
 
 // Data receives bytes of the client.
--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -31,7 +31,7 @@
 
 // startPooled handles the startup message of a session in transaction pooling mode.
 func (s *session) startPooled(m pg.Message) {
-	pool := s.frontend.pooling.find(m.Startup)
+	pool := s.frontend.pooling.findPool(m.Startup)
 	if pool == nil {
 		s.frontend.ProtocolErrors++
 		s.finishWithError(errUnknownPool)
--- a/internal/frontend/statementmode.go
+++ b/internal/frontend/statementmode.go
@@ -51,10 +51,10 @@
 
 // processStatements answers what can be answered now, up to the first request.
 func (s *session) processStatements() {
-	for s.mayAnswer() {
+	for s.mayRespond() {
 		s.respond(s.dequeue())
 		if s.request == nil || len(s.queue) > 0 { // a client that awaits each response is not limited
-			s.answeredSinceSweep++
+			s.handledSinceSweep++
 		}
 	}
 	if s.state != sessionOpen || !s.idle() {
@@ -68,12 +68,12 @@
 	}
 }
 
-// mayAnswer reports whether the first message of the queue may be answered now.
-func (s *session) mayAnswer() bool {
+// mayRespond reports whether the first message of the queue may be answered now.
+func (s *session) mayRespond() bool {
 	if s.request != nil || s.penalized || s.state >= sessionEnding || len(s.queue) == 0 {
 		return false
 	}
-	return s.answeredSinceSweep < maxPipelined && s.conn.Unsent() < maxUnreadBytes
+	return s.handledSinceSweep < maxPipelined && s.conn.Unsent() < maxUnreadBytes
 }
 
 // dequeue takes the first message out of the queue.
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -47,7 +47,7 @@
 }
 
 func (f *Frontend) sweepSession(s *session, now float64) {
-	s.answeredSinceSweep = 0
+	s.handledSinceSweep = 0
 	if s.pooled != nil || len(s.queue) > 0 {
 		s.processQueue()
 	}
@@ -68,22 +68,22 @@
 // inactive once nothing can change for it, except through its client or because it has been idle longest; the client's next bytes make it
 // active again.
 type sweepIndex struct {
-	active        map[*session]bool
-	awaitingFirst timerqueue.Queue[*session] // sessions that have not sent a query, by idleSince
-	idle          timerqueue.Queue[*session] // inactive sessions in statement-comment mode, by idleSince
+	active             map[*session]bool
+	awaitingFirstQuery timerqueue.Queue[*session] // sessions that have not sent a query, by idleSince
+	idle               timerqueue.Queue[*session] // inactive sessions in statement-comment mode, by idleSince
 
 	visits int // how many sessions were visited so far
 }
 
 // sweepTimers are a session's entries in a sweepIndex. Their times may be earlier than the session's idleSince, never later: whoever finds
 // one of them first in its queue moves it to its place.
-type sweepTimers struct{ awaitingFirst, idle timerqueue.Timer[*session] }
+type sweepTimers struct{ awaitingFirstQuery, idle timerqueue.Timer[*session] }
 
 // add enters a new session: it is active and has not sent a query.
 func (i *sweepIndex) add(s *session) {
-	s.timers.awaitingFirst.Of, s.timers.idle.Of = s, s
+	s.timers.awaitingFirstQuery.Of, s.timers.idle.Of = s, s
 	i.active[s] = true
-	i.awaitingFirst.Put(&s.timers.awaitingFirst, s.idleSince)
+	i.awaitingFirstQuery.Put(&s.timers.awaitingFirstQuery, s.idleSince)
 }
 
 // activate has the next sweep visit the session.
@@ -97,7 +97,7 @@
 // remove takes the session out of the index.
 func (i *sweepIndex) remove(s *session) {
 	delete(i.active, s)
-	i.awaitingFirst.Drop(&s.timers.awaitingFirst)
+	i.awaitingFirstQuery.Drop(&s.timers.awaitingFirstQuery)
 	i.idle.Drop(&s.timers.idle)
 }
 
@@ -105,7 +105,7 @@
 func (i *sweepIndex) deactivateIfIdle(s *session) {
 	ending := s.state >= sessionEnding
 	if s.sentQuery || ending {
-		i.awaitingFirst.Drop(&s.timers.awaitingFirst)
+		i.awaitingFirstQuery.Drop(&s.timers.awaitingFirstQuery)
 	}
 	idle := s.sentQuery && s.state == sessionOpen && s.idle()
 	if idle && s.pooled == nil {
--- a/internal/frontend/sweep_test.go
+++ b/internal/frontend/sweep_test.go
@@ -7,9 +7,9 @@
 	"wayloft/internal/pg"
 )
 
-// visitsOf returns how many sessions are visited by so many sweeps.
-func (f *testFrontend) visitsOf(sweeps int) (visits int) {
-	f.do(func() {
+// countVisits returns how many sessions are visited by so many sweeps.
+func (f *testFrontend) countVisits(sweeps int) (visits int) {
+	f.runOnLoop(func() {
 		before := f.frontend.sweepIndex.visits
 		for range sweeps {
 			f.frontend.sweepOnce()
@@ -26,7 +26,7 @@
 	for range 40 {
 		clients = append(clients, f.dial(pooledDatabase, false), f.dial(statementDatabase, true))
 	}
-	f.do(func() {
+	f.runOnLoop(func() {
 		for s := range f.frontend.sessions {
 			if s.pooled != nil && s.pooled.reportedParameters != defaultParameters {
 				t.Error("a session holds its own copy of the default parameters")
@@ -34,18 +34,18 @@
 			}
 		}
 	})
-	f.visitsOf(1) // sessions that came since the last sweep
-	if n := f.visitsOf(10); n != 0 {
+	f.countVisits(1) // sessions that came since the last sweep
+	if n := f.countVisits(10); n != 0 {
 		t.Errorf("ten sweeps over %d idle sessions took %d visits, not none", len(clients), n)
 	}
 	for _, client := range clients[:2] { // one in each mode
 		f.exchange(client, pg.AppendQuery(nil, ""), 1)
-		f.do(func() {
+		f.runOnLoop(func() {
 			if n := len(f.frontend.sweepIndex.active); n > 1 {
 				t.Errorf("%d sessions are active, one has sent a query", n)
 			}
 		})
-		if f.visitsOf(1); f.visitsOf(10) != 0 {
+		if f.countVisits(1); f.countVisits(10) != 0 {
 			t.Error("a session that has been answered is not idle again")
 		}
 	}
@@ -54,11 +54,11 @@
 			t.Error(err)
 		}
 	}
-	f.until("all sessions are gone", func() bool { return len(f.frontend.sessions) == 0 })
-	f.do(func() {
+	f.waitUntil("all sessions are gone", func() bool { return len(f.frontend.sessions) == 0 })
+	f.runOnLoop(func() {
 		index := &f.frontend.sweepIndex
-		if len(index.active)+index.awaitingFirst.Len()+index.idle.Len() > 0 {
-			t.Errorf("of sessions that are gone %d are active, %d await a first query, %d are idle", len(index.active), index.awaitingFirst.Len(), index.idle.Len())
+		if len(index.active)+index.awaitingFirstQuery.Len()+index.idle.Len() > 0 {
+			t.Errorf("of sessions that are gone %d are active, %d await a first query, %d are idle", len(index.active), index.awaitingFirstQuery.Len(), index.idle.Len())
 		}
 	})
 }
@@ -70,20 +70,20 @@
 	for range 10 {
 		clients = append(clients, f.dial(pooledDatabase, false))
 	}
-	f.until("no sweep is scheduled", func() bool { return !f.frontend.sweepScheduled })
-	f.do(func() {
+	f.waitUntil("no sweep is scheduled", func() bool { return !f.frontend.sweepScheduled })
+	f.runOnLoop(func() {
 		if n := len(f.frontend.sweepIndex.active); n > 0 {
 			t.Errorf("no sweep is scheduled, %d sessions are active", n)
 		}
 	})
 	client := clients[3]
 	f.write(client, pg.AppendQuery(nil, "")[:3]) // the rest of the message does not come
-	f.until("a sweep is scheduled", func() bool { return f.frontend.sweepScheduled })
+	f.waitUntil("a sweep is scheduled", func() bool { return f.frontend.sweepScheduled })
 	buffer := make([]byte, 1<<12)
 	for err := error(nil); err == nil; { // until the session is ended
 		_, err = client.Read(buffer)
 	}
-	f.do(func() {
+	f.runOnLoop(func() {
 		if f.frontend.TimedOut != 1 {
 			t.Errorf("%d sessions timed out, not 1", f.frontend.TimedOut)
 		}
--- a/internal/frontend/unit.go
+++ b/internal/frontend/unit.go
@@ -39,9 +39,9 @@
 		p.writeReady()
 		return
 	}
-	answer, messages := p.decisions.Query(m.Text, append([]byte(nil), m.Raw...), p.request != nil)
-	if answer != nil {
-		p.session.conn.Write(answer)
+	reply, messages := p.decisions.Query(m.Text, append([]byte(nil), m.Raw...), p.request != nil)
+	if reply != nil {
+		p.session.conn.Write(reply)
 		return
 	}
 	p.dispatch(messages, unitAwaitingReady, arrived)
@@ -76,8 +76,8 @@
 		p.request.Stream.Send(messages)
 		return
 	}
-	if answer, local := p.decisions.LocalReply(messages); local {
-		p.session.conn.Write(answer)
+	if reply, local := p.decisions.LocalReply(messages); local {
+		p.session.conn.Write(reply)
 		return
 	}
 	if p.deliverPendingError() {
