--- a/internal/frontend/budget_test.go
+++ b/internal/frontend/budget_test.go
@@ -6,8 +6,8 @@
 	"wayloft/internal/pg"
 )
 
-// Other sessions hold all memory that statements may take: a client whose small request comes in two pieces keeps its session, and has
-// its final response.
+// Guards against ending a session that holds little memory because other sessions have exhausted the memory budget for statements. A
+// small request arrives in two reads meanwhile; its session must stay open and get the final response.
 func TestBudget_SmallRequestWhileOthersHoldAll(t *testing.T) {
 	for _, database := range []string{statementDatabase, pooledDatabase} {
 		t.Run(database, func(t *testing.T) {
@@ -17,10 +17,10 @@
 			query := pg.AppendQuery(nil, "/* id=1,c=x,d=100 */ SELECT 1")
 			const part = 9 // bytes
 			f.write(client, query[:part])
-			f.waitUntil("a part of the query has come", func() bool { return f.onlySession().reader.Buffered() == part })
+			f.waitUntil("the first part of the query has been read", func() bool { return f.onlySession().reader.Buffered() == part })
 			f.runOnLoop(func() {
 				if f.onlySession().state != sessionOpen {
-					t.Error("the session ends before the request is complete")
+					t.Error("the session ended before the request was complete")
 				}
 			})
 			f.exchange(client, query[part:], 1)
--- a/internal/frontend/cancel.go
+++ b/internal/frontend/cancel.go
@@ -2,8 +2,8 @@
 
 import "wayloft/internal/pg"
 
-// cancel stops what runs for the pooled session with this key, if anything does. The client that asks never learns whether there was
-// such a session.
+// cancel cancels the running request of the pooled session with this key, if there is one. As in PostgreSQL, the sender of a
+// CancelRequest is not told whether the key matched.
 func (f *Frontend) cancel(key pg.CancelKey) {
 	p := f.cancelKeys[key]
 	if p == nil || p.request == nil {
@@ -16,7 +16,7 @@
 	p.cancelWaiting()
 }
 
-// cancelWaiting ends a request that no connection carries: nothing of it has run.
+// cancelWaiting ends a request that has no backend connection at the moment. The session treats it as one of which nothing has run.
 func (p *pooledSession) cancelWaiting() {
 	f := p.session.frontend
 	req := p.request
--- a/internal/frontend/clientclosed_test.go
+++ b/internal/frontend/clientclosed_test.go
@@ -10,8 +10,8 @@
 	"wayloft/router"
 )
 
-// A request can be asked whether its client has closed the connection before the event loop has handled the end: the loop is busy with
-// asking when the client closes. A client that sends more has not closed.
+// Guards against starting an attempt for a client that has closed its connection while the event loop was busy: Abandoned must report
+// the close before the loop has handled the end of the connection. Pipelined data from the client must not count as a close.
 func TestRequest_AbandonedOnceClientCloses(t *testing.T) {
 	classes := map[string]*router.RequestClass{"read": {LatencyObjective: 60000, Deadline: 60000, PriorityWeight: 1, LateWeightShare: 1}}
 	settings := &router.Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, RequestClasses: classes}
@@ -31,17 +31,17 @@
 			})
 			f.runOnLoop(func() {
 				if req.Abandoned() {
-					t.Error("abandoned at first")
+					t.Error("abandoned before the client closed the connection")
 				}
 				send("pipelined")
 				if req.Abandoned() {
-					t.Error("abandoned when its client sends more")
+					t.Error("abandoned after the client sent another query")
 				}
 				if err := client.Close(); err != nil {
 					t.Error(err)
 				}
 				if !req.Abandoned() || req.Finished() {
-					t.Error("not abandoned before the event loop has handled the end of the connection")
+					t.Error("client closed: not abandoned, or finished already, before the event loop handled the end of the connection")
 				}
 			})
 			f.waitUntil("the session ends", func() bool { return len(f.frontend.sessions) == 0 })
@@ -49,7 +49,7 @@
 	}
 }
 
-// onlyRequest returns the request of the only session, nil if it has none. It must be called on the event loop.
+// onlyRequest returns the request of the only session, or nil if it has none. It must be called on the event loop.
 func (f *testFrontend) onlyRequest() *request.Request {
 	s := f.onlySession()
 	if s == nil {
@@ -61,7 +61,7 @@
 	return s.request
 }
 
-// noBackend has no member to send a request to.
+// noBackend is a backend without members. Calls other than Abandon panic.
 type noBackend struct{ eventloop.Backend }
 
 func (noBackend) Abandon(string) {}
--- a/internal/frontend/clientsession.go
+++ b/internal/frontend/clientsession.go
@@ -24,7 +24,7 @@
 	p.session.conn.Write(out)
 }
 
-// handleMemberMessage updates the state by a message of the member.
+// handleMemberMessage updates the session's state after a message from the member.
 func (p *pooledSession) handleMemberMessage(kind pg.Kind) {
 	switch kind {
 	case pg.CopyInResponse:
@@ -43,7 +43,7 @@
 	}
 }
 
-// ServerParameters implements request.ClientSession. The client receives those that it does not know yet.
+// ServerParameters implements request.ClientSession. It sends the client a ParameterStatus for each parameter that is new or changed.
 func (p *pooledSession) ServerParameters(parameters *iradix.Tree[string]) {
 	if parameters == p.reportedParameters || p.state == pooledEnded {
 		return
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -10,7 +10,7 @@
 
 const lostBeforeCommit = "the connection was lost before the commit: "
 
-// Errors that clients receive. Their texts are on the wire.
+// Errors sent to clients in an ErrorResponse. The texts are part of the wire interface.
 var (
 	errOverBudget         = &pg.Error{Code: pg.TooManyConnections, Text: "too many statements at once"}
 	errTooManySessions    = &pg.Error{Code: pg.TooManyConnections, Text: "too many connections"}
@@ -27,7 +27,7 @@
 	errNothingTookEffect  = &pg.Error{Code: pg.ConnectionFailure, Text: lostBeforeCommit + "nothing took effect"}
 )
 
-// rejectedError returns what the client of a rejected request receives. retryAfterMs is 0 if nothing says when to retry.
+// rejectedError returns the error for a rejected request. retryAfterMs is sent as the detail; 0 means that there is no retry-after.
 func rejectedError(retryAfterMs float64) *pg.Error {
 	e := &pg.Error{Code: pg.TooManyConnections, Text: "declined, a retry does no harm"}
 	if retryAfterMs > 0 {
@@ -36,7 +36,7 @@
 	return e
 }
 
-// arrivalError returns what the client of a request receives that the event loop's driver did not take.
+// arrivalError returns the error for a request that the event loop's driver did not accept.
 func arrivalError(err error) *pg.Error {
 	if errors.Is(err, eventloop.ErrDuplicateID) {
 		return &pg.Error{Code: pg.DuplicateObject, Text: err.Error()}
