--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// acceptPeriodMs is how long after SIGTERM new connections and requests may still come.
+	// acceptPeriodMs is how long after SIGTERM new connections and requests are still accepted.
 	acceptPeriodMs = 600.0
-	// lateResponseMarginMs is by how much a final response may miss the end of the drain before the request is failed.
+	// lateResponseMarginMs is how long after the drain deadline a request without a final response is failed.
 	lateResponseMarginMs = 100.0
 )
 
-// drainPhase says how far the graceful shutdown has come. It only grows.
+// drainPhase is the phase of the graceful shutdown. Phases are entered in ascending order.
 type drainPhase uint8
 
 const (
 	notDraining drainPhase = iota
-	// drainAccepting still accepts connections and requests; requests end before the end of the drain.
+	// drainAccepting still accepts connections and requests, and limits the deadline of each new request to the drain deadline.
 	drainAccepting
-	// drainEndingSessions ends each session as soon as it is idle.
+	// drainEndingSessions closes each session as soon as it is idle.
 	drainEndingSessions
 )
 
-// Drain begins the graceful shutdown. It serves on for acceptPeriodMs, then ends each session once it is idle, and the event loop after
-// the last. signalled is when the signal was received, in ms on the loop's clock. Within so many ms of it each request has its final
-// response, whatever members do: the process may be killed soon after that. Only the first call counts.
+// Drain starts the graceful shutdown. The Frontend continues to serve for acceptPeriodMs, then ends each session once it is idle, and
+// stops the event loop after the last session. signalled is the time at which the signal was received, in ms on the loop's clock. The
+// drain deadline is within ms after it: by then each request gets its final response, whatever members do, since the process may be
+// killed soon afterwards. Calls after the first have no effect.
 func (f *Frontend) Drain(signalled, within float64) {
 	if f.drainPhase != notDraining {
 		return
@@ -41,15 +42,16 @@
 	f.driver.After(f.drainDeadline+lateResponseMarginMs-now, f.failOpenRequests)
 }
 
-// limitWait shortens the wait of a request that arrives during the drain, so that it ends before the process may be killed. A request
-// that arrives after the deadline of the drain is rejected, and never sent to a member.
+// limitWait limits the deadline of a request that arrives during the drain to the drain deadline, so that it ends before the process
+// may be killed. A request that arrives after the drain deadline is rejected without being sent to a member.
 func (f *Frontend) limitWait(req *request.Request) {
 	if f.drainPhase != notDraining {
 		req.LimitWait(max(0, f.drainDeadline-req.Arrived))
 	}
 }
 
-// endIdleSessions ends sessions that are idle. After a while it also ends those whose client has not sent its query completely.
+// endIdleSessions ends idle sessions. Once acceptPeriodMs have passed in this phase, or at the drain deadline if that is earlier, it
+// also ends sessions that still wait for a first query or for the rest of a message.
 func (f *Frontend) endIdleSessions() {
 	overdue := f.driver.Now() > min(f.endingSince+acceptPeriodMs, f.drainDeadline)
 	for s := range f.sessions {
@@ -60,7 +62,7 @@
 	f.stopAfterLastSession()
 }
 
-// endForShutdown ends a session to which no response is owed. A client that has sent a part of a request receives an error, since it may
+// endForShutdown ends a session without pending responses. A client that has sent a part of a request receives an error, since it may
 // send the rest before it reads the end of the connection.
 func (s *session) endForShutdown() {
 	switch {
@@ -74,8 +76,8 @@
 	}
 }
 
-// failOpenRequests answers the requests that have no response at the end of the drain. Requests of pooled sessions end with their
-// transactions.
+// failOpenRequests fails the requests that have no response at the end of the drain. Requests of pooled sessions are left out: they
+// end with their transactions.
 func (f *Frontend) failOpenRequests() {
 	for s := range f.sessions {
 		if s.request != nil {
@@ -85,7 +87,7 @@
 	}
 }
 
-// stopAfterLastSession stops the event loop if the last session has ended and no connection is being accepted.
+// stopAfterLastSession stops the event loop once the last session has ended and no connection is being accepted.
 func (f *Frontend) stopAfterLastSession() {
 	if f.drainPhase != drainEndingSessions || len(f.sessions) > 0 {
 		return
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -11,8 +11,8 @@
 	"wayloft/router"
 )
 
-// The end of the drain is counted from the signal, however late the event loop learns of it. A request that arrives during the drain has
-// what is left of it, and one that arrives later nothing.
+// Guards against a drain that overruns because the event loop handles the signal late: the drain deadline counts from the signal. A
+// request that arrives during the drain may wait for the remaining time only, and one that arrives after the deadline not at all.
 func TestDrain_CountsFromSignal(t *testing.T) {
 	f := newTestFrontend(t, 100)
 	client := f.dial(statementDatabase, true)
@@ -26,7 +26,7 @@
 	}
 	f.runOnLoop(func() {
 		if f.frontend.endingSince > signalled+2*acceptPeriodMs {
-			t.Errorf("it served on until %v ms after the signal", f.frontend.endingSince-signalled)
+			t.Errorf("sessions were served until %v ms after the signal", f.frontend.endingSince-signalled)
 		}
 	})
 	for _, c := range []struct{ arrivedMs, waitMs, wantMs float64 }{
@@ -38,13 +38,13 @@
 			req := request.New(&pg.Statement{WaitMs: c.waitMs}, signalled+c.arrivedMs, func(request.Response) {})
 			f.frontend.limitWait(req)
 			if math.Abs(req.WaitMs-c.wantMs) > 0.01 {
-				t.Errorf("arrived %v ms after the signal: it waits for %v ms, want %v", c.arrivedMs, req.WaitMs, c.wantMs)
+				t.Errorf("request that arrived %v ms after the signal: wait limit %v ms, want %v", c.arrivedMs, req.WaitMs, c.wantMs)
 			}
 		})
 	}
 }
 
-// A request without a response at the end of the drain is given one, though no decision is made on it.
+// Guards against a request that stays without a response when the drain ends: its member never answers, and no decision is made on it.
 func TestDrain_FailsOpenRequestsAtTheEnd(t *testing.T) {
 	classes := map[string]*router.RequestClass{"x": {LatencyObjective: 1e6, Deadline: 1e6, PriorityWeight: 1, Level: router.Write}}
 	settings := &router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, RequestClasses: classes}
@@ -72,7 +72,7 @@
 	<-f.ended
 }
 
-// unresponsiveBackend never answers.
+// unresponsiveBackend ignores all calls: no attempt or health check ever ends.
 type unresponsiveBackend struct{}
 
 func (unresponsiveBackend) SendAttempt(*request.Request, int, string, float64, float64) {}
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -2,11 +2,11 @@
 
 import "wayloft/internal/decide/timerqueue"
 
-// newConnectionGraceMs is how long a session that has not sent a query is spared.
+// newConnectionGraceMs is how long a new session that has not sent a query is not preferred for eviction.
 const newConnectionGraceMs = 100.0
 
-// evictIfFull ends one session if there is no room for another. A candidate that can't be ended, since something has just come from its
-// client, is passed over.
+// evictIfFull ends one session if the session limit is reached. A candidate that can't be ended, since data from its client has just
+// arrived, is skipped.
 func (f *Frontend) evictIfFull() {
 	for f.occupiedSlots() >= f.maxSessions {
 		candidate := f.evictionCandidate(f.driver.Now())
@@ -16,9 +16,9 @@
 	}
 }
 
-// evictionCandidate returns the session to be ended first where another could not come in: one that has had time to send a query and did
-// not, else the one that has been idle longest, else a new one. Connections that never send anything thereby push out each other before
-// any other session. It returns nil if no session can be ended.
+// evictionCandidate returns the session to evict first when the session limit is reached: one that has sent no query within
+// newConnectionGraceMs, else the one that has been idle longest, else a newer one without a query. Connections that never send anything
+// are thereby evicted before any other session. It returns nil if no session can be evicted.
 func (f *Frontend) evictionCandidate(now float64) *session {
 	index := &f.sweepIndex
 	if s := index.longestIdle(&index.awaitingFirstQuery, now-newConnectionGraceMs); s != nil {
@@ -33,8 +33,8 @@
 	return index.longestIdle(&index.awaitingFirstQuery, now)
 }
 
-// longestIdle returns the session of a queue that has been idle longest and can end now, nil if none has been idle since before. Sessions
-// that can't end now stay in the queue.
+// longestIdle returns the evictable session of a queue that has been idle longest, or nil if none has an idleSince of at most before.
+// Sessions that can't be evicted now stay in the queue.
 func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], before float64) *session {
 	var skipped []*timerqueue.Timer[*session]
 	defer func() { requeueTimers(queue, skipped) }()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// longestIdleActive returns the session that has been idle longest among those that became idle since the last sweep.
+// longestIdleActive returns the evictable session that has been idle longest among those that became idle since the last sweep.
 func (i *sweepIndex) longestIdleActive() (longest *session) {
 	for s := range i.active {
 		i.visits++
@@ -70,7 +70,8 @@
 	return longest
 }
 
-// endLongestIdle ends sessions in statement-comment mode that have been idle for too long, and all but the latest of those that are idle.
+// endLongestIdle ends sessions in statement-comment mode that have been idle for longer than idleTimeoutMs, and those idle longest while
+// there are more than maxIdle idle ones.
 func (f *Frontend) endLongestIdle(now float64, maxIdle int) {
 	queue := &f.sweepIndex.idle
 	var skipped []*timerqueue.Timer[*session]
@@ -86,7 +87,7 @@
 			continue
 		}
 		queue.Drop(timer)
-		if !s.endIfQuiescent() { // something has come: it becomes active
+		if !s.endIfQuiescent() { // data has arrived from its client: the session becomes active
 			skipped = append(skipped, timer)
 			maxIdle++
 		}
@@ -94,7 +95,7 @@
 	requeueTimers(queue, skipped)
 }
 
-// requeueTimers adds timers again that were taken out of a queue to see the next.
+// requeueTimers adds skipped timers back to their queue.
 func requeueTimers(queue *timerqueue.Queue[*session], timers []*timerqueue.Timer[*session]) {
 	for _, timer := range timers {
 		queue.Put(timer, timer.At())
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// compareForEviction is the rule itself: it orders two sessions that can be ended by which must be ended first.
+// compareForEviction is the reference for the eviction order: it compares two evictable sessions by which must be evicted first.
 func compareForEviction(a, b *session, now float64) int {
 	rank := func(s *session) int {
 		switch {
@@ -22,18 +22,18 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.idleSince, b.idleSince))
 }
 
-// generatedSession is what the property draws for a session.
+// generatedSession is the state of a session as the property test draws it.
 type generatedSession struct {
-	idleStep, indexedStep int // steps: when it became idle, and the earlier time at which the index has it
+	idleStep, indexedStep int // when it became idle, and the earlier time under which the index has it; in steps of stepMs
 	sentQuery, inactive   bool
 	ending, busy          bool
 }
 
 func generateSession(t *rapid.T) generatedSession {
-	since := rapid.IntRange(0, 9).Draw(t, "since")
+	idleStep := rapid.IntRange(0, 9).Draw(t, "idleStep")
 	return generatedSession{
-		idleStep:    since,
-		indexedStep: rapid.IntRange(0, since).Draw(t, "noted"),
+		idleStep:    idleStep,
+		indexedStep: rapid.IntRange(0, idleStep).Draw(t, "indexedStep"),
 		sentQuery:   rapid.Bool().Draw(t, "sentQuery"),
 		inactive:    rapid.Bool().Draw(t, "inactive"),
 		ending:      rapid.IntRange(0, 5).Draw(t, "ending") == 0,
@@ -41,7 +41,7 @@
 	}
 }
 
-// apply puts a session into the drawn state, as it would have come there.
+// apply brings a session into the drawn state, with the index entries that it would have in operation.
 func (d generatedSession) apply(s *session, now float64) {
 	const stepMs, earliestMs = 40.0, 800.0
 	index := &s.frontend.sweepIndex
@@ -49,7 +49,7 @@
 	s.sentQuery, s.state, s.queue = d.sentQuery, sessionOpen, nil
 	s.idleSince = now - earliestMs + stepMs*float64(d.indexedStep)
 	if !d.sentQuery || !d.inactive {
-		index.add(s) // if it has sent a query, it did so since
+		index.add(s) // one with a query has sent it since the last sweep
 	} else {
 		index.active[s] = true
 		index.deactivateIfIdle(s)
@@ -68,8 +68,8 @@
 	}
 }
 
-// Whatever sessions there are, whichever of them are inactive, and however early the index has them: the candidate is the session that
-// the rule names among all.
+// Guards against the index naming a session other than compareForEviction puts first, for any mix of active and inactive sessions, and
+// of index entries whose time is earlier than the session's idleSince.
 func TestEvictionCandidate_FollowsRule(t *testing.T) {
 	f := newTestFrontend(t, 50)
 	sessions := f.connectSilent(12)
@@ -101,12 +101,13 @@
 			}
 		})
 		if wrong {
-			t.Fatalf("not the first: %+v", generated)
+			t.Fatalf("the candidate is not the first in eviction order, or differs between two calls: %+v", generated)
 		}
 	})
 }
 
-// Of the idle sessions all but the latest third of what there is room for are ended, and those that have been idle for too long.
+// Guards against clients that exhaust the session limit with idle sessions: those idle for longer than idleTimeoutMs are ended, and of the
+// others at most a third of maxSessions is kept, the most recently idle ones.
 func TestEndLongestIdle(t *testing.T) {
 	const idle = 10
 	for _, c := range []struct{ maxSessions, overdue, left int }{{30, 0, 10}, {30, 4, 6}, {15, 0, 5}, {15, 2, 5}, {15, 7, 3}} {
@@ -124,7 +125,7 @@
 			f.frontend.sweepOnce()
 			for n, s := range sessions {
 				if ending := s.state >= sessionEnding; ending != (n >= c.left) {
-					t.Errorf("%+v: the session that became idle as the %dth from the last: ending %v", c, n+1, ending)
+					t.Errorf("%+v: session number %d, counted from the one idle most recently: ending %v", c, n+1, ending)
 				}
 			}
 		})
