--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,12 +1,13 @@
-// Package frontend serves the clients. It accepts their connections, speaks the PostgreSQL protocol with them, makes requests of what they
-// send and writes the responses in the order of the requests. A session is in one of two modes: in statement-comment mode each query is a
-// request of its own, in transaction pooling mode a request is a transaction. The package also bounds what clients may use, ends idle
-// sessions and drains the process.
+// Package frontend serves client connections. It accepts them, speaks the PostgreSQL protocol, turns the clients' messages into requests
+// and writes the responses in the order of the requests. A session is in one of two modes: in statement-comment mode each query is a
+// request of its own, in transaction pooling mode a request is a transaction. The package also limits the resources that clients may use,
+// ends idle sessions and drains the process.
 //
-// internal/server creates a Frontend and starts it on a listener; the event loop calls it for each connection. It hands requests to the
-// event loop's driver and never knows a member. It never gives a request a response that neither a member nor a decision made.
+// internal/server creates a Frontend and starts it on a listener; the event loop calls it for each connection. The Frontend passes requests
+// to the event loop's driver and has no knowledge of members. Each response to such a request comes from a member or from a decision; the
+// exceptions are requests that their client cancels and those still open at the end of the drain.
 //
-// All of it runs on the event loop, except for the listener that Gate returns.
+// All code runs on the event loop, except for the listener that Gate returns.
 package frontend
 
 import (
@@ -15,48 +16,48 @@
 )
 
 const (
-	// rejectionSlots is how many connections are accepted beyond the limit, whose clients then receive an error.
+	// rejectionSlots is how many connections are accepted beyond the session limit, so that their clients receive an error.
 	rejectionSlots = 16
-	// overBudgetFactor multiplies maxHeldBytes, from which statements are rejected: from the product on sessions end.
+	// overBudgetFactor is the multiple of maxHeldBytes above which sessions are ended. Statements are rejected above maxHeldBytes.
 	overBudgetFactor = 2
 )
 
-// Frontend holds all sessions of the clients.
+// Frontend manages all client sessions.
 type Frontend struct {
 	driver          *eventloop.Driver
 	maxSessions     int
-	maxHeldBytes    int // of statements and parts of them, of all sessions together
+	maxHeldBytes    int // limit of the bytes of complete and partial statements in all sessions together
 	maxMessageBytes int
 
 	pooling      *Pooling // nil: all sessions are in statement-comment mode
 	sessions     map[*session]bool
 	cancelKeys   map[pg.CancelKey]*pooledSession
-	generatedIDs uint64 // requests to which the client gave no id
+	generatedIDs uint64 // number of ids generated for requests without one from the client
 	heldBytes    int
 
 	gate           *gate
-	acceptSlots    chan struct{} // holds one element for each connection accepted
-	endingSessions int           // sessions whose connection is being closed and not closed yet
+	acceptSlots    chan struct{} // semaphore: one element for each accepted connection
+	endingSessions int           // number of sessions in the state sessionEnding
 
 	sweepIndex     sweepIndex
 	sweepScheduled bool
 
 	drainPhase    drainPhase
-	drainDeadline float64 // ms on the loop's clock: each request has its final response by then; set while draining
-	endingSince   float64 // ms on the loop's clock: when the phase drainEndingSessions began
+	drainDeadline float64 // ms on the loop's clock, by which each request gets its final response; set while draining
+	endingSince   float64 // ms on the loop's clock, at which the phase drainEndingSessions began
 
-	// Rejected counts statements over the budget.
+	// Rejected counts statements rejected because the memory budget or the limit of pipelined queries was exceeded.
 	Rejected int
-	// ProtocolErrors counts sessions and statements that broke the protocol.
+	// ProtocolErrors counts sessions and statements that failed with an error of the client's.
 	ProtocolErrors int
-	// TimedOut counts sessions whose client took too long to send a message.
+	// TimedOut counts sessions ended because the client took too long to send its first query or the rest of a message.
 	TimedOut int
-	// NoSessionSlot counts connections that found no room.
+	// NoSessionSlot counts connections rejected because the session limit was reached.
 	NoSessionSlot int
 }
 
-// New returns a Frontend without sessions. It holds at most maxSessions, which together hold at most maxHeldBytes of statements, none
-// longer than maxMessageBytes.
+// New returns a Frontend without sessions. maxSessions limits the number of sessions, maxHeldBytes the memory that statements may take in
+// all sessions together, and maxMessageBytes the length of one message.
 func New(driver *eventloop.Driver, maxSessions, maxHeldBytes, maxMessageBytes int) *Frontend {
 	return &Frontend{
 		driver:          driver,
@@ -70,8 +71,8 @@
 	}
 }
 
-// Accept makes a session of a connection that was accepted. If there is no room, and no other session can be ended for it, the client is
-// rejected.
+// Accept creates a session for an accepted connection. If the session limit is reached, and no other session can be evicted, the client
+// is rejected.
 func (f *Frontend) Accept(conn *eventloop.Conn) {
 	now := f.driver.Now()
 	s := &session{
@@ -97,10 +98,10 @@
 	}
 }
 
-// occupiedSlots returns how many sessions count against the limit.
+// occupiedSlots returns how many sessions count against the limit: those that are ending don't.
 func (f *Frontend) occupiedSlots() int { return len(f.sessions) - f.endingSessions }
 
-// SessionCounts returns how many sessions there are, and how many of them wait for a response.
+// SessionCounts returns the number of sessions, and how many of them have a request in progress.
 func (f *Frontend) SessionCounts() (all, busy int) {
 	for s := range f.sessions {
 		if s.request != nil || s.pooled != nil && s.pooled.request != nil {
@@ -110,8 +111,8 @@
 	return len(f.sessions), busy
 }
 
-// overBudget reports whether all sessions together hold too much, and one that holds sessionBytes more than its share. A session with
-// large statements must not end the sessions of others.
+// overBudget reports whether all sessions together exceed overBudgetFactor times maxHeldBytes, and a session that holds sessionBytes also
+// exceeds its share, maxHeldBytes/maxSessions. The share keeps a session with large statements from causing the end of others' sessions.
 func (f *Frontend) overBudget(sessionBytes int) bool {
 	return f.heldBytes > overBudgetFactor*f.maxHeldBytes && sessionBytes > f.maxHeldBytes/f.maxSessions
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -23,7 +23,7 @@
 	testDescriptors     = 256
 )
 
-// testFrontend is a Frontend that listens on the loopback address, with an event loop of its own.
+// testFrontend is a Frontend with its own event loop that listens on the loopback address.
 type testFrontend struct {
 	t        *testing.T
 	driver   *eventloop.Driver
@@ -32,7 +32,7 @@
 	ended    chan struct{} // closed once the event loop has ended
 }
 
-// newTestFrontend starts a Frontend whose router knows no request class and no member. The test ends its event loop.
+// newTestFrontend starts a Frontend whose router has no request classes and no members. Its event loop is stopped when the test ends.
 func newTestFrontend(t *testing.T, maxSessions int) *testFrontend {
 	t.Helper()
 	f := startTestFrontend(t, maxSessions, &router.Settings{}, nil, nil)
@@ -40,7 +40,7 @@
 	return f
 }
 
-// startTestFrontend starts a Frontend with a router of these settings and a backend.
+// startTestFrontend starts a Frontend with this backend and a router with these settings.
 func startTestFrontend(t *testing.T, maxSessions int, settings *router.Settings, classes map[string]*router.RequestClass, backend eventloop.Backend) *testFrontend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return f
 }
 
-// stopAtEnd ends the event loop with the test.
+// stopAtEnd stops the event loop when the test ends.
 func (f *testFrontend) stopAtEnd() {
 	f.t.Cleanup(func() {
 		f.driver.Post(f.driver.Stop)
@@ -73,7 +73,7 @@
 	})
 }
 
-// runOnLoop runs a function on the event loop, and waits for it.
+// runOnLoop runs a function on the event loop and waits until it returns.
 func (f *testFrontend) runOnLoop(run func()) {
 	done := make(chan struct{})
 	f.driver.Post(func() {
@@ -83,7 +83,7 @@
 	<-done
 }
 
-// waitUntil waits waitUntil a condition holds, which is checked on the event loop.
+// waitUntil polls a condition on the event loop until it holds. what describes it in the failure message.
 func (f *testFrontend) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
 	fakes.Until(f.t, what, func() (now bool) {
@@ -121,7 +121,7 @@
 		f.runOnLoop(func() {
 			sessions = sessions[:0]
 			for s := range f.frontend.sessions {
-				s.inputDeadline = 1e18 // none is ended for its silence meanwhile
+				s.inputDeadline = 1e18 // no session may reach the input timeout during the test
 				sessions = append(sessions, s)
 			}
 		})
@@ -129,7 +129,7 @@
 	return sessions
 }
 
-// dial opens a session and sends an empty query if withQuery is set. It returns once the client has the responses.
+// dial opens a session and sends an empty query if withQuery is set. It returns once the client has received the responses.
 func (f *testFrontend) dial(database string, withQuery bool) net.Conn {
 	f.t.Helper()
 	client := f.connect()
@@ -141,7 +141,7 @@
 	return client
 }
 
-// dialAndClose opens a session that sends an empty query, awaits the response, and closes the connection.
+// dialAndClose opens a session, sends an empty query, waits for the response and closes the connection.
 func (f *testFrontend) dialAndClose() {
 	f.t.Helper()
 	if err := f.dial(statementDatabase, true).Close(); err != nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// exchange sends bytes, and reads until so many ReadyForQuery have come.
+// exchange sends bytes and reads until the given number of ReadyForQuery messages has been received.
 func (f *testFrontend) exchange(client net.Conn, out []byte, ready int) {
 	f.t.Helper()
 	f.write(client, out)
--- a/internal/frontend/gate.go
+++ b/internal/frontend/gate.go
@@ -15,35 +15,37 @@
 	"wayloft/internal/failpoint"
 )
 
-// acceptRetryPause is the pause after an accept that failed: a descriptor may come free.
+// acceptRetryPause is the delay after a failed accept, in which a descriptor may become free.
 const acceptRetryPause = time.Duration(syscallerror.RetryPauseMs * float64(time.Millisecond))
 
-// Gate returns a listener that leaves connections in the operating system's backlog while there is no room for a session.
+// Gate wraps a listener so that it accepts no more than maxSessions+rejectionSlots connections at a time. Further connections stay in the
+// operating system's backlog.
 func (f *Frontend) Gate(listener net.Listener) net.Listener {
 	f.gate = &gate{Listener: listener, slots: f.acceptSlots}
 	return f.gate
 }
 
-// gate is the listener. Accept runs on the poller's goroutine; open and empty run on the event loop. A nil gate has no connections.
+// gate is the listener that Gate returns. Accept runs on the poller's goroutine; open and empty run on the event loop. A nil gate has no
+// connections.
 //
-// The gate is closed by a deadline in the past, upon which a call of Accept returns without a connection. transitions counts how often it
-// was closed or opened, so that the event loop can tell whether Accept has returned since the gate was closed last.
+// The event loop closes the gate by setting a deadline in the past, which makes a call of Accept return without a connection. transitions
+// counts how often the gate was closed or opened, so that the event loop can tell whether Accept has returned since the last close.
 type gate struct {
 	net.Listener
 	slots    chan struct{}
-	accepted atomic.Int64 // connections accepted
-	started  int64        // of these, how many have become sessions; the event loop's
+	accepted atomic.Int64 // number of accepted connections
+	started  int64        // how many of them have become sessions; used by the event loop only
 
 	transitions  atomic.Int64 // odd while the gate is closed
-	acknowledged atomic.Int64 // the value of transitions when Accept last returned because of the deadline
+	acknowledged atomic.Int64 // the value of transitions at the start of the last Accept that the deadline ended
 
-	pending net.Conn // accepted, not yet adopted for want of a descriptor; the poller's
+	pending net.Conn // accepted, not yet adopted for lack of a descriptor; used by the poller only
 }
 
-// deadlineListener is a listener whose Accept can be made to return.
+// deadlineListener is a listener whose Accept can be interrupted by a deadline.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// Accept returns the next connection, of the poller's type.
+// Accept returns the next connection, converted to the poller's type. It blocks while no slot is free.
 func (g *gate) Accept() (net.Conn, error) {
 	g.slots <- struct{}{}
 	transitions := g.transitions.Load()
@@ -55,13 +57,13 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		g.acknowledged.Store(transitions)
 	} else if !errors.Is(err, net.ErrClosed) {
-		time.Sleep(acceptRetryPause) // the poller calls again at once
+		time.Sleep(acceptRetryPause) // the poller calls Accept again at once
 	}
 	return nil, err
 }
 
-// nextAdopted accepts a connection and converts it to the poller's type. While no descriptor is left for that, the connection is kept for
-// the next call instead of being closed: its client may have sent a request already.
+// nextAdopted accepts a connection and converts it to the poller's type. If no descriptor is available for that, it keeps the connection
+// for the next call instead of closing it, since the client may have sent a request already.
 func (g *gate) nextAdopted() (net.Conn, error) {
 	if g.pending == nil {
 		accepted, err := g.accept()
@@ -91,9 +93,10 @@
 	return g.Listener.Accept()
 }
 
-// empty reports whether no connection is on its way in: neither in the operating system's backlog nor between it and the event loop. The
-// process may end then without losing a request that a client has sent and nobody has read. The first call closes the gate. The answer is
-// no until Accept has returned without a connection: from then on none is between the two.
+// empty reports whether no connection is waiting to become a session, neither in the operating system's backlog nor between the backlog and
+// the event loop. The process may then exit without losing a request that a client has sent and nobody has read. The first call closes the
+// gate. It returns false until Accept has returned without a connection: from then on there is none between the backlog and the event loop.
+// If it finds a connection after that, it opens the gate again.
 func (g *gate) empty() bool {
 	if g == nil {
 		return true
@@ -118,17 +121,17 @@
 
 func (g *gate) closed() bool { return g.transitions.Load()%2 == 1 }
 
-// open has connections accepted again, if the gate is closed.
+// open resumes accepting connections if the gate is closed.
 func (g *gate) open() {
 	listener, ok := g.Listener.(deadlineListener)
 	if !ok || !g.closed() {
 		return
 	}
 	g.transitions.Add(1)
-	_ = listener.SetDeadline(time.Time{}) // fails only if the listener is closed: none is accepted any more
+	_ = listener.SetDeadline(time.Time{}) // fails only if the listener is closed, which accepts no more anyway
 }
 
-// backlogged reports whether the operating system holds a connection that was not accepted.
+// backlogged reports whether the operating system's backlog contains a connection.
 func (g *gate) backlogged() bool {
 	listener, ok := g.Listener.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -13,7 +13,7 @@
 	"wayloft/internal/failpoint"
 )
 
-// failCalls has the calls at a failpoint fail so many times with an error until the test ends, and counts the calls.
+// failCalls makes the first n calls at a failpoint fail with an error, where n is times, and counts all calls. It ends with the test.
 func failCalls(t *testing.T, point string, times int64, err error) (calls *atomic.Int64) {
 	t.Helper()
 	calls = &atomic.Int64{}
@@ -26,7 +26,8 @@
 	return calls
 }
 
-// Whatever accept fails with, and however often, clients that connect meanwhile are served once it does not fail.
+// Guards against a listener that stops accepting after a failed accept: for each error, clients that connect meanwhile are served once
+// accept succeeds again.
 func TestGate_AcceptFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.ENETDOWN,
 		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.EPERM, unix.EINTR,
@@ -35,7 +36,7 @@
 			f := newTestFrontend(t, 10)
 			f.dial(statementDatabase, true)
 			calls := failCalls(t, "frontend.accept", 3, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)})
-			f.dialAndClose() // served by the call of accept that was waiting already
+			f.dialAndClose() // served by the accept call that was already blocked
 			f.dialAndClose()
 			if calls.Load() == 0 {
 				t.Error("accept was not called")
@@ -44,7 +45,8 @@
 	}
 }
 
-// A connection that was accepted while no descriptor is left for the poller's copy waits for one, and its client's request is answered.
+// Guards against dropping a connection that is accepted while no descriptor is available for the poller's copy: it waits for a descriptor,
+// and its client's request gets a response.
 func TestGate_AcceptedConnectionWaitsForDescriptor(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -54,7 +56,7 @@
 				f.dialAndClose()
 			}
 			if calls.Load() < 5 {
-				t.Errorf("%d calls to adopt a connection, 3 of which fail", calls.Load())
+				t.Errorf("%d calls to adopt a connection, want at least 5, of which 3 fail", calls.Load())
 			}
 			f.runOnLoop(func() {
 				gate := f.frontend.gate
@@ -66,10 +68,10 @@
 	}
 }
 
-// The process does not end for want of sessions while an accepted connection waits for a descriptor.
+// Guards against a drain that stops the process for lack of sessions while an accepted connection still waits for a descriptor.
 func TestGate_AcceptedConnectionWaitsForDescriptorWhileDraining(t *testing.T) {
 	f := newTestFrontend(t, 10)
-	var ends atomic.Int64 // times that the process would have ended
+	var ends atomic.Int64 // how often the drain has found no session left
 	t.Cleanup(failpoint.Set("frontend.last_session", func() { ends.Add(1) }))
 	t.Cleanup(failpoint.SetError("eventloop.adopt", func() error {
 		if ends.Load() < 3 {
@@ -80,6 +82,6 @@
 	f.runOnLoop(func() { f.frontend.Drain(f.driver.Clock(), acceptPeriodMs+1e6) })
 	f.dialAndClose()
 	if ends.Load() < 3 {
-		t.Error("answered before the process would have ended")
+		t.Error("the client was served before the drain found no session left three times")
 	}
 }
--- a/internal/frontend/pooled.go
+++ b/internal/frontend/pooled.go
@@ -8,26 +8,26 @@
 	"wayloft/internal/request"
 )
 
-// pooledState says where a pooled session stands with its unit: the messages up to a Sync, or one simple query.
+// pooledState is the state of a pooled session's current unit. A unit is the client's messages up to a Sync, or one simple query.
 type pooledState uint8
 
 const (
-	// unitNone has nothing of a unit at a member.
+	// unitNone: no part of a unit is at a member.
 	unitNone pooledState = iota
-	// unitDiscarding has nothing at a member either: the unit has failed here, and the rest of it is discarded.
+	// unitDiscarding: no part of a unit is at a member; the unit has failed in the router, and the rest of it is discarded.
 	unitDiscarding
-	// unitFlushed has a part of the unit, which the client ended by a Flush, at a member.
+	// unitFlushed: a part of the unit, which the client ended with a Flush, is at a member.
 	unitFlushed
-	// unitFlushedFailed is unitFlushed after the member answered an error: the rest of the unit is discarded.
+	// unitFlushedFailed: as unitFlushed, but the member has responded with an error; the rest of the unit is discarded.
 	unitFlushedFailed
-	// unitAwaitingReady has the complete unit at a member, whose ReadyForQuery ends it.
+	// unitAwaitingReady: the complete unit is at a member, whose ReadyForQuery ends it.
 	unitAwaitingReady
-	// pooledEnded is final: the session takes no more messages.
+	// pooledEnded: the final state, in which the session handles no more messages.
 	pooledEnded
 )
 
-// pooledSession is a session in transaction pooling mode: its requests are transactions. The client's messages are taken in order, up to
-// one whose response must be awaited. What may happen in each state:
+// pooledSession is a session in transaction pooling mode: its requests are transactions. The client's messages are handled in order, up to
+// one whose response must be awaited. The state transitions:
 //
 //	state              client's message         ->                    member's message     ->
 //	unitNone           Query, or up to Sync     unitAwaitingReady     (none of a unit)
@@ -43,32 +43,32 @@
 // A request that fails without the member's ReadyForQuery (failUnit) ends unitAwaitingReady in unitNone, and the flushed states in
 // unitDiscarding. A unit that needs no member is answered without leaving unitNone. Every state may go to pooledEnded.
 //
-// Which fields go together:
-//   - In the flushed states and unitAwaitingReady request is set. In unitNone it is set while a transaction is open, or the member's
-//     final response is not delivered yet.
-//   - reserved is set only while request is nil: a request takes the connection with it (Stream.Reserved).
-//   - copying is set only in the flushed states and unitAwaitingReady. Data of a COPY is forwarded in unitAwaitingReady, else discarded.
-//   - pendingError is set only while no unit waits for its response; the next unit gets it in place of a response.
+// Invariants of the fields:
+//   - request is set in the flushed states and in unitAwaitingReady. In unitNone it is set while a transaction is open, or while the
+//     member's final response is not delivered yet.
+//   - reserved is set only while request is nil: a new request takes the connection over (Stream.Reserved).
+//   - copying is set only in the flushed states and unitAwaitingReady. COPY data is forwarded in unitAwaitingReady, else discarded.
+//   - pendingError is set only while no unit waits for its response; the next unit receives it in place of a response.
 type pooledSession struct {
 	session            *session
 	pool               *Pool
 	decisions          *decide.Session
 	cancelKey          pg.CancelKey
-	reportedParameters *iradix.Tree[string] // server parameters that the client knows
+	reportedParameters *iradix.Tree[string] // server parameters that were reported to the client
 
 	state        pooledState
 	request      *request.Request    // the open transaction
 	reserved     request.BackendConn // the connection that the session keeps between its transactions
-	copying      bool                // the member takes the data of a COPY
-	pendingError *pg.Error           // why a transaction ended while its client waited for nothing
+	copying      bool                // a COPY FROM STDIN is running: the member expects its data
+	pendingError *pg.Error           // why a transaction ended while its client was not waiting for a response
 
-	unitMessages  []decide.Message // of the unit that is not complete yet
-	queue         []queuedMessage  // what came behind a unit whose response must be awaited
-	queuedBytes   int              // of unitMessages and queue
-	inFlightBytes int              // of the unit at a member, which may have to be sent again
+	unitMessages  []decide.Message // messages of the unit that is still incomplete
+	queue         []queuedMessage  // messages received behind a unit whose response must be awaited
+	queuedBytes   int              // size of unitMessages and queue
+	inFlightBytes int              // size of the unit at a member, kept since it may have to be sent again
 }
 
-// idle reports whether nothing is on its way: no response is owed, no transaction is open, and no part of a unit has come.
+// idle reports whether no response is pending, no transaction is open, and no part of a unit has been received.
 func (p *pooledSession) idle() bool {
 	busy := p.unitAtMember() || p.request != nil
 	return !busy && len(p.queue) == 0 && len(p.unitMessages) == 0
@@ -84,7 +84,7 @@
 	return p.state == unitDiscarding || p.state == unitFlushedFailed
 }
 
-// awaitsInput reports whether the rest of a message or of a unit has not come, and no response is owed before it.
+// awaitsInput reports whether a message or a unit has been received in part only, and no response is pending before it.
 func (p *pooledSession) awaitsInput() bool {
 	if len(p.queue) > 0 || p.state == unitAwaitingReady && !p.copying {
 		return false
@@ -92,12 +92,12 @@
 	return p.session.reader.Buffered() > 0 || len(p.unitMessages) > 0
 }
 
-// receive takes a message of the client. It is handled now, unless a response must be awaited first.
+// receive handles a message of the client, or queues it if a response must be awaited first.
 func (p *pooledSession) receive(m pg.Message) {
 	now := p.session.frontend.driver.Now()
 	switch {
 	case p.state == pooledEnded:
-	case p.forwardsCopy(m.Kind) && len(p.queue) == 0: // CopyDone must not overtake data that is queued
+	case p.forwardsCopy(m.Kind) && len(p.queue) == 0: // CopyDone must not overtake queued data
 		p.forwardCopy(m)
 	case p.state == unitAwaitingReady || len(p.queue) > 0 || p.session.conn.Unsent() >= maxUnreadBytes:
 		m.Raw = append([]byte(nil), m.Raw...)
@@ -109,7 +109,7 @@
 	}
 }
 
-// forwardsCopy reports whether a message of this kind is data of a COPY that runs.
+// forwardsCopy reports whether a message of this kind belongs to the running COPY and is forwarded to the member.
 func (p *pooledSession) forwardsCopy(kind pg.Kind) bool {
 	return p.state == unitAwaitingReady && p.copying && isCopy(kind)
 }
@@ -122,7 +122,7 @@
 	p.request.Stream.Send(p.decisions.Extended(m))
 }
 
-// addQueuedBytes counts what the client has sent ahead, and ends a session that sends too much.
+// addQueuedBytes counts pipelined bytes, and ends a session that pipelines too much.
 func (p *pooledSession) addQueuedBytes(n int) {
 	p.queuedBytes += n
 	p.session.addHeldBytes(n)
@@ -136,7 +136,7 @@
 	p.queuedBytes = 0
 }
 
-// processQueue handles what has come while a response was awaited.
+// processQueue handles the messages that were queued while a response was awaited.
 func (p *pooledSession) processQueue() {
 	for p.mayHandleNext() {
 		p.handleNext()
@@ -192,7 +192,7 @@
 	s.reader.Shrink()
 }
 
-// end ends all that the session has open: its request, its reserved connection, its cancel key.
+// end ends the session's request, releases its reserved connection and removes its cancel key.
 func (p *pooledSession) end() {
 	if p.state == pooledEnded {
 		return
@@ -205,7 +205,7 @@
 		p.request = nil
 		f.driver.ClientGone(req)
 		req.Stream.ClientGone()
-		if connection := req.Stream.Reserved; connection != nil { // the request may never have been sent on it
+		if connection := req.Stream.Reserved; connection != nil { // the request may not have been sent on it at all
 			f.driver.Defer(connection.Release)
 		}
 	}
--- a/internal/frontend/pooled_test.go
+++ b/internal/frontend/pooled_test.go
@@ -16,7 +16,7 @@
 	pooledEnded:       "pooledEnded",
 }
 
-// pooledStep is an event of a pooled session, and the state after it.
+// pooledStep is an event of a pooled session and the expected state after it.
 type pooledStep struct {
 	event string
 	run   func(p *pooledSession)
@@ -31,7 +31,7 @@
 	return pooledStep{"member sends " + event, func(p *pooledSession) { p.DeliverMessages([]pg.Message{m}) }, want}
 }
 
-// Each transition of the table of pooledSession.
+// Checks each state transition in the table of pooledSession.
 func TestPooledSession_States(t *testing.T) {
 	query := func(want pooledState) pooledStep { return clientSends("Query", pg.AppendQuery(nil, "SELECT 1"), want) }
 	parse := func(want pooledState) pooledStep {
@@ -84,7 +84,7 @@
 		checked := make(chan struct{})
 		f.driver.Post(func() {
 			step.run(p)
-			f.driver.Defer(func() { // behind the queued messages, which are deferred too
+			f.driver.Defer(func() { // after the queued messages, whose handling is deferred too
 				checkPooledState(t, p, step)
 				close(checked)
 			})
@@ -93,19 +93,19 @@
 	}
 }
 
-// checkPooledState checks the state after a step, and which fields go together.
+// checkPooledState checks the state after a step and the invariants of the fields.
 func checkPooledState(t *testing.T, p *pooledSession, step pooledStep) {
 	t.Helper()
 	if p.state != step.want {
 		t.Errorf("%s: state %s, want %s", step.event, pooledStateNames[p.state], pooledStateNames[step.want])
 	}
 	if p.unitAtMember() && p.request == nil {
-		t.Errorf("%s: a unit is at a member without a request", step.event)
+		t.Errorf("%s: a unit is at a member, but no request is set", step.event)
 	}
 	if p.copying && !p.unitAtMember() {
-		t.Errorf("%s: a COPY runs without a unit", step.event)
+		t.Errorf("%s: a COPY is running, but no unit is at a member", step.event)
 	}
 	if p.reserved != nil && p.request != nil {
-		t.Errorf("%s: a connection is reserved beside the request's", step.event)
+		t.Errorf("%s: the session holds a reserved connection while a request is set", step.event)
 	}
 }
