--- a/internal/frontend/pooledrequest.go
+++ b/internal/frontend/pooledrequest.go
@@ -12,10 +12,10 @@
 	"wayloft/internal/request"
 )
 
-// noWaitLimitMs has the request class alone limit how long a client waits.
+// noWaitLimitMs is a wait long enough that only the deadline of the request class limits it.
 const noWaitLimitMs = 1e12
 
-// startRequest begins a request, whose first unit arrived at this time.
+// startRequest starts a request. arrived is the arrival time of its first unit.
 func (p *pooledSession) startRequest(messages []decide.Message, arrived float64) {
 	f := p.session.frontend
 	p.addInFlightBytes(messages)
@@ -30,7 +30,7 @@
 	f.limitWait(req)
 	req.Stream = &request.Stream{Pool: p.pool.Name, Client: p, Reserved: p.reserved}
 	req.Stream.Send(messages)
-	p.request, p.reserved = req, nil // Reserve gives the connection back
+	p.request, p.reserved = req, nil // a later call of Reserve returns the connection to the session
 	if err := f.driver.Arrive(req); err != nil {
 		p.request, p.reserved = nil, req.Stream.Reserved
 		p.decisions.ConnectionLost(false)
@@ -39,7 +39,7 @@
 	}
 }
 
-// statement returns the attributes of the request that begins: what its comment says, else the session's settings, else its pool.
+// statement returns the attributes of the new request: from its statement comment, else from the session's settings, else from its pool.
 func (p *pooledSession) statement() *pg.Statement {
 	f := p.session.frontend
 	attributes := p.decisions.RequestAttributes()
@@ -55,7 +55,8 @@
 		Tenant:       attributes.Tenant,
 		WaitMs:       noWaitLimitMs,
 		Group:        p.pool.Group,
-		// The commit may have been dated by an estimate of the cluster's clock that has fallen since.
+		// recordCommit may have taken the position from an estimate of the cluster clock that was lowered later. Without the limit the
+		// driver could reject the position as one that lies in the future.
 		Position: min(p.decisions.LastCommitPosition, f.driver.ClusterNow()+eventloop.MaxPositionAhead),
 	}
 	if wait, err := strconv.ParseFloat(p.decisions.RouterSetting("wait"), 64); err == nil && wait > 0 {
@@ -72,7 +73,7 @@
 	return statement
 }
 
-// nextID returns the id of a request to which its client gave none.
+// nextID generates the id of a request for which the client gave none.
 func (f *Frontend) nextID() string {
 	f.generatedIDs++
 	hash := fnv.New64a()
@@ -81,7 +82,7 @@
 	return "w" + strconv.FormatUint(hash.Sum64(), 36) + "-" + strconv.FormatUint(f.generatedIDs, 36)
 }
 
-// deliver handles the final response of the request. Of one that succeeded the client has received all already.
+// deliver handles the final response to the request. If the request succeeded, the client has received the response already.
 func (p *pooledSession) deliver(response request.Response) {
 	req := p.request
 	if req == nil {
@@ -105,7 +106,7 @@
 	default:
 		e = p.lostTransactionError(req, mayHaveCommitted)
 	}
-	if reserved != nil && (started || !response.Rejected) { // the state that the session had on the connection is lost
+	if reserved != nil && (started || !response.Rejected) { // the session state on the connection is lost
 		p.Terminate(&pg.Error{Code: pg.AdminShutdown, Text: e.Text + "; the connection that this session kept has ended"})
 		return
 	}
@@ -113,7 +114,7 @@
 	p.failUnit(e)
 }
 
-// recordCommit has the session's later reads see what the request has changed.
+// recordCommit records the commit position of the request, so that the session's later reads see its changes.
 func (p *pooledSession) recordCommit(req *request.Request) {
 	f := p.session.frontend
 	if f.pooling.PrimaryClasses[req.RequestClass] {
@@ -122,7 +123,7 @@
 	}
 }
 
-// lostTransactionError returns the error for a transaction whose connection was lost.
+// lostTransactionError returns the error for a transaction whose connection to the member was lost.
 func (p *pooledSession) lostTransactionError(req *request.Request, mayHaveCommitted bool) *pg.Error {
 	switch {
 	case p.session.frontend.pooling.IdempotentClasses[req.RequestClass]:
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -12,31 +12,33 @@
 const (
 	// messageTimeoutMs is how long a client may take to send its first query, or the rest of a message.
 	messageTimeoutMs = 2000.0
-	// maxUnreadBytes is how much a client may leave unread before its next query is looked at.
+	// maxUnreadBytes limits the response bytes that a client leaves unread: at this limit its next message is not handled yet.
 	maxUnreadBytes = 1 << 16
 )
 
-// tlsNotSupported answers an SSLRequest.
+// tlsNotSupported is the response to an SSLRequest.
 const tlsNotSupported = 'N'
 
-// sessionState says how far the end of a session has come. It only grows.
+// sessionState is the lifecycle state of a session. States are entered in ascending order.
 type sessionState uint8
 
 const (
-	// sessionOpen takes input.
+	// sessionOpen: the session reads input.
 	sessionOpen sessionState = iota
-	// sessionInputClosed takes no more input. What has come is still answered; the error at the end of the queue then ends the session.
+	// sessionInputClosed: the session reads no more input. Messages already received still get responses; the error at the end of the
+	// queue then ends the session.
 	sessionInputClosed
-	// sessionEnding answers nothing more: the connection is being closed.
+	// sessionEnding: the session writes no more responses, and its connection is being closed.
 	sessionEnding
-	// sessionClosed has no connection any more, and is not among the Frontend's sessions.
+	// sessionClosed: the connection is closed, and the session is removed from the Frontend.
 	sessionClosed
 )
 
-// session is one client's connection. Its messages are answered in order, one at a time.
+// session is a client connection. Its messages are handled in order, one at a time.
 //
-// A session is in statement-comment mode unless pooled is set, from its startup message on. In pooling mode the fields of statement-comment
-// mode keep their zero values, except that queue may hold one entry: the error that ends the session behind the queue of pooled.
+// pooled is set at the startup message if the session is in transaction pooling mode; otherwise the session is in statement-comment mode. In
+// transaction pooling mode the fields of statement-comment mode keep their zero values, except that queue may hold one entry: the error that
+// ends the session after the messages in pooled.queue.
 type session struct {
 	frontend *Frontend
 	conn     *eventloop.Conn
@@ -44,50 +46,50 @@
 	state    sessionState
 	pooled   *pooledSession
 
-	// Statement-comment mode. While request is set, or penalized, nothing of the queue is answered; both are never set together.
+	// Fields of statement-comment mode. While request or penalized is set, no queued message is handled; both are never set together.
 	queue             []queuedMessage
-	request           *request.Request // the request that waits for its response
-	statementBytes    int              // of request
-	penalized         bool             // pauses after an error of its client's
-	skippingToSync    bool             // discards messages up to Sync, after an error of the extended protocol
-	handledSinceSweep int              // messages
-
-	// Times in ms on the loop's clock, and what the sweep compares.
-	sentQuery      bool    // a complete query has come, or the startup message of a pooled session
+	request           *request.Request // the request in progress
+	statementBytes    int              // size of request's statement
+	penalized         bool             // pausing after a client error
+	skippingToSync    bool             // discarding messages up to Sync after an error in the extended protocol
+	handledSinceSweep int              // number of messages handled since the last sweep
+
+	// State for the sweep. Times are in ms on the loop's clock.
+	sentQuery      bool    // a complete query, or the startup message of a pooled session, has been received
 	idleSince      float64 // when it last became idle
-	inputDeadline  float64 // by when it must have sent a query, or the rest of a message
-	readProgressAt float64 // when the client last read something, or had nothing to read
-	writtenAtSweep int64   // bytes that the client's connection had taken at the last sweep
+	inputDeadline  float64 // by which the client must have sent its first query, or the rest of a message
+	readProgressAt float64 // when the client last read data, or had none to read
+	writtenAtSweep int64   // bytes written to the connection as of the last sweep
 	timers         sweepTimers
 
-	heldBytes    int // of messages that wait or are in flight, including partialBytes
-	partialBytes int // of the message that is not complete yet
+	heldBytes    int // size of queued and in-flight messages, including partialBytes
+	partialBytes int // size of the part received of an incomplete message
 }
 
-// queuedMessage is a message that waits for its turn, or an error that is written in its turn.
+// queuedMessage is a message that is queued to be handled, or an error that is queued to be written.
 type queuedMessage struct {
 	pg.Message
-	arrived     float64   // ms on the loop's clock, when its last byte came: the client's time runs while it waits
-	response    *pg.Error // written in place of a response; nil: Message is to be answered
-	repeats     int       // how many more messages get the same response
-	endsSession bool      // the session ends with response
+	arrived     float64   // ms on the loop's clock, when its last byte arrived: the time in the queue counts against the request's deadline
+	response    *pg.Error // the error to be written; nil: Message is to be handled
+	repeats     int       // number of further messages that get the same response
+	endsSession bool      // the session ends after response is written
 }
 
-// addHeldBytes counts bytes that the session holds; n is negative for bytes that it holds no more.
+// addHeldBytes adds n to the bytes that the session holds; n is negative for released bytes.
 func (s *session) addHeldBytes(n int) {
 	s.heldBytes += n
 	s.frontend.heldBytes += n
 }
 
-// noResponsePending reports whether no complete message is without its response.
+// noResponsePending reports whether all complete messages have got their responses. A pooled session must also be idle.
 func (s *session) noResponsePending() bool {
 	return s.request == nil && len(s.queue) == 0 && (s.pooled == nil || s.pooled.idle())
 }
 
-// idle reports whether nothing at all is on its way: no response is owed, and no part of a message has come.
+// idle reports whether no response is pending and no part of a message has been received.
 func (s *session) idle() bool { return s.noResponsePending() && s.reader.Buffered() == 0 }
 
-// awaitsInput reports whether no response is owed, and the session waits for a first query or for the rest of a message.
+// awaitsInput reports whether no response is pending, and the session waits for its first query or for the rest of a message.
 func (s *session) awaitsInput() bool {
 	if s.pooled != nil {
 		return s.pooled.awaitsInput()
@@ -95,7 +97,7 @@
 	return s.noResponsePending() && (!s.sentQuery || s.reader.Buffered() > 0)
 }
 
-// evictable reports whether the session may end without a response being lost.
+// evictable reports whether the session can be ended without losing a response. Pooled sessions are never evictable.
 func (s *session) evictable() bool {
 	if s.state >= sessionEnding || s.pooled != nil || s.sentQuery && s.reader.Buffered() > 0 {
 		return false
@@ -103,7 +105,7 @@
 	return s.noResponsePending() && s.conn.Sent()
 }
 
-// Data receives bytes of the client.
+// Data handles bytes received from the client.
 func (s *session) Data(data []byte) {
 	if s.state != sessionOpen {
 		failpoint.Hit("frontend.ignored")
@@ -120,13 +122,13 @@
 	}
 }
 
-// receiveNext receives the next message of the reader. It reports whether there may be something to answer.
+// receiveNext handles the next message in the reader. It reports whether the queue may hold new work.
 func (s *session) receiveNext() bool {
 	message, complete, err := s.reader.Next()
 	var protocolError *pg.Error
 	switch {
 	case errors.As(err, &protocolError):
-		s.closeInput(protocolError) // where the next message begins is unknown
+		s.closeInput(protocolError) // the start of the next message is unknown
 	case complete:
 		s.receive(message)
 		if s.sentQuery {
@@ -147,7 +149,7 @@
 	s.inputDeadline = s.frontend.driver.Now() + messageTimeoutMs
 }
 
-// closeInput takes no more input. The session ends with this error, behind the responses to what has come.
+// closeInput stops reading input. The session ends with this error, after the responses to the messages already received.
 func (s *session) closeInput(e *pg.Error) {
 	s.state = max(s.state, sessionInputClosed)
 	s.queue = append(s.queue, queuedMessage{response: e, endsSession: true})
@@ -175,7 +177,7 @@
 	}
 }
 
-// processQueue answers what can be answered now.
+// processQueue handles the queued messages that can be handled now.
 func (s *session) processQueue() {
 	if s.pooled != nil {
 		s.pooled.processQueue()
@@ -184,7 +186,7 @@
 	s.processStatements()
 }
 
-// markEnding records that the connection is being closed. Nothing more is taken from it.
+// markEnding records that the connection is being closed. Its input is ignored from now on.
 func (s *session) markEnding() {
 	if s.state < sessionEnding {
 		s.state = sessionEnding
@@ -198,13 +200,13 @@
 	s.conn.Drop()
 }
 
-// finish ends the session once the client has received everything that was written.
+// finish ends the session once all written data is sent.
 func (s *session) finish() {
 	s.markEnding()
 	s.conn.Finish()
 }
 
-// finishWithError ends the session with an error.
+// finishWithError sends an error to the client and ends the session.
 func (s *session) finishWithError(e *pg.Error) {
 	if s.pooled != nil {
 		s.pooled.end()
@@ -213,9 +215,9 @@
 	s.finish()
 }
 
-// endIfQuiescent ends a session to which no response is owed, unless something has come from its client that was not read yet. It
-// reports whether it did. One that has sent a query may have a response on its way: its connection is finished, so that the client
-// reads the response before the end, and can tell that what it sent meanwhile was not taken.
+// endIfQuiescent ends a session without pending responses, unless data has arrived that is not read yet or written data is not sent yet.
+// It reports whether it did. If the session has sent a query, its last response may still be in transit: the connection is finished
+// instead of dropped, so that the client reads the response before the end, and can tell that later messages of its own were not handled.
 func (s *session) endIfQuiescent() bool {
 	ended := false
 	if s.sentQuery {
