--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -11,8 +11,8 @@
 	"wayloft/internal/pg"
 )
 
-// defaultParameters are what a client receives before any member has reported more. All sessions share them, since a copy for each would be
-// most of what an idle session holds.
+// defaultParameters are the server parameters that a client receives before any member has reported its own. All sessions share them, since
+// a copy for each would be most of the memory of an idle session.
 var defaultParameters = func() *iradix.Tree[string] {
 	tree := iradix.New[string]()
 	for name, value := range map[string]string{
@@ -54,7 +54,7 @@
 	s.conn.Write(p.greeting(settings, m.MinorVersion))
 }
 
-// greeting returns the messages that answer a startup message.
+// greeting returns the response to the startup message.
 func (p *pooledSession) greeting(settings decide.Settings, minorVersion int) []byte {
 	var out []byte
 	if minorVersion > 0 {
@@ -71,13 +71,13 @@
 	return pg.AppendReadyIdle(pg.AppendBackendKeyData(out, p.cancelKey))
 }
 
-// newCancelKey returns a random key that no session has.
+// newCancelKey returns a random key that no session uses.
 func (f *Frontend) newCancelKey() pg.CancelKey {
 	for {
 		var random [8]byte
 		_, _ = rand.Read(random[:]) // crypto/rand never returns an error
 		key := pg.CancelKey{
-			Process: binary.BigEndian.Uint32(random[:]) >> 1, // positive as a signed number, as clients expect of a process id
+			Process: binary.BigEndian.Uint32(random[:]) >> 1, // positive as a signed integer, as clients expect of a process id
 			Secret:  binary.BigEndian.Uint32(random[4:]),
 		}
 		if key != (pg.CancelKey{}) && f.cancelKeys[key] == nil {
--- a/internal/frontend/statementmode.go
+++ b/internal/frontend/statementmode.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxPipelined is how many messages of a client may wait for their turn, and how many are answered between two sweeps to a client
-	// that does not await each response.
+	// maxPipelined limits the queued messages of a client, and the messages handled between two sweeps for a client that does not wait
+	// for each response.
 	maxPipelined = 256
-	// maxExcessPipelined is how many queries beyond them are rejected one by one before the session ends.
+	// maxExcessPipelined is how many queries beyond maxPipelined are rejected one by one before the session is ended.
 	maxExcessPipelined = 4096
-	// errorPenaltyMs is how long a session pauses after an error of its client's, so that a client that repeats the error at once does
-	// not keep the router busy.
+	// errorPenaltyMs is how long a session pauses after a client error, so that a client that repeats the error at once does not keep the
+	// router busy.
 	errorPenaltyMs = 100.0
 )
 
-// enqueue has a message answered in its turn, or rejected in its turn if too much waits.
+// enqueue queues a message. If too much is queued, it queues an error in place of the message.
 func (s *session) enqueue(m pg.Message) {
 	f := s.frontend
 	full := len(s.queue) >= maxPipelined
@@ -35,7 +35,7 @@
 	}
 }
 
-// rejectExcess has one more query rejected in its turn: the client waits for a response to each query that it has sent.
+// rejectExcess queues the rejection of one more query: the client expects a response to each query that it has sent.
 func (s *session) rejectExcess() {
 	s.frontend.Rejected++
 	last := len(s.queue) - 1
@@ -49,11 +49,11 @@
 	}
 }
 
-// processStatements answers what can be answered now, up to the first request.
+// processStatements handles queued messages, up to the first that starts a request.
 func (s *session) processStatements() {
 	for s.mayRespond() {
 		s.respond(s.dequeue())
-		if s.request == nil || len(s.queue) > 0 { // a client that awaits each response is not limited
+		if s.request == nil || len(s.queue) > 0 { // a client that waits for each response is not limited
 			s.handledSinceSweep++
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// mayRespond reports whether the first message of the queue may be answered now.
+// mayRespond reports whether the first queued message may be handled now.
 func (s *session) mayRespond() bool {
 	if s.request != nil || s.penalized || s.state >= sessionEnding || len(s.queue) == 0 {
 		return false
@@ -76,7 +76,7 @@
 	return s.handledSinceSweep < maxPipelined && s.conn.Unsent() < maxUnreadBytes
 }
 
-// dequeue takes the first message out of the queue.
+// dequeue removes the first message from the queue and returns it.
 func (s *session) dequeue() queuedMessage {
 	first := s.queue[0]
 	if first.repeats > 0 {
@@ -87,7 +87,7 @@
 	return first
 }
 
-// respond answers a message, or begins a request that will.
+// respond writes the response to a message, or starts a request for it.
 func (s *session) respond(m queuedMessage) {
 	switch {
 	case m.endsSession:
@@ -120,12 +120,12 @@
 	return strings.TrimSpace(strings.TrimRight(sql, "; \t\r\n")) == ""
 }
 
-// writeError answers one query with an error.
+// writeError sends an error as the response to one query.
 func (s *session) writeError(e *pg.Error) {
 	s.conn.Write(pg.AppendReadyIdle(pg.AppendError(nil, e, false)))
 }
 
-// writeErrorAndPause answers a query with an error of its client's, and answers nothing more for errorPenaltyMs.
+// writeErrorAndPause sends a client error as the response to a query, and stops handling messages for errorPenaltyMs.
 func (s *session) writeErrorAndPause(e *pg.Error) {
 	s.frontend.ProtocolErrors++
 	s.writeError(e)
@@ -139,7 +139,7 @@
 	})
 }
 
-// startRequest makes a request of a statement that arrived at this time.
+// startRequest starts a request for a statement. arrived is the arrival time of the statement.
 func (s *session) startRequest(text string, arrived float64) {
 	req, err := s.submit(text, arrived)
 	if err == nil {
@@ -165,8 +165,8 @@
 	return req, s.frontend.driver.Arrive(req)
 }
 
-// deliver writes the final response of the request. The next message is answered later in the batch of events, since the router's
-// decisions are being carried out now.
+// deliver writes the final response to the request. The next message is handled later in the same batch of events, since the router's
+// decisions are being carried out at this point.
 func (s *session) deliver(response request.Response, statementBytes int) {
 	s.request = nil
 	s.addHeldBytes(-statementBytes)
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -3,17 +3,17 @@
 import "wayloft/internal/decide/timerqueue"
 
 const (
-	// sweepIntervalMs is the time between two sweeps over the sessions that are not idle.
+	// sweepIntervalMs is the interval between two sweeps of the active sessions.
 	sweepIntervalMs = 100.0
-	// writeStallTimeoutMs is how long a client may leave a response unread.
+	// writeStallTimeoutMs is how long a client may go without reading while response data is unsent.
 	writeStallTimeoutMs = 5000.0
 	// idleTimeoutMs is how long a session in statement-comment mode may be idle.
 	idleTimeoutMs = 10e3
-	// idleShareDivisor divides maxSessions: so many idle sessions are kept at most.
+	// idleShareDivisor limits the idle sessions in statement-comment mode to maxSessions/idleShareDivisor.
 	idleShareDivisor = 3
 )
 
-// scheduleSweep has the next sweep run, unless one is scheduled. There is none while all sessions are idle and pooled.
+// scheduleSweep schedules the next sweep, unless one is scheduled. No sweep is scheduled while all sessions are idle and pooled.
 func (f *Frontend) scheduleSweep() {
 	if !f.sweepScheduled {
 		f.sweepScheduled = true
@@ -29,10 +29,9 @@
 	}
 }
 
-// sweepOnce visits the active sessions. It goes on with what waits for its turn, and ends sessions that have taken too long for anything
-// but a response: connections that are never used, messages that never end, responses that are never read. It then ends sessions in
-// statement-comment mode that are idle for too long, or too many, so that clients that keep connections without using them leave room
-// for others.
+// sweepOnce visits the active sessions. It resumes their queued messages and ends sessions whose client has exceeded a time limit: for the
+// first query, for the rest of a message, or for reading a response. It then ends sessions in statement-comment mode that have been idle
+// for too long, or exceed the limit of idle sessions, so that clients that keep unused connections leave room for others.
 func (f *Frontend) sweepOnce() {
 	now := f.driver.Now()
 	for s := range f.sweepIndex.active {
@@ -64,29 +63,29 @@
 	}
 }
 
-// sweepIndex says which sessions a sweep must visit, so that its cost does not grow with the number of idle sessions. A session is
-// inactive once nothing can change for it, except through its client or because it has been idle longest; the client's next bytes make it
+// sweepIndex tracks the sessions that a sweep must visit, so that the cost of a sweep does not grow with the number of idle sessions. A
+// session is inactive once its state can change only through its client or by an idle limit or eviction; the client's next bytes make it
 // active again.
 type sweepIndex struct {
 	active             map[*session]bool
 	awaitingFirstQuery timerqueue.Queue[*session] // sessions that have not sent a query, by idleSince
 	idle               timerqueue.Queue[*session] // inactive sessions in statement-comment mode, by idleSince
 
-	visits int // how many sessions were visited so far
+	visits int // number of session visits so far, for tests
 }
 
-// sweepTimers are a session's entries in a sweepIndex. Their times may be earlier than the session's idleSince, never later: whoever finds
-// one of them first in its queue moves it to its place.
+// sweepTimers are a session's entries in a sweepIndex. Their times may be earlier than the session's idleSince, but never later: code that
+// finds such an entry at the front of its queue moves it to its place.
 type sweepTimers struct{ awaitingFirstQuery, idle timerqueue.Timer[*session] }
 
-// add enters a new session: it is active and has not sent a query.
+// add adds a new session, which is active and has not sent a query.
 func (i *sweepIndex) add(s *session) {
 	s.timers.awaitingFirstQuery.Of, s.timers.idle.Of = s, s
 	i.active[s] = true
 	i.awaitingFirstQuery.Put(&s.timers.awaitingFirstQuery, s.idleSince)
 }
 
-// activate has the next sweep visit the session.
+// activate makes the session active, so that the next sweep visits it.
 func (i *sweepIndex) activate(s *session, now float64) {
 	i.idle.Drop(&s.timers.idle)
 	if !i.active[s] {
@@ -94,14 +93,14 @@
 	}
 }
 
-// remove takes the session out of the index.
+// remove removes the session from the index.
 func (i *sweepIndex) remove(s *session) {
 	delete(i.active, s)
 	i.awaitingFirstQuery.Drop(&s.timers.awaitingFirstQuery)
 	i.idle.Drop(&s.timers.idle)
 }
 
-// deactivateIfIdle makes a session inactive that was just visited, if nothing is left to be done for it.
+// deactivateIfIdle makes a session that was just visited inactive if it is ending, or is idle and has no unsent data.
 func (i *sweepIndex) deactivateIfIdle(s *session) {
 	ending := s.state >= sessionEnding
 	if s.sentQuery || ending {
--- a/internal/frontend/unit.go
+++ b/internal/frontend/unit.go
@@ -5,7 +5,7 @@
 	"wayloft/internal/pg"
 )
 
-// handle handles a message that arrived at this time. No complete unit is at a member.
+// handle handles a message. arrived is its arrival time. It must not be called while a complete unit is at a member.
 func (p *pooledSession) handle(m pg.Message, arrived float64) {
 	switch {
 	case m.Kind == pg.Terminate:
@@ -23,7 +23,7 @@
 	}
 }
 
-// endDiscarding ends a unit that has failed: by the member if a part of it is there.
+// endDiscarding handles the Sync that ends a failed unit. If a part of the unit is at a member, the Sync is sent there.
 func (p *pooledSession) endDiscarding(arrived float64) {
 	if p.state == unitFlushedFailed {
 		p.state = unitFlushed
@@ -47,7 +47,7 @@
 	p.dispatch(messages, unitAwaitingReady, arrived)
 }
 
-// handleExtended collects the messages of an extended query, and dispatches them at its end.
+// handleExtended collects the messages of an extended query, and dispatches them at a Sync or Flush.
 func (p *pooledSession) handleExtended(m pg.Message, arrived float64) {
 	p.unitMessages = append(p.unitMessages, p.decisions.Extended(m)...)
 	p.addQueuedBytes(len(m.Raw))
@@ -67,8 +67,8 @@
 	}
 }
 
-// dispatch sends a unit, or a part of one, whose last byte arrived at this time. next is the state while it is at the member:
-// unitAwaitingReady, or unitFlushed for a part.
+// dispatch sends a unit, or a part of one, to the member, unless the router can respond to it by itself. arrived is when its last byte
+// arrived. next is the state while it is at the member: unitAwaitingReady, or unitFlushed for a part.
 func (p *pooledSession) dispatch(messages []decide.Message, next pooledState, arrived float64) {
 	if p.request != nil {
 		p.state = next
@@ -97,7 +97,8 @@
 	p.startRequest(append(p.decisions.FlushDeferredBegin(), messages...), arrived)
 }
 
-// addInFlightBytes counts what is at a member until its response has come: sessions that wait with much count against the budget.
+// addInFlightBytes counts messages that are at a member until their response arrives, so that sessions that wait with large messages count
+// against the memory budget.
 func (p *pooledSession) addInFlightBytes(messages []decide.Message) {
 	n := 0
 	for _, message := range messages {
@@ -107,7 +108,7 @@
 	p.session.addHeldBytes(n)
 }
 
-// endUnit records that no unit is at a member any more.
+// endUnit records that the current unit is no longer at a member.
 func (p *pooledSession) endUnit() {
 	p.session.addHeldBytes(-p.inFlightBytes)
 	p.inFlightBytes = 0
@@ -120,7 +121,8 @@
 	}
 }
 
-// failUnit ends the unit at a member with an error. A client that waits for nothing receives the error in place of its next response.
+// failUnit ends the unit at a member with an error. If the client is not waiting for a response, it receives the error in place of the
+// response to its next unit.
 func (p *pooledSession) failUnit(e *pg.Error) {
 	switch p.state {
 	case unitAwaitingReady:
@@ -134,8 +136,8 @@
 	p.endUnit()
 }
 
-// deliverPendingError answers a unit with the error that ended the last transaction while the client waited for nothing. It reports
-// whether there was one.
+// deliverPendingError responds to a unit with the error that ended the last transaction while the client was not waiting for a response.
+// It reports whether there was such an error.
 func (p *pooledSession) deliverPendingError() bool {
 	if p.pendingError == nil || p.request != nil {
 		return false
