--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -25,14 +25,14 @@
 
 // Drain starts the graceful shutdown. The Frontend continues to serve for acceptPeriodMs, then ends each session once it is idle, and
 // stops the event loop after the last session. signalled is the time at which the signal was received, in ms on the loop's clock. The
-// drain deadline is within ms after it: by then each request gets its final response, whatever members do, since the process may be
+// drain deadline is graceMs after it: by then each request gets its final response, whatever members do, since the process may be
 // killed soon afterwards. Calls after the first have no effect.
-func (f *Frontend) Drain(signalled, within float64) {
+func (f *Frontend) Drain(signalled, graceMs float64) {
 	if f.drainPhase != notDraining {
 		return
 	}
 	f.drainPhase = drainAccepting
-	f.drainDeadline = signalled + within
+	f.drainDeadline = signalled + graceMs
 	now := f.driver.Clock()
 	f.driver.After(signalled+acceptPeriodMs-now, func() {
 		f.drainPhase, f.endingSince = drainEndingSessions, f.driver.Now()
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -33,12 +33,12 @@
 	return index.longestIdle(&index.awaitingFirstQuery, now)
 }
 
-// longestIdle returns the evictable session of a queue that has been idle longest, or nil if none has an idleSince of at most before.
+// longestIdle returns the evictable session of a queue that has been idle longest, or nil if none has been idle since maxIdleSince.
 // Sessions that can't be evicted now stay in the queue.
-func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], before float64) *session {
+func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], maxIdleSince float64) *session {
 	var skipped []*timerqueue.Timer[*session]
 	defer func() { requeueTimers(queue, skipped) }()
-	for timer := queue.First(); timer != nil && timer.At() <= before; timer = queue.First() {
+	for timer := queue.First(); timer != nil && timer.At() <= maxIdleSince; timer = queue.First() {
 		i.visits++
 		s := timer.Of
 		switch {
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -110,7 +110,7 @@
 // others at most a third of maxSessions is kept, the most recently idle ones.
 func TestEndLongestIdle(t *testing.T) {
 	const idle = 10
-	for _, c := range []struct{ maxSessions, overdue, left int }{{30, 0, 10}, {30, 4, 6}, {15, 0, 5}, {15, 2, 5}, {15, 7, 3}} {
+	for _, c := range []struct{ maxSessions, overdue, remaining int }{{30, 0, 10}, {30, 4, 6}, {15, 0, 5}, {15, 2, 5}, {15, 7, 3}} {
 		f := newTestFrontend(t, c.maxSessions)
 		sessions := f.connectSilent(idle)
 		f.runOnLoop(func() {
@@ -124,7 +124,7 @@
 			slices.Reverse(sessions)
 			f.frontend.sweepOnce()
 			for n, s := range sessions {
-				if ending := s.state >= sessionEnding; ending != (n >= c.left) {
+				if ending := s.state >= sessionEnding; ending != (n >= c.remaining) {
 					t.Errorf("%+v: session number %d, counted from the one idle most recently: ending %v", c, n+1, ending)
 				}
 			}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -88,7 +88,7 @@
 	f.sweepIndex.add(s)
 	f.scheduleSweep()
 	if f.gate != nil {
-		f.gate.started++
+		f.gate.sessionsStarted++
 		f.gate.open()
 	}
 	f.evictIfFull()
@@ -102,7 +102,7 @@
 func (f *Frontend) occupiedSlots() int { return len(f.sessions) - f.endingSessions }
 
 // SessionCounts returns the number of sessions, and how many of them have a request in progress.
-func (f *Frontend) SessionCounts() (all, busy int) {
+func (f *Frontend) SessionCounts() (total, busy int) {
 	for s := range f.sessions {
 		if s.request != nil || s.pooled != nil && s.pooled.request != nil {
 			busy++
--- a/internal/frontend/gate.go
+++ b/internal/frontend/gate.go
@@ -32,9 +32,9 @@
 // counts how often the gate was closed or opened, so that the event loop can tell whether Accept has returned since the last close.
 type gate struct {
 	net.Listener
-	slots    chan struct{}
-	accepted atomic.Int64 // number of accepted connections
-	started  int64        // how many of them have become sessions; used by the event loop only
+	slots           chan struct{}
+	accepted        atomic.Int64 // number of accepted connections
+	sessionsStarted int64        // how many of them have become sessions; used by the event loop only
 
 	transitions  atomic.Int64 // odd while the gate is closed
 	acknowledged atomic.Int64 // the value of transitions at the start of the last Accept that the deadline ended
@@ -103,7 +103,7 @@
 	}
 	listener, ok := g.Listener.(deadlineListener)
 	if !ok {
-		return g.accepted.Load() == g.started
+		return g.accepted.Load() == g.sessionsStarted
 	}
 	if !g.closed() {
 		g.transitions.Add(1)
@@ -112,7 +112,7 @@
 	if g.acknowledged.Load() != g.transitions.Load() {
 		return false
 	}
-	if g.backlogged() || g.accepted.Load() != g.started {
+	if g.backlogged() || g.accepted.Load() != g.sessionsStarted {
 		g.open()
 		return false
 	}
--- a/internal/frontend/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -60,8 +60,8 @@
 			}
 			f.runOnLoop(func() {
 				gate := f.frontend.gate
-				if accepted := gate.accepted.Load(); accepted != 2 || gate.started != 2 {
-					t.Errorf("%d accepted, %d started", accepted, gate.started)
+				if accepted := gate.accepted.Load(); accepted != 2 || gate.sessionsStarted != 2 {
+					t.Errorf("%d connections accepted, %d became sessions, want 2 of each", accepted, gate.sessionsStarted)
 				}
 			})
 		})
@@ -71,17 +71,17 @@
 // Guards against a drain that stops the process for lack of sessions while an accepted connection still waits for a descriptor.
 func TestGate_AcceptedConnectionWaitsForDescriptorWhileDraining(t *testing.T) {
 	f := newTestFrontend(t, 10)
-	var ends atomic.Int64 // how often the drain has found no session left
-	t.Cleanup(failpoint.Set("frontend.last_session", func() { ends.Add(1) }))
+	var lastSessionHits atomic.Int64 // how often the drain has found no session left
+	t.Cleanup(failpoint.Set("frontend.last_session", func() { lastSessionHits.Add(1) }))
 	t.Cleanup(failpoint.SetError("eventloop.adopt", func() error {
-		if ends.Load() < 3 {
+		if lastSessionHits.Load() < 3 {
 			return os.NewSyscallError("dup", unix.EMFILE)
 		}
 		return nil
 	}))
 	f.runOnLoop(func() { f.frontend.Drain(f.driver.Clock(), acceptPeriodMs+1e6) })
 	f.dialAndClose()
-	if ends.Load() < 3 {
+	if lastSessionHits.Load() < 3 {
 		t.Error("the client was served before the drain found no session left three times")
 	}
 }
