--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -2,7 +2,7 @@
 
 import "wayloft/internal/decide/timerqueue"
 
-// newConnectionGraceMs is how long a new session that has not sent a query is not preferred for eviction.
+// newConnectionGraceMs is how long a new session may take to send its first query before it is preferred for eviction.
 const newConnectionGraceMs = 100.0
 
 // evictIfFull ends one session if the session limit is reached. A candidate that can't be ended, since data from its client has just
