--- a/internal/frontend/clientsession.go
+++ b/internal/frontend/clientsession.go
@@ -19,13 +19,13 @@
 	for n := range messages {
 		p.decisions.ServerMessage(&messages[n])
 		out = append(out, messages[n].Raw...)
-		p.memberAnswered(messages[n].Kind)
+		p.handleMemberMessage(messages[n].Kind)
 	}
 	p.session.conn.Write(out)
 }
 
-// memberAnswered updates the state by a message of the member.
-func (p *pooledSession) memberAnswered(kind pg.Kind) {
+// handleMemberMessage updates the session's state after a message from the member.
+func (p *pooledSession) handleMemberMessage(kind pg.Kind) {
 	switch kind {
 	case pg.CopyInResponse:
 		p.copying = true
@@ -43,7 +43,7 @@
 	}
 }
 
-// ServerParameters implements request.ClientSession. The client receives those that it does not know yet.
+// ServerParameters implements request.ClientSession. It sends the client a ParameterStatus for each parameter that is new or changed.
 func (p *pooledSession) ServerParameters(parameters *iradix.Tree[string]) {
 	if parameters == p.reportedParameters || p.state == pooledEnded {
 		return
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -2,13 +2,13 @@
 
 import "wayloft/internal/decide/timerqueue"
 
-// newConnectionGraceMs is how long a session that has not sent a query is spared.
+// newConnectionGraceMs is how long a new session may take to send its first query before it is preferred for eviction.
 const newConnectionGraceMs = 100.0
 
-// evictIfFull ends one session if there is no room for another. A candidate that can't be ended, since something has just come from its
-// client, is passed over.
+// evictIfFull ends one session if the session limit is reached. A candidate that can't be ended, since data from its client has just
+// arrived, is skipped.
 func (f *Frontend) evictIfFull() {
-	for f.occupied() >= f.maxSessions {
+	for f.occupiedSlots() >= f.maxSessions {
 		candidate := f.evictionCandidate(f.driver.Now())
 		if candidate == nil || candidate.endIfQuiescent() {
 			return
@@ -16,12 +16,12 @@
 	}
 }
 
-// evictionCandidate returns the session to be ended first where another could not come in: one that has had time to send a query and did
-// not, else the one that has been idle longest, else a new one. Connections that never send anything thereby push out each other before
-// any other session. It returns nil if no session can be ended.
+// evictionCandidate returns the session to evict first when the session limit is reached: one that has sent no query within
+// newConnectionGraceMs, else the one that has been idle longest, else a newer one without a query. Connections that never send anything
+// are thereby evicted before any other session. It returns nil if no session can be evicted.
 func (f *Frontend) evictionCandidate(now float64) *session {
 	index := &f.sweepIndex
-	if s := index.longestIdle(&index.awaitingFirst, now-newConnectionGraceMs); s != nil {
+	if s := index.longestIdle(&index.awaitingFirstQuery, now-newConnectionGraceMs); s != nil {
 		return s
 	}
 	if s := index.longestIdle(&index.idle, now); s != nil {
@@ -30,19 +30,19 @@
 	if s := index.longestIdleActive(); s != nil {
 		return s
 	}
-	return index.longestIdle(&index.awaitingFirst, now)
+	return index.longestIdle(&index.awaitingFirstQuery, now)
 }
 
-// longestIdle returns the session of a queue that has been idle longest and can end now, nil if none has been idle since before. Sessions
-// that can't end now stay in the queue.
-func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], before float64) *session {
-	var passedOver []*timerqueue.Timer[*session]
-	defer func() { putBack(queue, passedOver) }()
-	for timer := queue.First(); timer != nil && timer.At() <= before; timer = queue.First() {
+// longestIdle returns the evictable session of a queue that has been idle longest, or nil if none has been idle since maxIdleSince.
+// Sessions that can't be evicted now stay in the queue.
+func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], maxIdleSince float64) *session {
+	var skipped []*timerqueue.Timer[*session]
+	defer func() { requeueTimers(queue, skipped) }()
+	for timer := queue.First(); timer != nil && timer.At() <= maxIdleSince; timer = queue.First() {
 		i.visits++
 		s := timer.Of
 		switch {
-		case s.state >= sessionEnding || queue == &i.awaitingFirst && s.sentQuery:
+		case s.state >= sessionEnding || queue == &i.awaitingFirstQuery && s.sentQuery:
 			queue.Drop(timer)
 		case s.idleSince > timer.At():
 			queue.Put(timer, s.idleSince)
@@ -50,13 +50,13 @@
 			return s
 		default:
 			queue.Drop(timer)
-			passedOver = append(passedOver, timer)
+			skipped = append(skipped, timer)
 		}
 	}
 	return nil
 }
 
-// longestIdleActive returns the session that has been idle longest among those that became idle since the last sweep.
+// longestIdleActive returns the evictable session that has been idle longest among those that became idle since the last sweep.
 func (i *sweepIndex) longestIdleActive() (longest *session) {
 	for s := range i.active {
 		i.visits++
@@ -70,12 +70,13 @@
 	return longest
 }
 
-// endLongestIdle ends sessions in statement-comment mode that have been idle for too long, and all but the latest of those that are idle.
+// endLongestIdle ends sessions in statement-comment mode that have been idle for longer than idleTimeoutMs, and those idle longest while
+// there are more than maxIdle idle ones.
 func (f *Frontend) endLongestIdle(now float64, maxIdle int) {
 	queue := &f.sweepIndex.idle
-	var passedOver []*timerqueue.Timer[*session]
+	var skipped []*timerqueue.Timer[*session]
 	for timer := queue.First(); timer != nil; timer = queue.First() {
-		tooMany := queue.Len()+len(passedOver) > maxIdle
+		tooMany := queue.Len()+len(skipped) > maxIdle
 		if !tooMany && now <= timer.At()+idleTimeoutMs {
 			break
 		}
@@ -86,16 +87,16 @@
 			continue
 		}
 		queue.Drop(timer)
-		if !s.endIfQuiescent() { // something has come: it becomes active
-			passedOver = append(passedOver, timer)
+		if !s.endIfQuiescent() { // data has arrived from its client: the session becomes active
+			skipped = append(skipped, timer)
 			maxIdle++
 		}
 	}
-	putBack(queue, passedOver)
+	requeueTimers(queue, skipped)
 }
 
-// putBack adds timers again that were taken out of a queue to see the next.
-func putBack(queue *timerqueue.Queue[*session], timers []*timerqueue.Timer[*session]) {
+// requeueTimers adds skipped timers back to their queue.
+func requeueTimers(queue *timerqueue.Queue[*session], timers []*timerqueue.Timer[*session]) {
 	for _, timer := range timers {
 		queue.Put(timer, timer.At())
 	}
