--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,7 +1,7 @@
-// Package audit writes the audit log of one process: a JSON object a line for each act of the process in the fleet (what it held,
-// rejected and was granted), in a file that outlives it, so that a checker can tell later what happened whatever became of the process.
-// It owns the file. It must never keep the process from its work: a line that can't be written waits for the next one, up to a bound
-// beyond which the oldest lines are counted as lost.
+// Package audit writes the audit log of one process: one JSON object per line for each event of the process in the fleet (what it held,
+// rejected and was granted). The file outlives the process, so a checker can reconstruct what happened even if the process was killed.
+// The package owns the file. It must never block the process because writes fail: lines that can't be written are buffered until a later
+// write succeeds. The buffer is bounded; when it is full, the oldest lines are dropped and counted as lost.
 package audit
 
 import (
@@ -20,36 +20,36 @@
 )
 
 const (
-	maxWaiting    = 1024 // lines that wait while writes fail
-	fileMode      = 0o600
-	readBlockSize = 4096
+	maxBufferedLines = 1024 // kept in memory while writes fail
+	fileMode         = 0o600
+	readBlockSize    = 4096
 )
 
-// Names of the fields that each line has.
+// Names of the fields that every line has.
 const (
 	numberField  = "n"
 	pidField     = "pid"
 	processField = "who"
 	eventField   = "what"
-	timeField    = "at" // ms on the Unix clock
+	timeField    = "at" // Unix time in ms
 )
 
-// Fields are what a line holds besides its number, its time, its process and its event.
+// Fields are the event-specific fields of a line, besides its number, PID, process name, event and time.
 type Fields map[string]any
 
-// Log is an open audit log. A nil or a zero Log accepts lines and drops them. Its methods may be called at the same time.
+// Log is an open audit log. A nil or zero Log discards all lines. Log is safe for concurrent use.
 type Log struct {
-	mu          sync.Mutex
-	file        *os.File
-	process     string
-	lines       int
-	lost        int
-	waiting     [][]byte // encoded lines, the oldest first; empty while writes succeed
-	partialLine bool     // the file ends in part of a line
+	mu             sync.Mutex
+	file           *os.File
+	process        string
+	lines          int
+	lost           int
+	buffered       [][]byte // encoded lines, oldest first; empty while writes succeed
+	incompleteLine bool     // the file may end in an incomplete line
 }
 
-// Open opens the audit log of a process, or creates it. A partial line at its end, as a kill or a disk that refused the rest leaves it,
-// is truncated. An empty path gives a nil Log.
+// Open opens or creates the audit log of a process. It removes an incomplete last line, which a kill or a failed write may have left.
+// For an empty path it returns a nil Log.
 func Open(path, process string) (*Log, error) {
 	if path == "" {
 		return nil, nil
@@ -58,15 +58,15 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{file: file, process: process, partialLine: true}
-	if err := l.truncatePartialLine(); err != nil {
-		logrus.WithError(err).WithField("file", path).Warn("audit log: partial last line not truncated")
+	l := &Log{file: file, process: process, incompleteLine: true}
+	if err := l.truncateIncompleteLine(); err != nil {
+		logrus.WithError(err).WithField("file", path).Warn("audit log: failed to remove the incomplete last line")
 	}
 	return l, nil
 }
 
-func (l *Log) truncatePartialLine() error {
-	if !l.partialLine {
+func (l *Log) truncateIncompleteLine() error {
+	if !l.incompleteLine {
 		return nil
 	}
 	end, err := lastLineEnd(l.file)
@@ -82,11 +82,12 @@
 			return err
 		}
 	}
-	l.partialLine = false
+	l.incompleteLine = false
 	return nil
 }
 
-// lastLineEnd returns the offset after a file's last complete line, searching from its end; 0 for what isn't a regular file.
+// lastLineEnd returns the offset after the last complete line of a file, searching backwards from its end. It returns 0 if the file is
+// not a regular file.
 func lastLineEnd(file *os.File) (int64, error) {
 	info, err := file.Stat()
 	if err != nil || !info.Mode().IsRegular() {
@@ -107,7 +108,7 @@
 	return 0, nil
 }
 
-// Add writes one line and returns once the file has it. If the write fails the line waits for the next Add or Close.
+// Add writes one line synchronously. If the write fails, the line is buffered until the next Add or Close.
 func (l *Log) Add(event string, fields Fields) {
 	if l == nil || l.file == nil {
 		return
@@ -119,21 +120,21 @@
 		l.lost++
 		return
 	}
-	if l.waiting = append(l.waiting, line); len(l.waiting) > maxWaiting {
-		l.waiting = l.waiting[1:]
+	if l.buffered = append(l.buffered, line); len(l.buffered) > maxBufferedLines {
+		l.buffered = l.buffered[1:]
 		l.lost++
 	}
-	failedBefore := len(l.waiting) > 1
+	failedBefore := len(l.buffered) > 1
 	err = l.flush()
 	switch {
 	case err != nil && !failedBefore:
-		logrus.WithError(err).WithField("file", l.file.Name()).Error("audit log: write failed, lines wait")
+		logrus.WithError(err).WithField("file", l.file.Name()).Error("audit log: write failed; buffering lines")
 	case err == nil && failedBefore:
-		logrus.WithFields(logrus.Fields{"file": l.file.Name(), "lost": l.lost}).Info("audit log: writes succeed again")
+		logrus.WithFields(logrus.Fields{"file": l.file.Name(), "lost": l.lost}).Info("audit log: writing resumed")
 	}
 }
 
-// encode numbers and encodes a line.
+// encode assigns the next line number and encodes the line.
 func (l *Log) encode(event string, fields Fields) ([]byte, error) {
 	l.lines++
 	line := Fields{numberField: l.lines, pidField: os.Getpid(), processField: l.process, eventField: event,
@@ -143,32 +144,32 @@
 	return append(encoded, '\n'), err
 }
 
-// flush writes the waiting lines in their order.
+// flush writes the buffered lines in order.
 func (l *Log) flush() error {
-	for len(l.waiting) > 0 {
-		if err := l.truncatePartialLine(); err != nil {
+	for len(l.buffered) > 0 {
+		if err := l.truncateIncompleteLine(); err != nil {
 			return err
 		}
-		if err := l.write(l.waiting[0]); err != nil {
+		if err := l.write(l.buffered[0]); err != nil {
 			return err
 		}
-		l.waiting = l.waiting[1:]
+		l.buffered = l.buffered[1:]
 	}
-	l.waiting = nil
+	l.buffered = nil
 	return nil
 }
 
 func (l *Log) write(line []byte) error {
 	part, injected := line, failpoint.OperationError("audit.write", l.file.Name())
-	if injected != nil { // as a full disk does, it takes the first half
+	if injected != nil { // write only the first half, as a full disk may do
 		part = line[:len(line)/2]
 	}
 	n, err := l.file.Write(part)
-	l.partialLine = n > 0 && n < len(line)
+	l.incompleteLine = n > 0 && n < len(line)
 	return errors.Join(injected, err)
 }
 
-// Close writes the lines that wait, if the file takes them now, and closes it. What is lost is logged.
+// Close tries to write the buffered lines and closes the file. It logs how many lines are lost.
 func (l *Log) Close() {
 	if l == nil || l.file == nil {
 		return
@@ -176,9 +177,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.flush(); err != nil {
-		logrus.WithError(err).WithFields(logrus.Fields{"file": l.file.Name(), "lost": l.lost + len(l.waiting)}).Error("audit log: lines lost")
+		logrus.WithError(err).WithFields(logrus.Fields{"file": l.file.Name(), "lost": l.lost + len(l.buffered)}).Error("audit log: lines lost")
 	}
 	if err := l.file.Close(); err != nil {
-		logrus.WithError(err).WithField("file", l.file.Name()).Error("audit log: close failed")
+		logrus.WithError(err).WithField("file", l.file.Name()).Error("audit log: failed to close the file")
 	}
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -15,7 +15,7 @@
 	"wayloft/internal/failpoint"
 )
 
-// readNumbers reads a record, each line of which must be whole, and gives what each line says as its number.
+// readNumbers reads an audit log and returns the number field of each line. Every line must be complete.
 func readNumbers(t *testing.T, path string) (all []int) {
 	t.Helper()
 	b, err := os.ReadFile(path)
@@ -32,16 +32,16 @@
 	return all
 }
 
-// wantNumbers wants the numbers from one to another, each once and in order.
-func wantNumbers(t *testing.T, path string, from, to int) {
+// checkNumbers checks that an audit log holds exactly the numbers of a range, each once and in order.
+func checkNumbers(t *testing.T, path string, from, to int) {
 	t.Helper()
 	got := readNumbers(t, path)
 	if len(got) != to-from+1 {
-		t.Fatalf("%d lines, want %d to %d", len(got), from, to)
+		t.Fatalf("got %d lines, want lines %d to %d", len(got), from, to)
 	}
 	for n, number := range got {
 		if number != from+n {
-			t.Fatalf("line %d is %d, want %d to %d", n, number, from, to)
+			t.Fatalf("line %d has number %d, want %d to %d", n, number, from, to)
 		}
 	}
 }
@@ -61,8 +61,9 @@
 	}
 }
 
-// A file that refuses lines, after part of each, gets them complete and in order once it takes them again; each change is logged once.
-func TestLog_LinesWaitWhileWritesFail(t *testing.T) {
+// If writes fail after a part of each line, all lines are written completely and in order once writes succeed again. The failure and the
+// recovery are logged once each.
+func TestLog_BuffersLinesWhileWritesFail(t *testing.T) {
 	hook := logtest.NewGlobal()
 	defer hook.Reset()
 	path := filepath.Join(t.TempDir(), "audit.log")
@@ -75,67 +76,68 @@
 		addNumbers(log, from, from+9)
 		clearFailure()
 		addNumbers(log, from+10, from+10)
-		wantNumbers(t, path, 1, from+10)
+		checkNumbers(t, path, 1, from+10)
 		if lines := hook.AllEntries(); len(lines) != 2 {
-			t.Errorf("%d log lines", len(lines))
+			t.Errorf("got %d log lines, want 2", len(lines))
 		}
 	}
 	if log.Close(); log.lost != 0 {
-		t.Errorf("%d lost", log.lost)
+		t.Errorf("%d lines lost, want 0", log.lost)
 	}
 }
 
-// What waits is bounded; the oldest lines go first and are counted.
-func TestLog_WaitingLinesAreBounded(t *testing.T) {
+// The buffer of unwritten lines is bounded: the oldest lines are dropped and counted as lost.
+func TestLog_BufferIsBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "audit.log")
 	log := openLog(t, path)
 	clearFailure := failpoint.SetOperationError("audit.write", func(string) error { return syscall.ENOSPC })
-	addNumbers(log, 1, maxWaiting+10)
-	if len(log.waiting) != maxWaiting || log.lost != 10 {
-		t.Errorf("%d wait, %d lost", len(log.waiting), log.lost)
+	addNumbers(log, 1, maxBufferedLines+10)
+	if len(log.buffered) != maxBufferedLines || log.lost != 10 {
+		t.Errorf("%d lines buffered, %d lost", len(log.buffered), log.lost)
 	}
 	clearFailure()
-	log.Close() // the last moment to write them
-	wantNumbers(t, path, 11, maxWaiting+10)
+	log.Close() // writes the buffered lines
+	checkNumbers(t, path, 11, maxBufferedLines+10)
 }
 
-// A partial line that a kill has left is truncated at the next start, wherever the kill came.
-func TestLog_PartialLineIsTruncated(t *testing.T) {
+// An incomplete last line, which a kill during a write leaves, is removed when the log is opened again. The test cuts the file at every
+// offset.
+func TestLog_IncompleteLineIsTruncated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "audit.log")
 	log := openLog(t, path)
 	addNumbers(log, 1, 3)
 	log.Close()
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := range whole {
-		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
+	for cut := range complete {
+		if err := os.WriteFile(path, complete[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		log := openLog(t, path)
-		left := bytes.Count(whole[:cut], []byte("\n"))
-		addNumbers(log, left+1, left+1)
+		kept := bytes.Count(complete[:cut], []byte("\n"))
+		addNumbers(log, kept+1, kept+1)
 		log.Close()
-		wantNumbers(t, path, 1, left+1)
+		checkNumbers(t, path, 1, kept+1)
 	}
-	long := append(bytes.Clone(whole), bytes.Repeat([]byte{'x'}, 10000)...)
+	long := append(bytes.Clone(complete), bytes.Repeat([]byte{'x'}, 10000)...)
 	if err := os.WriteFile(path, long, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log = openLog(t, path)
 	addNumbers(log, 4, 4)
 	log.Close()
-	wantNumbers(t, path, 1, 4)
+	checkNumbers(t, path, 1, 4)
 }
 
-// A Log that was never opened accepts lines and drops them.
-func TestLog_UnopenedTakesNothing(t *testing.T) {
+// A nil Log and a zero Log discard lines.
+func TestLog_UnopenedDiscardsLines(t *testing.T) {
 	for _, log := range []*Log{nil, {}} {
 		addNumbers(log, 1, 2)
 		log.Close()
-		if log != nil && (log.lines != 0 || len(log.waiting) != 0) {
-			t.Errorf("%d lines, %d wait", log.lines, len(log.waiting))
+		if log != nil && (log.lines != 0 || len(log.buffered) != 0) {
+			t.Errorf("%d lines numbered, %d buffered", log.lines, len(log.buffered))
 		}
 	}
 }
