--- a/internal/rpc/clock_test.go
+++ b/internal/rpc/clock_test.go
@@ -12,13 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// wallReadings are the methods of a time.Time that read its wall clock, or drop its monotonic one so that Sub and Since go by the wall.
-var wallReadings = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "Truncate", "UTC", "Local", "In", "Format", "AppendFormat",
+// wallClockMethods are the methods of time.Time that read its wall clock, or strip its monotonic reading so that Sub and Since use the
+// wall clock.
+var wallClockMethods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "Truncate", "UTC", "Local", "In", "Format", "AppendFormat",
 	"Date", "Clock", "Hour", "Minute", "Second", "Nanosecond", "MarshalText", "MarshalBinary"}
 
-// Session timeouts, heartbeats and margins are spans of Boottime or of Go's monotonic clock, both of which run on where the wall clock is
-// stepped. In the packages of the coordinator and its clients the wall clock is read in two places: for the number of a start, and for
-// the first epoch.
+// Session timeouts, heartbeats and safety margins are measured with Boottime or Go's monotonic clock, which steps of the wall clock don't
+// affect. The packages of the coordinator and its clients read the wall clock in two places only: for the incarnation number of a client
+// and for the first epoch of a cluster.
 func TestWallClock_IsReadInTwoPlaces(t *testing.T) {
 	want := []string{"fleet.newNode: UnixMilli", "rpc.EpochAt: Unix"}
 	var got []string
@@ -29,34 +30,34 @@
 		}
 		for _, path := range paths {
 			if !strings.HasSuffix(path, "_test.go") {
-				got = append(got, wallClockReadings(t, path)...)
+				got = append(got, wallClockReads(t, path)...)
 			}
 		}
 	}
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		t.Errorf("the wall clock is read by %q, not by %q alone", got, want)
+		t.Errorf("the wall clock is read by %q, want only %q", got, want)
 	}
 }
 
-// wallClockReadings names the functions of a file that read a wall clock.
-func wallClockReadings(t *testing.T, path string) (all []string) {
+// wallClockReads lists the wall clock reads in a file as "package.function: method".
+func wallClockReads(t *testing.T, path string) (all []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, declared := range file.Decls {
-		function, is := declared.(*ast.FuncDecl)
-		if !is {
+	for _, declaration := range file.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if !ok {
 			continue
 		}
 		ast.Inspect(function, func(n ast.Node) bool {
-			call, is := n.(*ast.CallExpr)
-			if !is {
+			call, ok := n.(*ast.CallExpr)
+			if !ok {
 				return true
 			}
-			if s, is := call.Fun.(*ast.SelectorExpr); is && slices.Contains(wallReadings, s.Sel.Name) {
+			if s, ok := call.Fun.(*ast.SelectorExpr); ok && slices.Contains(wallClockMethods, s.Sel.Name) {
 				all = append(all, file.Name.Name+"."+function.Name.Name+": "+s.Sel.Name)
 			}
 			return true
@@ -65,17 +66,17 @@
 	return all
 }
 
-// Boottime is the machine's time since its boot, which no setting of the wall clock moves.
+// Boottime is the time since boot, which is independent of the wall clock.
 func TestBoottime_IsTheTimeSinceBoot(t *testing.T) {
-	reading := func() float64 {
+	readClock := func() float64 {
 		var at unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
 			t.Fatal(err)
 		}
 		return float64(at.Nano()) / 1e6
 	}
-	before, got, after := reading(), Boottime(), reading()
+	before, got, after := readClock(), Boottime(), readClock()
 	if before > got || got > after {
-		t.Errorf("%v lies outside of %v to %v", got, before, after)
+		t.Errorf("Boottime returned %v, want a value between %v and %v", got, before, after)
 	}
 }
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -10,20 +10,21 @@
 	"wayloft/internal/fleetpb"
 )
 
-// The protocol's messages keep the names that they had when they were first deployed: a fencing token is a Fence there, a lease a Duty, an
-// order a Wish, a complete update whole, and a policy version whose difference is sent along is told. This file is where they are translated.
+// This file converts between the types of the decision packages and the protocol's messages. The messages keep the names with which they
+// were first deployed: Fence is a fencing token, Duty a lease, Wish an order, Whole marks a complete update, and Told marks a policy version
+// that is sent with its difference.
 
-// EncodeToken returns the protocol's form of a fencing token.
+// EncodeToken converts a fencing token to its protocol message.
 func EncodeToken(token lease.Token) *fleetpb.Fence {
 	return &fleetpb.Fence{Epoch: token.Epoch, Count: token.Count}
 }
 
-// DecodeToken reverses EncodeToken; nil is the zero token.
+// DecodeToken reverses EncodeToken. It returns the zero token for nil.
 func DecodeToken(message *fleetpb.Fence) lease.Token {
 	return lease.Token{Epoch: message.GetEpoch(), Count: message.GetCount()}
 }
 
-// EncodeUpdate returns the protocol's form of an update of the lease state.
+// EncodeUpdate converts an update of the lease state to its protocol message.
 func EncodeUpdate(update leaseclient.Update) *fleetpb.Update {
 	out := &fleetpb.Update{Whole: update.Complete, WithoutSessions: update.WithoutSessions}
 	for _, p := range update.Policies {
@@ -59,7 +60,7 @@
 	return message
 }
 
-// DecodeUpdate reverses EncodeUpdate. A policy version that is malformed is left out.
+// DecodeUpdate reverses EncodeUpdate. It skips malformed policy versions.
 func DecodeUpdate(in *fleetpb.Update) leaseclient.Update {
 	update := leaseclient.Update{Complete: in.Whole, WithoutSessions: in.WithoutSessions}
 	for _, p := range in.Policies {
@@ -105,7 +106,7 @@
 	return leasestate.Order{Number: message.GetNumber(), Text: message.GetText()}
 }
 
-// EncodePolicy returns the protocol's form of a policy version and of what changed in it; difference is nil where that isn't sent.
+// EncodePolicy converts a policy version, and its difference from the previous version if that is not nil, to a protocol message.
 func EncodePolicy(version policy.Version, difference *policy.Difference) *fleetpb.Policy {
 	out := &fleetpb.Policy{
 		Epoch:  version.Epoch,
@@ -122,8 +123,8 @@
 	return out
 }
 
-// DecodePolicy reverses EncodePolicy. It returns an error for a hash of the wrong size, a version out of its bounds or a difference that
-// can't be decoded.
+// DecodePolicy reverses EncodePolicy. It returns an error if the hash has the wrong size, a field of the version is out of range or the
+// difference can't be decoded.
 func DecodePolicy(in *fleetpb.Policy) (version policy.Version, difference *policy.Difference, err error) {
 	version = policy.Version{
 		Epoch:  in.GetEpoch(),
@@ -135,7 +136,7 @@
 	}
 	copy(version.Hash[:], in.GetHash())
 	if len(in.GetHash()) != len(version.Hash) {
-		return version, nil, fmt.Errorf("policy: a hash of %d bytes, not %d", len(in.GetHash()), len(version.Hash))
+		return version, nil, fmt.Errorf("policy: hash has %d bytes, want %d", len(in.GetHash()), len(version.Hash))
 	}
 	if err := version.Check(); err != nil {
 		return version, nil, err
@@ -150,7 +151,7 @@
 	return version, difference, nil
 }
 
-// DecodeResult returns the result that an answer of the coordinator holds.
+// DecodeResult returns the result in an answer of the coordinator.
 func DecodeResult(answer *fleetpb.Answer) leasestate.Result {
 	return leasestate.Result{
 		Held:    answer.Held,
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package rpc is how processes of a fleet reach each other: gRPC without TLS, with the fleet's name and the protocol's version in the
-// metadata of each call, and the conversions between the values of the decision packages and the protocol's messages. It holds no state
-// and decides nothing.
+// Package rpc connects the processes of a fleet by gRPC without TLS. Each call carries the fleet name and the protocol version in its
+// metadata. The package also converts between the types of the decision packages and the protocol's messages. It keeps no state and makes
+// no decisions.
 package rpc
 
 import (
@@ -17,19 +17,19 @@
 	"google.golang.org/grpc/status"
 )
 
-// protocolVersion is increased when an older process can't understand a newer one any more.
+// protocolVersion is incremented by changes that older processes can't interoperate with.
 const protocolVersion = 1
 
-// Keys of each call's metadata.
+// Metadata keys of each call.
 const (
 	fleetKey   = "wayloft-fleet"
 	versionKey = "wayloft-form"
 )
 
-// MaxMessageBytes is the most bytes that one message may have, in either direction.
+// MaxMessageBytes is the maximum size of one message, in either direction.
 const MaxMessageBytes = 4 << 20
 
-// How a connection is established and how the loss of the other end is noticed.
+// Connection establishment and keepalive parameters.
 const (
 	connectTimeout    = time.Second
 	minConnectBackoff = 30 * time.Millisecond
@@ -40,7 +40,7 @@
 	keepaliveTimeout  = 2 * time.Second
 )
 
-// Dial returns a connection to a process of the fleet. It connects when it is first used, and again with a backoff after it has failed.
+// Dial returns a connection to a process of the fleet. It is established on first use, and again with backoff after a failure.
 func Dial(address, fleet string) (*grpc.ClientConn, error) {
 	withMetadata := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, fleetKey, fleet, versionKey, strconv.Itoa(protocolVersion))
@@ -60,19 +60,19 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: backoff.Config{BaseDelay: minConnectBackoff,
 			Multiplier: backoffMultiplier, Jitter: backoffJitter, MaxDelay: maxConnectBackoff}}),
-		// Guards against a peer that vanished without closing its connection.
+		// Detects a peer that disappeared without closing its connection.
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout, PermitWithoutStream: false}),
 		grpc.WithChainUnaryInterceptor(unary),
 		grpc.WithChainStreamInterceptor(stream))
 }
 
-// Interceptors reject calls of another fleet, or of a protocol version that this build doesn't speak, with FailedPrecondition.
+// Interceptors reject calls from another fleet, or with an unsupported protocol version, with FailedPrecondition.
 type Interceptors struct {
 	Unary  grpc.UnaryServerInterceptor
 	Stream grpc.StreamServerInterceptor
 }
 
-// NewInterceptors returns the interceptors for the server of a process of this fleet.
+// NewInterceptors returns the server interceptors for a process of a fleet.
 func NewInterceptors(fleet string) Interceptors {
 	return Interceptors{
 		Unary: func(ctx context.Context, request any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
@@ -92,7 +92,7 @@
 
 func checkMetadata(ctx context.Context, fleet string) error {
 	received, _ := metadata.FromIncomingContext(ctx)
-	callerFleet, callerVersion := onlyValue(received, fleetKey), onlyValue(received, versionKey)
+	callerFleet, callerVersion := singleValue(received, fleetKey), singleValue(received, versionKey)
 	switch {
 	case callerFleet != fleet:
 		return status.Errorf(codes.FailedPrecondition, "this is fleet %q, not %q", fleet, callerFleet)
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// onlyValue returns the value of a key that is there once, else "".
-func onlyValue(received metadata.MD, key string) string {
+// singleValue returns the value of a key, or "" unless it has exactly one value.
+func singleValue(received metadata.MD, key string) string {
 	if values := received.Get(key); len(values) == 1 {
 		return values[0]
 	}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -15,7 +15,7 @@
 	"wayloft/internal/fleetpb"
 )
 
-// Compressed content comes back; what would exceed the limit is rejected, as is what isn't zstd.
+// Compressed content is restored by Decompress, which rejects content above the size limit and malformed input.
 func TestCompress_RoundTripAndLimits(t *testing.T) {
 	long := bytes.Repeat([]byte("tenants.acme.rate"), 20000)
 	compressed := Compress(long)
@@ -23,20 +23,20 @@
 		t.Error(len(got), len(compressed), err)
 	}
 	if got, err := Decompress(compressed, len(long)/2); err == nil {
-		t.Error(len(got), "bytes came of it")
+		t.Error(len(got), "bytes decompressed despite the size limit")
 	}
-	noise := make([]byte, policy.MaxHistoryBytes) // the most that is ever compressed, of what compresses worst
+	noise := make([]byte, policy.MaxHistoryBytes) // the largest content that is compressed, incompressible
 	if _, err := rand.NewChaCha8([32]byte{1}).Read(noise); err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range []int{1, policy.MaxDocumentBytes - 1, policy.MaxDocumentBytes, policy.MaxHistoryBytes} {
 		if got, err := Decompress(Compress(noise[:n]), max(n, policy.MaxDocumentBytes)); err != nil || !bytes.Equal(got, noise[:n]) {
-			t.Errorf("%d bytes: %d, %v", n, len(got), err)
+			t.Errorf("%d bytes: got %d, %v", n, len(got), err)
 		}
 	}
 	for _, bad := range [][]byte{[]byte("not compressed at all"), compressed[:len(compressed)/2]} {
 		if _, err := Decompress(bad, 1<<20); err == nil {
-			t.Errorf("%d malformed bytes are accepted", len(bad))
+			t.Errorf("accepted %d malformed bytes", len(bad))
 		}
 	}
 }
@@ -52,10 +52,10 @@
 		t.Error(received, err)
 	}
 	for name, message := range map[string]*fleetpb.Policy{
-		"nothing":        nil,
-		"a short hash":   {Hash: []byte{1}},
-		"a great number": {Hash: make([]byte, 32), Number: 1 << 40},
-		"no difference":  {Hash: make([]byte, 32), Told: true, Difference: []byte{0xff}},
+		"nil message accepted":         nil,
+		"short hash accepted":          {Hash: []byte{1}},
+		"number out of range accepted": {Hash: make([]byte, 32), Number: 1 << 40},
+		"invalid difference accepted":  {Hash: make([]byte, 32), Told: true, Difference: []byte{0xff}},
 	} {
 		if _, _, err := DecodePolicy(message); err == nil {
 			t.Error(name)
@@ -63,8 +63,8 @@
 	}
 }
 
-// The first update of a watch in a fleet of 610 routers and 164 groups with two leases each: sessions are two thirds of it, and a router that
-// places no orders needs none of them. The rest has to arrive within a few seconds of an allowance of 6 KB a second.
+// Checks the size of the first update of a watch in a fleet of 610 routers and 164 groups with two leases each. Sessions are two thirds of
+// it, and a router that places no orders doesn't need them. At a budget of 6 KB/s the rest must arrive within a few seconds.
 func TestUpdate_SizeForAFleet(t *testing.T) {
 	state := leasestate.New("f")
 	index := uint64(0)
@@ -89,11 +89,11 @@
 		update, _ := leaseclient.Changes(state, since, withoutSessions)
 		return proto.Size(EncodeUpdate(update))
 	}
-	all, few := size(0, false), size(0, true)
+	full, leasesOnly := size(0, false), size(0, true)
 	apply(session("router-007", 1764547300000, 0))
-	one, none := size(index-1, false), size(index-1, true)
-	t.Logf("%d bytes with sessions, %d without; a router that restarts: %d, %d", all, few, one, none)
-	if few > 3*6<<10 || all < 2*few || none > one {
-		t.Errorf("%d bytes with sessions, %d without; a restart %d, %d", all, few, one, none)
+	restart, restartLeasesOnly := size(index-1, false), size(index-1, true)
+	t.Logf("full: %d bytes with sessions, %d without; restart: %d, %d", full, leasesOnly, restart, restartLeasesOnly)
+	if leasesOnly > 3*6<<10 || full < 2*leasesOnly || restartLeasesOnly > restart {
+		t.Errorf("full: %d bytes with sessions, %d without; restart: %d, %d", full, leasesOnly, restart, restartLeasesOnly)
 	}
 }
