--- a/internal/coordinator/audit.go
+++ b/internal/coordinator/audit.go
@@ -10,8 +10,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// Events and fields of the audit log keep the names that they had when they were first written: a lease is a duty there, and a fencing
-// token a fence.
+// Events and fields of the audit log keep the names with which they were first written: a lease is a duty, and a fencing token a fence.
 const (
 	sessionEvent = "session"
 	leaseEvent   = "duty"
@@ -19,11 +18,12 @@
 	tokenField   = "fence"
 )
 
-// auditPolicy writes a policy version that is in force to the audit log; each node does, so that each log is complete. The leader logs it.
+// auditPolicy writes a policy version that came into force to the audit log. All nodes do, so that each audit log is complete, but only
+// the leader also writes a log line.
 func (s *Server) auditPolicy(event leasestate.Event, leads bool) {
 	history := s.node.State().Policy()
 	version := history.Version
-	for _, change := range history.Changes { // a later one may be in force by now
+	for _, change := range history.Changes { // a later version may be in force already
 		if change.Version.Packed() == event.Policy {
 			version = change.Version
 		}
@@ -35,7 +35,7 @@
 	}
 }
 
-// auditLease writes what became of a session or a lease to the audit log. The leader logs what became of a lease.
+// auditLease writes an event of a session or a lease to the audit log. The leader also writes a log line for lease events.
 func (s *Server) auditLease(event leasestate.Event, leads bool) {
 	eventName := sessionEvent
 	if event.Lease != "" {
@@ -51,7 +51,7 @@
 	switch {
 	case lease.ForeignToken.Epoch >= s.node.State().Epoch() && lease.Holder == "":
 		line.WithField("receiver_token", lease.ForeignToken).
-			Error("lease not granted: a receiver knows a higher token than the coordinator; begin a new epoch (council recover)")
+			Error("lease not granted: a receiver has seen a higher fencing token than the coordinator; begin a new epoch (council recover)")
 	case event.Ended:
 		line.Info("lease released")
 	case event.Session != "":
--- a/internal/coordinator/clients.go
+++ b/internal/coordinator/clients.go
@@ -15,8 +15,8 @@
 	"wayloft/internal/rpc"
 )
 
-// clientEntries are the kinds of entries that clients may propose. Time and leadership are the leader's own to propose.
-var clientEntries = map[leasestate.Kind]bool{
+// clientEntryKinds are the kinds of entries that clients may propose. Only the leader proposes entries about time and leadership.
+var clientEntryKinds = map[leasestate.Kind]bool{
 	leasestate.OpenSession:   true,
 	leasestate.KeepAlive:     true,
 	leasestate.CloseSession:  true,
@@ -31,8 +31,8 @@
 	leasestate.ProposePolicy: true,
 }
 
-// Do proposes an entry, or returns the latest tokens of leases. It implements the gRPC service. On the wire the leases that a request asks
-// about are stands, a token is a fence, and a rejected version one that a session won't apply.
+// Do proposes an entry, or returns the latest tokens of leases. It implements the gRPC service. In the protocol, Stand and Stands name the
+// leases to query, a Fence is a fencing token, and Wont is a policy version that a session rejected.
 func (s *Server) Do(ctx context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
 	leases := request.Stands
 	if request.Stand != "" {
@@ -56,24 +56,24 @@
 	return &fleetpb.Answer{Fence: tokens[0]}, nil
 }
 
-// propose proposes a client's entry, and returns its result or where to ask instead.
+// propose proposes a client's entry and returns its result, or a redirect to the leader.
 func (s *Server) propose(ctx context.Context, encoded []byte) (*fleetpb.Answer, error) {
 	entry, err := leasestate.Decode(encoded)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	if !clientEntries[entry.Kind] || entry.Elapsed != 0 {
+	if !clientEntryKinds[entry.Kind] || entry.Elapsed != 0 {
 		return nil, status.Errorf(codes.InvalidArgument, "entry: %q is not for others to bring", entry.Kind)
 	}
 	switch entry.Kind {
 	case leasestate.AcquireLease:
-		failpoint.Point("coordinator.requested") // not yet proposed
+		failpoint.Point("coordinator.requested") // received but not yet proposed
 	case leasestate.ProposePolicy:
-		failpoint.Point("policy.asked") // the same
+		failpoint.Point("policy.asked") // received but not yet proposed
 	}
 	d, err := s.request(ctx, func(number uint64) { s.node.Propose(number, entry) })
 	if entry.Kind == leasestate.ProposePolicy {
-		failpoint.Point("policy.answers") // committed, watchers are notified, and the client isn't answered yet
+		failpoint.Point("policy.answers") // committed and watchers notified, but not yet answered
 	}
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	}, nil
 }
 
-// latestTokens returns the latest token of each lease, all by one read, or where to ask instead.
+// latestTokens returns the latest token of each lease by a single linearizable read, or a redirect to the leader.
 func (s *Server) latestTokens(ctx context.Context, leases []string) (tokens []*fleetpb.Fence, redirect *fleetpb.Answer, err error) {
 	d, err := s.read(ctx, func() {
 		for _, lease := range leases {
@@ -105,12 +105,12 @@
 	return tokens, nil, nil
 }
 
-// redirectAnswer says which node leads.
+// redirectAnswer returns an answer that names the leader.
 func redirectAnswer(d raftnode.Decision) *fleetpb.Answer {
 	return &fleetpb.Answer{Moved: true, Leader: d.Leader.Name, Address: d.Leader.Addr}
 }
 
-// Look returns the whole lease state by a linearizable read. It implements the gRPC service.
+// Look returns the complete lease state by a linearizable read. It implements the gRPC service.
 func (s *Server) Look(ctx context.Context, _ *fleetpb.Empty) (*fleetpb.State, error) {
 	var state *fleetpb.State
 	d, err := s.read(ctx, func() { state = s.encodeState() })
@@ -123,7 +123,7 @@
 	return state, nil
 }
 
-// encodeState returns the protocol's form of the whole lease state and of the cluster's members.
+// encodeState converts the complete lease state and the cluster's members to a protocol message.
 func (s *Server) encodeState() *fleetpb.State {
 	state := s.node.State()
 	update, index := leaseclient.Changes(state, 0, false)
@@ -155,7 +155,7 @@
 	return out
 }
 
-// Change has nodes join or leave the cluster. It implements the gRPC service.
+// Change adds nodes to the cluster or removes them. It implements the gRPC service.
 func (s *Server) Change(ctx context.Context, members *fleetpb.Members) (*fleetpb.Answer, error) {
 	var add []raftnode.Peer
 	for _, peer := range members.Add {
--- a/internal/coordinator/decisions.go
+++ b/internal/coordinator/decisions.go
@@ -9,22 +9,22 @@
 	"wayloft/internal/failpoint"
 )
 
-// carryOutDecisions carries out all that the node decides. It returns early if the storage fails: what the node would decide next rests on
-// what could not be stored.
-func (s *Server) carryOutDecisions() {
-	var saveLate []raftnode.Decision // the seeded defect's
+// executeDecisions executes all pending decisions of the node. It returns early if the storage fails, since later decisions depend on data
+// that could not be stored.
+func (s *Server) executeDecisions() {
+	var deferredSaves []raftnode.Decision // set only by the seeded defect EarlyAcknowledge
 	for d, more := s.node.Next(); more; d, more = s.node.Next() {
 		if d.Action == raftnode.Save && s.settings.SeededDefects.EarlyAcknowledge {
 			failpoint.Point("coordinator.save")
-			saveLate = append(saveLate, d)
+			deferredSaves = append(deferredSaves, d)
 			s.node.Saved()
 			continue
 		}
-		if !s.carryOut(d) {
+		if !s.execute(d) {
 			return
 		}
 	}
-	for _, d := range saveLate {
+	for _, d := range deferredSaves {
 		if !s.save(d) {
 			return
 		}
@@ -35,12 +35,12 @@
 	}
 	if index := s.node.State().Index(); index != s.watchedIndex {
 		s.watchedIndex = index
-		s.wakeWatchers()
+		s.notifyWatchers()
 	}
 }
 
-// carryOut carries out one decision; false: the storage failed and the node is suspended.
-func (s *Server) carryOut(d raftnode.Decision) bool {
+// execute executes one decision. It returns false if the storage failed and the node is suspended.
+func (s *Server) execute(d raftnode.Decision) bool {
 	switch d.Action {
 	case raftnode.Save:
 		failpoint.Point("coordinator.save")
@@ -62,21 +62,21 @@
 		logrus.WithFields(logrus.Fields{"leader": d.Leader.Name, "term": term}).Info("leader changed")
 		s.settings.AuditLog.Add("leads", audit.Fields{"leader": d.Leader.Name, "term": term})
 	case raftnode.Applied:
-		s.eventApplied(d.Event)
+		s.auditEvent(d.Event)
 	}
 	return true
 }
 
-// eventApplied writes an event of the lease state to the logs, unless that was done before.
-func (s *Server) eventApplied(event leasestate.Event) {
+// auditEvent writes an event of the lease state to the audit log and the log, unless it did so before.
+func (s *Server) auditEvent(event leasestate.Event) {
 	leads, _ := s.node.IsLeader()
 	switch {
 	case leads && event.Lease != "" && !event.Ended:
-		failpoint.Point("coordinator.granted") // committed and not yet answered
+		failpoint.Point("coordinator.granted") // committed but not yet answered
 	case leads && event.Policy > 0:
-		failpoint.Point("coordinator.policy_committed") // the same
+		failpoint.Point("coordinator.policy_committed") // committed but not yet answered
 	}
-	if event.Index <= s.auditedIndex { // applied again from the data directory that was reopened
+	if event.Index <= s.auditedIndex { // applied again after the data directory was reopened
 		return
 	}
 	if event.Policy > 0 {
--- a/internal/coordinator/handshake.go
+++ b/internal/coordinator/handshake.go
@@ -17,13 +17,13 @@
 	"wayloft/internal/storage"
 )
 
-// Carry receives the messages of one peer for as long as its stream lasts. It implements the gRPC service.
+// Carry receives the messages of one peer until its stream ends. It implements the gRPC service.
 func (s *Server) Carry(stream grpc.ClientStreamingServer[fleetpb.Parcel, fleetpb.Empty]) error {
 	var sender string
 	for first := true; ; first = false {
 		parcel, err := stream.Recv()
 		if err != nil {
-			return nil // the peer has ended the stream or is gone: nobody would receive an error
+			return nil // the peer ended the stream or disconnected, so nobody would receive an error
 		}
 		if first && parcel.From == nil {
 			return status.Error(codes.InvalidArgument, "the first parcel must say who sends")
@@ -43,7 +43,7 @@
 	}
 }
 
-// receive passes a message of a peer to the node.
+// receive decodes a message of a peer and passes it to the node.
 func (s *Server) receive(ctx context.Context, sender string, encoded []byte) error {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded, message); err != nil {
@@ -53,7 +53,7 @@
 		return status.Errorf(codes.InvalidArgument, "message of %d on the way of %s", message.GetFrom(), sender)
 	}
 	return s.post(ctx, func() {
-		if s.suspended() { // as if the network had dropped it
+		if s.suspended() { // drop it, as the network might
 			return
 		}
 		s.incarnations.MessageReceived(sender, message, s.node.Applied())
@@ -63,7 +63,7 @@
 	})
 }
 
-// handshake checks a peer's data directory, and stores what is new of it before a message of the peer is passed on.
+// handshake checks the identity of a peer's data directory, and stores a new incarnation before any message of the peer is passed on.
 func (s *Server) handshake(ctx context.Context, sender *fleetpb.Identity) error {
 	rejection, err := query(ctx, s, func() error { return s.checkIdentity(sender) })
 	if err != nil {
@@ -72,7 +72,7 @@
 	return rejection
 }
 
-// checkIdentity returns why a peer is rejected, if it is. On the wire a data directory is a folder, and an incarnation a start.
+// checkIdentity returns an error if the peer is rejected. In the protocol, Folder is the peer's storage ID and Starts are its incarnations.
 func (s *Server) checkIdentity(sender *fleetpb.Identity) error {
 	changed, err := s.incarnations.Handshake(raftnode.Identity{
 		Name:         sender.Name,
@@ -86,7 +86,7 @@
 		s.settings.AuditLog.Add("stranger", audit.Fields{"from": sender.Name, "why": err.Error()})
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
-	s.noteJoiningPeer(sender)
+	s.recordJoiningPeer(sender)
 	if !changed {
 		return nil
 	}
@@ -98,8 +98,9 @@
 	return nil
 }
 
-// noteJoiningPeer remembers the address of a peer while this node knows no members: it has joined, and must answer to receive them.
-func (s *Server) noteJoiningPeer(sender *fleetpb.Identity) {
+// recordJoiningPeer stores a peer's address in memory while this node knows no members. A node that joins must reply to the peers that
+// contact it before it can receive the list of members.
+func (s *Server) recordJoiningPeer(sender *fleetpb.Identity) {
 	if len(s.node.Peers()) > 0 {
 		clear(s.joiningPeers)
 		return
@@ -110,7 +111,7 @@
 	}
 }
 
-// storeIncarnations stores the known incarnations of the members and of the sender; those of other nodes are forgotten.
+// storeIncarnations stores the known incarnations of the members, the initial members and the sender, and forgets those of other nodes.
 func (s *Server) storeIncarnations(sender string) error {
 	retained := map[string]bool{sender: true}
 	for _, peer := range s.node.Peers() {
--- a/internal/coordinator/looprequests.go
+++ b/internal/coordinator/looprequests.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/decide/raftnode"
 )
 
-// post has the loop run a function; it may be called from any goroutine but the loop's.
+// post queues f to be run by the loop. It must not be called from the loop's goroutine.
 func (s *Server) post(ctx context.Context, f func()) error {
 	select {
 	case s.inbox <- f:
@@ -16,11 +16,11 @@
 	case <-ctx.Done():
 		return status.FromContextError(ctx.Err()).Err()
 	case <-s.ctx.Done():
-		return errEnding
+		return errShuttingDown
 	}
 }
 
-// query has the loop run f, and returns its result. The error is errStorage, and f isn't run, while the node is suspended.
+// query runs f in the loop and returns its result. While the node is suspended, it returns errStorage without running f.
 func query[T any](ctx context.Context, s *Server, f func() T) (result T, err error) {
 	results := make(chan T, 1)
 	if err := s.post(ctx, func() {
@@ -39,13 +39,13 @@
 		}
 		return result, nil
 	case <-s.ctx.Done():
-		return result, errEnding
+		return result, errShuttingDown
 	}
 }
 
-// request has the loop begin something under a new request number and waits for the decision that ends it: Done or Redirect. A result that
-// can't be known is errUnknown.
-func (s *Server) request(ctx context.Context, begin func(request uint64)) (raftnode.Decision, error) {
+// request calls start in the loop with a new request number, and waits for the decision that completes the request: Done or Redirect. It
+// returns errResultUnknown if the result can't be determined.
+func (s *Server) request(ctx context.Context, start func(request uint64)) (raftnode.Decision, error) {
 	answer := make(chan raftnode.Decision, 1)
 	suspended := make(chan struct{})
 	var request uint64
@@ -58,35 +58,35 @@
 		request = s.lastRequest
 		s.pending[request] = func(d raftnode.Decision) { answer <- d }
 		s.node.Advance(s.now())
-		begin(request)
+		start(request)
 	}); err != nil {
 		return raftnode.Decision{}, err
 	}
 	select {
 	case d := <-answer:
 		if d.Action == raftnode.ResultUnknown {
-			return d, errUnknown
+			return d, errResultUnknown
 		}
 		return d, nil
 	case <-suspended:
 		return raftnode.Decision{}, errStorage
 	case <-ctx.Done():
-		// An error means that the process ends, and the request with it.
+		// post fails only when the node shuts down, which also ends the request.
 		_ = s.post(s.ctx, func() { delete(s.pending, request) })
 		return raftnode.Decision{}, status.FromContextError(ctx.Err()).Err()
 	case <-s.ctx.Done():
-		return raftnode.Decision{}, errEnding
+		return raftnode.Decision{}, errShuttingDown
 	}
 }
 
-// read has the loop run atRead once the state is confirmed to hold everything that was answered before. The decision is Done, or Redirect
-// if atRead wasn't run.
-func (s *Server) read(ctx context.Context, atRead func()) (raftnode.Decision, error) {
+// read performs a linearizable read: the loop runs onConfirmed once the state is confirmed to include everything that was answered before.
+// The decision is Done, or Redirect if onConfirmed wasn't run.
+func (s *Server) read(ctx context.Context, onConfirmed func()) (raftnode.Decision, error) {
 	return s.request(ctx, func(request uint64) {
 		deliver := s.pending[request]
 		s.pending[request] = func(d raftnode.Decision) {
 			if d.Action == raftnode.Done {
-				atRead()
+				onConfirmed()
 			}
 			deliver(d)
 		}
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -18,22 +18,22 @@
 	"wayloft/internal/rpc"
 )
 
-// maxQueuedMessages is how many messages wait for one peer; more are dropped, as a network would drop them.
+// maxQueuedMessages limits the send queue of one peer. Messages beyond it are dropped; Raft tolerates lost messages.
 const maxQueuedMessages = 256
 
-var errStreamEnded = errors.New("the peer has ended the stream")
+var errStreamEnded = errors.New("peer closed the stream")
 
-// peerStream is how messages are sent to one peer.
+// peerStream is the outgoing message stream to one peer.
 type peerStream struct {
 	messages chan *raftpb.Message
 	address  string
 	stop     context.CancelFunc
 }
 
-// send queues a message for its peer.
+// send queues a message for its recipient, or drops it if the queue is full or the recipient is unknown.
 func (s *Server) send(message *raftpb.Message) {
 	peer, known := s.node.Peer(message.GetTo())
-	if !known { // a node that joins receives messages before it knows the members
+	if !known { // a joining node receives messages before it knows the members
 		if peer, known = s.joiningPeers[message.GetTo()]; !known {
 			return
 		}
@@ -41,11 +41,11 @@
 	select {
 	case s.streamTo(peer).messages <- message:
 	default:
-		s.reportSent(message, false)
+		s.reportDelivery(message, false)
 	}
 }
 
-// streamTo returns the stream to a peer; it starts one if there is none to the peer's present address.
+// streamTo returns the stream to a peer. It starts a new one if there is none to the peer's current address.
 func (s *Server) streamTo(peer raftnode.Peer) *peerStream {
 	address := peer.Addr
 	if override := s.settings.PeerAddresses[peer.Name]; override != "" {
@@ -61,12 +61,12 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	stream = &peerStream{messages: make(chan *raftpb.Message, maxQueuedMessages), address: address, stop: cancel}
 	s.peerStreams[peer.ID] = stream
-	s.goroutines.Go(func() { s.keepStreaming(ctx, stream, peer) })
+	s.goroutines.Go(func() { s.maintainStream(ctx, stream, peer) })
 	s.closeStreamsToFormerPeers()
 	return stream
 }
 
-// closeStreamsToFormerPeers closes the streams to nodes that have left the cluster.
+// closeStreamsToFormerPeers closes the streams to nodes that left the cluster.
 func (s *Server) closeStreamsToFormerPeers() {
 	for id, stream := range s.peerStreams {
 		_, isMember := s.node.Peer(id)
@@ -78,7 +78,8 @@
 	}
 }
 
-// closePeerStreams drops what waits to be sent. It rests on what was stored, but a peer may answer it before this node is back.
+// closePeerStreams closes all streams and discards the queued messages. They depend only on stored data, but a peer might reply to them
+// before this node has resumed.
 func (s *Server) closePeerStreams() {
 	for id, stream := range s.peerStreams {
 		stream.stop()
@@ -86,14 +87,14 @@
 	}
 }
 
-// reportSent notifies the node of what became of a message, where it must know.
-func (s *Server) reportSent(message *raftpb.Message, delivered bool) {
+// reportDelivery notifies the node of a message that could not be delivered, and of the outcome of each snapshot.
+func (s *Server) reportDelivery(message *raftpb.Message, delivered bool) {
 	isSnapshot := message.GetType() == raftpb.MsgSnap
 	if delivered && !isSnapshot {
 		return
 	}
-	s.goroutines.Go(func() { // the loop itself may be the caller, and its inbox may be full
-		// An error means that the process ends.
+	s.goroutines.Go(func() { // not inline: the loop itself may be the caller, and its inbox may be full
+		// post fails only when the node shuts down.
 		_ = s.post(s.ctx, func() {
 			switch {
 			case s.suspended():
@@ -106,8 +107,8 @@
 	})
 }
 
-// keepStreaming keeps a stream to a peer open until ctx ends, and opens another whenever one ends.
-func (s *Server) keepStreaming(ctx context.Context, stream *peerStream, peer raftnode.Peer) {
+// maintainStream keeps a stream to a peer open until ctx ends, and reopens it after a jittered delay whenever it fails.
+func (s *Server) maintainStream(ctx context.Context, stream *peerStream, peer raftnode.Peer) {
 	conn, err := rpc.Dial(stream.address, s.settings.Fleet)
 	if err != nil {
 		logrus.WithError(err).WithField("peer", peer.Name).Error("peer connection failed")
@@ -115,12 +116,12 @@
 	}
 	defer func() {
 		if err := conn.Close(); err != nil {
-			logrus.WithError(err).WithField("peer", peer.Name).Debug("peer connection not closed")
+			logrus.WithError(err).WithField("peer", peer.Name).Debug("failed to close peer connection")
 		}
 	}()
 	lastRejection := ""
 	for ctx.Err() == nil {
-		err := s.stream(ctx, fleetpb.NewCouncilClient(conn), stream)
+		err := s.sendMessages(ctx, fleetpb.NewCouncilClient(conn), stream)
 		if ctx.Err() != nil {
 			return
 		}
@@ -136,8 +137,8 @@
 	}
 }
 
-// stream sends messages to a peer until one can't be sent or either end ends the stream.
-func (s *Server) stream(ctx context.Context, client fleetpb.CouncilClient, queued *peerStream) error {
+// sendMessages opens a stream to a peer and sends queued messages until a send fails or the stream or ctx ends.
+func (s *Server) sendMessages(ctx context.Context, client fleetpb.CouncilClient, queued *peerStream) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := client.Carry(ctx)
@@ -159,7 +160,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-stream.Context().Done():
-			return endReason(stream)
+			return streamError(stream)
 		case message = <-queued.messages:
 		}
 		encoded, err := proto.Marshal(message)
@@ -167,28 +168,28 @@
 			return err
 		}
 		if err := stream.Send(&fleetpb.Parcel{Message: encoded, From: sender}); err != nil {
-			s.reportSent(message, false)
-			return endReason(stream)
+			s.reportDelivery(message, false)
+			return streamError(stream)
 		}
-		sender = nil // only the first parcel has it
-		s.reportSent(message, true)
+		sender = nil // only the first parcel carries the identity
+		s.reportDelivery(message, true)
 	}
 }
 
-// endReason returns the error with which the other end has ended a stream.
-func endReason(stream grpc.ClientStreamingClient[fleetpb.Parcel, fleetpb.Empty]) error {
+// streamError returns the error with which the peer ended a stream.
+func streamError(stream grpc.ClientStreamingClient[fleetpb.Parcel, fleetpb.Empty]) error {
 	if _, err := stream.CloseAndRecv(); err != nil {
 		return err
 	}
 	return errStreamEnded
 }
 
-// dropQueued drops what waits for a peer that can't be reached: once it is back, old messages are of no use to it.
+// dropQueued discards the messages queued for an unreachable peer: they will be outdated once it is reachable again.
 func (s *Server) dropQueued(queued *peerStream) {
 	for {
 		select {
 		case message := <-queued.messages:
-			s.reportSent(message, false)
+			s.reportDelivery(message, false)
 		default:
 			return
 		}
--- a/internal/coordinator/policy.go
+++ b/internal/coordinator/policy.go
@@ -18,19 +18,19 @@
 	maxCachedBytes      = 4 << 20
 	maxPolicyPartBytes  = 64 << 10
 	maxPolicyHashBytes  = 64
-	maxPolicyPartOffset = 1 << 30 // it fits any int
+	maxPolicyPartOffset = 1 << 30 // fits in an int on all platforms
 )
 
-// policyContent is a policy document, or the changes that lead to it, compressed and ready to be sent in parts.
+// policyContent is a policy document, or a sequence of changes that leads to it, compressed for sending in parts.
 type policyContent struct {
-	have       uint64 // number of the version that the changes start from; not used for a whole document
-	whole      bool
-	version    policy.Version // that it leads to; zero: not known here
+	base       uint64 // packed version that the changes start from; not used for a full document
+	full       bool
+	version    policy.Version // resulting version; zero: not known to this node
 	compressed []byte
 }
 
-// Policy returns a part of what leads a router to the version in force, as this node knows it. It may lag behind the leader; routers never
-// go back to an earlier version. It implements the gRPC service.
+// Policy returns a part of the content that takes a router to the version in force, as far as this node knows. The node may lag behind the
+// leader, which is harmless because routers never revert to an earlier version. It implements the gRPC service.
 func (s *Server) Policy(ctx context.Context, request *fleetpb.PolicyFrom) (*fleetpb.PolicyPart, error) {
 	if len(request.Hash) > maxPolicyHashBytes || request.Most == 0 {
 		return nil, status.Error(codes.InvalidArgument, "unsound")
@@ -53,7 +53,7 @@
 	return content.part(request), nil
 }
 
-// part returns the part that a request asks for, or the first one where the request was for a part of another version or past the end.
+// part returns the requested part, or the first part if the request is for another version or for an offset at or past the end.
 func (c policyContent) part(request *fleetpb.PolicyFrom) *fleetpb.PolicyPart {
 	total := uint64(len(c.compressed))
 	start := min(request.Offset, total)
@@ -61,38 +61,38 @@
 		start = 0
 	}
 	end := min(start+min(request.Most, maxPolicyPartBytes), total)
-	return &fleetpb.PolicyPart{Version: rpc.EncodePolicy(c.version, nil), Whole: c.whole, Offset: start, Total: total,
+	return &fleetpb.PolicyPart{Version: rpc.EncodePolicy(c.version, nil), Whole: c.full, Offset: start, Total: total,
 		Bytes: c.compressed[start:end]}
 }
 
-// policyContent returns what a request asks for; false, with a zero content, if its version isn't known here. What a router has read in
-// part is served to its end although another version is in force by now, as long as it is cached.
+// policyContent returns the content for a request, or false and a zero content if this node doesn't know the version. A transfer that has
+// begun can be completed even if another version has come into force meanwhile, for as long as its content is cached.
 func (s *Server) policyContent(request policy.Request) (policyContent, bool) {
 	history := s.node.State().Policy()
 	if content, cached := s.cachedContent(request, history.Version.Packed()); cached {
 		return content, true
 	}
-	encoded, whole, known := history.Serve(request)
+	encoded, full, known := history.Serve(request)
 	if !known {
 		return policyContent{}, false
 	}
-	if whole && !request.Full {
+	if full && !request.Full {
 		request.Full, request.Offset = true, 0
 		return s.policyContent(request)
 	}
-	content := policyContent{request.Have, whole, history.Version, rpc.Compress(encoded)}
+	content := policyContent{request.Have, full, history.Version, rpc.Compress(encoded)}
 	s.cacheContent(content)
 	return content, true
 }
 
-// cachedContent returns a cached content that answers a request, and marks it as the latest used.
+// cachedContent returns a cached content that answers a request, and marks it as most recently used.
 func (s *Server) cachedContent(request policy.Request, inForce uint64) (policyContent, bool) {
 	for i, content := range slices.Backward(s.policyCache) {
 		number := content.version.Packed()
-		sameStart := content.whole == request.Full && (content.whole || content.have == request.Have)
+		sameBase := content.full == request.Full && (content.full || content.base == request.Have)
 		isInForce := number == inForce && request.Want <= number && request.Have <= number
-		isContinued := request.Offset > 0 && number == request.Want
-		if sameStart && (isInForce || isContinued) {
+		isContinuation := request.Offset > 0 && number == request.Want
+		if sameBase && (isInForce || isContinuation) {
 			s.policyCache = append(slices.Delete(s.policyCache, i, i+1), content)
 			return content, true
 		}
@@ -100,7 +100,7 @@
 	return policyContent{}, false
 }
 
-// cacheContent adds a content to the cache and drops those that were not used for longest, down to its bounds.
+// cacheContent adds a content to the cache and evicts the least recently used ones that exceed its limits.
 func (s *Server) cacheContent(content policyContent) {
 	s.policyCache = append(s.policyCache, content)
 	size := 0
@@ -126,7 +126,8 @@
 	return book, nil
 }
 
-// encodePolicyBook returns the policy and its history, which is compressed once for each version.
+// encodePolicyBook converts the policy and its history to a protocol message. The message is cached, so that each version is compressed
+// only once.
 func (s *Server) encodePolicyBook() *fleetpb.PolicyBook {
 	history := s.node.State().Policy()
 	if s.policyBook == nil || s.policyVersion != history.Version {
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -1,9 +1,8 @@
-// Package coordinator runs one coordinator node: it carries out what decide/raftnode decides, with a store for its disk and gRPC for its
-// peers and clients. It owns the listener, the streams to its peers and the clock. It never sees a client's request, never decides who
-// holds a lease, and never answers before the store has what the answer rests on.
+// Package coordinator runs one coordinator node. It executes the decisions of decide/raftnode, using a store on disk, and gRPC to reach its
+// peers and clients. It owns the listener, the streams to its peers and the clock. It is not on the path of database clients' requests, does
+// not decide who holds a lease, and never answers before the data on which the answer depends is stored.
 //
-// One goroutine, Run's, owns the node and everything else of Server that isn't said to be shared. Handlers of gRPC calls pass functions to
-// it.
+// The goroutine of Run owns the node and all other fields of Server that aren't marked as shared. gRPC handlers pass functions to it.
 package coordinator
 
 import (
@@ -30,79 +29,79 @@
 )
 
 const (
-	inboxSize          = 1024 // functions that wait for the loop; whoever has one more waits instead
-	maxStreams         = 256  // at once on one connection
-	connectionTimeout  = 5 * time.Second
-	minClientPing      = watchKeepalive / 2
-	serverPingInterval = 5 * time.Second
-	serverPingTimeout  = 5 * time.Second
-	maxJoiningPeers    = 16
+	inboxSize               = 1024 // functions queued for the loop; senders block when it is full
+	maxStreamsPerConnection = 256  // concurrent
+	connectionTimeout       = 5 * time.Second
+	minClientPingInterval   = watchKeepalive / 2
+	serverPingInterval      = 5 * time.Second
+	serverPingTimeout       = 5 * time.Second
+	maxJoiningPeers         = 16
 )
 
 // Settings configure a Server.
 type Settings struct {
 	Fleet, Name      string
 	Dir              string            // data directory
-	Address          string            // where its peers reach it
-	Peers            []raftnode.Peer   // the initial members of the cluster; empty: it joins one that exists
-	PeerAddresses    map[string]string // by name, in place of the addresses that the cluster knows
+	Address          string            // at which peers reach this node
+	Peers            []raftnode.Peer   // initial members of the cluster; empty: the node joins an existing cluster
+	PeerAddresses    map[string]string // by name; override the addresses that the cluster knows
 	TickMs           float64           // ms between heartbeats
-	SnapshotInterval uint64            // entries between two snapshots, at which the log is compacted
-	MaxConnections   int               // at once
-	ClockOffsetMs    float64           // ms that this process's clock is ahead, for tests
-	KnownEpoch       uint64            // a new cluster takes a later epoch, whatever its wall clock says; 0: none is known
+	SnapshotInterval uint64            // entries between snapshots; each snapshot compacts the log
+	MaxConnections   int               // concurrent
+	ClockOffsetMs    float64           // added to the clock, for tests
+	KnownEpoch       uint64            // a new cluster takes a later epoch than this, whatever its wall clock; 0: none known
 	AuditLog         *audit.Log
 	SeededDefects    SeededDefects
 }
 
-// SeededDefects are defects by which tests show that checkers find them; the program sets none of them.
+// SeededDefects are deliberate defects with which tests verify that the checkers detect them. They are never set in production.
 type SeededDefects struct {
-	EarlyAcknowledge bool // sends and answers what rests on an entry before the entry is stored
+	EarlyAcknowledge bool // sends messages and answers that depend on an entry before the entry is stored
 }
 
 // Server is one coordinator node. It implements the fleet's gRPC service.
 type Server struct {
 	fleetpb.UnimplementedCouncilServer
 	settings   Settings
-	ctx        context.Context // Run's; ends when the process does
-	inbox      chan func()     // for the loop; shared
+	ctx        context.Context // of Run; ends when the node shuts down
+	inbox      chan func()     // functions for the loop to run; shared
 	goroutines sync.WaitGroup
-	err        error // why it can't go on
+	err        error // fatal error, which ends the loop
 
-	node         *raftnode.Node // nil: suspended until the storage works
-	store        *storage.Store // nil: it could not be opened yet
+	node         *raftnode.Node // nil: suspended until the storage recovers
+	store        *storage.Store // nil: not opened yet
 	durable      raftnode.Durable
 	backoff      backoff.Storage
-	auditedIndex uint64 // events up to it were audited before it was suspended
+	auditedIndex uint64 // index up to which events were audited before the node was suspended
 
 	incarnations *raftnode.KnownIncarnations
 	identity     raftnode.Identity
 	peerStreams  map[uint64]*peerStream
-	joiningPeers map[uint64]raftnode.Peer // that connected while this node knew no members
+	joiningPeers map[uint64]raftnode.Peer // by ID; peers that connected while this node knew no members
 
 	lastRequest uint64
-	pending     map[uint64]func(raftnode.Decision) // by request
+	pending     map[uint64]func(raftnode.Decision) // by request number
 
 	mu           sync.Mutex
 	stateChanged chan struct{} // closed when the lease state has changed; guarded by mu
-	watchedIndex uint64        // index of the state that watchers were last woken for
+	watchedIndex uint64        // state index of the last notification of watchers
 
-	policyCache   []policyContent     // what was served lately, the latest last
-	policyBook    *fleetpb.PolicyBook // of policyVersion
+	policyCache   []policyContent     // most recently used last
+	policyBook    *fleetpb.PolicyBook // cached message for policyVersion
 	policyVersion policy.Version
 }
 
-// Errors that clients receive. Their texts are part of what operators see.
+// Errors that clients receive. Operators see their texts.
 var (
-	// errStorage: this node can't store. Nothing was begun here; another node may answer.
+	// errStorage means that the storage of this node fails. The request was not started; another node may be able to answer.
 	errStorage = status.Error(codes.Unavailable, "the storage of this process fails: ask another, or ask again")
-	// errUnknown: the request was begun, and its result can't be known here.
-	errUnknown = status.Error(codes.Aborted, "it may have been taken or not: ask again")
-	errEnding  = status.Error(codes.Unavailable, "this process is ending")
+	// errResultUnknown means that the request was started, but this node can't determine its result.
+	errResultUnknown = status.Error(codes.Aborted, "it may have been taken or not: ask again")
+	errShuttingDown  = status.Error(codes.Unavailable, "this process is ending")
 )
 
-// Open returns a node with what its data directory holds. It does nothing until Run. If the storage is unavailable for now, Run tries again; other
-// errors of the directory are returned.
+// Open loads a node from its data directory. The node is inactive until Run is called. If the storage is temporarily unavailable, Run
+// retries; other errors are returned.
 func Open(settings Settings) (*Server, error) {
 	s := &Server{
 		settings:     settings,
@@ -123,12 +122,12 @@
 	return s, nil
 }
 
-// firstRequest draws the number after which this incarnation counts its requests. An entry of an earlier incarnation may still be applied,
-// and its number must not be that of a request that waits now. Half of all numbers are left to count in.
+// firstRequest returns a random number after which this incarnation numbers its requests. Entries of an earlier incarnation may still be
+// applied, and their request numbers must not match a pending request of this one. The shift leaves at least half of the range to count in.
 func firstRequest() uint64 { return rpc.UniqueID() >> 1 }
 
-// Run serves on a listener until ctx ends, which is no error, or the node can't go on. It closes the listener and the store, and returns
-// once its goroutines have ended.
+// Run serves on a listener until ctx ends, in which case it returns nil, or until a fatal error. It closes the listener and the store, and
+// waits for its goroutines to end.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.ctx = ctx
@@ -146,22 +145,22 @@
 	return s.loop(ctx)
 }
 
-// newGRPCServer returns the server for peers and clients.
+// newGRPCServer returns the gRPC server for peers and clients.
 func (s *Server) newGRPCServer() *grpc.Server {
 	interceptors := rpc.NewInterceptors(s.settings.Fleet)
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(rpc.MaxMessageBytes),
-		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxConcurrentStreams(maxStreamsPerConnection),
 		grpc.ConnectionTimeout(connectionTimeout),
 		grpc.ChainUnaryInterceptor(interceptors.Unary),
 		grpc.ChainStreamInterceptor(interceptors.Stream),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minClientPing, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minClientPingInterval, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPingInterval, Timeout: serverPingTimeout}))
 	fleetpb.RegisterCouncilServer(server, s)
 	return server
 }
 
-// logStart writes to the logs what the node starts with.
+// logStart writes the start of the node to the log and the audit log.
 func (s *Server) logStart(listener net.Listener) {
 	var applied, epoch uint64
 	if !s.suspended() {
@@ -172,7 +171,7 @@
 	s.settings.AuditLog.Add("up", audit.Fields{"applied": applied, "epoch": epoch})
 }
 
-// loop runs what the inbox brings and what is due by time. It is the only goroutine that touches the node.
+// loop runs the functions from the inbox and time-driven work. Its goroutine is the only one that accesses the node.
 func (s *Server) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -182,7 +181,7 @@
 			return nil
 		case f := <-s.inbox:
 			f()
-			for n := len(s.inbox); n > 0; n-- { // what waits already is stored with one sync
+			for n := len(s.inbox); n > 0; n-- { // run the whole batch, so that it is stored with one sync
 				(<-s.inbox)()
 			}
 		case <-timer.C:
@@ -192,14 +191,14 @@
 	return s.err
 }
 
-// advance carries out what is due and returns the time at which it must be called again at the latest.
+// advance executes the work that is due, and returns the time by which it must be called again.
 func (s *Server) advance() (deadline float64) {
 	if s.suspended() && s.backoff.Due() <= s.now() {
 		s.err = s.resume()
 	}
 	if !s.suspended() && s.err == nil {
 		s.node.Advance(s.now())
-		s.carryOutDecisions()
+		s.executeDecisions()
 	}
 	if s.suspended() {
 		return s.backoff.Due()
@@ -207,5 +206,5 @@
 	return s.node.NextDeadline()
 }
 
-// now returns the time in ms on a monotonic clock that also runs while the machine sleeps.
+// now returns the time in ms on a monotonic clock that includes time the machine spent suspended.
 func (s *Server) now() float64 { return rpc.Boottime() + s.settings.ClockOffsetMs }
--- a/internal/coordinator/storage.go
+++ b/internal/coordinator/storage.go
@@ -13,11 +13,12 @@
 	"wayloft/internal/storage"
 )
 
-// suspended reports whether this node takes part in nothing, because what it holds in memory may not be on its disk.
+// suspended reports whether this node has stopped taking part in the cluster because its storage failed: its state in memory may not be on
+// disk.
 func (s *Server) suspended() bool { return s.node == nil }
 
-// suspend gives the node up after a storage failure: it sends nothing more that rests on what could not be stored, neither votes nor
-// acknowledgements. Requests that wait end with an unknown result.
+// suspend discards the node after a storage failure, so that it sends no votes or acknowledgements that depend on data that could not be
+// stored. Pending requests end with an unknown result.
 func (s *Server) suspend(err error) {
 	if s.node != nil {
 		s.auditedIndex = max(s.auditedIndex, s.node.State().Index())
@@ -28,14 +29,15 @@
 		delete(s.pending, request)
 		deliver(raftnode.Decision{Action: raftnode.ResultUnknown, Request: request})
 	}
-	s.wakeWatchers()
+	s.notifyWatchers()
 	if s.backoff.Fail(s.now()) {
-		logrus.WithError(err).WithField("directory", s.settings.Dir).Error("storage failed: standing down until it works again")
+		logrus.WithError(err).WithField("directory", s.settings.Dir).Error("storage failed; node suspended until the storage recovers")
 		s.settings.AuditLog.Add("suspended", audit.Fields{"why": err.Error()})
 	}
 }
 
-// resume reopens the data directory and builds the node from what is there. It returns an error if this process can't go on.
+// resume reopens the data directory and recreates the node from it. It returns only fatal errors; if the storage still fails, it schedules
+// another attempt.
 func (s *Server) resume() error {
 	err := s.load()
 	if errors.Is(err, storage.ErrUnavailable) || errors.Is(err, storage.ErrInUse) && s.store != nil {
@@ -45,7 +47,7 @@
 	return err
 }
 
-// load opens the data directory, for the first time or again, and builds the node from what is there.
+// load opens or reopens the data directory and creates the node from it.
 func (s *Server) load() error {
 	if err := s.openStore(); err != nil {
 		return err
@@ -64,7 +66,7 @@
 	return err
 }
 
-// loadNode builds the node from what the store holds, if that is all that the node knew to be stored.
+// loadNode creates the node from the store. It returns an error if the store lacks data that was known to be stored.
 func (s *Server) loadNode() error {
 	stored, incarnations, err := ReadStored(s.store)
 	if err != nil {
@@ -91,16 +93,16 @@
 	if s.incarnations == nil {
 		s.incarnations = incarnations
 	}
-	s.incarnations.Known = incarnations.Known // what messages have proved beside that still counts
-	if s.identity.Name == "" {                // a store that was reopened goes on as the same incarnation
+	s.incarnations.Known = incarnations.Known // what was learned from messages is kept
+	if s.identity.Name == "" {                // reopening the store does not start a new incarnation
 		s.setIdentity(stored)
 	}
 	return nil
 }
 
-// newNode returns a node from what is stored, and what must be stored before it is used; nil: nothing.
+// newNode creates a node from stored data. The decision, unless nil, must be stored before the node is used.
 func (s *Server) newNode(stored raftnode.Stored) (*raftnode.Node, *raftnode.Decision, error) {
-	// Raft's own lines are about its internals: only its errors are logged.
+	// Raft's log lines describe its internals, so only its errors are logged.
 	log := logrus.New()
 	log.SetOutput(logrus.StandardLogger().Out)
 	log.SetFormatter(logrus.StandardLogger().Formatter)
@@ -117,7 +119,7 @@
 	}, stored)
 }
 
-// setIdentity records what this node sends its peers about its data directory.
+// setIdentity sets the identity of the data directory, which this node sends to its peers.
 func (s *Server) setIdentity(stored raftnode.Stored) {
 	s.identity = raftnode.Identity{
 		Name:         s.settings.Name,
@@ -131,7 +133,7 @@
 	}
 }
 
-// save stores a decision, or suspends this node; false: it is suspended.
+// save stores a decision. If that fails, it suspends the node and returns false.
 func (s *Server) save(d raftnode.Decision) bool {
 	s.durable.Attempt(d)
 	if err := WriteDecision(s.store, d); err != nil {
@@ -143,10 +145,10 @@
 	return true
 }
 
-// writeSucceeded records that the storage works.
+// writeSucceeded resets the backoff after a successful write, and logs a recovery.
 func (s *Server) writeSucceeded() {
 	if s.backoff.Succeed(s.now()) {
-		logrus.WithFields(logrus.Fields{"directory": s.settings.Dir, "applied": s.node.Applied()}).Info("storage works again")
+		logrus.WithFields(logrus.Fields{"directory": s.settings.Dir, "applied": s.node.Applied()}).Info("storage recovered")
 		s.settings.AuditLog.Add("resumed", audit.Fields{"applied": s.node.Applied()})
 	}
 }
@@ -156,6 +158,6 @@
 		return
 	}
 	if err := s.store.Close(); err != nil {
-		logrus.WithError(err).WithField("directory", s.settings.Dir).Debug("storage not closed")
+		logrus.WithError(err).WithField("directory", s.settings.Dir).Debug("failed to close storage")
 	}
 }
--- a/internal/coordinator/stored.go
+++ b/internal/coordinator/stored.go
@@ -12,17 +12,17 @@
 	"wayloft/internal/storage"
 )
 
-// Names of the values in the store. The log's records are Raft entries, numbered by their index.
+// Names of the values in the store. The log records are Raft entries, numbered by their index.
 const (
 	hardStateValue    = "hard"
 	snapshotValue     = "snapshot"
 	incarnationsValue = "met"
 )
 
-// errEntryIndex means that a log entry is stored under the number of another.
-var errEntryIndex = errors.New("its index differs from its record's number")
+// errEntryIndex means that a log entry's index differs from the number of the record that holds it.
+var errEntryIndex = errors.New("entry index does not match the record number")
 
-// ReadStored returns what a store holds of a coordinator node. The error says which value or entry can't be decoded.
+// ReadStored reads the data of a coordinator node from its store. A decoding error names the value or entry.
 func ReadStored(store *storage.Store) (raftnode.Stored, *raftnode.KnownIncarnations, error) {
 	var stored raftnode.Stored
 	records, values, err := store.Read()
@@ -68,8 +68,8 @@
 	return entry, nil
 }
 
-// WriteDecision stores what a Save or Compact decision holds, and returns once it is on disk. The error matches storage.ErrUnavailable if
-// it is not known whether it is.
+// WriteDecision stores the contents of a Save or Compact decision, and returns once they are on disk. The error matches
+// storage.ErrUnavailable if it is not known whether they are.
 func WriteDecision(store *storage.Store, decision raftnode.Decision) error {
 	batch := storage.Batch{Values: map[string][]byte{}, CompactBelow: decision.CompactBelow}
 	if decision.HardState != nil {
@@ -81,7 +81,7 @@
 		if err := putValue(batch, snapshotValue, decision.Snapshot); err != nil {
 			return err
 		}
-		// A saved snapshot is the first, or another node's: the entries that are stored are no part of it.
+		// A snapshot in a Save decision is the initial one or comes from another node, so the stored entries don't belong to it.
 		batch.ReplaceLog = decision.Action == raftnode.Save
 	}
 	for _, entry := range decision.Entries {
@@ -94,7 +94,7 @@
 	return store.Write(batch)
 }
 
-// putValue adds a value to a batch.
+// putValue encodes a value and adds it to a batch.
 func putValue(batch storage.Batch, name string, value proto.Message) error {
 	encoded, err := proto.Marshal(value)
 	if err != nil {
--- a/internal/coordinator/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -22,16 +22,16 @@
 	"wayloft/internal/storage"
 )
 
-// What was written by the program of this commit must open for as long as its data may be on a disk.
-const storedBy = "testdata/stored-dd13dd4"
+// storedDataDir holds data directories that commit dd13dd4 wrote. Later versions must open them for as long as such data may exist.
+const storedDataDir = "testdata/stored-dd13dd4"
 
-// storedNodes are the coordinator nodes whose data directories were kept.
+// storedNodes are the nodes whose data directories are in storedDataDir.
 var storedNodes = []string{"c1", "c2", "c3"}
 
-// unpackStored lays a node's stored data directory out in a temporary one.
+// unpackStored unpacks a node's stored data directory into a temporary directory.
 func unpackStored(t *testing.T, node string) (dir string) {
 	t.Helper()
-	packed, err := os.Open(filepath.Join(storedBy, node+".db.gz"))
+	packed, err := os.Open(filepath.Join(storedDataDir, node+".db.gz"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,12 +51,12 @@
 	return dir
 }
 
-func drawStart() uint64 { return 7 }
+func fixedID() uint64 { return 7 }
 
 // readStored opens a node's stored data directory and reads it.
 func readStored(t *testing.T, node string) (storage.Identity, raftnode.Stored, *raftnode.KnownIncarnations) {
 	t.Helper()
-	store, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
+	store, err := storage.Open(unpackStored(t, node), "lab", node, fixedID)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	return store.Identity, stored, incarnations
 }
 
-// compareGolden compares a text with the file that holds what it must be.
+// compareGolden compares a text with a golden file.
 func compareGolden(t *testing.T, path, got string) {
 	t.Helper()
 	golden, err := os.ReadFile(path)
@@ -80,7 +80,7 @@
 	}
 }
 
-// describeState lists all that the replicated state machine holds.
+// describeState lists the contents of the replicated state machine.
 func describeState(out *strings.Builder, state *leasestate.State) {
 	fmt.Fprintf(out, "epoch %d index %d time_ms %d refused %d\n", state.Epoch(), state.Index(), state.Now(), state.RejectedActs())
 	for _, name := range state.Sessions() {
@@ -105,13 +105,13 @@
 	describePolicy(out, state.Policy())
 }
 
-func describePolicy(out *strings.Builder, book *policy.History) {
-	describeVersion(out, "policy", book.Version)
-	for _, field := range slices.Sorted(maps.Keys(book.Document)) {
-		fmt.Fprintf(out, "  field %s = %s\n", field, book.Document[field])
+func describePolicy(out *strings.Builder, history *policy.History) {
+	describeVersion(out, "policy", history.Version)
+	for _, field := range slices.Sorted(maps.Keys(history.Document)) {
+		fmt.Fprintf(out, "  field %s = %s\n", field, history.Document[field])
 	}
-	fmt.Fprintf(out, "policy barred %s\n", policy.FormatPacked(book.ForeignVersion))
-	for _, change := range book.Changes {
+	fmt.Fprintf(out, "policy barred %s\n", policy.FormatPacked(history.ForeignVersion))
+	for _, change := range history.Changes {
 		describeVersion(out, "history", change.Version)
 		for _, field := range slices.Sorted(maps.Keys(change.Difference.Set)) {
 			fmt.Fprintf(out, "  set %s = %s\n", field, change.Difference.Set[field])
@@ -125,15 +125,15 @@
 		v.Reason)
 }
 
-// logRecord is an entry's form in the log. It is spelt out here, apart from the product's own type, to pin the keys.
+// logRecord is the encoding of an entry in the log. It duplicates the production type to pin the CBOR keys.
 type logRecord struct {
-	By     uint64   `cbor:"1,keyasint"`
-	Number uint64   `cbor:"2,keyasint"`
-	Entry  []byte   `cbor:"3,keyasint"`
-	Also   []uint64 `cbor:"4,keyasint,omitempty"`
+	Proposer    uint64   `cbor:"1,keyasint"`
+	Request     uint64   `cbor:"2,keyasint"`
+	Entry       []byte   `cbor:"3,keyasint"`
+	AlsoAnswers []uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// describeEntry lists one entry of the log, and wants the same bytes when what was read is written again.
+// describeEntry lists one entry of the log, and checks that encoding the decoded entry gives the same bytes.
 func describeEntry(t *testing.T, out *strings.Builder, entry *raftpb.Entry) {
 	t.Helper()
 	fmt.Fprintf(out, "entry %d term %d %s", entry.GetIndex(), entry.GetTerm(), entry.GetType())
@@ -151,16 +151,16 @@
 		t.Fatalf("entry %d: %v", entry.GetIndex(), err)
 	}
 	if !bytes.Equal(leasestate.Encode(e), record.Entry) {
-		t.Errorf("entry %d: written again it is %x, not %x", entry.GetIndex(), leasestate.Encode(e), record.Entry)
+		t.Errorf("entry %d: encoded again as %x, want %x", entry.GetIndex(), leasestate.Encode(e), record.Entry)
 	}
-	fmt.Fprintf(out, " by %d number %d also %d kind %s", record.By, record.Number, record.Also, e.Kind)
+	fmt.Fprintf(out, " by %d number %d also %d kind %s", record.Proposer, record.Request, record.AlsoAnswers, e.Kind)
 	fmt.Fprintf(out, " passed_ms %d session %q incarnation %d lease %q token %d.%d", e.Elapsed, e.Session, e.Incarnation, e.Lease, e.Token.Epoch, e.Token.Count)
 	for _, n := range e.Heartbeats {
 		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.RejectedActs, policy.FormatPacked(n.Policy))
 	}
 }
 
-// describeStored lists all that a node's data directory holds.
+// describeStored lists the contents of a node's data directory.
 func describeStored(t *testing.T, node string) string {
 	t.Helper()
 	identity, stored, incarnations := readStored(t, node)
@@ -187,26 +187,26 @@
 	return out.String()
 }
 
-// Each node's data directory of the earlier program is read, with all that it holds.
+// The data directories that the earlier version wrote are read with all their contents.
 func TestStoredNode_IsRead(t *testing.T) {
 	for _, node := range storedNodes {
-		compareGolden(t, filepath.Join(storedBy, node+".golden"), describeStored(t, node))
+		compareGolden(t, filepath.Join(storedDataDir, node+".golden"), describeStored(t, node))
 	}
 }
 
-// storedImage is a snapshot's form. It is spelt out here, apart from the product's own type, to pin the keys.
+// storedImage is the encoding of a snapshot. It duplicates the production type to pin the CBOR keys.
 type storedImage struct {
-	Format   uint64                   `cbor:"1,keyasint"`
-	Peers    map[uint64]raftnode.Peer `cbor:"2,keyasint"`
-	Register []byte                   `cbor:"3,keyasint"`
-	Gone     []uint64                 `cbor:"4,keyasint"`
+	Format       uint64                   `cbor:"1,keyasint"`
+	Peers        map[uint64]raftnode.Peer `cbor:"2,keyasint"`
+	State        []byte                   `cbor:"3,keyasint"`
+	RemovedPeers []uint64                 `cbor:"4,keyasint"`
 }
 
-// What was read of a snapshot, of a node's hard state and of the nodes it met is written again in the same bytes: an earlier program can read
-// what this one writes, and nothing of it was lost.
-func TestStoredNode_IsWrittenAsItWas(t *testing.T) {
+// The snapshot, the hard state and the known incarnations of a stored node are encoded again as they were stored: the earlier version can
+// read what this one writes, and decoding loses nothing.
+func TestStoredNode_EncodesAsStored(t *testing.T) {
 	for _, node := range storedNodes {
-		store, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
+		store, err := storage.Open(unpackStored(t, node), "lab", node, fixedID)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -227,31 +227,31 @@
 		if err := cbor.Unmarshal(read.Snapshot.GetData(), &image); err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(state.Snapshot(), image.Register) {
-			t.Errorf("%s: the state machine's snapshot is written as\n%x\nnot as\n%x", node, state.Snapshot(), image.Register)
+		if !bytes.Equal(state.Snapshot(), image.State) {
+			t.Errorf("%s: state machine snapshot: encoded as\n%x\nwant\n%x", node, state.Snapshot(), image.State)
 		}
-		if again := raftnode.EncodeSnapshot(image.Peers, image.Gone, state); !bytes.Equal(again, read.Snapshot.GetData()) {
-			t.Errorf("%s: the snapshot is written as\n%x\nnot as\n%x", node, again, read.Snapshot.GetData())
+		if again := raftnode.EncodeSnapshot(image.Peers, image.RemovedPeers, state); !bytes.Equal(again, read.Snapshot.GetData()) {
+			t.Errorf("%s: snapshot: encoded as\n%x\nwant\n%x", node, again, read.Snapshot.GetData())
 		}
 		hard, err := proto.Marshal(read.HardState)
 		if err != nil || !bytes.Equal(hard, values["hard"]) {
-			t.Errorf("%s: the hard state is written as %x, not as %x: %v", node, hard, values["hard"], err)
+			t.Errorf("%s: hard state: encoded as %x, want %x: %v", node, hard, values["hard"], err)
 		}
 		known, err := cbor.Marshal(incarnations.Known)
-		if err != nil || len(known) != len(values["met"]) { // a map: its order is free
-			t.Errorf("%s: who was met is written as %x, not as %x: %v", node, known, values["met"], err)
+		if err != nil || len(known) != len(values["met"]) { // only the length: the order of a map is not fixed
+			t.Errorf("%s: known incarnations: encoded as %x, want %x: %v", node, known, values["met"], err)
 		}
 	}
 }
 
-// A node opened from a data directory of the earlier program applies what was committed there.
+// A node opened from a data directory of the earlier version applies the entries that were committed there.
 func TestStoredNode_AppliesWhatWasCommitted(t *testing.T) {
 	for _, node := range storedNodes {
 		c, err := Open(Settings{Fleet: "lab", Name: node, Dir: unpackStored(t, node), TickMs: 10, SnapshotInterval: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.carryOutDecisions()
+		c.executeDecisions()
 		if c.err != nil {
 			t.Error(c.err)
 		}
@@ -259,14 +259,14 @@
 		describeState(out, c.node.State())
 		fmt.Fprintf(out, "applied %d\n", c.node.Applied())
 		closeAndCheck(t, c.store)
-		compareGolden(t, filepath.Join(storedBy, node+".applied.golden"), out.String())
+		compareGolden(t, filepath.Join(storedDataDir, node+".applied.golden"), out.String())
 	}
 }
 
-// A data directory of the earlier program in which one bit of a named value has changed opens at no node.
-func TestStoredNode_CorruptedIsRefused(t *testing.T) {
+// A data directory of the earlier version fails to open if one bit of any named value is flipped.
+func TestStoredNode_CorruptedIsRejected(t *testing.T) {
 	for _, node := range storedNodes {
-		store, err := storage.Open(unpackStored(t, node), "lab", node, drawStart)
+		store, err := storage.Open(unpackStored(t, node), "lab", node, fixedID)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -290,7 +290,7 @@
 			c, err := Open(Settings{Fleet: "lab", Name: node, Dir: dir, TickMs: 10, SnapshotInterval: 100})
 			if err == nil {
 				closeAndCheck(t, c.store)
-				t.Errorf("%s: opened though a bit of %s has changed", node, name)
+				t.Errorf("%s: opened although a bit of %s is flipped", node, name)
 			}
 		}
 	}
--- a/internal/coordinator/watch.go
+++ b/internal/coordinator/watch.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	watchCoalescing = 5 * time.Millisecond // after a change, for those that follow it closely
-	watchKeepalive  = time.Second          // an empty update after so long without one, by which a client knows that the stream is alive
+	watchCoalesceDelay = 5 * time.Millisecond // delay after a change, so that changes in quick succession are sent as one update
+	watchKeepalive     = time.Second          // interval without updates after which an empty one shows the client that the stream is alive
 )
 
-// Watch sends the state, then what changes in it. It implements the gRPC service.
+// Watch sends the changes since the index in the request, or the complete state, and then each further change. It implements the gRPC
+// service.
 func (s *Server) Watch(from *fleetpb.WatchFrom, stream grpc.ServerStreamingServer[fleetpb.Update]) error {
 	since, first, lastSent := from.Index, true, time.Now()
 	for {
-		stateChanged := s.stateChange()
+		stateChanged := s.stateChangeSignal()
 		update, err := s.changesSince(stream.Context(), since, from.WithoutSessions)
 		if err != nil {
 			return err
@@ -32,7 +33,7 @@
 			lastSent = time.Now()
 		}
 		since, first = update.Index, false
-		// Heartbeats change the state all the time without anything to send, so the wait counts from the last update that was sent.
+		// Heartbeats keep changing the state without producing updates, so the keepalive interval counts from the last update sent.
 		changed, err := s.waitForChange(stream.Context(), stateChanged, time.Until(lastSent.Add(watchKeepalive)))
 		if err != nil {
 			return err
@@ -50,22 +51,22 @@
 	}
 }
 
-// stateChange returns a channel that is closed when the state changes.
-func (s *Server) stateChange() <-chan struct{} {
+// stateChangeSignal returns a channel that is closed at the next state change.
+func (s *Server) stateChangeSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stateChanged
 }
 
-// wakeWatchers has watchers read the state again.
-func (s *Server) wakeWatchers() {
+// notifyWatchers makes all watchers read the state again.
+func (s *Server) notifyWatchers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.stateChanged)
 	s.stateChanged = make(chan struct{})
 }
 
-// changesSince returns what has changed in the state since an index; 0: the complete state.
+// changesSince returns the changes of the state since an index, or the complete state if the index is 0 or the changes are no longer kept.
 func (s *Server) changesSince(ctx context.Context, since uint64, withoutSessions bool) (*fleetpb.Update, error) {
 	return query(ctx, s, func() *fleetpb.Update {
 		changes, index := leaseclient.Changes(s.node.State(), since, withoutSessions)
@@ -75,19 +76,19 @@
 	})
 }
 
-// waitForChange waits until the state has changed, the timeout has passed or the client has gone. It reports whether the state has changed.
+// waitForChange waits until the state changes, the timeout expires or the client disconnects. It reports whether the state has changed.
 func (s *Server) waitForChange(ctx context.Context, stateChanged <-chan struct{}, timeout time.Duration) (changed bool, err error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-stateChanged:
-		time.Sleep(watchCoalescing)
+		time.Sleep(watchCoalesceDelay)
 		return true, nil
 	case <-timer.C:
 		return false, nil
 	case <-ctx.Done():
 		return false, nil
 	case <-s.ctx.Done():
-		return false, errEnding
+		return false, errShuttingDown
 	}
 }
