--- a/internal/coordinator/clients_test.go
+++ b/internal/coordinator/clients_test.go
@@ -14,8 +14,8 @@
 	"wayloft/internal/rpc"
 )
 
-// A query for the latest tokens of several leases is answered in their order. The older form, for one lease, is answered as before. A query for
-// too many leases is rejected.
+// A query for the latest tokens of several leases returns them in the order of the request. The older form of the query, for one lease, is
+// still answered. A query for no lease, or for too many, is rejected.
 func TestDo_LatestTokens(t *testing.T) {
 	listener := loopback(t)
 	c, err := Open(settings(t, t.TempDir(), listener))
@@ -31,7 +31,7 @@
 			if err != nil && status.Code(err) != codes.Aborted {
 				t.Fatal(err)
 			}
-			if err == nil && !a.Moved { // else it doesn't lead yet
+			if err == nil && !a.Moved { // otherwise it doesn't lead yet
 				return a
 			}
 		}
@@ -59,11 +59,11 @@
 		many = append(many, fmt.Sprint(i))
 	}
 	if got := do(&fleetpb.Request{Stands: many[1:]}); len(got.Fences) != leaseclient.MaxTokenQuery {
-		t.Errorf("%d tokens", len(got.Fences))
+		t.Errorf("got %d tokens", len(got.Fences))
 	}
 	for _, q := range []*fleetpb.Request{{Stands: many}, {}} {
 		if got, err := service.Do(ctx, q); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("%d leases: %v, %v", len(q.Stands), got, err)
+			t.Errorf("query for %d leases: got %v, %v", len(q.Stands), got, err)
 		}
 	}
 }
--- a/internal/coordinator/clock_test.go
+++ b/internal/coordinator/clock_test.go
@@ -12,13 +12,13 @@
 	"wayloft/internal/rpc"
 )
 
-// Guards against request numbers that come from the wall clock: after a step back those of the previous start would be used again, and an
-// entry that it left in the log would answer another request.
-func TestClock_RequestNumbersOfAnotherStart(t *testing.T) {
-	const starts = 8
+// Guards against request numbers derived from the wall clock: after a backward step, an incarnation would reuse request numbers of the
+// previous one, and an entry that the previous one left in the log would answer the wrong request.
+func TestClock_RequestNumbersDifferBetweenIncarnations(t *testing.T) {
+	const incarnations = 8
 	dir, listener := t.TempDir(), loopback(t)
 	var numbers []uint64
-	for range starts {
+	for range incarnations {
 		c, err := Open(settings(t, dir, listener))
 		if err != nil {
 			t.Fatal(err)
@@ -28,17 +28,17 @@
 			t.Fatal(err)
 		}
 	}
-	const apart = 1 << 42 // requests, or ns between two starts: more than an hour's
+	const minDistance = 1 << 42 // requests, or ns between two starts: more than an hour
 	for i, one := range numbers {
 		for _, other := range numbers[:i] {
-			if max(one, other)-min(one, other) < apart {
-				t.Errorf("two starts count from %d and %d", one, other)
+			if max(one, other)-min(one, other) < minDistance {
+				t.Errorf("request numbers of two incarnations start at %d and %d", one, other)
 			}
 		}
 	}
 }
 
-// A new cluster whose wall clock was stepped back by an hour takes an epoch above the known one.
+// A new cluster takes an epoch above the known one, even if its wall clock is an hour behind.
 func TestClock_EpochAboveTheKnownOne(t *testing.T) {
 	listener := loopback(t)
 	set := settings(t, t.TempDir(), listener)
@@ -52,11 +52,11 @@
 	defer cancel()
 	for {
 		state, err := client.Look(ctx, &fleetpb.Empty{})
-		if status.Code(err) == codes.Aborted || err == nil && state.Moved { // it has yet to lead
+		if status.Code(err) == codes.Aborted || err == nil && state.Moved { // it doesn't lead yet
 			continue
 		}
 		if err != nil || state.Epoch != set.KnownEpoch+1 {
-			t.Errorf("epoch %d, known was %d: %v", state.GetEpoch(), set.KnownEpoch, err)
+			t.Errorf("got epoch %d, known epoch is %d: %v", state.GetEpoch(), set.KnownEpoch, err)
 		}
 		break
 	}
--- a/internal/coordinator/cluster_test.go
+++ b/internal/coordinator/cluster_test.go
@@ -20,9 +20,9 @@
 	"wayloft/internal/rpc"
 )
 
-const testTimeout = time.Minute // until a test has failed; nothing waits for it
+const testTimeout = time.Minute // upper bound after which a test fails; no test waits for it to pass
 
-// cluster is a coordinator cluster whose nodes run in the test's process.
+// cluster is a coordinator cluster whose nodes all run in the test process.
 type cluster struct {
 	t     *testing.T
 	dir   string
@@ -32,9 +32,9 @@
 
 type runningNode struct {
 	*Server
-	address string
-	end     context.CancelFunc
-	ended   chan error
+	address   string
+	cancel    context.CancelFunc
+	runResult chan error
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
@@ -64,7 +64,7 @@
 			addr = p.Addr
 		}
 	}
-	auditLog, err := audit.Open(filepath.Join(c.dir, name+".record"), name)
+	auditLog, err := audit.Open(filepath.Join(c.dir, name+".audit"), name)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -88,9 +88,9 @@
 		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &runningNode{Server: node, address: addr, end: cancel, ended: make(chan error, 1)}
+	p := &runningNode{Server: node, address: addr, cancel: cancel, runResult: make(chan error, 1)}
 	go func() {
-		p.ended <- node.Run(ctx, listener)
+		p.runResult <- node.Run(ctx, listener)
 		auditLog.Close()
 	}()
 	c.nodes[name] = p
@@ -100,13 +100,13 @@
 	c.t.Helper()
 	p := c.nodes[name]
 	delete(c.nodes, name)
-	p.end()
-	if err := <-p.ended; err != nil {
+	p.cancel()
+	if err := <-p.runResult; err != nil {
 		c.t.Errorf("%s: %v", name, err)
 	}
 }
 
-// try sends a request to one node; a rejection for now, or a result that it doesn't know, is an error.
+// try sends a request to one node. A redirect, a temporary rejection and an unknown result are errors.
 func (c *cluster) try(ctx context.Context, p *runningNode, q *fleetpb.Request) (*fleetpb.Answer, error) {
 	conn, err := rpc.Dial(p.address, "lab")
 	if err != nil {
@@ -118,37 +118,37 @@
 		return nil, err
 	}
 	if a.Moved {
-		return nil, fmt.Errorf("%s leads", a.Leader)
+		return nil, fmt.Errorf("redirected to %s", a.Leader)
 	}
 	return a, nil
 }
 
-// do sends a request to all nodes in turn until one has answered.
-func (c *cluster) do(q *fleetpb.Request) (answer *fleetpb.Answer, by *runningNode) {
+// do sends a request to the nodes in turn until one answers.
+func (c *cluster) do(q *fleetpb.Request) (answer *fleetpb.Answer, answeredBy *runningNode) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for ctx.Err() == nil {
 		for _, p := range c.nodes {
-			one, end := context.WithTimeout(ctx, time.Second)
-			a, err := c.try(one, p, q)
-			end()
+			attempt, cancelAttempt := context.WithTimeout(ctx, time.Second)
+			a, err := c.try(attempt, p, q)
+			cancelAttempt()
 			if err == nil {
 				return a, p
 			}
-			switch last = err; status.Code(err) {
+			switch lastErr = err; status.Code(err) {
 			case codes.Aborted, codes.Unavailable, codes.DeadlineExceeded, codes.Unknown:
 			default:
 				c.t.Fatal(err)
 			}
 		}
 	}
-	c.t.Fatalf("nobody answered: %v", last)
+	c.t.Fatalf("no node answered: %v", lastErr)
 	return nil, nil
 }
 
-// entry returns a request that proposes an entry of the session r.
+// entry returns a request that proposes an entry of session r.
 func entry(kind leasestate.Kind, lease string) *fleetpb.Request {
 	return &fleetpb.Request{Entry: leasestate.Encode(leasestate.Entry{
 		Kind:        kind,
@@ -160,28 +160,29 @@
 	})}
 }
 
-// acquire acquires a lease and returns its fencing token, the proof of what was acknowledged.
-func (c *cluster) acquire(lease string) (token *fleetpb.Fence, by *runningNode) {
+// acquire acquires a lease and returns its fencing token, by which checkToken can tell whether the grant was lost.
+func (c *cluster) acquire(lease string) (token *fleetpb.Fence, grantedBy *runningNode) {
 	c.t.Helper()
 	c.do(entry(leasestate.OpenSession, ""))
-	a, by := c.do(entry(leasestate.AcquireLease, lease))
+	a, grantedBy := c.do(entry(leasestate.AcquireLease, lease))
 	if !a.Held {
 		c.t.Fatalf("%s: %v", lease, a)
 	}
-	return a.Fence, by
+	return a.Fence, grantedBy
 }
 
-// checkToken checks that a lease is held under the fencing token under which it was granted.
+// checkToken checks that the latest fencing token of a lease is the one with which it was granted.
 func (c *cluster) checkToken(lease string, want *fleetpb.Fence) error {
 	c.t.Helper()
 	if a, _ := c.do(&fleetpb.Request{Stand: lease}); a.Fence.GetEpoch() != want.GetEpoch() || a.Fence.GetCount() != want.GetCount() {
-		return fmt.Errorf("%s is held under %v, was granted under %v", lease, a.Fence, want)
+		return fmt.Errorf("%s: got token %v, granted with %v", lease, a.Fence, want)
 	}
 	return nil
 }
 
-// restartKilled stops a node while its disk fails, so that nothing more is stored, and starts it again.
-func (c *cluster) restartKilled(stores *failingStores, name string, defects SeededDefects) {
+// crashAndRestart simulates a crash: it stops a node while its storage fails, so that nothing more is stored, and restarts it with working
+// storage.
+func (c *cluster) crashAndRestart(stores *failingStores, name string, defects SeededDefects) {
 	c.t.Helper()
 	c.stop(name)
 	stores.set(nil, name)
--- a/internal/coordinator/descriptor_test.go
+++ b/internal/coordinator/descriptor_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 )
 
-// describeProtocol lists every service, method, message, field, number and type of the fleet's protocol.
+// describeProtocol lists the services, methods, messages and enums of the fleet's protocol, with all names, numbers and types.
 func describeProtocol(t *testing.T) string {
 	t.Helper()
 	out := &strings.Builder{}
@@ -30,7 +30,7 @@
 		return true
 	})
 	if files != 1 {
-		t.Fatalf("%d files describe the protocol, not one", files)
+		t.Fatalf("%d files describe the protocol, want 1", files)
 	}
 	return out.String()
 }
@@ -72,8 +72,8 @@
 	}
 }
 
-// The protocol between the fleet's processes keeps each name, number and type that it had in commit dd13dd4, whatever the generated code is called.
-// A later addition is added to the listing; nothing that is there may change or go.
-func TestProtocol_KeepsItsForm(t *testing.T) {
-	compareGolden(t, filepath.Join(recordedBy, "protocol.golden"), describeProtocol(t))
+// The protocol between the fleet's processes keeps every name, number and type that it had in commit dd13dd4, even if the generated code is
+// renamed. Additions to the protocol are added to the golden file; existing lines must neither change nor disappear.
+func TestProtocol_MatchesGolden(t *testing.T) {
+	compareGolden(t, filepath.Join(recordedMessagesDir, "protocol.golden"), describeProtocol(t))
 }
--- a/internal/coordinator/failingstores_test.go
+++ b/internal/coordinator/failingstores_test.go
@@ -12,19 +12,19 @@
 	"wayloft/internal/failpoint"
 )
 
-// failingStores makes the data directories of a test's nodes fail, each for as long as the test wants.
+// failingStores injects storage failures into the nodes of a test, individually for each node.
 type failingStores struct {
 	mu       sync.Mutex
-	failing  map[string]error // by node
-	attempts map[string]int   // that have failed, by node
-	changed  chan struct{}    // closed when an attempt has failed
+	failing  map[string]error // by node name
+	attempts map[string]int   // failed operations, by node name
+	changed  chan struct{}    // closed at the next failed operation
 }
 
 func newFailingStores() *failingStores {
 	return &failingStores{failing: map[string]error{}, attempts: map[string]int{}, changed: make(chan struct{})}
 }
 
-// failStores makes operations of the data directories fail at these failpoints.
+// failStores returns failingStores whose failures are injected at the given failpoints.
 func failStores(t *testing.T, points ...string) *failingStores {
 	t.Helper()
 	stores := newFailingStores()
@@ -47,7 +47,7 @@
 	return err
 }
 
-// set makes the data directories of nodes fail with an error; nil: they work again.
+// set makes the storage of nodes fail with err, or work again if err is nil.
 func (d *failingStores) set(err error, names ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,16 +56,16 @@
 	}
 }
 
-// waitForFailures waits until operations have failed so often, at so many nodes each.
+// waitForFailures waits until at least so many nodes have had at least so many failed operations each.
 func (d *failingStores) waitForFailures(t *testing.T, nodes, times int) {
 	t.Helper()
-	late := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
 		d.mu.Lock()
-		tried, changed := maps.Clone(d.attempts), d.changed
+		attempts, changed := maps.Clone(d.attempts), d.changed
 		d.mu.Unlock()
 		reached := 0
-		for _, n := range tried {
+		for _, n := range attempts {
 			if n >= times {
 				reached++
 			}
@@ -75,8 +75,8 @@
 		}
 		select {
 		case <-changed:
-		case <-late:
-			t.Fatalf("%v operations failed, not %d at %d nodes", tried, times, nodes)
+		case <-timeout:
+			t.Fatalf("failed operations by node: %v, want %d at %d nodes", attempts, times, nodes)
 		}
 	}
 }
--- a/internal/coordinator/helpers_test.go
+++ b/internal/coordinator/helpers_test.go
@@ -15,7 +15,7 @@
 	"wayloft/internal/rpc"
 )
 
-// settings are those of a cluster of one node.
+// settings returns the settings of a single-node cluster.
 func settings(t *testing.T, dir string, listener net.Listener) Settings {
 	t.Helper()
 	return Settings{
@@ -30,7 +30,7 @@
 	}
 }
 
-// loopback returns a listener at a free port until the test ends.
+// loopback returns a listener on a free loopback port, which is closed when the test ends.
 func loopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,14 +38,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) { // a server closes its own
+		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) { // a server closes its listener
 			t.Error(err)
 		}
 	})
 	return listener
 }
 
-// dial connects to a node until the test ends.
+// dial returns a connection to a node, which is closed when the test ends.
 func dial(t *testing.T, address string) *grpc.ClientConn {
 	t.Helper()
 	conn, err := rpc.Dial(address, "lab")
@@ -56,7 +56,7 @@
 	return conn
 }
 
-// closeAndCheck closes what a test has opened.
+// closeAndCheck closes a resource of a test and reports a failure.
 func closeAndCheck(t *testing.T, conn io.Closer) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// serve runs a node on a listener until the test ends, and returns a client of it.
+// serve runs a node on a listener until the test ends, and returns a client for it.
 func serve(t *testing.T, node *Server, listener net.Listener) fleetpb.CouncilClient {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -26,27 +26,28 @@
 	"wayloft/internal/fleetpb"
 )
 
-// Messages that processes of this commit sent to each other: processes of two versions run side by side while a fleet is upgraded.
-const recordedBy = "testdata/messages-dd13dd4"
+// recordedMessagesDir holds messages that processes of commit dd13dd4 sent to each other. This version must understand them, since processes
+// of two versions run side by side while a fleet is upgraded.
+const recordedMessagesDir = "testdata/messages-dd13dd4"
 
 const (
 	serviceName  = "/wayloft.fleet.v1.Council/"
-	testDeadline = time.Minute // far longer than any test takes
+	testDeadline = time.Minute // far longer than any test in this file takes
 )
 
-// recordedMessage is a message as it was on the wire.
+// recordedMessage is a message as recorded on the wire.
 type recordedMessage struct {
 	Method    string          `json:"method"`
 	Direction string          `json:"direction"`
 	Message   string          `json:"message"`
 	Bytes     []byte          `json:"bytes"`
-	Decoded   json.RawMessage `json:"decoded"` // as the program that sent it decodes it
+	Decoded   json.RawMessage `json:"decoded"` // JSON form as decoded by the version that sent it
 }
 
 // readRecorded reads a file of recorded messages.
 func readRecorded(t *testing.T, name string) (all []recordedMessage) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(recordedBy, name))
+	text, err := os.ReadFile(filepath.Join(recordedMessagesDir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,10 +61,10 @@
 	return all
 }
 
-// rawBytes is a message that is sent or received as it is.
+// rawBytes is an encoded message.
 type rawBytes []byte
 
-// rawCodec passes messages on without reading them.
+// rawCodec is a gRPC codec that passes encoded messages through unchanged.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*rawBytes), nil }
@@ -73,7 +74,7 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// messageType returns the type that a recorded message has by the service's present descriptor.
+// messageType returns the type of a recorded message according to the current service descriptor.
 func messageType(t *testing.T, m recordedMessage) protoreflect.MessageType {
 	t.Helper()
 	service, method, _ := strings.Cut(strings.TrimPrefix(m.Method, "/"), "/")
@@ -86,7 +87,7 @@
 		descriptor = found.(protoreflect.MethodDescriptor).Output()
 	}
 	if string(descriptor.Name()) != m.Message {
-		t.Errorf("%s: its %s is %s, not %s", m.Method, m.Direction, descriptor.Name(), m.Message)
+		t.Errorf("%s: type of the %s is %s, recorded %s", m.Method, m.Direction, descriptor.Name(), m.Message)
 	}
 	messageType, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
 	if err != nil {
@@ -95,7 +96,7 @@
 	return messageType
 }
 
-// hasUnknown reports whether a message, or one within it, has fields that its type doesn't know.
+// hasUnknown reports whether a message or one of its submessages has unknown fields.
 func hasUnknown(m protoreflect.Message) (unknown bool) {
 	if len(m.GetUnknown()) > 0 {
 		return true
@@ -115,7 +116,7 @@
 	return unknown
 }
 
-// Each recorded message is read as the program that sent it reads it, and is written again in the same bytes.
+// Each recorded message decodes to the same contents as in the version that sent it, and encodes to the same bytes again.
 func TestRecordedMessages_AreRead(t *testing.T) {
 	for n, recorded := range readRecorded(t, "messages.jsonl") {
 		m := messageType(t, recorded).New().Interface()
@@ -124,13 +125,13 @@
 			continue
 		}
 		if hasUnknown(m.ProtoReflect()) {
-			t.Errorf("message %d, %s: has fields that are not known", n, recorded.Message)
+			t.Errorf("message %d, %s: has unknown fields", n, recorded.Message)
 		}
 		decoded, err := protojson.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var compact bytes.Buffer // protojson varies its spaces
+		var compact bytes.Buffer // protojson varies its whitespace
 		if err := json.Compact(&compact, decoded); err != nil {
 			t.Fatal(err)
 		}
@@ -139,19 +140,20 @@
 		}
 		again, err := proto.Marshal(m)
 		if err != nil || !bytes.Equal(again, recorded.Bytes) {
-			t.Errorf("message %d, %s: written again it is\n%x\nnot\n%x: %v", n, recorded.Message, again, recorded.Bytes, err)
+			t.Errorf("message %d, %s: encoded again: got\n%x\nwant\n%x: %v", n, recorded.Message, again, recorded.Bytes, err)
 		}
 	}
 }
 
-// startNode starts a node on loopback whose peers are reached at a listener that nobody serves, and stops it with the test.
+// startNode starts a node on loopback and stops it when the test ends. The addresses of its peers lead to a listener that accepts no
+// connections.
 func startNode(t *testing.T, set Settings) (*Server, *grpc.ClientConn) {
 	t.Helper()
-	listener, silent := loopback(t), loopback(t)
+	listener, unserved := loopback(t), loopback(t)
 	set.Fleet, set.Dir, set.Address, set.MaxConnections = "lab", t.TempDir(), listener.Addr().String(), 16
 	set.PeerAddresses = map[string]string{}
 	for _, name := range []string{"c1", "c2", "c3", "c4"} {
-		set.PeerAddresses[name] = silent.Addr().String()
+		set.PeerAddresses[name] = unserved.Addr().String()
 	}
 	node, err := Open(set)
 	if err != nil {
@@ -160,7 +162,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- node.Run(ctx, listener) }()
-	conn := dialEarlier(t, listener.Addr().String())
+	conn := dialAsEarlierVersion(t, listener.Addr().String())
 	t.Cleanup(func() {
 		closeAndCheck(t, conn)
 		cancel()
@@ -171,20 +173,20 @@
 	return node, conn
 }
 
-// dialEarlier returns the connection of a process of the earlier version: its calls carry the metadata that were recorded.
-func dialEarlier(t *testing.T, address string) *grpc.ClientConn {
+// dialAsEarlierVersion returns a connection whose calls carry the recorded metadata of the earlier version.
+func dialAsEarlierVersion(t *testing.T, address string) *grpc.ClientConn {
 	t.Helper()
-	recorded := func(ctx context.Context) context.Context {
+	withRecordedMetadata := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, "wayloft-fleet", "lab", "wayloft-form", "1")
 	}
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy(),
 		grpc.WithChainUnaryInterceptor(func(ctx context.Context, method string, request, response any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker,
 			options ...grpc.CallOption) error {
-			return invoke(recorded(ctx), method, request, response, conn, options...)
+			return invoke(withRecordedMetadata(ctx), method, request, response, conn, options...)
 		}),
 		grpc.WithChainStreamInterceptor(func(ctx context.Context, stream *grpc.StreamDesc, conn *grpc.ClientConn, method string, open grpc.Streamer,
 			options ...grpc.CallOption) (grpc.ClientStream, error) {
-			return open(recorded(ctx), stream, conn, method, options...)
+			return open(withRecordedMetadata(ctx), stream, conn, method, options...)
 		}))
 	if err != nil {
 		t.Fatal(err)
@@ -192,41 +194,42 @@
 	return conn
 }
 
-// sendRecorded calls a method with the recorded bytes of a request and returns the response's.
+// sendRecorded calls a method with the recorded bytes of a request and returns the bytes of the response.
 func sendRecorded(ctx context.Context, conn *grpc.ClientConn, method string, request []byte) (rawBytes, error) {
 	var response rawBytes
-	sent := rawBytes(request)
-	err := conn.Invoke(ctx, method, &sent, &response, grpc.ForceCodec(rawCodec{}))
+	encoded := rawBytes(request)
+	err := conn.Invoke(ctx, method, &encoded, &response, grpc.ForceCodec(rawCodec{}))
 	return response, err
 }
 
-// follow feeds a node the stream that the leader of an earlier version sent to the node of this name, and returns the state that it came to.
-func follow(t *testing.T, set Settings, stream string, index uint64) string {
+// replayStream sends a node the recorded stream from a leader of the earlier version, and returns the node's state once it has reached an
+// index.
+func replayStream(t *testing.T, set Settings, stream string, index uint64) string {
 	t.Helper()
-	set.TickMs, set.SnapshotInterval = 10000, 1000 // it begins no election of its own
+	set.TickMs, set.SnapshotInterval = 10000, 1000 // ticks are too long for the node to start an election
 	node, conn := startNode(t, set)
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 	defer cancel()
-	carry, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true}, serviceName+"Carry", grpc.ForceCodec(rawCodec{}))
+	sender, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true}, serviceName+"Carry", grpc.ForceCodec(rawCodec{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n, m := range readRecorded(t, stream) {
-		sent := rawBytes(m.Bytes)
-		if err := carry.SendMsg(&sent); err != nil {
-			t.Fatalf("message %d: %v: %v", n, err, carry.RecvMsg(new(rawBytes)))
+		encoded := rawBytes(m.Bytes)
+		if err := sender.SendMsg(&encoded); err != nil {
+			t.Fatalf("message %d: %v: %v", n, err, sender.RecvMsg(new(rawBytes)))
 		}
 	}
 	watch, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := uint64(0); at < index; {
+	for received := uint64(0); received < index; {
 		update, err := watch.Recv()
 		if err != nil {
-			t.Fatalf("at index %d of %d: %v", at, index, err)
+			t.Fatalf("watch at index %d of %d: %v", received, index, err)
 		}
-		at = update.Index
+		received = update.Index
 	}
 	state := make(chan string, 1)
 	if err := node.post(ctx, func() {
@@ -239,23 +242,23 @@
 	return <-state
 }
 
-func firstPeers() []raftnode.Peer {
+func initialPeers() []raftnode.Peer {
 	return []raftnode.Peer{{Name: "c1", Addr: "127.0.0.1:29501"}, {Name: "c2", Addr: "127.0.0.1:29502"}, {Name: "c3", Addr: "127.0.0.1:29503"}}
 }
 
-// A node of this version votes for a node of the earlier one, follows it, and comes to the state that the earlier ones came to.
+// A node of this version votes for a node of the earlier version, follows it, and reaches the same state as the nodes of the earlier version.
 func TestRecordedStream_IsFollowed(t *testing.T) {
-	state := follow(t, Settings{Name: "c1", Peers: firstPeers()}, "stream-c2-to-c1.jsonl", 60)
-	compareGolden(t, filepath.Join(recordedBy, "stream-c2-to-c1.golden"), state)
+	state := replayStream(t, Settings{Name: "c1", Peers: initialPeers()}, "stream-c2-to-c1.jsonl", 60)
+	compareGolden(t, filepath.Join(recordedMessagesDir, "stream-c2-to-c1.golden"), state)
 }
 
-// A node of this version that joins takes the snapshot of a leader of the earlier one.
-func TestRecordedStream_SnapshotIsTaken(t *testing.T) {
-	state := follow(t, Settings{Name: "c4"}, "stream-c2-to-c4.jsonl", 79)
-	compareGolden(t, filepath.Join(recordedBy, "stream-c2-to-c4.golden"), state)
+// A joining node of this version accepts a snapshot from a leader of the earlier version.
+func TestRecordedStream_SnapshotIsAccepted(t *testing.T) {
+	state := replayStream(t, Settings{Name: "c4"}, "stream-c2-to-c4.jsonl", 79)
+	compareGolden(t, filepath.Join(recordedMessagesDir, "stream-c2-to-c4.golden"), state)
 }
 
-// requestKind names what a recorded request of Do asks for.
+// requestKind returns the kind of entry and the session of a recorded Do request, or "stands" for a token query.
 func requestKind(t *testing.T, request []byte) string {
 	t.Helper()
 	m := &fleetpb.Request{}
@@ -272,12 +275,12 @@
 	return fmt.Sprint(entry.Kind, " ", entry.Session)
 }
 
-// doRecorded has a recorded request of Do answered by who leads.
-func doRecorded(ctx context.Context, t *testing.T, conn *grpc.ClientConn, request []byte) *fleetpb.Answer {
+// replayRequest sends a recorded Do request until the node answers it as leader.
+func replayRequest(ctx context.Context, t *testing.T, conn *grpc.ClientConn, request []byte) *fleetpb.Answer {
 	t.Helper()
 	for {
 		response, err := sendRecorded(ctx, conn, serviceName+"Do", request)
-		if status.Code(err) == codes.Aborted { // it may have been taken, or not: asking again is harmless
+		if status.Code(err) == codes.Aborted { // unknown result; retrying is harmless
 			continue
 		}
 		if err != nil {
@@ -287,13 +290,14 @@
 		if err := proto.Unmarshal(response, answer); err != nil {
 			t.Fatal(err)
 		}
-		if !answer.Moved { // else it doesn't lead yet
+		if !answer.Moved { // otherwise it doesn't lead yet
 			return answer
 		}
 	}
 }
 
-// Requests of earlier routers and operators have the answers that they had, except for the epochs in tokens, which depend on when the coordinator began.
+// Requests of routers and operators of the earlier version get the same answers as in that version, except for the epochs in tokens, which
+// depend on when the cluster was created.
 func TestRecordedRequests_AreAnswered(t *testing.T) {
 	_, conn := startNode(t, Settings{Name: "c9", Peers: []raftnode.Peer{{Name: "c9", Addr: "127.0.0.1:1"}}, TickMs: 10, SnapshotInterval: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
@@ -302,7 +306,7 @@
 		"beat r1": "held:true", "beat r2": "held:true", "propose ": "held:true number 1", "order ": "held:true number 1", "note r1": "not the holder",
 		"did r1": "not the holder", "end r2": "ended"}
 	seen := map[string]bool{}
-	var sessions [][]byte // requests that open them
+	var sessions [][]byte // requests that open sessions
 	for _, m := range readRecorded(t, "requests.jsonl") {
 		if m.Method != serviceName+"Do" {
 			if _, err := sendRecorded(ctx, conn, m.Method, m.Bytes); err != nil && status.Code(err) != codes.NotFound {
@@ -314,20 +318,20 @@
 		if strings.HasPrefix(kind, "open ") {
 			sessions = append(sessions, m.Bytes)
 		}
-		answer := doRecorded(ctx, t, conn, m.Bytes)
-		for answer.Why == string(leasestate.RefusedNoSession) { // the test was slower than a session's timeout
+		answer := replayRequest(ctx, t, conn, m.Bytes)
+		for answer.Why == string(leasestate.RefusedNoSession) { // the session timed out because the test ran slowly
 			for _, open := range sessions {
-				doRecorded(ctx, t, conn, open)
+				replayRequest(ctx, t, conn, open)
 			}
-			answer = doRecorded(ctx, t, conn, m.Bytes)
+			answer = replayRequest(ctx, t, conn, m.Bytes)
 		}
 		seen[kind] = true
 		if got := describeAnswer(kind, answer); got != want[kind] {
-			t.Errorf("%s: %s, want %s: %v", kind, got, want[kind], answer)
+			t.Errorf("%s: got %s, want %s: %v", kind, got, want[kind], answer)
 		}
 	}
 	if len(seen) < 9 {
-		t.Errorf("only these were asked: %v", seen)
+		t.Errorf("too few kinds of requests: %v", seen)
 	}
 }
 
--- a/internal/coordinator/storage_test.go
+++ b/internal/coordinator/storage_test.go
@@ -22,7 +22,7 @@
 	"wayloft/internal/fleetpb"
 )
 
-// countLogLines returns how often a line came since the hook was set.
+// countLogLines returns the number of log lines with a prefix since the hook was installed.
 func countLogLines(hook *logtest.Hook, text string) (n int) {
 	for _, e := range hook.AllEntries() {
 		if strings.HasPrefix(e.Message, text) {
@@ -32,7 +32,7 @@
 	return n
 }
 
-// globalHook records the log lines of the test.
+// globalHook returns a hook that records log lines until the test ends.
 func globalHook(t *testing.T) *logtest.Hook {
 	t.Helper()
 	hook := logtest.NewGlobal()
@@ -40,8 +40,8 @@
 	return hook
 }
 
-// All disks of a cluster fail for a while, at the write, at the sync, or with the data directory that can't be opened either: no node ends and
-// none answers, each logs the failure once and its end once, and what was acknowledged before is still held.
+// The disks of all nodes fail for a while: on write, on sync, or on write and on reopening the data directory. No node exits or answers
+// meanwhile. Each logs the failure and the recovery at most once, and leases acknowledged before are still held.
 func TestStorage_AllDisksFailForAWhile(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -65,18 +65,18 @@
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if a, err := cluster.try(ctx, leader, entry(leasestate.AcquireLease, "b")); err == nil {
-				t.Errorf("answered though nobody stores: %v", a)
+				t.Errorf("answered although no node can store: %v", a)
 			} else if code := status.Code(err); code != codes.Aborted && code != codes.Unavailable {
-				t.Errorf("an answer that isn't asked again: %v", err)
+				t.Errorf("error on which clients don't retry: %v", err)
 			}
-			stores.waitForFailures(t, 2, 4) // the third stores nothing while nobody leads or can be elected
+			stores.waitForFailures(t, 2, 4) // the third node stores nothing while there is no leader and none can be elected
 			for _, p := range cluster.nodes {
 				if a, err := cluster.try(ctx, p, entry(leasestate.AcquireLease, "b")); err == nil {
 					t.Errorf("%s answered: %v", p.settings.Name, a)
 				}
 			}
 			if n := countLogLines(hook, "storage failed"); n < 2 || n > 3 {
-				t.Errorf("%d lines of as many failures", n)
+				t.Errorf("storage failure logged %d times, want 2 or 3", n)
 			}
 			stores.set(nil, names...)
 			if err := cluster.checkToken("a", token); err != nil {
@@ -85,7 +85,7 @@
 			cluster.acquire("b")
 			for _, name := range names {
 				cluster.stop(name)
-				b, err := os.ReadFile(filepath.Join(cluster.dir, name+".record"))
+				b, err := os.ReadFile(filepath.Join(cluster.dir, name+".audit"))
 				if err != nil || strings.Count(string(b), `"what":"suspended"`) > 1 || strings.Count(string(b), `"what":"resumed"`) > 1 {
 					t.Errorf("%s: %v, %s", name, err, b)
 				}
@@ -94,8 +94,8 @@
 	}
 }
 
-// A leader whose disk fails sends nothing more and is replaced by an election; once the disk works it catches up as a follower.
-func TestStorage_LeaderStandsDown(t *testing.T) {
+// A leader whose disk fails stops sending and another node is elected. Once the disk works again, the former leader catches up as a follower.
+func TestStorage_FailedLeaderIsReplaced(t *testing.T) {
 	stores := failStores(t, "storage.write")
 	cluster := newCluster(t, "c1", "c2", "c3")
 	for _, p := range cluster.peers {
@@ -105,11 +105,11 @@
 	stores.set(syscall.ENOSPC, leader.settings.Name)
 	_, next := cluster.acquire("b")
 	if next == leader {
-		t.Fatal("it answered though it stores nothing")
+		t.Fatal("a node answered although its storage fails")
 	}
 	stores.waitForFailures(t, 1, 2)
 	stores.set(nil, leader.settings.Name)
-	for name := range cluster.nodes { // it is one of the two that are left
+	for name := range cluster.nodes { // leaves the former leader as one of two nodes, so that the quorum needs it
 		if name != leader.settings.Name && name != next.settings.Name {
 			cluster.stop(name)
 		}
@@ -120,7 +120,7 @@
 	cluster.acquire("c")
 }
 
-// A node that is started while its disk refuses waits for it.
+// A node that starts while its storage is unavailable waits for it to recover.
 func TestStorage_StartsOnAFullDisk(t *testing.T) {
 	stores := failStores(t, "storage.open")
 	cluster := newCluster(t, "c1")
@@ -131,10 +131,10 @@
 	cluster.acquire("a")
 }
 
-// What was acknowledged while the disk began to fail is there after a kill; the seeded defect, an acknowledgement before the
-// sync, is found.
+// A lease that is acknowledged while the disk begins to fail survives a crash. With the seeded defect, an acknowledgement before the sync,
+// the lease is lost, which shows that the check works.
 func TestStorage_AcknowledgesNothingUnstored(t *testing.T) {
-	lost := func(t *testing.T, defects SeededDefects) error {
+	acquireDuringFailure := func(t *testing.T, defects SeededDefects) error {
 		stores := failStores(t, "storage.write")
 		cluster := newCluster(t, "c1")
 		cluster.start("c1", defects)
@@ -142,7 +142,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		node := cluster.nodes["c1"]
-		// Storage fails from the turn of the loop in which the request is taken, not before: an earlier entry would stop the node first.
+		// The storage must fail exactly from the loop iteration that receives the request. If it failed before, an earlier entry would
+		// suspend the node first.
 		if err := node.post(ctx, func() {
 			for len(node.inbox) == 0 {
 				runtime.Gosched()
@@ -153,22 +154,22 @@
 		}
 		a, err := cluster.try(ctx, node, entry(leasestate.AcquireLease, "b"))
 		stores.waitForFailures(t, 1, 1)
-		cluster.restartKilled(stores, "c1", SeededDefects{})
+		cluster.crashAndRestart(stores, "c1", SeededDefects{})
 		if err != nil {
 			return nil // not acknowledged
 		}
 		return cluster.checkToken("b", a.Fence)
 	}
-	if err := lost(t, SeededDefects{}); err != nil {
+	if err := acquireDuringFailure(t, SeededDefects{}); err != nil {
 		t.Error(err)
 	}
-	if err := lost(t, SeededDefects{EarlyAcknowledge: true}); err == nil {
-		t.Error("the seeded defect is not found")
+	if err := acquireDuringFailure(t, SeededDefects{EarlyAcknowledge: true}); err == nil {
+		t.Error("the seeded defect is not detected")
 	}
 }
 
-// One process after the other, who leads first, has its disk fail at each point; every other time it is killed meanwhile. All that
-// was acknowledged in between is held to the end.
+// The disk of the current leader fails, in turn for each failpoint and error; in every other round the node also crashes meanwhile. All
+// leases that were acknowledged are still held at the end.
 func TestStorage_FailuresAndKillsInTurn(t *testing.T) {
 	cluster := newCluster(t, "c1", "c2", "c3")
 	for _, p := range cluster.peers {
@@ -188,11 +189,11 @@
 				lease := fmt.Sprint("lease ", round)
 				granted[lease], leader = cluster.acquire(lease)
 				if leader.settings.Name == name {
-					t.Fatalf("%s answered though its disk fails at %s", name, point)
+					t.Fatalf("%s answered although its storage fails at %s", name, point)
 				}
 				stores.waitForFailures(t, 1, 2)
 				if kill {
-					cluster.restartKilled(stores, name, SeededDefects{})
+					cluster.crashAndRestart(stores, name, SeededDefects{})
 				}
 				stores.set(nil, name)
 				clearFailure()
