--- a/internal/fleet/adapter.go
+++ b/internal/fleet/adapter.go
@@ -49,8 +49,8 @@
 	return pgx.ConnectConfig(ctx, config)
 }
 
-// closeMember closes a connection to a member; nothing depends on whether that succeeds.
-func closeMember(conn *pgx.Conn) {
+// closeMemberConn closes a connection to a member; nothing depends on whether that succeeds.
+func closeMemberConn(conn *pgx.Conn) {
 	if err := conn.Close(context.Background()); err != nil {
 		logrus.WithError(err).Debug("connection to a member not closed")
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer closeMember(conn)
+	defer closeMemberConn(conn)
 	var text string
 	if err := conn.QueryRow(ctx, a.PrimaryQuery).Scan(&text); err != nil {
 		return false, err
@@ -84,7 +84,7 @@
 	if err != nil {
 		return switchover.Unknown, err // an earlier attempt may be in flight, so it isn't said that nothing has happened
 	}
-	defer closeMember(conn)
+	defer closeMemberConn(conn)
 	transaction, err := conn.Begin(ctx)
 	if err != nil {
 		return switchover.Unknown, err
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -19,8 +19,8 @@
 
 const (
 	attemptTimeout = 600 * time.Millisecond // for one coordinator node's response, before another is asked
-	attemptPause   = 20 * time.Millisecond  // about, between two attempts
-	watchSilence   = 4 * time.Second        // after which a watch has failed: an empty update comes each second
+	retryDelay   = 20 * time.Millisecond  // about, between two attempts
+	watchTimeout   = 4 * time.Second        // after which a watch has failed: an empty update comes each second
 
 	// Connections to addresses of former leaders are closed beyond this many.
 	spareConnections         = 16
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	conns   map[string]*grpc.ClientConn // by address
 	leader  string                      // address of the leader, as far as is known
-	watched string                      // address of the node that is watched, or was last
+	watchedAddress string                      // address of the node that is watched, or was last
 }
 
 // NewClient returns a Client of a fleet's coordinator. The overrides are addresses to reach nodes by, by their names.
@@ -178,7 +178,7 @@
 		if ctx.Err() == nil && (attempts > len(c.addresses) || last != nil) {
 			select {
 			case <-ctx.Done():
-			case <-time.After(rpc.Jitter(attemptPause)):
+			case <-time.After(rpc.Jitter(retryDelay)):
 			}
 		}
 		if ctx.Err() != nil {
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -39,11 +39,11 @@
 	checks := rpc.NewInterceptors("lab")
 	server := grpc.NewServer(grpc.ChainUnaryInterceptor(checks.Unary))
 	fleetpb.RegisterCouncilServer(server, &fakeCoordinator{do: do})
-	return serveUntilEnd(t, server)
+	return serveGRPC(t, server)
 }
 
-// serveUntilEnd serves until the test ends, and returns the address.
-func serveUntilEnd(t *testing.T, server *grpc.Server) string {
+// serveGRPC serves until the test ends, and returns the address.
+func serveGRPC(t *testing.T, server *grpc.Server) string {
 	t.Helper()
 	listener := listen(t)
 	ended := make(chan error, 1)
--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -17,24 +17,24 @@
 	}
 }
 
-// askGroups asks the router for its groups, once for each change of its list.
-func (n *Node) askGroups(now float64) {
-	n.groupsAsked++
-	asked := n.groupsAsked
+// requestGroups asks the router for its groups, once for each change of its list.
+func (n *Node) requestGroups(now float64) {
+	n.groupRequests++
+	asked := n.groupRequests
 	accepted := n.callRouter(func() {
 		groups := n.router.Groups()
 		n.retainWriteHolds(groups)
 		go n.post(func() { // the router's loop never waits for this one
-			if asked > n.groupsReceived { // guards against a list that overtakes the one after it: nobody would ask again
-				n.groupsReceived = asked
-				n.groupsListed(groups)
+			if asked > n.lastGroupResponse { // guards against a list that overtakes the one after it: nobody would ask again
+				n.lastGroupResponse = asked
+				n.applyGroups(groups)
 			}
 		})
 	})
 	if accepted {
-		n.nextGroups = math.Inf(1)
+		n.groupsDueAt = math.Inf(1)
 	} else {
-		n.nextGroups = now + groupsRetryMs
+		n.groupsDueAt = now + groupsRetryMs
 	}
 }
 
@@ -48,8 +48,8 @@
 	n.writeHolds.RetainGroups(listed)
 }
 
-// groupsListed applies the list of groups: their leases are acquired, those of groups that are gone are released.
-func (n *Node) groupsListed(groups map[int][]Member) {
+// applyGroups applies the list of groups: their leases are acquired, those of groups that are gone are released.
+func (n *Node) applyGroups(groups map[int][]Member) {
 	n.groups = groups
 	wanted := map[string]bool{}
 	for group := range groups {
--- a/internal/fleet/groups_test.go
+++ b/internal/fleet/groups_test.go
@@ -44,15 +44,15 @@
 		t.Fatalf("in 20 s without a change the router was asked for its groups %d times, not once", n)
 	}
 	// The answer to the first question comes last.
-	node.nextGroups = 0
+	node.groupsDueAt = 0
 	node.advance()
 	first, second := <-node.routerCalls, <-node.routerCalls
 	router.groups = map[int][]Member{2: nil}
 	second()
-	(<-node.inbox)()
+	(<-node.mailbox)()
 	router.groups = map[int][]Member{1: nil}
 	first()
-	(<-node.inbox)()
+	(<-node.mailbox)()
 	if _, there := node.groups[2]; !there || len(node.groups) != 1 {
 		t.Errorf("%v are its groups: an earlier list has taken the place of a later one", node.groups)
 	}
@@ -72,7 +72,7 @@
 	listed := make(chan struct{})
 	go func() {
 		defer close(listed)
-		node.groupsListed(router.groups)
+		node.applyGroups(router.groups)
 	}()
 	node.applyHold(hold, header, 0, &fleetpb.Verdict{})
 	<-listed
@@ -80,7 +80,7 @@
 		t.Error("the hold of a group that is listed is forgotten")
 	}
 	router.groups = map[int][]Member{2: nil}
-	node.askGroups(0)
+	node.requestGroups(0)
 	(<-node.routerCalls)()
 	if until := node.writeHolds.Hold(1, token, 1, 500, 2000); until != 2500 {
 		t.Errorf("held until %v: the hold of a group that was gone is remembered", until)
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -15,7 +15,7 @@
 	group      int
 	token      lease.Token
 	prober     *healthshare.Prober
-	unanswered map[string]bool // routers that have yet to answer the last reports
+	pending map[string]bool // routers that have yet to answer the last reports
 }
 
 // Reported records the result of a health check of this process, on the router's event loop. It never waits.
@@ -26,7 +26,7 @@
 		}
 	}
 	select {
-	case n.inbox <- record:
+	case n.mailbox <- record:
 	default: // too many calls wait: the next check will do
 	}
 }
@@ -37,7 +37,7 @@
 		group:      group,
 		token:      token,
 		prober:     healthshare.NewProber(n.settings.HealthSharePeriodMs),
-		unanswered: map[string]bool{},
+		pending: map[string]bool{},
 	}
 	sharer.prober.Advance(n.now())
 	n.setMembers(sharer)
@@ -74,14 +74,14 @@
 	order := n.newOrder(name, sharer.token)
 	order.Sightings = encodeReports(reports)
 	for _, session := range n.leases.Sessions(routerKind) {
-		if session.Name == n.settings.Name || sharer.unanswered[session.Name] {
+		if session.Name == n.settings.Name || sharer.pending[session.Name] {
 			continue
 		}
 		if token, valid := n.leases.Valid(name); !valid || token != sharer.token { // the last check before the order is sent
 			return
 		}
 		failpoint.Point("healthshare.checked") // between the check and the order
-		sharer.unanswered[session.Name] = true
-		n.sendOrder(session, order, func(*fleetpb.Verdict, error) { delete(sharer.unanswered, session.Name) })
+		sharer.pending[session.Name] = true
+		n.sendOrder(session, order, func(*fleetpb.Verdict, error) { delete(sharer.pending, session.Name) })
 	}
 }
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -16,12 +16,12 @@
 	mu      sync.Mutex
 	state   *leasestate.State
 	index   uint64
-	refused chan leasestate.Result // of requests to open a session
+	rejected chan leasestate.Result // of requests to open a session
 	opened  chan uint64            // the incarnations of sessions that were opened
 }
 
-func newSessions() *sessionCoordinator {
-	return &sessionCoordinator{state: leasestate.New("lab"), refused: make(chan leasestate.Result, 100), opened: make(chan uint64, 100)}
+func newSessionCoordinator() *sessionCoordinator {
+	return &sessionCoordinator{state: leasestate.New("lab"), rejected: make(chan leasestate.Result, 100), opened: make(chan uint64, 100)}
 }
 
 func (s *sessionCoordinator) apply(e leasestate.Entry) leasestate.Result {
@@ -43,7 +43,7 @@
 	if e.Kind == leasestate.OpenSession && a.Held {
 		s.opened <- e.Incarnation
 	} else if e.Kind == leasestate.OpenSession {
-		s.refused <- a
+		s.rejected <- a
 	}
 	return &fleetpb.Answer{Held: a.Held, Why: string(a.Refusal), Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
 }
@@ -60,8 +60,8 @@
 	}
 }
 
-// start runs a process of the name "r" that was started at this time by the wall clock.
-func (s *sessionCoordinator) start(t *testing.T, addr string, started time.Time, timeoutMs float64) {
+// startNode runs a process of the name "r" that was started at this time by the wall clock.
+func (s *sessionCoordinator) startNode(t *testing.T, addr string, started time.Time, timeoutMs float64) {
 	t.Helper()
 	router := &fakeRouter{asked: make(chan bool, 100)}
 	settings := testSettings("lab", addr)
@@ -75,11 +75,11 @@
 // A process that is started after the wall clock was stepped back has its session at once: the coordinator's time doesn't pass, so its
 // predecessor's session never expires here.
 func TestIncarnation_ProcessStartedAfterTheClockWasSteppedBack(t *testing.T) {
-	s := newSessions()
+	s := newSessionCoordinator()
 	addr := serveCoordinator(t, s.do)
 	s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "r", Incarnation: uint64(time.Now().UnixMilli()), Timeout: 2000, Role: "router"})
-	s.start(t, addr, time.Now().Add(-time.Hour), 60000) // no call is given up while the machine is busy
-	if refused := receive(t, "the refusal", s.refused); refused.Number == 0 {
+	s.startNode(t, addr, time.Now().Add(-time.Hour), 60000) // no call is given up while the machine is busy
+	if refused := receive(t, "the refusal", s.rejected); refused.Number == 0 {
 		t.Error("the refusal doesn't say which incarnation has the name")
 	}
 	receive(t, "its session", s.opened)
@@ -87,9 +87,9 @@
 
 // A process whose session has expired doesn't win its name back from one that was started later by an earlier wall clock.
 func TestIncarnation_FormerProcessIsRejected(t *testing.T) {
-	s := newSessions()
+	s := newSessionCoordinator()
 	addr := serveCoordinator(t, s.do)
-	s.start(t, addr, time.Now(), 2000)
+	s.startNode(t, addr, time.Now(), 2000)
 	receive(t, "its session", s.opened)
 	s.mu.Lock()
 	s.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 2001})
@@ -100,7 +100,7 @@
 		t.Fatal("the former session has not expired:", granted)
 	}
 	select { // the response to its next heartbeat is that it has no session
-	case a := <-s.refused:
+	case a := <-s.rejected:
 		if a.Number != later {
 			t.Error(a)
 		}
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -27,7 +27,7 @@
 )
 
 // Messages that processes of this commit sent to each other: processes of two versions run side by side while a fleet is upgraded.
-const recordedBy = "testdata/messages-dd13dd4"
+const recordedMessagesDir = "testdata/messages-dd13dd4"
 
 const (
 	coordinator  = "/wayloft.fleet.v1.Council/"
@@ -45,7 +45,7 @@
 // readRecorded reads the recorded messages of a method.
 func readRecorded(t *testing.T, name, method string) (all [][]byte) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(recordedBy, name))
+	text, err := os.ReadFile(filepath.Join(recordedMessagesDir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// serveEarlier serves any method as a process of the earlier version: it requires the metadata that were recorded, and responds by respond.
-func serveEarlier(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
+// serveRecorded serves any method as a process of the earlier version: it requires the metadata that were recorded, and responds by respond.
+func serveRecorded(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
 	t.Helper()
 	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
 		sent, _ := metadata.FromIncomingContext(stream.Context())
@@ -99,22 +99,22 @@
 		}
 		return err
 	}))
-	return serveUntilEnd(t, server)
+	return serveGRPC(t, server)
 }
 
-// errNoMore ends a recording: the client asks no further.
-var errNoMore = status.Error(codes.FailedPrecondition, "nothing more was recorded")
+// errRecordingEnded ends a recording: the client asks no further.
+var errRecordingEnded = status.Error(codes.FailedPrecondition, "nothing more was recorded")
 
-// clientOfEarlier returns a client of a coordinator node that answers each call with the next of these messages.
-func clientOfEarlier(t *testing.T, method string, responses [][]byte) *Client {
+// newRecordedClient returns a client of a coordinator node that answers each call with the next of these messages.
+func newRecordedClient(t *testing.T, method string, responses [][]byte) *Client {
 	t.Helper()
 	next := 0
-	address := serveEarlier(t, func(called string, _ []byte) ([][]byte, error) {
+	address := serveRecorded(t, func(called string, _ []byte) ([][]byte, error) {
 		if called != method {
 			return nil, status.Errorf(codes.Unimplemented, "%s is called, not %s", called, method)
 		}
 		if next == len(responses) {
-			return nil, errNoMore
+			return nil, errRecordingEnded
 		}
 		next++
 		return responses[next-1 : next], nil
@@ -139,7 +139,7 @@
 	}
 }
 
-func describeAnswer(a leasestate.Result) string {
+func describeResult(a leasestate.Result) string {
 	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Refusal, a.Number)
 }
 
@@ -215,22 +215,22 @@
 func TestRecordedResponses_AreAccepted(t *testing.T) {
 	out := &strings.Builder{}
 	tokens, others := splitAnswers(t)
-	do := clientOfEarlier(t, coordinator+"Do", others)
+	do := newRecordedClient(t, coordinator+"Do", others)
 	callAll(t, out, "do", func(ctx context.Context) (string, error) {
 		a, err := do.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "r", Incarnation: 1})
-		return describeAnswer(a), err
+		return describeResult(a), err
 	})
-	latest := clientOfEarlier(t, coordinator+"Do", tokens)
+	latest := newRecordedClient(t, coordinator+"Do", tokens)
 	callAll(t, out, "stands", func(ctx context.Context) (string, error) {
 		tokens, err := latest.LatestTokens(ctx, []string{"handover/0", "sight/0"})
 		return fmt.Sprint(tokens), err
 	})
-	change := clientOfEarlier(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
+	change := newRecordedClient(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
 	callAll(t, out, "change", func(ctx context.Context) (string, error) {
 		a, err := change.ChangeMembership(ctx, &fleetpb.Members{})
-		return describeAnswer(a), err
+		return describeResult(a), err
 	})
-	look := clientOfEarlier(t, coordinator+"Look", readRecorded(t, "responses.jsonl", coordinator+"Look"))
+	look := newRecordedClient(t, coordinator+"Look", readRecorded(t, "responses.jsonl", coordinator+"Look"))
 	callAll(t, out, "look", func(ctx context.Context) (string, error) {
 		s, err := look.State(ctx)
 		if err != nil {
@@ -238,27 +238,27 @@
 		}
 		return describeState(s), nil
 	})
-	policies := clientOfEarlier(t, coordinator+"Policies", readRecorded(t, "responses.jsonl", coordinator+"Policies"))
+	policies := newRecordedClient(t, coordinator+"Policies", readRecorded(t, "responses.jsonl", coordinator+"Policies"))
 	callAll(t, out, "policies", func(ctx context.Context) (string, error) {
 		p, err := policies.Policy(ctx)
 		return describePolicies(p), err
 	})
-	part := clientOfEarlier(t, coordinator+"Policy", readRecorded(t, "responses.jsonl", coordinator+"Policy"))
+	part := newRecordedClient(t, coordinator+"Policy", readRecorded(t, "responses.jsonl", coordinator+"Policy"))
 	callAll(t, out, "part", func(ctx context.Context) (string, error) {
-		p, err := part.policyPart(ctx, policy.Request{MaxBytes: 1024}, true)
+		p, err := part.fetchPolicyPart(ctx, policy.Request{MaxBytes: 1024}, true)
 		if err != nil {
 			return "", err
 		}
 		text, err := rpc.Decompress(p.Bytes, policy.MaxHistoryBytes)
 		return fmt.Sprintf("%s  whole %t offset %d total %d changes %x", describeStored(p.Version, nil), p.Full, p.Offset, p.Total, text), err
 	})
-	compareGolden(t, filepath.Join(recordedBy, "responses.golden"), out.String())
+	compareGolden(t, filepath.Join(recordedMessagesDir, "responses.golden"), out.String())
 }
 
 // A watch of this version gets from an earlier coordinator node the updates that the earlier watch got.
 func TestRecordedUpdates_AreWatched(t *testing.T) {
 	updates := readRecorded(t, "responses.jsonl", coordinator+"Watch")
-	address := serveEarlier(t, func(string, []byte) ([][]byte, error) { return updates, errNoMore })
+	address := serveRecorded(t, func(string, []byte) ([][]byte, error) { return updates, errRecordingEnded })
 	client := NewClient("lab", []string{address}, nil)
 	defer client.Close()
 	out := &strings.Builder{}
@@ -266,7 +266,7 @@
 	if !strings.Contains(err.Error(), "nothing more was recorded") {
 		t.Error(err)
 	}
-	compareGolden(t, filepath.Join(recordedBy, "updates.golden"), out.String())
+	compareGolden(t, filepath.Join(recordedMessagesDir, "updates.golden"), out.String())
 }
 
 // recordingRouter is a router of one group that records what orders have it do.
@@ -289,9 +289,9 @@
 }
 func (r *recordingRouter) Writes(int) (int, int) { return 3, 4 }
 
-// respondToRouter answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed
+// recordedResponder answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed
 // once it was asked for the latest tokens of both leases of the group.
-func respondToRouter(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
+func recordedResponder(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
 	t.Helper()
 	asked = make(chan bool)
 	once := sync.OnceFunc(func() { close(asked) })
@@ -310,7 +310,7 @@
 	return asked, func(method string, request []byte) ([][]byte, error) {
 		switch method {
 		case coordinator + "Watch":
-			return updates[:1], errNoMore
+			return updates[:1], errRecordingEnded
 		case coordinator + "Do":
 			q := &fleetpb.Request{}
 			if err := proto.Unmarshal(request, q); err != nil {
@@ -326,8 +326,8 @@
 	}
 }
 
-// actAsEarlier sends an order as an earlier lease holder did, until the receiver knows the latest tokens.
-func actAsEarlier(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
+// sendRecordedOrder sends an order as an earlier lease holder did, until the receiver knows the latest tokens.
+func sendRecordedOrder(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, "wayloft-fleet", "lab", "wayloft-form", "1")
 	for {
@@ -357,8 +357,8 @@
 		now:        1796206623622,
 		done:       make(chan string, 16),
 	}
-	asked, respond := respondToRouter(t)
-	settings := testSettings("lab", serveEarlier(t, respond))
+	asked, respond := recordedResponder(t)
+	settings := testSettings("lab", serveRecorded(t, respond))
 	settings.Name, settings.MaxHoldMs = "r2", 5000
 	node := New(settings, router)
 	listener := listen(t)
@@ -379,20 +379,20 @@
 	}
 	out := &strings.Builder{}
 	for n, order := range readRecorded(t, "orders.jsonl", receiver+"Act") {
-		v := actAsEarlier(ctx, t, conn, order)
+		v := sendRecordedOrder(ctx, t, conn, order)
 		if v.Kind != fleetpb.Verdict_TAKEN {
 			t.Fatalf("order %d: %v", n+1, v)
 		}
 		fmt.Fprintf(out, "order %d: %s; highest %d.%d running %d held %d why %q\n", n+1, <-router.done, v.Highest.GetEpoch(), v.Highest.GetCount(),
 			v.Running, v.Held, v.Why)
 	}
-	compareGolden(t, filepath.Join(recordedBy, "orders.golden"), out.String())
+	compareGolden(t, filepath.Join(recordedMessagesDir, "orders.golden"), out.String())
 }
 
 // A lease holder of this version accepts the verdict of an earlier receiver.
 func TestRecordedVerdict_IsAccepted(t *testing.T) {
 	verdicts := readRecorded(t, "responses.jsonl", receiver+"Act")
-	address := serveEarlier(t, func(method string, _ []byte) ([][]byte, error) {
+	address := serveRecorded(t, func(method string, _ []byte) ([][]byte, error) {
 		if method != receiver+"Act" {
 			return nil, status.Error(codes.Unimplemented, method)
 		}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -91,16 +91,16 @@
 	leases   *leaseclient.Client
 
 	ctx        context.Context // of Run, until the node has left the fleet
-	inbox      chan func()     // calls for the event loop
+	mailbox      chan func()     // calls for the event loop
 	stopped    chan struct{}   // closed once the event loop takes no more calls
 	ended      chan struct{}   // closed once Run has returned
 	background sync.WaitGroup  // goroutines that Run waits for
 
 	groups         map[int][]Member
 	groupsChanged  chan struct{} // the router's list has changed
-	nextGroups     float64       // when the router is asked for its groups
-	groupsAsked    int           // how often it was
-	groupsReceived int           // the latest of these that was answered
+	groupsDueAt     float64       // when the router is asked for its groups
+	groupRequests    int           // how often it was
+	lastGroupResponse int           // the latest of these that was answered
 	routerCalls    chan func()   // calls for the router's event loop, in order
 
 	wantedLeases  map[string]bool                   // leases to acquire, of groups that are listed
@@ -112,7 +112,7 @@
 
 	writeHolds *switchover.WriteHolds // of this process as a receiver of orders
 
-	givesOrders  atomic.Bool // a lease is held: the sessions of those who receive orders must be known
+	sendsOrders  atomic.Bool // a lease is held: the sessions of those who receive orders must be known
 	mu           sync.Mutex
 	restartWatch context.CancelFunc // ends the watch that leaves sessions out; under mu
 }
@@ -129,7 +129,7 @@
 		settings:      settings,
 		router:        router,
 		client:        NewClient(settings.Fleet, settings.Coordinators, settings.AddressOverrides),
-		inbox:         make(chan func(), queueSize),
+		mailbox:         make(chan func(), queueSize),
 		stopped:       make(chan struct{}),
 		ended:         make(chan struct{}),
 		groups:        map[int][]Member{},
@@ -185,14 +185,14 @@
 	var leaveTimedOut <-chan time.Time
 	for !n.leases.ShutdownComplete() {
 		select {
-		case f := <-n.inbox:
+		case f := <-n.mailbox:
 			f()
-			for waiting := len(n.inbox); waiting > 0; waiting-- {
-				(<-n.inbox)()
+			for waiting := len(n.mailbox); waiting > 0; waiting-- {
+				(<-n.mailbox)()
 			}
 		case <-timer.C:
 		case <-n.groupsChanged:
-			n.nextGroups = 0
+			n.groupsDueAt = 0
 		case <-leave:
 			leave = nil
 			leaveTimedOut = time.After(leaveTimeout)
@@ -218,7 +218,7 @@
 // post has the event loop call f; it reports false where the loop has ended.
 func (n *Node) post(f func()) bool {
 	select {
-	case n.inbox <- f:
+	case n.mailbox <- f:
 		return true
 	case <-n.stopped:
 		return false
@@ -248,7 +248,7 @@
 
 // nextDeadline is when advance must be called next if nothing comes in.
 func (n *Node) nextDeadline() float64 {
-	deadline := min(n.leases.NextDeadline(), n.nextGroups, n.policies.follower.NextDeadline())
+	deadline := min(n.leases.NextDeadline(), n.groupsDueAt, n.policies.follower.NextDeadline())
 	if n.policies.toSave != nil {
 		deadline = min(deadline, n.policies.saveRetry.Due())
 	}
@@ -265,8 +265,8 @@
 func (n *Node) advance() {
 	now := n.now()
 	n.leases.Advance(now)
-	if n.nextGroups <= now {
-		n.askGroups(now)
+	if n.groupsDueAt <= now {
+		n.requestGroups(now)
 	}
 	n.advancePolicy(now)
 	n.advanceLeases()
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -135,7 +135,7 @@
 func (n *Node) fetchPolicyPart(request policy.Request, preferWatched bool) {
 	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/2))
 	defer cancel()
-	part, err := n.client.policyPart(ctx, request, preferWatched)
+	part, err := n.client.fetchPolicyPart(ctx, request, preferWatched)
 	n.post(func() {
 		n.policies.follower.Advance(n.now())
 		n.policies.fetchFailed = err != nil
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.stops = append(h.stops, run(func(ctx context.Context) {
+		h.stops = append(h.stops, runInBackground(func(ctx context.Context) {
 			if err := c.Run(ctx, listeners[n]); err != nil {
 				t.Error(err)
 			}
@@ -73,8 +73,8 @@
 	return h
 }
 
-// run runs f until the function that it returns is called, which waits for f's end.
-func run(f func(context.Context)) func() {
+// runInBackground runs f until the function that it returns is called, which waits for f's end.
+func runInBackground(f func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -103,7 +103,7 @@
 func (p *policyRouter) PeerReported(healthshare.Report)   {}
 func (p *policyRouter) HoldWrites(int, float64)           {}
 func (p *policyRouter) Writes(int) (running, waiting int) { return 0, 0 }
-func (p *policyRouter) fail(err error) {
+func (p *policyRouter) setFailure(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failure = err
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// join starts a router of this name, and returns what ends it.
-func (h *testCoordinator) join(name string, s fleet.Store) (*policyRouter, func()) {
+// startRouter starts a router of this name, and returns what ends it.
+func (h *testCoordinator) startRouter(name string, s fleet.Store) (*policyRouter, func()) {
 	p := &policyRouter{loop: make(chan func(), 100), applied: make(chan policy.Version, 1000)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 	node := fleet.New(fleet.Settings{Fleet: "f", Name: name, Kind: "router", Coordinators: h.addresses, Address: l.Addr().String(), SessionTimeoutMs: 2000, SafetyMarginMs: 200,
 		PolicyBytesPerSecond: 1 << 20, Store: s}, p)
-	loop := run(func(ctx context.Context) {
+	loop := runInBackground(func(ctx context.Context) {
 		for {
 			select {
 			case f := <-p.loop:
@@ -160,14 +160,14 @@
 			}
 		}
 	})
-	work := run(func(ctx context.Context) { node.Run(ctx, l) })
+	work := runInBackground(func(ctx context.Context) { node.Run(ctx, l) })
 	end := sync.OnceFunc(func() { work(); loop() })
 	h.t.Cleanup(end)
 	return p, end
 }
 
-// until waits for a router to apply a version, or a later one.
-func (p *policyRouter) until(t *testing.T, v policy.Version) {
+// waitForVersion waits for a router to apply a version, or a later one.
+func (p *policyRouter) waitForVersion(t *testing.T, v policy.Version) {
 	t.Helper()
 	timeout := time.After(testTimeout)
 	for {
@@ -220,12 +220,12 @@
 		if n == 0 {
 			s = store
 		}
-		p, stop := h.join(fmt.Sprint("r", n+1), s)
+		p, stop := h.startRouter(fmt.Sprint("r", n+1), s)
 		routers, stops = append(routers, p), append(stops, stop)
 	}
 	first := propose(ctx, t, client, func(d policy.Document) { d["over_share_value"] = "0.2" })
 	for _, p := range routers {
-		p.until(t, first)
+		p.waitForVersion(t, first)
 	}
 	large := propose(ctx, t, client, func(d policy.Document) {
 		for n := range 2000 {
@@ -233,7 +233,7 @@
 		}
 	})
 	for n, p := range routers {
-		p.until(t, large)
+		p.waitForVersion(t, large)
 		if p.mu.Lock(); p.document.Hash() != large.Hash {
 			t.Errorf("router %d has applied another document", n+1)
 		}
@@ -277,19 +277,19 @@
 		}
 	}
 	stops[0]()
-	routers[1].fail(errors.New("no memory for this"))
+	routers[1].setFailure(errors.New("no memory for this"))
 	next := propose(ctx, t, client, func(d policy.Document) { d["over_share_value"] = "0.4" })
-	routers[2].until(t, next)
+	routers[2].waitForVersion(t, next)
 	acknowledged("r2", func(s *fleetpb.Session) bool {
 		return s.Policy == large.Packed() && s.Wont == next.Packed() && s.Why == "no memory for this"
 	})
 	releaseUpdates := holdUpdates() // what was stored is applied first: a newer version that is heard before would take its place
-	back, _ := h.join("r1", store)
+	back, _ := h.startRouter("r1", store)
 	if v := <-back.applied; v != large {
 		t.Errorf("started with %s, stored %s", v, large)
 	}
 	releaseUpdates()
-	back.until(t, next)
+	back.waitForVersion(t, next)
 	acknowledged("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
 }
 
@@ -329,7 +329,7 @@
 		}
 		server := grpc.NewServer()
 		fleetpb.RegisterCouncilServer(server, c)
-		stop := run(func(context.Context) {
+		stop := runInBackground(func(context.Context) {
 			if err := server.Serve(l); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 				t.Error(err)
 			}
--- a/internal/fleet/policyclient.go
+++ b/internal/fleet/policyclient.go
@@ -67,9 +67,9 @@
 	return all, err
 }
 
-// policyPart asks a coordinator node for a part of the policy: the watched one, which has what it announced, or any.
-func (c *Client) policyPart(ctx context.Context, request policy.Request, preferWatched bool) (policy.Part, error) {
-	address := c.partAddress(preferWatched)
+// fetchPolicyPart asks a coordinator node for a part of the policy: the watched one, which has what it announced, or any.
+func (c *Client) fetchPolicyPart(ctx context.Context, request policy.Request, preferWatched bool) (policy.Part, error) {
+	address := c.policyPartAddress(preferWatched)
 	conn, err := c.connection(address)
 	if err != nil {
 		return policy.Part{}, err
@@ -89,12 +89,12 @@
 	return policy.Part{Version: version, Full: response.Whole, Offset: int(response.Offset), Total: int(response.Total), Bytes: response.Bytes}, nil
 }
 
-// partAddress returns the address of the node to ask for a part of the policy.
-func (c *Client) partAddress(preferWatched bool) string {
+// policyPartAddress returns the address of the node to ask for a part of the policy.
+func (c *Client) policyPartAddress(preferWatched bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if preferWatched && c.watched != "" {
-		return c.watched
+	if preferWatched && c.watchedAddress != "" {
+		return c.watchedAddress
 	}
 	return c.addresses[rand.IntN(len(c.addresses))]
 }
--- a/internal/fleet/policystore.go
+++ b/internal/fleet/policystore.go
@@ -27,7 +27,7 @@
 const (
 	latestName    = "policy"
 	previousName  = "policy.before"
-	newName       = "policy.new" // while it is written
+	temporaryName       = "policy.new" // while it is written
 	corruptSuffix = ".wrong"     // of files that were set aside
 )
 
@@ -133,8 +133,8 @@
 		return err
 	}
 	checksum := sha256.Sum256(body)
-	if err := writeSynced(s.path(newName), append(checksum[:], body...)); err != nil {
-		return errors.Join(err, removeIfPresent(s.path(newName))) // what there is of it takes room on a disk that is full
+	if err := writeSynced(s.path(temporaryName), append(checksum[:], body...)); err != nil {
+		return errors.Join(err, removeIfPresent(s.path(temporaryName))) // what there is of it takes room on a disk that is full
 	}
 	failpoint.Point("policy.written")
 	if _, err := s.read(latestName); err == nil { // else the previous one is the better one
@@ -143,7 +143,7 @@
 		}
 	}
 	failpoint.Point("policy.between")
-	if err := s.rename(newName, latestName); err != nil {
+	if err := s.rename(temporaryName, latestName); err != nil {
 		return err
 	}
 	return syncDirectory(s.Dir)
--- a/internal/fleet/policystore_test.go
+++ b/internal/fleet/policystore_test.go
@@ -90,7 +90,7 @@
 func TestPolicyStore_InterruptedSave(t *testing.T) {
 	store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	saveVersions(t, store, 1, 2)
-	if err := os.WriteFile(store.path(newName), []byte("half"), 0o600); err != nil { // while it was being written
+	if err := os.WriteFile(store.path(temporaryName), []byte("half"), 0o600); err != nil { // while it was being written
 		t.Fatal(err)
 	}
 	requireLoaded(t, store, 2)
@@ -117,7 +117,7 @@
 	}
 	full := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	saveVersions(t, full, 1)
-	if err := os.Symlink("/dev/full", full.path(newName)); err != nil {
+	if err := os.Symlink("/dev/full", full.path(temporaryName)); err != nil {
 		t.Fatal(err)
 	}
 	d := policy.Document{"tenants.acme.rate": "9"}
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -59,12 +59,12 @@
 
 // Act implements the service Receiver.
 func (s *receiverServer) Act(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
-	return s.node.act(ctx, order)
+	return s.node.handleOrder(ctx, order)
 }
 
-// act handles an order of a lease holder. Its fencing token is checked and its content is passed to the router's event loop in one step, so
+// handleOrder handles an order of a lease holder. Its fencing token is checked and its content is passed to the router's event loop in one step, so
 // that nothing under a lower token can come between. The errors are gRPC statuses.
-func (n *Node) act(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
+func (n *Node) handleOrder(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
 	if n.ctx == nil || ctx.Err() != nil {
 		return nil, status.Error(codes.Unavailable, "not up")
 	}
@@ -72,8 +72,8 @@
 		return nil, err
 	}
 	result := make(chan *fleetpb.Verdict, 1)
-	if !n.post(func() { n.judgeOrder(order, func(verdict *fleetpb.Verdict) { result <- verdict }) }) {
-		return nil, errEnding
+	if !n.post(func() { n.fenceOrder(order, func(verdict *fleetpb.Verdict) { result <- verdict }) }) {
+		return nil, errStopping
 	}
 	select {
 	case verdict := <-result:
@@ -81,12 +81,12 @@
 	case <-ctx.Done():
 		return nil, status.FromContextError(ctx.Err()).Err()
 	case <-n.stopped:
-		return nil, errEnding
+		return nil, errStopping
 	}
 }
 
-// errEnding is what senders of orders get while the process ends.
-var errEnding = status.Error(codes.Unavailable, "this process is ending")
+// errStopping is what senders of orders get while the process ends.
+var errStopping = status.Error(codes.Unavailable, "this process is ending")
 
 // checkOrder checks that an order is within the bounds, and of a lease that this build knows. The errors are gRPC statuses, whose texts
 // operators of other processes see.
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// judgeOrder checks an order's fencing token, and has an order under a valid one applied. done is called once, on any goroutine.
-func (n *Node) judgeOrder(order *fleetpb.Order, done func(*fleetpb.Verdict)) {
+// fenceOrder checks an order's fencing token, and has an order under a valid one applied. done is called once, on any goroutine.
+func (n *Node) fenceOrder(order *fleetpb.Order, done func(*fleetpb.Verdict)) {
 	n.leases.Advance(n.now())
 	header := decodeHeader(order)
 	judged, highest := n.leases.Check(header.scope, header.holder, header.token)
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -14,7 +14,7 @@
 
 // ProposeEntry proposes an entry to the coordinator's log, and returns its result.
 func (c *Client) ProposeEntry(ctx context.Context, entry leasestate.Entry) (leasestate.Result, error) {
-	answer, err := c.do(ctx, &fleetpb.Request{Entry: leasestate.Encode(entry)})
+	answer, err := c.sendRequest(ctx, &fleetpb.Request{Entry: leasestate.Encode(entry)})
 	if err != nil {
 		return leasestate.Result{}, err
 	}
@@ -27,7 +27,7 @@
 // A node of a build that doesn't know such a request finds no entry in it and rejects it, so its response never means that there are no
 // tokens: coordinator nodes are upgraded before routers.
 func (c *Client) LatestTokens(ctx context.Context, leases []string) ([]lease.Token, error) {
-	answer, err := c.do(ctx, &fleetpb.Request{Stands: leases})
+	answer, err := c.sendRequest(ctx, &fleetpb.Request{Stands: leases})
 	if err != nil {
 		return nil, err
 	}
@@ -41,8 +41,8 @@
 	return tokens, nil
 }
 
-// do sends an entry or a query of tokens.
-func (c *Client) do(ctx context.Context, request *fleetpb.Request) (answer *fleetpb.Answer, err error) {
+// sendRequest sends an entry or a query of tokens.
+func (c *Client) sendRequest(ctx context.Context, request *fleetpb.Request) (answer *fleetpb.Answer, err error) {
 	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
 		var err error
 		answer, err = node.Do(ctx, request)
@@ -80,28 +80,28 @@
 func (c *Client) Watch(ctx context.Context, withoutSessions bool, deliver func(*fleetpb.Update)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	address := c.chooseWatched()
+	address := c.chooseWatchedNode()
 	conn, err := c.connection(address)
 	if err != nil {
 		return err
 	}
-	silence := time.AfterFunc(watchSilence, cancel)
+	silence := time.AfterFunc(watchTimeout, cancel)
 	defer silence.Stop()
 	stream, err := fleetpb.NewCouncilClient(conn).Watch(ctx, &fleetpb.WatchFrom{WithoutSessions: withoutSessions})
 	for err == nil {
 		var update *fleetpb.Update
 		if update, err = stream.Recv(); err == nil {
-			silence.Reset(watchSilence)
+			silence.Reset(watchTimeout)
 			deliver(update)
 		}
 	}
 	return &CoordinatorError{Address: address, Err: err}
 }
 
-// chooseWatched draws the node to watch.
-func (c *Client) chooseWatched() string {
+// chooseWatchedNode draws the node to watch.
+func (c *Client) chooseWatchedNode() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.watched = c.addresses[rand.IntN(len(c.addresses))]
-	return c.watched
+	c.watchedAddress = c.addresses[rand.IntN(len(c.addresses))]
+	return c.watchedAddress
 }
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -19,7 +19,7 @@
 func (n *Node) sendOrder(to leaseclient.Session, order *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
 	if to.Name == n.settings.Name { // this process
 		go func() { // ends with the event loop at the latest
-			verdict, err := n.act(n.ctx, order)
+			verdict, err := n.handleOrder(n.ctx, order)
 			n.post(func() { done(verdict, err) })
 		}()
 		return
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -19,15 +19,15 @@
 	"wayloft/internal/rpc"
 )
 
-// watchRetry is about how long after a watch has ended the next one starts.
-const watchRetry = 300 * time.Millisecond
+// watchRetryDelay is about how long after a watch has ended the next one starts.
+const watchRetryDelay = 300 * time.Millisecond
 
 // advanceLeases carries out what the lease client decides. Checkers read the names of audit events: they never change.
 func (n *Node) advanceLeases() {
 	for d, more := n.leases.Next(); more; d, more = n.leases.Next() {
 		switch d.Action {
 		case leaseclient.Propose, leaseclient.QueryTokens:
-			n.background.Go(func() { n.request(d) })
+			n.background.Go(func() { n.sendRequest(d) })
 		case leaseclient.Start:
 			n.settings.AuditLog.Add("start", leaseFields(d.Lease, d.Token))
 			logrus.WithFields(logrus.Fields{"lease": d.Lease, "token": d.Token}).Info("lease acquired")
@@ -42,16 +42,16 @@
 
 // leaseAcquired starts the work that a lease is for.
 func (n *Node) leaseAcquired(name string, token lease.Token) {
-	n.watchSessions()
-	if group, found := groupOfLease(name, healthshare.LeasePrefix); found {
+	n.includeSessionsInWatch()
+	if group, found := parseLeaseGroup(name, healthshare.LeasePrefix); found {
 		n.startHealthSharing(name, token, group)
-	} else if group, found := groupOfLease(name, switchover.LeasePrefix); found {
+	} else if group, found := parseLeaseGroup(name, switchover.LeasePrefix); found {
 		n.startSwitchovers(name, token, group)
 	}
 }
 
-// groupOfLease returns the group that a lease is of; false: its name has another prefix.
-func groupOfLease(name, prefix string) (group int, found bool) {
+// parseLeaseGroup returns the group that a lease is of; false: its name has another prefix.
+func parseLeaseGroup(name, prefix string) (group int, found bool) {
 	text, found := strings.CutPrefix(name, prefix)
 	if !found {
 		return 0, false
@@ -67,13 +67,13 @@
 		task.cancel()
 	}
 	delete(n.switchovers, name)
-	n.givesOrders.Store(len(n.healthSharers)+len(n.switchovers) > 0)
+	n.sendsOrders.Store(len(n.healthSharers)+len(n.switchovers) > 0)
 }
 
-// watchSessions has the watch report other processes' sessions from now on, since this process gives orders. The next watch leaves them
+// includeSessionsInWatch has the watch report other processes' sessions from now on, since this process gives orders. The next watch leaves them
 // out again, if no lease is held by then.
-func (n *Node) watchSessions() {
-	n.givesOrders.Store(true)
+func (n *Node) includeSessionsInWatch() {
+	n.sendsOrders.Store(true)
 	if n.leases.SessionsComplete() {
 		return
 	}
@@ -84,14 +84,14 @@
 	}
 }
 
-// request sends a request to the coordinator. A quarter of the session timeout leaves time for retries.
-func (n *Node) request(d leaseclient.Decision) {
+// sendRequest sends a sendRequest to the coordinator. A quarter of the session timeout leaves time for retries.
+func (n *Node) sendRequest(d leaseclient.Decision) {
 	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/4))
 	defer cancel()
 	if d.Action == leaseclient.QueryTokens {
 		tokens, err := n.client.LatestTokens(ctx, d.Leases)
 		n.post(func() {
-			if n.responded(d, err) {
+			if n.checkResponse(d, err) {
 				n.leases.TokensLearned(d.Request, tokens)
 			}
 		})
@@ -99,15 +99,15 @@
 	}
 	result, err := n.client.ProposeEntry(ctx, d.Entry)
 	n.post(func() {
-		if n.responded(d, err) {
-			n.recordResult(d.Entry, result)
+		if n.checkResponse(d, err) {
+			n.logResult(d.Entry, result)
 			n.leases.Answered(d.Request, result)
 		}
 	})
 }
 
-// responded reports whether the coordinator has responded to a request; if not, the lease client learns of it.
-func (n *Node) responded(d leaseclient.Decision, err error) bool {
+// checkResponse reports whether the coordinator has checkResponse to a request; if not, the lease client learns of it.
+func (n *Node) checkResponse(d leaseclient.Decision, err error) bool {
 	n.leases.Advance(n.now())
 	if err != nil {
 		logrus.WithError(err).Debug("no response from the coordinator")
@@ -116,8 +116,8 @@
 	return err == nil
 }
 
-// recordResult writes to the logs what the coordinator has made of an entry.
-func (n *Node) recordResult(e leasestate.Entry, result leasestate.Result) {
+// logResult writes to the logs what the coordinator has made of an entry.
+func (n *Node) logResult(e leasestate.Entry, result leasestate.Result) {
 	switch {
 	case e.Kind == leasestate.ReportToken && result.Refusal != "":
 		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
@@ -133,11 +133,11 @@
 func (n *Node) watch() {
 	logged := ""
 	for n.ctx.Err() == nil {
-		ctx, cancel, withoutSessions := n.startWatch()
+		ctx, cancel, withoutSessions := n.newWatchContext()
 		err := n.client.Watch(ctx, withoutSessions, func(update *fleetpb.Update) {
 			logged = ""
 			failpoint.Hit("fleet.updated")
-			n.post(func() { n.updated(update) })
+			n.post(func() { n.applyUpdate(update) })
 		})
 		restarted := ctx.Err() != nil
 		cancel()
@@ -153,17 +153,17 @@
 		}
 		select {
 		case <-n.ctx.Done():
-		case <-time.After(rpc.Jitter(watchRetry)):
+		case <-time.After(rpc.Jitter(watchRetryDelay)):
 		}
 	}
 }
 
-// startWatch returns the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
-func (n *Node) startWatch() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
+// newWatchContext returns the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
+func (n *Node) newWatchContext() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
 	ctx, cancel = context.WithCancel(n.ctx)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	withoutSessions = !n.givesOrders.Load()
+	withoutSessions = !n.sendsOrders.Load()
 	n.restartWatch = nil
 	if withoutSessions {
 		n.restartWatch = cancel
@@ -171,8 +171,8 @@
 	return ctx, cancel, withoutSessions
 }
 
-// updated applies what a watch has reported.
-func (n *Node) updated(message *fleetpb.Update) {
+// applyUpdate applies what a watch has reported.
+func (n *Node) applyUpdate(message *fleetpb.Update) {
 	n.leases.Advance(n.now())
 	update := rpc.DecodeUpdate(message)
 	n.leases.UpdateReceived(update)
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -22,7 +22,7 @@
 		"name on the wire, order": {"handover/3", switchover.LeasePrefix, 3, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if group, found := groupOfLease(c.lease, c.prefix); group != c.group || found != c.found {
+			if group, found := parseLeaseGroup(c.lease, c.prefix); group != c.group || found != c.found {
 				t.Errorf("%q: group %d, %v", c.lease, group, found)
 			}
 		})
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -13,14 +13,14 @@
 )
 
 // What was written by the program of this commit must be read for as long as its data may be on a disk.
-const storedBy = "testdata/stored-dd13dd4"
+const recordedStoreDir = "testdata/stored-dd13dd4"
 
-// copyStored lays a router's stored policy folder out in a temporary one.
-func copyStored(t *testing.T) *PolicyStore {
+// copyRecordedStore lays a router's stored policy folder out in a temporary one.
+func copyRecordedStore(t *testing.T) *PolicyStore {
 	t.Helper()
 	folder := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	for _, name := range []string{"policy", "policy.before"} {
-		text, err := os.ReadFile(filepath.Join(storedBy, name))
+		text, err := os.ReadFile(filepath.Join(recordedStoreDir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,18 +66,18 @@
 
 // Both generations of a policy folder of the earlier program are read.
 func TestStoredPolicy_IsLoaded(t *testing.T) {
-	folder := copyStored(t)
+	folder := copyRecordedStore(t)
 	both := loadStored(t, folder)
 	if err := os.Remove(filepath.Join(folder.Dir, "policy")); err != nil {
 		t.Fatal(err)
 	}
 	both += loadStored(t, folder)
-	compareGolden(t, filepath.Join(storedBy, "loaded.golden"), both)
+	compareGolden(t, filepath.Join(recordedStoreDir, "loaded.golden"), both)
 }
 
 // What was loaded is written in the same form: as long, under the same names, and read again.
 func TestStoredPolicy_IsWrittenAsItWas(t *testing.T) {
-	folder := copyStored(t)
+	folder := copyRecordedStore(t)
 	was, err := os.ReadFile(filepath.Join(folder.Dir, "policy"))
 	if err != nil {
 		t.Fatal(err)
@@ -101,16 +101,16 @@
 
 // A stored policy in which any one byte has changed is not loaded; the version before it is.
 func TestStoredPolicy_CorruptedIsRefused(t *testing.T) {
-	golden, err := os.ReadFile(filepath.Join(storedBy, "loaded.golden"))
+	golden, err := os.ReadFile(filepath.Join(recordedStoreDir, "loaded.golden"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(filepath.Join(storedBy, "policy"))
+	whole, err := os.ReadFile(filepath.Join(recordedStoreDir, "policy"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range whole {
-		folder := copyStored(t)
+		folder := copyRecordedStore(t)
 		damaged := slices.Clone(whole)
 		damaged[n] ^= 1 << (n % 8)
 		if err := os.WriteFile(filepath.Join(folder.Dir, "policy"), damaged, 0o600); err != nil {
--- a/internal/fleet/storefailures_test.go
+++ b/internal/fleet/storefailures_test.go
@@ -14,8 +14,8 @@
 	"wayloft/internal/failpoint"
 )
 
-// copyStore returns a store as a process that is killed now leaves it.
-func copyStore(t *testing.T, store *PolicyStore) *PolicyStore {
+// snapshotStore returns a store as a process that is killed now leaves it.
+func snapshotStore(t *testing.T, store *PolicyStore) *PolicyStore {
 	t.Helper()
 	left := &PolicyStore{Dir: t.TempDir(), Fleet: store.Fleet}
 	names, err := filepath.Glob(store.path("*"))
@@ -59,14 +59,14 @@
 							if err == nil && count >= at {
 								t.Fatal("a save that failed gave no error")
 							}
-							for _, left := range []*PolicyStore{copyStore(t, store), store} {
+							for _, left := range []*PolicyStore{snapshotStore(t, store), store} {
 								if v, got, err := left.Load(); err != nil || v.Number < 2 || v.Number > 3 || got["tenants.acme.rate"] != fmt.Sprint(v.Number) {
 									t.Fatalf("%v, %v, %v", v, got, err)
 								}
 							}
 						}
 						saveVersions(t, store, 4)
-						requireLoaded(t, copyStore(t, store), 4)
+						requireLoaded(t, snapshotStore(t, store), 4)
 					})
 				}
 			}
@@ -86,13 +86,13 @@
 		return nil
 	})()
 	store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
-	node := &Node{settings: Settings{Store: store}, inbox: make(chan func()), stopped: make(chan struct{}), policies: &policyState{}}
+	node := &Node{settings: Settings{Store: store}, mailbox: make(chan func()), stopped: make(chan struct{}), policies: &policyState{}}
 	defer close(node.stopped)
 	advance := func(now float64) { // as the event loop does
 		node.savePolicy(now)
 		if node.policies.saving {
 			<-tried
-			(<-node.inbox)()
+			(<-node.mailbox)()
 		}
 	}
 	decide := func(number uint64) {
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -32,7 +32,7 @@
 	orders      *switchover.OrderState
 	number      uint64               // of the order that is carried out
 	executor    *switchover.Executor // of that order; nil: none is carried out
-	reportEndAt float64              // when the end of the last order may be reported again
+	endReportDueAt float64              // when the end of the last order may be reported again
 	ctx         context.Context      // of the order that is carried out
 	cancel      context.CancelFunc
 }
@@ -56,12 +56,12 @@
 // advanceSwitchovers advances the switchovers of all groups.
 func (n *Node) advanceSwitchovers(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(n.switchovers)) {
-		n.runSwitchover(n.switchovers[name], now)
+		n.advanceSwitchover(n.switchovers[name], now)
 	}
 }
 
-// runSwitchover advances a group's switchover, if one is ordered.
-func (n *Node) runSwitchover(task *switchoverTask, now float64) {
+// advanceSwitchover advances a group's switchover, if one is ordered.
+func (n *Node) advanceSwitchover(task *switchoverTask, now float64) {
 	if task.executor == nil && !n.startOrder(task, now) {
 		return
 	}
@@ -75,7 +75,7 @@
 	task.executor.Advance(now)
 	task.executor.SetRouters(routers)
 	for d, more := task.executor.Next(); more; d, more = task.executor.Next() {
-		n.carryOutSwitchover(task, d)
+		n.executeDecision(task, d)
 	}
 	task.orders.Update(task.executor, task.number)
 	if task.executor.Finished() {
@@ -87,7 +87,7 @@
 // startOrder starts to carry out the open order; false: there is none, or it can't be started now.
 func (n *Node) startOrder(task *switchoverTask, now float64) bool {
 	if ended, unreported := task.orders.UnreportedEnd(); unreported {
-		if task.reportEndAt <= now {
+		if task.endReportDueAt <= now {
 			n.reportEnd(task, ended)
 		}
 		return false
@@ -119,14 +119,14 @@
 
 // reportEnd has the coordinator record how an order ended; if that fails, it is done again later.
 func (n *Node) reportEnd(task *switchoverTask, ended leasestate.Order) {
-	task.reportEndAt = math.Inf(1) // while it is under way
+	task.endReportDueAt = math.Inf(1) // while it is under way
 	entry := leasestate.Entry{Kind: leasestate.CompleteOrder, Number: ended.Number, Text: truncateText(ended.Text)}
-	n.proposeNote(task, entry, func(recorded bool) {
+	n.proposeRecord(task, entry, func(recorded bool) {
 		n.post(func() {
-			task.reportEndAt = n.now() + n.settings.SessionTimeoutMs/4
+			task.endReportDueAt = n.now() + n.settings.SessionTimeoutMs/4
 			if recorded {
 				task.orders.EndReported(ended.Number)
-				task.reportEndAt = 0
+				task.endReportDueAt = 0
 			}
 		})
 	})
@@ -148,9 +148,9 @@
 	}
 }
 
-// proposeNote has the replicated state record a step or an end. done is called on another goroutine with whether it has. The goroutine ends
+// proposeRecord has the replicated state record a step or an end. done is called on another goroutine with whether it has. The goroutine ends
 // with Run's context.
-func (n *Node) proposeNote(task *switchoverTask, entry leasestate.Entry, done func(recorded bool)) {
+func (n *Node) proposeRecord(task *switchoverTask, entry leasestate.Entry, done func(recorded bool)) {
 	entry.Lease, entry.Token = task.name, task.token
 	entry = n.leases.Signed(entry)
 	go func() {
@@ -168,8 +168,8 @@
 	}()
 }
 
-// carryOutSwitchover carries out a decision of a task's executor.
-func (n *Node) carryOutSwitchover(task *switchoverTask, d switchover.Decision) {
+// executeDecision carries out a decision of a task's executor.
+func (n *Node) executeDecision(task *switchoverTask, d switchover.Decision) {
 	token, valid := n.leases.Valid(task.name) // the last check before anything is sent
 	if !valid || token != task.token {
 		return
@@ -203,7 +203,7 @@
 	executor := task.executor
 	n.settings.AuditLog.Add("step", task.auditFields(text))
 	logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "order": task.number, "step": text}).Info("switchover step")
-	n.proposeNote(task, leasestate.Entry{Kind: leasestate.RecordStep, Text: text}, func(recorded bool) {
+	n.proposeRecord(task, leasestate.Entry{Kind: leasestate.RecordStep, Text: text}, func(recorded bool) {
 		failpoint.Point("noted." + strings.Fields(text)[0])
 		n.post(func() {
 			n.ifCurrent(task, executor, func() {
@@ -266,14 +266,14 @@
 			reason = d.Target + ": " + err.Error()
 		}
 		n.post(func() {
-			n.recordOutcome(task, d, outcome, reason)
+			n.logOutcome(task, d, outcome, reason)
 			n.ifCurrent(task, executor, func() { executor.StepDone(outcome, reason) })
 		})
 	}()
 }
 
-// recordOutcome writes to the logs how a step at a member ended.
-func (n *Node) recordOutcome(task *switchoverTask, d switchover.Decision, outcome switchover.Outcome, reason string) {
+// logOutcome writes to the logs how a step at a member ended.
+func (n *Node) logOutcome(task *switchoverTask, d switchover.Decision, outcome switchover.Outcome, reason string) {
 	fields := leaseFields(task.name, task.token)
 	fields["member"], fields["step"], fields["how"], fields[reasonField] = d.Target, string(d.Step), int(outcome), reason
 	n.settings.AuditLog.Add("done", fields)
