--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -19,7 +19,7 @@
 
 const (
 	attemptTimeout = 600 * time.Millisecond // for one coordinator node's response, before another is asked
-	retryDelay   = 20 * time.Millisecond  // about, between two attempts
+	retryDelay     = 20 * time.Millisecond  // about, between two attempts
 	watchTimeout   = 4 * time.Second        // after which a watch has failed: an empty update comes each second
 
 	// Connections to addresses of former leaders are closed beyond this many.
@@ -33,9 +33,9 @@
 	addresses        []string
 	addressOverrides map[string]string
 
-	mu      sync.Mutex
-	conns   map[string]*grpc.ClientConn // by address
-	leader  string                      // address of the leader, as far as is known
+	mu             sync.Mutex
+	conns          map[string]*grpc.ClientConn // by address
+	leader         string                      // address of the leader, as far as is known
 	watchedAddress string                      // address of the node that is watched, or was last
 }
 
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -12,9 +12,9 @@
 
 // healthSharer is a held lease for a group's shared health checking.
 type healthSharer struct {
-	group      int
-	token      lease.Token
-	prober     *healthshare.Prober
+	group   int
+	token   lease.Token
+	prober  *healthshare.Prober
 	pending map[string]bool // routers that have yet to answer the last reports
 }
 
@@ -34,9 +34,9 @@
 // startHealthSharing starts to check a group's members for all routers.
 func (n *Node) startHealthSharing(name string, token lease.Token, group int) {
 	sharer := &healthSharer{
-		group:      group,
-		token:      token,
-		prober:     healthshare.NewProber(n.settings.HealthSharePeriodMs),
+		group:   group,
+		token:   token,
+		prober:  healthshare.NewProber(n.settings.HealthSharePeriodMs),
 		pending: map[string]bool{},
 	}
 	sharer.prober.Advance(n.now())
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -13,11 +13,11 @@
 
 // sessionCoordinator is a coordinator that keeps sessions alone. Its time passes by entries only.
 type sessionCoordinator struct {
-	mu      sync.Mutex
-	state   *leasestate.State
-	index   uint64
+	mu       sync.Mutex
+	state    *leasestate.State
+	index    uint64
 	rejected chan leasestate.Result // of requests to open a session
-	opened  chan uint64            // the incarnations of sessions that were opened
+	opened   chan uint64            // the incarnations of sessions that were opened
 }
 
 func newSessionCoordinator() *sessionCoordinator {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -91,17 +91,17 @@
 	leases   *leaseclient.Client
 
 	ctx        context.Context // of Run, until the node has left the fleet
-	mailbox      chan func()     // calls for the event loop
+	mailbox    chan func()     // calls for the event loop
 	stopped    chan struct{}   // closed once the event loop takes no more calls
 	ended      chan struct{}   // closed once Run has returned
 	background sync.WaitGroup  // goroutines that Run waits for
 
-	groups         map[int][]Member
-	groupsChanged  chan struct{} // the router's list has changed
-	groupsDueAt     float64       // when the router is asked for its groups
-	groupRequests    int           // how often it was
+	groups            map[int][]Member
+	groupsChanged     chan struct{} // the router's list has changed
+	groupsDueAt       float64       // when the router is asked for its groups
+	groupRequests     int           // how often it was
 	lastGroupResponse int           // the latest of these that was answered
-	routerCalls    chan func()   // calls for the router's event loop, in order
+	routerCalls       chan func()   // calls for the router's event loop, in order
 
 	wantedLeases  map[string]bool                   // leases to acquire, of groups that are listed
 	healthSharers map[string]*healthSharer          // by lease, while it is held
@@ -129,7 +129,7 @@
 		settings:      settings,
 		router:        router,
 		client:        NewClient(settings.Fleet, settings.Coordinators, settings.AddressOverrides),
-		mailbox:         make(chan func(), queueSize),
+		mailbox:       make(chan func(), queueSize),
 		stopped:       make(chan struct{}),
 		ended:         make(chan struct{}),
 		groups:        map[int][]Member{},
--- a/internal/fleet/policystore.go
+++ b/internal/fleet/policystore.go
@@ -27,7 +27,7 @@
 const (
 	latestName    = "policy"
 	previousName  = "policy.before"
-	temporaryName       = "policy.new" // while it is written
+	temporaryName = "policy.new" // while it is written
 	corruptSuffix = ".wrong"     // of files that were set aside
 )
 
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -26,15 +26,15 @@
 
 // switchoverTask is a held switchover lease of a group.
 type switchoverTask struct {
-	name        string // of the lease
-	group       int
-	token       lease.Token
-	orders      *switchover.OrderState
-	number      uint64               // of the order that is carried out
-	executor    *switchover.Executor // of that order; nil: none is carried out
+	name           string // of the lease
+	group          int
+	token          lease.Token
+	orders         *switchover.OrderState
+	number         uint64               // of the order that is carried out
+	executor       *switchover.Executor // of that order; nil: none is carried out
 	endReportDueAt float64              // when the end of the last order may be reported again
-	ctx         context.Context      // of the order that is carried out
-	cancel      context.CancelFunc
+	ctx            context.Context      // of the order that is carried out
+	cancel         context.CancelFunc
 }
 
 // auditFields returns the fields of an audit event about the order that is carried out.
