--- a/internal/fleet/adapter.go
+++ b/internal/fleet/adapter.go
@@ -14,21 +14,21 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// Adapter is how a switchover is carried out at the members: SQL statements of the settings.
+// Adapter executes switchover steps at the members with the SQL statements from the settings.
 type Adapter struct {
 	User, Database    string
-	PrimaryQuery      string  // returns one row, true at the member that accepts writes
-	GuardStatement    string  // $1 is the fencing token and the step's rank; changes one row, none where the member has seen a higher one
-	GuardQuery        string  // returns the guard row's number as one row; none where there is no guard row
-	StepDownStatement string  // in the same transaction as GuardStatement
-	PromoteStatement  string  // in the same transaction as GuardStatement
-	StepTimeoutMs     float64 // for one step
+	PrimaryQuery      string  // returns one row, which is true if the member accepts writes
+	GuardStatement    string  // $1 combines fencing token and step rank; updates one row, or none if the member has seen a higher number
+	GuardQuery        string  // returns the number in the guard row, or no row if there is no guard row
+	StepDownStatement string  // runs in the same transaction as GuardStatement
+	PromoteStatement  string  // runs in the same transaction as GuardStatement
+	StepTimeoutMs     float64 // per step
 }
 
-// errNoGuardRow means that a member can't tell a former lease holder's step from the present one's.
+// errNoGuardRow is returned if a member has no guard row. Such a member can't reject a late step of a former lease holder.
 var errNoGuardRow = errors.New("there is no guard row: without it nothing keeps a former lease holder's step from running late")
 
-// connect connects to a member, without TLS and without a password.
+// connect opens a connection to a member without TLS or a password.
 func (a *Adapter) connect(ctx context.Context, address string) (*pgx.Conn, error) {
 	config, err := pgx.ParseConfig("")
 	if err != nil {
@@ -49,21 +49,21 @@
 	return pgx.ConnectConfig(ctx, config)
 }
 
-// closeMemberConn closes a connection to a member; nothing depends on whether that succeeds.
+// closeMemberConn closes a connection to a member. A failure is only logged, because nothing depends on it.
 func closeMemberConn(conn *pgx.Conn) {
 	if err := conn.Close(context.Background()); err != nil {
-		logrus.WithError(err).Debug("connection to a member not closed")
+		logrus.WithError(err).Debug("failed to close connection to member")
 	}
 }
 
-// rollBack ends a transaction that was not committed; closing the connection does so, too.
+// rollBack rolls back a transaction unless it was committed. A failure is only logged: closing the connection also rolls back.
 func rollBack(transaction pgx.Tx) {
 	if err := transaction.Rollback(context.Background()); err != nil && !errors.Is(err, pgx.ErrTxClosed) {
-		logrus.WithError(err).Debug("transaction at a member not rolled back")
+		logrus.WithError(err).Debug("failed to roll back transaction at member")
 	}
 }
 
-// isPrimary asks a member whether it accepts writes.
+// isPrimary queries whether a member accepts writes.
 func (a *Adapter) isPrimary(ctx context.Context, address string) (bool, error) {
 	conn, err := a.connect(ctx, address)
 	if err != nil {
@@ -77,12 +77,13 @@
 	return text == "t" || text == "true" || text == "on", nil
 }
 
-// runStep has a member take a step under a fencing token.
+// runStep executes a switchover step at a member under a fencing token. The guard row is raised in the same transaction, so that a late
+// step of a former lease holder has no effect.
 func (a *Adapter) runStep(ctx context.Context, address string, step switchover.MemberStep, token lease.Token,
 	rank uint64) (switchover.Outcome, error) {
 	conn, err := a.connect(ctx, address)
 	if err != nil {
-		return switchover.Unknown, err // an earlier attempt may be in flight, so it isn't said that nothing has happened
+		return switchover.Unknown, err // not Failed: an earlier attempt may still be in flight
 	}
 	defer closeMemberConn(conn)
 	transaction, err := conn.Begin(ctx)
@@ -104,7 +105,7 @@
 	return switchover.Succeeded, nil
 }
 
-// statement returns what a step executes at a member beside the guard statement; empty: nothing.
+// statement returns the SQL that a step executes in addition to the guard statement, or "" if there is none.
 func (a *Adapter) statement(step switchover.MemberStep) string {
 	switch step {
 	case switchover.StepDown:
@@ -115,7 +116,7 @@
 	return ""
 }
 
-// raiseGuard raises the guard row's number. An error comes with the step's outcome.
+// raiseGuard raises the number in the guard row. If it returns an error, the outcome is that of the step.
 func (a *Adapter) raiseGuard(ctx context.Context, transaction pgx.Tx, number int64) (switchover.Outcome, error) {
 	tag, err := transaction.Exec(ctx, a.GuardStatement, number)
 	if err != nil {
@@ -135,7 +136,8 @@
 	return switchover.Fenced, fmt.Errorf("the member has seen the fencing token %s", seen)
 }
 
-// findPrimary asks the members of a group which one accepts writes. More than one, or none, is an error.
+// findPrimary queries all members of a group and returns the one that accepts writes. It returns an error if there is none or more than
+// one.
 func (a *Adapter) findPrimary(ctx context.Context, members []Member) (string, error) {
 	if len(members) == 0 {
 		return "", errors.New("the group has no members")
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -18,16 +18,17 @@
 )
 
 const (
-	attemptTimeout = 600 * time.Millisecond // for one coordinator node's response, before another is asked
-	retryDelay     = 20 * time.Millisecond  // about, between two attempts
-	watchTimeout   = 4 * time.Second        // after which a watch has failed: an empty update comes each second
+	attemptTimeout = 600 * time.Millisecond // for a response, before another coordinator node is tried
+	retryDelay     = 20 * time.Millisecond  // between two attempts, before jitter
+	watchTimeout   = 4 * time.Second        // without an update before a watch counts as failed; nodes send an empty update every second
 
-	// Connections to addresses of former leaders are closed beyond this many.
+	// Connections to former leaders are closed once there are more connections than
+	// connectionsPerConfigured per configured address plus spareConnections.
 	spareConnections         = 16
 	connectionsPerConfigured = 4
 )
 
-// Client sends requests to the coordinator: to its leader, which any node names. It is safe for concurrent use.
+// Client sends requests to the leader of the coordinator cluster, to which the other nodes redirect it. It is safe for concurrent use.
 type Client struct {
 	fleet            string
 	addresses        []string
@@ -35,16 +36,16 @@
 
 	mu             sync.Mutex
 	conns          map[string]*grpc.ClientConn // by address
-	leader         string                      // address of the leader, as far as is known
-	watchedAddress string                      // address of the node that is watched, or was last
+	leader         string                      // address of the leader; "" if unknown
+	watchedAddress string                      // address of the node of the current or latest watch
 }
 
-// NewClient returns a Client of a fleet's coordinator. The overrides are addresses to reach nodes by, by their names.
+// NewClient returns a Client of a fleet's coordinator. addressOverrides maps names of nodes to addresses that replace the announced ones.
 func NewClient(fleet string, addresses []string, addressOverrides map[string]string) *Client {
 	return &Client{fleet: fleet, addresses: addresses, addressOverrides: addressOverrides, conns: map[string]*grpc.ClientConn{}}
 }
 
-// Close closes all connections. Calls in flight fail.
+// Close closes all connections. Pending calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,13 +55,13 @@
 	clear(c.conns)
 }
 
-// CoordinatorError is a failed request to a coordinator node.
+// CoordinatorError describes a failed request to a coordinator node.
 type CoordinatorError struct {
 	Address string
 	Err     error // usually a gRPC status
 }
 
-// Error returns the text that operators see. It calls the coordinator "council", as the commands and settings do.
+// Error returns the message shown to operators. It calls the coordinator "council", like the commands and settings.
 func (e *CoordinatorError) Error() string {
 	return fmt.Sprintf("council at %s: %s", e.Address, status.Convert(e.Err).Message())
 }
@@ -69,13 +70,13 @@
 func (e *CoordinatorError) Unwrap() error { return e.Err }
 
 var (
-	// ErrNoLeader means that a coordinator node knows no leader at the moment.
-	ErrNoLeader = errors.New("it knows no leader")
-	// ErrMalformedResponse means a response that no build of a coordinator node gives.
+	// ErrNoLeader is returned if a coordinator node currently knows no leader.
+	ErrNoLeader = errors.New("no known leader")
+	// ErrMalformedResponse is returned for a response that no build of a coordinator node sends.
 	ErrMalformedResponse = errors.New("malformed response")
 )
 
-// connection returns the connection to an address, which is made if there is none.
+// connection returns the connection to an address and creates it if necessary.
 func (c *Client) connection(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +94,7 @@
 	return conn, nil
 }
 
-// closeFormerLeaders closes the connections to addresses that aren't configured, except the leader's. The caller holds mu.
+// closeFormerLeaders closes all connections to addresses that are neither configured nor the current leader's. The caller must hold mu.
 func (c *Client) closeFormerLeaders() {
 	for address, conn := range c.conns {
 		if !slices.Contains(c.addresses, address) && address != c.leader {
@@ -103,8 +104,9 @@
 	}
 }
 
-// nextAddress returns the address to ask: the leader's, or any of those that have not just failed. It guards against a leader that gave no
-// response once and is passed over for good, since the others, which never fail, go on to name it.
+// nextAddress returns the address for the next attempt: the leader's, or a random one that has not failed recently. Entries in failed
+// expire after attemptTimeout. Otherwise a leader that timed out once would never be tried again, because the followers, which don't fail,
+// keep redirecting to it.
 func (c *Client) nextAddress(failed map[string]time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +131,7 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-// setLeader records which node leads, and returns the address to reach it by.
+// setLeader records the leader's address, or its override if there is one, and returns it.
 func (c *Client) setLeader(name, address string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +142,7 @@
 	return address
 }
 
-// isFinal reports whether neither a retry nor another node can give another response.
+// isFinal reports whether an error is permanent: a retry or another node would return the same.
 func isFinal(err error) bool {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.Unimplemented, codes.ResourceExhausted:
@@ -149,14 +151,14 @@
 	return false
 }
 
-// redirect is the part of a response that says which node leads.
+// redirect is the part of a response that names the leader.
 type redirect interface {
-	GetMoved() bool // this node doesn't lead
+	GetMoved() bool // the node is not the leader
 	GetLeader() string
 	GetAddress() string
 }
 
-// call sends a request to one node after the other until one has responded, or ctx ends. A final error ends it, too.
+// call sends a request to one node after another until one responds, ctx ends or an error is final.
 func (c *Client) call(ctx context.Context, send func(context.Context, fleetpb.CouncilClient) (redirect, error)) error {
 	failed := map[string]time.Time{}
 	var last error
@@ -190,7 +192,8 @@
 	}
 }
 
-// attempt sends a request to one node; done: it has responded. Neither done nor an error: another node leads.
+// attempt sends a request to one node. It returns done if the node has responded, and neither done nor an error if it has redirected the
+// client to another leader.
 func (c *Client) attempt(ctx context.Context, address string, failed map[string]time.Time,
 	send func(context.Context, fleetpb.CouncilClient) (redirect, error)) (done bool, err error) {
 	conn, err := c.connection(address)
@@ -211,9 +214,9 @@
 		return false, ErrNoLeader
 	}
 	leader := c.setLeader(response.GetLeader(), response.GetAddress())
-	if leader == address { // it names itself
+	if leader == address { // the node redirects to itself
 		c.setLeader("", "")
 	}
-	delete(failed, leader) // else a leader that was slow once would not be asked as long as the others name it
+	delete(failed, leader) // otherwise a leader that timed out once would be skipped although the other nodes redirect to it
 	return false, nil
 }
--- a/internal/fleet/convert.go
+++ b/internal/fleet/convert.go
@@ -8,27 +8,27 @@
 	"wayloft/internal/rpc"
 )
 
-// The protocol's messages and the audit log keep the names that they had when they were first deployed: a lease is a duty there, a fencing
-// token a fence, a health report a sighting, and a version that was rejected is one that a router won't apply. This file is where orders and
-// audit fields are translated; package rpc has what coordinator nodes exchange.
+// The protocol messages and the audit log keep the names from their first deployment: a lease is a duty, a fencing token a fence, a health
+// report a sighting, and a rejected policy version is in the field "wont". This file translates orders and audit fields; package rpc
+// translates the messages of coordinator nodes.
 
-// Fields of the audit log.
+// Field names in the audit log.
 const (
 	leaseField            = "duty"
 	tokenField            = "fence"
-	higherTokenField      = "higher" // the token for which one was rejected
+	higherTokenField      = "higher" // the higher token because of which an order was rejected
 	subjectField          = "about"
 	rejectedVersionField  = "wont"
 	reasonField           = "why"
 	coordinatorTokenField = "council"
 )
 
-// leaseFields returns the fields of an audit event under a lease.
+// leaseFields returns the audit fields that identify a lease and its fencing token.
 func leaseFields(leaseName string, token lease.Token) audit.Fields {
 	return audit.Fields{leaseField: leaseName, tokenField: token.String()}
 }
 
-// orderHeader says under which lease an order is given, what it is about, and by which lease holder.
+// orderHeader identifies the lease, subject and lease holder of an order.
 type orderHeader struct {
 	scope  lease.Scope
 	holder string
@@ -43,7 +43,7 @@
 	}
 }
 
-// newOrder returns an order of this process, as the holder of a lease, about the lease's whole matter.
+// newOrder returns an order of this process as holder of a lease. Its subject is the lease itself.
 func (n *Node) newOrder(leaseName string, token lease.Token) *fleetpb.Order {
 	return &fleetpb.Order{Duty: leaseName, About: leaseName, Holder: n.settings.Name, Fence: rpc.EncodeToken(token)}
 }
@@ -69,13 +69,13 @@
 	lease.Conflicting: fleetpb.Verdict_BROKEN,
 }
 
-// isAccepted reports whether a receiver has accepted an order.
+// isAccepted reports whether the receiver accepted the order.
 func isAccepted(verdict *fleetpb.Verdict) bool { return verdict.Kind == fleetpb.Verdict_TAKEN }
 
-// isStale reports whether a receiver has seen a higher fencing token than that of an order.
+// isStale reports whether the receiver has seen a higher fencing token than the order's.
 func isStale(verdict *fleetpb.Verdict) bool { return verdict.Kind == fleetpb.Verdict_OLD }
 
-// markMalformed has a verdict say that a part of an order was passed over, and why.
+// markMalformed records in a verdict that a part of the order was ignored as malformed, and why.
 func markMalformed(verdict *fleetpb.Verdict, reason string) {
 	verdict.Kind, verdict.Why = fleetpb.Verdict_UNSOUND, reason
 }
--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -9,23 +9,23 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// Changed notifies the node that the router's list has changed. It never waits, and may be called on any goroutine.
+// Changed notifies the node that the router's endpoint list has changed. It never blocks and may be called on any goroutine.
 func (n *Node) Changed() {
 	select {
 	case n.groupsChanged <- struct{}{}:
-	default: // an earlier change is yet to be handled, and this one with it
+	default: // a pending notification covers this change
 	}
 }
 
-// requestGroups asks the router for its groups, once for each change of its list.
+// requestGroups requests the current groups from the router's event loop.
 func (n *Node) requestGroups(now float64) {
 	n.groupRequests++
 	asked := n.groupRequests
 	accepted := n.callRouter(func() {
 		groups := n.router.Groups()
 		n.retainWriteHolds(groups)
-		go n.post(func() { // the router's loop never waits for this one
-			if asked > n.lastGroupResponse { // guards against a list that overtakes the one after it: nobody would ask again
+		go n.post(func() { // on a goroutine: the router's event loop must not wait for this one
+			if asked > n.lastGroupResponse { // a late, older list must not replace a newer one: no further request would correct it
 				n.lastGroupResponse = asked
 				n.applyGroups(groups)
 			}
@@ -38,8 +38,8 @@
 	}
 }
 
-// retainWriteHolds forgets the write holds of groups that are gone. Like applyHold it runs on the router's event loop, which alone
-// touches them.
+// retainWriteHolds discards the write holds of groups that are no longer listed. Like applyHold it runs on the router's event loop, the
+// only one that accesses writeHolds.
 func (n *Node) retainWriteHolds(groups map[int][]Member) {
 	listed := map[int]bool{}
 	for group := range groups {
@@ -48,7 +48,7 @@
 	n.writeHolds.RetainGroups(listed)
 }
 
-// applyGroups applies the list of groups: their leases are acquired, those of groups that are gone are released.
+// applyGroups applies a new list of groups: it acquires the leases of listed groups and releases those of groups that were removed.
 func (n *Node) applyGroups(groups map[int][]Member) {
 	n.groups = groups
 	wanted := map[string]bool{}
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -10,28 +10,28 @@
 	"wayloft/internal/fleetpb"
 )
 
-// healthSharer is a held lease for a group's shared health checking.
+// healthSharer checks a group's members and shares the reports with all routers, while this process holds the group's lease for it.
 type healthSharer struct {
 	group   int
 	token   lease.Token
 	prober  *healthshare.Prober
-	pending map[string]bool // routers that have yet to answer the last reports
+	pending map[string]bool // routers that have not yet responded to the latest reports
 }
 
-// Reported records the result of a health check of this process, on the router's event loop. It never waits.
+// Reported records the result of a health check by this process. It is called on the router's event loop and never blocks.
 func (n *Node) Reported(report healthshare.Report) {
 	record := func() {
 		for _, sharer := range n.healthSharers {
-			sharer.prober.Reported(report) // ignores members of other groups
+			sharer.prober.Reported(report) // ignores reports about members of other groups
 		}
 	}
 	select {
 	case n.mailbox <- record:
-	default: // too many calls wait: the next check will do
+	default: // the mailbox is full; the next check replaces this result
 	}
 }
 
-// startHealthSharing starts to check a group's members for all routers.
+// startHealthSharing starts checking a group's members on behalf of all routers.
 func (n *Node) startHealthSharing(name string, token lease.Token, group int) {
 	sharer := &healthSharer{
 		group:   group,
@@ -44,7 +44,7 @@
 	n.healthSharers[name] = sharer
 }
 
-// setMembers has the members checked that the group has now.
+// setMembers sets the members to check to the group's current ones.
 func (n *Node) setMembers(sharer *healthSharer) {
 	var ids []string
 	for _, member := range n.groups[sharer.group] {
@@ -53,7 +53,7 @@
 	sharer.prober.SetMembers(ids)
 }
 
-// advanceHealthSharing carries out what shared health checking decides.
+// advanceHealthSharing executes the decisions of all probers.
 func (n *Node) advanceHealthSharing(now float64) {
 	for _, name := range slices.Sorted(maps.Keys(n.healthSharers)) {
 		sharer := n.healthSharers[name]
@@ -69,7 +69,7 @@
 	}
 }
 
-// sendReports sends reports to all other routers. One that has yet to answer the last ones is passed over: the next ones will do.
+// sendReports sends reports to all other routers. It skips a router that has not responded to earlier ones; that router gets the next ones.
 func (n *Node) sendReports(name string, sharer *healthSharer, reports []healthshare.Report) {
 	order := n.newOrder(name, sharer.token)
 	order.Sightings = encodeReports(reports)
@@ -77,10 +77,10 @@
 		if session.Name == n.settings.Name || sharer.pending[session.Name] {
 			continue
 		}
-		if token, valid := n.leases.Valid(name); !valid || token != sharer.token { // the last check before the order is sent
+		if token, valid := n.leases.Valid(name); !valid || token != sharer.token { // last check of the lease before sending
 			return
 		}
-		failpoint.Point("healthshare.checked") // between the check and the order
+		failpoint.Point("healthshare.checked") // between the check of the lease and the order
 		sharer.pending[session.Name] = true
 		n.sendOrder(session, order, func(*fleetpb.Verdict, error) { delete(sharer.pending, session.Name) })
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,9 +1,9 @@
-// Package fleet connects a process to its fleet: its session with the coordinator, the leases that it holds, the orders that it gives and
-// receives, and the policy that its router follows. It carries out what decide/leaseclient, decide/healthshare, decide/switchover and
-// decide/policy decide.
+// Package fleet connects a process to its fleet. It keeps the session with the coordinator, acquires leases, sends and receives orders, and
+// has the router apply the policy in force. It executes the decisions of the packages leaseclient, healthshare, switchover and policy in
+// internal/decide.
 //
-// A router runs one Node; commands use a Client alone. A Node has an event loop, a listener and connections of its own. No request of a
-// client ever waits for it, and the router serves whatever becomes of it.
+// A router runs one Node; commands only use a Client. A Node has its own event loop, listener and connections. Client requests never wait
+// for it, and the router keeps serving if the Node fails.
 package fleet
 
 import (
@@ -26,31 +26,31 @@
 )
 
 const (
-	queueSize     = 1024        // calls that may wait for a loop
-	groupsRetryMs = 500.0       // ms until the router is asked for its groups again, where too many calls waited for its loop
-	busyPollMs    = 20.0        // ms between two turns of the loop while a switchover runs, or the router's loop has no room
-	maxIdleMs     = 1000.0      // ms between two turns of the loop at the most
-	leaveTimeout  = time.Second // to end the session when this process ends
+	queueSize     = 1024        // capacity of each queue of calls for an event loop
+	groupsRetryMs = 500.0       // delay before the groups are requested again after the queue of the router's event loop was full
+	busyPollMs    = 20.0        // between two iterations of the event loop while the node holds a switchover lease or has a policy to apply
+	maxIdleMs     = 1000.0      // maximum time between two iterations of the event loop
+	leaveTimeout  = time.Second // to end the session on shutdown
 )
 
-// Router is what a Node needs of the router. All methods but Post are called on the router's event loop.
+// Router is the interface of the router to its Node. All methods except Post are called on the router's event loop.
 type Router interface {
-	// Post has the router's event loop call f. It may wait while the loop has no room.
+	// Post schedules f on the router's event loop. It may block while the loop's queue is full.
 	Post(f func())
-	// Now is the time in Unix ms, by the cluster's clock.
+	// Now returns the time in Unix ms by the cluster's clock.
 	Now() float64
-	// Groups returns the members of each group, as the list has them. It is called at the start and after Node.Changed.
+	// Groups returns the members of each group in the endpoint list. It is called at the start and after Node.Changed.
 	Groups() map[int][]Member
-	// HealthCheck has a member checked; the result comes by Node.Reported.
+	// HealthCheck starts a health check of a member. The result is passed to Node.Reported.
 	HealthCheck(member string)
 	// PeerReported records the result of another process's health check.
 	PeerReported(report healthshare.Report)
-	// HoldWrites has a group's writes held until a time in Unix ms; 0: no longer.
+	// HoldWrites holds a group's writes until a time in Unix ms, or releases them if that is 0.
 	HoldWrites(group int, until float64)
-	// Writes returns how many of a group's writes are running, and how many are held.
+	// Writes returns the numbers of a group's running and held writes.
 	Writes(group int) (running, waiting int)
-	// ApplyPolicy has the router apply a document in place of the one before. For what the document doesn't name, the router's own file
-	// holds. After an error, which operators are shown, the router goes on as it was.
+	// ApplyPolicy replaces the policy document in force. Fields that the document doesn't set keep the values of the router's settings
+	// file. If it returns an error, which is shown to operators, the router keeps the previous document.
 	ApplyPolicy(v policy.Version, d policy.Document) error
 }
 
@@ -58,69 +58,70 @@
 type Member struct {
 	ID      string
 	Addr    string
-	Started float64 // Unix ms; 0: long ago
+	Started float64 // Unix ms; 0 if it started long ago
 }
 
-// Settings of a Node.
+// Settings configures a Node.
 type Settings struct {
 	Fleet                string
 	Name                 string              // of this process, unique in the fleet
 	Kind                 string              // of this process: "router"
 	Coordinators         []string            // addresses of coordinator nodes
-	AddressOverrides     map[string]string   // addresses to reach processes by, by their names
-	ListenAddress        string              // for orders; the listener itself is given to Run
-	Address              string              // for orders, as the session announces it to other processes
-	SessionTimeoutMs     float64             // after which a silent session ends
-	SafetyMarginMs       float64             // by which a lease holder stops before its lease ends
-	HealthSharePeriodMs  float64             // between two checks of a member as lease holder; 0: this process acquires no lease for it
-	SwitchoverEnabled    bool                // this process acquires switchover leases
-	Switchover           switchover.Settings // as lease holder
-	Adapter              *Adapter            // as lease holder of a switchover
-	MaxHoldMs            float64             // the longest that writes are held here for one switchover
-	ClockOffsetMs        float64             // by which this process's clock is ahead, for tests
+	AddressOverrides     map[string]string   // by process name: addresses that replace the announced ones
+	ListenAddress        string              // for orders; Run gets the listener itself
+	Address              string              // for orders, as announced to other processes by the session
+	SessionTimeoutMs     float64             // without a heartbeat until the session ends
+	SafetyMarginMs       float64             // a lease holder stops this long before its lease ends
+	HealthSharePeriodMs  float64             // between two checks of a member as lease holder; 0: don't acquire leases for health checks
+	SwitchoverEnabled    bool                // acquire switchover leases
+	Switchover           switchover.Settings // used as lease holder
+	Adapter              *Adapter            // used as lease holder of a switchover
+	MaxHoldMs            float64             // longest time that this process holds writes for one switchover
+	ClockOffsetMs        float64             // added to this process's clock in tests
 	AuditLog             *audit.Log
-	PolicyBytesPerSecond float64 // bytes a second that fetching the policy may take; 0: 2560
+	PolicyBytesPerSecond float64 // maximum rate of policy fetches; 0: 2560
 	Store                Store   // of the policy; nil: none
 }
 
-// Node is a process's connection to its fleet. Its fields belong to its event loop, the goroutine of Run, unless they say otherwise.
+// Node is a process's connection to its fleet. Unless stated otherwise, its fields are only accessed on its event loop, the goroutine of
+// Run.
 type Node struct {
 	settings Settings
 	router   Router
 	client   *Client
 	leases   *leaseclient.Client
 
-	ctx        context.Context // of Run, until the node has left the fleet
+	ctx        context.Context // canceled once the node has left the fleet
 	mailbox    chan func()     // calls for the event loop
-	stopped    chan struct{}   // closed once the event loop takes no more calls
+	stopped    chan struct{}   // closed once the event loop accepts no more calls
 	ended      chan struct{}   // closed once Run has returned
 	background sync.WaitGroup  // goroutines that Run waits for
 
 	groups            map[int][]Member
-	groupsChanged     chan struct{} // the router's list has changed
-	groupsDueAt       float64       // when the router is asked for its groups
-	groupRequests     int           // how often it was
-	lastGroupResponse int           // the latest of these that was answered
+	groupsChanged     chan struct{} // signals that the router's endpoint list has changed
+	groupsDueAt       float64       // time of the next request for the router's groups
+	groupRequests     int           // number of requests for the groups so far
+	lastGroupResponse int           // number of the latest request that was answered
 	routerCalls       chan func()   // calls for the router's event loop, in order
 
-	wantedLeases  map[string]bool                   // leases to acquire, of groups that are listed
-	healthSharers map[string]*healthSharer          // by lease, while it is held
-	switchovers   map[string]*switchoverTask        // by lease, while it is held
-	orderStates   map[string]*switchover.OrderState // by lease, while it is wanted
+	wantedLeases  map[string]bool                   // leases of listed groups, which this process tries to acquire
+	healthSharers map[string]*healthSharer          // by lease, while this process holds it
+	switchovers   map[string]*switchoverTask        // by lease, while this process holds it
+	orderStates   map[string]*switchover.OrderState // by lease; kept while wantedLeases has the lease, also between two grants
 	connections   map[string]*grpc.ClientConn       // to other processes, by address
 	policies      *policyState
 
-	writeHolds *switchover.WriteHolds // of this process as a receiver of orders
+	writeHolds *switchover.WriteHolds // of this process as a receiver of orders; accessed on the router's event loop only
 
-	sendsOrders  atomic.Bool // a lease is held: the sessions of those who receive orders must be known
+	sendsOrders  atomic.Bool // this process holds a lease and must know the sessions of the receivers of its orders
 	mu           sync.Mutex
-	restartWatch context.CancelFunc // ends the watch that leaves sessions out; under mu
+	restartWatch context.CancelFunc // cancels a watch that omits other processes' sessions; guarded by mu
 }
 
-// New returns a Node; nothing happens until Run.
+// New returns a Node. It does nothing until Run is called.
 func New(settings Settings, router Router) *Node { return newNode(settings, router, time.Now()) }
 
-// newNode is New at a time by the wall clock. Nothing but the incarnation of the first session comes from it.
+// newNode is New with the given wall clock time as the start of the process. Only the incarnation of the first session depends on it.
 func newNode(settings Settings, router Router, started time.Time) *Node {
 	nameHash := fnv.New64a()
 	nameHash.Write([]byte(settings.Name))
@@ -156,8 +157,8 @@
 	return n
 }
 
-// Run is the process's part in the fleet until ctx ends; then it ends its session and releases its leases, within a second. The listener
-// is for orders, and is closed.
+// Run takes part in the fleet until ctx ends. It then releases its leases and ends its session, which takes up to leaveTimeout. The
+// listener receives orders; Run closes it.
 func (n *Node) Run(ctx context.Context, listener net.Listener) {
 	defer close(n.ended)
 	running, cancel := context.WithCancel(context.Background())
@@ -171,14 +172,15 @@
 	defer close(n.stopped)
 	n.loadPolicy()
 	n.background.Go(n.watch)
-	go n.forwardRouterCalls() // not waited for: Post may wait for a loop that has ended
+	go n.forwardRouterCalls() // not waited for: Post may block forever if the router's event loop has ended
 	logrus.WithFields(logrus.Fields{"name": n.settings.Name, "address": listener.Addr().String(), "fleet": n.settings.Fleet}).
 		Info("fleet node started")
 	n.settings.AuditLog.Add("up", audit.Fields{"kind": n.settings.Kind})
 	n.loop(ctx.Done())
 }
 
-// loop is the event loop: it carries out calls and decisions until the node has left the fleet, which it does once leave is closed.
+// loop runs the event loop: it executes calls from the mailbox and decisions that are due. Once leave is closed, the node leaves the fleet
+// and loop returns.
 func (n *Node) loop(leave <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -206,16 +208,16 @@
 	}
 }
 
-// Ended is closed once Run has returned.
+// Ended returns a channel that is closed once Run has returned.
 func (n *Node) Ended() <-chan struct{} { return n.ended }
 
-// now is the time in ms by a clock that never goes back.
+// now returns the time in ms by a monotonic clock.
 func (n *Node) now() float64 { return rpc.Boottime() + n.settings.ClockOffsetMs }
 
-// milliseconds is a duration given in ms.
+// milliseconds converts a time in ms to a Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// post has the event loop call f; it reports false where the loop has ended.
+// post schedules f on the event loop. It returns false if the loop has ended.
 func (n *Node) post(f func()) bool {
 	select {
 	case n.mailbox <- f:
@@ -225,7 +227,7 @@
 	}
 }
 
-// callRouter has the router's event loop call f, in the order of these calls; false: too many wait there already.
+// callRouter schedules f on the router's event loop. Calls run in order. It returns false, without blocking, if the queue is full.
 func (n *Node) callRouter(f func()) bool {
 	select {
 	case n.routerCalls <- f:
@@ -246,7 +248,7 @@
 	}
 }
 
-// nextDeadline is when advance must be called next if nothing comes in.
+// nextDeadline returns the latest time at which advance must be called again if there is no input before.
 func (n *Node) nextDeadline() float64 {
 	deadline := min(n.leases.NextDeadline(), n.groupsDueAt, n.policies.follower.NextDeadline())
 	if n.policies.toSave != nil {
@@ -261,7 +263,7 @@
 	return deadline
 }
 
-// advance carries out what is decided.
+// advance executes all decisions that are due.
 func (n *Node) advance() {
 	now := n.now()
 	n.leases.Advance(now)
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -12,31 +12,31 @@
 	"wayloft/internal/rpc"
 )
 
-// Store keeps a policy at a router from one start to the next. Its methods are called off the event loops, one call at a time.
+// Store persists a router's policy across restarts. Its methods are called one at a time. Save is never called on an event loop.
 type Store interface {
-	// Load returns what was saved last. Nothing, or nothing that can be trusted, is the zero Version and no error. An error is logged, and
-	// counts as nothing.
+	// Load returns the version saved last, or the zero Version and no error if there is no valid one. The caller logs an error and
+	// continues without a stored policy.
 	Load() (policy.Version, policy.Document, error)
-	// Save keeps a version in place of the one before, completely or not at all. After an error it is called again with this version or a
-	// later one; the router applies the version all the same.
+	// Save atomically replaces the stored version. After an error it is called again with this version or a later one. The router applies
+	// a version whether or not it can be saved.
 	Save(policy.Version, policy.Document) error
 }
 
-// policyState is how a router follows the policy. It belongs to the event loop.
+// policyState is a router's state in following the policy. It is only accessed on the node's event loop.
 type policyState struct {
 	follower    *policy.Follower
-	toApply     *policy.Decision // for which the router's loop had no room yet
+	toApply     *policy.Decision // not yet passed on, because the queue of the router's event loop was full
 	toSave      *policy.Decision // to be saved next
-	saving      bool             // a save is under way
-	saveRetry   backoff.Storage  // of saves, while the store fails
-	fetchFailed bool             // the latest request: the next goes to any node
+	saving      bool             // a save is in progress
+	saveRetry   backoff.Storage  // of failed saves
+	fetchFailed bool             // the latest fetch failed, so the next one goes to a random node
 }
 
 func newPolicyState(settings Settings, seed uint64) *policyState {
 	return &policyState{follower: policy.NewFollower(policy.Settings{Rate: settings.PolicyBytesPerSecond, Seed: seed, Decompress: rpc.Decompress})}
 }
 
-// loadPolicy starts with the stored version.
+// loadPolicy loads the stored version and passes it to the follower.
 func (n *Node) loadPolicy() {
 	n.policies.follower.Advance(n.now())
 	if n.settings.Store == nil {
@@ -44,7 +44,7 @@
 	}
 	version, document, err := n.settings.Store.Load()
 	if err != nil {
-		logrus.WithError(err).Warn("stored policy not loaded")
+		logrus.WithError(err).Warn("failed to load stored policy")
 	}
 	n.settings.AuditLog.Add("begins with", audit.Fields{"version": version.String()})
 	if version.Number > 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-// advancePolicy carries out what the follower decides.
+// advancePolicy executes the follower's decisions.
 func (n *Node) advancePolicy(now float64) {
 	state := n.policies
 	state.follower.Advance(now)
@@ -77,7 +77,8 @@
 	n.savePolicy(now)
 }
 
-// savePolicy has the latest version saved off the loop, one at a time. A save that fails is retried until a later version takes its place.
+// savePolicy saves the latest version on a goroutine of its own, one version at a time. A failed save is retried until it succeeds or a
+// later version replaces it.
 func (n *Node) savePolicy(now float64) {
 	state := n.policies
 	if state.toSave == nil || state.saving || n.settings.Store == nil || state.saveRetry.Failing() && state.saveRetry.Due() > now {
@@ -85,19 +86,19 @@
 	}
 	d := state.toSave
 	state.toSave, state.saving = nil, true
-	go func() { // not waited for: a disk may hang
+	go func() { // not waited for on shutdown: the disk may hang
 		err := n.settings.Store.Save(d.Version, d.Document)
 		n.post(func() { n.policySaved(d, err) })
 	}()
 }
 
-// policySaved records what became of a save.
+// policySaved handles the result of a save.
 func (n *Node) policySaved(d *policy.Decision, err error) {
 	state := n.policies
 	state.saving = false
 	if err == nil {
 		if state.saveRetry.Succeed(n.now()) {
-			logrus.WithField("version", d.Version).Info("policy stored again")
+			logrus.WithField("version", d.Version).Info("policy stored after earlier failures")
 		}
 		n.settings.AuditLog.Add("stored", audit.Fields{"version": d.Version.String()})
 		return
@@ -106,24 +107,24 @@
 		state.toSave = d
 	}
 	if state.saveRetry.Fail(n.now()) {
-		logrus.WithError(err).WithField("version", d.Version).Error("policy not stored: retrying")
+		logrus.WithError(err).WithField("version", d.Version).Error("failed to store policy; retrying")
 		n.settings.AuditLog.Add("unsaved", audit.Fields{"version": d.Version.String(), reasonField: err.Error()})
 	}
 }
 
-// applyPolicy has the router apply a version, on its event loop.
+// applyPolicy applies a version to the router. It runs on the router's event loop.
 func (n *Node) applyPolicy(d policy.Decision) {
 	failpoint.Point("policy.adopt")
 	err := n.router.ApplyPolicy(d.Version, d.Document)
-	go n.post(func() { n.policyApplied(d.Version, err) }) // the router's loop never waits for this one
+	go n.post(func() { n.policyApplied(d.Version, err) }) // on a goroutine: the router's event loop must not wait for this one
 }
 
-// policyApplied records whether the router has applied a version.
+// policyApplied handles the router's result of applying a version.
 func (n *Node) policyApplied(version policy.Version, err error) {
 	n.policies.follower.Advance(n.now())
 	line := logrus.WithFields(logrus.Fields{"version": version, "author": version.Author, "reason": version.Reason})
 	if err != nil {
-		line.WithError(err).Error("policy can't be applied")
+		line.WithError(err).Error("failed to apply policy")
 		n.policies.follower.ApplyFailed(version, err.Error())
 		return
 	}
@@ -131,7 +132,7 @@
 	n.policies.follower.Applied(version)
 }
 
-// fetchPolicyPart asks a coordinator node for a part of the policy.
+// fetchPolicyPart fetches a part of the policy from a coordinator node and passes it to the follower.
 func (n *Node) fetchPolicyPart(request policy.Request, preferWatched bool) {
 	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/2))
 	defer cancel()
@@ -140,7 +141,7 @@
 		n.policies.follower.Advance(n.now())
 		n.policies.fetchFailed = err != nil
 		if err != nil {
-			logrus.WithError(err).Debug("policy part not fetched")
+			logrus.WithError(err).Debug("failed to fetch policy part")
 			n.policies.follower.FetchFailed()
 			return
 		}
--- a/internal/fleet/policyclient.go
+++ b/internal/fleet/policyclient.go
@@ -11,18 +11,18 @@
 	"wayloft/internal/rpc"
 )
 
-// maxOffset bounds offsets and sizes in a response, so that they fit any int.
+// maxOffset limits offsets and sizes in a response so that they fit into an int on any platform.
 const maxOffset = 1 << 30
 
-// Policies is what a coordinator keeps of the policy: the version in force with its document, and the latest changes.
+// Policies is the policy state of a coordinator: the version in force, its document, and the latest changes.
 type Policies struct {
-	Version  policy.Version // Number 0: nothing was ever proposed
+	Version  policy.Version // its Number is 0 if no change was ever accepted
 	Document policy.Document
-	History  []policy.Change // the latest last
+	History  []policy.Change // in ascending order of versions
 }
 
-// Propose proposes a change of the policy. The result is Held, with the Number of its version, or has in Why the reasons of its rejection,
-// one a line. A proposal is accepted only while the version that it was made from is in force. Repeating it does no harm.
+// Propose proposes a change of the policy. If it is accepted, the result is Held and has the version's Number. Otherwise its Refusal has the
+// reasons for the rejection, one per line. A proposal is only accepted while its base version is in force. Propose is idempotent.
 func (c *Client) Propose(ctx context.Context, p policy.Proposal) (leasestate.Result, error) {
 	if err := p.Check(); err != nil {
 		return leasestate.Result{}, err
@@ -30,7 +30,7 @@
 	return c.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.ProposePolicy, Proposal: &p})
 }
 
-// Policy returns the policy in force and its history, confirmed by a majority.
+// Policy returns the policy in force and its history by a linearizable read.
 func (c *Client) Policy(ctx context.Context) (Policies, error) {
 	var response *fleetpb.PolicyBook
 	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
@@ -44,14 +44,14 @@
 	return decodePolicies(response)
 }
 
-// decodePolicies checks and decodes the policy in force and its history.
+// decodePolicies decodes and validates the policy in force and its history.
 func decodePolicies(response *fleetpb.PolicyBook) (all Policies, err error) {
 	if all.Version, _, err = rpc.DecodePolicy(response.Version); err != nil {
 		return all, err
 	}
 	document, err := rpc.Decompress(response.Document, policy.MaxDocumentBytes)
 	if err != nil {
-		return all, fmt.Errorf("policy: %w", err)
+		return all, fmt.Errorf("policy document: %w", err)
 	}
 	if all.Document, err = policy.Decode(document); err != nil {
 		return all, err
@@ -61,13 +61,14 @@
 	}
 	history, err := rpc.Decompress(response.History, policy.MaxHistoryBytes)
 	if err != nil {
-		return all, fmt.Errorf("policy: history: %w", err)
+		return all, fmt.Errorf("policy history: %w", err)
 	}
 	all.History, err = policy.DecodeChanges(history)
 	return all, err
 }
 
-// fetchPolicyPart asks a coordinator node for a part of the policy: the watched one, which has what it announced, or any.
+// fetchPolicyPart fetches a part of the policy from the watched coordinator node, which has every version that it announced, or from a
+// random node.
 func (c *Client) fetchPolicyPart(ctx context.Context, request policy.Request, preferWatched bool) (policy.Part, error) {
 	address := c.policyPartAddress(preferWatched)
 	conn, err := c.connection(address)
@@ -89,7 +90,7 @@
 	return policy.Part{Version: version, Full: response.Whole, Offset: int(response.Offset), Total: int(response.Total), Bytes: response.Bytes}, nil
 }
 
-// policyPartAddress returns the address of the node to ask for a part of the policy.
+// policyPartAddress returns the address of the node from which to fetch a part of the policy.
 func (c *Client) policyPartAddress(preferWatched bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/policystore.go
+++ b/internal/fleet/policystore.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	storeFormat   = 1                              // of a file; a build that doesn't know it starts with nothing
-	maxStoreBytes = policy.MaxDocumentBytes + 8192 // of a file
+	storeFormat   = 1                              // format version of a file; a build that doesn't know it starts without a stored policy
+	maxStoreBytes = policy.MaxDocumentBytes + 8192 // maximum file size
 )
 
-// Names in the directory.
+// File names in the directory.
 const (
 	latestName    = "policy"
 	previousName  = "policy.before"
-	temporaryName = "policy.new" // while it is written
-	corruptSuffix = ".wrong"     // of files that were set aside
+	temporaryName = "policy.new" // while a file is written
+	corruptSuffix = ".wrong"     // appended to the names of corrupt files
 )
 
-// PolicyStore keeps a policy in a directory of this router's own, in two generations. Each is written under another name, synced, and only
-// then renamed, with a checksum over all its bytes: a process that ends at any moment, or a disk that fills up, leaves at least one as it
-// was. A corrupt file is set aside and counts as none. A router
-// starts with what the store holds; which version is in force it learns from the coordinator.
+// PolicyStore stores the latest two versions of a policy in a directory that no other router uses. Each file has a checksum over its content
+// and is written under a temporary name, synced, and then renamed, so that at least one valid file remains if the process ends at any
+// moment or the disk fills up. A corrupt file is renamed and ignored. The stored policy only serves the start of a router, which learns the
+// version in force from the coordinator.
 type PolicyStore struct {
 	Dir   string
 	Fleet string
 }
 
-// storedPolicy is the content of a file, after the SHA-256 of its bytes.
+// storedPolicy is the content of a file. In the file, the SHA-256 of the encoded content precedes it.
 type storedPolicy struct {
 	Format   int             `cbor:"1,keyasint"`
 	Fleet    string          `cbor:"2,keyasint"`
@@ -48,12 +48,12 @@
 	Document policy.Document `cbor:"4,keyasint"`
 }
 
-// errCorrupt means that a file holds no policy of this fleet.
+// errCorrupt is returned for a file that holds no valid policy of this fleet.
 var errCorrupt = errors.New("corrupt policy file")
 
 func (s *PolicyStore) path(name string) string { return filepath.Join(s.Dir, name) }
 
-// read returns what a file holds. fs.ErrNotExist: there is none; errCorrupt: it can't be trusted.
+// read reads and validates a file. The error is fs.ErrNotExist if there is no such file and errCorrupt if its content is invalid.
 func (s *PolicyStore) read(name string) (storedPolicy, error) {
 	path := s.path(name)
 	content, err := readLimited(path, maxStoreBytes+1)
@@ -67,10 +67,10 @@
 	return stored, nil
 }
 
-// decode checks a file's content and decodes it.
+// decode decodes and validates the content of a file.
 func (s *PolicyStore) decode(content []byte) (stored storedPolicy, err error) {
 	if len(content) <= sha256.Size || len(content) > maxStoreBytes {
-		return stored, fmt.Errorf("it has %d bytes", len(content))
+		return stored, fmt.Errorf("file is too short or too long: %d bytes read", len(content))
 	}
 	checksum, body := content[:sha256.Size], content[sha256.Size:]
 	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], checksum) {
@@ -81,9 +81,9 @@
 	}
 	switch {
 	case stored.Format != storeFormat:
-		return stored, fmt.Errorf("unknown format %d", stored.Format)
+		return stored, fmt.Errorf("unknown file format %d", stored.Format)
 	case stored.Fleet != s.Fleet:
-		return stored, fmt.Errorf("it belongs to fleet %q", stored.Fleet)
+		return stored, fmt.Errorf("file belongs to fleet %q", stored.Fleet)
 	}
 	if err := errors.Join(stored.Version.Check(), stored.Document.Check()); err != nil {
 		return stored, err
@@ -94,7 +94,7 @@
 	return stored, nil
 }
 
-// readLimited returns the first bytes of a file.
+// readLimited reads a file up to a limit in bytes.
 func readLimited(path string, limit int64) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return content, cmp.Or(err, file.Close())
 }
 
-// Load returns the latest generation that can be trusted. An error means that the directory or a file can't be read.
+// Load returns the latest valid version. It returns an error if there is none and a file could not be read or a corrupt one not renamed.
 func (s *PolicyStore) Load() (policy.Version, policy.Document, error) {
 	var failures error
 	for _, name := range []string{latestName, previousName} {
@@ -114,7 +114,7 @@
 			return stored.Version, stored.Document, nil
 		case errors.Is(err, fs.ErrNotExist):
 		case errors.Is(err, errCorrupt):
-			logrus.WithError(err).Warn("corrupt stored policy set aside")
+			logrus.WithError(err).Warn("corrupt policy file; renaming it")
 			failures = errors.Join(failures, os.Rename(s.path(name), s.path(name+corruptSuffix)))
 		default:
 			failures = errors.Join(failures, err)
@@ -123,7 +123,7 @@
 	return policy.Version{}, nil, failures
 }
 
-// Save keeps a version. If it fails, what was there before is there, or this.
+// Save stores a version. If it fails, either the previous version or this one is stored.
 func (s *PolicyStore) Save(version policy.Version, document policy.Document) error {
 	body, err := cbor.Marshal(storedPolicy{storeFormat, s.Fleet, version, document})
 	if err != nil {
@@ -134,10 +134,10 @@
 	}
 	checksum := sha256.Sum256(body)
 	if err := writeSynced(s.path(temporaryName), append(checksum[:], body...)); err != nil {
-		return errors.Join(err, removeIfPresent(s.path(temporaryName))) // what there is of it takes room on a disk that is full
+		return errors.Join(err, removeIfPresent(s.path(temporaryName))) // a partial file would take up space on a full disk
 	}
 	failpoint.Point("policy.written")
-	if _, err := s.read(latestName); err == nil { // else the previous one is the better one
+	if _, err := s.read(latestName); err == nil { // an invalid latest file must not replace the previous one
 		if err := s.rename(latestName, previousName); err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 	return os.Rename(s.path(from), s.path(to))
 }
 
-// createDirectory creates the directory if there is none, and syncs its own name.
+// createDirectory creates the directory if it doesn't exist, and syncs its parent.
 func (s *PolicyStore) createDirectory() error {
 	if _, err := os.Stat(s.Dir); err == nil {
 		return nil
@@ -167,7 +167,7 @@
 	return syncDirectory(filepath.Dir(s.Dir))
 }
 
-// removeIfPresent removes a file; it is no error if there is none.
+// removeIfPresent removes a file. It returns no error if the file doesn't exist.
 func removeIfPresent(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// syncDirectory makes the names in a directory durable.
+// syncDirectory syncs a directory, which makes created and renamed entries durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -184,14 +184,14 @@
 	return cmp.Or(failpoint.OperationError("policy.sync", path), directory.Sync(), directory.Close())
 }
 
-// writeSynced writes a file and returns once it is on disk.
+// writeSynced writes a file and syncs it.
 func writeSynced(path string, content []byte) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	if refused := failpoint.OperationError("policy.write", path); refused != nil { // half of it is written, as where a disk is full
-		content, err = content[:len(content)/2], refused
+	if injected := failpoint.OperationError("policy.write", path); injected != nil { // a partial write, as on a full disk
+		content, err = content[:len(content)/2], injected
 	}
 	_, written := file.Write(content)
 	return errors.Join(err, written, failpoint.OperationError("policy.sync", path), file.Sync(), file.Close())
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -24,14 +24,14 @@
 
 const (
 	maxOrderBytes       = 1 << 20
-	maxNameBytes        = 256  // of each name in an order
+	maxNameBytes        = 256  // per name in an order
 	maxSenders          = 1024 // connections of processes that send orders
-	maxConcurrentOrders = 64   // on one connection
+	maxConcurrentOrders = 64   // per connection
 	handshakeTimeout    = 5 * time.Second
-	minPingInterval     = 5 * time.Second // between two pings of a sender
+	minPingInterval     = 5 * time.Second // between keepalive pings of a sender
 )
 
-// serveOrders starts the server that receives orders of lease holders. Run waits for its end.
+// serveOrders starts the gRPC server that receives orders of lease holders. Run waits until it has stopped.
 func (n *Node) serveOrders(listener net.Listener) *grpc.Server {
 	checks := rpc.NewInterceptors(n.settings.Fleet)
 	server := grpc.NewServer(
@@ -45,25 +45,25 @@
 	fleetpb.RegisterReceiverServer(server, &receiverServer{node: n})
 	n.background.Go(func() {
 		if err := server.Serve(netutil.LimitListener(listener, maxSenders)); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
-			logrus.WithError(err).Warn("orders are no longer received")
+			logrus.WithError(err).Warn("order server failed; orders are no longer received")
 		}
 	})
 	return server
 }
 
-// receiverServer is the gRPC service Receiver.
+// receiverServer implements the gRPC service Receiver.
 type receiverServer struct {
 	fleetpb.UnimplementedReceiverServer
 	node *Node
 }
 
-// Act implements the service Receiver.
+// Act handles an order of a lease holder.
 func (s *receiverServer) Act(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
 	return s.node.handleOrder(ctx, order)
 }
 
-// handleOrder handles an order of a lease holder. Its fencing token is checked and its content is passed to the router's event loop in one step, so
-// that nothing under a lower token can come between. The errors are gRPC statuses.
+// handleOrder handles an order of a lease holder. One call on the node's event loop both checks the fencing token and queues the content for
+// the router's event loop, so that no order with a lower token can be applied after one with a higher token. Errors are gRPC statuses.
 func (n *Node) handleOrder(ctx context.Context, order *fleetpb.Order) (*fleetpb.Verdict, error) {
 	if n.ctx == nil || ctx.Err() != nil {
 		return nil, status.Error(codes.Unavailable, "not up")
@@ -85,11 +85,11 @@
 	}
 }
 
-// errStopping is what senders of orders get while the process ends.
+// errStopping is returned to senders of orders during shutdown.
 var errStopping = status.Error(codes.Unavailable, "this process is ending")
 
-// checkOrder checks that an order is within the bounds, and of a lease that this build knows. The errors are gRPC statuses, whose texts
-// operators of other processes see.
+// checkOrder checks that an order is within the size limits and that this build knows the kind of its lease. Errors are gRPC statuses;
+// operators see their messages at other processes.
 func checkOrder(order *fleetpb.Order) error {
 	if len(order.Duty) > maxNameBytes || len(order.About) > maxNameBytes || len(order.Holder) > maxNameBytes ||
 		len(order.Sightings) > healthshare.MaxReports {
@@ -101,15 +101,15 @@
 	return nil
 }
 
-// fenceOrder checks an order's fencing token, and has an order under a valid one applied. done is called once, on any goroutine.
+// fenceOrder checks an order's fencing token and applies the order if the token is valid. done is called once, on any goroutine.
 func (n *Node) fenceOrder(order *fleetpb.Order, done func(*fleetpb.Verdict)) {
 	n.leases.Advance(n.now())
 	header := decodeHeader(order)
-	judged, highest := n.leases.Check(header.scope, header.holder, header.token)
-	verdict := &fleetpb.Verdict{Kind: verdictKinds[judged], Highest: rpc.EncodeToken(highest)}
+	tokenVerdict, highest := n.leases.Check(header.scope, header.holder, header.token)
+	verdict := &fleetpb.Verdict{Kind: verdictKinds[tokenVerdict], Highest: rpc.EncodeToken(highest)}
 	fields := leaseFields(header.scope.Lease, header.token)
 	fields[subjectField], fields["holder"] = header.scope.Subject, header.holder
-	switch judged {
+	switch tokenVerdict {
 	case lease.Accepted:
 		n.settings.AuditLog.Add("taken", fields)
 		n.applyOrder(order, header, verdict, done)
@@ -118,14 +118,14 @@
 		fields[higherTokenField] = highest.String()
 		n.settings.AuditLog.Add("late", fields)
 		logrus.WithFields(logrus.Fields{"lease": header.scope.Lease, "holder": header.holder, "token": header.token, "higher_token": highest}).
-			Warn("rejected an order of a former lease holder")
+			Warn("rejected order of a former lease holder: stale fencing token")
 	case lease.Conflicting:
 		invariant.Check(false, "one fencing token, one holder")
 	}
 	done(verdict)
 }
 
-// applyOrder has the router's event loop do what an order says; what is malformed is passed over, and the verdict says so.
+// applyOrder applies an order on the router's event loop. Malformed parts are ignored and reported in the verdict.
 func (n *Node) applyOrder(order *fleetpb.Order, header orderHeader, verdict *fleetpb.Verdict, done func(*fleetpb.Verdict)) {
 	accepted := n.callRouter(func() {
 		now := n.router.Now()
@@ -141,7 +141,7 @@
 	}
 }
 
-// applyReports passes reports of another process's health checks to the router, on its event loop.
+// applyReports passes the health reports of another process to the router. It runs on the router's event loop.
 func (n *Node) applyReports(messages []*fleetpb.Sighting, now float64, verdict *fleetpb.Verdict) {
 	for _, message := range messages {
 		report := decodeReport(message)
@@ -153,7 +153,7 @@
 	}
 }
 
-// applyHold holds or releases a group's writes for a switchover, on the router's event loop, and counts them.
+// applyHold holds, releases or only counts a group's writes for a switchover. It runs on the router's event loop.
 func (n *Node) applyHold(hold *fleetpb.Hold, header orderHeader, now float64, verdict *fleetpb.Verdict) {
 	group := int(hold.Group)
 	if header.scope.Lease != switchover.LeaseName(group) {
@@ -161,7 +161,7 @@
 		return
 	}
 	switch {
-	case hold.Looks: // writes are only counted
+	case hold.Looks: // only count
 	case hold.Ends:
 		n.writeHolds.Release(group, header.token, hold.Number)
 		n.router.HoldWrites(group, 0)
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/rpc"
 )
 
-// ProposeEntry proposes an entry to the coordinator's log, and returns its result.
+// ProposeEntry proposes an entry for the coordinator's log and returns its result.
 func (c *Client) ProposeEntry(ctx context.Context, entry leasestate.Entry) (leasestate.Result, error) {
 	answer, err := c.sendRequest(ctx, &fleetpb.Request{Entry: leasestate.Encode(entry)})
 	if err != nil {
@@ -21,11 +21,11 @@
 	return rpc.DecodeResult(answer), nil
 }
 
-// LatestTokens returns the latest fencing tokens of leases, confirmed by a majority, in the leases' order. All leases go into one request;
-// how many one may have is the lease client's bound. On the wire the leases are Stands and the tokens Fences.
+// LatestTokens returns the latest fencing tokens of leases, in the same order, by a linearizable read. It sends one request for all leases;
+// the lease client limits their number. On the wire the leases are Stands and the tokens Fences.
 //
-// A node of a build that doesn't know such a request finds no entry in it and rejects it, so its response never means that there are no
-// tokens: coordinator nodes are upgraded before routers.
+// A node of an older build finds no entry in such a request and rejects it, so its response can't be mistaken for "no tokens".
+// Coordinator nodes are therefore upgraded before routers.
 func (c *Client) LatestTokens(ctx context.Context, leases []string) ([]lease.Token, error) {
 	answer, err := c.sendRequest(ctx, &fleetpb.Request{Stands: leases})
 	if err != nil {
@@ -41,7 +41,7 @@
 	return tokens, nil
 }
 
-// sendRequest sends an entry or a query of tokens.
+// sendRequest sends an entry or a token query.
 func (c *Client) sendRequest(ctx context.Context, request *fleetpb.Request) (answer *fleetpb.Answer, err error) {
 	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
 		var err error
@@ -51,7 +51,7 @@
 	return answer, err
 }
 
-// State returns the coordinator's state, confirmed by a majority.
+// State returns the coordinator's state by a linearizable read.
 func (c *Client) State(ctx context.Context) (state *fleetpb.State, err error) {
 	err = c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
 		var err error
@@ -61,7 +61,7 @@
 	return state, err
 }
 
-// ChangeMembership has nodes join or leave the coordinator cluster.
+// ChangeMembership adds nodes to the coordinator cluster or removes them.
 func (c *Client) ChangeMembership(ctx context.Context, members *fleetpb.Members) (leasestate.Result, error) {
 	var answer *fleetpb.Answer
 	err := c.call(ctx, func(ctx context.Context, node fleetpb.CouncilClient) (redirect, error) {
@@ -75,8 +75,8 @@
 	return rpc.DecodeResult(answer), err
 }
 
-// Watch passes on a coordinator node's updates until ctx ends or the watch fails; the error is never nil. The first update is the complete
-// state; withoutSessions leaves out the sessions of other processes.
+// Watch delivers updates from a coordinator node until ctx ends or the watch fails. The error is never nil. The first update is the complete
+// state. withoutSessions omits the sessions of other processes.
 func (c *Client) Watch(ctx context.Context, withoutSessions bool, deliver func(*fleetpb.Update)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -98,7 +98,7 @@
 	return &CoordinatorError{Address: address, Err: err}
 }
 
-// chooseWatchedNode draws the node to watch.
+// chooseWatchedNode chooses a random node to watch.
 func (c *Client) chooseWatchedNode() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -12,12 +12,13 @@
 	"wayloft/internal/rpc"
 )
 
-// routerKind is the kind of the sessions of routers.
+// routerKind is the kind of routers' sessions.
 const routerKind = "router"
 
-// sendOrder sends an order to a process. done is called on the event loop with its answer; the lease client learns of a rejection.
+// sendOrder sends an order to a process, which may be this one. done is called on the event loop with the verdict. If another process
+// rejects the order for its fencing token, the lease client is notified.
 func (n *Node) sendOrder(to leaseclient.Session, order *fleetpb.Order, done func(*fleetpb.Verdict, error)) {
-	if to.Name == n.settings.Name { // this process
+	if to.Name == n.settings.Name {
 		go func() { // ends with the event loop at the latest
 			verdict, err := n.handleOrder(n.ctx, order)
 			n.post(func() { done(verdict, err) })
@@ -42,12 +43,12 @@
 	})
 }
 
-// orderRejected records that a process has seen a higher fencing token than that of an order.
+// orderRejected handles the rejection of an order by a process that has seen a higher fencing token.
 func (n *Node) orderRejected(by string, order *fleetpb.Order, verdict *fleetpb.Verdict) {
 	header, higher := decodeHeader(order), rpc.DecodeToken(verdict.Highest)
 	leaseName := header.scope.Lease
 	logrus.WithFields(logrus.Fields{"lease": leaseName, "token": header.token, "higher_token": higher, "router": by}).
-		Warn("order rejected: another process holds the lease")
+		Warn("order rejected: the receiver has seen a higher fencing token")
 	fields := leaseFields(leaseName, header.token)
 	fields[higherTokenField], fields["by"] = higher.String(), by
 	n.settings.AuditLog.Add("refused", fields)
@@ -55,7 +56,7 @@
 	n.leases.ActRejected(leaseName, higher)
 }
 
-// connectionTo returns the connection to a process, which is made if there is none.
+// connectionTo returns the connection to a process and creates it if necessary.
 func (n *Node) connectionTo(session leaseclient.Session) (*grpc.ClientConn, error) {
 	address := session.Address
 	if override := n.settings.AddressOverrides[session.Name]; override != "" {
@@ -73,7 +74,7 @@
 	return conn, nil
 }
 
-// closeUnusedConnections closes the connections to processes that have no session any more.
+// closeUnusedConnections closes the connections to processes that no longer have a session.
 func (n *Node) closeUnusedConnections() {
 	used := map[string]bool{}
 	for _, session := range n.leases.Sessions(routerKind) {
@@ -88,16 +89,16 @@
 	}
 }
 
-// closeConnections closes the connections to other processes.
+// closeConnections closes all connections to other processes.
 func (n *Node) closeConnections() {
 	for address, conn := range n.connections {
 		closeConnection(address, conn)
 	}
 }
 
-// closeConnection closes a connection to a process; nothing depends on whether that succeeds.
+// closeConnection closes a connection to a process. A failure is only logged, because nothing depends on it.
 func closeConnection(address string, conn *grpc.ClientConn) {
 	if err := conn.Close(); err != nil {
-		logrus.WithError(err).WithField("address", address).Debug("connection not closed")
+		logrus.WithError(err).WithField("address", address).Debug("failed to close connection")
 	}
 }
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -19,10 +19,10 @@
 	"wayloft/internal/rpc"
 )
 
-// watchRetryDelay is about how long after a watch has ended the next one starts.
+// watchRetryDelay is the delay, before jitter, between the failure of a watch and the start of the next one.
 const watchRetryDelay = 300 * time.Millisecond
 
-// advanceLeases carries out what the lease client decides. Checkers read the names of audit events: they never change.
+// advanceLeases executes the lease client's decisions. Checkers depend on the names of the audit events, which must not change.
 func (n *Node) advanceLeases() {
 	for d, more := n.leases.Next(); more; d, more = n.leases.Next() {
 		switch d.Action {
@@ -40,7 +40,7 @@
 	}
 }
 
-// leaseAcquired starts the work that a lease is for.
+// leaseAcquired starts the work that requires a lease.
 func (n *Node) leaseAcquired(name string, token lease.Token) {
 	n.includeSessionsInWatch()
 	if group, found := parseLeaseGroup(name, healthshare.LeasePrefix); found {
@@ -50,7 +50,7 @@
 	}
 }
 
-// parseLeaseGroup returns the group that a lease is of; false: its name has another prefix.
+// parseLeaseGroup returns the group in a lease's name. It returns false if the name has another prefix or no group number.
 func parseLeaseGroup(name, prefix string) (group int, found bool) {
 	text, found := strings.CutPrefix(name, prefix)
 	if !found {
@@ -60,7 +60,7 @@
 	return group, err == nil
 }
 
-// leaseEnded ends the work that a lease was for.
+// leaseEnded stops the work that requires a lease.
 func (n *Node) leaseEnded(name string) {
 	delete(n.healthSharers, name)
 	if task := n.switchovers[name]; task != nil && task.cancel != nil {
@@ -70,8 +70,8 @@
 	n.sendsOrders.Store(len(n.healthSharers)+len(n.switchovers) > 0)
 }
 
-// includeSessionsInWatch has the watch report other processes' sessions from now on, since this process gives orders. The next watch leaves them
-// out again, if no lease is held by then.
+// includeSessionsInWatch makes the watch report other processes' sessions, which this process needs for sending orders. A running watch
+// without them is restarted. Later watches omit them again once this process holds no lease.
 func (n *Node) includeSessionsInWatch() {
 	n.sendsOrders.Store(true)
 	if n.leases.SessionsComplete() {
@@ -84,7 +84,8 @@
 	}
 }
 
-// sendRequest sends a sendRequest to the coordinator. A quarter of the session timeout leaves time for retries.
+// sendRequest sends a request to the coordinator and passes the response to the lease client. The timeout is a quarter of the session
+// timeout, which leaves time for retries.
 func (n *Node) sendRequest(d leaseclient.Decision) {
 	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/4))
 	defer cancel()
@@ -106,30 +107,30 @@
 	})
 }
 
-// checkResponse reports whether the coordinator has checkResponse to a request; if not, the lease client learns of it.
+// checkResponse reports whether a request succeeded. If not, it notifies the lease client.
 func (n *Node) checkResponse(d leaseclient.Decision, err error) bool {
 	n.leases.Advance(n.now())
 	if err != nil {
-		logrus.WithError(err).Debug("no response from the coordinator")
+		logrus.WithError(err).Debug("coordinator request failed")
 		n.leases.Failed(d.Request)
 	}
 	return err == nil
 }
 
-// logResult writes to the logs what the coordinator has made of an entry.
+// logResult writes the results of entries that matter to operators to the log and the audit log.
 func (n *Node) logResult(e leasestate.Entry, result leasestate.Result) {
 	switch {
 	case e.Kind == leasestate.ReportToken && result.Refusal != "":
 		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
-			Error("the coordinator's state has regressed: a higher fencing token was seen")
+			Error("coordinator state has regressed: this process has seen a higher fencing token")
 		n.settings.AuditLog.Add("behind", audit.Fields{leaseField: e.Lease, "seen": e.Token.String(), coordinatorTokenField: result.Token.String()})
 	case e.Kind == leasestate.OpenSession:
 		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Refusal, "incarnation": e.Incarnation})
 	}
 }
 
-// watch follows the coordinator's changes, and starts again whenever a watch ends. A failure is logged once, until it is another one or an
-// update has come.
+// watch watches the coordinator and restarts the watch whenever it ends. A failure is logged again only if its text differs or an update
+// was received since.
 func (n *Node) watch() {
 	logged := ""
 	for n.ctx.Err() == nil {
@@ -149,7 +150,7 @@
 		}
 		if text := err.Error(); text != logged {
 			logged = text
-			logrus.WithError(err).Warn("coordinator unreachable")
+			logrus.WithError(err).Warn("watch of the coordinator failed; retrying")
 		}
 		select {
 		case <-n.ctx.Done():
@@ -158,7 +159,8 @@
 	}
 }
 
-// newWatchContext returns the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
+// newWatchContext returns the context of the next watch and whether that omits other processes' sessions. If it does,
+// includeSessionsInWatch can cancel the context.
 func (n *Node) newWatchContext() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
 	ctx, cancel = context.WithCancel(n.ctx)
 	n.mu.Lock()
@@ -171,7 +173,7 @@
 	return ctx, cancel, withoutSessions
 }
 
-// applyUpdate applies what a watch has reported.
+// applyUpdate passes an update of the watch to the lease client and the policy follower.
 func (n *Node) applyUpdate(message *fleetpb.Update) {
 	n.leases.Advance(n.now())
 	update := rpc.DecodeUpdate(message)
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	maxRecordedBytes  = 250 // of a text that the replicated state records
-	maxRecordAttempts = 7   // to record a step or an end
+	maxRecordedBytes  = 250 // maximum length of a text in the replicated state
+	maxRecordAttempts = 7   // to record a step or the end of an order
 )
 
-// switchoverTask is a held switchover lease of a group.
+// switchoverTask executes a group's switchover orders while this process holds the group's switchover lease.
 type switchoverTask struct {
 	name           string // of the lease
 	group          int
 	token          lease.Token
 	orders         *switchover.OrderState
-	number         uint64               // of the order that is carried out
-	executor       *switchover.Executor // of that order; nil: none is carried out
-	endReportDueAt float64              // when the end of the last order may be reported again
-	ctx            context.Context      // of the order that is carried out
+	number         uint64               // of the current order
+	executor       *switchover.Executor // of the current order; nil if there is none
+	endReportDueAt float64              // time from which the end of the last order may be reported again
+	ctx            context.Context      // of the current order
 	cancel         context.CancelFunc
 }
 
-// auditFields returns the fields of an audit event about the order that is carried out.
+// auditFields returns the fields of an audit event about the current order.
 func (task *switchoverTask) auditFields(text string) audit.Fields {
 	fields := leaseFields(task.name, task.token)
 	fields["number"], fields["text"] = task.number, text
 	return fields
 }
 
-// startSwitchovers starts to carry out a group's switchover orders under a lease.
+// startSwitchovers starts executing a group's switchover orders under a lease.
 func (n *Node) startSwitchovers(name string, token lease.Token, group int) {
 	if n.orderStates[name] == nil {
 		n.orderStates[name] = &switchover.OrderState{}
@@ -60,12 +60,12 @@
 	}
 }
 
-// advanceSwitchover advances a group's switchover, if one is ordered.
+// advanceSwitchover starts or advances a group's switchover if there is an order for one.
 func (n *Node) advanceSwitchover(task *switchoverTask, now float64) {
 	if task.executor == nil && !n.startOrder(task, now) {
 		return
 	}
-	if !n.leases.SessionsComplete() { // which routers must hold writes isn't known yet
+	if !n.leases.SessionsComplete() { // the routers that must hold writes are not known yet
 		return
 	}
 	var routers []string
@@ -84,7 +84,7 @@
 	}
 }
 
-// startOrder starts to carry out the open order; false: there is none, or it can't be started now.
+// startOrder starts executing the open order. It returns false if there is none or if it can't be started now.
 func (n *Node) startOrder(task *switchoverTask, now float64) bool {
 	if ended, unreported := task.orders.UnreportedEnd(); unreported {
 		if task.endReportDueAt <= now {
@@ -103,7 +103,7 @@
 	}
 	executor, err := task.orders.StartOrder(n.settings.Switchover, known.Open, known.Steps, now)
 	if err != nil {
-		logrus.WithError(err).WithField("lease", task.name).Error("switchover order can't be carried out")
+		logrus.WithError(err).WithField("lease", task.name).Error("failed to start switchover order")
 		return false
 	}
 	if executor == nil {
@@ -117,9 +117,9 @@
 	return true
 }
 
-// reportEnd has the coordinator record how an order ended; if that fails, it is done again later.
+// reportEnd records the outcome of an order in the replicated state. If that fails, it is retried later.
 func (n *Node) reportEnd(task *switchoverTask, ended leasestate.Order) {
-	task.endReportDueAt = math.Inf(1) // while it is under way
+	task.endReportDueAt = math.Inf(1) // until the proposal has completed
 	entry := leasestate.Entry{Kind: leasestate.CompleteOrder, Number: ended.Number, Text: truncateText(ended.Text)}
 	n.proposeRecord(task, entry, func(recorded bool) {
 		n.post(func() {
@@ -132,7 +132,7 @@
 	})
 }
 
-// truncateText keeps a text within what the replicated state records.
+// truncateText truncates a text to the maximum length in the replicated state.
 func truncateText(text string) string {
 	if len(text) > maxRecordedBytes {
 		text = text[:maxRecordedBytes]
@@ -140,7 +140,7 @@
 	return text
 }
 
-// ifCurrent passes an answer to an executor, if that is still the one that waits for it: the lease may have ended, or the order.
+// ifCurrent advances the executor's time and calls f, unless the lease or the order has ended since the executor made its request.
 func (n *Node) ifCurrent(task *switchoverTask, executor *switchover.Executor, f func()) {
 	if n.switchovers[task.name] == task && task.executor == executor {
 		executor.Advance(n.now())
@@ -148,15 +148,15 @@
 	}
 }
 
-// proposeRecord has the replicated state record a step or an end. done is called on another goroutine with whether it has. The goroutine ends
-// with Run's context.
+// proposeRecord records a step or the end of an order in the replicated state. It calls done with whether that succeeded, on another
+// goroutine, which ends with Run's context.
 func (n *Node) proposeRecord(task *switchoverTask, entry leasestate.Entry, done func(recorded bool)) {
 	entry.Lease, entry.Token = task.name, task.token
 	entry = n.leases.Signed(entry)
 	go func() {
 		var result leasestate.Result
 		var err error
-		for range maxRecordAttempts { // repeating does no harm: a step that is recorded twice says the same
+		for range maxRecordAttempts { // a retry may record a step twice; the records are equal, so that is harmless
 			ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs))
 			result, err = n.client.ProposeEntry(ctx, entry)
 			cancel()
@@ -168,9 +168,9 @@
 	}()
 }
 
-// executeDecision carries out a decision of a task's executor.
+// executeDecision executes a decision of a task's executor.
 func (n *Node) executeDecision(task *switchoverTask, d switchover.Decision) {
-	token, valid := n.leases.Valid(task.name) // the last check before anything is sent
+	token, valid := n.leases.Valid(task.name) // last check of the lease before sending
 	if !valid || token != task.token {
 		return
 	}
@@ -189,7 +189,7 @@
 	}
 }
 
-// findPrimary asks the group's members which one is primary.
+// findPrimary queries the group's members for the current primary.
 func (n *Node) findPrimary(task *switchoverTask) {
 	executor, ctx, members := task.executor, task.ctx, n.groups[task.group]
 	go func() { // ends with the order's context
@@ -198,11 +198,11 @@
 	}()
 }
 
-// recordStep has a step recorded in the replicated state.
+// recordStep records a step in the replicated state.
 func (n *Node) recordStep(task *switchoverTask, text string) {
 	executor := task.executor
 	n.settings.AuditLog.Add("step", task.auditFields(text))
-	logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "order": task.number, "step": text}).Info("switchover step")
+	logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "order": task.number, "step": text}).Info("recording switchover step")
 	n.proposeRecord(task, leasestate.Entry{Kind: leasestate.RecordStep, Text: text}, func(recorded bool) {
 		failpoint.Point("noted." + strings.Fields(text)[0])
 		n.post(func() {
@@ -243,7 +243,8 @@
 	})
 }
 
-// commandMember has a member take a step. One that was started goes on whatever becomes of the lease: the member's guard row decides.
+// commandMember executes a step at a member. A started step is not canceled when the lease ends; the member's guard row rejects it if it
+// arrives too late.
 func (n *Node) commandMember(task *switchoverTask, d switchover.Decision) {
 	executor := task.executor
 	address := ""
@@ -253,7 +254,7 @@
 		}
 	}
 	go func() { // ends with Run's context, or the step's timeout
-		failpoint.Point("step." + string(d.Step)) // between the check and the step
+		failpoint.Point("step." + string(d.Step)) // between the check of the lease and the step
 		outcome, err := switchover.Failed, fmt.Errorf("%s is not in the list", d.Target)
 		if address != "" {
 			ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.Adapter.StepTimeoutMs))
@@ -272,16 +273,16 @@
 	}()
 }
 
-// logOutcome writes to the logs how a step at a member ended.
+// logOutcome writes the outcome of a step at a member to the audit log, and to the log if the step did not succeed.
 func (n *Node) logOutcome(task *switchoverTask, d switchover.Decision, outcome switchover.Outcome, reason string) {
 	fields := leaseFields(task.name, task.token)
 	fields["member"], fields["step"], fields["how"], fields[reasonField] = d.Target, string(d.Step), int(outcome), reason
 	n.settings.AuditLog.Add("done", fields)
 	if outcome == switchover.Fenced {
-		n.leases.RejectedActs++ // by the member, which has nobody else to report it to
+		n.leases.RejectedActs++ // counted here on behalf of the member, which reports nothing to the coordinator
 	}
 	if outcome != switchover.Succeeded {
 		logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "member": d.Target, "step": string(d.Step), "error": reason}).
-			Warn("switchover step not taken")
+			Warn("switchover step did not succeed")
 	}
 }
