--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -23,7 +23,7 @@
 	"wayloft/internal/rpc"
 )
 
-// fakeCoordinator is a coordinator node that responds by a function.
+// fakeCoordinator is a coordinator node whose responses come from a function.
 type fakeCoordinator struct {
 	fleetpb.UnimplementedCouncilServer
 	do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)
@@ -42,7 +42,7 @@
 	return serveGRPC(t, server)
 }
 
-// serveGRPC serves until the test ends, and returns the address.
+// serveGRPC runs a gRPC server until the test ends, and returns its address.
 func serveGRPC(t *testing.T, server *grpc.Server) string {
 	t.Helper()
 	listener := listen(t)
@@ -57,12 +57,12 @@
 	return listener.Addr().String()
 }
 
-// testSettings are the settings of a router in a fleet that has one coordinator node at this address.
+// testSettings returns the settings of a router in a fleet with a single coordinator node.
 func testSettings(fleet, coordinator string) Settings {
 	return Settings{Fleet: fleet, Name: "r", Kind: "router", Coordinators: []string{coordinator}, SessionTimeoutMs: 2000, SafetyMarginMs: 200}
 }
 
-// listen returns a listener at a free port.
+// listen returns a listener on a free port.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 	return listener
 }
 
-// The leader is asked again though it gave no response once, as long as the others say that it leads.
+// A leader that timed out once is tried again if the other nodes redirect the client to it.
 func TestClient_AsksTheLeaderAgainAfterATimeout(t *testing.T) {
 	calls, leader := atomic.Int32{}, ""
 	leader = serveCoordinator(t, func(ctx context.Context, _ *fleetpb.Request) (*fleetpb.Answer, error) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// One call asks for the latest tokens of many leases, and is repeated in full where another node leads; a response with fewer tokens is an
-// error.
+// The latest tokens of several leases are queried in one call, which follows redirects to the leader. A response without a token for each
+// lease is an error.
 func TestClient_LatestTokensTakesOneCall(t *testing.T) {
 	calls := atomic.Int32{}
 	leader := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
@@ -113,7 +113,7 @@
 	other := serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) {
 		return &fleetpb.Answer{Moved: true, Leader: "c1", Address: leader}, nil
 	})
-	// Nodes that don't know the request: one finds no entry in it, the other would respond as to an empty one.
+	// Nodes that don't know the request: the first rejects it because it has no entry, the second responds as to an empty request.
 	older := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
 		_, err := leasestate.Decode(q.Entry)
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -138,7 +138,7 @@
 	}
 }
 
-// A process that starts where there are 164 groups asks for the latest tokens of their leases in two calls, and judges orders by them.
+// In a fleet of 164 groups, a starting process queries the latest tokens of all leases in two calls and checks orders against them.
 func TestNode_StartLearnsAllTokensInTwoCalls(t *testing.T) {
 	asked := make(chan []string, 400)
 	coordinator := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
@@ -161,7 +161,7 @@
 		router.groups[group] = nil
 	}
 	settings := testSettings("lab", coordinator)
-	settings.SessionTimeoutMs = 100000 // no call is given up while the machine is busy
+	settings.SessionTimeoutMs = 100000 // no call times out on a busy machine
 	node := New(settings, router)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
@@ -176,7 +176,7 @@
 	for group := range 164 {
 		for _, name := range []string{healthshare.LeaseName(group), switchover.LeaseName(group)} {
 			if !leases[name] {
-				t.Fatal("not asked:", name)
+				t.Fatal("token not queried:", name)
 			}
 			for v := lease.NotLearned; v == lease.NotLearned; { // until the response has come
 				node.post(func() {
@@ -184,7 +184,7 @@
 					verdicts <- v
 				})
 				if v = <-verdicts; v != lease.Stale && v != lease.NotLearned {
-					t.Fatalf("%s: an order under a token below the latest was %v", name, v)
+					t.Fatalf("%s: verdict %v for an order with a token below the latest", name, v)
 				}
 			}
 		}
@@ -194,9 +194,9 @@
 		verdicts <- v
 	})
 	if v := <-verdicts; v != lease.Accepted {
-		t.Error("an order under the latest token was", v)
+		t.Error("verdict for an order with the latest token:", v)
 	}
 	if calls += len(asked); calls != 2 {
-		t.Errorf("asked in %d calls, not two", calls)
+		t.Errorf("queried in %d calls, want 2", calls)
 	}
 }
--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -20,13 +20,13 @@
 // requestGroups requests the current groups from the router's event loop.
 func (n *Node) requestGroups(now float64) {
 	n.groupRequests++
-	asked := n.groupRequests
+	request := n.groupRequests
 	accepted := n.callRouter(func() {
 		groups := n.router.Groups()
 		n.retainWriteHolds(groups)
 		go n.post(func() { // on a goroutine: the router's event loop must not wait for this one
-			if asked > n.lastGroupResponse { // a late, older list must not replace a newer one: no further request would correct it
-				n.lastGroupResponse = asked
+			if request > n.lastGroupResponse { // a late, older list must not replace a newer one: no further request would correct it
+				n.lastGroupResponse = request
 				n.applyGroups(groups)
 			}
 		})
--- a/internal/fleet/hold_debug_test.go
+++ b/internal/fleet/hold_debug_test.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/failpoint"
 )
 
-// holdUpdates holds back what coordinators' watches bring to any node of this process until release is called.
+// holdUpdates delays the watch updates of all nodes in this process until release is called.
 func holdUpdates() (release func()) {
 	released := make(chan struct{})
 	clearPoint := failpoint.Set("fleet.updated", func() { <-released })
--- a/internal/fleet/hold_release_test.go
+++ b/internal/fleet/hold_release_test.go
@@ -2,5 +2,5 @@
 
 package fleet_test
 
-// holdUpdates does nothing: a release build has no failpoints.
+// holdUpdates does nothing, because a release build has no failpoints.
 func holdUpdates() (release func()) { return func() {} }
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/rpc"
 )
 
-// sessionCoordinator is a coordinator that keeps sessions alone. Its time passes by entries only.
+// sessionCoordinator is a coordinator that only keeps sessions. Its time only advances by entries.
 type sessionCoordinator struct {
 	mu       sync.Mutex
 	state    *leasestate.State
@@ -48,19 +48,19 @@
 	return &fleetpb.Answer{Held: a.Held, Why: string(a.Refusal), Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
 }
 
-// receive returns what comes from a channel, or ends the test if nothing comes.
+// receive receives from a channel, and fails the test after a timeout.
 func receive[T any](t *testing.T, what string, from chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(30 * time.Second):
-		t.Fatal("not seen: " + what)
+		t.Fatal("timed out waiting for " + what)
 		panic("unreachable")
 	}
 }
 
-// startNode runs a process of the name "r" that was started at this time by the wall clock.
+// startNode runs a process named "r" whose wall clock showed the given time when it started.
 func (s *sessionCoordinator) startNode(t *testing.T, addr string, started time.Time, timeoutMs float64) {
 	t.Helper()
 	router := &fakeRouter{asked: make(chan bool, 100)}
@@ -72,25 +72,26 @@
 	t.Cleanup(func() { cancel(); <-node.Ended() })
 }
 
-// A process that is started after the wall clock was stepped back has its session at once: the coordinator's time doesn't pass, so its
-// predecessor's session never expires here.
+// A process that is started after the wall clock was stepped back replaces its predecessor's session without waiting for that to expire: the
+// coordinator's time does not advance in this test.
 func TestIncarnation_ProcessStartedAfterTheClockWasSteppedBack(t *testing.T) {
 	s := newSessionCoordinator()
 	addr := serveCoordinator(t, s.do)
 	s.apply(leasestate.Entry{Kind: leasestate.OpenSession, Session: "r", Incarnation: uint64(time.Now().UnixMilli()), Timeout: 2000, Role: "router"})
-	s.startNode(t, addr, time.Now().Add(-time.Hour), 60000) // no call is given up while the machine is busy
-	if refused := receive(t, "the refusal", s.rejected); refused.Number == 0 {
-		t.Error("the refusal doesn't say which incarnation has the name")
+	s.startNode(t, addr, time.Now().Add(-time.Hour), 60000) // no call times out on a busy machine
+	if rejected := receive(t, "the rejection", s.rejected); rejected.Number == 0 {
+		t.Error("the rejection has no incarnation of the existing session")
 	}
-	receive(t, "its session", s.opened)
+	receive(t, "the session", s.opened)
 }
 
-// A process whose session has expired doesn't win its name back from one that was started later by an earlier wall clock.
+// A process whose session has expired can't replace the session of a process that was started later, even if the wall clock was stepped back
+// in between and the later process has a lower incarnation.
 func TestIncarnation_FormerProcessIsRejected(t *testing.T) {
 	s := newSessionCoordinator()
 	addr := serveCoordinator(t, s.do)
 	s.startNode(t, addr, time.Now(), 2000)
-	receive(t, "its session", s.opened)
+	receive(t, "the session", s.opened)
 	s.mu.Lock()
 	s.apply(leasestate.Entry{Kind: leasestate.AdvanceTime, Elapsed: 2001})
 	later := uint64(time.Now().Add(-time.Hour).UnixMilli())
@@ -99,14 +100,14 @@
 	if !granted.Held {
 		t.Fatal("the former session has not expired:", granted)
 	}
-	select { // the response to its next heartbeat is that it has no session
+	select { // its next heartbeat is rejected because it has no session, and it requests one
 	case a := <-s.rejected:
 		if a.Number != later {
 			t.Error(a)
 		}
-	case with := <-s.opened:
-		t.Fatalf("the former process won its name back, as %d after %d", with, later)
+	case incarnation := <-s.opened:
+		t.Fatalf("the former process replaced the session of incarnation %d with incarnation %d", later, incarnation)
 	case <-time.After(30 * time.Second):
-		t.Fatal("it asks for no session")
+		t.Fatal("the former process requested no session")
 	}
 }
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -26,23 +26,24 @@
 	"wayloft/internal/rpc"
 )
 
-// Messages that processes of this commit sent to each other: processes of two versions run side by side while a fleet is upgraded.
+// recordedMessagesDir has messages that processes of commit dd13dd4 exchanged. The tests guard against a build that can't communicate with
+// an earlier one: processes of both run side by side during an upgrade.
 const recordedMessagesDir = "testdata/messages-dd13dd4"
 
 const (
 	coordinator  = "/wayloft.fleet.v1.Council/"
 	receiver     = "/wayloft.fleet.v1.Receiver/"
-	testDeadline = time.Minute // far longer than any test takes
+	testDeadline = time.Minute // far longer than any of these tests takes
 )
 
-// recordedMessage is a message as it was on the wire.
+// recordedMessage is a recorded message in its wire encoding.
 type recordedMessage struct {
 	Method  string `json:"method"`
 	Message string `json:"message"`
 	Bytes   []byte `json:"bytes"`
 }
 
-// readRecorded reads the recorded messages of a method.
+// readRecorded reads the recorded messages of an RPC method.
 func readRecorded(t *testing.T, name, method string) (all [][]byte) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(recordedMessagesDir, name))
@@ -59,15 +60,15 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Fatalf("%s: nothing of %s", name, method)
+		t.Fatalf("%s: no messages of %s", name, method)
 	}
 	return all
 }
 
-// rawBytes is a message that is sent or received as it is.
+// rawBytes is an encoded message.
 type rawBytes []byte
 
-// rawCodec passes messages on without reading them.
+// rawCodec sends and receives encoded messages unchanged.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*rawBytes), nil }
@@ -77,7 +78,8 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// serveRecorded serves any method as a process of the earlier version: it requires the metadata that were recorded, and responds by respond.
+// serveRecorded serves all methods like a process of the earlier build: it requires the recorded metadata and sends the responses that
+// respond returns.
 func serveRecorded(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
 	t.Helper()
 	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
@@ -102,16 +104,16 @@
 	return serveGRPC(t, server)
 }
 
-// errRecordingEnded ends a recording: the client asks no further.
+// errRecordingEnded is returned after the last recorded message. The client does not retry after this error.
 var errRecordingEnded = status.Error(codes.FailedPrecondition, "nothing more was recorded")
 
-// newRecordedClient returns a client of a coordinator node that answers each call with the next of these messages.
+// newRecordedClient returns a client of a coordinator node that responds to each call with the next of the given messages.
 func newRecordedClient(t *testing.T, method string, responses [][]byte) *Client {
 	t.Helper()
 	next := 0
 	address := serveRecorded(t, func(called string, _ []byte) ([][]byte, error) {
 		if called != method {
-			return nil, status.Errorf(codes.Unimplemented, "%s is called, not %s", called, method)
+			return nil, status.Errorf(codes.Unimplemented, "got a call of %s, want %s", called, method)
 		}
 		if next == len(responses) {
 			return nil, errRecordingEnded
@@ -124,7 +126,7 @@
 	return client
 }
 
-// callAll calls until nothing more was recorded, and lists what came of each call.
+// callAll repeats a call until it fails, which it does after the last recorded message, and writes each result to out.
 func callAll(t *testing.T, out *strings.Builder, what string, call func(context.Context) (string, error)) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
@@ -143,7 +145,7 @@
 	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Refusal, a.Number)
 }
 
-// describeUpdate lists what an update holds, as a router decodes it.
+// describeUpdate formats an update as a router decodes it.
 func describeUpdate(message *fleetpb.Update) string {
 	u := rpc.DecodeUpdate(message)
 	out := &strings.Builder{}
@@ -168,7 +170,7 @@
 	return out.String()
 }
 
-// describeState lists the state that a coordinator node gave.
+// describeState formats the state returned by a coordinator node.
 func describeState(s *fleetpb.State) string {
 	out := &strings.Builder{}
 	fmt.Fprintf(out, "epoch %d refused %d %s", s.Epoch, s.Refused, describeUpdate(s.State))
@@ -184,7 +186,7 @@
 	return out.String()
 }
 
-// describePolicies lists a policy and its history.
+// describePolicies formats a policy and its history.
 func describePolicies(p Policies) string {
 	out := &strings.Builder{}
 	out.WriteString(describeStored(p.Version, p.Document))
@@ -194,7 +196,7 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// splitAnswers splits the recorded answers of Do: those to requests for the latest tokens, and all others.
+// splitAnswers splits the recorded responses of Do into those to token queries and all others.
 func splitAnswers(t *testing.T) (tokens, others [][]byte) {
 	t.Helper()
 	for _, b := range readRecorded(t, "responses.jsonl", coordinator+"Do") {
@@ -211,7 +213,7 @@
 	return tokens, others
 }
 
-// A client of this version decodes the responses of earlier coordinator nodes as the earlier client did, and follows their redirects.
+// The client decodes recorded responses of earlier coordinator nodes as the earlier client did, and follows their redirects.
 func TestRecordedResponses_AreAccepted(t *testing.T) {
 	out := &strings.Builder{}
 	tokens, others := splitAnswers(t)
@@ -255,7 +257,7 @@
 	compareGolden(t, filepath.Join(recordedMessagesDir, "responses.golden"), out.String())
 }
 
-// A watch of this version gets from an earlier coordinator node the updates that the earlier watch got.
+// A watch decodes recorded updates of an earlier coordinator node as the earlier client did.
 func TestRecordedUpdates_AreWatched(t *testing.T) {
 	updates := readRecorded(t, "responses.jsonl", coordinator+"Watch")
 	address := serveRecorded(t, func(string, []byte) ([][]byte, error) { return updates, errRecordingEnded })
@@ -269,7 +271,7 @@
 	compareGolden(t, filepath.Join(recordedMessagesDir, "updates.golden"), out.String())
 }
 
-// recordingRouter is a router of one group that records what orders have it do.
+// recordingRouter is a router that records the calls made on behalf of orders.
 type recordingRouter struct {
 	fakeRouter
 	now  float64
@@ -289,8 +291,8 @@
 }
 func (r *recordingRouter) Writes(int) (int, int) { return 3, 4 }
 
-// recordedResponder answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed
-// once it was asked for the latest tokens of both leases of the group.
+// recordedResponder returns a function that responds to a router's requests with recorded responses of an earlier coordinator node to the
+// same kind of request. asked is closed once the router has queried the latest tokens.
 func recordedResponder(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
 	t.Helper()
 	asked = make(chan bool)
@@ -326,7 +328,7 @@
 	}
 }
 
-// sendRecordedOrder sends an order as an earlier lease holder did, until the receiver knows the latest tokens.
+// sendRecordedOrder sends an order like an earlier lease holder. It retries until the receiver is up and knows the latest tokens.
 func sendRecordedOrder(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, "wayloft-fleet", "lab", "wayloft-form", "1")
@@ -334,7 +336,7 @@
 		var response rawBytes
 		request := rawBytes(order)
 		err := conn.Invoke(ctx, receiver+"Act", &request, &response, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true))
-		if status.Code(err) == codes.Unavailable && ctx.Err() == nil { // it is not up yet
+		if status.Code(err) == codes.Unavailable && ctx.Err() == nil { // the receiver is not up yet
 			continue
 		}
 		if err != nil {
@@ -350,7 +352,7 @@
 	}
 }
 
-// A receiver of this version accepts the orders of an earlier lease holder, and its router does what they say.
+// A receiver accepts recorded orders of an earlier lease holder and applies them to its router.
 func TestRecordedOrders_AreApplied(t *testing.T) {
 	router := &recordingRouter{
 		fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)},
@@ -373,9 +375,9 @@
 	}
 	defer closeConnection(conn.Target(), conn)
 	select {
-	case <-asked: // an order that comes before makes it ask for one lease alone
+	case <-asked: // an order that arrives before would cause a token query for its lease alone
 	case <-ctx.Done():
-		t.Fatal("it doesn't ask for the latest tokens")
+		t.Fatal("the receiver does not query the latest tokens")
 	}
 	out := &strings.Builder{}
 	for n, order := range readRecorded(t, "orders.jsonl", receiver+"Act") {
@@ -389,7 +391,7 @@
 	compareGolden(t, filepath.Join(recordedMessagesDir, "orders.golden"), out.String())
 }
 
-// A lease holder of this version accepts the verdict of an earlier receiver.
+// A lease holder accepts the recorded verdict of an earlier receiver.
 func TestRecordedVerdict_IsAccepted(t *testing.T) {
 	verdicts := readRecorded(t, "responses.jsonl", receiver+"Act")
 	address := serveRecorded(t, func(method string, _ []byte) ([][]byte, error) {
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -21,17 +21,17 @@
 	"wayloft/internal/fleetpb"
 )
 
-// testTimeout is how long a test waits for what must come; it says nothing of how long that takes.
+// testTimeout limits each wait for an expected event. It is not an expectation of how long the event takes.
 const testTimeout = 60 * time.Second
 
-// testCoordinator is a coordinator of three nodes on sockets.
+// testCoordinator is a coordinator cluster of three nodes that communicate over sockets.
 type testCoordinator struct {
 	t         *testing.T
 	addresses []string
 	stops     []func()
 }
 
-// startCoordinator starts a coordinator until the test ends.
+// startCoordinator starts a coordinator cluster, which runs until the test ends.
 func startCoordinator(t *testing.T) *testCoordinator {
 	t.Helper()
 	h := &testCoordinator{t: t}
@@ -73,7 +73,7 @@
 	return h
 }
 
-// runInBackground runs f until the function that it returns is called, which waits for f's end.
+// runInBackground runs f on a goroutine. The returned function cancels f's context and waits until f has returned.
 func runInBackground(f func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -87,7 +87,7 @@
 	})
 }
 
-// policyRouter is a router that has nothing but a policy.
+// policyRouter is a router without groups that applies policies.
 type policyRouter struct {
 	loop     chan func()
 	applied  chan policy.Version
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// memoryStore is a store in memory.
+// memoryStore is an in-memory Store.
 type memoryStore struct {
 	mu       sync.Mutex
 	version  policy.Version
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// startRouter starts a router of this name, and returns what ends it.
+// startRouter starts a router and returns a function that stops it.
 func (h *testCoordinator) startRouter(name string, s fleet.Store) (*policyRouter, func()) {
 	p := &policyRouter{loop: make(chan func(), 100), applied: make(chan policy.Version, 1000)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -166,7 +166,7 @@
 	return p, end
 }
 
-// waitForVersion waits for a router to apply a version, or a later one.
+// waitForVersion waits until the router has applied this version or a later one.
 func (p *policyRouter) waitForVersion(t *testing.T, v policy.Version) {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -177,12 +177,12 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("%s was never applied", v)
+			t.Fatalf("timed out waiting for version %s to be applied", v)
 		}
 	}
 }
 
-// propose puts a change in force.
+// propose proposes a change of the policy and returns the resulting version. It fails the test unless the change is accepted.
 func propose(ctx context.Context, t *testing.T, c *fleet.Client, change func(policy.Document)) policy.Version {
 	t.Helper()
 	current, err := c.Policy(ctx)
@@ -203,8 +203,9 @@
 	return after.Version
 }
 
-// Over sockets: a change is applied by every router, small ones with the watch and large ones in parts; each router acknowledges what it
-// has applied; one that can't apply it reports why; one that was down starts with what it stored, and comes to what is in force.
+// With processes that communicate over sockets: every router applies a change, which arrives with the watch if it is small and in parts if
+// it is large. Each router acknowledges the version that it has applied. A router that fails to apply a version reports the reason. A
+// router that was down starts with its stored version and then applies the version in force.
 func TestPolicy_OverSockets(t *testing.T) {
 	h := startCoordinator(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -235,11 +236,11 @@
 	for n, p := range routers {
 		p.waitForVersion(t, large)
 		if p.mu.Lock(); p.document.Hash() != large.Hash {
-			t.Errorf("router %d has applied another document", n+1)
+			t.Errorf("router %d has applied a different document", n+1)
 		}
 		p.mu.Unlock()
 	}
-	acknowledged := func(name string, expected func(*fleetpb.Session) bool) { // each request waits for a majority
+	acknowledged := func(name string, expected func(*fleetpb.Session) bool) { // needs no pause: each request waits for a majority
 		t.Helper()
 		for {
 			s, err := client.State(ctx)
@@ -257,7 +258,7 @@
 		acknowledged(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Packed() && s.Wont == 0 })
 	}
 
-	// A proposal made from a version that is no longer in force, and one of fields that can't be changed.
+	// Rejected proposals: one based on a version that is no longer in force, and one of fields that can't be changed.
 	outdated := policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")
 	a, err := client.Propose(ctx, outdated)
 	if err != nil || a.Held || !strings.Contains(string(a.Refusal), "is in force") {
@@ -270,7 +271,7 @@
 		t.Error(a, err)
 	}
 
-	// One router is down during a change, and one can't apply a version.
+	// One router is down during a change, and another fails to apply it.
 	for v := range store.saved {
 		if v == large {
 			break
@@ -283,17 +284,17 @@
 	acknowledged("r2", func(s *fleetpb.Session) bool {
 		return s.Policy == large.Packed() && s.Wont == next.Packed() && s.Why == "no memory for this"
 	})
-	releaseUpdates := holdUpdates() // what was stored is applied first: a newer version that is heard before would take its place
-	back, _ := h.startRouter("r1", store)
-	if v := <-back.applied; v != large {
-		t.Errorf("started with %s, stored %s", v, large)
+	releaseUpdates := holdUpdates() // otherwise a newer version could be announced before the stored one is applied, and replace it
+	restarted, _ := h.startRouter("r1", store)
+	if v := <-restarted.applied; v != large {
+		t.Errorf("started with version %s, want the stored version %s", v, large)
 	}
 	releaseUpdates()
-	back.waitForVersion(t, next)
+	restarted.waitForVersion(t, next)
 	acknowledged("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
 }
 
-// slowLeader leads a coordinator, and gives no response to the first request.
+// slowLeader is the leader of a coordinator cluster. It does not respond to the first request.
 type slowLeader struct {
 	fleetpb.UnimplementedCouncilServer
 	asked chan bool
@@ -310,7 +311,7 @@
 	}
 }
 
-// follower is another node of it, which always names the leader.
+// follower is a node that redirects all requests to the leader.
 type follower struct {
 	fleetpb.UnimplementedCouncilServer
 	leader string
@@ -320,7 +321,7 @@
 	return &fleetpb.State{Moved: true, Leader: "c1", Address: f.leader}, nil
 }
 
-// A leader that gave no response once is asked again, as long as the other nodes name it.
+// A leader that timed out once is tried again if the other nodes redirect the client to it.
 func TestClient_StateAsksTheLeaderAgainAfterATimeout(t *testing.T) {
 	serve := func(c fleetpb.CouncilServer) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fleet/policystore_test.go
+++ b/internal/fleet/policystore_test.go
@@ -11,12 +11,12 @@
 	"wayloft/internal/decide/policy"
 )
 
-// testVersion is a version of a document.
+// testVersion returns a version with this number and document.
 func testVersion(number uint64, d policy.Document) policy.Version {
 	return policy.Version{Epoch: 5, Number: number, Hash: d.Hash(), Size: len(d.Encode()), Author: "ann", Reason: "more room"}
 }
 
-// saveVersions saves versions of these numbers.
+// saveVersions saves versions with these numbers.
 func saveVersions(t *testing.T, store *PolicyStore, numbers ...uint64) {
 	t.Helper()
 	for _, n := range numbers {
@@ -27,7 +27,7 @@
 	}
 }
 
-// requireLoaded fails the test unless the store loads the version of this number; 0: none.
+// requireLoaded fails the test unless the store loads the version with this number, or no version if it is 0.
 func requireLoaded(t *testing.T, store *PolicyStore, want uint64) {
 	t.Helper()
 	v, d, err := store.Load()
@@ -36,38 +36,37 @@
 	}
 }
 
-// The version that was saved last is loaded. Where a file is corrupt, whatever is wrong with it, it is set aside and the previous generation
-// is loaded.
-func TestPolicyStore_LoadsTheLatestSoundGeneration(t *testing.T) {
+// Load returns the version that was saved last. If its file is corrupt in any way, the file is renamed and the previous version is loaded.
+func TestPolicyStore_LoadsTheLatestValidVersion(t *testing.T) {
 	store := &PolicyStore{Dir: filepath.Join(t.TempDir(), "deep", "er"), Fleet: "lab"}
 	requireLoaded(t, store, 0)
 	saveVersions(t, store, 1)
 	requireLoaded(t, store, 1)
 	saveVersions(t, store, 2, 3)
 	requireLoaded(t, store, 3)
-	whole, err := os.ReadFile(store.path(latestName))
+	valid, err := os.ReadFile(store.path(latestName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if names, _ := filepath.Glob(store.path("*")); len(names) != 2 {
 		t.Errorf("the directory holds %v", names)
 	}
-	for n := range whole { // each bit of it, some, and each length that a cut could leave
-		wrong := append([]byte(nil), whole...)
-		wrong[n] ^= 1 << (n % 8)
-		for _, text := range [][]byte{wrong, whole[:n]} {
+	for n := range valid { // one flipped bit in each byte, and each truncated length
+		corrupted := append([]byte(nil), valid...)
+		corrupted[n] ^= 1 << (n % 8)
+		for _, text := range [][]byte{corrupted, valid[:n]} {
 			if err := os.WriteFile(store.path(latestName), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			requireLoaded(t, store, 2)
 			if _, err := os.Stat(store.path(latestName)); !errors.Is(err, os.ErrNotExist) {
-				t.Fatalf("byte %d: the corrupt file is still there", n)
+				t.Fatalf("byte %d: the corrupt file was not renamed", n)
 			}
 		}
 	}
 	saveVersions(t, store, 4)
 	requireLoaded(t, store, 4)
-	if err := os.WriteFile(store.path(latestName), whole[:9], 0o600); err != nil { // corrupt, and not noticed yet
+	if err := os.WriteFile(store.path(latestName), valid[:9], 0o600); err != nil { // corrupt, but not yet renamed by Load
 		t.Fatal(err)
 	}
 	saveVersions(t, store, 5)
@@ -86,15 +85,15 @@
 	requireLoaded(t, store, 0)
 }
 
-// A process that ends between any two operations of a save leaves the version before it, or this.
+// A process that ends between any two operations of a save leaves the previous version or the new one.
 func TestPolicyStore_InterruptedSave(t *testing.T) {
 	store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	saveVersions(t, store, 1, 2)
-	if err := os.WriteFile(store.path(temporaryName), []byte("half"), 0o600); err != nil { // while it was being written
+	if err := os.WriteFile(store.path(temporaryName), []byte("half"), 0o600); err != nil { // interrupted while writing the file
 		t.Fatal(err)
 	}
 	requireLoaded(t, store, 2)
-	if err := os.Rename(store.path(latestName), store.path(previousName)); err != nil { // between the two renames
+	if err := os.Rename(store.path(latestName), store.path(previousName)); err != nil { // interrupted between the two renames
 		t.Fatal(err)
 	}
 	requireLoaded(t, store, 2)
@@ -102,7 +101,7 @@
 	requireLoaded(t, store, 3)
 }
 
-// A directory that can't be made or written is an error, and nothing more.
+// A directory that can't be created or read and a full disk are reported as errors; a version that was stored before is kept.
 func TestPolicyStore_UnwritableDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -110,7 +109,7 @@
 	}
 	store := &PolicyStore{Dir: filepath.Join(file, "policy"), Fleet: "lab"}
 	if err := store.Save(testVersion(1, nil), nil); err == nil {
-		t.Error("saved beneath a file")
+		t.Error("saved in a directory below a file")
 	}
 	if v, _, err := store.Load(); err == nil || v.Number != 0 {
 		t.Errorf("got %v, %v", v, err)
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -44,13 +44,13 @@
 }
 
 // orderRejected handles the rejection of an order by a process that has seen a higher fencing token.
-func (n *Node) orderRejected(by string, order *fleetpb.Order, verdict *fleetpb.Verdict) {
+func (n *Node) orderRejected(receiver string, order *fleetpb.Order, verdict *fleetpb.Verdict) {
 	header, higher := decodeHeader(order), rpc.DecodeToken(verdict.Highest)
 	leaseName := header.scope.Lease
-	logrus.WithFields(logrus.Fields{"lease": leaseName, "token": header.token, "higher_token": higher, "router": by}).
+	logrus.WithFields(logrus.Fields{"lease": leaseName, "token": header.token, "higher_token": higher, "router": receiver}).
 		Warn("order rejected: the receiver has seen a higher fencing token")
 	fields := leaseFields(leaseName, header.token)
-	fields[higherTokenField], fields["by"] = higher.String(), by
+	fields[higherTokenField], fields["by"] = higher.String(), receiver
 	n.settings.AuditLog.Add("refused", fields)
 	n.leases.Advance(n.now())
 	n.leases.ActRejected(leaseName, higher)
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// The group of a lease is read back from its name, and from no other lease's name.
+// The group is parsed from names of leases with the given prefix only.
 func TestGroupOfLease_EachKind(t *testing.T) {
 	for name, c := range map[string]struct {
 		lease, prefix string
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -12,26 +12,26 @@
 	"wayloft/internal/decide/policy"
 )
 
-// What was written by the program of this commit must be read for as long as its data may be on a disk.
+// recordedStoreDir has files that the program of commit dd13dd4 wrote. Later builds must read them as long as such files may exist on disks.
 const recordedStoreDir = "testdata/stored-dd13dd4"
 
-// copyRecordedStore lays a router's stored policy folder out in a temporary one.
+// copyRecordedStore copies the recorded store of a router to a temporary directory.
 func copyRecordedStore(t *testing.T) *PolicyStore {
 	t.Helper()
-	folder := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
+	store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 	for _, name := range []string{"policy", "policy.before"} {
 		text, err := os.ReadFile(filepath.Join(recordedStoreDir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(folder.Dir, name), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(store.Dir, name), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return folder
+	return store
 }
 
-// compareGolden compares a text with the file that holds what it must be.
+// compareGolden compares a text with a golden file.
 func compareGolden(t *testing.T, path, got string) {
 	t.Helper()
 	golden, err := os.ReadFile(path)
@@ -43,7 +43,7 @@
 	}
 }
 
-// describeStored lists a version and its document.
+// describeStored formats a version and its document.
 func describeStored(v policy.Version, d policy.Document) string {
 	out := &strings.Builder{}
 	fmt.Fprintf(out, "version %d.%d hash %x base %s size %d author %q reason %q\n", v.Epoch, v.Number, v.Hash, policy.FormatPacked(v.Base), v.Size, v.Author,
@@ -54,70 +54,71 @@
 	return out.String()
 }
 
-// loadStored loads what a folder holds and lists it.
-func loadStored(t *testing.T, folder *PolicyStore) string {
+// loadStored loads the version in a store and formats it.
+func loadStored(t *testing.T, store *PolicyStore) string {
 	t.Helper()
-	version, document, err := folder.Load()
+	version, document, err := store.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return describeStored(version, document)
 }
 
-// Both generations of a policy folder of the earlier program are read.
+// Both files of a store that an earlier build wrote can be loaded.
 func TestStoredPolicy_IsLoaded(t *testing.T) {
-	folder := copyRecordedStore(t)
-	both := loadStored(t, folder)
-	if err := os.Remove(filepath.Join(folder.Dir, "policy")); err != nil {
+	store := copyRecordedStore(t)
+	both := loadStored(t, store)
+	if err := os.Remove(filepath.Join(store.Dir, "policy")); err != nil {
 		t.Fatal(err)
 	}
-	both += loadStored(t, folder)
+	both += loadStored(t, store)
 	compareGolden(t, filepath.Join(recordedStoreDir, "loaded.golden"), both)
 }
 
-// What was loaded is written in the same form: as long, under the same names, and read again.
-func TestStoredPolicy_IsWrittenAsItWas(t *testing.T) {
-	folder := copyRecordedStore(t)
-	was, err := os.ReadFile(filepath.Join(folder.Dir, "policy"))
+// A loaded policy is saved in the format in which it was recorded: under the same name, with the same length, and with the same result when
+// it is loaded again.
+func TestStoredPolicy_KeepsFormat(t *testing.T) {
+	recorded := copyRecordedStore(t)
+	want, err := os.ReadFile(filepath.Join(recorded.Dir, "policy"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	version, document, err := folder.Load()
+	version, document, err := recorded.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
-	if err := fresh.Save(version, document); err != nil {
+	saved := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
+	if err := saved.Save(version, document); err != nil {
 		t.Fatal(err)
 	}
-	is, err := os.ReadFile(filepath.Join(fresh.Dir, "policy"))
-	if err != nil || len(is) != len(was) { // the document is a map: its order is free
-		t.Errorf("it is written as\n%x\nnot as\n%x: %v", is, was, err)
+	got, err := os.ReadFile(filepath.Join(saved.Dir, "policy"))
+	if err != nil || len(got) != len(want) { // only the length is compared: the document is a map, whose encoded order varies
+		t.Errorf("got\n%x\nwant\n%x: %v", got, want, err)
 	}
-	if got, want := loadStored(t, fresh), describeStored(version, document); got != want {
+	if got, want := loadStored(t, saved), describeStored(version, document); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
-// A stored policy in which any one byte has changed is not loaded; the version before it is.
-func TestStoredPolicy_CorruptedIsRefused(t *testing.T) {
+// A stored policy with any one byte changed is not loaded; the previous version is loaded instead.
+func TestStoredPolicy_CorruptedIsNotLoaded(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join(recordedStoreDir, "loaded.golden"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(filepath.Join(recordedStoreDir, "policy"))
+	valid, err := os.ReadFile(filepath.Join(recordedStoreDir, "policy"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range whole {
-		folder := copyRecordedStore(t)
-		damaged := slices.Clone(whole)
-		damaged[n] ^= 1 << (n % 8)
-		if err := os.WriteFile(filepath.Join(folder.Dir, "policy"), damaged, 0o600); err != nil {
+	for n := range valid {
+		store := copyRecordedStore(t)
+		corrupted := slices.Clone(valid)
+		corrupted[n] ^= 1 << (n % 8)
+		if err := os.WriteFile(filepath.Join(store.Dir, "policy"), corrupted, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := loadStored(t, folder); !strings.HasSuffix(string(golden), "\n"+got) {
-			t.Fatalf("byte %d has changed: got %s", n, got)
+		if got := loadStored(t, store); !strings.HasSuffix(string(golden), "\n"+got) {
+			t.Fatalf("byte %d changed: got %s", n, got)
 		}
 	}
 }
--- a/internal/fleet/storefailures_test.go
+++ b/internal/fleet/storefailures_test.go
@@ -14,10 +14,10 @@
 	"wayloft/internal/failpoint"
 )
 
-// snapshotStore returns a store as a process that is killed now leaves it.
+// snapshotStore returns a copy of a store, as a process that is killed now would leave it.
 func snapshotStore(t *testing.T, store *PolicyStore) *PolicyStore {
 	t.Helper()
-	left := &PolicyStore{Dir: t.TempDir(), Fleet: store.Fleet}
+	snapshot := &PolicyStore{Dir: t.TempDir(), Fleet: store.Fleet}
 	names, err := filepath.Glob(store.path("*"))
 	if err != nil {
 		t.Fatal(err)
@@ -25,31 +25,31 @@
 	for _, name := range names {
 		b, err := os.ReadFile(name)
 		if err == nil {
-			err = os.WriteFile(left.path(filepath.Base(name)), b, 0o600)
+			err = os.WriteFile(snapshot.path(filepath.Base(name)), b, 0o600)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	return left
+	return snapshot
 }
 
-// Each write, sync and rename of a save fails, once and three times in a row, with ENOSPC and EIO: the version before is there, or this,
-// also after a kill in between; the next save succeeds.
+// Each write, sync and rename of a save fails with ENOSPC or EIO, once or three times in a row. The store then has the previous version or
+// the new one, also if the process is killed at that point, and the next save succeeds.
 func TestPolicyStore_EachOperationFails(t *testing.T) {
-	// Syncs are of the file and of the directory, renames to the previous generation and to the latest.
+	// A save syncs the file and the directory, and renames the latest file to the previous one and the new file to the latest.
 	for point, operations := range map[string]int{"policy.write": 1, "policy.sync": 2, "policy.rename": 2} {
 		for at := 1; at <= operations; at++ {
-			for _, refused := range []error{syscall.ENOSPC, syscall.EIO} {
-				for _, run := range []int{1, 3} {
-					t.Run(fmt.Sprint(point, " ", at, " ", refused, " ", run), func(t *testing.T) {
+			for _, injected := range []error{syscall.ENOSPC, syscall.EIO} {
+				for _, failures := range []int{1, 3} {
+					t.Run(fmt.Sprint(point, " ", at, " ", injected, " ", failures), func(t *testing.T) {
 						store := &PolicyStore{Dir: t.TempDir(), Fleet: "lab"}
 						saveVersions(t, store, 1, 2)
-						for range run {
+						for range failures {
 							count := 0
 							restore := failpoint.SetOperationError(point, func(string) error {
 								if count++; count == at {
-									return refused
+									return injected
 								}
 								return nil
 							})
@@ -57,10 +57,10 @@
 							err := store.Save(testVersion(3, d), d)
 							restore()
 							if err == nil && count >= at {
-								t.Fatal("a save that failed gave no error")
+								t.Fatal("a failed save returned no error")
 							}
-							for _, left := range []*PolicyStore{snapshotStore(t, store), store} {
-								if v, got, err := left.Load(); err != nil || v.Number < 2 || v.Number > 3 || got["tenants.acme.rate"] != fmt.Sprint(v.Number) {
+							for _, s := range []*PolicyStore{snapshotStore(t, store), store} {
+								if v, got, err := s.Load(); err != nil || v.Number < 2 || v.Number > 3 || got["tenants.acme.rate"] != fmt.Sprint(v.Number) {
 									t.Fatalf("%v, %v, %v", v, got, err)
 								}
 							}
@@ -74,12 +74,12 @@
 	}
 }
 
-// A save that fails is retried until the store has the version, or a later one.
+// A failed save is retried with a backoff until the store has the version or a later one.
 func TestSavePolicy_RetriesUntilStored(t *testing.T) {
 	var failing atomic.Bool
-	tried := make(chan struct{}, 100)
+	attempted := make(chan struct{}, 100)
 	defer failpoint.SetOperationError("policy.write", func(string) error {
-		tried <- struct{}{}
+		attempted <- struct{}{}
 		if failing.Load() {
 			return syscall.ENOSPC
 		}
@@ -91,7 +91,7 @@
 	advance := func(now float64) { // as the event loop does
 		node.savePolicy(now)
 		if node.policies.saving {
-			<-tried
+			<-attempted
 			(<-node.mailbox)()
 		}
 	}
@@ -107,7 +107,7 @@
 	for range 3 {
 		advance(max(node.now(), node.policies.saveRetry.Due()))
 		if node.policies.toSave == nil || !node.policies.saveRetry.Failing() {
-			t.Fatal("the save is given up")
+			t.Fatal("the save is not retried")
 		}
 		requireLoaded(t, store, 1)
 	}
@@ -115,12 +115,12 @@
 	if node.policies.saving {
 		t.Error("retried before the backoff ended")
 	}
-	decide(3) // in place of the one that failed
+	decide(3) // replaces the version that could not be saved
 	advance(node.policies.saveRetry.Due())
 	failing.Store(false)
 	advance(node.policies.saveRetry.Due())
 	requireLoaded(t, store, 3)
 	if node.policies.toSave != nil || node.policies.saveRetry.Failing() {
-		t.Error("the save is not over")
+		t.Error("the save has not completed")
 	}
 }
