--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -29,8 +29,8 @@
 	do func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error)
 }
 
-func (a *fakeCoordinator) Do(ctx context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
-	return a.do(ctx, q)
+func (c *fakeCoordinator) Do(ctx context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
+	return c.do(ctx, request)
 }
 
 // serveCoordinator serves a fakeCoordinator until the test ends, and returns its address.
@@ -102,10 +102,10 @@
 // lease is an error.
 func TestClient_LatestTokensTakesOneCall(t *testing.T) {
 	calls := atomic.Int32{}
-	leader := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
+	leader := serveCoordinator(t, func(_ context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
 		calls.Add(1)
 		a := &fleetpb.Answer{}
-		for _, name := range q.Stands {
+		for _, name := range request.Stands {
 			a.Fences = append(a.Fences, &fleetpb.Fence{Epoch: 1, Count: uint64(len(name))})
 		}
 		return a, nil
@@ -114,8 +114,8 @@
 		return &fleetpb.Answer{Moved: true, Leader: "c1", Address: leader}, nil
 	})
 	// Nodes that don't know the request: the first rejects it because it has no entry, the second responds as to an empty request.
-	older := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
-		_, err := leasestate.Decode(q.Entry)
+	older := serveCoordinator(t, func(_ context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
+		_, err := leasestate.Decode(request.Entry)
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	})
 	empty := serveCoordinator(t, func(context.Context, *fleetpb.Request) (*fleetpb.Answer, error) { return &fleetpb.Answer{}, nil })
@@ -141,19 +141,19 @@
 // In a fleet of 164 groups, a starting process queries the latest tokens of all leases in two calls and checks orders against them.
 func TestNode_StartLearnsAllTokensInTwoCalls(t *testing.T) {
 	asked := make(chan []string, 400)
-	coordinator := serveCoordinator(t, func(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
-		if len(q.Stands) == 0 && q.Stand == "" {
+	coordinator := serveCoordinator(t, func(_ context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
+		if len(request.Stands) == 0 && request.Stand == "" {
 			return &fleetpb.Answer{Held: true}, nil
 		}
 		a := &fleetpb.Answer{}
-		for _, name := range q.Stands {
+		for _, name := range request.Stands {
 			group, err := strconv.ParseUint(name[strings.Index(name, "/")+1:], 10, 64)
 			if err != nil {
 				return nil, err
 			}
 			a.Fences = append(a.Fences, &fleetpb.Fence{Epoch: 1, Count: 1000 + group})
 		}
-		asked <- q.Stands
+		asked <- request.Stands
 		return a, nil
 	})
 	router := &fakeRouter{groups: map[int][]Member{}, asked: make(chan bool, 100)}
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -29,11 +29,11 @@
 	return s.state.Apply(s.index, e)
 }
 
-func (s *sessionCoordinator) do(_ context.Context, q *fleetpb.Request) (*fleetpb.Answer, error) {
-	if len(q.Stands) > 0 {
-		return &fleetpb.Answer{Fences: make([]*fleetpb.Fence, len(q.Stands))}, nil
+func (s *sessionCoordinator) do(_ context.Context, request *fleetpb.Request) (*fleetpb.Answer, error) {
+	if len(request.Stands) > 0 {
+		return &fleetpb.Answer{Fences: make([]*fleetpb.Fence, len(request.Stands))}, nil
 	}
-	e, err := leasestate.Decode(q.Entry)
+	e, err := leasestate.Decode(request.Entry)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -240,7 +240,7 @@
 		}
 		p.mu.Unlock()
 	}
-	acknowledged := func(name string, expected func(*fleetpb.Session) bool) { // needs no pause: each request waits for a majority
+	waitForAcknowledgment := func(name string, expected func(*fleetpb.Session) bool) { // needs no pause: each request waits for a majority
 		t.Helper()
 		for {
 			s, err := client.State(ctx)
@@ -255,7 +255,7 @@
 		}
 	}
 	for n := range routers {
-		acknowledged(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Packed() && s.Wont == 0 })
+		waitForAcknowledgment(fmt.Sprint("r", n+1), func(s *fleetpb.Session) bool { return s.Policy == large.Packed() && s.Wont == 0 })
 	}
 
 	// Rejected proposals: one based on a version that is no longer in force, and one of fields that can't be changed.
@@ -281,7 +281,7 @@
 	routers[1].setFailure(errors.New("no memory for this"))
 	next := propose(ctx, t, client, func(d policy.Document) { d["over_share_value"] = "0.4" })
 	routers[2].waitForVersion(t, next)
-	acknowledged("r2", func(s *fleetpb.Session) bool {
+	waitForAcknowledgment("r2", func(s *fleetpb.Session) bool {
 		return s.Policy == large.Packed() && s.Wont == next.Packed() && s.Why == "no memory for this"
 	})
 	releaseUpdates := holdUpdates() // otherwise a newer version could be announced before the stored one is applied, and replace it
@@ -291,7 +291,7 @@
 	}
 	releaseUpdates()
 	restarted.waitForVersion(t, next)
-	acknowledged("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
+	waitForAcknowledgment("r1", func(s *fleetpb.Session) bool { return s.Policy == next.Packed() })
 }
 
 // slowLeader is the leader of a coordinator cluster. It does not respond to the first request.
