--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -9,37 +9,37 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// Changed notifies the node that the router's list has changed. It never waits, and may be called on any goroutine.
+// Changed notifies the node that the router's endpoint list has changed. It never blocks and may be called on any goroutine.
 func (n *Node) Changed() {
 	select {
 	case n.groupsChanged <- struct{}{}:
-	default: // an earlier change is yet to be handled, and this one with it
+	default: // a pending notification covers this change
 	}
 }
 
-// askGroups asks the router for its groups, once for each change of its list.
-func (n *Node) askGroups(now float64) {
-	n.groupsAsked++
-	asked := n.groupsAsked
+// requestGroups requests the current groups from the router's event loop.
+func (n *Node) requestGroups(now float64) {
+	n.groupRequests++
+	request := n.groupRequests
 	accepted := n.callRouter(func() {
 		groups := n.router.Groups()
 		n.retainWriteHolds(groups)
-		go n.post(func() { // the router's loop never waits for this one
-			if asked > n.groupsReceived { // guards against a list that overtakes the one after it: nobody would ask again
-				n.groupsReceived = asked
-				n.groupsListed(groups)
+		go n.post(func() { // on a goroutine: the router's event loop must not wait for this one
+			if request > n.lastGroupResponse { // a late, older list must not replace a newer one: no further request would correct it
+				n.lastGroupResponse = request
+				n.applyGroups(groups)
 			}
 		})
 	})
 	if accepted {
-		n.nextGroups = math.Inf(1)
+		n.groupsDueAt = math.Inf(1)
 	} else {
-		n.nextGroups = now + groupsRetryMs
+		n.groupsDueAt = now + groupsRetryMs
 	}
 }
 
-// retainWriteHolds forgets the write holds of groups that are gone. Like applyHold it runs on the router's event loop, which alone
-// touches them.
+// retainWriteHolds discards the write holds of groups that are no longer listed. Like applyHold it runs on the router's event loop, the
+// only one that accesses writeHolds.
 func (n *Node) retainWriteHolds(groups map[int][]Member) {
 	listed := map[int]bool{}
 	for group := range groups {
@@ -48,8 +48,8 @@
 	n.writeHolds.RetainGroups(listed)
 }
 
-// groupsListed applies the list of groups: their leases are acquired, those of groups that are gone are released.
-func (n *Node) groupsListed(groups map[int][]Member) {
+// applyGroups applies a new list of groups: it acquires the leases of listed groups and releases those of groups that were removed.
+func (n *Node) applyGroups(groups map[int][]Member) {
 	n.groups = groups
 	wanted := map[string]bool{}
 	for group := range groups {
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -26,26 +26,27 @@
 	"wayloft/internal/rpc"
 )
 
-// Messages that processes of this commit sent to each other: processes of two versions run side by side while a fleet is upgraded.
-const recordedBy = "testdata/messages-dd13dd4"
+// recordedMessagesDir has messages that processes of commit dd13dd4 exchanged. The tests guard against a build that can't communicate with
+// an earlier one: processes of both run side by side during an upgrade.
+const recordedMessagesDir = "testdata/messages-dd13dd4"
 
 const (
 	coordinator  = "/wayloft.fleet.v1.Council/"
 	receiver     = "/wayloft.fleet.v1.Receiver/"
-	testDeadline = time.Minute // far longer than any test takes
+	testDeadline = time.Minute // far longer than any of these tests takes
 )
 
-// recordedMessage is a message as it was on the wire.
+// recordedMessage is a recorded message in its wire encoding.
 type recordedMessage struct {
 	Method  string `json:"method"`
 	Message string `json:"message"`
 	Bytes   []byte `json:"bytes"`
 }
 
-// readRecorded reads the recorded messages of a method.
+// readRecorded reads the recorded messages of an RPC method.
 func readRecorded(t *testing.T, name, method string) (all [][]byte) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(recordedBy, name))
+	text, err := os.ReadFile(filepath.Join(recordedMessagesDir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,15 +60,15 @@
 		}
 	}
 	if len(all) == 0 {
-		t.Fatalf("%s: nothing of %s", name, method)
+		t.Fatalf("%s: no messages of %s", name, method)
 	}
 	return all
 }
 
-// rawBytes is a message that is sent or received as it is.
+// rawBytes is an encoded message.
 type rawBytes []byte
 
-// rawCodec passes messages on without reading them.
+// rawCodec sends and receives encoded messages unchanged.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return *v.(*rawBytes), nil }
@@ -77,8 +78,9 @@
 }
 func (rawCodec) Name() string { return "proto" }
 
-// serveEarlier serves any method as a process of the earlier version: it requires the metadata that were recorded, and responds by respond.
-func serveEarlier(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
+// serveRecorded serves all methods like a process of the earlier build: it requires the recorded metadata and sends the responses that
+// respond returns.
+func serveRecorded(t *testing.T, respond func(method string, request []byte) (responses [][]byte, err error)) (address string) {
 	t.Helper()
 	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
 		sent, _ := metadata.FromIncomingContext(stream.Context())
@@ -99,22 +101,22 @@
 		}
 		return err
 	}))
-	return serveUntilEnd(t, server)
+	return serveGRPC(t, server)
 }
 
-// errNoMore ends a recording: the client asks no further.
-var errNoMore = status.Error(codes.FailedPrecondition, "nothing more was recorded")
+// errRecordingEnded is returned after the last recorded message. The client does not retry after this error.
+var errRecordingEnded = status.Error(codes.FailedPrecondition, "nothing more was recorded")
 
-// clientOfEarlier returns a client of a coordinator node that answers each call with the next of these messages.
-func clientOfEarlier(t *testing.T, method string, responses [][]byte) *Client {
+// newRecordedClient returns a client of a coordinator node that responds to each call with the next of the given messages.
+func newRecordedClient(t *testing.T, method string, responses [][]byte) *Client {
 	t.Helper()
 	next := 0
-	address := serveEarlier(t, func(called string, _ []byte) ([][]byte, error) {
+	address := serveRecorded(t, func(called string, _ []byte) ([][]byte, error) {
 		if called != method {
-			return nil, status.Errorf(codes.Unimplemented, "%s is called, not %s", called, method)
+			return nil, status.Errorf(codes.Unimplemented, "got a call of %s, want %s", called, method)
 		}
 		if next == len(responses) {
-			return nil, errNoMore
+			return nil, errRecordingEnded
 		}
 		next++
 		return responses[next-1 : next], nil
@@ -124,7 +126,7 @@
 	return client
 }
 
-// callAll calls until nothing more was recorded, and lists what came of each call.
+// callAll repeats a call until it fails, which it does after the last recorded message, and writes each result to out.
 func callAll(t *testing.T, out *strings.Builder, what string, call func(context.Context) (string, error)) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
@@ -139,11 +141,11 @@
 	}
 }
 
-func describeAnswer(a leasestate.Result) string {
+func describeResult(a leasestate.Result) string {
 	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Refusal, a.Number)
 }
 
-// describeUpdate lists what an update holds, as a router decodes it.
+// describeUpdate formats an update as a router decodes it.
 func describeUpdate(message *fleetpb.Update) string {
 	u := rpc.DecodeUpdate(message)
 	out := &strings.Builder{}
@@ -168,7 +170,7 @@
 	return out.String()
 }
 
-// describeState lists the state that a coordinator node gave.
+// describeState formats the state returned by a coordinator node.
 func describeState(s *fleetpb.State) string {
 	out := &strings.Builder{}
 	fmt.Fprintf(out, "epoch %d refused %d %s", s.Epoch, s.Refused, describeUpdate(s.State))
@@ -184,7 +186,7 @@
 	return out.String()
 }
 
-// describePolicies lists a policy and its history.
+// describePolicies formats a policy and its history.
 func describePolicies(p Policies) string {
 	out := &strings.Builder{}
 	out.WriteString(describeStored(p.Version, p.Document))
@@ -194,7 +196,7 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// splitAnswers splits the recorded answers of Do: those to requests for the latest tokens, and all others.
+// splitAnswers splits the recorded responses of Do into those to token queries and all others.
 func splitAnswers(t *testing.T) (tokens, others [][]byte) {
 	t.Helper()
 	for _, b := range readRecorded(t, "responses.jsonl", coordinator+"Do") {
@@ -211,26 +213,26 @@
 	return tokens, others
 }
 
-// A client of this version decodes the responses of earlier coordinator nodes as the earlier client did, and follows their redirects.
+// The client decodes recorded responses of earlier coordinator nodes as the earlier client did, and follows their redirects.
 func TestRecordedResponses_AreAccepted(t *testing.T) {
 	out := &strings.Builder{}
 	tokens, others := splitAnswers(t)
-	do := clientOfEarlier(t, coordinator+"Do", others)
+	do := newRecordedClient(t, coordinator+"Do", others)
 	callAll(t, out, "do", func(ctx context.Context) (string, error) {
 		a, err := do.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.KeepAlive, Session: "r", Incarnation: 1})
-		return describeAnswer(a), err
+		return describeResult(a), err
 	})
-	latest := clientOfEarlier(t, coordinator+"Do", tokens)
+	latest := newRecordedClient(t, coordinator+"Do", tokens)
 	callAll(t, out, "stands", func(ctx context.Context) (string, error) {
 		tokens, err := latest.LatestTokens(ctx, []string{"handover/0", "sight/0"})
 		return fmt.Sprint(tokens), err
 	})
-	change := clientOfEarlier(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
+	change := newRecordedClient(t, coordinator+"Change", readRecorded(t, "responses.jsonl", coordinator+"Change"))
 	callAll(t, out, "change", func(ctx context.Context) (string, error) {
 		a, err := change.ChangeMembership(ctx, &fleetpb.Members{})
-		return describeAnswer(a), err
+		return describeResult(a), err
 	})
-	look := clientOfEarlier(t, coordinator+"Look", readRecorded(t, "responses.jsonl", coordinator+"Look"))
+	look := newRecordedClient(t, coordinator+"Look", readRecorded(t, "responses.jsonl", coordinator+"Look"))
 	callAll(t, out, "look", func(ctx context.Context) (string, error) {
 		s, err := look.State(ctx)
 		if err != nil {
@@ -238,27 +240,27 @@
 		}
 		return describeState(s), nil
 	})
-	policies := clientOfEarlier(t, coordinator+"Policies", readRecorded(t, "responses.jsonl", coordinator+"Policies"))
+	policies := newRecordedClient(t, coordinator+"Policies", readRecorded(t, "responses.jsonl", coordinator+"Policies"))
 	callAll(t, out, "policies", func(ctx context.Context) (string, error) {
 		p, err := policies.Policy(ctx)
 		return describePolicies(p), err
 	})
-	part := clientOfEarlier(t, coordinator+"Policy", readRecorded(t, "responses.jsonl", coordinator+"Policy"))
+	part := newRecordedClient(t, coordinator+"Policy", readRecorded(t, "responses.jsonl", coordinator+"Policy"))
 	callAll(t, out, "part", func(ctx context.Context) (string, error) {
-		p, err := part.policyPart(ctx, policy.Request{MaxBytes: 1024}, true)
+		p, err := part.fetchPolicyPart(ctx, policy.Request{MaxBytes: 1024}, true)
 		if err != nil {
 			return "", err
 		}
 		text, err := rpc.Decompress(p.Bytes, policy.MaxHistoryBytes)
 		return fmt.Sprintf("%s  whole %t offset %d total %d changes %x", describeStored(p.Version, nil), p.Full, p.Offset, p.Total, text), err
 	})
-	compareGolden(t, filepath.Join(recordedBy, "responses.golden"), out.String())
+	compareGolden(t, filepath.Join(recordedMessagesDir, "responses.golden"), out.String())
 }
 
-// A watch of this version gets from an earlier coordinator node the updates that the earlier watch got.
+// A watch decodes recorded updates of an earlier coordinator node as the earlier client did.
 func TestRecordedUpdates_AreWatched(t *testing.T) {
 	updates := readRecorded(t, "responses.jsonl", coordinator+"Watch")
-	address := serveEarlier(t, func(string, []byte) ([][]byte, error) { return updates, errNoMore })
+	address := serveRecorded(t, func(string, []byte) ([][]byte, error) { return updates, errRecordingEnded })
 	client := NewClient("lab", []string{address}, nil)
 	defer client.Close()
 	out := &strings.Builder{}
@@ -266,10 +268,10 @@
 	if !strings.Contains(err.Error(), "nothing more was recorded") {
 		t.Error(err)
 	}
-	compareGolden(t, filepath.Join(recordedBy, "updates.golden"), out.String())
+	compareGolden(t, filepath.Join(recordedMessagesDir, "updates.golden"), out.String())
 }
 
-// recordingRouter is a router of one group that records what orders have it do.
+// recordingRouter is a router that records the calls made on behalf of orders.
 type recordingRouter struct {
 	fakeRouter
 	now  float64
@@ -289,9 +291,9 @@
 }
 func (r *recordingRouter) Writes(int) (int, int) { return 3, 4 }
 
-// respondToRouter answers a router's requests with what an earlier coordinator node answered to the same kind of request; asked is closed
-// once it was asked for the latest tokens of both leases of the group.
-func respondToRouter(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
+// recordedResponder returns a function that responds to a router's requests with recorded responses of an earlier coordinator node to the
+// same kind of request. asked is closed once the router has queried the latest tokens.
+func recordedResponder(t *testing.T) (asked chan bool, respond func(method string, request []byte) ([][]byte, error)) {
 	t.Helper()
 	asked = make(chan bool)
 	once := sync.OnceFunc(func() { close(asked) })
@@ -310,7 +312,7 @@
 	return asked, func(method string, request []byte) ([][]byte, error) {
 		switch method {
 		case coordinator + "Watch":
-			return updates[:1], errNoMore
+			return updates[:1], errRecordingEnded
 		case coordinator + "Do":
 			q := &fleetpb.Request{}
 			if err := proto.Unmarshal(request, q); err != nil {
@@ -326,15 +328,15 @@
 	}
 }
 
-// actAsEarlier sends an order as an earlier lease holder did, until the receiver knows the latest tokens.
-func actAsEarlier(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
+// sendRecordedOrder sends an order like an earlier lease holder. It retries until the receiver is up and knows the latest tokens.
+func sendRecordedOrder(ctx context.Context, t *testing.T, conn *grpc.ClientConn, order []byte) *fleetpb.Verdict {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, "wayloft-fleet", "lab", "wayloft-form", "1")
 	for {
 		var response rawBytes
 		request := rawBytes(order)
 		err := conn.Invoke(ctx, receiver+"Act", &request, &response, grpc.ForceCodec(rawCodec{}), grpc.WaitForReady(true))
-		if status.Code(err) == codes.Unavailable && ctx.Err() == nil { // it is not up yet
+		if status.Code(err) == codes.Unavailable && ctx.Err() == nil { // the receiver is not up yet
 			continue
 		}
 		if err != nil {
@@ -350,15 +352,15 @@
 	}
 }
 
-// A receiver of this version accepts the orders of an earlier lease holder, and its router does what they say.
+// A receiver accepts recorded orders of an earlier lease holder and applies them to its router.
 func TestRecordedOrders_AreApplied(t *testing.T) {
 	router := &recordingRouter{
 		fakeRouter: fakeRouter{groups: map[int][]Member{0: nil}, asked: make(chan bool, 100)},
 		now:        1796206623622,
 		done:       make(chan string, 16),
 	}
-	asked, respond := respondToRouter(t)
-	settings := testSettings("lab", serveEarlier(t, respond))
+	asked, respond := recordedResponder(t)
+	settings := testSettings("lab", serveRecorded(t, respond))
 	settings.Name, settings.MaxHoldMs = "r2", 5000
 	node := New(settings, router)
 	listener := listen(t)
@@ -373,26 +375,26 @@
 	}
 	defer closeConnection(conn.Target(), conn)
 	select {
-	case <-asked: // an order that comes before makes it ask for one lease alone
+	case <-asked: // an order that arrives before would cause a token query for its lease alone
 	case <-ctx.Done():
-		t.Fatal("it doesn't ask for the latest tokens")
+		t.Fatal("the receiver does not query the latest tokens")
 	}
 	out := &strings.Builder{}
 	for n, order := range readRecorded(t, "orders.jsonl", receiver+"Act") {
-		v := actAsEarlier(ctx, t, conn, order)
+		v := sendRecordedOrder(ctx, t, conn, order)
 		if v.Kind != fleetpb.Verdict_TAKEN {
 			t.Fatalf("order %d: %v", n+1, v)
 		}
 		fmt.Fprintf(out, "order %d: %s; highest %d.%d running %d held %d why %q\n", n+1, <-router.done, v.Highest.GetEpoch(), v.Highest.GetCount(),
 			v.Running, v.Held, v.Why)
 	}
-	compareGolden(t, filepath.Join(recordedBy, "orders.golden"), out.String())
+	compareGolden(t, filepath.Join(recordedMessagesDir, "orders.golden"), out.String())
 }
 
-// A lease holder of this version accepts the verdict of an earlier receiver.
+// A lease holder accepts the recorded verdict of an earlier receiver.
 func TestRecordedVerdict_IsAccepted(t *testing.T) {
 	verdicts := readRecorded(t, "responses.jsonl", receiver+"Act")
-	address := serveEarlier(t, func(method string, _ []byte) ([][]byte, error) {
+	address := serveRecorded(t, func(method string, _ []byte) ([][]byte, error) {
 		if method != receiver+"Act" {
 			return nil, status.Error(codes.Unimplemented, method)
 		}
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -19,15 +19,15 @@
 	"wayloft/internal/rpc"
 )
 
-// watchRetry is about how long after a watch has ended the next one starts.
-const watchRetry = 300 * time.Millisecond
+// watchRetryDelay is the delay, before jitter, between the failure of a watch and the start of the next one.
+const watchRetryDelay = 300 * time.Millisecond
 
-// advanceLeases carries out what the lease client decides. Checkers read the names of audit events: they never change.
+// advanceLeases executes the lease client's decisions. Checkers depend on the names of the audit events, which must not change.
 func (n *Node) advanceLeases() {
 	for d, more := n.leases.Next(); more; d, more = n.leases.Next() {
 		switch d.Action {
 		case leaseclient.Propose, leaseclient.QueryTokens:
-			n.background.Go(func() { n.request(d) })
+			n.background.Go(func() { n.sendRequest(d) })
 		case leaseclient.Start:
 			n.settings.AuditLog.Add("start", leaseFields(d.Lease, d.Token))
 			logrus.WithFields(logrus.Fields{"lease": d.Lease, "token": d.Token}).Info("lease acquired")
@@ -40,18 +40,18 @@
 	}
 }
 
-// leaseAcquired starts the work that a lease is for.
+// leaseAcquired starts the work that requires a lease.
 func (n *Node) leaseAcquired(name string, token lease.Token) {
-	n.watchSessions()
-	if group, found := groupOfLease(name, healthshare.LeasePrefix); found {
+	n.includeSessionsInWatch()
+	if group, found := parseLeaseGroup(name, healthshare.LeasePrefix); found {
 		n.startHealthSharing(name, token, group)
-	} else if group, found := groupOfLease(name, switchover.LeasePrefix); found {
+	} else if group, found := parseLeaseGroup(name, switchover.LeasePrefix); found {
 		n.startSwitchovers(name, token, group)
 	}
 }
 
-// groupOfLease returns the group that a lease is of; false: its name has another prefix.
-func groupOfLease(name, prefix string) (group int, found bool) {
+// parseLeaseGroup returns the group in a lease's name. It returns false if the name has another prefix or no group number.
+func parseLeaseGroup(name, prefix string) (group int, found bool) {
 	text, found := strings.CutPrefix(name, prefix)
 	if !found {
 		return 0, false
@@ -60,20 +60,20 @@
 	return group, err == nil
 }
 
-// leaseEnded ends the work that a lease was for.
+// leaseEnded stops the work that requires a lease.
 func (n *Node) leaseEnded(name string) {
 	delete(n.healthSharers, name)
 	if task := n.switchovers[name]; task != nil && task.cancel != nil {
 		task.cancel()
 	}
 	delete(n.switchovers, name)
-	n.givesOrders.Store(len(n.healthSharers)+len(n.switchovers) > 0)
+	n.sendsOrders.Store(len(n.healthSharers)+len(n.switchovers) > 0)
 }
 
-// watchSessions has the watch report other processes' sessions from now on, since this process gives orders. The next watch leaves them
-// out again, if no lease is held by then.
-func (n *Node) watchSessions() {
-	n.givesOrders.Store(true)
+// includeSessionsInWatch makes the watch report other processes' sessions, which this process needs for sending orders. A running watch
+// without them is restarted. Later watches omit them again once this process holds no lease.
+func (n *Node) includeSessionsInWatch() {
+	n.sendsOrders.Store(true)
 	if n.leases.SessionsComplete() {
 		return
 	}
@@ -84,14 +84,15 @@
 	}
 }
 
-// request sends a request to the coordinator. A quarter of the session timeout leaves time for retries.
-func (n *Node) request(d leaseclient.Decision) {
+// sendRequest sends a request to the coordinator and passes the response to the lease client. The timeout is a quarter of the session
+// timeout, which leaves time for retries.
+func (n *Node) sendRequest(d leaseclient.Decision) {
 	ctx, cancel := context.WithTimeout(n.ctx, milliseconds(n.settings.SessionTimeoutMs/4))
 	defer cancel()
 	if d.Action == leaseclient.QueryTokens {
 		tokens, err := n.client.LatestTokens(ctx, d.Leases)
 		n.post(func() {
-			if n.responded(d, err) {
+			if n.checkResponse(d, err) {
 				n.leases.TokensLearned(d.Request, tokens)
 			}
 		})
@@ -99,45 +100,45 @@
 	}
 	result, err := n.client.ProposeEntry(ctx, d.Entry)
 	n.post(func() {
-		if n.responded(d, err) {
-			n.recordResult(d.Entry, result)
+		if n.checkResponse(d, err) {
+			n.logResult(d.Entry, result)
 			n.leases.Answered(d.Request, result)
 		}
 	})
 }
 
-// responded reports whether the coordinator has responded to a request; if not, the lease client learns of it.
-func (n *Node) responded(d leaseclient.Decision, err error) bool {
+// checkResponse reports whether a request succeeded. If not, it notifies the lease client.
+func (n *Node) checkResponse(d leaseclient.Decision, err error) bool {
 	n.leases.Advance(n.now())
 	if err != nil {
-		logrus.WithError(err).Debug("no response from the coordinator")
+		logrus.WithError(err).Debug("coordinator request failed")
 		n.leases.Failed(d.Request)
 	}
 	return err == nil
 }
 
-// recordResult writes to the logs what the coordinator has made of an entry.
-func (n *Node) recordResult(e leasestate.Entry, result leasestate.Result) {
+// logResult writes the results of entries that matter to operators to the log and the audit log.
+func (n *Node) logResult(e leasestate.Entry, result leasestate.Result) {
 	switch {
 	case e.Kind == leasestate.ReportToken && result.Refusal != "":
 		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
-			Error("the coordinator's state has regressed: a higher fencing token was seen")
+			Error("coordinator state has regressed: this process has seen a higher fencing token")
 		n.settings.AuditLog.Add("behind", audit.Fields{leaseField: e.Lease, "seen": e.Token.String(), coordinatorTokenField: result.Token.String()})
 	case e.Kind == leasestate.OpenSession:
 		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Refusal, "incarnation": e.Incarnation})
 	}
 }
 
-// watch follows the coordinator's changes, and starts again whenever a watch ends. A failure is logged once, until it is another one or an
-// update has come.
+// watch watches the coordinator and restarts the watch whenever it ends. A failure is logged again only if its text differs or an update
+// was received since.
 func (n *Node) watch() {
 	logged := ""
 	for n.ctx.Err() == nil {
-		ctx, cancel, withoutSessions := n.startWatch()
+		ctx, cancel, withoutSessions := n.newWatchContext()
 		err := n.client.Watch(ctx, withoutSessions, func(update *fleetpb.Update) {
 			logged = ""
 			failpoint.Hit("fleet.updated")
-			n.post(func() { n.updated(update) })
+			n.post(func() { n.applyUpdate(update) })
 		})
 		restarted := ctx.Err() != nil
 		cancel()
@@ -149,21 +150,22 @@
 		}
 		if text := err.Error(); text != logged {
 			logged = text
-			logrus.WithError(err).Warn("coordinator unreachable")
+			logrus.WithError(err).Warn("watch of the coordinator failed; retrying")
 		}
 		select {
 		case <-n.ctx.Done():
-		case <-time.After(rpc.Jitter(watchRetry)):
+		case <-time.After(rpc.Jitter(watchRetryDelay)):
 		}
 	}
 }
 
-// startWatch returns the context of the next watch, and whether it leaves out other processes' sessions; if it does, watchSessions ends it.
-func (n *Node) startWatch() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
+// newWatchContext returns the context of the next watch and whether that omits other processes' sessions. If it does,
+// includeSessionsInWatch can cancel the context.
+func (n *Node) newWatchContext() (ctx context.Context, cancel context.CancelFunc, withoutSessions bool) {
 	ctx, cancel = context.WithCancel(n.ctx)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	withoutSessions = !n.givesOrders.Load()
+	withoutSessions = !n.sendsOrders.Load()
 	n.restartWatch = nil
 	if withoutSessions {
 		n.restartWatch = cancel
@@ -171,8 +173,8 @@
 	return ctx, cancel, withoutSessions
 }
 
-// updated applies what a watch has reported.
-func (n *Node) updated(message *fleetpb.Update) {
+// applyUpdate passes an update of the watch to the lease client and the policy follower.
+func (n *Node) applyUpdate(message *fleetpb.Update) {
 	n.leases.Advance(n.now())
 	update := rpc.DecodeUpdate(message)
 	n.leases.UpdateReceived(update)
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// The group of a lease is read back from its name, and from no other lease's name.
+// The group is parsed from names of leases with the given prefix only.
 func TestGroupOfLease_EachKind(t *testing.T) {
 	for name, c := range map[string]struct {
 		lease, prefix string
@@ -22,7 +22,7 @@
 		"name on the wire, order": {"handover/3", switchover.LeasePrefix, 3, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if group, found := groupOfLease(c.lease, c.prefix); group != c.group || found != c.found {
+			if group, found := parseLeaseGroup(c.lease, c.prefix); group != c.group || found != c.found {
 				t.Errorf("%q: group %d, %v", c.lease, group, found)
 			}
 		})
