--- a/internal/pg/append.go
+++ b/internal/pg/append.go
@@ -4,15 +4,15 @@
 
 // appendMessage appends a message whose body appendBody appends; nil for an empty body. Startup messages have noType.
 func appendMessage(out []byte, messageType byte, appendBody func([]byte) []byte) []byte {
-	if messageType != noType {
+	if messageType != noMessageType {
 		out = append(out, messageType)
 	}
-	lengthAt := len(out)
+	lengthOffset := len(out)
 	out = append(out, 0, 0, 0, 0)
 	if appendBody != nil {
 		out = appendBody(out)
 	}
-	binary.BigEndian.PutUint32(out[lengthAt:], uint32(len(out)-lengthAt))
+	binary.BigEndian.PutUint32(out[lengthOffset:], uint32(len(out)-lengthOffset))
 	return out
 }
 
--- a/internal/pg/append_client.go
+++ b/internal/pg/append_client.go
@@ -4,7 +4,7 @@
 
 // AppendStartup appends a startup message, with further parameters each as a name and a value.
 func AppendStartup(out []byte, user, database string, parameters ...Setting) []byte {
-	return appendMessage(out, noType, func(out []byte) []byte {
+	return appendMessage(out, noMessageType, func(out []byte) []byte {
 		out = binary.BigEndian.AppendUint32(out, protocolMajorVersion<<16)
 		out = appendCString(appendCString(out, "user"), user)
 		out = appendCString(appendCString(out, "database"), database)
@@ -17,8 +17,8 @@
 
 // AppendCancelRequest appends a request to cancel what a session runs. It is sent on a connection of its own.
 func AppendCancelRequest(out []byte, key CancelKey) []byte {
-	return appendMessage(out, noType, func(out []byte) []byte {
-		out = binary.BigEndian.AppendUint32(out, requestMajorVersion<<16|cancelRequestMinor)
+	return appendMessage(out, noMessageType, func(out []byte) []byte {
+		out = binary.BigEndian.AppendUint32(out, requestCodeMajor<<16|cancelRequestCodeMinor)
 		return appendCancelKey(out, key)
 	})
 }
--- a/internal/pg/append_server.go
+++ b/internal/pg/append_server.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// statusIdle is the status of ReadyForQuery outside a transaction.
-const statusIdle byte = 'I'
+// transactionStatusIdle is the status of ReadyForQuery outside a transaction.
+const transactionStatusIdle byte = 'I'
 
-// greetingParameters are what clients rely on before the first member is known.
-var greetingParameters = [...]Setting{
+// defaultServerParameters are what clients rely on before the first member is known.
+var defaultServerParameters = [...]Setting{
 	{"server_version", "16.0"},
 	{"client_encoding", "UTF8"},
 	{"server_encoding", "UTF8"},
@@ -19,7 +19,7 @@
 		out = AppendNegotiateProtocolVersion(out)
 	}
 	out = AppendAuthenticationOK(out)
-	for _, parameter := range greetingParameters {
+	for _, parameter := range defaultServerParameters {
 		out = AppendParameterStatus(out, parameter.Name, parameter.Value)
 	}
 	out = AppendBackendKeyData(out, CancelKey{})
@@ -57,7 +57,7 @@
 }
 
 // AppendReadyIdle appends a ReadyForQuery message outside a transaction.
-func AppendReadyIdle(out []byte) []byte { return AppendReadyForQuery(out, statusIdle) }
+func AppendReadyIdle(out []byte) []byte { return AppendReadyForQuery(out, transactionStatusIdle) }
 
 // AppendCommandComplete appends the end of a command's response.
 func AppendCommandComplete(out []byte, tag string) []byte {
@@ -75,7 +75,7 @@
 	}
 	return appendMessage(out, serverErrorResponse, func(out []byte) []byte {
 		out = appendCString(append(out, errorFieldSeverity), severity)
-		out = appendCString(append(out, errorFieldSeverityNotLocal), severity)
+		out = appendCString(append(out, errorFieldNonLocalizedSeverity), severity)
 		out = appendCString(append(out, errorFieldCode), e.Code)
 		out = appendCString(append(out, errorFieldMessage), e.Text)
 		if e.Detail != "" {
--- a/internal/pg/body.go
+++ b/internal/pg/body.go
@@ -8,69 +8,69 @@
 // bodyReader reads the fields of a message's body one after the other. After a field that does not fit, invalid names it, and further
 // fields are zero.
 type bodyReader struct {
-	rest    []byte
-	invalid string
+	remaining    []byte
+	invalidField string
 }
 
-func (b *bodyReader) fail(field string) {
-	if b.invalid == "" {
-		b.invalid = field
+func (b *bodyReader) markInvalid(field string) {
+	if b.invalidField == "" {
+		b.invalidField = field
 	}
-	b.rest = nil
+	b.remaining = nil
 }
 
 func (b *bodyReader) byte(field string) byte {
-	if len(b.rest) == 0 {
-		b.fail(field)
+	if len(b.remaining) == 0 {
+		b.markInvalid(field)
 		return 0
 	}
-	first := b.rest[0]
-	b.rest = b.rest[1:]
+	first := b.remaining[0]
+	b.remaining = b.remaining[1:]
 	return first
 }
 
 func (b *bodyReader) uint16(field string) int {
-	if len(b.rest) < 2 {
-		b.fail(field)
+	if len(b.remaining) < 2 {
+		b.markInvalid(field)
 		return 0
 	}
-	n := int(binary.BigEndian.Uint16(b.rest))
-	b.rest = b.rest[2:]
+	n := int(binary.BigEndian.Uint16(b.remaining))
+	b.remaining = b.remaining[2:]
 	return n
 }
 
 // cString reads a text that a zero byte ends.
 func (b *bodyReader) cString(field string) string {
-	text, rest, ok := cutCString(b.rest)
+	text, rest, ok := splitCString(b.remaining)
 	if !ok {
-		b.fail(field)
+		b.markInvalid(field)
 		return ""
 	}
-	b.rest = rest
+	b.remaining = rest
 	return text
 }
 
 func (b *bodyReader) skip(n int, field string) {
-	if len(b.rest) < n {
-		b.fail(field)
+	if len(b.remaining) < n {
+		b.markInvalid(field)
 		return
 	}
-	b.rest = b.rest[n:]
+	b.remaining = b.remaining[n:]
 }
 
 // finish returns an error if a field did not fit, or if anything is left.
 func (b *bodyReader) finish(messageType byte) error {
-	if b.invalid == "" && len(b.rest) > 0 {
-		b.fail("end")
+	if b.invalidField == "" && len(b.remaining) > 0 {
+		b.markInvalid("end")
 	}
-	if b.invalid != "" {
-		return malformed(messageType, b.invalid)
+	if b.invalidField != "" {
+		return newMalformedMessageError(messageType, b.invalidField)
 	}
 	return nil
 }
 
-// cutCString splits a text off that a zero byte ends.
-func cutCString(b []byte) (text string, rest []byte, ok bool) {
+// splitCString splits a text off that a zero byte ends.
+func splitCString(b []byte) (text string, rest []byte, ok bool) {
 	end := bytes.IndexByte(b, 0)
 	if end < 0 {
 		return "", b, false
@@ -78,8 +78,8 @@
 	return string(b[:end]), b[end+1:], true
 }
 
-// cutValue splits a value off that its size precedes. A negative size stands for NULL.
-func cutValue(b []byte) (size int, value, rest []byte, ok bool) {
+// splitValue splits a value off that its size precedes. A negative size stands for NULL.
+func splitValue(b []byte) (size int, value, rest []byte, ok bool) {
 	if len(b) < 4 {
 		return 0, nil, nil, false
 	}
--- a/internal/pg/command.go
+++ b/internal/pg/command.go
@@ -54,7 +54,7 @@
 	case "reset":
 		return parseReset(&l)
 	case "show":
-		return Command{Kind: Show, Name: l.dottedName()}
+		return Command{Kind: Show, Name: l.qualifiedName()}
 	case "discard":
 		return parseDiscard(&l)
 	case "deallocate":
--- a/internal/pg/decode_client.go
+++ b/internal/pg/decode_client.go
@@ -7,20 +7,20 @@
 // decodeStartup decodes the first message of a client.
 func decodeStartup(body []byte) (Message, error) {
 	if len(body) < 4 {
-		return Message{}, decodeError(startupPlace, ProtocolViolation, "startup message without a version")
+		return Message{}, newDecodeError(startupPlace, ProtocolViolation, "startup message without a version")
 	}
 	major, minor := binary.BigEndian.Uint16(body), binary.BigEndian.Uint16(body[2:])
 	switch {
-	case major == requestMajorVersion && (minor == sslRequestMinor || minor == gssEncryptionMinor):
+	case major == requestCodeMajor && (minor == sslRequestCodeMinor || minor == gssEncryptionCodeMinor):
 		return Message{Kind: SSLRequest}, nil
-	case major == requestMajorVersion && minor == cancelRequestMinor:
+	case major == requestCodeMajor && minor == cancelRequestCodeMinor:
 		return decodeCancelRequest(body), nil
 	case major != protocolMajorVersion:
-		return Message{}, decodeError(startupPlace, FeatureNotSupported, "protocol version %d.%d", major, minor)
+		return Message{}, newDecodeError(startupPlace, FeatureNotSupported, "protocol version %d.%d", major, minor)
 	}
 	parameters := body[4:]
 	if len(parameters) == 0 || parameters[len(parameters)-1] != 0 {
-		return Message{}, decodeError(startupPlace, ProtocolViolation, "startup message without its end")
+		return Message{}, newDecodeError(startupPlace, ProtocolViolation, "startup message without its end")
 	}
 	return Message{Kind: Startup, MinorVersion: int(minor), Startup: decodeStartupParameters(parameters)}, nil
 }
@@ -40,11 +40,11 @@
 // decodeStartupParameters tolerates an incomplete last parameter.
 func decodeStartupParameters(b []byte) (parameters StartupParameters) {
 	for len(b) > 1 {
-		name, rest, ok := cutCString(b)
+		name, rest, ok := splitCString(b)
 		if !ok {
 			return parameters
 		}
-		value, rest, ok := cutCString(rest)
+		value, rest, ok := splitCString(rest)
 		if !ok {
 			return parameters
 		}
@@ -54,26 +54,26 @@
 	return parameters
 }
 
-// decodeClient decodes a message whose header was accepted.
-func decodeClient(messageType byte, body []byte) (Message, error) {
+// decodeClientMessage decodes a message whose header was accepted.
+func decodeClientMessage(messageType byte, body []byte) (Message, error) {
 	kind := clientKinds[messageType]
 	if kind != Query {
 		return Message{Kind: kind}, nil
 	}
-	text, rest, ok := cutCString(body)
+	text, rest, ok := splitCString(body)
 	if !ok || len(rest) > 0 {
-		return Message{}, decodeError("Query, text", ProtocolViolation, "query without its end")
+		return Message{}, newDecodeError("Query, text", ProtocolViolation, "query without its end")
 	}
 	return Message{Kind: Query, Text: text}, nil
 }
 
-// decodeExtendedClient is decodeClient after EnableExtended.
-func decodeExtendedClient(messageType byte, body []byte) (Message, error) {
+// decodeExtendedClientMessage is decodeClient after EnableExtended.
+func decodeExtendedClientMessage(messageType byte, body []byte) (Message, error) {
 	kind, extended := extendedClientKinds[messageType]
 	if !extended {
-		return decodeClient(messageType, body)
+		return decodeClientMessage(messageType, body)
 	}
-	m, b := Message{Kind: kind}, bodyReader{rest: body}
+	m, b := Message{Kind: kind}, bodyReader{remaining: body}
 	switch kind {
 	case Parse:
 		readParse(&m, &b)
@@ -83,7 +83,7 @@
 		m.Portal = b.cString("portal")
 		b.skip(4, "row limit")
 	case Describe, Close:
-		readTarget(&m, &b)
+		readDescribeTarget(&m, &b)
 	case CopyData, CopyFail:
 		return m, nil // any body is valid
 	}
@@ -92,7 +92,7 @@
 
 func readParse(m *Message, b *bodyReader) {
 	m.Name = b.cString("statement name")
-	m.Tail = b.rest
+	m.Tail = b.remaining
 	m.Text = b.cString("statement")
 	parameters := b.uint16("number of parameter types")
 	b.skip(4*parameters, "parameter types")
@@ -102,23 +102,23 @@
 func readBind(m *Message, b *bodyReader) {
 	m.Portal = b.cString("portal")
 	m.Name = b.cString("statement name")
-	m.Tail = b.rest
+	m.Tail = b.remaining
 	parameterFormats := b.uint16("number of parameter formats")
 	b.skip(2*parameterFormats, "parameter formats")
 	values := b.uint16("number of values")
 	for range values {
-		size, _, rest, ok := cutValue(b.rest)
+		size, _, rest, ok := splitValue(b.remaining)
 		if !ok || size < -1 {
-			b.fail("values")
+			b.markInvalid("values")
 			return
 		}
-		b.rest = rest
+		b.remaining = rest
 	}
 	resultFormats := b.uint16("number of result formats")
 	b.skip(2*resultFormats, "result formats")
 }
 
-func readTarget(m *Message, b *bodyReader) {
+func readDescribeTarget(m *Message, b *bodyReader) {
 	m.Target = b.byte("target")
 	switch m.Target {
 	case targetStatement:
@@ -126,6 +126,6 @@
 	case targetPortal:
 		m.Portal = b.cString("portal")
 	default:
-		b.fail("target")
+		b.markInvalid("target")
 	}
 }
--- a/internal/pg/decode_server.go
+++ b/internal/pg/decode_server.go
@@ -4,17 +4,17 @@
 
 // Field types of an ErrorResponse.
 const (
-	errorFieldCode             byte = 'C'
-	errorFieldDetail           byte = 'D'
-	errorFieldMessage          byte = 'M'
-	errorFieldSeverity         byte = 'S'
-	errorFieldSeverityNotLocal byte = 'V' // never translated
+	errorFieldCode                 byte = 'C'
+	errorFieldDetail               byte = 'D'
+	errorFieldMessage              byte = 'M'
+	errorFieldSeverity             byte = 'S'
+	errorFieldNonLocalizedSeverity byte = 'V' // never translated
 )
 
 const cancelKeySize = 8 // bytes
 
-// decodeServer decodes a message whose header was accepted.
-func decodeServer(messageType byte, body []byte, extended bool) (Message, error) {
+// decodeServerMessage decodes a message whose header was accepted.
+func decodeServerMessage(messageType byte, body []byte, extended bool) (Message, error) {
 	if extended && messageType != serverRowDescription && messageType != serverErrorResponse {
 		if message, known := extendedServerMessages[messageType]; known {
 			return Message{Kind: message.kind}, nil
@@ -28,7 +28,7 @@
 	case serverNoticeResponse, serverNegotiateProtocolVersion:
 		return Message{Kind: Ignored}, nil
 	case serverParameterStatus:
-		b := bodyReader{rest: body}
+		b := bodyReader{remaining: body}
 		m := Message{Kind: ParameterStatus}
 		m.Name = b.cString("name")
 		m.Text = b.cString("value")
@@ -40,7 +40,7 @@
 	case serverDataRow:
 		return decodeDataRow(body)
 	case serverCommandComplete:
-		b := bodyReader{rest: body}
+		b := bodyReader{remaining: body}
 		m := Message{Kind: CommandComplete, Text: b.cString("tag")}
 		return m, b.finish(messageType)
 	case serverEmptyQueryResponse:
@@ -48,13 +48,13 @@
 	case serverErrorResponse:
 		return decodeErrorResponse(body)
 	}
-	return Message{}, decodeError(headerPlace, ProtocolViolation, "unknown message type %q", messageType)
+	return Message{}, newDecodeError(headerPlace, ProtocolViolation, "unknown message type %q", messageType)
 }
 
 func decodeAuthentication(body []byte) (Message, error) {
 	const authenticationOK = 0
 	if binary.BigEndian.Uint32(body) != authenticationOK {
-		return Message{}, decodeError("Authentication", FeatureNotSupported, "the server wants a password")
+		return Message{}, newDecodeError("Authentication", FeatureNotSupported, "the server wants a password")
 	}
 	return Message{Kind: AuthenticationOK}, nil
 }
@@ -73,27 +73,27 @@
 
 func decodeDataRow(body []byte) (Message, error) {
 	m := Message{Kind: DataRow, ColumnCount: int(binary.BigEndian.Uint16(body))}
-	unread := body[2:]
+	remaining := body[2:]
 	for column := range m.ColumnCount {
-		size, value, rest, ok := cutValue(unread)
+		size, value, rest, ok := splitValue(remaining)
 		if !ok {
-			return Message{}, malformed(serverDataRow, "columns")
+			return Message{}, newMalformedMessageError(serverDataRow, "columns")
 		}
 		if column == 0 && size >= 0 {
 			m.FirstColumn = value
 		}
-		unread = rest
+		remaining = rest
 	}
-	if len(unread) > 0 {
-		return Message{}, malformed(serverDataRow, "end")
+	if len(remaining) > 0 {
+		return Message{}, newMalformedMessageError(serverDataRow, "end")
 	}
 	return m, nil
 }
 
 func decodeErrorResponse(body []byte) (Message, error) {
-	b := bodyReader{rest: body}
+	b := bodyReader{remaining: body}
 	e := &Error{}
-	for len(b.rest) > 1 {
+	for len(b.remaining) > 1 {
 		field := b.byte("field type")
 		value := b.cString("field value")
 		switch field {
@@ -106,10 +106,10 @@
 		}
 	}
 	if b.byte("terminator") != 0 {
-		b.fail("terminator")
+		b.markInvalid("terminator")
 	}
 	if e.Code == "" {
-		b.fail("code")
+		b.markInvalid("code")
 	}
 	return Message{Kind: ErrorResponse, Error: e}, b.finish(serverErrorResponse)
 }
--- a/internal/pg/errors.go
+++ b/internal/pg/errors.go
@@ -34,12 +34,12 @@
 // Unwrap returns the ErrorResponse for the other end.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-func decodeError(place, code, format string, args ...any) error {
+func newDecodeError(place, code, format string, args ...any) error {
 	return &DecodeError{Place: place, Err: &Error{Code: code, Text: fmt.Sprintf(format, args...)}}
 }
 
-// malformed is the error of a message whose fields don't fit its body.
-func malformed(messageType byte, field string) error {
+// newMalformedMessageError is the error of a message whose fields don't fit its body.
+func newMalformedMessageError(messageType byte, field string) error {
 	place := fmt.Sprintf("message %q, %s", messageType, field)
-	return decodeError(place, ProtocolViolation, "broken message of type %q", messageType)
+	return newDecodeError(place, ProtocolViolation, "broken message of type %q", messageType)
 }
--- a/internal/pg/header.go
+++ b/internal/pg/header.go
@@ -6,9 +6,9 @@
 	maxStartupBytes = 10000 // as in PostgreSQL
 
 	// Offsets in a message, in bytes.
-	startupVersionEnd = lengthSize + 4
-	firstValueSizeAt  = headerSize + 2 // of a row's first value, behind the number of columns
-	firstValueAt      = firstValueSizeAt + 4
+	startupVersionEnd    = lengthSize + 4
+	firstValueSizeOffset = headerSize + 2 // of a row's first value, behind the number of columns
+	firstValueOffset     = firstValueSizeOffset + 4
 )
 
 const headerPlace = "message header"
@@ -18,42 +18,42 @@
 // depend on how much of the body has come.
 func (r *Reader) checkHeader(unread []byte, length uint64) error {
 	if length < lengthSize {
-		return decodeError(headerPlace, ProtocolViolation, "message length %d is too small", length)
+		return newDecodeError(headerPlace, ProtocolViolation, "message length %d is too small", length)
 	}
 	switch {
-	case !r.started:
+	case !r.startupDecoded:
 		return r.checkStartupHeader(unread, length)
 	case r.fromServer:
 		return r.checkServerHeader(unread, length+1)
 	}
-	if !r.knowsClientType(unread[0]) {
-		return decodeError(headerPlace, ProtocolViolation, "unknown message type %q", unread[0])
+	if !r.isKnownClientType(unread[0]) {
+		return newDecodeError(headerPlace, ProtocolViolation, "unknown message type %q", unread[0])
 	}
-	return checkSize(length+1, uint64(r.maxMessage))
+	return checkMessageSize(length+1, uint64(r.maxMessageBytes))
 }
 
-func checkSize(size, limit uint64) error {
+func checkMessageSize(size, limit uint64) error {
 	if size > limit {
-		return decodeError(headerPlace, ProgramLimitExceeded, "message of %d bytes is longer than %d", size, limit)
+		return newDecodeError(headerPlace, ProgramLimitExceeded, "message of %d bytes is longer than %d", size, limit)
 	}
 	return nil
 }
 
 func (r *Reader) checkStartupHeader(unread []byte, size uint64) error {
-	if err := checkSize(size, min(uint64(r.maxMessage), maxStartupBytes)); err != nil {
+	if err := checkMessageSize(size, min(uint64(r.maxMessageBytes), maxStartupBytes)); err != nil {
 		return err
 	}
 	if size < startupVersionEnd || len(unread) < startupVersionEnd {
 		return nil
 	}
 	major := binary.BigEndian.Uint16(unread[lengthSize:])
-	if major != protocolMajorVersion && major != requestMajorVersion {
-		return decodeError(headerPlace, FeatureNotSupported, "protocol version %d", major)
+	if major != protocolMajorVersion && major != requestCodeMajor {
+		return newDecodeError(headerPlace, FeatureNotSupported, "protocol version %d", major)
 	}
 	return nil
 }
 
-func (r *Reader) knowsClientType(messageType byte) bool {
+func (r *Reader) isKnownClientType(messageType byte) bool {
 	if r.extended {
 		if _, known := extendedClientKinds[messageType]; known {
 			return true
@@ -63,30 +63,30 @@
 	return known
 }
 
-func (r *Reader) serverSizes(messageType byte) (sizes bodySizes, known bool) {
+func (r *Reader) serverBodySizeLimits(messageType byte) (sizes bodySizeRange, known bool) {
 	if r.extended {
 		if message, known := extendedServerMessages[messageType]; known {
 			return message.sizes, true
 		}
 	}
-	sizes, known = serverBodySizes[messageType]
+	sizes, known = serverBodySizeRanges[messageType]
 	return sizes, known
 }
 
 func (r *Reader) checkServerHeader(unread []byte, size uint64) error {
 	messageType := unread[0]
-	sizes, known := r.serverSizes(messageType)
+	sizes, known := r.serverBodySizeLimits(messageType)
 	if !known {
-		return decodeError(headerPlace, ProtocolViolation, "unknown message type %q", messageType)
+		return newDecodeError(headerPlace, ProtocolViolation, "unknown message type %q", messageType)
 	}
-	if err := checkSize(size, uint64(r.maxMessage)); err != nil {
+	if err := checkMessageSize(size, uint64(r.maxMessageBytes)); err != nil {
 		return err
 	}
 	bodySize := size - headerSize
 	if bodySize < sizes.min || bodySize > sizes.max {
-		return decodeError(headerPlace, ProtocolViolation, "message of type %q can't have %d bytes", messageType, bodySize)
+		return newDecodeError(headerPlace, ProtocolViolation, "message of type %q can't have %d bytes", messageType, bodySize)
 	}
-	if messageType == serverDataRow && len(unread) >= firstValueAt {
+	if messageType == serverDataRow && len(unread) >= firstValueOffset {
 		return checkFirstValue(unread, size)
 	}
 	return nil
@@ -95,10 +95,10 @@
 // checkFirstValue rejects a row whose first value does not fit, before all of the row has come.
 func checkFirstValue(unread []byte, size uint64) error {
 	columns := binary.BigEndian.Uint16(unread[headerSize:])
-	valueSize := int64(int32(binary.BigEndian.Uint32(unread[firstValueSizeAt:])))
-	left := int64(size) - firstValueAt - max(0, valueSize)
-	if columns > 0 && (left < 0 || columns == 1 && left > 0) {
-		return decodeError("DataRow, first column", ProtocolViolation, "a value of %d bytes in a message of %d", valueSize, size)
+	valueSize := int64(int32(binary.BigEndian.Uint32(unread[firstValueSizeOffset:])))
+	remaining := int64(size) - firstValueOffset - max(0, valueSize)
+	if columns > 0 && (remaining < 0 || columns == 1 && remaining > 0) {
+		return newDecodeError("DataRow, first column", ProtocolViolation, "a value of %d bytes in a message of %d", valueSize, size)
 	}
 	return nil
 }
--- a/internal/pg/lexer.go
+++ b/internal/pg/lexer.go
@@ -14,11 +14,11 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-func isBlank(c byte) bool { return strings.IndexByte(" \t\r\n\f\v", c) >= 0 }
+func isWhitespace(c byte) bool { return strings.IndexByte(" \t\r\n\f\v", c) >= 0 }
 
 // next returns the next token, empty at the end.
 func (l *lexer) next() string {
-	l.skipBlanks()
+	l.skipWhitespaceAndComments()
 	if l.offset >= len(l.sql) {
 		return ""
 	}
@@ -39,12 +39,12 @@
 	return token
 }
 
-// skipBlanks skips blanks and comments.
-func (l *lexer) skipBlanks() {
+// skipWhitespaceAndComments skips blanks and comments.
+func (l *lexer) skipWhitespaceAndComments() {
 	for l.offset < len(l.sql) {
 		rest := l.sql[l.offset:]
 		switch {
-		case isBlank(rest[0]):
+		case isWhitespace(rest[0]):
 			l.offset++
 		case strings.HasPrefix(rest, "--"):
 			l.offset += lineCommentLength(rest)
@@ -87,7 +87,7 @@
 	case c == '\'' || c == '"':
 		return quotedLength(s, false)
 	case c == '$':
-		return dollarLength(s)
+		return dollarTokenLength(s)
 	case isDigit(c):
 		return numberLength(s)
 	case !isLetter(c):
@@ -137,8 +137,8 @@
 	return 0
 }
 
-// dollarLength returns the length of a dollar-quoted text, or of a parameter such as $1. A text that is not closed extends to the end.
-func dollarLength(s string) int {
+// dollarTokenLength returns the length of a dollar-quoted text, or of a parameter such as $1. A text that is not closed extends to the end.
+func dollarTokenLength(s string) int {
 	n := 1
 	for n < len(s) && (isLetter(s[n]) || n > 1 && isDigit(s[n])) {
 		n++
--- a/internal/pg/messagetype.go
+++ b/internal/pg/messagetype.go
@@ -46,14 +46,14 @@
 // Startup messages have no type byte. The first field of their body is a protocol version or, with a major version that does not exist,
 // the code of a request.
 const (
-	noType byte = 0
+	noMessageType byte = 0
 
-	protocolMajorVersion  = 3
-	requestMajorVersion   = 1234
-	cancelRequestMinor    = 5678
-	sslRequestMinor       = 5679
-	gssEncryptionMinor    = 5680
-	cancelRequestBodySize = 12
+	protocolMajorVersion   = 3
+	requestCodeMajor       = 1234
+	cancelRequestCodeMinor = 5678
+	sslRequestCodeMinor    = 5679
+	gssEncryptionCodeMinor = 5680
+	cancelRequestBodySize  = 12
 )
 
 var clientKinds = map[byte]Kind{
@@ -82,49 +82,49 @@
 	clientParse:    Parse,
 }
 
-// bodySizes are the smallest and largest body of a message, in bytes.
-type bodySizes struct{ min, max uint64 }
+// bodySizeRange are the smallest and largest body of a message, in bytes.
+type bodySizeRange struct{ min, max uint64 }
 
 const (
-	maxTagBytes      = 1 << 7
-	maxKeyDataBytes  = 260 // the length of a cancel key in protocol 3.2
-	maxFieldsBytes   = 1 << 13
-	maxExtendedBytes = 1 << 16
-	maxColumnsBytes  = 1 << 20
-	anySize          = 1 << 32 // only the reader's limit holds
+	maxCommandTagBytes    = 1 << 7
+	maxCancelKeyDataBytes = 260 // the length of a cancel key in protocol 3.2
+	maxSimpleBodyBytes    = 1 << 13
+	maxExtendedBodyBytes  = 1 << 16
+	maxColumnListBytes    = 1 << 20
+	unboundedBodyBytes    = 1 << 32 // only the reader's limit holds
 )
 
-var serverBodySizes = map[byte]bodySizes{
+var serverBodySizeRanges = map[byte]bodySizeRange{
 	serverAuthentication:           {4, 4},
-	serverBackendKeyData:           {8, maxKeyDataBytes},
-	serverCommandComplete:          {1, maxTagBytes},
-	serverDataRow:                  {2, anySize},
+	serverBackendKeyData:           {8, maxCancelKeyDataBytes},
+	serverCommandComplete:          {1, maxCommandTagBytes},
+	serverDataRow:                  {2, unboundedBodyBytes},
 	serverEmptyQueryResponse:       {0, 0},
-	serverErrorResponse:            {1, maxFieldsBytes},
-	serverNegotiateProtocolVersion: {8, maxFieldsBytes},
-	serverNoticeResponse:           {1, maxFieldsBytes},
-	serverParameterStatus:          {2, maxFieldsBytes},
+	serverErrorResponse:            {1, maxSimpleBodyBytes},
+	serverNegotiateProtocolVersion: {8, maxSimpleBodyBytes},
+	serverNoticeResponse:           {1, maxSimpleBodyBytes},
+	serverParameterStatus:          {2, maxSimpleBodyBytes},
 	serverReadyForQuery:            {1, 1},
-	serverRowDescription:           {2, maxFieldsBytes},
+	serverRowDescription:           {2, maxSimpleBodyBytes},
 }
 
 // extendedServerMessages replace or extend serverBodySizes after EnableExtended.
 var extendedServerMessages = map[byte]struct {
 	kind  Kind
-	sizes bodySizes
+	sizes bodySizeRange
 }{
-	serverBindComplete:         {BindComplete, bodySizes{0, 0}},
-	serverCloseComplete:        {CloseComplete, bodySizes{0, 0}},
-	serverCopyData:             {CopyData, bodySizes{0, anySize}},
-	serverCopyDone:             {CopyDone, bodySizes{0, 0}},
-	serverCopyInResponse:       {CopyInResponse, bodySizes{3, maxExtendedBytes}},
-	serverCopyOutResponse:      {CopyOutResponse, bodySizes{3, maxExtendedBytes}},
-	serverErrorResponse:        {ErrorResponse, bodySizes{1, maxExtendedBytes}},
-	serverNoData:               {NoData, bodySizes{0, 0}},
-	serverNoticeResponse:       {NoticeResponse, bodySizes{1, maxExtendedBytes}},
-	serverNotificationResponse: {NotificationResponse, bodySizes{6, maxExtendedBytes}},
-	serverParameterDescription: {ParameterDescription, bodySizes{2, maxColumnsBytes}},
-	serverParseComplete:        {ParseComplete, bodySizes{0, 0}},
-	serverPortalSuspended:      {PortalSuspended, bodySizes{0, 0}},
-	serverRowDescription:       {RowDescription, bodySizes{2, maxColumnsBytes}},
+	serverBindComplete:         {BindComplete, bodySizeRange{0, 0}},
+	serverCloseComplete:        {CloseComplete, bodySizeRange{0, 0}},
+	serverCopyData:             {CopyData, bodySizeRange{0, unboundedBodyBytes}},
+	serverCopyDone:             {CopyDone, bodySizeRange{0, 0}},
+	serverCopyInResponse:       {CopyInResponse, bodySizeRange{3, maxExtendedBodyBytes}},
+	serverCopyOutResponse:      {CopyOutResponse, bodySizeRange{3, maxExtendedBodyBytes}},
+	serverErrorResponse:        {ErrorResponse, bodySizeRange{1, maxExtendedBodyBytes}},
+	serverNoData:               {NoData, bodySizeRange{0, 0}},
+	serverNoticeResponse:       {NoticeResponse, bodySizeRange{1, maxExtendedBodyBytes}},
+	serverNotificationResponse: {NotificationResponse, bodySizeRange{6, maxExtendedBodyBytes}},
+	serverParameterDescription: {ParameterDescription, bodySizeRange{2, maxColumnListBytes}},
+	serverParseComplete:        {ParseComplete, bodySizeRange{0, 0}},
+	serverPortalSuspended:      {PortalSuspended, bodySizeRange{0, 0}},
+	serverRowDescription:       {RowDescription, bodySizeRange{2, maxColumnListBytes}},
 }
--- a/internal/pg/reader.go
+++ b/internal/pg/reader.go
@@ -11,18 +11,18 @@
 
 // Reader decodes messages from bytes that come in any split.
 type Reader struct {
-	buffer     []byte
-	offset     int // of the first byte that is not decoded
-	maxMessage int
-	fromServer bool
-	started    bool // the startup message, which has no type byte, was decoded
-	extended   bool
-	err        error
+	buffer          []byte
+	offset          int // of the first byte that is not decoded
+	maxMessageBytes int
+	fromServer      bool
+	startupDecoded  bool // the startup message, which has no type byte, was decoded
+	extended        bool
+	err             error
 }
 
 // NewReader returns a reader of what a server or a client sends. No message may be longer than maxMessage bytes.
 func NewReader(fromServer bool, maxMessage int) *Reader {
-	return &Reader{maxMessage: maxMessage, fromServer: fromServer, started: fromServer}
+	return &Reader{maxMessageBytes: maxMessage, fromServer: fromServer, startupDecoded: fromServer}
 }
 
 // EnableExtended has the reader tell the messages of the extended protocol and of COPY apart, and set Raw in each message.
@@ -53,7 +53,7 @@
 	if r.err != nil {
 		return Message{}, false, r.err
 	}
-	raw, err := r.nextRaw()
+	raw, err := r.nextRawMessage()
 	if err == nil && raw != nil {
 		err = r.decode(raw, &m)
 	}
@@ -64,24 +64,24 @@
 	return m, raw != nil, nil
 }
 
-// nextRaw returns the next whole message, nil if more bytes are needed.
-func (r *Reader) nextRaw() ([]byte, error) {
-	head := headerSize
-	if !r.started {
-		head = lengthSize
+// nextRawMessage returns the next whole message, nil if more bytes are needed.
+func (r *Reader) nextRawMessage() ([]byte, error) {
+	prefixSize := headerSize
+	if !r.startupDecoded {
+		prefixSize = lengthSize
 	}
 	unread := r.buffer[r.offset:]
-	if len(unread) < head {
+	if len(unread) < prefixSize {
 		if len(unread) == 0 && cap(r.buffer) > maxIdleBufferBytes {
 			r.Shrink()
 		}
 		return nil, nil
 	}
-	length := uint64(binary.BigEndian.Uint32(unread[head-lengthSize:]))
+	length := uint64(binary.BigEndian.Uint32(unread[prefixSize-lengthSize:]))
 	if err := r.checkHeader(unread, length); err != nil {
 		return nil, err
 	}
-	size := length + uint64(head-lengthSize)
+	size := length + uint64(prefixSize-lengthSize)
 	if uint64(len(unread)) < size {
 		return nil, nil
 	}
@@ -91,15 +91,15 @@
 
 func (r *Reader) decode(raw []byte, m *Message) (err error) {
 	switch {
-	case !r.started:
+	case !r.startupDecoded:
 		*m, err = decodeStartup(raw[lengthSize:])
-		r.started = err == nil && m.Kind == Startup
+		r.startupDecoded = err == nil && m.Kind == Startup
 	case r.fromServer:
-		*m, err = decodeServer(raw[0], raw[headerSize:], r.extended)
+		*m, err = decodeServerMessage(raw[0], raw[headerSize:], r.extended)
 	case r.extended:
-		*m, err = decodeExtendedClient(raw[0], raw[headerSize:])
+		*m, err = decodeExtendedClientMessage(raw[0], raw[headerSize:])
 	default:
-		*m, err = decodeClient(raw[0], raw[headerSize:])
+		*m, err = decodeClientMessage(raw[0], raw[headerSize:])
 	}
 	if r.extended || m.Kind == RowDescription || m.Kind == DataRow || m.Kind == CommandComplete {
 		m.Raw = raw
--- a/internal/pg/reader_test.go
+++ b/internal/pg/reader_test.go
@@ -17,8 +17,8 @@
 	ParameterDescription: "ParameterDescription", CopyInResponse: "CopyInResponse", CopyOutResponse: "CopyOutResponse",
 	NoticeResponse: "NoticeResponse", NotificationResponse: "NotificationResponse", BackendKeyData: "BackendKeyData"}
 
-// describe returns the kind of a message and those of its fields that are set.
-func describe(m Message) string {
+// describeMessage returns the kind of a message and those of its fields that are set.
+func describeMessage(m Message) string {
 	words := []string{kindNames[m.Kind]}
 	add := func(isSet bool, format string, value any) {
 		if isSet {
@@ -50,14 +50,14 @@
 		if !ok {
 			return strings.Join(messages, "; ")
 		}
-		messages = append(messages, describe(m))
+		messages = append(messages, describeMessage(m))
 	}
 }
 
-// testValue is a value of a row.
-const testValue = "\x00\x00\x00\x02ok"
+// encodedTestValue is a value of a row.
+const encodedTestValue = "\x00\x00\x00\x02ok"
 
-var readerInputs = []struct {
+var readerCases = []struct {
 	name       string
 	fromServer bool
 	bytes      string
@@ -78,14 +78,14 @@
 	{"greeting", true, string(AppendGreeting(nil, 0)),
 		"AuthenticationOK; ParameterStatus server_version 16.0; ParameterStatus client_encoding UTF8; ParameterStatus server_encoding UTF8; " +
 			"ParameterStatus standard_conforming_strings on; Ignored; ReadyForQuery"},
-	{"response", true, "T\x00\x00\x00\x06\x00\x01D\x00\x00\x00\x0c\x00\x01" + testValue + "C\x00\x00\x00\x0dSELECT 1\x00" +
+	{"response", true, "T\x00\x00\x00\x06\x00\x01D\x00\x00\x00\x0c\x00\x01" + encodedTestValue + "C\x00\x00\x00\x0dSELECT 1\x00" +
 		string(AppendReadyIdle(nil)), "RowDescription columns=1; DataRow columns=1 first=ok; CommandComplete SELECT 1; ReadyForQuery"},
 	{"error response", true, string(AppendError(nil, &Error{Code: TooManyConnections, Text: "full", Detail: "20"}, true)),
 		"ErrorResponse 53300: full detail=20"},
 	{"NULL", true, "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff", "DataRow columns=1"},
 	{"password requested", true, "R\x00\x00\x00\x08\x00\x00\x00\x03", "error 0A000"},
 	{"value longer than its row", true, "D\x00\x00\x00\x0c\x00\x01\x00\x00\x00\x03ok", "error 08P01"},
-	{"row longer than its values", true, "D\x00\x00\x00\x0d\x00\x01" + testValue + "!", "error 08P01"},
+	{"row longer than its values", true, "D\x00\x00\x00\x0d\x00\x01" + encodedTestValue + "!", "error 08P01"},
 	{"error without terminator", true, "E\x00\x00\x00\x07C12", "error 08P01"},
 	{"garbage, by its header", true, "x\x00\x00\x00\x40", "error 08P01"},
 	{"ReadyForQuery too long, by its header", true, "Z\x00\x00\x00\x06", "error 08P01"},
@@ -115,7 +115,7 @@
 }
 
 func TestReader_SameMessagesForAnySplit(t *testing.T) {
-	for _, in := range readerInputs {
+	for _, in := range readerCases {
 		t.Run(in.name, func(t *testing.T) {
 			for i := range len(in.bytes) + 1 {
 				for _, j := range []int{i, (i + len(in.bytes)) / 2, len(in.bytes)} {
@@ -200,8 +200,8 @@
 		{true, message(serverErrorResponse, "Mtext\x00\x00"), `message 'E', code`},
 	} {
 		r, _ := readExtended(c.fromServer, c.bytes)
-		var invalid *DecodeError
-		if !errors.As(r.err, &invalid) || invalid.Place != c.place || invalid.Err.Code != ProtocolViolation {
+		var decodeError *DecodeError
+		if !errors.As(r.err, &decodeError) || decodeError.Place != c.place || decodeError.Err.Code != ProtocolViolation {
 			t.Errorf("%q: got %v, want a protocol violation at %q", c.bytes, r.err, c.place)
 		}
 	}
@@ -209,15 +209,15 @@
 
 // FuzzReader has a reader take any bytes: the messages don't depend on the split, and no more is buffered than the limit.
 func FuzzReader(f *testing.F) {
-	for _, in := range readerInputs {
+	for _, in := range readerCases {
 		f.Add(in.fromServer, []byte(in.bytes))
 	}
 	f.Fuzz(func(t *testing.T, fromServer bool, b []byte) {
 		const maxMessage = 1 << 8
 		checkExtendedSize(t, fromServer, maxMessage, b)
-		atOnce := NewReader(fromServer, maxMessage)
-		atOnce.Feed(b)
-		want := readAll(atOnce)
+		wholeReader := NewReader(fromServer, maxMessage)
+		wholeReader.Feed(b)
+		want := readAll(wholeReader)
 		r := NewReader(fromServer, maxMessage)
 		var read []string
 		for n := range b {
--- a/internal/pg/setting.go
+++ b/internal/pg/setting.go
@@ -19,7 +19,7 @@
 		case "characteristics":
 			return parseCharacteristics(l)
 		case "authorization":
-			return setOne("session_authorization", l.value())
+			return newSetCommand("session_authorization", l.settingValue())
 		}
 	}
 	c := parseSetTarget(l, start, word)
@@ -27,7 +27,7 @@
 	return c
 }
 
-func setOne(name, value string) Command {
+func newSetCommand(name, value string) Command {
 	return Command{Kind: Set, Settings: []Setting{{Name: name, Value: value}}}
 }
 
@@ -41,20 +41,20 @@
 	case "time":
 		return parseSetTimeZone(l)
 	case "names":
-		return setOne("client_encoding", l.value())
+		return newSetCommand("client_encoding", l.settingValue())
 	case "schema":
-		return setOne("search_path", l.value())
+		return newSetCommand("search_path", l.settingValue())
 	case "role", "seed":
 		if !isAssignment(l.peek()) {
-			return setOne(word, l.value())
+			return newSetCommand(word, l.settingValue())
 		}
 	}
 	l.offset = start
-	name := l.dottedName()
+	name := l.qualifiedName()
 	if !isAssignment(l.next()) {
 		return Command{}
 	}
-	return setOne(name, l.value())
+	return newSetCommand(name, l.settingValue())
 }
 
 func isAssignment(token string) bool { return token == "=" || strings.EqualFold(token, "to") }
@@ -64,7 +64,7 @@
 		return Command{}
 	}
 	c := Command{Kind: SetTransaction, Simple: true}
-	c.readModes(l, l.keyword())
+	c.readTransactionModes(l, l.keyword())
 	return c
 }
 
@@ -72,11 +72,11 @@
 	if !strings.EqualFold(l.next(), "zone") {
 		return Command{}
 	}
-	value := l.value()
+	value := l.settingValue()
 	if strings.EqualFold(value, "local") {
 		value = "" // as DEFAULT
 	}
-	return setOne("timezone", value)
+	return newSetCommand("timezone", value)
 }
 
 // parseCharacteristics parses the rest of SET SESSION CHARACTERISTICS: the defaults of later transactions.
@@ -123,14 +123,14 @@
 	case "session":
 		return Command{Kind: Reset, Name: "session_authorization"}
 	}
-	return Command{Kind: Reset, Name: l.dottedName()}
+	return Command{Kind: Reset, Name: l.qualifiedName()}
 }
 
-// dottedName reads a name that may have several parts.
-func (l *lexer) dottedName() string {
+// qualifiedName reads a name that may have several parts.
+func (l *lexer) qualifiedName() string {
 	name := identifier(l.next())
 	for {
-		l.skipBlanks()
+		l.skipWhitespaceAndComments()
 		if l.offset >= len(l.sql) || l.sql[l.offset] != '.' {
 			return name
 		}
@@ -139,9 +139,9 @@
 	}
 }
 
-// value returns the rest as it is written, empty for DEFAULT.
-func (l *lexer) value() string {
-	l.skipBlanks()
+// settingValue returns the rest as it is written, empty for DEFAULT.
+func (l *lexer) settingValue() string {
+	l.skipWhitespaceAndComments()
 	value := strings.TrimSpace(l.sql[l.offset:])
 	if strings.EqualFold(value, "default") {
 		return ""
--- a/internal/pg/split.go
+++ b/internal/pg/split.go
@@ -28,7 +28,7 @@
 
 func singleStatement(sql string) []string {
 	l := lexer{sql: sql}
-	if l.skipBlanks(); l.offset >= len(sql) {
+	if l.skipWhitespaceAndComments(); l.offset >= len(sql) {
 		return nil
 	}
 	return []string{sql}
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -23,7 +23,7 @@
 	Group                    int
 	IsRetry                  bool // as the client says
 
-	head, tail string
+	textBeforeDeadline, textAfterDeadline string
 }
 
 // ParseStatement decodes the comment, a list of name=value. Names that it does not know are sent on with the rest.
@@ -31,7 +31,7 @@
 	body, found := strings.CutPrefix(sql, commentStart)
 	end := strings.Index(body, commentEnd)
 	if !found || end < 0 {
-		return nil, commentError("a statement begins with a comment that names its id, c and d")
+		return nil, newCommentError("a statement begins with a comment that names its id, c and d")
 	}
 	s := &Statement{WaitMs: -1}
 	offset := len(commentStart) // of the pair in sql
@@ -42,9 +42,9 @@
 		offset += len(pair) + 1
 	}
 	if s.ID == "" || s.RequestClass == "" || s.WaitMs < 0 {
-		return nil, commentError("comment: id, c and d must be given")
+		return nil, newCommentError("comment: id, c and d must be given")
 	}
-	s.IdempotencyKey = firstQuoted(body[end:])
+	s.IdempotencyKey = firstQuotedText(body[end:])
 	return s, nil
 }
 
@@ -53,7 +53,7 @@
 func (s *Statement) decodePair(sql string, offset int, pair string) error {
 	name, value, found := strings.Cut(pair, "=")
 	if !found {
-		return commentError("comment: %q is no name=value", strings.TrimSpace(pair))
+		return newCommentError("comment: %q is no name=value", strings.TrimSpace(pair))
 	}
 	name = strings.TrimSpace(name)
 	valueAt := offset + len(pair) - len(value)
@@ -67,10 +67,10 @@
 	case "t":
 		s.Tenant = value
 	case "d":
-		isFirst := s.head == "" // AppendQuery replaces only one
+		isFirst := s.textBeforeDeadline == "" // AppendQuery replaces only one
 		s.WaitMs, valid = parseNumber(value)
 		valid = valid && isFirst
-		s.head, s.tail = sql[:valueAt], sql[valueAt+len(value):]
+		s.textBeforeDeadline, s.textAfterDeadline = sql[:valueAt], sql[valueAt+len(value):]
 	case "after":
 		s.Position, valid = parseNumber(value)
 	case "cluster":
@@ -80,13 +80,13 @@
 		s.IsRetry = value == "1"
 	}
 	if !valid {
-		return commentError("comment: %s must be a number, not %q", name, value)
+		return newCommentError("comment: %s must be a number, not %q", name, value)
 	}
 	return nil
 }
 
-func commentError(format string, args ...any) error {
-	return decodeError(commentPlace, ProtocolViolation, format, args...)
+func newCommentError(format string, args ...any) error {
+	return newDecodeError(commentPlace, ProtocolViolation, format, args...)
 }
 
 func parseNumber(text string) (number float64, valid bool) {
@@ -94,8 +94,8 @@
 	return number, err == nil && !math.IsNaN(number) && number >= 0 && number <= maxCommentNumber
 }
 
-// firstQuoted returns the first text in single quotes, empty if there is none.
-func firstQuoted(s string) string {
+// firstQuotedText returns the first text in single quotes, empty if there is none.
+func firstQuotedText(s string) string {
 	_, s, found := strings.Cut(s, "'")
 	end := strings.IndexByte(s, '\'')
 	if !found || end < 0 {
@@ -106,5 +106,5 @@
 
 // AppendQuery appends the statement as a Query message, with a deadline in ms.
 func (s *Statement) AppendQuery(out []byte, waitMs float64) []byte {
-	return AppendQuery(out, s.head, strconv.Itoa(int(max(1, waitMs))), s.tail)
+	return AppendQuery(out, s.textBeforeDeadline, strconv.Itoa(int(max(1, waitMs))), s.textAfterDeadline)
 }
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	want := Statement{ID: "9b1f", RequestClass: "basket", Tenant: "acme", IdempotencyKey: "7f3a", WaitMs: 480, Position: 1767225600123,
-		Group: 2, IsRetry: true, head: s.head, tail: s.tail}
+		Group: 2, IsRetry: true, textBeforeDeadline: s.textBeforeDeadline, textAfterDeadline: s.textAfterDeadline}
 	if *s != want {
 		t.Errorf("got %+v, want %+v", *s, want)
 	}
@@ -35,8 +35,8 @@
 		if !errors.As(err, &response) || response.Code != ProtocolViolation {
 			t.Errorf("%q: got %+v, %v", sql, s, err)
 		}
-		var invalid *DecodeError
-		if !errors.As(err, &invalid) || invalid.Place != commentPlace {
+		var decodeError *DecodeError
+		if !errors.As(err, &decodeError) || decodeError.Place != commentPlace {
 			t.Errorf("%q: got %v, want an error at the comment", sql, err)
 		}
 	}
--- a/internal/pg/transaction.go
+++ b/internal/pg/transaction.go
@@ -12,12 +12,12 @@
 	if word == "work" || word == "transaction" {
 		word = l.keyword()
 	}
-	c.readModes(l, word)
+	c.readTransactionModes(l, word)
 	return c
 }
 
-// readModes reads transaction modes from a word on.
-func (c *Command) readModes(l *lexer, word string) {
+// readTransactionModes reads transaction modes from a word on.
+func (c *Command) readTransactionModes(l *lexer, word string) {
 	for ; word != ""; word = l.keyword() {
 		switch word {
 		case "repeatable":
