--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	bufferSize = 1 << 16
-	// maxLists is how many member lists the bench may define at a time.
-	maxLists = 16
+	ioBufferBytes = 1 << 16
+	// maxMemberLists is how many member lists the bench may define at a time.
+	maxMemberLists = 16
 	// microsecondsPerMs translates between times on the wire and in the program.
 	microsecondsPerMs = 1000
 	// msPerSecond translates positions in load reports, which are in seconds.
@@ -29,20 +29,20 @@
 
 // instance is one router that the bench has begun.
 type instance struct {
-	name     string
-	router   *router.Router
-	zero     float64 // the time from which positions are counted, in ms
-	hasInput bool    // it has had an event in this batch
+	name           string
+	router         *router.Router
+	positionOrigin float64 // the time from which positions are counted, in ms
+	advanced       bool    // it has had an event in this batch
 }
 
 // adapter is the state of one connection to the bench.
 type adapter struct {
-	now       float64
-	frame     int64 // the number of the batch
-	inBatch   bool
-	instances map[string]*instance
-	inputs    []*instance // those that have had an event in this batch, in order of their first one
-	lists     [maxLists][]byte
+	now            float64
+	batchNumber    int64 // the number of the batch
+	inBatch        bool
+	instances      map[string]*instance
+	batchInstances []*instance // those that have had an event in this batch, in order of their first one
+	memberLists    [maxMemberLists][]byte
 
 	out        *bufio.Writer
 	parser     fastjson.Parser
@@ -53,8 +53,8 @@
 
 // Run answers batches of events from in on out until in ends. An error names the line that caused it.
 func Run(in io.Reader, out io.Writer) error {
-	a := &adapter{instances: map[string]*instance{}, out: bufio.NewWriterSize(out, bufferSize)}
-	lines := bufio.NewReaderSize(in, bufferSize)
+	a := &adapter{instances: map[string]*instance{}, out: bufio.NewWriterSize(out, ioBufferBytes)}
+	lines := bufio.NewReaderSize(in, ioBufferBytes)
 	for number := 1; ; number++ {
 		line, err := lines.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
@@ -108,15 +108,15 @@
 	case "EOF_BATCH":
 		return a.endBatch()
 	case "SNAPSHOT_ROWS":
-		return a.defineList(fields)
+		return a.defineMemberList(fields)
 	case "BEGIN":
 		return a.beginInstance(fields)
 	}
-	handle, known := instanceEvents[op]
+	handle, known := instanceEventHandlers[op]
 	if !known {
 		return errors.New("unknown event")
 	}
-	i := a.instance(fields)
+	i := a.eventInstance(fields)
 	if fields.Err != nil {
 		return fields.Err
 	}
@@ -129,55 +129,55 @@
 	}
 	a.inBatch = true
 	a.now = fields.Number("wall") / microsecondsPerMs
-	a.frame = int64(fields.Number("frame"))
+	a.batchNumber = int64(fields.Number("frame"))
 	return fields.Err
 }
 
-// instance returns the instance that an event is for, and tells it the time.
-func (a *adapter) instance(fields *settings.Fields) *instance {
+// eventInstance returns the eventInstance that an event is for, and tells it the time.
+func (a *adapter) eventInstance(fields *settings.Fields) *instance {
 	name := fields.Text("router")
 	i := a.instances[name]
 	if fields.Err == nil && i == nil {
 		fields.Err = fmt.Errorf("router: %q has not begun", name)
 	}
 	if i != nil {
-		a.noteInput(i)
+		a.advanceOnFirstEvent(i)
 	}
 	return i
 }
 
-// noteInput tells an instance the time before its first event of a batch.
-func (a *adapter) noteInput(i *instance) {
-	if !i.hasInput {
-		i.hasInput = true
+// advanceOnFirstEvent tells an instance the time before its first event of a batch.
+func (a *adapter) advanceOnFirstEvent(i *instance) {
+	if !i.advanced {
+		i.advanced = true
 		i.router.Advance(a.now)
-		a.inputs = append(a.inputs, i)
+		a.batchInstances = append(a.batchInstances, i)
 	}
 }
 
 func (a *adapter) beginInstance(fields *settings.Fields) error {
-	name, facts := fields.Text("router"), fields.Value.Get("facts")
+	name, platformSettings := fields.Text("router"), fields.Value.Get("facts")
 	seed := fields.Value.Get("rngSeed")
 	if fields.Err != nil {
 		return fields.Err
 	}
-	if facts == nil || facts.Type() != fastjson.TypeObject {
+	if platformSettings == nil || platformSettings.Type() != fastjson.TypeObject {
 		return errors.New("facts: must be an object")
 	}
 	if seed == nil || seed.Type() != fastjson.TypeNumber {
 		return errors.New("rngSeed: must be a number")
 	}
-	routerSettings, host, err := settings.Decode(facts)
+	routerSettings, host, err := settings.Decode(platformSettings)
 	if err != nil {
 		return fmt.Errorf("facts: %w", err)
 	}
 	// A seed beyond 64 bits, or with a sign, still differs from others by its digits.
-	seedNumber, err := strconv.ParseUint(seed.String(), 10, 64)
+	routerSeed, err := strconv.ParseUint(seed.String(), 10, 64)
 	if err != nil {
-		seedNumber = uint64(int64(seed.GetFloat64()))
+		routerSeed = uint64(int64(seed.GetFloat64()))
 	}
-	i := &instance{name: name, router: router.New(routerSettings, seedNumber), zero: host.PositionOrigin}
+	i := &instance{name: name, router: router.New(routerSettings, routerSeed), positionOrigin: host.PositionOrigin}
 	a.instances[name] = i
-	a.noteInput(i)
+	a.advanceOnFirstEvent(i)
 	return nil
 }
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -5,33 +5,33 @@
 	"testing"
 )
 
-const begin = `{"op":"BEGIN","router":"router/1","rngSeed":7,"facts":{"balancers":1,"discovery":"push","unheard":{},` +
+const beginEvent = `{"op":"BEGIN","router":"router/1","rngSeed":7,"facts":{"balancers":1,"discovery":"push","unheard":{},` +
 	`"contract":{"coldFrom":0.2,"warmUp":1000000,"fallMultiple":2.5,"overloadFor":2000000},` +
 	`"permissions":{"attemptsCap":6,"cancel":true,"probes":true,"retryAfter":true,"maxRetryAfter":1000000},` +
 	`"familyInfo":{"serverChecks":"silent","tokenMode":"carried","countedFrom":1000000,"readLevel":["any","write"],` +
 	`"classBound":[0,0]},"profiles":[` +
 	`{"name":"look","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"},` +
 	`{"name":"put","target":500000,"deadline":3000000,"worth":1,"idempotency":"fragile"}]}}`
-const open = `{"op":"BATCH","wall":5000000,"frame":1}`
-const end = `{"op":"EOF_BATCH"}`
-const rows = `{"op":"SNAPSHOT_ROWS","ref":0,"hosts":[{"dc":"z","state":"up","node":"n:1","group":1}]}`
-const job = `{"op":"JOB_IN","router":"router/1","call":"c:w","class":"put","ttl":900000,"groupNo":1,` +
+const batchStart = `{"op":"BATCH","wall":5000000,"frame":1}`
+const batchEnd = `{"op":"EOF_BATCH"}`
+const listEvent = `{"op":"SNAPSHOT_ROWS","ref":0,"hosts":[{"dc":"z","state":"up","node":"n:1","group":1}]}`
+const requestEvent = `{"op":"JOB_IN","router":"router/1","call":"c:w","class":"put","ttl":900000,"groupNo":1,` +
 	`"mutates":true}`
-const whole = `{"op":"BACKENDS_CHANGED","router":"router/1","mode":"C","generation":1,"ref":0}`
+const cachedListEvent = `{"op":"BACKENDS_CHANGED","router":"router/1","mode":"C","generation":1,"ref":0}`
 
-func run(lines ...string) (string, error) {
+func runLines(lines ...string) (string, error) {
 	var out strings.Builder
 	err := Run(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
 	return out.String(), err
 }
 
 func TestRun_Decisions(t *testing.T) {
-	out, err := run(open, begin, rows, whole, job, end,
+	out, err := runLines(batchStart, beginEvent, listEvent, cachedListEvent, requestEvent, batchEnd,
 		`{"op":"BATCH","wall":5004000,"frame":2}`,
-		`{"op":"ECHO","router":"router/1","node":"n:1","how":200,"rtt":4000,"load":{"x0":4.002,"x1":1}}`, end,
+		`{"op":"ECHO","router":"router/1","node":"n:1","how":200,"rtt":4000,"load":{"x0":4.002,"x1":1}}`, batchEnd,
 		`{"op":"BATCH","wall":5024000,"frame":3}`,
-		`{"op":"RETURNED","router":"router/1","call":"c:w","node":"n:1","how":500,"rtt":20000,"mark":1}`, end,
-		`{"op":"BATCH","wall":5034000,"frame":4}`, `{"op":"HALT","router":"router/1"}`, begin, rows, whole, job, end)
+		`{"op":"RETURNED","router":"router/1","call":"c:w","node":"n:1","how":500,"rtt":20000,"mark":1}`, batchEnd,
+		`{"op":"BATCH","wall":5034000,"frame":4}`, `{"op":"HALT","router":"router/1"}`, beginEvent, listEvent, cachedListEvent, requestEvent, batchEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,8 +53,8 @@
 
 // A list number that is used again within a batch stands for the newer list from there on.
 func TestRun_ListNumberUsedAgain(t *testing.T) {
-	out, err := run(open, begin, rows, whole,
-		strings.Replace(rows, "n:1", "n:2", 1), strings.Replace(whole, `"C"`, `"F"`, 1), job, end)
+	out, err := runLines(batchStart, beginEvent, listEvent, cachedListEvent,
+		strings.Replace(listEvent, "n:1", "n:2", 1), strings.Replace(cachedListEvent, `"C"`, `"F"`, 1), requestEvent, batchEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,24 +68,24 @@
 		lines []string
 		want  string
 	}{
-		{[]string{open, `{"op":`}, "line 2: not JSON"},
-		{[]string{open, `[]`}, "line 2: not an object"},
-		{[]string{open, `{"op":"NOISE"}`}, "line 2: NOISE: unknown event"},
-		{[]string{end}, "line 1: EOF_BATCH: outside a batch"},
-		{[]string{open}, "input ends inside a batch"},
-		{[]string{open, `{"op":"HALT","router":"router/9"}`}, `line 2: HALT: router: "router/9" has not begun`},
-		{[]string{open, begin, whole}, "line 3: BACKENDS_CHANGED: ref: list 0 was never set"},
-		{[]string{open, begin, `{"op":"JOB_IN","router":"router/1","call":1}`}, "line 3: JOB_IN: call: must be text"},
-		{[]string{open, begin, `{"op":"ECHO","router":"router/1","node":"n:1","how":777}`}, "unknown outcome 777"},
-		{[]string{open, begin, `{"op":"JOB_IN","router":"router/1","call":"c:1","class":"x","ttl":1,"groupNo":1}`},
+		{[]string{batchStart, `{"op":`}, "line 2: not JSON"},
+		{[]string{batchStart, `[]`}, "line 2: not an object"},
+		{[]string{batchStart, `{"op":"NOISE"}`}, "line 2: NOISE: unknown event"},
+		{[]string{batchEnd}, "line 1: EOF_BATCH: outside a batch"},
+		{[]string{batchStart}, "input ends inside a batch"},
+		{[]string{batchStart, `{"op":"HALT","router":"router/9"}`}, `line 2: HALT: router: "router/9" has not begun`},
+		{[]string{batchStart, beginEvent, cachedListEvent}, "line 3: BACKENDS_CHANGED: ref: list 0 was never set"},
+		{[]string{batchStart, beginEvent, `{"op":"JOB_IN","router":"router/1","call":1}`}, "line 3: JOB_IN: call: must be text"},
+		{[]string{batchStart, beginEvent, `{"op":"ECHO","router":"router/1","node":"n:1","how":777}`}, "unknown outcome 777"},
+		{[]string{batchStart, beginEvent, `{"op":"JOB_IN","router":"router/1","call":"c:1","class":"x","ttl":1,"groupNo":1}`},
 			`class: "x" is not in the settings`},
-		{[]string{open, strings.Replace(begin, `"silent"`, `"sometimes"`, 1)},
+		{[]string{batchStart, strings.Replace(beginEvent, `"silent"`, `"sometimes"`, 1)},
 			`facts: familyInfo.serverChecks: unknown value "sometimes"`},
-		{[]string{open, strings.Replace(begin, `"fragile"`, `"glass"`, 1)},
+		{[]string{batchStart, strings.Replace(beginEvent, `"fragile"`, `"glass"`, 1)},
 			`facts: profiles[1].idempotency: unknown value "glass"`},
-		{[]string{open, strings.Replace(begin, `"push"`, `3`, 1)}, "facts: discovery: must be text"},
+		{[]string{batchStart, strings.Replace(beginEvent, `"push"`, `3`, 1)}, "facts: discovery: must be text"},
 	} {
-		out, err := run(c.lines...)
+		out, err := runLines(c.lines...)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: error %v, want %q", c.lines[len(c.lines)-1], err, c.want)
 		}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -15,17 +15,17 @@
 	roleMask = 1<<roleBits - 1
 )
 
-// instanceEvents are the events that are for one instance, by their names on the wire.
-var instanceEvents = map[string]func(*adapter, *instance, *settings.Fields) error{
-	"HALT":             (*adapter).halt,
-	"BACKENDS_CHANGED": (*adapter).applyList,
+// instanceEventHandlers are the events that are for one instance, by their names on the wire.
+var instanceEventHandlers = map[string]func(*adapter, *instance, *settings.Fields) error{
+	"HALT":             (*adapter).instanceStopped,
+	"BACKENDS_CHANGED": (*adapter).applyMemberList,
 	"JOB_IN":           (*adapter).requestArrived,
 	"RETURNED":         (*adapter).attemptEnded,
 	"ECHO":             (*adapter).healthChecked,
 	"CLIENT_GONE":      (*adapter).clientGone,
 	"TIMEOUT_FIRED":    (*adapter).timerFired,
-	"FIRST_BYTE":       (*adapter).ignore,
-	"WHISPER":          (*adapter).ignore,
+	"FIRST_BYTE":       (*adapter).ignoreEvent,
+	"WHISPER":          (*adapter).ignoreEvent,
 }
 
 // outcomes are the outcomes of attempts and health checks by their codes on the wire.
@@ -41,44 +41,44 @@
 	598: router.Reset,
 }
 
-func (a *adapter) halt(i *instance, fields *settings.Fields) error {
+func (a *adapter) instanceStopped(i *instance, fields *settings.Fields) error {
 	delete(a.instances, i.name)
 	return fields.Err
 }
 
 func (a *adapter) requestArrived(i *instance, fields *settings.Fields) error {
 	id, tenant, session, class := fields.Text("call"), fields.OptionalText("userGroup"), fields.OptionalText("clientKey"), fields.Text("class")
-	group, positionAge, wait := int(fields.Number("groupNo")), fields.OptionalNumber("tokenAgeMs"), fields.Number("ttl")/microsecondsPerMs
-	marked := fields.Bool("retry")
-	if fields.Err == nil && !i.router.Arrive(id, tenant, session, class, group, positionAge, wait, marked) {
+	group, positionAge, ttl := int(fields.Number("groupNo")), fields.OptionalNumber("tokenAgeMs"), fields.Number("ttl")/microsecondsPerMs
+	isRetry := fields.Bool("retry")
+	if fields.Err == nil && !i.router.Arrive(id, tenant, session, class, group, positionAge, ttl, isRetry) {
 		return fmt.Errorf("class: %q is not in the settings", class)
 	}
 	return fields.Err
 }
 
 func (a *adapter) attemptEnded(i *instance, fields *settings.Fields) error {
-	outcome := outcomeOf(fields)
+	outcome := decodeOutcome(fields)
 	role, position := router.RoleUnknown, router.Never
-	if mark := int64(fields.OptionalNumber("mark")); mark != 0 {
-		role = router.Role(mark & roleMask)
-		if mark>>roleBits != 0 {
-			position = i.zero + float64(mark>>roleBits)
+	if encodedMark := int64(fields.OptionalNumber("mark")); encodedMark != 0 {
+		role = router.Role(encodedMark & roleMask)
+		if encodedMark>>roleBits != 0 {
+			position = i.positionOrigin + float64(encodedMark>>roleBits)
 		}
 	}
 	id, attempt, member := fields.Text("call"), int(fields.OptionalNumber("seqNo")), fields.Text("node")
-	took := fields.OptionalNumber("rtt") / microsecondsPerMs
-	if done := fields.Bool("terminal"); fields.Err == nil {
-		i.router.AttemptEnded(id, attempt, outcome, took, done, role, position)
-		a.loadReport(i, member, fields)
+	latency := fields.OptionalNumber("rtt") / microsecondsPerMs
+	if finished := fields.Bool("terminal"); fields.Err == nil {
+		i.router.AttemptEnded(id, attempt, outcome, latency, finished, role, position)
+		a.forwardLoadReport(i, member, fields)
 	}
 	return fields.Err
 }
 
 func (a *adapter) healthChecked(i *instance, fields *settings.Fields) error {
-	outcome := outcomeOf(fields)
+	outcome := decodeOutcome(fields)
 	if member := fields.Text("node"); fields.Err == nil {
 		i.router.HealthChecked(member, outcome)
-		a.loadReport(i, member, fields)
+		a.forwardLoadReport(i, member, fields)
 	}
 	return fields.Err
 }
@@ -95,10 +95,10 @@
 	return fields.Err
 }
 
-// ignore handles events that ask for nothing here.
-func (a *adapter) ignore(_ *instance, fields *settings.Fields) error { return fields.Err }
+// ignoreEvent handles events that ask for nothing here.
+func (a *adapter) ignoreEvent(_ *instance, fields *settings.Fields) error { return fields.Err }
 
-func outcomeOf(fields *settings.Fields) router.Outcome {
+func decodeOutcome(fields *settings.Fields) router.Outcome {
 	code := int(fields.Number("how"))
 	outcome, known := outcomes[code]
 	if fields.Err == nil && !known {
@@ -107,8 +107,8 @@
 	return outcome
 }
 
-// loadReport passes on the role and position in a member's load report, if the event has one.
-func (a *adapter) loadReport(i *instance, member string, fields *settings.Fields) {
+// forwardLoadReport passes on the role and position in a member's load report, if the event has one.
+func (a *adapter) forwardLoadReport(i *instance, member string, fields *settings.Fields) {
 	load := &settings.Fields{Value: fields.Value.Get("load")}
 	if load.Value == nil || load.Value.Type() == fastjson.TypeNull {
 		return
@@ -122,7 +122,7 @@
 		if load.OptionalNumber("x1") >= 0.5 {
 			role = router.Primary
 		}
-		i.router.Reported(member, role, i.zero+load.Number("x0")*msPerSecond)
+		i.router.Reported(member, role, i.positionOrigin+load.Number("x0")*msPerSecond)
 	}
 	if fields.Err == nil {
 		fields.Err = load.Err
