--- a/internal/pg/append.go
+++ b/internal/pg/append.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// appendMessage appends a message whose body appendBody appends; nil for an empty body. Startup messages have noType.
+// appendMessage appends a message with its length. appendBody appends the body and may be nil if there is none. With noMessageType, as in
+// startup messages, no type byte is written.
 func appendMessage(out []byte, messageType byte, appendBody func([]byte) []byte) []byte {
 	if messageType != noMessageType {
 		out = append(out, messageType)
@@ -16,7 +17,7 @@
 	return out
 }
 
-// appendCString appends a text and the zero byte that ends it.
+// appendCString appends a null-terminated string.
 func appendCString(out []byte, text string) []byte { return append(append(out, text...), 0) }
 
 func appendCancelKey(out []byte, key CancelKey) []byte {
@@ -24,10 +25,10 @@
 	return binary.BigEndian.AppendUint32(out, key.Secret)
 }
 
-// AppendBodyless appends a message without a body.
+// AppendBodyless appends a message that consists of its type and length only.
 func AppendBodyless(out []byte, messageType byte) []byte { return appendMessage(out, messageType, nil) }
 
-// AppendCopyData appends a CopyData message, which either side sends.
+// AppendCopyData appends a CopyData message, which has the same format in both directions.
 func AppendCopyData(out []byte, data string) []byte {
 	return appendMessage(out, clientCopyData, func(out []byte) []byte { return append(out, data...) })
 }
--- a/internal/pg/append_client.go
+++ b/internal/pg/append_client.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// AppendStartup appends a startup message, with further parameters each as a name and a value.
+// AppendStartup appends a StartupMessage with the user, the database and any further parameters.
 func AppendStartup(out []byte, user, database string, parameters ...Setting) []byte {
 	return appendMessage(out, noMessageType, func(out []byte) []byte {
 		out = binary.BigEndian.AppendUint32(out, protocolMajorVersion<<16)
@@ -15,7 +15,7 @@
 	})
 }
 
-// AppendCancelRequest appends a request to cancel what a session runs. It is sent on a connection of its own.
+// AppendCancelRequest appends a CancelRequest for the session that the key identifies. It must be sent on a separate connection.
 func AppendCancelRequest(out []byte, key CancelKey) []byte {
 	return appendMessage(out, noMessageType, func(out []byte) []byte {
 		out = binary.BigEndian.AppendUint32(out, requestCodeMajor<<16|cancelRequestCodeMinor)
@@ -23,7 +23,7 @@
 	})
 }
 
-// AppendQuery appends a Query message. Its text is given in parts.
+// AppendQuery appends a Query message whose text is the concatenation of parts.
 func AppendQuery(out []byte, parts ...string) []byte {
 	return appendMessage(out, clientQuery, func(out []byte) []byte {
 		for _, part := range parts {
@@ -33,12 +33,12 @@
 	})
 }
 
-// AppendParse appends a Parse message for a prepared statement; tail is the Tail of a decoded one.
+// AppendParse appends a Parse message for a prepared statement. tail is the Tail of a decoded Parse message.
 func AppendParse(out []byte, name string, tail []byte) []byte {
 	return appendMessage(out, clientParse, func(out []byte) []byte { return append(appendCString(out, name), tail...) })
 }
 
-// AppendBind appends a Bind message; tail is the Tail of a decoded one.
+// AppendBind appends a Bind message. tail is the Tail of a decoded Bind message.
 func AppendBind(out []byte, portal, name string, tail []byte) []byte {
 	return appendMessage(out, clientBind, func(out []byte) []byte {
 		return append(appendCString(appendCString(out, portal), name), tail...)
@@ -60,5 +60,5 @@
 	return appendMessage(out, clientClose, func(out []byte) []byte { return appendCString(append(out, target), name) })
 }
 
-// AppendSync appends a Sync message, which ends a pipeline.
+// AppendSync appends a Sync message, which ends an extended query pipeline.
 func AppendSync(out []byte) []byte { return AppendBodyless(out, clientSync) }
--- a/internal/pg/append_server.go
+++ b/internal/pg/append_server.go
@@ -2,10 +2,10 @@
 
 import "encoding/binary"
 
-// transactionStatusIdle is the status of ReadyForQuery outside a transaction.
+// transactionStatusIdle is the transaction status that ReadyForQuery reports outside a transaction.
 const transactionStatusIdle byte = 'I'
 
-// defaultServerParameters are what clients rely on before the first member is known.
+// defaultServerParameters are reported to clients, which rely on them, before the parameters of a member are known.
 var defaultServerParameters = [...]Setting{
 	{"server_version", "16.0"},
 	{"client_encoding", "UTF8"},
@@ -13,7 +13,8 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// AppendGreeting appends all that follows a startup message with a minor protocol version, up to ReadyForQuery.
+// AppendGreeting appends the response to a startup message, from authentication to ReadyForQuery. minorVersion is the minor protocol
+// version that the client requested.
 func AppendGreeting(out []byte, minorVersion int) []byte {
 	if minorVersion > 0 {
 		out = AppendNegotiateProtocolVersion(out)
@@ -26,48 +27,49 @@
 	return AppendReadyIdle(out)
 }
 
-// AppendNegotiateProtocolVersion appends the response to a client that asks for a minor version above 3.0.
+// AppendNegotiateProtocolVersion appends a NegotiateProtocolVersion message, which offers version 3.0 to a client that requested a later
+// minor version.
 func AppendNegotiateProtocolVersion(out []byte) []byte {
 	return appendMessage(out, serverNegotiateProtocolVersion, func(out []byte) []byte {
 		out = binary.BigEndian.AppendUint32(out, protocolMajorVersion<<16)
-		return append(out, 0, 0, 0, 0) // no unknown options
+		return append(out, 0, 0, 0, 0) // no unrecognized protocol options
 	})
 }
 
-// AppendAuthenticationOK appends the message that accepts a client.
+// AppendAuthenticationOK appends an AuthenticationOk message, which reports successful authentication.
 func AppendAuthenticationOK(out []byte) []byte {
 	return appendMessage(out, serverAuthentication, func(out []byte) []byte { return append(out, 0, 0, 0, 0) })
 }
 
-// AppendParameterStatus appends the report of a setting.
+// AppendParameterStatus appends a ParameterStatus message, which reports the value of a run-time parameter.
 func AppendParameterStatus(out []byte, name, value string) []byte {
 	return appendMessage(out, serverParameterStatus, func(out []byte) []byte {
 		return appendCString(appendCString(out, name), value)
 	})
 }
 
-// AppendBackendKeyData appends the key by which a client can cancel its requests.
+// AppendBackendKeyData appends a BackendKeyData message with the key that a client needs for a CancelRequest.
 func AppendBackendKeyData(out []byte, key CancelKey) []byte {
 	return appendMessage(out, serverBackendKeyData, func(out []byte) []byte { return appendCancelKey(out, key) })
 }
 
-// AppendReadyForQuery appends a ReadyForQuery message with a transaction status.
+// AppendReadyForQuery appends a ReadyForQuery message with a transaction status: 'I', 'T' or 'E'.
 func AppendReadyForQuery(out []byte, status byte) []byte {
 	return appendMessage(out, serverReadyForQuery, func(out []byte) []byte { return append(out, status) })
 }
 
-// AppendReadyIdle appends a ReadyForQuery message outside a transaction.
+// AppendReadyIdle appends a ReadyForQuery message that reports no open transaction.
 func AppendReadyIdle(out []byte) []byte { return AppendReadyForQuery(out, transactionStatusIdle) }
 
-// AppendCommandComplete appends the end of a command's response.
+// AppendCommandComplete appends a CommandComplete message with a command tag.
 func AppendCommandComplete(out []byte, tag string) []byte {
 	return appendMessage(out, serverCommandComplete, func(out []byte) []byte { return appendCString(out, tag) })
 }
 
-// AppendEmptyQuery appends the response to an empty query.
+// AppendEmptyQuery appends an EmptyQueryResponse message.
 func AppendEmptyQuery(out []byte) []byte { return AppendBodyless(out, serverEmptyQueryResponse) }
 
-// AppendError appends an ErrorResponse. A fatal one ends the session.
+// AppendError appends an ErrorResponse message with severity ERROR, or FATAL if the session ends with it.
 func AppendError(out []byte, e *Error, fatal bool) []byte {
 	severity := "ERROR"
 	if fatal {
@@ -85,13 +87,13 @@
 	})
 }
 
-// AppendTextRow appends a row of one text column, and its description.
+// AppendTextRow appends a RowDescription for one text column and a DataRow with its value.
 func AppendTextRow(out []byte, column, value string) []byte {
 	out = appendMessage(out, serverRowDescription, func(out []byte) []byte {
 		out = appendCString(append(out, 0, 1), column)
-		out = append(out, 0, 0, 0, 0, 0, 0)       // no table, no column number
-		out = append(out, 0, 0, 0, 25)            // type text
-		out = append(out, 0xff, 0xff)             // of variable size
+		out = append(out, 0, 0, 0, 0, 0, 0)       // no table OID, no attribute number
+		out = append(out, 0, 0, 0, 25)            // type OID of text
+		out = append(out, 0xff, 0xff)             // variable-length type
 		out = append(out, 0xff, 0xff, 0xff, 0xff) // no type modifier
 		return append(out, 0, 0)                  // text format
 	})
--- a/internal/pg/body.go
+++ b/internal/pg/body.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// bodyReader reads the fields of a message's body one after the other. After a field that does not fit, invalid names it, and further
-// fields are zero.
+// bodyReader reads the fields of a message body in sequence. If a field does not fit into the remaining bytes, invalidField is set to its
+// name, and all later reads return zero values.
 type bodyReader struct {
 	remaining    []byte
 	invalidField string
@@ -39,7 +39,7 @@
 	return n
 }
 
-// cString reads a text that a zero byte ends.
+// cString reads a null-terminated string.
 func (b *bodyReader) cString(field string) string {
 	text, rest, ok := splitCString(b.remaining)
 	if !ok {
@@ -58,7 +58,7 @@
 	b.remaining = b.remaining[n:]
 }
 
-// finish returns an error if a field did not fit, or if anything is left.
+// finish returns an error if a field was invalid or if bytes remain after the last field.
 func (b *bodyReader) finish(messageType byte) error {
 	if b.invalidField == "" && len(b.remaining) > 0 {
 		b.markInvalid("end")
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// splitCString splits a text off that a zero byte ends.
+// splitCString splits a leading null-terminated string off b.
 func splitCString(b []byte) (text string, rest []byte, ok bool) {
 	end := bytes.IndexByte(b, 0)
 	if end < 0 {
@@ -78,7 +78,7 @@
 	return string(b[:end]), b[end+1:], true
 }
 
-// splitValue splits a value off that its size precedes. A negative size stands for NULL.
+// splitValue splits a leading length-prefixed value off b. A negative size encodes NULL.
 func splitValue(b []byte) (size int, value, rest []byte, ok bool) {
 	if len(b) < 4 {
 		return 0, nil, nil, false
--- a/internal/pg/command.go
+++ b/internal/pg/command.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// CommandKind is what a statement does to its session, as far as its words show it.
+// CommandKind is the effect of a statement on its session, as far as its leading keywords show it.
 type CommandKind int
 
-// The kinds of commands, with the fields that are set for them.
+// Command kinds, each with the fields of Command that are set for it.
 const (
 	OtherCommand     CommandKind = iota
 	Set                          // Settings, Local
@@ -19,23 +19,24 @@
 	RollbackTo                   // Name
 	ReleaseSavepoint             // Name
 	DiscardAll                   // DISCARD ALL
-	Deallocate                   // Name, empty for all
+	Deallocate                   // Name, empty for DEALLOCATE ALL
 	Show                         // Name
 )
 
-// Command is what a statement does to its session. Statements are not parsed: one that its first words don't show is an OtherCommand.
+// Command is the effect of a statement on its session. Statements are classified by their leading keywords without a full SQL parse; a
+// statement that is not recognized is an OtherCommand.
 type Command struct {
 	Kind         CommandKind
 	Name         string
-	Settings     []Setting // names in lower case and values as written, empty for DEFAULT
-	Local        bool      // for the transaction only
+	Settings     []Setting // lower-case names, and values as written or empty for DEFAULT
+	Local        bool      // SET LOCAL: until the end of the transaction
 	ReadOnly     bool
 	ReadWrite    bool
-	Simple       bool   // all words are known transaction modes: a server accepts it
-	StickyReason string // why what it leaves on the connection can't follow the client to another one
+	Simple       bool   // contains only known transaction mode keywords, so that a server accepts it
+	StickyReason string // the connection state that the statement creates and that can't move to another connection; empty if none
 }
 
-// ParseCommand returns what a statement does to its session.
+// ParseCommand classifies a single statement by its effect on the session.
 func ParseCommand(sql string) Command {
 	l := lexer{sql: sql}
 	switch word := l.keyword(); word {
--- a/internal/pg/command_test.go
+++ b/internal/pg/command_test.go
@@ -11,7 +11,7 @@
 	SetTransaction: "SetTransaction", Commit: "Commit", Rollback: "Rollback", Savepoint: "Savepoint", RollbackTo: "RollbackTo",
 	ReleaseSavepoint: "ReleaseSavepoint", DiscardAll: "DiscardAll", Deallocate: "Deallocate", Show: "Show"}
 
-// describeCommand returns the kind of a command and those of its fields that are set.
+// describeCommand formats the kind of a command and the fields that are set.
 func describeCommand(c Command) string {
 	words := []string{commandNames[c.Kind], c.Name}
 	if c.Settings != nil {
@@ -51,7 +51,7 @@
 		{"SET Search_Path TO DEFAULT", "Set [[search_path ]]"},
 		{"SET LOCAL work_mem TO '4MB'", "Set [[work_mem '4MB']] local"},
 		{"SET SESSION wayloft.txn_type = 'x'", "Set [[wayloft.txn_type 'x']]"},
-		{"SET session TO 1", "OtherCommand"}, // the server rejects it
+		{"SET session TO 1", "OtherCommand"}, // a server rejects it
 		{"SET TIME ZONE INTERVAL '1' HOUR", "Set [[timezone INTERVAL '1' HOUR]]"},
 		{"SET TIME ZONE LOCAL", "Set [[timezone ]]"},
 		{"SET NAMES 'LATIN1'", "Set [[client_encoding 'LATIN1']]"},
@@ -98,7 +98,8 @@
 	}
 }
 
-// FuzzSplitStatements splits any text: no statement is longer than the text, each can be parsed, and literals can be unquoted.
+// FuzzSplitStatements checks that the statements of any text are no longer in total than the text, that ParseCommand accepts each of them,
+// and that Unquote reverses QuoteLiteral for text without backslashes.
 func FuzzSplitStatements(f *testing.F) {
 	for _, sql := range []string{"a;b", "'", "$$", "/*/*", "SET a", "begin read", `e'\`, "set session", "U&'", "release savepoint"} {
 		f.Add(sql)
@@ -110,7 +111,7 @@
 			size += len(statement)
 		}
 		if size > len(sql) {
-			t.Fatalf("statements of %d bytes in %d", size, len(sql))
+			t.Fatalf("statements of %d bytes in a text of %d bytes", size, len(sql))
 		}
 		if literal := QuoteLiteral(sql); strings.IndexByte(sql, '\\') < 0 && Unquote(literal) != sql {
 			t.Fatalf("%q is quoted as %q", sql, literal)
@@ -118,7 +119,7 @@
 	})
 }
 
-// formatSettings gives settings as the cases have them: [[name value] [name value]].
+// formatSettings formats settings as the test cases expect them: [[name value] [name value]].
 func formatSettings(settings []Setting) string {
 	var pairs [][2]string
 	for _, setting := range settings {
--- a/internal/pg/decode_client.go
+++ b/internal/pg/decode_client.go
@@ -4,7 +4,7 @@
 
 const startupPlace = "startup message"
 
-// decodeStartup decodes the first message of a client.
+// decodeStartup decodes the first message on a client connection: a StartupMessage, CancelRequest or request for encryption.
 func decodeStartup(body []byte) (Message, error) {
 	if len(body) < 4 {
 		return Message{}, newDecodeError(startupPlace, ProtocolViolation, "startup message without a version")
@@ -37,7 +37,7 @@
 	return CancelKey{Process: binary.BigEndian.Uint32(b), Secret: binary.BigEndian.Uint32(b[4:])}
 }
 
-// decodeStartupParameters tolerates an incomplete last parameter.
+// decodeStartupParameters decodes the name and value pairs of a StartupMessage. It ignores an incomplete last pair.
 func decodeStartupParameters(b []byte) (parameters StartupParameters) {
 	for len(b) > 1 {
 		name, rest, ok := splitCString(b)
@@ -54,7 +54,7 @@
 	return parameters
 }
 
-// decodeClientMessage decodes a message whose header was accepted.
+// decodeClientMessage decodes a client message whose header passed checkHeader. Of its body, only the text of a Query is decoded.
 func decodeClientMessage(messageType byte, body []byte) (Message, error) {
 	kind := clientKinds[messageType]
 	if kind != Query {
@@ -67,7 +67,8 @@
 	return Message{Kind: Query, Text: text}, nil
 }
 
-// decodeExtendedClientMessage is decodeClient after EnableExtended.
+// decodeExtendedClientMessage replaces decodeClientMessage after EnableExtended and also decodes the messages of the extended query
+// protocol.
 func decodeExtendedClientMessage(messageType byte, body []byte) (Message, error) {
 	kind, extended := extendedClientKinds[messageType]
 	if !extended {
@@ -98,7 +99,7 @@
 	b.skip(4*parameters, "parameter types")
 }
 
-// readBind checks all counts and lengths, since a member closes a connection on which they don't fit.
+// readBind validates all counts and lengths, because a member closes the connection if they are inconsistent.
 func readBind(m *Message, b *bodyReader) {
 	m.Portal = b.cString("portal")
 	m.Name = b.cString("statement name")
--- a/internal/pg/decode_server.go
+++ b/internal/pg/decode_server.go
@@ -8,12 +8,12 @@
 	errorFieldDetail               byte = 'D'
 	errorFieldMessage              byte = 'M'
 	errorFieldSeverity             byte = 'S'
-	errorFieldNonLocalizedSeverity byte = 'V' // never translated
+	errorFieldNonLocalizedSeverity byte = 'V' // never localized, unlike 'S'
 )
 
 const cancelKeySize = 8 // bytes
 
-// decodeServerMessage decodes a message whose header was accepted.
+// decodeServerMessage decodes a server message whose header passed checkHeader.
 func decodeServerMessage(messageType byte, body []byte, extended bool) (Message, error) {
 	if extended && messageType != serverRowDescription && messageType != serverErrorResponse {
 		if message, known := extendedServerMessages[messageType]; known {
@@ -59,7 +59,7 @@
 	return Message{Kind: AuthenticationOK}, nil
 }
 
-// decodeBackendKeyData leaves the key empty if it is longer than a CancelKey.
+// decodeBackendKeyData leaves the key zero if it is longer than a CancelKey, as keys of protocol 3.2 can be.
 func decodeBackendKeyData(body []byte, extended bool) Message {
 	m := Message{Kind: Ignored}
 	if extended {
--- a/internal/pg/errors.go
+++ b/internal/pg/errors.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Error is the content of an ErrorResponse.
+// Error is the content of an ErrorResponse message. Code is the SQLSTATE.
 type Error struct{ Code, Text, Detail string }
 
 func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
-// IsStatementError reports whether the statement itself causes the error, on whichever member it runs.
+// IsStatementError reports whether the statement itself causes the error, so that it would fail on any member.
 func (e *Error) IsStatementError() bool {
 	if e.Code == ProtocolViolation {
 		return true
@@ -23,22 +23,22 @@
 	return false
 }
 
-// DecodeError is the error of bytes that are no valid message or statement comment.
+// DecodeError is returned for bytes that are not a valid message or statement comment.
 type DecodeError struct {
-	Place string // the message or comment and, if known, the field
-	Err   *Error // the ErrorResponse for the other end
+	Place string // the message or comment and, if known, its field
+	Err   *Error // the ErrorResponse to send to the peer
 }
 
 func (e *DecodeError) Error() string { return e.Place + ": " + e.Err.Error() }
 
-// Unwrap returns the ErrorResponse for the other end.
+// Unwrap returns the ErrorResponse to send to the peer.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
 func newDecodeError(place, code, format string, args ...any) error {
 	return &DecodeError{Place: place, Err: &Error{Code: code, Text: fmt.Sprintf(format, args...)}}
 }
 
-// newMalformedMessageError is the error of a message whose fields don't fit its body.
+// newMalformedMessageError returns the error for a message whose body does not match its fields.
 func newMalformedMessageError(messageType byte, field string) error {
 	place := fmt.Sprintf("message %q, %s", messageType, field)
 	return newDecodeError(place, ProtocolViolation, "broken message of type %q", messageType)
--- a/internal/pg/header.go
+++ b/internal/pg/header.go
@@ -3,19 +3,19 @@
 import "encoding/binary"
 
 const (
-	maxStartupBytes = 10000 // as in PostgreSQL
+	maxStartupBytes = 10000 // same limit as PostgreSQL's
 
-	// Offsets in a message, in bytes.
+	// Byte offsets from the start of a message.
 	startupVersionEnd    = lengthSize + 4
-	firstValueSizeOffset = headerSize + 2 // of a row's first value, behind the number of columns
+	firstValueSizeOffset = headerSize + 2 // length of the first value of a DataRow, after the column count
 	firstValueOffset     = firstValueSizeOffset + 4
 )
 
 const headerPlace = "message header"
 
-// checkHeader rejects a message by its first bytes if it can't be valid. Otherwise a connection with garbage would wait for bytes that
-// never come, or never end. length is the message's length field. The header is checked before the body, so that the result does not
-// depend on how much of the body has come.
+// checkHeader rejects a message that its first bytes show to be invalid. Without this check, a connection that receives garbage could wait
+// forever for a message that never completes. length is the value of the message's length field. The header is checked before the body, so
+// that the result does not depend on how much of the body has been received.
 func (r *Reader) checkHeader(unread []byte, length uint64) error {
 	if length < lengthSize {
 		return newDecodeError(headerPlace, ProtocolViolation, "message length %d is too small", length)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// checkFirstValue rejects a row whose first value does not fit, before all of the row has come.
+// checkFirstValue rejects a DataRow whose first value does not match the message length, before the whole message has been received.
 func checkFirstValue(unread []byte, size uint64) error {
 	columns := binary.BigEndian.Uint16(unread[headerSize:])
 	valueSize := int64(int32(binary.BigEndian.Uint32(unread[firstValueSizeOffset:])))
--- a/internal/pg/lexer.go
+++ b/internal/pg/lexer.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// lexer splits SQL into tokens: words, quoted names, strings, numbers and single characters. It skips blanks and comments.
+// lexer splits SQL into tokens: words, quoted identifiers, string literals, parameters, numbers and single characters. It skips whitespace
+// and comments.
 type lexer struct {
 	sql    string
 	offset int
@@ -16,7 +17,7 @@
 
 func isWhitespace(c byte) bool { return strings.IndexByte(" \t\r\n\f\v", c) >= 0 }
 
-// next returns the next token, empty at the end.
+// next returns the next token, or an empty string at the end of the input.
 func (l *lexer) next() string {
 	l.skipWhitespaceAndComments()
 	if l.offset >= len(l.sql) {
@@ -31,7 +32,7 @@
 // keyword returns the next token in lower case.
 func (l *lexer) keyword() string { return strings.ToLower(l.next()) }
 
-// peek returns the next token and does not consume it.
+// peek returns the next token without consuming it.
 func (l *lexer) peek() string {
 	start := l.offset
 	token := l.next()
@@ -39,7 +40,6 @@
 	return token
 }
 
-// skipWhitespaceAndComments skips blanks and comments.
 func (l *lexer) skipWhitespaceAndComments() {
 	for l.offset < len(l.sql) {
 		rest := l.sql[l.offset:]
@@ -63,8 +63,8 @@
 	return len(s)
 }
 
-// blockCommentLength returns the length of a comment at the start of s, in which others may be nested. One that is not closed extends to
-// the end.
+// blockCommentLength returns the length of the block comment at the start of s. Block comments can be nested. An unterminated comment
+// extends to the end of s.
 func blockCommentLength(s string) int {
 	depth, n := 1, 2
 	for ; depth > 0 && n < len(s); n++ {
@@ -99,7 +99,8 @@
 	return wordLength(s)
 }
 
-// quotedLength returns the length of a text at the start of s that is quoted by s[0]. One that is not closed extends to the end.
+// quotedLength returns the length of the quoted token at the start of s, whose quote character is s[0]. An unterminated token extends to
+// the end of s.
 func quotedLength(s string, backslashEscapes bool) int {
 	quote := s[0]
 	for n := 1; n < len(s); n++ {
@@ -115,7 +116,8 @@
 	return len(s)
 }
 
-// prefixedStringLength returns the length of a text such as E'...', B'...' or U&"..." at the start of s, 0 if there is none.
+// prefixedStringLength returns the length of a quoted token with a prefix, such as E'...', B'...' or U&"...", at the start of s, or 0 if
+// there is none.
 func prefixedStringLength(s string) int {
 	if len(s) < 2 {
 		return 0
@@ -137,7 +139,8 @@
 	return 0
 }
 
-// dollarTokenLength returns the length of a dollar-quoted text, or of a parameter such as $1. A text that is not closed extends to the end.
+// dollarTokenLength returns the length of the dollar-quoted string, or of the parameter such as $1, at the start of s. An unterminated
+// string extends to the end of s.
 func dollarTokenLength(s string) int {
 	n := 1
 	for n < len(s) && (isLetter(s[n]) || n > 1 && isDigit(s[n])) {
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -1,20 +1,20 @@
 package pg
 
-// Kind is the kind of a message.
+// Kind identifies the type of a decoded message.
 type Kind int
 
-// Kinds that any Reader returns.
+// Kinds that do not require EnableExtended.
 const (
 	Startup       Kind = iota
-	SSLRequest         // a request for TLS or GSSAPI encryption
-	CancelRequest      // on a connection of its own
+	SSLRequest         // SSLRequest or GSSENCRequest
+	CancelRequest      // sent on a separate connection
 	Query
 	Terminate
-	ExtendedQuery // any message of the extended protocol but Sync
+	ExtendedQuery // any message of the extended query protocol except Sync
 	FunctionCall
 	Sync
 	AuthenticationOK
-	Ignored // a notice, key data or protocol negotiation
+	Ignored // a message without use here: a notice, key data or protocol negotiation
 	ParameterStatus
 	ReadyForQuery
 	RowDescription
@@ -24,13 +24,13 @@
 	ErrorResponse
 )
 
-// Kinds that a Reader returns only after EnableExtended.
+// Kinds that a Reader returns only after EnableExtended was called.
 const (
 	Parse Kind = ErrorResponse + 1 + iota
 	Bind
 	Describe
 	Execute
-	Close // of a statement or a portal
+	Close // of a prepared statement or a portal
 	Flush
 	CopyData
 	CopyDone
@@ -48,41 +48,41 @@
 	BackendKeyData
 )
 
-// Targets of Describe and Close.
+// Target types of Describe and Close.
 const (
 	targetStatement byte = 'S'
 	targetPortal    byte = 'P'
 )
 
-// Message is a message of either side. Only the fields of its kind are set. Raw, Tail and FirstColumn are valid until the reader is fed
-// again.
+// Message is a decoded client or server message. Only the fields that apply to its kind are set. Raw, Tail and FirstColumn are valid until
+// the next call of Reader.Feed.
 type Message struct {
 	Kind         Kind
-	Text         string // Query, Parse: the statement; ParameterStatus: the value; CommandComplete: the tag
+	Text         string // Query, Parse: the statement; ParameterStatus: the value; CommandComplete: the command tag
 	Name         string // ParameterStatus: the name; Parse, Bind, Describe, Close: the prepared statement
 	Portal       string // Bind, Describe, Execute, Close
 	Target       byte   // Describe, Close: 'S' for a prepared statement, 'P' for a portal
-	Status       byte   // ReadyForQuery: 'I' outside a transaction, 'T' inside, 'E' inside one that has failed
-	Tail         []byte // Parse: the body from the statement on; Bind: the body from the parameter formats on
+	Status       byte   // ReadyForQuery: 'I' outside a transaction, 'T' in a transaction, 'E' in a failed transaction
+	Tail         []byte // Parse: the body from the statement text on; Bind: the body from the parameter format codes on
 	Startup      StartupParameters
 	Key          CancelKey // CancelRequest, BackendKeyData
-	MinorVersion int       // Startup: of the protocol
+	MinorVersion int       // Startup: the minor protocol version
 	ColumnCount  int       // RowDescription, DataRow
-	FirstColumn  []byte    // DataRow: the value of the first column, nil for NULL
-	Raw          []byte    // the whole message: RowDescription, DataRow, CommandComplete, and all messages after EnableExtended
+	FirstColumn  []byte    // DataRow: the value of the first column, or nil for NULL
+	Raw          []byte    // the encoded message: RowDescription, DataRow, CommandComplete, and all messages after EnableExtended
 	Error        *Error    // ErrorResponse
 }
 
 // CancelKey identifies a session in a CancelRequest.
 type CancelKey struct{ Process, Secret uint32 }
 
-// Setting is a parameter of a startup message or of SET, with its value.
+// Setting is the name and value of a run-time parameter in a startup message or a SET command.
 type Setting struct{ Name, Value string }
 
-// StartupParameters are the parameters of a startup message in their order.
+// StartupParameters are the parameters of a startup message in the order received.
 type StartupParameters []Setting
 
-// Get returns the value of a parameter, empty if it is not given.
+// Get returns the value of the first parameter with the given name, or an empty string if there is none.
 func (p StartupParameters) Get(name string) string {
 	for _, parameter := range p {
 		if parameter.Name == name {
--- a/internal/pg/messagetype.go
+++ b/internal/pg/messagetype.go
@@ -1,6 +1,6 @@
 package pg
 
-// Type bytes of the messages that a client sends.
+// Type bytes of client messages.
 const (
 	clientBind         byte = 'B'
 	clientClose        byte = 'C'
@@ -17,7 +17,7 @@
 	clientTerminate    byte = 'X'
 )
 
-// Type bytes of the messages that a server sends.
+// Type bytes of server messages.
 const (
 	serverAuthentication           byte = 'R'
 	serverBackendKeyData           byte = 'K'
@@ -43,8 +43,8 @@
 	serverRowDescription           byte = 'T'
 )
 
-// Startup messages have no type byte. The first field of their body is a protocol version or, with a major version that does not exist,
-// the code of a request.
+// Startup messages have no type byte. The first field of their body is a protocol version or a request code, which uses a major version
+// that does not exist.
 const (
 	noMessageType byte = 0
 
@@ -69,7 +69,7 @@
 	clientTerminate:    Terminate,
 }
 
-// extendedClientKinds replace or extend clientKinds after EnableExtended.
+// extendedClientKinds takes precedence over clientKinds after EnableExtended.
 var extendedClientKinds = map[byte]Kind{
 	clientBind:     Bind,
 	clientClose:    Close,
@@ -82,16 +82,16 @@
 	clientParse:    Parse,
 }
 
-// bodySizeRange are the smallest and largest body of a message, in bytes.
+// bodySizeRange is the minimum and maximum size of a message body, in bytes.
 type bodySizeRange struct{ min, max uint64 }
 
 const (
 	maxCommandTagBytes    = 1 << 7
-	maxCancelKeyDataBytes = 260 // the length of a cancel key in protocol 3.2
+	maxCancelKeyDataBytes = 260 // maximum in protocol 3.2
 	maxSimpleBodyBytes    = 1 << 13
 	maxExtendedBodyBytes  = 1 << 16
 	maxColumnListBytes    = 1 << 20
-	unboundedBodyBytes    = 1 << 32 // only the reader's limit holds
+	unboundedBodyBytes    = 1 << 32 // limited only by Reader.maxMessageBytes
 )
 
 var serverBodySizeRanges = map[byte]bodySizeRange{
@@ -108,7 +108,7 @@
 	serverRowDescription:           {2, maxSimpleBodyBytes},
 }
 
-// extendedServerMessages replace or extend serverBodySizes after EnableExtended.
+// extendedServerMessages takes precedence over serverBodySizeRanges after EnableExtended.
 var extendedServerMessages = map[byte]struct {
 	kind  Kind
 	sizes bodySizeRange
--- a/internal/pg/reader.go
+++ b/internal/pg/reader.go
@@ -4,31 +4,31 @@
 
 const (
 	lengthSize = 4
-	headerSize = 1 + lengthSize // the type byte and the length, which counts itself
+	headerSize = 1 + lengthSize // type byte and length field; the length includes itself but not the type byte
 
-	maxIdleBufferBytes = 1 << 14 // a larger buffer is released once it is empty
+	maxIdleBufferBytes = 1 << 14 // larger buffers are released when they become empty
 )
 
-// Reader decodes messages from bytes that come in any split.
+// Reader decodes messages from a byte stream that arrives in chunks of any size.
 type Reader struct {
 	buffer          []byte
-	offset          int // of the first byte that is not decoded
+	offset          int // of the first byte in buffer that has not been decoded
 	maxMessageBytes int
 	fromServer      bool
-	startupDecoded  bool // the startup message, which has no type byte, was decoded
-	extended        bool
+	startupDecoded  bool // the startup message, which has no type byte, has been decoded; always true if fromServer
+	extended        bool // EnableExtended was called
 	err             error
 }
 
-// NewReader returns a reader of what a server or a client sends. No message may be longer than maxMessage bytes.
+// NewReader returns a Reader for messages from a server or from a client. Messages longer than maxMessage bytes are rejected.
 func NewReader(fromServer bool, maxMessage int) *Reader {
 	return &Reader{maxMessageBytes: maxMessage, fromServer: fromServer, startupDecoded: fromServer}
 }
 
-// EnableExtended has the reader tell the messages of the extended protocol and of COPY apart, and set Raw in each message.
+// EnableExtended makes the Reader decode the individual messages of the extended query protocol and of COPY, and set Raw in every message.
 func (r *Reader) EnableExtended() { r.extended = true }
 
-// Feed appends bytes to be decoded.
+// Feed appends received bytes to the buffer. It invalidates Raw, Tail and FirstColumn of messages returned earlier.
 func (r *Reader) Feed(b []byte) {
 	if r.offset > 0 {
 		r.buffer = append(r.buffer[:0], r.buffer[r.offset:]...)
@@ -37,18 +37,18 @@
 	r.buffer = append(r.buffer, b...)
 }
 
-// Buffered returns the number of bytes that were fed and not decoded yet.
+// Buffered returns the number of bytes that have not been decoded yet.
 func (r *Reader) Buffered() int { return len(r.buffer) - r.offset }
 
-// Shrink releases the buffer if it is empty.
+// Shrink releases the buffer's memory if all bytes have been decoded.
 func (r *Reader) Shrink() {
 	if r.Buffered() == 0 {
 		r.buffer, r.offset = nil, 0
 	}
 }
 
-// Next decodes the next message; ok is false if more bytes are needed. Its errors are of type *DecodeError. After an error the boundaries
-// of messages are unknown: each further call returns the same one.
+// Next decodes the next message; ok is false if more bytes are needed. Errors are of type *DecodeError. Message boundaries are unknown
+// after an error, so all further calls return the same error.
 func (r *Reader) Next() (m Message, ok bool, err error) {
 	if r.err != nil {
 		return Message{}, false, r.err
@@ -64,7 +64,7 @@
 	return m, raw != nil, nil
 }
 
-// nextRawMessage returns the next whole message, nil if more bytes are needed.
+// nextRawMessage returns the bytes of the next complete message, or nil if more bytes are needed.
 func (r *Reader) nextRawMessage() ([]byte, error) {
 	prefixSize := headerSize
 	if !r.startupDecoded {
--- a/internal/pg/reader_test.go
+++ b/internal/pg/reader_test.go
@@ -17,7 +17,7 @@
 	ParameterDescription: "ParameterDescription", CopyInResponse: "CopyInResponse", CopyOutResponse: "CopyOutResponse",
 	NoticeResponse: "NoticeResponse", NotificationResponse: "NotificationResponse", BackendKeyData: "BackendKeyData"}
 
-// describeMessage returns the kind of a message and those of its fields that are set.
+// describeMessage formats the kind of a message and the fields that are set.
 func describeMessage(m Message) string {
 	words := []string{kindNames[m.Kind]}
 	add := func(isSet bool, format string, value any) {
@@ -38,7 +38,7 @@
 	return strings.Join(words, " ")
 }
 
-// readAll describes all messages that a reader has, and its error.
+// readAll formats all complete messages of a reader, followed by its error if there is one.
 func readAll(r *Reader) string {
 	var messages []string
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// encodedTestValue is a value of a row.
+// encodedTestValue is a length-prefixed value of a DataRow.
 const encodedTestValue = "\x00\x00\x00\x02ok"
 
 var readerCases = []struct {
@@ -99,7 +99,7 @@
 	{"error without code", true, "E\x00\x00\x00\x05\x00", "error 08P01"},
 }
 
-// readParts feeds a reader part by part, and describes what it has after each.
+// readParts feeds a reader one part at a time and formats the messages that it returns after each part.
 func readParts(r *Reader, parts ...string) string {
 	var read []string
 	for _, part := range parts {
@@ -129,7 +129,7 @@
 	}
 }
 
-// readExtended reads messages of the extended protocol.
+// readExtended decodes bytes with a reader on which EnableExtended was called.
 func readExtended(fromServer bool, bytes string) (*Reader, string) {
 	r := NewReader(fromServer, 1<<12)
 	if !fromServer {
@@ -207,7 +207,8 @@
 	}
 }
 
-// FuzzReader has a reader take any bytes: the messages don't depend on the split, and no more is buffered than the limit.
+// FuzzReader checks for any input that the decoded messages are the same whether it is fed byte by byte or at once, and that the reader does
+// not buffer more than its message limit.
 func FuzzReader(f *testing.F) {
 	for _, in := range readerCases {
 		f.Add(in.fromServer, []byte(in.bytes))
@@ -229,16 +230,16 @@
 				break
 			}
 			if r.Buffered() > maxMessage {
-				t.Fatalf("buffers %d bytes", r.Buffered())
+				t.Fatalf("%d bytes are buffered, which exceeds the message limit", r.Buffered())
 			}
 		}
 		if got := strings.Join(read, "; "); got != want {
-			t.Fatalf("byte by byte %q, at once %q", got, want)
+			t.Fatalf("fed byte by byte: %q; fed at once: %q", got, want)
 		}
 	})
 }
 
-// checkExtendedSize fails the test if messages of the extended protocol are longer in all than what was fed.
+// checkExtendedSize fails the test if the messages decoded after EnableExtended are longer in total than the input.
 func checkExtendedSize(t *testing.T, fromServer bool, maxMessage int, b []byte) {
 	t.Helper()
 	r := NewReader(fromServer, maxMessage)
@@ -249,6 +250,6 @@
 		size += len(m.Raw)
 	}
 	if size > len(b) {
-		t.Fatalf("messages of %d bytes in %d", size, len(b))
+		t.Fatalf("messages of %d bytes in an input of %d bytes", size, len(b))
 	}
 }
--- a/internal/pg/setting.go
+++ b/internal/pg/setting.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// parseSet parses the rest of SET.
+// parseSet parses a SET command after the SET keyword.
 func parseSet(l *lexer) Command {
 	start := l.offset
 	word := l.keyword()
@@ -31,7 +31,8 @@
 	return Command{Kind: Set, Settings: []Setting{{Name: name, Value: value}}}
 }
 
-// parseSetTarget parses the rest of SET from what is set on. word has been read there, at start.
+// parseSetTarget parses a SET command from its target on, after LOCAL or SESSION. word is the first token of the target, already consumed,
+// and start is its offset.
 func parseSetTarget(l *lexer, start int, word string) Command {
 	switch word {
 	case "transaction":
@@ -74,12 +75,12 @@
 	}
 	value := l.settingValue()
 	if strings.EqualFold(value, "local") {
-		value = "" // as DEFAULT
+		value = "" // equivalent to DEFAULT
 	}
 	return newSetCommand("timezone", value)
 }
 
-// parseCharacteristics parses the rest of SET SESSION CHARACTERISTICS: the defaults of later transactions.
+// parseCharacteristics parses SET SESSION CHARACTERISTICS after that keyword. The command sets the default modes of later transactions.
 func parseCharacteristics(l *lexer) Command {
 	if !strings.EqualFold(l.next(), "as") || !strings.EqualFold(l.next(), "transaction") {
 		return Command{}
@@ -103,7 +104,7 @@
 	return c
 }
 
-// isolationLevel reads LEVEL and the level.
+// isolationLevel reads the LEVEL keyword and the isolation level after it, and returns the level.
 func (l *lexer) isolationLevel() string {
 	l.next()
 	level := l.keyword()
@@ -113,7 +114,7 @@
 	return level
 }
 
-// parseReset parses the rest of RESET.
+// parseReset parses a RESET command after the RESET keyword.
 func parseReset(l *lexer) Command {
 	switch strings.ToLower(l.peek()) {
 	case "all":
@@ -126,7 +127,7 @@
 	return Command{Kind: Reset, Name: l.qualifiedName()}
 }
 
-// qualifiedName reads a name that may have several parts.
+// qualifiedName reads a name that can consist of several parts separated by dots.
 func (l *lexer) qualifiedName() string {
 	name := identifier(l.next())
 	for {
@@ -139,7 +140,7 @@
 	}
 }
 
-// settingValue returns the rest as it is written, empty for DEFAULT.
+// settingValue returns the remaining text as written, or an empty string for DEFAULT.
 func (l *lexer) settingValue() string {
 	l.skipWhitespaceAndComments()
 	value := strings.TrimSpace(l.sql[l.offset:])
--- a/internal/pg/split.go
+++ b/internal/pg/split.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// SplitStatements splits a query into its statements, without those that are empty.
+// SplitStatements splits a query string at semicolons and returns its statements, except empty ones.
 func SplitStatements(sql string) []string {
 	if strings.IndexByte(sql, ';') < 0 {
 		return singleStatement(sql)
--- a/internal/pg/sqlstate.go
+++ b/internal/pg/sqlstate.go
@@ -1,6 +1,6 @@
 package pg
 
-// SQLSTATE codes, by their condition names in PostgreSQL's documentation.
+// SQLSTATE codes, named after the condition names in PostgreSQL's documentation.
 const (
 	AdminShutdown                   = "57P01"
 	CannotConnectNow                = "57P03"
@@ -10,7 +10,7 @@
 	FeatureNotSupported             = "0A000"
 	IdleInTransactionSessionTimeout = "25P03"
 	IdleSessionTimeout              = "57P05"
-	InFailedSQLTransaction          = "25P02" // only the end of the transaction is accepted
+	InFailedSQLTransaction          = "25P02" // the transaction has failed and can only be ended
 	InvalidCatalogName              = "3D000" // unknown database
 	InvalidCursorName               = "34000"
 	InvalidParameterValue           = "22023"
@@ -18,14 +18,14 @@
 	ProgramLimitExceeded            = "54000"
 	ProtocolViolation               = "08P01"
 	QueryCanceled                   = "57014"
-	ReadOnlySQLTransaction          = "25006" // a write on a replica
-	SerializationFailure            = "40001" // without effect: the transaction may run again
+	ReadOnlySQLTransaction          = "25006" // for example a write on a replica
+	SerializationFailure            = "40001" // the transaction had no effect and can be retried
 	SnapshotTooOld                  = "72000"
 	TooManyConnections              = "53300"
-	TransactionResolutionUnknown    = "08007" // it may have taken effect
+	TransactionResolutionUnknown    = "08007" // the transaction may have taken effect
 )
 
-// SQLSTATE classes, the first two characters of a code, that are caused by the statement.
+// SQLSTATE classes (the first two characters of a code) of errors that are caused by the statement.
 const (
 	classFeatureNotSupported          = "0A"
 	classCardinalityViolation         = "21"
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -14,19 +14,21 @@
 	maxCommentNumber = 1e15
 )
 
-// Statement is a request as its client sent it: the comment in front of it, decoded, and the text around the deadline in the comment.
+// Statement is a client's SQL statement with its decoded statement comment. It keeps the text around the deadline in the comment, so that
+// the statement can be forwarded with another deadline.
 type Statement struct {
 	ID, RequestClass, Tenant string
-	IdempotencyKey           string  // the first quoted text of the statement
-	WaitMs                   float64 // how long the client waits
-	Position                 float64 // that the client must see; 0 for none
+	IdempotencyKey           string  // the first text in single quotes after the comment
+	WaitMs                   float64 // time that the client waits for the response, in ms
+	Position                 float64 // minimum position that the response must reflect; 0 for none
 	Group                    int
-	IsRetry                  bool // as the client says
+	IsRetry                  bool // the client marked it as a retry
 
 	textBeforeDeadline, textAfterDeadline string
 }
 
-// ParseStatement decodes the comment, a list of name=value. Names that it does not know are sent on with the rest.
+// ParseStatement decodes the statement comment, a comma-separated list of name=value pairs. Unknown names are ignored and forwarded
+// unchanged.
 func ParseStatement(sql string) (*Statement, error) {
 	body, found := strings.CutPrefix(sql, commentStart)
 	end := strings.Index(body, commentEnd)
@@ -34,7 +36,7 @@
 		return nil, newCommentError("a statement begins with a comment that names its id, c and d")
 	}
 	s := &Statement{WaitMs: -1}
-	offset := len(commentStart) // of the pair in sql
+	offset := len(commentStart) // of the current pair in sql
 	for pair := range strings.SplitSeq(body[:end], ",") {
 		if err := s.decodePair(sql, offset, pair); err != nil {
 			return nil, err
@@ -48,8 +50,8 @@
 	return s, nil
 }
 
-// decodePair decodes one name=value, which starts at an offset of sql. The names id, c, t, d, after, cluster and r are the comment's words
-// for ID, request class, tenant, deadline, position, group and retry.
+// decodePair decodes one name=value pair, which starts at the given offset of sql. The names id, c, t, d, after, cluster and r stand for
+// the ID, request class, tenant, deadline, position, group and retry flag.
 func (s *Statement) decodePair(sql string, offset int, pair string) error {
 	name, value, found := strings.Cut(pair, "=")
 	if !found {
@@ -67,7 +69,7 @@
 	case "t":
 		s.Tenant = value
 	case "d":
-		isFirst := s.textBeforeDeadline == "" // AppendQuery replaces only one
+		isFirst := s.textBeforeDeadline == "" // AppendQuery can replace only one deadline
 		s.WaitMs, valid = parseNumber(value)
 		valid = valid && isFirst
 		s.textBeforeDeadline, s.textAfterDeadline = sql[:valueAt], sql[valueAt+len(value):]
@@ -94,7 +96,7 @@
 	return number, err == nil && !math.IsNaN(number) && number >= 0 && number <= maxCommentNumber
 }
 
-// firstQuotedText returns the first text in single quotes, empty if there is none.
+// firstQuotedText returns the first text in single quotes, or an empty string if there is none.
 func firstQuotedText(s string) string {
 	_, s, found := strings.Cut(s, "'")
 	end := strings.IndexByte(s, '\'')
@@ -104,7 +106,7 @@
 	return s[:end]
 }
 
-// AppendQuery appends the statement as a Query message, with a deadline in ms.
+// AppendQuery appends the statement as a Query message in which the deadline is replaced by waitMs, rounded down but at least 1.
 func (s *Statement) AppendQuery(out []byte, waitMs float64) []byte {
 	return AppendQuery(out, s.textBeforeDeadline, strconv.Itoa(int(max(1, waitMs))), s.textAfterDeadline)
 }
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -21,7 +21,7 @@
 	}
 	got := string(s.AppendQuery(nil, 12.9))
 	if want := string(AppendQuery(nil, strings.Replace(testStatement, "d=480", "d=12", 1))); got != want {
-		t.Errorf("sent on %q, want %q", got, want)
+		t.Errorf("forwarded %q, want %q", got, want)
 	}
 }
 
@@ -37,12 +37,12 @@
 		}
 		var decodeError *DecodeError
 		if !errors.As(err, &decodeError) || decodeError.Place != commentPlace {
-			t.Errorf("%q: got %v, want an error at the comment", sql, err)
+			t.Errorf("%q: got %v, want an error with the place of the comment", sql, err)
 		}
 	}
 }
 
-// FuzzParseStatement has what is sent on decode to the same request with another deadline.
+// FuzzParseStatement checks that a forwarded statement decodes to the same request with the new deadline.
 func FuzzParseStatement(f *testing.F) {
 	f.Add(testStatement)
 	f.Fuzz(func(t *testing.T, sql string) {
@@ -53,7 +53,7 @@
 		query := s.AppendQuery(nil, 7)
 		again, err := ParseStatement(string(query[headerSize : len(query)-1]))
 		if err != nil || again.ID != s.ID || again.RequestClass != s.RequestClass || again.IdempotencyKey != s.IdempotencyKey || again.WaitMs != 7 {
-			t.Errorf("%q: sent on %q: %+v, %v", sql, query, again, err)
+			t.Errorf("%q: forwarded %q, decoded as %+v, %v", sql, query, again, err)
 		}
 	})
 }
--- a/internal/pg/sticky.go
+++ b/internal/pg/sticky.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// stickyFunctions leave something on the connection when they are called, and why a session must keep it.
+// stickyFunctions maps functions that create state on the connection to the reason for which the session must keep that connection.
 var stickyFunctions = map[string]string{
 	"set_config":                  "set_config",
 	"pg_advisory_lock":            "an advisory lock",
@@ -11,7 +11,7 @@
 	"pg_try_advisory_lock_shared": "an advisory lock",
 }
 
-// stickyReason returns why the session of a statement must keep its connection, empty if it need not.
+// stickyReason returns why a session must keep its connection after the statement, or an empty string if it need not.
 func stickyReason(l *lexer, firstWord string) string {
 	switch firstWord {
 	case "listen":
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// searchStickyReason searches the rest of a statement for function calls and clauses that leave something on the connection.
+// searchStickyReason searches the rest of a statement for the names of stickyFunctions and for clauses that create state on the connection.
 func searchStickyReason(l *lexer, firstWord string) string {
 	previous := firstWord
 	for token := l.next(); token != ""; token = l.next() {
@@ -53,7 +53,8 @@
 	return ""
 }
 
-// createsTemporaryTable recognizes CREATE [LOCAL | GLOBAL] TEMPORARY, CREATE OR REPLACE TEMPORARY and INTO TEMPORARY.
+// createsTemporaryTable reports whether word is the last one of CREATE [LOCAL | GLOBAL] TEMPORARY, CREATE OR REPLACE TEMPORARY or INTO
+// TEMPORARY. TEMPORARY can be shortened to TEMP.
 func createsTemporaryTable(firstWord, previous, word string) bool {
 	if word != "temp" && word != "temporary" {
 		return false
--- a/internal/pg/transaction.go
+++ b/internal/pg/transaction.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// parseBegin parses the rest of BEGIN or START TRANSACTION.
+// parseBegin parses BEGIN or START TRANSACTION after its first keyword.
 func parseBegin(l *lexer, firstWord string) Command {
 	c := Command{Kind: Begin, Simple: true}
 	word := l.keyword()
@@ -16,7 +16,7 @@
 	return c
 }
 
-// readTransactionModes reads transaction modes from a word on.
+// readTransactionModes reads transaction modes up to the end of the statement. word is the first keyword, already consumed.
 func (c *Command) readTransactionModes(l *lexer, word string) {
 	for ; word != ""; word = l.keyword() {
 		switch word {
@@ -31,7 +31,7 @@
 	}
 }
 
-// readAccessMode reads the word behind READ, in an access mode or an isolation level.
+// readAccessMode applies the keyword after READ, which belongs to an access mode or to an isolation level.
 func (c *Command) readAccessMode(word string) {
 	switch word {
 	case "only":
@@ -44,7 +44,8 @@
 	}
 }
 
-// parseTransactionEnd parses the rest of a commit or rollback. That of a prepared transaction does not concern the session's own.
+// parseTransactionEnd parses a commit or rollback after its first keyword. COMMIT PREPARED and ROLLBACK PREPARED do not affect the
+// session's own transaction.
 func parseTransactionEnd(l *lexer, kind CommandKind) Command {
 	word := l.keyword()
 	if word == "work" || word == "transaction" {
@@ -63,7 +64,7 @@
 	return Command{Kind: ReleaseSavepoint, Name: l.savepointName()}
 }
 
-// savepointName reads a name behind an optional SAVEPOINT, which may itself be the name.
+// savepointName reads a savepoint name after an optional SAVEPOINT keyword. A final SAVEPOINT is the name itself.
 func (l *lexer) savepointName() string {
 	token := l.next()
 	if !strings.EqualFold(token, "savepoint") {
