--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -58,7 +58,7 @@
 		return newCommentError("comment: %q is no name=value", strings.TrimSpace(pair))
 	}
 	name = strings.TrimSpace(name)
-	valueAt := offset + len(pair) - len(value)
+	valueOffset := offset + len(pair) - len(value)
 	value = strings.TrimRight(value, " ")
 	valid := true
 	switch name {
@@ -69,10 +69,10 @@
 	case "t":
 		s.Tenant = value
 	case "d":
-		isFirst := s.textBeforeDeadline == "" // AppendQuery can replace only one deadline
+		isFirstDeadline := s.textBeforeDeadline == "" // AppendQuery can replace only one deadline
 		s.WaitMs, valid = parseNumber(value)
-		valid = valid && isFirst
-		s.textBeforeDeadline, s.textAfterDeadline = sql[:valueAt], sql[valueAt+len(value):]
+		valid = valid && isFirstDeadline
+		s.textBeforeDeadline, s.textAfterDeadline = sql[:valueOffset], sql[valueOffset+len(value):]
 	case "after":
 		s.Position, valid = parseNumber(value)
 	case "cluster":
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -51,9 +51,9 @@
 			return
 		}
 		query := s.AppendQuery(nil, 7)
-		again, err := ParseStatement(string(query[headerSize : len(query)-1]))
-		if err != nil || again.ID != s.ID || again.RequestClass != s.RequestClass || again.IdempotencyKey != s.IdempotencyKey || again.WaitMs != 7 {
-			t.Errorf("%q: forwarded %q, decoded as %+v, %v", sql, query, again, err)
+		decoded, err := ParseStatement(string(query[headerSize : len(query)-1]))
+		if err != nil || decoded.ID != s.ID || decoded.RequestClass != s.RequestClass || decoded.IdempotencyKey != s.IdempotencyKey || decoded.WaitMs != 7 {
+			t.Errorf("%q: forwarded %q, decoded as %+v, %v", sql, query, decoded, err)
 		}
 	})
 }
