--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Simadapter runs router instances on the bench's wire.
+// Simadapter runs router instances for the bench, with which it exchanges events and decisions over standard input and output.
 package main
 
 import (
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,6 +1,7 @@
-// Package simadapter runs decision modules for the bench, which simulates everything around them. It reads events from the bench, one
-// JSON object a line, passes them on to the routers that they are for, and writes the routers' decisions. The names on the wire are the
-// bench's; they are translated here and nowhere else. Times on the wire are in microseconds, in the program in milliseconds.
+// Package simadapter connects router instances to the bench, a simulator of their environment. It reads events from the bench as one JSON
+// object per line, dispatches them to the routers that they address, and writes the routers' decisions. The bench defines the names in the
+// wire format; this package translates them, except for the settings in a BEGIN event, which internal/settings decodes. Times are in
+// microseconds on the wire and in milliseconds in the program.
 package simadapter
 
 import (
@@ -19,29 +20,29 @@
 
 const (
 	ioBufferBytes = 1 << 16
-	// maxMemberLists is how many member lists the bench may define at a time.
+	// maxMemberLists is the number of member lists that the bench can define at a time.
 	maxMemberLists = 16
-	// microsecondsPerMs translates between times on the wire and in the program.
+	// microsecondsPerMs converts between times on the wire and in the program.
 	microsecondsPerMs = 1000
-	// msPerSecond translates positions in load reports, which are in seconds.
+	// msPerSecond converts positions in load reports, which are in seconds.
 	msPerSecond = 1000
 )
 
-// instance is one router that the bench has begun.
+// instance is a router that the bench has created with a BEGIN event.
 type instance struct {
 	name           string
 	router         *router.Router
-	positionOrigin float64 // the time from which positions are counted, in ms
-	advanced       bool    // it has had an event in this batch
+	positionOrigin float64 // the time in ms to which positions on the wire are relative
+	advanced       bool    // the router was advanced to the time of the current batch
 }
 
-// adapter is the state of one connection to the bench.
+// adapter holds the state of one connection to the bench.
 type adapter struct {
-	now            float64
-	batchNumber    int64 // the number of the batch
+	now            float64 // the time of the current batch, in ms
+	batchNumber    int64   // echoed in the acknowledgment of the batch
 	inBatch        bool
 	instances      map[string]*instance
-	batchInstances []*instance // those that have had an event in this batch, in order of their first one
+	batchInstances []*instance // instances with an event in the current batch, in the order of their first event
 	memberLists    [maxMemberLists][]byte
 
 	out        *bufio.Writer
@@ -51,7 +52,8 @@
 	buffer     []byte
 }
 
-// Run answers batches of events from in on out until in ends. An error names the line that caused it.
+// Run reads batches of events from in and writes the resulting decisions to out, until in ends. Errors in the input include the line
+// number.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{instances: map[string]*instance{}, out: bufio.NewWriterSize(out, ioBufferBytes)}
 	lines := bufio.NewReaderSize(in, ioBufferBytes)
@@ -77,10 +79,10 @@
 func (a *adapter) handleLine(line []byte) error {
 	value, err := a.parser.ParseBytes(line)
 	if err != nil {
-		return fmt.Errorf("not JSON: %w", err)
+		return fmt.Errorf("invalid JSON: %w", err)
 	}
 	if value.Type() != fastjson.TypeObject {
-		return errors.New("not an object")
+		return errors.New("not a JSON object")
 	}
 	fields := &settings.Fields{Value: value}
 	op := fields.Text("op")
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// handleEvent handles an event of the batch itself, or passes it on to its instance.
+// handleEvent handles batch, list and BEGIN events, and dispatches all other events to the instance that they address.
 func (a *adapter) handleEvent(op string, fields *settings.Fields) error {
 	if op == "BATCH" {
 		return a.beginBatch(fields)
@@ -125,7 +127,7 @@
 
 func (a *adapter) beginBatch(fields *settings.Fields) error {
 	if a.inBatch {
-		return errors.New("the batch before it has not ended")
+		return errors.New("previous batch has not ended")
 	}
 	a.inBatch = true
 	a.now = fields.Number("wall") / microsecondsPerMs
@@ -133,12 +135,12 @@
 	return fields.Err
 }
 
-// eventInstance returns the eventInstance that an event is for, and tells it the time.
+// eventInstance returns the instance that an event addresses, after advancing it to the time of the batch.
 func (a *adapter) eventInstance(fields *settings.Fields) *instance {
 	name := fields.Text("router")
 	i := a.instances[name]
 	if fields.Err == nil && i == nil {
-		fields.Err = fmt.Errorf("router: %q has not begun", name)
+		fields.Err = fmt.Errorf("router: unknown instance %q", name)
 	}
 	if i != nil {
 		a.advanceOnFirstEvent(i)
@@ -146,7 +148,7 @@
 	return i
 }
 
-// advanceOnFirstEvent tells an instance the time before its first event of a batch.
+// advanceOnFirstEvent advances an instance to the time of the batch before its first event in the batch.
 func (a *adapter) advanceOnFirstEvent(i *instance) {
 	if !i.advanced {
 		i.advanced = true
@@ -167,16 +169,16 @@
 	if seed == nil || seed.Type() != fastjson.TypeNumber {
 		return errors.New("rngSeed: must be a number")
 	}
-	routerSettings, host, err := settings.Decode(platformSettings)
+	routerSettings, runtimeSettings, err := settings.Decode(platformSettings)
 	if err != nil {
 		return fmt.Errorf("facts: %w", err)
 	}
-	// A seed beyond 64 bits, or with a sign, still differs from others by its digits.
+	// Seeds that are not unsigned 64-bit integers are converted through floating point, so that negative seeds remain distinct.
 	routerSeed, err := strconv.ParseUint(seed.String(), 10, 64)
 	if err != nil {
 		routerSeed = uint64(int64(seed.GetFloat64()))
 	}
-	i := &instance{name: name, router: router.New(routerSettings, routerSeed), positionOrigin: host.PositionOrigin}
+	i := &instance{name: name, router: router.New(routerSettings, routerSeed), positionOrigin: runtimeSettings.PositionOrigin}
 	a.instances[name] = i
 	a.advanceOnFirstEvent(i)
 	return nil
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -31,7 +31,8 @@
 		`{"op":"ECHO","router":"router/1","node":"n:1","how":200,"rtt":4000,"load":{"x0":4.002,"x1":1}}`, batchEnd,
 		`{"op":"BATCH","wall":5024000,"frame":3}`,
 		`{"op":"RETURNED","router":"router/1","call":"c:w","node":"n:1","how":500,"rtt":20000,"mark":1}`, batchEnd,
-		`{"op":"BATCH","wall":5034000,"frame":4}`, `{"op":"HALT","router":"router/1"}`, beginEvent, listEvent, cachedListEvent, requestEvent, batchEnd)
+		`{"op":"BATCH","wall":5034000,"frame":4}`, `{"op":"HALT","router":"router/1"}`, beginEvent, listEvent, cachedListEvent, requestEvent,
+		batchEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +52,7 @@
 	}
 }
 
-// A list number that is used again within a batch stands for the newer list from there on.
+// A list number that is reused within a batch refers to the newer list in all later events.
 func TestRun_ListNumberUsedAgain(t *testing.T) {
 	out, err := runLines(batchStart, beginEvent, listEvent, cachedListEvent,
 		strings.Replace(listEvent, "n:1", "n:2", 1), strings.Replace(cachedListEvent, `"C"`, `"F"`, 1), requestEvent, batchEnd)
@@ -59,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out, "n:1") || !strings.Contains(out, "n:2") {
-		t.Errorf("health checks for a member that was removed, or none for the new one:\n%s", out)
+		t.Errorf("got health checks for the removed member n:1 or none for the new member n:2:\n%s", out)
 	}
 }
 
@@ -68,17 +69,17 @@
 		lines []string
 		want  string
 	}{
-		{[]string{batchStart, `{"op":`}, "line 2: not JSON"},
-		{[]string{batchStart, `[]`}, "line 2: not an object"},
+		{[]string{batchStart, `{"op":`}, "line 2: invalid JSON"},
+		{[]string{batchStart, `[]`}, "line 2: not a JSON object"},
 		{[]string{batchStart, `{"op":"NOISE"}`}, "line 2: NOISE: unknown event"},
 		{[]string{batchEnd}, "line 1: EOF_BATCH: outside a batch"},
 		{[]string{batchStart}, "input ends inside a batch"},
-		{[]string{batchStart, `{"op":"HALT","router":"router/9"}`}, `line 2: HALT: router: "router/9" has not begun`},
-		{[]string{batchStart, beginEvent, cachedListEvent}, "line 3: BACKENDS_CHANGED: ref: list 0 was never set"},
+		{[]string{batchStart, `{"op":"HALT","router":"router/9"}`}, `line 2: HALT: router: unknown instance "router/9"`},
+		{[]string{batchStart, beginEvent, cachedListEvent}, "line 3: BACKENDS_CHANGED: ref: list 0 is not defined"},
 		{[]string{batchStart, beginEvent, `{"op":"JOB_IN","router":"router/1","call":1}`}, "line 3: JOB_IN: call: must be text"},
-		{[]string{batchStart, beginEvent, `{"op":"ECHO","router":"router/1","node":"n:1","how":777}`}, "unknown outcome 777"},
+		{[]string{batchStart, beginEvent, `{"op":"ECHO","router":"router/1","node":"n:1","how":777}`}, "how: unknown outcome code 777"},
 		{[]string{batchStart, beginEvent, `{"op":"JOB_IN","router":"router/1","call":"c:1","class":"x","ttl":1,"groupNo":1}`},
-			`class: "x" is not in the settings`},
+			`class: unknown request class "x"`},
 		{[]string{batchStart, strings.Replace(beginEvent, `"silent"`, `"sometimes"`, 1)},
 			`facts: familyInfo.serverChecks: unknown value "sometimes"`},
 		{[]string{batchStart, strings.Replace(beginEvent, `"fragile"`, `"glass"`, 1)},
@@ -90,7 +91,7 @@
 			t.Errorf("%q: error %v, want %q", c.lines[len(c.lines)-1], err, c.want)
 		}
 		if out != "" {
-			t.Errorf("%q: wrote %q", c.lines[len(c.lines)-1], out)
+			t.Errorf("%q: got output %q, want none", c.lines[len(c.lines)-1], out)
 		}
 	}
 }
--- a/internal/simadapter/decisions.go
+++ b/internal/simadapter/decisions.go
@@ -7,10 +7,10 @@
 	"wayloft/router"
 )
 
-// timerCallbackKey is what the bench sends back with a timer. There is one timer an instance, so that it tells nothing.
+// timerCallbackKey is the key that the bench returns when a timer fires. Each instance has only one timer, so the key is constant.
 const timerCallbackKey = "beat"
 
-// actionNames are the actions by their names on the wire.
+// actionNames maps actions to their names on the wire.
 var actionNames = map[router.Action]string{
 	router.SendAttempt:          "HAND_OFF",
 	router.CancelAttempt:        "REVOKE",
@@ -22,7 +22,8 @@
 	router.SetTimer:             "SET_ALARM",
 }
 
-// endBatch writes the decisions of all instances that have had an event, in the order of their first ones.
+// endBatch writes the decisions of all instances with an event in the batch, in the order of their first event, and an acknowledgment.
+// Instances that were stopped or replaced in the batch are skipped.
 func (a *adapter) endBatch() error {
 	for _, i := range a.batchInstances {
 		i.advanced = false
@@ -74,7 +75,7 @@
 	_, _ = a.out.Write(a.buffer) // a bufio.Writer keeps its first error, and Flush returns it
 }
 
-// appendTextField appends a member of a JSON object and a comma.
+// appendTextField appends a string field of a JSON object and a comma to the buffer.
 func (a *adapter) appendTextField(key, text string) {
 	a.appendKey(key)
 	a.arena.Reset()
@@ -82,7 +83,7 @@
 	a.buffer = append(a.buffer, ',')
 }
 
-// appendNumberField appends a member of a JSON object, rounded up to a whole number, and a comma.
+// appendNumberField appends a numeric field of a JSON object, rounded up to an integer, and a comma to the buffer.
 func (a *adapter) appendNumberField(key string, x float64) {
 	a.appendKey(key)
 	a.buffer = strconv.AppendInt(a.buffer, int64(math.Ceil(x)), 10)
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -9,13 +9,13 @@
 	"wayloft/router"
 )
 
-// A position on the wire carries the role in its lowest bits.
+// A mark on the wire combines a position with a role, which occupies the lowest bits.
 const (
 	roleBits = 2
 	roleMask = 1<<roleBits - 1
 )
 
-// instanceEventHandlers are the events that are for one instance, by their names on the wire.
+// instanceEventHandlers maps the names of events on the wire to the handlers of events that address an instance.
 var instanceEventHandlers = map[string]func(*adapter, *instance, *settings.Fields) error{
 	"HALT":             (*adapter).instanceStopped,
 	"BACKENDS_CHANGED": (*adapter).applyMemberList,
@@ -28,7 +28,7 @@
 	"WHISPER":          (*adapter).ignoreEvent,
 }
 
-// outcomes are the outcomes of attempts and health checks by their codes on the wire.
+// outcomes maps outcome codes on the wire to outcomes of attempts and health checks.
 var outcomes = map[int]router.Outcome{
 	200: router.Succeeded,
 	404: router.Misrouted,
@@ -51,7 +51,7 @@
 	group, positionAge, ttl := int(fields.Number("groupNo")), fields.OptionalNumber("tokenAgeMs"), fields.Number("ttl")/microsecondsPerMs
 	isRetry := fields.Bool("retry")
 	if fields.Err == nil && !i.router.Arrive(id, tenant, session, class, group, positionAge, ttl, isRetry) {
-		return fmt.Errorf("class: %q is not in the settings", class)
+		return fmt.Errorf("class: unknown request class %q", class)
 	}
 	return fields.Err
 }
@@ -95,19 +95,19 @@
 	return fields.Err
 }
 
-// ignoreEvent handles events that ask for nothing here.
+// ignoreEvent handles events that require no action.
 func (a *adapter) ignoreEvent(_ *instance, fields *settings.Fields) error { return fields.Err }
 
 func decodeOutcome(fields *settings.Fields) router.Outcome {
 	code := int(fields.Number("how"))
 	outcome, known := outcomes[code]
 	if fields.Err == nil && !known {
-		fields.Err = fmt.Errorf("how: unknown outcome %d", code)
+		fields.Err = fmt.Errorf("how: unknown outcome code %d", code)
 	}
 	return outcome
 }
 
-// forwardLoadReport passes on the role and position in a member's load report, if the event has one.
+// forwardLoadReport passes the role and position in a member's load report to the router, if the event contains a report.
 func (a *adapter) forwardLoadReport(i *instance, member string, fields *settings.Fields) {
 	load := &settings.Fields{Value: fields.Value.Get("load")}
 	if load.Value == nil || load.Value.Type() == fastjson.TypeNull {
--- a/internal/simadapter/lists.go
+++ b/internal/simadapter/lists.go
@@ -10,18 +10,18 @@
 	"wayloft/router"
 )
 
-// Modes of a list change, as the wire has them.
+// Values of the mode field of a list event.
 const (
-	listModeFailed  = "X" // the list could not be had
-	listModeChanges = "D" // the rows that have changed
+	listModeFailed  = "X" // the list could not be fetched
+	listModeChanges = "D" // only the rows that changed
 	listModeFull    = "F" // all rows
-	listModeCached  = "C" // a full list from a cache
+	listModeCached  = "C" // all rows, from a cache
 )
 
-// memberStates are the memberStates of listed members by their names on the wire.
+// memberStates maps the names of member states on the wire to router states.
 var memberStates = map[string]router.State{"up": router.Up, "draining": router.Draining, "removed": router.Removed}
 
-// defineMemberList keeps the rows of a member list under its number. A number that is used again stands for the newer list from there on.
+// defineMemberList stores the rows of a member list under its number. Reusing a number replaces the list for all later events.
 func (a *adapter) defineMemberList(fields *settings.Fields) error {
 	number := int(fields.Number("ref"))
 	hosts := fields.Value.Get("hosts")
@@ -37,7 +37,7 @@
 	return fields.Err
 }
 
-// applyMemberList passes a member list on to an instance.
+// applyMemberList passes a stored member list, or the failure to fetch one, to the router of an instance.
 func (a *adapter) applyMemberList(i *instance, fields *settings.Fields) error {
 	mode := fields.Text("mode")
 	switch mode {
@@ -47,7 +47,7 @@
 	case listModeChanges, listModeFull, listModeCached:
 	default:
 		if fields.Err == nil {
-			return fmt.Errorf("mode: unknown %q", mode)
+			return fmt.Errorf("mode: unknown list mode %q", mode)
 		}
 	}
 	number := int(fields.Number("ref"))
@@ -55,7 +55,7 @@
 		return fields.Err
 	}
 	if number < 0 || number >= len(a.memberLists) || a.memberLists[number] == nil {
-		return fmt.Errorf("ref: list %d was never set", number)
+		return fmt.Errorf("ref: list %d is not defined", number)
 	}
 	rows, err := a.listParser.ParseBytes(a.memberLists[number])
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	state, known := memberStates[stateName]
 	if !known {
-		return fmt.Errorf("state: unknown %q", stateName)
+		return fmt.Errorf("state: unknown member state %q", stateName)
 	}
 	i.router.ListMember(id, zone, group, state, started)
 	return nil
