--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -14,7 +14,7 @@
 	FunctionCall
 	Sync
 	AuthenticationOK
-	Ignored // a message without use here: a notice, key data or protocol negotiation
+	Ignored // a message that needs no handling: a notice, key data or protocol negotiation
 	ParameterStatus
 	ReadyForQuery
 	RowDescription
@@ -76,7 +76,7 @@
 // CancelKey identifies a session in a CancelRequest.
 type CancelKey struct{ Process, Secret uint32 }
 
-// Setting is the name and value of a run-time parameter in a startup message or a SET command.
+// Setting is the name and value of a parameter in a startup message or a SET command.
 type Setting struct{ Name, Value string }
 
 // StartupParameters are the parameters of a startup message in the order received.
