--- a/internal/pg/reader_test.go
+++ b/internal/pg/reader_test.go
@@ -17,8 +17,8 @@
 	ParameterDescription: "ParameterDescription", CopyInResponse: "CopyInResponse", CopyOutResponse: "CopyOutResponse",
 	NoticeResponse: "NoticeResponse", NotificationResponse: "NotificationResponse", BackendKeyData: "BackendKeyData"}
 
-// describe returns the kind of a message and those of its fields that are set.
-func describe(m Message) string {
+// describeMessage formats the kind of a message and the fields that are set.
+func describeMessage(m Message) string {
 	words := []string{kindNames[m.Kind]}
 	add := func(isSet bool, format string, value any) {
 		if isSet {
@@ -38,7 +38,7 @@
 	return strings.Join(words, " ")
 }
 
-// readAll describes all messages that a reader has, and its error.
+// readAll formats all complete messages of a reader, followed by its error if there is one.
 func readAll(r *Reader) string {
 	var messages []string
 	for {
@@ -50,14 +50,14 @@
 		if !ok {
 			return strings.Join(messages, "; ")
 		}
-		messages = append(messages, describe(m))
+		messages = append(messages, describeMessage(m))
 	}
 }
 
-// testValue is a value of a row.
-const testValue = "\x00\x00\x00\x02ok"
+// encodedTestValue is a length-prefixed value of a DataRow.
+const encodedTestValue = "\x00\x00\x00\x02ok"
 
-var readerInputs = []struct {
+var readerCases = []struct {
 	name       string
 	fromServer bool
 	bytes      string
@@ -78,14 +78,14 @@
 	{"greeting", true, string(AppendGreeting(nil, 0)),
 		"AuthenticationOK; ParameterStatus server_version 16.0; ParameterStatus client_encoding UTF8; ParameterStatus server_encoding UTF8; " +
 			"ParameterStatus standard_conforming_strings on; Ignored; ReadyForQuery"},
-	{"response", true, "T\x00\x00\x00\x06\x00\x01D\x00\x00\x00\x0c\x00\x01" + testValue + "C\x00\x00\x00\x0dSELECT 1\x00" +
+	{"response", true, "T\x00\x00\x00\x06\x00\x01D\x00\x00\x00\x0c\x00\x01" + encodedTestValue + "C\x00\x00\x00\x0dSELECT 1\x00" +
 		string(AppendReadyIdle(nil)), "RowDescription columns=1; DataRow columns=1 first=ok; CommandComplete SELECT 1; ReadyForQuery"},
 	{"error response", true, string(AppendError(nil, &Error{Code: TooManyConnections, Text: "full", Detail: "20"}, true)),
 		"ErrorResponse 53300: full detail=20"},
 	{"NULL", true, "D\x00\x00\x00\x0a\x00\x01\xff\xff\xff\xff", "DataRow columns=1"},
 	{"password requested", true, "R\x00\x00\x00\x08\x00\x00\x00\x03", "error 0A000"},
 	{"value longer than its row", true, "D\x00\x00\x00\x0c\x00\x01\x00\x00\x00\x03ok", "error 08P01"},
-	{"row longer than its values", true, "D\x00\x00\x00\x0d\x00\x01" + testValue + "!", "error 08P01"},
+	{"row longer than its values", true, "D\x00\x00\x00\x0d\x00\x01" + encodedTestValue + "!", "error 08P01"},
 	{"error without terminator", true, "E\x00\x00\x00\x07C12", "error 08P01"},
 	{"garbage, by its header", true, "x\x00\x00\x00\x40", "error 08P01"},
 	{"ReadyForQuery too long, by its header", true, "Z\x00\x00\x00\x06", "error 08P01"},
@@ -99,7 +99,7 @@
 	{"error without code", true, "E\x00\x00\x00\x05\x00", "error 08P01"},
 }
 
-// readParts feeds a reader part by part, and describes what it has after each.
+// readParts feeds a reader one part at a time and formats the messages that it returns after each part.
 func readParts(r *Reader, parts ...string) string {
 	var read []string
 	for _, part := range parts {
@@ -115,7 +115,7 @@
 }
 
 func TestReader_SameMessagesForAnySplit(t *testing.T) {
-	for _, in := range readerInputs {
+	for _, in := range readerCases {
 		t.Run(in.name, func(t *testing.T) {
 			for i := range len(in.bytes) + 1 {
 				for _, j := range []int{i, (i + len(in.bytes)) / 2, len(in.bytes)} {
@@ -129,7 +129,7 @@
 	}
 }
 
-// readExtended reads messages of the extended protocol.
+// readExtended decodes bytes with a reader on which EnableExtended was called.
 func readExtended(fromServer bool, bytes string) (*Reader, string) {
 	r := NewReader(fromServer, 1<<12)
 	if !fromServer {
@@ -200,24 +200,25 @@
 		{true, message(serverErrorResponse, "Mtext\x00\x00"), `message 'E', code`},
 	} {
 		r, _ := readExtended(c.fromServer, c.bytes)
-		var invalid *DecodeError
-		if !errors.As(r.err, &invalid) || invalid.Place != c.place || invalid.Err.Code != ProtocolViolation {
+		var decodeError *DecodeError
+		if !errors.As(r.err, &decodeError) || decodeError.Place != c.place || decodeError.Err.Code != ProtocolViolation {
 			t.Errorf("%q: got %v, want a protocol violation at %q", c.bytes, r.err, c.place)
 		}
 	}
 }
 
-// FuzzReader has a reader take any bytes: the messages don't depend on the split, and no more is buffered than the limit.
+// FuzzReader checks for any input that the decoded messages are the same whether it is fed byte by byte or at once, and that the reader does
+// not buffer more than its message limit.
 func FuzzReader(f *testing.F) {
-	for _, in := range readerInputs {
+	for _, in := range readerCases {
 		f.Add(in.fromServer, []byte(in.bytes))
 	}
 	f.Fuzz(func(t *testing.T, fromServer bool, b []byte) {
 		const maxMessage = 1 << 8
 		checkExtendedSize(t, fromServer, maxMessage, b)
-		atOnce := NewReader(fromServer, maxMessage)
-		atOnce.Feed(b)
-		want := readAll(atOnce)
+		wholeReader := NewReader(fromServer, maxMessage)
+		wholeReader.Feed(b)
+		want := readAll(wholeReader)
 		r := NewReader(fromServer, maxMessage)
 		var read []string
 		for n := range b {
@@ -229,16 +230,16 @@
 				break
 			}
 			if r.Buffered() > maxMessage {
-				t.Fatalf("buffers %d bytes", r.Buffered())
+				t.Fatalf("%d bytes are buffered, which exceeds the message limit", r.Buffered())
 			}
 		}
 		if got := strings.Join(read, "; "); got != want {
-			t.Fatalf("byte by byte %q, at once %q", got, want)
+			t.Fatalf("fed byte by byte: %q; fed at once: %q", got, want)
 		}
 	})
 }
 
-// checkExtendedSize fails the test if messages of the extended protocol are longer in all than what was fed.
+// checkExtendedSize fails the test if the messages decoded after EnableExtended are longer in total than the input.
 func checkExtendedSize(t *testing.T, fromServer bool, maxMessage int, b []byte) {
 	t.Helper()
 	r := NewReader(fromServer, maxMessage)
@@ -249,6 +250,6 @@
 		size += len(m.Raw)
 	}
 	if size > len(b) {
-		t.Fatalf("messages of %d bytes in %d", size, len(b))
+		t.Fatalf("messages of %d bytes in an input of %d bytes", size, len(b))
 	}
 }
--- a/internal/pg/setting.go
+++ b/internal/pg/setting.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// parseSet parses the rest of SET.
+// parseSet parses a SET command after the SET keyword.
 func parseSet(l *lexer) Command {
 	start := l.offset
 	word := l.keyword()
@@ -19,7 +19,7 @@
 		case "characteristics":
 			return parseCharacteristics(l)
 		case "authorization":
-			return setOne("session_authorization", l.value())
+			return newSetCommand("session_authorization", l.settingValue())
 		}
 	}
 	c := parseSetTarget(l, start, word)
@@ -27,11 +27,12 @@
 	return c
 }
 
-func setOne(name, value string) Command {
+func newSetCommand(name, value string) Command {
 	return Command{Kind: Set, Settings: []Setting{{Name: name, Value: value}}}
 }
 
-// parseSetTarget parses the rest of SET from what is set on. word has been read there, at start.
+// parseSetTarget parses a SET command from its target on, after LOCAL or SESSION. word is the first token of the target, already consumed,
+// and start is its offset.
 func parseSetTarget(l *lexer, start int, word string) Command {
 	switch word {
 	case "transaction":
@@ -41,20 +42,20 @@
 	case "time":
 		return parseSetTimeZone(l)
 	case "names":
-		return setOne("client_encoding", l.value())
+		return newSetCommand("client_encoding", l.settingValue())
 	case "schema":
-		return setOne("search_path", l.value())
+		return newSetCommand("search_path", l.settingValue())
 	case "role", "seed":
 		if !isAssignment(l.peek()) {
-			return setOne(word, l.value())
+			return newSetCommand(word, l.settingValue())
 		}
 	}
 	l.offset = start
-	name := l.dottedName()
+	name := l.qualifiedName()
 	if !isAssignment(l.next()) {
 		return Command{}
 	}
-	return setOne(name, l.value())
+	return newSetCommand(name, l.settingValue())
 }
 
 func isAssignment(token string) bool { return token == "=" || strings.EqualFold(token, "to") }
@@ -64,7 +65,7 @@
 		return Command{}
 	}
 	c := Command{Kind: SetTransaction, Simple: true}
-	c.readModes(l, l.keyword())
+	c.readTransactionModes(l, l.keyword())
 	return c
 }
 
@@ -72,14 +73,14 @@
 	if !strings.EqualFold(l.next(), "zone") {
 		return Command{}
 	}
-	value := l.value()
+	value := l.settingValue()
 	if strings.EqualFold(value, "local") {
-		value = "" // as DEFAULT
+		value = "" // equivalent to DEFAULT
 	}
-	return setOne("timezone", value)
+	return newSetCommand("timezone", value)
 }
 
-// parseCharacteristics parses the rest of SET SESSION CHARACTERISTICS: the defaults of later transactions.
+// parseCharacteristics parses SET SESSION CHARACTERISTICS after that keyword. The command sets the default modes of later transactions.
 func parseCharacteristics(l *lexer) Command {
 	if !strings.EqualFold(l.next(), "as") || !strings.EqualFold(l.next(), "transaction") {
 		return Command{}
@@ -103,7 +104,7 @@
 	return c
 }
 
-// isolationLevel reads LEVEL and the level.
+// isolationLevel reads the LEVEL keyword and the isolation level after it, and returns the level.
 func (l *lexer) isolationLevel() string {
 	l.next()
 	level := l.keyword()
@@ -113,7 +114,7 @@
 	return level
 }
 
-// parseReset parses the rest of RESET.
+// parseReset parses a RESET command after the RESET keyword.
 func parseReset(l *lexer) Command {
 	switch strings.ToLower(l.peek()) {
 	case "all":
@@ -123,14 +124,14 @@
 	case "session":
 		return Command{Kind: Reset, Name: "session_authorization"}
 	}
-	return Command{Kind: Reset, Name: l.dottedName()}
+	return Command{Kind: Reset, Name: l.qualifiedName()}
 }
 
-// dottedName reads a name that may have several parts.
-func (l *lexer) dottedName() string {
+// qualifiedName reads a name that can consist of several parts separated by dots.
+func (l *lexer) qualifiedName() string {
 	name := identifier(l.next())
 	for {
-		l.skipBlanks()
+		l.skipWhitespaceAndComments()
 		if l.offset >= len(l.sql) || l.sql[l.offset] != '.' {
 			return name
 		}
@@ -139,9 +140,9 @@
 	}
 }
 
-// value returns the rest as it is written, empty for DEFAULT.
-func (l *lexer) value() string {
-	l.skipBlanks()
+// settingValue returns the remaining text as written, or an empty string for DEFAULT.
+func (l *lexer) settingValue() string {
+	l.skipWhitespaceAndComments()
 	value := strings.TrimSpace(l.sql[l.offset:])
 	if strings.EqualFold(value, "default") {
 		return ""
--- a/internal/pg/split.go
+++ b/internal/pg/split.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// SplitStatements splits a query into its statements, without those that are empty.
+// SplitStatements splits a query string at semicolons and returns its statements, except empty ones.
 func SplitStatements(sql string) []string {
 	if strings.IndexByte(sql, ';') < 0 {
 		return singleStatement(sql)
@@ -28,7 +28,7 @@
 
 func singleStatement(sql string) []string {
 	l := lexer{sql: sql}
-	if l.skipBlanks(); l.offset >= len(sql) {
+	if l.skipWhitespaceAndComments(); l.offset >= len(sql) {
 		return nil
 	}
 	return []string{sql}
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -15,13 +15,13 @@
 		t.Fatal(err)
 	}
 	want := Statement{ID: "9b1f", RequestClass: "basket", Tenant: "acme", IdempotencyKey: "7f3a", WaitMs: 480, Position: 1767225600123,
-		Group: 2, IsRetry: true, head: s.head, tail: s.tail}
+		Group: 2, IsRetry: true, textBeforeDeadline: s.textBeforeDeadline, textAfterDeadline: s.textAfterDeadline}
 	if *s != want {
 		t.Errorf("got %+v, want %+v", *s, want)
 	}
 	got := string(s.AppendQuery(nil, 12.9))
 	if want := string(AppendQuery(nil, strings.Replace(testStatement, "d=480", "d=12", 1))); got != want {
-		t.Errorf("sent on %q, want %q", got, want)
+		t.Errorf("forwarded %q, want %q", got, want)
 	}
 }
 
@@ -35,14 +35,14 @@
 		if !errors.As(err, &response) || response.Code != ProtocolViolation {
 			t.Errorf("%q: got %+v, %v", sql, s, err)
 		}
-		var invalid *DecodeError
-		if !errors.As(err, &invalid) || invalid.Place != commentPlace {
-			t.Errorf("%q: got %v, want an error at the comment", sql, err)
+		var decodeError *DecodeError
+		if !errors.As(err, &decodeError) || decodeError.Place != commentPlace {
+			t.Errorf("%q: got %v, want an error with the place of the comment", sql, err)
 		}
 	}
 }
 
-// FuzzParseStatement has what is sent on decode to the same request with another deadline.
+// FuzzParseStatement checks that a forwarded statement decodes to the same request with the new deadline.
 func FuzzParseStatement(f *testing.F) {
 	f.Add(testStatement)
 	f.Fuzz(func(t *testing.T, sql string) {
@@ -51,9 +51,9 @@
 			return
 		}
 		query := s.AppendQuery(nil, 7)
-		again, err := ParseStatement(string(query[headerSize : len(query)-1]))
-		if err != nil || again.ID != s.ID || again.RequestClass != s.RequestClass || again.IdempotencyKey != s.IdempotencyKey || again.WaitMs != 7 {
-			t.Errorf("%q: sent on %q: %+v, %v", sql, query, again, err)
+		decoded, err := ParseStatement(string(query[headerSize : len(query)-1]))
+		if err != nil || decoded.ID != s.ID || decoded.RequestClass != s.RequestClass || decoded.IdempotencyKey != s.IdempotencyKey || decoded.WaitMs != 7 {
+			t.Errorf("%q: forwarded %q, decoded as %+v, %v", sql, query, decoded, err)
 		}
 	})
 }
--- a/internal/simadapter/decisions.go
+++ b/internal/simadapter/decisions.go
@@ -7,10 +7,10 @@
 	"wayloft/router"
 )
 
-// timerKey is what the bench sends back with a timer. There is one timer an instance, so that it tells nothing.
-const timerKey = "beat"
+// timerCallbackKey is the key that the bench returns when a timer fires. Each instance has only one timer, so the key is constant.
+const timerCallbackKey = "beat"
 
-// actionNames are the actions by their names on the wire.
+// actionNames maps actions to their names on the wire.
 var actionNames = map[router.Action]string{
 	router.SendAttempt:          "HAND_OFF",
 	router.CancelAttempt:        "REVOKE",
@@ -22,10 +22,11 @@
 	router.SetTimer:             "SET_ALARM",
 }
 
-// endBatch writes the decisions of all instances that have had an event, in the order of their first ones.
+// endBatch writes the decisions of all instances with an event in the batch, in the order of their first event, and an acknowledgment.
+// Instances that were stopped or replaced in the batch are skipped.
 func (a *adapter) endBatch() error {
-	for _, i := range a.inputs {
-		i.hasInput = false
+	for _, i := range a.batchInstances {
+		i.advanced = false
 		if a.instances[i.name] != i {
 			continue
 		}
@@ -33,10 +34,10 @@
 			a.writeDecision(i.name, decision)
 		}
 	}
-	a.inputs = a.inputs[:0]
+	a.batchInstances = a.batchInstances[:0]
 	a.inBatch = false
 	a.buffer = append(a.buffer[:0], `{"op":"ACK","frame":`...)
-	a.buffer = strconv.AppendInt(a.buffer, a.frame, 10)
+	a.buffer = strconv.AppendInt(a.buffer, a.batchNumber, 10)
 	a.buffer = append(a.buffer, "}\n"...)
 	_, _ = a.out.Write(a.buffer) // a bufio.Writer keeps its first error, and Flush returns it
 	return a.out.Flush()
@@ -44,52 +45,52 @@
 
 func (a *adapter) writeDecision(name string, decision router.Decision) {
 	a.buffer = append(a.buffer[:0], '{')
-	a.putText("op", actionNames[decision.Action])
-	a.putText("router", name)
+	a.appendTextField("op", actionNames[decision.Action])
+	a.appendTextField("router", name)
 	if decision.RequestID != "" {
-		a.putText("call", decision.RequestID)
+		a.appendTextField("call", decision.RequestID)
 	}
 	if decision.Member != "" {
-		a.putText("node", decision.Member)
+		a.appendTextField("node", decision.Member)
 	}
 	switch decision.Action {
 	case router.SendAttempt:
 		if decision.Wait > 0 {
-			a.putNumber("cap", decision.Wait*microsecondsPerMs)
+			a.appendNumberField("cap", decision.Wait*microsecondsPerMs)
 		}
 	case router.CancelAttempt:
-		a.putNumber("seqNo", float64(decision.Attempt))
+		a.appendNumberField("seqNo", float64(decision.Attempt))
 	case router.RejectRequest:
 		if decision.Wait > 0 {
-			a.putNumber("wait", decision.Wait*microsecondsPerMs)
+			a.appendNumberField("wait", decision.Wait*microsecondsPerMs)
 		}
 	case router.RequestList:
 		a.buffer = append(a.buffer, `"on":true,`...)
 	case router.SetTimer:
-		a.putNumber("time", decision.Time*microsecondsPerMs)
-		a.putText("keyBack", timerKey)
+		a.appendNumberField("time", decision.Time*microsecondsPerMs)
+		a.appendTextField("keyBack", timerCallbackKey)
 	}
 	a.buffer[len(a.buffer)-1] = '}'
 	a.buffer = append(a.buffer, '\n')
 	_, _ = a.out.Write(a.buffer) // a bufio.Writer keeps its first error, and Flush returns it
 }
 
-// putText appends a member of a JSON object and a comma.
-func (a *adapter) putText(key, text string) {
-	a.putKey(key)
+// appendTextField appends a string field of a JSON object and a comma to the buffer.
+func (a *adapter) appendTextField(key, text string) {
+	a.appendKey(key)
 	a.arena.Reset()
 	a.buffer = a.arena.NewString(text).MarshalTo(a.buffer)
 	a.buffer = append(a.buffer, ',')
 }
 
-// putNumber appends a member of a JSON object, rounded up to a whole number, and a comma.
-func (a *adapter) putNumber(key string, x float64) {
-	a.putKey(key)
+// appendNumberField appends a numeric field of a JSON object, rounded up to an integer, and a comma to the buffer.
+func (a *adapter) appendNumberField(key string, x float64) {
+	a.appendKey(key)
 	a.buffer = strconv.AppendInt(a.buffer, int64(math.Ceil(x)), 10)
 	a.buffer = append(a.buffer, ',')
 }
 
-func (a *adapter) putKey(key string) {
+func (a *adapter) appendKey(key string) {
 	a.buffer = append(a.buffer, '"')
 	a.buffer = append(a.buffer, key...)
 	a.buffer = append(a.buffer, `":`...)
