--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -12,34 +12,34 @@
 	"wayloft/router"
 )
 
-// tomlSuffix is the end of the names of files in the TOML form; all others are in the platform's form, JSON.
+// tomlSuffix is the suffix of configuration files in TOML; all others are in the platform's JSON format.
 const tomlSuffix = ".toml"
 
 // Config is the configuration of a router.
 type Config struct {
 	Name      string
-	Listen    string           // address for clients
-	Discovery string           // address; empty: the members are those of the configuration
-	Members   *discovery.List  // at the start
-	Router    *router.Settings // of the decision module
+	Listen    string           // address that accepts clients
+	Discovery string           // address; empty: the members are those listed in the configuration
+	Members   *discovery.List  // initial list
+	Router    *router.Settings // settings of the decision module
 
-	path                    string // empty: it was not read from a file
+	path                    string // empty if it was not read from a file
 	seed                    uint64
 	memoryBytes             int
 	maxDescriptors          int
 	maxSessions             int
 	maxConnections          int                     // to members
 	maxConnectionsPerMember int                     // 0: any number
-	pools                   []settings.PoolSettings // nil: all clients use the platform's form
-	checkUser               string                  // of health checks, and of the platform's form
-	checkDatabase           string                  // of health checks, and of the platform's form
+	pools                   []settings.PoolSettings // nil: all clients use the platform's statement format
+	checkUser               string                  // for health checks and for the platform's clients
+	checkDatabase           string                  // for health checks and for the platform's clients
 	runtime                 *settings.Runtime
-	fleet                   *settings.Fleet   // nil: the router takes no part in a fleet
-	restartFields           map[string]string // the text of the fields that take a restart
+	fleet                   *settings.Fleet   // nil: the router belongs to no fleet
+	restartFields           map[string]string // raw values of the fields whose change takes a restart
 	wallClock               func() time.Time  // nil: time.Now
 }
 
-// Load reads a configuration file. Its error names the file and the field at fault.
+// Load reads a configuration file. Its error names the file and the invalid field.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return config, nil
 }
 
-// onPlatform reports whether the platform starts the router, and sets its limits and when it is killed.
+// onPlatform reports whether the platform runs the router. The platform sets its limits and the time at which it is killed.
 func (c *Config) onPlatform() bool { return !strings.HasSuffix(c.path, tomlSuffix) }
 
-// now reads the wall clock.
+// now returns the wall clock time.
 func (c *Config) now() time.Time {
 	if c.wallClock == nil {
 		return time.Now()
@@ -68,7 +68,7 @@
 	return c.wallClock()
 }
 
-// parseSeed decodes the seed of random decisions.
+// parseSeed parses the seed for random decisions.
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
--- a/internal/server/config_json.go
+++ b/internal/server/config_json.go
@@ -10,21 +10,21 @@
 	"wayloft/internal/settings"
 )
 
-// minDescriptors leaves hardly any room for sessions and connections to members.
+// minDescriptors is the lowest descriptor limit that is accepted. It leaves room for only a few sessions and member connections.
 const minDescriptors = 2 * reservedDescriptors
 
 const bytesPerMB = 1 << 20
 
-// User and database of the platform's clients and health checks.
+// User and database of the platform's clients and of health checks.
 const (
 	platformUser     = "api"
 	platformDatabase = "ledger"
 )
 
-// restartKeys are the keys of the platform's form whose change takes a restart.
+// restartKeys are the keys of the platform's JSON format whose change takes a restart.
 var restartKeys = []string{"name", "listen", "limits", "settings"}
 
-// decodeJSON decodes a configuration in the platform's form. Its error names the field at fault.
+// decodeJSON decodes a configuration in the platform's JSON format. Its error names the invalid field.
 func decodeJSON(text []byte) (*Config, error) {
 	document, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return c, nil
 }
 
-// decodeProcess decodes the name, the addresses, the limits and the seed.
+// decodeProcess decodes the name, addresses, limits and seed.
 func (c *Config) decodeProcess(document *fastjson.Value) error {
 	fields := &settings.Fields{Value: document}
 	c.Name, c.Listen, c.Discovery = fields.Text("name"), fields.Text("listen"), fields.Text("discovery")
@@ -70,12 +70,13 @@
 	return err
 }
 
-// decodeLimits decodes the memory and the descriptors. A request takes two descriptors, a session's and a connection's.
+// decodeLimits decodes the memory and descriptor limits. A request takes two descriptors: one for its client session and one for its
+// connection to a member.
 func (c *Config) decodeLimits(limits *settings.Fields) {
 	c.memoryBytes = int(limits.Number("memory_mb") * bytesPerMB)
 	c.maxDescriptors = int(limits.Number("sockets"))
 	if limits.Err == nil && c.maxDescriptors < minDescriptors {
-		limits.Fail("sockets", fmt.Sprintf("%d at least", minDescriptors))
+		limits.Fail("sockets", fmt.Sprintf("at least %d", minDescriptors))
 	}
 	if limits.Err == nil && c.memoryBytes <= 0 {
 		limits.Fail("memory_mb", "more than 0")
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// changedRestartFields names the fields that differ in another configuration and take a restart.
+// changedRestartFields returns the keys whose values differ in another configuration and take effect only at a restart.
 func (c *Config) changedRestartFields(other *Config) []string {
 	var changed []string
 	for _, key := range restartKeys {
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -22,7 +22,7 @@
 		{`"name":"n1"`, `"name":7`, "name: must be text"},
 		{"127.0.0.1:0", "127.0.0.1", "listen: "},
 		{"8c1f30d27a5be964", "green", "seed: "},
-		{`"sockets":256`, `"sockets":8`, "limits.sockets: must be 128 at least"},
+		{`"sockets":256`, `"sockets":8`, "limits.sockets: must be at least 128"},
 		{`"memory_mb":16`, `"memory_mb":"much"`, "limits.memory_mb: must be a number"},
 		{`"members":[]`, `"members":[{"id":"a","host_port":"b:1","phase":"asleep"}]`, `members[0].phase: unknown value "asleep"`},
 		{`"discovery":"push"`, `"discovery":"guess"`, `settings: discovery: unknown value "guess"`},
--- a/internal/server/config_toml.go
+++ b/internal/server/config_toml.go
@@ -6,7 +6,7 @@
 	"wayloft/router"
 )
 
-// DecodeTOML decodes a configuration in the TOML form. Its error names the line and key at fault.
+// DecodeTOML decodes a configuration in TOML. Its error names the invalid line and key.
 func DecodeTOML(text []byte) (*Config, error) {
 	file, err := settings.Read(text)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return c, nil
 }
 
-// initialMembers gives the members that the file lists. When they started is not known.
+// initialMembers converts the members listed in the file to an endpoint list. Their start times are unknown.
 func initialMembers(members []settings.Member) *discovery.List {
 	list := &discovery.List{}
 	for _, member := range members {
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -20,22 +20,22 @@
 	"wayloft/router"
 )
 
-// auditPolicyApplied is the audit log's event for a policy that the router has applied. Checkers read it.
+// auditPolicyApplied is the audit log event for a policy that the router has applied. Checkers read it.
 const auditPolicyApplied = "takes"
 
-// fleetNode joins a router to its fleet. It implements fleet.Router, whose methods but Post are called on the event loop; their times
-// are on the cluster's clock, since they go between processes.
+// fleetNode connects a router to its fleet. It implements fleet.Router, whose methods other than Post are called on the event loop.
+// Their times are on the cluster clock, because processes exchange them.
 type fleetNode struct {
 	driver      *eventloop.Driver
 	startTimes  *eventloop.StartTimes
 	node        *fleet.Node
-	leave       context.CancelFunc         // begins to leave the fleet
-	members     map[string]discovery.Entry // that are up, by id
-	ownSettings *router.Settings           // of the router's own file; the policy overrides them
+	leave       context.CancelFunc         // starts leaving the fleet
+	members     map[string]discovery.Entry // members that are up, by id
+	ownSettings *router.Settings           // from the router's own file; the policy overrides them
 	auditLog    *audit.Log
 }
 
-// joinFleet has the router take part in its fleet, if its configuration names one.
+// joinFleet joins the fleet, if the configuration names one.
 func (s *server) joinFleet() error {
 	if s.config.fleet == nil {
 		return nil
@@ -46,7 +46,7 @@
 	}
 	auditLog, err := audit.Open(s.config.fleet.AuditLog, s.config.Name)
 	if err != nil {
-		_ = listener.Close() // the error that counts is the one above
+		_ = listener.Close() // the error of audit.Open is the one to return
 		return fmt.Errorf("fleet.record: %w", err)
 	}
 	ctx, leave := context.WithCancel(context.Background())
@@ -65,10 +65,10 @@
 	return nil
 }
 
-// fleetSettings gives the settings of the node. listenAddress is where it listens for orders.
+// fleetSettings returns the settings of the fleet node. listenAddress is the address on which it receives orders.
 func fleetSettings(config *Config, listenAddress string, auditLog *audit.Log) fleet.Settings {
 	f := config.fleet
-	set := fleet.Settings{
+	nodeSettings := fleet.Settings{
 		Fleet:               f.Name,
 		Name:                config.Name,
 		Kind:                "router",
@@ -84,19 +84,19 @@
 		AuditLog:            auditLog,
 	}
 	if f.Switchover != nil {
-		set.SwitchoverEnabled = true
-		set.Switchover = switchover.Settings{
+		nodeSettings.SwitchoverEnabled = true
+		nodeSettings.Switchover = switchover.Settings{
 			MaxHoldMs:      float64(f.Switchover.Hold),
 			DrainTimeoutMs: float64(f.Switchover.Wait),
 			StepTimeoutMs:  float64(f.Switchover.Step),
 		}
-		set.Adapter = switchoverAdapter(f.Switchover)
+		nodeSettings.Adapter = switchoverAdapter(f.Switchover)
 	}
 	if f.PolicyDir != "" {
-		signal.Ignore(syscall.SIGXFSZ) // at a file size limit the write fails, and the process goes on
-		set.Store = &fleet.PolicyStore{Dir: f.PolicyDir, Fleet: f.Name}
+		signal.Ignore(syscall.SIGXFSZ) // a write beyond the file size limit then returns an error instead of ending the process
+		nodeSettings.Store = &fleet.PolicyStore{Dir: f.PolicyDir, Fleet: f.Name}
 	}
-	return set
+	return nodeSettings
 }
 
 func switchoverAdapter(s *settings.Switchover) *fleet.Adapter {
@@ -112,14 +112,14 @@
 	}
 }
 
-// close leaves the fleet, waits until the node has ended and closes the audit log.
+// close leaves the fleet, waits for the node to end and closes the audit log.
 func (f *fleetNode) close() {
 	f.leave()
 	<-f.node.Ended()
 	f.auditLog.Close()
 }
 
-// updateMembers notes the members of a list that are up.
+// updateMembers records which members of an endpoint list are up.
 func (f *fleetNode) updateMembers(list *discovery.List) {
 	if list.Complete {
 		clear(f.members)
@@ -134,7 +134,7 @@
 	f.node.Changed()
 }
 
-// report hands the result of a member's health check to the node.
+// report passes the result of a member's health check to the node.
 func (f *fleetNode) report(member string, role router.Role, position float64) {
 	report := healthshare.Report{
 		Member:  member,
@@ -149,7 +149,7 @@
 	f.node.Reported(report)
 }
 
-// encodeStart gives a member's start as processes of the fleet exchange it: 0 for long ago.
+// encodeStart returns a member's start time as it is exchanged within the fleet: 0 stands for long ago.
 func encodeStart(start float64) float64 {
 	if start == router.Never {
 		return 0
@@ -206,11 +206,11 @@
 
 // ApplyPolicy implements fleet.Router.
 func (f *fleetNode) ApplyPolicy(version policy.Version, document policy.Document) error {
-	set, err := settings.Overlay(f.ownSettings, document)
+	merged, err := settings.Overlay(f.ownSettings, document)
 	if err != nil {
 		return err
 	}
-	f.driver.UpdateSettings(set)
+	f.driver.UpdateSettings(merged)
 	f.auditLog.Add(auditPolicyApplied, audit.Fields{"version": version.String(), "hash": hex.EncodeToString(version.Hash[:])})
 	return nil
 }
--- a/internal/server/memberlist.go
+++ b/internal/server/memberlist.go
@@ -9,7 +9,7 @@
 	"wayloft/router"
 )
 
-// receiveList takes in a list from discovery.
+// receiveList applies an endpoint list received from discovery.
 func (s *server) receiveList(list *discovery.List) {
 	if s.discoveryError != "" {
 		s.discoveryError = ""
@@ -18,18 +18,19 @@
 	s.applyList(list)
 }
 
-// listUnavailable notes that discovery gave no list. It is logged once, and again for each other list that is invalid.
+// listUnavailable records that discovery delivered no usable endpoint list. The first failure is logged, and after it each invalid list
+// whose error differs from the one logged last.
 func (s *server) listUnavailable(err error) {
 	var invalid discovery.InvalidListError
 	reason := err.Error()
 	if s.discoveryError == "" || errors.As(err, &invalid) && s.discoveryError != reason {
 		s.discoveryError = reason
-		logrus.WithError(err).Warn("endpoint list unavailable: the last one stays in force")
+		logrus.WithError(err).Warn("endpoint list unavailable; using the last one")
 	}
 	s.driver.List().ListFailed()
 }
 
-// applyList hands a list to the backend, the fleet's node and the decision module.
+// applyList passes an endpoint list to the backend, the fleet node and the decision module.
 func (s *server) applyList(list *discovery.List) {
 	s.backend.List(list)
 	if s.fleet != nil {
@@ -44,39 +45,40 @@
 	module.EndList(list.Complete)
 }
 
-// listMember lists one member to the decision module, with its start on the loop's clock.
+// listMember passes one member to the decision module, with its start time on the event loop's clock.
 func (s *server) listMember(module *router.Router, entry discovery.Entry) {
 	start := s.startTimes.Of(entry.ID, entry.Started)
 	module.ListMember(entry.ID, entry.Zone, entry.Group, entry.State, start)
 }
 
-// updateStarts drops the starts of members that are gone, and notes the members to be listed again when starts can be translated.
+// updateStarts drops the start times of members that are no longer listed, and records the members to list again once start times can
+// be converted to the event loop's clock.
 func (s *server) updateStarts(list *discovery.List) {
 	if list.Complete {
 		s.startTimes.Retain(list.IDs())
-		clear(s.untranslated)
+		clear(s.pendingStarts)
 	}
 	for _, entry := range list.Entries {
 		if entry.State == router.Removed {
 			s.startTimes.Forget(entry.ID)
 		}
-		if s.untranslated == nil {
+		if s.pendingStarts == nil {
 			continue
 		}
 		if entry.State == router.Removed || entry.Started == router.Never {
-			delete(s.untranslated, entry.ID)
+			delete(s.pendingStarts, entry.ID)
 		} else {
-			s.untranslated[entry.ID] = entry
+			s.pendingStarts[entry.ID] = entry
 		}
 	}
 }
 
-// translateStarts lists the members that have a start again, now that the cluster's clock is known.
-func (s *server) translateStarts() {
-	entries := s.untranslated
-	s.untranslated = nil
+// convertPendingStarts lists the members with a start time again, now that the offset of the cluster clock is known.
+func (s *server) convertPendingStarts() {
+	entries := s.pendingStarts
+	s.pendingStarts = nil
 	offset := s.driver.FromLoop(0)
-	if offset == 0 || len(entries) == 0 { // what was listed is right
+	if offset == 0 || len(entries) == 0 { // the start times listed so far are right
 		return
 	}
 	module := s.driver.List()
@@ -88,11 +90,11 @@
 		s.listMember(module, entry)
 	}
 	module.EndList(false)
-	module.ListFailed() // where lists are polled: this was no response to a poll, and the next one must stay due
+	module.ListFailed() // where lists are polled: this list was no poll response, and the next poll must stay due
 }
 
-// forgetMembers has the decision module begin new records of members. It keeps the latest start that it was given for a member:
-// this guards against one that a slow clock made too late, for which the member would be in slow start for no reason.
+// forgetMembers makes the decision module discard its records of the members. In a record it keeps the latest start time that it was
+// given, and one that a slow clock made too late would put the member into slow start for no reason.
 func forgetMembers(module *router.Router, entries map[string]discovery.Entry) {
 	module.BeginList()
 	for _, entry := range entries {
--- a/internal/server/parts.go
+++ b/internal/server/parts.go
@@ -12,21 +12,21 @@
 	"wayloft/router"
 )
 
-// Parts of the configured memory, as divisors.
+// Fractions of the configured memory, as divisors.
 const (
-	messageDivisor        = 32 // one message of a client or a member
+	messageDivisor        = 32 // one message from a client or a member
 	requestBudgetDivisor  = 6  // all requests together
 	responseBudgetDivisor = 6  // all responses together
 )
 
-// maxMessageBytes is the longest message that a client or a member may send.
+// maxMessageBytes returns the size of the longest message that a client or a member may send.
 func (c *Config) maxMessageBytes() int { return c.memoryBytes / messageDivisor }
 
-// queuesStatements reports whether statements wait for a connection, since there are fewer connections than sessions. On the
-// platform each session has a connection for its statement.
+// queuesStatements reports whether statements may have to wait for a connection because there are fewer connections than sessions. On
+// the platform there is a connection for each session.
 func (c *Config) queuesStatements() bool { return c.maxSessions > c.maxConnections }
 
-// primaryClasses are the request classes that need the primary.
+// primaryClasses returns for each request class whether it needs the primary.
 func (c *Config) primaryClasses() map[string]bool {
 	classes := map[string]bool{}
 	for name, class := range c.Router.RequestClasses {
@@ -35,7 +35,7 @@
 	return classes
 }
 
-// idempotentClasses are the request classes that may run again.
+// idempotentClasses returns for each request class whether its requests may run more than once.
 func (c *Config) idempotentClasses() map[string]bool {
 	classes := map[string]bool{}
 	for name, class := range c.Router.RequestClasses {
@@ -44,7 +44,7 @@
 	return classes
 }
 
-// newFrontend builds the frontend. knownParameters gives the server parameters that members of a pool have reported.
+// newFrontend builds the frontend. knownParameters returns the server parameters that a pool's members have reported.
 func newFrontend(driver *eventloop.Driver, config *Config, knownParameters func(pool string) *iradix.Tree[string]) *frontend.Frontend {
 	f := frontend.New(driver, config.maxSessions, config.memoryBytes/requestBudgetDivisor, config.maxMessageBytes())
 	if config.pools == nil {
@@ -71,7 +71,7 @@
 	return f
 }
 
-// knownParameters gives the server parameters that members of a pool have reported.
+// knownParameters returns the server parameters that a pool's members have reported.
 func (s *server) knownParameters(pool string) *iradix.Tree[string] {
 	return s.backend.KnownParameters(pool)
 }
@@ -98,7 +98,7 @@
 	return backend.New(driver, limits, pool)
 }
 
-// logins gives what the connections of each pool log in with.
+// logins returns the user and database with which each pool's connections log in.
 func logins(config *Config) map[string]backend.Login {
 	all := map[string]backend.Login{
 		backend.PlatformPool: {User: config.checkUser, Database: config.checkDatabase},
@@ -109,7 +109,6 @@
 	return all
 }
 
-// poolBounds gives the bounds of each pool.
 func poolBounds(config *Config) map[string]connpool.Bounds {
 	statements := connpool.StatementBounds(config.runtime.ServerIdleTimeoutMs)
 	if config.queuesStatements() {
--- a/internal/server/processlimits.go
+++ b/internal/server/processlimits.go
@@ -9,10 +9,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reservedDescriptors are for all but sessions and connections to members, and for those that are just being opened.
+// reservedDescriptors is the number of descriptors kept for everything other than sessions and member connections, and for sessions and
+// connections that are still being opened.
 const reservedDescriptors = 64
 
-// heapTenths is the part of the configured memory that the runtime may use, in tenths; the rest is for the kernel's share.
+// heapTenths is the share of the configured memory that the Go runtime may use, in tenths; the rest is for memory that the kernel uses.
 const heapTenths = 7
 
 // ApplyProcessLimits checks the configuration against this process's descriptor limit and sets the runtime's memory limit.
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// processDescriptorLimit is how many descriptors the system lets this process have. The runtime has raised it as far as it may.
+// processDescriptorLimit returns the process's limit on open descriptors. The Go runtime has already raised it as far as it may.
 func processDescriptorLimit() uint64 {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -33,20 +34,20 @@
 	return limit.Cur
 }
 
-// checkDescriptorLimit returns an error if the configuration needs more descriptors than the process may have. It guards against a
-// router that accepts what it is configured for and only then has clients wait and members unreachable. On the platform the configured
-// limit is the one that binds.
+// checkDescriptorLimit returns an error if the configuration needs more descriptors than the process may open. Without this check the
+// router would start, and under load leave clients waiting and fail to reach members. On the platform the configured limit is the one
+// that applies.
 func checkDescriptorLimit(c *Config, processLimit uint64) error {
 	if c.onPlatform() {
 		return nil
 	}
 	if processLimit < uint64(c.maxDescriptors) {
-		return fmt.Errorf("%s: limits.descriptors: %d, the system gives this process %d: raise its limit (ulimit -n, LimitNOFILE= of "+
-			"systemd) or lower the setting", c.path, c.maxDescriptors, processLimit)
+		return fmt.Errorf("%s: limits.descriptors is %d, but this process may open only %d: raise the process limit (ulimit -n, "+
+			"LimitNOFILE= in systemd) or lower the setting", c.path, c.maxDescriptors, processLimit)
 	}
 	if needed := c.maxSessions + c.maxConnections + reservedDescriptors; needed > c.maxDescriptors {
 		logrus.WithFields(logrus.Fields{"descriptors": c.maxDescriptors, "needed": needed, "reserved": reservedDescriptors}).
-			Warn("limits.descriptors is less than sessions, connections and reserved descriptors together")
+			Warn("limits.descriptors is less than the sum of sessions, connections and reserved descriptors")
 	}
 	return nil
 }
--- a/internal/server/processlimits_test.go
+++ b/internal/server/processlimits_test.go
@@ -22,7 +22,7 @@
 		t.Error(err)
 	}
 	err = checkDescriptorLimit(conf, 4096)
-	if err == nil || !strings.Contains(err.Error(), "limits.descriptors: 16384, the system gives this process 4096") {
+	if err == nil || !strings.Contains(err.Error(), "limits.descriptors is 16384, but this process may open only 4096") {
 		t.Errorf("got %v", err)
 	}
 	if conf.path = "config.json"; checkDescriptorLimit(conf, 4096) != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server joins the parts of one router and runs them: it reads the configuration (Load), builds the event loop, the
-// frontend, the backend, the discovery watcher and the node of the fleet, and serves until a signal ends it (Run). The commands of
-// cmd/wayloft call it. It decides nothing about a request: package router does.
+// Package server assembles the components of one router and runs them: it reads the configuration (Load), builds the event loop, the
+// frontend, the backend, the discovery watcher and the fleet node, and serves until a termination signal (Run). The commands of
+// cmd/wayloft call it. All decisions about requests are made in package router.
 package server
 
 import (
@@ -19,22 +19,22 @@
 	"wayloft/router"
 )
 
-// server is one router. Its fields are set before the event loop runs; what changes later belongs to the event loop.
+// server is one router. Its fields are set before the event loop runs; those that change later are accessed only on the event loop.
 type server struct {
 	config   *Config
 	driver   *eventloop.Driver
 	frontend *frontend.Frontend
 	backend  *backend.Backend
-	watcher  *discovery.Watcher // nil: the members are those of the configuration
-	fleet    *fleetNode         // nil: the router takes no part in a fleet
+	watcher  *discovery.Watcher // nil: the members are those listed in the configuration
+	fleet    *fleetNode         // nil: the router belongs to no fleet
 
-	listRequests   chan struct{} // the decision module wants the endpoint list, where it is polled
-	discoveryError string        // why the endpoint list is unavailable; empty: it is available
+	listRequests   chan struct{} // requests of the decision module to poll the endpoint list
+	discoveryError string        // why the endpoint list is unavailable; empty if it is available
 	startTimes     *eventloop.StartTimes
-	untranslated   map[string]discovery.Entry // members with a start, until starts can be translated; then nil
+	pendingStarts  map[string]discovery.Entry // members with a start time, until start times can be converted; then nil
 }
 
-// Run runs a router on a listener until a signal other than SIGHUP comes and each request that was taken has its response.
+// Run runs a router on a listener until a signal other than SIGHUP arrives and each accepted request has its response.
 func Run(config *Config, listener net.Listener, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// newServer builds the parts that every router has.
+// newServer builds the components that every router has.
 func newServer(config *Config) *server {
-	s := &server{config: config, listRequests: make(chan struct{}, 1), untranslated: map[string]discovery.Entry{}}
+	s := &server{config: config, listRequests: make(chan struct{}, 1), pendingStarts: map[string]discovery.Entry{}}
 	loop := eventloop.NewLoopAt(config.maxDescriptors, config.now())
 	s.startTimes = eventloop.NewStartTimes(loop)
 	module := router.New(config.Router, config.seed)
@@ -68,7 +68,7 @@
 	s.frontend = newFrontend(s.driver, config, s.knownParameters)
 	s.backend = newBackend(s.driver, config)
 	s.driver.SetBackend(s.backend)
-	s.driver.OnClockSettled(s.translateStarts)
+	s.driver.OnClockSettled(s.convertPendingStarts)
 	if config.Router.CanHealthCheck && config.runtime.HealthReports {
 		s.driver.EnablePositionChecks()
 	}
@@ -78,7 +78,7 @@
 	return s
 }
 
-// requestList has the endpoint list polled, unless it is about to be.
+// requestList requests a poll of the endpoint list, unless one is already pending.
 func (s *server) requestList() {
 	select {
 	case s.listRequests <- struct{}{}:
@@ -86,15 +86,15 @@
 	}
 }
 
-// postInitialList posts the list of the configuration. It must be the first call in the event loop's mailbox: this guards against a
-// newer list, that the watcher delivers before the loop's first turn, being undone by the older one.
+// postInitialList posts the endpoint list from the configuration. It must be the first call in the event loop's mailbox: otherwise this
+// list could overwrite a newer one that the watcher delivers before the loop's first iteration.
 func (s *server) postInitialList() {
 	initial := *s.config.Members
 	initial.Complete = true
 	s.driver.Post(func() { s.applyList(&initial) })
 }
 
-// createWatcher creates the watcher of the endpoint list, if the configuration names a discovery address.
+// createWatcher creates the endpoint list watcher, if the configuration has a discovery address.
 func (s *server) createWatcher() {
 	if s.config.Discovery == "" {
 		return
@@ -107,9 +107,9 @@
 	s.watcher = discovery.NewWatcher(s.config.Discovery, s.config.Members.Revision, deliver, fail)
 }
 
-// listen has the frontend accept clients.
+// listen makes the frontend accept clients.
 func (s *server) listen(listener net.Listener) error {
-	// One message may be unread while the next is written.
+	// A client may have one message yet to read while the next is written.
 	maxUnsent := 2 * s.config.maxMessageBytes()
 	if err := s.driver.Listen(s.frontend.Gate(listener), maxUnsent, s.frontend.Accept); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -127,7 +127,7 @@
 func (s *server) followList(ctx context.Context) {
 	switch {
 	case s.watcher == nil:
-		logrus.Info("discovery is not configured: the members are those of the configuration")
+		logrus.Info("discovery is not configured; using the members listed in the configuration")
 	case s.config.Router.PollsList:
 		go s.watcher.Poll(ctx, s.listRequests)
 	default:
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -10,18 +10,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The platform sends SIGKILL at the earliest when the longest deadline of the deployment, counted as maxCountedDeadlineMs at most, and
-// killDelayMs have passed since SIGTERM. The process may be held up for maxStallMs before it notes the signal, and again before it
-// writes a response.
+// After SIGTERM the platform waits for at least the longest deadline of the deployment, capped at maxCountedDeadlineMs, plus killDelayMs
+// before it sends SIGKILL. The process may stall for up to maxStallMs before it handles SIGTERM, and again before it writes a response.
 const (
 	maxCountedDeadlineMs = 3000.
 	killDelayMs          = 700.
 	maxStallMs           = 150.
 )
 
-// NotifySignals returns a channel of the signals that end the process (SIGTERM, SIGINT) or have it reload its configuration (SIGHUP).
-// Each of the two kinds has a buffer of its own: this guards against a signal to end that is dropped behind many others. A second one
-// of a kind that is buffered is dropped, and would add nothing: the process ends once, and the file is read after the last of them.
+// NotifySignals returns a channel of the signals that stop the process (SIGTERM, SIGINT) or make it reload its configuration (SIGHUP).
+// Each of the two kinds has its own buffer, so that a burst of SIGHUP can't cause a termination signal to be dropped. A signal is dropped
+// if one of its kind is already buffered, which loses nothing: the process stops once, and the file is read after the last SIGHUP.
 func NotifySignals() <-chan os.Signal {
 	terminations, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
@@ -40,8 +39,8 @@
 	return merged
 }
 
-// handleSignals drains or reloads as signals ask until ctx ends. Reloads have a goroutine of their own, so that a configuration that
-// is slow to read does not delay a signal to end.
+// handleSignals drains or reloads on signals until ctx ends. Reloads run on their own goroutine, so that a configuration that is slow
+// to read does not delay a termination signal.
 func (s *server) handleSignals(ctx context.Context, signals <-chan os.Signal) {
 	reloads := make(chan struct{}, 1)
 	go s.handleReloads(ctx, reloads)
@@ -56,7 +55,7 @@
 			}
 			select {
 			case reloads <- struct{}{}:
-			default: // the file is about to be read
+			default: // a reload is already pending
 			}
 		}
 	}
@@ -73,12 +72,12 @@
 	}
 }
 
-// reload reads the file that the router was started with again. Only the discovery address can change while the router runs; an
-// invalid file changes nothing.
+// reload reads the configuration file again. Only the discovery address can change while the router runs; an invalid file changes
+// nothing.
 func (s *server) reload() {
 	changed, err := Load(s.config.path)
 	if err != nil {
-		logrus.WithError(err).Error("configuration invalid: the old one stays in force")
+		logrus.WithError(err).Error("configuration invalid; keeping the current one")
 		return
 	}
 	if s.watcher != nil {
@@ -91,8 +90,8 @@
 	entry.Info("configuration reloaded")
 }
 
-// drain leaves the fleet, so that others get its leases at once, and has the frontend end its sessions once each request that was
-// taken has its response.
+// drain leaves the fleet, so that other processes can acquire its leases at once, and makes the frontend end the client sessions once
+// each accepted request has its response.
 func (s *server) drain(sig os.Signal) {
 	signalled := s.driver.Clock()
 	logrus.WithField("signal", sig).Info("draining")
@@ -102,13 +101,13 @@
 	s.driver.Post(func() { s.frontend.Drain(signalled, s.config.drainTimeoutMs()) })
 }
 
-// drainTimeoutMs is the time in ms from a signal to end within which each request must have its final response.
+// drainTimeoutMs returns the time in ms from a termination signal within which each request must have its final response.
 func (c *Config) drainTimeoutMs() float64 {
 	longest := 0.
 	for _, class := range c.Router.RequestClasses {
 		longest = max(longest, class.Deadline)
 	}
-	if c.onPlatform() { // elsewhere the operator says how long the process may take to end
+	if c.onPlatform() { // elsewhere the operator sets how long the process may take to stop
 		longest = min(longest, maxCountedDeadlineMs)
 	}
 	return longest + killDelayMs - 2*maxStallMs
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -14,7 +14,7 @@
 	s.driver.After(statusIntervalMs, s.logPeriodicStatus)
 }
 
-// logStatus logs the present sessions, connections and queued attempts, and counts since the start.
+// logStatus logs the current numbers of sessions, connections and queued attempts, and counters since the start.
 func (s *server) logStatus(event string) {
 	sessions, active := s.frontend.SessionCounts()
 	entry := logrus.WithFields(logrus.Fields{
