--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/pg"
 )
 
-// TestTranscript_Pooled compares what a pool's client receives with the recording.
+// TestTranscript_Pooled compares what clients of a pool receive with the recording.
 func TestTranscript_Pooled(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2, ExtraKeys: "pins = true\nstatements = 4\nsettings = \"300B\"\n"}, nil)
 	var out strings.Builder
@@ -78,20 +78,20 @@
 		bytes []byte
 	}{
 		{"broken framing", []byte("Q\x00\x00\x00\x01")},
-		{"message type that is none", []byte("~\x00\x00\x00\x04")},
+		{"unknown message type", []byte("~\x00\x00\x00\x04")},
 		{"function call", []byte("F\x00\x00\x00\x04")},
 		{"too long", []byte("Q\x7f\xff\xff\xff")},
 	} {
 		client(one.name).send(one.bytes, 1)
 	}
 	newTranscriptClient(t, &out, addr, "no such database", pg.AppendStartup(nil, "api", "none"))
-	newTranscriptClient(t, &out, addr, "setting of the startup", pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: "-c a.x=7"})).send(
+	newTranscriptClient(t, &out, addr, "setting in the startup message", pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: "-c a.x=7"})).send(
 		transcriptQueries("SHOW a.x"), 1)
 	newTranscriptClient(t, &out, addr, "TLS", append([]byte{}, "\x00\x00\x00\x08\x04\xd2\x16\x2f"...))
 	recording.CompareText(t, "transcript-pooled.txt", out.String())
 }
 
-// TestTranscript_Statements compares what a client in the platform's form receives with the recording.
+// TestTranscript_Statements compares what clients that use the platform's statement format receive with the recording.
 func TestTranscript_Statements(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	var out strings.Builder
@@ -113,17 +113,17 @@
 	c = client("extended queries")
 	c.send(pg.AppendSync(pg.AppendExecute(transcriptBind(transcriptParse(nil, "", "SELECT 1"), "", "", ""), "")), 1)
 	c.send(transcriptQueries(readStatement("c1", "x")), 1)
-	client("too much ahead").send(append(transcriptQueries(readStatement("d0", "hang")), transcriptQueries(make([]string, 300)...)...), 302)
+	client("too many pipelined").send(append(transcriptQueries(readStatement("d0", "hang")), transcriptQueries(make([]string, 300)...)...), 302)
 	for _, one := range []struct {
 		name  string
 		bytes []byte
 	}{
 		{"broken framing", []byte("Q\x00\x00\x00\x01")},
-		{"message type that is none", []byte("~\x00\x00\x00\x04")},
+		{"unknown message type", []byte("~\x00\x00\x00\x04")},
 		{"function call", []byte("F\x00\x00\x00\x04")},
 		{"too long", []byte("Q\x7f\xff\xff\xff")},
 		{"sync alone", pg.AppendSync(nil)},
-		{"a later minor version is spoken to by its startup", transcriptQueries("")},
+		{"empty query", transcriptQueries("")},
 	} {
 		client(one.name).send(one.bytes, 1)
 	}
@@ -140,15 +140,15 @@
 	startup := pg.AppendStartup(nil, "api", "ledger")
 	idle := newTranscriptClient(t, &out, addr, "idle", startup)
 	busy := newTranscriptClient(t, &out, addr, "in a transaction", startup)
-	part := newTranscriptClient(t, &out, addr, "in the middle of a message", startup)
+	incomplete := newTranscriptClient(t, &out, addr, "in the middle of a message", startup)
 	idle.send(transcriptQueries("SELECT 1"), 1)
 	busy.send(transcriptQueries("BEGIN", "SELECT 1"), 2)
-	part.send([]byte("Q\x00\x00\x00\x10SEL"), 0)
+	incomplete.send([]byte("Q\x00\x00\x00\x10SEL"), 0)
 	signals <- os.Interrupt
 	idle.read(1)
 	busy.send(transcriptQueries("COMMIT"), 1)
 	busy.read(1)
-	part.read(1)
+	incomplete.read(1)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
