--- a/internal/server/clientgone_test.go
+++ b/internal/server/clientgone_test.go
@@ -12,67 +12,67 @@
 	"wayloft/internal/pg"
 )
 
-// A request whose client leaves while it waits is not sent when what it waited for comes, wherever it waited.
+// A request whose client disconnects while it waits is never sent to a member, whatever the request was waiting for.
 func TestClientGone_WaitingRequestNotSent(t *testing.T) {
-	t.Run("for a connection to come up", func(t *testing.T) {
+	t.Run("for a connection to be established", func(t *testing.T) {
 		primary := true
-		g, addr, wait := startGatedRouter(t, 1, &primary) // the check's, which doesn't last
-		leaves := fakes.NewClient(t, addr, true)
-		leaves.Ask(writeStatement("leaves", "x"))
-		<-g.loginRequests // the check's
-		<-g.loginRequests // its own
-		closeSocket(leaves)
+		g, addr, wait := startGatedRouter(t, 1, &primary) // the health check's connection, which ends after one response
+		leaving := fakes.NewClient(t, addr, true)
+		leaving.Ask(writeStatement("leaves", "x"))
+		<-g.loginRequests // of the health check
+		<-g.loginRequests // of the request
+		closeSocket(leaving)
 		wait()
 		for range 20 {
 			g.logins <- true
 		}
 		askUntilServed(t, fakes.NewClient(t, addr, true), "after")
 		if g.received("leaves") {
-			t.Error("sent after its client had gone")
+			t.Error("the request was sent after its client had disconnected")
 		}
 	})
 	t.Run("for a primary", func(t *testing.T) {
 		primary := false
 		g, addr, wait := startGatedRouter(t, 20, &primary)
-		leaves := fakes.NewClient(t, addr, true)
-		leaves.Ask(writeStatement("leaves", "x"))
-		closeSocket(leaves)
+		leaving := fakes.NewClient(t, addr, true)
+		leaving.Ask(writeStatement("leaves", "x"))
+		closeSocket(leaving)
 		wait()
 		g.mu.Lock()
 		primary = true
 		g.mu.Unlock()
 		c, n := fakes.NewClient(t, addr, true), 0
-		fakes.Until(t, "writes go through", func() bool {
+		fakes.Until(t, "writes are served", func() bool {
 			n++
 			c.Ask(writeStatement(fmt.Sprint("after", n), "x"))
 			return c.Answer() == "v ok ready"
 		})
 		if g.received("leaves") {
-			t.Error("sent after its client had gone")
+			t.Error("the request was sent after its client had disconnected")
 		}
 	})
-	t.Run("behind another of its session", func(t *testing.T) {
+	t.Run("behind another request of its session", func(t *testing.T) {
 		primary := true
 		g, addr, wait := startGatedRouter(t, 20, &primary)
-		leaves := fakes.NewClient(t, addr, true)
-		leaves.Ask(readStatement("first", "hang"))
-		leaves.Ask(readStatement("leaves", "x"))
-		fakes.Until(t, "the first is out", func() bool { return g.received("first") })
-		closeSocket(leaves)
+		leaving := fakes.NewClient(t, addr, true)
+		leaving.Ask(readStatement("first", "hang"))
+		leaving.Ask(readStatement("leaves", "x"))
+		fakes.Until(t, "the first request has been sent", func() bool { return g.received("first") })
+		closeSocket(leaving)
 		wait()
 		g.replies <- true
 		askUntilServed(t, fakes.NewClient(t, addr, true), "after")
 		if g.received("leaves") {
-			t.Error("sent after its client had gone")
+			t.Error("the request was sent after its client had disconnected")
 		}
 	})
 	t.Run("for a retry", func(t *testing.T) {
 		primary := true
 		g, addr, wait := startGatedRouter(t, 20, &primary)
-		leaves := fakes.NewClient(t, addr, true)
-		leaves.Ask(readStatement("leaves", "hang and fail"))
-		fakes.Until(t, "its first attempt is out", func() bool { return g.received("leaves") })
-		closeSocket(leaves)
+		leaving := fakes.NewClient(t, addr, true)
+		leaving.Ask(readStatement("leaves", "hang and fail"))
+		fakes.Until(t, "its first attempt has been sent", func() bool { return g.received("leaves") })
+		closeSocket(leaving)
 		wait()
 		for range 20 {
 			g.replies <- true
@@ -81,39 +81,39 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if n := strings.Count(strings.Join(g.statements, "|"), "id=leaves,"); n != 1 {
-			t.Errorf("%d attempts, want the one that was out", n)
+			t.Errorf("%d attempts, want only the one already sent", n)
 		}
 	})
 }
 
-// A request that waits for a pool's only connection does not run once its client has closed, or has cancelled it.
+// A request queued for a pool's only connection does not run after its client has disconnected or cancelled it.
 func TestPool_QueuedClientGoneOrCancelled(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	wait := notifyClosedClients(t)
 	holder := fakes.NewClient(t, addr, true)
 	if got := askAll(holder, "BEGIN", insertSQL("holder", "1")); got != "ok ready; 1 ok ready" {
-		t.Fatalf("the holder: %q", got)
+		t.Fatalf("BEGIN and INSERT on the holding session: %q", got)
 	}
-	closes, cancels := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
-	for n, c := range []*fakes.Client{closes, cancels} {
+	closing, cancelling := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
+	for n, c := range []*fakes.Client{closing, cancelling} {
 		c.Ask(insertSQL(fmt.Sprint("waits", n), "1"))
 	}
-	closeSocket(closes)
+	closeSocket(closing)
 	wait()
-	key := fakes.NewClient(t, addr, false)
-	key.Send(string(pg.AppendCancelRequest(nil, cancels.Key)))
-	if got := cancels.Answer(); got != "57014 ready" {
-		t.Errorf("the one that cancels: %q", got)
+	canceller := fakes.NewClient(t, addr, false)
+	canceller.Send(string(pg.AppendCancelRequest(nil, cancelling.Key)))
+	if got := cancelling.Answer(); got != "57014 ready" {
+		t.Errorf("cancelled request: %q", got)
 	}
 	if got := askAll(holder, "COMMIT"); got != "ok ready" {
-		t.Errorf("the holder: %q", got)
+		t.Errorf("COMMIT on the holding session: %q", got)
 	}
 	for n := range 2 {
 		if got := askOnce(t, addr, fmt.Sprintf("SELECT blob FROM rows WHERE handle = 'waits%d'", n)); got != "ok ready" {
-			t.Errorf("what waited for a client that had gone: %q", got)
+			t.Errorf("row of a request that must not run: %q", got)
 		}
 	}
-	if got := askAll(cancels, insertSQL("after", "1")); got != "1 ok ready" {
-		t.Errorf("the one that cancelled, afterwards: %q", got)
+	if got := askAll(cancelling, insertSQL("after", "1")); got != "1 ok ready" {
+		t.Errorf("the cancelling session, afterwards: %q", got)
 	}
 }
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -14,7 +14,7 @@
 	"wayloft/internal/pg"
 )
 
-// laggingMember is a member whose positions are behind the present time.
+// laggingMember is a member whose reported positions lag behind the current time.
 type laggingMember struct {
 	*fakes.Member
 	checks, reads atomic.Int64
@@ -38,53 +38,52 @@
 	return m
 }
 
-// startWithClockAhead starts a router whose wall clock is wrong by this much at its start. Members answer each read, whatever their
-// lag.
+// startWithClockAhead starts a router whose wall clock is ahead by a duration at its start. Members serve every read, whatever their lag.
 func startWithClockAhead(t *testing.T, ahead time.Duration, members ...*laggingMember) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var rows []string
+	var entries []string
 	for n, m := range members {
-		rows = append(rows, fmt.Sprintf(`{"id":"m%d","host_port":"%s","locality":"z","cell":2,"phase":"in_service","up_since_ms":%d}`,
+		entries = append(entries, fmt.Sprintf(`{"id":"m%d","host_port":"%s","locality":"z","cell":2,"phase":"in_service","up_since_ms":%d}`,
 			n, m.Addr, time.Now().Add(-10*time.Minute).UnixMilli()))
 	}
-	text := strings.NewReplacer("127.0.0.1:0", l.Addr().String(), `"members":[]`, `"members":[`+strings.Join(rows, ",")+`]`,
+	text := strings.NewReplacer("127.0.0.1:0", l.Addr().String(), `"members":[]`, `"members":[`+strings.Join(entries, ",")+`]`,
 		`"serverChecks":"refuse"`, `"serverChecks":"silent"`, `["any","write"],"classBound":[0,0]`,
 		`["bounded","write","session","bounded"],"classBound":[300000,0,0,20000000]`,
 		`"profiles":[`, `"profiles":[`, `"idempotency":"fragile"}]`, `"idempotency":"fragile"},
 {"name":"own","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"},
 {"name":"old","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"}]`).Replace(platformConfig)
-	conf, err := Load(writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
+	config, err := Load(writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.wallClock = func() time.Time { return time.Now().Add(ahead) }
-	term, ended := make(chan os.Signal, 2), make(chan error, 1)
-	runUntilCleanup(t, conf, l, term, ended)
+	config.wallClock = func() time.Time { return time.Now().Add(ahead) }
+	signals, ended := make(chan os.Signal, 2), make(chan error, 1)
+	runUntilCleanup(t, config, l, signals, ended)
 	return l.Addr().String()
 }
 
 var clockOffsets = []time.Duration{0, -600 * time.Millisecond, -time.Hour, time.Hour}
 
 // A replica with a lag of 0.7 s gets no read with a staleness bound of 0.3 s, and none that must see a recent commit, whatever the
-// wall clock said at the start.
+// router's wall clock showed at its start.
 func TestWrongClock_NoStaleRead(t *testing.T) {
 	for _, ahead := range clockOffsets {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
 			primary, replica := newLaggingMember(t, true, 0), newLaggingMember(t, false, 700*time.Millisecond)
 			c := fakes.NewClient(t, startWithClockAhead(t, ahead, primary, replica), true)
-			ask := func(n int, class, more string) {
+			ask := func(n int, class, fields string) {
 				t.Helper()
-				c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, more))
+				c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, fields))
 				if got := c.Answer(); got != "primary ok ready" {
-					t.Errorf("%s read %d: got %q, want the primary's answer", class, n, got)
+					t.Errorf("%s read %d: got %q, want the primary's response", class, n, got)
 				}
 			}
 			n := 0
-			fakes.Until(t, "both are checked more than once", func() bool { // from its start on
+			fakes.Until(t, "both members have been checked more than once", func() bool { // reads begin right after the start
 				n++
 				ask(n, "look", "")
 				ask(n, "own", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
@@ -97,7 +96,8 @@
 	}
 }
 
-// A replica that is fresh enough gets bounded reads, and those of sessions whose commit it has. No session is rejected.
+// A replica that is fresh enough gets reads with a staleness bound, and reads of client sessions whose last commit it has applied. No
+// request is rejected.
 func TestWrongClock_ReplicasServe(t *testing.T) {
 	for _, ahead := range clockOffsets {
 		t.Run(fmt.Sprint(ahead), func(t *testing.T) {
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/fakes"
 )
 
-// Each mistake in a configuration of the platform is an error that names the field.
+// Each invalid value in a configuration in the platform's format is reported with an error that names the field.
 func TestLoad_PlatformForm(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	for _, c := range []struct{ old, new, want string }{
@@ -36,41 +36,41 @@
 		}
 	}
 	if _, err := Load(file + ".none"); err == nil {
-		t.Error("a missing file was read")
+		t.Error("no error for a missing file")
 	}
 }
 
-// Settings that may be left out are, and windows, deadlines and bounds may be short: reads and writes are served, or the error names
+// With optional settings left out, and with short windows, deadlines and bounds, the router serves reads and writes, or the error names
 // the field.
 func TestLoad_OptionalSettings(t *testing.T) {
-	swap := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(platformConfig) }
-	for _, c := range []struct{ name, config, bad string }{
-		{"as given", platformConfig, ""},
-		{"no reports", swap(`"report":{"columns":["x0","x1"],"how":"pull"},`, ""), ""},
-		{"no columns in reports", swap(`"columns":["x0","x1"]`, `"columns":[]`), ""},
-		{"no checks", swap(`"probes":true`, `"probes":false`), ""},
-		{"no cancels", swap(`"cancel":true`, `"cancel":false`), ""},
-		{"no retry-after", swap(`"retryAfter":true,"maxRetryAfter":1000000,`, `"retryAfter":false,`), ""},
-		{"lists are asked for", swap(`"push"`, `"ask"`, `"contract":{`, `"contract":{"askWithin":10000000,`), ""},
-		{"lists are asked for, no time given", swap(`"push"`, `"ask"`), "contract.askWithin"},
-		{"one attempt", swap(`"attemptsCap":6`, `"attemptsCap":1`), ""},
-		{"no priority weight", swap(`"worth":1`, `"worth":0`), ""},
-		{"tenants of more than all", swap(`"settings":{`, `"settings":{"orgs":[{"name":"n","quotaRps":1e9},{"name":"m","quotaRps":0}],`), ""},
-		{"a mark, a window shorter than any wait", swap(`"fragile"`, `"dedup","group":"cell","window":1000`), ""},
-		{"deadlines shorter than a check's period", swap(`"target":500000,"deadline":3000000`, `"target":200000,"deadline":400000`), ""},
-		{"no warming up", swap(`"warmUp":1000000`, `"warmUp":0`), ""},
-		{"an effect without a group", swap(`"fragile"`, `"dedup"`), "profiles[1].group"},
-		{"a type without a level", swap(`["any","write"]`, `["any"]`), "readLevel"},
-		{"half a type", swap(`"target":500000,`, ``), "profiles[0].target"},
+	replace := func(pairs ...string) string { return strings.NewReplacer(pairs...).Replace(platformConfig) }
+	for _, c := range []struct{ name, config, wantErr string }{
+		{"unchanged", platformConfig, ""},
+		{"no reports", replace(`"report":{"columns":["x0","x1"],"how":"pull"},`, ""), ""},
+		{"no columns in reports", replace(`"columns":["x0","x1"]`, `"columns":[]`), ""},
+		{"no health checks", replace(`"probes":true`, `"probes":false`), ""},
+		{"no cancel requests", replace(`"cancel":true`, `"cancel":false`), ""},
+		{"no retry-after", replace(`"retryAfter":true,"maxRetryAfter":1000000,`, `"retryAfter":false,`), ""},
+		{"lists are polled", replace(`"push"`, `"ask"`, `"contract":{`, `"contract":{"askWithin":10000000,`), ""},
+		{"lists are polled, no time limit", replace(`"push"`, `"ask"`), "contract.askWithin"},
+		{"one attempt", replace(`"attemptsCap":6`, `"attemptsCap":1`), ""},
+		{"no priority weight", replace(`"worth":1`, `"worth":0`), ""},
+		{"a tenant with a very large quota and one with zero", replace(`"settings":{`, `"settings":{"orgs":[{"name":"n","quotaRps":1e9},{"name":"m","quotaRps":0}],`), ""},
+		{"deduplication with a window shorter than any wait", replace(`"fragile"`, `"dedup","group":"cell","window":1000`), ""},
+		{"deadlines shorter than the health check period", replace(`"target":500000,"deadline":3000000`, `"target":200000,"deadline":400000`), ""},
+		{"no slow start", replace(`"warmUp":1000000`, `"warmUp":0`), ""},
+		{"deduplication without a group", replace(`"fragile"`, `"dedup"`), "profiles[1].group"},
+		{"a request class without a consistency level", replace(`["any","write"]`, `["any"]`), "readLevel"},
+		{"an incomplete request class", replace(`"target":500000,`, ``), "profiles[0].target"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			both := newPrimary(t)
-			text := strings.Replace(c.config, `"members":[]`, fmt.Sprintf(`"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]`, both.Addr), 1)
+			primary := newPrimary(t)
+			text := strings.Replace(c.config, `"members":[]`, fmt.Sprintf(`"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]`, primary.Addr), 1)
 			text = strings.Replace(text, `"sockets":256`, `"sockets":128`, 1)
 			conf, err := Load(writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
-			if c.bad != "" {
-				if err == nil || !strings.Contains(err.Error(), c.bad) {
-					t.Errorf("got %v, want %s named", err, c.bad)
+			if c.wantErr != "" {
+				if err == nil || !strings.Contains(err.Error(), c.wantErr) {
+					t.Errorf("got %v, want an error that names %s", err, c.wantErr)
 				}
 				return
 			} else if err != nil {
@@ -82,16 +82,16 @@
 			}
 			signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 			go func() { ended <- Run(conf, l, signals) }()
-			one := fakes.NewClient(t, l.Addr().String(), true)
+			client := fakes.NewClient(t, l.Addr().String(), true)
 			n := 0
 			fakes.Until(t, "a read and a write are served", func() bool {
 				n++
-				one.Ask(readStatement(fmt.Sprint("r", n), "x"))
-				read := one.Answer()
-				one.Ask(writeStatement(fmt.Sprint("w", n), "y"))
-				return read == "x ok ready" && one.Answer() == "y ok ready"
+				client.Ask(readStatement(fmt.Sprint("r", n), "x"))
+				read := client.Answer()
+				client.Ask(writeStatement(fmt.Sprint("w", n), "y"))
+				return read == "x ok ready" && client.Answer() == "y ok ready"
 			})
-			closeSocket(one)
+			closeSocket(client)
 			signals <- syscall.SIGTERM
 			if err := <-ended; err != nil {
 				t.Error(err)
--- a/internal/server/copyorder_test.go
+++ b/internal/server/copyorder_test.go
@@ -13,8 +13,8 @@
 	"wayloft/internal/pg"
 )
 
-// A client sends COPY data before the member accepts it, as pgx does, and its CopyDone is read in the same batch of events as the member's
-// CopyInResponse, behind it: the data, which is queued, must reach the member before CopyDone does.
+// A client sends COPY data before the member's CopyInResponse, as pgx does, and its CopyDone is read in the same batch of events as the
+// CopyInResponse, after it. The queued data must still reach the member before CopyDone.
 func TestPool_CopyDoneInBatchOfCopyInResponse(t *testing.T) {
 	received, accept := make(chan bool, 1), make(chan bool)
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
@@ -26,25 +26,25 @@
 			return nil
 		}
 	})
-	leaves, copies := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
-	copies.Send(queryMessage("COPY rows (handle, blob) FROM STDIN") + string(pg.AppendCopyData(nil, "copied\tv\n")))
+	closing, copying := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
+	copying.Send(queryMessage("COPY rows (handle, blob) FROM STDIN") + string(pg.AppendCopyData(nil, "copied\tv\n")))
 	<-received
 	blocked, unblock := make(chan bool), make(chan bool)
 	defer failpoint.Set("frontend.closed", func() { blocked <- true; <-unblock })()
-	closeSocket(leaves)
-	<-blocked // the event loop
+	closeSocket(closing)
+	<-blocked // the event loop waits in the failpoint
 	posted := make(chan bool, 100)
 	defer failpoint.Set("eventloop.posted", func() { posted <- true })()
 	close(accept)
 	<-posted // the member's CopyInResponse
-	copies.Send(string(pg.AppendBodyless(nil, 'c')))
+	copying.Send(string(pg.AppendBodyless(nil, 'c')))
 	<-posted // the client's CopyDone
 	failpoint.Set("frontend.closed", func() {})
 	close(unblock)
-	if got := copies.Answer(); got != "ok ready" {
-		t.Errorf("the copy: %q", got)
+	if got := copying.Answer(); got != "ok ready" {
+		t.Errorf("COPY: %q", got)
 	}
 	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'copied'"); got != "v ok ready" {
-		t.Errorf("what was copied: %q", got)
+		t.Errorf("copied row: %q", got)
 	}
 }
--- a/internal/server/discoveryraces_test.go
+++ b/internal/server/discoveryraces_test.go
@@ -45,15 +45,15 @@
 	return c
 }
 
-// A process that starts while discovery gives no list is ready, and idle clients take all descriptors that it has for them. Once
-// discovery gives a list, members are connected to, and the process still handles signals.
+// A process starts while discovery delivers no list, and idle clients then take all descriptors available to sessions. Once discovery
+// delivers a list, the router connects to members, and it still handles signals.
 func TestDiscoveryDown_IdleClientsTakeDescriptors(t *testing.T) {
-	speak := make(chan string)
-	calls := make(chan bool, 1000)
+	lists := make(chan string)
+	requests := make(chan bool, 1000)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		calls <- true
+		requests <- true
 		select {
-		case line := <-speak:
+		case line := <-lists:
 			_, _ = fmt.Fprintln(w, line)
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
@@ -69,77 +69,77 @@
 	closeSocket(l)
 	c := startProcess(t, strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:1", strings.TrimPrefix(discovery.URL, "http://"),
 		`"sockets":256`, `"sockets":128`).Replace(platformConfig))
-	fakes.Until(t, "it listens", func() bool {
-		one, err := net.Dial("tcp", addr)
+	fakes.Until(t, "the router listens", func() bool {
+		conn, err := net.Dial("tcp", addr)
 		if err == nil {
-			closeSocket(one)
+			closeSocket(conn)
 		}
 		return err == nil
 	})
 	ready := fakes.NewClient(t, addr, true)
 	ready.Ask("")
 	if got := ready.Answer(); got != "empty ready" {
-		t.Errorf("not ready: %q", got)
+		t.Errorf("empty query: %q", got)
 	}
-	hello := string(pg.AppendStartup(nil, "api", "ledger"))
-	for n := range 300 { // more than there are descriptors: the last wait with the system
+	startup := string(pg.AppendStartup(nil, "api", "ledger"))
+	for n := range 300 { // more than there are descriptors: the last ones wait in the operating system's backlog
 		idle, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { closeSocket(idle) })
 		if n%3 > 0 {
-			_, _ = idle.Write([]byte(hello))
+			_, _ = idle.Write([]byte(startup))
 		}
 		if n%3 > 1 {
 			_, _ = idle.Write(pg.AppendQuery(nil, ""))
 		}
 	}
-	<-calls
-	moved := newPrimary(t)
-	speak <- fmt.Sprintf(`{"revision":43,"complete":false,"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]}`, moved.Addr)
+	<-requests
+	member := newPrimary(t)
+	lists <- fmt.Sprintf(`{"revision":43,"complete":false,"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]}`, member.Addr)
 	n := 0
-	fakes.Until(t, "a client is served by the new list", func() bool {
+	fakes.Until(t, "a client is served with the new list", func() bool {
 		n++
-		one, err := net.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeSocket(one)
-		_, _ = one.Write([]byte(hello + string(pg.AppendQuery(nil, readStatement(fmt.Sprint(n), "x")))))
-		if err := one.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
+		defer closeSocket(conn)
+		_, _ = conn.Write([]byte(startup + string(pg.AppendQuery(nil, readStatement(fmt.Sprint(n), "x")))))
+		if err := conn.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		got, _ := io.ReadAll(io.LimitReader(one, 300))
+		got, _ := io.ReadAll(io.LimitReader(conn, 300))
 		return strings.Contains(string(got), "SELECT 1")
 	})
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 	if err := c.Wait(); err != nil {
-		t.Errorf("its end: %v", err)
+		t.Errorf("exit status: %v", err)
 	}
 }
 
-// A list from the watch, in which a member drains, comes before the event loop's first turn. The configuration's list, which is
-// older, doesn't undo it.
+// The watch delivers a list in which a member is draining before the event loop's first iteration. The older list from the configuration
+// must not override it.
 func TestDiscovery_ListBeforeFirstTurn(t *testing.T) {
-	drains, stays := newPrimary(t), newPrimary(t)
+	draining, other := newPrimary(t), newPrimary(t)
 	watch := newScriptedDiscovery(t)
 	watch.watchEvents <- fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"m0","host_port":"%s","locality":"z","cell":2,"phase":"terminating"}]}`+"\n",
-		drains.Addr)
+		draining.Addr)
 	posted := make(chan struct{}, 100)
 	defer failpoint.Set("server.list_posted", func() { posted <- struct{}{} })()
 	defer failpoint.Set("eventloop.starting", func() { <-posted })()
-	addr, _, _ := startRouter(t, watch.addr, 256, drains.Addr, stays.Addr)
+	addr, _, _ := startRouter(t, watch.addr, 256, draining.Addr, other.Addr)
 	client := fakes.NewClient(t, addr, true)
-	for n := range 30 { // none by chance: one in 2^30
+	for n := range 30 { // by chance alone, all go to the other member once in 2^30 runs
 		client.Ask(readStatement(fmt.Sprint(n), "x"))
 		if got := client.Answer(); got != "x ok ready" && got != "53300 ready" {
 			t.Fatal(got)
 		}
 	}
-	if _, asked := drains.Seen(); strings.Contains(strings.Join(asked, "|"), "c=look") {
-		t.Error("a member that drains was sent a request")
+	if _, statements := draining.Seen(); strings.Contains(strings.Join(statements, "|"), "c=look") {
+		t.Error("a draining member was sent a request")
 	}
 }
--- a/internal/server/discoveryservers_test.go
+++ b/internal/server/discoveryservers_test.go
@@ -15,12 +15,12 @@
 	"wayloft/internal/fakes/pgserver"
 )
 
-// scriptedDiscovery is a discovery that answers once with each text that it is given, and stays silent otherwise.
+// scriptedDiscovery is a discovery server that sends each text that it is given as one response, and otherwise sends nothing.
 type scriptedDiscovery struct {
 	addr                   string
 	requests               chan string
 	fullLists, watchEvents chan string
-	openConnections        atomic.Int64 // connections that it serves
+	openConnections        atomic.Int64 // connections being served
 }
 
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
@@ -48,8 +48,8 @@
 	return s
 }
 
-// serve answers one request. A text whose connection has ended before it was written is kept for the next: this guards against a text that
-// is lost when the router gives a request up on a busy machine and asks again.
+// serve answers one request. A text whose connection ended before it was written is kept for the next request, since on a busy machine
+// the router may time out and ask again.
 func (s *scriptedDiscovery) serve(c net.Conn) {
 	defer closeSocket(c)
 	buf := make([]byte, 1<<12)
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendText sends the next text. It reports whether it did before the connection ended.
+// sendText sends the next text and reports whether it was written before the connection ended.
 func (s *scriptedDiscovery) sendText(c net.Conn, texts chan string, ended <-chan struct{}) bool {
 	var text string
 	select {
@@ -92,7 +92,7 @@
 	return false
 }
 
-// listServer is a discovery server that delivers each list that is published.
+// listServer is a discovery server that delivers each published list.
 type listServer struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -105,7 +105,7 @@
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for {
 			l.mu.Lock()
-			text, more := l.text, l.changed
+			text, changed := l.text, l.changed
 			l.mu.Unlock()
 			_, _ = fmt.Fprintln(w, text)
 			if r.URL.Query().Get("stream") == "" {
@@ -113,7 +113,7 @@
 			}
 			w.(http.Flusher).Flush()
 			select {
-			case <-more:
+			case <-changed:
 			case <-time.After(time.Second):
 			case <-r.Context().Done():
 				return
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -11,28 +11,28 @@
 	"wayloft/internal/pg"
 )
 
-// After SIGTERM the router still serves new connections, answers each request that it took, and then ends.
+// After SIGTERM the router still serves new connections, sends a response to each accepted request, and then stops.
 func TestDrain_ServesUntilIdle(t *testing.T) {
-	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
+	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
 	idle := fakes.NewClient(t, addr, true)
 	busy := fakes.NewClient(t, addr, true)
 	busy.Ask(writeStatement("1", "hang"))
-	term <- syscall.SIGTERM
+	signals <- syscall.SIGTERM
 	late := fakes.NewClient(t, addr, true)
 	late.Ask(readStatement("2", "served"))
 	if got := late.Answer(); got != "served ok ready" {
-		t.Errorf("late: %q", got)
+		t.Errorf("new session: %q", got)
 	}
 	idle.Ask(readStatement("3", "served"))
 	if got := idle.Answer(); got != "served ok ready" {
-		t.Errorf("idle: %q", got)
+		t.Errorf("idle session: %q", got)
 	}
 	if got := busy.Answer(); got != "08007 ready" {
-		t.Errorf("busy: %q", got)
+		t.Errorf("busy session: %q", got)
 	}
 	for _, c := range []*fakes.Client{idle, busy, late} {
 		if got := c.Answer(); got != "closed" {
-			t.Errorf("got %q, want the end", got)
+			t.Errorf("got %q, want the session closed", got)
 		}
 		closeSocket(c)
 	}
@@ -41,59 +41,59 @@
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		closeSocket(c)
-		t.Error("it still listens")
+		t.Error("the router still listens")
 	}
 }
 
-// A message in two pieces with SIGTERM between them is answered, wherever it is cut. One whose second piece never comes does not keep
-// the process from ending.
+// A message that arrives in two pieces with SIGTERM between them gets its response, wherever it is split. One whose second piece never
+// arrives does not keep the process from stopping.
 func TestDrain_MessageInPieces(t *testing.T) {
-	addr, term, ended := startRouter(t, "127.0.0.1:1", 512, newPrimary(t).Addr)
-	hello := string(pg.AppendStartup(nil, "api", "ledger"))
-	ask := func(n int) string { return string(pg.AppendQuery(nil, readStatement(fmt.Sprint(n), "x"))) }
-	whole := len(ask(10))
-	cuts := []int{1, 2, 3, 4, 5, 6, whole / 2, whole - 1} // within the length word, around it, in the text, before its last byte
-	var all, never []*fakes.Client
-	for n := range 2 * len(cuts) {
-		one := fakes.NewClient(t, addr, false)
-		one.Send(hello[:1+n])
-		one.Send(hello[1+n:] + ask(50+n))
+	addr, signals, ended := startRouter(t, "127.0.0.1:1", 512, newPrimary(t).Addr)
+	startup := string(pg.AppendStartup(nil, "api", "ledger"))
+	query := func(n int) string { return string(pg.AppendQuery(nil, readStatement(fmt.Sprint(n), "x"))) }
+	length := len(query(10))
+	splits := []int{1, 2, 3, 4, 5, 6, length / 2, length - 1} // around and within the length field, within the text, before the last byte
+	var completed, incomplete []*fakes.Client
+	for n := range 2 * len(splits) {
+		client := fakes.NewClient(t, addr, false)
+		client.Send(startup[:1+n])
+		client.Send(startup[1+n:] + query(50+n))
 		for _, want := range []string{"ready", "x ok ready"} {
-			if got := one.Answer(); got != want {
-				t.Fatalf("startup in two pieces: got %q, want %q", got, want)
+			if got := client.Answer(); got != want {
+				t.Fatalf("startup message in two pieces: got %q, want %q", got, want)
 			}
 		}
-		if n < len(cuts) {
-			all = append(all, one)
+		if n < len(splits) {
+			completed = append(completed, client)
 		} else {
-			never = append(never, one)
+			incomplete = append(incomplete, client)
 		}
 	}
-	quiet := fakes.NewClient(t, addr, true)
-	for n, at := range cuts {
-		all[n].Send(ask(10 + n)[:at])
-		never[n].Send(ask(30 + n)[:at])
+	idle := fakes.NewClient(t, addr, true)
+	for n, at := range splits {
+		completed[n].Send(query(10 + n)[:at])
+		incomplete[n].Send(query(30 + n)[:at])
 	}
-	term <- syscall.SIGTERM
-	if got := quiet.Answer(); got != "closed" { // from here on what is quiet is ended
-		t.Errorf("quiet: %q", got)
+	signals <- syscall.SIGTERM
+	if got := idle.Answer(); got != "closed" { // from here on idle sessions are closed
+		t.Errorf("idle session: %q", got)
 	}
-	for n, one := range all {
-		one.Send(ask(10 + n)[cuts[n]:])
+	for n, client := range completed {
+		client.Send(query(10 + n)[splits[n]:])
 	}
-	for n, one := range all {
+	for n, client := range completed {
 		for _, want := range []string{"x ok ready", "closed"} {
-			if got := one.Answer(); got != want {
-				t.Errorf("cut at %d: got %q, want %q", cuts[n], got, want)
+			if got := client.Answer(); got != want {
+				t.Errorf("split at %d: got %q, want %q", splits[n], got, want)
 			}
 		}
-		closeSocket(one)
+		closeSocket(client)
 	}
-	for n, one := range never {
-		if got := one.Answer(); !strings.HasSuffix(got, "closed") {
-			t.Errorf("cut at %d, never whole: %q", cuts[n], got)
+	for n, client := range incomplete {
+		if got := client.Answer(); !strings.HasSuffix(got, "closed") {
+			t.Errorf("split at %d, never completed: %q", splits[n], got)
 		}
-		closeSocket(one)
+		closeSocket(client)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/internal/server/drainraces_test.go
+++ b/internal/server/drainraces_test.go
@@ -18,11 +18,11 @@
 	"wayloft/internal/pg"
 )
 
-// Members hang, and clients go on to send during the drain. Each request that was read has its answer before the platform may kill
-// the process.
+// Members hang while clients keep sending during the drain. Each request that was read must get its response before the platform may
+// kill the process.
 func TestDrain_ShortDeadlines(t *testing.T) {
 	const longest = 300 * time.Millisecond
-	addr, term, ended := startRouterWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
+	addr, signals, ended := startRouterWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
 		"127.0.0.1:1", 256, newPrimary(t).Addr)
 	var read, ignored atomic.Int64
 	defer failpoint.Set("frontend.query", func() { read.Add(1) })()
@@ -33,83 +33,83 @@
 	}
 	const clients = 12
 	results := make(chan result, clients)
-	going := make(chan bool, clients)
+	started := make(chan bool, clients)
 	for n := range clients {
-		one := fakes.NewClient(t, addr, true)
-		ahead := 1 + n%3 // requests that it has on their way at once
+		client := fakes.NewClient(t, addr, true)
+		outstanding := 1 + n%3 // requests that the client keeps outstanding
 		go func() {
 			var r result
 			for {
-				for ; r.asked < r.answered+ahead; r.asked++ {
-					kind := []string{"look", "put"}[r.asked%2]
-					_, _ = one.Write(pg.AppendQuery(nil, fmt.Sprintf("/* id=%d-%d,c=%s,t=n,d=300,cluster=2 */ SELECT hang", n, r.asked, kind)))
+				for ; r.asked < r.answered+outstanding; r.asked++ {
+					class := []string{"look", "put"}[r.asked%2]
+					_, _ = client.Write(pg.AppendQuery(nil, fmt.Sprintf("/* id=%d-%d,c=%s,t=n,d=300,cluster=2 */ SELECT hang", n, r.asked, class)))
 				}
-				if strings.HasSuffix(one.Answer(), "closed") {
+				if strings.HasSuffix(client.Answer(), "closed") {
 					results <- r
 					return
 				}
 				if r.answered, r.last = r.answered+1, time.Now(); r.answered == 1 {
-					going <- true
+					started <- true
 				}
 			}
 		}()
 	}
 	for range clients {
-		<-going
+		<-started
 	}
 	signalled := time.Now()
-	term <- syscall.SIGTERM
+	signals <- syscall.SIGTERM
 	answered := 0
 	for range clients {
 		r := <-results
 		answered += r.answered
 		if after := r.last.Sub(signalled); after > longest+700*time.Millisecond {
-			t.Errorf("the last answer came %v after the signal", after)
+			t.Errorf("the last response came %v after the signal", after)
 		}
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	if read.Load() != int64(answered) || ignored.Load() > 0 {
-		t.Errorf("%d requests were read, and %d answered; %d pieces were read and ignored", read.Load(), answered, ignored.Load())
+		t.Errorf("%d requests were read and %d got a response; %d reads were ignored", read.Load(), answered, ignored.Load())
 	}
 }
 
-// A connection is accepted, with a complete request, while the last session closes after SIGTERM: the process ends only after its
-// answer, and after those of connections behind it.
+// After SIGTERM, a connection with a complete request is accepted while the last session closes. The process stops only after its
+// response, and after the responses to connections still in the backlog.
 func TestDrain_ConnectionAcceptedAsLastSessionCloses(t *testing.T) {
-	for arriving := 1; arriving <= 3; arriving++ { // the first is let in and in no book yet, others are with the system
+	for arriving := 1; arriving <= 3; arriving++ { // the first is accepted but has no session yet, others are in the backlog
 		t.Run(fmt.Sprint(arriving), func(t *testing.T) { testLastSessionCloses(t, arriving) })
 	}
 }
 
-// testLastSessionCloses has so many connections arrive: the first is accepted and not counted yet, others wait with the system.
+// testLastSessionCloses opens a number of connections: the first is accepted but has no session yet, others wait in the backlog.
 func testLastSessionCloses(t *testing.T, arriving int) {
-	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
+	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	first := fakes.NewClient(t, addr, true)
 	held, release := make(chan bool, 10), make(chan bool)
 	defer failpoint.Set("frontend.accepted", func() { held <- true; <-release })()
-	empty := make(chan bool, 100)
-	defer failpoint.Set("frontend.last_session", func() { empty <- true })()
-	hello := string(pg.AppendStartup(nil, "api", "ledger"))
+	lastClosed := make(chan bool, 100)
+	defer failpoint.Set("frontend.last_session", func() { lastClosed <- true })()
+	startup := string(pg.AppendStartup(nil, "api", "ledger"))
 	var late []*fakes.Client
 	for n := range arriving {
 		c := fakes.NewClient(t, addr, false)
-		c.Send(hello + string(pg.AppendQuery(nil, readStatement(fmt.Sprint("late", n), "served"))))
+		c.Send(startup + string(pg.AppendQuery(nil, readStatement(fmt.Sprint("late", n), "served"))))
 		late = append(late, c)
 	}
 	<-held
-	term <- syscall.SIGTERM
+	signals <- syscall.SIGTERM
 	if got := first.Answer(); got != "closed" {
-		t.Fatalf("the first: %q", got)
+		t.Fatalf("first session: %q", got)
 	}
 	closeSocket(first)
-	<-empty // the last session has closed
+	<-lastClosed // the last session has closed
 	close(release)
 	for n, c := range late {
 		for _, want := range []string{"ready", "served ok ready", "closed"} {
 			if got := c.Answer(); got != want {
-				t.Fatalf("late %d: got %q, want %q", n, got, want)
+				t.Fatalf("late connection %d: got %q, want %q", n, got, want)
 			}
 		}
 		closeSocket(c)
@@ -119,28 +119,28 @@
 	}
 }
 
-// SIGTERM comes several times, with a SIGHUP between, while a write waits for a primary and half a query has come: both get their
-// answers, and the process ends once.
+// SIGTERM arrives several times, with a SIGHUP in between, while a write waits for a primary and another query is incomplete. Both get
+// their responses, and the process stops once.
 func TestSignals_RepeatedWhileRequestHeld(t *testing.T) {
-	addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newMemberWithRole(t, 0).Addr)
-	held := fakes.NewClient(t, addr, true)
-	held.Ask("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // rejected at half its time, after the sweep
-	half := fakes.NewClient(t, addr, true)
-	ask := string(pg.AppendQuery(nil, readStatement("half", "whole")))
-	half.Send(ask[:20])
+	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newMemberWithRole(t, 0).Addr)
+	waiting := fakes.NewClient(t, addr, true)
+	waiting.Ask("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // rejected at half its deadline, after several sweeps of the sessions
+	incomplete := fakes.NewClient(t, addr, true)
+	query := string(pg.AppendQuery(nil, readStatement("half", "whole")))
+	incomplete.Send(query[:20])
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
-		term <- s
+		signals <- s
 	}
-	if got := held.Answer(); got != "53300 ready" {
-		t.Errorf("held: %q", got)
+	if got := waiting.Answer(); got != "53300 ready" {
+		t.Errorf("waiting write: %q", got)
 	}
-	half.Send(ask[20:])
-	if got := half.Answer(); got != "whole ok ready" {
-		t.Errorf("half: %q", got)
+	incomplete.Send(query[20:])
+	if got := incomplete.Answer(); got != "whole ok ready" {
+		t.Errorf("incomplete query: %q", got)
 	}
-	for _, c := range []*fakes.Client{held, half} {
+	for _, c := range []*fakes.Client{waiting, incomplete} {
 		if got := c.Answer(); got != "closed" {
-			t.Errorf("got %q, want the end", got)
+			t.Errorf("got %q, want the session closed", got)
 		}
 		closeSocket(c)
 	}
@@ -149,22 +149,22 @@
 	}
 }
 
-// SIGTERM comes before the router listens: it serves the clients that are connected, and ends.
+// SIGTERM arrives before the router listens: it serves the clients already connected, and then stops.
 func TestSignals_BeforeListen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := strings.Replace(platformConfig, `"members":[]`, fmt.Sprintf(`"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]`, newPrimary(t).Addr), 1)
-	conf, err := Load(writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
+	config, err := Load(writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := fakes.NewClient(t, l.Addr().String(), false) // the system takes it before the router does
+	c := fakes.NewClient(t, l.Addr().String(), false) // the kernel accepts the connection before the router does
 	c.Send(string(pg.AppendStartup(nil, "api", "ledger")) + string(pg.AppendQuery(nil, readStatement("early", "served"))))
 	signals, ended := make(chan os.Signal, 2), make(chan error, 1)
 	signals <- syscall.SIGTERM
-	go func() { ended <- Run(conf, l, signals) }()
+	go func() { ended <- Run(config, l, signals) }()
 	for _, want := range []string{"ready", "served ok ready", "closed"} {
 		if got := c.Answer(); got != want {
 			t.Fatalf("got %q, want %q", got, want)
--- a/internal/server/gatedmember_test.go
+++ b/internal/server/gatedmember_test.go
@@ -15,17 +15,17 @@
 	"wayloft/internal/pg"
 )
 
-// gatedMember is a member that accepts each login, and answers each statement that says hang, only when the test allows it.
+// gatedMember is a member that accepts a login, or answers a statement containing "hang", only when the test allows it.
 type gatedMember struct {
 	addr            string
 	mu              sync.Mutex
-	logins, replies chan bool // one for each that may go on
-	loginRequests   chan bool // connections that want to be let in
-	singleUse       bool      // a connection ends with its first answer: where one alone is let in
+	logins, replies chan bool // one value for each login or response that is allowed
+	loginRequests   chan bool // one value for each login attempt
+	singleUse       bool      // a connection closes after its first response: set where only one login is allowed at first
 	statements      []string
 }
 
-// newGatedMember starts a member that accepts so many logins at first. primary is its role, under its mutex.
+// newGatedMember starts a member that accepts a number of logins at first. primary is its role, guarded by the member's mutex.
 func newGatedMember(t *testing.T, logins int, primary *bool) *gatedMember {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,15 +52,15 @@
 
 func (g *gatedMember) serve(c net.Conn, primary *bool, ended chan bool) {
 	defer closeSocket(c)
-	in, buf := pg.NewReader(false, 1<<20), make([]byte, 1<<12)
+	reader, buf := pg.NewReader(false, 1<<20), make([]byte, 1<<12)
 	for {
 		n, err := c.Read(buf)
 		if err != nil {
 			return
 		}
-		in.Feed(buf[:n])
-		for m, ok, _ := in.Next(); ok; m, ok, _ = in.Next() {
-			out := pg.AppendGreeting(nil, 0)
+		reader.Feed(buf[:n])
+		for m, ok, _ := reader.Next(); ok; m, ok, _ = reader.Next() {
+			reply := pg.AppendGreeting(nil, 0)
 			switch {
 			case m.Kind == pg.Startup:
 				g.loginRequests <- true
@@ -70,7 +70,7 @@
 					return
 				}
 			case m.Text == "":
-				out = pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
+				reply = pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
 			case m.Text == "SHOW vitals":
 				g.mu.Lock()
 				x1 := 0
@@ -78,7 +78,7 @@
 					x1 = 1
 				}
 				g.mu.Unlock()
-				out = pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))
+				reply = pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=%d", time.Now().Unix(), x1)))
 			default:
 				g.mu.Lock()
 				g.statements = append(g.statements, m.Text)
@@ -90,11 +90,11 @@
 						return
 					}
 				}
-				if out = fakes.Row("v", "source", "1").Bytes; strings.Contains(m.Text, "fail") {
-					out = fakes.Fail("XX000").Bytes
+				if reply = fakes.Row("v", "source", "1").Bytes; strings.Contains(m.Text, "fail") {
+					reply = fakes.Fail("XX000").Bytes
 				}
 			}
-			if _, err := c.Write(out); err != nil || g.singleUse && m.Kind == pg.Query {
+			if _, err := c.Write(reply); err != nil || g.singleUse && m.Kind == pg.Query {
 				return
 			}
 		}
@@ -108,7 +108,7 @@
 	return strings.Contains(strings.Join(g.statements, "|"), "id="+id+",")
 }
 
-// startGatedRouter starts a router with a gated member. wait returns once the router has noticed that a client has gone.
+// startGatedRouter starts a router with a gated member. wait returns once the router has noticed that a client disconnected.
 func startGatedRouter(t *testing.T, logins int, primary *bool) (g *gatedMember, addr string, wait func()) {
 	t.Helper()
 	g = newGatedMember(t, logins, primary)
@@ -127,7 +127,7 @@
 	})
 }
 
-// notifyClosedClients returns a function that waits until the router has noticed that one more client has gone.
+// notifyClosedClients returns a function that waits until the router has noticed that one more client disconnected.
 func notifyClosedClients(t *testing.T) (wait func()) {
 	t.Helper()
 	gone := make(chan bool, 100)
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -20,7 +20,7 @@
 	"wayloft/internal/pg"
 )
 
-// platformConfig is a configuration in the platform's form, whose parts tests replace.
+// platformConfig is a configuration in the platform's JSON format. Tests replace parts of it.
 const platformConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":16,"sockets":256},
 "known":{"revision":41,"complete":true,"members":[]},
@@ -33,7 +33,7 @@
 "profiles":[{"name":"look","target":500000,"deadline":3000000,"worth":1,"idempotency":"retryable"},
 {"name":"put","target":500000,"deadline":3000000,"worth":1,"idempotency":"fragile"}]}}`
 
-// closeSocket closes a socket whose peer may have closed it already.
+// closeSocket closes a socket and ignores the error, since the peer may have closed it already.
 func closeSocket(c io.Closer) { _ = c.Close() }
 
 // writeFile writes a file and returns its name.
@@ -45,48 +45,49 @@
 	return file
 }
 
-// startRouter starts a router in the platform's form. It returns its address, the channel of its signals and the result of Run.
-func startRouter(t *testing.T, discovery string, sockets int, members ...string) (addr string, term chan os.Signal, ended chan error) {
+// startRouter starts a router with a configuration in the platform's format. It returns its address, its signal channel and a channel
+// with the result of Run.
+func startRouter(t *testing.T, discovery string, sockets int, members ...string) (addr string, signals chan os.Signal, ended chan error) {
 	t.Helper()
 	return startRouterWith(t, nil, discovery, sockets, members...)
 }
 
-// startRouterWith does what startRouter does with other settings: pairs of an old and a new text.
-func startRouterWith(t *testing.T, swap []string, discovery string, sockets int, members ...string) (addr string, term chan os.Signal, ended chan error) {
+// startRouterWith is like startRouter, with replacements in the configuration: pairs of an old and a new text.
+func startRouterWith(t *testing.T, replacements []string, discovery string, sockets int, members ...string) (addr string, signals chan os.Signal, ended chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr = l.Addr().String()
-	var rows []string
+	var entries []string
 	for n, m := range members {
-		rows = append(rows, fmt.Sprintf(`{"id":"m%d","host_port":"%s","locality":"z","cell":2,"phase":"in_service"}`, n, m))
+		entries = append(entries, fmt.Sprintf(`{"id":"m%d","host_port":"%s","locality":"z","cell":2,"phase":"in_service"}`, n, m))
 	}
-	text := strings.NewReplacer(append(swap, "127.0.0.1:0", addr, "127.0.0.1:1", discovery, `"members":[]`,
-		`"members":[`+strings.Join(rows, ",")+`]`, `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets))...).Replace(platformConfig)
+	text := strings.NewReplacer(append(replacements, "127.0.0.1:0", addr, "127.0.0.1:1", discovery, `"members":[]`,
+		`"members":[`+strings.Join(entries, ",")+`]`, `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets))...).Replace(platformConfig)
 	t.Setenv("PROXY_CONFIG", writeFile(t, filepath.Join(t.TempDir(), "config.json"), text))
-	conf, err := Load(os.Getenv("PROXY_CONFIG"))
+	config, err := Load(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	term, ended = make(chan os.Signal, 2), make(chan error, 1)
-	runUntilCleanup(t, conf, l, term, ended)
-	return addr, term, ended
+	signals, ended = make(chan os.Signal, 2), make(chan error, 1)
+	runUntilCleanup(t, config, l, signals, ended)
+	return addr, signals, ended
 }
 
-// runUntilCleanup runs a router, and has it drain and end before the test's listener and members are closed. It waits for the end, since
-// a router that still drains would reach failpoints that the next test has set. ended is closed behind the result of Run.
-func runUntilCleanup(t *testing.T, conf *Config, listener net.Listener, term chan os.Signal, ended chan error) {
+// runUntilCleanup runs a router, and at cleanup makes it drain and stop before the test's listener and members are closed. It waits for
+// the end, since a router that is still draining would reach failpoints set by the next test. ended is closed after the result of Run.
+func runUntilCleanup(t *testing.T, config *Config, listener net.Listener, signals chan os.Signal, ended chan error) {
 	t.Helper()
 	go func() {
-		ended <- Run(conf, listener, term)
+		ended <- Run(config, listener, signals)
 		close(ended)
 	}()
 	t.Cleanup(func() {
 		select {
-		case term <- os.Interrupt:
-		case err := <-ended: // the test has ended it
+		case signals <- os.Interrupt:
+		case err := <-ended: // the test has stopped the router
 			if err != nil {
 				t.Error(err)
 			}
@@ -98,16 +99,16 @@
 	})
 }
 
-// startPooledRouter starts a router with a pool before a cluster of fake servers, until the test is over.
-func startPooledRouter(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster) {
+// startPooledRouter starts a router with a pool in front of a cluster of fake servers. Both are stopped at cleanup.
+func startPooledRouter(t *testing.T, members int, p lab.Pool, configure func(*pgserver.Server)) (string, *lab.Cluster) {
 	t.Helper()
-	return startDefectivePooledRouter(t, members, p, session.SeededDefects{}, set)
+	return startDefectivePooledRouter(t, members, p, session.SeededDefects{}, configure)
 }
 
-// startDefectivePooledRouter does so with defects in the router's sessions, which a test is to find.
-func startDefectivePooledRouter(t *testing.T, members int, p lab.Pool, defects session.SeededDefects, set func(*pgserver.Server)) (string, *lab.Cluster) {
+// startDefectivePooledRouter is like startPooledRouter, with seeded defects in the router's sessions for a test to detect.
+func startDefectivePooledRouter(t *testing.T, members int, p lab.Pool, defects session.SeededDefects, configure func(*pgserver.Server)) (string, *lab.Cluster) {
 	t.Helper()
-	addr, cluster, signals, ended := runPooledRouter(t, members, p, defects, set)
+	addr, cluster, signals, ended := runPooledRouter(t, members, p, defects, configure)
 	t.Cleanup(func() {
 		signals <- os.Interrupt
 		if err := <-ended; err != nil {
@@ -118,15 +119,15 @@
 	return addr, cluster
 }
 
-// startDrainablePool does what startPooledRouter does, and leaves it to the test to end the router and the cluster.
-func startDrainablePool(t *testing.T, members int, p lab.Pool, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
+// startDrainablePool is like startPooledRouter, but the test itself stops the router and the cluster.
+func startDrainablePool(t *testing.T, members int, p lab.Pool, configure func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
 	t.Helper()
-	return runPooledRouter(t, members, p, session.SeededDefects{}, set)
+	return runPooledRouter(t, members, p, session.SeededDefects{}, configure)
 }
 
-func runPooledRouter(t *testing.T, members int, p lab.Pool, defects session.SeededDefects, set func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
+func runPooledRouter(t *testing.T, members int, p lab.Pool, defects session.SeededDefects, configure func(*pgserver.Server)) (string, *lab.Cluster, chan os.Signal, chan error) {
 	t.Helper()
-	c, err := lab.StartCluster(members, 0, set)
+	c, err := lab.StartCluster(members, 0, configure)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,22 +138,23 @@
 	if p.Mode == "" {
 		p.Mode = "transaction"
 	}
-	conf, err := DecodeTOML([]byte(c.Configuration(l.Addr().String(), p)))
+	config, err := DecodeTOML([]byte(c.Configuration(l.Addr().String(), p)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range conf.pools {
-		conf.pools[n].Policy.SeededDefects = defects
+	for n := range config.pools {
+		config.pools[n].Policy.SeededDefects = defects
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- Run(conf, l, signals) }()
+	go func() { ended <- Run(config, l, signals) }()
 	return l.Addr().String(), c, signals, ended
 }
 
-// newPrimary starts a primary that answers a statement with its last word.
+// newPrimary starts a primary that answers a statement with the statement's last word.
 func newPrimary(t *testing.T) *fakes.Member { return newMemberWithRole(t, 1) }
 
-// newMemberWithRole starts a member that answers a statement with its last word, and health checks with a role: 1 for the primary.
+// newMemberWithRole starts a member that answers a statement with the statement's last word, and health checks with a role: 1 for the
+// primary.
 func newMemberWithRole(t *testing.T, x1 int) *fakes.Member {
 	return fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		switch {
@@ -169,41 +171,41 @@
 	})
 }
 
-// readStatement is an idempotent read in the platform's form.
-func readStatement(id, what string) string {
-	return fmt.Sprintf("/* id=%s,c=look,t=n,d=2000,cluster=2 */ SELECT %s", id, what)
+// readStatement returns an idempotent read in the platform's statement format.
+func readStatement(id, expression string) string {
+	return fmt.Sprintf("/* id=%s,c=look,t=n,d=2000,cluster=2 */ SELECT %s", id, expression)
 }
 
-// writeStatement is a non-idempotent write in the platform's form.
-func writeStatement(id, what string) string {
-	return fmt.Sprintf("/* id=%s,c=put,t=n,d=400,cluster=2 */ INSERT %s", id, what)
+// writeStatement returns a non-idempotent write in the platform's statement format.
+func writeStatement(id, values string) string {
+	return fmt.Sprintf("/* id=%s,c=put,t=n,d=400,cluster=2 */ INSERT %s", id, values)
 }
 
-// insertSQL writes a row and returns its value.
+// insertSQL returns a statement that inserts a row and returns its value.
 func insertSQL(handle, blob string) string {
 	return fmt.Sprintf("INSERT INTO rows (handle, blob) VALUES ('%s', '%s') RETURNING blob", handle, blob)
 }
 
-// queryMessage is a simple query as it is sent.
+// queryMessage returns an encoded Query message.
 func queryMessage(sql string) string { return string(pg.AppendQuery(nil, sql)) }
 
-// readAnswers reads so many answers, and returns how long after since the last of them came.
+// readAnswers reads count responses, and returns them with the time from since to the last one.
 func readAnswers(c *fakes.Client, count int, since time.Time) (string, time.Duration) {
-	var all []string
+	var answers []string
 	for range count {
-		all = append(all, c.Answer())
+		answers = append(answers, c.Answer())
 	}
-	return strings.Join(all, "; "), time.Since(since)
+	return strings.Join(answers, "; "), time.Since(since)
 }
 
-// askAll sends simple queries one by one and joins the answers.
+// askAll sends simple queries one by one and joins the responses.
 func askAll(c *fakes.Client, sql ...string) string {
-	var out []string
+	var answers []string
 	for _, q := range sql {
 		c.Ask(q)
-		out = append(out, c.Answer())
+		answers = append(answers, c.Answer())
 	}
-	return strings.Join(out, "; ")
+	return strings.Join(answers, "; ")
 }
 
 // askOnce sends one query on a session of its own.
@@ -214,8 +216,8 @@
 	return askAll(c, sql)
 }
 
-// openSessions opens sessions that have one request each and stay.
-func openSessions(t *testing.T, addr string, count int) (all []*fakes.Client) {
+// openSessions opens client sessions that send one request each and stay open.
+func openSessions(t *testing.T, addr string, count int) (clients []*fakes.Client) {
 	t.Helper()
 	for n := range count {
 		c := fakes.NewClient(t, addr, true)
@@ -223,15 +225,15 @@
 		if got := c.Answer(); got != "x ok ready" {
 			t.Fatalf("client %d: %q", n, got)
 		}
-		all = append(all, c)
+		clients = append(clients, c)
 	}
-	return all
+	return clients
 }
 
-// connectionURL is the address of a router as drivers have it.
+// connectionURL returns the connection URL of a router for database drivers.
 func connectionURL(addr string) string { return "postgres://api@" + addr + "/ledger?sslmode=disable" }
 
-// errorCode is the SQLSTATE of an error, or its text.
+// errorCode returns the SQLSTATE of an error, or its text if it has none.
 func errorCode(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
@@ -240,8 +242,8 @@
 	return fmt.Sprint(err)
 }
 
-// statementsSeen returns the statements that a member was sent.
+// statementsSeen returns the statements that a member has received.
 func statementsSeen(m *fakes.Member) []string {
-	_, asked := m.Seen()
-	return asked
+	_, statements := m.Seen()
+	return statements
 }
--- a/internal/server/incomplete_test.go
+++ b/internal/server/incomplete_test.go
@@ -11,58 +11,58 @@
 	"wayloft/internal/pg"
 )
 
-// maxStopWait is how long a client that stops in the middle of a request may wait for its error or the end.
+// maxStopWait is the longest time within which a client that stops in the middle of a request must get its error or be disconnected.
 const maxStopWait = 3 * time.Second
 
-// A client that stops in the middle of a request gets its error or the end in time, in each state of a session.
+// A client that stops in the middle of a request gets its error or is disconnected in time, in each state of a session.
 func TestIncompleteRequest_TimesOut(t *testing.T) {
 	parse := string(pg.AppendParse(nil, "", []byte("SELECT 1\x00\x00\x00")))
 	bind := string(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}))
 	half := queryMessage("SELECT 1")[:9]
-	hello := string(pg.AppendStartup(nil, "api", "ledger"))
-	secure := "\x00\x00\x00\x08\x04\xd2\x16\x2f"
+	startup := string(pg.AppendStartup(nil, "api", "ledger"))
+	sslRequest := "\x00\x00\x00\x08\x04\xd2\x16\x2f"
 	platform, _, _ := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
-	fakes.NewClient(t, platform, true) // it is up: two of a process must not start at once
+	fakes.NewClient(t, platform, true) // wait until it is up: two routers of one process must not start at the same time
 	pooled, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 20}, nil)
 	for _, c := range []struct {
 		name, addr string
-		ask        []string // each answered before the next
+		ask        []string // each gets its response before the next is sent
 		stop, want string
 	}{
-		{"in the startup", platform, nil, hello[:9], "57P05 closed"},
-		{"in a request for TLS", platform, nil, secure[:6], "57P05 closed"},
-		{"behind a half query that is sent ahead", platform, nil, hello + queryMessage(strings.Replace(writeStatement("p1", "hang"), "d=400", "d=2000", 1)) + half, "ready; 08007 ready; 57P05 closed"},
-		{"in the startup of a pool", pooled, nil, hello[:9], "57P05 closed"},
-		{"in a query", pooled, []string{hello}, half, "57P05 closed"},
-		{"before Sync", pooled, []string{hello}, parse, "57P05 closed"},
-		{"before Sync, in a message", pooled, []string{hello}, parse + bind[:6], "57P05 closed"},
-		{"in a query of a transaction", pooled, []string{hello, queryMessage("BEGIN"), queryMessage(insertSQL("stops", "1"))}, half, "57P05 closed"},
-		{"before Sync in a transaction", pooled, []string{hello, queryMessage("BEGIN"), queryMessage(insertSQL("stops", "2"))}, parse, "57P05 closed"},
-		{"in a row that it copies in", pooled, []string{hello}, queryMessage("COPY rows (handle, blob) FROM STDIN") + "d\x00\x00\x00\x0bst", "57P05 closed"},
+		{"in the startup message", platform, nil, startup[:9], "57P05 closed"},
+		{"in an SSLRequest", platform, nil, sslRequest[:6], "57P05 closed"},
+		{"in a query pipelined behind another", platform, nil, startup + queryMessage(strings.Replace(writeStatement("p1", "hang"), "d=400", "d=2000", 1)) + half, "ready; 08007 ready; 57P05 closed"},
+		{"in the startup message, to a pool", pooled, nil, startup[:9], "57P05 closed"},
+		{"in a query", pooled, []string{startup}, half, "57P05 closed"},
+		{"before Sync", pooled, []string{startup}, parse, "57P05 closed"},
+		{"before Sync, within a message", pooled, []string{startup}, parse + bind[:6], "57P05 closed"},
+		{"in a query within a transaction", pooled, []string{startup, queryMessage("BEGIN"), queryMessage(insertSQL("stops", "1"))}, half, "57P05 closed"},
+		{"before Sync within a transaction", pooled, []string{startup, queryMessage("BEGIN"), queryMessage(insertSQL("stops", "2"))}, parse, "57P05 closed"},
+		{"in a row of COPY data", pooled, []string{startup}, queryMessage("COPY rows (handle, blob) FROM STDIN") + "d\x00\x00\x00\x0bst", "57P05 closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			one := fakes.NewClient(t, c.addr, false)
+			client := fakes.NewClient(t, c.addr, false)
 			for _, ask := range c.ask {
-				one.Send(ask)
-				if got := one.Answer(); !strings.HasSuffix(got, "ready") {
-					t.Fatalf("before it stops: %q", got)
+				client.Send(ask)
+				if got := client.Answer(); !strings.HasSuffix(got, "ready") {
+					t.Fatalf("before the incomplete request: %q", got)
 				}
 			}
 			since := time.Now()
-			one.Send(c.stop)
-			got, after := readAnswers(one, 1+strings.Count(c.want, ";"), since)
+			client.Send(c.stop)
+			got, after := readAnswers(client, 1+strings.Count(c.want, ";"), since)
 			if got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 			if after > maxStopWait {
-				t.Errorf("after %v", after)
+				t.Errorf("ended too late, after %v", after)
 			}
 		})
 	}
 }
 
-// A client that has stopped in the middle of a request does not hold up a drain.
+// A client that has stopped in the middle of a request does not delay a drain.
 func TestIncompleteRequest_DuringDrain(t *testing.T) {
 	for name, stop := range map[string]string{
 		"in a query":  queryMessage("SELECT 1")[:9],
@@ -71,49 +71,49 @@
 		t.Run(name, func(t *testing.T) {
 			addr, cluster, signals, ended := startDrainablePool(t, 1, lab.Pool{PerMember: 1}, nil)
 			t.Cleanup(cluster.Close)
-			one := fakes.NewClient(t, addr, true)
-			one.Send(stop)
+			client := fakes.NewClient(t, addr, true)
+			client.Send(stop)
 			since := time.Now()
 			signals <- syscall.SIGTERM
-			got, after := readAnswers(one, 1, since)
+			got, after := readAnswers(client, 1, since)
 			if got != "57P01 closed" || after > maxStopWait {
 				t.Errorf("got %q after %v", got, after)
 			}
-			closeSocket(one)
+			closeSocket(client)
 			if err := <-ended; err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	t.Run("on the platform", func(t *testing.T) {
-		addr, term, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
-		one := fakes.NewClient(t, addr, true)
-		one.Ask(readStatement("first", "x"))
+		addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
+		client := fakes.NewClient(t, addr, true)
+		client.Ask(readStatement("first", "x"))
 		whole := queryMessage(readStatement("half", "x"))
-		one.Send(whole[:len(whole)-1])
-		term <- syscall.SIGTERM
-		if got, _ := readAnswers(one, 2, time.Now()); got != "x ok ready; 53300 closed" {
+		client.Send(whole[:len(whole)-1])
+		signals <- syscall.SIGTERM
+		if got, _ := readAnswers(client, 2, time.Now()); got != "x ok ready; 53300 closed" {
 			t.Errorf("got %q", got)
 		}
-		closeSocket(one)
+		closeSocket(client)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// Complete requests ahead of what ends a session are answered first.
+// Complete requests that precede a protocol error or a Terminate get their responses before the session ends.
 func TestPool_RequestsBeforeProtocolErrorAnswered(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	for _, c := range []struct{ name, send, want string }{
 		{"an unknown message", "?\x00\x00\x00\x04", "08P01 closed"},
-		{"too long a message", "Q\x7f\x00\x00\x00", "54000 closed"},
-		{"its own end", "X\x00\x00\x00\x04", "closed"},
+		{"a message that is too long", "Q\x7f\x00\x00\x00", "54000 closed"},
+		{"Terminate", "X\x00\x00\x00\x04", "closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := fakes.NewClient(t, addr, true)
-			one.Send(queryMessage("SELECT 1") + queryMessage("SELECT 1") + c.send)
-			if got, _ := readAnswers(one, 3, time.Now()); got != "1 ok ready; 1 ok ready; "+c.want {
+			client := fakes.NewClient(t, addr, true)
+			client.Send(queryMessage("SELECT 1") + queryMessage("SELECT 1") + c.send)
+			if got, _ := readAnswers(client, 3, time.Now()); got != "1 ok ready; 1 ok ready; "+c.want {
 				t.Errorf("got %q", got)
 			}
 		})
--- a/internal/server/mixedclient_test.go
+++ b/internal/server/mixedclient_test.go
@@ -11,25 +11,25 @@
 	"wayloft/internal/pg"
 )
 
-// settingNames are the settings that clients set. The owner is set at the startup, to the client's id.
+// settingNames are the settings that clients set. The owner is set to the client's id in the startup message.
 var settingNames = []string{"owner", "x", "y"}
 
-// mixedClient is one client of the mixed run, with its own account of what it has set, prepared and written.
+// mixedClient is one client of the mixed run. It tracks what it has set, prepared and written.
 type mixedClient struct {
 	id            int
 	client        *fakes.Client
 	random        *rand.Rand
-	settings      map[string]string // in force
-	committed     map[string]string // in force after a rollback
+	settings      map[string]string // current values
+	committed     map[string]string // values after a rollback
 	inTransaction bool
-	prepared      map[string]string // texts of prepared statements, by name
-	lastWritten   string            // value of its own row; empty: not known
+	prepared      map[string]string // text of each prepared statement, by name
+	lastWritten   string            // value of the client's own row; empty if unknown
 	transactions  int
-	codes         map[string]int // how often each error came
+	codes         map[string]int // number of errors by SQLSTATE
 	failure       string         // the first violation
 }
 
-// note gives the client's id and settings, as its statements carry them to the member.
+// note returns the client's id and settings in the form in which its statements carry them to the member.
 func (m *mixedClient) note() string {
 	out := fmt.Sprintf("c%d", m.id)
 	for _, name := range settingNames {
@@ -46,13 +46,13 @@
 	return out
 }
 
-// ask sends a simple query. ok is false after an error that the run expects, such as a rejection or a lost transaction.
+// ask sends a simple query. ok is false after an error, such as a rejection or a lost transaction, or a disconnect.
 func (m *mixedClient) ask(sql string) (answer string, ok bool) {
 	m.client.Ask(sql)
 	return m.readAnswer(sql)
 }
 
-// readAnswer reads the answer to a query, and counts the errors that the run expects.
+// readAnswer reads the response to a query and counts the errors that the run expects.
 func (m *mixedClient) readAnswer(sql string) (answer string, ok bool) {
 	answer = m.client.Answer()
 	for _, code := range []string{"53300", "08006", "08007", "40001", "25P02", "57014", "XX000"} {
@@ -73,14 +73,14 @@
 	return answer, true
 }
 
-// fail records a violation, unless there is one already.
+// fail records a violation, unless one is already recorded.
 func (m *mixedClient) fail(format string, args ...any) {
 	if m.failure == "" {
 		m.failure = fmt.Sprintf("client %d: ", m.id) + fmt.Sprintf(format, args...)
 	}
 }
 
-// checkSettings sends a note by a simple query, a named or an unnamed statement, and checks the answer.
+// checkSettings sends a note by a simple query, or a named or unnamed prepared statement, and checks the response.
 func (m *mixedClient) checkSettings() {
 	note := m.note()
 	var answer string
@@ -88,7 +88,7 @@
 	switch m.random.IntN(3) {
 	case 0:
 		answer, ok = m.ask("SELECT note('" + note + "')")
-	case 1: // by a prepared statement with one name for all clients, and a text that is its client's
+	case 1: // a prepared statement whose name all clients share and whose text depends on the client
 		text := m.prepared["p"]
 		if text == "" {
 			text = fmt.Sprintf("SELECT /* %d */ note($1)", m.id%7)
@@ -106,17 +106,16 @@
 		answer, ok = m.readAnswer("execute")
 	}
 	if ok && answer != note+" ok ready" {
-		m.fail("asked %q, got %q", note, answer)
+		m.fail("sent note %q, got %q", note, answer)
 	}
 }
 
-// bindTail is the part of a Bind message behind the names, with one parameter.
+// bindTail returns the part of a Bind message that follows the names, with one parameter.
 func bindTail(s string) []byte {
 	out := []byte{0, 0, 0, 1, 0, 0, byte(len(s) >> 8), byte(len(s))}
 	return append(append(out, s...), 0, 0)
 }
 
-// changeSetting sets one setting.
 func (m *mixedClient) changeSetting() {
 	name, v := settingNames[1+m.random.IntN(2)], fmt.Sprint(m.random.IntN(3))
 	if _, ok := m.ask(fmt.Sprintf("SET m.%s = '%s'", name, v)); ok {
@@ -127,7 +126,7 @@
 	}
 }
 
-// runTransaction runs a random transaction.
+// runTransaction runs one randomly chosen kind of transaction.
 func (m *mixedClient) runTransaction() {
 	m.transactions++
 	switch m.random.IntN(11) {
@@ -154,7 +153,7 @@
 	}
 }
 
-// cancelSleep sends a cancel request that may come too early, in time, or as the statement ends.
+// cancelSleep sends a cancel request that may arrive too early, in time, or as the statement ends.
 func (m *mixedClient) cancelSleep() {
 	m.client.Ask("SELECT pg_sleep(0.004)")
 	if m.random.IntN(2) == 0 {
@@ -165,7 +164,7 @@
 		closeSocket(c)
 	}
 	if answer, ok := m.readAnswer("a sleep"); ok && answer != " ok ready" {
-		m.fail("a sleep is answered with %q", answer)
+		m.fail("response to a sleep: %q", answer)
 	}
 }
 
@@ -192,7 +191,7 @@
 	}
 }
 
-// changeLocalSetting sets a setting for one transaction alone.
+// changeLocalSetting changes a setting for one transaction only.
 func (m *mixedClient) changeLocalSetting() {
 	if _, ok := m.ask("BEGIN"); !ok {
 		return
@@ -209,13 +208,13 @@
 	m.checkSettings()
 }
 
-// writeRow writes the client's own row and reads it, on whatever connection and member.
+// writeRow writes the client's own row and reads it back, on any connection and member.
 func (m *mixedClient) writeRow() {
 	v := fmt.Sprintf("%d-%d", m.id, m.transactions)
 	sql := fmt.Sprintf("INSERT INTO rows (handle, blob) VALUES ('own%d', '%s') RETURNING blob", m.id, v)
 	if answer, ok := m.ask(sql); !ok {
 		if !strings.Contains(answer, "53300") {
-			m.lastWritten = "" // it may have been written or not
+			m.lastWritten = "" // the outcome of the write is unknown
 		}
 		return
 	}
@@ -227,12 +226,12 @@
 	out := pg.AppendParse(nil, "", []byte("SELEKT\x00\x00\x00"))
 	out = pg.AppendExecute(pg.AppendBind(out, "", "", []byte{0, 0, 0, 0, 0, 0}), "")
 	m.client.Send(string(pg.AppendSync(out)))
-	if answer, ok := m.readAnswer("a mistake"); ok && answer != "42601 ready" {
-		m.fail("a mistake is answered with %q", answer)
+	if answer, ok := m.readAnswer("a syntax error"); ok && answer != "42601 ready" {
+		m.fail("response to a syntax error: %q", answer)
 	}
 }
 
-// discardAll resets the session to the settings of its startup, one time in four.
+// discardAll resets the session to its startup settings, one time in four.
 func (m *mixedClient) discardAll() {
 	if m.random.IntN(4) != 0 {
 		return
@@ -251,6 +250,6 @@
 	}
 	sql := fmt.Sprintf("BEGIN READ ONLY; SELECT blob FROM rows WHERE handle = 'own%d'; COMMIT", m.id)
 	if answer, ok := m.ask(sql); ok && answer != "ok "+m.lastWritten+" ok ok ready" {
-		m.fail("its last write is %q, and it reads %q", m.lastWritten, answer)
+		m.fail("last write %q, but a later read returned %q", m.lastWritten, answer)
 	}
 }
--- a/internal/server/pool_test.go
+++ b/internal/server/pool_test.go
@@ -16,7 +16,7 @@
 	"wayloft/internal/pg"
 )
 
-// A current Go driver in its default mode uses the router as its database: queries, transactions, batches, COPY, cancels, settings.
+// The pgx driver in its default mode works through the router: queries, transactions, batches, COPY, cancel requests and settings.
 func TestPool_PgxDriver(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 3, lab.Pool{PerMember: 4}, nil)
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
@@ -32,7 +32,7 @@
 	checkDriverQueries(ctx, t, db)
 	checkDriverTransactions(ctx, t, db)
 	if reads := cluster.Servers[1].Counts().Accepted + cluster.Servers[2].Counts().Accepted; reads == 0 {
-		t.Error("no replica was asked")
+		t.Error("no replica was used")
 	}
 	checkDriverBulk(ctx, t, db)
 	checkDriverErrors(ctx, t, db)
@@ -82,7 +82,7 @@
 	}
 }
 
-// checkDriverBulk sends a batch and copies rows in.
+// checkDriverBulk sends a batch and copies rows with COPY FROM.
 func checkDriverBulk(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
 	t.Helper()
 	b := &pgx.Batch{}
@@ -107,15 +107,15 @@
 	t.Helper()
 	short, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	if _, err := db.Exec(short, "SELECT pg_sleep(20)"); err == nil {
-		t.Error("a context's end did not end its query")
+		t.Error("the end of the context did not cancel the query")
 	}
 	end()
 	if _, err := db.Exec(ctx, "SELEKT"); errorCode(err) != "42601" {
-		t.Errorf("a mistake: %v", err)
+		t.Errorf("syntax error: %v", err)
 	}
 }
 
-// checkDriverSettings has one connection's setting stay its own.
+// checkDriverSettings checks that a setting stays on the driver's connection that set it.
 func checkDriverSettings(ctx context.Context, t *testing.T, db *pgxpool.Pool) {
 	t.Helper()
 	conn, err := db.Acquire(ctx)
@@ -132,17 +132,17 @@
 	}
 	var other string
 	if err := db.QueryRow(ctx, "SHOW application_name").Scan(&other); err != nil || other != "" {
-		t.Errorf("another's setting: %q, %v", other, err)
+		t.Errorf("setting on another connection: %q, %v", other, err)
 	}
 }
 
-// Simple queries of a pool's client: settings, transactions, errors.
+// A pool's client sends simple queries: settings, transactions and errors.
 func TestPool_SimpleQueries(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "pins = false\n"}, nil)
-	for n, c := range []struct{ ask, want string }{
+	for n, c := range []struct{ queries, want string }{
 		{"", "empty ready"},
 		{"SET a.x = '1'|SHOW a.x", "ok ready; 1 ok ready"},
-		{"SHOW a.x", " ok ready"}, // of the one before, on the same connection
+		{"SHOW a.x", " ok ready"}, // set by the previous session on the same member connection
 		{"BEGIN|SET a.x = '1'|ROLLBACK|SHOW a.x", "ok ready; ok ready; ok ready;  ok ready"},
 		{"BEGIN|SET a.x = '1'|COMMIT|SHOW a.x", "ok ready; ok ready; ok ready; 1 ok ready"},
 		{"BEGIN|SET LOCAL a.x = '1'|SHOW a.x|COMMIT|SHOW a.x", "ok ready; ok ready; 1 ok ready; ok ready;  ok ready"},
@@ -166,60 +166,60 @@
 		{"PREPARE p AS SELECT 1", "0A000 ready"},
 		{"COPY rows TO STDOUT", "ok ready"},
 	} {
-		one := fakes.NewClient(t, addr, true)
-		var asks []string
-		if asks = strings.Split(c.ask, "|"); c.ask == "" {
-			asks = []string{""}
+		client := fakes.NewClient(t, addr, true)
+		var texts []string
+		if texts = strings.Split(c.queries, "|"); c.queries == "" {
+			texts = []string{""}
 		}
-		if got := askAll(one, asks...); got != c.want {
-			t.Errorf("%d: %s: got %q, want %q", n, c.ask, got, c.want)
+		if got := askAll(client, texts...); got != c.want {
+			t.Errorf("%d: %s: got %q, want %q", n, c.queries, got, c.want)
 		}
-		one.Send(string(pg.AppendBodyless(nil, 'X')))
-		closeSocket(one)
+		client.Send(string(pg.AppendBodyless(nil, 'X')))
+		closeSocket(client)
 	}
-	if n := cluster.Servers[0].Counts(); n.Peak > 2 { // and one for checks
+	if n := cluster.Servers[0].Counts(); n.Peak > 2 { // one more is for health checks
 		t.Errorf("%d connections", n.Peak)
 	}
 }
 
-// Pipelines of the extended protocol: names of statements, errors, Flush.
+// A pool's client sends pipelines in the extended query protocol: statement names, errors and Flush.
 func TestPool_ExtendedPipelines(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	parse := func(name, sql string) string { return string(pg.AppendParse(nil, name, []byte(sql+"\x00\x00\x00"))) }
-	bind := func(name string) string {
+	bindExecute := func(name string) string {
 		return string(pg.AppendExecute(pg.AppendBind(nil, "", name, []byte{0, 0, 0, 0, 0, 0}), ""))
 	}
-	about := func(name string) string { return string(pg.AppendDescribe(nil, 'S', name)) }
-	closes := func(name string) string { return string(pg.AppendClose(nil, 'S', name)) }
+	describe := func(name string) string { return string(pg.AppendDescribe(nil, 'S', name)) }
+	closeStatement := func(name string) string { return string(pg.AppendClose(nil, 'S', name)) }
 	sync, flush := string(pg.AppendSync(nil)), string(pg.AppendBodyless(nil, 'H'))
 	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	for n, c := range []struct {
-		who        *fakes.Client
+		client     *fakes.Client
 		send, want string
 	}{
 		{one, parse("s", "SELECT 1") + sync, "ready"},
-		{two, parse("s", "SELECT note('two')") + sync, "ready"}, // one name, another text
-		{one, bind("s") + sync, "1 ok ready"},
-		{two, bind("s") + sync, "two ok ready"},
-		{one, parse("s", "SELECT 1") + bind("s") + sync, "42P05 ready"},
-		{one, bind("t") + sync, "26000 ready"},
-		{one, bind("s") + bind("nope") + bind("s") + sync, "1 ok 26000 ready"},
-		{one, parse("u", "SELECT 1") + bind("nope") + sync + bind("u") + sync, "26000 ready"}, // it was prepared all the same
+		{two, parse("s", "SELECT note('two')") + sync, "ready"}, // the same name with another text
+		{one, bindExecute("s") + sync, "1 ok ready"},
+		{two, bindExecute("s") + sync, "two ok ready"},
+		{one, parse("s", "SELECT 1") + bindExecute("s") + sync, "42P05 ready"},
+		{one, bindExecute("t") + sync, "26000 ready"},
+		{one, bindExecute("s") + bindExecute("nope") + bindExecute("s") + sync, "1 ok 26000 ready"},
+		{one, parse("u", "SELECT 1") + bindExecute("nope") + sync + bindExecute("u") + sync, "26000 ready"}, // it was prepared despite the error
 		{one, "", "1 ok ready"},
-		{one, closes("u") + sync + bind("u") + sync, "ready"},
+		{one, closeStatement("u") + sync + bindExecute("u") + sync, "ready"},
 		{one, "", "26000 ready"},
-		{one, parse("", "SELECT 1") + flush + bind("") + sync, "1 ok ready"},
-		{one, parse("", "SELEKT") + bind("") + flush, ""},
+		{one, parse("", "SELECT 1") + flush + bindExecute("") + sync, "1 ok ready"},
+		{one, parse("", "SELEKT") + bindExecute("") + flush, ""},
 		{one, sync, "42601 ready"},
-		{one, about("s") + bind("s") + flush + sync, "1 ok ready"},
+		{one, describe("s") + bindExecute("s") + flush + sync, "1 ok ready"},
 		{one, sync, "ready"},
-		{one, closes("s") + sync, "ready"},
-		{one, bind("s") + sync, "26000 ready"},
-		{one, parse("b", "BEGIN") + bind("b") + parse("c", "SELECT 1") + bind("c") + sync + bind("c") + sync, "ok 1 ok ready"},
-		{one, parse("r", "ROLLBACK") + bind("r") + sync, "1 ok ready"},
+		{one, closeStatement("s") + sync, "ready"},
+		{one, bindExecute("s") + sync, "26000 ready"},
+		{one, parse("b", "BEGIN") + bindExecute("b") + parse("c", "SELECT 1") + bindExecute("c") + sync + bindExecute("c") + sync, "ok 1 ok ready"},
+		{one, parse("r", "ROLLBACK") + bindExecute("r") + sync, "1 ok ready"},
 		{one, "", "ok ready"},
 	} {
-		one := c.who
+		one := c.client
 		if one.Send(c.send); c.want == "" {
 			continue
 		}
@@ -232,8 +232,8 @@
 	}
 }
 
-// State that can't be moved to another connection makes the connection sticky, and is gone for the next client. The end of the
-// connection ends the session.
+// Session state that can't move to another connection pins the session to its connection, and is cleared for the next client. The end of
+// the connection ends the session.
 func TestPool_StickyConnections(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	c := fakes.NewClient(t, addr, true)
@@ -241,27 +241,27 @@
 		t.Fatalf("got %q", got)
 	}
 	other := fakes.NewClient(t, addr, true)
-	other.Ask("SHOW m.x") // it waits
+	other.Ask("SHOW m.x") // waits for the only connection
 	if got := askAll(c, "EXECUTE mine", "DISCARD ALL", "EXECUTE mine"); got != "mine ok ready; ok ready; 26000 ready" {
 		t.Errorf("got %q", got)
 	}
 	if got := other.Answer(); got != " ok ready" {
-		t.Errorf("the next: %q", got)
+		t.Errorf("next client: %q", got)
 	}
 	askAll(c, "PREPARE mine AS SELECT 1")
 	c.Send(string(pg.AppendBodyless(nil, 'X')))
 	closeSocket(c)
 	if got := askAll(other, "EXECUTE mine", "SELECT 1"); got != "26000 ready; 1 ok ready" {
-		t.Errorf("after it left: %q", got)
+		t.Errorf("after the pinned client disconnected: %q", got)
 	}
 	askAll(other, "LISTEN a")
-	made := cluster.Servers[0].Counts().Accepted
-	if made > 3 {
-		t.Errorf("%d connections", made)
+	accepted := cluster.Servers[0].Counts().Accepted
+	if accepted > 3 {
+		t.Errorf("%d connections", accepted)
 	}
 	cluster.Servers[0].CloseConnections()
 	if got := other.Answer(); got != "57P01 closed" {
-		t.Errorf("its connection has ended: %q", got)
+		t.Errorf("after its member connection ended: %q", got)
 	}
 }
 
@@ -280,38 +280,38 @@
 	three.Ask("SHOW m.x")
 	closeSocket(one)
 	if got := three.Answer(); got != " ok ready" {
-		t.Errorf("the next: %q", got)
+		t.Errorf("next client: %q", got)
 	}
 	if got := askAll(three, "EXECUTE p", "SELECT pg_backend_pid()"); got != "26000 ready; "+a {
-		t.Errorf("the next: %q", got)
+		t.Errorf("next client: %q", got)
 	}
 	if n := cluster.Servers[0].Counts(); n.Peak > 3 {
 		t.Errorf("%d connections", n.Peak)
 	}
 }
 
-// A protocol error ends its own session alone, with its code.
+// A protocol error ends only its own session, with the right SQLSTATE.
 func TestPool_ProtocolErrors(t *testing.T) {
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	steady := fakes.NewClient(t, addr, true)
-	hello := string(pg.AppendStartup(nil, "api", "ledger"))
+	startup := string(pg.AppendStartup(nil, "api", "ledger"))
 	for _, c := range []struct{ name, send, want string }{
 		{"another database", string(pg.AppendStartup(nil, "api", "none")), "3D000 closed"},
 		{"replication", string(pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "replication", Value: "database"})), "0A000 closed"},
 		{"options", string(pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: "-x 1"})), "22023 closed"},
-		{"an unknown message", hello + "?\x00\x00\x00\x04", "ready, 08P01 closed"},
-		{"half a Parse", hello + "P\x00\x00\x00\x05x", "ready, 08P01 closed"},
-		{"a Bind whose lengths lie", hello + "B\x00\x00\x00\x0e\x00\x00\x00\x00\x00\x01\x7f\xff\xff\xff", "ready, 08P01 closed"},
-		{"a length too large", hello + "P\x7f\xff\xff\xff", "ready, 54000 closed"},
-		{"a function call", hello + "F\x00\x00\x00\x04" + string(pg.AppendQuery(nil, "SELECT 1")), "ready, 0A000 ready, 1 ok ready"},
-		{"COPY data out of place", hello + "d\x00\x00\x00\x05x" + string(pg.AppendQuery(nil, "SELECT 1")), "ready, 1 ok ready"},
-		{"terminate", hello + "X\x00\x00\x00\x04", "ready, closed"},
+		{"an unknown message", startup + "?\x00\x00\x00\x04", "ready, 08P01 closed"},
+		{"an incomplete Parse", startup + "P\x00\x00\x00\x05x", "ready, 08P01 closed"},
+		{"a Bind with wrong lengths", startup + "B\x00\x00\x00\x0e\x00\x00\x00\x00\x00\x01\x7f\xff\xff\xff", "ready, 08P01 closed"},
+		{"a length too large", startup + "P\x7f\xff\xff\xff", "ready, 54000 closed"},
+		{"a function call", startup + "F\x00\x00\x00\x04" + string(pg.AppendQuery(nil, "SELECT 1")), "ready, 0A000 ready, 1 ok ready"},
+		{"COPY data out of place", startup + "d\x00\x00\x00\x05x" + string(pg.AppendQuery(nil, "SELECT 1")), "ready, 1 ok ready"},
+		{"terminate", startup + "X\x00\x00\x00\x04", "ready, closed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := fakes.NewClient(t, addr, false)
-			one.Send(c.send)
+			client := fakes.NewClient(t, addr, false)
+			client.Send(c.send)
 			for _, want := range strings.Split(c.want, ", ") {
-				if got := one.Answer(); got != want {
+				if got := client.Answer(); got != want {
 					t.Fatalf("got %q, want %q", got, want)
 				}
 			}
--- a/internal/server/poolfailure_test.go
+++ b/internal/server/poolfailure_test.go
@@ -15,13 +15,13 @@
 	"wayloft/internal/pg"
 )
 
-// A client that leaves at any point leaves no open transaction, and its connection can be used again.
+// A client that disconnects at any point leaves no open transaction behind, and its member connection can be used again.
 func TestPool_ClientGoneLeavesNoTransaction(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	for _, c := range []struct {
 		name string
-		ask  []string // each answered before the next
-		last string   // not answered
+		ask  []string // each gets its response before the next is sent
+		last string   // sent just before the client disconnects
 	}{
 		{"within a transaction", []string{"BEGIN", insertSQL("left", "1")}, ""},
 		{"within COPY", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN"))},
@@ -33,93 +33,93 @@
 		{"after BEGIN alone", []string{"BEGIN"}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one := fakes.NewClient(t, addr, true)
+			client := fakes.NewClient(t, addr, true)
 			for _, q := range c.ask {
-				if got := askAll(one, q); !strings.HasSuffix(got, "ok ready") {
+				if got := askAll(client, q); !strings.HasSuffix(got, "ok ready") {
 					t.Fatalf("%s: %q", q, got)
 				}
 			}
-			one.Send(c.last)
+			client.Send(c.last)
 			if c.last != "" && len(c.ask) == 0 {
-				made := cluster.Servers[0].Counts().Accepted
-				fakes.Until(t, "it has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && made > 0 })
+				accepted := cluster.Servers[0].Counts().Accepted
+				fakes.Until(t, "the last message has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && accepted > 0 })
 			}
-			closeSocket(one)
+			closeSocket(client)
 			if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'left'"); got != "ok ready" {
-				t.Errorf("the next client: %q", got)
+				t.Errorf("next client: %q", got)
 			}
 			fakes.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().InTransaction == 0 })
 		})
 	}
 }
 
-// Requests are sent again on another connection if nothing of them has run; a transaction that has begun fails.
+// When a connection is lost, a request is retried on another one if none of it has run; a transaction that has begun fails.
 func TestPool_ConnectionLost(t *testing.T) {
 	var mu sync.Mutex
-	var at pg.Kind
-	fail := func(kind pg.Kind) { mu.Lock(); at = kind; mu.Unlock() }
+	var failKind pg.Kind
+	failAt := func(kind pg.Kind) { mu.Lock(); failKind = kind; mu.Unlock() }
 	addr, _ := startPooledRouter(t, 1, lab.Pool{PerMember: 2}, func(s *pgserver.Server) {
 		s.InjectFault = func(_ int, m *pg.Message) *pgserver.Fault {
 			mu.Lock()
 			defer mu.Unlock()
-			if m.Kind == at && !strings.HasPrefix(m.Text, "SHOW") {
-				at = -1
+			if m.Kind == failKind && !strings.HasPrefix(m.Text, "SHOW") {
+				failKind = -1
 				return &pgserver.Fault{Close: true}
 			}
 			return nil
 		}
 	})
-	fail(-1)
+	failAt(-1)
 	c := fakes.NewClient(t, addr, true)
 	parse := string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00")))
-	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
+	bindExecute := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
 	sync := string(pg.AppendSync(nil))
 	c.Send(string(pg.AppendQuery(nil, "SET wayloft.txn_type = 'read'")) + parse + sync)
 	if a, b := c.Answer(), c.Answer(); a != "ok ready" || b != "ready" {
 		t.Fatalf("got %q, %q", a, b)
 	}
 	for _, kind := range []pg.Kind{pg.Bind, pg.Execute, pg.Sync} {
-		fail(kind)
-		c.Send(bind + sync)
+		failAt(kind)
+		c.Send(bindExecute + sync)
 		if got := c.Answer(); got != "1 ok ready" {
-			t.Errorf("lost at message %d: %q", kind, got)
+			t.Errorf("connection lost at message %d: %q", kind, got)
 		}
 	}
-	// In a transaction that has begun it is failed, and nothing of it is sent again.
+	// A transaction that has begun fails, and nothing of it is retried.
 	for _, x := range []struct{ ask, want string }{{"BEGIN", "ok ready"}, {insertSQL("dies", "1"), "1 ok ready"}} {
 		if got := askAll(c, x.ask); got != x.want {
 			t.Fatalf("%s: %q", x.ask, got)
 		}
 	}
-	fail(pg.Query)
+	failAt(pg.Query)
 	if got := askAll(c, "SELECT 1", "SELECT 1", "COMMIT", "SELECT blob FROM rows WHERE handle = 'dies'"); got !=
 		"40001 ready; 25P02 ready; ok ready; ok ready" {
-		t.Errorf("lost in a transaction: %q", got)
+		t.Errorf("connection lost in a transaction: %q", got)
 	}
 	c.Ask("SET wayloft.txn_type = 'write'")
 	c.Answer()
 	askAll(c, "BEGIN", insertSQL("dies", "2"))
-	fail(pg.Query)
+	failAt(pg.Query)
 	if got := askAll(c, "COMMIT", "ROLLBACK"); got != "08007 ready; ok ready" {
-		t.Errorf("lost at its commit: %q", got)
+		t.Errorf("connection lost at the commit: %q", got)
 	}
 	askAll(c, "BEGIN", insertSQL("dies", "3"))
-	fail(pg.Query)
+	failAt(pg.Query)
 	if got := askAll(c, "SELECT 1", "ROLLBACK"); got != "08006 ready; ok ready" {
-		t.Errorf("lost before its commit: %q", got)
+		t.Errorf("connection lost before the commit: %q", got)
 	}
 	askAll(c, "BEGIN", insertSQL("dies", "4"))
-	fail(pg.Sync)
-	c.Send(bind + sync)
+	failAt(pg.Sync)
+	c.Send(bindExecute + sync)
 	if got := c.Answer(); got != "1 ok 08006 ready" {
-		t.Errorf("lost in a pipeline within: %q", got)
+		t.Errorf("connection lost in a pipeline within a transaction: %q", got)
 	}
 	if got := askAll(c, "ROLLBACK", "SELECT 1"); got != "ok ready; 1 ok ready" {
-		t.Errorf("after it: %q", got)
+		t.Errorf("afterwards: %q", got)
 	}
 }
 
-// A cancel request reaches its own client's statement, and never the next client's, however late it comes.
+// A cancel request cancels only its own client's statement, never the next client's, however late it arrives.
 func TestPool_CancelRequests(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1}, nil)
 	ctx := context.Background()
@@ -134,11 +134,11 @@
 	unknown := fakes.NewClient(t, addr, false)
 	unknown.Send(string(pg.AppendCancelRequest(nil, pg.CancelKey{Process: 1, Secret: 2})))
 	if got := unknown.Answer(); got != "closed" {
-		t.Errorf("a wrong key: %q", got)
+		t.Errorf("unknown cancel key: %q", got)
 	}
 }
 
-// execute runs a statement in the background.
+// execute runs a statement on a goroutine.
 func execute(ctx context.Context, conn *pgx.Conn, sql string) <-chan error {
 	result := make(chan error, 1)
 	go func() {
@@ -148,16 +148,16 @@
 	return result
 }
 
-// cancelRunning cancels a statement that runs.
+// cancelRunning cancels a running statement.
 func cancelRunning(ctx context.Context, t *testing.T, conn *pgx.Conn, cluster *lab.Cluster) {
 	t.Helper()
 	result := execute(ctx, conn, "SELECT pg_sleep(30)")
-	fakes.Until(t, "it runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
+	fakes.Until(t, "the statement runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
 	if err := conn.PgConn().CancelRequest(ctx); err != nil {
 		t.Error(err)
 	}
 	if err := <-result; errorCode(err) != "57014" {
-		t.Errorf("the cancelled: %v", err)
+		t.Errorf("cancelled statement: %v", err)
 	}
 }
 
@@ -168,8 +168,8 @@
 	askAll(holder, "BEGIN", "SELECT 1")
 	result := execute(ctx, conn, "SELECT 1")
 	var ended error
-	fakes.Until(t, "the one that waits ends", func() bool {
-		_ = conn.PgConn().CancelRequest(ctx) // one that fails is sent again
+	fakes.Until(t, "the queued statement ends", func() bool {
+		_ = conn.PgConn().CancelRequest(ctx) // a cancel request that fails is repeated
 		select {
 		case ended = <-result:
 			return true
@@ -178,12 +178,12 @@
 		}
 	})
 	if errorCode(ended) != "57014" {
-		t.Errorf("the one that waits: %v", ended)
+		t.Errorf("queued statement: %v", ended)
 	}
 	askAll(holder, "COMMIT")
 }
 
-// cancelAmongOthers cancels statements about when they end, while other clients use the same connection.
+// cancelAmongOthers cancels statements at about the time they end, while other clients use the same connection.
 func cancelAmongOthers(ctx context.Context, t *testing.T, conn *pgx.Conn, addr string) {
 	t.Helper()
 	stop := make(chan bool)
@@ -209,17 +209,17 @@
 	for range 60 {
 		result := execute(ctx, conn, "SELECT pg_sleep(0.0005)")
 		if err := conn.PgConn().CancelRequest(ctx); err != nil {
-			t.Errorf("a cancel request: %v", err)
+			t.Errorf("cancel request: %v", err)
 		}
 		if err := <-result; err != nil && errorCode(err) != "57014" {
-			t.Errorf("its own: %v", err)
+			t.Errorf("statement with a cancel request: %v", err)
 		}
 	}
 	close(stop)
 	others.Wait()
 }
 
-// Transactions that are open at a draining member may end there, and no new one begins there.
+// Transactions that are open on a draining member can finish there, and no new one begins there.
 func TestPool_MemberDrainsWithOpenTransactions(t *testing.T) {
 	l := newListServer(t)
 	l.publish(0)
@@ -238,16 +238,16 @@
 	cluster.Promote(cluster.Servers[1])
 	fakes.Until(t, "the new primary takes writes", func() bool { return askOnce(t, addr, insertSQL("new", "1")) == "1 ok ready" })
 	before := cluster.Servers[0].Counts()
-	cluster.Promote(cluster.Servers[0]) // so that what is open there may end; the router has no word of it
+	cluster.Promote(cluster.Servers[0]) // so that open transactions can finish there; the router is not told
 	for n, c := range open {
 		if got := askAll(c, insertSQL(fmt.Sprint("more", n), "1"), "COMMIT"); got != "1 ok ready; ok ready" {
 			t.Fatalf("%d: %q", n, got)
 		}
 	}
 	cluster.Promote(cluster.Servers[1])
-	fakes.Until(t, "nothing is left there", func() bool { return cluster.Servers[0].Counts().Open == 0 })
+	fakes.Until(t, "no connection to the draining member is left", func() bool { return cluster.Servers[0].Counts().Open == 0 })
 	if n := cluster.Servers[0].Counts(); n.Accepted != before.Accepted {
-		t.Errorf("%d connections were made to a member that drains", n.Accepted-before.Accepted)
+		t.Errorf("%d connections were opened to a draining member", n.Accepted-before.Accepted)
 	}
 }
 
@@ -270,12 +270,12 @@
 		}
 		if got := askAll(c, insertSQL(fmt.Sprint("r", n), "2"), "SELECT blob FROM rows WHERE handle = 'r"+fmt.Sprint(n)+"'"); got !=
 			"2 ok ready; 2 ok ready" {
-			t.Errorf("%d: after it: %q", n, got)
+			t.Errorf("%d: afterwards: %q", n, got)
 		}
 	}
 }
 
-// A statement whose plan has become invalid is prepared again if nothing has run, and its client receives no error.
+// A prepared statement whose plan has become invalid is prepared again if nothing has run, and the client receives no error.
 func TestPool_InvalidPlanPreparedAgain(t *testing.T) {
 	var mu sync.Mutex
 	var codes []string
@@ -297,16 +297,16 @@
 	sync := string(pg.AppendSync(nil))
 	c.Send(string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00"))) + sync)
 	c.Answer()
-	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
+	bindExecute := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
 	for _, x := range []struct{ codes, want string }{
 		{"0A000", "1 ok ready"}, {"26000", "1 ok ready"}, {"", "1 ok ready"},
-		{"0A000 0A000", "0A000 ready"}, // once: then it is the statement's own fault
+		{"0A000 0A000", "0A000 ready"}, // only one retry: a second failure is the statement's own error
 		{"", "1 ok ready"},
 	} {
 		mu.Lock()
 		codes = strings.Fields(x.codes)
 		mu.Unlock()
-		c.Send(bind + sync)
+		c.Send(bindExecute + sync)
 		if got := c.Answer(); got != x.want {
 			t.Errorf("%s: got %q, want %q", x.codes, got, x.want)
 		}
@@ -315,7 +315,7 @@
 	mu.Lock()
 	codes = []string{"0A000"}
 	mu.Unlock()
-	c.Send(bind + sync)
+	c.Send(bindExecute + sync)
 	if got := c.Answer(); got != "0A000 ready" {
 		t.Errorf("in a transaction: %q", got)
 	}
@@ -325,11 +325,11 @@
 	mu.Unlock()
 	begin := string(pg.AppendParse(nil, "b", []byte("BEGIN\x00\x00\x00"))) +
 		string(pg.AppendExecute(pg.AppendBind(nil, "", "b", []byte{0, 0, 0, 0, 0, 0}), ""))
-	c.Send(begin + bind + sync)
+	c.Send(begin + bindExecute + sync)
 	if got := c.Answer(); got != "ok 0A000 ready" {
 		t.Errorf("in a transaction that the same pipeline began: %q", got)
 	}
 	if got := askAll(c, "ROLLBACK", "SELECT 1"); got != "ok ready; 1 ok ready" {
-		t.Errorf("after it: %q", got)
+		t.Errorf("afterwards: %q", got)
 	}
 }
--- a/internal/server/poollimits_test.go
+++ b/internal/server/poollimits_test.go
@@ -12,12 +12,12 @@
 	"wayloft/internal/pg"
 )
 
-// A client that is idle in a transaction for too long is disconnected, and 400 others are served by the rest of the pool meanwhile.
+// A client that is idle in a transaction for too long is disconnected, and the rest of the pool meanwhile serves 400 other clients.
 func TestPool_IdleInTransactionTimeout(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 4, ExtraKeys: "", IdleInTransaction: "300ms"}, nil)
 	idle := fakes.NewClient(t, addr, true)
 	if got := askAll(idle, "BEGIN", insertSQL("idle", "1")); got != "ok ready; 1 ok ready" {
-		t.Fatalf("the idle one: %q", got)
+		t.Fatalf("idle client: %q", got)
 	}
 	var wg sync.WaitGroup
 	for n := range 400 {
@@ -34,24 +34,24 @@
 	}
 	wg.Wait()
 	if got := idle.Answer(); got != "25P03 closed" {
-		t.Errorf("the idle one: %q", got)
+		t.Errorf("idle client: %q", got)
 	}
-	if n := cluster.Servers[0].Counts(); n.Accepted > 4+1+1 { // one for checks, one in place of the ended
+	if n := cluster.Servers[0].Counts(); n.Accepted > 4+1+1 { // one for health checks, one to replace the closed connection
 		t.Errorf("%d connections", n.Accepted)
 	}
 	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'idle'"); got != "ok ready" {
-		t.Errorf("its write: %q", got)
+		t.Errorf("row written by the idle client: %q", got)
 	}
 }
 
-// A session that prepares too many statements gets an error, and connections keep a bounded number of them.
+// A session that prepares too many statements gets an error, and each connection keeps a bounded number of them.
 func TestPool_PreparedStatementLimit(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 1, ExtraKeys: "statements = 300\n"}, nil)
 	c := fakes.NewClient(t, addr, true)
 	sync := string(pg.AppendSync(nil))
-	bind := string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), ""))
-	for n := range 600 { // without a name, each takes the place of the one before
-		c.Send(string(pg.AppendParse(nil, "", []byte(fmt.Sprintf("SELECT note('%d')\x00\x00\x00", n)))) + bind + sync)
+	bindExecute := string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), ""))
+	for n := range 600 { // unnamed: each replaces the previous one
+		c.Send(string(pg.AppendParse(nil, "", []byte(fmt.Sprintf("SELECT note('%d')\x00\x00\x00", n)))) + bindExecute + sync)
 		if got := c.Answer(); got != fmt.Sprint(n, " ok ready") {
 			t.Fatalf("%d: %q", n, got)
 		}
@@ -62,16 +62,16 @@
 		last = c.Answer()
 	}
 	if last != "54000 ready" {
-		t.Errorf("one too many: %q", last)
+		t.Errorf("one statement over the limit: %q", last)
 	}
-	fakes.Until(t, "the member keeps few", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
+	fakes.Until(t, "the member keeps few prepared statements", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
 	c.Send(string(pg.AppendExecute(pg.AppendBind(nil, "", "s0", []byte{0, 0, 0, 0, 0, 0}), "")) + sync)
 	if got := c.Answer(); got != "0 ok ready" {
-		t.Errorf("an early one: %q", got)
+		t.Errorf("first named statement: %q", got)
 	}
 }
 
-// A member accepts fewer connections than the pool may have: connecting is not tried over and over, and all clients are served.
+// If a member accepts fewer connections than the pool may open, the router does not keep trying to connect, and all clients are served.
 func TestPool_MemberConnectionLimit(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 100}, func(s *pgserver.Server) { s.MaxConnections = 20 })
 	var wg sync.WaitGroup
@@ -89,16 +89,16 @@
 	}
 	wg.Wait()
 	if n := cluster.Servers[0].Counts(); n.Accepted > 20+100 {
-		t.Errorf("%d connections were tried", n.Accepted)
+		t.Errorf("%d connection attempts", n.Accepted)
 	} else {
-		t.Logf("%d connections were tried, %d at once", n.Accepted, n.Peak)
+		t.Logf("%d connection attempts, at most %d connections at once", n.Accepted, n.Peak)
 	}
 }
 
-// A member is not suspected while a client is slow to send COPY data: other requests go on, and the rows arrive complete.
+// A member is not suspected because a client is slow to send COPY data: other requests are served, and all rows arrive.
 func TestPool_SlowCopyNotSuspected(t *testing.T) {
 	addr, cluster := startPooledRouter(t, 1, lab.Pool{PerMember: 4}, nil)
-	for n := range 200 { // the member is known to be fast
+	for n := range 200 { // to establish that the member is fast
 		if got := askOnce(t, addr, insertSQL(fmt.Sprint("fast", n), "1")); got != "1 ok ready" {
 			t.Fatalf("got %q", got)
 		}
@@ -110,10 +110,10 @@
 		c.Ask("COPY rows (handle, blob) FROM STDIN")
 		slow = append(slow, c)
 	}
-	fakes.Until(t, "they copy", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
+	fakes.Until(t, "all three COPY statements run", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
 	waitByRouterClock(t, addr, "write", 300*time.Millisecond) // no response to all three, for far longer than the member usually takes
 	if got := askAll(other, "/* id=between,c=write,d=400 */ "+insertSQL("between", "1")); got != "1 ok ready" {
-		t.Errorf("between: %q", got)
+		t.Errorf("request during the COPY: %q", got)
 	}
 	for n, c := range slow {
 		c.Send(string(pg.AppendCopyData(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendBodyless(nil, 'c')))
@@ -122,6 +122,6 @@
 		}
 	}
 	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'slow2'"); got != "v ok ready" {
-		t.Errorf("what was copied: %q", got)
+		t.Errorf("copied row: %q", got)
 	}
 }
--- a/internal/server/seeded_defects_test.go
+++ b/internal/server/seeded_defects_test.go
@@ -9,7 +9,7 @@
 	"wayloft/internal/decide/session"
 )
 
-// The mixed run, which finds nothing in a router without defects, detects each seeded defect.
+// The mixed run passes on a router without defects, and detects each seeded defect.
 func TestSeededDefects_Detected(t *testing.T) {
 	for name, defects := range map[string]session.SeededDefects{
 		"settings": {SkipSettings: true},
@@ -18,11 +18,11 @@
 		"position": {ForgetLastCommitPosition: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a noteChecker
-			_, _, bad := runMixedCluster(t, &a, 600, defects)
-			found := slices.Concat(bad, a.mismatches)
+			var checker noteChecker
+			_, _, violations := runMixedCluster(t, &checker, 600, defects)
+			found := slices.Concat(violations, checker.mismatches)
 			if len(found) == 0 {
-				t.Fatal("nothing was found")
+				t.Fatal("the defect was not detected")
 			}
 			t.Log(found[0])
 		})
--- a/internal/server/signals_test.go
+++ b/internal/server/signals_test.go
@@ -18,7 +18,7 @@
 	"wayloft/internal/fakes"
 )
 
-// A signal to end behind many SIGHUP is delivered, and so is a SIGHUP.
+// A termination signal after a burst of SIGHUP is delivered, and so is a SIGHUP.
 func TestNotifySignals_BurstOfReloads(t *testing.T) {
 	signals := NotifySignals()
 	for range 100 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// A process that gets SIGHUP all the time before it serves does not end by it, as the platform starts it and started directly.
+// A process that keeps getting SIGHUP before it serves is not ended by it, whether started as on the platform or directly.
 func TestSIGHUP_BeforeServing(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "wayloft")
@@ -63,13 +63,13 @@
 				}
 			}
 			if ignored == 0 {
-				t.Error("SIGHUP is never ignored before the program takes it")
+				t.Error("the process never ignored SIGHUP before it handled it")
 			}
 		})
 	}
 }
 
-// startUnderSIGHUP starts a router and sends it SIGHUP while it ignores that, until it serves. It reports whether the router ever
+// startUnderSIGHUP starts a router and, once it ignores SIGHUP, sends it SIGHUP until it serves. It reports whether the router ever
 // ignored it.
 func startUnderSIGHUP(t *testing.T, command []string, file string) (ignored bool) {
 	t.Helper()
@@ -93,14 +93,14 @@
 	serving, read := make(chan bool), make(chan bool)
 	go func() {
 		defer close(read)
-		begun := false
+		served := false
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			if !begun && strings.Contains(lines.Text(), "msg=serving") {
-				begun = true
+			if !served && strings.Contains(lines.Text(), "msg=serving") {
+				served = true
 				close(serving)
 			}
 		}
-		if !begun {
+		if !served {
 			close(serving)
 		}
 	}()
@@ -117,19 +117,19 @@
 		}
 	}
 	if ignored {
-		one := fakes.NewClient(t, addr, true)
-		one.Ask("")
-		if got := one.Answer(); got != "empty ready" {
+		client := fakes.NewClient(t, addr, true)
+		client.Ask("")
+		if got := client.Answer(); got != "empty ready" {
 			t.Errorf("got %q", got)
 		}
-		closeSocket(one)
+		closeSocket(client)
 	}
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 	<-read
 	if err := c.Wait(); err != nil {
-		t.Errorf("its end: %v", err)
+		t.Errorf("exit status: %v", err)
 	}
 	return ignored
 }
--- a/internal/server/status_test.go
+++ b/internal/server/status_test.go
@@ -13,7 +13,7 @@
 	"wayloft/internal/fakes"
 )
 
-// logRecorder is a logrus hook that keeps the fields of each line, by its message.
+// logRecorder is a logrus hook that keeps the fields of each log line by its message.
 type logRecorder struct {
 	mu     sync.Mutex
 	fields map[string]logrus.Fields
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// The lines of a router's start and end have the fields that operators' alerts match on.
+// The log lines at a router's start and end have the fields that operators' alerts match on.
 func TestStatus_Fields(t *testing.T) {
 	recorder := &logRecorder{fields: map[string]logrus.Fields{}}
 	logger := logrus.StandardLogger()
@@ -42,7 +42,7 @@
 	client := fakes.NewClient(t, addr, true)
 	client.Ask("SELECT 1")
 	if got := client.Answer(); got != "08P01 ready" {
-		t.Fatalf("a statement without a comment: %q", got)
+		t.Fatalf("statement without a comment: %q", got)
 	}
 	closeSocket(client)
 	signals <- syscall.SIGTERM
--- a/internal/server/transcriptclient_test.go
+++ b/internal/server/transcriptclient_test.go
@@ -21,7 +21,7 @@
 	key  []byte // the body of its BackendKeyData
 }
 
-// newTranscriptClient connects and records what comes up to the first ReadyForQuery.
+// newTranscriptClient connects and records the messages up to the first ReadyForQuery.
 func newTranscriptClient(t *testing.T, out *strings.Builder, addr, name string, startup []byte) *transcriptClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -35,7 +35,7 @@
 	return c
 }
 
-// send sends bytes and records what comes up to so many ReadyForQuery or CopyInResponse, or the end.
+// send sends bytes and then reads as read does.
 func (c *transcriptClient) send(b []byte, ready int) {
 	c.t.Helper()
 	fmt.Fprintf(c.out, "> %.200q\n", b)
@@ -45,7 +45,7 @@
 	c.read(ready)
 }
 
-// read records what comes up to so many ReadyForQuery or CopyInResponse, or the end.
+// read records messages until a number of ReadyForQuery or CopyInResponse messages have arrived, or the connection has ended.
 func (c *transcriptClient) read(ready int) {
 	c.t.Helper()
 	for ready > 0 {
@@ -68,16 +68,16 @@
 	if err := c.conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return 0, nil, err
 	}
-	var head [5]byte
-	if _, err := io.ReadFull(c.conn, head[:]); err != nil {
+	var header [5]byte
+	if _, err := io.ReadFull(c.conn, header[:]); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.t.Fatal("nothing came")
+			c.t.Fatal("no message before the read deadline")
 		}
 		return 0, nil, err
 	}
-	body = make([]byte, int(head[1])<<24+int(head[2])<<16+int(head[3])<<8+int(head[4])-4)
+	body = make([]byte, int(header[1])<<24+int(header[2])<<16+int(header[3])<<8+int(header[4])-4)
 	_, err = io.ReadFull(c.conn, body)
-	return head[0], body, err
+	return header[0], body, err
 }
 
 func transcriptQueries(queries ...string) (out []byte) {
@@ -102,7 +102,7 @@
 
 const transcriptSelect = "SELECT blob FROM rows WHERE handle = $1"
 
-// cancelTranscript cancels what a client runs, again until it has ended, and records what the client receives.
+// cancelTranscript sends cancel requests until a client's statement has ended, and records what the client receives.
 func cancelTranscript(t *testing.T, addr string, c *transcriptClient) {
 	t.Helper()
 	done := make(chan bool)
