--- a/internal/failpoint/points_debug.go
+++ b/internal/failpoint/points_debug.go
@@ -1,9 +1,9 @@
 //go:build debug
 
-// Package failpoint marks points at which a test may interfere, to force an order of two events or a failure that could not be timed
-// from outside. At some points a test calls a function in its own process, or has a system call or an operation fail. At others it
-// stops or kills a process of the program, by a file in the directory that the environment variable WAYLOFT_FAULTS names. Only debug
-// builds contain any of it: in a release build all points do nothing.
+// Package failpoint provides named points at which a test forces an order of two events, or a failure, that could not be timed from
+// outside the process. At some failpoints a test runs a function in its own process, or makes a system call or an operation fail. At
+// others it stops or kills a process of the program, through a file in the directory that the environment variable WAYLOFT_FAULTS names.
+// Only debug builds contain failpoints: in a release build all of them do nothing.
 //
 // All functions are safe for concurrent use.
 package failpoint
@@ -18,16 +18,17 @@
 )
 
 const (
-	// directoryVariable names the directory whose files are the points at which this process is to be stopped, killed or delayed.
+	// directoryVariable names the directory whose files are named after the failpoints at which this process is stopped, killed or delayed.
 	directoryVariable = "WAYLOFT_FAULTS"
 
 	actionStop = "stop"
 	actionKill = "kill"
 
-	// stopDelay is how long a SIGSTOP may take to take effect: what follows it runs after the process has been continued.
+	// stopDelay is how long a SIGSTOP may take to take effect. Waiting for it makes the code after the failpoint run only once the
+	// process has been continued.
 	stopDelay = 100 * time.Millisecond
-	// unlimited is the duration that Duration returns at a point that a test has set.
-	unlimited = time.Hour
+	// extendedDuration is what Duration returns at a failpoint that a test has set.
+	extendedDuration = time.Hour
 )
 
 var (
@@ -35,36 +36,36 @@
 	operationErrors sync.Map // by name: func(string) error
 )
 
-// SetOperationError has f decide, each time that an operation of this process comes to a point, whether it fails there, until restore
-// is called. f receives what the operation works on.
-func SetOperationError(name string, f func(on string) error) (restore func()) {
+// SetOperationError makes the operation at the named failpoint fail with the error that f returns, unless that is nil, until restore is
+// called. f is called each time this process reaches the failpoint, with the target of the operation.
+func SetOperationError(name string, f func(target string) error) (restore func()) {
 	operationErrors.Store(name, f)
 	return func() { operationErrors.Delete(name) }
 }
 
-// OperationError marks an operation that a test may have fail. It returns the error, or nil if the operation is to go on.
-func OperationError(name, on string) error {
+// OperationError is the failpoint of an operation on a target. It returns the injected error, or nil if the operation is to proceed.
+func OperationError(name, target string) error {
 	if f, ok := operationErrors.Load(name); ok {
-		return f.(func(string) error)(on)
+		return f.(func(string) error)(target)
 	}
 	return nil
 }
 
-// Set has f called each time that this process comes to a point, until restore is called.
+// Set makes each call of Hit with this name call f, until restore is called.
 func Set(name string, f func()) (restore func()) {
 	hooks.Store(name, f)
 	return func() { hooks.Delete(name) }
 }
 
-// Hit marks a point at which a test may run a function.
+// Hit is a failpoint at which a test may run a function.
 func Hit(name string) {
 	if f, ok := hooks.Load(name); ok {
 		f.(func())()
 	}
 }
 
-// Point marks a point at which a test may stop or kill this process: it does so if the directory that WAYLOFT_FAULTS names has a file
-// of this name that contains "stop" or "kill". It removes the file first, so that it happens once.
+// Point is a failpoint at which a test may stop or kill this process. It does so if the directory that WAYLOFT_FAULTS names has a file of
+// this name that contains "stop" or "kill". It removes the file first, so that the action runs once.
 func Point(name string) {
 	directory := os.Getenv(directoryVariable)
 	if directory == "" {
@@ -76,7 +77,7 @@
 		return
 	}
 	if os.Remove(path) != nil {
-		return // another goroutine was first
+		return // another goroutine has removed it and runs the action
 	}
 	switch strings.TrimSpace(string(action)) {
 	case actionStop:
@@ -88,8 +89,8 @@
 	}
 }
 
-// Duration returns d, or an hour while the directory that WAYLOFT_FAULTS names has a file of this name: a wait of this duration then
-// ends by the event that is waited for, and not by the time that a busy machine takes.
+// Duration returns d, or an hour while the directory that WAYLOFT_FAULTS names has a file of this name. A wait of that length ends with
+// the event that it waits for, and not with a timeout because the machine is busy.
 func Duration(name string, d time.Duration) time.Duration {
 	directory := os.Getenv(directoryVariable)
 	if directory == "" {
@@ -98,5 +99,5 @@
 	if _, err := os.Stat(filepath.Join(directory, name)); err != nil {
 		return d
 	}
-	return unlimited
+	return extendedDuration
 }
--- a/internal/failpoint/points_release.go
+++ b/internal/failpoint/points_release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-// Package failpoint marks points at which a test may interfere. In a release build all of them do nothing.
+// Package failpoint provides named points at which tests inject failures. In a release build all of them do nothing.
 package failpoint
 
 import "time"
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,4 +1,4 @@
-// Package invariant checks conditions that must always hold. A violation stops a debug build; a release build counts it and goes on.
+// Package invariant checks conditions that must always hold. A debug build panics on a violation; a release build counts it and continues.
 package invariant
 
 import (
@@ -17,7 +17,7 @@
 		return
 	}
 	if debug {
-		panic("broken: " + name)
+		panic("invariant violated: " + name)
 	}
 	mu.Lock()
 	defer mu.Unlock()
