--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -16,16 +16,16 @@
 	Bytes  []byte
 }
 
-// Batch is what one Write stores: all of it or nothing. Its parts are carried out in the order ReplaceLog, Records, CompactBelow, Values.
+// Batch is stored atomically by one Write. Its parts are applied in the order ReplaceLog, Records, CompactBelow, Values.
 type Batch struct {
-	Records      []Record          // replace all stored records from the first one's number on
+	Records      []Record          // replace all stored records from the number of the first of these on
 	Values       map[string][]byte // by name
 	CompactBelow uint64            // stored records with lower numbers are deleted
 	ReplaceLog   bool              // all stored records are deleted first
 }
 
-// Write stores a batch and returns once it is on disk. After an error it is not known whether it is stored, and further writes are
-// rejected until Reopen; the error matches ErrUnavailable then.
+// Write stores a batch and returns once it is on disk. An error that matches ErrUnavailable leaves it unknown whether the batch is
+// stored, and further writes are rejected until Reopen. After any other error nothing of the batch is stored.
 func (s *Store) Write(batch Batch) error {
 	if err := s.update(batch.write); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// putRecords replaces the log from the first record's number on.
+// putRecords deletes the log from the first record's number on and appends the records.
 func putRecords(log *bbolt.Bucket, records []Record) error {
 	if len(records) == 0 {
 		return nil
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// compact deletes the records with lower numbers.
+// compact deletes the records whose numbers are lower than below.
 func compact(log *bbolt.Bucket, below uint64) error {
 	cursor := log.Cursor()
 	for k, _ := cursor.First(); k != nil && binary.BigEndian.Uint64(k) < below; k, _ = cursor.First() {
@@ -92,7 +92,7 @@
 // Read returns all records, by number, and all values, by name.
 func (s *Store) Read() (records []Record, values map[string][]byte, err error) {
 	if s.db == nil {
-		return nil, nil, fmt.Errorf("%s: %w: it is closed", s.path, ErrUnavailable)
+		return nil, nil, fmt.Errorf("%s: %w: the store is closed", s.path, ErrUnavailable)
 	}
 	err = s.db.View(func(tx *bbolt.Tx) (err error) {
 		if records, err = readRecords(tx.Bucket(logBucket)); err != nil {
@@ -111,10 +111,10 @@
 	err = log.ForEach(func(k, v []byte) error {
 		content, err := verifyChecksum(v)
 		if len(k) != recordKeySize {
-			err = errors.New("its number is no number")
+			err = errors.New("invalid record key")
 		}
 		if err != nil {
-			return fmt.Errorf("log %x: %w", k, err)
+			return fmt.Errorf("log record %x: %w", k, err)
 		}
 		records = append(records, Record{binary.BigEndian.Uint64(k), copyBytes(content)})
 		return nil
@@ -127,7 +127,7 @@
 	err := bucket.ForEach(func(k, v []byte) error {
 		content, err := verifyChecksum(v)
 		if err != nil {
-			return fmt.Errorf("%s: %w", k, err)
+			return fmt.Errorf("value %s: %w", k, err)
 		}
 		values[string(k)] = copyBytes(content)
 		return nil
@@ -135,10 +135,10 @@
 	return values, err
 }
 
-// copyBytes copies what is valid only within a transaction. An empty value is nil.
+// copyBytes copies bytes that are valid only within a transaction. It returns nil for an empty slice.
 func copyBytes(b []byte) []byte { return append([]byte(nil), b...) }
 
-// Copy writes the whole file, as it is at one moment, as a backup.
+// Copy writes a consistent snapshot of the whole file to w, as a backup.
 func (s *Store) Copy(w io.Writer) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		_, err := tx.WriteTo(w)
@@ -146,7 +146,7 @@
 	})
 }
 
-// Size returns the size of the file in bytes; 0 if it can't be read.
+// Size returns the size of the file in bytes, or 0 if it can't be read.
 func (s *Store) Size() int64 {
 	info, err := os.Stat(s.path)
 	if err != nil {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -52,7 +52,7 @@
 	dir := t.TempDir()
 	store := openStore(t, dir)
 	write(t, store, Batch{Records: records(2, 9, "a"), Values: map[string][]byte{"state": []byte("x")}})
-	write(t, store, Batch{Records: records(7, 8, "b")}) // in place of 7 to 9
+	write(t, store, Batch{Records: records(7, 8, "b")}) // replaces 7 to 9
 	write(t, store, Batch{CompactBelow: 4, Values: map[string][]byte{"state": []byte("y")}})
 	storageID := store.Identity.StorageID
 	if _, err := Open(dir, "f", "c1", nextID); !errors.Is(err, ErrInUse) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A directory of another process or a later build, and a file that was truncated or has changed bits, is rejected with an error that names
-// the file; it is never read in part.
+// A directory of another fleet or process is rejected. A file that was truncated or has a flipped bit is either rejected with an error
+// that names the file, or read completely, where the damage is in a page that nothing uses.
 func TestOpen_RejectsForeignAndDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	store := openStore(t, dir)
@@ -87,7 +87,7 @@
 		write(t, store, Batch{Records: records(1+n*10, 10+n*10, "some text of a record "), Values: map[string][]byte{"v": bytes.Repeat([]byte{7}, 3000)}})
 	}
 	closeStore(t, store)
-	for want, as := range map[string][2]string{`of fleet "f", not of "g"`: {"g", "c1"}, `of "c1", not of "c2"`: {"f", "c2"}} {
+	for want, as := range map[string][2]string{`belongs to fleet "f", not to "g"`: {"g", "c1"}, `belongs to process "c1", not to "c2"`: {"f", "c2"}} {
 		if _, err := Open(dir, as[0], as[1], nextID); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v", as, err)
 		}
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		store, err := Open(other, "f", "c1", nextID)
-		if err == nil { // what was hit may have been a page that nothing uses
+		if err == nil { // the damage may be in a page that nothing uses
 			got, values, err := store.Read()
 			if closeStore(t, store); err != nil || len(got) != 400 || len(values["v"]) != 3000 || string(got[399].Bytes) != "some text of a record 400" {
 				t.Errorf("%s: read as %d records, %v", what, len(got), err)
@@ -113,33 +113,33 @@
 			t.Errorf("%s: the error doesn't name the file: %v", what, err)
 		}
 	}
-	checking := func() bool { // a goroutine still reads a file that was rejected, and is unmapped
+	checking := func() bool { // a goroutine of bbolt's check still reads a rejected file, whose mapping is gone
 		all := make([]byte, 1<<20)
 		return bytes.Contains(all[:runtime.Stack(all, true)], []byte("bbolt.(*Tx).check"))
 	}
 	defer func() {
-		for late := time.Now().Add(10 * time.Second); checking(); runtime.Gosched() {
-			if time.Now().After(late) {
-				t.Fatal("a file that was rejected is still being read")
+		for deadline := time.Now().Add(10 * time.Second); checking(); runtime.Gosched() {
+			if time.Now().After(deadline) {
+				t.Fatal("a rejected file is still being read")
 			}
 		}
 	}()
 	for n := 1; n < 16; n++ {
-		damage(fmt.Sprint("cut to sixteenths: ", n), whole[:len(whole)*n/16])
+		damage(fmt.Sprint("truncated to sixteenths: ", n), whole[:len(whole)*n/16])
 	}
 	for at := 0; at < len(whole); at += len(whole)/97 + 1 {
 		b := bytes.Clone(whole)
 		b[at] ^= 0x40
-		damage(fmt.Sprint("a bit at ", at), b)
+		damage(fmt.Sprint("bit flipped at offset ", at), b)
 	}
 	if store, err = Open(dir, "f", "c1", nextID); err != nil {
-		t.Fatal("the directory that was rejected is changed:", err)
+		t.Fatal("the rejected directory was changed:", err)
 	}
 	closeStore(t, store)
 }
 
-// What is read is what a plain list would hold, whatever was written in which order and however often the store was opened again.
-func TestStore_AnyBatches(t *testing.T) {
+// Property test: after any sequence of batches and reopenings, the store holds the same records as a plain map.
+func TestStore_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
 		if err != nil {
@@ -152,7 +152,7 @@
 		for range rapid.IntRange(1, 8).Draw(rt, "batches") {
 			from := uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "from"))
 			b := Batch{Records: records(from, from+uint64(rapid.IntRange(0, 5).Draw(rt, "more")), rapid.StringN(0, 3, 9).Draw(rt, "text"))}
-			if rapid.Bool().Draw(rt, "cuts") {
+			if rapid.Bool().Draw(rt, "compacts") {
 				b.CompactBelow = uint64(rapid.IntRange(1, int(last)+1).Draw(rt, "below"))
 			}
 			write(t, store, b)
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -14,13 +14,13 @@
 	"testing"
 )
 
-// What was written by the program of this commit must open for as long as its data may be on a disk.
-const storedBy = "testdata/stored-dd13dd4"
+// storedDir holds a data directory written by the build of this commit. It must open for as long as data of that build may exist on disk.
+const storedDir = "testdata/stored-dd13dd4"
 
-// testIncarnation is the number that the tests draw for their own start from a stored directory.
+// testIncarnation is the incarnation that the tests add when they open a stored directory.
 const testIncarnation = 7
 
-// openStored opens a data directory that holds these bytes, as node c3 of the fleet "lab".
+// openStored opens a data directory with this database file, as node c3 of the fleet "lab".
 func openStored(t *testing.T, database []byte) (*Store, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -30,30 +30,30 @@
 	return Open(dir, "lab", "c3", func() uint64 { return testIncarnation })
 }
 
-// readStored gives the bytes of the stored database.
+// readStored returns the bytes of the stored database.
 func readStored(t *testing.T) []byte {
 	t.Helper()
-	packed, err := os.Open(filepath.Join(storedBy, "state.db.gz"))
+	compressed, err := os.Open(filepath.Join(storedDir, "state.db.gz"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := packed.Close(); err != nil {
+		if err := compressed.Close(); err != nil {
 			t.Error(err)
 		}
 	}()
-	unpacked, err := gzip.NewReader(packed)
+	decompressed, err := gzip.NewReader(compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	database, err := io.ReadAll(unpacked)
+	database, err := io.ReadAll(decompressed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return database
 }
 
-// describe lists all that a data directory holds.
+// describe lists everything that a data directory holds.
 func describe(t *testing.T, store *Store) string {
 	t.Helper()
 	records, values, err := store.Read()
@@ -74,14 +74,14 @@
 	return out.String()
 }
 
-// A data directory of the earlier program opens, with all that it holds: identity, starts, named values and records.
+// A data directory of the earlier build opens with all its contents: identity, incarnations, named values and records.
 func TestStoredDirectory_Opens(t *testing.T) {
 	store, err := openStored(t, readStored(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeStore(t, store)
-	golden, err := os.ReadFile(filepath.Join(storedBy, "content.golden"))
+	golden, err := os.ReadFile(filepath.Join(storedDir, "content.golden"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// What is appended to a directory of the earlier program is there after it is closed and opened again, beside what was there.
-func TestStoredDirectory_TakesMore(t *testing.T) {
+// A record appended to a directory of the earlier build is there after closing and opening it, together with the earlier records.
+func TestStoredDirectory_AcceptsAppends(t *testing.T) {
 	store, err := openStored(t, readStored(t))
 	if err != nil {
 		t.Fatal(err)
@@ -121,8 +121,8 @@
 	}
 }
 
-// A directory of the earlier program in which one bit of any record or value has changed is refused.
-func TestStoredDirectory_CorruptedIsRefused(t *testing.T) {
+// A directory of the earlier build with one flipped bit in any record or value is rejected.
+func TestStoredDirectory_RejectsCorruption(t *testing.T) {
 	database := readStored(t)
 	store, err := openStored(t, database)
 	if err != nil {
@@ -143,24 +143,24 @@
 	for name, content := range contents {
 		corrupted := slices.Clone(content)
 		corrupted[len(corrupted)/2] ^= 1
-		damaged := bytes.ReplaceAll(database, content, corrupted)
-		if bytes.Equal(damaged, database) {
-			t.Errorf("%s: its bytes are not in the file", name)
+		corruptedDatabase := bytes.ReplaceAll(database, content, corrupted)
+		if bytes.Equal(corruptedDatabase, database) {
+			t.Errorf("%s: its bytes were not found in the file", name)
 			continue
 		}
-		if store, err := openStored(t, damaged); err == nil {
+		if store, err := openStored(t, corruptedDatabase); err == nil {
 			closeStore(t, store)
-			t.Errorf("%s: opened with a bit that changed", name)
+			t.Errorf("%s: opened with a flipped bit", name)
 		}
 	}
 }
 
-// A directory of the earlier program is refused to another fleet and to another node, and is left as it was.
-func TestStoredDirectory_OfAnotherIsRefused(t *testing.T) {
+// A directory of the earlier build is rejected for another fleet and for another node, and is left unchanged.
+func TestStoredDirectory_RejectsForeignFleetAndNode(t *testing.T) {
 	database := readStored(t)
 	for _, c := range []struct{ fleet, name, want string }{
-		{"other", "c3", `of fleet "lab", not of "other"`},
-		{"lab", "c1", `of "c3", not of "c1"`},
+		{"other", "c3", `belongs to fleet "lab", not to "other"`},
+		{"lab", "c1", `belongs to process "c3", not to "c1"`},
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, fileName)
--- a/internal/storage/verify.go
+++ b/internal/storage/verify.go
@@ -16,7 +16,7 @@
 	recordKeySize = 8
 )
 
-var errChecksum = errors.New("its sum is wrong")
+var errChecksum = errors.New("checksum mismatch")
 
 // verify checks every page and every checksum of the file.
 func (s *Store) verify() error {
@@ -24,10 +24,10 @@
 		if info, err := os.Stat(s.path); err != nil {
 			return err
 		} else if info.Size() < tx.Size() {
-			return fmt.Errorf("cut short: %d bytes of %d", info.Size(), tx.Size())
+			return fmt.Errorf("truncated: %d of %d bytes", info.Size(), tx.Size())
 		}
 		var first error
-		// To its end: the check goes on reading the file in a goroutine, and the file is unmapped once it is rejected.
+		// Drains the channel: the check reads the mapped file in a goroutine, and the file is unmapped once it is rejected.
 		for err := range tx.Check() {
 			first = cmp.Or(first, err)
 		}
@@ -47,12 +47,12 @@
 	})
 }
 
-// addChecksum returns the content with its checksum before it.
+// addChecksum returns the content prefixed with its checksum.
 func addChecksum(content []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(content)), content...)
 }
 
-// verifyChecksum returns the content of a stored value.
+// verifyChecksum returns the content of a stored value, or errChecksum if it doesn't match its checksum.
 func verifyChecksum(stored []byte) ([]byte, error) {
 	if len(stored) < checksumSize || binary.BigEndian.Uint64(stored) != xxhash.Sum64(stored[checksumSize:]) {
 		return nil, errChecksum
