--- a/internal/storage/faults_test.go
+++ b/internal/storage/faults_test.go
@@ -14,12 +14,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// fault is one operation of a commit that fails: its at-th write, or one of its two syncs.
+// fault is a failure of one operation of a commit: of one write, of one of its two syncs, or of growing the file.
 type fault struct {
-	kind    faultKind
-	err     error
-	at      int
-	dropped bool // of a sync: the kernel gives up what it couldn't write, and the file reads as before
+	kind        faultKind
+	err         error
+	writeNumber int  // of the failing write, from 1
+	dropped     bool // of a sync: the kernel drops the pages that it couldn't write, and the file reads as before
 }
 
 type faultKind int
@@ -27,56 +27,56 @@
 const (
 	failedWrite faultKind = iota
 	shortWrite
-	failedPageSync // of all but the root
+	failedPageSync // of all pages but the root
 	failedRootSync
-	failedGrow // or whatever comes before the first write
+	failedGrow // growing the file, or anything else before the first write
 )
 
 func (f fault) String() string {
 	kind := [...]string{"failed write", "short write", "failed sync of pages", "failed sync of the root", "failure before a write"}[f.kind]
-	return fmt.Sprintf("%s %d, %v, dropped %v", kind, f.at, f.err, f.dropped)
+	return fmt.Sprintf("%s %d, %v, dropped %v", kind, f.writeNumber, f.err, f.dropped)
 }
 
-// faultyFile stands between bbolt and the file of an open store.
+// faultyFile intercepts the writes of bbolt to the file of an open store.
 type faultyFile struct {
 	t          *testing.T
 	fault      fault
 	count      int
 	occurred   bool
 	file       *os.File
-	hook       *func([]byte, int64) (int, error) // that bbolt calls
-	real       func([]byte, int64) (int, error)
-	saved      int // a descriptor of the file while its own leads elsewhere
+	hook       *func([]byte, int64) (int, error) // called by bbolt to write
+	original   func([]byte, int64) (int, error)  // the hook before the injection
+	savedFD    int                               // a descriptor of the file while the file's own is redirected, else -1
 	overwrites []overwritten
 }
 
-// overwritten is what stood in the file before it was written over.
+// overwritten is the content of a part of the file before a write replaced it.
 type overwritten struct {
 	offset int64
 	bytes  []byte
 }
 
-// inject has one fault come at the store's next commit. bbolt has no seam for it: its own for tests is not exported.
+// inject makes the store's next commit fail with one fault. It sets unexported fields of bbolt: bbolt exports no hook for its writes.
 func inject(t *testing.T, store *Store, f fault) *faultyFile {
 	t.Helper()
 	db := reflect.ValueOf(store.db).Elem()
 	file := *(**os.File)(unsafe.Pointer(db.FieldByName("file").UnsafeAddr()))
 	writeAt := (*func([]byte, int64) (int, error))(unsafe.Pointer(db.FieldByName("ops").FieldByName("writeAt").UnsafeAddr()))
-	faulty := &faultyFile{t: t, fault: f, file: file, hook: writeAt, real: *writeAt, saved: -1}
+	faulty := &faultyFile{t: t, fault: f, file: file, hook: writeAt, original: *writeAt, savedFD: -1}
 	*writeAt = faulty.writeAt
 	if f.kind == failedGrow {
 		faulty.occurred = true
-		faulty.misdirect()
+		faulty.redirectToPipe()
 	}
 	return faulty
 }
 
-// misdirect has the file's descriptor lead to a pipe, which can't be synced, truncated or mapped.
-func (f *faultyFile) misdirect() {
+// redirectToPipe makes the file's descriptor refer to a pipe, which can't be synced, truncated or mapped.
+func (f *faultyFile) redirectToPipe() {
 	var pipe [2]int
 	err := unix.Pipe2(pipe[:], unix.O_CLOEXEC)
 	if err == nil {
-		f.saved, err = unix.Dup(int(f.file.Fd()))
+		f.savedFD, err = unix.Dup(int(f.file.Fd()))
 	}
 	if err == nil {
 		err = unix.Dup3(pipe[1], int(f.file.Fd()), unix.O_CLOEXEC)
@@ -95,31 +95,31 @@
 	}
 }
 
-// restore gives the descriptor back its file.
+// restore makes the descriptor refer to the file again.
 func (f *faultyFile) restore() {
-	if f.saved < 0 {
+	if f.savedFD < 0 {
 		return
 	}
-	if err := unix.Dup3(f.saved, int(f.file.Fd()), unix.O_CLOEXEC); err != nil {
+	if err := unix.Dup3(f.savedFD, int(f.file.Fd()), unix.O_CLOEXEC); err != nil {
 		f.t.Fatal(err)
 	}
-	f.closeDescriptor(f.saved)
-	f.saved = -1
+	f.closeDescriptor(f.savedFD)
+	f.savedFD = -1
 }
 
 func (f *faultyFile) writeAt(b []byte, offset int64) (int, error) {
-	if f.saved >= 0 { // no sync, and no growth, came before this write
+	if f.savedFD >= 0 { // the file was neither synced nor grown before this write
 		f.restore()
 		f.occurred = false
 	}
 	f.count++
 	switch f.fault.kind {
 	case failedWrite:
-		if f.occurred = f.count == f.fault.at; f.occurred {
+		if f.occurred = f.count == f.fault.writeNumber; f.occurred {
 			return 0, f.fault.err
 		}
 	case shortWrite:
-		if f.occurred = f.count == f.fault.at; f.occurred {
+		if f.occurred = f.count == f.fault.writeNumber; f.occurred {
 			n, _ := f.write(b[:len(b)/2], offset)
 			return n, f.fault.err
 		}
@@ -127,33 +127,33 @@
 		n, err := f.write(b, offset)
 		if isRoot(offset) == (f.fault.kind == failedRootSync) {
 			f.occurred = true
-			f.misdirect()
+			f.redirectToPipe()
 		}
 		return n, err
 	}
 	return f.write(b, offset)
 }
 
-// isRoot tells whether a page is one of the two roots.
+// isRoot reports whether the page at this offset is one of the two root pages.
 func isRoot(offset int64) bool { return offset < int64(2*os.Getpagesize()) }
 
 func (f *faultyFile) write(b []byte, offset int64) (int, error) {
 	before := make([]byte, len(b))
 	n, _ := f.file.ReadAt(before, offset)
 	f.overwrites = append(f.overwrites, overwritten{offset, before[:n]})
-	return f.real(b, offset)
+	return f.original(b, offset)
 }
 
-// finish ends the fault, as the disk is well again or the kernel has given up what it held.
+// finish ends the fault. If the kernel is to drop the pages that it couldn't write, it restores their earlier content in the file.
 func (f *faultyFile) finish() {
-	*f.hook = f.real
+	*f.hook = f.original
 	f.restore()
 	if !f.fault.dropped || !f.occurred {
 		return
 	}
 	for n := len(f.overwrites) - 1; n >= 0; n-- {
 		if f.fault.kind == failedRootSync && !isRoot(f.overwrites[n].offset) {
-			break // the pages beneath the root were synced before it was written
+			break // the other pages were synced before the root was written
 		}
 		if _, err := f.file.WriteAt(f.overwrites[n].bytes, f.overwrites[n].offset); err != nil {
 			f.t.Fatal(err)
@@ -161,7 +161,7 @@
 	}
 }
 
-// storeContents are what a store holds, as plain values.
+// storeContents are the records of a store, by number, and its values, by name.
 type storeContents map[string]string
 
 func read(store *Store) (storeContents, error) {
@@ -176,51 +176,51 @@
 	return c, err
 }
 
-// writeHistory is the checker: what was acknowledged must be there, and of what was attempted all or nothing.
+// writeHistory writes batches and is their checker: everything acknowledged must be stored, and of the batch attempted last all or nothing.
 type writeHistory struct {
-	number             uint64
-	acknowledged, with storeContents // with: also what was attempted last
-	earlyAcknowledge   bool          // the seeded defect
+	number                  uint64
+	acknowledged, attempted storeContents // attempted: acknowledged, with the batch attempted last
+	earlyAcknowledge        bool          // the seeded defect
 }
 
-// write stores one more batch, three records and a value that belong together, and in turn drops older ones.
+// write stores one more batch of three records and a value. Every fourth batch also compacts the log.
 func (h *writeHistory) write(store *Store) error {
 	h.number++
-	from := h.number * 2 // the third record of the batch before is replaced
+	from := h.number * 2 // replaces the third record of the previous batch
 	b := Batch{Records: records(from, from+2, fmt.Sprint("batch ", h.number, " ", string(make([]byte, 700)))), Values: map[string][]byte{"batch": fmt.Append(nil, h.number)}}
-	h.with = maps.Clone(h.acknowledged)
+	h.attempted = maps.Clone(h.acknowledged)
 	for _, r := range b.Records {
-		h.with[fmt.Sprint(r.Number)] = string(r.Bytes)
+		h.attempted[fmt.Sprint(r.Number)] = string(r.Bytes)
 	}
-	h.with["batch"] = string(b.Values["batch"])
+	h.attempted["batch"] = string(b.Values["batch"])
 	if h.number%4 == 0 {
 		b.CompactBelow = from - 4
-		maps.DeleteFunc(h.with, func(name, _ string) bool {
+		maps.DeleteFunc(h.attempted, func(name, _ string) bool {
 			var n uint64
 			_, err := fmt.Sscan(name, &n)
 			return err == nil && n < b.CompactBelow
 		})
 	}
 	if h.earlyAcknowledge {
-		h.acknowledged = h.with
+		h.acknowledged = h.attempted
 	}
 	err := store.Write(b)
 	if err == nil {
-		h.acknowledged = h.with
+		h.acknowledged = h.attempted
 	}
 	return err
 }
 
-// check judges what is read, and goes on from it.
+// check compares what was read with the history, and then takes it as what is acknowledged.
 func (h *writeHistory) check(got storeContents) error {
-	if !maps.Equal(got, h.acknowledged) && !maps.Equal(got, h.with) {
+	if !maps.Equal(got, h.acknowledged) && !maps.Equal(got, h.attempted) {
 		return fmt.Errorf("batch %s is stored, acknowledged was %s; %d values", got["batch"], h.acknowledged["batch"], len(got))
 	}
-	h.acknowledged, h.with = got, got
+	h.acknowledged, h.attempted = got, got
 	return nil
 }
 
-// checkAfterKill opens what a process that was killed at this moment has left.
+// checkAfterKill opens and checks a copy of the file, as a process killed at this moment leaves it.
 func (h *writeHistory) checkAfterKill(t *testing.T, store *Store) error {
 	t.Helper()
 	b, err := os.ReadFile(store.path)
@@ -231,24 +231,25 @@
 	if err := os.WriteFile(filepath.Join(dir, fileName), b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	left, err := Open(dir, "f", "c1", nextID)
+	reopened, err := Open(dir, "f", "c1", nextID)
 	if err != nil {
 		return fmt.Errorf("after a kill: %w", err)
 	}
-	defer closeStore(t, left)
-	got, err := read(left)
+	defer closeStore(t, reopened)
+	got, err := read(reopened)
 	if err != nil {
 		return fmt.Errorf("after a kill: %w", err)
 	}
-	other := *h
-	if err := other.check(got); err != nil {
+	branch := *h
+	if err := branch.check(got); err != nil {
 		return fmt.Errorf("after a kill: %w", err)
 	}
 	return nil
 }
 
-// run has a run of as many commits fail by one fault, with a kill and an opening anew after each. occurred: it came to pass.
-func (h *writeHistory) run(t *testing.T, f fault, run int) (occurred bool, err error) {
+// run makes consecutive commits fail by the same fault, and checks a kill and a reopening after each. occurred reports whether the fault
+// occurred at all.
+func (h *writeHistory) run(t *testing.T, f fault, consecutive int) (occurred bool, err error) {
 	t.Helper()
 	dir := t.TempDir()
 	store := openStore(t, dir)
@@ -259,11 +260,11 @@
 		}
 	}
 	identity := store.Identity
-	for range run {
+	for range consecutive {
 		faulty := inject(t, store, f)
 		err := h.write(store)
 		faulty.finish()
-		if !faulty.occurred { // it took fewer writes
+		if !faulty.occurred { // the commit had fewer writes
 			if err != nil {
 				return occurred, err
 			}
@@ -299,15 +300,15 @@
 	return occurred, h.checkAfterKill(t, store)
 }
 
-// writeFaults gives each way in which one write of a commit fails.
-func writeFaults(at int) (all []fault) {
+// writeFaults returns each way in which the write of this number in a commit can fail.
+func writeFaults(number int) (all []fault) {
 	for _, err := range []error{syscall.ENOSPC, syscall.EIO} {
-		all = append(all, fault{kind: failedWrite, err: err, at: at}, fault{kind: shortWrite, err: err, at: at})
+		all = append(all, fault{kind: failedWrite, err: err, writeNumber: number}, fault{kind: shortWrite, err: err, writeNumber: number})
 	}
 	return all
 }
 
-// syncFaults gives each way in which one sync of a commit fails.
+// syncFaults returns each way in which one sync of a commit can fail.
 func syncFaults() (all []fault) {
 	for _, kind := range []faultKind{failedPageSync, failedRootSync} {
 		all = append(all, fault{kind: kind}, fault{kind: kind, dropped: true})
@@ -315,21 +316,21 @@
 	return all
 }
 
-// runs are how often in a row a fault comes.
-var runs = []int{1, 3}
+// consecutiveFaults are the numbers of consecutive commits that a fault is tested with.
+var consecutiveFaults = []int{1, 3}
 
-// Each write of a commit fails, once and three times in a row: what was acknowledged is there, also after a kill, no batch is there in
-// part, and the store accepts writes again once it is reopened.
+// Each write of a commit fails, in one commit and in three consecutive ones. Acknowledged batches stay stored, also after a kill, no batch
+// is stored partially, and the store accepts writes again once it is reopened.
 func TestStore_EachWriteFails(t *testing.T) {
-	const fewest = 4 // pages of the records, the values and the free list, and the root
-	reached := true  // some commit had as many writes
-	for at := 1; reached || at <= fewest; at++ {
+	const minWrites = 4 // pages of the records, the values and the free list, and the root
+	reached := true     // some commit had this many writes
+	for number := 1; reached || number <= minWrites; number++ {
 		reached = false
-		for _, f := range writeFaults(at) {
-			for _, run := range runs {
-				occurred, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run)
-				if err != nil || !occurred && at <= fewest {
-					t.Errorf("%v, %d in a row: occurred %v, %v", f, run, occurred, err)
+		for _, f := range writeFaults(number) {
+			for _, consecutive := range consecutiveFaults {
+				occurred, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, consecutive)
+				if err != nil || !occurred && number <= minWrites {
+					t.Errorf("%v, %d consecutive commits: occurred %v, %v", f, consecutive, occurred, err)
 				}
 				reached = reached || occurred
 			}
@@ -337,22 +338,22 @@
 	}
 }
 
-// The same holds where a sync fails, whether the kernel keeps what it couldn't write or drops it.
+// The same holds when a sync fails, whether the kernel keeps the pages that it couldn't write or drops them.
 func TestStore_EachSyncFails(t *testing.T) {
 	for _, f := range syncFaults() {
-		for _, run := range runs {
-			if occurred, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, run); err != nil || !occurred {
-				t.Errorf("%v, %d in a row: occurred %v, %v", f, run, occurred, err)
+		for _, consecutive := range consecutiveFaults {
+			if occurred, err := (&writeHistory{acknowledged: storeContents{}}).run(t, f, consecutive); err != nil || !occurred {
+				t.Errorf("%v, %d consecutive commits: occurred %v, %v", f, consecutive, occurred, err)
 			}
 		}
 	}
 }
 
-// The seeded defect, an acknowledgement before the sync, is found.
+// The checker finds the seeded defect, an acknowledgement before the sync.
 func TestStore_FindsEarlyAcknowledgement(t *testing.T) {
 	for _, f := range append(writeFaults(1), syncFaults()...) {
 		if f.kind == failedRootSync && !f.dropped {
-			continue // all of it has come through
+			continue // everything was written in spite of the error
 		}
 		if _, err := (&writeHistory{acknowledged: storeContents{}, earlyAcknowledge: true}).run(t, f, 1); err == nil {
 			t.Errorf("%v: not found", f)
@@ -360,7 +361,7 @@
 	}
 }
 
-// The same holds for a file that can't grow.
+// The same holds when the file can't grow.
 func TestStore_FailsToGrow(t *testing.T) {
 	h := &writeHistory{acknowledged: storeContents{}}
 	store := openStore(t, t.TempDir())
@@ -395,8 +396,8 @@
 	}
 }
 
-// Reopen rejects a directory that another process used while it was closed.
-func TestReopen_RejectsDirectoryOfAnother(t *testing.T) {
+// Reopen rejects a directory that another process used, has open, or replaced while it was closed.
+func TestReopen_RejectsUsedOrReplacedDirectory(t *testing.T) {
 	dir := t.TempDir()
 	store := openStore(t, dir)
 	write(t, store, Batch{Records: records(1, 3, "a")})
@@ -406,11 +407,11 @@
 		t.Errorf("after another start: %v", err)
 	}
 	if _, _, err := store.Read(); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("read of a closed one: %v", err)
+		t.Errorf("read of a closed store: %v", err)
 	}
 	other := openStore(t, dir)
 	if err := store.Reopen(); !errors.Is(err, ErrInUse) {
-		t.Errorf("while another has it: %v", err)
+		t.Errorf("while another process has it open: %v", err)
 	}
 	closeStore(t, other)
 	if err := os.Remove(filepath.Join(dir, fileName)); err != nil {
