--- a/internal/settings/coordinator.go
+++ b/internal/settings/coordinator.go
@@ -17,23 +17,23 @@
 	Name             string            `toml:"name"`
 	Listen           string            `toml:"listen"`
 	Dir              string            `toml:"folder"` // the data directory
-	Join             bool              `toml:"join"`   // the node joins a cluster that exists
-	Peers            []CoordinatorPeer `toml:"peers"`  // the nodes of a new cluster, with this one
+	Join             bool              `toml:"join"`   // the node joins an existing cluster
+	Peers            []CoordinatorPeer `toml:"peers"`  // the nodes of a new cluster, including this one
 	Tick             Duration          `toml:"tick"`
 	SnapshotInterval int               `toml:"keep"` // log entries between two snapshots
 	MaxConnections   int               `toml:"connections"`
 	AuditLog         string            `toml:"record"`
-	PeerAddresses    map[string]string `toml:"via"`         // addresses to reach processes by, by their names
-	ClockOffset      Duration          `toml:"clock_ahead"` // for tests
+	PeerAddresses    map[string]string `toml:"via"`         // addresses at which to reach processes, by process name
+	ClockOffset      Duration          `toml:"clock_ahead"` // added to this process's clock, for tests
 }
 
-// CoordinatorPeer is a node of a new coordinator cluster.
+// CoordinatorPeer is an initial node of a new coordinator cluster.
 type CoordinatorPeer struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
 
-// Values of what a coordinator node's file leaves out, and the least that it may give.
+// Defaults and minimum values of a coordinator node's file.
 const (
 	defaultTickMs           Duration = 50
 	defaultSnapshotInterval          = 10_000
@@ -43,7 +43,7 @@
 	minMaxConnections                = 16
 )
 
-// ReadCoordinator decodes and checks a coordinator node's file, and sets what it leaves out. Its error names the line or key at fault.
+// ReadCoordinator decodes and checks a coordinator node's file, and applies the defaults. Its error names the line or key at fault.
 func ReadCoordinator(text []byte) (*Coordinator, error) {
 	file := &CoordinatorFile{}
 	if err := decodeStrict(text, file); err != nil {
@@ -70,7 +70,7 @@
 	case c.Fleet == "" || c.Name == "" || c.Dir == "":
 		return errors.New("council: fleet, name and folder must be given")
 	case c.Join && len(c.Peers) > 0:
-		return errors.New("council: join: one that joins begins nothing, peers must not be given")
+		return errors.New("council: join: a node that joins an existing cluster must not list peers")
 	case !c.Join && len(c.Peers) == 0:
 		return errors.New("council: peers: must be given, or join = true")
 	}
--- a/internal/settings/fleetsection.go
+++ b/internal/settings/fleetsection.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Fleet is the section of a router's file about what all routers have in common, and about the coordinator.
+// Fleet is the section of a router's file for what concerns all routers, and for the coordinator.
 type Fleet struct {
 	Routers           int      `toml:"routers"`
 	Zone              string   `toml:"zone"`
-	LaggingReads      string   `toml:"lagging_reads"` // what members do with a read that they lag behind for
+	LaggingReads      string   `toml:"lagging_reads"` // what a member does with a read for which its replication lag is too large
 	HealthReports     bool     `toml:"reports"`
 	MaxAttempts       int      `toml:"submissions"`
 	RetryAfter        Duration `toml:"retry_after"`
@@ -27,27 +27,27 @@
 	CheckUser         string   `toml:"check_user"`     // of health checks
 	CheckDatabase     string   `toml:"check_database"` // of health checks
 
-	// What follows needs the coordinator.
+	// The fields below need the coordinator.
 	Name                string            `toml:"name"`
-	Coordinators        []string          `toml:"council"` // addresses; none: the router takes no part in a fleet
-	ReceiverListen      string            `toml:"orders"`  // address on which orders of lease holders come
+	Coordinators        []string          `toml:"council"` // addresses; without any, the router works without a coordinator
+	ReceiverListen      string            `toml:"orders"`  // address on which orders of lease holders are received
 	ReceiverAddress     string            `toml:"orders_address"`
 	SessionTimeout      Duration          `toml:"session"`
 	SafetyMargin        Duration          `toml:"margin"`
-	HealthShareInterval Duration          `toml:"sight"` // between two checks of a member as lease holder; 0: acquires no such lease
+	HealthShareInterval Duration          `toml:"sight"` // between two health checks of a member by the lease holder; 0: the router acquires no such lease
 	Switchover          *Switchover       `toml:"handover"`
-	MaxWriteHold        Duration          `toml:"most_held"` // the longest that writes are held here for one switchover
-	PeerAddresses       map[string]string `toml:"via"`       // addresses to reach processes by, by their names
+	MaxWriteHold        Duration          `toml:"most_held"` // longest write hold at this router for one switchover
+	PeerAddresses       map[string]string `toml:"via"`       // addresses at which to reach processes, by process name
 	AuditLog            string            `toml:"record"`
-	PolicyDir           string            `toml:"policy_folder"` // where the policy is stored for the next start; empty: nowhere
-	ClockOffset         Duration          `toml:"clock_ahead"`   // for tests
+	PolicyDir           string            `toml:"policy_folder"` // where the policy is stored for the next start; empty: not stored
+	ClockOffset         Duration          `toml:"clock_ahead"`   // added to this process's clock, for tests
 }
 
-// Switchover is how a process that acquires switchover leases changes a group's primary.
+// Switchover configures how the holder of a switchover lease changes a group's primary.
 type Switchover struct {
-	Hold     Duration `toml:"hold"` // the longest that routers hold writes
-	Wait     Duration `toml:"wait"` // of it, for running writes to end
-	Step     Duration `toml:"step"` // for one statement
+	Hold     Duration `toml:"hold"` // longest write hold at the routers
+	Wait     Duration `toml:"wait"` // part of Hold in which running writes may end
+	Step     Duration `toml:"step"` // time limit of one statement
 	User     string   `toml:"user"`
 	Database string   `toml:"database"`
 	Primary  string   `toml:"primary"`
@@ -57,7 +57,7 @@
 	Promote  string   `toml:"take"`
 }
 
-// Values of what the section leaves out where it names the coordinator.
+// Defaults and bounds of a section that names the coordinator.
 const (
 	defaultFleetName                    = "fleet"
 	defaultSessionTimeoutMs    Duration = 2000
@@ -71,10 +71,10 @@
 	minSessionTimeoutPerMargin          = 2
 )
 
-// guardTokenParameter is the fencing token in the guard statement.
+// guardTokenParameter is the parameter of the guard statement that stands for the fencing token.
 const guardTokenParameter = "$1"
 
-// complete sets what the section leaves out, and returns an error if it contradicts itself.
+// complete applies the defaults, and returns an error if the section contradicts itself.
 func (f *Fleet) complete() error {
 	if len(f.Coordinators) == 0 {
 		if f.ReceiverListen != "" || f.HealthShareInterval > 0 || f.Switchover != nil || f.Name != "" || f.PolicyDir != "" {
@@ -112,7 +112,7 @@
 	return CheckAddress("fleet.orders", f.ReceiverListen)
 }
 
-// checkPeerAddresses checks a table of addresses by the names of processes.
+// checkPeerAddresses checks a table of addresses by process name.
 func checkPeerAddresses(table string, addresses map[string]string) error {
 	for _, name := range slices.Sorted(maps.Keys(addresses)) {
 		if err := CheckAddress(table+"."+name, addresses[name]); err != nil {
--- a/internal/settings/jsonfields.go
+++ b/internal/settings/jsonfields.go
@@ -6,21 +6,21 @@
 	"github.com/valyala/fastjson"
 )
 
-// Fields reads the fields of one JSON object. Each method returns the zero value of a field that is missing or of another type, and the
-// first mistake is kept in Err.
+// Fields reads the fields of one JSON object. Its methods return the zero value for a field that is missing or has the wrong type, and the
+// first such error is kept in Err.
 type Fields struct {
 	Value *fastjson.Value
 	Err   error
 }
 
-// Fail records a mistake: the field must be what want says.
+// Fail records the error that a field must be what want describes, unless an error is recorded already.
 func (f *Fields) Fail(key, want string) {
 	if f.Err == nil {
 		f.Err = fmt.Errorf("%s: must be %s", key, want)
 	}
 }
 
-// Get returns a field; nil if it is missing or null.
+// Get returns a field, or nil if it is missing or null.
 func (f *Fields) Get(key string) *fastjson.Value {
 	v := f.Value.Get(key)
 	if v != nil && v.Type() == fastjson.TypeNull {
@@ -77,7 +77,7 @@
 	return v.GetBool()
 }
 
-// Object reads an object within the object. The mistakes in it are kept with its key.
+// Object reads a nested object with read. An error in it is prefixed with the object's key.
 func (f *Fields) Object(key string, read func(*Fields)) {
 	v := f.Get(key)
 	if v == nil || v.Type() != fastjson.TypeObject {
--- a/internal/settings/keypositions.go
+++ b/internal/settings/keypositions.go
@@ -7,11 +7,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineAt returns the number of the line at an offset of a text.
+// lineAt returns the line number, from 1, of an offset in a text.
 func lineAt(text []byte, offset int) int { return 1 + bytes.Count(text[:offset], []byte("\n")) }
 
-// keyPositions returns the offset of each key of a TOML text that has been decoded without an error, by its path, like
-// txn_types[1].value. A table is at its header.
+// keyPositions returns the offset of each key in a valid TOML text, by the key's path, such as txn_types[1].value. The position of a
+// table is that of its header.
 func keyPositions(text []byte) map[string]int {
 	positions, tables, prefix := keyOffsets{}, map[string]int{}, ""
 	parser := unstable.Parser{}
@@ -33,7 +33,7 @@
 	return positions
 }
 
-// joinKey returns a dotted key behind a prefix, and where it begins.
+// joinKey returns the prefix with the parts of a dotted key appended, and the offset of the first part.
 func joinKey(prefix string, parts unstable.Iterator) (path string, offset int) {
 	offset = -1
 	for parts.Next() {
@@ -46,10 +46,10 @@
 	return path, offset
 }
 
-// keyOffsets are offsets in a text, by path.
+// keyOffsets are the offsets of keys in a text, by path.
 type keyOffsets map[string]int
 
-// addValue adds the keys of a value.
+// addValue adds a key and the keys nested in its value.
 func (o keyOffsets) addValue(prefix string, node *unstable.Node) {
 	switch node.Kind {
 	case unstable.KeyValue:
--- a/internal/settings/keywords.go
+++ b/internal/settings/keywords.go
@@ -7,7 +7,7 @@
 	"wayloft/router"
 )
 
-// Words of the platform's form.
+// Keywords of the platform's JSON.
 var (
 	platformEffects = map[string]router.Effect{
 		"retryable": router.Idempotent,
@@ -16,11 +16,11 @@
 	}
 	platformScopes = map[string]router.Scope{"all": router.ScopeAll, "zone": router.ScopeZone, "cell": router.ScopeGroup}
 	platformLags   = map[string]router.Lag{"silent": router.LagAnswers, "refuse": router.LagRefuses, "wait": router.LagWaits}
-	listPolling    = map[string]bool{"push": false, "ask": true}           // discovery: the list is polled
-	commitMemory   = map[string]bool{"carried": false, "remembered": true} // tokenMode: the router remembers commits
+	listPolling    = map[string]bool{"push": false, "ask": true}           // discovery: whether the endpoint list is polled
+	commitMemory   = map[string]bool{"carried": false, "remembered": true} // tokenMode: whether the router remembers commits
 )
 
-// Words of the TOML forms.
+// Keywords of the TOML files.
 var (
 	fileEffects = map[string]router.Effect{
 		"repeatable": router.Idempotent,
@@ -31,7 +31,7 @@
 	fileLags   = map[string]router.Lag{"answers": router.LagAnswers, "refuses": router.LagRefuses, "waits": router.LagWaits}
 )
 
-// levels are the words for the consistency of a request class, in all forms.
+// levels are the keywords for the consistency level of a request class, in JSON and TOML.
 var levels = map[string]router.Level{
 	"any":     router.Any,
 	"bounded": router.Bounded,
@@ -40,19 +40,19 @@
 	"write":   router.Write,
 }
 
-// keyword translates the word of a TOML key, or the default if none is given.
-func keyword[T any](words map[string]T, key, given, otherwise string) (T, error) {
-	value, known := words[cmp.Or(given, otherwise)]
+// keyword translates the keyword given for a TOML key, or the default if none is given.
+func keyword[T any](keywords map[string]T, key, given, defaultKeyword string) (T, error) {
+	value, known := keywords[cmp.Or(given, defaultKeyword)]
 	if !known {
 		return value, fmt.Errorf("%s: unknown value %q", key, given)
 	}
 	return value, nil
 }
 
-// platformKeyword reads a field of the platform's form that holds one of these words.
-func platformKeyword[T any](f *Fields, key string, words map[string]T) T {
+// platformKeyword reads a field of the platform's JSON that holds one of these keywords.
+func platformKeyword[T any](f *Fields, key string, keywords map[string]T) T {
 	word := f.Text(key)
-	value, known := words[word]
+	value, known := keywords[word]
 	if !known && f.Err == nil {
 		f.Err = fmt.Errorf("%s: unknown value %q", key, word)
 	}
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -8,28 +8,28 @@
 	"wayloft/router"
 )
 
-// microsecondsPerMs translates the platform's unit of time into the code's.
+// microsecondsPerMs converts the platform's times, in microseconds, to ms.
 const microsecondsPerMs = 1000
 
-// Runtime is the part of the settings that concerns connections and health checks, not decisions.
+// Runtime has the settings for connections and health checks, which the decision module doesn't need.
 type Runtime struct {
-	PositionOrigin      float64 // the time in ms from which the platform counts positions
+	PositionOrigin      float64 // the time in ms from which the platform measures positions
 	DialTimeoutMs       float64
 	ServerIdleTimeoutMs float64 // after which a member closes an idle connection
-	HealthReports       bool    // members report role and position when checked
+	HealthReports       bool    // members report their role and position in health checks
 }
 
-// platformDecoder decodes the platform's form. Its keys are translated here alone.
+// platformDecoder decodes the platform's JSON. No other code knows its keys.
 type platformDecoder struct {
 	settings *router.Settings
 	runtime  *Runtime
 
-	// By the index of a request class in profiles.
+	// Indexed like profiles, the array of request classes.
 	levels          []*fastjson.Value
 	stalenessBounds []*fastjson.Value
 }
 
-// Decode decodes settings in the platform's form. Its error names the field at fault.
+// Decode decodes settings in the platform's JSON. Its error names the field at fault.
 func Decode(object *fastjson.Value) (*router.Settings, *Runtime, error) {
 	f := &Fields{Value: object}
 	d := &platformDecoder{
@@ -52,7 +52,7 @@
 	return d.settings, d.runtime, f.Err
 }
 
-// decodeFleet decodes the fields of the object itself.
+// decodeFleet decodes the fields of the top-level object.
 func (d *platformDecoder) decodeFleet(f *Fields) {
 	d.settings.Routers = int(f.Number("balancers"))
 	d.settings.Zone = f.OptionalText("locality")
@@ -61,11 +61,11 @@
 	f.OptionalObject("clientHabits", func(habits *Fields) { d.settings.ClientsMarkRetries = habits.Bool("marksRetry") })
 }
 
-// decodeContract decodes what the endpoint list and starting members promise.
+// decodeContract decodes what a router may rely on about the endpoint list and about starting members.
 func (d *platformDecoder) decodeContract(f *Fields) {
 	d.settings.ListPollTimeout = f.OptionalNumber("askWithin") / microsecondsPerMs
 	if d.settings.PollsList && d.settings.ListPollTimeout <= 0 {
-		f.Fail("askWithin", "more than 0 where lists are asked for")
+		f.Fail("askWithin", "more than 0 where the endpoint list is polled")
 	}
 	d.settings.SoftRemoval = f.Bool("softRemoval")
 	d.settings.SlowStartFloor = f.Number("coldFrom")
@@ -86,7 +86,7 @@
 	d.runtime.ServerIdleTimeoutMs = f.OptionalNumber("idleClose") / microsecondsPerMs
 }
 
-// decodeConsistency decodes how members treat reads, and the consistency of each request class.
+// decodeConsistency decodes what lagging members do with reads, how commits are tracked, and the consistency of the request classes.
 func (d *platformDecoder) decodeConsistency(f *Fields) {
 	d.settings.Lag = platformKeyword(f, "serverChecks", platformLags)
 	d.settings.RemembersCommits = platformKeyword(f, "tokenMode", commitMemory)
@@ -127,10 +127,10 @@
 	return class
 }
 
-// setConsistency sets the consistency of the request class with this index.
+// setConsistency sets the consistency level and staleness bound of the request class at this index of profiles.
 func (d *platformDecoder) setConsistency(class *router.RequestClass, index int) error {
 	if index >= len(d.levels) || index >= len(d.stalenessBounds) {
-		return fmt.Errorf("familyInfo.readLevel, classBound: nothing for profiles[%d]", index)
+		return fmt.Errorf("familyInfo.readLevel, classBound: no entry for profiles[%d]", index)
 	}
 	level, known := levels[string(d.levels[index].GetStringBytes())]
 	if !known {
--- a/internal/settings/policyfile.go
+++ b/internal/settings/policyfile.go
@@ -15,7 +15,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// maxPolicyNameBytes is the longest name of a request class or tenant in a policy: the field's whole name has room for the rest.
+// maxPolicyNameBytes is the longest name of a request class or tenant in a policy. It leaves room for the table and key in the field name.
 const maxPolicyNameBytes = policy.MaxFieldNameBytes - 32
 
 // Keys of a policy file, and of its tables.
@@ -28,23 +28,23 @@
 	keyLateValue      = "late_value"
 )
 
-// policyReader collects the fields of a policy file, and all that is wrong with it.
+// policyReader collects the fields of a policy file and all errors in it.
 type policyReader struct {
 	text      []byte
-	positions map[string]int // by path, like txn_types[1].value: offset in the text
+	positions map[string]int // offsets in the text, by path, such as txn_types[1].value
 	fields    policy.Document
-	paths     map[string]string // by field
+	paths     map[string]string // in the text, by field
 	errs      []error
 }
 
-// ReadPolicy decodes a policy file, TOML, into its fields:
+// ReadPolicy decodes a policy file in TOML into its fields:
 //
 //	over_share_value = 0.2
-//	[[txn_types]]              # name, and any of value, late_value; effect, level, scope, bound, window, deadline are strict
+//	[[txn_types]]              # name, and any of value, late_value; effect, level, scope, bound, window, expiry are strict
 //	[[tenants]]                # name, and rate
 //
-// Its error names everything that is wrong, one mistake on each line, with line and key. Strict fields are read like any other:
-// policy.ValidateChange judges whether they may differ from the policy in force.
+// Its error lists all errors of the file, one per line, with line number and key. Strict fields are read like any other:
+// policy.ValidateChange decides whether they may differ from the policy in force.
 func ReadPolicy(text []byte) (policy.Document, error) {
 	if len(text) > policy.MaxDocumentBytes {
 		return nil, fmt.Errorf("policy: %d bytes, %d at most", len(text), policy.MaxDocumentBytes)
@@ -65,7 +65,7 @@
 	return r.fields, nil
 }
 
-// invalidUTF8 returns the offset of the first byte that is not UTF-8; -1: all are.
+// invalidUTF8 returns the offset of the first byte that is not valid UTF-8, or -1.
 func invalidUTF8(text []byte) int {
 	for offset := 0; offset < len(text); {
 		r, size := utf8.DecodeRune(text[offset:])
@@ -77,50 +77,50 @@
 	return -1
 }
 
-// validate adds what the policy's own rules find wrong with the values. Strict fields are compared with nothing here.
+// validate adds the violations of the policy's own rules. It skips strict fields: there is no policy in force to compare them with.
 func (r *policyReader) validate() {
-	for _, finding := range policy.ValidateChange(nil, r.fields) {
-		if class, _ := policy.Classify(finding.Field); class == policy.ClassLenient || finding.Field == "" {
-			r.fail(r.paths[finding.Field], "%s", finding.Reason)
+	for _, violation := range policy.ValidateChange(nil, r.fields) {
+		if class, _ := policy.Classify(violation.Field); class == policy.ClassLenient || violation.Field == "" {
+			r.fail(r.paths[violation.Field], "%s", violation.Reason)
 		}
 	}
 }
 
-// fail records a mistake at a path, with the line of the innermost part of the path that has one.
+// fail records an error at a path, with the line of the longest prefix of the path whose position is known.
 func (r *policyReader) fail(path, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
 	if path == "" {
 		r.errs = append(r.errs, errors.New(reason))
 		return
 	}
-	for part := path; ; {
-		if offset, known := r.positions[part]; known {
+	for prefix := path; ; {
+		if offset, known := r.positions[prefix]; known {
 			r.errs = append(r.errs, fmt.Errorf("line %d: %s: %s", lineAt(r.text, offset), path, reason))
 			return
 		}
-		end := strings.LastIndexAny(part, ".[")
+		end := strings.LastIndexAny(prefix, ".[")
 		if end < 0 {
 			r.errs = append(r.errs, fmt.Errorf("%s: %s", path, reason))
 			return
 		}
-		part = part[:end]
+		prefix = prefix[:end]
 	}
 }
 
 // set records a field's value.
 func (r *policyReader) set(field, value, path string) { r.fields[field], r.paths[field] = value, path }
 
-// routerFileKeys are keys that only a router's own file may have.
+// routerFileKeys are the keys that only a router's own file may have.
 var routerFileKeys = map[string]bool{
 	"name": true, "listen": true, "discovery": true, "seed": true, "limits": true, "fleet": true, "members": true, "pools": true,
 	"txn_types.sla": true,
 }
 
-// failUnknownKey records a key that a policy does not have.
+// failUnknownKey records the error that a policy has no such key.
 func (r *policyReader) failUnknownKey(key, path string) {
 	reason := "no such key"
 	if routerFileKeys[key] {
-		reason = "is each router's own file's to say, not the policy's"
+		reason = "belongs in each router's own file, not in the policy"
 	}
 	r.fail(path, "%s", reason)
 }
@@ -162,9 +162,9 @@
 			r.fail(path+".name", "%d bytes, %d at most", len(name), maxPolicyNameBytes)
 			continue
 		case repeated:
-			r.fail(path+".name", "%q: is %s[%d] already", name, table, first)
+			r.fail(path+".name", "%q is already the name of %s[%d]", name, table, first)
 		case len(keys) == 1:
-			r.fail(path, "nothing is said of %q", name)
+			r.fail(path, "no field is given for %q", name)
 		}
 		if !repeated {
 			firstIndex[name] = n
@@ -173,7 +173,7 @@
 	}
 }
 
-// readTable reads the keys of one table. Those of a table without a name are checked all the same.
+// readTable reads the keys of one table. It checks them even if the table has no name.
 func (r *policyReader) readTable(table, name, path string, keys map[string]any) {
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if key != keyName {
@@ -200,17 +200,17 @@
 	default:
 		number, ok := r.readNumber(field, path, value)
 		if ok && key == keyValue && number == 0 {
-			r.fail(path, "must be more than 0: else nothing could be weighed against it")
+			r.fail(path, "must be more than 0: other weights can't be compared with a weight of 0")
 		} else if ok && key == keyLateValue && number > 1 {
 			r.fail(path, "must be from 0 to 1, a share of the value, not %v", number)
 		}
 	}
 }
 
-func (r *policyReader) readKeyword(field, path string, value any, words []string) {
+func (r *policyReader) readKeyword(field, path string, value any, keywords []string) {
 	word, _ := value.(string)
-	if !slices.Contains(words, word) {
-		r.fail(path, "must be one of %s, not %v", strings.Join(words, ", "), value)
+	if !slices.Contains(keywords, word) {
+		r.fail(path, "must be one of %s, not %v", strings.Join(keywords, ", "), value)
 		return
 	}
 	r.set(field, word, path)
@@ -230,7 +230,7 @@
 	r.set(field, time.Duration(float64(duration)*float64(time.Millisecond)).String(), path)
 }
 
-// readNumber reads a number, whose bounds validate checks.
+// readNumber reads a number. validate checks its bounds.
 func (r *policyReader) readNumber(field, path string, value any) (number float64, ok bool) {
 	switch given := value.(type) {
 	case int64:
--- a/internal/settings/policyoverlay.go
+++ b/internal/settings/policyoverlay.go
@@ -11,17 +11,17 @@
 	"wayloft/router"
 )
 
-// overlay is a router's own settings with fields of a policy in place of its own.
+// overlay builds a copy of a router's own settings with the fields of a policy applied.
 type overlay struct {
 	own       *router.Settings
 	result    router.Settings
-	copied    map[string]*router.RequestClass // request classes of the result that are not shared with own
+	copied    map[string]*router.RequestClass // request classes of the result that have been copied from own
 	errs      []error
-	undefined map[string]bool // request classes that the router does not have, and that an error names
+	undefined map[string]bool // unknown request classes that have been reported
 }
 
-// Overlay returns a router's own settings with the fields of a policy in place of its own. Its error names everything that this router
-// can't apply. own stays as it is, and shares with the result all that the policy does not name.
+// Overlay returns a copy of a router's own settings in which the fields of a policy replace the router's values. Its error lists
+// everything that this router can't apply. own is not changed, and shares with the result what the policy doesn't name.
 func Overlay(own *router.Settings, document policy.Document) (*router.Settings, error) {
 	o := &overlay{own: own, result: *own, copied: map[string]*router.RequestClass{}, undefined: map[string]bool{}}
 	o.result.RequestClasses = maps.Clone(own.RequestClasses)
@@ -29,9 +29,9 @@
 		o.result.Tenants = map[string]float64{}
 	}
 	invalid := map[string]bool{}
-	for _, finding := range policy.ValidateChange(nil, document) {
-		invalid[finding.Field] = true
-		o.fail("%s: %s", finding.Field, finding.Reason)
+	for _, violation := range policy.ValidateChange(nil, document) {
+		invalid[violation.Field] = true
+		o.fail("%s: %s", violation.Field, violation.Reason)
 	}
 	for _, field := range slices.Sorted(maps.Keys(document)) {
 		if !invalid[field] {
@@ -48,7 +48,7 @@
 	o.errs = append(o.errs, fmt.Errorf(format, args...))
 }
 
-// apply sets a field that policy.ValidateChange found valid.
+// apply sets a field that policy.ValidateChange has accepted.
 func (o *overlay) apply(field, value string) {
 	table, name, key, _ := policy.SplitField(field)
 	number, _ := strconv.ParseFloat(value, 64)
@@ -65,7 +65,7 @@
 	}
 }
 
-// copyClass returns a request class of the result that is not shared with the router's own settings.
+// copyClass returns the result's request class of this name, which it copies first if it is still shared with the router's own settings.
 func (o *overlay) copyClass(name string) *router.RequestClass {
 	if o.copied[name] == nil {
 		class := *o.own.RequestClasses[name]
--- a/internal/settings/policywrite.go
+++ b/internal/settings/policywrite.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/decide/policy"
 )
 
-// policyFile is a policy file as WritePolicy writes it.
+// policyFile is the TOML structure of a policy file.
 type policyFile struct {
 	OverShareValue *float64      `toml:"over_share_value,omitempty"`
 	RequestClasses []policyClass `toml:"txn_types,omitempty"`
@@ -24,7 +24,8 @@
 	LateValue *float64 `toml:"late_value,omitempty"`
 }
 
-// WritePolicy encodes a document in the form that ReadPolicy decodes. Its error names a field that the form has no key for.
+// WritePolicy encodes a document in the form that ReadPolicy decodes. Its error names the first field that can't be written, such as a
+// strict one.
 func WritePolicy(document policy.Document) ([]byte, error) {
 	var file policyFile
 	classes := map[string]*policyClass{}
@@ -33,7 +34,7 @@
 		number, err := strconv.ParseFloat(document[field], 64)
 		class, _ := policy.Classify(field)
 		if err != nil || class != policy.ClassLenient {
-			return nil, fmt.Errorf("%s = %q: this build has no place for it", field, document[field])
+			return nil, fmt.Errorf("%s = %q: this build can't write this field to a policy file", field, document[field])
 		}
 		switch table {
 		case keyTenants:
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -9,13 +9,13 @@
 	"wayloft/internal/decide/session"
 )
 
-// Pool is a pool of a router's file: the clients of one user and database share its connections.
+// Pool is a connection pool in a router's file. The clients of one user and database share its connections.
 type Pool struct {
 	User              string   `toml:"user"`
 	Database          string   `toml:"database"`
 	Mode              string   `toml:"form"`
 	Read              string   `toml:"read"`  // request class of transactions that only read
-	Write             string   `toml:"write"` // request class of all others
+	Write             string   `toml:"write"` // request class of all other transactions
 	Group             int      `toml:"group"`
 	PerMember         int      `toml:"connections_per_member"`
 	Total             int      `toml:"connections"`
@@ -35,7 +35,7 @@
 	Name          string
 	User          string
 	Database      string
-	StatementMode bool // clients use the platform's form: one statement with a comment is one request
+	StatementMode bool // one statement, labelled by a comment, is one request, as on the platform
 	Policy        session.Policy
 	Bounds        connpool.Bounds
 	Group         int
@@ -50,7 +50,7 @@
 
 var poolModes = map[string]string{modeTransaction: modeTransaction, modeSession: modeSession, modePlatform: modePlatform}
 
-// Values of what a pool leaves out.
+// Defaults of a pool.
 const (
 	defaultMaxSettingsBytes = 8 << 10
 	defaultMaxStatements    = 1000
@@ -58,7 +58,7 @@
 
 func (p *Pool) name() string { return p.User + "/" + p.Database }
 
-// checkPools checks the pools; classes are the names of the request classes.
+// checkPools checks the pools against the names of the request classes.
 func checkPools(pools []Pool, classes map[string]bool) error {
 	names := map[string]bool{}
 	for n, pool := range pools {
@@ -86,12 +86,12 @@
 		return errors.New("connections_per_member and wait must be more than 0")
 	}
 	if p.MinIdle > p.PerMember {
-		return errors.New("warm: no more than connections_per_member")
+		return errors.New("warm: must not exceed connections_per_member")
 	}
 	return nil
 }
 
-// needsUnlabelledClass reports whether a pool names no request class for its writes.
+// needsUnlabelledClass reports whether some pool, other than in platform mode, names no request class for its writes.
 func needsUnlabelledClass(pools []Pool) bool {
 	for _, pool := range pools {
 		if pool.Mode != modePlatform && pool.Write == "" {
@@ -101,7 +101,7 @@
 	return false
 }
 
-// PoolSettings returns the pools as the frontend and the backend need them; nil if the file names none.
+// PoolSettings returns the pools as the frontend and the backend need them, or nil if the file has none.
 func (f *File) PoolSettings() []PoolSettings {
 	var all []PoolSettings
 	for _, pool := range f.Pools {
--- a/internal/settings/requestclasses.go
+++ b/internal/settings/requestclasses.go
@@ -8,13 +8,13 @@
 	"wayloft/router"
 )
 
-// RequestClass is a request class of a router's file.
+// RequestClass is a request class in a router's file.
 type RequestClass struct {
 	Name              string   `toml:"name"`
 	LatencyObjective  Duration `toml:"sla"`
 	Deadline          Duration `toml:"expiry"`
 	PriorityWeight    float64  `toml:"value"`
-	LateWeight        float64  `toml:"late_value"` // of the priority weight, from 0 to 1
+	LateWeight        float64  `toml:"late_value"` // share of the priority weight that a late response earns, from 0 to 1
 	Effect            string   `toml:"effect"`
 	Scope             string   `toml:"scope"` // of the idempotency key
 	IdempotencyWindow Duration `toml:"window"`
@@ -22,17 +22,17 @@
 	StalenessBound    Duration `toml:"bound"`
 }
 
-// Tenant is a tenant of a router's file.
+// Tenant is a tenant in a router's file.
 type Tenant struct {
 	Name string  `toml:"name"`
-	Rate float64 `toml:"rate"` // requests a second within its quota
+	Rate float64 `toml:"rate"` // quota in requests per second
 }
 
-// UnlabelledClass is the request class of a request for which neither a label nor a setting nor its pool names one: non-idempotent, at
-// the primary.
+// UnlabelledClass is the request class of a request for which neither a label nor a setting nor its pool names one. By default its requests
+// are non-idempotent and go to the primary.
 const UnlabelledClass = "unlabelled"
 
-// Values of what a request class leaves out.
+// Defaults of a request class.
 const (
 	defaultPriorityWeight = 1.
 	defaultEffect         = "once-only"
@@ -40,7 +40,7 @@
 	defaultLevel          = "write"
 )
 
-// newUnlabelledClass returns UnlabelledClass as it is where the file does not describe it.
+// newUnlabelledClass returns the settings of UnlabelledClass for a file that doesn't define it.
 func newUnlabelledClass() *router.RequestClass {
 	return &router.RequestClass{
 		LatencyObjective: 1000,
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkRequestClasses returns the names of the classes, with UnlabelledClass.
+// checkRequestClasses checks the classes and returns their names, including UnlabelledClass.
 func checkRequestClasses(classes []RequestClass) (names map[string]bool, err error) {
 	names = map[string]bool{UnlabelledClass: true}
 	for n, class := range classes {
@@ -67,7 +67,7 @@
 	return names, nil
 }
 
-// settings returns the class as the decision module has it.
+// settings returns the class in the form of the decision module.
 func (c *RequestClass) settings() (*router.RequestClass, error) {
 	effect, effectErr := keyword(fileEffects, "effect", c.Effect, defaultEffect)
 	scope, scopeErr := keyword(fileScopes, "scope", c.Scope, defaultScope)
--- a/internal/settings/routerfile.go
+++ b/internal/settings/routerfile.go
@@ -8,11 +8,11 @@
 	"wayloft/router"
 )
 
-// File is the TOML file of a router. A key that it does not name is an error.
+// File is the TOML file of a router. Unknown keys are errors.
 type File struct {
 	Name           string         `toml:"name"`
 	Listen         string         `toml:"listen"`
-	Discovery      string         `toml:"discovery"` // address; empty: the members are those of the file
+	Discovery      string         `toml:"discovery"` // address; empty: the members are those in the file
 	Seed           string         `toml:"seed"`      // hexadecimal
 	Limits         Limits         `toml:"limits"`
 	Fleet          Fleet          `toml:"fleet"`
@@ -22,16 +22,16 @@
 	Pools          []Pool         `toml:"pools"`
 }
 
-// Limits are the limits of one router process.
+// Limits are the resource limits of one router process.
 type Limits struct {
 	Memory      Size `toml:"memory"`
 	Descriptors int  `toml:"descriptors"`
-	Sessions    int  `toml:"sessions"`               // of the descriptors
-	Connections int  `toml:"connections"`            // of the descriptors, for connections to members
-	PerMember   int  `toml:"connections_per_member"` // 0: any number
+	Sessions    int  `toml:"sessions"`               // client sessions, one descriptor each
+	Connections int  `toml:"connections"`            // connections to members, one descriptor each
+	PerMember   int  `toml:"connections_per_member"` // 0: unlimited
 }
 
-// Member is a member of the endpoint list that a router starts with.
+// Member is a member in the endpoint list that a router starts with.
 type Member struct {
 	ID      string `toml:"id"`
 	Address string `toml:"address"`
@@ -39,7 +39,7 @@
 	Group   int    `toml:"group"`
 }
 
-// Values of what a router's file leaves out.
+// Defaults of a router's file.
 const (
 	defaultRouters             = 1
 	defaultListPollTimeoutMs   = 10_000.
@@ -62,7 +62,7 @@
 	return f, f.check()
 }
 
-// check sets what is not given of the fleet and returns an error if the file contradicts itself.
+// check applies the defaults of the fleet section, and returns an error if the file is invalid or contradicts itself.
 func (f *File) check() error {
 	if err := f.Fleet.complete(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Settings returns the settings of the decision module, and those of connections and health checks.
+// Settings returns the settings of the decision module, and those for connections and health checks.
 func (f *File) Settings() (*router.Settings, *Runtime, error) {
 	set := &router.Settings{
 		Routers:           cmp.Or(f.Fleet.Routers, defaultRouters),
--- a/internal/settings/routerfile_test.go
+++ b/internal/settings/routerfile_test.go
@@ -44,7 +44,7 @@
 		{`write = "write"`, `write = "wright"`, `pools[0]: api/ledger: no txn type "wright"`},
 		{`write = "write"`, `form = "statement"`, `pools[0]: api/ledger: form: unknown value "statement"`},
 		{"connections_per_member = 4", "", "pools[0]: api/ledger: connections_per_member and wait must be more than 0"},
-		{"connections_per_member = 4", "connections_per_member = 4\nwarm = 5", "pools[0]: api/ledger: warm"},
+		{"connections_per_member = 4", "connections_per_member = 4\nwarm = 5", "pools[0]: api/ledger: warm: must not exceed connections_per_member"},
 		{`id = "a"`, "", "members[0]: id and address must be given"},
 		{"[limits]", "[limits", "line 3"},
 	} {
--- a/internal/settings/shipped_test.go
+++ b/internal/settings/shipped_test.go
@@ -60,7 +60,7 @@
 		{"council", `name = "c1"
 listen`, `name = "c9"
 listen`, `"c9", this process, is not among them`},
-		{"council", `# join = true `, `join = true # `, "one that joins begins nothing"},
+		{"council", `# join = true `, `join = true # `, "a node that joins an existing cluster must not list peers"},
 		{"council", `# keep = 10000 `, `keep = 3 # `, "are the least"},
 		{"council", `# tick = "50ms" `, `tick = "soon" # `, `must be a time like 250ms or 2s, not "soon"`},
 		{"fleet", `council = [`, `# council = [`, "fleet.council: must be given"},
--- a/internal/settings/tomldecode.go
+++ b/internal/settings/tomldecode.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// decodeStrict decodes a TOML text in which each key must be known. Its error names the line and key at fault.
+// decodeStrict decodes a TOML text and rejects unknown keys. Its error names the line and key at fault.
 func decodeStrict(text []byte, into any) error {
 	decoder := toml.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
 	return locateError(decoder.Decode(into))
 }
 
-// locateError gives an error of the TOML library with its line and key.
+// locateError turns an error of the TOML library into one that begins with its line and key.
 func locateError(err error) error {
 	var unknown *toml.StrictMissingError
 	var invalid *toml.DecodeError
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Duration is a time in ms. In a file it is text like 250ms.
+// Duration is a duration in ms. In a file it is a string such as "250ms".
 type Duration float64
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -21,14 +21,14 @@
 	return nil
 }
 
-// setDefault sets a duration that is not given.
+// setDefault sets the duration if it is 0.
 func (d *Duration) setDefault(ms Duration) {
 	if *d == 0 {
 		*d = ms
 	}
 }
 
-// Size is a number of bytes. In a file it is text like 64MiB.
+// Size is a number of bytes. In a file it is a string such as "64MiB".
 type Size int
 
 // maxSize is the largest size that a file may give, in bytes.
@@ -55,7 +55,7 @@
 	return fmt.Errorf("must be a size like 64MiB or 16KiB, not %q", text)
 }
 
-// CheckAddress returns an error that names the key if an address is not host:port.
+// CheckAddress returns an error that starts with the key if the address doesn't have the form host:port.
 func CheckAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return fmt.Errorf("%s: %w", key, err)
