--- a/internal/settings/coordinator.go
+++ b/internal/settings/coordinator.go
@@ -23,7 +23,7 @@
 	SnapshotInterval int               `toml:"keep"` // log entries between two snapshots
 	MaxConnections   int               `toml:"connections"`
 	AuditLog         string            `toml:"record"`
-	PeerAddresses    map[string]string `toml:"via"`         // addresses at which to reach processes, by process name
+	PeerAddresses    map[string]string `toml:"via"`         // by process name, in place of the addresses that the cluster knows
 	ClockOffset      Duration          `toml:"clock_ahead"` // added to this process's clock, for tests
 }
 
--- a/internal/settings/fleetsection.go
+++ b/internal/settings/fleetsection.go
@@ -37,7 +37,7 @@
 	HealthShareInterval Duration          `toml:"sight"` // between two health checks of a member by the lease holder; 0: the router acquires no such lease
 	Switchover          *Switchover       `toml:"handover"`
 	MaxWriteHold        Duration          `toml:"most_held"` // longest write hold at this router for one switchover
-	PeerAddresses       map[string]string `toml:"via"`       // addresses at which to reach processes, by process name
+	PeerAddresses       map[string]string `toml:"via"`       // by process name, in place of the addresses that the cluster knows
 	AuditLog            string            `toml:"record"`
 	PolicyDir           string            `toml:"policy_folder"` // where the policy is stored for the next start; empty: not stored
 	ClockOffset         Duration          `toml:"clock_ahead"`   // added to this process's clock, for tests
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -17,7 +17,7 @@
 	"wayloft/internal/settings"
 )
 
-// keysDir holds a file of each form with every key in it, and what it is decoded to.
+// keysDir holds, for each configuration format, a file with every key and the expected decoded values.
 const keysDir = "testdata/keys"
 
 func readFile(t *testing.T, path ...string) []byte {
@@ -29,7 +29,7 @@
 	return text
 }
 
-// compareGolden compares a text with the file that holds what it must be.
+// compareGolden compares a text with the golden file of this name.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	if want := string(readFile(t, keysDir, name)); got != want {
@@ -37,7 +37,7 @@
 	}
 }
 
-// listAllKeys lists each TOML key of a decoded value with what it holds, as "fleet.session = 3000", in the keys' order.
+// listAllKeys lists each TOML key of a decoded value with its content, as "fleet.session = 3000", sorted.
 func listAllKeys(path string, v any) string {
 	out := &strings.Builder{}
 	listKeys(out, path, reflect.ValueOf(v))
@@ -56,7 +56,7 @@
 		for i := range v.NumField() {
 			key, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("toml"), ",")
 			if key == "" || key == "-" {
-				continue // no part of the form
+				continue // not decoded from TOML
 			}
 			listKeys(out, strings.TrimPrefix(path+"."+key, "."), v.Field(i))
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-// Each key of a router's own file is decoded, by the strict decoder.
+// The strict decoder decodes each key of a router's own file.
 func TestRouterKeys_AreDecoded(t *testing.T) {
 	file, err := settings.Read(readFile(t, keysDir, "router.toml"))
 	if err != nil {
@@ -89,7 +89,7 @@
 	compareGolden(t, "router.golden", listAllKeys("", *file))
 }
 
-// Each key of a coordinator node's file is decoded, by the strict decoder.
+// The strict decoder decodes each key of a coordinator node's file.
 func TestCoordinatorKeys_AreDecoded(t *testing.T) {
 	text := readFile(t, keysDir, "council.toml")
 	node, err := settings.ReadCoordinator(text)
@@ -104,7 +104,7 @@
 	compareGolden(t, "council.golden", listAllKeys("council", *node))
 }
 
-// Each key of a policy is read, into the field's name that is stored and sent.
+// Each key of a policy file is decoded into a field under the name that is stored and sent.
 func TestPolicyKeys_AreDecoded(t *testing.T) {
 	document, err := settings.ReadPolicy(readFile(t, keysDir, "policy.toml"))
 	if err != nil {
@@ -117,8 +117,8 @@
 	compareGolden(t, "policy.golden", out.String())
 }
 
-// Each key that the shipped files name is one that the full files have: they and the shipped ones tell of the same form.
-func TestShippedKeys_ArePinned(t *testing.T) {
+// The files with every key cover each key of the shipped files.
+func TestShippedKeys_AreCovered(t *testing.T) {
 	for _, c := range []struct{ shipped, full string }{{"wayloft.toml", "router.toml"}, {"fleet.toml", "router.toml"}, {"council.toml", "council.toml"}} {
 		shipped, full := map[string]any{}, map[string]any{}
 		if err := toml.Unmarshal(readFile(t, "../../deploy", c.shipped), &shipped); err != nil {
@@ -127,19 +127,19 @@
 		if err := toml.Unmarshal(readFile(t, keysDir, c.full), &full); err != nil {
 			t.Fatal(err)
 		}
-		pinned := map[string]bool{}
-		collectKeys(pinned, "", full)
-		named := map[string]bool{}
-		collectKeys(named, "", shipped)
-		for key := range named {
-			if !pinned[key] {
-				t.Errorf("%s: %s is not pinned", c.shipped, key)
+		covered := map[string]bool{}
+		collectKeys(covered, "", full)
+		shippedKeys := map[string]bool{}
+		collectKeys(shippedKeys, "", shipped)
+		for key := range shippedKeys {
+			if !covered[key] {
+				t.Errorf("%s: %s is not in %s", c.shipped, key, c.full)
 			}
 		}
 	}
 }
 
-// collectKeys adds the path of each key of a decoded document, without indexes.
+// collectKeys adds the path of each key of a decoded document, without array indexes.
 func collectKeys(into map[string]bool, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -155,12 +155,12 @@
 	}
 }
 
-// The words that values of the router's own file may have stay, and no others are taken.
-func TestRouterWords_AreKnown(t *testing.T) {
+// The keywords of a router's own file are pinned: each is accepted and has its own meaning, and any other is rejected.
+func TestRouterKeywords_AreAccepted(t *testing.T) {
 	full := string(readFile(t, keysDir, "router.toml"))
 	for _, c := range []struct {
-		given string
-		words []string
+		given    string
+		keywords []string
 	}{
 		{`effect = "referenced"`, []string{"repeatable", "referenced", "once-only"}},
 		{`scope = "zone"`, []string{"all", "zone", "group"}},
@@ -170,26 +170,26 @@
 	} {
 		key, _, _ := strings.Cut(c.given, " = ")
 		decoded := map[string]string{}
-		for _, word := range append(c.words, "other") {
-			file, err := settings.Read([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, word), 1)))
+		for _, keyword := range append(c.keywords, "other") {
+			file, err := settings.Read([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, keyword), 1)))
 			var set, runtime any
 			if err == nil {
 				set, runtime, err = file.Settings()
 			}
 			if err == nil {
-				decoded[fmt.Sprint(describe(set), describe(runtime), file.PoolSettings())] = word
+				decoded[fmt.Sprint(describe(set), describe(runtime), file.PoolSettings())] = keyword
 			}
-			if (err == nil) != (word != "other") {
-				t.Errorf("%s = %q: %v", key, word, err)
+			if (err == nil) != (keyword != "other") {
+				t.Errorf("%s = %q: %v", key, keyword, err)
 			}
 		}
-		if len(decoded) != len(c.words) {
-			t.Errorf("%s: some of %q mean the same: %v", key, c.words, decoded)
+		if len(decoded) != len(c.keywords) {
+			t.Errorf("%s: some of %q decode to the same result: %v", key, c.keywords, decoded)
 		}
 	}
 }
 
-// describe writes a value with what it points to.
+// describe formats a value together with everything that it points to.
 func describe(v any) string {
 	out := &strings.Builder{}
 	writeValue(out, reflect.ValueOf(v))
@@ -233,19 +233,19 @@
 	}
 }
 
-// decodeSettings decodes the platform's settings and writes what came of them.
+// decodeSettings decodes the platform's settings and formats the result.
 func decodeSettings(v *fastjson.Value) (string, error) {
 	set, runtime, err := settings.Decode(v)
 	return describe(set) + describe(runtime), err
 }
 
-// decodeList decodes discovery's list and writes what came of it.
+// decodeList decodes an endpoint list of the discovery service and formats the result.
 func decodeList(v *fastjson.Value) (string, error) {
 	list, err := discovery.DecodeList(v)
 	return describe(list), err
 }
 
-// eachKey calls visit with each object of a document that has a key, and the key with its path.
+// eachKey calls visit for each key of a document, with the object that has it and the key's path.
 func eachKey(path string, v *fastjson.Value, visit func(object *fastjson.Object, key, path string)) {
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -264,7 +264,7 @@
 	}
 }
 
-// withoutEachKey tells of each key of a document whether it is needed, or what is decoded is another without it.
+// withoutEachKey removes one key of a document at a time, and lists whether the key is required, optional or not read at all.
 func withoutEachKey(t *testing.T, document *fastjson.Value, decode func(*fastjson.Value) (string, error)) string {
 	t.Helper()
 	whole, err := decode(document)
@@ -289,7 +289,7 @@
 	return out.String()
 }
 
-// Each key of the platform's settings is read, in the platform's units (microseconds).
+// Each key of the platform's settings is decoded, and times are converted from the platform's microseconds.
 func TestPlatformSettingsKeys_AreDecoded(t *testing.T) {
 	document, err := fastjson.ParseBytes(readFile(t, keysDir, "platform-settings.json"))
 	if err != nil {
@@ -300,18 +300,18 @@
 		t.Fatal(err)
 	}
 	class := set.RequestClasses["read"]
-	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over share", set.OverQuotaWeight, "asks", set.PollsList, "marks repeats", set.ClientsMarkRetries) +
-		fmt.Sprintln("ask within", set.ListPollTimeout, "soft removal", set.SoftRemoval, "cold from", set.SlowStartFloor, "warm up", set.SlowStartDuration, "fall multiple",
-			set.OverloadMultiple, "fall window", set.OverloadWindow) +
-		fmt.Sprintln("attempts", set.MaxAttempts, "checks", set.CanHealthCheck, "revokes", set.CanCancel, "retry after", set.RetryAfter, "remembered", set.RemembersCommits) +
-		fmt.Sprintln("zero", runtime.PositionOrigin, "dial", runtime.DialTimeoutMs, "idle close", runtime.ServerIdleTimeoutMs, "reports", runtime.HealthReports) +
-		fmt.Sprintln("read: sla", class.LatencyObjective, "expiry", class.Deadline, "value", class.PriorityWeight, "late", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
+	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over-quota weight", set.OverQuotaWeight, "polls list", set.PollsList, "marks retries", set.ClientsMarkRetries) +
+		fmt.Sprintln("poll timeout", set.ListPollTimeout, "soft removal", set.SoftRemoval, "slow start floor", set.SlowStartFloor, "slow start", set.SlowStartDuration, "overload multiple",
+			set.OverloadMultiple, "overload window", set.OverloadWindow) +
+		fmt.Sprintln("attempts", set.MaxAttempts, "health checks", set.CanHealthCheck, "cancels", set.CanCancel, "retry after", set.RetryAfter, "remembers commits", set.RemembersCommits) +
+		fmt.Sprintln("position origin", runtime.PositionOrigin, "dial", runtime.DialTimeoutMs, "idle timeout", runtime.ServerIdleTimeoutMs, "reports", runtime.HealthReports) +
+		fmt.Sprintln("read: latency objective", class.LatencyObjective, "deadline", class.Deadline, "weight", class.PriorityWeight, "late share", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
 			class.StalenessBound) +
 		fmt.Sprintln("acme", set.Tenants["acme"])
 	compareGolden(t, "platform-settings.golden", got+withoutEachKey(t, document, decodeSettings))
 }
 
-// Each key of discovery's list is read.
+// Each key of the discovery service's endpoint list is decoded.
 func TestDiscoveryKeys_AreDecoded(t *testing.T) {
 	document, err := fastjson.ParseBytes(readFile(t, keysDir, "discovery-list.json"))
 	if err != nil {
@@ -326,11 +326,11 @@
 	compareGolden(t, "discovery-list.golden", got+withoutEachKey(t, document, decodeList))
 }
 
-// The words of the platform's JSON stay, and no others are taken.
-func TestPlatformWords_AreKnown(t *testing.T) {
+// The keywords of the platform's JSON are pinned: each is accepted and has its own meaning, and any other is rejected.
+func TestPlatformKeywords_AreAccepted(t *testing.T) {
 	for _, c := range []struct {
 		file, given string
-		words       []string
+		keywords    []string
 		decode      func(*fastjson.Value) (string, error)
 	}{
 		{"platform-settings.json", `"discovery": "ask"`, []string{"push", "ask"}, decodeSettings},
@@ -347,27 +347,27 @@
 		}
 		start := c.given[:strings.LastIndexByte(c.given[:len(c.given)-1], '"')+1]
 		decoded := map[string]string{}
-		for _, word := range append(c.words, "other") {
-			document, err := fastjson.Parse(strings.Replace(text, c.given, start+word+`"`, 1))
+		for _, keyword := range append(c.keywords, "other") {
+			document, err := fastjson.Parse(strings.Replace(text, c.given, start+keyword+`"`, 1))
 			if err != nil {
 				t.Fatal(err)
 			}
-			what, err := c.decode(document)
-			if (err == nil) != (word != "other") {
-				t.Errorf("%s%s: %v", start, word, err)
+			result, err := c.decode(document)
+			if (err == nil) != (keyword != "other") {
+				t.Errorf("%s%s: %v", start, keyword, err)
 			}
 			if err == nil {
-				decoded[what] = word
+				decoded[result] = keyword
 			}
 		}
-		if len(decoded) != len(c.words) {
-			t.Errorf("%s: some of %q mean the same: %v", start, c.words, decoded)
+		if len(decoded) != len(c.keywords) {
+			t.Errorf("%s: some of %q decode to the same result: %v", start, c.keywords, decoded)
 		}
 	}
 }
 
-// The deploy file has the keys that the platform reads, and each path that it names is there.
-func TestDeployFile_KeepsItsForm(t *testing.T) {
+// The deploy file has exactly the keys that the platform reads, and the paths of its policy and node keys exist.
+func TestDeployFile_KeysAndPaths(t *testing.T) {
 	deploy := map[string]any{}
 	if err := toml.Unmarshal(readFile(t, "../../deploy/balancer.toml"), &deploy); err != nil {
 		t.Fatal(err)
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -43,7 +43,7 @@
 		t.Error("a strict field was written")
 	}
 	if d, err := ReadPolicy(nil); err != nil || len(d) != 0 {
-		t.Errorf("nothing is said: %v, %v", d, err)
+		t.Errorf("empty file: %v, %v", d, err)
 	}
 	strict, err := ReadPolicy([]byte(`[[txn_types]]
 name = "order"
@@ -54,8 +54,8 @@
 	}
 }
 
-// Each mistake is an error that names its line, its key and the reason.
-func TestReadPolicy_Mistakes(t *testing.T) {
+// Each invalid file gives an error that names the line, the key and the reason.
+func TestReadPolicy_Errors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"over_share_value = 0.2", "over_share_worth = 0.2", "line 1: over_share_worth: no such key"},
 		{"over_share_value = 0.2", "listen = \":1\"", "line 1: listen: belongs in each router's own file, not in the policy"},
@@ -90,15 +90,16 @@
 	}
 	_, err := ReadPolicy([]byte("x = 1\n[[tenants]]\nname = \"n\"\nrate = -1\n[[txn_types]]\nvalue = 0\nsla = 1\n"))
 	if err == nil || len(strings.Split(err.Error(), "\n")) != 5 {
-		t.Errorf("all that is wrong: %v", err)
+		t.Errorf("want all 5 errors: %v", err)
 	}
 	deep := strings.Repeat("[", 9000) + strings.Repeat("]", 9000)
 	if _, err := ReadPolicy([]byte("over_share_value = " + deep)); err == nil {
-		t.Error("a deep one was taken")
+		t.Error("a deeply nested array was accepted")
 	}
 }
 
-// The policy's fields lie over a router's own; what it doesn't say is the router's, which keeps what it has if it can't take all.
+// The policy's fields replace a router's own, and the others stay. If one field can't be applied, none is, and the router's settings don't
+// change.
 func TestOverlay_FieldsAndErrors(t *testing.T) {
 	own := &router.Settings{OverQuotaWeight: 0.5, Zone: "z", Tenants: map[string]float64{"acme": 1, "zeta": 2}, RequestClasses: map[string]*router.RequestClass{
 		"order": {LatencyObjective: 7, PriorityWeight: 1, LateWeightShare: 0.5, IdempotencyWindow: 9}, "read": {LatencyObjective: 8, PriorityWeight: 2}}}
@@ -132,7 +133,7 @@
 		if err := d.Check(); err != nil {
 			t.Error(err)
 		}
-		if len(policy.ValidateChange(nil, d)) > 0 { // strict ones
+		if len(policy.ValidateChange(nil, d)) > 0 { // it has strict fields, which are not written
 			return
 		}
 		again, err := WritePolicy(d)
@@ -140,7 +141,7 @@
 			t.Fatal(err)
 		}
 		if back, err := ReadPolicy(again); err != nil || !maps.Equal(back, d) {
-			t.Errorf("%v was written %s, which gives %v, %v", d, again, back, err)
+			t.Errorf("%v was encoded as %s, which decodes to %v, %v", d, again, back, err)
 		}
 	})
 }
--- a/internal/settings/routerfile_test.go
+++ b/internal/settings/routerfile_test.go
@@ -27,7 +27,7 @@
 address = "127.0.0.1:1"
 `
 
-// Each mistake is an error that names its place, and a valid file gives the settings with their defaults.
+// Each invalid file gives an error that names the line or key, and a valid file gives the settings with their defaults.
 func TestRead_RouterFile(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"", "", ""},
@@ -62,14 +62,14 @@
 		t.Errorf("got %+v, %+v, %v", set, runtime, err)
 	}
 	if set.RequestClasses[UnlabelledClass] != nil {
-		t.Error("a pool that has a txn type for all needs no other")
+		t.Error("the unlabelled class is defined although the pool names a class for its writes")
 	}
 	bare, err := Read([]byte(strings.Replace(validRouterFile, "write = \"write\"\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if set, _, _ := bare.Settings(); set.RequestClasses[UnlabelledClass] == nil {
-		t.Error("a pool without one needs it")
+		t.Error("the unlabelled class is missing although the pool names no class")
 	}
 	if p := f.PoolSettings()[0]; p.Name != "api/ledger" || p.Bounds.PerMember != 4 || p.Bounds.WaitTimeoutMs != 1000 || !p.Policy.AllowSticky {
 		t.Errorf("got %+v", p)
--- a/internal/settings/shipped_test.go
+++ b/internal/settings/shipped_test.go
@@ -15,7 +15,7 @@
 connections = 10
 `
 
-// The shipped files are valid, and what they leave out has its default.
+// The shipped files are valid, and keys that they leave out have their defaults.
 func TestRead_ShippedFiles(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/council.toml")
 	if err != nil {
@@ -36,12 +36,12 @@
 		t.Errorf("%+v, %+v", f.Fleet, f.Fleet.Switchover)
 	}
 	if f, err = Read([]byte(minimalRouterFile)); err != nil || len(f.Fleet.Coordinators) != 0 || f.Fleet.SessionTimeout != 0 {
-		t.Errorf("without a council the fleet's part is off: %+v, %v", f.Fleet, err)
+		t.Errorf("without a coordinator the fleet section is not empty: %+v, %v", f.Fleet, err)
 	}
 }
 
-// Each mistake in a shipped file is an error that names its place.
-func TestRead_FleetAndCoordinatorMistakes(t *testing.T) {
+// Each error in a variant of a shipped file names the line or key.
+func TestRead_FleetAndCoordinatorErrors(t *testing.T) {
 	council, err := os.ReadFile("../../deploy/council.toml")
 	if err != nil {
 		t.Fatal(err)
