--- a/internal/settings/policywrite.go
+++ b/internal/settings/policywrite.go
@@ -13,15 +13,15 @@
 
 // policyFile is the TOML structure of a policy file.
 type policyFile struct {
-	OverShareValue *float64      `toml:"over_share_value,omitempty"`
-	RequestClasses []policyClass `toml:"txn_types,omitempty"`
-	Tenants        []Tenant      `toml:"tenants,omitempty"`
+	OverQuotaWeight *float64      `toml:"over_share_value,omitempty"`
+	RequestClasses  []policyClass `toml:"txn_types,omitempty"`
+	Tenants         []Tenant      `toml:"tenants,omitempty"`
 }
 
 type policyClass struct {
-	Name      string   `toml:"name"`
-	Value     *float64 `toml:"value,omitempty"`
-	LateValue *float64 `toml:"late_value,omitempty"`
+	Name           string   `toml:"name"`
+	PriorityWeight *float64 `toml:"value,omitempty"`
+	LateWeight     *float64 `toml:"late_value,omitempty"`
 }
 
 // WritePolicy encodes a document in the form that ReadPolicy decodes. Its error names the first field that can't be written, such as a
@@ -40,7 +40,7 @@
 		case keyTenants:
 			file.Tenants = append(file.Tenants, Tenant{Name: name, Rate: number})
 		case "":
-			file.OverShareValue = &number
+			file.OverQuotaWeight = &number
 		default:
 			if classes[name] == nil {
 				classes[name] = &policyClass{Name: name}
@@ -56,8 +56,8 @@
 
 func (c *policyClass) set(key string, number float64) {
 	if key == keyValue {
-		c.Value = &number
+		c.PriorityWeight = &number
 	} else {
-		c.LateValue = &number
+		c.LateWeight = &number
 	}
 }
