--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -19,7 +19,7 @@
 	HealthReports       bool    // members report their role and position in health checks
 }
 
-// platformDecoder decodes the platform's JSON. No other code knows its keys.
+// platformDecoder decodes settings in the platform's JSON. Their keys are translated only here.
 type platformDecoder struct {
 	settings *router.Settings
 	runtime  *Runtime
