--- a/cmd/wayloft/coordinator_recover.go
+++ b/cmd/wayloft/coordinator_recover.go
@@ -22,8 +22,8 @@
 	Config       string   `help:"Settings of the one process that is left; it must not run." type:"existingfile" placeholder:"FILE" xor:"how"`
 	Coordinators []string `name:"council" aliases:"coordinator" help:"Addresses of a coordinator that runs but has lost its state." placeholder:"ADDR" xor:"how"`
 	Fleet        string   `help:"The fleet's name, with --council." default:"fleet"`
-	Above        uint64   `help:"The highest epoch that any receiver has seen."`
-	Word         string   `help:"The word that says you mean it, in place of being asked." placeholder:"WORD"`
+	KnownEpoch   uint64   `name:"above" help:"The highest epoch that any receiver has seen."`
+	Confirmation string   `name:"word" help:"The word that says you mean it, in place of being asked." placeholder:"WORD"`
 }
 
 // Help gives an example.
@@ -51,7 +51,7 @@
 
 // confirm asks for the confirmation word, unless it was given as a flag.
 func (c *coordinatorRecoverCmd) confirm(out *printer) error {
-	word := c.Word
+	word := c.Confirmation
 	if word == "" {
 		out.printf("Type %q to go on: ", confirmationWord)
 		var err error
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	epoch := nextEpoch(s, c.Above)
+	epoch := nextEpoch(s, c.KnownEpoch)
 	out.printf("Epoch %d begins in place of %d. Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.\n", epoch, s.Epoch)
 	if err := c.confirm(out); err != nil {
 		return err
@@ -104,14 +104,14 @@
 
 // recoverFromDirectory begins a coordinator of one node from the data directory that is left.
 func (c *coordinatorRecoverCmd) recoverFromDirectory(out *printer) (err error) {
-	set, err := readCoordinatorFile(c.Config)
+	conf, err := readCoordinatorFile(c.Config)
 	if err != nil {
 		return err
 	}
-	if _, err := os.Stat(set.Dir); err != nil {
+	if _, err := os.Stat(conf.Dir); err != nil {
 		return fmt.Errorf("no data directory is left to recover from: %w; start the coordinator anew, its epoch is above the old one's unless the wall clock was stepped back: then give run --above EPOCH", err)
 	}
-	store, err := storage.Open(set.Dir, set.Fleet, set.Name, rpc.UniqueID)
+	store, err := storage.Open(conf.Dir, conf.Fleet, conf.Name, rpc.UniqueID)
 	if err != nil {
 		return err
 	}
@@ -120,12 +120,12 @@
 	if err != nil {
 		return err
 	}
-	recovery, err := raftnode.Recover(set.Fleet, set.Name, advertisedAddress(set), stored, c.Above)
+	recovery, err := raftnode.Recover(conf.Fleet, conf.Name, advertisedAddress(conf), stored, c.KnownEpoch)
 	if err != nil {
-		return fmt.Errorf("%s: %w", set.Dir, err)
+		return fmt.Errorf("%s: %w", conf.Dir, err)
 	}
 	out.printf("%s becomes a coordinator cluster of its own, with entries up to %d (committed for sure: %d), in epoch %d in place of %d.\n",
-		set.Name, recovery.LastIndex, recovery.CommittedIndex, recovery.Epoch, recovery.PreviousEpoch)
+		conf.Name, recovery.LastIndex, recovery.CommittedIndex, recovery.Epoch, recovery.PreviousEpoch)
 	for _, peer := range recovery.RemovedPeers {
 		out.printf("Given up: %s at %s, and whatever only it knew. It must not be started again; add nodes under new names.\n", peer.Name, peer.Addr)
 	}
@@ -136,6 +136,6 @@
 	if err := coordinator.WriteDecision(store, recovery.Decision); err != nil {
 		return err
 	}
-	out.printf("epoch %d begins when %s is started\n", recovery.Epoch, set.Name)
+	out.printf("epoch %d begins when %s is started\n", recovery.Epoch, conf.Name)
 	return nil
 }
--- a/cmd/wayloft/coordinator_run.go
+++ b/cmd/wayloft/coordinator_run.go
@@ -15,54 +15,54 @@
 )
 
 type coordinatorRunCmd struct {
-	Config string `help:"Settings, TOML." required:"" type:"existingfile" placeholder:"FILE"`
-	Above  uint64 `help:"An epoch known to have been: a coordinator that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
+	Config     string `help:"Settings, TOML." required:"" type:"existingfile" placeholder:"FILE"`
+	KnownEpoch uint64 `name:"above" help:"An epoch known to have been: a coordinator that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
 }
 
 // Help gives an example.
 func (*coordinatorRunCmd) Help() string { return "Example: wayloft council --config c1.toml" }
 
 func (c *coordinatorRunCmd) Run() error {
-	set, err := readCoordinatorFile(c.Config)
+	conf, err := readCoordinatorFile(c.Config)
 	if err != nil {
 		return err
 	}
 	signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	log, err := audit.Open(set.AuditLog, set.Name)
+	log, err := audit.Open(conf.AuditLog, conf.Name)
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
 	defer log.Close()
-	node, err := coordinator.Open(c.coordinatorSettings(set, log))
+	node, err := coordinator.Open(c.coordinatorSettings(conf, log))
 	if err != nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", set.Listen)
+	listener, err := net.Listen("tcp", conf.Listen)
 	if err != nil {
 		return err
 	}
 	return node.Run(ctx, listener)
 }
 
-func (c *coordinatorRunCmd) coordinatorSettings(set *settings.Coordinator, log *audit.Log) coordinator.Settings {
+func (c *coordinatorRunCmd) coordinatorSettings(conf *settings.Coordinator, log *audit.Log) coordinator.Settings {
 	var peers []raftnode.Peer
-	for _, peer := range set.Peers {
+	for _, peer := range conf.Peers {
 		peers = append(peers, raftnode.Peer{Name: peer.Name, Addr: peer.Address})
 	}
 	return coordinator.Settings{
-		Fleet:            set.Fleet,
-		Name:             set.Name,
-		Dir:              set.Dir,
-		Address:          advertisedAddress(set),
+		Fleet:            conf.Fleet,
+		Name:             conf.Name,
+		Dir:              conf.Dir,
+		Address:          advertisedAddress(conf),
 		Peers:            peers,
-		PeerAddresses:    set.PeerAddresses,
-		TickMs:           float64(set.Tick),
-		SnapshotInterval: uint64(set.SnapshotInterval),
-		MaxConnections:   set.MaxConnections,
-		ClockOffsetMs:    float64(set.ClockOffset),
-		KnownEpoch:       c.Above,
+		PeerAddresses:    conf.PeerAddresses,
+		TickMs:           float64(conf.Tick),
+		SnapshotInterval: uint64(conf.SnapshotInterval),
+		MaxConnections:   conf.MaxConnections,
+		ClockOffsetMs:    float64(conf.ClockOffset),
+		KnownEpoch:       c.KnownEpoch,
 		AuditLog:         log,
 	}
 }
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -84,15 +84,15 @@
 	if err != nil {
 		return err
 	}
-	lease, holder, err := heldLease(s, c.Lease)
+	lease, holder, err := findHeldLease(s, c.Lease)
 	if err != nil {
 		return err
 	}
 	return releaseLease(ctx, out, client, lease, holder)
 }
 
-// heldLease finds a lease and the session of its holder.
-func heldLease(s *fleetpb.State, name string) (*fleetpb.Duty, *fleetpb.Session, error) {
+// findHeldLease finds a lease and the session of its holder.
+func findHeldLease(s *fleetpb.State, name string) (*fleetpb.Duty, *fleetpb.Session, error) {
 	for _, lease := range s.State.Duties {
 		if lease.Name != name {
 			continue
--- a/cmd/wayloft/fleet_output.go
+++ b/cmd/wayloft/fleet_output.go
@@ -25,22 +25,22 @@
 }
 
 type nodeRow struct {
-	Address string `json:"address"`
-	Applied uint64 `json:"applied"` // index of the last entry
-	Leader  bool   `json:"leader"`
-	Level   bool   `json:"level"` // it has applied what the leader has
-	Name    string `json:"name"`
+	Address  string `json:"address"`
+	Applied  uint64 `json:"applied"` // index of the last entry
+	Leader   bool   `json:"leader"`
+	CaughtUp bool   `json:"level"` // it has applied what the leader has
+	Name     string `json:"name"`
 }
 
 type leaseRow struct {
-	NotGranted string   `json:"barred"` // the token that keeps the lease from being granted
-	Lease      string   `json:"duty"`
-	LastOrder  string   `json:"ended"` // how the last order ended
-	Token      uint64   `json:"fence"`
-	Holder     string   `json:"holder"`
-	Order      string   `json:"order"` // the open one
-	Queue      []string `json:"queue"`
-	HeldMs     uint64   `json:"since_ms"`
+	BlockingToken   string   `json:"barred"` // the token that keeps the lease from being granted
+	Lease           string   `json:"duty"`
+	LastOrderResult string   `json:"ended"` // how the last order ended
+	Token           uint64   `json:"fence"`
+	Holder          string   `json:"holder"`
+	Order           string   `json:"order"` // the open one
+	Queue           []string `json:"queue"`
+	HeldMs          uint64   `json:"since_ms"`
 }
 
 type sessionRow struct {
@@ -57,14 +57,14 @@
 	report := fleetReport{Nodes: nodeRows(s), Leases: []leaseRow{}, Epoch: s.Epoch, Index: s.State.Index, Rejected: s.Refused, Sessions: []sessionRow{}}
 	for _, lease := range s.State.Duties {
 		report.Leases = append(report.Leases, leaseRow{
-			NotGranted: blockingToken(s, lease),
-			Lease:      lease.Name,
-			LastOrder:  lease.Ended.GetText(),
-			Token:      rpc.DecodeToken(lease.Fence).Number(),
-			Holder:     lease.Holder,
-			Order:      lease.Open.GetText(),
-			Queue:      append([]string{}, lease.Queue...),
-			HeldMs:     lease.SinceMs,
+			BlockingToken:   blockingToken(s, lease),
+			Lease:           lease.Name,
+			LastOrderResult: lease.Ended.GetText(),
+			Token:           rpc.DecodeToken(lease.Fence).Number(),
+			Holder:          lease.Holder,
+			Order:           lease.Open.GetText(),
+			Queue:           append([]string{}, lease.Queue...),
+			HeldMs:          lease.SinceMs,
 		})
 	}
 	for _, session := range s.State.Sessions {
@@ -85,7 +85,7 @@
 func nodeRows(s *fleetpb.State) []nodeRow {
 	rows := []nodeRow{}
 	for _, node := range s.Council {
-		rows = append(rows, nodeRow{Address: node.Address, Applied: node.Applied, Leader: node.Leader, Level: node.Level, Name: node.Name})
+		rows = append(rows, nodeRow{Address: node.Address, Applied: node.Applied, Leader: node.Leader, CaughtUp: node.Level, Name: node.Name})
 	}
 	return rows
 }
--- a/cmd/wayloft/fleet_switchover.go
+++ b/cmd/wayloft/fleet_switchover.go
@@ -14,9 +14,9 @@
 
 type fleetSwitchoverCmd struct {
 	coordinatorFlags
-	Group int           `arg:"" help:"Number of the group."`
-	To    string        `help:"Member that is to be primary." required:"" placeholder:"MEMBER"`
-	Wait  time.Duration `help:"How long to wait for the end." default:"30s"`
+	Group      int           `arg:"" help:"Number of the group."`
+	NewPrimary string        `name:"to" help:"Member that is to be primary." required:"" placeholder:"MEMBER"`
+	Wait       time.Duration `help:"How long to wait for the end." default:"30s"`
 }
 
 // Help gives an example.
@@ -27,10 +27,10 @@
 var errPrimaryNotChanged = errors.New("the primary was not changed")
 
 const (
-	// donePrefix begins the result of an order that was carried out.
-	donePrefix = "done:"
-	// rewatchInterval is the pause before a watch that has ended is opened again.
-	rewatchInterval = 100 * time.Millisecond
+	// successPrefix begins the result of an order that was carried out.
+	successPrefix = "done:"
+	// watchRetryInterval is the pause before a watch that has ended is opened again.
+	watchRetryInterval = 100 * time.Millisecond
 )
 
 func (c *fleetSwitchoverCmd) Run(out *printer) error {
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
 	name := switchover.LeaseName(c.Group)
-	result, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: name, Text: switchover.FormatOrder(c.To)})
+	result, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.PlaceOrder, Lease: name, Text: switchover.FormatOrder(c.NewPrimary)})
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rewatchInterval):
+		case <-time.After(watchRetryInterval):
 		}
 	}
 	return fmt.Errorf("no end within %s; the holder of %s goes on (fleet status shows it): %w", c.Wait, name, err)
@@ -101,7 +101,7 @@
 // finish prints how the order ended.
 func (p *orderProgress) finish() error {
 	p.out.println(p.result)
-	if !strings.HasPrefix(p.result, donePrefix) {
+	if !strings.HasPrefix(p.result, successPrefix) {
 		return errPrimaryNotChanged
 	}
 	return nil
--- a/cmd/wayloft/lab_fleet.go
+++ b/cmd/wayloft/lab_fleet.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	dir, remove, err := emptyDir(c.Dir, "wayloft-fleet-")
+	dir, remove, err := prepareDir(c.Dir, "wayloft-fleet-")
 	if err != nil {
 		return err
 	}
@@ -75,17 +75,17 @@
 	return nil
 }
 
-// emptyDir gives a directory to work in, and what removes it if it is a temporary one. One that is named must be empty.
-func emptyDir(named, pattern string) (dir string, remove func() error, err error) {
-	if named == "" {
+// prepareDir gives a directory to work in, and what removes it if it is a temporary one. One that is named must be empty.
+func prepareDir(requested, pattern string) (dir string, remove func() error, err error) {
+	if requested == "" {
 		dir, err = os.MkdirTemp("", pattern)
 		return dir, func() error { return os.RemoveAll(dir) }, err
 	}
-	names, err := filepath.Glob(filepath.Join(named, "*"))
+	names, err := filepath.Glob(filepath.Join(requested, "*"))
 	if err != nil || len(names) > 0 {
-		return "", nil, fmt.Errorf("%s: must be empty, or not be there yet", named)
+		return "", nil, fmt.Errorf("%s: must be empty, or not be there yet", requested)
 	}
-	return named, func() error { return nil }, nil
+	return requested, func() error { return nil }, nil
 }
 
 // readPolicy reads the policy that the fleet begins under; nil: none is given.
--- a/cmd/wayloft/lab_idle_router.go
+++ b/cmd/wayloft/lab_idle_router.go
@@ -11,15 +11,15 @@
 )
 
 type labIdleRouterCmd struct {
-	Members  []int         `help:"Members listed, one router after the other." default:"3,100,400,820"`
-	Sessions []int         `help:"Idle sessions, one router after the other, with as many members as --with." default:"0,1000,3500,7050"`
-	With     int           `help:"Members while the sessions are varied." default:"3"`
-	Fleet    []int         `help:"Members, each a group of its own, of a router that has a coordinator." default:"3,100,400,820"`
-	Samples  int           `name:"looks" aliases:"samples" help:"Samples of each." default:"3"`
-	For      time.Duration `help:"Length of one sample." default:"10s"`
-	Settle   time.Duration `help:"Until the first sample." default:"3s"`
-	Memory   string        `help:"The routers' limits.memory." default:"512MiB"`
-	Program  string        `help:"The wayloft to be measured, if not this one." type:"existingfile" placeholder:"FILE"`
+	Members             []int         `help:"Members listed, one router after the other." default:"3,100,400,820"`
+	Sessions            []int         `help:"Idle sessions, one router after the other, with as many members as --with." default:"0,1000,3500,7050"`
+	SessionSweepMembers int           `name:"with" help:"Members while the sessions are varied." default:"3"`
+	Fleet               []int         `help:"Members, each a group of its own, of a router that has a coordinator." default:"3,100,400,820"`
+	Samples             int           `name:"looks" aliases:"samples" help:"Samples of each." default:"3"`
+	SampleDuration      time.Duration `name:"for" help:"Length of one sample." default:"10s"`
+	SettleTime          time.Duration `name:"settle" help:"Until the first sample." default:"3s"`
+	Memory              string        `help:"The routers' limits.memory." default:"512MiB"`
+	Program             string        `help:"The wayloft to be measured, if not this one." type:"existingfile" placeholder:"FILE"`
 }
 
 var errIdleRouterFlags = errors.New("--looks of 1 and --for of 1s are the least, --settle and --with must not be negative")
@@ -46,7 +46,9 @@
 		router func(size int) lab.IdleRouter
 	}{
 		{"members ", c.Members, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: (n + 3) / 4} }},
-		{"sessions", c.Sessions, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: c.With, Groups: 1, Sessions: n} }},
+		{"sessions", c.Sessions, func(n int) lab.IdleRouter {
+			return lab.IdleRouter{Members: c.SessionSweepMembers, Groups: 1, Sessions: n}
+		}},
 		{"fleet   ", c.Fleet, func(n int) lab.IdleRouter { return lab.IdleRouter{Members: n, Groups: n, Fleet: true} }},
 	} {
 		if err := c.sweep(out, sweep.name, sweep.sizes, sweep.router); err != nil {
@@ -57,7 +59,7 @@
 }
 
 func (c *labIdleRouterCmd) validate() error {
-	if c.Samples < 1 || c.For < time.Second || c.Settle < 0 || c.With < 0 {
+	if c.Samples < 1 || c.SampleDuration < time.Second || c.SettleTime < 0 || c.SessionSweepMembers < 0 {
 		return errIdleRouterFlags
 	}
 	for _, n := range slices.Concat(c.Members, c.Sessions, c.Fleet) {
@@ -73,7 +75,7 @@
 	var cpu, memory linearFit
 	for _, size := range sizes {
 		r := router(size)
-		r.Program, r.Memory, r.SettleTime, r.SampleDuration, r.Samples = c.Program, c.Memory, c.Settle, c.For, c.Samples
+		r.Program, r.Memory, r.SettleTime, r.SampleDuration, r.Samples = c.Program, c.Memory, c.SettleTime, c.SampleDuration, c.Samples
 		result, err := r.Run()
 		if err != nil {
 			return fmt.Errorf("%s %d: %w", name, size, err)
--- a/cmd/wayloft/lab_latency.go
+++ b/cmd/wayloft/lab_latency.go
@@ -17,13 +17,13 @@
 )
 
 type labLatencyCmd struct {
-	For         time.Duration   `help:"How long each run counts." default:"2s"`
-	Clients     []int           `help:"Closed-loop clients." default:"1,16,64,200"`
-	Takes       []time.Duration `help:"How long a member takes for a response." default:"0ms,1ms,5ms,20ms,60ms"`
-	Modes       []string        `name:"forms" aliases:"modes" help:"Of: direct, platform, plain (pooled by transaction), transaction, prepared." default:"direct,platform"`
-	Members     int             `help:"Members." default:"1"`
-	Profile     string          `help:"Write a CPU profile of the whole run there." type:"path" placeholder:"FILE"`
-	Connections int             `name:"links" aliases:"connections" help:"Connections to a member, in the pooled modes." default:"16"`
+	RunDuration   time.Duration   `name:"for" help:"How long each run counts." default:"2s"`
+	Clients       []int           `help:"Closed-loop clients." default:"1,16,64,200"`
+	ResponseTimes []time.Duration `name:"takes" help:"How long a member takes for a response." default:"0ms,1ms,5ms,20ms,60ms"`
+	Modes         []string        `name:"forms" aliases:"modes" help:"Of: direct, platform, plain (pooled by transaction), transaction, prepared." default:"direct,platform"`
+	Members       int             `help:"Members." default:"1"`
+	Profile       string          `help:"Write a CPU profile of the whole run there." type:"path" placeholder:"FILE"`
+	Connections   int             `name:"links" aliases:"connections" help:"Connections to a member, in the pooled modes." default:"16"`
 }
 
 // latencyWarmUp is how long each run lasts before anything counts.
@@ -47,8 +47,8 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	for _, takes := range c.Takes {
-		if err := c.runCluster(out, takes); err != nil {
+	for _, responseTime := range c.ResponseTimes {
+		if err := c.runCluster(out, responseTime); err != nil {
 			return err
 		}
 	}
@@ -56,8 +56,8 @@
 }
 
 // runCluster plays each load against members that take a given time for a response.
-func (c *labLatencyCmd) runCluster(out *printer, takes time.Duration) error {
-	cluster, err := lab.StartCluster(c.Members, takes, func(s *pgserver.Server) { s.Lag = 0 })
+func (c *labLatencyCmd) runCluster(out *printer, responseTime time.Duration) error {
+	cluster, err := lab.StartCluster(c.Members, responseTime, func(s *pgserver.Server) { s.Lag = 0 })
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 			if err != nil {
 				return fmt.Errorf("%s, %d clients: %w", mode, clients, err)
 			}
-			out.printf("answers take %-5s %4d clients  %-11s %s  cpu %s\n", takes, clients, mode, result, result.CPU.Round(time.Microsecond/10))
+			out.printf("answers take %-5s %4d clients  %-11s %s  cpu %s\n", responseTime, clients, mode, result, result.CPU.Round(time.Microsecond/10))
 		}
 	}
 	return nil
@@ -76,7 +76,7 @@
 
 // runLoad plays one load, directly or through a router of this process.
 func (c *labLatencyCmd) runLoad(cluster *lab.Cluster, mode string, clients int) (result lab.LoadResult, err error) {
-	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.For, WarmUp: latencyWarmUp, Request: lab.StatementQuery}
+	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.RunDuration, WarmUp: latencyWarmUp, Request: lab.StatementQuery}
 	if mode == "direct" {
 		return load.Run()
 	}
--- a/cmd/wayloft/lab_leases.go
+++ b/cmd/wayloft/lab_leases.go
@@ -14,9 +14,9 @@
 )
 
 type labLeasesCmd struct {
-	Plays   int           `help:"How often each event that takes a lease from its holder is played." default:"10"`
-	Session time.Duration `help:"Session timeout." default:"2s"`
-	During  time.Duration `help:"Length of each sample of cost and service." default:"8s"`
+	Repetitions    int           `name:"plays" help:"How often each event that takes a lease from its holder is played." default:"10"`
+	SessionTimeout time.Duration `name:"session" help:"Session timeout." default:"2s"`
+	SampleDuration time.Duration `name:"during" help:"Length of each sample of cost and service." default:"8s"`
 }
 
 // sharedCheckPeriodMs is the time between two shared health checks of a member in the simulation.
@@ -36,40 +36,40 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	runs := &labRuns{binary: binary, dir: dir}
-	if err := c.printGaps(out, runs); err != nil {
+	runs := &runDirs{binary: binary, dir: dir}
+	if err := c.printLeaseGaps(out, runs); err != nil {
 		return err
 	}
 	if err := c.printCoordinatorCost(out, runs); err != nil {
 		return err
 	}
-	printHealthSharing(out)
-	return c.printService(out, runs)
+	printHealthCheckCost(out)
+	return c.printServiceImpact(out, runs)
 }
 
-// labRuns gives each fleet of a command a directory of its own.
-type labRuns struct {
+// runDirs gives each fleet of a command a directory of its own.
+type runDirs struct {
 	binary string
 	dir    string
 	count  int
 }
 
-func (r *labRuns) nextDir() string {
+func (r *runDirs) next() string {
 	r.count++
 	return filepath.Join(r.dir, strconv.Itoa(r.count))
 }
 
-func (c *labLeasesCmd) printGaps(out *printer, runs *labRuns) error {
-	out.printf("ms without a lease holder, a session timeout of %s, %d plays each: median, worst\n", c.Session, c.Plays)
-	return fleet.MeasureLeaseGaps(runs.binary, runs.nextDir(), c.Plays, c.Session, func(name string, gaps *hdrhistogram.Histogram) {
+func (c *labLeasesCmd) printLeaseGaps(out *printer, runs *runDirs) error {
+	out.printf("ms without a lease holder, a session timeout of %s, %d plays each: median, worst\n", c.SessionTimeout, c.Repetitions)
+	return fleet.MeasureLeaseGaps(runs.binary, runs.next(), c.Repetitions, c.SessionTimeout, func(name string, gaps *hdrhistogram.Histogram) {
 		out.printf("  %-32s %6d %6d\n", name, gaps.ValueAtQuantile(50), gaps.Max())
 	})
 }
 
-func (c *labLeasesCmd) printCoordinatorCost(out *printer, runs *labRuns) error {
+func (c *labLeasesCmd) printCoordinatorCost(out *printer, runs *runDirs) error {
 	out.println("coordinator of three nodes, by sessions: CPU s/s, bytes/s, heartbeats/s, sessions lost")
 	for _, sessions := range []int{10, 100, 600} {
-		cost, err := fleet.MeasureCoordinatorCost(runs.binary, runs.nextDir(), sessions, c.Session, c.During)
+		cost, err := fleet.MeasureCoordinatorCost(runs.binary, runs.next(), sessions, c.SessionTimeout, c.SampleDuration)
 		if err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func printHealthSharing(out *printer) {
+func printHealthCheckCost(out *printer) {
 	out.println("health checks, simulated: routers, checks a request without and with health sharing, p99 age of positions in ms without and with, " +
 		"reads at the primary in % without and with")
 	for _, routers := range []int{8, 40, 600} {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (c *labLeasesCmd) printService(out *printer, runs *labRuns) error {
+func (c *labLeasesCmd) printServiceImpact(out *printer, runs *runDirs) error {
 	out.println("service of three routers, twelve writers: writes/s, rejected/s, p50 ms, p99 ms")
 	for range 2 {
 		for _, event := range []struct {
@@ -102,7 +102,7 @@
 			{"coordinator killed", false, fleet.KillCoordinators},
 			{"coordinator pauses", false, fleet.PauseCoordinators},
 		} {
-			got, err := fleet.MeasureService(runs.binary, runs.nextDir(), event.standalone, c.During, event.do)
+			got, err := fleet.MeasureService(runs.binary, runs.next(), event.standalone, c.SampleDuration, event.do)
 			if err != nil {
 				return err
 			}
--- a/cmd/wayloft/lab_scale.go
+++ b/cmd/wayloft/lab_scale.go
@@ -22,20 +22,20 @@
 	GroupSize           int           `name:"group" help:"Databases of one group." default:"5"`
 	Holders             int           `name:"owners" aliases:"holders" help:"Holders of health sharing leases, one group each; 0: none." default:"1"`
 	HealthShareInterval time.Duration `name:"sight" aliases:"health-share-interval" help:"Between two shared health checks of a database." default:"250ms"`
-	Session             time.Duration `help:"Timeout of a router's session with the coordinator." default:"2s"`
+	SessionTimeout      time.Duration `name:"session" help:"Timeout of a router's session with the coordinator." default:"2s"`
 	StartInterval       time.Duration `name:"pace" help:"Between the starts of two routers; 0: by how much each asks of the coordinator." default:"0s"`
-	For                 time.Duration `help:"Length of each sample." default:"10s"`
+	SampleDuration      time.Duration `name:"for" help:"Length of each sample." default:"10s"`
 	Sweep               bool          `help:"One size after the other, up to --routers, and a line through each figure." xor:"what"`
 	Sizes               []int         `help:"Hollow routers of each size of the sweep." placeholder:"N,..."`
 	Paired              bool          `help:"What hollow routers cost the coordinator beside as many real ones." xor:"what"`
-	Plays               int           `help:"Of each kind, with --paired." default:"3"`
+	Repetitions         int           `name:"plays" help:"Of each kind, with --paired." default:"3"`
 	Event               string        `help:"Have one happen, and tell when it was known everywhere: restart-zone, cut-regions, change, primary." xor:"what"`
 	JSON                bool          `help:"As JSON."`
 	Dir                 string        `help:"Directory for settings, logs and what the coordinator stores; a temporary one if not given." type:"path"`
 }
 
-// maxPlays limits --plays.
-const maxPlays = 100
+// maxRepetitions limits --plays.
+const maxRepetitions = 100
 
 var errSizesWithoutSweep = errors.New("--sizes: goes with --sweep")
 
@@ -53,12 +53,12 @@
 		}
 		defer func() { err = errors.Join(err, os.RemoveAll(o.Dir)) }()
 	}
-	o.Stop = closedBySignal()
+	o.Stop = stopOnSignal()
 	switch {
 	case c.Sweep:
 		return c.sweep(out, o)
 	case c.Paired:
-		return c.pair(out, o)
+		return c.measurePair(out, o)
 	case c.Event != "":
 		return c.runEvent(out, o)
 	}
@@ -69,8 +69,8 @@
 	switch {
 	case len(c.Sizes) > 0 && !c.Sweep:
 		return o, errSizesWithoutSweep
-	case c.Plays < 1 || c.Plays > maxPlays:
-		return o, fmt.Errorf("--plays: from 1 to %d, not %d", maxPlays, c.Plays)
+	case c.Repetitions < 1 || c.Repetitions > maxRepetitions:
+		return o, fmt.Errorf("--plays: from 1 to %d, not %d", maxRepetitions, c.Repetitions)
 	}
 	o = scale.Options{
 		Dir:                 c.Dir,
@@ -80,8 +80,8 @@
 		GroupSize:           c.GroupSize,
 		Holders:             c.Holders,
 		HealthShareInterval: c.HealthShareInterval,
-		SampleDuration:      c.For,
-		SessionTimeout:      c.Session,
+		SampleDuration:      c.SampleDuration,
+		SessionTimeout:      c.SessionTimeout,
 		StartInterval:       c.StartInterval,
 		Progress:            func(text string) { logrus.Info(text) },
 	}
@@ -95,8 +95,8 @@
 	return o, err
 }
 
-// closedBySignal gives a channel that is closed when the process is told to end.
-func closedBySignal() <-chan struct{} {
+// stopOnSignal gives a channel that is closed when the process is told to end.
+func stopOnSignal() <-chan struct{} {
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -121,15 +121,15 @@
 		return err
 	}
 	// What was measured is printed, whatever became of the rest.
-	return errors.Join(c.print(out, result, func(w io.Writer) { scale.PrintSlopes(w, result.Slopes) }), err)
+	return errors.Join(c.printResult(out, result, func(w io.Writer) { scale.PrintSlopes(w, result.Slopes) }), err)
 }
 
-func (c *labScaleCmd) pair(out *printer, o scale.Options) error {
-	result, err := scale.MeasurePair(o, c.Plays)
+func (c *labScaleCmd) measurePair(out *printer, o scale.Options) error {
+	result, err := scale.MeasurePair(o, c.Repetitions)
 	if err != nil {
 		return err
 	}
-	return c.print(out, result, result.Print)
+	return c.printResult(out, result, result.Print)
 }
 
 func (c *labScaleCmd) runEvent(out *printer, o scale.Options) error {
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	return c.print(out, result, result.Print)
+	return c.printResult(out, result, result.Print)
 }
 
 func (c *labScaleCmd) measure(out *printer, o scale.Options) error {
@@ -145,11 +145,11 @@
 	if err != nil {
 		return err
 	}
-	return c.print(out, report, func(io.Writer) { printScaleReport(out, report) })
+	return c.printResult(out, report, func(io.Writer) { printScaleReport(out, report) })
 }
 
-// print gives a result as JSON or as a table, as the flag says.
-func (c *labScaleCmd) print(out *printer, result any, table func(io.Writer)) error {
+// printResult gives a result as JSON or as a table, as the flag says.
+func (c *labScaleCmd) printResult(out *printer, result any, table func(io.Writer)) error {
 	if c.JSON {
 		return json.NewEncoder(out.out).Encode(result)
 	}
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -38,8 +38,8 @@
 	return document, nil
 }
 
-// violations joins what keeps a change from being made into one error, a line each.
-func violations(all []policy.Violation) error {
+// joinViolations joins what keeps a change from being made into one error, a line each.
+func joinViolations(all []policy.Violation) error {
 	var errs []error
 	for _, violation := range all {
 		if violation.Field == "" {
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if err := violations(policy.ValidateChange(nil, document)); err != nil { // strict fields have never been in force
+	if err := joinViolations(policy.ValidateChange(nil, document)); err != nil { // strict fields have never been in force
 		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
 	if c.Config != "" {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// policies asks for the policy in force and its history. It waits as long as the wait that is given, or as an election may take.
-func (f *coordinatorFlags) policies(client *fleet.Client, wait time.Duration) (fleet.Policies, error) {
+// fetchPoliciesWith asks for the policy in force and its history. It waits as long as the wait that is given, or as an election may take.
+func (f *coordinatorFlags) fetchPoliciesWith(client *fleet.Client, wait time.Duration) (fleet.Policies, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), max(coordinatorTimeout, wait))
 	defer cancel()
 	policies, err := client.Policy(ctx)
@@ -93,26 +93,26 @@
 	return policies, nil
 }
 
-// askPolicies does so with a client of its own.
-func (f *coordinatorFlags) askPolicies() (fleet.Policies, error) {
+// fetchPolicies does so with a client of its own.
+func (f *coordinatorFlags) fetchPolicies() (fleet.Policies, error) {
 	client := f.client()
 	defer client.Close()
-	return f.policies(client, 0)
+	return f.fetchPoliciesWith(client, 0)
 }
 
 // printDifference prints a line for each field that changes.
 func printDifference(out *printer, old policy.Document, difference policy.Difference) {
 	for _, field := range difference.Fields() {
 		class, _ := policy.Classify(field)
-		before, existed := old[field]
+		oldValue, existed := old[field]
 		value, set := difference.Set[field]
 		switch {
 		case existed && set:
-			out.printf("~ %s: %s -> %s (%s)\n", field, before, value, class)
+			out.printf("~ %s: %s -> %s (%s)\n", field, oldValue, value, class)
 		case set:
 			out.printf("+ %s: %s (%s)\n", field, value, class)
 		default:
-			out.printf("- %s: %s -> each router's own (%s)\n", field, before, class)
+			out.printf("- %s: %s -> each router's own (%s)\n", field, oldValue, class)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	current, err := c.askPolicies()
+	current, err := c.fetchPolicies()
 	if err != nil {
 		return err
 	}
@@ -142,5 +142,5 @@
 		out.println("nothing changes")
 	}
 	printDifference(out, current.Document, difference)
-	return violations(difference.Validate())
+	return joinViolations(difference.Validate())
 }
--- a/cmd/wayloft/policy_history.go
+++ b/cmd/wayloft/policy_history.go
@@ -33,7 +33,7 @@
 }
 
 func (c *policyHistoryCmd) Run(out *printer) error {
-	policies, err := c.askPolicies()
+	policies, err := c.fetchPolicies()
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 }
 
 func (c *policyShowCmd) Run(out *printer) error {
-	policies, err := c.askPolicies()
+	policies, err := c.fetchPolicies()
 	if err != nil {
 		return err
 	}
--- a/cmd/wayloft/policy_propose.go
+++ b/cmd/wayloft/policy_propose.go
@@ -11,19 +11,19 @@
 	"wayloft/internal/fleet"
 )
 
-// routerCount is how many routers there are: one that lost the coordinator before is not among the sessions, and would not be missed.
-type routerCount struct {
+// routerCountFlag is how many routers there are: one that lost the coordinator before is not among the sessions, and would not be missed.
+type routerCountFlag struct {
 	Routers int `help:"How many routers there must be; fewer, and the rest is waited for." placeholder:"N" default:"0"`
 }
 
 type policyProposeCmd struct {
 	coordinatorFlags
 	policyFile
-	Expect string        `help:"Only if this version is in force, as status prints it; none: only if there is none yet." placeholder:"VERSION"`
-	Reason string        `help:"For the history."`
-	Author string        `help:"For the history; who runs this, if not given." env:"WAYLOFT_AUTHOR"`
-	Wait   time.Duration `help:"How long to wait until it is in force everywhere; 0: not at all." default:"0s"`
-	routerCount
+	ExpectedVersion string        `name:"expect" help:"Only if this version is in force, as status prints it; none: only if there is none yet." placeholder:"VERSION"`
+	Reason          string        `help:"For the history."`
+	Author          string        `help:"For the history; who runs this, if not given." env:"WAYLOFT_AUTHOR"`
+	Wait            time.Duration `help:"How long to wait until it is in force everywhere; 0: not at all." default:"0s"`
+	routerCountFlag
 }
 
 // Help gives an example.
@@ -40,7 +40,7 @@
 	}
 	client := c.client()
 	defer client.Close()
-	current, err := c.policies(client, c.Wait)
+	current, err := c.fetchPoliciesWith(client, c.Wait)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 		out.printf("version %s, which is in force, says the same\n", current.Version)
 		return c.wait(out, client, current.Version, time.Now())
 	}
-	if err := violations(difference.Validate()); err != nil {
+	if err := joinViolations(difference.Validate()); err != nil {
 		return fmt.Errorf("nothing was changed, version %s stays in force:\n%w", current.Version, err)
 	}
 	version, err := c.propose(client, policy.Propose(current.Version, current.Document, document, c.author(), c.Reason))
@@ -81,15 +81,15 @@
 
 // checkExpected compares the version in force with the one that the proposal is for, if one was given.
 func (c *policyProposeCmd) checkExpected(current policy.Version) error {
-	if c.Expect == "" {
+	if c.ExpectedVersion == "" {
 		return nil
 	}
-	expected, err := policy.ParsePacked(c.Expect)
+	expected, err := policy.ParsePacked(c.ExpectedVersion)
 	if err != nil {
 		return fmt.Errorf("--expect: %w", err)
 	}
 	if expected != current.Packed() {
-		return fmt.Errorf("version %s is in force, not %s: nothing was changed", current, c.Expect)
+		return fmt.Errorf("version %s is in force, not %s: nothing was changed", current, c.ExpectedVersion)
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 	if !result.Held {
 		return policy.Version{}, fmt.Errorf("nothing was changed: %w", result.Refusal)
 	}
-	now, err := c.policies(client, c.Wait)
+	now, err := c.fetchPoliciesWith(client, c.Wait)
 	if err != nil {
 		return policy.Version{}, statusError{error: fmt.Errorf("it is agreed as number %d: %w", result.Number, err), status: statusNotEverywhere}
 	}
--- a/cmd/wayloft/policy_status.go
+++ b/cmd/wayloft/policy_status.go
@@ -11,7 +11,7 @@
 
 type policyStatusCmd struct {
 	coordinatorFlags
-	routerCount
+	routerCountFlag
 	JSON bool `help:"As JSON."`
 }
 
@@ -42,7 +42,7 @@
 func (c *policyStatusCmd) Run(out *printer) error {
 	client := c.client()
 	defer client.Close()
-	current, err := c.policies(client, 0)
+	current, err := c.fetchPoliciesWith(client, 0)
 	if err != nil {
 		return err
 	}
--- a/cmd/wayloft/policy_test.go
+++ b/cmd/wayloft/policy_test.go
@@ -15,43 +15,43 @@
 // Routers that a version waits for are named with the cause; one without a session is known only if it had one, or by how many routers
 // there must be.
 func TestMissingRouters(t *testing.T) {
-	one := func(name string, mark, wont, silent uint64, why string) *fleetpb.Session {
-		return &fleetpb.Session{Name: name, Kind: "router", Policy: mark, Wont: wont, SilentMs: silent, Why: why}
+	session := func(name string, applied, rejected, silent uint64, why string) *fleetpb.Session {
+		return &fleetpb.Session{Name: name, Kind: "router", Policy: applied, Wont: rejected, SilentMs: silent, Why: why}
 	}
 	v := func(number uint64) uint64 { return policy.Version{Epoch: 9, Number: number}.Packed() }
-	there := one("r1", v(2), 0, 300, "")
+	upToDate := session("r1", v(2), 0, 300, "")
 	for _, c := range []struct {
 		sessions []*fleetpb.Session
 		known    string
-		least    int
+		expected int
 		want     string
 	}{
-		{[]*fleetpb.Session{there}, "", 0, ""},
-		{[]*fleetpb.Session{one("r1", v(3), 0, 0, "")}, "r1", 1, ""}, // a later one
-		{[]*fleetpb.Session{one("r1", v(2), v(1), 5000, "")}, "", 0, ""},
+		{[]*fleetpb.Session{upToDate}, "", 0, ""},
+		{[]*fleetpb.Session{session("r1", v(3), 0, 0, "")}, "r1", 1, ""}, // a later one
+		{[]*fleetpb.Session{session("r1", v(2), v(1), 5000, "")}, "", 0, ""},
 		{nil, "", 0, "1 more (no session with the coordinator)"},
-		{[]*fleetpb.Session{there, {Name: "x", Kind: "other"}}, "", 3, "2 more (no session with the coordinator)"},
-		{[]*fleetpb.Session{there, one("r0", v(1), 0, 999, "")}, "", 0, "r0 (goes by 9.1)"},
-		{[]*fleetpb.Session{one("r0", 0, 0, 0, ""), there}, "", 0, "r0 (goes by none)"},
-		{[]*fleetpb.Session{there, one("r9", v(1), 0, 1000, "")}, "", 0, "r9 (silent)"},
-		{[]*fleetpb.Session{there, one("r9", v(1), v(2), 4000, "no a\nno b")}, "", 0, "r9 (couldn't: no a; no b)"},
-		{[]*fleetpb.Session{there, one("r9", v(1), v(1), 0, "no a")}, "", 0, "r9 (goes by 9.1)"}, // it was another version that it couldn't take
-		{[]*fleetpb.Session{there}, "r1 r7", 2, "r7 (silent)"},
+		{[]*fleetpb.Session{upToDate, {Name: "x", Kind: "other"}}, "", 3, "2 more (no session with the coordinator)"},
+		{[]*fleetpb.Session{upToDate, session("r0", v(1), 0, 999, "")}, "", 0, "r0 (goes by 9.1)"},
+		{[]*fleetpb.Session{session("r0", 0, 0, 0, ""), upToDate}, "", 0, "r0 (goes by none)"},
+		{[]*fleetpb.Session{upToDate, session("r9", v(1), 0, 1000, "")}, "", 0, "r9 (silent)"},
+		{[]*fleetpb.Session{upToDate, session("r9", v(1), v(2), 4000, "no a\nno b")}, "", 0, "r9 (couldn't: no a; no b)"},
+		{[]*fleetpb.Session{upToDate, session("r9", v(1), v(1), 0, "no a")}, "", 0, "r9 (goes by 9.1)"}, // it was another version that it couldn't take
+		{[]*fleetpb.Session{upToDate}, "r1 r7", 2, "r7 (silent)"},
 	} {
 		known := map[string]bool{}
 		for _, name := range strings.Fields(c.known) {
 			known[name] = true
 		}
 		all := routerPolicies(&fleetpb.State{State: &fleetpb.Update{Sessions: c.sessions}}, v(2), known)
-		if got := missingRouters(all, c.least); got != c.want {
-			t.Errorf("%v, %s, %d: got %q, want %q", c.sessions, c.known, c.least, got, c.want)
+		if got := missingRouters(all, c.expected); got != c.want {
+			t.Errorf("%v, %s, %d: got %q, want %q", c.sessions, c.known, c.expected, got, c.want)
 		}
 	}
 }
 
 // An earlier version is reconstructed as it was, or not at all, whatever of the history is kept.
 func TestReconstructVersion(t *testing.T) {
-	reconstructed, refused := 0, 0
+	reconstructed, unavailable := 0, 0
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		all := fleet.Policies{Document: policy.Document{}}
@@ -75,7 +75,7 @@
 			v, got, err := reconstructVersion(all, policy.Version{Epoch: 3, Number: uint64(n + 1)}.Packed())
 			switch {
 			case err != nil:
-				if refused++; cut == 0 || n == len(docs)-1 {
+				if unavailable++; cut == 0 || n == len(docs)-1 {
 					t.Fatalf("seed %d: number %d with the history from %d: %v", seed, n+1, cut+1, err)
 				}
 			case n < cut || v.Number != uint64(n+1) || !maps.Equal(got, want):
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	if reconstructed == 0 || refused == 0 {
-		t.Errorf("%d reconstructed, %d refused", reconstructed, refused)
+	if reconstructed == 0 || unavailable == 0 {
+		t.Errorf("%d reconstructed, %d refused", reconstructed, unavailable)
 	}
 }
--- a/cmd/wayloft/policy_wait.go
+++ b/cmd/wayloft/policy_wait.go
@@ -18,8 +18,8 @@
 const (
 	// waitPollInterval is the time between two polls of which router applies which version.
 	waitPollInterval = 200 * time.Millisecond
-	// silentMs is how long a router may send nothing before an operator is told. Routers send heartbeats several times a second.
-	silentMs = 1000
+	// silenceThresholdMs is how long a router may send nothing before an operator is told. Routers send heartbeats several times a second.
+	silenceThresholdMs = 1000
 	// statusNotEverywhere is the exit status where a policy, or what became of a proposal, is not known to be in force everywhere.
 	statusNotEverywhere = 3
 )
@@ -29,7 +29,7 @@
 
 const (
 	routerApplied  routerState = "in force"
-	routerWaiting  routerState = "waits"
+	routerPending  routerState = "waits"
 	routerRejected routerState = "couldn't"
 	routerSilent   routerState = "silent"
 )
@@ -64,13 +64,13 @@
 }
 
 func newRouterPolicy(session *fleetpb.Session, wanted uint64) routerPolicy {
-	r := routerPolicy{name: session.Name, version: session.Policy, silentMs: session.SilentMs, state: routerWaiting}
+	r := routerPolicy{name: session.Name, version: session.Policy, silentMs: session.SilentMs, state: routerPending}
 	switch {
 	case session.Policy >= wanted:
 		r.state = routerApplied
 	case session.Wont >= wanted && wanted > 0:
 		r.state, r.reason = routerRejected, session.Why
-	case session.SilentMs >= silentMs:
+	case session.SilentMs >= silenceThresholdMs:
 		r.state = routerSilent
 	}
 	return r
@@ -90,7 +90,7 @@
 			continue
 		case routerRejected:
 			reason = "couldn't: " + oneLine(r.reason)
-		case routerWaiting:
+		case routerPending:
 			reason = "goes by " + policy.FormatPacked(r.version)
 		}
 		missing = append(missing, fmt.Sprintf("%s (%s)", r.name, reason))
@@ -110,20 +110,20 @@
 	return policy.Version{}
 }
 
-// notEverywhere prints how far a version is, and gives the exit status for it.
-func notEverywhere(out *printer, why string) error {
-	out.printf("not everywhere: %s\n", why)
+// reportNotEverywhere prints how far a version is, and gives the exit status for it.
+func reportNotEverywhere(out *printer, reason string) error {
+	out.printf("not everywhere: %s\n", reason)
 	return statusError{error: errors.New(""), status: statusNotEverywhere}
 }
 
 // versionWait waits for one version to be in force everywhere.
 type versionWait struct {
-	version policy.Version
-	agreed  time.Time       // when it was
-	routers int             // that there must be
-	known   map[string]bool // routers that had a session since the wait began
-	missing string          // as last polled
-	out     *printer
+	version         policy.Version
+	agreed          time.Time       // when it was
+	expectedRouters int             // that there must be
+	known           map[string]bool // routers that had a session since the wait began
+	missing         string          // as last polled
+	out             *printer
 }
 
 // wait prints which routers a version waits for, each time that changes, until it is in force everywhere or the time is over.
@@ -133,7 +133,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
-	w := &versionWait{version: version, agreed: agreed, routers: c.Routers, known: map[string]bool{}, missing: "the coordinator gave no answer yet", out: out}
+	w := &versionWait{version: version, agreed: agreed, expectedRouters: c.Routers, known: map[string]bool{}, missing: "the coordinator gave no answer yet", out: out}
 	ticker := time.NewTicker(waitPollInterval)
 	defer ticker.Stop()
 	printed := ""
@@ -147,7 +147,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return notEverywhere(out, w.missing)
+			return reportNotEverywhere(out, w.missing)
 		case <-ticker.C:
 		}
 	}
@@ -165,13 +165,13 @@
 		return false, nil
 	}
 	if now := latestVersion(s); now.Packed() > w.version.Packed() {
-		return true, notEverywhere(w.out, fmt.Sprintf("version %s followed and is in force, by %s: %s", now, now.Author, now.Reason))
+		return true, reportNotEverywhere(w.out, fmt.Sprintf("version %s followed and is in force, by %s: %s", now, now.Author, now.Reason))
 	}
 	all := routerPolicies(s, w.version.Packed(), w.known)
 	for _, r := range all {
 		w.known[r.name] = true
 	}
-	w.missing = missingRouters(all, w.routers)
+	w.missing = missingRouters(all, w.expectedRouters)
 	if w.missing != "" {
 		return false, nil
 	}
--- a/cmd/wayloft/recorded_test.go
+++ b/cmd/wayloft/recorded_test.go
@@ -16,8 +16,8 @@
 	"wayloft/internal/settings"
 )
 
-// printed gives what a command prints.
-func printed(run func(*printer) error) string {
+// commandOutput gives what a command prints.
+func commandOutput(run func(*printer) error) string {
 	var text strings.Builder
 	out := &printer{out: &text}
 	if err := errors.Join(run(out), out.err); err != nil {
@@ -48,22 +48,22 @@
 func TestRecordedOutput(t *testing.T) {
 	s := recordedState()
 	var out strings.Builder
-	say := func(what string, run func(*printer) error) { fmt.Fprintf(&out, "== %s\n%s", what, printed(run)) }
-	say("fleet status", func(p *printer) error { printStatus(p, s); return nil })
-	say("fleet status --json", func(p *printer) error { return p.json(newFleetReport(s)) })
-	say("council status", func(p *printer) error { printNodes(p, s); return nil })
-	say("council status --json", func(p *printer) error { return p.json(nodeRows(s)) })
+	record := func(what string, run func(*printer) error) { fmt.Fprintf(&out, "== %s\n%s", what, commandOutput(run)) }
+	record("fleet status", func(p *printer) error { printStatus(p, s); return nil })
+	record("fleet status --json", func(p *printer) error { return p.json(newFleetReport(s)) })
+	record("council status", func(p *printer) error { printNodes(p, s); return nil })
+	record("council status --json", func(p *printer) error { return p.json(nodeRows(s)) })
 	all := routerPolicies(s, 7<<32|2, map[string]bool{"r0": true, "r1": true})
 	fmt.Fprintf(&out, "== waited for\n%s\n%s\n", missingRouters(all, 0), missingRouters(all, 9))
-	for _, one := range all {
-		fmt.Fprintf(&out, "%s %s %s %d %d\n", one.name, one.state, one.reason, one.version, one.silentMs)
+	for _, r := range all {
+		fmt.Fprintf(&out, "%s %s %s %d %d\n", r.name, r.state, r.reason, r.version, r.silentMs)
 	}
 	old := policy.Document{"over_share_value": "0.2", "txn_types.a.value": "2", "tenants.acme.rate": "10"}
 	next := policy.Document{"over_share_value": "0.3", "txn_types.a.value": "2", "txn_types.b.value": "1", "txn_types.a.effect": "once-only"}
 	difference := policy.Diff(old, next)
-	say("policy difference", func(p *printer) error {
+	record("policy difference", func(p *printer) error {
 		printDifference(p, old, difference)
-		return violations(difference.Validate())
+		return joinViolations(difference.Validate())
 	})
 	for _, c := range []struct {
 		name string
@@ -74,7 +74,7 @@
 		{"check of a file that is not there", (&checkCmd{configFlag{Config: "no-such-file.toml"}}).Run},
 		{"policy check", (&policyCheckCmd{policyFile: policyFile{File: "../../internal/settings/testdata/keys/policy.toml"}}).Run},
 	} {
-		say(c.name, c.run)
+		record(c.name, c.run)
 	}
 	recording.CompareText(t, "output.txt", out.String())
 }
@@ -106,7 +106,7 @@
 				if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")), 0o600); err != nil {
 					t.Fatal(err)
 				}
-				fmt.Fprintf(&out, "%s:%d: %s: %s\n", file, n+1, lines[n], strings.ReplaceAll(recordedMistake(file, path), dir, ""))
+				fmt.Fprintf(&out, "%s:%d: %s: %s\n", file, n+1, lines[n], strings.ReplaceAll(validationError(file, path), dir, ""))
 			}
 			lines[n] = line
 		}
@@ -114,8 +114,8 @@
 	recording.Compare(t, "mistakes.digest", out.String())
 }
 
-// recordedMistake says what is wrong with a file, read as the one that it is a variant of.
-func recordedMistake(file, path string) string {
+// validationError says what is wrong with a file, read as the one that it is a variant of.
+func validationError(file, path string) string {
 	var err error
 	switch {
 	case strings.Contains(file, "council"):
