--- a/cmd/wayloft/lab_fleet.go
+++ b/cmd/wayloft/lab_fleet.go
@@ -16,26 +16,26 @@
 )
 
 type labFleetCmd struct {
-	Coordinators int    `name:"council" aliases:"coordinators" help:"Coordinator nodes: three or five." default:"3"`
-	Routers      int    `help:"Routers." default:"4"`
-	Members      int    `help:"Fake members of the one group; the first is the primary." default:"3"`
-	Policy       string `help:"A policy that it begins under: written to its directory, named, and in force everywhere before it is ready." type:"existingfile" placeholder:"FILE"`
-	Dir          string `help:"Directory for settings, logs, audit logs and what the processes store; a temporary one if not given." type:"path"`
+	Coordinators int    `name:"council" aliases:"coordinators" help:"Number of coordinator nodes: three or five." default:"3"`
+	Routers      int    `help:"Number of routers." default:"4"`
+	Members      int    `help:"Number of fake members, all in one group; the first is the primary." default:"3"`
+	Policy       string `help:"Initial policy: copied to the directory, its path printed, and in force at all routers before the fleet is ready." type:"existingfile" placeholder:"FILE"`
+	Dir          string `help:"Directory for settings, logs, audit logs and stored data; by default a temporary one." type:"path"`
 }
 
-// labHealthShareInterval is the time between two shared health checks of a member in the laboratory's fleets.
+// labHealthShareInterval is the interval of shared health checks of a member in lab fleets.
 const labHealthShareInterval = 250 * time.Millisecond
 
-var errEmptyFleet = errors.New("one process of each kind at least")
+var errEmptyFleet = errors.New("at least one process of each kind is required")
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labFleetCmd) Help() string { return "Example: wayloft lab fleet --council 3 --routers 4" }
 
 func (c *labFleetCmd) Run(out *printer) (err error) {
 	if c.Coordinators < 1 || c.Routers < 1 || c.Members < 1 {
 		return errEmptyFleet
 	}
-	document, err := c.readPolicy() // before anything is started
+	document, err := c.readPolicy() // before any process is started
 	if err != nil {
 		return err
 	}
@@ -70,12 +70,12 @@
 		out.printf("policy %s\n", path)
 	}
 	out.println("ready")
-	// Members that fail are replaced, as a cluster's own manager would.
+	// Fails over to another member when the primary's process is gone, as a cluster manager would.
 	f.ManageMembers(ctx)
 	return nil
 }
 
-// prepareDir gives a directory to work in, and what removes it if it is a temporary one. One that is named must be empty.
+// prepareDir returns a working directory and a function that removes it if it is temporary. A requested directory must be empty or missing.
 func prepareDir(requested, pattern string) (dir string, remove func() error, err error) {
 	if requested == "" {
 		dir, err = os.MkdirTemp("", pattern)
@@ -83,12 +83,12 @@
 	}
 	names, err := filepath.Glob(filepath.Join(requested, "*"))
 	if err != nil || len(names) > 0 {
-		return "", nil, fmt.Errorf("%s: must be empty, or not be there yet", requested)
+		return "", nil, fmt.Errorf("%s: must be empty or not exist", requested)
 	}
 	return requested, func() error { return nil }, nil
 }
 
-// readPolicy reads the policy that the fleet begins under; nil: none is given.
+// readPolicy reads the initial policy; it returns nil if none was given.
 func (c *labFleetCmd) readPolicy() (policy.Document, error) {
 	if c.Policy == "" {
 		return nil, nil
@@ -96,7 +96,7 @@
 	return (&policyFile{File: c.Policy}).read()
 }
 
-// applyPolicy puts the policy in force at all routers and gives the path of its file; "": there is none.
+// applyPolicy puts the initial policy in force at all routers and returns the path of its file, or "" if none was given.
 func (c *labFleetCmd) applyPolicy(f *fleet.Fleet, document policy.Document) (string, error) {
 	if c.Policy == "" {
 		return "", nil
@@ -105,7 +105,7 @@
 	if err != nil {
 		return "", err
 	}
-	text, err := f.RunCommand("policy", "propose", path, "--reason", "the fleet begins", "--wait", fleet.WaitLimit.String(),
+	text, err := f.RunCommand("policy", "propose", path, "--reason", "initial policy", "--wait", fleet.WaitLimit.String(),
 		"--routers", strconv.Itoa(c.Routers))
 	if err != nil {
 		return "", fmt.Errorf("%s: %w: %s", path, err, text)
--- a/cmd/wayloft/lab_idle_router.go
+++ b/cmd/wayloft/lab_idle_router.go
@@ -11,20 +11,20 @@
 )
 
 type labIdleRouterCmd struct {
-	Members             []int         `help:"Members listed, one router after the other." default:"3,100,400,820"`
-	Sessions            []int         `help:"Idle sessions, one router after the other, with as many members as --with." default:"0,1000,3500,7050"`
-	SessionSweepMembers int           `name:"with" help:"Members while the sessions are varied." default:"3"`
-	Fleet               []int         `help:"Members, each a group of its own, of a router that has a coordinator." default:"3,100,400,820"`
-	Samples             int           `name:"looks" aliases:"samples" help:"Samples of each." default:"3"`
-	SampleDuration      time.Duration `name:"for" help:"Length of one sample." default:"10s"`
-	SettleTime          time.Duration `name:"settle" help:"Until the first sample." default:"3s"`
-	Memory              string        `help:"The routers' limits.memory." default:"512MiB"`
-	Program             string        `help:"The wayloft to be measured, if not this one." type:"existingfile" placeholder:"FILE"`
+	Members             []int         `help:"Numbers of listed members, each measured with a router of its own." default:"3,100,400,820"`
+	Sessions            []int         `help:"Numbers of idle sessions, each measured with a router of its own and --with members." default:"0,1000,3500,7050"`
+	SessionSweepMembers int           `name:"with" help:"Number of members in the --sessions measurements." default:"3"`
+	Fleet               []int         `help:"Numbers of members, each a group of its own, of a router that uses a coordinator." default:"3,100,400,820"`
+	Samples             int           `name:"looks" aliases:"samples" help:"Samples for each router." default:"3"`
+	SampleDuration      time.Duration `name:"for" help:"Duration of one sample." default:"10s"`
+	SettleTime          time.Duration `name:"settle" help:"Delay before the first sample." default:"3s"`
+	Memory              string        `help:"Value of limits.memory of the routers." default:"512MiB"`
+	Program             string        `help:"The wayloft binary to measure; by default this one." type:"existingfile" placeholder:"FILE"`
 }
 
-var errIdleRouterFlags = errors.New("--looks of 1 and --for of 1s are the least, --settle and --with must not be negative")
+var errIdleRouterFlags = errors.New("--looks must be at least 1 and --for at least 1s; --settle and --with must not be negative")
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labIdleRouterCmd) Help() string {
 	return "Example: wayloft lab idle-router --members 3,820 --sessions 0 --fleet 3"
 }
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// sweep measures a router of each size and prints a line for each, then the slopes over all.
+// sweep measures a router of each size and prints a line for each, then linear fits over all sizes.
 func (c *labIdleRouterCmd) sweep(out *printer, name string, sizes []int, router func(size int) lab.IdleRouter) error {
 	var cpu, memory linearFit
 	for _, size := range sizes {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// linearFit is the straight line through points by least squares, as sums over them.
+// linearFit accumulates the sums for a least-squares line through points.
 type linearFit struct{ n, x, y, xx, xy float64 }
 
 func (f *linearFit) add(x, y float64) {
@@ -106,8 +106,8 @@
 	f.xy += x * y
 }
 
-// String gives the intercept, and the slope for a thousand.
+// String returns the intercept and the slope per thousand.
 func (f linearFit) String() string {
 	slope := (f.n*f.xy - f.x*f.y) / (f.n*f.xx - f.x*f.x)
-	return fmt.Sprintf("%.3f + %.3f a thousand", (f.y-slope*f.x)/f.n, slope*1000)
+	return fmt.Sprintf("%.3f + %.3f per 1000", (f.y-slope*f.x)/f.n, slope*1000)
 }
--- a/cmd/wayloft/lab_idle_sessions.go
+++ b/cmd/wayloft/lab_idle_sessions.go
@@ -13,22 +13,22 @@
 )
 
 type labIdleSessionsCmd struct {
-	Clients int `help:"Sessions that have sent one request and are idle then." default:"2000"`
+	Clients int `help:"Number of sessions, each idle after one request." default:"2000"`
 }
 
 const (
-	// warmUpSessions come before the measurement: the router connects to members and learns their parameters.
+	// warmUpSessions are opened before the measurement, so that the router has connected to members and knows their parameters.
 	warmUpSessions = 50
-	// idleSettleTime is how long sessions are idle before the memory is read.
+	// idleSettleTime is how long sessions are idle before memory is measured.
 	idleSettleTime = 2 * time.Second
 )
 
-var errNoResidentMemory = errors.New("no VmRSS")
+var errNoResidentMemory = errors.New("/proc/PID/status has no VmRSS")
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labIdleSessionsCmd) Help() string { return "Example: wayloft lab idle-sessions --clients 2000" }
 
-// Run measures another process, so that the clients' own memory does not count.
+// Run measures a router in another process, so that the clients' memory isn't counted.
 func (c *labIdleSessionsCmd) Run(out *printer) error {
 	router, addr, err := startLabRouter()
 	if err != nil {
@@ -37,7 +37,7 @@
 	return errors.Join(c.measure(out, router.Process.Pid, addr), router.Process.Signal(os.Interrupt), router.Wait())
 }
 
-// startLabRouter starts `wayloft lab up` and gives the router's address.
+// startLabRouter starts `wayloft lab up` and returns the router's address.
 func startLabRouter() (router *exec.Cmd, addr string, err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -75,12 +75,12 @@
 	if err := errors.Join(err, readErr); err != nil {
 		return err
 	}
-	out.printf("%d sessions: resident memory from %.1f to %.1f MiB, %.1f KiB a session\n", c.Clients, before/1024, after/1024,
+	out.printf("%d sessions: resident memory from %.1f to %.1f MiB, %.1f KiB per session\n", c.Clients, before/1024, after/1024,
 		(after-before)/float64(c.Clients))
 	return nil
 }
 
-// residentKiB is a process's resident memory.
+// residentKiB returns a process's resident memory.
 func residentKiB(pid int) (kib float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/wayloft/lab_latency.go
+++ b/cmd/wayloft/lab_latency.go
@@ -17,19 +17,19 @@
 )
 
 type labLatencyCmd struct {
-	RunDuration   time.Duration   `name:"for" help:"How long each run counts." default:"2s"`
-	Clients       []int           `help:"Closed-loop clients." default:"1,16,64,200"`
-	ResponseTimes []time.Duration `name:"takes" help:"How long a member takes for a response." default:"0ms,1ms,5ms,20ms,60ms"`
-	Modes         []string        `name:"forms" aliases:"modes" help:"Of: direct, platform, plain (pooled by transaction), transaction, prepared." default:"direct,platform"`
-	Members       int             `help:"Members." default:"1"`
-	Profile       string          `help:"Write a CPU profile of the whole run there." type:"path" placeholder:"FILE"`
-	Connections   int             `name:"links" aliases:"connections" help:"Connections to a member, in the pooled modes." default:"16"`
+	RunDuration   time.Duration   `name:"for" help:"Measured duration of each run." default:"2s"`
+	Clients       []int           `help:"Numbers of closed-loop clients." default:"1,16,64,200"`
+	ResponseTimes []time.Duration `name:"takes" help:"Response times of the members." default:"0ms,1ms,5ms,20ms,60ms"`
+	Modes         []string        `name:"forms" aliases:"modes" help:"Modes to measure: direct, platform, plain (transaction pooling), transaction, prepared." default:"direct,platform"`
+	Members       int             `help:"Number of members." default:"1"`
+	Profile       string          `help:"Write a CPU profile of the whole run to this file." type:"path" placeholder:"FILE"`
+	Connections   int             `name:"links" aliases:"connections" help:"Connections per member, in the pooled modes." default:"16"`
 }
 
-// latencyWarmUp is how long each run lasts before anything counts.
+// latencyWarmUp is how long each run lasts before measurement starts.
 const latencyWarmUp = time.Second
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labLatencyCmd) Help() string {
 	return "Example: wayloft lab latency --forms direct,platform,plain --clients 16 --takes 5ms"
 }
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// runCluster plays each load against members that take a given time for a response.
+// runCluster runs each load against members with a given response time.
 func (c *labLatencyCmd) runCluster(out *printer, responseTime time.Duration) error {
 	cluster, err := lab.StartCluster(c.Members, responseTime, func(s *pgserver.Server) { s.Lag = 0 })
 	if err != nil {
@@ -68,13 +68,13 @@
 			if err != nil {
 				return fmt.Errorf("%s, %d clients: %w", mode, clients, err)
 			}
-			out.printf("answers take %-5s %4d clients  %-11s %s  cpu %s\n", responseTime, clients, mode, result, result.CPU.Round(time.Microsecond/10))
+			out.printf("response time %-5s %4d clients  %-11s %s  cpu %s\n", responseTime, clients, mode, result, result.CPU.Round(time.Microsecond/10))
 		}
 	}
 	return nil
 }
 
-// runLoad plays one load, directly or through a router of this process.
+// runLoad runs one load, directly or through a router in this process.
 func (c *labLatencyCmd) runLoad(cluster *lab.Cluster, mode string, clients int) (result lab.LoadResult, err error) {
 	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.RunDuration, WarmUp: latencyWarmUp, Request: lab.StatementQuery}
 	if mode == "direct" {
@@ -90,7 +90,7 @@
 	}
 	load.Addr = listener.Addr().String()
 	text := cluster.Configuration(load.Addr, pool)
-	if mode == "plain" || mode == "prepared" { // reads, that any member may serve
+	if mode == "plain" || mode == "prepared" { // their requests are reads, which any member may serve
 		text = strings.Replace(text, `write = "write"`, `write = "look"`, 1)
 	}
 	conf, err := server.DecodeTOML([]byte(text))
@@ -104,7 +104,7 @@
 	return result, errors.Join(err, <-ended)
 }
 
-// setMode has a load and the router's pool use a mode.
+// setMode configures a load and the router's pool for a mode.
 func setMode(mode string, load *lab.Load, pool *lab.Pool) error {
 	switch mode {
 	case "platform":
@@ -116,7 +116,7 @@
 	case "prepared":
 		load.Request = lab.PreparedQuery
 	default:
-		return fmt.Errorf("no such form: %s", mode)
+		return fmt.Errorf("--forms: unknown mode %s", mode)
 	}
 	return nil
 }
--- a/cmd/wayloft/lab_leases.go
+++ b/cmd/wayloft/lab_leases.go
@@ -14,18 +14,18 @@
 )
 
 type labLeasesCmd struct {
-	Repetitions    int           `name:"plays" help:"How often each event that takes a lease from its holder is played." default:"10"`
+	Repetitions    int           `name:"plays" help:"Repetitions of each event that costs a holder its lease." default:"10"`
 	SessionTimeout time.Duration `name:"session" help:"Session timeout." default:"2s"`
-	SampleDuration time.Duration `name:"during" help:"Length of each sample of cost and service." default:"8s"`
+	SampleDuration time.Duration `name:"during" help:"Duration of each sample of coordinator cost and of writes." default:"8s"`
 }
 
-// sharedCheckPeriodMs is the time between two shared health checks of a member in the simulation.
+// sharedCheckPeriodMs is the interval of shared health checks of a member in the simulation.
 const sharedCheckPeriodMs = 250
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labLeasesCmd) Help() string { return "Example: wayloft lab leases --plays 3 --during 4s" }
 
-// Run prints what leases cost and save, all in one run.
+// Run makes all measurements in one run and prints them.
 func (c *labLeasesCmd) Run(out *printer) (err error) {
 	binary, err := os.Executable()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return c.printServiceImpact(out, runs)
 }
 
-// runDirs gives each fleet of a command a directory of its own.
+// runDirs provides each fleet of a command with its own directory.
 type runDirs struct {
 	binary string
 	dir    string
@@ -60,14 +60,14 @@
 }
 
 func (c *labLeasesCmd) printLeaseGaps(out *printer, runs *runDirs) error {
-	out.printf("ms without a lease holder, a session timeout of %s, %d plays each: median, worst\n", c.SessionTimeout, c.Repetitions)
+	out.printf("ms without a lease holder, session timeout %s, %d repetitions each: median, max\n", c.SessionTimeout, c.Repetitions)
 	return fleet.MeasureLeaseGaps(runs.binary, runs.next(), c.Repetitions, c.SessionTimeout, func(name string, gaps *hdrhistogram.Histogram) {
 		out.printf("  %-32s %6d %6d\n", name, gaps.ValueAtQuantile(50), gaps.Max())
 	})
 }
 
 func (c *labLeasesCmd) printCoordinatorCost(out *printer, runs *runDirs) error {
-	out.println("coordinator of three nodes, by sessions: CPU s/s, bytes/s, heartbeats/s, sessions lost")
+	out.println("three coordinator nodes, by number of sessions: CPU s/s, bytes/s, heartbeats/s, sessions lost")
 	for _, sessions := range []int{10, 100, 600} {
 		cost, err := fleet.MeasureCoordinatorCost(runs.binary, runs.next(), sessions, c.SessionTimeout, c.SampleDuration)
 		if err != nil {
@@ -79,7 +79,7 @@
 }
 
 func printHealthCheckCost(out *printer) {
-	out.println("health checks, simulated: routers, checks a request without and with health sharing, p99 age of positions in ms without and with, " +
+	out.println("health checks, simulated: routers, checks per request without and with health sharing, p99 age of positions in ms without and with, " +
 		"reads at the primary in % without and with")
 	for _, routers := range []int{8, 40, 600} {
 		without := simulation.RunHealthSharing(routers, 0, 1)
@@ -90,7 +90,7 @@
 }
 
 func (c *labLeasesCmd) printServiceImpact(out *printer, runs *runDirs) error {
-	out.println("service of three routers, twelve writers: writes/s, rejected/s, p50 ms, p99 ms")
+	out.println("three routers, twelve writers: writes/s, rejected/s, p50 ms, p99 ms")
 	for range 2 {
 		for _, event := range []struct {
 			name       string
--- a/cmd/wayloft/lab_member.go
+++ b/cmd/wayloft/lab_member.go
@@ -13,13 +13,13 @@
 )
 
 type labMemberCmd struct {
-	ClusterDir    string        `name:"folder" help:"The cluster's folder." required:"" type:"path"`
-	Name          string        `help:"The member's name." required:""`
-	Listen        string        `help:"Address." required:""`
-	Primary       bool          `help:"It begins as the primary."`
-	NoGuardRow    bool          `name:"no-guard" help:"It has no guard row."`
-	Lag           time.Duration `help:"Of a replica." default:"5ms"`
-	StatementTime time.Duration `name:"takes" help:"What a statement takes." default:"0s"`
+	ClusterDir    string        `name:"folder" help:"Directory shared by the members of the cluster." required:"" type:"path"`
+	Name          string        `help:"Name of the member." required:""`
+	Listen        string        `help:"Listen address." required:""`
+	Primary       bool          `help:"Start as the primary."`
+	NoGuardRow    bool          `name:"no-guard" help:"Start without a guard row."`
+	Lag           time.Duration `help:"Replication lag as a replica." default:"5ms"`
+	StatementTime time.Duration `name:"takes" help:"Time that each statement takes." default:"0s"`
 }
 
 func (c *labMemberCmd) Run() error {
--- a/cmd/wayloft/lab_scale.go
+++ b/cmd/wayloft/lab_scale.go
@@ -16,30 +16,30 @@
 )
 
 type labScaleCmd struct {
-	Routers             int           `help:"Hollow routers." default:"60"`
-	RealRouters         int           `name:"real" help:"Real routers among them." default:"3"`
-	Members             int           `help:"Hollow databases." default:"100"`
-	GroupSize           int           `name:"group" help:"Databases of one group." default:"5"`
-	Holders             int           `name:"owners" aliases:"holders" help:"Holders of health sharing leases, one group each; 0: none." default:"1"`
-	HealthShareInterval time.Duration `name:"sight" aliases:"health-share-interval" help:"Between two shared health checks of a database." default:"250ms"`
-	SessionTimeout      time.Duration `name:"session" help:"Timeout of a router's session with the coordinator." default:"2s"`
-	StartInterval       time.Duration `name:"pace" help:"Between the starts of two routers; 0: by how much each asks of the coordinator." default:"0s"`
-	SampleDuration      time.Duration `name:"for" help:"Length of each sample." default:"10s"`
-	Sweep               bool          `help:"One size after the other, up to --routers, and a line through each figure." xor:"what"`
-	Sizes               []int         `help:"Hollow routers of each size of the sweep." placeholder:"N,..."`
-	Paired              bool          `help:"What hollow routers cost the coordinator beside as many real ones." xor:"what"`
-	Repetitions         int           `name:"plays" help:"Of each kind, with --paired." default:"3"`
-	Event               string        `help:"Have one happen, and tell when it was known everywhere: restart-zone, cut-regions, change, primary." xor:"what"`
-	JSON                bool          `help:"As JSON."`
-	Dir                 string        `help:"Directory for settings, logs and what the coordinator stores; a temporary one if not given." type:"path"`
+	Routers             int           `help:"Number of hollow routers." default:"60"`
+	RealRouters         int           `name:"real" help:"Number of real routers, in addition." default:"3"`
+	Members             int           `help:"Number of hollow databases." default:"100"`
+	GroupSize           int           `name:"group" help:"Databases per group." default:"5"`
+	Holders             int           `name:"owners" aliases:"holders" help:"Number of health-share lease holders, one group each; 0: none." default:"1"`
+	HealthShareInterval time.Duration `name:"sight" aliases:"health-share-interval" help:"Interval of shared health checks of a database." default:"250ms"`
+	SessionTimeout      time.Duration `name:"session" help:"Timeout of router sessions with the coordinator." default:"2s"`
+	StartInterval       time.Duration `name:"pace" help:"Interval between router starts; 0: paced by the load that a start puts on the coordinator." default:"0s"`
+	SampleDuration      time.Duration `name:"for" help:"Duration of each sample." default:"10s"`
+	Sweep               bool          `help:"Measure several sizes, up to --routers, and fit a line to each figure." xor:"what"`
+	Sizes               []int         `help:"Numbers of hollow routers in the sweep." placeholder:"N,..."`
+	Paired              bool          `help:"Compare the coordinator's cost of hollow routers with that of as many real ones." xor:"what"`
+	Repetitions         int           `name:"plays" help:"Repetitions of each kind, with --paired." default:"3"`
+	Event               string        `help:"Run one event and print how long it took to reach all processes: restart-zone, cut-regions, change, primary." xor:"what"`
+	JSON                bool          `help:"Print JSON."`
+	Dir                 string        `help:"Directory for settings, logs and the coordinator's data; by default a temporary one." type:"path"`
 }
 
 // maxRepetitions limits --plays.
 const maxRepetitions = 100
 
-var errSizesWithoutSweep = errors.New("--sizes: goes with --sweep")
+var errSizesWithoutSweep = errors.New("--sizes requires --sweep")
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labScaleCmd) Help() string { return "Example: wayloft lab scale --routers 60 --sweep" }
 
 func (c *labScaleCmd) Run(out *printer) (err error) {
@@ -70,7 +70,7 @@
 	case len(c.Sizes) > 0 && !c.Sweep:
 		return o, errSizesWithoutSweep
 	case c.Repetitions < 1 || c.Repetitions > maxRepetitions:
-		return o, fmt.Errorf("--plays: from 1 to %d, not %d", maxRepetitions, c.Repetitions)
+		return o, fmt.Errorf("--plays: must be from 1 to %d, not %d", maxRepetitions, c.Repetitions)
 	}
 	o = scale.Options{
 		Dir:                 c.Dir,
@@ -95,7 +95,7 @@
 	return o, err
 }
 
-// stopOnSignal gives a channel that is closed when the process is told to end.
+// stopOnSignal returns a channel that is closed on SIGTERM or an interrupt.
 func stopOnSignal() <-chan struct{} {
 	stop := make(chan struct{})
 	signals := make(chan os.Signal, 1)
@@ -120,7 +120,7 @@
 	if result == nil {
 		return err
 	}
-	// What was measured is printed, whatever became of the rest.
+	// Sizes that were measured before a failure are still printed.
 	return errors.Join(c.printResult(out, result, func(w io.Writer) { scale.PrintSlopes(w, result.Slopes) }), err)
 }
 
@@ -148,7 +148,7 @@
 	return c.printResult(out, report, func(io.Writer) { printScaleReport(out, report) })
 }
 
-// printResult gives a result as JSON or as a table, as the flag says.
+// printResult prints a result as JSON with --json, otherwise as a table.
 func (c *labScaleCmd) printResult(out *printer, result any, table func(io.Writer)) error {
 	if c.JSON {
 		return json.NewEncoder(out.out).Encode(result)
--- a/cmd/wayloft/lab_up.go
+++ b/cmd/wayloft/lab_up.go
@@ -12,16 +12,16 @@
 )
 
 type labUpCmd struct {
-	Members int    `help:"Members of the cluster; the first is the primary." default:"3"`
-	Listen  string `help:"Address for clients." default:"127.0.0.1:0"`
+	Members int    `help:"Number of members; the first is the primary." default:"3"`
+	Listen  string `help:"Listen address for clients." default:"127.0.0.1:0"`
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*labUpCmd) Help() string { return "Example: wayloft lab up --listen 127.0.0.1:6432" }
 
 func (c *labUpCmd) Run(out *printer) error {
 	if c.Members < 1 {
-		return fmt.Errorf("--members: one at least, not %d", c.Members)
+		return fmt.Errorf("--members: must be at least 1, not %d", c.Members)
 	}
 	cluster, err := lab.StartCluster(c.Members, 0, nil)
 	if err != nil {
--- a/cmd/wayloft/main.go
+++ b/cmd/wayloft/main.go
@@ -1,5 +1,5 @@
-// Command wayloft is the router, the coordinator node, the operator's commands and the laboratory in one program. This package is the
-// command line alone, a file a command: package server runs a router, package coordinator a coordinator node, package lab the laboratory.
+// Command wayloft is the router, the coordinator node, the operator commands and the lab in one binary. This package holds only the
+// command line, with a file for each command; package server runs a router, package coordinator a coordinator node, package lab the lab.
 package main
 
 import (
@@ -14,14 +14,14 @@
 	"wayloft/internal/server"
 )
 
-// configFlag is the flag of the commands that read a router's configuration.
+// configFlag is embedded in commands that read a router's configuration.
 type configFlag struct {
 	Config string `help:"Configuration file." env:"PROXY_CONFIG" required:"" type:"path" placeholder:"FILE"`
 }
 
 type checkCmd struct{ configFlag }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*checkCmd) Help() string { return "Example: wayloft check --config wayloft.toml" }
 
 func (c *checkCmd) Run(out *printer) error {
@@ -36,7 +36,7 @@
 
 type versionCmd struct{}
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (versionCmd) Help() string { return "Example: wayloft version" }
 
 func (versionCmd) Run(out *printer) error {
@@ -54,12 +54,12 @@
 }
 
 var cli struct {
-	Serve       serveCmd       `cmd:"" help:"Serve until SIGTERM, then answer all requests that were taken and exit."`
-	Check       checkCmd       `cmd:"" help:"Read the configuration and say what is wrong with it."`
-	Coordinator coordinatorCmd `cmd:"" name:"coordinator" aliases:"council" help:"The coordinator nodes, which keep the fleet's small state."`
-	Fleet       fleetCmd       `cmd:"" help:"What processes of the fleet do as one."`
-	Policy      policyCmd      `cmd:"" help:"What all routers agree on: change it, and see which router has applied it."`
-	Lab         labCmd         `cmd:"" help:"Try a router out on loopback, with a cluster of fake members."`
+	Serve       serveCmd       `cmd:"" help:"Run a router until SIGTERM, then finish accepted requests and exit."`
+	Check       checkCmd       `cmd:"" help:"Validate a router's configuration."`
+	Coordinator coordinatorCmd `cmd:"" name:"coordinator" aliases:"council" help:"Run and manage coordinator nodes, which store the fleet's shared state."`
+	Fleet       fleetCmd       `cmd:"" help:"Inspect leases and sessions, release leases and switch primaries."`
+	Policy      policyCmd      `cmd:"" help:"Change the policy of all routers and see which routers apply it."`
+	Lab         labCmd         `cmd:"" help:"Run and measure routers on loopback, with fake members."`
 	Version     versionCmd     `cmd:"" help:"Print the version."`
 }
 
@@ -77,7 +77,7 @@
 		if errors.As(err, &e) {
 			status = e.status
 		}
-		for _, line := range strings.Split(err.Error(), "\n") { // a line each, also where several things are wrong
+		for _, line := range strings.Split(err.Error(), "\n") { // one log line for each of several errors
 			if line != "" {
 				logrus.Error(line)
 			}
--- a/cmd/wayloft/printer.go
+++ b/cmd/wayloft/printer.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// printer writes what a command prints, and keeps the first error of the writer.
+// printer writes the output of a command and keeps the first write error.
 type printer struct {
 	out io.Writer
 	err error
@@ -25,7 +25,7 @@
 	}
 }
 
-// table prints rows whose cells are separated by tabs, in aligned columns.
+// table aligns the columns of rows whose cells are separated by tabs.
 func (p *printer) table(printRows func(rows *printer)) {
 	columns := tabwriter.NewWriter(p.out, 0, 4, 2, ' ', 0)
 	rows := &printer{out: columns}
--- a/cmd/wayloft/serve.go
+++ b/cmd/wayloft/serve.go
@@ -6,15 +6,13 @@
 	"wayloft/internal/server"
 )
 
-// serveCmd runs a router.
 type serveCmd struct{ configFlag }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*serveCmd) Help() string { return "Example: wayloft serve --config wayloft.toml" }
 
-// Run serves until a signal ends the process.
 func (c *serveCmd) Run() error {
-	signals := server.NotifySignals() // before the configuration is read: from here on SIGHUP doesn't end the process
+	signals := server.NotifySignals() // before the configuration is read, so that from here on SIGHUP doesn't end the process
 	conf, err := server.Load(c.Config)
 	if err != nil {
 		return err
--- a/cmd/wayloft/sighup_cgo.go
+++ b/cmd/wayloft/sighup_cgo.go
@@ -6,9 +6,9 @@
 #include <signal.h>
 #include <string.h>
 
-// A request to read the configuration again ends a Go program by default until signal.Notify has run. It is ignored from before the
-// Go runtime starts, where the process is a router; the runtime keeps that until Notify has it delivered. The configuration is read
-// after Notify, so that nothing is missed. Only glibc gives a constructor the arguments.
+// SIGHUP asks a router to reload its configuration, but by default it ends a Go program until signal.Notify has been called. A router
+// therefore ignores it from before the Go runtime starts; the runtime keeps it ignored until Notify has it delivered. No reload is missed,
+// since the configuration is read after Notify. Only glibc passes the arguments to constructors.
 #ifdef __GLIBC__
 __attribute__((constructor)) static void ignore_hangup(int argc, char **argv) {
 	if (argc > 1 && strcmp(argv[1], "serve") == 0) {
--- a/cmd/wayloft/status_error.go
+++ b/cmd/wayloft/status_error.go
@@ -1,10 +1,10 @@
 package main
 
-// statusError is an error with an exit status of its own. Where everything there is to say is printed already, its text is empty.
+// statusError is an error with its own exit status. Its text is empty if everything has been printed already.
 type statusError struct {
 	error
 	status int
 }
 
-// Unwrap gives the error itself.
+// Unwrap returns the underlying error.
 func (e statusError) Unwrap() error { return e.error }
