--- a/cmd/wayloft/coordinator.go
+++ b/cmd/wayloft/coordinator.go
@@ -11,11 +11,11 @@
 )
 
 type coordinatorCmd struct {
-	Run     coordinatorRunCmd     `cmd:"" default:"withargs" help:"Serve as one coordinator node, until SIGTERM."`
-	Add     coordinatorAddCmd     `cmd:"" help:"Have a node join the coordinator cluster; start it with join = true."`
-	Remove  coordinatorRemoveCmd  `cmd:"" help:"Have a node leave the coordinator cluster."`
-	Status  coordinatorStatusCmd  `cmd:"" help:"Print the coordinator nodes."`
-	Recover coordinatorRecoverCmd `cmd:"" help:"Begin a new epoch, or begin again from one data directory where the quorum is lost."`
+	Run     coordinatorRunCmd     `cmd:"" default:"withargs" help:"Run a coordinator node until SIGTERM."`
+	Add     coordinatorAddCmd     `cmd:"" help:"Add nodes to the coordinator cluster; start each with join = true."`
+	Remove  coordinatorRemoveCmd  `cmd:"" help:"Remove nodes from the coordinator cluster."`
+	Status  coordinatorStatusCmd  `cmd:"" help:"List the coordinator nodes."`
+	Recover coordinatorRecoverCmd `cmd:"" help:"Begin a new epoch, or rebuild the cluster from one data directory after the quorum is lost."`
 }
 
 func readCoordinatorFile(path string) (*settings.Coordinator, error) {
@@ -30,7 +30,7 @@
 	return c, nil
 }
 
-// advertisedAddress is where other nodes reach this one: as the peers have it, else where it listens.
+// advertisedAddress returns the address at which other nodes reach this one: its entry among the peers, or else its listen address.
 func advertisedAddress(c *settings.Coordinator) string {
 	for _, peer := range c.Peers {
 		if peer.Name == c.Name {
@@ -42,12 +42,12 @@
 
 type coordinatorAddCmd struct {
 	coordinatorFlags
-	Nodes []string `arg:"" name:"node" help:"NAME=ADDR of each."`
+	Nodes []string `arg:"" name:"node" help:"Nodes to add, as NAME=ADDR."`
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*coordinatorAddCmd) Help() string {
-	return "Example: wayloft council add c4=10.0.0.4:7101 --council 10.0.0.1:7101"
+	return "Example: wayloft coordinator add c4=10.0.0.4:7101 --coordinator 10.0.0.1:7101"
 }
 
 func (c *coordinatorAddCmd) Run(out *printer) error {
@@ -64,12 +64,12 @@
 
 type coordinatorRemoveCmd struct {
 	coordinatorFlags
-	Nodes []string `arg:"" name:"node" help:"Names."`
+	Nodes []string `arg:"" name:"node" help:"Names of the nodes to remove."`
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*coordinatorRemoveCmd) Help() string {
-	return "Example: wayloft council remove c2 --council 10.0.0.1:7101"
+	return "Example: wayloft coordinator remove c2 --coordinator 10.0.0.1:7101"
 }
 
 func (c *coordinatorRemoveCmd) Run(out *printer) error {
@@ -88,18 +88,18 @@
 	if !result.Held {
 		return result.Refusal
 	}
-	out.println("agreed")
+	out.println("membership change committed")
 	return nil
 }
 
 type coordinatorStatusCmd struct {
 	coordinatorFlags
-	JSON bool `help:"As JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*coordinatorStatusCmd) Help() string {
-	return "Example: wayloft council status --council 10.0.0.1:7101"
+	return "Example: wayloft coordinator status --coordinator 10.0.0.1:7101"
 }
 
 func (c *coordinatorStatusCmd) Run(out *printer) error {
--- a/cmd/wayloft/coordinator_recover.go
+++ b/cmd/wayloft/coordinator_recover.go
@@ -19,24 +19,24 @@
 )
 
 type coordinatorRecoverCmd struct {
-	Config       string   `help:"Settings of the one process that is left; it must not run." type:"existingfile" placeholder:"FILE" xor:"how"`
-	Coordinators []string `name:"council" aliases:"coordinator" help:"Addresses of a coordinator that runs but has lost its state." placeholder:"ADDR" xor:"how"`
-	Fleet        string   `help:"The fleet's name, with --council." default:"fleet"`
-	KnownEpoch   uint64   `name:"above" help:"The highest epoch that any receiver has seen."`
-	Confirmation string   `name:"word" help:"The word that says you mean it, in place of being asked." placeholder:"WORD"`
+	Config       string   `help:"Settings of the one remaining node, which must not be running." type:"existingfile" placeholder:"FILE" xor:"how"`
+	Coordinators []string `name:"council" aliases:"coordinator" help:"Addresses of a coordinator that is running but has lost its state." placeholder:"ADDR" xor:"how"`
+	Fleet        string   `help:"Name of the fleet, with --council." default:"fleet"`
+	KnownEpoch   uint64   `name:"above" help:"Highest epoch that any receiver has seen."`
+	Confirmation string   `name:"word" help:"Confirmation word, instead of the prompt." placeholder:"WORD"`
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*coordinatorRecoverCmd) Help() string {
-	return "Example: wayloft council recover --config c1.toml"
+	return "Example: wayloft coordinator recover --config c1.toml"
 }
 
-// confirmationWord is what an operator types to confirm a recovery, since it can't be undone.
+// confirmationWord must be typed to confirm a recovery, which can't be undone.
 const confirmationWord = "give up"
 
 var (
-	errNotConfirmed    = errors.New("nothing was changed")
-	errNoRecoverSource = errors.New("--config, of the one process that is left, or --council, of one that runs, must be given")
+	errNotConfirmed    = errors.New("not confirmed: nothing was changed")
+	errNoRecoverSource = errors.New("--config (the one remaining node) or --council (a running coordinator) is required")
 )
 
 func (c *coordinatorRecoverCmd) Run(out *printer) error {
@@ -49,11 +49,11 @@
 	return errNoRecoverSource
 }
 
-// confirm asks for the confirmation word, unless it was given as a flag.
+// confirm prompts for the confirmation word unless it was passed as a flag.
 func (c *coordinatorRecoverCmd) confirm(out *printer) error {
 	word := c.Confirmation
 	if word == "" {
-		out.printf("Type %q to go on: ", confirmationWord)
+		out.printf("Type %q to continue: ", confirmationWord)
 		var err error
 		if word, err = bufio.NewReader(os.Stdin).ReadString('\n'); err != nil && !errors.Is(err, io.EOF) {
 			return err
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// beginEpoch begins a new epoch in a coordinator that runs.
+// beginEpoch begins a new epoch in a running coordinator.
 func (c *coordinatorRecoverCmd) beginEpoch(out *printer) error {
 	client := fleet.NewClient(c.Fleet, c.Coordinators, nil)
 	defer client.Close()
@@ -76,11 +76,11 @@
 		return err
 	}
 	epoch := nextEpoch(s, c.KnownEpoch)
-	out.printf("Epoch %d begins in place of %d. Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.\n", epoch, s.Epoch)
+	out.printf("Epoch %d will replace epoch %d. Every lease holder loses its leases; operations that they still have in flight will be rejected.\n", epoch, s.Epoch)
 	if err := c.confirm(out); err != nil {
 		return err
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), coordinatorTimeout) // anew: the operator has taken time to answer
+	ctx, cancel = context.WithTimeout(context.Background(), coordinatorTimeout) // a new timeout: the prompt may have outlasted the first
 	defer cancel()
 	result, err := client.ProposeEntry(ctx, leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: epoch})
 	if err != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// nextEpoch is above each epoch that the coordinator, a receiver or the operator knows of.
+// nextEpoch returns an epoch above every one that the coordinator, a receiver or the operator knows.
 func nextEpoch(s *fleetpb.State, known uint64) uint64 {
 	epoch := max(s.Epoch, known)
 	for _, lease := range s.State.Duties {
@@ -102,14 +102,14 @@
 	return epoch + 1
 }
 
-// recoverFromDirectory begins a coordinator of one node from the data directory that is left.
+// recoverFromDirectory makes a single-node coordinator cluster from the remaining data directory.
 func (c *coordinatorRecoverCmd) recoverFromDirectory(out *printer) (err error) {
 	conf, err := readCoordinatorFile(c.Config)
 	if err != nil {
 		return err
 	}
 	if _, err := os.Stat(conf.Dir); err != nil {
-		return fmt.Errorf("no data directory is left to recover from: %w; start the coordinator anew, its epoch is above the old one's unless the wall clock was stepped back: then give run --above EPOCH", err)
+		return fmt.Errorf("no data directory to recover from: %w; start a new coordinator: its epoch is above the old one's unless the wall clock was stepped back, in which case pass --above EPOCH to run", err)
 	}
 	store, err := storage.Open(conf.Dir, conf.Fleet, conf.Name, rpc.UniqueID)
 	if err != nil {
@@ -124,12 +124,12 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", conf.Dir, err)
 	}
-	out.printf("%s becomes a coordinator cluster of its own, with entries up to %d (committed for sure: %d), in epoch %d in place of %d.\n",
+	out.printf("%s becomes a single-node coordinator cluster, with entries up to %d (known to be committed: up to %d), in epoch %d, which replaces epoch %d.\n",
 		conf.Name, recovery.LastIndex, recovery.CommittedIndex, recovery.Epoch, recovery.PreviousEpoch)
 	for _, peer := range recovery.RemovedPeers {
-		out.printf("Given up: %s at %s, and whatever only it knew. It must not be started again; add nodes under new names.\n", peer.Name, peer.Addr)
+		out.printf("Abandoned: %s at %s, with all data that only it had. It must not be started again; add nodes under new names.\n", peer.Name, peer.Addr)
 	}
-	out.println("Every lease holder loses its leases; acts of theirs that are still on their way will be rejected.")
+	out.println("Every lease holder loses its leases; operations that they still have in flight will be rejected.")
 	if err := c.confirm(out); err != nil {
 		return err
 	}
--- a/cmd/wayloft/coordinator_run.go
+++ b/cmd/wayloft/coordinator_run.go
@@ -15,24 +15,24 @@
 )
 
 type coordinatorRunCmd struct {
-	Config     string `help:"Settings, TOML." required:"" type:"existingfile" placeholder:"FILE"`
-	KnownEpoch uint64 `name:"above" help:"An epoch known to have been: a coordinator that begins takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
+	Config     string `help:"Settings file, TOML." required:"" type:"existingfile" placeholder:"FILE"`
+	KnownEpoch uint64 `name:"above" help:"An epoch known to have been used: a new cluster takes a later one, whatever the wall clock says." placeholder:"EPOCH"`
 }
 
-// Help gives an example.
-func (*coordinatorRunCmd) Help() string { return "Example: wayloft council --config c1.toml" }
+// Help implements kong.HelpProvider.
+func (*coordinatorRunCmd) Help() string { return "Example: wayloft coordinator --config c1.toml" }
 
 func (c *coordinatorRunCmd) Run() error {
 	conf, err := readCoordinatorFile(c.Config)
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a file that may grow no further is an error of the write, not the end
+	signal.Ignore(syscall.SIGXFSZ) // at a file size limit the write fails, and the process goes on
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	log, err := audit.Open(conf.AuditLog, conf.Name)
 	if err != nil {
-		return fmt.Errorf("record: %w", err)
+		return fmt.Errorf("audit log: %w", err)
 	}
 	defer log.Close()
 	node, err := coordinator.Open(c.coordinatorSettings(conf, log))
--- a/cmd/wayloft/help_test.go
+++ b/cmd/wayloft/help_test.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestHelp_EachCommandHasAnExample looks at each command that `wayloft --help` lists.
+// Each command that `wayloft --help` lists has an example in its help, under the command's main name.
 func TestHelp_EachCommandHasAnExample(t *testing.T) {
 	parser, err := kong.New(&cli, kong.Name("wayloft"))
 	if err != nil {
@@ -18,13 +18,8 @@
 		t.Fatalf("%d commands", len(leaves))
 	}
 	for _, command := range leaves {
-		if example := "Example: wayloft " + strings.Fields(command.FullPath())[1]; !strings.Contains(aliased(command.Detail), example) {
+		if example := "Example: wayloft " + strings.Fields(command.FullPath())[1]; !strings.Contains(command.Detail, example) {
 			t.Errorf("%s: its help has no line %q...: %q", command.FullPath(), example, command.Detail)
 		}
 	}
 }
-
-// aliased has an example name a command as it is named in help.
-func aliased(help string) string {
-	return strings.ReplaceAll(help, "wayloft council", "wayloft coordinator")
-}
