--- a/cmd/wayloft/fleet_output.go
+++ b/cmd/wayloft/fleet_output.go
@@ -8,17 +8,17 @@
 	"wayloft/internal/rpc"
 )
 
-// fleetReport is what `fleet status --json` prints. The keys of this and of the following types are read by programs and don't change.
+// fleetReport is the output of `fleet status --json`. Programs read it: the JSON keys of this and the following types must not change.
 type fleetReport struct {
 	Nodes    []nodeRow    `json:"council"`
 	Leases   []leaseRow   `json:"duties"`
 	Epoch    uint64       `json:"epoch"`
-	Index    uint64       `json:"index"`   // of the last entry that is applied
-	Rejected uint64       `json:"refused"` // acts, for their fencing tokens
+	Index    uint64       `json:"index"`   // of the last applied entry
+	Rejected uint64       `json:"refused"` // operations rejected for a stale fencing token
 	Sessions []sessionRow `json:"sessions"`
 }
 
-// coordinatorReport is what `council status --json` prints.
+// coordinatorReport is the output of `coordinator status --json`.
 type coordinatorReport struct {
 	Nodes []nodeRow `json:"council"`
 	Epoch uint64    `json:"epoch"`
@@ -26,19 +26,19 @@
 
 type nodeRow struct {
 	Address  string `json:"address"`
-	Applied  uint64 `json:"applied"` // index of the last entry
+	Applied  uint64 `json:"applied"` // index of the last entry it is known to have
 	Leader   bool   `json:"leader"`
-	CaughtUp bool   `json:"level"` // it has applied what the leader has
+	CaughtUp bool   `json:"level"` // it was active recently and lacks at most a few entries
 	Name     string `json:"name"`
 }
 
 type leaseRow struct {
-	BlockingToken   string   `json:"barred"` // the token that keeps the lease from being granted
+	BlockingToken   string   `json:"barred"` // see blockingToken
 	Lease           string   `json:"duty"`
-	LastOrderResult string   `json:"ended"` // how the last order ended
+	LastOrderResult string   `json:"ended"` // of the last order that has ended
 	Token           uint64   `json:"fence"`
 	Holder          string   `json:"holder"`
-	Order           string   `json:"order"` // the open one
+	Order           string   `json:"order"` // the order in progress
 	Queue           []string `json:"queue"`
 	HeldMs          uint64   `json:"since_ms"`
 }
@@ -48,7 +48,7 @@
 	Incarnation uint64 `json:"incarnation"`
 	Kind        string `json:"kind"`
 	Name        string `json:"name"`
-	Policy      uint64 `json:"policy"` // the version that it applies
+	Policy      uint64 `json:"policy"` // packed version that it applies
 	Rejected    uint64 `json:"refused"`
 	SilentMs    uint64 `json:"silent_ms"`
 }
@@ -90,8 +90,8 @@
 	return rows
 }
 
-// blockingToken is the token that keeps a lease from being granted: a receiver has seen it, and this coordinator never issued it.
-// It is empty where there is none.
+// blockingToken returns the fencing token that keeps a lease from being granted, or "" if there is none. A receiver has seen this token,
+// but this coordinator never issued it.
 func blockingToken(s *fleetpb.State, lease *fleetpb.Duty) string {
 	if lease.Barred.GetEpoch() >= s.Epoch && lease.Barred.GetEpoch() > 0 {
 		return formatToken(lease.Barred)
@@ -101,7 +101,6 @@
 
 func formatToken(token *fleetpb.Fence) string { return rpc.DecodeToken(token).String() }
 
-// printNodes prints the coordinator nodes.
 func printNodes(out *printer, s *fleetpb.State) {
 	out.table(func(rows *printer) {
 		rows.printf("coordinator (epoch %d)\taddress\trole\tapplied\n", s.Epoch)
@@ -115,18 +114,17 @@
 	})
 }
 
-// formatApplied gives how far a node has applied the log.
+// formatApplied returns the index up to which a node has the log, and whether it is behind.
 func formatApplied(node *fleetpb.Peer) string {
 	switch {
 	case !node.Known:
-		return "not known"
+		return "unknown"
 	case !node.Level:
-		return strconv.FormatUint(node.Applied, 10) + ", behind or away"
+		return strconv.FormatUint(node.Applied, 10) + ", behind or unreachable"
 	}
 	return strconv.FormatUint(node.Applied, 10)
 }
 
-// printStatus prints the coordinator nodes, the leases and the sessions.
 func printStatus(out *printer, s *fleetpb.State) {
 	printNodes(out, s)
 	out.table(func(rows *printer) {
@@ -147,12 +145,12 @@
 		return lease.Holder
 	}
 	if token := blockingToken(s, lease); token != "" {
-		return "not granted: " + token + " was seen, begin a new epoch (council recover)"
+		return "not granted: a receiver has seen token " + token + "; begin a new epoch (coordinator recover)"
 	}
-	return "nobody"
+	return "none"
 }
 
-// formatOrder gives the open order and the step that it is at.
+// formatOrder returns the order in progress and its latest step.
 func formatOrder(lease *fleetpb.Duty) string {
 	order := lease.Open.GetText()
 	if order == "" || len(lease.Steps) == 0 {
--- a/cmd/wayloft/policy_propose.go
+++ b/cmd/wayloft/policy_propose.go
@@ -11,27 +11,27 @@
 	"wayloft/internal/fleet"
 )
 
-// routerCountFlag is how many routers there are: one that lost the coordinator before is not among the sessions, and would not be missed.
+// routerCountFlag is the number of routers in the fleet. Without it, a router that has lost its session would go unnoticed.
 type routerCountFlag struct {
-	Routers int `help:"How many routers there must be; fewer, and the rest is waited for." placeholder:"N" default:"0"`
+	Routers int `help:"Number of routers in the fleet; those without a session count as not having applied the policy." placeholder:"N" default:"0"`
 }
 
 type policyProposeCmd struct {
 	coordinatorFlags
 	policyFile
-	ExpectedVersion string        `name:"expect" help:"Only if this version is in force, as status prints it; none: only if there is none yet." placeholder:"VERSION"`
-	Reason          string        `help:"For the history."`
-	Author          string        `help:"For the history; who runs this, if not given." env:"WAYLOFT_AUTHOR"`
-	Wait            time.Duration `help:"How long to wait until it is in force everywhere; 0: not at all." default:"0s"`
+	ExpectedVersion string        `name:"expect" help:"Propose only if this version is in force, as status prints it; none: only if no policy is in force." placeholder:"VERSION"`
+	Reason          string        `help:"Reason, for the history."`
+	Author          string        `help:"Author, for the history; by default the current user." env:"WAYLOFT_AUTHOR"`
+	Wait            time.Duration `help:"How long to wait until the policy is in force everywhere; 0: don't wait." default:"0s"`
 	routerCountFlag
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*policyProposeCmd) Help() string {
-	return `Example: wayloft policy propose policy.toml --reason "more for acme" --wait 10s --routers 610 --council 10.0.0.1:7101`
+	return `Example: wayloft policy propose policy.toml --reason "more for acme" --wait 10s --routers 610 --coordinator 10.0.0.1:7101`
 }
 
-var errEmptyPolicy = errors.New("it says nothing, and no policy is in force: nothing was changed")
+var errEmptyPolicy = errors.New("the policy is empty and none is in force: nothing was changed")
 
 func (c *policyProposeCmd) Run(out *printer) error {
 	document, err := c.read()
@@ -68,7 +68,7 @@
 	return c.wait(out, client, version, agreed)
 }
 
-// author is who the history names.
+// author returns the author to record in the history.
 func (c *policyProposeCmd) author() string {
 	if c.Author != "" {
 		return c.Author
@@ -79,7 +79,7 @@
 	return ""
 }
 
-// checkExpected compares the version in force with the one that the proposal is for, if one was given.
+// checkExpected returns an error if --expect was given and another version is in force.
 func (c *policyProposeCmd) checkExpected(current policy.Version) error {
 	if c.ExpectedVersion == "" {
 		return nil
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// propose has the coordinator agree on a proposal, and gives the version that it became.
+// propose sends a proposal to the coordinator and returns the version that it became.
 func (c *policyProposeCmd) propose(client *fleet.Client, proposal policy.Proposal) (policy.Version, error) {
 	if err := proposal.Check(); err != nil {
 		return policy.Version{}, err
--- a/cmd/wayloft/policy_status.go
+++ b/cmd/wayloft/policy_status.go
@@ -12,15 +12,15 @@
 type policyStatusCmd struct {
 	coordinatorFlags
 	routerCountFlag
-	JSON bool `help:"As JSON."`
+	JSON bool `help:"Print JSON."`
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*policyStatusCmd) Help() string {
-	return "Example: wayloft policy status --routers 610 --council 10.0.0.1:7101"
+	return "Example: wayloft policy status --routers 610 --coordinator 10.0.0.1:7101"
 }
 
-// policyReport is what `policy status --json` prints. The keys of this and of routerPolicyRow are read by programs and don't change.
+// policyReport is the output of `policy status --json`. Programs read it: the JSON keys of this type and of routerPolicyRow must not change.
 type policyReport struct {
 	Author     string            `json:"author"`
 	Everywhere bool              `json:"everywhere"`
@@ -77,17 +77,17 @@
 	return report
 }
 
-// printPolicyStatus prints the version in force and which version each router applies.
+// printPolicyStatus prints the version in force and the version that each router applies.
 func printPolicyStatus(out *printer, current fleet.Policies, routers []routerPolicy, expected int) {
 	version := current.Version
 	if version.Number == 0 {
-		out.println("no policy is in force: each router goes by its own file")
+		out.println("no policy is in force: each router uses its own configuration")
 	} else {
 		out.printf("version %s is in force: %d fields, %d bytes, hash %.12s, by %s: %s\n", version, len(current.Document), version.Size,
 			formatHash(version), formatAuthor(version), formatReason(version))
 	}
 	out.table(func(rows *printer) {
-		rows.println("\nrouter\tgoes by\tsilent\tstate")
+		rows.println("\nrouter\tapplies\tsilent\tstate")
 		for _, r := range routers {
 			state := string(r.state)
 			if r.reason != "" {
@@ -100,11 +100,11 @@
 		out.printf("\nnot everywhere: %s\n", missing)
 		return
 	}
-	out.printf("\neverywhere: all %d routers that have a session\n", len(routers))
+	out.printf("\nin force everywhere: all %d routers that have a session\n", len(routers))
 }
 
 func formatHash(v policy.Version) string { return hex.EncodeToString(v.Hash[:]) }
 
-func formatAuthor(v policy.Version) string { return cmp.Or(v.Author, "nobody") }
+func formatAuthor(v policy.Version) string { return cmp.Or(v.Author, "unknown") }
 
 func formatReason(v policy.Version) string { return cmp.Or(v.Reason, "no reason given") }
--- a/cmd/wayloft/policy_wait.go
+++ b/cmd/wayloft/policy_wait.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// waitPollInterval is the time between two polls of which router applies which version.
+	// waitPollInterval is the interval at which a wait polls the versions that routers apply.
 	waitPollInterval = 200 * time.Millisecond
-	// silenceThresholdMs is how long a router may send nothing before an operator is told. Routers send heartbeats several times a second.
+	// silenceThresholdMs is how long a router may send nothing before it is reported as silent. Routers send heartbeats several times a second.
 	silenceThresholdMs = 1000
-	// statusNotEverywhere is the exit status where a policy, or what became of a proposal, is not known to be in force everywhere.
+	// statusNotEverywhere is the exit status if a policy is not known to be in force everywhere, or the outcome of a proposal is unknown.
 	statusNotEverywhere = 3
 )
 
-// routerState is how far a router is with a version of the policy. The texts are printed, and read by programs.
+// routerState is the state of a router with respect to a version of the policy. Programs read the values, which must not change.
 type routerState string
 
 const (
@@ -38,12 +38,12 @@
 type routerPolicy struct {
 	name     string
 	state    routerState
-	reason   string // of a rejection or a silence
+	reason   string // why it rejected the version or is silent
 	version  uint64 // packed
 	silentMs uint64
 }
 
-// routerPolicies lists each router with a session, and those that had one before and have none now.
+// routerPolicies returns each router that has a session, and those among known that no longer have one.
 func routerPolicies(s *fleetpb.State, wanted uint64, known map[string]bool) []routerPolicy {
 	var all []routerPolicy
 	connected := map[string]bool{}
@@ -76,8 +76,8 @@
 	return r
 }
 
-// missingRouters names the routers at which a version is not in force, and why; it is empty where there is none. Routers without a
-// session are not known by name: expected is how many routers there must be.
+// missingRouters lists the routers that don't apply a version, with the reasons; it returns "" if all do. Routers that have had no session
+// can only be counted: expected is the number of routers in the fleet.
 func missingRouters(all []routerPolicy, expected int) string {
 	var missing []string
 	if n := max(1, expected) - len(all); n > 0 {
@@ -91,7 +91,7 @@
 		case routerRejected:
 			reason = "couldn't: " + oneLine(r.reason)
 		case routerPending:
-			reason = "goes by " + policy.FormatPacked(r.version)
+			reason = "applies " + policy.FormatPacked(r.version)
 		}
 		missing = append(missing, fmt.Sprintf("%s (%s)", r.name, reason))
 	}
@@ -100,7 +100,7 @@
 
 func oneLine(text string) string { return strings.ReplaceAll(text, "\n", "; ") }
 
-// latestVersion is the version in force in a state.
+// latestVersion returns the version in force.
 func latestVersion(s *fleetpb.State) policy.Version {
 	if n := len(s.State.Policies); n > 0 {
 		if v, _, err := rpc.DecodePolicy(s.State.Policies[n-1]); err == nil {
@@ -110,7 +110,7 @@
 	return policy.Version{}
 }
 
-// reportNotEverywhere prints how far a version is, and gives the exit status for it.
+// reportNotEverywhere prints why a version is not in force everywhere and returns an error with the exit status for it.
 func reportNotEverywhere(out *printer, reason string) error {
 	out.printf("not everywhere: %s\n", reason)
 	return statusError{error: errors.New(""), status: statusNotEverywhere}
@@ -119,21 +119,21 @@
 // versionWait waits for one version to be in force everywhere.
 type versionWait struct {
 	version         policy.Version
-	agreed          time.Time       // when it was
-	expectedRouters int             // that there must be
-	known           map[string]bool // routers that had a session since the wait began
-	missing         string          // as last polled
+	agreed          time.Time       // when the coordinator accepted it, as seen here
+	expectedRouters int             // number of routers in the fleet; 0: unknown
+	known           map[string]bool // routers that have had a session since the wait began
+	missing         string          // result of missingRouters at the last poll
 	out             *printer
 }
 
-// wait prints which routers a version waits for, each time that changes, until it is in force everywhere or the time is over.
+// wait waits until a version is in force everywhere or the timeout passes. It prints the routers that are missing whenever they change.
 func (c *policyProposeCmd) wait(out *printer, client *fleet.Client, version policy.Version, agreed time.Time) error {
 	if c.Wait <= 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Wait)
 	defer cancel()
-	w := &versionWait{version: version, agreed: agreed, expectedRouters: c.Routers, known: map[string]bool{}, missing: "the coordinator gave no answer yet", out: out}
+	w := &versionWait{version: version, agreed: agreed, expectedRouters: c.Routers, known: map[string]bool{}, missing: "no response from the coordinator yet", out: out}
 	ticker := time.NewTicker(waitPollInterval)
 	defer ticker.Stop()
 	printed := ""
@@ -143,7 +143,7 @@
 		}
 		if printed != w.missing && ctx.Err() == nil {
 			printed = w.missing
-			out.printf("waits for %s\n", w.missing)
+			out.printf("waiting for %s\n", w.missing)
 		}
 		select {
 		case <-ctx.Done():
@@ -153,7 +153,7 @@
 	}
 }
 
-// poll asks the coordinator once. It reports whether the wait has ended, and with which error.
+// poll fetches the state once and reports whether the wait has ended, and with which error.
 func (w *versionWait) poll(ctx context.Context, client *fleet.Client) (ended bool, err error) {
 	pollCtx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
@@ -165,7 +165,7 @@
 		return false, nil
 	}
 	if now := latestVersion(s); now.Packed() > w.version.Packed() {
-		return true, reportNotEverywhere(w.out, fmt.Sprintf("version %s followed and is in force, by %s: %s", now, now.Author, now.Reason))
+		return true, reportNotEverywhere(w.out, fmt.Sprintf("it was replaced by version %s, by %s: %s", now, now.Author, now.Reason))
 	}
 	all := routerPolicies(s, w.version.Packed(), w.known)
 	for _, r := range all {
--- a/cmd/wayloft/recorded_test.go
+++ b/cmd/wayloft/recorded_test.go
@@ -16,7 +16,7 @@
 	"wayloft/internal/settings"
 )
 
-// commandOutput gives what a command prints.
+// commandOutput returns what a command prints, followed by its error.
 func commandOutput(run func(*printer) error) string {
 	var text strings.Builder
 	out := &printer{out: &text}
@@ -44,7 +44,7 @@
 				{Name: "sight/1", Fence: token(7, 5), Barred: token(9, 1)}}}}
 }
 
-// TestRecordedOutput has what commands print of a state be the recorded text.
+// The output of commands for a fixed state equals the recorded text.
 func TestRecordedOutput(t *testing.T) {
 	s := recordedState()
 	var out strings.Builder
@@ -79,12 +79,12 @@
 	recording.CompareText(t, "output.txt", out.String())
 }
 
-// structField is the name of a Go field, which the TOML library's errors have beside the key.
+// structField matches the Go field name that the TOML library's errors give besides the key.
 var structField = regexp.MustCompile(`struct field \S+`)
 
 var recordedKey = regexp.MustCompile(`(?m)^(\s*#?\s*)([a-z_]+) = (.*)$`)
 
-// TestRecordedMistakes has what is said of each key with a wrong value, in each of our files, be the recorded text.
+// The error for each key with each of several invalid values, in all shipped and test configurations, equals the recorded text.
 func TestRecordedMistakes(t *testing.T) {
 	dir := t.TempDir()
 	var out strings.Builder
@@ -114,7 +114,7 @@
 	recording.Compare(t, "mistakes.digest", out.String())
 }
 
-// validationError says what is wrong with a file, read as the one that it is a variant of.
+// validationError returns the error of reading a variant of a file, by the reader for that kind of file.
 func validationError(file, path string) string {
 	var err error
 	switch {
