--- a/cmd/wayloft/coordinator_run.go
+++ b/cmd/wayloft/coordinator_run.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGXFSZ) // at a file size limit the write fails, and the process goes on
+	signal.Ignore(syscall.SIGXFSZ) // at a file size limit the write fails instead of ending the process
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	log, err := audit.Open(conf.AuditLog, conf.Name)
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -121,6 +121,6 @@
 	if result.Refusal != "" {
 		return result.Refusal
 	}
-	out.printf("lease %s was released from %s, which held it with token %s\n", lease.Name, holder.Name, formatToken(lease.Fence))
+	out.printf("released lease %s: %s held it with token %s\n", lease.Name, holder.Name, formatToken(lease.Fence))
 	return nil
 }
--- a/cmd/wayloft/lab_fleet.go
+++ b/cmd/wayloft/lab_fleet.go
@@ -83,7 +83,7 @@
 	}
 	names, err := filepath.Glob(filepath.Join(requested, "*"))
 	if err != nil || len(names) > 0 {
-		return "", nil, fmt.Errorf("%s: must be empty or not exist", requested)
+		return "", nil, fmt.Errorf("%s: must be empty or must not exist", requested)
 	}
 	return requested, func() error { return nil }, nil
 }
@@ -105,7 +105,7 @@
 	if err != nil {
 		return "", err
 	}
-	text, err := f.RunCommand("policy", "propose", path, "--reason", "initial policy", "--wait", fleet.WaitLimit.String(),
+	text, err := f.RunCommand("policy", "propose", path, "--reason", "the fleet begins", "--wait", fleet.WaitLimit.String(),
 		"--routers", strconv.Itoa(c.Routers))
 	if err != nil {
 		return "", fmt.Errorf("%s: %w: %s", path, err, text)
--- a/cmd/wayloft/policy.go
+++ b/cmd/wayloft/policy.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if err := joinViolations(policy.ValidateChange(nil, document)); err != nil { // against an empty policy, since strict fields can never have been set
+	if err := joinViolations(policy.ValidateChange(nil, document)); err != nil { // compared with no policy, as strict fields have never been in force
 		return fmt.Errorf("%s:\n%w", c.File, err)
 	}
 	if c.Config != "" {
--- a/cmd/wayloft/policy_propose.go
+++ b/cmd/wayloft/policy_propose.go
@@ -11,7 +11,7 @@
 	"wayloft/internal/fleet"
 )
 
-// routerCountFlag is the number of routers in the fleet. Without it, a router that has lost its session would go unnoticed.
+// routerCountFlag is the number of routers in the fleet. Without it, a router whose session ended before the command began goes unnoticed.
 type routerCountFlag struct {
 	Routers int `help:"Number of routers in the fleet; those without a session count as not having applied the policy." placeholder:"N" default:"0"`
 }
--- a/cmd/wayloft/recorded_test.go
+++ b/cmd/wayloft/recorded_test.go
@@ -51,8 +51,8 @@
 	record := func(what string, run func(*printer) error) { fmt.Fprintf(&out, "== %s\n%s", what, commandOutput(run)) }
 	record("fleet status", func(p *printer) error { printStatus(p, s); return nil })
 	record("fleet status --json", func(p *printer) error { return p.json(newFleetReport(s)) })
-	record("council status", func(p *printer) error { printNodes(p, s); return nil })
-	record("council status --json", func(p *printer) error { return p.json(nodeRows(s)) })
+	record("coordinator status", func(p *printer) error { printNodes(p, s); return nil })
+	record("coordinator status --json", func(p *printer) error { return p.json(nodeRows(s)) })
 	all := routerPolicies(s, 7<<32|2, map[string]bool{"r0": true, "r1": true})
 	fmt.Fprintf(&out, "== waited for\n%s\n%s\n", missingRouters(all, 0), missingRouters(all, 9))
 	for _, r := range all {
