--- a/cmd/wayloft/policy_propose.go
+++ b/cmd/wayloft/policy_propose.go
@@ -11,27 +11,27 @@
 	"wayloft/internal/fleet"
 )
 
-// routerCount is how many routers there are: one that lost the coordinator before is not among the sessions, and would not be missed.
-type routerCount struct {
-	Routers int `help:"How many routers there must be; fewer, and the rest is waited for." placeholder:"N" default:"0"`
+// routerCountFlag is the number of routers in the fleet. Without it, a router whose session ended before the command began goes unnoticed.
+type routerCountFlag struct {
+	Routers int `help:"Number of routers in the fleet; those without a session count as not having applied the policy." placeholder:"N" default:"0"`
 }
 
 type policyProposeCmd struct {
 	coordinatorFlags
 	policyFile
-	Expect string        `help:"Only if this version is in force, as status prints it; none: only if there is none yet." placeholder:"VERSION"`
-	Reason string        `help:"For the history."`
-	Author string        `help:"For the history; who runs this, if not given." env:"WAYLOFT_AUTHOR"`
-	Wait   time.Duration `help:"How long to wait until it is in force everywhere; 0: not at all." default:"0s"`
-	routerCount
+	ExpectedVersion string        `name:"expect" help:"Propose only if this version is in force, as status prints it; none: only if no policy is in force." placeholder:"VERSION"`
+	Reason          string        `help:"Reason, for the history."`
+	Author          string        `help:"Author, for the history; by default the current user." env:"WAYLOFT_AUTHOR"`
+	Wait            time.Duration `help:"How long to wait until the policy is in force everywhere; 0: don't wait." default:"0s"`
+	routerCountFlag
 }
 
-// Help gives an example.
+// Help implements kong.HelpProvider.
 func (*policyProposeCmd) Help() string {
-	return `Example: wayloft policy propose policy.toml --reason "more for acme" --wait 10s --routers 610 --council 10.0.0.1:7101`
+	return `Example: wayloft policy propose policy.toml --reason "more for acme" --wait 10s --routers 610 --coordinator 10.0.0.1:7101`
 }
 
-var errEmptyPolicy = errors.New("it says nothing, and no policy is in force: nothing was changed")
+var errEmptyPolicy = errors.New("the policy is empty and none is in force: nothing was changed")
 
 func (c *policyProposeCmd) Run(out *printer) error {
 	document, err := c.read()
@@ -40,7 +40,7 @@
 	}
 	client := c.client()
 	defer client.Close()
-	current, err := c.policies(client, c.Wait)
+	current, err := c.fetchPoliciesWith(client, c.Wait)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 		out.printf("version %s, which is in force, says the same\n", current.Version)
 		return c.wait(out, client, current.Version, time.Now())
 	}
-	if err := violations(difference.Validate()); err != nil {
+	if err := joinViolations(difference.Validate()); err != nil {
 		return fmt.Errorf("nothing was changed, version %s stays in force:\n%w", current.Version, err)
 	}
 	version, err := c.propose(client, policy.Propose(current.Version, current.Document, document, c.author(), c.Reason))
@@ -68,7 +68,7 @@
 	return c.wait(out, client, version, agreed)
 }
 
-// author is who the history names.
+// author returns the author to record in the history.
 func (c *policyProposeCmd) author() string {
 	if c.Author != "" {
 		return c.Author
@@ -79,22 +79,22 @@
 	return ""
 }
 
-// checkExpected compares the version in force with the one that the proposal is for, if one was given.
+// checkExpected returns an error if --expect was given and another version is in force.
 func (c *policyProposeCmd) checkExpected(current policy.Version) error {
-	if c.Expect == "" {
+	if c.ExpectedVersion == "" {
 		return nil
 	}
-	expected, err := policy.ParsePacked(c.Expect)
+	expected, err := policy.ParsePacked(c.ExpectedVersion)
 	if err != nil {
 		return fmt.Errorf("--expect: %w", err)
 	}
 	if expected != current.Packed() {
-		return fmt.Errorf("version %s is in force, not %s: nothing was changed", current, c.Expect)
+		return fmt.Errorf("version %s is in force, not %s: nothing was changed", current, c.ExpectedVersion)
 	}
 	return nil
 }
 
-// propose has the coordinator agree on a proposal, and gives the version that it became.
+// propose sends a proposal to the coordinator and returns the version that it became.
 func (c *policyProposeCmd) propose(client *fleet.Client, proposal policy.Proposal) (policy.Version, error) {
 	if err := proposal.Check(); err != nil {
 		return policy.Version{}, err
@@ -111,7 +111,7 @@
 	if !result.Held {
 		return policy.Version{}, fmt.Errorf("nothing was changed: %w", result.Refusal)
 	}
-	now, err := c.policies(client, c.Wait)
+	now, err := c.fetchPoliciesWith(client, c.Wait)
 	if err != nil {
 		return policy.Version{}, statusError{error: fmt.Errorf("it is agreed as number %d: %w", result.Number, err), status: statusNotEverywhere}
 	}
