--- a/internal/lab/fleet/check_writes.go
+++ b/internal/lab/fleet/check_writes.go
@@ -7,11 +7,11 @@
 	"wayloft/internal/fakes/pgserver"
 )
 
-// promotedRole is the role in the members' log by which a member says that it has become the primary.
+// promotedRole is the role that a member writes to the members' log when it becomes the primary.
 const promotedRole = "takes"
 
-// CheckWrites checks by the members' own log that each write that clients heard has succeeded took effect exactly once, that none took effect
-// twice or after its rejection, and that only the member that was promoted last committed any.
+// CheckWrites checks the members' log against the responses that clients received: each write reported as successful took effect exactly
+// once, no write took effect twice, no rejected write took effect, and only the member promoted last committed writes.
 func CheckWrites(directory string, load *WriteLoad) []string {
 	var found violations
 	entries, err := pgserver.ReadLog(directory)
@@ -19,7 +19,7 @@
 		found.add("%v", err)
 		return found
 	}
-	times, primary := map[string]int{}, ""
+	applied, primary := map[string]int{}, ""
 	for _, entry := range entries {
 		if entry.Part == promotedRole {
 			primary = entry.By
@@ -28,22 +28,22 @@
 			found.add("%s committed %v while %s was the primary", entry.By, entry.Writes[0], primary)
 		}
 		for _, write := range entry.Writes {
-			times[write[0]]++
+			applied[write[0]]++
 		}
 	}
-	for _, handle := range slices.Sorted(maps.Keys(times)) {
-		if times[handle] > 1 {
-			found.add("%s took effect %d times", handle, times[handle])
+	for _, handle := range slices.Sorted(maps.Keys(applied)) {
+		if applied[handle] > 1 {
+			found.add("%s took effect %d times", handle, applied[handle])
 		}
 	}
 	for _, handle := range load.Succeeded {
-		if times[handle] == 0 {
-			found.add("%s has succeeded by its response and is lost", handle)
+		if applied[handle] == 0 {
+			found.add("%s was reported as successful and is lost", handle)
 		}
 	}
 	for _, handle := range load.Rejected {
-		if times[handle] > 0 {
-			found.add("%s was rejected by its response and has taken effect", handle)
+		if applied[handle] > 0 {
+			found.add("%s was reported as rejected and took effect", handle)
 		}
 	}
 	return found
--- a/internal/lab/fleet/check_writes_test.go
+++ b/internal/lab/fleet/check_writes_test.go
@@ -10,7 +10,7 @@
 	"wayloft/internal/fakes/pgserver"
 )
 
-// CheckWrites finds each violation, and none in a log without one.
+// CheckWrites reports each kind of violation, and none in a correct log.
 func TestCheckWrites_Violations(t *testing.T) {
 	entry := func(member, role string, writes ...string) pgserver.LogEntry {
 		logged := pgserver.LogEntry{By: member, Part: role}
@@ -26,9 +26,9 @@
 	}{
 		"":                      {nil, &WriteLoad{Succeeded: []string{"a", "b"}, Rejected: []string{"c"}, Unresolved: []string{"d"}}},
 		"a took effect 2 times": {[]pgserver.LogEntry{entry("m2", "", "a")}, &WriteLoad{}},
-		"z has succeeded by its response and is lost":         {nil, &WriteLoad{Succeeded: []string{"z"}}},
-		"a was rejected by its response and has taken effect": {nil, &WriteLoad{Rejected: []string{"a"}}},
-		"m1 committed [c x] while m2 was the primary":         {[]pgserver.LogEntry{entry("m1", "", "c")}, &WriteLoad{}},
+		"z was reported as successful and is lost":    {nil, &WriteLoad{Succeeded: []string{"z"}}},
+		"a was reported as rejected and took effect":  {nil, &WriteLoad{Rejected: []string{"a"}}},
+		"m1 committed [c x] while m2 was the primary": {[]pgserver.LogEntry{entry("m1", "", "c")}, &WriteLoad{}},
 	} {
 		directory := t.TempDir()
 		var text []byte
--- a/internal/lab/fleet/commands_test.go
+++ b/internal/lab/fleet/commands_test.go
@@ -13,14 +13,14 @@
 
 const commandsDir = "testdata/commands"
 
-// runProgram runs the program and gives all that it printed.
+// runProgram runs the program and returns its output.
 func runProgram(binary string, args ...string) (string, error) {
 	out, err := exec.Command(binary, args...).CombinedOutput()
 	return string(out), err
 }
 
-// Each command, flag and argument that operators' scripts may have is accepted. The help flag is evaluated after all others were parsed: with an
-// unknown one nothing is printed but an error.
+// The program accepts each command, flag and argument that operators' scripts may use. The help flag is evaluated after all others are parsed,
+// so an unknown flag leads to an error instead of the help text.
 func TestCommands_AreAccepted(t *testing.T) {
 	binary := buildProgram(t)
 	lines, err := os.ReadFile(filepath.Join(commandsDir, "commands.txt"))
@@ -43,7 +43,7 @@
 	}
 }
 
-// The environment's names for flags stay.
+// The environment variables of flags keep their names.
 func TestCommands_KeepTheirEnvironment(t *testing.T) {
 	binary := buildProgram(t)
 	for _, c := range []struct{ name, command string }{
@@ -56,7 +56,7 @@
 	}
 }
 
-// Each key of the platform's configuration must be there, and is named where it isn't.
+// Each key of the platform's configuration is required, and the error names a missing one.
 func TestPlatformConfiguration_KeepsItsKeys(t *testing.T) {
 	binary := buildProgram(t)
 	text, err := os.ReadFile(filepath.Join(commandsDir, "platform.json"))
@@ -101,7 +101,7 @@
 	}
 }
 
-// The program accepts the shipped settings as they are.
+// The program accepts the shipped settings unchanged.
 func TestShippedSettings_AreAccepted(t *testing.T) {
 	binary := buildProgram(t)
 	if out, err := runProgram(binary, "check", "--config", "../../../deploy/wayloft.toml"); err != nil {
--- a/internal/lab/fleet/config.go
+++ b/internal/lab/fleet/config.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// holdTimeout is how long writes of a group are held during a switchover.
+// holdTimeout limits the write hold of a group during a switchover.
 const holdTimeout = 3 * time.Second
 
-// routerSeed is the seed of routers' settings; each adds a number of its own.
+// routerSeed is the base of the routers' random seeds; configureRouter adds an offset derived from the router's name.
 const routerSeed = 0x8c1f30d27a5be964
 
-// routerTemplate has the settings of a router: its name, address and seed, more top-level keys, more keys of [fleet].
+// routerTemplate is a router's settings file. Its parameters are the name, address, seed, further top-level keys, and further keys of [fleet].
 const routerTemplate = `name = %q
 listen = %q
 seed = "%016x"
@@ -62,7 +62,8 @@
 form = "platform"
 `
 
-// switchoverTemplate has a router's settings of switchovers, with the statements that fake members know.
+// switchoverTemplate is the switchover section of a router's settings, with the statements that fake members implement. Its parameter is the
+// limit of the write hold.
 const switchoverTemplate = `[fleet.handover]
 hold = %q
 step = "1s"
@@ -73,7 +74,7 @@
 take = "SELECT wayloft_take()"
 `
 
-// auditLogPath is the path of a process's audit log; empty: it writes none.
+// auditLogPath returns the path of a process's audit log, or "" if audit logs are turned off.
 func (f *Fleet) auditLogPath(p *Process) string {
 	if f.NoAuditLog {
 		return ""
@@ -81,10 +82,10 @@
 	return filepath.Join(f.Dir, auditDirectory, p.Name+".jsonl")
 }
 
-// policyDirectory is where a router stores the policy.
+// policyDirectory returns the directory in which a router stores the policy.
 func (f *Fleet) policyDirectory(p *Process) string { return filepath.Join(f.Dir, "policy-"+p.Name) }
 
-// configure sets a process's arguments and writes its settings.
+// configure sets a process's command-line arguments and writes its settings file.
 func (f *Fleet) configure(p *Process) error {
 	switch p.Kind {
 	case coordinatorKind:
@@ -101,7 +102,7 @@
 	return os.WriteFile(p.Config, []byte(text), fileMode)
 }
 
-// configureMember sets the arguments of a fake member, which has no file of settings.
+// configureMember sets the command-line arguments of a fake member, which has no settings file.
 func (f *Fleet) configureMember(p *Process) {
 	p.arguments = []string{"lab", "member", "--folder", filepath.Join(f.Dir, memberDirectory), "--name", p.Name, "--listen", p.Addr}
 	if p.Name == "m1" {
@@ -112,7 +113,7 @@
 	}
 }
 
-// configureCoordinator configures a coordinator node; join: it is to join those that are there.
+// configureCoordinator configures a coordinator node. With join set, the node joins the existing cluster instead of forming one with its peers.
 func (f *Fleet) configureCoordinator(p *Process, join bool) error {
 	p.arguments = []string{"council", "run", "--config", p.Config}
 	overrides, err := f.addressOverrides(p, f.ofKind(coordinatorKind), func(peer *Process) string { return peer.Addr })
@@ -135,7 +136,7 @@
 	return writeConfig(p, text.String())
 }
 
-// addressOverrides gives the keys that say by which links a process reaches others; there are none in a fleet without links.
+// addressOverrides returns the settings that route a process's connections to others over links, or "" in a fleet without links.
 func (f *Fleet) addressOverrides(p *Process, others []*Process, addressOf func(*Process) string) (string, error) {
 	if !f.Links {
 		return "", nil
@@ -176,7 +177,7 @@
 	return writeConfig(p, text.String())
 }
 
-// routerFleetKeys gives a router's keys of the fleet's coordination, in [fleet] and above it.
+// routerFleetKeys returns a router's keys for fleet coordination: those in [fleet] and further top-level ones.
 func (f *Fleet) routerFleetKeys(p *Process) (fleet, top string, err error) {
 	var coordinators []string
 	for _, node := range f.ofKind(coordinatorKind) {
@@ -207,7 +208,7 @@
 	return keys.String(), top, nil
 }
 
-// routerAddressOverrides gives the table of the links by which a router reaches coordinator nodes and other routers.
+// routerAddressOverrides returns the settings that route a router's connections to coordinator nodes and other routers over links.
 func (f *Fleet) routerAddressOverrides(p *Process) (string, error) {
 	if !f.Links {
 		return "", nil
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet starts a fleet of real processes of the program on loopback (coordinator nodes, routers and fake members), injects faults
-// into processes, into the links between them and into what they store, and checks afterwards what the processes wrote to their audit
-// logs. The tests of this package run scenarios from files, `wayloft lab fleet` runs a fleet for a person, `wayloft lab leases` measures
-// one, and internal/lab/scale builds larger installations on it. A Fleet owns the processes that it started, their directories, their
-// ports and the links, and ends all of them in Close. It never decides anything for the processes.
+// into the processes, the links between them and their stored data, and then checks the audit logs of the processes. The tests of this
+// package run scenarios from files, `wayloft lab fleet` runs a fleet for interactive use, `wayloft lab leases` measures one, and
+// internal/lab/scale builds larger installations on it. A Fleet owns the processes that it started, their directories, their ports and
+// the links; Close ends the processes, closes the links and releases the ports. It makes no decisions on behalf of the processes.
 package fleet
 
 import (
@@ -18,11 +18,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Values of Options that are not given.
+// Defaults of Options.
 const (
 	defaultFleetName        = "lab"
 	defaultSessionTimeout   = 2 * time.Second
-	defaultSnapshotInterval = 500 // entries: few, so that the log is compacted in a short scenario
+	defaultSnapshotInterval = 500 // entries; low enough that the log is compacted in a short scenario
 )
 
 const (
@@ -30,7 +30,7 @@
 	fileMode      = 0o600
 )
 
-// Directories in a fleet's own.
+// Subdirectories of the fleet's directory.
 const (
 	failpointDirectory = "faults"
 	memberDirectory    = "members" // the state that all fake members share
@@ -38,27 +38,27 @@
 	auditDirectory     = "records"
 )
 
-// Options say what a fleet consists of. Those that are not given are small.
+// Options configure a fleet.
 type Options struct {
 	Binary              string
 	Dir                 string
 	Coordinators        int
 	Routers             int
 	Members             int
-	Links               bool          // a Link between each two processes; otherwise they connect to each other directly
+	Links               bool          // a Link between each two processes; without, they connect directly
 	SessionTimeout      time.Duration // of routers with the coordinator
-	HealthShareInterval time.Duration // 0: health checking is not shared
+	HealthShareInterval time.Duration // 0 disables the sharing of health checks
 	Switchover          bool
-	CoordinatorKeys     string                                // more keys of the coordinator's settings
-	RouterKeys          func(name string) (fleet, top string) // more keys of a router's settings, in [fleet] and above it
+	CoordinatorKeys     string                                // further keys of the coordinator nodes' settings
+	RouterKeys          func(name string) (fleet, top string) // further keys of a router's settings: in [fleet] and top-level
 	FleetName           string
 	UnguardedMember     string // a member without a guard row
-	Standalone          bool   // routers have no [fleet] at all
-	SnapshotInterval    int    // entries until the coordinator's log is compacted
+	Standalone          bool   // routers run without the coordinator
+	SnapshotInterval    int    // log entries after which the coordinator compacts its log
 	NoAuditLog          bool
 }
 
-// setDefaults sets what is not given.
+// setDefaults sets the defaults of options that are zero.
 func (o *Options) setDefaults() {
 	if o.FleetName == "" {
 		o.FleetName = defaultFleetName
@@ -71,21 +71,21 @@
 	}
 }
 
-// linkKey names the link from one process to another.
+// linkKey identifies the link from one process to another.
 type linkKey struct{ from, to string }
 
 // Fleet is a set of processes with their settings and links.
 type Fleet struct {
 	Options
 	processes map[string]*Process
-	order     []string // names, as they were added
+	order     []string // names in the order of addition
 
 	mu    sync.Mutex
 	links map[linkKey]*Link
 	ports []*net.TCPAddr // reserved until Close
 }
 
-// New writes the settings of a fleet. It starts nothing.
+// New creates a fleet and writes the settings of its processes. It starts no process.
 func New(options Options) (*Fleet, error) {
 	options.setDefaults()
 	f := &Fleet{Options: options, processes: map[string]*Process{}, links: map[linkKey]*Link{}}
@@ -96,7 +96,7 @@
 	return f, nil
 }
 
-// prepare makes the directories, adds the processes and writes their settings.
+// prepare creates the directories, adds the processes and writes their settings.
 func (f *Fleet) prepare() error {
 	for _, name := range []string{failpointDirectory, memberDirectory, logDirectory, auditDirectory} {
 		if err := os.MkdirAll(filepath.Join(f.Dir, name), directoryMode); err != nil {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// reserve gives an address on a port that stays reserved until Close.
-func (f *Fleet) reserve() (string, error) {
+// reserveAddress returns an address whose port stays reserved until Close.
+func (f *Fleet) reserveAddress() (string, error) {
 	address, err := reserveAddress()
 	if err != nil {
 		return "", err
@@ -133,9 +133,9 @@
 	return address.String(), nil
 }
 
-// add adds a process, without its settings.
+// add adds a process without writing its settings.
 func (f *Fleet) add(kind, name string) (*Process, error) {
-	address, err := f.reserve()
+	address, err := f.reserveAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 	case coordinatorKind:
 		p.DataDir = filepath.Join(f.Dir, "council-"+name)
 	case routerKind:
-		if p.ReceiverAddr, err = f.reserve(); err != nil {
+		if p.ReceiverAddr, err = f.reserveAddress(); err != nil {
 			return nil, err
 		}
 	}
@@ -153,7 +153,7 @@
 	return p, nil
 }
 
-// AddCoordinator writes the settings of one more coordinator node, which joins the others once it is started.
+// AddCoordinator adds a coordinator node and writes its settings. The node joins the cluster once it is started.
 func (f *Fleet) AddCoordinator(name string) (*Process, error) {
 	p, err := f.add(coordinatorKind, name)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return p, f.configureCoordinator(p, true)
 }
 
-// addressFrom gives the address at which one process reaches another, which is a Link's where the fleet has links.
+// addressFrom returns the address at which one process reaches another: that of a Link if the fleet has links.
 func (f *Fleet) addressFrom(from, to, address string) (string, error) {
 	if !f.Links {
 		return address, nil
@@ -180,14 +180,14 @@
 	return f.links[key].Addr, nil
 }
 
-// Link gives the link from one process to another, or nil.
+// Link returns the link from one process to another, or nil.
 func (f *Fleet) Link(from, to string) *Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.links[linkKey{from, to}]
 }
 
-// healLinks has all links pass everything on again.
+// healLinks removes the faults of all links.
 func (f *Fleet) healLinks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,7 +196,7 @@
 	}
 }
 
-// ofKind gives the processes of a kind in the order in which they were added.
+// ofKind returns the processes of a kind in the order in which they were added.
 func (f *Fleet) ofKind(kind string) (processes []*Process) {
 	for _, p := range f.Processes() {
 		if p.Kind == kind {
@@ -206,10 +206,10 @@
 	return processes
 }
 
-// Process gives the process of a name, or nil.
+// Process returns the process of this name, or nil.
 func (f *Fleet) Process(name string) *Process { return f.processes[name] }
 
-// Processes gives all processes in the order in which they were added.
+// Processes returns all processes in the order in which they were added.
 func (f *Fleet) Processes() (processes []*Process) {
 	for _, name := range f.order {
 		processes = append(processes, f.processes[name])
@@ -217,10 +217,10 @@
 	return processes
 }
 
-// CoordinatorAddresses gives the addresses of the coordinator nodes.
+// CoordinatorAddresses returns the addresses of the coordinator nodes.
 func (f *Fleet) CoordinatorAddresses() []string { return addresses(f.ofKind(coordinatorKind)) }
 
-// routerAddresses gives the addresses at which routers serve clients.
+// routerAddresses returns the addresses at which routers serve clients.
 func (f *Fleet) routerAddresses() []string { return addresses(f.ofKind(routerKind)) }
 
 func addresses(processes []*Process) (all []string) {
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// Close kills all processes that this fleet started, closes its links and releases its ports.
+// Close kills all processes of the fleet, closes its links and releases its ports.
 func (f *Fleet) Close() {
 	for _, p := range slices.Backward(f.Processes()) {
 		p.Kill()
@@ -261,6 +261,6 @@
 	}
 	f.ports = nil
 	if failures != nil {
-		logrus.WithError(failures).Warn("ports of the fleet not released")
+		logrus.WithError(failures).Warn("could not release the ports of the fleet")
 	}
 }
--- a/internal/lab/fleet/members.go
+++ b/internal/lab/fleet/members.go
@@ -15,15 +15,15 @@
 
 const (
 	memberCheckInterval = 100 * time.Millisecond
-	failoverDelay       = time.Second // from the end of the primary's process to another's promotion
+	failoverDelay       = time.Second // from the end of the primary's process to the promotion of another member
 )
 
-// Primaries tells which members accept writes by the state that they store: none, one, or more than one in a cluster that went wrong.
+// Primaries returns the members that accept writes according to their stored state. More than one means a split-brain.
 func (f *Fleet) Primaries() (names []string) {
 	for _, member := range f.ofKind(memberKind) {
 		role, err := os.ReadFile(filepath.Join(f.Dir, memberDirectory, "part-"+member.Name))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			logrus.WithError(err).WithField("member", member.Name).Warn("role of a member not read")
+			logrus.WithError(err).WithField("member", member.Name).Warn("could not read the role of a member")
 		}
 		if string(role) == "primary" {
 			names = append(names, member.Name)
@@ -32,8 +32,8 @@
 	return names
 }
 
-// Promote makes a member the primary in place of one whose process has ended, as a cluster's manager would: it can't ask the former
-// primary to step down.
+// Promote makes a member the primary in place of one whose process has ended. It changes the stored state of both, as a cluster manager
+// would: the former primary can't be asked to step down.
 func (f *Fleet) Promote(former, next string) error {
 	directory := filepath.Join(f.Dir, memberDirectory)
 	for _, change := range []struct {
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// ManageMembers watches the members until ctx ends: where the primary's process is gone for failoverDelay, another becomes primary.
+// ManageMembers performs failovers until ctx is done: when the primary's process has been gone for failoverDelay, another member is promoted.
 func (f *Fleet) ManageMembers(ctx context.Context) {
-	goneSince := map[string]time.Time{}
+	downSince := map[string]time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -62,27 +62,27 @@
 		}
 		for _, name := range f.Primaries() {
 			if f.processes[name].Pid() > 0 {
-				delete(goneSince, name)
+				delete(downSince, name)
 				continue
 			}
-			if goneSince[name].IsZero() {
-				goneSince[name] = time.Now()
+			if downSince[name].IsZero() {
+				downSince[name] = time.Now()
 			}
-			if time.Since(goneSince[name]) >= failoverDelay {
+			if time.Since(downSince[name]) >= failoverDelay {
 				f.promoteRunning(name)
 			}
 		}
 	}
 }
 
-// promoteRunning promotes the first member that runs in place of the former primary.
+// promoteRunning promotes the first running member in place of the former primary.
 func (f *Fleet) promoteRunning(former string) {
 	for _, member := range f.ofKind(memberKind) {
 		if member.Pid() == 0 {
 			continue
 		}
 		if err := f.Promote(former, member.Name); err != nil {
-			logrus.WithError(err).WithField("member", member.Name).Warn("member not promoted")
+			logrus.WithError(err).WithField("member", member.Name).Warn("could not promote a member")
 			return
 		}
 		fmt.Printf("member %s is the primary in place of %s\n", member.Name[1:], former[1:])
--- a/internal/lab/fleet/ports.go
+++ b/internal/lab/fleet/ports.go
@@ -14,22 +14,22 @@
 
 const (
 	firstPort    = 20000
-	portCount    = 12000 // all are below the range from which the system picks ports of outgoing connections
+	portCount    = 12000 // the range ends below the system's ephemeral ports, which outgoing connections use
 	portAttempts = 1000
 )
 
-// errPortReserved means that a port is reserved, by this process or by another.
+// errPortReserved means that this program or another has reserved the port.
 var errPortReserved = errors.New("the port is reserved")
 
-// portReservations reserves ports for processes that bind them later. Test programs run beside each other, and a port that was free for
-// one of them is free for all until the process that it is meant for has bound it; so each reservation is a lock on one byte of a file
-// that all test programs of a user open. The system drops the locks of a program that ends.
+// portReservations reserves ports for processes that bind them later. Test programs run concurrently, and until a process binds the port
+// that one of them found free, the others find it free too. So each reservation is a lock on one byte of a file that all test programs of a
+// user share. The kernel drops the locks of a program that ends.
 type portReservations struct {
 	path string
 
 	mu       sync.Mutex
 	file     *os.File
-	reserved map[int]bool // those of this program, whose locks don't exclude each other
+	reserved map[int]bool // ports of this program: its own locks don't exclude each other
 }
 
 // sharedPorts are the reservations of this program.
@@ -39,12 +39,12 @@
 	return &portReservations{path: path, reserved: map[int]bool{}}
 }
 
-// lockRange is the byte of the file that stands for a port.
-func lockRange(kind int16, port int) *unix.Flock_t {
+// portLock returns the lock of the byte that stands for a port.
+func portLock(kind int16, port int) *unix.Flock_t {
 	return &unix.Flock_t{Type: kind, Start: int64(port), Len: 1}
 }
 
-// reserve reserves a port until release, or fails with errPortReserved.
+// reserve reserves a port until release. It fails with errPortReserved if the port is already reserved.
 func (p *portReservations) reserve(port int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 		}
 		p.file = file
 	}
-	err := unix.FcntlFlock(p.file.Fd(), unix.F_OFD_SETLK, lockRange(unix.F_WRLCK, port))
+	err := unix.FcntlFlock(p.file.Fd(), unix.F_OFD_SETLK, portLock(unix.F_WRLCK, port))
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EACCES) {
 		return errPortReserved
 	}
@@ -77,13 +77,13 @@
 		return nil
 	}
 	delete(p.reserved, port)
-	if err := unix.FcntlFlock(p.file.Fd(), unix.F_OFD_SETLK, lockRange(unix.F_UNLCK, port)); err != nil {
+	if err := unix.FcntlFlock(p.file.Fd(), unix.F_OFD_SETLK, portLock(unix.F_UNLCK, port)); err != nil {
 		return fmt.Errorf("release port %d: %w", port, err)
 	}
 	return nil
 }
 
-// listen reserves one of the ports that next gives and listens on it on loopback.
+// listen reserves a port from next and listens on it on loopback. It tries further ports from next if one is taken.
 func (p *portReservations) listen(next func() int) (net.Listener, error) {
 	var failure error
 	for range portAttempts {
@@ -99,22 +99,22 @@
 		if err == nil {
 			return listener, nil
 		}
-		failure = errors.Join(err, p.release(port)) // a program that reserves no ports listens on it
+		failure = errors.Join(err, p.release(port)) // in use by a program that doesn't reserve ports
 	}
 	return nil, fmt.Errorf("no free port in %d attempts: %w", portAttempts, failure)
 }
 
-// ListenFree listens on a port of loopback that is free and that no other test program has reserved, below the range from which the system
-// picks ports by itself. The port stays reserved after the listener is closed, until this program ends or ReleasePort.
+// ListenFree listens on a free loopback port that no other test program has reserved, below the system's ephemeral ports. The port stays
+// reserved after the listener is closed, until ReleasePort or the end of this program.
 func ListenFree() (net.Listener, error) {
 	return sharedPorts.listen(func() int { return firstPort + rand.IntN(portCount) })
 }
 
-// ReleasePort ends the reservation of a listener's address, for programs that call ListenFree very often.
+// ReleasePort ends the reservation of a listener's port. Programs that call ListenFree often need it, so as not to run out of ports.
 func ReleasePort(address net.Addr) error {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
-		return fmt.Errorf("release port: %v is no TCP address", address)
+		return fmt.Errorf("release port: %v is not a TCP address", address)
 	}
 	return sharedPorts.release(tcp.Port)
 }
@@ -127,7 +127,7 @@
 	}
 	address, ok := listener.Addr().(*net.TCPAddr)
 	if !ok {
-		return nil, fmt.Errorf("%v is no TCP address", listener.Addr())
+		return nil, fmt.Errorf("%v is not a TCP address", listener.Addr())
 	}
 	return address, listener.Close()
 }
--- a/internal/lab/fleet/ports_test.go
+++ b/internal/lab/fleet/ports_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// alternating gives the first port once and the second from then on.
+// alternating returns a function that returns the first port once and the second from then on.
 func alternating(first, second int) func() int {
 	port := first
 	return func() int {
@@ -17,7 +17,7 @@
 	}
 }
 
-// freePorts gives so many ports that no other test program takes until the test ends.
+// freePorts reserves this number of ports until the end of the test.
 func freePorts(t *testing.T, count int) []int {
 	t.Helper()
 	ports := make([]int, count)
@@ -36,7 +36,7 @@
 	return ports
 }
 
-// listenAndClose gives the port that a process is to bind later.
+// listenAndClose returns a reserved port that a process would bind later.
 func listenAndClose(t *testing.T, ports *portReservations, next func() int) int {
 	t.Helper()
 	listener, err := ports.listen(next)
@@ -49,8 +49,8 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// Two programs that find the same port free, one after the other, before either of the processes has bound it, get different ports. The
-// file's locks belong to who opened it, so two reservations of one program stand for two programs.
+// Guards against two programs choosing the same port: both find it free before either's process has bound it. The file locks belong to the
+// open file, so two portReservations in one program stand for two programs.
 func TestPortReservations_PortNotYetBound(t *testing.T) {
 	free := freePorts(t, 3)
 	first, second, third := free[0], free[1], free[2]
@@ -67,7 +67,7 @@
 	}
 }
 
-// A port that was released, or whose program has ended, can be reserved by another program.
+// Another program can reserve a port that was released or whose program has ended.
 func TestPortReservations_PortReleased(t *testing.T) {
 	free := freePorts(t, 2)
 	first, second := free[0], free[1]
@@ -90,7 +90,7 @@
 	if err := other.reserve(second); !errors.Is(err, errPortReserved) {
 		t.Errorf("the other port: %v", err)
 	}
-	if err := one.file.Close(); err != nil { // as the end of the program does
+	if err := one.file.Close(); err != nil { // as at the end of the program
 		t.Fatal(err)
 	}
 	if err := other.reserve(second); err != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// A port on which a program listens that reserves none is passed over and not kept reserved.
+// A port in use by a program that doesn't reserve ports is skipped, and its reservation is released.
 func TestPortReservations_PortInUse(t *testing.T) {
 	second := freePorts(t, 1)[0]
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,7 +120,7 @@
 	}
 }
 
-// A fleet's ports are reserved until it is closed.
+// The ports of a fleet stay reserved until Close.
 func TestFleet_ReservesItsPorts(t *testing.T) {
 	fleet, err := New(Options{Dir: t.TempDir(), Coordinators: 1, Routers: 1, Members: 1, Links: true})
 	if err != nil {
@@ -133,7 +133,7 @@
 	for _, link := range fleet.links {
 		ports = append(ports, link.listener.Addr().(*net.TCPAddr).Port)
 	}
-	if len(fleet.ports) != 4 || len(fleet.links) < 2 { // processes and the router's receiver; from the router to the others
+	if len(fleet.ports) != 4 || len(fleet.links) < 2 { // addresses of three processes and the router's receiver; links from the router to the others
 		t.Fatalf("%d addresses, %d links", len(fleet.ports), len(fleet.links))
 	}
 	other := newPortReservations(sharedPorts.path)
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -20,7 +20,7 @@
 	probeSessionTimeout = 60000 // ms
 	probeRequestTimeout = 3 * time.Second
 	probePause          = 5 * time.Millisecond
-	minProbeResponses   = 20 // a shorter history would show nothing
+	minProbeResponses   = 20 // a shorter history would prove nothing
 )
 
 // Kinds of operations in a history.
@@ -29,8 +29,8 @@
 	readOperation    = simulation.ReadOperation
 )
 
-// Probe is a number of clients of the coordinator that acquire and release one lease and read its latest token, whatever happens to the
-// coordinator. Check tells whether the responses are linearizable: whether one process could have given them.
+// Probe runs clients of the coordinator that repeatedly acquire and release one lease and read its latest token while faults are injected.
+// Check reports whether the history of responses is linearizable.
 type Probe struct {
 	mu         sync.Mutex
 	operations []simulation.Operation
@@ -56,7 +56,7 @@
 	p.clients.Wait()
 }
 
-// WaitForRequests waits until there are well more responses than Check needs.
+// WaitForRequests waits until there are twice as many responses as Check needs.
 func (p *Probe) WaitForRequests() error {
 	return WaitUntil("responses of the coordinator", func() (bool, error) {
 		p.mu.Lock()
@@ -65,17 +65,17 @@
 	})
 }
 
-// Check gives the violations in the responses.
+// Check returns the violations in the history.
 func (p *Probe) Check() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.operations) < minProbeResponses {
-		return []string{fmt.Sprintf("the coordinator gave only %d responses", len(p.operations))}
+		return []string{fmt.Sprintf("the coordinator sent only %d responses", len(p.operations))}
 	}
 	return simulation.CheckLinearizable(p.operations)
 }
 
-func (p *Probe) add(operation simulation.Operation) {
+func (p *Probe) record(operation simulation.Operation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.operations = append(p.operations, operation)
@@ -88,33 +88,33 @@
 	number   int
 	session  string
 	started  time.Time
-	acquired simulation.Operation // the latest acquisition that had a response
+	acquired simulation.Operation // the latest acquisition with a response
 }
 
-// run repeats open session, acquire, read and release until ctx ends.
+// run cycles through opening the session, acquiring, reading and releasing until ctx is done.
 func (c *probeClient) run(ctx context.Context) {
 	defer c.client.Close()
 	requests := []func(context.Context) error{c.openSession, c.acquire, c.read, c.release}
 	for turn := 0; ctx.Err() == nil; turn++ {
 		requestCtx, cancel := context.WithTimeout(ctx, probeRequestTimeout)
 		if err := requests[turn%len(requests)](requestCtx); err != nil {
-			logrus.WithError(err).WithField("session", c.session).Debug("request without response")
+			logrus.WithError(err).WithField("session", c.session).Debug("request failed")
 		}
 		cancel()
 		time.Sleep(probePause)
 	}
 }
 
-// nowMs gives the time since the probe's start.
+// nowMs returns the time since the probe's start in ms.
 func (c *probeClient) nowMs() float64 { return float64(time.Since(c.started).Microseconds()) / 1000 }
 
-// entry gives an entry of this client's session.
+// entry returns an entry of this client's session.
 func (c *probeClient) entry(kind leasestate.Kind) leasestate.Entry {
 	return leasestate.Entry{Kind: kind, Session: c.session, Incarnation: 1, Lease: probeLease}
 }
 
-// begin gives an operation that begins now and has no response yet.
-func (c *probeClient) begin(kind string) simulation.Operation {
+// newOperation returns an operation that starts now and has no response yet.
+func (c *probeClient) newOperation(kind string) simulation.Operation {
 	return simulation.Operation{Client: c.number, Kind: kind, Lease: probeLease, Session: c.session, StartedMs: c.nowMs(), EndedMs: -1}
 }
 
@@ -126,29 +126,29 @@
 }
 
 func (c *probeClient) acquire(ctx context.Context) error {
-	operation := c.begin(acquireOperation)
+	operation := c.newOperation(acquireOperation)
 	result, err := c.client.ProposeEntry(ctx, c.entry(leasestate.AcquireLease))
 	if err != nil || result.Refusal == leasestate.RefusedNoSession {
 		return err
 	}
 	operation.EndedMs, operation.Held, operation.Token = c.nowMs(), result.Held, result.Token
-	c.probe.add(operation)
+	c.probe.record(operation)
 	c.acquired = operation
 	return nil
 }
 
 func (c *probeClient) read(ctx context.Context) error {
-	operation := c.begin(readOperation)
+	operation := c.newOperation(readOperation)
 	tokens, err := c.client.LatestTokens(ctx, []string{probeLease})
 	if err != nil {
 		return err
 	}
 	operation.EndedMs, operation.Token = c.nowMs(), tokens[0]
-	c.probe.add(operation)
+	c.probe.record(operation)
 	return nil
 }
 
-// release releases the lease if this client holds it by the latest response. The release isn't part of the history.
+// release releases the lease if the latest response made this client its holder. Releases are not part of the history.
 func (c *probeClient) release(ctx context.Context) error {
 	if !c.acquired.Held {
 		return nil
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -1,6 +1,6 @@
 package fleet
 
-// verbs parse the arguments of each kind of step; the comment of Scenario says what each does.
+// verbs maps each verb to the parser of its arguments. The comment of Scenario describes the verbs.
 var verbs = map[string]func(*arguments) action{
 	// steps_process.go
 	"stop":            parseStop,
--- a/internal/lab/fleet/violations.go
+++ b/internal/lab/fleet/violations.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// maxViolations is how many violations a checker reports; more would repeat what the first ones say.
+// maxViolations limits the violations that a checker reports, since later ones mostly repeat the first.
 const maxViolations = 20
 
-// violations are what a checker found, up to maxViolations.
+// violations are the findings of a checker, up to maxViolations.
 type violations []string
 
 func (v *violations) add(format string, arguments ...any) {
@@ -14,7 +14,7 @@
 	}
 }
 
-// events reads a process's audit log; one that can't be read is a violation.
+// events reads a process's audit log. A log that can't be read is a violation.
 func (v *violations) events(f *Fleet, p *Process) []AuditEvent {
 	events, err := f.AuditEvents(p.Name)
 	if err != nil {
