--- a/internal/lab/fleet/audit.go
+++ b/internal/lab/fleet/audit.go
@@ -12,47 +12,47 @@
 	"strings"
 )
 
-// maxAuditLine is the longest line of an audit log that is read, in bytes.
-const maxAuditLine = 1 << 20
+// maxAuditLineBytes limits the length of an audit log line.
+const maxAuditLineBytes = 1 << 20
 
-// Fields of audit log lines, as the program writes them.
+// Field names in the program's audit log.
 const (
-	eventField   = "what"
-	timeField    = "at" // ms
-	pidField     = "pid"
-	leaseField   = "duty"
-	tokenField   = "fence"
-	subjectField = "about"
-	holderField  = "holder"
-	sessionField = "session"
-	endedField   = "ended"
-	termField    = "term"
-	leaderField  = "leader"
-	versionField = "version"
-	hashField    = "hash"
-	rejectField  = "wont"
+	eventField    = "what"
+	timeField     = "at" // ms
+	pidField      = "pid"
+	leaseField    = "duty"
+	tokenField    = "fence"
+	subjectField  = "about"
+	holderField   = "holder"
+	sessionField  = "session"
+	endedField    = "ended"
+	termField     = "term"
+	leaderField   = "leader"
+	versionField  = "version"
+	hashField     = "hash"
+	rejectedField = "wont"
 )
 
-// Events of audit log lines, as the program writes them.
+// Event names in the program's audit log.
 const (
-	holderStarted   = "start"   // a lease holder begins to act
-	holderStopped   = "stop"    // and ends
-	actAccepted     = "taken"   // by a receiver
-	actStale        = "late"    // refused by a receiver for its fencing token
-	leaseGranted    = "duty"    // by the coordinator, or its lease has ended
-	leaderElected   = "leads"   // of the coordinator
-	nodeRefused     = "refused" // a coordinator node that others don't listen to
-	policyInForce   = "policy"  // in the coordinator
-	policyTaken     = "takes"   // a router has taken a version
-	policyApplied   = "goes by" // a router says which version it applies, and which it can't
+	holderStarted   = "start"   // a router starts acting as lease holder
+	holderStopped   = "stop"    // a router stops acting as lease holder
+	actAccepted     = "taken"   // a receiver accepted an act
+	actStale        = "late"    // a receiver rejected an act because of its fencing token
+	leaseGranted    = "duty"    // the coordinator granted a lease, or a lease ended
+	leaderElected   = "leads"   // a coordinator node became leader
+	nodeRefused     = "refused" // a coordinator node is refused by the others
+	policyInForce   = "policy"  // a version came into force at the coordinator
+	policyApplied   = "takes"   // a router applied a version
+	policyReported  = "goes by" // a router reported the version that it applied and the one that it rejected
 	noPolicyVersion = "none"
-	noToken         = "0.0"
+	zeroToken       = "0.0"
 )
 
-// AuditEvent is a line of a process's audit log, by fields.
+// AuditEvent is one line of a process's audit log: its values by field name.
 type AuditEvent map[string]any
 
-// Text gives a field as text; empty: there is none.
+// Text returns a field as text, or "" if the field is missing.
 func (e AuditEvent) Text(key string) string {
 	switch value := e[key].(type) {
 	case nil:
@@ -66,12 +66,12 @@
 
 func (e AuditEvent) event() string { return e.Text(eventField) }
 
-// time gives when the line was written, in ms.
-func (e AuditEvent) time() float64 { return e.number(timeField) }
+// timeMs returns the time at which the line was written, in Unix milliseconds.
+func (e AuditEvent) timeMs() float64 { return e.number(timeField) }
 
 func (e AuditEvent) pid() int { return int(e.number(pidField)) }
 
-// number gives a field's number; 0: there is none.
+// number returns a numeric field, or 0 if it is missing or not a number.
 func (e AuditEvent) number(key string) float64 {
 	number, ok := e[key].(float64)
 	if !ok {
@@ -80,7 +80,7 @@
 	return number
 }
 
-// matches tells whether each of these fields contains its text.
+// matches reports whether each of the given fields contains the given text.
 func (e AuditEvent) matches(fields map[string]string) bool {
 	for key, text := range fields {
 		if !strings.Contains(e.Text(key), text) {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// AuditEvents reads the whole lines that a process's audit log has by now.
+// AuditEvents reads the complete lines of a process's audit log. A line that is still being written is left out.
 func (f *Fleet) AuditEvents(name string) ([]AuditEvent, error) {
 	text, err := os.ReadFile(f.auditLogPath(f.processes[name]))
 	if errors.Is(err, os.ErrNotExist) {
@@ -101,7 +101,7 @@
 	}
 	whole := text[:bytes.LastIndexByte(text, '\n')+1]
 	lines := bufio.NewScanner(bytes.NewReader(whole))
-	lines.Buffer(nil, maxAuditLine)
+	lines.Buffer(nil, maxAuditLineBytes)
 	var events []AuditEvent
 	for lines.Scan() {
 		var event AuditEvent
@@ -116,7 +116,7 @@
 	return events, nil
 }
 
-// CountEvents counts the events of this name in a process's audit log whose fields contain these texts, and gives the last of them.
+// CountEvents counts the events of this name in a process's audit log whose fields contain the given texts, and returns the last of them.
 func (f *Fleet) CountEvents(name, event string, fields map[string]string) (count int, last AuditEvent, err error) {
 	events, err := f.AuditEvents(name)
 	for _, e := range events {
@@ -128,7 +128,7 @@
 	return count, last, err
 }
 
-// countRouterEvents counts the events of this name in all routers' audit logs.
+// countRouterEvents counts the events of this name in the audit logs of all routers.
 func (f *Fleet) countRouterEvents(event string) (total int, err error) {
 	for _, router := range f.ofKind(routerKind) {
 		count, _, err := f.CountEvents(router.Name, event, nil)
@@ -140,8 +140,8 @@
 	return total, nil
 }
 
-// LeaseHolder gives the router that acts for a lease by the audit logs, and its fencing token: the one with the highest token that has started
-// and not stopped. The name is empty where none does.
+// LeaseHolder returns the router that acts for a lease according to the audit logs, and its fencing token: the one that started under the
+// highest token and has not stopped since. The name is empty if no router acts.
 func (f *Fleet) LeaseHolder(lease string) (name, token string, err error) {
 	var highest Token
 	for _, router := range f.ofKind(routerKind) {
@@ -167,7 +167,7 @@
 	return name, token, nil
 }
 
-// coordinatorLeader gives the leader of the latest term by the coordinator nodes' audit logs; empty: there was none.
+// coordinatorLeader returns the leader of the latest term according to the coordinator nodes' audit logs, or "" if there was none.
 func (f *Fleet) coordinatorLeader() (name string, err error) {
 	latest := 0.0
 	for _, node := range f.ofKind(coordinatorKind) {
@@ -184,10 +184,10 @@
 	return name, nil
 }
 
-// Token is a fencing token: epoch and count.
+// Token is a fencing token: an epoch and a count within it.
 type Token [2]uint64
 
-// ParseToken reads a fencing token as audit logs have it. The token of a text that is none is zero, or has a count of zero.
+// ParseToken parses a fencing token in the form EPOCH.COUNT. A part that is not a number is zero, and so is the part after it.
 func ParseToken(text string) (token Token) {
 	epoch, count, _ := strings.Cut(text, ".")
 	for n, part := range []string{epoch, count} {
--- a/internal/lab/fleet/audit_test.go
+++ b/internal/lab/fleet/audit_test.go
@@ -17,10 +17,10 @@
 	"wayloft/internal/decide/policy"
 )
 
-// Audit logs that the program of this commit wrote: checkers read them for as long as they are kept.
+// storedLogs holds audit logs written by the program at this commit. Checkers must be able to read them for as long as such logs are kept.
 const storedLogs = "testdata/records-dd13dd4"
 
-// writeAuditLog writes the audit log of a process that isn't started.
+// writeAuditLog writes the audit log of a process that is not running.
 func writeAuditLog(t *testing.T, f *Fleet, name, text string) {
 	t.Helper()
 	if err := os.WriteFile(f.auditLogPath(f.Process(name)), []byte(text), fileMode); err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// storedFleet gives a fleet whose processes have the stored audit logs; nothing is started.
+// storedFleet returns a fleet whose processes have the stored audit logs. No process is started.
 func storedFleet(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := New(Options{Dir: t.TempDir(), Coordinators: 3, Routers: 2, Members: 1})
@@ -46,7 +46,7 @@
 	return f
 }
 
-// signature gives a line's event with its fields and their JSON types.
+// signature returns the event of a line with its fields and their JSON types.
 func signature(t *testing.T, line AuditEvent) string {
 	t.Helper()
 	var fields []string
@@ -72,7 +72,7 @@
 	return line.Text("what") + ": " + strings.Join(fields, ", ")
 }
 
-// signatures gives those of all processes of these kinds.
+// signatures returns the signatures of all lines of coordinator nodes and routers.
 func signatures(t *testing.T, f *Fleet) map[string]bool {
 	t.Helper()
 	all := map[string]bool{}
@@ -88,8 +88,8 @@
 	return all
 }
 
-// pinnedSignatures gives those that lines may have.
-func pinnedSignatures(t *testing.T) map[string]bool {
+// goldenSignatures returns the signatures that lines may have.
+func goldenSignatures(t *testing.T) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(storedLogs, "lines.golden"))
 	if err != nil {
@@ -102,21 +102,21 @@
 	return all
 }
 
-// Stored audit logs are read and have no violation; a line that contradicts them is found.
+// The checkers read stored audit logs without a violation, and find an added line that contradicts them.
 func TestStoredAuditLogs_AreChecked(t *testing.T) {
 	f := storedFleet(t)
-	if wrong := CheckLeases(f, false); len(wrong) > 0 {
-		t.Error(wrong)
+	if found := CheckLeases(f, false); len(found) > 0 {
+		t.Error(found)
 	}
 	for name, want := range map[string]int{"r1": 2, "r2": 0} {
 		if n, _, err := f.CountEvents(name, "end", map[string]string{"duty": "handover/0", "text": "done: "}); err != nil || n != want {
 			t.Errorf("%s ended %d switchovers, not %d: %v", name, n, want, err)
 		}
 	}
-	pinned := pinnedSignatures(t)
+	golden := goldenSignatures(t)
 	for line := range signatures(t, f) {
-		if !pinned[line] {
-			t.Errorf("not pinned: %s", line)
+		if !golden[line] {
+			t.Errorf("not in lines.golden: %s", line)
 		}
 	}
 	file, err := os.OpenFile(f.auditLogPath(f.Process("r2")), os.O_APPEND|os.O_WRONLY, 0)
@@ -127,12 +127,12 @@
 	if err := errors.Join(err, file.Close()); err != nil {
 		t.Fatal(err)
 	}
-	if wrong := CheckLeases(f, false); len(wrong) == 0 {
-		t.Error("two holders of one token are not found in stored audit logs")
+	if found := CheckLeases(f, false); len(found) == 0 {
+		t.Error("CheckLeases did not report two holders of one token in stored audit logs")
 	}
 }
 
-// A line is one JSON object with sorted keys, numbered, with the time in ms and the process's id and name.
+// An audit log line is a JSON object with sorted keys and has a line number, the time in ms, and the process's id and name.
 func TestAuditLine_KeepsItsForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r1.jsonl")
 	log, err := audit.Open(path, "r1")
@@ -162,10 +162,10 @@
 	}
 }
 
-// What processes write today has the fields that checkers of stored audit logs know.
+// Current processes write the events and fields of the stored audit logs, and no others than the golden file lists.
 func TestAuditLogs_KeepTheirFields(t *testing.T) {
 	binary := buildProgram(t)
-	takeFleetSlot(t)
+	acquireFleetSlot(t)
 	f, err := New(Options{Binary: binary, Dir: t.TempDir(), Coordinators: 3, Routers: 2, Members: 2, HealthShareInterval: 250 * time.Millisecond, Switchover: true})
 	if err != nil {
 		t.Fatal(err)
@@ -187,22 +187,22 @@
 			t.Fatalf("%v: %v: %s", command, err, out)
 		}
 	}
-	pinned := pinnedSignatures(t)
-	awaited := map[string]bool{} // all that the stored audit logs have, since the same was done
+	golden := goldenSignatures(t)
+	missing := map[string]bool{} // the stored audit logs come from the same commands
 	for line := range signatures(t, storedFleet(t)) {
-		awaited[line] = true
+		missing[line] = true
 	}
 	if err := WaitUntil("each kind of line is written", func() (bool, error) {
 		for line := range signatures(t, f) {
-			delete(awaited, line)
+			delete(missing, line)
 		}
-		return len(awaited) == 0, nil
+		return len(missing) == 0, nil
 	}); err != nil {
-		t.Errorf("%v: not %q", err, slices.Sorted(maps.Keys(awaited)))
+		t.Errorf("%v: not %q", err, slices.Sorted(maps.Keys(missing)))
 	}
 	for line := range signatures(t, f) {
-		if !pinned[line] {
-			t.Errorf("not pinned: %s", line)
+		if !golden[line] {
+			t.Errorf("not in lines.golden: %s", line)
 		}
 	}
 }
--- a/internal/lab/fleet/check_leases.go
+++ b/internal/lab/fleet/check_leases.go
@@ -1,20 +1,21 @@
 package fleet
 
-// grantKey names one grant of a lease.
+// grantKey identifies one grant of a lease.
 type grantKey struct{ lease, token string }
 
 func (k grantKey) String() string { return k.lease + " " + k.token }
 
-// leaseChecker reads the audit logs of routers, then those of coordinator nodes.
+// leaseChecker checks the audit logs of routers, then those of coordinator nodes.
 type leaseChecker struct {
 	violations
-	holders map[grantKey]string // by what holders and receivers wrote
-	granted map[grantKey]string // by what the coordinator wrote
+	holders map[grantKey]string // according to holders and receivers
+	granted map[grantKey]string // according to coordinator nodes
 }
 
-// CheckLeases checks that no receiver accepted an act under a lower fencing token than it had accepted before, that each token of a lease has
-// one holder, and that the coordinator nodes agree on the holder of each grant and grant higher and higher tokens. Where the coordinator's
-// state regresses, what its nodes wrote is not checked: before and after need not agree.
+// CheckLeases checks that no receiver accepted an act under a lower fencing token than one that it had accepted before, that each token of a
+// lease has one holder, that coordinator nodes agree on the holder of each grant, and that granted tokens increase. If stateRegresses is set,
+// the coordinator's state is rolled back during the scenario and the logs of its nodes are not checked, since those from before and after
+// may differ.
 func CheckLeases(f *Fleet, stateRegresses bool) []string {
 	c := &leaseChecker{holders: map[grantKey]string{}, granted: map[grantKey]string{}}
 	for _, router := range f.ofKind(routerKind) {
@@ -34,7 +35,7 @@
 	return c.violations
 }
 
-// checkRouter checks what a router accepted as a receiver, and notes who held which grant.
+// checkRouter checks the acts that a router accepted as a receiver, and records the holder of each grant.
 func (c *leaseChecker) checkRouter(router string, events []AuditEvent) {
 	type subjectKey struct{ lease, subject string }
 	highest := map[subjectKey]Token{}
@@ -43,27 +44,27 @@
 		switch e.event() {
 		case actAccepted:
 			subject, token := subjectKey{grant.lease, e.Text(subjectField)}, ParseToken(grant.token)
-			if former := highest[subject]; token.compare(former) < 0 {
-				c.add("%s accepted an act of %s for %s under %s after one under %v", router, e.Text(holderField), grant.lease, grant.token, former)
+			if previous := highest[subject]; token.compare(previous) < 0 {
+				c.add("%s accepted an act of %s for %s under %s after one under %v", router, e.Text(holderField), grant.lease, grant.token, previous)
 			}
 			highest[subject] = token
-			c.noteHolder(router, grant, e.Text(holderField))
+			c.recordHolder(router, grant, e.Text(holderField))
 		case holderStarted:
-			c.noteHolder(router, grant, router)
+			c.recordHolder(router, grant, router)
 		}
 	}
 }
 
-// noteHolder notes who holds a grant by the audit log of a process.
-func (c *leaseChecker) noteHolder(process string, grant grantKey, holder string) {
+// recordHolder records the holder of a grant according to a process's audit log.
+func (c *leaseChecker) recordHolder(process string, grant grantKey, holder string) {
 	if other := c.holders[grant]; other != "" && other != holder {
 		c.add("%s: %s under %s is held by both %s and %s", process, grant.lease, grant.token, other, holder)
 	}
 	c.holders[grant] = holder
 }
 
-// checkNode checks the grants that a coordinator node wrote. A node that starts again writes the grants at the end of its log again; those
-// must be the same as before.
+// checkNode checks the grants that a coordinator node wrote. A restarted node writes the grants at the end of its replicated log once more,
+// so tokens may go back there; each must have the same holder as before.
 func (c *leaseChecker) checkNode(node string, events []AuditEvent) {
 	highest := map[string]Token{}
 	for _, e := range events {
@@ -71,16 +72,16 @@
 			continue
 		}
 		grant, holder := grantKey{lease: e.Text(leaseField), token: e.Text(tokenField)}, e.Text(sessionField)
-		token, former := ParseToken(grant.token), highest[grant.lease]
-		if token.compare(former) < 0 && grant.token != noToken {
+		token, previous := ParseToken(grant.token), highest[grant.lease]
+		if token.compare(previous) < 0 && grant.token != zeroToken {
 			if c.granted[grant] != holder {
-				c.add("%s: %s was granted under %v after %v", node, grant.lease, token, former)
+				c.add("%s: %s was granted under %v after %v", node, grant.lease, token, previous)
 			}
 			continue
 		}
 		highest[grant.lease] = token
 		if other := c.granted[grant]; other != "" && other != holder {
-			c.add("%s says that %s is held by %s, another that it is by %s", node, grant, holder, other)
+			c.add("%s: %s is held by %s, and by %s according to another node", node, grant, holder, other)
 		}
 		c.granted[grant] = holder
 	}
--- a/internal/lab/fleet/check_leases_test.go
+++ b/internal/lab/fleet/check_leases_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// CheckLeases finds each violation, and none in audit logs without one.
+// CheckLeases reports each kind of violation, and none in correct audit logs.
 func TestCheckLeases_Violations(t *testing.T) {
 	good := map[string][]string{
 		"r1": {`{"what":"start","duty":"d","fence":"5.1"}`, `{"what":"stop","duty":"d","fence":"5.1"}`,
@@ -22,7 +22,7 @@
 		{"r1", `{"what":"taken","duty":"d","about":"g","holder":"r9","fence":"5.2"}`, "is held by both"},
 		{"r1", `{"what":"start","duty":"d","fence":"5.2"}`, "is held by both"},
 		{"r2", `{"what":"start","duty":"d","fence":"5.1"}`, "is held by both"},
-		{"c2", `{"what":"duty","duty":"d","fence":"5.2","session":"r3","ended":false}`, "another that it is by"},
+		{"c2", `{"what":"duty","duty":"d","fence":"5.2","session":"r3","ended":false}`, "according to another node"},
 		{"c1", `{"what":"duty","duty":"d","fence":"4.9","session":"r3","ended":false}`, "was granted under [4 9] after"},
 		{"r2", `{"what":"start","duty":"e","fence":"5.1"}` + "\n" + `{"what":"half`, ""},
 		{"r2", `{"what":"half`, ""},
--- a/internal/lab/fleet/command.go
+++ b/internal/lab/fleet/command.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// failedToRun is the exit status of a command that did not run to its end.
-const failedToRun = -1
+// statusNotRun stands for the exit status of a command that did not run to completion.
+const statusNotRun = -1
 
-// commandResult is how a command of the program ended.
+// commandResult is the output and exit status of a command.
 type commandResult struct {
 	output string
 	status int
 }
 
-// RunCommand runs the program once, as an operator would, and gives what it printed. Commands that ask the coordinator get its addresses
-// and the fleet's name, unless the arguments say which coordinator is asked.
+// RunCommand runs a command of the program, as an operator would, and returns its output. A command that connects to the coordinator gets the
+// coordinator's addresses and the fleet's name as flags, unless the arguments already select a coordinator.
 func (f *Fleet) RunCommand(arguments ...string) (string, error) {
 	arguments = slices.Clone(arguments)
-	if asksCoordinator(arguments) && !slices.Contains(arguments, "--config") && !slices.Contains(arguments, "--council") {
+	if needsCoordinator(arguments) && !slices.Contains(arguments, "--config") && !slices.Contains(arguments, "--council") {
 		for _, address := range f.CoordinatorAddresses() {
 			arguments = append(arguments, "--council", address)
 		}
@@ -29,8 +29,8 @@
 	return string(output), err
 }
 
-// asksCoordinator tells whether a command asks the coordinator.
-func asksCoordinator(arguments []string) bool {
+// needsCoordinator reports whether a command connects to the coordinator.
+func needsCoordinator(arguments []string) bool {
 	if len(arguments) < 2 {
 		return false
 	}
@@ -43,8 +43,8 @@
 	return false
 }
 
-// runForStatus runs the program and gives what it printed, with its exit status.
-func (f *Fleet) runForStatus(arguments ...string) commandResult {
+// runForResult runs a command and returns its output and exit status.
+func (f *Fleet) runForResult(arguments ...string) commandResult {
 	output, err := f.RunCommand(arguments...)
 	var exit *exec.ExitError
 	switch {
@@ -53,6 +53,6 @@
 	case errors.As(err, &exit):
 		return commandResult{output: output, status: exit.ExitCode()}
 	default:
-		return commandResult{output: output + err.Error(), status: failedToRun}
+		return commandResult{output: output + err.Error(), status: statusNotRun}
 	}
 }
--- a/internal/lab/fleet/lab_fleet_test.go
+++ b/internal/lab/fleet/lab_fleet_test.go
@@ -14,16 +14,16 @@
 	"testing"
 )
 
-// labFleet is `wayloft lab fleet`, started by a test.
+// labFleet is a `wayloft lab fleet` process started by a test.
 type labFleet struct {
 	command *exec.Cmd
 	lines   *bufio.Scanner
 }
 
-// startLabFleet starts it; what still runs at the end of the test is killed.
+// startLabFleet starts `wayloft lab fleet`, which is killed at the end of the test if it still runs.
 func startLabFleet(t *testing.T, binary string, arguments ...string) *labFleet {
 	t.Helper()
-	takeFleetSlot(t)
+	acquireFleetSlot(t)
 	command := exec.Command(binary, append([]string{"lab", "fleet"}, arguments...)...)
 	output, err := command.StdoutPipe()
 	if err != nil {
@@ -40,7 +40,7 @@
 	return &labFleet{command: command, lines: bufio.NewScanner(output)}
 }
 
-// readUntilReady reads the lines before "ready".
+// readUntilReady reads the output up to the line "ready" and returns the lines before it.
 func (l *labFleet) readUntilReady(t *testing.T) (lines []string) {
 	t.Helper()
 	for l.lines.Scan() {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// interrupt interrupts it and waits for its end.
+// interrupt sends SIGINT to the process and waits for its end.
 func (l *labFleet) interrupt(t *testing.T) {
 	t.Helper()
 	if err := l.command.Process.Signal(os.Interrupt); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// printedProcess is a line of `wayloft lab fleet`.
+// printedProcess is a process in the output of `wayloft lab fleet`.
 type printedProcess struct {
 	kind    string
 	number  int
@@ -80,8 +80,8 @@
 	return p
 }
 
-// `wayloft lab fleet` prints each process with its address and pid, then that it is ready; `fleet status` has the keys that programs read;
-// an interrupt ends all that was started.
+// `wayloft lab fleet` prints each process with its address and pid, then "ready". `fleet status --json` has the keys that other programs read.
+// SIGINT ends all processes.
 func TestLabFleet_PrintsProcessesAndEndsThem(t *testing.T) {
 	binary := buildProgram(t)
 	lab := startLabFleet(t, binary, "--council", "3", "--routers", "2", "--members", "2")
@@ -120,7 +120,7 @@
 	if err := WaitUntil("both leases are held", func() (bool, error) {
 		text, err := exec.Command(binary, "fleet", "status", "--json", "--council", coordinator).Output()
 		if err != nil {
-			return false, nil // there is no leader yet
+			return false, nil // no leader is elected yet
 		}
 		if err := json.Unmarshal(text, &status); err != nil {
 			return false, err
@@ -136,12 +136,12 @@
 	lab.interrupt(t)
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); err == nil {
-			t.Errorf("process %d runs on", pid)
+			t.Errorf("process %d still runs", pid)
 		}
 	}
 }
 
-// A policy's file that is wrong starts nothing.
+// An invalid policy file is rejected with the line of each mistake.
 func TestLabFleet_WrongPolicy(t *testing.T) {
 	binary := buildProgram(t)
 	path := filepath.Join(t.TempDir(), "p.toml")
@@ -154,7 +154,7 @@
 	}
 }
 
-// A fleet that starts under a policy prints the path of its file and is ready once all routers apply it.
+// A fleet that starts under a policy prints the path of the policy file and is ready once all routers apply the policy.
 func TestLabFleet_StartsUnderPolicy(t *testing.T) {
 	binary := buildProgram(t)
 	path := filepath.Join(t.TempDir(), "p.toml")
--- a/internal/lab/fleet/link.go
+++ b/internal/lab/fleet/link.go
@@ -16,34 +16,34 @@
 
 // Directions of a link, as indexes.
 const (
-	forward = 0 // from From to To
-	back    = 1
+	forward = 0 // From to To
+	back    = 1 // To to From
 )
 
-// Link is a proxy between two processes, which passes on what each sends to the other unless a fault is set. It owns the connections on
-// both sides and keeps what it holds back in order. Its methods may be called at the same time.
+// Link is a TCP proxy between two processes. It relays data in both directions unless a fault is set, and it owns the connections on both
+// sides. Data held back by a blackhole is relayed in order later. Its methods are safe for concurrent use.
 type Link struct {
 	From, To string
-	Addr     string // where From connects
+	Addr     string // address that From connects to
 	target   string
 
 	listener net.Listener
 
-	mu          sync.Mutex
-	changed     *sync.Cond // broadcast when a fault is set or healed
-	faults      linkFaults
-	connections map[net.Conn]bool
-	held        [2]int // bytes that wait to be passed on, by direction
-	passed      int    // bytes that were passed on, in both directions
+	mu           sync.Mutex
+	changed      *sync.Cond // broadcast when a fault is set or healed
+	faults       linkFaults
+	connections  map[net.Conn]bool
+	held         [2]int // bytes that wait to be relayed, by direction
+	relayedTotal int    // bytes relayed, in both directions
 }
 
 // linkFaults are the faults of a link.
 type linkFaults struct {
-	blackhole [2]bool // by direction: nothing is passed on, and nothing is lost
-	reset     bool    // connections end with RST, new ones too
+	blackhole [2]bool // by direction: data is held back, not dropped
+	reset     bool    // existing and new connections are closed with RST
 }
 
-// NewLink makes a link to an address.
+// NewLink starts a link to an address.
 func NewLink(from, to, target string) (*Link, error) {
 	listener, err := ListenFree()
 	if err != nil {
@@ -55,50 +55,50 @@
 	return l, nil
 }
 
-// Close ends the link and all its connections, and releases its port.
+// Close closes the link and all its connections, and releases its port.
 func (l *Link) Close() {
-	l.change(func() { l.faults.reset = true })
+	l.update(func() { l.faults.reset = true })
 	if err := errors.Join(l.listener.Close(), ReleasePort(l.listener.Addr())); err != nil {
-		logrus.WithError(err).WithField("address", l.Addr).Debug("link not closed")
+		logrus.WithError(err).WithField("address", l.Addr).Debug("could not close the listener of a link")
 	}
 	l.resetConnections()
 }
 
-// change changes the link's state and wakes who waits for that.
-func (l *Link) change(set func()) {
+// update changes the link's state under its lock and wakes the goroutines that wait for a change.
+func (l *Link) update(set func()) {
 	l.mu.Lock()
 	set()
 	l.mu.Unlock()
 	l.changed.Broadcast()
 }
 
-// Blackhole holds back what goes forward, what comes back, or both; neither side notices anything.
+// Blackhole holds back data in the given directions. Connections stay open, so neither side is notified. A call replaces the former blackhole.
 func (l *Link) Blackhole(forward, back bool) {
-	l.change(func() { l.faults.blackhole = [2]bool{forward, back} })
+	l.update(func() { l.faults.blackhole = [2]bool{forward, back} })
 }
 
-// Held tells how many bytes wait to be passed on forward, and back.
+// Held returns how many bytes are held back, by direction.
 func (l *Link) Held() [2]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held
 }
 
-// passedBytes tells how many bytes were passed on in both directions.
-func (l *Link) passedBytes() int {
+// relayedBytes returns how many bytes were relayed in both directions.
+func (l *Link) relayedBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.passed
+	return l.relayedTotal
 }
 
-// Reset ends all connections with RST, and each new one, until Heal.
+// Reset closes all connections with RST, and each new one until Heal.
 func (l *Link) Reset() {
-	l.change(func() { l.faults.reset = true })
+	l.update(func() { l.faults.reset = true })
 	l.resetConnections()
 }
 
-// Heal ends all faults. What was held back is passed on first.
-func (l *Link) Heal() { l.change(func() { l.faults = linkFaults{} }) }
+// Heal removes all faults. Data that was held back is relayed before newer data.
+func (l *Link) Heal() { l.update(func() { l.faults = linkFaults{} }) }
 
 func (l *Link) isReset() bool {
 	l.mu.Lock()
@@ -131,18 +131,18 @@
 	}
 }
 
-// serve passes on what goes over one connection until both directions have ended.
+// serve relays one connection until both directions have ended.
 func (l *Link) serve(client net.Conn) {
-	l.waitToConnect()
+	l.waitWhileForwardBlocked()
 	server, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
 		resetConnection(client)
 		return
 	}
-	l.change(func() { l.connections[client], l.connections[server] = true, true })
+	l.update(func() { l.connections[client], l.connections[server] = true, true })
 	var directions sync.WaitGroup
-	directions.Go(func() { l.pass(server, client, forward) })
-	directions.Go(func() { l.pass(client, server, back) })
+	directions.Go(func() { l.relay(server, client, forward) })
+	directions.Go(func() { l.relay(client, server, back) })
 	directions.Wait()
 	end := closeConnection
 	if l.isReset() {
@@ -150,14 +150,14 @@
 	}
 	end(client)
 	end(server)
-	l.change(func() {
+	l.update(func() {
 		delete(l.connections, client)
 		delete(l.connections, server)
 	})
 }
 
-// waitToConnect waits while what goes forward is held back: whoever connects must not learn whether anybody listens.
-func (l *Link) waitToConnect() {
+// waitWhileForwardBlocked waits while the forward direction is blackholed: the client must not learn whether the target accepts connections.
+func (l *Link) waitWhileForwardBlocked() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.faults.blackhole[forward] && !l.faults.reset {
@@ -165,13 +165,13 @@
 	}
 }
 
-// pass passes on what comes in one direction until its end.
-func (l *Link) pass(to, from net.Conn, direction int) {
+// relay copies data in one direction until the end of the stream or an error.
+func (l *Link) relay(to, from net.Conn, direction int) {
 	buffer := make([]byte, linkBufferSize)
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			if !l.hold(count, direction) {
+			if !l.waitToRelay(count, direction) {
 				return
 			}
 			if _, failure := to.Write(buffer[:count]); failure != nil {
@@ -179,7 +179,7 @@
 			}
 		}
 		if err != nil {
-			if !l.isReset() { // an end of stream would come before the RST
+			if !l.isReset() { // on a reset, the FIN would precede the RST
 				closeWrite(to)
 			}
 			return
@@ -187,8 +187,8 @@
 	}
 }
 
-// hold waits until so many bytes may be passed on; false: the connection is reset.
-func (l *Link) hold(count, direction int) bool {
+// waitToRelay waits until count bytes may be relayed. It returns false if the link is reset.
+func (l *Link) waitToRelay(count, direction int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held[direction] += count
@@ -199,32 +199,33 @@
 	if l.faults.reset {
 		return false
 	}
-	l.passed += count
+	l.relayedTotal += count
 	return true
 }
 
-// closeConnection closes a connection that may have been closed before.
+// closeConnection closes a connection that may already be closed.
 func closeConnection(connection net.Conn) {
 	if err := connection.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		logrus.WithError(err).Debug("connection not closed")
+		logrus.WithError(err).Debug("could not close a connection")
 	}
 }
 
-// resetConnection ends a connection with RST.
+// resetConnection closes a connection with RST.
 func resetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		if err := tcp.SetLinger(0); err != nil && !errors.Is(err, net.ErrClosed) {
-			logrus.WithError(err).Debug("connection will end without RST")
+			logrus.WithError(err).Debug("could not disable lingering; the connection closes without RST")
 		}
 	}
 	closeConnection(connection)
 }
 
-// closeWrite ends the stream that goes out. It fails where the other side has ended the connection, which is as good.
+// closeWrite shuts down the sending side of a connection. An error usually means that the peer has already closed the connection, so it is
+// only logged.
 func closeWrite(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		if err := tcp.CloseWrite(); err != nil {
-			logrus.WithError(err).Debug("end of stream not sent")
+			logrus.WithError(err).Debug("could not shut down the sending side of a connection")
 		}
 	}
 }
--- a/internal/lab/fleet/link_test.go
+++ b/internal/lab/fleet/link_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// echoServer sends back what it receives, until the test ends, and gives its address.
+// echoServer starts an echo server for the duration of the test and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := ListenFree()
@@ -29,7 +29,7 @@
 			go func() {
 				defer closeConnection(connection)
 				if _, err := io.Copy(connection, connection); err != nil {
-					return // a test resets connections
+					return // tests reset connections
 				}
 			}()
 		}
@@ -37,7 +37,7 @@
 	return listener.Addr().String()
 }
 
-// dialLink makes a link to an echo server with one connection over it.
+// dialLink returns a link to an echo server and a connection over it.
 func dialLink(t *testing.T) (*Link, net.Conn) {
 	t.Helper()
 	link, err := NewLink("a", "b", echoServer(t))
@@ -68,7 +68,7 @@
 	}
 }
 
-// A blackholed direction holds back what comes, and passes it on in order once it is healed.
+// A blackholed direction holds back data and relays it in order after Heal.
 func TestLink_Blackhole(t *testing.T) {
 	for name, direction := range map[string]int{"forward": forward, "back": back} {
 		t.Run(name, func(t *testing.T) {
@@ -77,23 +77,23 @@
 			expectRead(t, connection, "before ")
 			link.Blackhole(direction == forward, direction == back)
 			write(t, connection, "while ")
-			if err := WaitUntil("it is held", func() (bool, error) { return link.Held()[direction] == len("while "), nil }); err != nil {
+			if err := WaitUntil("data is held back", func() (bool, error) { return link.Held()[direction] == len("while "), nil }); err != nil {
 				t.Fatal(err)
 			}
 			if other := link.Held()[1-direction]; other != 0 {
-				t.Errorf("%d bytes are held in the other direction", other)
+				t.Errorf("%d bytes are held back in the other direction", other)
 			}
 			link.Heal()
 			write(t, connection, "after")
 			expectRead(t, connection, "while after")
-			if passed := link.passedBytes(); passed != 2*len("before while after") {
-				t.Errorf("%d bytes were passed on", passed)
+			if passed := link.relayedBytes(); passed != 2*len("before while after") {
+				t.Errorf("%d bytes were relayed", passed)
 			}
 		})
 	}
 }
 
-// A reset link ends its connections with RST, and new ones, until it is healed.
+// A reset link closes existing and new connections with RST until Heal.
 func TestLink_Reset(t *testing.T) {
 	link, connection := dialLink(t)
 	write(t, connection, "before")
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	maxLatencyMicros = 60e6 // of a histogram
-	latencyDigits    = 3
+	maxLatencyMicros = 60e6 // upper bound of the histogram
+	latencyDigits    = 3    // significant digits of histograms
 	reconnectDelay   = 20 * time.Millisecond
-	thinkTime        = 3 * time.Millisecond // between two writes, which leaves the machine to the processes
+	thinkTime        = 3 * time.Millisecond // between two writes of a client, which leaves CPU time to the processes
 )
 
-// WriteLoad is a number of clients that each send one write after the other, each write once, and note the response.
+// WriteLoad is a closed-loop load: each of its clients sends one write after the other, never retries one, and records the response.
 type WriteLoad struct {
 	mu         sync.Mutex
 	Succeeded  []string
-	Rejected   []string                // they did not take effect
-	Unresolved []string                // they may have taken effect
-	latencies  *hdrhistogram.Histogram // of those that succeeded, in microseconds
+	Rejected   []string                // writes that did not take effect
+	Unresolved []string                // writes that may have taken effect
+	latencies  *hdrhistogram.Histogram // of successful writes, in microseconds
 	stop       chan struct{}
 	stopOnce   sync.Once
 	writers    sync.WaitGroup
 }
 
-// NewWriteLoad starts so many writers, spread over routers.
+// NewWriteLoad starts this number of writers, spread over the routers.
 func NewWriteLoad(routers []string, writers int) *WriteLoad {
 	l := &WriteLoad{stop: make(chan struct{}), latencies: hdrhistogram.New(1, maxLatencyMicros, latencyDigits)}
 	for n := range writers {
@@ -40,13 +40,13 @@
 	return l
 }
 
-// Stop ends the writers, each after the response that it waits for.
+// Stop stops the writers. Each waits for the response to its request in flight.
 func (l *WriteLoad) Stop() {
 	l.stopOnce.Do(func() { close(l.stop) })
 	l.writers.Wait()
 }
 
-// Reset forgets all responses so far, before a measurement.
+// Reset discards all recorded responses, before a measurement.
 func (l *WriteLoad) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +54,7 @@
 	l.latencies.Reset()
 }
 
-// WaitForWrites waits until so many more writes have succeeded.
+// WaitForWrites waits until this number of further writes have succeeded.
 func (l *WriteLoad) WaitForWrites(more int) error {
 	wanted := l.succeeded() + more
 	return WaitUntil(fmt.Sprint(more, " more writes"), func() (bool, error) { return l.succeeded() >= wanted, nil })
@@ -66,7 +66,7 @@
 	return len(l.Succeeded)
 }
 
-// write is one writer. Each of its connections goes to the next router.
+// write runs one writer. The iteration count selects the router of each new connection.
 func (l *WriteLoad) write(routers []string, writer int) {
 	var client *lab.Client
 	defer func() {
@@ -86,7 +86,7 @@
 		started := time.Now()
 		statement := fmt.Sprintf("/* id=%s,c=write,d=15000 */ INSERT INTO rows (handle, blob) VALUES ('%s', 'x') RETURNING blob", handle, handle)
 		failure, err := client.Send(pg.AppendQuery(nil, statement), 1)
-		l.note(handle, failure, err, time.Since(started))
+		l.recordResponse(handle, failure, err, time.Since(started))
 		if err != nil {
 			client.Close()
 			client = nil
@@ -104,14 +104,14 @@
 	}
 }
 
-// note notes the response to a write, which may be an error; err: there was none.
-func (l *WriteLoad) note(handle string, failure *pg.Error, err error, took time.Duration) {
+// recordResponse records the result of a write: failure is an error response, and err means that no response arrived.
+func (l *WriteLoad) recordResponse(handle string, failure *pg.Error, err error, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err == nil && failure == nil:
 		l.Succeeded = append(l.Succeeded, handle)
-		record(l.latencies, min(took.Microseconds(), maxLatencyMicros))
+		recordValue(l.latencies, min(latency.Microseconds(), maxLatencyMicros))
 	case err == nil && failure.Code == pg.TooManyConnections:
 		l.Rejected = append(l.Rejected, handle)
 	default:
@@ -119,9 +119,9 @@
 	}
 }
 
-// record records a value; one that the histogram can't hold is logged.
-func record(histogram *hdrhistogram.Histogram, number int64) {
+// recordValue adds a value to a histogram. A value out of the histogram's range is logged.
+func recordValue(histogram *hdrhistogram.Histogram, number int64) {
 	if err := histogram.RecordValue(number); err != nil {
-		logrus.WithError(err).Warn("value not recorded")
+		logrus.WithError(err).Warn("could not record a value in the histogram")
 	}
 }
--- a/internal/lab/fleet/main_test.go
+++ b/internal/lab/fleet/main_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// maxFleets is how many fleets run at once. A fleet is some ten processes: more at once would only wait for each other.
+// maxFleets limits the fleets that run concurrently. A fleet has about ten processes, so more would only compete for the CPU.
 const maxFleets = 3
 
 var fleetSlots = make(chan struct{}, maxFleets)
 
-// takeFleetSlot waits until the test may run a fleet, until its end.
-func takeFleetSlot(t *testing.T) {
+// acquireFleetSlot waits for a fleet slot and holds it until the end of the test.
+func acquireFleetSlot(t *testing.T) {
 	t.Helper()
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
@@ -35,7 +35,7 @@
 	return binary, err
 })
 
-// buildProgram gives the path of the program.
+// buildProgram returns the path of the program's binary, which is built once.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	binary, err := buildOnce()
--- a/internal/lab/fleet/measure_cost.go
+++ b/internal/lab/fleet/measure_cost.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	costSettleTime       = time.Second // after all sessions are open
-	sessionMailboxSize   = 64
-	sessionRequestParts  = 4  // of a session's timeout, for one request
-	sessionMarginParts   = 10 // of a session's timeout, as safety margin
-	maxSessionSleepMs    = 1000
-	minSessionSleepMs    = 1
-	simulatedSessionRole = "router"
+	costSettleTime        = time.Second // from the last session's opening to the measurement
+	sessionMailboxSize    = 64
+	requestTimeoutDivisor = 4  // a request's timeout is this fraction of the session timeout
+	safetyMarginDivisor   = 10 // the safety margin is this fraction of the session timeout
+	maxSessionSleepMs     = 1000
+	minSessionSleepMs     = 1
+	simulatedSessionRole  = "router"
 )
 
-// CoordinatorCost is what a coordinator of three nodes takes for a number of sessions.
+// CoordinatorCost is the cost of a coordinator of three nodes for a number of sessions.
 type CoordinatorCost struct {
 	Sessions     int
-	CPU          float64 // seconds a second, of all nodes
-	Bytes        float64 // a second, between sessions and coordinator, both ways
-	Heartbeats   float64 // a second
+	CPU          float64 // CPU seconds per second, sum over all nodes
+	Bytes        float64 // per second between sessions and coordinator, in both directions
+	Heartbeats   float64 // per second
 	LostSessions int     // sessions that ended during the measurement
 }
 
-// costSample are counts at a moment.
+// costSample holds the counters at one point in time.
 type costSample struct {
 	at         time.Time
 	cpuSeconds float64
@@ -44,16 +44,16 @@
 	reopened   int64
 }
 
-// costMeasurement is a coordinator with simulated sessions, which connect by links that count bytes.
+// costMeasurement is a coordinator with simulated sessions, which connect over links that count bytes.
 type costMeasurement struct {
 	fleet          *Fleet
 	links          []*Link
 	sessionTimeout time.Duration
 	heartbeats     atomic.Int64
-	reopened       atomic.Int64 // sessions that were opened again, since they had ended
+	reopened       atomic.Int64 // sessions that had ended and were reopened
 }
 
-// MeasureCoordinatorCost keeps so many sessions open with a coordinator of three nodes and measures it for a while.
+// MeasureCoordinatorCost keeps this number of sessions open with a coordinator of three nodes and measures its cost over a duration.
 func MeasureCoordinatorCost(binary, directory string, sessions int, sessionTimeout, duration time.Duration) (cost CoordinatorCost, err error) {
 	f, err := New(Options{Binary: binary, Dir: directory, Coordinators: measuredCoordinators})
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// measure gives the cost over a duration.
+// measure measures the cost over a duration.
 func (m *costMeasurement) measure(sessions int, duration time.Duration) (CoordinatorCost, error) {
 	before, err := m.sample()
 	if err != nil {
@@ -127,17 +127,17 @@
 	for _, node := range m.fleet.ofKind(coordinatorKind) {
 		seconds, err := cpuSeconds(node.Pid())
 		if err != nil {
-			return sample, fmt.Errorf("processor time of %s: %w", node.Name, err)
+			return sample, fmt.Errorf("CPU time of %s: %w", node.Name, err)
 		}
 		sample.cpuSeconds += seconds
 	}
 	for _, link := range m.links {
-		sample.bytes += link.passedBytes()
+		sample.bytes += link.relayedBytes()
 	}
 	return sample, nil
 }
 
-// cpuSeconds gives the processor time that a process has had.
+// cpuSeconds returns the CPU time that a process has used.
 func cpuSeconds(pid int) (float64, error) {
 	process, err := procfs.NewProc(pid)
 	if err != nil {
@@ -150,8 +150,8 @@
 	return stat.CPUTime(), nil
 }
 
-// simulatedSession is one session, as a router keeps it: the same lease client and requests, without the router. Its lease client is used
-// by run alone.
+// simulatedSession is one session with the coordinator, with the same lease client and requests as a router's. The lease client is not safe
+// for concurrent use; only run uses it.
 type simulatedSession struct {
 	measurement *costMeasurement
 	client      *client.Client
@@ -159,7 +159,7 @@
 	mailbox     chan func()
 }
 
-// keepSession keeps a session open until ctx ends.
+// keepSession keeps a session open until ctx is done.
 func (m *costMeasurement) keepSession(ctx context.Context, name string) {
 	addresses, overrides := []string{}, map[string]string{}
 	for _, link := range m.links {
@@ -171,11 +171,11 @@
 	timeoutMs := float64(m.sessionTimeout.Milliseconds())
 	s := &simulatedSession{measurement: m, client: c, mailbox: make(chan func(), sessionMailboxSize),
 		leases: leaseclient.New(leaseclient.Settings{Name: name, Role: simulatedSessionRole, Incarnation: 1, SessionTimeout: timeoutMs,
-			SafetyMargin: timeoutMs / sessionMarginParts, Seed: rand.Uint64()})}
+			SafetyMargin: timeoutMs / safetyMarginDivisor, Seed: rand.Uint64()})}
 	s.run(ctx)
 }
 
-// run is the session's event loop; it ends with ctx, after all requests in flight.
+// run is the session's event loop. It returns once ctx is done and all requests in flight have ended.
 func (s *simulatedSession) run(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -194,9 +194,9 @@
 	}
 }
 
-// send sends the request of a decision and posts its response into the event loop.
+// send sends the request of a decision and posts the response to the event loop.
 func (s *simulatedSession) send(ctx context.Context, decision leaseclient.Decision) {
-	requestCtx, cancel := context.WithTimeout(ctx, s.measurement.sessionTimeout/sessionRequestParts)
+	requestCtx, cancel := context.WithTimeout(ctx, s.measurement.sessionTimeout/requestTimeoutDivisor)
 	defer cancel()
 	result, err := s.client.ProposeEntry(requestCtx, decision.Entry)
 	event := func() { s.handleResponse(decision, result, err) }
--- a/internal/lab/fleet/measure_gaps.go
+++ b/internal/lab/fleet/measure_gaps.go
@@ -12,43 +12,43 @@
 	client "wayloft/internal/fleet"
 )
 
-// The fleet on which gaps are measured, besides its coordinator of three.
+// Parameters of the measured fleet.
 const (
 	measuredCoordinators        = 3
 	measuredRouters             = 3
 	measuredMembers             = 3
 	measuredLease               = "sight/0"
 	measuredHealthShareInterval = 100 * time.Millisecond
-	maxGapMs                    = 60e3
+	maxGapMs                    = 60e3 // upper bound of the histogram
 )
 
 // errNoHolder means that no router acts for the measured lease.
 var errNoHolder = errors.New("no router holds " + measuredLease)
 
-// failure is one way in which a lease holder fails, and how it recovers.
-type failure struct {
+// holderFailure is a kind of failure of a lease holder: how it is caused and how the holder recovers.
+type holderFailure struct {
 	name    string
-	fail    func(*Fleet, *Process)
+	inject  func(*Fleet, *Process)
 	recover func(*Fleet, *Process) error
 }
 
-// holderFailures are those that are measured; their names are printed.
-var holderFailures = []failure{
+// holderFailures are the measured failures. Their names are printed.
+var holderFailures = []holderFailure{
 	{"holder killed", func(_ *Fleet, p *Process) { p.Kill() }, restart},
 	{"holder stopped", func(_ *Fleet, p *Process) { p.Stop() }, func(_ *Fleet, p *Process) error { p.Resume(); return nil }},
 	{"holder cut off from coordinator", isolate, reconnect},
 	{"holder terminated", func(_ *Fleet, p *Process) { p.Terminate() }, restart},
 }
 
-// restart starts a process again once it has ended.
+// restart waits for the end of a process and starts it again.
 func restart(_ *Fleet, p *Process) error {
 	if !p.WaitExit(WaitLimit) {
-		return fmt.Errorf("%s: %w", p.Name, errRunsOn)
+		return fmt.Errorf("%s: %w", p.Name, errStillRunning)
 	}
 	return p.startAndWait()
 }
 
-// isolate holds back all that a router sends to the coordinator, and the responses.
+// isolate holds back all data between a router and the coordinator, in both directions.
 func isolate(f *Fleet, p *Process) {
 	for _, link := range f.coordinatorLinks(p) {
 		link.Blackhole(true, true)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// coordinatorLinks gives the links from a process to the coordinator nodes.
+// coordinatorLinks returns the links from a process to the coordinator nodes.
 func (f *Fleet) coordinatorLinks(p *Process) (links []*Link) {
 	for _, node := range f.ofKind(coordinatorKind) {
 		if link := f.Link(p.Name, node.Name); link != nil {
@@ -72,7 +72,7 @@
 	return links
 }
 
-// gapMeasurement is a fleet on which failures are repeated.
+// gapMeasurement is a fleet in which failures are injected repeatedly.
 type gapMeasurement struct {
 	fleet          *Fleet
 	client         *client.Client
@@ -80,9 +80,9 @@
 	sessionTimeout time.Duration
 }
 
-// MeasureLeaseGaps measures how long nobody acts for a lease after each kind of failure of its holder, and how long the coordinator has no
-// leader after the leader's: from the failure to the next start, by the audit logs. Each is repeated on one fleet; report gets the
-// distribution of each in ms.
+// MeasureLeaseGaps measures how long no router acts for a lease after each kind of failure of its holder, and how long the coordinator has
+// no leader after its leader is killed. A gap lasts from the failure to the next holder's start, or the next election, in the audit logs. Each
+// failure is repeated in one fleet, and report receives its name and the distribution of its gaps in ms.
 func MeasureLeaseGaps(binary, directory string, repeats int, sessionTimeout time.Duration, report func(string, *hdrhistogram.Histogram)) error {
 	f, err := New(Options{Binary: binary, Dir: directory, Coordinators: measuredCoordinators, Routers: measuredRouters, Members: measuredMembers,
 		Links: true, SessionTimeout: sessionTimeout, HealthShareInterval: measuredHealthShareInterval})
@@ -103,7 +103,7 @@
 	return m.repeat("coordinator's leader killed", m.leaderGap, report)
 }
 
-// repeat measures one kind of failure and reports it.
+// repeat measures one kind of failure repeatedly and reports the distribution.
 func (m *gapMeasurement) repeat(name string, measure func() (gapMs float64, err error), report func(string, *hdrhistogram.Histogram)) error {
 	gaps := hdrhistogram.New(1, maxGapMs, latencyDigits)
 	for range m.repeats {
@@ -111,14 +111,14 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		record(gaps, int64(gapMs))
+		recordValue(gaps, int64(gapMs))
 	}
 	report(name, gaps)
 	return nil
 }
 
-// holderGap has the lease holder fail once, between two heartbeats at random, and gives the time without one in ms.
-func (m *gapMeasurement) holderGap(failure failure) (float64, error) {
+// holderGap makes the lease holder fail once, at a random time between two heartbeats, and returns the time without a holder in ms.
+func (m *gapMeasurement) holderGap(failure holderFailure) (float64, error) {
 	if err := waitForRouterSessions(m.client, measuredRouters); err != nil {
 		return 0, err
 	}
@@ -134,9 +134,9 @@
 		return 0, errNoHolder
 	}
 	holder, failedAt := m.fleet.Process(name), unixMs()
-	failure.fail(m.fleet, holder)
+	failure.inject(m.fleet, holder)
 	next, err := m.fleet.waitForEvent("the next holder", routerKind, func(e AuditEvent) bool {
-		return e.event() == holderStarted && e.time() > failedAt && e.Text(tokenField) != token
+		return e.event() == holderStarted && e.timeMs() > failedAt && e.Text(tokenField) != token
 	})
 	if err != nil {
 		return 0, err
@@ -144,7 +144,7 @@
 	return next - failedAt, failure.recover(m.fleet, holder)
 }
 
-// leaderGap kills the coordinator's leader once and gives the time without one in ms.
+// leaderGap kills the coordinator's leader once and returns the time without a leader in ms.
 func (m *gapMeasurement) leaderGap() (float64, error) {
 	name, err := m.fleet.coordinatorLeader()
 	if err != nil {
@@ -154,7 +154,7 @@
 	leader.Kill()
 	next, err := m.fleet.waitForEvent("the next leader", coordinatorKind, func(e AuditEvent) bool {
 		elected := e.Text(leaderField)
-		return e.event() == leaderElected && e.time() > failedAt && elected != "" && elected != name
+		return e.event() == leaderElected && e.timeMs() > failedAt && elected != "" && elected != name
 	})
 	if err != nil {
 		return 0, err
@@ -165,10 +165,10 @@
 	return next - failedAt, waitForRouterSessions(m.client, measuredRouters)
 }
 
-// unixMs gives the time as audit logs have it.
+// unixMs returns the current time in the unit of audit logs.
 func unixMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// waitForEvent waits until the audit log of a process of this kind has an event that matches, and gives the first one's time.
+// waitForEvent waits until the audit log of a process of this kind has a matching event, and returns the time of the first match.
 func (f *Fleet) waitForEvent(what, kind string, matches func(AuditEvent) bool) (timeMs float64, err error) {
 	err = WaitUntil(what, func() (bool, error) {
 		for _, p := range f.ofKind(kind) {
@@ -177,7 +177,7 @@
 				return false, err
 			}
 			if at := slices.IndexFunc(events, matches); at >= 0 {
-				timeMs = events[at].time()
+				timeMs = events[at].timeMs()
 				return true, nil
 			}
 		}
--- a/internal/lab/fleet/measure_service.go
+++ b/internal/lab/fleet/measure_service.go
@@ -8,19 +8,20 @@
 const (
 	serviceWriters             = 12
 	serviceWarmUpWrites        = 400
-	serviceSettleTime          = 1500 * time.Millisecond // until sessions, leases and members' limits are found
+	serviceSettleTime          = 1500 * time.Millisecond // until sessions are open, leases are held and members' limits are known
 	serviceHealthShareInterval = 250 * time.Millisecond
 	coordinatorPause           = time.Second
 	microsPerMs                = 1000
 )
 
-// Service is what clients had of a fleet over a while.
+// Service is the throughput and latency that clients observed.
 type Service struct {
-	Rate, Rejected float64 // writes that succeeded and that were rejected, a second
+	Rate, Rejected float64 // successful and rejected writes per second
 	P50, P99       float64 // ms
 }
 
-// MeasureService measures the writes of clients of a fleet for a while. Meanwhile something may be done to its coordinator, until done is closed.
+// MeasureService measures the writes of clients of a fleet over a duration. A non-nil meanwhile runs during the measurement, for instance to
+// inject faults into the coordinator, and must return once done is closed.
 func MeasureService(binary, directory string, standalone bool, duration time.Duration, meanwhile func(f *Fleet, done <-chan struct{})) (service Service, err error) {
 	f, err := New(Options{Binary: binary, Dir: directory, Coordinators: measuredCoordinators, Routers: measuredRouters, Members: measuredMembers,
 		Standalone: standalone, HealthShareInterval: serviceHealthShareInterval, Switchover: !standalone})
@@ -46,25 +47,25 @@
 	started := time.Now()
 	time.Sleep(duration)
 	close(done)
-	took := time.Since(started)
+	elapsed := time.Since(started)
 	load.Stop()
 	running.Wait()
-	return load.service(took), nil
+	return load.summary(elapsed), nil
 }
 
-// service gives what clients had since Reset.
-func (l *WriteLoad) service(took time.Duration) Service {
+// summary returns the service since Reset, which was the given time ago.
+func (l *WriteLoad) summary(elapsed time.Duration) Service {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Service{
-		Rate:     float64(len(l.Succeeded)) / took.Seconds(),
-		Rejected: float64(len(l.Rejected)) / took.Seconds(),
+		Rate:     float64(len(l.Succeeded)) / elapsed.Seconds(),
+		Rejected: float64(len(l.Rejected)) / elapsed.Seconds(),
 		P50:      float64(l.latencies.ValueAtQuantile(50)) / microsPerMs,
 		P99:      float64(l.latencies.ValueAtQuantile(99)) / microsPerMs,
 	}
 }
 
-// PauseCoordinators stops and resumes all coordinator nodes in turn, until done is closed.
+// PauseCoordinators alternately stops and resumes all coordinator nodes together, until done is closed.
 func PauseCoordinators(f *Fleet, done <-chan struct{}) {
 	for stopped := false; ; stopped = !stopped {
 		for _, node := range f.ofKind(coordinatorKind) {
--- a/internal/lab/fleet/parser.go
+++ b/internal/lab/fleet/parser.go
@@ -7,26 +7,26 @@
 	"strings"
 )
 
-// action carries out a step whose arguments were parsed.
+// action executes a parsed step.
 type action func(*runner) error
 
 // step is a parsed step of a scenario.
 type step struct {
 	text      string
-	variables []string // those that must be set before it runs
+	variables []string // variables that must be set before the step runs
 	action    action
 }
 
-// errNoVerb means a step without a word.
+// errNoVerb means that a step is empty.
 var errNoVerb = errors.New("a step needs a verb")
 
 // parser parses the steps of a scenario, in order.
 type parser struct {
-	processes map[string]bool // those that there are
-	variables map[string]bool // those that earlier steps may set
+	processes map[string]bool // processes that exist when the step runs
+	variables map[string]bool // variables that earlier steps may set
 }
 
-// newParser makes a parser that knows the processes of a scenario's fleet.
+// newParser returns a parser that knows the processes of the scenario's fleet.
 func newParser(s *Scenario) *parser {
 	p := &parser{processes: map[string]bool{}, variables: map[string]bool{}}
 	for prefix, count := range map[string]int{"c": s.Coordinators, "r": s.Routers, "m": s.Members} {
@@ -37,7 +37,7 @@
 	return p
 }
 
-// parseSteps parses all steps of a scenario. Its errors are StepErrors.
+// parseSteps parses all steps of a scenario. Its error joins a StepError for each invalid step.
 func parseSteps(s *Scenario) ([]step, error) {
 	p := newParser(s)
 	var steps []step
@@ -74,13 +74,14 @@
 	return parsed, arguments.err
 }
 
-// arguments are the arguments of a step that are not parsed yet. Its methods take the first of them; they give zero values once one was wrong.
+// arguments holds the arguments of a step that are not parsed yet. Its methods consume them from the front; after the first error, they return
+// zero values.
 type arguments struct {
 	parser *parser
 	words  []string
-	uses   []string // variables
-	sets   []string // variables
-	err    error    // the first
+	uses   []string // variables that the step reads
+	sets   []string // variables that the step sets
+	err    error    // the first error
 }
 
 func (a *arguments) fail(err error) {
@@ -90,7 +91,7 @@
 	a.words = nil
 }
 
-// next takes an argument; what says what it is, for errors.
+// next consumes an argument; what describes it in errors.
 func (a *arguments) next(what string) string {
 	if len(a.words) == 0 {
 		a.fail(fmt.Errorf("%s is missing", what))
@@ -101,7 +102,7 @@
 	return first
 }
 
-// accept takes an argument if it is this word.
+// accept consumes the next argument if it is this word, and reports whether it did.
 func (a *arguments) accept(word string) bool {
 	if len(a.words) == 0 || a.words[0] != word {
 		return false
@@ -110,7 +111,7 @@
 	return true
 }
 
-// oneOf takes an argument that must be one of these words.
+// oneOf consumes an argument that must be one of these words.
 func (a *arguments) oneOf(choices ...string) string {
 	word := a.next(strings.Join(choices, " or "))
 	for _, choice := range choices {
@@ -124,7 +125,7 @@
 	return ""
 }
 
-// number takes a number that isn't negative.
+// number consumes a non-negative number.
 func (a *arguments) number(what string) int {
 	word := a.next(what)
 	if a.err != nil {
@@ -137,7 +138,7 @@
 	return number
 }
 
-// name takes a plain word: a lease, an event, a failpoint or a policy.
+// name consumes a plain word, such as the name of a lease, an event, a failpoint or a policy.
 func (a *arguments) name(what string) string {
 	word := a.next(what)
 	if strings.ContainsAny(word, "${}=") {
@@ -146,32 +147,32 @@
 	return strings.ReplaceAll(word, "~", " ")
 }
 
-// value takes an argument that may have a variable.
+// value consumes an argument that may be a variable or a reference in braces.
 func (a *arguments) value(what string) value { return a.parseValue(a.next(what)) }
 
-// rest takes all other arguments.
-func (a *arguments) rest() (values []value) {
+// remaining consumes all remaining arguments.
+func (a *arguments) remaining() (values []value) {
 	for len(a.words) > 0 {
 		values = append(values, a.value(""))
 	}
 	return values
 }
 
-// process takes a process.
+// process consumes the name of a process or a variable.
 func (a *arguments) process() value {
 	process := a.value("a process")
 	a.checkProcess(process)
 	return process
 }
 
-// checkProcess fails where there is no such process; whether a variable's value names one is known when the step runs.
+// checkProcess fails if there is no such process. The value of a variable is checked when the step runs.
 func (a *arguments) checkProcess(process value) {
 	if a.err == nil && process.variable == "" && !a.parser.processes[process.literal] {
 		a.fail(&noProcessError{name: process.literal})
 	}
 }
 
-// fields takes all other arguments, which have the form FIELD=TEXT.
+// fields consumes all remaining arguments, which must have the form FIELD=TEXT.
 func (a *arguments) fields() (fields []field) {
 	for len(a.words) > 0 {
 		word := a.next("")
@@ -191,7 +192,7 @@
 	text value
 }
 
-// binding is "as V [not W]".
+// binding is "as V [not W]": the variable to set and a value that it must not get.
 type binding struct {
 	variable string
 	not      *value // nil: any value
@@ -211,31 +212,31 @@
 	return bound
 }
 
-// noProcessError means that a step names a process that there isn't.
+// noProcessError means that a step names a process that doesn't exist.
 type noProcessError struct{ name string }
 
 func (e *noProcessError) Error() string { return "no such process: " + e.name }
 
-// value is an argument: a literal, a variable, or the path or address of something.
+// value is an argument: a literal, a variable, or a reference to a path or an address of the fleet.
 type value struct {
 	literal  string
-	variable string                // without its $; empty: there is none
-	lookUp   func(f *Fleet) string // nil: there is nothing to look up
+	variable string                // without the $; empty if the argument is not a variable
+	resolve  func(f *Fleet) string // nil if the argument is not a reference
 }
 
-// text gives what the argument stands for.
+// text returns the text that the argument stands for.
 func (v value) text(r *runner) string {
 	switch {
 	case v.variable != "":
 		return r.variables[v.variable]
-	case v.lookUp != nil:
-		return v.lookUp(r.fleet)
+	case v.resolve != nil:
+		return v.resolve(r.fleet)
 	default:
 		return v.literal
 	}
 }
 
-// parseValue parses an argument that may be a variable or stand in braces.
+// parseValue parses an argument: a variable, a reference in braces or a literal.
 func (a *arguments) parseValue(word string) value {
 	if variable, found := strings.CutPrefix(word, "$"); found {
 		if !a.parser.variables[variable] {
@@ -245,29 +246,29 @@
 		return value{variable: variable}
 	}
 	if inner, found := strings.CutPrefix(word, "{"); found {
-		return a.parseLookUp(strings.TrimSuffix(inner, "}"))
+		return a.parseReference(strings.TrimSuffix(inner, "}"))
 	}
 	return value{literal: strings.ReplaceAll(word, "~", " ")}
 }
 
-// parseLookUp parses what stands in braces.
-func (a *arguments) parseLookUp(inner string) value {
+// parseReference parses the content of braces.
+func (a *arguments) parseReference(inner string) value {
 	name, attribute, _ := strings.Cut(inner, ".")
 	if attribute == "policy" {
-		return value{lookUp: func(f *Fleet) string { return f.policyPath(name) }}
+		return value{resolve: func(f *Fleet) string { return f.policyPath(name) }}
 	}
 	a.checkProcess(value{literal: name})
 	switch attribute {
 	case "config":
-		return value{lookUp: func(f *Fleet) string { return f.Process(name).Config }}
+		return value{resolve: func(f *Fleet) string { return f.Process(name).Config }}
 	case "address":
-		return value{lookUp: func(f *Fleet) string { return f.Process(name).Addr }}
+		return value{resolve: func(f *Fleet) string { return f.Process(name).Addr }}
 	}
 	a.fail(fmt.Errorf("{%s} is unknown", inner))
 	return value{}
 }
 
-// texts gives what arguments stand for.
+// texts returns the texts that arguments stand for.
 func (r *runner) texts(values []value) (texts []string) {
 	for _, v := range values {
 		texts = append(texts, v.text(r))
@@ -275,10 +276,10 @@
 	return texts
 }
 
-// joined gives what arguments stand for, with spaces between them.
+// joined returns the texts that arguments stand for, separated by spaces.
 func (r *runner) joined(values []value) string { return strings.Join(r.texts(values), " ") }
 
-// fieldTexts gives what fields stand for.
+// fieldTexts returns the texts that fields stand for, by field name.
 func (r *runner) fieldTexts(fields []field) map[string]string {
 	texts := map[string]string{}
 	for _, field := range fields {
@@ -287,7 +288,7 @@
 	return texts
 }
 
-// process gives the process that an argument stands for.
+// process returns the process that an argument stands for.
 func (r *runner) process(v value) (*Process, error) {
 	name := v.text(r)
 	p := r.fleet.Process(name)
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -9,12 +9,12 @@
 	"wayloft/internal/settings"
 )
 
-// anyPid stands for whichever start of a process.
+// anyPid matches all starts of a process.
 const anyPid = 0
 
 func (f *Fleet) policyPath(name string) string { return filepath.Join(f.Dir, name+".toml") }
 
-// WritePolicy writes a policy's file into the fleet's directory and gives its path.
+// WritePolicy writes a policy file into the fleet's directory and returns its path.
 func (f *Fleet) WritePolicy(name string, document policy.Document) (string, error) {
 	text, err := settings.WritePolicy(document)
 	if err != nil {
@@ -23,20 +23,20 @@
 	return f.policyPath(name), os.WriteFile(f.policyPath(name), text, fileMode)
 }
 
-// AppliedPolicy gives the version that a router applies by its audit log, and the one that it rejected. A pid of 0 stands for all of its
-// starts.
+// AppliedPolicy returns the version that a router applies according to its audit log, and the one that it rejected. Only events of the process
+// with this pid count; a pid of 0 matches all starts of the router.
 func (f *Fleet) AppliedPolicy(p *Process, pid int) (applied, rejected string, err error) {
 	events, err := f.AuditEvents(p.Name)
 	applied, rejected = noPolicyVersion, noPolicyVersion
 	for _, e := range events {
-		if e.event() == policyApplied && (pid == anyPid || e.pid() == pid) {
-			applied, rejected = e.Text(versionField), e.Text(rejectField)
+		if e.event() == policyReported && (pid == anyPid || e.pid() == pid) {
+			applied, rejected = e.Text(versionField), e.Text(rejectedField)
 		}
 	}
 	return applied, rejected, err
 }
 
-// latestPolicy gives the highest version that came into force by the coordinator's audit logs, packed; 0: none.
+// latestPolicy returns the highest version that came into force according to the coordinator nodes' audit logs, packed, or 0 if there is none.
 func (f *Fleet) latestPolicy() (latest uint64, err error) {
 	for _, node := range f.ofKind(coordinatorKind) {
 		events, err := f.AuditEvents(node.Name)
@@ -57,7 +57,7 @@
 	return latest, nil
 }
 
-// waitForPolicy waits until each router that runs applies the version in force, or has rejected it.
+// waitForPolicy waits until each running router applies the version in force or has rejected it.
 func (f *Fleet) waitForPolicy() error {
 	latest, err := f.latestPolicy()
 	if err != nil || latest == 0 {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -15,26 +15,26 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Kinds of processes; `wayloft lab fleet` prints them.
+// Kinds of processes. `wayloft lab fleet` prints them.
 const (
 	coordinatorKind = "council"
 	memberKind      = "member"
 	routerKind      = "router"
 )
 
-// readyLines are parts of the log line by which a process of each kind writes that it serves.
+// readyLines holds, by kind of process, a part of the log line that the process writes once it serves.
 var readyLines = map[string]string{coordinatorKind: `msg="coordinator started"`, routerKind: "msg=serving", memberKind: "msg=member"}
 
 const (
-	killTimeout   = 10 * time.Second // for the end of a process after SIGKILL
-	shownLogLines = 3                // in errors
+	killTimeout   = 10 * time.Second // limit from SIGKILL to the end of the process
+	errorLogLines = 3                // log lines quoted in errors
 )
 
-// Process is a process of a fleet, whether it runs or not. Its methods may be called at the same time.
+// Process is a process of a fleet, running or not. Its methods are safe for concurrent use.
 type Process struct {
 	Kind, Name   string
-	Addr         string // where it serves clients, the coordinator's calls or statements
-	ReceiverAddr string // where a router receives acts of lease holders
+	Addr         string // address at which it serves clients, RPCs of the coordinator or statements
+	ReceiverAddr string // address at which a router receives acts of lease holders
 	DataDir      string // of a coordinator node
 	Config       string // path of its settings
 
@@ -42,18 +42,18 @@
 	arguments []string
 
 	mu                sync.Mutex
-	command           *exec.Cmd     // nil: it doesn't run
-	done              chan struct{} // closed when the latest start has ended
-	earlierReadyLines int           // ready lines that its log had before the latest start
+	command           *exec.Cmd     // nil while the process doesn't run
+	done              chan struct{} // closed when the latest start ends; nil before the first
+	earlierReadyLines int           // ready lines in the log before the latest start
 }
 
-// LogPath is the path of the process's log, which all of its starts write to.
+// LogPath returns the path of the process's log. All starts append to it.
 func (p *Process) LogPath() string { return filepath.Join(p.fleet.Dir, logDirectory, p.Name+".log") }
 
-// Start starts a process that doesn't run.
+// Start starts the process, which must not be running.
 func (p *Process) Start() error { return p.start(exec.Command(p.fleet.Binary, p.arguments...)) }
 
-// StartWithFileLimit starts a process whose files can't grow beyond so many blocks of 512 bytes.
+// StartWithFileLimit starts the process with a limit on the size of its files, in blocks of 512 bytes.
 func (p *Process) StartWithFileLimit(blocks int) error {
 	script := fmt.Sprintf(`ulimit -f %d; exec "$0" "$@"`, blocks)
 	return p.start(exec.Command("/bin/sh", append([]string{"-c", script, p.fleet.Binary}, p.arguments...)...))
@@ -63,7 +63,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		return fmt.Errorf("start %s: it runs", p.Name)
+		return fmt.Errorf("start %s: already running", p.Name)
 	}
 	if p.earlierReadyLines, err = p.countReadyLines(); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// wait waits for the end of a process that was started.
+// wait waits for the end of a started process and records it.
 func (p *Process) wait(command *exec.Cmd, done chan struct{}) {
 	err := command.Wait()
 	logrus.WithError(err).WithField("process", p.Name).Debug("process ended")
@@ -93,7 +93,7 @@
 	close(done)
 }
 
-// Pid gives the process's id; 0: it doesn't run.
+// Pid returns the process's id, or 0 if it doesn't run.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,35 +103,35 @@
 	return p.command.Process.Pid
 }
 
-// signal sends a signal to a process that runs.
+// signal sends a signal to the process if it runs.
 func (p *Process) signal(signal syscall.Signal) {
 	pid := p.Pid()
 	if pid == 0 {
 		return
 	}
 	if err := syscall.Kill(pid, signal); err != nil && !errors.Is(err, syscall.ESRCH) {
-		logrus.WithError(err).WithField("process", p.Name).Warnf("signal not sent: %v", signal)
+		logrus.WithError(err).WithField("process", p.Name).Warnf("could not send signal: %v", signal)
 	}
 }
 
-// Stop stops the process by SIGSTOP; all its threads have stopped some time later, as Stopped tells.
+// Stop sends SIGSTOP. The threads stop some time later; Stopped reports whether all have.
 func (p *Process) Stop() { p.signal(syscall.SIGSTOP) }
 
-// Resume has a stopped process go on.
+// Resume continues a stopped process with SIGCONT.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end.
+// Terminate sends SIGTERM.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
 // Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	if !p.WaitExit(killTimeout) {
-		logrus.WithField("process", p.Name).Warn("killed process has not ended")
+		logrus.WithField("process", p.Name).Warn("process has not ended after SIGKILL")
 	}
 }
 
-// Stopped tells whether all threads of the process are stopped by a signal.
+// Stopped reports whether all threads of the process are stopped by a signal.
 func (p *Process) Stopped() bool {
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Pid()))
 	if err != nil {
@@ -149,7 +149,7 @@
 	return len(paths) > 0
 }
 
-// WaitExit waits for the end of the process; false: it still runs after the timeout.
+// WaitExit waits for the end of the process. It returns false if the process still runs after the timeout.
 func (p *Process) WaitExit(timeout time.Duration) bool {
 	p.mu.Lock()
 	done := p.done
@@ -165,7 +165,7 @@
 	}
 }
 
-// readLog gives the log of all starts; it is empty before the first.
+// readLog returns the log of all starts, which is empty before the first.
 func (p *Process) readLog() ([]byte, error) {
 	text, err := os.ReadFile(p.LogPath())
 	if errors.Is(err, os.ErrNotExist) {
@@ -179,16 +179,16 @@
 	return bytes.Count(text, []byte(readyLines[p.Kind])), err
 }
 
-// WaitReady waits until the process says that it serves, since its latest start.
+// WaitReady waits until the process has logged that it serves, since its latest start.
 func (p *Process) WaitReady() error {
 	return WaitUntil(p.Name+" is ready", func() (bool, error) {
-		pid := p.Pid() // before the log is read: what an ended process wrote is there
+		pid := p.Pid() // read before the log: the log of a process that has ended is complete
 		count, err := p.countReadyLines()
 		if err != nil || count > p.earlierReadyLines {
 			return err == nil, err
 		}
 		if pid == 0 {
-			return false, fmt.Errorf("it has ended: %s", p.lastLogLines())
+			return false, fmt.Errorf("process has ended: %s", p.logTail())
 		}
 		return false, nil
 	})
@@ -202,12 +202,12 @@
 	return p.WaitReady()
 }
 
-// lastLogLines gives the end of the log, for errors.
-func (p *Process) lastLogLines() string {
+// logTail returns the last lines of the log, for errors.
+func (p *Process) logTail() string {
 	text, err := p.readLog()
 	if err != nil {
 		return err.Error()
 	}
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	return strings.Join(lines[max(0, len(lines)-shownLogLines):], " | ")
+	return strings.Join(lines[max(0, len(lines)-errorLogLines):], " | ")
 }
--- a/internal/lab/fleet/runner.go
+++ b/internal/lab/fleet/runner.go
@@ -15,15 +15,15 @@
 	extraClassKeys              = "[[txn_types]]\nname = \"extra\"\nsla = \"1s\"\nexpiry = \"2s\"\n"
 )
 
-// Outcome is what happened in a scenario.
+// Outcome holds the counts and the duration of a scenario.
 type Outcome struct {
-	StaleActs, AcceptedActs int // at receivers
-	Succeeded               int // writes
-	Unresolved              int // writes
+	StaleActs, AcceptedActs int // rejected and accepted by receivers
+	Succeeded               int // successful writes
+	Unresolved              int // writes of unknown outcome
 	Duration                time.Duration
 }
 
-// ViolationsError means that checkers found violations in what the processes of a scenario wrote.
+// ViolationsError means that the checkers found violations.
 type ViolationsError struct{ Violations []string }
 
 // Error lists the violations.
@@ -35,23 +35,23 @@
 	return list
 }
 
-// runner runs a scenario: it has the fleet, its clients, and what earlier steps noted.
+// runner runs a scenario. It holds the fleet, its clients and the results of earlier steps.
 type runner struct {
 	scenario *Scenario
 	fleet    *Fleet
 	client   *client.Client
-	writes   *WriteLoad // nil: the scenario has no writers
-	probe    *Probe     // nil: the scenario has none
+	writes   *WriteLoad // nil if the scenario has no writers
+	probe    *Probe     // nil if the scenario has none
 
 	variables  map[string]string
-	failpoints map[failpointKey]string // effects of those that were set
-	order      uint64                  // number of the latest switchover's
-	proposal   chan commandResult      // of the proposal that isn't waited for
+	failpoints map[failpointKey]string // actions of the failpoints that were set
+	order      uint64                  // number of the latest switchover's order
+	proposal   chan commandResult      // receives the result of the asynchronous proposal
 	agreed     []string                // policy versions reported to operators as agreed
 }
 
-// RunScenario runs a scenario in a directory and checks what the processes wrote. A failed step is a StepError, and what checkers found is a
-// ViolationsError.
+// RunScenario runs a scenario in a directory and then runs the checkers. It returns a StepError if a step fails, and a ViolationsError if a
+// checker finds violations.
 func RunScenario(s *Scenario, binary, directory string) (outcome Outcome, err error) {
 	started := time.Now()
 	f, err := New(s.options(binary, directory))
@@ -72,7 +72,7 @@
 	if err := r.recover(); err != nil {
 		return outcome, err
 	}
-	if err := r.count(&outcome); err != nil {
+	if err := r.countOutcome(&outcome); err != nil {
 		return outcome, err
 	}
 	outcome.Duration = time.Since(started)
@@ -82,7 +82,7 @@
 	return outcome, nil
 }
 
-// options gives a scenario's fleet.
+// options returns the options of the scenario's fleet.
 func (s *Scenario) options(binary, directory string) Options {
 	options := Options{Binary: binary, Dir: directory, Coordinators: s.Coordinators, Routers: s.Routers, Members: s.Members, Links: true,
 		SessionTimeout: s.sessionTimeout, Switchover: s.Switchover, UnguardedMember: s.UnguardedMember, CoordinatorKeys: scenarioCoordinatorKeys,
@@ -93,7 +93,7 @@
 	return options
 }
 
-// routerKeys gives the keys of one router's settings, in [fleet] and above it.
+// routerKeys returns further keys of one router's settings: in [fleet] and top-level.
 func (s *Scenario) routerKeys(name string) (fleet, top string) {
 	if offset := s.ClockOffsets[name]; offset != "" {
 		fleet = fmt.Sprintf("clock_ahead = %q\n", offset)
@@ -141,7 +141,7 @@
 	return s.action(r)
 }
 
-// bind sets a variable once find gives a value other than the excluded one.
+// bind polls find and sets a variable once the result is neither empty nor the excluded value.
 func (r *runner) bind(bound binding, condition string, find func() (string, error)) error {
 	excluded := ""
 	if bound.not != nil {
@@ -157,7 +157,7 @@
 	})
 }
 
-// recover ends the clients' writes and all faults, and waits until what is in flight has come to an end.
+// recover stops the writers, resumes all processes, heals all links and waits until running routers apply the policy in force.
 func (r *runner) recover() error {
 	if r.probe != nil {
 		if err := r.probe.WaitForRequests(); err != nil {
@@ -174,8 +174,8 @@
 	return r.fleet.waitForPolicy()
 }
 
-// count counts what an outcome has.
-func (r *runner) count(outcome *Outcome) (err error) {
+// countOutcome fills in the counts of an outcome.
+func (r *runner) countOutcome(outcome *Outcome) (err error) {
 	if r.writes != nil {
 		outcome.Succeeded, outcome.Unresolved = len(r.writes.Succeeded), len(r.writes.Unresolved)
 	}
@@ -198,7 +198,7 @@
 		violations = append(violations, r.probe.Check()...)
 	}
 	if outcome.StaleActs < r.scenario.MinStaleActs {
-		violations = append(violations, fmt.Sprintf("%d stale acts were refused, not at least %d", outcome.StaleActs, r.scenario.MinStaleActs))
+		violations = append(violations, fmt.Sprintf("%d stale acts were rejected, want at least %d", outcome.StaleActs, r.scenario.MinStaleActs))
 	}
 	return violations
 }
--- a/internal/lab/fleet/scenario_test.go
+++ b/internal/lab/fleet/scenario_test.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	repeats  = flag.Int("repeats", 1, "how often each scenario is run")
-	shown    = flag.String("show", "", "logs of these processes are shown where a scenario fails")
-	selected = flag.String("scenario", "", "run this scenario alone")
+	repeats  = flag.Int("repeats", 1, "number of runs of each scenario")
+	shown    = flag.String("show", "", "show the logs of these processes, separated by spaces, if a scenario fails")
+	selected = flag.String("scenario", "", "run only this scenario")
 )
 
-// maxShownLog is how many bytes of a log's end are shown.
+// maxShownLog limits the bytes shown from the end of a log.
 const maxShownLog = 2500
 
-// Each scenario starts a fleet of processes, injects faults, and what the processes wrote is checked.
+// Each scenario starts a fleet of processes, injects faults and runs the checkers on the audit logs.
 func TestScenarios(t *testing.T) {
 	binary := buildProgram(t)
 	paths, err := filepath.Glob("testdata/*.toml")
@@ -34,7 +34,7 @@
 		for n := range *repeats {
 			t.Run(fmt.Sprint(name, "/", n), func(t *testing.T) {
 				t.Parallel()
-				takeFleetSlot(t)
+				acquireFleetSlot(t)
 				runScenarioFile(t, binary, path)
 			})
 		}
@@ -55,7 +55,7 @@
 		}
 		t.Fatal(err)
 	}
-	t.Logf("%d acts accepted, %d stale ones refused, %d writes succeeded, %d unresolved, %.1f s", outcome.AcceptedActs, outcome.StaleActs,
+	t.Logf("%d acts accepted, %d stale acts rejected, %d writes succeeded, %d unresolved, %.1f s", outcome.AcceptedActs, outcome.StaleActs,
 		outcome.Succeeded, outcome.Unresolved, outcome.Duration.Seconds())
 }
 
@@ -69,7 +69,7 @@
 	t.Logf("%s: %s", path, text[max(0, len(text)-maxShownLog):])
 }
 
-// A step that is wrong is found when the scenario is loaded, with its file and its number.
+// An invalid step is reported when the scenario is loaded, with the file and the step's number.
 func TestParseScenario_WrongStep(t *testing.T) {
 	for step, want := range map[string]string{
 		"":                               "a step needs a verb",
@@ -102,7 +102,7 @@
 	}
 }
 
-// All steps that are wrong are reported, and keys that there aren't.
+// All invalid steps are reported, and so are unknown keys and invalid durations.
 func TestParseScenario_AllMistakes(t *testing.T) {
 	_, err := parseScenario("some.toml", []byte(`steps = ["stop r9", "start r1", "pause r1"]`))
 	if err == nil || !strings.Contains(err.Error(), "some.toml: step 1, \"stop r9\": no such process: r9\nsome.toml: step 3, \"pause r1\": no such verb: pause") {
@@ -116,7 +116,7 @@
 	}
 }
 
-// A process that a step adds, and a variable that one sets, are known to later steps.
+// Later steps know the processes that a step adds and the variables that it sets.
 func TestParseScenario_EarlierSteps(t *testing.T) {
 	scenario, err := parseScenario("some.toml", []byte(`steps = ["join c4", "kill c4", "await-leader as first", "stop $first", "propose p", "await-policy r1 $p"]`))
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-// Each verb is described in the comment of Scenario.
+// The comment of Scenario describes each verb.
 func TestVerbs_AreDescribed(t *testing.T) {
 	text, err := os.ReadFile("scenario.go")
 	if err != nil {
--- a/internal/lab/fleet/steps_audit.go
+++ b/internal/lab/fleet/steps_audit.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// awaitedActs is how many acts of a lease holder await-acts waits for at each router.
+// awaitedActs is the number of accepted acts that await-acts waits for at each router.
 const awaitedActs = 2
 
 func parseAwaitActive(a *arguments) action {
@@ -26,7 +26,7 @@
 
 func parseAwaitEvents(a *arguments) action { return parseAwaitCount(a, a.number("a count")) }
 
-// parseAwaitCount parses what both kinds of waits for events have.
+// parseAwaitCount parses the arguments that await-event and await-events have in common.
 func parseAwaitCount(a *arguments, least int) action {
 	process, event, fields := a.process(), a.name("an event"), a.fields()
 	return func(r *runner) error {
@@ -45,13 +45,13 @@
 			return err
 		}
 		if count > 0 {
-			return fmt.Errorf("there are %d, the last is %v", count, last)
+			return fmt.Errorf("found %d events, the last is %v", count, last)
 		}
 		return nil
 	}
 }
 
-// parseAwaitActs asks again who holds the lease: it may pass on right after a grant, when a client opens its session again.
+// parseAwaitActs reads the holder anew at each poll: the lease may change hands right after a grant, when its holder reopens its session.
 func parseAwaitActs(a *arguments) action {
 	lease := a.name("a lease")
 	var except value
@@ -69,7 +69,7 @@
 	}
 }
 
-// allAcceptActs tells whether all routers but a lease's holder and another have accepted acts of the holder.
+// allAcceptActs reports whether all routers except a lease's holder and one other have accepted awaitedActs acts of the holder.
 func (f *Fleet) allAcceptActs(lease, holder, except string) (bool, error) {
 	for _, router := range f.ofKind(routerKind) {
 		if router.Name == holder || router.Name == except {
@@ -86,7 +86,7 @@
 func parseAwaitStaleActs(a *arguments) action {
 	least := a.number("a count")
 	return func(r *runner) error {
-		return WaitUntil("acts are refused for their token", func() (bool, error) {
+		return WaitUntil("receivers reject stale acts", func() (bool, error) {
 			count, err := r.fleet.countRouterEvents(actStale)
 			return count >= least, err
 		})
--- a/internal/lab/fleet/steps_coordinator.go
+++ b/internal/lab/fleet/steps_coordinator.go
@@ -14,7 +14,7 @@
 	"wayloft/internal/rpc"
 )
 
-// switchoverGroup is the group of members that scenarios change the primary of.
+// switchoverGroup is the group in which scenarios perform switchovers.
 const switchoverGroup = 0
 
 func parseAwaitHolder(a *arguments) action {
@@ -86,9 +86,9 @@
 	return func(r *runner) error { return r.changeMembership("remove", process.text(r), process.text(r)) }
 }
 
-// changeMembership runs the operator's command, again while the coordinator has no leader or another change is not complete. Where a removal
-// took effect and its response was lost, the repeated command fails for there is nothing to remove; then the coordinator's state says that
-// it is done.
+// changeMembership runs the operator's command and repeats it until it succeeds: it fails while the coordinator has no leader or another change
+// is in progress. If a removal takes effect but its response is lost, the repeated command fails because the node is gone, so a removal also
+// ends once the coordinator's state has no such node.
 func (r *runner) changeMembership(verb, name, argument string) error {
 	var output string
 	var failure error
@@ -127,7 +127,7 @@
 }
 
 func parseAwaitSwitchover(a *arguments) action {
-	wanted := a.rest()
+	wanted := a.remaining()
 	return func(r *runner) error {
 		ended := ""
 		err := waitForState(r.client, "the switchover ends", func(state *fleetpb.State) bool {
@@ -142,7 +142,7 @@
 			return err
 		}
 		if !strings.Contains(ended, r.joined(wanted)) {
-			return errors.New("it ended: " + ended)
+			return errors.New("switchover ended: " + ended)
 		}
 		return nil
 	}
@@ -151,6 +151,6 @@
 func parseAwaitPrimary(a *arguments) action {
 	member := a.process()
 	return func(r *runner) error {
-		return WaitUntil("the primary", func() (bool, error) { return slices.Equal(r.fleet.Primaries(), []string{member.text(r)}), nil })
+		return WaitUntil("the member is the only primary", func() (bool, error) { return slices.Equal(r.fleet.Primaries(), []string{member.text(r)}), nil })
 	}
 }
--- a/internal/lab/fleet/steps_fault.go
+++ b/internal/lab/fleet/steps_fault.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Groups of processes at the ends of links.
+// Arguments of steps on links.
 const (
 	allProcesses = "all"
 	forwardOnly  = "forward"
@@ -11,26 +11,26 @@
 
 var linkGroups = map[string]string{"coordinators": coordinatorKind, "routers": routerKind, "members": memberKind}
 
-// endpoints are the processes at one end of links: a group's, or one process.
-type endpoints struct {
+// linkEnd selects the processes at one end of links: a group or one process.
+type linkEnd struct {
 	group   string
-	process value // where there is no group
+	process value // used if group is empty
 }
 
-func (a *arguments) endpoints() endpoints {
+func (a *arguments) endpoints() linkEnd {
 	for group := range linkGroups {
 		if a.accept(group) {
-			return endpoints{group: group}
+			return linkEnd{group: group}
 		}
 	}
 	if a.accept(allProcesses) {
-		return endpoints{group: allProcesses}
+		return linkEnd{group: allProcesses}
 	}
-	return endpoints{process: a.process()}
+	return linkEnd{process: a.process()}
 }
 
-// names gives the processes' names.
-func (e endpoints) names(r *runner) (names []string) {
+// names returns the names of the selected processes.
+func (e linkEnd) names(r *runner) (names []string) {
 	if e.group == "" {
 		return []string{e.process.text(r)}
 	}
@@ -42,15 +42,15 @@
 	return names
 }
 
-// linkSet are the links from some processes to others.
-type linkSet struct{ from, to endpoints }
+// linkSet is the set of links from some processes to others.
+type linkSet struct{ from, to linkEnd }
 
 func (a *arguments) links() linkSet {
 	from := a.endpoints()
 	return linkSet{from: from, to: a.endpoints()}
 }
 
-// find gives the links of a set; there must be one.
+// find returns the links of the set, of which there must be at least one.
 func (s linkSet) find(r *runner) (links []*Link, err error) {
 	from, to := s.from.names(r), s.to.names(r)
 	for _, a := range from {
@@ -66,7 +66,7 @@
 	return links, nil
 }
 
-// onLinks makes an action that does something to each link of a set.
+// onLinks returns an action that calls act on each link of a set.
 func onLinks(set linkSet, act func(*Link)) action {
 	return func(r *runner) error {
 		links, err := set.find(r)
@@ -105,7 +105,7 @@
 	}
 }
 
-// failpointKey names a failpoint of a process.
+// failpointKey identifies a failpoint of a process.
 type failpointKey struct{ process, point string }
 
 func parseFailpoint(a *arguments) action {
@@ -129,7 +129,7 @@
 			if !r.fleet.FailpointHit(p.Name, point) {
 				return false, nil
 			}
-			// The file goes right before the process stops: a resume in between would be lost.
+			// The process removes the file just before it stops itself, so a resume between the two would have no effect.
 			return r.failpoints[failpointKey{p.Name, point}] != failpointStop || p.Stopped(), nil
 		})
 	}
@@ -138,12 +138,12 @@
 func parseDisableActTimeout(a *arguments) action {
 	process := a.process()
 	return func(r *runner) error {
-		return r.fleet.SetFailpoint(process.text(r), orderTimeoutFailpoint, failpointEndless)
+		return r.fleet.SetFailpoint(process.text(r), orderTimeoutFailpoint, failpointNoTimeout)
 	}
 }
 
-// parseAwaitRouterAt sets the failpoint for all routers, since on a busy machine a lease may pass on between the question who holds it and
-// the failpoint.
+// parseAwaitRouterAt sets the failpoint for all routers: on a busy machine, the lease may change hands between a lookup of its holder and the
+// setting of the failpoint.
 func parseAwaitRouterAt(a *arguments) action {
 	point, bound := a.name("a failpoint"), a.binding()
 	return func(r *runner) error {
@@ -164,12 +164,12 @@
 		if err != nil {
 			return err
 		}
-		return r.passFailpoint(routers, point, r.variables[bound.variable])
+		return r.releaseOthers(routers, point, r.variables[bound.variable])
 	}
 }
 
-// passFailpoint has all routers but one go on: it clears a failpoint that they have not reached, and resumes those that have.
-func (r *runner) passFailpoint(routers []*Process, point, except string) error {
+// releaseOthers lets all routers but one continue: it clears the failpoint of those that have not reached it, and resumes those that have.
+func (r *runner) releaseOthers(routers []*Process, point, except string) error {
 	for _, router := range routers {
 		if router.Name == except {
 			continue
--- a/internal/lab/fleet/steps_policy.go
+++ b/internal/lab/fleet/steps_policy.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	tenantsField     = "many"  // of write-policy
+	tenantsField     = "many"  // a field of write-policy
 	proposalVariable = "begun" // set by await-proposal
-	tenantRateFactor = 7919    // spreads the rates of such tenants
+	tenantRateFactor = 7919    // spreads the tenants' rates
 	maxTenantRate    = 10007
 )
 
-// Texts that `wayloft policy propose` prints.
+// Texts in the output of `wayloft policy propose`.
 const (
 	agreedText          = "is agreed"
-	sameText            = "which is in force, says the same"
+	unchangedText       = "which is in force, says the same"
 	outcomeUnknownText  = "it is not known whether"
 	noCoordinatorText   = "gives no answer"
 	outdatedVersionText = "this was made from "
 )
 
 var (
-	errNoProposal     = errors.New("no proposal was begun")
+	errNoProposal     = errors.New("no asynchronous proposal was started")
 	errNoVersion      = errors.New("the command printed no version")
 	errProposalFailed = errors.New("the command failed")
 )
@@ -58,14 +58,14 @@
 	}
 }
 
-// addTenants adds the rates of so many tenants to a document.
+// addTenants adds the rates of this number of tenants to a document.
 func addTenants(document policy.Document, count int) {
 	for n := range count {
 		document[fmt.Sprintf("tenants.t%05d.rate", n)] = fmt.Sprint(1 + n*tenantRateFactor%maxTenantRate)
 	}
 }
 
-// policyName takes the name of a policy and sets the variable of that name.
+// policyName consumes the name of a policy and declares the variable of that name.
 func (a *arguments) policyName() string {
 	name := a.name("a policy")
 	a.sets = append(a.sets, name)
@@ -73,18 +73,18 @@
 }
 
 func (f *Fleet) proposeCommand(name string, flags []string) commandResult {
-	return f.runForStatus(append([]string{"policy", "propose", f.policyPath(name)}, flags...)...)
+	return f.runForResult(append([]string{"policy", "propose", f.policyPath(name)}, flags...)...)
 }
 
-// parsePropose: a command whose outcome is unknown is repeated, as an operator would do; that does no harm.
+// parsePropose parses propose. The step repeats a command whose outcome is unknown, as an operator would; repeating a proposal is harmless.
 func parsePropose(a *arguments) action {
-	name, flags := a.policyName(), a.rest()
+	name, flags := a.policyName(), a.remaining()
 	return func(r *runner) error {
 		var result commandResult
 		err := WaitUntil("policy "+name+" is agreed", func() (bool, error) {
 			result = r.fleet.proposeCommand(name, r.texts(flags))
 			if result.status == 0 {
-				return true, r.noteAgreed(name, result.output)
+				return true, r.recordAgreed(name, result.output)
 			}
 			if strings.Contains(result.output, outcomeUnknownText) || strings.Contains(result.output, noCoordinatorText) {
 				return false, nil
@@ -98,11 +98,11 @@
 	}
 }
 
-// noteAgreed notes the version that a proposal has become, by what the command printed.
-func (r *runner) noteAgreed(variable, output string) error {
+// recordAgreed records the version that a proposal became, according to the command's output.
+func (r *runner) recordAgreed(variable, output string) error {
 	for line := range strings.Lines(output) {
 		words := strings.Fields(line)
-		if len(words) < 2 || words[0] != "version" || !strings.Contains(line, agreedText) && !strings.Contains(line, sameText) {
+		if len(words) < 2 || words[0] != "version" || !strings.Contains(line, agreedText) && !strings.Contains(line, unchangedText) {
 			continue
 		}
 		version := strings.TrimSuffix(words[1], ",")
@@ -114,7 +114,7 @@
 }
 
 func parseProposeAsync(a *arguments) action {
-	name, flags := a.name("a policy"), a.rest()
+	name, flags := a.name("a policy"), a.remaining()
 	return func(r *runner) error {
 		result := make(chan commandResult, 1)
 		r.proposal = result
@@ -125,7 +125,7 @@
 }
 
 func parseAwaitProposal(a *arguments) action {
-	status, wanted := a.number("an exit status"), a.rest()
+	status, wanted := a.number("an exit status"), a.remaining()
 	a.sets = append(a.sets, proposalVariable)
 	return func(r *runner) error {
 		if r.proposal == nil {
@@ -138,7 +138,7 @@
 		if !strings.Contains(result.output, agreedText) {
 			return nil
 		}
-		return r.noteAgreed(proposalVariable, result.output)
+		return r.recordAgreed(proposalVariable, result.output)
 	}
 }
 
@@ -165,14 +165,14 @@
 	}
 }
 
-// checkOneAgreed tells whether one of two proposals was agreed and the other rejected for the version that it was made from.
+// checkOneAgreed returns an error unless one of two proposals was agreed and the other was rejected as based on an outdated version.
 func checkOneAgreed(failures [2]error, base policy.Version) error {
 	rejected := failures[0]
 	if rejected == nil {
 		rejected = failures[1]
 	}
 	if (failures[0] == nil) == (failures[1] == nil) {
-		return fmt.Errorf("not one of two: %w, %w", failures[0], failures[1])
+		return fmt.Errorf("want one of two proposals agreed: %w, %w", failures[0], failures[1])
 	}
 	if !strings.Contains(rejected.Error(), outdatedVersionText+base.String()) {
 		return fmt.Errorf("rejected for another reason: %w", rejected)
@@ -198,7 +198,7 @@
 	}
 }
 
-// proposeDocument proposes a document to follow a version.
+// proposeDocument proposes a document as the successor of a version.
 func (r *runner) proposeDocument(document policy.Document, base client.Policies) error {
 	ctx, cancel := context.WithTimeout(context.Background(), WaitLimit)
 	defer cancel()
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// policyInForce asks the coordinator for the policy, for as long as anything may take.
+// policyInForce requests the policy in force from the coordinator, with WaitLimit as the timeout.
 func (r *runner) policyInForce() (client.Policies, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), WaitLimit)
 	defer cancel()
@@ -235,7 +235,7 @@
 	}
 }
 
-// policyEverywhere tells whether each router that runs applies the version in force.
+// policyEverywhere reports whether each running router, apart from the excepted ones, applies the version in force.
 func (r *runner) policyEverywhere(except map[string]bool) (bool, error) {
 	state, err := coordinatorState(r.client)
 	if err != nil {
@@ -262,14 +262,15 @@
 		if err != nil {
 			return err
 		}
-		return waitWithin(policyWaitLimit, p.Name+" applies "+version.text(r), func() (bool, error) {
+		return waitWithin(policyWaitLimit, p.Name+" reports "+version.text(r), func() (bool, error) {
 			applied, _, err := r.fleet.AppliedPolicy(p, anyPid)
 			return applied == version.text(r), err
 		})
 	}
 }
 
-// parseAwaitPolicyTaken: a router says that it applies a version only once it was notified, and may have taken the next by then.
+// parseAwaitPolicyTaken parses await-policy-taken. The step waits for the router to apply the version rather than to report it: a router
+// reports only once it was notified, and may have applied the next version by then.
 func parseAwaitPolicyTaken(a *arguments) action {
 	process, version := a.process(), a.value("a version")
 	return func(r *runner) error {
@@ -277,9 +278,9 @@
 		if err != nil {
 			return err
 		}
-		return waitWithin(policyWaitLimit, p.Name+" has taken "+version.text(r), func() (bool, error) {
+		return waitWithin(policyWaitLimit, p.Name+" has applied "+version.text(r), func() (bool, error) {
 			wanted := map[string]string{pidField: fmt.Sprint(p.Pid()), versionField: version.text(r)}
-			count, _, err := r.fleet.CountEvents(p.Name, policyTaken, wanted)
+			count, _, err := r.fleet.CountEvents(p.Name, policyApplied, wanted)
 			return count > 0, err
 		})
 	}
@@ -303,7 +304,7 @@
 	}
 }
 
-// readPolicy reads a policy's file.
+// readPolicy reads a policy file.
 func (f *Fleet) readPolicy(name string) (policy.Document, error) {
 	text, err := os.ReadFile(f.policyPath(name))
 	if err != nil {
--- a/internal/lab/fleet/steps_process.go
+++ b/internal/lab/fleet/steps_process.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// awaitedWrites is how many writes await-writes waits for.
+// awaitedWrites is the number of writes that await-writes waits for.
 const awaitedWrites = 40
 
-// Text of the log of a coordinator node that ends since its storage has lost what it acknowledged.
+// lostStorageText is logged by a coordinator node that exits because its storage has lost acknowledged data.
 const lostStorageText = "lost what was acknowledged"
 
 var (
-	errRunsOn       = errors.New("it does not end")
-	errHasEnded     = errors.New("it has ended")
+	errStillRunning = errors.New("process has not ended")
+	errNotRunning   = errors.New("process has ended")
 	errNoWriters    = errors.New("the scenario has no writers")
 	errNoSeparator  = errors.New("-- TEXT is missing")
-	copiedExtension = ".copy"
+	copySuffix      = ".copy"
 )
 
-// onProcess makes an action that does something to a process.
+// onProcess returns an action that calls act on a process.
 func onProcess(process value, act func(*Process) error) action {
 	return func(r *runner) error {
 		p, err := r.process(process)
@@ -33,24 +33,24 @@
 	}
 }
 
-// always makes a function that can't fail one that could.
-func always(act func(*Process)) func(*Process) error {
+// infallible adapts a function without a result to one that returns an error.
+func infallible(act func(*Process)) func(*Process) error {
 	return func(p *Process) error {
 		act(p)
 		return nil
 	}
 }
 
-func parseStop(a *arguments) action   { return onProcess(a.process(), always((*Process).Stop)) }
-func parseResume(a *arguments) action { return onProcess(a.process(), always((*Process).Resume)) }
-func parseKill(a *arguments) action   { return onProcess(a.process(), always((*Process).Kill)) }
+func parseStop(a *arguments) action   { return onProcess(a.process(), infallible((*Process).Stop)) }
+func parseResume(a *arguments) action { return onProcess(a.process(), infallible((*Process).Resume)) }
+func parseKill(a *arguments) action   { return onProcess(a.process(), infallible((*Process).Kill)) }
 func parseStart(a *arguments) action  { return onProcess(a.process(), (*Process).startAndWait) }
 
 func parseTerminate(a *arguments) action {
 	return onProcess(a.process(), func(p *Process) error {
 		p.Terminate()
 		if !p.WaitExit(WaitLimit) {
-			return errRunsOn
+			return errStillRunning
 		}
 		return nil
 	})
@@ -62,21 +62,21 @@
 }
 
 func parseAwaitExit(a *arguments) action {
-	process, logged := a.process(), a.rest()
+	process, logged := a.process(), a.remaining()
 	return func(r *runner) error {
 		p, err := r.process(process)
 		if err != nil {
 			return err
 		}
 		if !p.WaitExit(WaitLimit) {
-			return errRunsOn
+			return errStillRunning
 		}
 		log, err := p.readLog()
 		if err != nil {
 			return err
 		}
 		if text := r.joined(logged); !strings.Contains(string(log), text) {
-			return fmt.Errorf("its log has no %q: %s", text, p.lastLogLines())
+			return fmt.Errorf("log of the process has no %q: %s", text, p.logTail())
 		}
 		return nil
 	}
@@ -85,7 +85,7 @@
 func parseExpectRunning(a *arguments) action {
 	return onProcess(a.process(), func(p *Process) error {
 		if p.Pid() == 0 {
-			return errHasEnded
+			return errNotRunning
 		}
 		return nil
 	})
@@ -96,7 +96,7 @@
 }
 
 func parseCopyData(a *arguments) action {
-	return onProcess(a.process(), func(p *Process) error { return os.CopyFS(p.DataDir+copiedExtension, os.DirFS(p.DataDir)) })
+	return onProcess(a.process(), func(p *Process) error { return os.CopyFS(p.DataDir+copySuffix, os.DirFS(p.DataDir)) })
 }
 
 func parseRestoreData(a *arguments) action {
@@ -104,11 +104,12 @@
 		if err := os.RemoveAll(p.DataDir); err != nil {
 			return err
 		}
-		return os.CopyFS(p.DataDir, os.DirFS(p.DataDir+copiedExtension))
+		return os.CopyFS(p.DataDir, os.DirFS(p.DataDir+copySuffix))
 	})
 }
 
-// parseAwaitExclusion: whether the others refuse the node before it notices and ends is chance.
+// parseAwaitExclusion parses await-exclusion. The step accepts both outcomes, since it is a race whether the others refuse the node before it
+// detects the loss itself and exits.
 func parseAwaitExclusion(a *arguments) action {
 	process := a.process()
 	return func(r *runner) error {
@@ -128,7 +129,7 @@
 }
 
 func parseCommand(a *arguments) action {
-	words := a.rest()
+	words := a.remaining()
 	return func(r *runner) error {
 		output, err := r.fleet.RunCommand(r.texts(words)...)
 		if err != nil {
@@ -146,13 +147,13 @@
 	}
 	printed := a.words[separator+1:]
 	a.words = a.words[:separator]
-	words := a.rest()
+	words := a.remaining()
 	a.words = printed
-	wanted := a.rest()
+	wanted := a.remaining()
 	return func(r *runner) error {
 		output, err := r.fleet.RunCommand(r.texts(words)...)
 		if text := r.joined(wanted); err == nil || !strings.Contains(output, text) {
-			return fmt.Errorf("exit: %w; it has not failed with %q: %s", err, text, output)
+			return fmt.Errorf("exit: %w; want a failure with %q: %s", err, text, output)
 		}
 		return nil
 	}
