--- a/internal/lab/fleet/audit.go
+++ b/internal/lab/fleet/audit.go
@@ -41,7 +41,7 @@
 	actStale        = "late"    // a receiver rejected an act because of its fencing token
 	leaseGranted    = "duty"    // the coordinator granted a lease, or a lease ended
 	leaderElected   = "leads"   // a coordinator node became leader
-	nodeRefused     = "refused" // a coordinator node is refused by the others
+	nodeRefused     = "refused" // a peer refuses this coordinator node
 	policyInForce   = "policy"  // a version came into force at the coordinator
 	policyApplied   = "takes"   // a router applied a version
 	policyReported  = "goes by" // a router reported the version that it applied and the one that it rejected
--- a/internal/lab/fleet/runner.go
+++ b/internal/lab/fleet/runner.go
@@ -157,7 +157,8 @@
 	})
 }
 
-// recover stops the writers, resumes all processes, heals all links and waits until running routers apply the policy in force.
+// recover waits for the probe's responses, stops the writers, resumes all processes, heals all links and waits until running routers apply the
+// policy in force.
 func (r *runner) recover() error {
 	if r.probe != nil {
 		if err := r.probe.WaitForRequests(); err != nil {
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -32,7 +32,7 @@
 //
 // Links; A and B are each a process, coordinators, routers, members or all:
 //
-//	blackhole A B [forward|back]                 holds back data in one direction or both
+//	blackhole A B [forward|back]                 holds back data, in one direction or both, without loss
 //	reset A B                                    closes existing and new connections with RST
 //	heal A B                                     removes the faults
 //	await-held A B [any]                         until each link holds back forward data; any: one of them
@@ -50,7 +50,7 @@
 //	await-holder LEASE as V [not W]              until the coordinator's state has a holder other than W
 //	await-queue LEASE N                          until N sessions are queued for the lease
 //	await-withheld LEASE                         until the lease has no holder and is not granted again in this epoch
-//	await-acts LEASE [except W]                  until all routers but the holder, which is not W, and W accepted two acts
+//	await-acts LEASE [except W]                  until the holder is not W and all routers but these two accepted two of its acts
 //	await-stale-acts N                           until receivers have rejected N acts because of their fencing token
 //
 // The coordinator:
@@ -75,7 +75,7 @@
 // The policy:
 //
 //	write-policy P FIELD=VALUE ...               writes a policy file; many=N adds the rates of N tenants
-//	propose P [FLAG ...]                         runs `wayloft policy propose`, repeats it while its outcome is unknown; sets $P
+//	propose P [FLAG ...]                         runs `wayloft policy propose`, again while its outcome is unknown; must succeed; sets $P
 //	propose-async P [FLAG ...]                   runs the command once, in the background
 //	await-proposal STATUS [TEXT ...]             until that has ended, with this exit status and text; may set $begun
 //	propose-both P Q                             proposes both concurrently from one version: exactly one must be accepted
