--- a/internal/lab/fleet/simulation/acts.go
+++ b/internal/lab/fleet/simulation/acts.go
@@ -4,15 +4,15 @@
 
 const (
 	// A lease holder sends acts at this interval, ms: the least, and the most that is drawn on top.
-	minActIntervalMs = 40
-	actJitterMs      = 40
-	actsPerInterval  = 2
-	// maxActDelayMs is the most between a holder's check of its lease and the act; it may be paused meanwhile.
-	maxActDelayMs = 30
+	minCommandIntervalMs = 40
+	commandJitterMs      = 40
+	commandsPerInterval  = 2
+	// maxCommandDelayMs is the most between a holder's check of its lease and the act; it may be paused meanwhile.
+	maxCommandDelayMs = 30
 )
 
-// sendActs has a lease holder send acts for as long as it holds the lease under one token.
-func (p *Process) sendActs(name string, granted lease.Token) {
+// sendCommands has a lease holder send acts for as long as it holds the lease under one token.
+func (p *Process) sendCommands(name string, granted lease.Token) {
 	w := p.world
 	if current, held := p.heldLeases[name]; !held || current != granted {
 		return
@@ -20,26 +20,26 @@
 	p.client.Advance(p.clock())
 	if token, valid := p.client.Valid(name); valid {
 		w.checkNotSuperseded(p, name, token)
-		for range actsPerInterval {
+		for range commandsPerInterval {
 			to := w.Routers[w.rand.IntN(len(w.Routers))]
-			p.later(w.rand.Float64()*maxActDelayMs, func() { p.sendAct(to, name, token) })
+			p.later(w.rand.Float64()*maxCommandDelayMs, func() { p.sendCommand(to, name, token) })
 		}
 	}
-	p.later(minActIntervalMs+w.rand.Float64()*actJitterMs, func() { p.sendActs(name, granted) })
+	p.later(minCommandIntervalMs+w.rand.Float64()*commandJitterMs, func() { p.sendCommands(name, granted) })
 }
 
-func (p *Process) sendAct(to *Process, name string, token lease.Token) {
+func (p *Process) sendCommand(to *Process, name string, token lease.Token) {
 	w := p.world
 	incarnation := p.incarnation
-	w.send(p, to, actBytes, func() {
+	w.send(p, to, commandBytes, func() {
 		verdict, highest := to.checkToken(lease.Scope{Lease: name, Subject: "g"}, p.Name, token)
 		switch verdict {
 		case lease.Accepted:
-			w.actAccepted(to, name, p.Name, token)
+			w.checkAccepted(to, name, p.Name, token)
 		case lease.Stale:
-			w.StaleActs++
+			w.StaleCommands++
 		}
-		w.send(to, p, actResponseBytes, func() {
+		w.send(to, p, commandResponseBytes, func() {
 			if p.incarnation == incarnation && verdict == lease.Stale {
 				p.client.ActRejected(name, highest)
 			}
--- a/internal/lab/fleet/simulation/coordinator.go
+++ b/internal/lab/fleet/simulation/coordinator.go
@@ -14,8 +14,8 @@
 	// How long a write to a coordinator node's disk takes, ms: the least, and the mean of what is drawn on top.
 	minSaveMs       = 0.3
 	meanExtraSaveMs = 0.5
-	// unsafeSaveMs is when the disk writes what AcknowledgeUnsaved has acknowledged before.
-	unsafeSaveMs = 50
+	// unsavedWriteDelayMs is when the disk writes what AcknowledgeUnsaved has acknowledged before.
+	unsavedWriteDelayMs = 50
 	// snapshotMs is how long a snapshot takes to be sent.
 	snapshotMs = 20
 	// snapshotInterval is in entries.
@@ -24,8 +24,8 @@
 	keepaliveIntervalMs = 1000
 )
 
-// coordinatorPart is what a coordinator node has beside its process.
-type coordinatorPart struct {
+// coordinatorState is what a coordinator node has beside its process.
+type coordinatorState struct {
 	node        *raftnode.Node
 	disk        raftnode.Stored
 	diskDelayMs float64 // that its disk takes beyond the usual
@@ -111,8 +111,8 @@
 	}
 }
 
-// carryOutCoordinator carries out what the node decides.
-func (p *Process) carryOutCoordinator() {
+// executeCoordinatorDecisions carries out what the node decides.
+func (p *Process) executeCoordinatorDecisions() {
 	w := p.world
 	for d, more := p.node.Next(); more; d, more = p.node.Next() {
 		switch d.Action {
@@ -147,7 +147,7 @@
 func (p *Process) saveLater(d raftnode.Decision) {
 	if p.world.options.SeededDefects.AcknowledgeUnsaved {
 		p.node.Saved()
-		p.later(unsafeSaveMs, func() { p.save(d) })
+		p.later(unsavedWriteDelayMs, func() { p.save(d) })
 		return
 	}
 	p.later(minSaveMs+p.world.rand.ExpFloat64()*meanExtraSaveMs+p.diskDelayMs, func() {
--- a/internal/lab/fleet/simulation/faults.go
+++ b/internal/lab/fleet/simulation/faults.go
@@ -26,19 +26,19 @@
 // coordinatorsWiped is the fault after which the coordinator starts again without its state.
 const coordinatorsWiped = "coordinators wiped"
 
-// drawFaults schedules random faults and their ends: halfway through the run all is repaired but what is lost for good.
-func (w *World) drawFaults() {
-	kinds := []func() string{w.pauseAny, w.killAny, w.cutLink, w.cutOneWay, w.isolateAny, w.slowAnyDisk, w.dropMessages, w.killHolder, w.pauseHolder,
+// scheduleRandomFaults schedules random faults and their ends: halfway through the run all is repaired but what is lost for good.
+func (w *World) scheduleRandomFaults() {
+	kinds := []func() string{w.pauseRandomProcess, w.killRandomProcess, w.cutRandomLinks, w.cutLinksOneWay, w.isolateRandomProcess, w.slowRandomDisk, w.dropMessages, w.killHolder, w.pauseHolder,
 		w.pauseLeader, w.killLeader, w.restartReceivers, w.restartCoordinators, w.loseDataDirectory}
-	w.scheduleRandom(2+w.rand.IntN(6), kinds)
+	w.scheduleFaultsOfKinds(2+w.rand.IntN(6), kinds)
 	if w.rand.IntN(12) == 0 {
 		w.After(2500+w.rand.Float64()*(w.options.FaultsMs-2500), w.WipeCoordinators)
 	}
 	w.After(w.options.FaultsMs+repairMs, w.repairNetwork)
 }
 
-// scheduleRandom schedules faults of random kinds at random times. Each kind returns its name for the report.
-func (w *World) scheduleRandom(count int, kinds []func() string) {
+// scheduleFaultsOfKinds schedules faults of random kinds at random times. Each kind returns its name for the report.
+func (w *World) scheduleFaultsOfKinds(count int, kinds []func() string) {
 	for range count {
 		inject := kinds[w.rand.IntN(len(kinds))]
 		w.After(firstFaultMs+w.rand.Float64()*(w.options.FaultsMs-firstFaultMs), func() { w.Faults[inject()]++ })
@@ -67,28 +67,28 @@
 	return leaseName(w.rand.IntN(w.options.Leases))
 }
 
-func (w *World) pauseAny() string {
+func (w *World) pauseRandomProcess() string {
 	w.PauseFor(w.randomProcess(), w.faultDurationMs())
 	return "process paused"
 }
 
-func (w *World) killAny() string {
+func (w *World) killRandomProcess() string {
 	w.KillFor(w.randomProcess(), w.faultDurationMs())
 	return "process killed"
 }
 
-func (w *World) cutLink() string {
+func (w *World) cutRandomLinks() string {
 	w.Isolate(w.randomProcess(), true, true, []*Process{w.randomProcess(), w.randomProcess()}, w.faultDurationMs())
 	return "link cut"
 }
 
-func (w *World) cutOneWay() string {
+func (w *World) cutLinksOneWay() string {
 	outgoing := w.rand.IntN(2) == 0
 	w.Isolate(w.randomProcess(), outgoing, !outgoing, w.Coordinators, w.faultDurationMs())
 	return "link cut one way"
 }
 
-func (w *World) isolateAny() string {
+func (w *World) isolateRandomProcess() string {
 	p := w.randomProcess()
 	others := w.Routers
 	if w.rand.IntN(2) == 0 {
@@ -98,7 +98,7 @@
 	return "process isolated"
 }
 
-func (w *World) slowAnyDisk() string {
+func (w *World) slowRandomDisk() string {
 	p := w.randomCoordinator()
 	p.diskDelayMs = 20 + w.rand.Float64()*400
 	w.After(w.faultDurationMs(), func() { p.diskDelayMs = 0 })
--- a/internal/lab/fleet/simulation/health_sharing.go
+++ b/internal/lab/fleet/simulation/health_sharing.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	healthSharingMs = 20000
+	healthSharingDurationMs = 20000
 	// Requests of one router in a second, on average; one in writeOneIn is a write.
 	requestsPerSecond = 12
-	writeOneIn        = 6
+	requestsPerWrite  = 6
 	requestDeadlineMs = 2000
 	// How long a member takes for a request, ms: the least, and the mean of what is drawn on top.
 	minRequestMs       = 2
 	meanExtraRequestMs = 5
 	// proberTickMs is the interval of the prober's clock, probeMs how long it waits for a member's response.
-	proberTickMs = 5
-	probeMs      = 2
+	proberTickMs    = 5
+	probeDurationMs = 2
 	// maxArrivalDelayMs is when the first request of a router arrives at the latest.
 	maxArrivalDelayMs = 100
 )
@@ -56,7 +56,7 @@
 		prober.SetMembers(groupMemberIDs)
 		w.After(1, func() { w.probe(prober) })
 	}
-	w.runUntil(healthSharingMs, func() bool { return false })
+	w.runUntil(healthSharingDurationMs, func() bool { return false })
 	return w.result()
 }
 
@@ -94,7 +94,7 @@
 	for d, more := prober.Next(); more; d, more = prober.Next() {
 		if d.Action == healthshare.Probe {
 			w.checks++
-			w.After(probeMs, func() {
+			w.After(probeDurationMs, func() {
 				role, position := w.position(d.Member)
 				prober.Reported(healthshare.Report{Member: d.Member, Position: position, Primary: role == router.Primary, Replica: role == router.Replica, At: w.Now})
 			})
@@ -162,7 +162,7 @@
 	w := r.world
 	w.requests++
 	id, class := fmt.Sprint("r", r.number, "-", w.requests), "read"
-	if w.rand.IntN(writeOneIn) == 0 {
+	if w.rand.IntN(requestsPerWrite) == 0 {
 		id, class = fmt.Sprint("w", r.number, "-", w.requests), "write"
 	}
 	r.update(func(to *router.Router) { to.Arrive(id, "", "", class, 0, 0, requestDeadlineMs, false) })
--- a/internal/lab/fleet/simulation/lease_checker.go
+++ b/internal/lab/fleet/simulation/lease_checker.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// actAccepted checks an act that a receiver accepted against all that it ever accepted.
-func (w *World) actAccepted(receiver *Process, name, holder string, token lease.Token) {
-	w.Acts++
+// checkAccepted checks an act that a receiver accepted against all that it ever accepted.
+func (w *World) checkAccepted(receiver *Process, name, holder string, token lease.Token) {
+	w.AcceptedCommands++
 	at := receiverKey{receiver.Name, name}
 	if token.Compare(w.highestAccepted[at]) < 0 {
 		w.violation("%s accepted an act of %s for %s under %v after one under %v", receiver.Name, holder, name, token, w.highestAccepted[at])
--- a/internal/lab/fleet/simulation/lease_client.go
+++ b/internal/lab/fleet/simulation/lease_client.go
@@ -18,21 +18,21 @@
 	overcountedMarginMs = -1000
 )
 
-// leasePart is a router's lease client and what it needs.
-type leasePart struct {
-	client       *leaseclient.Client
-	leases       []string // that it requests
-	knownLeader  string   // of the coordinator; empty: not known
-	openRequests map[uint64]openRequest
-	ownRequests  uint64 // requests that are not the lease client's
-	watchIndex   uint64 // up to which it knows the lease state
-	heldLeases   map[string]lease.Token
-	seenTokens   map[string]lease.Token // of a receiver with ForgetTokens
-	starts       int
+// leaseClientState is a router's lease client and what it needs.
+type leaseClientState struct {
+	client          *leaseclient.Client
+	leases          []string // that it requests
+	knownLeader     string   // of the coordinator; empty: not known
+	pendingRequests map[uint64]pendingRequest
+	ownRequests     uint64 // requests that are not the lease client's
+	watchIndex      uint64 // up to which it knows the lease state
+	heldLeases      map[string]lease.Token
+	seenTokens      map[string]lease.Token // of a receiver with ForgetTokens
+	starts          int
 }
 
-// openRequest is a request without a response yet.
-type openRequest struct {
+// pendingRequest is a request without a response yet.
+type pendingRequest struct {
 	operations []int  // its places in the history, one for each lease that it asks about
 	resend     func() // to the node that leads now
 	onResult   func(result leasestate.Result, known bool)
@@ -40,7 +40,7 @@
 
 func (p *Process) startRouter() {
 	p.starts++
-	p.openRequests, p.heldLeases, p.seenTokens = map[uint64]openRequest{}, map[string]lease.Token{}, map[string]lease.Token{}
+	p.pendingRequests, p.heldLeases, p.seenTokens = map[uint64]pendingRequest{}, map[string]lease.Token{}, map[string]lease.Token{}
 	p.watchIndex, p.knownLeader = 0, ""
 	margin := SafetyMarginMs
 	if p.world.options.SeededDefects.OvercountLease {
@@ -93,12 +93,12 @@
 	p.later(minPollIntervalMs+w.rand.Float64()*pollJitterMs, p.pollLeases)
 }
 
-// carryOutClient carries out what the lease client decides.
-func (p *Process) carryOutClient() {
+// executeClientDecisions carries out what the lease client decides.
+func (p *Process) executeClientDecisions() {
 	for d, more := p.client.Next(); more; d, more = p.client.Next() {
 		switch d.Action {
 		case leaseclient.Propose, leaseclient.QueryTokens:
-			p.openRequests[d.Request] = openRequest{operations: p.recordOperations(d)}
+			p.pendingRequests[d.Request] = pendingRequest{operations: p.recordOperations(d)}
 			p.sendRequest(d, 0)
 		case leaseclient.Start:
 			p.startLease(d.Lease, d.Token)
@@ -112,7 +112,7 @@
 	p.heldLeases[name] = token
 	p.world.leaseStarted(p, name)
 	if name != switchover.LeaseName(0) {
-		p.sendActs(name, token)
+		p.sendCommands(name, token)
 		return
 	}
 	p.orderState.BeginLease(token)
@@ -150,7 +150,7 @@
 // sendRequest sends a request to the node that is thought to lead, or to any.
 func (p *Process) sendRequest(d leaseclient.Decision, redirects int) {
 	w := p.world
-	open, waits := p.openRequests[d.Request]
+	open, waits := p.pendingRequests[d.Request]
 	if !waits {
 		return
 	}
@@ -163,7 +163,7 @@
 		to = w.randomCoordinator()
 	}
 	open.resend = func() { p.sendRequest(d, redirects+1) }
-	p.openRequests[d.Request] = open
+	p.pendingRequests[d.Request] = open
 	incarnation := p.incarnation
 	w.send(p, to, requestBytes, func() {
 		w.lastRequest++
@@ -177,7 +177,7 @@
 		}
 	})
 	p.later(requestTimeoutMs, func() {
-		if _, waits := p.openRequests[d.Request]; waits {
+		if _, waits := p.pendingRequests[d.Request]; waits {
 			p.knownLeader = ""
 			p.failRequest(d.Request)
 		}
@@ -189,13 +189,13 @@
 	const ownRequest = 1 << 62 // keeps the numbers apart from the lease client's
 	p.ownRequests++
 	number := p.ownRequests | ownRequest
-	p.openRequests[number] = openRequest{onResult: onResult}
+	p.pendingRequests[number] = pendingRequest{onResult: onResult}
 	p.sendRequest(leaseclient.Decision{Action: leaseclient.Propose, Request: number, Entry: e}, 0)
 }
 
 func (p *Process) failRequest(number uint64) {
-	open := p.openRequests[number]
-	delete(p.openRequests, number)
+	open := p.pendingRequests[number]
+	delete(p.pendingRequests, number)
 	p.client.Advance(p.clock())
 	if open.onResult != nil {
 		open.onResult(leasestate.Result{}, false)
@@ -206,7 +206,7 @@
 
 // responseReceived handles a coordinator node's response to a request.
 func (p *Process) responseReceived(number uint64, d raftnode.Decision, tokens []lease.Token) {
-	open, waits := p.openRequests[number]
+	open, waits := p.pendingRequests[number]
 	if !waits {
 		return
 	}
@@ -225,8 +225,8 @@
 	}
 }
 
-func (p *Process) requestDone(number uint64, open openRequest, result leasestate.Result, tokens []lease.Token) {
-	delete(p.openRequests, number)
+func (p *Process) requestDone(number uint64, open pendingRequest, result leasestate.Result, tokens []lease.Token) {
+	delete(p.pendingRequests, number)
 	for n, place := range open.operations {
 		operation := &p.world.Operations[place]
 		operation.EndedMs, operation.Held, operation.Token = p.world.Now, result.Held, result.Token
--- a/internal/lab/fleet/simulation/lease_test.go
+++ b/internal/lab/fleet/simulation/lease_test.go
@@ -17,14 +17,14 @@
 func TestLeases_RandomFaults(t *testing.T) {
 	staleActs, acts, grants, faults := 0, 0, 0, map[string]int{}
 	for seed := range uint64(*schedules) {
-		w := Play(leaseOptions(seed))
+		w := Run(leaseOptions(seed))
 		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d: %v\n%v", seed, w.Violations, w.Faults)
 		}
-		if len(w.StuckLeases) > 0 {
-			t.Fatalf("seed %d: %v have no holder at the end\n%v", seed, w.StuckLeases, w.Faults)
+		if len(w.UnheldLeases) > 0 {
+			t.Fatalf("seed %d: %v have no holder at the end\n%v", seed, w.UnheldLeases, w.Faults)
 		}
-		staleActs, acts, grants = staleActs+w.StaleActs, acts+w.Acts, grants+w.Grants
+		staleActs, acts, grants = staleActs+w.StaleCommands, acts+w.AcceptedCommands, grants+w.Grants
 		for kind, count := range w.Faults {
 			faults[kind] += count
 		}
@@ -37,20 +37,20 @@
 
 // A holder whose stale act is rejected with the fencing token of its own next grant starts to act under that grant.
 func TestLeases_RejectedWithTokenOfOwnNextGrant(t *testing.T) {
-	if w := Play(leaseOptions(4482)); len(w.Violations)+len(w.StuckLeases) > 0 {
-		t.Error(w.Violations, w.StuckLeases)
+	if w := Run(leaseOptions(4482)); len(w.Violations)+len(w.UnheldLeases) > 0 {
+		t.Error(w.Violations, w.UnheldLeases)
 	}
 }
 
-func TestPlay_SameSeedSameRun(t *testing.T) {
-	a, b := Play(leaseOptions(7)), Play(leaseOptions(7))
-	if a.Acts != b.Acts || a.Messages != b.Messages || a.Bytes != b.Bytes || !slices.Equal(a.Operations, b.Operations) {
-		t.Fatalf("%d acts, %d messages, %d bytes; then %d, %d, %d", a.Acts, a.Messages, a.Bytes, b.Acts, b.Messages, b.Bytes)
+func TestRun_SameSeedSameRun(t *testing.T) {
+	a, b := Run(leaseOptions(7)), Run(leaseOptions(7))
+	if a.AcceptedCommands != b.AcceptedCommands || a.Messages != b.Messages || a.Bytes != b.Bytes || !slices.Equal(a.Operations, b.Operations) {
+		t.Fatalf("%d acts, %d messages, %d bytes; then %d, %d, %d", a.AcceptedCommands, a.Messages, a.Bytes, b.AcceptedCommands, b.Messages, b.Bytes)
 	}
 }
 
-// pauseHolderDuringAct pauses holders between the check of the lease and the act, and restarts all others before they resume.
-func pauseHolderDuringAct(w *World) {
+// pauseHolderBeforeCommand pauses holders between the check of the lease and the act, and restarts all others before they resume.
+func pauseHolderBeforeCommand(w *World) {
 	for at := 3000.0; at < w.options.FaultsMs; at += 4500 {
 		w.After(at, func() {
 			if p := w.Holder(leaseName(0)); p != nil {
@@ -105,7 +105,7 @@
 // Each seeded defect is found by a checker under some seed, which finds nothing without the defect.
 func TestSeededDefects_AreFound(t *testing.T) {
 	wiped := func(w *World) {
-		w.drawFaults()
+		w.scheduleRandomFaults()
 		w.After(4000+w.rand.Float64()*4000, w.WipeCoordinators)
 	}
 	for _, c := range []struct {
@@ -113,8 +113,8 @@
 		schedule func(*World)
 		enable   func(*SeededDefects)
 	}{
-		{"token not checked", pauseHolderDuringAct, func(d *SeededDefects) { d.SkipTokenCheck = true }},
-		{"tokens forgotten", pauseHolderDuringAct, func(d *SeededDefects) { d.ForgetTokens = true }},
+		{"token not checked", pauseHolderBeforeCommand, func(d *SeededDefects) { d.SkipTokenCheck = true }},
+		{"tokens forgotten", pauseHolderBeforeCommand, func(d *SeededDefects) { d.ForgetTokens = true }},
 		{"lease overcounted", nil, func(d *SeededDefects) { d.OvercountLease = true }},
 		{"same epoch", wiped, func(d *SeededDefects) { d.SameEpoch = true }},
 		{"acknowledged unsaved", killFollowers, func(d *SeededDefects) { d.AcknowledgeUnsaved = true }},
@@ -128,10 +128,10 @@
 				if c.enable(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyAnswer { // it sends requests without end
 					o.FaultsMs = 1600
 				}
-				if w := Play(o); len(w.Violations) > 0 {
+				if w := Run(o); len(w.Violations) > 0 {
 					t.Logf("seed %d: %.200s", seed, w.Violations[0])
 					o.SeededDefects = SeededDefects{}
-					if w := Play(o); len(w.Violations) > 0 {
+					if w := Run(o); len(w.Violations) > 0 {
 						t.Errorf("without it: %v", w.Violations)
 					}
 					return
@@ -144,15 +144,15 @@
 
 // 600 routers and three coordinator nodes, which are all paused for a while: holders get their leases back under the same token.
 func TestLeases_600RoutersCoordinatorPaused(t *testing.T) {
-	w := Play(Options{Seed: 3, Coordinators: 3, Routers: 600, Leases: 13, MaxHolders: 40, FaultsMs: 8000, Schedule: func(w *World) {
+	w := Run(Options{Seed: 3, Coordinators: 3, Routers: 600, Leases: 13, MaxHolders: 40, FaultsMs: 8000, Schedule: func(w *World) {
 		w.After(3000, func() {
 			for _, p := range w.Coordinators {
 				w.PauseFor(p, 3000)
 			}
 		})
 	}})
-	if len(w.Violations)+len(w.StuckLeases) > 0 {
-		t.Fatal(w.Violations, w.StuckLeases)
+	if len(w.Violations)+len(w.UnheldLeases) > 0 {
+		t.Fatal(w.Violations, w.UnheldLeases)
 	}
 	t.Logf("%d messages, %d bytes, %d entries, %d grants, without a holder for %.0f ms", w.Messages, w.Bytes, w.Entries, w.Grants, w.HolderGapsMs)
 	if w.Grants != 13 {
--- a/internal/lab/fleet/simulation/network.go
+++ b/internal/lab/fleet/simulation/network.go
@@ -6,20 +6,20 @@
 	meanExtraDelayMs = 0.8
 
 	// Sizes of messages that have no encoding here, bytes.
-	pollBytes           = 16
-	pollEntryBytes      = 48
-	requestBytes        = 96
-	responseBytes       = 64
-	actBytes            = 80
-	actResponseBytes    = 32
-	stepResponseBytes   = 40
-	writeBytes          = 100
-	checkBytes          = 50
-	watchBytes          = 32
-	fetchBytes          = 60
-	proposalExtraBytes  = 64
-	policyQueryBytes    = 16
-	unsubscriptionBytes = 16
+	pollBytes            = 16
+	pollEntryBytes       = 48
+	requestBytes         = 96
+	responseBytes        = 64
+	commandBytes         = 80
+	commandResponseBytes = 32
+	stepResponseBytes    = 40
+	writeBytes           = 100
+	healthCheckBytes     = 50
+	watchBytes           = 32
+	fetchBytes           = 60
+	proposalExtraBytes   = 64
+	policyQueryBytes     = 16
+	unsubscriptionBytes  = 16
 )
 
 // send carries a message from one process to another, unless the link is cut or the message is lost. A message to a paused
--- a/internal/lab/fleet/simulation/policy_faults.go
+++ b/internal/lab/fleet/simulation/policy_faults.go
@@ -12,14 +12,14 @@
 	lastChangeMs = 2500
 )
 
-// drawPolicyFaults schedules random faults as drawFaults does, with those that concern the policy, and two changes after them.
-func (w *World) drawPolicyFaults() {
-	kinds := []func() string{w.pauseAny, w.killAny, w.cutLink, w.cutOneWay, w.isolateAny, w.slowAnyDisk, w.dropMessages, w.pauseLeader, w.killLeader,
+// scheduleRandomPolicyFaults schedules random faults as scheduleRandomFaults does, with those that concern the policy, and two changes after them.
+func (w *World) scheduleRandomPolicyFaults() {
+	kinds := []func() string{w.pauseRandomProcess, w.killRandomProcess, w.cutRandomLinks, w.cutLinksOneWay, w.isolateRandomProcess, w.slowRandomDisk, w.dropMessages, w.pauseLeader, w.killLeader,
 		w.restartReceivers, w.restartCoordinators, w.isolateFromPeers, w.corruptStores, w.serveCorruptChunks}
 	if w.policyRun.ZoneRouters > 0 {
 		kinds = append(kinds, w.restartZone)
 	}
-	w.scheduleRandom(3+w.rand.IntN(6), kinds)
+	w.scheduleFaultsOfKinds(3+w.rand.IntN(6), kinds)
 	if w.policyRun.Regions {
 		w.After(firstPolicyFaultMs+w.rand.Float64()*2000, func() { w.Faults[w.partitionRegions()]++ })
 	}
--- a/internal/lab/fleet/simulation/policy_router.go
+++ b/internal/lab/fleet/simulation/policy_router.go
@@ -24,8 +24,8 @@
 	meanExtraStoreMs = 5
 )
 
-// policyPart is what the policy needs of a router, and of a coordinator node.
-type policyPart struct {
+// policyState is what the policy needs of a router, and of a coordinator node.
+type policyState struct {
 	policy        *policyRouter
 	stored        storedPolicy // on the router's disk
 	storeTampered bool         // a fault changed it
@@ -34,17 +34,17 @@
 
 // policyRouter is a router's policy follower and its watch.
 type policyRouter struct {
-	follower      *policy.Follower
-	version       policy.Version // that the router applied last
-	document      policy.Document
-	coordinator   *Process // of the watch
-	stream        int      // of the watch
-	sequence      int      // of the last message of the watch
-	brokenStream  int      // the last watch of which a message was missing
-	lastMessageMs float64
-	fetches       int     // numbers fetches; a response to an earlier one is dropped
-	nextWakeMs    float64 // when the follower's clock is advanced next
-	lastApplyMs   float64 // when the version that is being applied will be
+	follower         *policy.Follower
+	version          policy.Version // that the router applied last
+	document         policy.Document
+	coordinator      *Process // of the watch
+	stream           int      // of the watch
+	sequence         int      // of the last message of the watch
+	incompleteStream int      // the last watch of which a message was missing
+	lastMessageMs    float64
+	fetches          int     // numbers fetches; a response to an earlier one is dropped
+	nextWakeMs       float64 // when the follower's clock is advanced next
+	lastApplyMs      float64 // when the version that is being applied will be
 }
 
 // storedPolicy is what a router has on its disk.
@@ -63,7 +63,7 @@
 	p.policy.follower.Advance(p.clock())
 	p.policy.follower.Stored(p.stored.version, p.stored.document)
 	p.subscribe()
-	p.watchForSilence()
+	p.checkWatchTimeout()
 }
 
 // subscribe starts a watch at some coordinator node and ends the one before.
@@ -87,13 +87,13 @@
 	})
 }
 
-// watchForSilence replaces a watch that no message came from.
-func (p *Process) watchForSilence() {
+// checkWatchTimeout replaces a watch that no message came from.
+func (p *Process) checkWatchTimeout() {
 	p.later(watchCheckMs, func() {
 		if p.world.Now-p.policy.lastMessageMs > watchTimeoutMs {
 			p.subscribe()
 		}
-		p.watchForSilence()
+		p.checkWatchTimeout()
 	})
 }
 
@@ -102,8 +102,8 @@
 	r := p.policy
 	if stream == r.stream {
 		r.lastMessageMs = p.world.Now
-		if sequence > r.sequence+1 && r.brokenStream != stream {
-			r.brokenStream = stream
+		if sequence > r.sequence+1 && r.incompleteStream != stream {
+			r.incompleteStream = stream
 			p.later(minResubscribeMs+p.world.rand.Float64()*resubscribeJitterMs, p.subscribe)
 		} else if sequence == r.sequence+1 {
 			p.client.UpdateReceived(update)
@@ -116,8 +116,8 @@
 	}
 }
 
-// carryOutPolicy carries out what the follower decides.
-func (p *Process) carryOutPolicy() {
+// executePolicyDecisions carries out what the follower decides.
+func (p *Process) executePolicyDecisions() {
 	w, r := p.world, p.policy
 	r.follower.Advance(p.clock())
 	for d, more := r.follower.Next(); more; d, more = r.follower.Next() {
--- a/internal/lab/fleet/simulation/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -7,13 +7,13 @@
 )
 
 var (
-	policies = flag.Int("policies", 6, "random schedules of policy changes that are run")
-	size     = flag.Int("size", 16, "routers of these schedules")
-	apart    = flag.Float64("apart", 20, "seconds for which the regions of these schedules are partitioned")
+	policySchedules  = flag.Int("policies", 6, "random schedules of policy changes that are run")
+	policyRouters    = flag.Int("size", 16, "routers of these schedules")
+	partitionSeconds = flag.Float64("apart", 20, "seconds for which the regions of these schedules are partitioned")
 )
 
 func policyOptions(seed uint64) Options {
-	return Options{Seed: seed, Coordinators: 3, Routers: *size, FaultsMs: 15000, Policy: &PolicyOptions{Fields: 60, FieldsPerChange: 1, ChangeIntervalMs: 1500, ZoneRouters: max(1, *size/8)}}
+	return Options{Seed: seed, Coordinators: 3, Routers: *policyRouters, FaultsMs: 15000, Policy: &PolicyOptions{Fields: 60, FieldsPerChange: 1, ChangeIntervalMs: 1500, ZoneRouters: max(1, *policyRouters/8)}}
 }
 
 // Whatever the faults: a version is one document, no router goes back to an earlier one, routers acknowledge only what they applied,
@@ -22,14 +22,14 @@
 func TestPolicies_RandomFaults(t *testing.T) {
 	var all PolicyResult
 	faults := map[string]int{}
-	for seed := range uint64(*policies) {
+	for seed := range uint64(*policySchedules) {
 		o := policyOptions(seed)
 		if seed%4 == 3 {
-			o.Policy.Regions, o.Policy.RegionCutMs = true, *apart*1000
+			o.Policy.Regions, o.Policy.RegionCutMs = true, *partitionSeconds*1000
 			o.FaultsMs, o.RecoveryMs = o.FaultsMs+o.Policy.RegionCutMs, 20000
 			o.Policy.ChangeIntervalMs = max(1500, o.Policy.RegionCutMs/30)
 		}
-		w := Play(o)
+		w := Run(o)
 		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d: %v\n%v", seed, w.Violations, w.Faults)
 		}
@@ -37,7 +37,7 @@
 		for kind, count := range w.Faults {
 			faults[kind] += count
 		}
-		if *policies <= 4 {
+		if *policySchedules <= 4 {
 			t.Logf("seed %d: %d accepted, %d applied, %v", seed, w.Accepted, w.Applied, w.Faults)
 		}
 	}
@@ -45,10 +45,10 @@
 	if n := len(all.PropagationMs); n > 0 {
 		t.Logf("%d schedules of %d routers: %d proposed, %d accepted, %d rejected, %d unknown; applied everywhere after %.0f ms (median), %.0f (worst, under faults); "+
 			"%d applied, %d parts fetched, %d outdated announcements, %d hash mismatches, at most %d bytes of a router in a second; faults %v",
-			*policies, *size, all.Proposed, all.Accepted, all.Rejected, all.Unknown, all.PropagationMs[n/2], all.PropagationMs[n-1],
+			*policySchedules, *policyRouters, all.Proposed, all.Accepted, all.Rejected, all.Unknown, all.PropagationMs[n/2], all.PropagationMs[n-1],
 			all.Applied, all.Fetched, all.StaleAnnouncements, all.HashMismatches, all.MaxBytesPerSecond, faults)
 	}
-	if all.Accepted < 5**policies || all.Rejected < *policies/2 || all.Fetched < *policies {
+	if all.Accepted < 5**policySchedules || all.Rejected < *policySchedules/2 || all.Fetched < *policySchedules {
 		t.Error("this tests little")
 	}
 }
@@ -73,7 +73,7 @@
 	t.Helper()
 	const changeMs, durationMs = 32000.0, 15000.0
 	var idle, busy int
-	o := Options{Seed: 5, Coordinators: 3, Routers: *size, FaultsMs: changeMs, Policy: &PolicyOptions{Fields: fields, FieldsPerChange: change}}
+	o := Options{Seed: 5, Coordinators: 3, Routers: *policyRouters, FaultsMs: changeMs, Policy: &PolicyOptions{Fields: fields, FieldsPerChange: change}}
 	var last *World
 	o.Schedule = func(w *World) {
 		last = w
@@ -93,22 +93,22 @@
 			}
 		})
 	}
-	w := Play(o)
+	w := Run(o)
 	if len(w.Violations) > 0 {
 		t.Fatal(w.Violations)
 	}
 	delaysMs = slices.Sorted(slices.Values(last.policyRun.routerDelaysMs[last.policyRun.latest]))
-	return delaysMs, float64(busy-idle) / float64(*size), w.MaxBytesPerSecond
+	return delaysMs, float64(busy-idle) / float64(*policyRouters), w.MaxBytesPerSecond
 }
 
 // The cost of a change: one field of a small document, of a large one, nearly all of that at once; and of a zone that restarts one
 // version behind, or with empty stores.
 func TestPolicies_CostOfChange(t *testing.T) {
 	large := 500 // fields: 100 KB have 2,700
-	if *size > 100 {
+	if *policyRouters > 100 {
 		large = 2700
 	}
-	zone := max(1, *size/8)
+	zone := max(1, *policyRouters/8)
 	for _, c := range []struct {
 		name           string
 		fields, change int
@@ -121,7 +121,7 @@
 		{"nearly all of a large document", large, 4 * large, nil, 0},
 	} {
 		delaysMs, bytes, maxBytes := changeCost(t, c.fields, c.change, c.event)
-		t.Logf("%s (%d fields), %d routers: %d applied it after %.0f ms (median), %.0f (worst); %.0f bytes a router; at most %d in a second", c.name, c.fields, *size, len(delaysMs),
+		t.Logf("%s (%d fields), %d routers: %d applied it after %.0f ms (median), %.0f (worst); %.0f bytes a router; at most %d in a second", c.name, c.fields, *policyRouters, len(delaysMs),
 			delaysMs[len(delaysMs)/2], delaysMs[len(delaysMs)-1], bytes, maxBytes)
 		if worst := delaysMs[len(delaysMs)-1]; c.maxMs > 0 && worst > c.maxMs {
 			t.Errorf("%s: %.0f ms, at most %.0f are allowed", c.name, worst, c.maxMs)
@@ -144,7 +144,7 @@
 			t.Fatalf("%d of %d routers have recovered", len(recoveryMs), zone)
 		}
 		t.Logf("a zone of %d of %d routers restarted, stores kept: %v: version in force applied after %.0f ms (median), %.0f (worst); %.0f bytes for each of them; "+
-			"at most %d in a second", zone, *size, keepStore, recoveryMs[len(recoveryMs)/2], recoveryMs[len(recoveryMs)-1], bytes*float64(*size)/float64(zone), maxBytes)
+			"at most %d in a second", zone, *policyRouters, keepStore, recoveryMs[len(recoveryMs)/2], recoveryMs[len(recoveryMs)-1], bytes*float64(*policyRouters)/float64(zone), maxBytes)
 		if worst := recoveryMs[len(recoveryMs)-1]; keepStore && worst > 4000 {
 			t.Errorf("recovered with stores kept after %.0f ms", worst)
 		}
@@ -213,10 +213,10 @@
 				o := policyOptions(seed)
 				o.Routers, o.Policy.ZoneRouters, o.Schedule = 12, 4, c.schedule
 				c.enable(&o.SeededDefects)
-				if w := Play(o); len(w.Violations) > 0 {
+				if w := Run(o); len(w.Violations) > 0 {
 					t.Logf("seed %d: %.200s", seed, w.Violations[0])
 					o.SeededDefects = SeededDefects{}
-					if w := Play(o); len(w.Violations) > 0 {
+					if w := Run(o); len(w.Violations) > 0 {
 						t.Errorf("without it: %v", w.Violations)
 					}
 					return
--- a/internal/lab/fleet/simulation/process.go
+++ b/internal/lab/fleet/simulation/process.go
@@ -21,10 +21,10 @@
 	clockOffsetMs float64 // its clock less the world's
 	deferred      []func()
 
-	coordinatorPart
-	leasePart
-	switchoverPart
-	policyPart
+	coordinatorState
+	leaseClientState
+	switchoverState
+	policyState
 	member *member // of a member
 }
 
@@ -35,7 +35,7 @@
 		return
 	}
 	do()
-	p.carryOut()
+	p.executeDecisions()
 }
 
 // later has a process do something after a time, if it is the same incarnation then.
@@ -67,7 +67,7 @@
 	default:
 		p.startRouter()
 	}
-	p.carryOut()
+	p.executeDecisions()
 	p.scheduleTick()
 }
 
@@ -94,22 +94,22 @@
 	return min(max(p.client.NextDeadline()-p.clock(), minAdvanceMs), latest)
 }
 
-// carryOut carries out the decisions of the process's state machines.
-func (p *Process) carryOut() {
+// executeDecisions carries out the decisions of the process's state machines.
+func (p *Process) executeDecisions() {
 	if p.node != nil {
-		p.carryOutCoordinator()
+		p.executeCoordinatorDecisions()
 		return
 	}
 	if p.client == nil {
 		return
 	}
 	if p.policy != nil {
-		p.carryOutPolicy()
+		p.executePolicyDecisions()
 	}
-	p.carryOutClient()
+	p.executeClientDecisions()
 	if p.switchover != nil {
-		p.continueSwitchover()
-		p.carryOutClient()
+		p.advanceSwitchover()
+		p.executeClientDecisions()
 	}
 }
 
@@ -139,7 +139,7 @@
 			return
 		}
 		do()
-		p.carryOut()
+		p.executeDecisions()
 	}
 }
 
--- a/internal/lab/fleet/simulation/recorded_test.go
+++ b/internal/lab/fleet/simulation/recorded_test.go
@@ -25,7 +25,7 @@
 			for seed := range uint64(*recordedSeeds) {
 				o := kind.options(seed)
 				o.FaultsMs = 8000
-				fmt.Fprintf(&out, "seed %d: %x\n", seed, sha256.Sum256([]byte(recordedReport(Play(o)))))
+				fmt.Fprintf(&out, "seed %d: %x\n", seed, sha256.Sum256([]byte(recordedReport(Run(o)))))
 			}
 			recording.ComparePrefix(t, "recorded-"+kind.name+".digest", out.String())
 		})
@@ -43,7 +43,7 @@
 func recordedReport(w *World) string {
 	r := w.Report
 	counts := func(m map[string]int) []int { return slices.Sorted(maps.Values(m)) }
-	text := fmt.Sprint(len(r.Violations), r.Acts, r.StaleActs, r.Grants, r.Elections, counts(r.Faults), r.HolderGapsMs, r.Entries, r.Bytes, r.Messages, r.EndedMs, r.StuckLeases,
+	text := fmt.Sprint(len(r.Violations), r.AcceptedCommands, r.StaleCommands, r.Grants, r.Elections, counts(r.Faults), r.HolderGapsMs, r.Entries, r.Bytes, r.Messages, r.EndedMs, r.UnheldLeases,
 		r.Proposed, r.Accepted, r.Rejected, r.Unknown, r.Applied, slices.Sorted(slices.Values(r.PropagationMs)), r.MaxBytesPerSecond, r.Fetched, r.StaleAnnouncements, r.HashMismatches, w.Now)
 	for _, op := range r.Operations {
 		text += fmt.Sprint(op.Client, 0, op.Session, op.StartedMs, op.EndedMs, op.Held, op.Token)
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -59,20 +59,20 @@
 
 // Report is the result of a run.
 type Report struct {
-	Violations   []string
-	Acts         int // accepted by receivers
-	StaleActs    int // rejected for their fencing token
-	Grants       int
-	Elections    int
-	Faults       map[string]int // by kind
-	HolderGapsMs []float64      // how long a lease had no acting holder, each time
-	Entries      uint64         // of the coordinator's log
-	Bytes        int            // between all processes
-	Messages     int
-	Operations   []Operation
-	EndedMs      float64
+	Violations       []string
+	AcceptedCommands int // accepted by receivers
+	StaleCommands    int // rejected for their fencing token
+	Grants           int
+	Elections        int
+	Faults           map[string]int // by kind
+	HolderGapsMs     []float64      // how long a lease had no acting holder, each time
+	Entries          uint64         // of the coordinator's log
+	Bytes            int            // between all processes
+	Messages         int
+	Operations       []Operation
+	EndedMs          float64
 	PolicyResult
-	StuckLeases []string // leases without an acting holder at the end
+	UnheldLeases []string // leases without an acting holder at the end
 }
 
 // Kinds of operations. CheckLinearizable judges both alike, by what the response says.
--- a/internal/lab/fleet/simulation/switchover_executor.go
+++ b/internal/lab/fleet/simulation/switchover_executor.go
@@ -23,8 +23,8 @@
 
 var errNoPrimary = errors.New("no member takes writes")
 
-// switchoverPart is a router's part in switchovers: its requests, its held writes, and the executor while it holds the lease.
-type switchoverPart struct {
+// switchoverState is a router's part in switchovers: its requests, its held writes, and the executor while it holds the lease.
+type switchoverState struct {
 	driver     *routerDriver
 	writeHolds *switchover.WriteHolds
 	switchover *switchoverLease // nil: it doesn't hold the lease
@@ -40,8 +40,8 @@
 	pendingStep  switchover.MemberStep
 }
 
-// continueSwitchover carries out the executor's decisions, or starts the next order.
-func (p *Process) continueSwitchover() {
+// advanceSwitchover carries out the executor's decisions, or starts the next order.
+func (p *Process) advanceSwitchover() {
 	held := p.switchover
 	if held.executor == nil {
 		if ended, unreported := p.orderState.UnreportedEnd(); unreported {
@@ -60,7 +60,7 @@
 	held.executor.Advance(p.clock())
 	held.executor.SetRouters(routers)
 	for d, more := held.executor.Next(); more; d, more = held.executor.Next() {
-		p.carryOutSwitchover(held, d)
+		p.executeSwitchoverDecision(held, d)
 	}
 	p.orderState.Update(held.executor, held.order)
 	if held.executor.Finished() {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (p *Process) carryOutSwitchover(held *switchoverLease, d switchover.Decision) {
+func (p *Process) executeSwitchoverDecision(held *switchoverLease, d switchover.Decision) {
 	p.client.Advance(p.clock())
 	token, valid := p.client.Valid(switchover.LeaseName(0))
 	if !valid || token != held.token {
@@ -158,8 +158,8 @@
 				p.updateExecutor(held, executor, func(e *switchover.Executor) { e.StepDone(outcome, reason) })
 			}
 		}
-		w.send(p, to, actBytes, func() {
-			outcome := w.carryOutStep(to, token, d)
+		w.send(p, to, commandBytes, func() {
+			outcome := w.executeStep(to, token, d)
 			w.send(to, p, stepResponseBytes, func() { end(outcome, "") })
 		})
 		p.later(memberTimeoutMs, func() { end(switchover.Unknown, "no answer") })
@@ -175,15 +175,15 @@
 			p.updateExecutor(held, executor, func(e *switchover.Executor) { e.RouterAnswered(d.Target, d.Command, accepted, running) })
 		}
 	}
-	w.send(p, to, actBytes, func() {
+	w.send(p, to, commandBytes, func() {
 		verdict, highest := to.checkToken(lease.Scope{Lease: switchover.LeaseName(0), Subject: "g"}, p.Name, held.token)
 		running := 0
 		switch verdict {
 		case lease.Accepted:
-			w.actAccepted(to, switchover.LeaseName(0), p.Name, held.token)
+			w.checkAccepted(to, switchover.LeaseName(0), p.Name, held.token)
 			running = to.commandAccepted(held, d)
 		case lease.Stale:
-			w.StaleActs++
+			w.StaleCommands++
 		}
 		w.send(to, p, stepResponseBytes, func() {
 			if verdict == lease.Stale {
--- a/internal/lab/fleet/simulation/switchover_members.go
+++ b/internal/lab/fleet/simulation/switchover_members.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// carryOutStep has a member carry out an executor's step, unless its guard row rejects it.
-func (w *World) carryOutStep(p *Process, token lease.Token, d switchover.Decision) switchover.Outcome {
+// executeStep has a member carry out an executor's step, unless its guard row rejects it.
+func (w *World) executeStep(p *Process, token lease.Token, d switchover.Decision) switchover.Outcome {
 	m := p.member
 	order := token.Compare(m.guardToken)
 	if outdated := order < 0 || order == 0 && d.Rank < m.guardRank; outdated && !w.options.SeededDefects.IgnoreGuardRow {
--- a/internal/lab/fleet/simulation/switchover_router.go
+++ b/internal/lab/fleet/simulation/switchover_router.go
@@ -66,10 +66,10 @@
 func (c *routerDriver) update(input func(*router.Router)) {
 	c.router.Advance(c.process.world.Now + 1)
 	input(c.router)
-	c.carryOut()
+	c.executeDecisions()
 }
 
-func (c *routerDriver) carryOut() {
+func (c *routerDriver) executeDecisions() {
 	w := c.process.world
 	for d, more := c.router.Next(); more; d, more = c.router.Next() {
 		switch d.Action {
@@ -119,13 +119,13 @@
 func (c *routerDriver) healthCheck(to *Process) {
 	p, w := c.process, c.process.world
 	var ended once
-	w.send(p, to, checkBytes, func() {
+	w.send(p, to, healthCheckBytes, func() {
 		role := router.Replica
 		if to.member.primary {
 			role = router.Primary
 		}
 		checkedMs := w.Now
-		w.send(to, p, checkBytes, func() {
+		w.send(to, p, healthCheckBytes, func() {
 			if ended.first() {
 				c.update(func(r *router.Router) {
 					r.Reported(to.Name, role, checkedMs)
--- a/internal/lab/fleet/simulation/switchover_test.go
+++ b/internal/lab/fleet/simulation/switchover_test.go
@@ -16,7 +16,7 @@
 func TestSwitchovers_RandomFaults(t *testing.T) {
 	fencedSteps, orders, succeeded, ended := 0, 0, 0, map[string]int{}
 	for seed := range uint64(*schedules / 2) {
-		w := Play(switchoverOptions(seed))
+		w := Run(switchoverOptions(seed))
 		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d: %v\n%v", seed, w.Violations, w.Faults)
 		}
@@ -47,7 +47,7 @@
 			}
 		})
 	}
-	w := Play(o)
+	w := Run(o)
 	ended := 0
 	for _, count := range w.switchovers.endedOrders {
 		ended += count
@@ -59,7 +59,7 @@
 
 // A holder to which a lagging coordinator node shows an order that has ended doesn't start it again.
 func TestSwitchovers_EndedOrderShownAgain(t *testing.T) {
-	if w := Play(switchoverOptions(125)); len(w.Violations) > 0 {
+	if w := Run(switchoverOptions(125)); len(w.Violations) > 0 {
 		t.Error(w.Violations)
 	}
 }
@@ -90,11 +90,11 @@
 	for seed := range uint64(100) {
 		o := switchoverOptions(seed)
 		o.Schedule = pauseHolderDuringPromotion
-		if w := Play(o); len(w.Violations) > 0 {
+		if w := Run(o); len(w.Violations) > 0 {
 			t.Fatalf("seed %d, with guard rows: %v", seed, w.Violations)
 		}
 		o.SeededDefects.IgnoreGuardRow = true
-		if w := Play(o); len(w.Violations) > 0 {
+		if w := Run(o); len(w.Violations) > 0 {
 			t.Logf("seed %d: %.200s", seed, w.Violations[0])
 			return
 		}
--- a/internal/lab/fleet/simulation/world.go
+++ b/internal/lab/fleet/simulation/world.go
@@ -43,8 +43,8 @@
 	policyRun   *policyRun     // nil: none
 }
 
-// Play runs one world to its end, or to its first violation.
-func Play(options Options) *World {
+// Run runs one world to its end, or to its first violation.
+func Run(options Options) *World {
 	w := newWorld(options)
 	restore := seedElections(options.Seed)
 	defer restore()
@@ -61,7 +61,7 @@
 	endMs := options.endMs()
 	w.After(endMs, func() {})
 	w.runUntil(endMs, func() bool { return len(w.Violations) > 0 })
-	w.checkEnd()
+	w.checkFinalState()
 	return w
 }
 
@@ -138,9 +138,9 @@
 		w.options.Schedule(w)
 	case w.options.NoFaults:
 	case w.options.Policy != nil:
-		w.drawPolicyFaults()
+		w.scheduleRandomPolicyFaults()
 	default:
-		w.drawFaults()
+		w.scheduleRandomFaults()
 	}
 }
 
@@ -159,12 +159,12 @@
 	}
 }
 
-// checkEnd runs the checks that look at a whole run.
-func (w *World) checkEnd() {
+// checkFinalState runs the checks that look at a whole run.
+func (w *World) checkFinalState() {
 	w.EndedMs = w.Now
 	for n := range w.options.Leases {
 		if name := leaseName(n); w.activeHolder[name] == "" {
-			w.StuckLeases = append(w.StuckLeases, name)
+			w.UnheldLeases = append(w.UnheldLeases, name)
 		}
 	}
 	for _, p := range w.Coordinators {
