--- a/internal/lab/fleet/simulation/acts.go
+++ b/internal/lab/fleet/simulation/acts.go
@@ -3,15 +3,16 @@
 import "wayloft/internal/decide/lease"
 
 const (
-	// A lease holder sends acts at this interval, ms: the least, and the most that is drawn on top.
+	// The interval at which a lease holder sends commands, in ms: the minimum, and the maximum of a uniformly distributed extra.
 	minCommandIntervalMs = 40
 	commandJitterMs      = 40
 	commandsPerInterval  = 2
-	// maxCommandDelayMs is the most between a holder's check of its lease and the act; it may be paused meanwhile.
+	// maxCommandDelayMs is the longest time between a holder's check of its lease and the sending of the command. The holder may be
+	// paused in between.
 	maxCommandDelayMs = 30
 )
 
-// sendCommands has a lease holder send acts for as long as it holds the lease under one token.
+// sendCommands makes a lease holder send commands to random routers for as long as it holds the lease under the same fencing token.
 func (p *Process) sendCommands(name string, granted lease.Token) {
 	w := p.world
 	if current, held := p.heldLeases[name]; !held || current != granted {
@@ -47,7 +48,7 @@
 	})
 }
 
-// checkToken is the receiver's check of an act, or what a seeded defect leaves of it.
+// checkToken is the receiver's check of the fencing token of a command. Seeded defects skip or weaken it.
 func (p *Process) checkToken(scope lease.Scope, holder string, token lease.Token) (lease.Verdict, lease.Token) {
 	switch {
 	case p.world.options.SeededDefects.SkipTokenCheck:
--- a/internal/lab/fleet/simulation/coordinator.go
+++ b/internal/lab/fleet/simulation/coordinator.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// How long a write to a coordinator node's disk takes, ms: the least, and the mean of what is drawn on top.
+	// How long a write to a coordinator node's disk takes, in ms: the minimum, and the mean of an exponentially distributed extra.
 	minSaveMs       = 0.3
 	meanExtraSaveMs = 0.5
-	// unsavedWriteDelayMs is when the disk writes what AcknowledgeUnsaved has acknowledged before.
+	// unsavedWriteDelayMs is how long after the acknowledgement the disk write happens with the seeded defect AcknowledgeUnsaved.
 	unsavedWriteDelayMs = 50
-	// snapshotMs is how long a snapshot takes to be sent.
+	// snapshotMs is how long it takes to send a snapshot.
 	snapshotMs = 20
-	// snapshotInterval is in entries.
+	// snapshotInterval is the number of log entries between two snapshots.
 	snapshotInterval = 200
 	// keepaliveIntervalMs is the time between two empty updates of a policy watch.
 	keepaliveIntervalMs = 1000
 )
 
-// coordinatorState is what a coordinator node has beside its process.
+// coordinatorState is the state that only coordinator nodes have.
 type coordinatorState struct {
 	node        *raftnode.Node
 	disk        raftnode.Stored
-	diskDelayMs float64 // that its disk takes beyond the usual
-	dataLost    bool    // its data directory, for good
+	diskDelayMs float64 // extra latency of disk writes; 0: none
+	dataLost    bool    // its data directory is lost permanently
 	joining     bool    // it replaces another node
 	requesters  map[uint64]requester
-	tokenReads  map[uint64][]string // by request: the leases whose latest tokens are asked for
+	tokenReads  map[uint64][]string // by request: the leases whose latest tokens are read
 }
 
-// requester is the process that waits for the response to a request.
+// requester is the process that is waiting for the response to a request.
 type requester struct {
 	process     *Process
 	incarnation int
 	request     uint64
-	onDecision  func(raftnode.Decision) // of a request that is not a lease client's; else nil
+	onDecision  func(raftnode.Decision) // handles the decision; nil: the lease client does
 }
 
 func (p *Process) startCoordinator() {
@@ -57,7 +57,7 @@
 		SeededDefects:    p.world.options.SeededDefects.Coordinator,
 	}, p.disk)
 	if err != nil {
-		p.world.violation("%s does not start: %v", p.Name, err)
+		p.world.violation("%s failed to start: %v", p.Name, err)
 		p.up = false
 		return
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// initialPeers are the members of a new cluster; a node that joins later knows none.
+// initialPeers returns the peers of a new cluster; a node that joins later starts without any.
 func (p *Process) initialPeers() (peers []raftnode.Peer) {
 	for _, other := range p.world.Coordinators {
 		if !other.joining && !p.joining {
@@ -81,7 +81,7 @@
 	return peers
 }
 
-// epoch is that of a cluster which is created now.
+// epoch returns the epoch of a cluster that is created now.
 func (w *World) epoch() uint64 {
 	if w.options.SeededDefects.SameEpoch {
 		return 1
@@ -89,7 +89,7 @@
 	return 1 + uint64(w.Now/1000)
 }
 
-// save writes to the node's disk. It copies, as a disk would.
+// save writes a decision's snapshot, entries and hard state to the node's disk. It copies them, as a real disk would.
 func (p *Process) save(d raftnode.Decision) {
 	if d.Snapshot != nil && d.Snapshot.GetMetadata().GetIndex() > 0 {
 		p.disk.Snapshot = proto.Clone(d.Snapshot).(*raftpb.Snapshot)
@@ -111,7 +111,7 @@
 	}
 }
 
-// executeCoordinatorDecisions carries out what the node decides.
+// executeCoordinatorDecisions executes the Raft node's pending decisions.
 func (p *Process) executeCoordinatorDecisions() {
 	w := p.world
 	for d, more := p.node.Next(); more; d, more = p.node.Next() {
@@ -165,7 +165,7 @@
 	message = proto.Clone(message).(*raftpb.Message)
 	p.world.send(p, to, proto.Size(message), func() {
 		if to.node != nil {
-			_ = to.node.Step(message) // a response of a node that was removed meanwhile is rejected
+			_ = to.node.Step(message) // rejects a response of a node that has been removed since
 		}
 	})
 	if message.GetType() == raftpb.MsgSnap {
@@ -173,10 +173,10 @@
 	}
 }
 
-// respond sends the response to a request.
+// respond sends the response to a request, with the tokens that it reads.
 func (p *Process) respond(d raftnode.Decision) {
-	to, waits := p.requesters[d.Request]
-	if !waits {
+	to, waiting := p.requesters[d.Request]
+	if !waiting {
 		return
 	}
 	delete(p.requesters, d.Request)
--- a/internal/lab/fleet/simulation/faults.go
+++ b/internal/lab/fleet/simulation/faults.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// firstFaultMs is when faults begin; the fleet has started by then.
+	// firstFaultMs is when faults begin, after the fleet has started.
 	firstFaultMs = 1500
-	// repairMs is the time from the end of the faults until what is still cut or lossy is repaired.
+	// repairMs is the time from the end of the faults until links that are still cut or lossy are repaired.
 	repairMs = 3000
-	// How long a fault lasts, ms: the least, and the mean of what is drawn on top.
+	// How long a fault lasts, in ms: the minimum, and the mean of an exponentially distributed extra.
 	minFaultMs       = 100
 	meanExtraFaultMs = 1500
-	// joinDelayMs and replaceDelayMs are from the loss of a node's data directory to the start of the node that replaces it, and
-	// to the change of the membership.
+	// joinDelayMs and replaceDelayMs are the times from the loss of a node's data directory until the replacement node starts, and
+	// until the membership change is requested.
 	joinDelayMs    = 300
 	replaceDelayMs = 400
-	// operatorRetryMs is how long an operator's command waits before it is tried again.
+	// operatorRetryMs is the delay before an operator's command is retried.
 	operatorRetryMs = 500
 )
 
-// coordinatorsWiped is the fault after which the coordinator starts again without its state.
+// coordinatorsWiped names the fault that restarts all coordinator nodes without their state.
 const coordinatorsWiped = "coordinators wiped"
 
-// scheduleRandomFaults schedules random faults and their ends: halfway through the run all is repaired but what is lost for good.
+// scheduleRandomFaults schedules random faults and their ends. After the fault period the network is repaired; a lost data directory
+// stays lost.
 func (w *World) scheduleRandomFaults() {
 	kinds := []func() string{w.pauseRandomProcess, w.killRandomProcess, w.cutRandomLinks, w.cutLinksOneWay, w.isolateRandomProcess, w.slowRandomDisk, w.dropMessages, w.killHolder, w.pauseHolder,
 		w.pauseLeader, w.killLeader, w.restartReceivers, w.restartCoordinators, w.loseDataDirectory}
@@ -37,7 +38,8 @@
 	w.After(w.options.FaultsMs+repairMs, w.repairNetwork)
 }
 
-// scheduleFaultsOfKinds schedules faults of random kinds at random times. Each kind returns its name for the report.
+// scheduleFaultsOfKinds schedules faults of random kinds at random times. A kind is a function that injects the fault and returns its
+// name for the report.
 func (w *World) scheduleFaultsOfKinds(count int, kinds []func() string) {
 	for range count {
 		inject := kinds[w.rand.IntN(len(kinds))]
@@ -148,7 +150,7 @@
 	return "half of the routers restarted"
 }
 
-// restartCoordinators kills all coordinator nodes at once and starts them again from their data directories.
+// restartCoordinators kills all coordinator nodes at once and restarts them from their data directories.
 func (w *World) restartCoordinators() string {
 	for _, p := range w.Coordinators {
 		w.KillFor(p, 100+w.rand.Float64()*400)
@@ -156,7 +158,7 @@
 	return "coordinators restarted"
 }
 
-// WipeCoordinators loses the data directories of all coordinator nodes, which then start again without state.
+// WipeCoordinators kills all coordinator nodes, deletes their data directories and restarts them without state.
 func (w *World) WipeCoordinators() {
 	w.Faults[coordinatorsWiped]++
 	for _, p := range w.Coordinators {
@@ -166,8 +168,8 @@
 	}
 }
 
-// loseDataDirectory loses one node's data directory for good. The node can't return under its name, since it doesn't know how it
-// voted: an operator replaces it. This happens once in a run, as two of three nodes are a quorum.
+// loseDataDirectory permanently loses one node's data directory. The node can't return under its name, since it no longer knows how
+// it voted, so an operator replaces it. This happens at most once per run, because two of three nodes are a quorum.
 func (w *World) loseDataDirectory() string {
 	const lost, skipped = "data directory lost", "data directory lost, skipped"
 	p := w.randomCoordinator()
@@ -184,7 +186,7 @@
 	return lost
 }
 
-// replaceNode is an operator's change of the membership, repeated until it has taken effect.
+// replaceNode simulates an operator that requests a membership change and retries until it has taken effect.
 func (w *World) replaceNode(old, replacement *Process) {
 	if leader := w.Leader(); leader != nil && !leader.paused {
 		w.lastRequest++
--- a/internal/lab/fleet/simulation/health_sharing.go
+++ b/internal/lab/fleet/simulation/health_sharing.go
@@ -11,33 +11,34 @@
 
 const (
 	healthSharingDurationMs = 20000
-	// Requests of one router in a second, on average; one in writeOneIn is a write.
+	// The mean number of requests per second of one router. One in requestsPerWrite is a write.
 	requestsPerSecond = 12
 	requestsPerWrite  = 6
 	requestDeadlineMs = 2000
-	// How long a member takes for a request, ms: the least, and the mean of what is drawn on top.
+	// How long a member takes to execute a request, in ms: the minimum, and the mean of an exponentially distributed extra.
 	minRequestMs       = 2
 	meanExtraRequestMs = 5
-	// proberTickMs is the interval of the prober's clock, probeMs how long it waits for a member's response.
+	// proberTickMs is the interval at which the prober's clock advances, probeDurationMs how long a probe of a member takes.
 	proberTickMs    = 5
 	probeDurationMs = 2
-	// maxArrivalDelayMs is when the first request of a router arrives at the latest.
+	// maxArrivalDelayMs is the latest time at which the first request of a router arrives.
 	maxArrivalDelayMs = 100
 )
 
-// groupMemberIDs are the group's members; the first is the primary.
+// groupMemberIDs are the IDs of the group's members; the first is the primary.
 var groupMemberIDs = []string{"a", "b", "c", "d", "e"}
 
-// HealthSharingResult says what health checks cost and how old the data was that reads saw.
+// HealthSharingResult reports the cost of health checks and the age of the positions by which replicas were chosen for reads.
 type HealthSharingResult struct {
 	ChecksPerRequest float64 // over the whole fleet
-	PositionAgeMs    float64 // 99th percentile of the age of the positions that replicas were chosen by
+	PositionAgeMs    float64 // 99th percentile of the age of the positions by which replicas were chosen
 	PrimaryShare     float64 // of the reads
 	Requests         int
 }
 
-// RunHealthSharing runs routers before one group of five for 20 s of simulated time, each with ten reads with a staleness bound and
-// two writes a second. With a period (ms) above 0 a prober checks each member once a period and notifies all routers.
+// RunHealthSharing runs routers in front of one group of five members for 20 s of simulated time. Each router gets, on average, ten
+// reads with a staleness bound and two writes per second. If period (ms) is above 0, a prober checks each member once per period and
+// sends its reports to all routers.
 func RunHealthSharing(routers int, period float64, seed uint64) HealthSharingResult {
 	w := &healthSharingWorld{rand: rand.New(rand.NewPCG(seed, 7))}
 	for n := range routers {
@@ -79,7 +80,7 @@
 	positionAgesMs []float64 // of replicas that reads were sent to
 }
 
-// position is what a member would report now: its role and its position.
+// position returns the role and the position that a member would report now.
 func (w *healthSharingWorld) position(member string) (router.Role, float64) {
 	if member == groupMemberIDs[0] {
 		return router.Primary, w.Now
@@ -88,7 +89,7 @@
 	return router.Replica, w.Now - lagMs
 }
 
-// probe carries out what the prober decides, again and again.
+// probe executes the prober's decisions, and reschedules itself at proberTickMs intervals.
 func (w *healthSharingWorld) probe(prober *healthshare.Prober) {
 	prober.Advance(w.Now)
 	for d, more := prober.Next(); more; d, more = prober.Next() {
@@ -120,12 +121,12 @@
 	return result
 }
 
-// sharingRouter is one router with its clients.
+// sharingRouter is one router, with the clients that send it requests.
 type sharingRouter struct {
 	world     *healthSharingWorld
 	number    int
 	router    *router.Router
-	positions map[string]float64 // by member, as this router knows them
+	positions map[string]float64 // by member: the highest position that this router has learned
 	timer     resettableTimer
 }
 
@@ -141,7 +142,7 @@
 	r.world.After(r.world.rand.Float64()*maxArrivalDelayMs, r.sendRequests)
 }
 
-// update passes an input to the router and carries out what it decides then.
+// update passes an input to the router and executes the router's decisions.
 func (r *sharingRouter) update(input func(*router.Router)) {
 	r.router.Advance(r.world.Now)
 	input(r.router)
@@ -157,7 +158,7 @@
 	}
 }
 
-// sendRequests sends a request, and the next one after a random time.
+// sendRequests sends a request and schedules the next one after a random time.
 func (r *sharingRouter) sendRequests() {
 	w := r.world
 	w.requests++
@@ -204,7 +205,7 @@
 	})
 }
 
-// reportsReceived handles reports of the prober.
+// reportsReceived handles reports from the prober.
 func (r *sharingRouter) reportsReceived(reports []healthshare.Report) {
 	for _, report := range reports {
 		role := router.Replica
--- a/internal/lab/fleet/simulation/lease_checker.go
+++ b/internal/lab/fleet/simulation/lease_checker.go
@@ -5,23 +5,23 @@
 	"wayloft/internal/decide/leasestate"
 )
 
-// leaseKey names a grant: a lease under one fencing token.
+// leaseKey identifies a grant: a lease and its fencing token.
 type leaseKey struct {
 	lease string
 	token lease.Token
 }
 
-// receiverKey names a lease at one receiver.
+// receiverKey identifies a lease at one receiver.
 type receiverKey struct{ receiver, lease string }
 
-// leaseChecker remembers what happened to leases, whatever the processes forget.
+// leaseChecker records the events of all leases. Unlike the state of the processes, it survives restarts.
 type leaseChecker struct {
 	highestAccepted map[receiverKey]lease.Token
-	tokenHolders    map[leaseKey]string    // who acted under a grant
-	grantedTo       map[leaseKey]string    // session that got a grant, as a leader applied it
+	tokenHolders    map[leaseKey]string    // process whose commands under a grant were accepted
+	grantedTo       map[leaseKey]string    // session that was given a grant, as a leader applied it
 	latestGranted   map[string]lease.Token // by lease
-	activeHolder    map[string]string      // by lease: who acts, as it sees it
-	unheldSinceMs   map[string]float64     // by lease: when the last holder stopped
+	activeHolder    map[string]string      // by lease: process that considers itself the holder
+	unheldSinceMs   map[string]float64     // by lease: when the latest holder stopped
 }
 
 func newLeaseChecker() leaseChecker {
@@ -51,31 +51,32 @@
 	w.Grants++
 }
 
-// checkNotSuperseded checks that a holder which finds its lease valid has the latest grant. After all coordinators lost their
-// state a lease is granted again while its former holder finds its grant valid: receivers reject its acts then.
+// checkNotSuperseded checks that a holder that considers its lease valid has the latest grant. It does not apply after all coordinator
+// nodes lost their state: the lease can then be granted again while the former holder still considers its grant valid, and receivers
+// reject its commands.
 func (w *World) checkNotSuperseded(p *Process, name string, token lease.Token) {
 	latest := w.latestGranted[name]
 	if latest.Compare(token) > 0 && w.Faults[coordinatorsWiped] == 0 {
-		w.violation("%s finds that it may act for %s under %v, which %s was granted", p.Name, name, token, w.grantedTo[leaseKey{name, latest}])
+		w.violation("%s considers its lease %s valid under %v, but a later grant went to session %s", p.Name, name, token, w.grantedTo[leaseKey{name, latest}])
 	}
 }
 
-// checkAccepted checks an act that a receiver accepted against all that it ever accepted.
+// checkAccepted checks a command that a receiver accepted against all commands that were accepted before.
 func (w *World) checkAccepted(receiver *Process, name, holder string, token lease.Token) {
 	w.AcceptedCommands++
 	at := receiverKey{receiver.Name, name}
 	if token.Compare(w.highestAccepted[at]) < 0 {
-		w.violation("%s accepted an act of %s for %s under %v after one under %v", receiver.Name, holder, name, token, w.highestAccepted[at])
+		w.violation("%s accepted a command of %s for %s under %v after one under %v", receiver.Name, holder, name, token, w.highestAccepted[at])
 	}
 	w.highestAccepted[at] = token
 	key := leaseKey{name, token}
 	if other := w.tokenHolders[key]; other != "" && other != holder {
-		w.violation("%s: %v is both %s's and %s's", name, token, other, holder)
+		w.violation("%s: token %v was used by both %s and %s", name, token, other, holder)
 	}
 	w.tokenHolders[key] = holder
 }
 
-// leaseStarted records that a process begins to act under a lease.
+// leaseStarted records that a process starts to use a lease.
 func (w *World) leaseStarted(p *Process, name string) {
 	if w.activeHolder[name] == "" {
 		if since, known := w.unheldSinceMs[name]; known {
@@ -85,7 +86,7 @@
 	w.activeHolder[name] = p.Name
 }
 
-// leaseStopped records that a process no longer acts under a lease.
+// leaseStopped records that a process no longer uses a lease.
 func (w *World) leaseStopped(p *Process, name string) {
 	if w.activeHolder[name] == p.Name {
 		w.activeHolder[name], w.unheldSinceMs[name] = "", w.Now
--- a/internal/lab/fleet/simulation/lease_client.go
+++ b/internal/lab/fleet/simulation/lease_client.go
@@ -11,30 +11,31 @@
 const (
 	requestTimeoutMs = 300
 	maxRedirects     = 3
-	// The interval at which a lease client asks for changes, ms: the least, and the most that is drawn on top.
+	// The interval at which a lease client polls for changes, in ms: the minimum, and the maximum of a uniformly distributed extra.
 	minPollIntervalMs = 100
 	pollJitterMs      = 20
-	// overcountedMarginMs is the margin of OvercountLease: a lease seems to last longer than it does.
+	// overcountedMarginMs is the safety margin with the seeded defect OvercountLease: the holder considers its lease valid for longer
+	// than it is.
 	overcountedMarginMs = -1000
 )
 
-// leaseClientState is a router's lease client and what it needs.
+// leaseClientState is a router's lease client and its state.
 type leaseClientState struct {
 	client          *leaseclient.Client
-	leases          []string // that it requests
-	knownLeader     string   // of the coordinator; empty: not known
+	leases          []string // requested by the client
+	knownLeader     string   // name of the coordinator node that leads; empty: not known
 	pendingRequests map[uint64]pendingRequest
-	ownRequests     uint64 // requests that are not the lease client's
-	watchIndex      uint64 // up to which it knows the lease state
+	ownRequests     uint64 // number of requests that the lease client did not make
+	watchIndex      uint64 // index up to which it has received the lease state
 	heldLeases      map[string]lease.Token
-	seenTokens      map[string]lease.Token // of a receiver with ForgetTokens
+	seenTokens      map[string]lease.Token // of a receiver with the seeded defect ForgetTokens
 	starts          int
 }
 
-// pendingRequest is a request without a response yet.
+// pendingRequest is a request that has no response yet.
 type pendingRequest struct {
-	operations []int  // its places in the history, one for each lease that it asks about
-	resend     func() // to the node that leads now
+	operations []int  // indexes into World.Operations, one for each lease of the request
+	resend     func() // sends the request again, to the node that leads now
 	onResult   func(result leasestate.Result, known bool)
 }
 
@@ -76,7 +77,7 @@
 	return p.world.options.Seed + uint64(len(p.Name)) + uint64(p.starts)<<8 + lastCharacter<<16
 }
 
-// pollLeases asks some coordinator node for changes of the lease state, again and again.
+// pollLeases polls random coordinator nodes for changes of the lease state.
 func (p *Process) pollLeases() {
 	w := p.world
 	coordinator := w.randomCoordinator()
@@ -93,7 +94,7 @@
 	p.later(minPollIntervalMs+w.rand.Float64()*pollJitterMs, p.pollLeases)
 }
 
-// executeClientDecisions carries out what the lease client decides.
+// executeClientDecisions executes the lease client's pending decisions.
 func (p *Process) executeClientDecisions() {
 	for d, more := p.client.Next(); more; d, more = p.client.Next() {
 		switch d.Action {
@@ -127,9 +128,9 @@
 	}
 }
 
-// recordOperations writes a request into the history that is checked: only lease requests and token reads are, a read as one
-// operation for each lease.
-func (p *Process) recordOperations(d leaseclient.Decision) (places []int) {
+// recordOperations adds a request to the history that is checked for linearizability, and returns the indexes of its operations. The
+// history has lease requests and token reads only, with a read as one operation for each lease.
+func (p *Process) recordOperations(d leaseclient.Decision) (indexes []int) {
 	operation := Operation{Client: p.world.clientNumber(p), Kind: ReadOperation, StartedMs: p.world.Now, EndedMs: -1}
 	names := d.Leases
 	if d.Action == leaseclient.Propose {
@@ -141,17 +142,17 @@
 	}
 	for _, name := range names {
 		operation.Lease = name
-		places = append(places, len(p.world.Operations))
+		indexes = append(indexes, len(p.world.Operations))
 		p.world.Operations = append(p.world.Operations, operation)
 	}
-	return places
+	return indexes
 }
 
-// sendRequest sends a request to the node that is thought to lead, or to any.
+// sendRequest sends a request to the last known leader, or to a random coordinator node.
 func (p *Process) sendRequest(d leaseclient.Decision, redirects int) {
 	w := p.world
-	open, waits := p.pendingRequests[d.Request]
-	if !waits {
+	pending, waiting := p.pendingRequests[d.Request]
+	if !waiting {
 		return
 	}
 	if redirects > maxRedirects {
@@ -162,8 +163,8 @@
 	if to == nil {
 		to = w.randomCoordinator()
 	}
-	open.resend = func() { p.sendRequest(d, redirects+1) }
-	p.pendingRequests[d.Request] = open
+	pending.resend = func() { p.sendRequest(d, redirects+1) }
+	p.pendingRequests[d.Request] = pending
 	incarnation := p.incarnation
 	w.send(p, to, requestBytes, func() {
 		w.lastRequest++
@@ -177,16 +178,16 @@
 		}
 	})
 	p.later(requestTimeoutMs, func() {
-		if _, waits := p.pendingRequests[d.Request]; waits {
+		if _, waiting := p.pendingRequests[d.Request]; waiting {
 			p.knownLeader = ""
 			p.failRequest(d.Request)
 		}
 	})
 }
 
-// proposeEntry sends a request that is not the lease client's.
+// proposeEntry proposes an entry on behalf of the process itself, not of its lease client.
 func (p *Process) proposeEntry(e leasestate.Entry, onResult func(result leasestate.Result, known bool)) {
-	const ownRequest = 1 << 62 // keeps the numbers apart from the lease client's
+	const ownRequest = 1 << 62 // separates these request numbers from the lease client's
 	p.ownRequests++
 	number := p.ownRequests | ownRequest
 	p.pendingRequests[number] = pendingRequest{onResult: onResult}
@@ -194,11 +195,11 @@
 }
 
 func (p *Process) failRequest(number uint64) {
-	open := p.pendingRequests[number]
+	pending := p.pendingRequests[number]
 	delete(p.pendingRequests, number)
 	p.client.Advance(p.clock())
-	if open.onResult != nil {
-		open.onResult(leasestate.Result{}, false)
+	if pending.onResult != nil {
+		pending.onResult(leasestate.Result{}, false)
 		return
 	}
 	p.client.Failed(number)
@@ -206,8 +207,8 @@
 
 // responseReceived handles a coordinator node's response to a request.
 func (p *Process) responseReceived(number uint64, d raftnode.Decision, tokens []lease.Token) {
-	open, waits := p.pendingRequests[number]
-	if !waits {
+	pending, waiting := p.pendingRequests[number]
+	if !waiting {
 		return
 	}
 	switch d.Action {
@@ -216,19 +217,19 @@
 		if p.knownLeader == "" {
 			p.failRequest(number)
 		} else {
-			open.resend()
+			pending.resend()
 		}
 	case raftnode.ResultUnknown:
 		p.failRequest(number)
 	default:
-		p.requestDone(number, open, d.Result, tokens)
+		p.requestDone(number, pending, d.Result, tokens)
 	}
 }
 
-func (p *Process) requestDone(number uint64, open pendingRequest, result leasestate.Result, tokens []lease.Token) {
+func (p *Process) requestDone(number uint64, pending pendingRequest, result leasestate.Result, tokens []lease.Token) {
 	delete(p.pendingRequests, number)
-	for n, place := range open.operations {
-		operation := &p.world.Operations[place]
+	for n, index := range pending.operations {
+		operation := &p.world.Operations[index]
 		operation.EndedMs, operation.Held, operation.Token = p.world.Now, result.Held, result.Token
 		if tokens != nil {
 			operation.Token = tokens[n]
@@ -236,8 +237,8 @@
 	}
 	p.client.Advance(p.clock())
 	switch {
-	case open.onResult != nil:
-		open.onResult(result, true)
+	case pending.onResult != nil:
+		pending.onResult(result, true)
 	case tokens != nil:
 		p.client.TokensLearned(number, tokens)
 	default:
--- a/internal/lab/fleet/simulation/lease_test.go
+++ b/internal/lab/fleet/simulation/lease_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-var schedules = flag.Int("schedules", 40, "random schedules that are run")
+var schedules = flag.Int("schedules", 40, "number of random schedules to run")
 
 func leaseOptions(seed uint64) Options {
 	return Options{Seed: seed, Coordinators: 3, Routers: 5, Leases: 2, FaultsMs: 12000}
 }
 
-// Whatever the faults: receivers accept no act under a lower fencing token than before, a token has one holder, no process finds its
-// lease valid after another was granted it, the coordinator's responses are linearizable, and at the end each lease has a holder.
+// Under random faults, receivers accept no command under a lower fencing token than before, a token has one holder, no process considers
+// its lease valid after another was granted it, the coordinator's responses are linearizable, and each lease has a holder at the end.
 func TestLeases_RandomFaults(t *testing.T) {
-	staleActs, acts, grants, faults := 0, 0, 0, map[string]int{}
+	staleCommands, commands, grants, faults := 0, 0, 0, map[string]int{}
 	for seed := range uint64(*schedules) {
 		w := Run(leaseOptions(seed))
 		if len(w.Violations) > 0 {
@@ -24,18 +24,18 @@
 		if len(w.UnheldLeases) > 0 {
 			t.Fatalf("seed %d: %v have no holder at the end\n%v", seed, w.UnheldLeases, w.Faults)
 		}
-		staleActs, acts, grants = staleActs+w.StaleCommands, acts+w.AcceptedCommands, grants+w.Grants
+		staleCommands, commands, grants = staleCommands+w.StaleCommands, commands+w.AcceptedCommands, grants+w.Grants
 		for kind, count := range w.Faults {
 			faults[kind] += count
 		}
 	}
-	t.Logf("%d schedules: %d acts accepted, %d stale ones rejected, %d grants, faults %v", *schedules, acts, staleActs, grants, faults)
-	if staleActs < *schedules/40 || grants < 2**schedules {
-		t.Errorf("%d stale acts and %d grants in %d schedules test little", staleActs, grants, *schedules)
+	t.Logf("%d schedules: %d commands accepted, %d stale ones rejected, %d grants, faults %v", *schedules, commands, staleCommands, grants, faults)
+	if staleCommands < *schedules/40 || grants < 2**schedules {
+		t.Errorf("only %d stale commands and %d grants in %d schedules: coverage is too low", staleCommands, grants, *schedules)
 	}
 }
 
-// A holder whose stale act is rejected with the fencing token of its own next grant starts to act under that grant.
+// A holder whose stale command is rejected with the fencing token of its own next grant starts to use that grant.
 func TestLeases_RejectedWithTokenOfOwnNextGrant(t *testing.T) {
 	if w := Run(leaseOptions(4482)); len(w.Violations)+len(w.UnheldLeases) > 0 {
 		t.Error(w.Violations, w.UnheldLeases)
@@ -45,11 +45,12 @@
 func TestRun_SameSeedSameRun(t *testing.T) {
 	a, b := Run(leaseOptions(7)), Run(leaseOptions(7))
 	if a.AcceptedCommands != b.AcceptedCommands || a.Messages != b.Messages || a.Bytes != b.Bytes || !slices.Equal(a.Operations, b.Operations) {
-		t.Fatalf("%d acts, %d messages, %d bytes; then %d, %d, %d", a.AcceptedCommands, a.Messages, a.Bytes, b.AcceptedCommands, b.Messages, b.Bytes)
+		t.Fatalf("first run: %d commands, %d messages, %d bytes; second run: %d, %d, %d", a.AcceptedCommands, a.Messages, a.Bytes, b.AcceptedCommands, b.Messages, b.Bytes)
 	}
 }
 
-// pauseHolderBeforeCommand pauses holders between the check of the lease and the act, and restarts all others before they resume.
+// pauseHolderBeforeCommand pauses holders, some between the check of the lease and the command, and restarts all other routers before
+// the holders resume.
 func pauseHolderBeforeCommand(w *World) {
 	for at := 3000.0; at < w.options.FaultsMs; at += 4500 {
 		w.After(at, func() {
@@ -67,8 +68,8 @@
 	}
 }
 
-// isolateLeader cuts the leader off from its peers alone, while routers that have just started ask for the latest tokens and the
-// lease gets another holder.
+// isolateLeader cuts the leader off from its peers but not from the routers, while routers that have just restarted read the latest
+// tokens and leases change their holder.
 func isolateLeader(w *World) {
 	for at := 3000.0; at < w.options.FaultsMs; at += 3000 {
 		w.After(at, func() {
@@ -84,7 +85,7 @@
 	}
 }
 
-// killFollowers kills a follower again and again, while the leader relies on what it acknowledged.
+// killFollowers repeatedly kills a follower while the leader relies on the entries that the follower acknowledged.
 func killFollowers(w *World) {
 	for at := 3000.0; at < w.options.FaultsMs; at += 1500 {
 		w.After(at, func() {
@@ -102,7 +103,7 @@
 	}
 }
 
-// Each seeded defect is found by a checker under some seed, which finds nothing without the defect.
+// Each seeded defect causes a violation under some seed, and the same seed causes none without the defect.
 func TestSeededDefects_AreFound(t *testing.T) {
 	wiped := func(w *World) {
 		w.scheduleRandomFaults()
@@ -125,24 +126,24 @@
 			for seed := range uint64(200) {
 				o := leaseOptions(seed)
 				o.Schedule = c.schedule
-				if c.enable(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyAnswer { // it sends requests without end
+				if c.enable(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyAnswer { // this defect makes clients send requests without end
 					o.FaultsMs = 1600
 				}
 				if w := Run(o); len(w.Violations) > 0 {
 					t.Logf("seed %d: %.200s", seed, w.Violations[0])
 					o.SeededDefects = SeededDefects{}
 					if w := Run(o); len(w.Violations) > 0 {
-						t.Errorf("without it: %v", w.Violations)
+						t.Errorf("violations without the defect: %v", w.Violations)
 					}
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no seed found the defect")
 		})
 	}
 }
 
-// 600 routers and three coordinator nodes, which are all paused for a while: holders get their leases back under the same token.
+// With 600 routers, all three coordinator nodes are paused for 3 s. Holders get their leases back under the same token.
 func TestLeases_600RoutersCoordinatorPaused(t *testing.T) {
 	w := Run(Options{Seed: 3, Coordinators: 3, Routers: 600, Leases: 13, MaxHolders: 40, FaultsMs: 8000, Schedule: func(w *World) {
 		w.After(3000, func() {
@@ -154,8 +155,8 @@
 	if len(w.Violations)+len(w.UnheldLeases) > 0 {
 		t.Fatal(w.Violations, w.UnheldLeases)
 	}
-	t.Logf("%d messages, %d bytes, %d entries, %d grants, without a holder for %.0f ms", w.Messages, w.Bytes, w.Entries, w.Grants, w.HolderGapsMs)
+	t.Logf("%d messages, %d bytes, %d entries, %d grants, no holder for %.0f ms", w.Messages, w.Bytes, w.Entries, w.Grants, w.HolderGapsMs)
 	if w.Grants != 13 {
-		t.Errorf("%d grants of 13 leases: their holders were to get them back under the same token", w.Grants)
+		t.Errorf("%d grants of 13 leases; holders should get them back under the same token", w.Grants)
 	}
 }
--- a/internal/lab/fleet/simulation/network.go
+++ b/internal/lab/fleet/simulation/network.go
@@ -1,11 +1,11 @@
 package simulation
 
 const (
-	// The delay of a message, ms: the least, and the mean of what is drawn on top.
+	// The delay of a message, in ms: the minimum, and the mean of an exponentially distributed extra.
 	minDelayMs       = 0.2
 	meanExtraDelayMs = 0.8
 
-	// Sizes of messages that have no encoding here, bytes.
+	// Assumed sizes in bytes of messages that the simulation does not encode.
 	pollBytes            = 16
 	pollEntryBytes       = 48
 	requestBytes         = 96
@@ -22,8 +22,8 @@
 	unsubscriptionBytes  = 16
 )
 
-// send carries a message from one process to another, unless the link is cut or the message is lost. A message to a paused
-// process waits for it; one to a process that is down, or to an earlier incarnation of it, is gone.
+// send delivers a message from one process to another after a random delay, unless the link is cut or the message is lost. A message to
+// a paused process is deferred until it resumes; one to a process that is down or has restarted since is dropped.
 func (w *World) send(from, to *Process, bytes int, deliver func()) {
 	w.Messages++
 	w.Bytes += bytes
@@ -48,7 +48,7 @@
 	return w.policyRun != nil && w.policyRun.partitioned[a] != w.policyRun.partitioned[b]
 }
 
-// Isolate cuts the links from a process to others, the links from them to it, or both, for a time.
+// Isolate cuts the links from a process to others, the links from them to the process, or both, for ms milliseconds.
 func (w *World) Isolate(p *Process, outgoing, incoming bool, others []*Process, ms float64) {
 	set := func(cut bool) {
 		for _, other := range others {
--- a/internal/lab/fleet/simulation/policy_checker.go
+++ b/internal/lab/fleet/simulation/policy_checker.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// maxControlBytesPerSecond is what control traffic may take of a router's bandwidth in any second, both ways.
+	// maxControlBytesPerSecond is the limit on the control traffic that a router sends and receives in any second.
 	maxControlBytesPerSecond = 6 << 10
-	// messageOverheadBytes is what HTTP/2, TCP and IP headers are assumed to add to each message.
+	// messageOverheadBytes is the assumed size of the HTTP/2, TCP and IP headers of each message.
 	messageOverheadBytes = 100
-	// maxPropagationMs bounds how long the last change of a run, after all faults, takes from being in force until all routers have
-	// applied it: a watch that fell silent is noticed after watchTimeoutMs and replaced, and what is missing is fetched.
+	// maxPropagationMs bounds the time from when the last change of a run, after all faults, is in force until all routers have applied
+	// it. It leaves time for a router to notice a silent watch after watchTimeoutMs, replace it, and fetch what it missed.
 	maxPropagationMs = 10000.0
-	// maxPolicyViolations is how many violations are reported of one run.
+	// maxPolicyViolations is the maximum number of policy violations reported per run.
 	maxPolicyViolations = 10
-	// bandwidthWindowSeconds is how many seconds of a router's traffic are remembered, at most.
+	// bandwidthWindowSeconds is the maximum number of seconds for which a router's traffic counters are kept.
 	bandwidthWindowSeconds = 4
 )
 
-// policyChecker remembers what happened to the policy. Versions are packed.
+// policyChecker records the versions, proposals and propagation of the policy. Versions are packed.
 type policyChecker struct {
-	documents           map[uint64][32]byte    // by version: the hash of the one document that it ever had
+	documents           map[uint64][32]byte    // by version: the hash of its document
 	proposedMs          map[[32]byte]float64   // by hash of the document
-	propagations        map[uint64]propagation // of versions that some router has yet to apply
+	propagations        map[uint64]propagation // by version: those that some router has yet to apply
 	acknowledged        map[uint64][][32]byte  // by version number: hashes of the proposals that were acknowledged as this version
-	latest              uint64                 // version
+	latest              uint64                 // latest version in force
 	latestPropagationMs float64                // of the latest version, from being in force until all routers applied it
-	routerDelaysMs      map[uint64][]float64   // by version: from its proposal, for each router that applied this very version
+	routerDelaysMs      map[uint64][]float64   // by version: from its proposal, for each router that applied exactly this version
 	bytesBySecond       map[string]map[int]int // by router and second
 	totalBytes          int                    // of all routers
 }
 
-// propagation is a version's way to the routers.
+// propagation tracks which routers have yet to apply a version.
 type propagation struct {
 	proposedMs, inForceMs float64
-	pending               map[string]bool // routers that have yet to apply it, or a later one
+	pending               map[string]bool // routers that have applied neither this version nor a later one
 }
 
 func newPolicyChecker() policyChecker {
@@ -58,18 +58,18 @@
 	c.acknowledged[number] = append(c.acknowledged[number], hash)
 }
 
-// versionInForce checks a version that some coordinator node has in force against those that were.
+// versionInForce checks a version that is in force at a coordinator node against the versions seen before, and records it.
 func (w *World) versionInForce(v policy.Version, document policy.Document, history []policy.Change) {
 	r := w.policyRun
 	for _, change := range history {
 		if hash, known := r.documents[change.Version.Packed()]; known && hash != change.Version.Hash {
-			w.violation("version %s is two documents", change.Version)
+			w.violation("version %s has two different documents", change.Version)
 		}
 	}
 	packed := v.Packed()
 	hash, known := r.documents[packed]
 	if known && hash != v.Hash {
-		w.violation("version %s is two documents", v)
+		w.violation("version %s has two different documents", v)
 	}
 	if known {
 		return
@@ -80,7 +80,7 @@
 	r.documents[packed] = v.Hash
 	r.latest = max(r.latest, packed)
 	if document.Hash() != v.Hash {
-		w.violation("version %s: the document doesn't have its hash", v)
+		w.violation("version %s: its hash does not match its document", v)
 	}
 	w.startPropagation(v)
 }
@@ -99,20 +99,20 @@
 	w.policyRun.propagations[v.Packed()] = propagation{proposedMs, w.Now, pending}
 }
 
-// versionApplied checks a version that a router applied.
+// versionApplied checks a version that a router applied, and records its propagation.
 func (w *World) versionApplied(p *Process, v policy.Version, document policy.Document) {
 	r := w.policyRun
 	hash, known := r.documents[v.Packed()]
 	fromTamperedStore := p.storeTampered && maps.Equal(document, p.stored.document)
 	if known && hash != document.Hash() && !fromTamperedStore {
-		w.violation("%s applied another document than that of version %s", p.Name, v)
+		w.violation("%s applied a document that differs from that of version %s", p.Name, v)
 	}
 	if v.Packed() < p.policy.version.Packed() {
 		w.violation("%s went back from %s to %s", p.Name, p.policy.version, v)
 	}
 	p.policy.version, p.policy.document = v, document
 	w.Applied++
-	if change, waits := r.propagations[v.Packed()]; waits && change.pending[p.Name] {
+	if change, waiting := r.propagations[v.Packed()]; waiting && change.pending[p.Name] {
 		r.routerDelaysMs[v.Packed()] = append(r.routerDelaysMs[v.Packed()], w.Now-change.proposedMs)
 	}
 	for packed, change := range r.propagations {
@@ -131,7 +131,7 @@
 	}
 }
 
-// countBytes counts a router's control traffic.
+// countBytes adds a message to a router's control traffic; other processes are not counted.
 func (w *World) countBytes(p *Process, bytes int) {
 	if p.client == nil {
 		return
@@ -150,22 +150,22 @@
 	}
 }
 
-// checkPolicies checks the state at the end of a run: all routers have applied the version in force and the coordinator knows so.
+// checkPolicies checks the state at the end of a run: all routers have applied the version in force, and the coordinator has recorded that.
 func (w *World) checkPolicies() (violations []string) {
 	leader := w.Leader()
 	if leader == nil {
-		return []string{"no coordinator node leads at the end"}
+		return []string{"no leader at the end"}
 	}
 	for _, p := range w.Routers {
 		violations = append(violations, w.checkPolicyRouter(p, leader.node)...)
 	}
 	violations = append(violations, w.policyRun.checkAcknowledged()...)
 	if _, pending := w.policyRun.propagations[w.policyRun.latest]; pending || w.policyRun.latestPropagationMs > maxPropagationMs {
-		violations = append(violations, fmt.Sprintf("the last change, after all faults, was not applied everywhere within %.0f ms (%.0f)",
+		violations = append(violations, fmt.Sprintf("the last change, after all faults, was not applied by all routers within %.0f ms (%.0f)",
 			maxPropagationMs, w.policyRun.latestPropagationMs))
 	}
 	if w.MaxBytesPerSecond > maxControlBytesPerSecond {
-		violations = append(violations, fmt.Sprintf("a router sent and received %d bytes in a second, at most are allowed %d",
+		violations = append(violations, fmt.Sprintf("a router sent and received %d bytes in a second; the limit is %d",
 			w.MaxBytesPerSecond, maxControlBytesPerSecond))
 	}
 	return violations[:min(len(violations), maxPolicyViolations)]
@@ -179,22 +179,22 @@
 	w.HashMismatches += p.policy.follower.HashMismatches
 	applied, inForce := p.policy.version, leader.State().Policy().Version
 	if applied.Packed() != inForce.Packed() || p.policy.document.Hash() != inForce.Hash {
-		violations = append(violations, fmt.Sprintf("%s has applied %s at the end, %s is in force", p.Name, applied, inForce))
+		violations = append(violations, fmt.Sprintf("%s has applied %s at the end, but %s is in force", p.Name, applied, inForce))
 	}
 	session, open := leader.State().Session(p.Name)
 	if !open || session.Policy != applied.Packed() {
-		violations = append(violations, fmt.Sprintf("%s has applied %s at the end, its session (open: %v) says %s", p.Name, applied,
+		violations = append(violations, fmt.Sprintf("%s has applied %s at the end, but its session (open: %v) records %s", p.Name, applied,
 			open, policy.FormatPacked(session.Policy)))
 	}
 	return violations
 }
 
-// checkAcknowledged checks that each acknowledged proposal has the version number that its operator received.
+// checkAcknowledged checks that each acknowledged proposal has the version number that was returned to its operator.
 func (c *policyChecker) checkAcknowledged() (violations []string) {
 	for _, number := range slices.Sorted(maps.Keys(c.acknowledged)) {
 		for _, hash := range c.acknowledged[number] {
 			if !c.hasVersion(number, hash) {
-				violations = append(violations, fmt.Sprintf("a proposal was acknowledged as number %d, which is another document", number))
+				violations = append(violations, fmt.Sprintf("a proposal was acknowledged as version number %d, which has a different document", number))
 			}
 		}
 	}
--- a/internal/lab/fleet/simulation/policy_faults.go
+++ b/internal/lab/fleet/simulation/policy_faults.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// firstPolicyFaultMs is when the faults that need a policy in force may begin.
+	// firstPolicyFaultMs is the earliest time of faults that need a policy in force.
 	firstPolicyFaultMs = 4000
-	// lastChangeMs is from the second last change of a run, after all faults, to the last.
+	// lastChangeMs is the time between the last two changes of a run, both after all faults.
 	lastChangeMs = 2500
 )
 
-// scheduleRandomPolicyFaults schedules random faults as scheduleRandomFaults does, with those that concern the policy, and two changes after them.
+// scheduleRandomPolicyFaults schedules random faults, including those that concern the policy, and two policy changes after them.
 func (w *World) scheduleRandomPolicyFaults() {
 	kinds := []func() string{w.pauseRandomProcess, w.killRandomProcess, w.cutRandomLinks, w.cutLinksOneWay, w.isolateRandomProcess, w.slowRandomDisk, w.dropMessages, w.pauseLeader, w.killLeader,
 		w.restartReceivers, w.restartCoordinators, w.isolateFromPeers, w.corruptStores, w.serveCorruptChunks}
@@ -36,13 +36,14 @@
 	})
 }
 
-// isolateFromPeers cuts a coordinator node off from the others, not from the routers: it goes on to announce what it knows.
+// isolateFromPeers cuts a coordinator node off from its peers but not from the routers, so that it keeps announcing outdated versions.
 func (w *World) isolateFromPeers() string {
 	w.Isolate(w.randomCoordinator(), true, true, w.Coordinators, 2000+w.faultDurationMs()*3)
 	return "coordinator node lags"
 }
 
-// corruptStores has routers find another document in their stores than they stored, with a hash that fits or not.
+// corruptStores restarts some routers and replaces the documents in their stores. The stored hash matches the new document in about half
+// of the cases.
 func (w *World) corruptStores() string {
 	for range 1 + len(w.Routers)/20 {
 		p := w.Routers[w.rand.IntN(len(w.Routers))]
@@ -67,7 +68,7 @@
 	return "coordinator node serves other bytes"
 }
 
-// restartZone restarts a zone's routers at once, some of them with an empty store, around a change.
+// restartZone restarts all routers of a zone at once, some with an empty store, at about the time of a policy change.
 func (w *World) restartZone() string {
 	first := w.rand.IntN(max(1, len(w.Routers)-w.policyRun.ZoneRouters+1))
 	for _, p := range w.Routers[first : first+w.policyRun.ZoneRouters] {
--- a/internal/lab/fleet/simulation/policy_operators.go
+++ b/internal/lab/fleet/simulation/policy_operators.go
@@ -11,12 +11,13 @@
 const (
 	maxProposalRetries = 12
 	proposalTimeoutMs  = 600
-	// A proposal is retried after this time, ms: the least, and the most that is drawn on top.
+	// The delay before a proposal is retried, in ms: the minimum, and the maximum of a uniformly distributed extra.
 	minProposalRetryMs    = 20
 	proposalRetryJitterMs = 50
 )
 
-// proposeChange has an operator read the policy from any coordinator node and propose a change of it, until the result is known.
+// proposeChange makes an operator read the policy from a random coordinator node and propose a change. The proposal is retried
+// until its result is known or maxProposalRetries is exceeded.
 func (w *World) proposeChange(operator int, change func(policy.Document) policy.Document) {
 	from := w.policyRun.operators[operator]
 	coordinator := w.randomCoordinator()
@@ -25,7 +26,7 @@
 		base, document := history.Version, history.Document
 		w.send(coordinator, from, policyQueryBytes, func() {
 			next := change(document)
-			if base.Number == 0 { // a coordinator without state: the whole document is proposed
+			if base.Number == 0 { // the coordinator has no policy, so propose the whole document
 				next = w.randomDocument(w.policyRun.Fields)
 			}
 			proposal := policy.Propose(base, document, next, from.Name, fmt.Sprint("at ", int(w.Now)))
@@ -36,7 +37,7 @@
 	})
 }
 
-// submitProposal sends a proposal to a coordinator node, nil: any.
+// submitProposal sends a proposal to a coordinator node; if to is nil, to a random one.
 func (w *World) submitProposal(from *Process, proposal policy.Proposal, to *Process, retries int) {
 	if retries > maxProposalRetries {
 		w.Unknown++
@@ -82,7 +83,7 @@
 	})
 }
 
-// rebase has a proposal start from the version in force, whatever it was made from.
+// rebase makes the version in force the base of a proposal, whatever version the proposal was derived from.
 func rebase(proposal policy.Proposal, history *policy.History) *policy.Proposal {
 	if document, err := history.Document.Apply(proposal.Difference); err == nil {
 		proposal.Base, proposal.Hash = history.Version.Packed(), document.Hash()
--- a/internal/lab/fleet/simulation/policy_router.go
+++ b/internal/lab/fleet/simulation/policy_router.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// A watch without a message for watchTimeoutMs is replaced; that is checked at watchCheckMs intervals.
+	// A watch that has received no message for watchTimeoutMs is replaced; this is checked at watchCheckMs intervals.
 	watchTimeoutMs = 4000
 	watchCheckMs   = 500
-	// A watch of which a message is missing is replaced after this time, ms: the least, and the most that is drawn on top.
+	// The delay before a watch with a gap in its messages is replaced, in ms: the minimum, and the maximum of a uniformly distributed extra.
 	minResubscribeMs    = 150
 	resubscribeJitterMs = 300
 	fetchTimeoutMs      = 1000
-	// How long a router takes to apply a version, ms: the least, and the mean of what is drawn on top. Storing it is the same.
+	// How long a router takes to apply a version, and to store it, in ms: the minimum, and the mean of an exponentially distributed extra.
 	minApplyMs       = 0.1
 	meanExtraApplyMs = 3
 	minStoreMs       = 1
 	meanExtraStoreMs = 5
 )
 
-// policyState is what the policy needs of a router, and of a coordinator node.
+// policyState is the state of a router and of a coordinator node that policy distribution needs.
 type policyState struct {
 	policy        *policyRouter
 	stored        storedPolicy // on the router's disk
-	storeTampered bool         // a fault changed it
+	storeTampered bool         // a fault replaced the stored document
 	policyServer
 }
 
 // policyRouter is a router's policy follower and its watch.
 type policyRouter struct {
 	follower         *policy.Follower
-	version          policy.Version // that the router applied last
+	version          policy.Version // latest that the router applied
 	document         policy.Document
-	coordinator      *Process // of the watch
+	coordinator      *Process // node that serves the watch
 	stream           int      // of the watch
 	sequence         int      // of the last message of the watch
-	incompleteStream int      // the last watch of which a message was missing
+	incompleteStream int      // the latest watch with a gap in its messages
 	lastMessageMs    float64
-	fetches          int     // numbers fetches; a response to an earlier one is dropped
-	nextWakeMs       float64 // when the follower's clock is advanced next
-	lastApplyMs      float64 // when the version that is being applied will be
+	fetches          int     // number of the current fetch; responses to earlier ones are dropped
+	nextWakeMs       float64 // when the follower's clock advances next
+	lastApplyMs      float64 // when the latest scheduled version is applied
 }
 
-// storedPolicy is what a router has on its disk.
+// storedPolicy is the policy version that a router has stored on its disk.
 type storedPolicy struct {
 	version  policy.Version
 	document policy.Document
@@ -66,7 +66,7 @@
 	p.checkWatchTimeout()
 }
 
-// subscribe starts a watch at some coordinator node and ends the one before.
+// subscribe starts a watch at a random coordinator node and ends the previous one.
 func (p *Process) subscribe() {
 	w, r := p.world, p.policy
 	if old := r.coordinator; old != nil {
@@ -87,7 +87,7 @@
 	})
 }
 
-// checkWatchTimeout replaces a watch that no message came from.
+// checkWatchTimeout periodically replaces a watch that has received no message for watchTimeoutMs.
 func (p *Process) checkWatchTimeout() {
 	p.later(watchCheckMs, func() {
 		if p.world.Now-p.policy.lastMessageMs > watchTimeoutMs {
@@ -97,7 +97,8 @@
 	})
 }
 
-// updateReceived handles a message of a watch. A missing one has the watch replaced; announcements count in any order.
+// updateReceived handles a message of a watch. A gap in the sequence causes the watch to be replaced. Announced versions are
+// passed to the follower in any order, including those of earlier watches.
 func (p *Process) updateReceived(stream, sequence int, update leaseclient.Update) {
 	r := p.policy
 	if stream == r.stream {
@@ -116,7 +117,7 @@
 	}
 }
 
-// executePolicyDecisions carries out what the follower decides.
+// executePolicyDecisions executes the policy follower's pending decisions.
 func (p *Process) executePolicyDecisions() {
 	w, r := p.world, p.policy
 	r.follower.Advance(p.clock())
@@ -126,7 +127,7 @@
 			p.applyLater(d)
 		case policy.Acknowledge:
 			if d.Applied > r.version.Packed() {
-				w.violation("%s acknowledges %s and applied %s", p.Name, policy.FormatPacked(d.Applied), r.version)
+				w.violation("%s acknowledged %s but has applied only %s", p.Name, policy.FormatPacked(d.Applied), r.version)
 			}
 			p.client.PolicyApplied(d.Applied, d.Rejected, d.Reason)
 		case policy.Store:
@@ -140,7 +141,7 @@
 	p.scheduleWake()
 }
 
-// applyLater applies a version, in the order in which the follower decided so.
+// applyLater applies a version after a delay. Versions are applied in the order of the decisions.
 func (p *Process) applyLater(d policy.Decision) {
 	w, r := p.world, p.policy
 	r.lastApplyMs = max(r.lastApplyMs, w.Now+minApplyMs+w.rand.ExpFloat64()*meanExtraApplyMs)
@@ -151,7 +152,7 @@
 	})
 }
 
-// scheduleWake advances the follower's clock at its next deadline.
+// scheduleWake schedules the follower's clock to advance at its next deadline.
 func (p *Process) scheduleWake() {
 	w, r := p.world, p.policy
 	at := w.Now + max(r.follower.NextDeadline()-p.clock(), 1)
@@ -164,7 +165,7 @@
 	}
 }
 
-// fetchPolicy asks for a part, mostly from the coordinator node of the watch.
+// fetchPolicy requests a part from the coordinator node of the watch, or in a third of the cases from a random one.
 func (p *Process) fetchPolicy(request policy.Request) {
 	w, r := p.world, p.policy
 	coordinator := r.coordinator
--- a/internal/lab/fleet/simulation/policy_run.go
+++ b/internal/lab/fleet/simulation/policy_run.go
@@ -9,40 +9,40 @@
 
 const (
 	operators = 2
-	// When the first document is proposed, and when changes begin, ms.
+	// When the first document is proposed, and when changes begin, in ms.
 	firstDocumentMs = 1200
 	firstChangeMs   = 3000
 )
 
 // PolicyOptions configure the changes of the policy in a run.
 type PolicyOptions struct {
-	Fields           int     // of the document that the run begins with
-	FieldsPerChange  int     // that each change sets
-	ChangeIntervalMs float64 // ms between two changes, drawn around it
-	Regions          bool    // one coordinator node and a third of the routers are once cut off from the rest
-	RegionCutMs      float64 // ms, for how long
-	ZoneRouters      int     // routers that restart at once; 0: none
+	Fields           int     // number of fields of the first document
+	FieldsPerChange  int     // number of fields that each change sets
+	ChangeIntervalMs float64 // mean time between two changes; the actual time varies randomly
+	Regions          bool    // cut one coordinator node and a third of the routers off from the rest, once
+	RegionCutMs      float64 // how long the regions are partitioned
+	ZoneRouters      int     // number of routers that restart at once; 0: none
 }
 
-// PolicyResult is the policy's part of a run's result.
+// PolicyResult is the part of a run's report that concerns the policy.
 type PolicyResult struct {
 	Proposed, Accepted, Rejected, Unknown int
-	Applied                               int       // versions that routers applied, over all routers
-	PropagationMs                         []float64 // of each change, from its proposal until all routers that were up applied it or a later one
-	MaxBytesPerSecond                     int       // that one router sent and received in one second
-	Fetched                               int       // parts of documents and differences
-	StaleAnnouncements, HashMismatches    int       // of the routers at the end: outdated announcements, documents that didn't fit their hash
+	Applied                               int       // number of versions applied, over all routers
+	PropagationMs                         []float64 // of each change: from its proposal until all routers that were up had applied it or a later one
+	MaxBytesPerSecond                     int       // maximum that one router sent and received in a second
+	Fetched                               int       // number of parts of documents and differences
+	StaleAnnouncements, HashMismatches    int       // of the routers at the end: outdated announcements, and documents that did not match their hash
 }
 
-// policyRun is what a world with a policy has beside coordinator nodes and routers. Versions are packed.
+// policyRun is the additional state of a run with policy changes. Versions are packed.
 type policyRun struct {
 	PolicyOptions
 	policyChecker
 	operators   []*Process
-	partitioned map[*Process]bool // the region that is cut off
+	partitioned map[*Process]bool // processes of the region that is cut off
 }
 
-// startPolicyRun adds operators and schedules their changes.
+// startPolicyRun adds operators and schedules their policy changes.
 func (w *World) startPolicyRun() {
 	run := &policyRun{PolicyOptions: *w.options.Policy, policyChecker: newPolicyChecker()}
 	w.policyRun = run
@@ -59,7 +59,7 @@
 	}
 }
 
-// proposeChanges has the operators propose changes in turn, now and then both at once, until the faults end.
+// proposeChanges makes the operators propose changes alternately, and in a quarter of the cases both at once, until the faults end.
 func (w *World) proposeChanges(n int) {
 	if w.Now > w.options.FaultsMs {
 		return
@@ -79,7 +79,7 @@
 	return document
 }
 
-// randomChange sets random fields of a document.
+// randomChange returns a copy of a document with random values in random fields.
 func (w *World) randomChange(old policy.Document) policy.Document {
 	document := maps.Clone(old)
 	if document == nil {
--- a/internal/lab/fleet/simulation/policy_server.go
+++ b/internal/lab/fleet/simulation/policy_server.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// pushDelayMs is from a change of the lease state until watchers are notified.
+	// pushDelayMs is the delay between a change of the lease state and the notification of watchers.
 	pushDelayMs = 5
-	// maxDuplicateDelayMs is the most by which a duplicated message is late.
+	// maxDuplicateDelayMs is the maximum delay of a duplicated message.
 	maxDuplicateDelayMs = 1500
 	maxCachedChunks     = 64
 )
 
-// policyServer is the part of a coordinator node that notifies watchers and serves the policy.
+// policyServer is the state with which a coordinator node notifies watchers and serves the policy.
 type policyServer struct {
 	watchers       []*watcher
-	pushedIndex    uint64 // up to which watchers were notified
+	pushedIndex    uint64 // index up to which watchers were notified
 	pushPending    bool
-	corruptsChunks bool // a fault: it serves other bytes than the version has
+	corruptsChunks bool // a fault: the node serves bytes that differ from those of the version
 	chunks         []policyChunk
 }
 
@@ -32,11 +32,11 @@
 	process     *Process
 	incarnation int
 	stream      int
-	sequence    int    // of the last message
-	sinceIndex  uint64 // up to which it was notified
+	sequence    int    // of the latest message
+	sinceIndex  uint64 // index up to which the router was notified
 }
 
-// policyChunk is what a fetch is served from, part by part.
+// policyChunk is a cached compressed response, from which fetches are served part by part.
 type policyChunk struct {
 	base    uint64
 	version policy.Version
@@ -44,7 +44,7 @@
 	bytes   []byte
 }
 
-// sendChanges notifies a watcher of what changed since the last time.
+// sendChanges notifies a watcher of the changes since its previous notification.
 func (p *Process) sendChanges(to *watcher) {
 	update, index := leaseclient.Changes(p.node.State(), to.sinceIndex, true)
 	to.sinceIndex = index
@@ -53,7 +53,7 @@
 	}
 }
 
-// sendUpdate sends a message of a watch. A network that loses messages also duplicates some.
+// sendUpdate sends a message of a watch. While the network loses messages, it also duplicates some.
 func (p *Process) sendUpdate(to *watcher, update leaseclient.Update) {
 	w := p.world
 	to.sequence++
@@ -70,7 +70,7 @@
 	}
 }
 
-// pushChanges notifies all watchers soon after the lease state changed.
+// pushChanges notifies all watchers pushDelayMs after the lease state changed.
 func (p *Process) pushChanges() {
 	if p.pushPending || p.node.State().Index() == p.pushedIndex {
 		return
@@ -92,7 +92,7 @@
 	})
 }
 
-// sendKeepalives sends an empty update to each watcher, again and again.
+// sendKeepalives periodically sends an empty update to each watcher.
 func (p *Process) sendKeepalives() {
 	for _, to := range p.watchers {
 		p.sendUpdate(to, leaseclient.Update{})
@@ -100,7 +100,7 @@
 	p.later(keepaliveIntervalMs, p.sendKeepalives)
 }
 
-// servePart serves one part of the policy; false: this node doesn't have what is asked for.
+// servePart returns the requested part of the policy, or false if this node doesn't have it.
 func (p *Process) servePart(request policy.Request) (policy.Part, bool) {
 	chunk := p.cachedChunk(request)
 	if chunk == nil {
@@ -116,7 +116,7 @@
 	return part, end > start
 }
 
-// cachedChunk returns the latest chunk that a further part may be served from; nil: there is none.
+// cachedChunk returns the latest cached chunk that matches a request for a further part; nil: there is none.
 func (p *Process) cachedChunk(request policy.Request) (found *policyChunk) {
 	if request.Offset == 0 {
 		return nil
@@ -148,7 +148,7 @@
 	return &chunk, true
 }
 
-// corruptChunk changes a field of what is served.
+// corruptChunk changes a field of a document or of its latest difference.
 func corruptChunk(raw []byte, full bool, document policy.Document) []byte {
 	const field, value = "over_share_value", "0.9"
 	if full {
--- a/internal/lab/fleet/simulation/policy_test.go
+++ b/internal/lab/fleet/simulation/policy_test.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	policySchedules  = flag.Int("policies", 6, "random schedules of policy changes that are run")
-	policyRouters    = flag.Int("size", 16, "routers of these schedules")
+	policySchedules  = flag.Int("policies", 6, "number of random schedules of policy changes to run")
+	policyRouters    = flag.Int("size", 16, "number of routers in these schedules")
 	partitionSeconds = flag.Float64("apart", 20, "seconds for which the regions of these schedules are partitioned")
 )
 
@@ -16,9 +16,9 @@
 	return Options{Seed: seed, Coordinators: 3, Routers: *policyRouters, FaultsMs: 15000, Policy: &PolicyOptions{Fields: 60, FieldsPerChange: 1, ChangeIntervalMs: 1500, ZoneRouters: max(1, *policyRouters/8)}}
 }
 
-// Whatever the faults: a version is one document, no router goes back to an earlier one, routers acknowledge only what they applied,
-// an accepted proposal has the version number that its operator received, control traffic keeps within its bandwidth, and at the end each
-// router has applied the version in force and the coordinator knows so.
+// Under random faults, a version has one document, no router goes back to an earlier version, routers acknowledge only versions that they
+// applied, an accepted proposal has the version number that its operator received, control traffic stays within its bandwidth limit, and at
+// the end each router has applied the version in force and the coordinator has recorded that.
 func TestPolicies_RandomFaults(t *testing.T) {
 	var all PolicyResult
 	faults := map[string]int{}
@@ -43,17 +43,17 @@
 	}
 	slices.Sort(all.PropagationMs)
 	if n := len(all.PropagationMs); n > 0 {
-		t.Logf("%d schedules of %d routers: %d proposed, %d accepted, %d rejected, %d unknown; applied everywhere after %.0f ms (median), %.0f (worst, under faults); "+
+		t.Logf("%d schedules of %d routers: %d proposed, %d accepted, %d rejected, %d unknown; applied by all routers after %.0f ms (median), %.0f (worst, under faults); "+
 			"%d applied, %d parts fetched, %d outdated announcements, %d hash mismatches, at most %d bytes of a router in a second; faults %v",
 			*policySchedules, *policyRouters, all.Proposed, all.Accepted, all.Rejected, all.Unknown, all.PropagationMs[n/2], all.PropagationMs[n-1],
 			all.Applied, all.Fetched, all.StaleAnnouncements, all.HashMismatches, all.MaxBytesPerSecond, faults)
 	}
 	if all.Accepted < 5**policySchedules || all.Rejected < *policySchedules/2 || all.Fetched < *policySchedules {
-		t.Error("this tests little")
+		t.Errorf("only %d accepted, %d rejected, %d fetched in %d schedules: coverage is too low", all.Accepted, all.Rejected, all.Fetched, *policySchedules)
 	}
 }
 
-// add adds up the results of several runs.
+// add adds the result of another run.
 func (r *PolicyResult) add(other PolicyResult) {
 	r.Proposed += other.Proposed
 	r.Accepted += other.Accepted
@@ -67,8 +67,8 @@
 	r.PropagationMs = append(r.PropagationMs, other.PropagationMs...)
 }
 
-// changeCost runs one change without faults. It returns the ms from its proposal until each router applied it, the bytes that it
-// took per router, beyond those of an idle time as long, and the most bytes of a router in one second.
+// changeCost runs one change without faults. It returns the delays from the proposal until each router applied it, sorted; the bytes per
+// router in excess of the traffic of an idle period of the same length; and the maximum bytes of a router in one second.
 func changeCost(t *testing.T, fields, change int, event func(w *World)) (delaysMs []float64, bytes float64, maxBytes int) {
 	t.Helper()
 	const changeMs, durationMs = 32000.0, 15000.0
@@ -101,10 +101,10 @@
 	return delaysMs, float64(busy-idle) / float64(*policyRouters), w.MaxBytesPerSecond
 }
 
-// The cost of a change: one field of a small document, of a large one, nearly all of that at once; and of a zone that restarts one
-// version behind, or with empty stores.
+// Measures and bounds the cost of changes of different sizes, and of the restart of a zone whose routers have stored the previous version or
+// have empty stores.
 func TestPolicies_CostOfChange(t *testing.T) {
-	large := 500 // fields: 100 KB have 2,700
+	large := 500 // number of fields; a document of 100 KB has 2,700
 	if *policyRouters > 100 {
 		large = 2700
 	}
@@ -115,16 +115,16 @@
 		event          func(*World)
 		maxMs          float64 // 0: no bound
 	}{
-		{"a field of a small document", 100, 1, nil, 1000},
-		{"a field of a large document", large, 1, nil, 1000},
+		{"one field of a small document", 100, 1, nil, 1000},
+		{"one field of a large document", large, 1, nil, 1000},
 		{"200 fields of a large document", large, 200, nil, 4000},
-		{"nearly all of a large document", large, 4 * large, nil, 0},
+		{"most fields of a large document", large, 4 * large, nil, 0},
 	} {
 		delaysMs, bytes, maxBytes := changeCost(t, c.fields, c.change, c.event)
-		t.Logf("%s (%d fields), %d routers: %d applied it after %.0f ms (median), %.0f (worst); %.0f bytes a router; at most %d in a second", c.name, c.fields, *policyRouters, len(delaysMs),
+		t.Logf("%s (%d fields), %d routers: %d applied it after %.0f ms (median), %.0f (worst); %.0f bytes per router; at most %d in a second", c.name, c.fields, *policyRouters, len(delaysMs),
 			delaysMs[len(delaysMs)/2], delaysMs[len(delaysMs)-1], bytes, maxBytes)
 		if worst := delaysMs[len(delaysMs)-1]; c.maxMs > 0 && worst > c.maxMs {
-			t.Errorf("%s: %.0f ms, at most %.0f are allowed", c.name, worst, c.maxMs)
+			t.Errorf("%s: %.0f ms, the limit is %.0f", c.name, worst, c.maxMs)
 		}
 	}
 	for _, keepStore := range []bool{true, false} {
@@ -151,7 +151,7 @@
 	}
 }
 
-// recordRecovery records after how long a router that starts now has applied the version in force.
+// recordRecovery records how long a router that starts now takes to apply the version in force.
 func (w *World) recordRecovery(p *Process, into *[]float64) {
 	since := w.Now
 	var check func()
@@ -165,8 +165,8 @@
 	check()
 }
 
-// isolateNodesInTurn cuts each coordinator node off from its peers in turn; meanwhile there is a change, and all routers subscribe
-// again, some to the node that lags.
+// isolateNodesInTurn cuts each coordinator node off from its peers in turn. While it is isolated, the policy changes and all routers
+// resubscribe, some to the isolated node.
 func isolateNodesInTurn(w *World) {
 	for n, c := range w.Coordinators {
 		at := 4000 + float64(n)*3000
@@ -180,7 +180,7 @@
 	}
 }
 
-// serveOtherBytes has all coordinator nodes serve other bytes than the version in force has, to routers with empty stores.
+// serveOtherBytes makes all coordinator nodes serve corrupt bytes to routers that restart with empty stores.
 func serveOtherBytes(w *World) {
 	w.After(4000, func() {
 		for _, c := range w.Coordinators {
@@ -194,7 +194,7 @@
 	})
 }
 
-// Each seeded defect is found by a checker under some seed, which finds nothing without the defect.
+// Each seeded defect causes a violation under some seed, and the same seed causes none without the defect.
 func TestPolicySeededDefects_AreFound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -217,12 +217,12 @@
 					t.Logf("seed %d: %.200s", seed, w.Violations[0])
 					o.SeededDefects = SeededDefects{}
 					if w := Run(o); len(w.Violations) > 0 {
-						t.Errorf("without it: %v", w.Violations)
+						t.Errorf("violations without the defect: %v", w.Violations)
 					}
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no seed found the defect")
 		})
 	}
 }
--- a/internal/lab/fleet/simulation/process.go
+++ b/internal/lab/fleet/simulation/process.go
@@ -3,10 +3,10 @@
 import "wayloft/internal/decide/switchover"
 
 const (
-	// When a lease client's clock is next looked at, ms: at least and at most from now.
+	// The minimum and maximum time until a lease client's clock advances next, in ms.
 	minAdvanceMs = 1
 	maxAdvanceMs = 100
-	// A router of a policy run has its own timer for the policy.
+	// Routers of a policy run advance less often, since the policy follower has its own timer.
 	maxPolicyAdvanceMs = 1000
 )
 
@@ -15,20 +15,20 @@
 type Process struct {
 	Name          string
 	world         *World
-	incarnation   int     // grows with each start; events of an earlier one are dropped
-	up            bool    // it runs or is paused
-	paused        bool    // its events wait in deferred
-	clockOffsetMs float64 // its clock less the world's
+	incarnation   int     // increases with each start; events of an earlier incarnation are dropped
+	up            bool    // running or paused
+	paused        bool    // its events are deferred
+	clockOffsetMs float64 // its clock minus that of the world
 	deferred      []func()
 
 	coordinatorState
 	leaseClientState
 	switchoverState
 	policyState
-	member *member // of a member
+	member *member // nil: the process is not a member
 }
 
-// run has a process do something, once it is not paused.
+// run calls do and executes the resulting decisions, or defers that while the process is paused.
 func (p *Process) run(do func()) {
 	if p.paused {
 		p.deferred = append(p.deferred, do)
@@ -38,7 +38,7 @@
 	p.executeDecisions()
 }
 
-// later has a process do something after a time, if it is the same incarnation then.
+// later runs do after a delay, unless the process has stopped or restarted by then.
 func (p *Process) later(ms float64, do func()) {
 	incarnation := p.incarnation
 	p.world.After(ms, func() {
@@ -48,7 +48,7 @@
 	})
 }
 
-// clock is the process's monotonic clock, ms; it is never 0.
+// clock returns the process's monotonic clock in ms; it is never 0.
 func (p *Process) clock() float64 { return p.world.Now + p.clockOffsetMs + 1 }
 
 func (p *Process) isCoordinator() bool { return p.Name[0] == 'c' }
@@ -62,7 +62,7 @@
 	switch {
 	case p.isCoordinator():
 		p.startCoordinator()
-	case p.member != nil: // its state outlives the process
+	case p.member != nil: // a member keeps its state across restarts
 		return
 	default:
 		p.startRouter()
@@ -71,7 +71,7 @@
 	p.scheduleTick()
 }
 
-// scheduleTick advances the clock of the process's state machine at its deadlines.
+// scheduleTick repeatedly advances the clock of the process's Raft node or lease client.
 func (p *Process) scheduleTick() {
 	p.later(p.nextTickMs(), func() {
 		if p.node != nil {
@@ -94,7 +94,7 @@
 	return min(max(p.client.NextDeadline()-p.clock(), minAdvanceMs), latest)
 }
 
-// executeDecisions carries out the decisions of the process's state machines.
+// executeDecisions executes the pending decisions of the process's state machines.
 func (p *Process) executeDecisions() {
 	if p.node != nil {
 		p.executeCoordinatorDecisions()
@@ -113,7 +113,7 @@
 	}
 }
 
-// Kill ends a process at once; its data directory stays.
+// Kill stops a process immediately; its data directory is kept.
 func (p *Process) Kill() {
 	p.up, p.paused, p.deferred = false, false, nil
 	p.node, p.client, p.driver, p.switchover, p.policy = nil, nil, nil, nil, nil
@@ -123,10 +123,10 @@
 	}
 }
 
-// Pause stops a process until Resume.
+// Pause suspends a process until Resume.
 func (p *Process) Pause() { p.paused = p.up }
 
-// Resume continues a paused process with the events that waited for it.
+// Resume resumes a paused process and runs its deferred events.
 func (p *Process) Resume() {
 	if !p.paused {
 		return
@@ -143,13 +143,13 @@
 	}
 }
 
-// PauseFor pauses a process for a time.
+// PauseFor pauses a process for ms milliseconds.
 func (w *World) PauseFor(p *Process, ms float64) {
 	p.Pause()
 	w.After(ms, p.Resume)
 }
 
-// KillFor kills a process and starts it again after a time.
+// KillFor kills a process and restarts it after ms milliseconds.
 func (w *World) KillFor(p *Process, ms float64) {
 	p.Kill()
 	w.After(ms, p.start)
--- a/internal/lab/fleet/simulation/recorded_test.go
+++ b/internal/lab/fleet/simulation/recorded_test.go
@@ -12,9 +12,9 @@
 	"wayloft/internal/fakes/recording"
 )
 
-var recordedSeeds = flag.Int("recorded-seeds", 10, "seeds of each kind whose reports are compared with the recorded ones (200 are recorded)")
+var recordedSeeds = flag.Int("recorded-seeds", 10, "number of seeds of each kind whose reports are compared with the recorded ones (200 are recorded)")
 
-// TestRecordedReports has the reports of drawn schedules be the recorded ones, value for value.
+// TestRecordedReports checks that the reports of random schedules equal the recorded ones, value for value.
 func TestRecordedReports(t *testing.T) {
 	for _, kind := range []struct {
 		name    string
@@ -39,7 +39,7 @@
 	})
 }
 
-// recordedReport has all values of a report. Times that a map gave in any order are sorted.
+// recordedReport formats all values of a report. Values whose order depends on map iteration are sorted.
 func recordedReport(w *World) string {
 	r := w.Report
 	counts := func(m map[string]int) []int { return slices.Sorted(maps.Values(m)) }
--- a/internal/lab/fleet/simulation/router_settings.go
+++ b/internal/lab/fleet/simulation/router_settings.go
@@ -2,8 +2,8 @@
 
 import "wayloft/router"
 
-// newRouterSettings are the settings of simulated routers; runs differ in how many routers they have and in the request classes.
-// Times are ms.
+// newRouterSettings returns the settings of simulated routers. Runs differ in the number of routers and in the request classes. Times are
+// in ms.
 func newRouterSettings(routers int, classes map[string]*router.RequestClass) *router.Settings {
 	return &router.Settings{
 		Routers:           routers,
--- a/internal/lab/fleet/simulation/simulation.go
+++ b/internal/lab/fleet/simulation/simulation.go
@@ -1,10 +1,10 @@
-// Package simulation runs a fleet in simulated time: the program's own coordinator nodes, lease clients, lease receivers,
-// switchover executors and policy followers, over a simulated network, disks and clocks, without sockets or operating system processes.
+// Package simulation runs a fleet in simulated time: the production coordinator nodes, lease clients, lease receivers, switchover
+// executors and policy followers, with a simulated network, disks and clocks, without sockets or operating system processes.
 //
-// Play runs one World; one seed gives one run, and checkers look for violations of what the fleet guarantees. RunHealthSharing
-// runs routers before one group to compare health checks with and without sharing. CheckLinearizable checks a history of lease requests; the
-// tests of real processes use it too. The package is for tests and measurements. It decides about time and faults, and never
-// about what the packages under internal/decide and router decide.
+// Run runs one World. A seed determines the whole run, and checkers look for violations of the guarantees of the fleet. RunHealthSharing
+// runs routers in front of one group to compare health checks with and without sharing. CheckLinearizable checks a history of lease
+// requests; the tests of real processes use it too. The package is for tests and measurements. It controls time and faults, and never
+// changes the decisions of the packages under internal/decide and router.
 package simulation
 
 import (
@@ -13,7 +13,7 @@
 	"wayloft/internal/decide/raftnode"
 )
 
-// Timing of the simulated sessions and processes, ms.
+// Timing of the simulated sessions and processes, in ms.
 const (
 	SessionTimeoutMs = 2000.0
 	SafetyMarginMs   = 200.0
@@ -27,16 +27,16 @@
 	Routers       int
 	Leases        int
 	NoFaults      bool
-	FaultsMs      float64 // ms with faults
-	RecoveryMs    float64 // ms without, after them; 0: as long again
+	FaultsMs      float64 // length of the period with faults
+	RecoveryMs    float64 // length of the period without faults after it; 0: as long as FaultsMs
 	SeededDefects SeededDefects
-	Schedule      func(*World)   // schedules the events of the run in place of random faults
-	Switchover    bool           // switchovers of a group's primary, under writes
-	Policy        *PolicyOptions // changes of the policy; nil: none
-	MaxHolders    int            // of the routers, how many request leases; 0: all
+	Schedule      func(*World)   // schedules the events of the run, instead of random faults
+	Switchover    bool           // run switchovers of a group's primary while clients write
+	Policy        *PolicyOptions // run policy changes; nil: none
+	MaxHolders    int            // number of routers that request leases; 0: all
 }
 
-// endMs is when the run ends.
+// endMs returns the time at which the run ends.
 func (o *Options) endMs() float64 {
 	if o.RecoveryMs > 0 {
 		return o.FaultsMs + o.RecoveryMs
@@ -44,44 +44,44 @@
 	return 2 * o.FaultsMs
 }
 
-// SeededDefects switch on defects that a checker must find. The program has none of them.
+// SeededDefects enable defects that a checker must find. The production code has none of them.
 type SeededDefects struct {
 	Coordinator        raftnode.SeededDefects
-	SkipTokenCheck     bool // receivers accept every act
-	ForgetTokens       bool // a receiver that restarted accepts acts without having asked for the latest tokens
-	OvercountLease     bool // a lease is counted from the response on, not from the request
-	SameEpoch          bool // coordinators that lost their state start again in the same epoch
-	IgnoreGuardRow     bool // members carry out steps whatever their guard rows say
+	SkipTokenCheck     bool // receivers accept every command
+	ForgetTokens       bool // a restarted receiver accepts commands without reading the latest tokens first
+	OvercountLease     bool // holders use a negative safety margin and consider a lease valid after it expired
+	SameEpoch          bool // coordinator nodes that lost their state restart in the same epoch
+	IgnoreGuardRow     bool // members execute steps that their guard rows should reject
 	Policy             policy.SeededDefects
-	SkipCompareAndSet  bool // a proposal is accepted whatever version is in force
-	AcknowledgeUnsaved bool // a coordinator node acknowledges before its disk has written
+	SkipCompareAndSet  bool // a proposal is accepted whatever its base version
+	AcknowledgeUnsaved bool // a coordinator node acknowledges entries before the disk write
 }
 
 // Report is the result of a run.
 type Report struct {
 	Violations       []string
-	AcceptedCommands int // accepted by receivers
-	StaleCommands    int // rejected for their fencing token
+	AcceptedCommands int // commands that receivers accepted
+	StaleCommands    int // commands rejected for their fencing token
 	Grants           int
 	Elections        int
 	Faults           map[string]int // by kind
-	HolderGapsMs     []float64      // how long a lease had no acting holder, each time
-	Entries          uint64         // of the coordinator's log
-	Bytes            int            // between all processes
+	HolderGapsMs     []float64      // lengths of the periods between two holders of a lease
+	Entries          uint64         // index of the last entry of the coordinator's log
+	Bytes            int            // sent between all processes
 	Messages         int
 	Operations       []Operation
 	EndedMs          float64
 	PolicyResult
-	UnheldLeases []string // leases without an acting holder at the end
+	UnheldLeases []string // leases without a holder at the end
 }
 
-// Kinds of operations. CheckLinearizable judges both alike, by what the response says.
+// Kinds of operations. CheckLinearizable treats both alike and checks the response only.
 const (
-	AcquireOperation = "acquire" // a lease is requested
-	ReadOperation    = "read"    // the latest token of a lease is asked for
+	AcquireOperation = "acquire" // requests a lease
+	ReadOperation    = "read"    // reads the latest token of a lease
 )
 
-// Operation is one request about a lease to the coordinator as its client saw it.
+// Operation is one lease request to the coordinator, as observed by its client.
 type Operation struct {
 	Client             int
 	Kind               string // AcquireOperation or ReadOperation
--- a/internal/lab/fleet/simulation/switchover_executor.go
+++ b/internal/lab/fleet/simulation/switchover_executor.go
@@ -15,7 +15,7 @@
 	findPrimaryMs    = 2
 	memberTimeoutMs  = 300
 	routerTimeoutMs  = 500
-	maxStepDelayMs   = 20 // between the check of the lease and the step; the process may be paused meanwhile
+	maxStepDelayMs   = 20 // between the check of the lease and the step; the process may be paused in between
 	maxEntryRetries  = 6
 	maxResultLength  = 200
 	endReportRetryMs = SessionTimeoutMs / 4
@@ -23,11 +23,11 @@
 
 var errNoPrimary = errors.New("no member takes writes")
 
-// switchoverState is a router's part in switchovers: its requests, its held writes, and the executor while it holds the lease.
+// switchoverState is a router's state for switchovers: its driver, its write holds, and the executor while it holds the lease.
 type switchoverState struct {
 	driver     *routerDriver
 	writeHolds *switchover.WriteHolds
-	switchover *switchoverLease // nil: it doesn't hold the lease
+	switchover *switchoverLease // nil: the process doesn't hold the lease
 	orderState switchover.OrderState
 }
 
@@ -35,12 +35,12 @@
 type switchoverLease struct {
 	token        lease.Token
 	order        uint64
-	executor     *switchover.Executor // nil: no order is being carried out
-	nextReportMs float64              // when the end of an order may be reported, again
+	executor     *switchover.Executor // nil: no order is in progress
+	nextReportMs float64              // earliest time of the next attempt to report the end of an order
 	pendingStep  switchover.MemberStep
 }
 
-// advanceSwitchover carries out the executor's decisions, or starts the next order.
+// advanceSwitchover reports an order that has ended, starts the next order if none is in progress, and executes the executor's decisions.
 func (p *Process) advanceSwitchover() {
 	held := p.switchover
 	if held.executor == nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// reportEnd has the coordinator complete an order that has ended.
+// reportEnd asks the coordinator to complete an order that has ended.
 func (p *Process) reportEnd(held *switchoverLease, ended leasestate.Order) {
 	if held.nextReportMs > p.clock() {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// updateExecutor passes an input to an executor, if it is still this process's.
+// updateExecutor passes an input to an executor, unless the process has lost the lease or the order has ended since.
 func (p *Process) updateExecutor(held *switchoverLease, executor *switchover.Executor, input func(*switchover.Executor)) {
 	if p.switchover == held && held.executor == executor {
 		executor.Advance(p.clock())
@@ -146,7 +146,7 @@
 	})
 }
 
-// commandMember has a member carry out a step.
+// commandMember sends a step to a member.
 func (p *Process) commandMember(held *switchoverLease, d switchover.Decision) {
 	w, to, executor, token := p.world, p.world.processes[d.Target], held.executor, held.token
 	held.pendingStep = d.Step
@@ -166,7 +166,7 @@
 	})
 }
 
-// commandRouter has a router hold, release or count its writes.
+// commandRouter commands a router to hold, release or count its writes.
 func (p *Process) commandRouter(held *switchoverLease, d switchover.Decision) {
 	w, to, executor := p.world, p.world.processes[d.Target], held.executor
 	var ended once
@@ -195,7 +195,7 @@
 	p.later(routerTimeoutMs, func() { end(false, 0) })
 }
 
-// commandAccepted has this router carry out a lease holder's command. It returns how many writes are running.
+// commandAccepted executes a lease holder's command on this router. It returns the number of running writes.
 func (p *Process) commandAccepted(held *switchoverLease, d switchover.Decision) (running int) {
 	heldUntil := 0.0
 	switch d.Command {
@@ -210,7 +210,7 @@
 	return p.driver.runningWrites()
 }
 
-// writeEntry writes an entry into the lease state, and retries while its result is not known.
+// writeEntry proposes an entry to the coordinator, and retries up to maxEntryRetries times while the result is unknown.
 func (p *Process) writeEntry(e leasestate.Entry, retries int, done func(accepted bool)) {
 	p.proposeEntry(p.client.Signed(e), func(result leasestate.Result, known bool) {
 		if !known && retries < maxEntryRetries {
--- a/internal/lab/fleet/simulation/switchover_members.go
+++ b/internal/lab/fleet/simulation/switchover_members.go
@@ -10,19 +10,19 @@
 
 const (
 	groupMembers = 3
-	// Switchovers are ordered from firstOrderMs until lastOrderMs after the faults, ms; the interval is at least minOrderIntervalMs,
-	// and orderJitterMs is the most that is drawn on top.
+	// Switchovers are ordered from firstOrderMs until lastOrderMs after the faults. The interval is minOrderIntervalMs plus a uniformly
+	// distributed extra of at most orderJitterMs.
 	firstOrderMs       = 3000
 	lastOrderMs        = 2000
 	minOrderIntervalMs = 1500
 	orderJitterMs      = 2500
 	maxOrderRetries    = 20
 	orderRetryMs       = 200
-	// maxHoldMs is how long one switchover may hold writes.
+	// maxHoldMs is the maximum time for which one switchover may hold writes.
 	maxHoldMs = 3000.0
 )
 
-// writeOutcome is the response that a client got to its write.
+// writeOutcome is the outcome of a write as its client observed it.
 type writeOutcome int
 
 const (
@@ -31,7 +31,7 @@
 	writeRejected
 )
 
-// switchoverRun is what a world with switchovers has beside coordinator nodes and routers.
+// switchoverRun is the additional state of a run with switchovers.
 type switchoverRun struct {
 	members     []*Process
 	groupLog    []groupLogEntry
@@ -39,24 +39,24 @@
 	orders      int
 	endedOrders map[string]int // by result
 	writes      int
-	fencedSteps int // steps that members rejected
+	fencedSteps int // steps rejected by the guard row of a member
 }
 
-// member is a fake member of the group. Its state outlives the process.
+// member is a simulated member of the group. It keeps its state across restarts.
 type member struct {
 	primary    bool
 	guardToken lease.Token // the guard row
 	guardRank  uint64
 }
 
-// groupLogEntry is a commit or a promotion, in the order in which they happened over all members.
+// groupLogEntry is a commit or a promotion. The log has those of all members in the order in which they happened.
 type groupLogEntry struct {
 	member   string
-	write    string // of a commit
-	promoted bool   // the member became primary
+	write    string // ID of the committed write; empty: a promotion
+	promoted bool   // the member became the primary
 }
 
-// startSwitchovers adds the group's members and schedules an operator's orders.
+// startSwitchovers adds the group's members and schedules the orders of an operator.
 func (w *World) startSwitchovers() {
 	run := &switchoverRun{outcomes: map[string]writeOutcome{}, endedOrders: map[string]int{}}
 	w.switchovers = run
@@ -71,7 +71,7 @@
 	}
 }
 
-// placeOrder is an operator's order, repeated until a leader has taken it.
+// placeOrder proposes an operator's order to the leader, and retries while no leader is available.
 func (w *World) placeOrder(primary string, retries int) {
 	if leader := w.Leader(); leader != nil && !leader.paused {
 		w.lastRequest++
@@ -88,7 +88,7 @@
 	}
 }
 
-// executeStep has a member carry out an executor's step, unless its guard row rejects it.
+// executeStep executes an executor's step on a member, unless the member's guard row rejects it.
 func (w *World) executeStep(p *Process, token lease.Token, d switchover.Decision) switchover.Outcome {
 	m := p.member
 	order := token.Compare(m.guardToken)
@@ -106,8 +106,8 @@
 	return switchover.Succeeded
 }
 
-// checkWrites checks the group's log: a write that succeeded for its client is there once, one that was rejected is not, none
-// is there twice, and only the member that was promoted last committed.
+// checkWrites checks the group's log: a write that succeeded for its client is committed exactly once, a rejected one is not committed,
+// no write is committed twice, and only the member that was promoted last commits writes.
 func (w *World) checkWrites() (violations []string) {
 	const maxReported = 5
 	commits, primary := map[string]int{}, ""
@@ -127,9 +127,9 @@
 		case commits[id] > 1:
 			violations = append(violations, fmt.Sprintf("%s was committed %d times", id, commits[id]))
 		case outcome == writeSucceeded && commits[id] == 0:
-			violations = append(violations, id+" was reported as succeeded and is lost")
+			violations = append(violations, id+" was reported as succeeded but is not committed")
 		case outcome == writeRejected && commits[id] > 0:
-			violations = append(violations, id+" was reported as rejected and is committed")
+			violations = append(violations, id+" was reported as rejected but is committed")
 		}
 	}
 	return violations[:min(len(violations), maxReported)]
--- a/internal/lab/fleet/simulation/switchover_router.go
+++ b/internal/lab/fleet/simulation/switchover_router.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// writeIntervalMs is the mean time between two writes of one router's clients.
+	// writeIntervalMs is the mean time between two writes of the clients of one router.
 	writeIntervalMs = 25.0
-	// lastWriteMs before the end of the run, the last write is sent.
+	// lastWriteMs is how long before the end of the run clients stop sending writes.
 	lastWriteMs = 4000
-	// writeDeadlineMs is what a client's write has for its deadline.
+	// writeDeadlineMs is the deadline of a client's write.
 	writeDeadlineMs = 5000
-	// attemptTimeoutMs is after how long an attempt without a response has failed.
+	// attemptTimeoutMs is the time after which an attempt without a response fails.
 	attemptTimeoutMs = 4000
 	checkTimeoutMs   = 500
-	// How long a member takes for a write, ms: the least, and the mean of what is drawn on top.
+	// How long a member takes to execute a write, in ms: the minimum, and the mean of an exponentially distributed extra.
 	minWriteMs       = 1
 	meanExtraWriteMs = 4
 )
 
-// The router's settings say how many routers there are, whatever the run has.
+// switchoverRouters is the number of routers in the router settings, regardless of how many the run has.
 const switchoverRouters = 5
 
 var switchoverSettings = newRouterSettings(switchoverRouters, map[string]*router.RequestClass{
 	"write": {LatencyObjective: 2000, Deadline: 10000, PriorityWeight: 1, LateWeightShare: 0.5, Effect: router.NonIdempotent, Level: router.Write},
 })
 
-// routerDriver carries out the decisions of one router and sends it its clients' writes.
+// routerDriver executes the decisions of one router and passes the writes of its clients to it.
 type routerDriver struct {
 	process  *Process
 	router   *router.Router
 	timer    resettableTimer
-	attempts map[string]int // by request
+	attempts map[string]int // by request: the number of attempts sent
 }
 
-// startDriver starts a router and its clients.
+// startDriver starts a router, its member list and the writes of its clients.
 func (p *Process) startDriver() {
 	seed := p.world.options.Seed + uint64(p.Name[len(p.Name)-1])
 	p.driver = &routerDriver{process: p, router: router.New(switchoverSettings, seed), attempts: map[string]int{}}
@@ -50,7 +50,7 @@
 	p.later(p.world.rand.Float64()*writeIntervalMs, p.sendWrites)
 }
 
-// sendWrites sends a write, and the next one after a random time.
+// sendWrites sends a write and schedules the next one after a random time.
 func (p *Process) sendWrites() {
 	w := p.world
 	if w.Now < 2*w.options.FaultsMs-lastWriteMs {
@@ -62,7 +62,7 @@
 	p.later(w.rand.ExpFloat64()*writeIntervalMs, p.sendWrites)
 }
 
-// update passes an input to the router and carries out what it decides then.
+// update passes an input to the router and executes the router's decisions.
 func (c *routerDriver) update(input func(*router.Router)) {
 	c.router.Advance(c.process.world.Now + 1)
 	input(c.router)
@@ -87,7 +87,8 @@
 	}
 }
 
-// sendAttempt sends a write to a member. One that is out of reach resets the connection after a time, when the write may have run.
+// sendAttempt sends a write to a member. Without a response, the attempt ends after attemptTimeoutMs as a reset connection, and the write
+// may have been executed.
 func (c *routerDriver) sendAttempt(id string, attempt int, to *Process) {
 	p, w, startedMs := c.process, c.process.world, c.process.world.Now
 	var ended once
@@ -141,7 +142,7 @@
 	})
 }
 
-// runningWrites counts the writes whose attempts may still run.
+// runningWrites returns the number of writes that were sent and have no known outcome.
 func (c *routerDriver) runningWrites() (running int) {
 	for id, attempts := range c.attempts {
 		if attempts > 0 && c.process.world.switchovers.outcomes[id] == outcomeUnknown {
--- a/internal/lab/fleet/simulation/switchover_test.go
+++ b/internal/lab/fleet/simulation/switchover_test.go
@@ -12,7 +12,7 @@
 	return o
 }
 
-// Whatever the faults: no write is lost, committed twice, or committed by a member after another was promoted, and orders end.
+// Under random faults, no write is lost, committed twice, or committed by a member after another was promoted, and orders end.
 func TestSwitchovers_RandomFaults(t *testing.T) {
 	fencedSteps, orders, succeeded, ended := 0, 0, 0, map[string]int{}
 	for seed := range uint64(*schedules / 2) {
@@ -32,12 +32,12 @@
 	}
 	t.Logf("%d schedules, %d orders, ended %v, %d writes succeeded, %d steps rejected by members", *schedules/2, orders, ended, succeeded, fencedSteps)
 	if ended["done"] < *schedules/2 || succeeded < 100**schedules {
-		t.Errorf("%d switchovers and %d writes test little", ended["done"], succeeded)
+		t.Errorf("only %d switchovers and %d successful writes: coverage is too low", ended["done"], succeeded)
 	}
 }
 
-// A holder that lost its lease while the coordinator was paused, and got it back under the same token, continues the ranks of its
-// steps, which members have seen, and remembers the orders that it ended.
+// A holder that lost its lease while the coordinator was paused, and got it back under the same token, continues to number its steps from
+// the rank that members have already seen, and does not repeat orders that it ended.
 func TestSwitchovers_SameTokenAfterCoordinatorPause(t *testing.T) {
 	o := switchoverOptions(1)
 	o.Schedule = func(w *World) {
@@ -57,14 +57,15 @@
 	}
 }
 
-// A holder to which a lagging coordinator node shows an order that has ended doesn't start it again.
+// A holder that receives an already ended order from a lagging coordinator node does not start it again.
 func TestSwitchovers_EndedOrderShownAgain(t *testing.T) {
 	if w := Run(switchoverOptions(125)); len(w.Violations) > 0 {
 		t.Error(w.Violations)
 	}
 }
 
-// pauseHolderDuringPromotion pauses holders while a promotion is about to be sent, and has another member promoted before they resume.
+// pauseHolderDuringPromotion pauses holders that are about to send a promotion, and orders the promotion of another member before they
+// resume.
 func pauseHolderDuringPromotion(w *World) {
 	for at := 3000.0; at < w.options.FaultsMs; at += 7000 {
 		w.After(at, func() { w.placeOrder("m2", 0) })
@@ -79,13 +80,13 @@
 	}
 }
 
-// promotionPending reports whether this process has decided to promote a member and not yet sent that.
+// promotionPending reports whether this process has decided to promote a member but has not sent the step yet.
 func (p *Process) promotionPending() bool {
 	held := p.switchover
 	return held != nil && held.executor != nil && held.executor.Phase() == "take" && held.pendingStep == switchover.Promote
 }
 
-// A member that ignores its guard row is found, and nothing is found without that defect.
+// A member that ignores its guard row causes a violation, and there is none without that defect.
 func TestSeededDefects_IgnoredGuardRowIsFound(t *testing.T) {
 	for seed := range uint64(100) {
 		o := switchoverOptions(seed)
@@ -99,5 +100,5 @@
 			return
 		}
 	}
-	t.Error("not found")
+	t.Error("no seed found the defect")
 }
--- a/internal/lab/fleet/simulation/timeline.go
+++ b/internal/lab/fleet/simulation/timeline.go
@@ -2,20 +2,21 @@
 
 import "container/heap"
 
-// timeline is simulated time: events happen in the order of their times, those of one time in the order of their scheduling.
+// timeline is the clock and the event queue of a simulation. Events run in the order of their times; events with equal times run in the
+// order in which they were scheduled.
 type timeline struct {
 	Now      float64 // ms
 	queue    eventQueue
 	sequence int
 }
 
-// After schedules an event.
+// After schedules an event that runs ms milliseconds from now.
 func (t *timeline) After(ms float64, do func()) {
 	t.sequence++
 	heap.Push(&t.queue, event{t.Now + ms, t.sequence, do})
 }
 
-// runUntil runs the events up to a time, or until stop says so.
+// runUntil runs the events up to endMs, or until stop returns true.
 func (t *timeline) runUntil(endMs float64, stop func() bool) {
 	for len(t.queue) > 0 && !stop() {
 		next := heap.Pop(&t.queue).(event)
@@ -33,7 +34,7 @@
 	do       func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue implements heap.Interface, with the earliest event first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -56,10 +57,10 @@
 	return last
 }
 
-// resettableTimer fires at the time for which it was set last.
+// resettableTimer fires only at the time for which it was most recently set.
 type resettableTimer struct{ settings int }
 
-// set schedules the timer in place of an earlier setting.
+// set schedules the timer and replaces any earlier setting.
 func (t *resettableTimer) set(schedule func(ms float64, do func()), ms float64, fire func()) {
 	t.settings++
 	setting := t.settings
@@ -70,10 +71,10 @@
 	})
 }
 
-// once separates the first of several responses to a request, or its timeout, from those that follow.
+// once detects the first of several events that end a request, such as a response and its timeout.
 type once bool
 
-// first reports whether it is called for the first time.
+// first reports whether this is the first call.
 func (o *once) first() bool {
 	before := *o
 	*o = true
--- a/internal/lab/fleet/simulation/world.go
+++ b/internal/lab/fleet/simulation/world.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxViolations is how many violations one run reports.
+	// maxViolations is the maximum number of violations reported per run.
 	maxViolations = 20
-	// firstRequest keeps the numbers of the world's requests apart from those of the lease clients.
+	// firstRequest separates the numbers of the world's requests from those of the lease clients.
 	firstRequest = 1 << 32
-	// Routers start within this time, ms.
+	// routerStartMs is the latest time at which routers start.
 	routerStartMs = 200
 )
 
-// World is one run.
+// World is the state of one simulation run.
 type World struct {
 	Report
 	timeline
@@ -39,8 +39,8 @@
 	lossProbability float64
 
 	leaseChecker
-	switchovers *switchoverRun // nil: none
-	policyRun   *policyRun     // nil: none
+	switchovers *switchoverRun // nil: the run has no switchovers
+	policyRun   *policyRun     // nil: the run has no policy changes
 }
 
 // Run runs one world to its end, or to its first violation.
@@ -81,8 +81,8 @@
 	return w
 }
 
-// seedElections has the Raft library draw its election timeouts, which come from crypto/rand, from the seed. It returns what
-// undoes that.
+// seedElections makes the election timeouts of the Raft library, which come from crypto/rand, depend on the seed. It returns a function
+// that restores the original source.
 func seedElections(seed uint64) (restore func()) {
 	before := crand.Reader
 	crand.Reader = rand.NewChaCha8(electionSeed(seed))
@@ -121,7 +121,7 @@
 	w.processes[p.Name] = p
 }
 
-// requestedLeases are the leases that each router requests that requests any.
+// requestedLeases returns the leases that each router requests, if it requests any.
 func (w *World) requestedLeases() (names []string) {
 	for n := range w.options.Leases {
 		names = append(names, leaseName(n))
@@ -144,22 +144,23 @@
 	}
 }
 
-// leaseName names a lease of the run, as the leases of shared health checking are named. Its holder sends acts to routers.
+// leaseName returns the name of a lease of the run, in the form of the leases of shared health checking. The holder of the lease sends
+// commands to routers.
 func leaseName(n int) string { return fmt.Sprint("sight/", n) }
 
-// randomCoordinator draws a coordinator node.
+// randomCoordinator returns a random coordinator node.
 func (w *World) randomCoordinator() *Process {
 	return w.Coordinators[w.rand.IntN(len(w.Coordinators))]
 }
 
-// violation reports that a guarantee doesn't hold.
+// violation records that a guarantee was violated.
 func (w *World) violation(format string, args ...any) {
 	if len(w.Violations) < maxViolations {
 		w.Violations = append(w.Violations, fmt.Sprintf("%.0f ms: ", w.Now)+fmt.Sprintf(format, args...))
 	}
 }
 
-// checkFinalState runs the checks that look at a whole run.
+// checkFinalState runs the checks that need the complete run.
 func (w *World) checkFinalState() {
 	w.EndedMs = w.Now
 	for n := range w.options.Leases {
@@ -183,7 +184,7 @@
 	}
 }
 
-// Leader returns the coordinator node that leads, as it sees it; nil: none does.
+// Leader returns the node that considers itself the leader, the one with the highest term if there are several; nil: none does.
 func (w *World) Leader() *Process {
 	var leader *Process
 	var latestTerm uint64
@@ -198,8 +199,8 @@
 	return leader
 }
 
-// Holder returns the process that acts under a lease, as it sees it; nil: none does.
+// Holder returns the process that considers itself the holder of a lease; nil: none does.
 func (w *World) Holder(name string) *Process { return w.processes[w.activeHolder[name]] }
 
-// clientNumber numbers a router among the clients of a history.
+// clientNumber returns the client number of a router in the history.
 func (w *World) clientNumber(p *Process) int { return slices.Index(w.Routers, p) }
