--- a/internal/lab/fleet/simulation/recorded_test.go
+++ b/internal/lab/fleet/simulation/recorded_test.go
@@ -12,9 +12,9 @@
 	"wayloft/internal/fakes/recording"
 )
 
-var recordedSeeds = flag.Int("recorded-seeds", 10, "seeds of each kind whose reports are compared with the recorded ones (200 are recorded)")
+var recordedSeeds = flag.Int("recorded-seeds", 10, "number of seeds of each kind whose reports are compared with the recorded ones (200 are recorded)")
 
-// TestRecordedReports has the reports of drawn schedules be the recorded ones, value for value.
+// TestRecordedReports checks that the reports of random schedules equal the recorded ones, value for value.
 func TestRecordedReports(t *testing.T) {
 	for _, kind := range []struct {
 		name    string
@@ -25,7 +25,7 @@
 			for seed := range uint64(*recordedSeeds) {
 				o := kind.options(seed)
 				o.FaultsMs = 8000
-				fmt.Fprintf(&out, "seed %d: %x\n", seed, sha256.Sum256([]byte(recordedReport(Play(o)))))
+				fmt.Fprintf(&out, "seed %d: %x\n", seed, sha256.Sum256([]byte(recordedReport(Run(o)))))
 			}
 			recording.ComparePrefix(t, "recorded-"+kind.name+".digest", out.String())
 		})
@@ -39,11 +39,11 @@
 	})
 }
 
-// recordedReport has all values of a report. Times that a map gave in any order are sorted.
+// recordedReport formats all values of a report. Values whose order depends on map iteration are sorted.
 func recordedReport(w *World) string {
 	r := w.Report
 	counts := func(m map[string]int) []int { return slices.Sorted(maps.Values(m)) }
-	text := fmt.Sprint(len(r.Violations), r.Acts, r.StaleActs, r.Grants, r.Elections, counts(r.Faults), r.HolderGapsMs, r.Entries, r.Bytes, r.Messages, r.EndedMs, r.StuckLeases,
+	text := fmt.Sprint(len(r.Violations), r.AcceptedCommands, r.StaleCommands, r.Grants, r.Elections, counts(r.Faults), r.HolderGapsMs, r.Entries, r.Bytes, r.Messages, r.EndedMs, r.UnheldLeases,
 		r.Proposed, r.Accepted, r.Rejected, r.Unknown, r.Applied, slices.Sorted(slices.Values(r.PropagationMs)), r.MaxBytesPerSecond, r.Fetched, r.StaleAnnouncements, r.HashMismatches, w.Now)
 	for _, op := range r.Operations {
 		text += fmt.Sprint(op.Client, 0, op.Session, op.StartedMs, op.EndedMs, op.Held, op.Token)
