--- a/internal/lab/scale/arrivals.go
+++ b/internal/lab/scale/arrivals.go
@@ -11,15 +11,15 @@
 // arrivals records when the routers of this process receive what a mark names.
 type arrivals struct {
 	mu       sync.Mutex
-	mark     *Mark // nil: nothing is recorded
+	filter   *ReceptionFilter // nil: nothing is recorded
 	received ReceivedTimes
 }
 
-// setMark drops what was recorded and records what the mark names from now on.
-func (a *arrivals) setMark(mark *Mark) {
+// setFilter drops what was recorded and records what the mark names from now on.
+func (a *arrivals) setFilter(filter *ReceptionFilter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.mark, a.received = mark, ReceivedTimes{}
+	a.filter, a.received = filter, ReceivedTimes{}
 }
 
 func record(times *[]float64) {
@@ -32,7 +32,7 @@
 func (a *arrivals) policyApplied() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.mark != nil && a.mark.Policy {
+	if a.filter != nil && a.filter.Policy {
 		record(&a.received.Policies)
 	}
 }
@@ -41,21 +41,21 @@
 func (a *arrivals) listReceived(revision int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.mark != nil && a.mark.Revision > 0 && revision >= a.mark.Revision {
+	if a.filter != nil && a.filter.Revision > 0 && revision >= a.filter.Revision {
 		record(&a.received.Lists)
 	}
 }
 
 // primaryReported records that a router received a report of a primary, once for each mark: it takes the mark for which this router
 // did so last, and returns the one to pass next time.
-func (a *arrivals) primaryReported(member string, last *Mark) *Mark {
+func (a *arrivals) primaryReported(member string, last *ReceptionFilter) *ReceptionFilter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.mark == nil || a.mark == last || a.mark.Primary != member {
+	if a.filter == nil || a.filter == last || a.filter.Primary != member {
 		return last
 	}
 	record(&a.received.Primaries)
-	return a.mark
+	return a.filter
 }
 
 // times returns what was recorded since the mark was set.
--- a/internal/lab/scale/child.go
+++ b/internal/lab/scale/child.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	go c.readResponses(output)
-	startTime := time.Duration(spec.PaceMs*float64(len(spec.Names))) * time.Millisecond
+	startTime := time.Duration(spec.StartIntervalMs*float64(len(spec.Names))) * time.Millisecond
 	first, err := c.exchange(spec, responseTimeout+startTime)
 	if err != nil {
 		c.Kill()
--- a/internal/lab/scale/child_protocol.go
+++ b/internal/lab/scale/child_protocol.go
@@ -24,7 +24,7 @@
 // The commands.
 const (
 	CommandCount         Command = "count"     // return the counts
-	CommandMark          Command = "mark"      // record from now on when routers receive what the mark names
+	CommandSetFilter     Command = "mark"      // record from now on when routers receive what the mark names
 	CommandReceivedTimes Command = "heard"     // return these times
 	CommandRestarted     Command = "restarted" // list members as restarted
 	CommandPromote       Command = "promote"   // the first member becomes primary, the others replicas
@@ -32,20 +32,20 @@
 
 // ChildSpec is the first line that a hollow process reads: what it is.
 type ChildSpec struct {
-	Role      Role              `json:"role"`
-	Fleet     string            `json:"fleet,omitempty"`
-	Council   []string          `json:"council,omitempty"` // addresses of coordinator nodes
-	Via       map[string]string `json:"via,omitempty"`     // addresses to reach coordinator nodes by, by their names
-	Discovery string            `json:"discovery,omitempty"`
-	Names     []string          `json:"names,omitempty"` // of routers, or of databases
-	Addrs     []string          `json:"addrs,omitempty"` // of databases that restart
-	Primaries []string          `json:"primaries,omitempty"`
-	Entries   []Entry           `json:"entries,omitempty"` // of the endpoint list
-	Groups    []int             `json:"groups,omitempty"`  // that routers know; none: all
-	SessionMs float64           `json:"session_ms,omitempty"`
-	SightMs   float64           `json:"sight_ms,omitempty"` // between two health checks of a member; 0: no health sharing
-	PaceMs    float64           `json:"pace_ms,omitempty"`  // between the starts of two routers
-	Mark      *Mark             `json:"mark,omitempty"`
+	Role                  Role              `json:"role"`
+	Fleet                 string            `json:"fleet,omitempty"`
+	Coordinators          []string          `json:"council,omitempty"` // addresses of coordinator nodes
+	AddressOverrides      map[string]string `json:"via,omitempty"`     // addresses to reach coordinator nodes by, by their names
+	Discovery             string            `json:"discovery,omitempty"`
+	Names                 []string          `json:"names,omitempty"` // of routers, or of databases
+	Addrs                 []string          `json:"addrs,omitempty"` // of databases that restart
+	Primaries             []string          `json:"primaries,omitempty"`
+	Entries               []Entry           `json:"entries,omitempty"` // of the endpoint list
+	Groups                []int             `json:"groups,omitempty"`  // that routers know; none: all
+	SessionMs             float64           `json:"session_ms,omitempty"`
+	HealthShareIntervalMs float64           `json:"sight_ms,omitempty"` // between two health checks of a member; 0: no health sharing
+	StartIntervalMs       float64           `json:"pace_ms,omitempty"`  // between the starts of two routers
+	Filter                *ReceptionFilter  `json:"mark,omitempty"`
 }
 
 // Entry is one member of the endpoint list, as the discovery service encodes it.
@@ -58,8 +58,8 @@
 	Started float64 `json:"up_since_ms"` // Unix ms
 }
 
-// Mark names something that routers receive after an event; the times at which they do are recorded.
-type Mark struct {
+// ReceptionFilter names something that routers receive after an event; the times at which they do are recorded.
+type ReceptionFilter struct {
 	Revision int64  `json:"revision,omitempty"` // of the endpoint list: this one or a later one
 	Primary  string `json:"primary,omitempty"`  // a member that health sharing reports as primary
 	Policy   bool   `json:"policy,omitempty"`   // any version of the policy
@@ -67,19 +67,19 @@
 
 // ChildRequest is a line that a hollow process reads after its ChildSpec.
 type ChildRequest struct {
-	Do      Command  `json:"do"`
-	Mark    *Mark    `json:"mark,omitempty"`
-	Members []string `json:"members,omitempty"`
-	At      float64  `json:"at,omitempty"` // Unix ms
+	Command Command          `json:"do"`
+	Filter  *ReceptionFilter `json:"mark,omitempty"`
+	Members []string         `json:"members,omitempty"`
+	At      float64          `json:"at,omitempty"` // Unix ms
 }
 
 // ChildResponse is the line that a hollow process writes for each line that it reads.
 type ChildResponse struct {
-	Addrs    []string         `json:"addrs,omitempty"`
-	Revision int64            `json:"revision,omitempty"`
-	Counts   map[string]int64 `json:"counts,omitempty"`
-	Heard    *ReceivedTimes   `json:"heard,omitempty"`
-	Err      string           `json:"err,omitempty"`
+	Addrs         []string         `json:"addrs,omitempty"`
+	Revision      int64            `json:"revision,omitempty"`
+	Counts        map[string]int64 `json:"counts,omitempty"`
+	ReceivedTimes *ReceivedTimes   `json:"heard,omitempty"`
+	Err           string           `json:"err,omitempty"`
 }
 
 // ReceivedTimes are the times, Unix ms, at which routers received what a Mark names.
--- a/internal/lab/scale/discovery_server.go
+++ b/internal/lab/scale/discovery_server.go
@@ -105,8 +105,8 @@
 		http.Error(w, "index", http.StatusBadRequest)
 		return
 	}
-	d.add("watches", 1)
-	defer d.add("watches", -1)
+	d.addCount("watches", 1)
+	defer d.addCount("watches", -1)
 	d.serveWatch(w, r, since)
 }
 
@@ -134,7 +134,7 @@
 		if writeAndFlush(w, emptyLine) != nil {
 			return
 		}
-		d.add("alive", 1)
+		d.addCount("alive", 1)
 	}
 }
 
@@ -145,7 +145,7 @@
 	return http.NewResponseController(w).Flush()
 }
 
-func (d *discoveryServer) add(count string, n int64) {
+func (d *discoveryServer) addCount(count string, n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counts[count] += n
@@ -177,7 +177,7 @@
 }
 
 func (d *discoveryServer) respond(request ChildRequest) (ChildResponse, error) {
-	switch request.Do {
+	switch request.Command {
 	case CommandCount:
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -189,5 +189,5 @@
 	case CommandRestarted:
 		return ChildResponse{Revision: d.markRestarted(request.Members, request.At)}, nil
 	}
-	return ChildResponse{}, unknownCommand(request.Do)
+	return ChildResponse{}, unknownCommand(request.Command)
 }
--- a/internal/lab/scale/discovery_server_test.go
+++ b/internal/lab/scale/discovery_server_test.go
@@ -29,7 +29,7 @@
 	if l.Complete || len(l.Entries) != 1 || l.Entries[0].Started != 5000 || l.Revision != 2 {
 		t.Fatalf("%+v", l)
 	}
-	a, err := d.respond(ChildRequest{Do: CommandCount})
+	a, err := d.respond(ChildRequest{Command: CommandCount})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/event_policy.go
+++ b/internal/lab/scale/event_policy.go
@@ -12,7 +12,7 @@
 const proposalTimeout = 10 * time.Second
 
 // changePolicy proposes a version of the policy and waits until each router has applied it.
-func changePolicy(in *Installation, calm interval) (*EventResult, error) {
+func changePolicy(in *Installation, baseline interval) (*EventResult, error) {
 	document, err := settings.ReadPolicy([]byte("over_share_value = 0.25\n"))
 	if err != nil {
 		return nil, err
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := in.mark(Mark{Policy: true}); err != nil {
+	if err := in.setFilter(ReceptionFilter{Policy: true}); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), proposalTimeout)
@@ -46,7 +46,7 @@
 	return &EventResult{
 		Seconds: (unixMs() - eventMs) / 1000,
 		Parts:   parts,
-		Bytes:   map[string]float64{"each": eventCost(calm, during, childPids(in.routers), in.Routers)},
+		Bytes:   map[string]float64{"each": eventCost(baseline, during, childPids(in.routers), in.Routers)},
 		Calls:   during.routerCounts(),
 		Notes:   []string{fmt.Sprintf("accepted after %.0f ms", acceptedMs-eventMs), "only hollow routers are counted"},
 	}, nil
--- a/internal/lab/scale/event_primary.go
+++ b/internal/lab/scale/event_primary.go
@@ -9,7 +9,7 @@
 
 // changePrimary promotes another member of the first group, which has a lease holder of health sharing, and waits until each router
 // has received a report of the new primary.
-func changePrimary(in *Installation, calm interval) (*EventResult, error) {
+func changePrimary(in *Installation, baseline interval) (*EventResult, error) {
 	former := in.members[0]
 	promoted, err := in.otherMember(former)
 	if err != nil {
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := in.mark(Mark{Primary: promoted}); err != nil {
+	if err := in.setFilter(ReceptionFilter{Primary: promoted}); err != nil {
 		return nil, err
 	}
 	eventMs := unixMs()
@@ -27,7 +27,7 @@
 		if child == nil {
 			continue
 		}
-		if _, err := child.Ask(ChildRequest{Do: CommandPromote, Members: []string{promoted, former.ID}}); err != nil {
+		if _, err := child.Ask(ChildRequest{Command: CommandPromote, Members: []string{promoted, former.ID}}); err != nil {
 			return nil, err
 		}
 	}
@@ -42,7 +42,7 @@
 	return &EventResult{
 		Seconds: (unixMs() - eventMs) / 1000,
 		Parts:   parts,
-		Bytes:   map[string]float64{bytesBeyondHealthSharing: eventCost(calm, during, childPids(in.routers), in.Routers)},
+		Bytes:   map[string]float64{bytesBeyondHealthSharing: eventCost(baseline, during, childPids(in.routers), in.Routers)},
 		Calls:   during.routerCounts(),
 		Notes:   []string{"a report says which member to check first; a router sends writes only to a member whose own response says that it is the primary"},
 	}, nil
--- a/internal/lab/scale/event_regions.go
+++ b/internal/lab/scale/event_regions.go
@@ -8,7 +8,7 @@
 
 // cutRegions cuts all links between the two regions for the time of a sample, and waits until the second region's sessions, which the
 // coordinator's majority is not in, are open again.
-func cutRegions(in *Installation, calm interval) (*EventResult, error) {
+func cutRegions(in *Installation, baseline interval) (*EventResult, error) {
 	links := in.linksBetweenRegions()
 	for _, link := range links {
 		link.Blackhole(true, true)
@@ -44,8 +44,8 @@
 		Seconds: (unixMs() - eventMs) / 1000,
 		Parts:   parts,
 		Bytes: map[string]float64{
-			"first region":  eventCost(calm, during, childPids(in.routers[:zones/2]), in.Routers-cutOff),
-			"second region": eventCost(calm, during, childPids(in.routers[zones/2:]), cutOff),
+			"first region":  eventCost(baseline, during, childPids(in.routers[:zones/2]), in.Routers-cutOff),
+			"second region": eventCost(baseline, during, childPids(in.routers[zones/2:]), cutOff),
 		},
 		Calls: during.routerCounts(),
 		Notes: []string{
--- a/internal/lab/scale/event_restart.go
+++ b/internal/lab/scale/event_restart.go
@@ -10,12 +10,12 @@
 
 // restartZone kills all hollow routers and databases of a zone at once and starts them again, and has the endpoint list say so. It
 // waits until the routers' sessions are open and all routers have the list.
-func restartZone(in *Installation, calm interval) (*EventResult, error) {
+func restartZone(in *Installation, baseline interval) (*EventResult, error) {
 	before, err := in.sampleAll()
 	if err != nil {
 		return nil, err
 	}
-	mark, err := in.markNextRevision()
+	mark, err := in.recordNextRevision()
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 		Seconds: seconds,
 		Parts:   parts,
 		Bytes: map[string]float64{
-			"another":   eventCost(calm, during, childPids(others), in.Routers-restarted),
+			"another":   eventCost(baseline, during, childPids(others), in.Routers-restarted),
 			"restarted": float64(during.totalTraffic(in.routers[restartedZone].Pid()).bytes()) / float64(restarted),
 		},
 		Calls: restartCalls(during),
@@ -63,23 +63,23 @@
 	return end - first
 }
 
-// markNextRevision has hollow routers record when they receive the next revision of the endpoint list.
-func (in *Installation) markNextRevision() (Mark, error) {
-	response, err := in.discovery.Ask(ChildRequest{Do: CommandCount})
+// recordNextRevision has hollow routers record when they receive the next revision of the endpoint list.
+func (in *Installation) recordNextRevision() (ReceptionFilter, error) {
+	response, err := in.discovery.Ask(ChildRequest{Command: CommandCount})
 	if err != nil {
-		return Mark{}, err
+		return ReceptionFilter{}, err
 	}
-	mark := Mark{Revision: response.Revision + 1}
-	return mark, in.mark(mark)
+	mark := ReceptionFilter{Revision: response.Revision + 1}
+	return mark, in.setFilter(mark)
 }
 
 // restartProcesses kills the zone's processes, lists its databases as restarted, and starts the processes again.
-func (in *Installation) restartProcesses(mark Mark, eventMs float64) (err error) {
+func (in *Installation) restartProcesses(mark ReceptionFilter, eventMs float64) (err error) {
 	databases, routers := in.databases[restartedZone], in.routers[restartedZone]
 	routers.Kill()
 	databases.Kill()
 	in.databases[restartedZone], in.routers[restartedZone] = nil, nil
-	restart := ChildRequest{Do: CommandRestarted, Members: databases.Spec.Names, At: eventMs}
+	restart := ChildRequest{Command: CommandRestarted, Members: databases.Spec.Names, At: eventMs}
 	if _, err := in.discovery.Ask(restart); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		return err
 	}
 	routersSpec := routers.Spec
-	routersSpec.PaceMs, routersSpec.Mark = 0, &mark
+	routersSpec.StartIntervalMs, routersSpec.Filter = 0, &mark
 	in.routers[restartedZone], err = in.startChild("routers-again", routersSpec)
 	return err
 }
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -31,7 +31,7 @@
 type event struct {
 	prepare func(*Options)
 	// run also takes what routers cost without the event.
-	run func(in *Installation, calm interval) (*EventResult, error)
+	run func(in *Installation, baseline interval) (*EventResult, error)
 }
 
 var events = map[string]event{
@@ -64,11 +64,11 @@
 			return nil, err
 		}
 	}
-	calm, err := in.measure(options.SampleDuration)
+	baseline, err := in.measure(options.SampleDuration)
 	if err != nil {
 		return nil, err
 	}
-	result, err := e.run(in, calm)
+	result, err := e.run(in, baseline)
 	if err != nil {
 		return nil, fmt.Errorf("event %s: %w", name, err)
 	}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -8,12 +8,12 @@
 
 // Fit is a straight line through measured points, by least squares.
 type Fit struct {
-	Slope     float64 `json:"slope"`
-	Intercept float64 `json:"intercept"`
-	Error     float64 `json:"slope_error"` // standard error of the slope; 0 for two points
-	Residual  float64 `json:"residual"`    // standard deviation of the points from the line
-	Worst     float64 `json:"worst"`       // the largest distance of a point from the line
-	Points    int     `json:"points"`
+	Slope          float64 `json:"slope"`
+	Intercept      float64 `json:"intercept"`
+	SlopeError     float64 `json:"slope_error"` // standard error of the slope; 0 for two points
+	ResidualStdDev float64 `json:"residual"`    // standard deviation of the points from the line
+	MaxResidual    float64 `json:"worst"`       // the largest distance of a point from the line
+	Points         int     `json:"points"`
 }
 
 // errSameX is returned for points that all have the same x.
@@ -43,11 +43,11 @@
 	for i := range x {
 		distance := y[i] - fit.Intercept - fit.Slope*x[i]
 		squares += distance * distance
-		fit.Worst = math.Max(fit.Worst, math.Abs(distance))
+		fit.MaxResidual = math.Max(fit.MaxResidual, math.Abs(distance))
 	}
 	if len(x) > 2 {
-		fit.Residual = math.Sqrt(squares / (count - 2))
-		fit.Error = fit.Residual / math.Sqrt(sumXX)
+		fit.ResidualStdDev = math.Sqrt(squares / (count - 2))
+		fit.SlopeError = fit.ResidualStdDev / math.Sqrt(sumXX)
 	}
 	return fit, nil
 }
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -15,15 +15,15 @@
 		{"level", []float64{1, 2, 3}, []float64{4, 4, 4}, Fit{Intercept: 4, Points: 3}},
 		{"two points", []float64{0, 10}, []float64{0, 5}, Fit{Slope: 0.5, Points: 2}},
 		// Distances of 1, -2 and 1: a sum of squares of 6 over one degree of freedom, and 2 for x.
-		{"bent", []float64{0, 1, 2}, []float64{1, -2, 1}, Fit{Intercept: 0, Points: 3, Residual: math.Sqrt(6), Error: math.Sqrt(3), Worst: 2}},
+		{"bent", []float64{0, 1, 2}, []float64{1, -2, 1}, Fit{Intercept: 0, Points: 3, ResidualStdDev: math.Sqrt(6), SlopeError: math.Sqrt(3), MaxResidual: 2}},
 	} {
 		got, err := FitLine(c.x, c.y)
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		for _, pair := range [][2]float64{{got.Slope, c.want.Slope}, {got.Intercept, c.want.Intercept}, {got.Residual, c.want.Residual}, {got.Error, c.want.Error},
-			{got.Worst, c.want.Worst}} {
+		for _, pair := range [][2]float64{{got.Slope, c.want.Slope}, {got.Intercept, c.want.Intercept}, {got.ResidualStdDev, c.want.ResidualStdDev}, {got.SlopeError, c.want.SlopeError},
+			{got.MaxResidual, c.want.MaxResidual}} {
 			if math.Abs(pair[0]-pair[1]) > 1e-9 {
 				t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
 			}
--- a/internal/lab/scale/health_sharing.go
+++ b/internal/lab/scale/health_sharing.go
@@ -32,12 +32,12 @@
 		return spec, err
 	}
 	if in.Routers == 0 {
-		spec.Council = in.fleet.CoordinatorAddresses()
+		spec.Coordinators = in.fleet.CoordinatorAddresses()
 	}
 	spec.Names = []string{fmt.Sprint("o", group)}
 	spec.Groups = []int{group}
-	spec.SightMs = float64(in.HealthShareInterval.Microseconds()) / 1000
-	spec.PaceMs = 0
+	spec.HealthShareIntervalMs = float64(in.HealthShareInterval.Microseconds()) / 1000
+	spec.StartIntervalMs = 0
 	return spec, nil
 }
 
--- a/internal/lab/scale/hollow_databases.go
+++ b/internal/lab/scale/hollow_databases.go
@@ -35,7 +35,7 @@
 	mu      sync.Mutex
 	primary map[string]bool
 
-	accepted, open, checks, others atomic.Int64
+	accepted, open, checks, otherMessages atomic.Int64
 }
 
 func newHollowDatabases(spec ChildSpec) (*hollowDatabases, error) {
@@ -118,7 +118,7 @@
 			d.checks.Add(1)
 			out = pg.AppendReadyIdle(pg.AppendEmptyQuery(d.appendHealth(out, name)))
 		default:
-			d.others.Add(1)
+			d.otherMessages.Add(1)
 			failure := &pg.Error{Code: pg.InFailedSQLTransaction, Text: "this database is hollow"}
 			out = pg.AppendReadyIdle(pg.AppendError(out, failure, false))
 		}
@@ -140,13 +140,13 @@
 }
 
 func (d *hollowDatabases) respond(request ChildRequest) (ChildResponse, error) {
-	switch request.Do {
+	switch request.Command {
 	case CommandCount:
 		return ChildResponse{Counts: map[string]int64{
 			"accepted": d.accepted.Load(),
 			"open":     d.open.Load(),
 			"checks":   d.checks.Load(),
-			"others":   d.others.Load(),
+			"others":   d.otherMessages.Load(),
 		}}, nil
 	case CommandPromote:
 		d.mu.Lock()
@@ -156,5 +156,5 @@
 		}
 		return ChildResponse{}, nil
 	}
-	return ChildResponse{}, unknownCommand(request.Do)
+	return ChildResponse{}, unknownCommand(request.Command)
 }
--- a/internal/lab/scale/hollow_routers.go
+++ b/internal/lab/scale/hollow_routers.go
@@ -19,9 +19,9 @@
 const (
 	// eventQueueLength is how many events of a router may wait.
 	eventQueueLength = 256
-	// safetyMarginPart is the part of the session timeout that the safety margin is.
-	safetyMarginPart = 10
-	maxHoldMs        = 5000
+	// safetyMarginDivisor is the part of the session timeout that the safety margin is.
+	safetyMarginDivisor = 10
+	maxHoldMs           = 5000
 )
 
 // hollowRouters are the routers of one process. List, session, watch and health sharing are the real code; each router has a goroutine
@@ -49,13 +49,13 @@
 
 	listed       map[string]discovery.Entry
 	checkers     map[string]chan<- struct{} // by member: a check is due
-	lastReported *Mark
+	lastReported *ReceptionFilter
 }
 
 func newHollowRouters(spec ChildSpec) (*hollowRouters, error) {
 	logrus.SetLevel(logrus.WarnLevel) // a line for each start of a router would be part of what is measured
 	process := &hollowRouters{spec: spec, arrivals: &arrivals{}, messages: newMessageCounter()}
-	process.arrivals.setMark(spec.Mark)
+	process.arrivals.setFilter(spec.Filter)
 	process.messages.register()
 	for _, name := range spec.Names {
 		if err := process.startRouter(name); err != nil {
@@ -76,16 +76,16 @@
 		Fleet:               p.spec.Fleet,
 		Name:                name,
 		Kind:                "router",
-		Coordinators:        p.spec.Council,
-		AddressOverrides:    p.spec.Via,
+		Coordinators:        p.spec.Coordinators,
+		AddressOverrides:    p.spec.AddressOverrides,
 		Address:             listener.Addr().String(),
 		SessionTimeoutMs:    p.spec.SessionMs,
-		SafetyMarginMs:      p.spec.SessionMs / safetyMarginPart,
-		HealthSharePeriodMs: p.spec.SightMs,
+		SafetyMarginMs:      p.spec.SessionMs / safetyMarginDivisor,
+		HealthSharePeriodMs: p.spec.HealthShareIntervalMs,
 		MaxHoldMs:           maxHoldMs,
 	}, r)
-	if p.spec.PaceMs > 0 {
-		time.Sleep(time.Duration(p.spec.PaceMs * float64(time.Millisecond)))
+	if p.spec.StartIntervalMs > 0 {
+		time.Sleep(time.Duration(p.spec.StartIntervalMs * float64(time.Millisecond)))
 	}
 	go r.runEvents()
 	go r.node.Run(context.Background(), listener)
@@ -177,16 +177,16 @@
 }
 
 func (p *hollowRouters) respond(request ChildRequest) (ChildResponse, error) {
-	switch request.Do {
+	switch request.Command {
 	case CommandCount:
 		return ChildResponse{Counts: p.allCounts()}, nil
-	case CommandMark:
-		p.arrivals.setMark(request.Mark)
+	case CommandSetFilter:
+		p.arrivals.setFilter(request.Filter)
 		return ChildResponse{}, nil
 	case CommandReceivedTimes:
-		return ChildResponse{Heard: p.arrivals.times()}, nil
+		return ChildResponse{ReceivedTimes: p.arrivals.times()}, nil
 	}
-	return ChildResponse{}, unknownCommand(request.Do)
+	return ChildResponse{}, unknownCommand(request.Command)
 }
 
 // allCounts returns the counts under the keys that reports have.
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -8,10 +8,10 @@
 const (
 	// maxSamples are taken until one is undisturbed; the last one counts in any case, and is counted as discarded if it is not.
 	maxSamples = 4
-	// Of the calls of a sample, one in unansweredPart may have no response yet, and one for each process.
-	unansweredPart = 20
-	// holdersSettle is the time from the start of lease holders to the sample.
-	holdersSettle = time.Second
+	// Of the calls of a sample, one in unansweredDivisor may have no response yet, and one for each process.
+	unansweredDivisor = 20
+	// holderSettleTime is the time from the start of lease holders to the sample.
+	holderSettleTime = time.Second
 )
 
 // Report is the result of one measurement.
@@ -52,14 +52,14 @@
 	}
 	report := &Report{Routers: in.Routers, RealRouters: in.RealRouters, Members: in.Members, Groups: in.groups(),
 		Sessions: len(state.State.Sessions), StartS: in.Settled.Seconds()}
-	calm, discarded, err := in.measureUndisturbed()
+	baseline, discarded, err := in.measureUndisturbed()
 	if err != nil {
 		return nil, err
 	}
-	report.Seconds, report.DiscardedSamples = calm.seconds, discarded
-	report.Rows = in.rows(calm)
-	report.Start, report.Counts, report.children = calm.before.counts.ofRouters(), calm.routerCounts(), calm.after.counts
-	report.startCountsAfter = calm.before.at.Sub(in.startedAt)
+	report.Seconds, report.DiscardedSamples = baseline.seconds, discarded
+	report.Rows = in.rows(baseline)
+	report.Start, report.Counts, report.children = baseline.before.counts.ofRouters(), baseline.routerCounts(), baseline.after.counts
+	report.startCountsAfter = baseline.before.at.Sub(in.startedAt)
 	if in.Holders == 0 {
 		return report, nil
 	}
@@ -71,7 +71,7 @@
 	if err := in.StartHolders(); err != nil {
 		return err
 	}
-	if err := in.wait(holdersSettle); err != nil {
+	if err := in.wait(holderSettleTime); err != nil {
 		return err
 	}
 	sharing, discarded, err := in.measureUndisturbed()
@@ -115,5 +115,5 @@
 	calls := counts["call_out"] + counts["stand_out"]
 	unanswered := calls - counts["answer_in"] - counts["moved_in"]
 	return counts["list_failed"] != 0 || counts["whole_in"] != 0 || counts["moved_in"] != 0 ||
-		unanswered > calls/unansweredPart+int64(len(in.children()))
+		unanswered > calls/unansweredDivisor+int64(len(in.children()))
 }
--- a/internal/lab/scale/message_counter.go
+++ b/internal/lab/scale/message_counter.go
@@ -35,8 +35,8 @@
 	completeUpdate // the first of a watch
 	changeUpdate
 	keepalive
-	act
-	verdict
+	order
+	orderResponse
 	policyFetch
 	policyPart
 	messageKinds
@@ -74,9 +74,9 @@
 		}
 		return keepalive
 	case *fleetpb.Order:
-		return act
+		return order
 	case *fleetpb.Verdict:
-		return verdict
+		return orderResponse
 	case *fleetpb.PolicyFrom:
 		return policyFetch
 	case *fleetpb.PolicyPart:
--- a/internal/lab/scale/paired.go
+++ b/internal/lab/scale/paired.go
@@ -10,18 +10,18 @@
 
 // PairResult is what the whole coordinator costs with hollow routers, and with as many real ones.
 type PairResult struct {
-	Routers int                   `json:"routers"`
-	Plays   int                   `json:"plays"`
-	Hollow  [][]float64           `json:"hollow"` // by figure: a value for each play
-	Real    [][]float64           `json:"real"`
-	Own     map[string][2]float64 `json:"own"` // the routers' own figures, hollow and real, of the last play
+	Routers     int                   `json:"routers"`
+	Repetitions int                   `json:"plays"`
+	Hollow      [][]float64           `json:"hollow"` // by figure: a value for each play
+	Real        [][]float64           `json:"real"`
+	Own         map[string][2]float64 `json:"own"` // the routers' own figures, hollow and real, of the last play
 }
 
 // pairFigures are the figures of the coordinator that are compared.
 var pairFigures = []string{"coordinator cpu_percent", "coordinator bytes_per_s with routers", "coordinator messages_per_s with routers"}
 
 // MeasurePair measures an installation of hollow routers and one of real routers, in turn, so many times.
-func MeasurePair(options Options, plays int) (*PairResult, error) {
+func MeasurePair(options Options, repetitions int) (*PairResult, error) {
 	if options.RealRouters > 0 && options.Routers > 0 && options.RealRouters != options.Routers {
 		return nil, errors.New("--paired: --routers says how many of each kind, --real must not be given")
 	}
@@ -34,9 +34,9 @@
 			return nil, err
 		}
 	}
-	result := &PairResult{Routers: options.Routers, Plays: plays, Own: map[string][2]float64{},
+	result := &PairResult{Routers: options.Routers, Repetitions: repetitions, Own: map[string][2]float64{},
 		Hollow: make([][]float64, len(pairFigures)), Real: make([][]float64, len(pairFigures))}
-	for play := range plays {
+	for play := range repetitions {
 		for kind, o := range []Options{hollowOptions, realOptions} {
 			o.Dir = filepath.Join(options.Dir, fmt.Sprint("pair-", play, "-", kind))
 			values, own, err := measureCoordinatorCost(o)
@@ -96,7 +96,7 @@
 
 // Print writes the result as a table.
 func (p *PairResult) Print(w io.Writer) {
-	printText(w, fmt.Sprintf("%d hollow against %d real routers, %d plays of each: mean ± half of the range\n", p.Routers, p.Routers, p.Plays))
+	printText(w, fmt.Sprintf("%d hollow against %d real routers, %d plays of each: mean ± half of the range\n", p.Routers, p.Routers, p.Repetitions))
 	var table strings.Builder
 	table.WriteString("figure\thollow\treal\tdifference\n")
 	for n, name := range pairFigures {
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -27,13 +27,13 @@
 	partSessions  = "sessions"
 )
 
-// mark has all hollow routers record when they receive what the mark names.
-func (in *Installation) mark(mark Mark) error {
+// setFilter has all hollow routers record when they receive what the setFilter names.
+func (in *Installation) setFilter(mark ReceptionFilter) error {
 	for _, child := range in.routers {
 		if child == nil {
 			continue
 		}
-		if _, err := child.Ask(ChildRequest{Do: CommandMark, Mark: &mark}); err != nil {
+		if _, err := child.Ask(ChildRequest{Command: CommandSetFilter, Filter: &mark}); err != nil {
 			return err
 		}
 	}
@@ -75,13 +75,13 @@
 		if child == nil {
 			continue
 		}
-		response, err := child.Ask(ChildRequest{Do: CommandReceivedTimes})
+		response, err := child.Ask(ChildRequest{Command: CommandReceivedTimes})
 		if err != nil {
 			return nil, err
 		}
-		times[partPolicies] = append(times[partPolicies], response.Heard.Policies...)
-		times[partLists] = append(times[partLists], response.Heard.Lists...)
-		times[partPrimaries] = append(times[partPrimaries], response.Heard.Primaries...)
+		times[partPolicies] = append(times[partPolicies], response.ReceivedTimes.Policies...)
+		times[partLists] = append(times[partLists], response.ReceivedTimes.Lists...)
+		times[partPrimaries] = append(times[partPrimaries], response.ReceivedTimes.Primaries...)
 	}
 	return times, nil
 }
@@ -152,8 +152,8 @@
 }
 
 // eventCost is the bytes of some processes beyond what the same time costs without the event, for each of their routers.
-func eventCost(calm, during interval, pids []int, routers int) float64 {
-	calmRate := float64(calm.totalTraffic(pids...).bytes()) / calm.seconds
-	extra := float64(during.totalTraffic(pids...).bytes()) - calmRate*during.seconds
+func eventCost(baseline, during interval, pids []int, routers int) float64 {
+	baselineRate := float64(baseline.totalTraffic(pids...).bytes()) / baseline.seconds
+	extra := float64(during.totalTraffic(pids...).bytes()) - baselineRate*during.seconds
 	return extra / float64(max(1, routers))
 }
--- a/internal/lab/scale/router_specs.go
+++ b/internal/lab/scale/router_specs.go
@@ -27,12 +27,12 @@
 // routersSpec specifies the process of a zone's hollow routers. With regions it makes the links to the other region.
 func (in *Installation) routersSpec(zone int) (ChildSpec, error) {
 	spec := ChildSpec{
-		Role:      RoleRouters,
-		Fleet:     in.fleet.FleetName,
-		Discovery: in.discovery.Addrs[0],
-		SessionMs: float64(in.SessionTimeout.Milliseconds()),
-		PaceMs:    float64(in.startInterval().Microseconds()) / 1000 * zones, // the zones start at the same time
-		Via:       map[string]string{},
+		Role:             RoleRouters,
+		Fleet:            in.fleet.FleetName,
+		Discovery:        in.discovery.Addrs[0],
+		SessionMs:        float64(in.SessionTimeout.Milliseconds()),
+		StartIntervalMs:  float64(in.startInterval().Microseconds()) / 1000 * zones, // the zones start at the same time
+		AddressOverrides: map[string]string{},
 	}
 	first, end := zoneShare(zone, in.Routers)
 	for n := first; n < end; n++ {
@@ -50,9 +50,9 @@
 			}
 			in.regionLinks = append(in.regionLinks, link)
 			addr = link.Addr
-			spec.Via[p.Name] = addr
+			spec.AddressOverrides[p.Name] = addr
 		}
-		spec.Council = append(spec.Council, addr)
+		spec.Coordinators = append(spec.Coordinators, addr)
 	}
 	return spec, nil
 }
--- a/internal/lab/scale/rows.go
+++ b/internal/lab/scale/rows.go
@@ -43,9 +43,9 @@
 		Messages:  float64(total.segments()) / i.seconds / perUnit,
 		Memory:    i.memoryMB(pids...) / perUnit,
 		Allowance: allowance,
-		More:      map[string]float64{},
+		Extra:     map[string]float64{},
 	}
-	r.compare()
+	r.checkAllowance()
 	return r
 }
 
@@ -81,7 +81,7 @@
 		for _, suffix := range []string{sentSuffix, receivedSuffix} {
 			key := kind + suffix
 			if messages := in.countByZone(i, routersPrefix, key); messages > 0 {
-				row.More[key] = float64(messages) / i.seconds / float64(in.Routers)
+				row.Extra[key] = float64(messages) / i.seconds / float64(in.Routers)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 		"discovery_bytes": ports(in.discovery.Addrs...),
 		"members_bytes":   ports(memberAddrs...),
 	} {
-		row.More[key] = float64(i.trafficTo(pids, peers).bytes()) / unitSeconds
+		row.Extra[key] = float64(i.trafficTo(pids, peers).bytes()) / unitSeconds
 	}
 }
 
@@ -128,16 +128,16 @@
 		written += i.after.writtenBytes[pid] - i.before.writtenBytes[pid]
 	}
 	unitSeconds := i.seconds * float64(max(1, len(pids)))
-	row.More["sessions_bytes"] = float64(sessions) / unitSeconds
-	row.More["raft_bytes"] = float64(total.bytes()-sessions) / unitSeconds
-	row.More["disk_bytes"] = float64(written-total.bytesSent) / unitSeconds
+	row.Extra["sessions_bytes"] = float64(sessions) / unitSeconds
+	row.Extra["raft_bytes"] = float64(total.bytes()-sessions) / unitSeconds
+	row.Extra["disk_bytes"] = float64(written-total.bytesSent) / unitSeconds
 	return row
 }
 
 func (in *Installation) databaseRow(i interval, role string) Row {
 	row := i.row(role, in.Members, childPids(in.databases), Allowance{})
 	for _, key := range []string{"checks", "accepted"} {
-		row.More[key] = float64(in.countByZone(i, databasesPrefix, key)) / i.seconds / float64(in.Members)
+		row.Extra[key] = float64(in.countByZone(i, databasesPrefix, key)) / i.seconds / float64(in.Members)
 	}
 	return row
 }
@@ -145,9 +145,9 @@
 // healthSharingRows are what holders of health-share leases cost, and the routers that they notify, compared with rows from before.
 func (in *Installation) healthSharingRows(before []Row, i interval) []Row {
 	rows := []Row{in.leaseHolderRow(i)}
-	for _, calm := range before {
+	for _, baseline := range before {
 		var pids []int
-		switch calm.Role {
+		switch baseline.Role {
 		case roleHollowRouter:
 			pids = childPids(in.routers)
 		case roleRealRouter:
@@ -155,8 +155,8 @@
 		default:
 			continue
 		}
-		notified := i.row(roleNotified(calm.Role, in.Holders), calm.Units, pids, routerAllowance)
-		rows = append(rows, notified, in.extrapolate(calm, notified))
+		notified := i.row(roleNotified(baseline.Role, in.Holders), baseline.Units, pids, routerAllowance)
+		rows = append(rows, notified, in.extrapolate(baseline, notified))
 	}
 	return append(rows, in.databaseRow(i, roleDatabaseShared(in.Holders)))
 }
@@ -174,23 +174,23 @@
 		for n := range in.holders {
 			total += i.count(holderName(n), count)
 		}
-		row.More[key] = float64(total) / i.seconds / float64(len(in.holders))
+		row.Extra[key] = float64(total) / i.seconds / float64(len(in.holders))
 	}
 	return row
 }
 
 // extrapolate is the row of a router that is notified of all groups. Its cost is linear in the groups: each is reported by itself.
-func (in *Installation) extrapolate(calm, notified Row) Row {
+func (in *Installation) extrapolate(baseline, notified Row) Row {
 	scale := float64(in.groups()) / float64(in.Holders)
 	row := Row{
-		Role:      roleNotifiedOfAll(calm.Role, in.groups()),
-		Units:     calm.Units,
-		CPU:       calm.CPU + scale*(notified.CPU-calm.CPU),
-		Bytes:     calm.Bytes + scale*(notified.Bytes-calm.Bytes),
-		Messages:  calm.Messages + scale*(notified.Messages-calm.Messages),
+		Role:      roleNotifiedOfAll(baseline.Role, in.groups()),
+		Units:     baseline.Units,
+		CPU:       baseline.CPU + scale*(notified.CPU-baseline.CPU),
+		Bytes:     baseline.Bytes + scale*(notified.Bytes-baseline.Bytes),
+		Messages:  baseline.Messages + scale*(notified.Messages-baseline.Messages),
 		Memory:    notified.Memory,
 		Allowance: routerAllowance,
 	}
-	row.compare()
+	row.checkAllowance()
 	return row
 }
--- a/internal/lab/scale/settle.go
+++ b/internal/lab/scale/settle.go
@@ -9,8 +9,8 @@
 	// settleTimeout bounds the time until an installation has settled.
 	settleTimeout       = 4 * time.Minute
 	settleCheckInterval = time.Second
-	// settledChecks is how many checks in a row must find that it has.
-	settledChecks = 2
+	// requiredSettledChecks is how many checks in a row must find that it has.
+	requiredSettledChecks = 2
 	// heartbeatsPerSession is how many heartbeats come at most in a session's timeout.
 	heartbeatsPerSession = 6
 	// extraCallsPerSecond are no sign of a start: the heartbeats of few routers come together now and then.
@@ -35,7 +35,7 @@
 func (in *Installation) counts() (childCounts, error) {
 	all := childCounts{}
 	for name, child := range in.children() {
-		response, err := child.Ask(ChildRequest{Do: CommandCount})
+		response, err := child.Ask(ChildRequest{Command: CommandCount})
 		if err != nil {
 			return nil, fmt.Errorf("counts of %s: %w", name, err)
 		}
@@ -69,7 +69,7 @@
 func (in *Installation) settle(sessions int) error {
 	deadline := time.Now().Add(settleTimeout)
 	check := settleCheck{installation: in, sessions: sessions, at: time.Now()}
-	for settled := 0; settled < settledChecks; {
+	for settled := 0; settled < requiredSettledChecks; {
 		if err := in.wait(settleCheckInterval); err != nil {
 			return err
 		}
--- a/internal/lab/scale/sockdiag.go
+++ b/internal/lab/scale/sockdiag.go
@@ -93,7 +93,7 @@
 		case kind == sockDiagByFamily && len(body) >= sizeInetDiagMsg:
 			addConnection(all, body)
 		}
-		messages = messages[min(len(messages), aligned(size)):]
+		messages = messages[min(len(messages), alignedLength(size)):]
 	}
 	return false, nil
 }
@@ -113,7 +113,7 @@
 		if info := attributes[sizeRtattr:length]; kind == inetDiagInfo && len(info) >= minTCPInfo {
 			all[end] = decodeTCPInfo(info)
 		}
-		attributes = attributes[min(len(attributes), aligned(length)):]
+		attributes = attributes[min(len(attributes), alignedLength(length)):]
 	}
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-// aligned is a netlink message's or attribute's length with its padding.
-func aligned(length int) int { return (length + 3) &^ 3 }
+// alignedLength is a netlink message's or attribute's length with its padding.
+func alignedLength(length int) int { return (length + 3) &^ 3 }
 
 // socketOwners returns which of some processes has a socket, by the socket's inode.
 func socketOwners(pids []int) map[uint32]int {
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -117,7 +117,7 @@
 	table.WriteString("role\tfigure\tintercept\tslope a router\tits error\tresidual\tworst\tpoints\n")
 	for _, s := range slopes {
 		fmt.Fprintf(&table, "%s\t%s\t%.4g\t%.4g\t%.2g\t%.2g\t%.2g\t%d\n",
-			s.Role, s.Figure, s.Fit.Intercept, s.Fit.Slope, s.Fit.Error, s.Fit.Residual, s.Fit.Worst, s.Fit.Points)
+			s.Role, s.Figure, s.Fit.Intercept, s.Fit.Slope, s.Fit.SlopeError, s.Fit.ResidualStdDev, s.Fit.MaxResidual, s.Fit.Points)
 	}
 	printText(w, alignColumns(table.String()))
 }
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -37,13 +37,13 @@
 	Memory    float64            `json:"memory_mb"`
 	Allowance Allowance          `json:"allowance"`
 	OK        bool               `json:"ok"`
-	Over      []string           `json:"over,omitempty"`
-	More      map[string]float64 `json:"more,omitempty"` // further figures, per second and unit
+	Exceeded  []string           `json:"over,omitempty"`
+	Extra     map[string]float64 `json:"more,omitempty"` // further figures, per second and unit
 }
 
-// compare sets what is over the allowance.
-func (r *Row) compare() {
-	r.Over = nil
+// checkAllowance sets what is over the allowance.
+func (r *Row) checkAllowance() {
+	r.Exceeded = nil
 	for _, figure := range []struct {
 		name             string
 		value, allowance float64
@@ -53,10 +53,10 @@
 		{"memory_mb", r.Memory, r.Allowance.Memory},
 	} {
 		if figure.allowance > 0 && figure.value > figure.allowance {
-			r.Over = append(r.Over, fmt.Sprintf("%s %s %.4g of %.4g", r.Role, figure.name, figure.value, figure.allowance))
+			r.Exceeded = append(r.Exceeded, fmt.Sprintf("%s %s %.4g of %.4g", r.Role, figure.name, figure.value, figure.allowance))
 		}
 	}
-	r.OK = len(r.Over) == 0
+	r.OK = len(r.Exceeded) == 0
 }
 
 // PrintRows writes rows as a table, and a line that says what is over its allowance.
@@ -82,7 +82,7 @@
 func OverAllowance(rows []Row) string {
 	var over []string
 	for _, r := range rows {
-		over = append(over, r.Over...)
+		over = append(over, r.Exceeded...)
 	}
 	if len(over) == 0 {
 		return "over: none"
--- a/internal/lab/scale/table_test.go
+++ b/internal/lab/scale/table_test.go
@@ -9,7 +9,7 @@
 	rows := []Row{{Role: "a", CPU: 1.5, Bytes: 6000, Memory: 10, Allowance: routerAllowance}, {Role: "b", CPU: 99, Bytes: 1e9, Memory: 1e9},
 		{Role: "c", CPU: 1.4, Bytes: 6001, Memory: 65, Allowance: routerAllowance}}
 	for n := range rows {
-		rows[n].compare()
+		rows[n].checkAllowance()
 	}
 	if rows[0].OK || !rows[1].OK || rows[2].OK {
 		t.Error(rows)
