--- a/internal/lab/scale/arrivals.go
+++ b/internal/lab/scale/arrivals.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// maxRecordedTimes bounds the recorded times of each kind.
+// maxRecordedTimes limits how many times are recorded of each kind.
 const maxRecordedTimes = 2 << 20
 
-// arrivals records when the routers of this process receive what a mark names.
+// arrivals records when the routers of this process receive what a filter selects.
 type arrivals struct {
 	mu       sync.Mutex
 	filter   *ReceptionFilter // nil: nothing is recorded
 	received ReceivedTimes
 }
 
-// setFilter drops what was recorded and records what the mark names from now on.
+// setFilter replaces the filter and discards the recorded times.
 func (a *arrivals) setFilter(filter *ReceptionFilter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// primaryReported records that a router received a report of a primary, once for each mark: it takes the mark for which this router
-// did so last, and returns the one to pass next time.
+// primaryReported records that a router received a report of a primary, once per router and filter. last is the filter for which this
+// router was recorded last; the caller passes the result as last in the next call.
 func (a *arrivals) primaryReported(member string, last *ReceptionFilter) *ReceptionFilter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +58,7 @@
 	return a.filter
 }
 
-// times returns what was recorded since the mark was set.
+// times returns the times recorded since the filter was set.
 func (a *arrivals) times() *ReceivedTimes {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/scale/child.go
+++ b/internal/lab/scale/child.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// responseTimeout is far longer than a response takes.
+// responseTimeout is well above the time that any response takes.
 const responseTimeout = 60 * time.Second
 
 var (
-	errChildEnded      = errors.New("the process has ended")
-	errChildNoResponse = errors.New("no response")
+	errChildEnded      = errors.New("hollow process exited before it responded")
+	errChildNoResponse = errors.New("timed out waiting for the response of a hollow process")
 )
 
-// Child is a hollow process as the process sees it that started it. It ends when its input does, so also with its parent.
+// Child is the parent's handle of a hollow process. The process exits at the end of its standard input, hence also when its parent exits.
 type Child struct {
 	Spec      ChildSpec
 	Addrs     []string
@@ -30,7 +30,7 @@
 	mu        sync.Mutex           // held from a request to its response
 }
 
-// StartChild starts a hollow process and waits for its first response.
+// StartChild starts a hollow process, sends it the specification and waits for its first response.
 func StartChild(binary, dir, name string, spec ChildSpec) (*Child, error) {
 	log, err := os.OpenFile(filepath.Join(dir, "hollow-"+name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Ask sends a request and returns its response.
+// Ask sends a request and waits for its response.
 func (c *Child) Ask(request ChildRequest) (ChildResponse, error) {
 	return c.exchange(request, responseTimeout)
 }
@@ -100,17 +100,17 @@
 	return response, nil
 }
 
-// Pid returns the id of the process.
+// Pid returns the process ID.
 func (c *Child) Pid() int { return c.command.Process.Pid }
 
-// Kill ends the process at once and waits until it has ended.
+// Kill sends SIGKILL and waits until the process has exited.
 func (c *Child) Kill() {
-	_ = c.command.Process.Kill() // it may have ended
+	_ = c.command.Process.Kill() // it may have exited already
 	closeQuietly(c.input)
 	for range c.responses {
 	}
-	_ = c.command.Wait() // a killed process has no other result
+	_ = c.command.Wait() // the error only says that the process was killed
 }
 
-// closeQuietly closes what has nothing left to lose: it was only read, or its other end has ended or will see the end.
+// closeQuietly closes c and ignores the error. It is for files and connections without unflushed data, where a failed close loses nothing.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/lab/scale/child_protocol.go
+++ b/internal/lab/scale/child_protocol.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Role is what a hollow process is.
+// Role selects what a hollow process simulates.
 type Role string
 
 // The roles.
@@ -18,33 +18,33 @@
 	RoleDiscovery Role = "discovery"
 )
 
-// Command is what a hollow process is asked to do.
+// Command is the operation that a ChildRequest asks for.
 type Command string
 
 // The commands.
 const (
 	CommandCount         Command = "count"     // return the counts
-	CommandSetFilter     Command = "mark"      // record from now on when routers receive what the mark names
-	CommandReceivedTimes Command = "heard"     // return these times
-	CommandRestarted     Command = "restarted" // list members as restarted
-	CommandPromote       Command = "promote"   // the first member becomes primary, the others replicas
+	CommandSetFilter     Command = "mark"      // replace the reception filter and clear the recorded times
+	CommandReceivedTimes Command = "heard"     // return the recorded times
+	CommandRestarted     Command = "restarted" // publish a change of the endpoint list with new start times of members
+	CommandPromote       Command = "promote"   // make the first member the primary and the others replicas
 )
 
-// ChildSpec is the first line that a hollow process reads: what it is.
+// ChildSpec configures a hollow process. It is the first line that the process reads.
 type ChildSpec struct {
 	Role                  Role              `json:"role"`
 	Fleet                 string            `json:"fleet,omitempty"`
 	Coordinators          []string          `json:"council,omitempty"` // addresses of coordinator nodes
-	AddressOverrides      map[string]string `json:"via,omitempty"`     // addresses to reach coordinator nodes by, by their names
+	AddressOverrides      map[string]string `json:"via,omitempty"`     // address to dial for a coordinator node, by its name
 	Discovery             string            `json:"discovery,omitempty"`
 	Names                 []string          `json:"names,omitempty"` // of routers, or of databases
-	Addrs                 []string          `json:"addrs,omitempty"` // of databases that restart
+	Addrs                 []string          `json:"addrs,omitempty"` // listen addresses of restarted databases; empty: free ports
 	Primaries             []string          `json:"primaries,omitempty"`
 	Entries               []Entry           `json:"entries,omitempty"` // of the endpoint list
-	Groups                []int             `json:"groups,omitempty"`  // that routers know; none: all
+	Groups                []int             `json:"groups,omitempty"`  // whose members routers use; empty: all
 	SessionMs             float64           `json:"session_ms,omitempty"`
-	HealthShareIntervalMs float64           `json:"sight_ms,omitempty"` // between two health checks of a member; 0: no health sharing
-	StartIntervalMs       float64           `json:"pace_ms,omitempty"`  // between the starts of two routers
+	HealthShareIntervalMs float64           `json:"sight_ms,omitempty"` // interval between health checks of a member; 0: no health sharing
+	StartIntervalMs       float64           `json:"pace_ms,omitempty"`  // delay before each router starts
 	Filter                *ReceptionFilter  `json:"mark,omitempty"`
 }
 
@@ -58,14 +58,14 @@
 	Started float64 `json:"up_since_ms"` // Unix ms
 }
 
-// ReceptionFilter names something that routers receive after an event; the times at which they do are recorded.
+// ReceptionFilter selects what routers record the reception time of. Each zero field records nothing.
 type ReceptionFilter struct {
-	Revision int64  `json:"revision,omitempty"` // of the endpoint list: this one or a later one
-	Primary  string `json:"primary,omitempty"`  // a member that health sharing reports as primary
+	Revision int64  `json:"revision,omitempty"` // lowest revision of the endpoint list to record
+	Primary  string `json:"primary,omitempty"`  // ID of the member whose reports as primary are recorded
 	Policy   bool   `json:"policy,omitempty"`   // any version of the policy
 }
 
-// ChildRequest is a line that a hollow process reads after its ChildSpec.
+// ChildRequest is one request to a hollow process, encoded as a line of JSON.
 type ChildRequest struct {
 	Command Command          `json:"do"`
 	Filter  *ReceptionFilter `json:"mark,omitempty"`
@@ -73,7 +73,7 @@
 	At      float64          `json:"at,omitempty"` // Unix ms
 }
 
-// ChildResponse is the line that a hollow process writes for each line that it reads.
+// ChildResponse is the response to a ChildSpec or a ChildRequest, encoded as a line of JSON.
 type ChildResponse struct {
 	Addrs         []string         `json:"addrs,omitempty"`
 	Revision      int64            `json:"revision,omitempty"`
@@ -89,13 +89,13 @@
 	Primaries []float64 `json:"primaries,omitempty"`
 }
 
-// responder is the part of a hollow process that handles requests.
+// responder handles the requests to a hollow process.
 type responder interface {
 	respond(request ChildRequest) (ChildResponse, error)
 }
 
-// RunHollow runs a hollow process: it reads a ChildSpec and then requests, one JSON object a line, writes a response to each, and
-// ends when its input does.
+// RunHollow runs a hollow process: it reads a ChildSpec and then ChildRequests, one JSON object per line, and writes a ChildResponse
+// to each. It returns at the end of its input.
 func RunHollow(in io.Reader, out io.Writer) error {
 	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
 	var spec ChildSpec
@@ -126,7 +126,7 @@
 	}
 }
 
-// newResponder starts what a hollow process is to be. The first response says that it runs, and where.
+// newResponder starts the servers or routers of a specification. The first response confirms the start and has their listen addresses.
 func newResponder(spec ChildSpec) (responder, ChildResponse, error) {
 	switch spec.Role {
 	case RoleRouters:
--- a/internal/lab/scale/discovery_server.go
+++ b/internal/lab/scale/discovery_server.go
@@ -16,26 +16,26 @@
 
 const (
 	firstRevision = 1
-	// maxKeptChanges is how many changes are kept; a watch that is further behind gets the complete list.
+	// maxKeptChanges limits the retained changes; a watch that is further behind receives the complete list.
 	maxKeptChanges = 1000
-	// keepaliveInterval is the time between two empty lines of a watch. Routers end a watch after 2.5 s of silence.
+	// keepaliveInterval is the interval of keepalives (empty lines) on a watch. Routers close a watch after 2.5 s without data.
 	keepaliveInterval = time.Second
 	readHeaderTimeout = 5 * time.Second
 )
 
-// discoveryServer is the discovery service. It serves the complete endpoint list, and to a watch the changes that follow.
+// discoveryServer is the discovery service. It serves the complete endpoint list and, to watches, the subsequent changes.
 type discoveryServer struct {
 	addr string
 
 	mu       sync.Mutex
 	revision int64
 	entries  []Entry
-	changes  [][]byte      // a line each; the last one led to this revision
+	changes  [][]byte      // encoded lines; the last one produced the current revision
 	changed  chan struct{} // closed at the next change
 	counts   map[string]int64
 }
 
-// listLine is one line of the service: the complete list, or what changed.
+// listLine is one line of a response: the complete list, or the entries that changed.
 type listLine struct {
 	Revision int64   `json:"revision"`
 	Complete bool    `json:"complete"`
@@ -55,7 +55,7 @@
 func (d *discoveryServer) run(listener net.Listener) {
 	server := &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: readHeaderTimeout}
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		logrus.WithError(err).Error("discovery service ended")
+		logrus.WithError(err).Error("discovery service stopped")
 	}
 }
 
@@ -67,13 +67,13 @@
 func (l listLine) encode() []byte {
 	encoded, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // its fields are plain values
+		panic(err) // can't happen: its fields are plain values
 	}
 	return append(encoded, '\n')
 }
 
-// linesSince returns what a watch at a revision must receive, the revision that this leads to, and a channel that is closed at the
-// next change.
+// linesSince returns the lines that bring a watch from a revision to the current one, the current revision, and a channel that is
+// closed at the next change.
 func (d *discoveryServer) linesSince(since int64) (lines []byte, revision int64, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +97,7 @@
 		d.mu.Lock()
 		list := d.completeList()
 		d.mu.Unlock()
-		_, _ = w.Write(list) // the client sees that its connection ended
+		_, _ = w.Write(list) // after an error the client sees a closed connection
 		return
 	}
 	since, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
@@ -110,7 +110,7 @@
 	d.serveWatch(w, r, since)
 }
 
-// serveWatch writes lines until the watch ends. An empty line shows that it is alive.
+// serveWatch writes changes and keepalives until the watch ends. A watch that is up to date receives a keepalive at once.
 func (d *discoveryServer) serveWatch(w http.ResponseWriter, r *http.Request, since int64) {
 	keepalive := time.NewTicker(keepaliveInterval)
 	defer keepalive.Stop()
@@ -151,7 +151,7 @@
 	d.counts[count] += n
 }
 
-// markRestarted lists members as restarted at a time, Unix ms, in one change. It returns the revision of that.
+// markRestarted sets the start time of members, in Unix ms, in one change of the list. It returns the new revision.
 func (d *discoveryServer) markRestarted(ids []string, atMs float64) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/scale/discovery_server_test.go
+++ b/internal/lab/scale/discovery_server_test.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/discovery"
 )
 
-// A watch receives the complete list first and then each change, each in as many bytes as the service counts.
+// A watch receives the complete list first and then each change, and the service counts the lines and bytes that it sent.
 func TestDiscoveryServer_Watch(t *testing.T) {
 	d, err := newDiscoveryServer([]Entry{{ID: "a", Addr: "127.0.0.1:1", Phase: "in_service", Started: 1}, {ID: "b", Addr: "127.0.0.1:2", Group: 1, Phase: "in_service", Started: 1}})
 	if err != nil {
@@ -23,7 +23,7 @@
 		t.Fatal(at)
 	}
 	l := <-lists
-	for len(l.Entries) == 0 { // an empty line: nothing had changed yet
+	for len(l.Entries) == 0 { // a keepalive
 		l = <-lists
 	}
 	if l.Complete || len(l.Entries) != 1 || l.Entries[0].Started != 5000 || l.Revision != 2 {
@@ -37,7 +37,7 @@
 		{ID: "a", Addr: "127.0.0.1:1", Phase: "in_service", Started: 1}, {ID: "b", Addr: "127.0.0.1:2", Group: 1, Phase: "in_service", Started: 1}}}.encode())) {
 		t.Error(c)
 	}
-	// A watch that is further behind than changes are kept receives the complete list again.
+	// A watch that is behind the oldest retained change receives the complete list again.
 	for range maxKeptChanges {
 		d.markRestarted([]string{"a"}, 6000)
 	}
--- a/internal/lab/scale/event_policy.go
+++ b/internal/lab/scale/event_policy.go
@@ -11,7 +11,7 @@
 
 const proposalTimeout = 10 * time.Second
 
-// changePolicy proposes a version of the policy and waits until each router has applied it.
+// changePolicy proposes a version of the policy and waits until each hollow router has applied it.
 func changePolicy(in *Installation, baseline interval) (*EventResult, error) {
 	document, err := settings.ReadPolicy([]byte("over_share_value = 0.25\n"))
 	if err != nil {
@@ -48,6 +48,6 @@
 		Parts:   parts,
 		Bytes:   map[string]float64{"each": eventCost(baseline, during, childPids(in.routers), in.Routers)},
 		Calls:   during.routerCounts(),
-		Notes:   []string{fmt.Sprintf("accepted after %.0f ms", acceptedMs-eventMs), "only hollow routers are counted"},
+		Notes:   []string{fmt.Sprintf("accepted after %.0f ms", acceptedMs-eventMs), "counts only hollow routers"},
 	}, nil
 }
--- a/internal/lab/scale/event_primary.go
+++ b/internal/lab/scale/event_primary.go
@@ -2,12 +2,12 @@
 
 import "errors"
 
-// bytesBeyondHealthSharing is a key of EventResult.Bytes, as reports have it.
+// bytesBeyondHealthSharing is a key of EventResult.Bytes. It is part of the JSON output.
 const bytesBeyondHealthSharing = "each, beyond what sight costs anyway"
 
 var errNoOtherMember = errors.New("the group has only one database")
 
-// changePrimary promotes another member of the first group, which has a lease holder of health sharing, and waits until each router
+// changePrimary promotes another member of the first group, which has a health-share lease holder, and waits until each hollow router
 // has received a report of the new primary.
 func changePrimary(in *Installation, baseline interval) (*EventResult, error) {
 	former := in.members[0]
@@ -48,7 +48,7 @@
 	}, nil
 }
 
-// otherMember is another member of a member's group.
+// otherMember returns the ID of another member of the same group.
 func (in *Installation) otherMember(member Entry) (id string, err error) {
 	for _, other := range in.members {
 		if other.Group == member.Group && other.ID != member.ID {
--- a/internal/lab/scale/event_regions.go
+++ b/internal/lab/scale/event_regions.go
@@ -6,8 +6,8 @@
 	"wayloft/internal/lab/fleet"
 )
 
-// cutRegions cuts all links between the two regions for the time of a sample, and waits until the second region's sessions, which the
-// coordinator's majority is not in, are open again.
+// cutRegions cuts all links between the two regions for the length of a sample and restores them. It then waits until the sessions of
+// the second region, which has the minority of the coordinator nodes, have opened again.
 func cutRegions(in *Installation, baseline interval) (*EventResult, error) {
 	links := in.linksBetweenRegions()
 	for _, link := range links {
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	eventMs := unixMs()
-	sessions := in.watchSessions(string(secondRegion), 0) // those from before have ended
+	sessions := in.watchSessions(string(secondRegion), 0) // 0: the watch counts only open sessions, and those from before the cut have ended
 	defer sessions.stop()
 	for _, link := range links {
 		link.Heal()
@@ -49,13 +49,14 @@
 		},
 		Calls: during.routerCounts(),
 		Notes: []string{
-			fmt.Sprintf("cut for %s; %d of %d sessions remained at the coordinator", in.SampleDuration, remaining, in.Routers+in.RealRouters),
-			"discovery and databases were not cut off; sessions stay open on the side of the coordinator's majority",
+			fmt.Sprintf("links cut for %s; %d of %d sessions remained open at the coordinator", in.SampleDuration, remaining, in.Routers+in.RealRouters),
+			"connections to the discovery service and to databases were not cut; sessions in the region with the coordinator's quorum stay open",
 		},
 	}, nil
 }
 
-// linksBetweenRegions are the links of hollow routers to coordinator nodes of the other region, and those between such nodes.
+// linksBetweenRegions returns the links from hollow routers to coordinator nodes of the other region, and those between coordinator
+// nodes of different regions.
 func (in *Installation) linksBetweenRegions() []*fleet.Link {
 	links := append([]*fleet.Link(nil), in.regionLinks...)
 	for n, from := range in.coordinatorNodes() {
@@ -69,7 +70,7 @@
 	return links
 }
 
-// routersIn is how many hollow routers a region has.
+// routersIn returns the number of hollow routers in a region.
 func (in *Installation) routersIn(region byte) (count int) {
 	for zone := range zones {
 		if regionOf(zone) == region {
--- a/internal/lab/scale/event_restart.go
+++ b/internal/lab/scale/event_restart.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// restartedZone is the zone that the event restarts.
+// restartedZone is the zone that restartZone restarts.
 const restartedZone = 3
 
-// restartZone kills all hollow routers and databases of a zone at once and starts them again, and has the endpoint list say so. It
-// waits until the routers' sessions are open and all routers have the list.
+// restartZone kills all hollow routers and databases of a zone at once, starts them again and publishes the databases' new start times
+// in the endpoint list. It waits until the restarted routers' sessions are open and all hollow routers have the new list.
 func restartZone(in *Installation, baseline interval) (*EventResult, error) {
 	before, err := in.sampleAll()
 	if err != nil {
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	seconds := (unixMs() - eventMs) / 1000
-	if err := in.settle(in.Routers + in.RealRouters); err != nil { // each restarted router asks for the latest tokens of all leases
+	if err := in.settle(in.Routers + in.RealRouters); err != nil { // each restarted router queries the latest tokens of all leases
 		return nil, err
 	}
 	settledSeconds := (unixMs() - eventMs) / 1000
@@ -52,7 +52,7 @@
 		},
 		Calls: restartCalls(during),
 		Notes: []string{
-			fmt.Sprintf("the coordinator received only heartbeats after %.0f s, to the second", settledSeconds),
+			fmt.Sprintf("the coordinator received only heartbeats after %.0f s (to within 1 s)", settledSeconds),
 			fmt.Sprintf("%d routers and %d databases were killed and restarted", restarted, endMember-firstMember),
 		},
 	}, nil
@@ -63,7 +63,7 @@
 	return end - first
 }
 
-// recordNextRevision has hollow routers record when they receive the next revision of the endpoint list.
+// recordNextRevision makes hollow routers record when they receive the next revision of the endpoint list.
 func (in *Installation) recordNextRevision() (ReceptionFilter, error) {
 	response, err := in.discovery.Ask(ChildRequest{Command: CommandCount})
 	if err != nil {
@@ -73,7 +73,7 @@
 	return mark, in.setFilter(mark)
 }
 
-// restartProcesses kills the zone's processes, lists its databases as restarted, and starts the processes again.
+// restartProcesses kills the zone's processes, publishes its databases' new start times, and starts the processes again.
 func (in *Installation) restartProcesses(mark ReceptionFilter, eventMs float64) (err error) {
 	databases, routers := in.databases[restartedZone], in.routers[restartedZone]
 	routers.Kill()
@@ -94,7 +94,7 @@
 	return err
 }
 
-// restartCalls are the counts of the routers that restarted, since their start, and the growth of those of the others.
+// restartCalls returns the restarted routers' counts since their start, and the growth of the other routers' counts.
 func restartCalls(during interval) map[string]int64 {
 	calls := map[string]int64{}
 	restarted := zoneName(routersPrefix, restartedZone)
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -8,29 +8,29 @@
 	"strings"
 )
 
-// Propagation is one thing that all had to receive after an event.
+// Propagation is the result for one kind of update that routers had to receive after an event.
 type Propagation struct {
 	What     string  `json:"what"`
 	Expected int     `json:"expected"` // receptions
 	Received int     `json:"heard"`
-	Median   float64 `json:"median_ms"` // from the event; -1: nobody received it
+	Median   float64 `json:"median_ms"` // since the event; -1: not received
 	Worst    float64 `json:"worst_ms"`
 }
 
 // EventResult is the result of RunEvent.
 type EventResult struct {
 	Event   string             `json:"event"`
-	Seconds float64            `json:"seconds"` // until all had received everything, or the timeout
+	Seconds float64            `json:"seconds"` // until everything was received, or until the timeout
 	Parts   []Propagation      `json:"parts"`
-	Bytes   map[string]float64 `json:"bytes"` // that the event cost a router, by routers; what the same time costs without it is subtracted
-	Calls   map[string]int64   `json:"calls"` // growth of the counts of hollow routers, all together
+	Bytes   map[string]float64 `json:"bytes"` // sent and received per router, by set of routers; the baseline is subtracted, except for restarted routers
+	Calls   map[string]int64   `json:"calls"` // growth of the counts, summed over all hollow routers
 	Notes   []string           `json:"said,omitempty"`
 }
 
-// event is one kind of event, which is run on an installation that has settled.
+// event is a kind of event that RunEvent can run.
 type event struct {
 	prepare func(*Options)
-	// run also takes what routers cost without the event.
+	// run takes a settled installation, and as the baseline a sample of it without the event.
 	run func(in *Installation, baseline interval) (*EventResult, error)
 }
 
@@ -44,7 +44,7 @@
 // EventNames returns the names of the events, sorted.
 func EventNames() []string { return slices.Sorted(maps.Keys(events)) }
 
-// RunEvent starts an installation, has an event happen to it, measures how that propagates, and ends the installation.
+// RunEvent starts an installation, triggers an event, measures how its effects propagate, and stops the installation.
 func RunEvent(name string, options Options) (*EventResult, error) {
 	e, known := events[name]
 	if !known {
@@ -79,15 +79,15 @@
 func checkEventSize(options Options) error {
 	const minRouters = 2 * zones
 	if options.Routers < minRouters {
-		return fmt.Errorf("--event: takes %d hollow routers, two in each zone, not %d", minRouters, options.Routers)
+		return fmt.Errorf("--event: takes %d hollow routers at least, two in each zone, not %d", minRouters, options.Routers)
 	}
 	if options.Members < zones || options.GroupSize < 2 {
-		return fmt.Errorf("--event: takes %d databases, and groups of two", zones)
+		return fmt.Errorf("--event: takes %d databases at least, and groups of two or more", zones)
 	}
 	return nil
 }
 
-// byteLabels are the printed names of EventResult.Bytes whose key is not plain.
+// byteLabels are the labels that Print uses in place of keys of EventResult.Bytes. The JSON output has the keys.
 var byteLabels = map[string]string{bytesBeyondHealthSharing: "each, beyond the cost of health sharing"}
 
 // Print writes the result as text.
@@ -108,7 +108,7 @@
 		if plain, ok := byteLabels[key]; ok {
 			label = plain
 		}
-		fmt.Fprintf(&text, "bytes a router, %s: %.0f\n", label, r.Bytes[key])
+		fmt.Fprintf(&text, "bytes per router, %s: %.0f\n", label, r.Bytes[key])
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.Calls)) {
 		fmt.Fprintf(&text, "%s: %d\n", key, r.Calls[key])
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -6,20 +6,20 @@
 	"math"
 )
 
-// Fit is a straight line through measured points, by least squares.
+// Fit is a least-squares line through measured points.
 type Fit struct {
 	Slope          float64 `json:"slope"`
 	Intercept      float64 `json:"intercept"`
 	SlopeError     float64 `json:"slope_error"` // standard error of the slope; 0 for two points
-	ResidualStdDev float64 `json:"residual"`    // standard deviation of the points from the line
-	MaxResidual    float64 `json:"worst"`       // the largest distance of a point from the line
+	ResidualStdDev float64 `json:"residual"`    // standard deviation of the residuals; 0 for two points
+	MaxResidual    float64 `json:"worst"`       // largest absolute residual
 	Points         int     `json:"points"`
 }
 
-// errSameX is returned for points that all have the same x.
+// errSameX reports points that all have the same x, which have no least-squares line.
 var errSameX = errors.New("fit a line: all points have the same x")
 
-// FitLine fits y over x. It takes at least two points of different x.
+// FitLine fits a line to y as a function of x. It needs at least two points with different x.
 func FitLine(x, y []float64) (Fit, error) {
 	if len(x) != len(y) || len(x) < 2 {
 		return Fit{}, fmt.Errorf("fit a line: %d values of x, %d of y", len(x), len(y))
@@ -52,7 +52,7 @@
 	return fit, nil
 }
 
-// quantile returns a quantile of sorted values by the nearest rank; NaN of none.
+// quantile returns a quantile of sorted values by the nearest-rank method, or NaN if there are no values.
 func quantile(sorted []float64, part float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
@@ -61,7 +61,7 @@
 	return sorted[min(len(sorted)-1, max(0, rank-1))]
 }
 
-// meanAndSpread returns the mean of values, and half of the distance between the largest and the smallest.
+// meanAndSpread returns the mean of values and half of their range.
 func meanAndSpread(values []float64) (mean, spread float64) {
 	least, most := values[0], values[0]
 	for _, v := range values {
--- a/internal/lab/scale/health_sharing.go
+++ b/internal/lab/scale/health_sharing.go
@@ -9,8 +9,8 @@
 
 func holderName(n int) string { return fmt.Sprint(holderPrefix, n) }
 
-// StartHolders starts the holders of health-share leases, a process and a group each, and waits until each has notified all other
-// routers.
+// StartHolders starts the holders of health-share leases, each in its own process and for one group, and waits until each has notified
+// all hollow and real routers.
 func (in *Installation) StartHolders() error {
 	for n := range in.Holders {
 		spec, err := in.holderSpec(n)
@@ -41,7 +41,7 @@
 	return spec, nil
 }
 
-// allNotified reports whether each holder has had a response from as many routers as there are.
+// allNotified reports whether each holder has received at least as many responses as there are routers.
 func (in *Installation) allNotified() (bool, error) {
 	counts, err := in.counts()
 	if err != nil {
@@ -55,19 +55,19 @@
 	return true, nil
 }
 
-// leaseHolders returns who holds the health-share leases of the groups that have a holder here.
+// leaseHolders returns the holder of each health-share lease that StartHolders started a process for, by lease name.
 func (in *Installation) leaseHolders() (map[string]string, error) {
 	state, err := in.state()
 	if err != nil {
 		return nil, err
 	}
-	ours := map[string]bool{}
+	expected := map[string]bool{}
 	for n := range in.holders {
-		ours[healthshare.LeaseName(n)] = true
+		expected[healthshare.LeaseName(n)] = true
 	}
 	holders := map[string]string{}
 	for _, lease := range state.State.Duties {
-		if ours[lease.Name] {
+		if expected[lease.Name] {
 			holders[lease.Name] = lease.Holder
 		}
 	}
--- a/internal/lab/scale/hollow_checks.go
+++ b/internal/lab/scale/hollow_checks.go
@@ -10,10 +10,10 @@
 	"wayloft/internal/pg"
 )
 
-// checkTimeout bounds a health check, and the connection for it.
+// checkTimeout limits the dial, and each response.
 const checkTimeout = time.Second
 
-// HealthCheck has a member checked. A member whose last check is still out is skipped.
+// HealthCheck requests a check of a member. The request is dropped while an earlier one is still waiting.
 func (r *hollowRouter) HealthCheck(member string) {
 	entry, listed := r.listed[member]
 	if !listed {
@@ -39,7 +39,7 @@
 	return due
 }
 
-// stopCheckers ends the checks of members that are no longer listed.
+// stopCheckers stops the checkers of members that are no longer listed.
 func (r *hollowRouter) stopCheckers() {
 	for id, due := range r.checkers {
 		if _, listed := r.listed[id]; !listed {
@@ -49,15 +49,15 @@
 	}
 }
 
-// memberChecker checks one member on a connection that it keeps, as a router does.
+// memberChecker checks one member on a persistent connection, as a real router does.
 type memberChecker struct {
 	router *hollowRouter
 	entry  discovery.Entry
-	conn   net.Conn // nil: there is none
+	conn   net.Conn // nil: not connected
 	reader *pg.Reader
 }
 
-// run makes the checks that are due until the channel is closed.
+// run makes a check for each value that it receives, until the channel is closed.
 func (c *memberChecker) run(due <-chan struct{}) {
 	defer c.close()
 	for range due {
@@ -103,7 +103,7 @@
 	return err
 }
 
-// readReport reads up to the end of a response.
+// readReport reads messages until ReadyForQuery and returns the role and position that they reported.
 func (c *memberChecker) readReport() (healthshare.Report, error) {
 	report := healthshare.Report{Member: c.entry.ID, Started: startedMs(c.entry)}
 	if err := c.conn.SetReadDeadline(time.Now().Add(checkTimeout)); err != nil {
--- a/internal/lab/scale/hollow_databases.go
+++ b/internal/lab/scale/hollow_databases.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// replicationLag is by how much a replica's position is behind the clock.
+	// replicationLag is how far a replica's position is behind the clock.
 	replicationLag = 5 * time.Millisecond
-	// maxMessageBytes is the longest message that is read from a connection.
+	// maxMessageBytes limits a message that is read from a connection.
 	maxMessageBytes = 1 << 16
 )
 
-// What the platform's databases report (router.Role, position) is on the wire.
+// Parameter names and values by which the platform's databases report their role (router.Role) and position on the wire.
 const (
 	roleParameter     = "rank"
 	primaryRole       = "source"
@@ -27,8 +27,8 @@
 	positionParameter = "as_of"
 )
 
-// hollowDatabases are the databases of one process. Each accepts connections, completes the startup, and answers an empty query with
-// its role and position.
+// hollowDatabases are the databases of one process. Each accepts connections, completes the startup, responds to an empty query with
+// its role and position, and to any other message with an error.
 type hollowDatabases struct {
 	addrs []string
 
@@ -57,7 +57,7 @@
 	return d, nil
 }
 
-// listen listens at one of the addresses, or at a free one if there are none.
+// listen listens on the n-th address, or on a free port if there are no addresses.
 func listen(addrs []string, n int) (net.Listener, error) {
 	if len(addrs) == 0 {
 		return fleet.ListenFree()
@@ -81,7 +81,7 @@
 	}
 }
 
-// serve answers what a connection sends until it ends.
+// serve responds to the messages of a connection until it is closed.
 func (d *hollowDatabases) serve(conn net.Conn, name string) {
 	reader := pg.NewReader(false, maxMessageBytes)
 	buffer := make([]byte, 1<<10)
@@ -101,7 +101,7 @@
 	}
 }
 
-// responses answers the messages that have arrived completely; open says whether the connection goes on.
+// responses encodes the responses to all complete messages. open is false if the connection must be closed.
 func (d *hollowDatabases) responses(reader *pg.Reader, name string) (out []byte, open bool) {
 	for {
 		message, complete, err := reader.Next()
@@ -119,7 +119,7 @@
 			out = pg.AppendReadyIdle(pg.AppendEmptyQuery(d.appendHealth(out, name)))
 		default:
 			d.otherMessages.Add(1)
-			failure := &pg.Error{Code: pg.InFailedSQLTransaction, Text: "this database is hollow"}
+			failure := &pg.Error{Code: pg.InFailedSQLTransaction, Text: "hollow database: only empty queries are supported"}
 			out = pg.AppendReadyIdle(pg.AppendError(out, failure, false))
 		}
 	}
--- a/internal/lab/scale/hollow_routers.go
+++ b/internal/lab/scale/hollow_routers.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// eventQueueLength is how many events of a router may wait.
+	// eventQueueLength is the capacity of a router's event queue.
 	eventQueueLength = 256
-	// safetyMarginDivisor is the part of the session timeout that the safety margin is.
+	// safetyMarginDivisor divides the session timeout to give the safety margin.
 	safetyMarginDivisor = 10
 	maxHoldMs           = 5000
 )
 
-// hollowRouters are the routers of one process. List, session, watch and health sharing are the real code; each router has a goroutine
-// in place of its event loop.
+// hollowRouters are the routers of one process. They run the real code for the endpoint list, session, watch and health sharing; each
+// router has a goroutine in place of the event loop.
 type hollowRouters struct {
 	spec     ChildSpec
 	arrivals *arrivals
@@ -33,7 +33,7 @@
 	counts   routerCounts
 }
 
-// routerCounts are counts over all routers of the process.
+// routerCounts are totals over all routers of the process.
 type routerCounts struct {
 	lists, entries, listKeepalives, listFailures atomic.Int64
 	policies                                     atomic.Int64
@@ -41,19 +41,19 @@
 	checks, checksSkipped                        atomic.Int64
 }
 
-// hollowRouter is one router. The fields below events belong to its goroutine.
+// hollowRouter is one router. Only its goroutine accesses the fields below events.
 type hollowRouter struct {
 	process *hollowRouters
 	node    *fleet.Node
 	events  chan func()
 
 	listed       map[string]discovery.Entry
-	checkers     map[string]chan<- struct{} // by member: a check is due
+	checkers     map[string]chan<- struct{} // by member; a value requests a check
 	lastReported *ReceptionFilter
 }
 
 func newHollowRouters(spec ChildSpec) (*hollowRouters, error) {
-	logrus.SetLevel(logrus.WarnLevel) // a line for each start of a router would be part of what is measured
+	logrus.SetLevel(logrus.WarnLevel) // logging each start of a router would add to the measured cost
 	process := &hollowRouters{spec: spec, arrivals: &arrivals{}, messages: newMessageCounter()}
 	process.arrivals.setFilter(spec.Filter)
 	process.messages.register()
@@ -65,7 +65,7 @@
 	return process, nil
 }
 
-// startRouter starts a router, and waits before the next one if the specification says so.
+// startRouter starts a router after the start interval of the specification.
 func (p *hollowRouters) startRouter(name string) error {
 	r := &hollowRouter{process: p, events: make(chan func(), eventQueueLength), listed: map[string]discovery.Entry{}, checkers: map[string]chan<- struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +105,7 @@
 	}
 }
 
-// listReceived keeps the members in service, as far as the specification has the router know them.
+// listReceived updates the listed members: those in service, of the groups in the specification.
 func (r *hollowRouter) listReceived(list *discovery.List) {
 	counts := &r.process.counts
 	if len(list.Entries) == 0 && !list.Complete {
@@ -130,21 +130,21 @@
 	r.process.arrivals.listReceived(list.Revision)
 }
 
-// The methods that follow implement fleet.Router.
+// The methods below implement fleet.Router.
 
-// Post has an event run on the router's goroutine.
+// Post queues an event for the router's goroutine. It blocks while the queue is full.
 func (r *hollowRouter) Post(event func()) { r.events <- event }
 
-// Now returns the time, Unix ms.
+// Now returns the current time in Unix ms.
 func (r *hollowRouter) Now() float64 { return unixMs() }
 
 // HoldWrites does nothing: there are no clients.
 func (r *hollowRouter) HoldWrites(int, float64) {}
 
-// Writes returns that no writes run or wait.
+// Writes returns zeros: there are no clients.
 func (r *hollowRouter) Writes(int) (running, waiting int) { return 0, 0 }
 
-// Groups returns the members that are listed, by group.
+// Groups returns the listed members by group.
 func (r *hollowRouter) Groups() map[int][]fleet.Member {
 	groups := map[int][]fleet.Member{}
 	for _, entry := range r.listed {
@@ -153,7 +153,7 @@
 	return groups
 }
 
-// startedMs is when a member started, Unix ms; 0: not known.
+// startedMs returns the start time of a member in Unix ms, or 0 if it is unknown.
 func startedMs(entry discovery.Entry) float64 {
 	if entry.Started == router.Never {
 		return 0
@@ -161,14 +161,14 @@
 	return entry.Started
 }
 
-// ApplyPolicy counts a version of the policy.
+// ApplyPolicy counts and records the reception of a version of the policy; the document has no effect.
 func (r *hollowRouter) ApplyPolicy(policy.Version, policy.Document) error {
 	r.process.counts.policies.Add(1)
 	r.process.arrivals.policyApplied()
 	return nil
 }
 
-// PeerReported counts a report of the holder of a health-share lease.
+// PeerReported counts a report from a health-share lease holder, and records it if it is of a primary.
 func (r *hollowRouter) PeerReported(report healthshare.Report) {
 	r.process.counts.reportsReceived.Add(1)
 	if report.Primary {
@@ -189,7 +189,7 @@
 	return ChildResponse{}, unknownCommand(request.Command)
 }
 
-// allCounts returns the counts under the keys that reports have.
+// allCounts returns the counts by their keys in reports.
 func (p *hollowRouters) allCounts() map[string]int64 {
 	c := &p.counts
 	counts := map[string]int64{
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -16,26 +16,26 @@
 const (
 	directoryMode    = 0o700
 	stateTimeout     = 10 * time.Second
-	snapshotInterval = 10000 // entries of the coordinator's log
+	snapshotInterval = 10000 // in entries of the coordinator's log
 )
 
-// Installation is all that was started.
+// Installation is a running installation: the coordinator, routers, databases and the discovery service.
 type Installation struct {
 	Options
-	Settled time.Duration // from the start until all had settled
+	Settled time.Duration // time from the start until the installation had settled
 
 	startedAt   time.Time
 	fleet       *fleet.Fleet // coordinator and real routers
 	discovery   *Child
-	databases   []*Child // by zone; nil where it has none
-	routers     []*Child // by zone; nil where it has none
+	databases   []*Child // by zone; nil if the zone has none
+	routers     []*Child // by zone; nil if the zone has none
 	holders     []*Child // of health-share leases, by group
 	members     []Entry
 	client      *client.Client
 	regionLinks []*fleet.Link // between hollow routers and coordinator nodes of the other region
 }
 
-// Start starts all but lease holders of health sharing, and waits until the installation has settled.
+// Start starts an installation without its health-share lease holders, and waits until it has settled.
 func Start(options Options) (*Installation, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	return in.settle(in.Routers + in.RealRouters)
 }
 
-// startCoordinator prepares the coordinator and the real routers, starts the coordinator and waits until it has a leader.
+// startCoordinator configures the coordinator and the real routers, starts the coordinator and waits until it has a leader.
 func (in *Installation) startCoordinator() (err error) {
 	in.fleet, err = fleet.New(fleet.Options{
 		Binary:           in.Binary,
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// startHollowRouters starts the routers of all zones at the same time.
+// startHollowRouters starts the processes of all zones in parallel.
 func (in *Installation) startHollowRouters() error {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -156,7 +156,7 @@
 	return err
 }
 
-// startDatabases starts a zone's databases. The first members are the primaries of their groups.
+// startDatabases starts a zone's databases. The first member of each group is its primary.
 func (in *Installation) startDatabases(zone int) error {
 	first, end := zoneShare(zone, in.Members)
 	if first == end {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// Close ends all that was started.
+// Close stops all processes and closes the links.
 func (in *Installation) Close() {
 	if in.client != nil {
 		in.client.Close()
@@ -196,14 +196,14 @@
 	}
 }
 
-// state asks the coordinator for the lease state.
+// state returns the coordinator's state: sessions, leases and nodes.
 func (in *Installation) state() (*fleetpb.State, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	return in.client.State(ctx)
 }
 
-// leader is the name of the coordinator node that leads; empty: none is known.
+// leader returns the name of the coordinator's leader, or an empty string if it is unknown.
 func (in *Installation) leader() string {
 	state, err := in.state()
 	if err != nil {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// maxSamples are taken until one is undisturbed; the last one counts in any case, and is counted as discarded if it is not.
+	// maxSamples limits how often a disturbed sample is repeated. The last one is used even if it is disturbed, and is then also counted
+	// in DiscardedSamples.
 	maxSamples = 4
-	// Of the calls of a sample, one in unansweredDivisor may have no response yet, and one for each process.
+	// unansweredDivisor: up to 1/unansweredDivisor of a sample's calls, plus one per hollow process, may be without a response at its end.
 	unansweredDivisor = 20
-	// holderSettleTime is the time from the start of lease holders to the sample.
+	// holderSettleTime is the delay between the start of the lease holders and their sample.
 	holderSettleTime = time.Second
 )
 
@@ -20,21 +21,21 @@
 	RealRouters      int               `json:"real"`
 	Members          int               `json:"members"`
 	Groups           int               `json:"groups"`
-	Sessions         int               `json:"sessions"` // at the coordinator, before the first sample
-	StartS           float64           `json:"start_s"`  // until all had settled
+	Sessions         int               `json:"sessions"` // open at the coordinator before the first sample
+	StartS           float64           `json:"start_s"`  // until the installation had settled
 	Seconds          float64           `json:"seconds"`  // of the first sample
 	Rows             []Row             `json:"rows"`
-	DiscardedSamples int               `json:"spoilt"`            // during which the machine seemed to have stalled
-	Holders          map[string]string `json:"holders,omitempty"` // of health-share leases, during their sample
-	Start            map[string]int64  `json:"start"`             // counts of hollow routers until the first sample
+	DiscardedSamples int               `json:"spoilt"`            // samples with signs that the machine stalled
+	Holders          map[string]string `json:"holders,omitempty"` // of health-share leases, at the end of their sample
+	Start            map[string]int64  `json:"start"`             // counts of hollow routers from their start to the first sample
 	Counts           map[string]int64  `json:"counts"`            // their growth in the first sample
-	HealthSharing    map[string]int64  `json:"sight,omitempty"`   // that of hollow routers and lease holders together in the sample with health sharing
+	HealthSharing    map[string]int64  `json:"sight,omitempty"`   // growth of the counts of hollow routers and lease holders in the sample with health sharing
 
 	children         childCounts   // at the end of the first sample
-	startCountsAfter time.Duration // from the start of the installation until Start was counted
+	startCountsAfter time.Duration // from the start of the installation to the counts in Start
 }
 
-// Measure starts an installation, samples it while nothing happens, then while there are lease holders of health sharing, and ends it.
+// Measure starts an installation, samples it while it is idle and then with health-share lease holders, and stops it.
 func Measure(options Options) (*Report, error) {
 	in, err := Start(options)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return in.Measure()
 }
 
-// Measure samples an installation that has settled, and starts its lease holders of health sharing.
+// Measure samples a settled installation while it is idle, starts its health-share lease holders and samples it again.
 func (in *Installation) Measure() (*Report, error) {
 	state, err := in.state()
 	if err != nil {
@@ -66,7 +67,7 @@
 	return report, in.measureHealthSharing(report)
 }
 
-// measureHealthSharing starts the lease holders and adds their sample to a report.
+// measureHealthSharing starts the lease holders, takes a sample and adds its results to a report.
 func (in *Installation) measureHealthSharing(report *Report) error {
 	if err := in.StartHolders(); err != nil {
 		return err
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// measureUndisturbed measures until a sample shows no sign that the machine, busy with other work, had stalled.
+// measureUndisturbed repeats the sample while it shows signs that the machine stalled under other load, maxSamples times at most.
 func (in *Installation) measureUndisturbed() (i interval, discarded int, err error) {
 	for attempt := 1; ; attempt++ {
 		if i, err = in.measure(in.SampleDuration); err != nil {
@@ -109,8 +110,8 @@
 	}
 }
 
-// disturbed reports whether a watch of the endpoint list or of the coordinator fell silent, the coordinator changed its leader, or calls
-// had no response.
+// disturbed reports whether a watch of the endpoint list failed, a watch of the coordinator started again, the coordinator redirected
+// calls, or too many calls were without a response.
 func (in *Installation) disturbed(counts map[string]int64) bool {
 	calls := counts["call_out"] + counts["stand_out"]
 	unanswered := calls - counts["answer_in"] - counts["moved_in"]
--- a/internal/lab/scale/message_counter.go
+++ b/internal/lab/scale/message_counter.go
@@ -10,8 +10,8 @@
 	"wayloft/internal/fleetpb"
 )
 
-// messageCounter counts the gRPC messages that this process sends and receives, by kind, where they are encoded and decoded. It wraps
-// gRPC's own codec.
+// messageCounter is a gRPC codec that counts the messages that this process sends and receives, by kind. It wraps gRPC's protobuf
+// codec.
 type messageCounter struct {
 	encoding.CodecV2
 	sent, received [messageKinds]messageCount
@@ -32,7 +32,7 @@
 	proposal
 	response
 	redirect
-	completeUpdate // the first of a watch
+	completeUpdate // the first message of a watch
 	changeUpdate
 	keepalive
 	order
@@ -43,10 +43,10 @@
 	unknownKind messageKind = -1
 )
 
-// messageKindNames are parts of the keys of the counts, as reports have them.
+// messageKindNames are the first parts of the keys of the counts in reports.
 var messageKindNames = [messageKinds]string{"stand", "call", "answer", "moved", "whole", "change", "alive", "order", "verdict", "fetch", "part"}
 
-// The suffixes of the keys of the counts.
+// Suffixes of the keys of the counts.
 const (
 	sentSuffix     = "_out"
 	receivedSuffix = "_in"
@@ -89,7 +89,7 @@
 	return &messageCounter{CodecV2: encoding.GetCodecV2(proto.Name)}
 }
 
-// register has gRPC use the counter from now on. Connections and servers that exist already don't.
+// register makes gRPC use the counter for new connections and servers. Existing ones keep their codec.
 func (c *messageCounter) register() { encoding.RegisterCodecV2(c) }
 
 // Marshal encodes and counts a message.
@@ -111,7 +111,7 @@
 	return err
 }
 
-// addTo adds the counts that are not 0.
+// addTo adds the nonzero counts to a map.
 func (c *messageCounter) addTo(counts map[string]int64) {
 	for kind, name := range messageKindNames {
 		for suffix, count := range map[string]*messageCount{sentSuffix: &c.sent[kind], receivedSuffix: &c.received[kind]} {
--- a/internal/lab/scale/message_counter_test.go
+++ b/internal/lab/scale/message_counter_test.go
@@ -6,7 +6,7 @@
 	"wayloft/internal/fleetpb"
 )
 
-// Messages are counted by kind, with their encoded bytes, and pass through unchanged.
+// Messages are counted by kind, with their encoded size, and the wrapped codec encodes and decodes them.
 func TestMessageCounter(t *testing.T) {
 	c := newMessageCounter()
 	for _, m := range []any{&fleetpb.Request{Stand: "sight/1"}, &fleetpb.Request{Stands: []string{"sight/1"}}, &fleetpb.Request{Entry: []byte{1, 2}}, &fleetpb.Answer{Held: true}, &fleetpb.Answer{Moved: true},
--- a/internal/lab/scale/paired.go
+++ b/internal/lab/scale/paired.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// PairResult is what the whole coordinator costs with hollow routers, and with as many real ones.
+// PairResult compares the cost of the coordinator with hollow routers to that with the same number of real routers.
 type PairResult struct {
 	Routers     int                   `json:"routers"`
 	Repetitions int                   `json:"plays"`
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -8,7 +8,7 @@
 	"wayloft/internal/lab/fleet"
 )
 
-// Names of hollow processes begin so; the number of a zone, or of a lease holder, follows.
+// Names of hollow processes: a prefix and the number of a zone or of a lease holder.
 const (
 	routersPrefix   = "routers-"
 	databasesPrefix = "databases-"
@@ -16,7 +16,7 @@
 	discoveryName   = "discovery"
 )
 
-// Kinds of processes, as fleet.Process has them.
+// Values of fleet.Process.Kind.
 const (
 	coordinatorKind = "council"
 	routerKind      = "router"
@@ -56,7 +56,7 @@
 func (in *Installation) coordinatorNodes() []*fleet.Process { return in.processesOf(coordinatorKind) }
 func (in *Installation) realRouters() []*fleet.Process      { return in.processesOf(routerKind) }
 
-// coordinatorPorts are the ports at which coordinator nodes are reached, directly and by links.
+// coordinatorPorts returns the ports of coordinator nodes, and of links to them.
 func (in *Installation) coordinatorPorts() []uint16 {
 	all := ports(in.fleet.CoordinatorAddresses()...)
 	for _, link := range in.regionLinks {
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// propagationTimeout bounds the time until all have received what an event changes.
+	// propagationTimeout limits the wait until all routers have received the updates that an event causes.
 	propagationTimeout       = 2 * time.Minute
 	propagationCheckInterval = 200 * time.Millisecond
 )
 
-// What routers receive after events, as reports name it.
+// Kinds of updates that routers receive after events, as named in reports.
 const (
 	partPolicies  = "policies"
 	partLists     = "lists"
@@ -27,7 +27,7 @@
 	partSessions  = "sessions"
 )
 
-// setFilter has all hollow routers record when they receive what the setFilter names.
+// setFilter sets the reception filter of all hollow router processes.
 func (in *Installation) setFilter(mark ReceptionFilter) error {
 	for _, child := range in.routers {
 		if child == nil {
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// waitReceived waits until each part was received as often as expected, or for the timeout. It returns the times from an event on.
-// Sessions are those that a watch saw; nil: none are expected.
+// waitReceived waits until each part was received as often as expected, or until the timeout, and returns the delays since an event.
+// sessions records opened sessions; it is nil if none are expected.
 func (in *Installation) waitReceived(eventMs float64, expected map[string]int, sessions *sessionWatch) ([]Propagation, error) {
 	deadline := time.Now().Add(propagationTimeout)
 	for {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// receivedTimes are the times, Unix ms, at which hollow routers received what the mark names.
+// receivedTimes returns the times, in Unix ms, that hollow routers recorded since the filter was set.
 func (in *Installation) receivedTimes() (map[string][]float64, error) {
 	times := map[string][]float64{}
 	for _, child := range in.routers {
@@ -99,16 +99,16 @@
 	return parts
 }
 
-// sessionWatch records when sessions open, by a watch of its own: hollow routers without leases don't know of other sessions.
+// sessionWatch records when sessions open. It uses a watch of its own since hollow routers without leases don't receive other sessions.
 type sessionWatch struct {
 	cancel context.CancelFunc
 	ended  chan struct{}
 
 	mu       sync.Mutex
-	openedMs map[string]float64 // Unix ms, by name
+	openedMs map[string]float64 // first seen open, in Unix ms, by session name
 }
 
-// watchSessions records sessions whose names have a prefix and whose processes started at a time, Unix ms, or later.
+// watchSessions records sessions whose name has a prefix and whose incarnation (the process's start time in Unix ms) is at least startedMs.
 func (in *Installation) watchSessions(prefix string, startedMs float64) *sessionWatch {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &sessionWatch{openedMs: map[string]float64{}, cancel: cancel, ended: make(chan struct{})}
@@ -117,7 +117,7 @@
 		for ctx.Err() == nil {
 			err := in.client.Watch(ctx, false, func(update *fleetpb.Update) { w.record(update, prefix, startedMs) })
 			if ctx.Err() == nil {
-				logrus.WithError(err).Debug("watch of sessions ended, it is started again")
+				logrus.WithError(err).Debug("watch of sessions ended; restarting it")
 			}
 		}
 	}()
@@ -141,7 +141,7 @@
 	}
 }
 
-// openedTimes are the times, Unix ms, at which sessions opened; none of a nil watch.
+// openedTimes returns when sessions were first seen open, in Unix ms. It returns nil for a nil watch.
 func (w *sessionWatch) openedTimes() []float64 {
 	if w == nil {
 		return nil
@@ -151,7 +151,7 @@
 	return slices.Collect(maps.Values(w.openedMs))
 }
 
-// eventCost is the bytes of some processes beyond what the same time costs without the event, for each of their routers.
+// eventCost returns the bytes per router that processes sent and received beyond the baseline rate.
 func eventCost(baseline, during interval, pids []int, routers int) float64 {
 	baselineRate := float64(baseline.totalTraffic(pids...).bytes()) / baseline.seconds
 	extra := float64(during.totalTraffic(pids...).bytes()) - baselineRate*during.seconds
--- a/internal/lab/scale/router_specs.go
+++ b/internal/lab/scale/router_specs.go
@@ -7,11 +7,11 @@
 	"wayloft/internal/lab/fleet"
 )
 
-// The regions: the first half of the zones and two coordinator nodes are in the first one, the rest in the second.
+// The first region has the first half of the zones and two coordinator nodes, the second region the rest.
 const (
 	firstRegion        = 'a'
 	secondRegion       = 'b'
-	coordinatorRegions = "aab" // by node
+	coordinatorRegions = "aab" // the region of each node
 )
 
 func regionOf(zone int) byte {
@@ -21,17 +21,18 @@
 	return secondRegion
 }
 
-// routerNamePrefix begins the names of a zone's routers.
+// routerNamePrefix returns the prefix of the names of a zone's routers.
 func routerNamePrefix(zone int) string { return fmt.Sprintf("%c%d-", regionOf(zone), zone) }
 
-// routersSpec specifies the process of a zone's hollow routers. With regions it makes the links to the other region.
+// routersSpec returns the specification of a zone's hollow router process. With regions it also creates the links to coordinator nodes of
+// the other region.
 func (in *Installation) routersSpec(zone int) (ChildSpec, error) {
 	spec := ChildSpec{
 		Role:             RoleRouters,
 		Fleet:            in.fleet.FleetName,
 		Discovery:        in.discovery.Addrs[0],
 		SessionMs:        float64(in.SessionTimeout.Milliseconds()),
-		StartIntervalMs:  float64(in.startInterval().Microseconds()) / 1000 * zones, // the zones start at the same time
+		StartIntervalMs:  float64(in.startInterval().Microseconds()) / 1000 * zones, // the zones start in parallel
 		AddressOverrides: map[string]string{},
 	}
 	first, end := zoneShare(zone, in.Routers)
@@ -57,7 +58,8 @@
 	return spec, nil
 }
 
-// realRouterKeys are the settings of a real router beyond those of the fleet: in [fleet] its size, and above it the endpoint list.
+// realRouterKeys returns additional settings of a real router: the number of routers for the [fleet] table, and for the part above it the
+// address of the discovery service and the members.
 func (in *Installation) realRouterKeys(string) (inFleet, above string) {
 	var keys strings.Builder
 	fmt.Fprintf(&keys, "discovery = %q\n", in.discovery.Addrs[0])
--- a/internal/lab/scale/rows.go
+++ b/internal/lab/scale/rows.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/lab/fleet"
 )
 
-// Roles of rows. Those with a number of groups are made by functions below.
+// Roles of rows. The functions below return roles that contain a number of groups.
 const (
 	roleCoordinatorLeader   = "coordinator leader"
 	roleCoordinatorFollower = "coordinator follower"
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("database with health checks, %d groups shared", groups)
 }
 
-// row is what a unit of a role costs, over all processes that have such units.
+// row returns the average cost per unit of a role, over the processes that run its units.
 func (i interval) row(role string, units int, pids []int, allowance Allowance) Row {
 	total := i.totalTraffic(pids...)
 	perUnit := float64(max(1, units))
@@ -49,7 +49,7 @@
 	return r
 }
 
-// rows are the rows of all roles but lease holders.
+// rows returns the rows of all roles except lease holders.
 func (in *Installation) rows(i interval) (rows []Row) {
 	leader := in.leader()
 	var followers []*fleet.Process
@@ -88,7 +88,7 @@
 	return row
 }
 
-// countByZone is by how much a count of all zones' processes grew.
+// countByZone returns the growth of a count, summed over the processes of all zones.
 func (in *Installation) countByZone(i interval, prefix, key string) (total int64) {
 	for zone := range zones {
 		total += i.count(zoneName(prefix, zone), key)
@@ -96,7 +96,7 @@
 	return total
 }
 
-// addTrafficByPeer adds where a router's bytes went.
+// addTrafficByPeer adds a router's traffic with the coordinator, the discovery service and the members.
 func (in *Installation) addTrafficByPeer(i interval, row *Row, pids []int) {
 	var memberAddrs []string
 	for _, m := range in.members {
@@ -112,7 +112,7 @@
 	}
 }
 
-// coordinatorRow separates the traffic of sessions from that between coordinator nodes.
+// coordinatorRow returns a row of coordinator nodes, with the traffic of routers separate from that between coordinator nodes.
 func (in *Installation) coordinatorRow(i interval, role string, processes []*fleet.Process) Row {
 	pids := processPids(processes)
 	row := i.row(role, len(pids), pids, machineAllowance)
@@ -142,7 +142,8 @@
 	return row
 }
 
-// healthSharingRows are what holders of health-share leases cost, and the routers that they notify, compared with rows from before.
+// healthSharingRows returns the rows of health-share lease holders, of the routers that they notify, extrapolated to all groups from the
+// rows without health sharing, and of the databases.
 func (in *Installation) healthSharingRows(before []Row, i interval) []Row {
 	rows := []Row{in.leaseHolderRow(i)}
 	for _, baseline := range before {
@@ -179,7 +180,8 @@
 	return row
 }
 
-// extrapolate is the row of a router that is notified of all groups. Its cost is linear in the groups: each is reported by itself.
+// extrapolate returns the row of a router that is notified of all groups. CPU and traffic are linear in the number of groups, since each
+// group is reported separately; memory is taken from the notified row as it is.
 func (in *Installation) extrapolate(baseline, notified Row) Row {
 	scale := float64(in.groups()) / float64(in.Holders)
 	row := Row{
