--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -14,7 +14,7 @@
 		{"straight", []float64{1, 2, 3, 4}, []float64{5, 7, 9, 11}, Fit{Slope: 2, Intercept: 3, Points: 4}},
 		{"level", []float64{1, 2, 3}, []float64{4, 4, 4}, Fit{Intercept: 4, Points: 3}},
 		{"two points", []float64{0, 10}, []float64{0, 5}, Fit{Slope: 0.5, Points: 2}},
-		// Distances of 1, -2 and 1: a sum of squares of 6 over one degree of freedom, and 2 for x.
+		// The residuals are 1, -2 and 1: their sum of squares is 6, with one degree of freedom; the sum of squares of x is 2.
 		{"bent", []float64{0, 1, 2}, []float64{1, -2, 1}, Fit{Intercept: 0, Points: 3, ResidualStdDev: math.Sqrt(6), SlopeError: math.Sqrt(3), MaxResidual: 2}},
 	} {
 		got, err := FitLine(c.x, c.y)
--- a/internal/lab/scale/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -28,12 +28,13 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if binary, err := build(); err == nil {
-		_ = os.RemoveAll(filepath.Dir(binary)) // what remains is in the temporary directory
+		_ = os.RemoveAll(filepath.Dir(binary)) // on error the files remain in the temporary directory
 	}
 	os.Exit(code)
 }
 
-// smallOptions have sessions so long that no response is late, so that each call is made once.
+// smallOptions returns options for a small installation. The session timeout is long enough that no response is late and no call is
+// repeated.
 func smallOptions(t *testing.T) Options {
 	t.Helper()
 	binary, err := build()
@@ -45,7 +46,8 @@
 	return o
 }
 
-// Over real processes at a small size, routers send and receive as many messages as they should: by counts alone.
+// In a small installation of real processes, routers send and receive the expected number of messages. The test checks counts only, no
+// figures that depend on the machine.
 func TestMeasure_SmallInstallation(t *testing.T) {
 	o := smallOptions(t)
 	in, err := Start(o)
@@ -64,11 +66,11 @@
 		}
 	}
 	exact("sessions", int64(r.Sessions), routers+int64(o.RealRouters))
-	exact("lists", r.Start["lists"], routers) // the complete one, once
+	exact("lists", r.Start["lists"], routers) // one complete list for each router
 	exact("entries", r.Start["entries"], routers*members)
 	exact("complete updates", r.Start["whole_in"], routers)
-	// Each asks once for the latest tokens of all groups' two leases, as many to a call as it takes, and opens a session; the interval
-	// of heartbeats is a sixth of the session timeout at least. A redirect is no response.
+	// Each router queries the latest tokens of the two leases of each group once, up to MaxTokenQuery leases per call, and opens a session.
+	// The heartbeat interval is at least a sixth of the session timeout. Redirects don't count as responses.
 	queries, opens := routers*((2*groups+leaseclient.MaxTokenQuery-1)/leaseclient.MaxTokenQuery), routers
 	responses, heartbeats := r.Start["answer_in"], routers*int64(1+r.startCountsAfter.Seconds()/(o.SessionTimeout.Seconds()/6))
 	if responses < queries+opens || responses > queries+opens+heartbeats {
@@ -78,17 +80,17 @@
 	if calls < responses+r.Start["moved_in"] {
 		t.Errorf("%d calls, %d responses and %d redirects", calls, responses, r.Start["moved_in"])
 	}
-	// In the sample nothing happens: no list, no change but of sessions, no token query.
+	// The installation is idle during the sample: no lists, token queries, complete updates or orders.
 	exact("lists in the sample", r.Counts["lists"], 0)
 	exact("token queries in the sample", r.Counts["stand_out"], 0)
 	exact("complete updates in the sample", r.Counts["whole_in"], 0)
-	exact("acts in the sample", r.Counts["order_in"], 0)
+	exact("orders in the sample", r.Counts["order_in"], 0)
 	d := r.children["discovery"]
 	exact("complete lists", d["wholes"], routers+int64(o.RealRouters))
 	exact("bytes of complete lists", d["whole_bytes"], d["wholes"]*d["list_bytes"])
 	exact("changes of the list", d["changes"], 0)
 
-	// Health sharing: the lease has the holder that requested it, and each report reaches each router at most once.
+	// Health sharing: the lease is held by the process that requested it, and each report reaches each router at most once.
 	if r.Holders["sight/0"] != "o0" || len(r.Holders) != 1 {
 		t.Errorf("holders of health-share leases: %v", r.Holders)
 	}
@@ -100,7 +102,7 @@
 	if holder["looks"] == 0 || holder["order_out"] == 0 || holder["order_out"] < holder["verdict_in"] {
 		t.Errorf("%v", holder)
 	}
-	// The processes are counted one after the other.
+	// Counts are read from one process after the other, so they aren't from the same time.
 	reports := all.sum(routersPrefix, "sighted")
 	if reports == 0 || reports > holder["looks"]*routers {
 		t.Errorf("%d reports were received by %d routers, of %d health checks", reports, routers, holder["looks"])
@@ -124,11 +126,11 @@
 	}
 }
 
-// After an event, each router receives each thing exactly once.
+// After an event, each router receives each expected update exactly once.
 func TestRunEvent_ReceivedOnce(t *testing.T) {
 	for name, want := range map[string]map[string]int{
 		"change":       {"policies": 16},
-		"restart-zone": {"sessions": 2, "lists": 16}, // two routers of a zone restart, one list says that two databases did
+		"restart-zone": {"sessions": 2, "lists": 16}, // two routers of the zone restart; one change of the list has its two databases
 		"primary":      {"primaries": 16},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -147,7 +149,7 @@
 			if name != "restart-zone" {
 				return
 			}
-			// The others hold no leases: they aren't notified and ask nothing; those that restarted begin without state.
+			// Other routers hold no leases, so they receive no updates and make no token queries. Restarted routers start without state.
 			if c := h.Calls; c["others change_in"] != 0 || c["others whole_in"] != 0 || c["others stand_out"] != 0 ||
 				c["restarted whole_in"] != 2 || c["restarted lists"] != 1*2 {
 				t.Errorf("%v", c)
@@ -159,10 +161,10 @@
 	}
 }
 
-// After the links between two regions were cut, each session that had ended opens again.
+// After the links between two regions are cut and restored, each session that ended opens again.
 func TestRunEvent_RegionsCut(t *testing.T) {
 	o := smallOptions(t)
-	o.SessionTimeout, o.SampleDuration, o.Members, o.GroupSize = time.Second, 3*time.Second, 8, 2 // sessions end while the links are cut
+	o.SessionTimeout, o.SampleDuration, o.Members, o.GroupSize = time.Second, 3*time.Second, 8, 2 // the sample is longer than the session timeout: sessions end while the links are cut
 	h, err := RunEvent("cut-regions", o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/paired.go
+++ b/internal/lab/scale/paired.go
@@ -12,15 +12,15 @@
 type PairResult struct {
 	Routers     int                   `json:"routers"`
 	Repetitions int                   `json:"plays"`
-	Hollow      [][]float64           `json:"hollow"` // by figure: a value for each play
+	Hollow      [][]float64           `json:"hollow"` // by figure, in the order of pairFigures: a value for each repetition
 	Real        [][]float64           `json:"real"`
-	Own         map[string][2]float64 `json:"own"` // the routers' own figures, hollow and real, of the last play
+	Own         map[string][2]float64 `json:"own"` // by figure: the cost of a hollow and of a real router, in the last repetition
 }
 
 // pairFigures are the figures of the coordinator that are compared.
 var pairFigures = []string{"coordinator cpu_percent", "coordinator bytes_per_s with routers", "coordinator messages_per_s with routers"}
 
-// MeasurePair measures an installation of hollow routers and one of real routers, in turn, so many times.
+// MeasurePair measures an installation of hollow routers and one of real routers alternately, repetitions times each.
 func MeasurePair(options Options, repetitions int) (*PairResult, error) {
 	if options.RealRouters > 0 && options.Routers > 0 && options.RealRouters != options.Routers {
 		return nil, errors.New("--paired: --routers says how many of each kind, --real must not be given")
@@ -36,9 +36,9 @@
 	}
 	result := &PairResult{Routers: options.Routers, Repetitions: repetitions, Own: map[string][2]float64{},
 		Hollow: make([][]float64, len(pairFigures)), Real: make([][]float64, len(pairFigures))}
-	for play := range repetitions {
+	for repetition := range repetitions {
 		for kind, o := range []Options{hollowOptions, realOptions} {
-			o.Dir = filepath.Join(options.Dir, fmt.Sprint("pair-", play, "-", kind))
+			o.Dir = filepath.Join(options.Dir, fmt.Sprint("pair-", repetition, "-", kind))
 			values, own, err := measureCoordinatorCost(o)
 			if err != nil {
 				return nil, err
@@ -49,11 +49,11 @@
 	return result, nil
 }
 
-// add adds a play's figures; kind is 0 for hollow routers and 1 for real ones.
+// add adds the figures of a repetition; kind is 0 for hollow routers and 1 for real ones.
 func (p *PairResult) add(kind int, values []float64, own Row) {
-	plays := [][][]float64{p.Hollow, p.Real}[kind]
+	repetitions := [][][]float64{p.Hollow, p.Real}[kind]
 	for n, value := range values {
-		plays[n] = append(plays[n], value)
+		repetitions[n] = append(repetitions[n], value)
 	}
 	for _, figure := range figures {
 		pair := p.Own[figure.name]
@@ -62,7 +62,7 @@
 	}
 }
 
-// measureCoordinatorCost measures what routers cost the coordinator, in the order of pairFigures, and the routers' own row.
+// measureCoordinatorCost returns the cost of the coordinator, in the order of pairFigures, and the routers' own row.
 func measureCoordinatorCost(options Options) (values []float64, own Row, err error) {
 	in, err := Start(options)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}, own, nil
 }
 
-// Difference is by which part of the real routers' figure the hollow ones' is above it.
+// Difference returns the relative difference of a figure with hollow routers to that with real ones.
 func (p *PairResult) Difference(figure int) float64 {
 	hollow, _ := meanAndSpread(p.Hollow[figure])
 	actual, _ := meanAndSpread(p.Real[figure])
@@ -96,7 +96,7 @@
 
 // Print writes the result as a table.
 func (p *PairResult) Print(w io.Writer) {
-	printText(w, fmt.Sprintf("%d hollow against %d real routers, %d plays of each: mean ± half of the range\n", p.Routers, p.Routers, p.Repetitions))
+	printText(w, fmt.Sprintf("%d hollow against %d real routers, %d repetitions of each: mean ± half of the range\n", p.Routers, p.Routers, p.Repetitions))
 	var table strings.Builder
 	table.WriteString("figure\thollow\treal\tdifference\n")
 	for n, name := range pairFigures {
@@ -106,7 +106,7 @@
 	}
 	for _, figure := range figures {
 		own := p.Own[figure.name]
-		fmt.Fprintf(&table, "a router's own %s (last play)\t%.4g\t%.4g\t\n", figure.name, own[0], own[1])
+		fmt.Fprintf(&table, "%s per router (last repetition)\t%.4g\t%.4g\t\n", figure.name, own[0], own[1])
 	}
 	printText(w, alignColumns(table.String()))
 }
--- a/internal/lab/scale/sample.go
+++ b/internal/lab/scale/sample.go
@@ -9,21 +9,21 @@
 	"github.com/prometheus/procfs"
 )
 
-// sample is the state of all processes at one time. It doesn't have the traffic of connections that ended before.
+// sample is the state of all processes at one time. It lacks the traffic of connections that closed before.
 type sample struct {
 	at            time.Time
-	cpuSeconds    map[int]float64 // by process
-	memoryMB      map[int]float64 // resident, by process
-	writtenBytes  map[int]int64   // passed to write calls, for sockets and files, by process
+	cpuSeconds    map[int]float64 // by process ID
+	memoryMB      map[int]float64 // resident, by process ID
+	writtenBytes  map[int]int64   // passed to write calls, for sockets and files, by process ID
 	traffic       map[endpoint]traffic
-	endpointOwner map[endpoint]int // process
+	endpointOwner map[endpoint]int // process ID
 	counts        childCounts
 }
 
-// childCounts are the counts of hollow processes, by the names of these.
+// childCounts are the counts of hollow processes, by process name and key.
 type childCounts map[string]map[string]int64
 
-// takeSample samples some processes.
+// takeSample samples processes. It doesn't set counts.
 func takeSample(pids []int) (*sample, error) {
 	s := &sample{
 		cpuSeconds:    map[int]float64{},
@@ -38,7 +38,7 @@
 	}
 	owners := socketOwners(pids)
 	for end, t := range all {
-		if pid, ours := owners[end.inode]; ours {
+		if pid, owned := owners[end.inode]; owned {
 			s.traffic[end], s.endpointOwner[end] = t, pid
 		}
 	}
@@ -61,13 +61,13 @@
 		return err
 	}
 	s.cpuSeconds[pid], s.memoryMB[pid] = stat.CPUTime(), float64(stat.ResidentMemory())/1e6
-	if io, err := process.IO(); err == nil { // some systems don't show it
+	if io, err := process.IO(); err == nil { // not readable on some systems
 		s.writtenBytes[pid] = int64(io.WChar)
 	}
 	return nil
 }
 
-// interval is what happened between two samples.
+// interval is the time between two samples.
 type interval struct {
 	seconds       float64
 	before, after *sample
@@ -91,36 +91,37 @@
 	return mb
 }
 
-// totalTraffic is that of all connections of processes, both ways.
+// totalTraffic returns the traffic of all connections of processes, in both directions.
 func (i interval) totalTraffic(pids ...int) traffic {
 	return i.trafficOf(pids, func(endpoint) bool { return true })
 }
 
-// trafficTo is that of the connections that processes made to ports.
+// trafficTo returns the traffic of processes' connections to peer ports.
 func (i interval) trafficTo(pids []int, ports []uint16) traffic {
 	return i.trafficOf(pids, func(end endpoint) bool { return slices.Contains(ports, end.peerPort) })
 }
 
-// trafficOf is that of some connections of processes; of a connection that is new, all of it.
-func (i interval) trafficOf(pids []int, counts func(endpoint) bool) (sum traffic) {
-	ours := map[int]bool{}
+// trafficOf returns the traffic of processes' connections for which include returns true. A connection that opened during the interval
+// counts in full, one that closed not at all.
+func (i interval) trafficOf(pids []int, include func(endpoint) bool) (sum traffic) {
+	selected := map[int]bool{}
 	for _, pid := range pids {
-		ours[pid] = true
+		selected[pid] = true
 	}
 	for end, now := range i.after.traffic {
-		if ours[i.after.endpointOwner[end]] && counts(end) {
+		if selected[i.after.endpointOwner[end]] && include(end) {
 			sum = sum.plus(now.minus(i.before.traffic[end]))
 		}
 	}
 	return sum
 }
 
-// count is by how much a count of a hollow process grew.
+// count returns the growth of a count of a hollow process.
 func (i interval) count(child, name string) int64 {
 	return i.after.counts[child][name] - i.before.counts[child][name]
 }
 
-// routerCounts is by how much the counts of routers and lease holders grew, all together.
+// routerCounts returns the growth of the counts of routers and lease holders, summed over all of them.
 func (i interval) routerCounts() map[string]int64 {
 	growth := i.after.counts.ofRouters()
 	for name, n := range i.before.counts.ofRouters() {
@@ -129,7 +130,7 @@
 	return growth
 }
 
-// ofRouters adds up the counts of routers and lease holders.
+// ofRouters returns the counts summed over routers and lease holders.
 func (c childCounts) ofRouters() map[string]int64 {
 	total := map[string]int64{}
 	for child, counts := range c {
@@ -143,7 +144,7 @@
 	return total
 }
 
-// sum adds up a count over the processes whose name has a prefix.
+// sum returns a count summed over the processes whose name has a prefix.
 func (c childCounts) sum(prefix, name string) (total int64) {
 	for child, counts := range c {
 		if strings.HasPrefix(child, prefix) {
--- a/internal/lab/scale/sample_test.go
+++ b/internal/lab/scale/sample_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Of a connection that was open before, only the traffic since counts; of a new one all; of one that has ended none.
+// For a connection that was already open, only the traffic during the interval counts; for a new one all of it; for a closed one none.
 func TestInterval_Traffic(t *testing.T) {
 	kept, opened, ended := endpoint{inode: 1, peerPort: 80}, endpoint{inode: 2, peerPort: 80}, endpoint{inode: 3, peerPort: 80}
 	i := interval{
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,10 +1,12 @@
-// Package scale measures what each role of an installation costs at a size, on one machine. It starts the real coordinator and some
-// real routers as processes of the program, and around them hollow routers, hollow databases and a discovery service, many to a
-// process: these run the real session, watch, lease client, list and health sharing code over real sockets, without clients.
+// Package scale measures the cost of each role of an installation of a given size, on one machine. It starts the real coordinator and
+// some real routers as processes of the program, and simulates the rest: hollow routers, hollow databases and a discovery service, with
+// many routers or databases in one process. Hollow routers run the real session, watch, lease client, endpoint list and health sharing
+// code over real sockets, but serve no clients.
 //
 // `wayloft lab scale` calls Measure, Sweep, MeasurePair and RunEvent; its child processes call RunHollow. Costs are read from the
-// kernel, and message counts from the gRPC codec, so that the measured code runs as it is. An Installation owns the processes that
-// it started and ends all of them in Close. The package never exceeds the bounds that Options.Check sets, and no router uses it.
+// kernel, and message counts from the gRPC codec, so that the measured code runs unchanged. An Installation owns the processes that
+// it started and stops all of them in Close. Options.Check limits the size of an installation before anything is started. Routers don't
+// use this package.
 package scale
 
 import (
@@ -15,9 +17,9 @@
 	"wayloft/internal/decide/leaseclient"
 )
 
-// Bounds of an installation.
+// Limits of an installation.
 const (
-	zones                = 8 // hollow routers and databases are spread over them, a process each
+	zones                = 8 // each has a process for its hollow routers and one for its databases
 	coordinators         = 3
 	maxProcesses         = 300
 	maxMemoryMiB         = 12 << 10
@@ -33,21 +35,21 @@
 	maxHealthSharePeriod = time.Minute
 )
 
-// The memory that a process of each kind takes at most, for the bound on all of them.
+// Upper estimates of memory use, for Options.Memory.
 const (
 	coordinatorMiB       = 300
 	realRouterMiB        = 100
 	hollowProcessMiB     = 40
 	hollowRouterMiB      = 6
 	memberKiB            = 512
-	discoveryKiB         = 512 // for each watch
-	healthShareReportKiB = 256 // for each holder and each router that it notifies
+	discoveryKiB         = 512 // per watch
+	healthShareReportKiB = 256 // per holder and router that it notifies
 )
 
-// What routers that start may ask of the coordinator. It is several times less than the coordinator answers, since a late response
-// is asked for again.
+// Limits on the load that starting routers put on the coordinator. They are several times below its capacity, since calls whose response
+// is late are repeated.
 const (
-	maxStartCallsPerSecond = 2500 // each router opens a session and asks for the latest tokens of each group's leases
+	maxStartCallsPerSecond = 2500 // each router opens a session and queries the latest tokens of each group's leases
 	// Each start is announced to all other routers.
 	maxStartAnnouncementsPerSecond = 5000
 	leasesPerGroup                 = 2
@@ -57,23 +59,23 @@
 
 // Options configure an installation.
 type Options struct {
-	Binary              string // the program
+	Binary              string // path of the wayloft program
 	Dir                 string // for settings, logs and the coordinator's data
 	Routers             int    // hollow
-	RealRouters         int    // a process each
+	RealRouters         int    // each in its own process
 	Members             int    // hollow databases
 	GroupSize           int    // members of a group
-	Holders             int    // of health-share leases, one group each; 0: health sharing is not measured
+	Holders             int    // of health-share leases, each for one group; 0: health sharing is not measured
 	HealthShareInterval time.Duration
 	SampleDuration      time.Duration
 	SessionTimeout      time.Duration // of routers with the coordinator
-	StartInterval       time.Duration // between the starts of two routers; 0: by what the coordinator can answer
-	Regions             bool          // two regions, with a link that can be cut between each two processes of different ones
-	Progress            func(string)  // receives the progress of the start; nil: nobody does
+	StartInterval       time.Duration // delay between the starts of two routers; 0: derived from the coordinator's capacity
+	Regions             bool          // two regions; connections to coordinator nodes of the other region go through links that can be cut
+	Progress            func(string)  // receives progress messages; may be nil
 	Stop                <-chan struct{}
 }
 
-// Check reports what is wrong with the options, by the flag of the command that sets it.
+// Check validates the options. Its errors name the command-line flag that sets the invalid option.
 func (o Options) Check() error {
 	if err := errors.Join(
 		checkRange("routers", o.Routers, 0, maxRouters),
@@ -107,20 +109,20 @@
 	return nil
 }
 
-func checkRange[T int | time.Duration](flag string, value, least, most T) error {
-	if value < least || value > most {
-		return fmt.Errorf("--%s: from %v to %v, not %v", flag, least, most, value)
+func checkRange[T int | time.Duration](flag string, value, lowest, highest T) error {
+	if value < lowest || value > highest {
+		return fmt.Errorf("--%s: from %v to %v, not %v", flag, lowest, highest, value)
 	}
 	return nil
 }
 
-// Processes is how many processes the installation has, this one among them.
+// Processes returns the number of processes of the installation, including this one.
 func (o Options) Processes() int {
 	const thisAndDiscovery = 2
 	return thisAndDiscovery + coordinators + min(zones, o.Routers) + min(zones, o.Members) + o.RealRouters + o.Holders
 }
 
-// Memory is what they take at most, in MiB.
+// Memory returns an upper estimate of the installation's memory use in MiB.
 func (o Options) Memory() int {
 	kib := o.Members*memberKiB + (o.Routers+o.RealRouters+o.Holders)*discoveryKiB + o.Routers*o.Holders*healthShareReportKiB
 	return coordinators*coordinatorMiB + o.RealRouters*realRouterMiB + o.Processes()*hollowProcessMiB + o.Routers*hollowRouterMiB + kib>>10
@@ -128,12 +130,12 @@
 
 func (o Options) groups() int { return (o.Members + o.GroupSize - 1) / o.GroupSize }
 
-// tokenQueries is how many calls a router that starts needs to ask for the latest tokens of all leases.
+// tokenQueries returns how many calls a starting router needs to query the latest tokens of all leases.
 func (o Options) tokenQueries() int {
 	return (leasesPerGroup*o.groups() + leaseclient.MaxTokenQuery - 1) / leaseclient.MaxTokenQuery
 }
 
-// startInterval is the time between the starts of two routers.
+// startInterval returns the delay between the starts of two routers.
 func (o Options) startInterval() time.Duration {
 	if o.StartInterval > 0 {
 		return o.StartInterval
@@ -143,7 +145,7 @@
 	return max(forCalls, forAnnouncements)
 }
 
-// wait waits for a time, or until Stop is closed.
+// wait waits for a duration. It returns errInterrupted if Stop is closed before.
 func (o Options) wait(duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -155,10 +157,10 @@
 	}
 }
 
-// zoneOf returns the zone of one of so many.
+// zoneOf returns the zone of the n-th of count units.
 func zoneOf(n, count int) int { return n * zones / max(count, 1) }
 
-// zoneShare returns which of so many a zone has: those from first on, before end.
+// zoneShare returns the units of a zone, out of count: those from first to end-1.
 func zoneShare(zone, count int) (first, end int) {
 	for first < count && zoneOf(first, count) < zone {
 		first++
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Each of so many is in one zone, and the sizes of zones differ by one at most.
+// Each unit is in exactly one zone, and zone sizes differ by at most one.
 func TestZoneShare(t *testing.T) {
 	for _, of := range []int{1, 3, 8, 76, 610, 820} {
 		at, least, most := 0, of, 0
@@ -31,7 +31,7 @@
 	return Options{Routers: 16, RealRouters: 1, Members: 16, GroupSize: 4, Holders: 1, HealthShareInterval: 250 * time.Millisecond, SampleDuration: time.Second, SessionTimeout: 12 * time.Second}
 }
 
-// Options out of bounds are rejected before anything is started, by the name of their flag.
+// Options out of bounds are rejected before anything is started, and the error names the flag.
 func TestOptions_OutOfBounds(t *testing.T) {
 	if err := validOptions().Check(); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	if _, err := MeasurePair(validOptions(), 1); err == nil || !strings.HasPrefix(err.Error(), "--paired") {
 		t.Error(err)
 	}
-	// The largest installation that is measured fits.
+	// The largest installation that is measured is within the limits.
 	o = Options{Routers: 610, RealRouters: 10, Members: 820, GroupSize: 5, Holders: 1, HealthShareInterval: 250 * time.Millisecond, SampleDuration: 10 * time.Second, SessionTimeout: 2 * time.Second}
 	if err := o.Check(); err != nil {
 		t.Error(err)
--- a/internal/lab/scale/settle.go
+++ b/internal/lab/scale/settle.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// settleTimeout bounds the time until an installation has settled.
+	// settleTimeout limits the wait until an installation has settled.
 	settleTimeout       = 4 * time.Minute
 	settleCheckInterval = time.Second
-	// requiredSettledChecks is how many checks in a row must find that it has.
+	// requiredSettledChecks is how many consecutive checks must find it settled.
 	requiredSettledChecks = 2
-	// heartbeatsPerSession is how many heartbeats come at most in a session's timeout.
+	// heartbeatsPerSession is the maximum number of heartbeats of a router per session timeout.
 	heartbeatsPerSession = 6
-	// extraCallsPerSecond are no sign of a start: the heartbeats of few routers come together now and then.
+	// extraCallsPerSecond is the tolerated call rate above that of heartbeats: with few routers, heartbeats sometimes coincide.
 	extraCallsPerSecond = 10
 )
 
-// sampleAll samples all processes, with the counts of the hollow ones.
+// sampleAll samples all processes and reads the counts of the hollow ones.
 func (in *Installation) sampleAll() (*sample, error) {
 	var pids []int
 	for _, child := range in.children() {
@@ -44,7 +44,7 @@
 	return all, nil
 }
 
-// measure takes a sample now and one after a time.
+// measure takes a sample now and another one after a duration.
 func (in *Installation) measure(duration time.Duration) (interval, error) {
 	before, err := in.sampleAll()
 	if err != nil {
@@ -56,7 +56,7 @@
 	return in.since(before)
 }
 
-// since takes a sample now.
+// since takes a sample and returns the interval since an earlier one.
 func (in *Installation) since(before *sample) (interval, error) {
 	after, err := in.sampleAll()
 	if err != nil {
@@ -65,7 +65,8 @@
 	return newInterval(before, after), nil
 }
 
-// settle waits until there are so many sessions, and hollow routers send the coordinator no more calls than heartbeats take.
+// settle waits until the coordinator has a number of sessions, all hollow routers have the endpoint list, and they send the coordinator
+// little more than heartbeats.
 func (in *Installation) settle(sessions int) error {
 	deadline := time.Now().Add(settleTimeout)
 	check := settleCheck{installation: in, sessions: sessions, at: time.Now()}
@@ -74,7 +75,7 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("not settled after %s: %s", settleTimeout, check.status)
+			return fmt.Errorf("installation not settled after %s: %s", settleTimeout, check.status)
 		}
 		ok, err := check.run()
 		if err != nil {
@@ -89,17 +90,17 @@
 	return nil
 }
 
-// settleCheck remembers the calls at the last check, since their rate counts.
+// settleCheck checks whether an installation has settled. It keeps the number of calls at the last check to compute their rate.
 type settleCheck struct {
 	installation *Installation
 	sessions     int
-	calls        int64 // at the last check
+	calls        int64 // total at the last check
 	at           time.Time
-	checked      bool // at least once: before that the rate says nothing
+	checked      bool // the first check has no rate to compare
 	status       string
 }
 
-// run reports whether the installation seems settled now.
+// run reports whether the installation appears settled. The coordinator's errors are not fatal.
 func (c *settleCheck) run() (settled bool, err error) {
 	in := c.installation
 	state, err := in.state()
@@ -122,7 +123,7 @@
 	return len(state.State.Sessions) >= c.sessions && lists >= int64(in.Routers) && known && rate <= maxRate, nil
 }
 
-// callRate is the calls per second of hollow routers since the last check.
+// callRate returns the calls per second of hollow routers since the last check.
 func (c *settleCheck) callRate(counts childCounts) float64 {
 	calls, now := counts.sum(routersPrefix, "stand_out")+counts.sum(routersPrefix, "call_out"), time.Now()
 	rate := float64(calls-c.calls) / now.Sub(c.at).Seconds()
--- a/internal/lab/scale/sockdiag.go
+++ b/internal/lab/scale/sockdiag.go
@@ -35,18 +35,18 @@
 	receiveBufferBytes = 1 << 20
 )
 
-// connectedStates are the TCP states, by their numbers, in which data has been sent: ESTABLISHED, FIN_WAIT1, FIN_WAIT2, CLOSE_WAIT.
+// connectedStates is the bit mask of the TCP states to report: ESTABLISHED, FIN_WAIT1, FIN_WAIT2 and CLOSE_WAIT.
 const connectedStates = 1<<1 | 1<<4 | 1<<5 | 1<<8
 
 var errMalformedResponse = errors.New("sock_diag: malformed response")
 
-// readTraffic reads the traffic of all TCP connections over IPv4 of this machine, each from the view of one end.
+// readTraffic returns the traffic of all IPv4 TCP connections of this machine, for each local endpoint.
 func readTraffic() (map[endpoint]traffic, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_RAW|unix.SOCK_CLOEXEC, unix.NETLINK_SOCK_DIAG)
 	if err != nil {
 		return nil, fmt.Errorf("sock_diag: %w", err)
 	}
-	defer func() { _ = unix.Close(fd) }() // it was only read
+	defer func() { _ = unix.Close(fd) }() // nothing is lost on error: all responses were read
 	if err := unix.Sendto(fd, trafficRequest(), 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}); err != nil {
 		return nil, fmt.Errorf("sock_diag: %w", err)
 	}
@@ -77,7 +77,7 @@
 	return request
 }
 
-// addMessages adds the connections that netlink messages have; done says whether these were the last ones.
+// addMessages decodes netlink messages and adds their connections. done reports whether the dump is complete.
 func addMessages(all map[endpoint]traffic, messages []byte) (done bool, err error) {
 	for len(messages) >= sizeNlmsghdr {
 		size, kind := int(binary.NativeEndian.Uint32(messages)), binary.NativeEndian.Uint16(messages[4:])
@@ -89,7 +89,7 @@
 		case kind == unix.NLMSG_DONE:
 			return true, nil
 		case kind == unix.NLMSG_ERROR:
-			return false, errors.New("sock_diag: request refused")
+			return false, errors.New("sock_diag: the kernel returned an error")
 		case kind == sockDiagByFamily && len(body) >= sizeInetDiagMsg:
 			addConnection(all, body)
 		}
@@ -98,7 +98,7 @@
 	return false, nil
 }
 
-// addConnection adds the connection of an inet_diag_msg with its attributes.
+// addConnection adds the connection of an inet_diag_msg if its attributes have a tcp_info.
 func addConnection(all map[endpoint]traffic, body []byte) {
 	end := endpoint{
 		inode:     binary.NativeEndian.Uint32(body[offsetIdiagInode:]),
@@ -126,22 +126,22 @@
 	}
 }
 
-// alignedLength is a netlink message's or attribute's length with its padding.
+// alignedLength returns the length of a netlink message or attribute with padding.
 func alignedLength(length int) int { return (length + 3) &^ 3 }
 
-// socketOwners returns which of some processes has a socket, by the socket's inode.
+// socketOwners returns which of the processes has a socket open, by the socket's inode.
 func socketOwners(pids []int) map[uint32]int {
 	owners := map[uint32]int{}
 	for _, pid := range pids {
 		directory := fmt.Sprintf("/proc/%d/fd", pid)
 		descriptors, err := os.ReadDir(directory)
 		if err != nil {
-			continue // the process has ended
+			continue // the process has exited
 		}
 		for _, descriptor := range descriptors {
 			target, err := os.Readlink(directory + "/" + descriptor.Name())
 			if err != nil {
-				continue // the descriptor is closed
+				continue // the descriptor was closed
 			}
 			if inode, ok := socketInode(target); ok {
 				owners[inode] = pid
@@ -151,7 +151,7 @@
 	return owners
 }
 
-// socketInode is the inode of a descriptor's target, if that is a socket.
+// socketInode returns the inode in the link target of a descriptor, and whether it is a socket.
 func socketInode(target string) (uint32, bool) {
 	text, isSocket := strings.CutPrefix(target, "socket:[")
 	if !isSocket {
--- a/internal/lab/scale/sockdiag_test.go
+++ b/internal/lab/scale/sockdiag_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The kernel's count of a connection is what was read from it, to the byte.
+// The kernel's byte count of a connection equals the number of bytes read from it.
 func TestReadTraffic_CountsBytes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if f, there := find(all); !there || f.bytesReceived != int64(total) || f.bytesSent != 0 {
-			t.Errorf("%d bytes were received, the kernel says %+v, %v", total, f, there)
+			t.Errorf("%d bytes were received, the kernel counted %+v (found: %v)", total, f, there)
 		}
 	}
 }
--- a/internal/lab/scale/sweep.go
+++ b/internal/lab/scale/sweep.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// minSizes is how many sizes a line is fitted to: two say nothing about how straight it is.
+// minSizes is the minimum number of sizes for a fit: a line through two points has no residual to judge linearity by.
 const minSizes = 3
 
-// Slope is how a figure of a role grows with the number of routers.
+// Slope is the linear fit of a role's figure to the number of routers.
 type Slope struct {
 	Role   string    `json:"role"`
 	Figure string    `json:"figure"`
 	Fit    Fit       `json:"fit"`
-	X      []float64 `json:"routers"` // hollow and real ones
+	X      []float64 `json:"routers"` // number of hollow and real routers
 	Y      []float64 `json:"values"`
 }
 
@@ -25,10 +25,10 @@
 type SweepResult struct {
 	Reports []*Report `json:"reports"`
 	Slopes  []Slope   `json:"slopes"`
-	Failed  string    `json:"failed,omitempty"` // the size at which it ended early, and why
+	Failed  string    `json:"failed,omitempty"` // the size at which the sweep failed, and the error
 }
 
-// SweepSizes returns the sizes of a sweep up to a number of routers.
+// SweepSizes returns the default sizes of a sweep: an eighth, a quarter, half and all of the routers, without duplicates.
 func SweepSizes(routers int) (sizes []int) {
 	for _, part := range []int{8, 4, 2, 1} {
 		if n := max(1, routers/part); !slices.Contains(sizes, n) {
@@ -38,8 +38,8 @@
 	return sizes
 }
 
-// Sweep measures one installation after the other and passes on each report. If one fails, the result has those before it, and the
-// lines through them if they are enough.
+// Sweep measures installations of the given sizes one after the other and passes each report to onReport. If one fails, the result has
+// the reports before it, and the fits if there are enough reports.
 func Sweep(options Options, sizes []int, onReport func(*Report)) (*SweepResult, error) {
 	if len(sizes) < minSizes {
 		return nil, fmt.Errorf("--sizes: %d at least, not %d", minSizes, len(sizes))
@@ -66,7 +66,7 @@
 	return result, result.fit()
 }
 
-// fail records the size that failed, and fits lines to those before it.
+// fail records the size that failed, and fits lines to the earlier reports if there are enough.
 func (s *SweepResult) fail(routers int, cause error) error {
 	failure := fmt.Errorf("%d routers: %w", routers, cause)
 	s.Failed = failure.Error()
@@ -76,7 +76,7 @@
 	return errors.Join(failure, s.fit())
 }
 
-// figures are those of a row that lines are fitted to.
+// figures are the figures of a row that lines are fitted to.
 var figures = []struct {
 	name  string
 	value func(Row) float64
@@ -87,7 +87,7 @@
 	{"memory_mb", func(r Row) float64 { return r.Memory }},
 }
 
-// fit fits a line to each figure of each role that all reports have.
+// fit fits a line to each figure of each role that is in all reports.
 func (s *SweepResult) fit() error {
 	for n, first := range s.Reports[0].Rows {
 		for _, figure := range figures {
@@ -114,7 +114,7 @@
 // PrintSlopes writes slopes as a table.
 func PrintSlopes(w io.Writer, slopes []Slope) {
 	var table strings.Builder
-	table.WriteString("role\tfigure\tintercept\tslope a router\tits error\tresidual\tworst\tpoints\n")
+	table.WriteString("role\tfigure\tintercept\tslope per router\tslope error\tresidual\tworst\tpoints\n")
 	for _, s := range slopes {
 		fmt.Fprintf(&table, "%s\t%s\t%.4g\t%.4g\t%.2g\t%.2g\t%.2g\t%d\n",
 			s.Role, s.Figure, s.Fit.Intercept, s.Fit.Slope, s.Fit.SlopeError, s.Fit.ResidualStdDev, s.Fit.MaxResidual, s.Fit.Points)
--- a/internal/lab/scale/sweep_test.go
+++ b/internal/lab/scale/sweep_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	if len(s.Slopes) != len(figures) {
-		t.Fatalf("%d slopes: a role that is not in each report has none", len(s.Slopes))
+		t.Fatalf("%d slopes; a role that is missing in a report must have none", len(s.Slopes))
 	}
 	if f := s.Slopes[0].Fit; math.Abs(f.Slope-0.5) > 1e-9 || math.Abs(f.Intercept-3) > 1e-9 || f.Points != 4 {
 		t.Error(f)
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -7,14 +7,14 @@
 	"text/tabwriter"
 )
 
-// Allowance is what a unit of a role may cost; 0: there is no bound.
+// Allowance limits the cost of a unit of a role. 0 means no limit.
 type Allowance struct {
 	CPU    float64 `json:"cpu_percent,omitempty"`
 	Bytes  float64 `json:"bytes_per_s,omitempty"`
 	Memory float64 `json:"memory_mb,omitempty"`
 }
 
-// What a router may cost for its part in the fleet, and a coordinator node. The nodes may have the traffic of all routers together.
+// The allowances of routers and coordinator nodes. The nodes together may have the traffic of all routers together.
 const (
 	routerBytesPerSecond = 6000
 	allowedRouters       = 610
@@ -26,19 +26,19 @@
 	machineAllowance = Allowance{Bytes: allowedRouters * routerBytesPerSecond / coordinatorMachines}
 )
 
-// Row is what a unit of a role costs.
+// Row is the average cost of a unit of a role.
 type Row struct {
 	Role      string             `json:"role"`
 	Processes int                `json:"processes"`
-	Units     int                `json:"units"` // in the processes; the figures are averages over them
+	Units     int                `json:"units"` // number of units in the processes; the figures are averages over them
 	CPU       float64            `json:"cpu_percent"`
-	Bytes     float64            `json:"bytes_per_s"`    // both ways
-	Messages  float64            `json:"messages_per_s"` // segments with payload, both ways
+	Bytes     float64            `json:"bytes_per_s"`    // both directions
+	Messages  float64            `json:"messages_per_s"` // segments with payload, both directions
 	Memory    float64            `json:"memory_mb"`
 	Allowance Allowance          `json:"allowance"`
 	OK        bool               `json:"ok"`
 	Exceeded  []string           `json:"over,omitempty"`
-	Extra     map[string]float64 `json:"more,omitempty"` // further figures, per second and unit
+	Extra     map[string]float64 `json:"more,omitempty"` // additional figures, per second and unit
 }
 
 // checkAllowance sets what is over the allowance.
@@ -59,7 +59,7 @@
 	r.OK = len(r.Exceeded) == 0
 }
 
-// PrintRows writes rows as a table, and a line that says what is over its allowance.
+// PrintRows writes rows as a table, followed by the line of OverAllowance.
 func PrintRows(w io.Writer, rows []Row) {
 	var table strings.Builder
 	table.WriteString("role\tprocesses\tunits\tcpu_percent\t(allowed)\tbytes_per_s\t(allowed)\tmessages_per_s\tmemory_mb\t(allowed)\tok\n")
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("%.4g", allowance)
 }
 
-// OverAllowance is a line that says which rows are over their allowance.
+// OverAllowance returns a line that lists the figures over their allowance.
 func OverAllowance(rows []Row) string {
 	var over []string
 	for _, r := range rows {
@@ -90,15 +90,15 @@
 	return "over: " + strings.Join(over, "; ")
 }
 
-// alignColumns aligns the columns of lines, which tabs separate.
+// alignColumns aligns tab-separated columns.
 func alignColumns(lines string) string {
 	const columnGap = 2
 	var aligned strings.Builder
 	w := tabwriter.NewWriter(&aligned, 0, 4, columnGap, ' ', 0)
-	_, _ = io.WriteString(w, lines) // a strings.Builder takes all
+	_, _ = io.WriteString(w, lines) // writes to a strings.Builder don't fail
 	_ = w.Flush()
 	return aligned.String()
 }
 
-// printText writes a command's output. A command whose output can't be written has nobody to tell.
+// printText writes a command's output. It ignores errors, since there is no other place to report them.
 func printText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
--- a/internal/lab/scale/traffic.go
+++ b/internal/lab/scale/traffic.go
@@ -1,6 +1,6 @@
 package scale
 
-// traffic is what went over connections: payload bytes, and segments that had any, by the kernel's count.
+// traffic is the kernel's count of payload bytes and of segments with payload.
 type traffic struct{ bytesSent, bytesReceived, segmentsSent, segmentsReceived int64 }
 
 func (t traffic) plus(other traffic) traffic {
@@ -24,7 +24,7 @@
 func (t traffic) bytes() int64    { return t.bytesSent + t.bytesReceived }
 func (t traffic) segments() int64 { return t.segmentsSent + t.segmentsReceived }
 
-// endpoint is one end of a connection.
+// endpoint is the local end of a TCP connection.
 type endpoint struct {
 	inode     uint32
 	localPort uint16
