--- a/internal/lab/scale/event_restart.go
+++ b/internal/lab/scale/event_restart.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return nil, err
 	}
-	mark, err := in.recordNextRevision()
+	filter, err := in.recordNextRevision()
 	if err != nil {
 		return nil, err
 	}
@@ -25,7 +25,7 @@
 	eventMs := unixMs()
 	sessions := in.watchSessions(routerNamePrefix(restartedZone), eventMs)
 	defer sessions.stop()
-	if err := in.restartProcesses(mark, eventMs); err != nil {
+	if err := in.restartProcesses(filter, eventMs); err != nil {
 		return nil, err
 	}
 	restarted := in.zoneRouters(restartedZone)
@@ -52,7 +52,7 @@
 		},
 		Calls: restartCalls(during),
 		Notes: []string{
-			fmt.Sprintf("the coordinator received only heartbeats after %.0f s (to within 1 s)", settledSeconds),
+			fmt.Sprintf("the coordinator received only heartbeats after %.0f s (checked every second)", settledSeconds),
 			fmt.Sprintf("%d routers and %d databases were killed and restarted", restarted, endMember-firstMember),
 		},
 	}, nil
@@ -69,12 +69,12 @@
 	if err != nil {
 		return ReceptionFilter{}, err
 	}
-	mark := ReceptionFilter{Revision: response.Revision + 1}
-	return mark, in.setFilter(mark)
+	filter := ReceptionFilter{Revision: response.Revision + 1}
+	return filter, in.setFilter(filter)
 }
 
 // restartProcesses kills the zone's processes, publishes its databases' new start times, and starts the processes again.
-func (in *Installation) restartProcesses(mark ReceptionFilter, eventMs float64) (err error) {
+func (in *Installation) restartProcesses(filter ReceptionFilter, eventMs float64) (err error) {
 	databases, routers := in.databases[restartedZone], in.routers[restartedZone]
 	routers.Kill()
 	databases.Kill()
@@ -89,7 +89,7 @@
 		return err
 	}
 	routersSpec := routers.Spec
-	routersSpec.StartIntervalMs, routersSpec.Filter = 0, &mark
+	routersSpec.StartIntervalMs, routersSpec.Filter = 0, &filter
 	in.routers[restartedZone], err = in.startChild("routers-again", routersSpec)
 	return err
 }
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -28,12 +28,12 @@
 )
 
 // setFilter sets the reception filter of all hollow router processes.
-func (in *Installation) setFilter(mark ReceptionFilter) error {
+func (in *Installation) setFilter(filter ReceptionFilter) error {
 	for _, child := range in.routers {
 		if child == nil {
 			continue
 		}
-		if _, err := child.Ask(ChildRequest{Command: CommandSetFilter, Filter: &mark}); err != nil {
+		if _, err := child.Ask(ChildRequest{Command: CommandSetFilter, Filter: &filter}); err != nil {
 			return err
 		}
 	}
