--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxSamples limits how often a disturbed sample is repeated. The last one is used even if it is disturbed, and is then also counted
+	// maxSamples limits the samples taken until one is undisturbed. The last one is used even if it is disturbed, and is then also counted
 	// in DiscardedSamples.
 	maxSamples = 4
 	// unansweredDivisor: up to 1/unansweredDivisor of a sample's calls, plus one per hollow process, may be without a response at its end.
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// measureUndisturbed repeats the sample while it shows signs that the machine stalled under other load, maxSamples times at most.
+// measureUndisturbed takes samples until one shows no sign that the machine stalled under other load, maxSamples at most.
 func (in *Installation) measureUndisturbed() (i interval, discarded int, err error) {
 	for attempt := 1; ; attempt++ {
 		if i, err = in.measure(in.SampleDuration); err != nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// disturbed reports whether a watch of the endpoint list failed, a watch of the coordinator started again, the coordinator redirected
-// calls, or too many calls were without a response.
+// disturbed reports whether a watch of the endpoint list failed, a watch of the coordinator was lost and started again, the coordinator
+// redirected calls because its leader changed, or too many calls were without a response.
 func (in *Installation) disturbed(counts map[string]int64) bool {
 	calls := counts["call_out"] + counts["stand_out"]
 	unanswered := calls - counts["answer_in"] - counts["moved_in"]
