--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -108,7 +108,8 @@
 	openedMs map[string]float64 // first seen open, in Unix ms, by session name
 }
 
-// watchSessions records sessions whose name has a prefix and whose incarnation (the process's start time in Unix ms) is at least startedMs.
+// watchSessions records sessions whose name has a prefix and whose incarnation (the process's start time in Unix ms, or a later number)
+// is at least startedMs.
 func (in *Installation) watchSessions(prefix string, startedMs float64) *sessionWatch {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &sessionWatch{openedMs: map[string]float64{}, cancel: cancel, ended: make(chan struct{})}
