--- a/internal/lab/scale/event_restart.go
+++ b/internal/lab/scale/event_restart.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// restartedZone is the zone that the event restarts.
+// restartedZone is the zone that restartZone restarts.
 const restartedZone = 3
 
-// restartZone kills all hollow routers and databases of a zone at once and starts them again, and has the endpoint list say so. It
-// waits until the routers' sessions are open and all routers have the list.
-func restartZone(in *Installation, calm interval) (*EventResult, error) {
+// restartZone kills all hollow routers and databases of a zone at once, starts them again and publishes the databases' new start times
+// in the endpoint list. It waits until the restarted routers' sessions are open and all hollow routers have the new list.
+func restartZone(in *Installation, baseline interval) (*EventResult, error) {
 	before, err := in.sampleAll()
 	if err != nil {
 		return nil, err
 	}
-	mark, err := in.markNextRevision()
+	filter, err := in.recordNextRevision()
 	if err != nil {
 		return nil, err
 	}
@@ -25,7 +25,7 @@
 	eventMs := unixMs()
 	sessions := in.watchSessions(routerNamePrefix(restartedZone), eventMs)
 	defer sessions.stop()
-	if err := in.restartProcesses(mark, eventMs); err != nil {
+	if err := in.restartProcesses(filter, eventMs); err != nil {
 		return nil, err
 	}
 	restarted := in.zoneRouters(restartedZone)
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	seconds := (unixMs() - eventMs) / 1000
-	if err := in.settle(in.Routers + in.RealRouters); err != nil { // each restarted router asks for the latest tokens of all leases
+	if err := in.settle(in.Routers + in.RealRouters); err != nil { // each restarted router queries the latest tokens of all leases
 		return nil, err
 	}
 	settledSeconds := (unixMs() - eventMs) / 1000
@@ -47,12 +47,12 @@
 		Seconds: seconds,
 		Parts:   parts,
 		Bytes: map[string]float64{
-			"another":   eventCost(calm, during, childPids(others), in.Routers-restarted),
+			"another":   eventCost(baseline, during, childPids(others), in.Routers-restarted),
 			"restarted": float64(during.totalTraffic(in.routers[restartedZone].Pid()).bytes()) / float64(restarted),
 		},
 		Calls: restartCalls(during),
 		Notes: []string{
-			fmt.Sprintf("the coordinator received only heartbeats after %.0f s, to the second", settledSeconds),
+			fmt.Sprintf("the coordinator received only heartbeats after %.0f s (checked every second)", settledSeconds),
 			fmt.Sprintf("%d routers and %d databases were killed and restarted", restarted, endMember-firstMember),
 		},
 	}, nil
@@ -63,23 +63,23 @@
 	return end - first
 }
 
-// markNextRevision has hollow routers record when they receive the next revision of the endpoint list.
-func (in *Installation) markNextRevision() (Mark, error) {
-	response, err := in.discovery.Ask(ChildRequest{Do: CommandCount})
+// recordNextRevision makes hollow routers record when they receive the next revision of the endpoint list.
+func (in *Installation) recordNextRevision() (ReceptionFilter, error) {
+	response, err := in.discovery.Ask(ChildRequest{Command: CommandCount})
 	if err != nil {
-		return Mark{}, err
+		return ReceptionFilter{}, err
 	}
-	mark := Mark{Revision: response.Revision + 1}
-	return mark, in.mark(mark)
+	filter := ReceptionFilter{Revision: response.Revision + 1}
+	return filter, in.setFilter(filter)
 }
 
-// restartProcesses kills the zone's processes, lists its databases as restarted, and starts the processes again.
-func (in *Installation) restartProcesses(mark Mark, eventMs float64) (err error) {
+// restartProcesses kills the zone's processes, publishes its databases' new start times, and starts the processes again.
+func (in *Installation) restartProcesses(filter ReceptionFilter, eventMs float64) (err error) {
 	databases, routers := in.databases[restartedZone], in.routers[restartedZone]
 	routers.Kill()
 	databases.Kill()
 	in.databases[restartedZone], in.routers[restartedZone] = nil, nil
-	restart := ChildRequest{Do: CommandRestarted, Members: databases.Spec.Names, At: eventMs}
+	restart := ChildRequest{Command: CommandRestarted, Members: databases.Spec.Names, At: eventMs}
 	if _, err := in.discovery.Ask(restart); err != nil {
 		return err
 	}
@@ -89,12 +89,12 @@
 		return err
 	}
 	routersSpec := routers.Spec
-	routersSpec.PaceMs, routersSpec.Mark = 0, &mark
+	routersSpec.StartIntervalMs, routersSpec.Filter = 0, &filter
 	in.routers[restartedZone], err = in.startChild("routers-again", routersSpec)
 	return err
 }
 
-// restartCalls are the counts of the routers that restarted, since their start, and the growth of those of the others.
+// restartCalls returns the restarted routers' counts since their start, and the growth of the other routers' counts.
 func restartCalls(during interval) map[string]int64 {
 	calls := map[string]int64{}
 	restarted := zoneName(routersPrefix, restartedZone)
--- a/internal/lab/scale/hollow_databases.go
+++ b/internal/lab/scale/hollow_databases.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// replicationLag is by how much a replica's position is behind the clock.
+	// replicationLag is how far a replica's position is behind the clock.
 	replicationLag = 5 * time.Millisecond
-	// maxMessageBytes is the longest message that is read from a connection.
+	// maxMessageBytes limits a message that is read from a connection.
 	maxMessageBytes = 1 << 16
 )
 
-// What the platform's databases report (router.Role, position) is on the wire.
+// Parameter names and values by which the platform's databases report their role (router.Role) and position on the wire.
 const (
 	roleParameter     = "rank"
 	primaryRole       = "source"
@@ -27,15 +27,15 @@
 	positionParameter = "as_of"
 )
 
-// hollowDatabases are the databases of one process. Each accepts connections, completes the startup, and answers an empty query with
-// its role and position.
+// hollowDatabases are the databases of one process. Each accepts connections, completes the startup, responds to an empty query with
+// its role and position, and to any other message with an error.
 type hollowDatabases struct {
 	addrs []string
 
 	mu      sync.Mutex
 	primary map[string]bool
 
-	accepted, open, checks, others atomic.Int64
+	accepted, open, checks, otherMessages atomic.Int64
 }
 
 func newHollowDatabases(spec ChildSpec) (*hollowDatabases, error) {
@@ -57,7 +57,7 @@
 	return d, nil
 }
 
-// listen listens at one of the addresses, or at a free one if there are none.
+// listen listens on the n-th address, or on a free port if there are no addresses.
 func listen(addrs []string, n int) (net.Listener, error) {
 	if len(addrs) == 0 {
 		return fleet.ListenFree()
@@ -81,7 +81,7 @@
 	}
 }
 
-// serve answers what a connection sends until it ends.
+// serve responds to the messages of a connection until it is closed.
 func (d *hollowDatabases) serve(conn net.Conn, name string) {
 	reader := pg.NewReader(false, maxMessageBytes)
 	buffer := make([]byte, 1<<10)
@@ -101,7 +101,7 @@
 	}
 }
 
-// responses answers the messages that have arrived completely; open says whether the connection goes on.
+// responses encodes the responses to all complete messages. open is false if the connection must be closed.
 func (d *hollowDatabases) responses(reader *pg.Reader, name string) (out []byte, open bool) {
 	for {
 		message, complete, err := reader.Next()
@@ -118,8 +118,8 @@
 			d.checks.Add(1)
 			out = pg.AppendReadyIdle(pg.AppendEmptyQuery(d.appendHealth(out, name)))
 		default:
-			d.others.Add(1)
-			failure := &pg.Error{Code: pg.InFailedSQLTransaction, Text: "this database is hollow"}
+			d.otherMessages.Add(1)
+			failure := &pg.Error{Code: pg.InFailedSQLTransaction, Text: "hollow database: only empty queries are supported"}
 			out = pg.AppendReadyIdle(pg.AppendError(out, failure, false))
 		}
 	}
@@ -140,13 +140,13 @@
 }
 
 func (d *hollowDatabases) respond(request ChildRequest) (ChildResponse, error) {
-	switch request.Do {
+	switch request.Command {
 	case CommandCount:
 		return ChildResponse{Counts: map[string]int64{
 			"accepted": d.accepted.Load(),
 			"open":     d.open.Load(),
 			"checks":   d.checks.Load(),
-			"others":   d.others.Load(),
+			"others":   d.otherMessages.Load(),
 		}}, nil
 	case CommandPromote:
 		d.mu.Lock()
@@ -156,5 +156,5 @@
 		}
 		return ChildResponse{}, nil
 	}
-	return ChildResponse{}, unknownCommand(request.Do)
+	return ChildResponse{}, unknownCommand(request.Command)
 }
