--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	responseTimeout = 30 * time.Second // far longer than any response takes
+	responseTimeout = 30 * time.Second // an upper bound far above any expected response time
 	maxMessageBytes = 64 << 20
 	readBufferBytes = 4 << 10
 	clientUser      = "api"
 	clientDatabase  = "ledger"
 )
 
-// Client is a client's connection to a router or a member. It is used by one goroutine.
+// Client is a client connection to a router or a member. It is not safe for concurrent use.
 type Client struct {
 	connection net.Conn
 	reader     *pg.Reader
 	buffer     []byte
 }
 
-// Connect connects a client and waits until it may send queries. The parameters, names with values, go with the startup message. An error
-// of the other side is a *pg.Error.
+// Connect opens a session and waits until it is ready for queries. The parameters are sent in the startup message. An ErrorResponse from the
+// peer is returned as a *pg.Error.
 func Connect(address string, parameters ...pg.Setting) (*Client, error) {
 	connection, err := net.DialTimeout("tcp", address, responseTimeout)
 	if err != nil {
@@ -46,15 +46,15 @@
 	return c, nil
 }
 
-// Close closes the connection. Nothing depends on whether that succeeds.
+// Close closes the connection. A failure to close is only logged.
 func (c *Client) Close() {
 	if err := c.connection.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		logrus.WithError(err).Debug("client connection not closed")
+		logrus.WithError(err).Debug("failed to close the client connection")
 	}
 }
 
-// Send sends messages and reads up to the end of their response, which has so many ReadyForQuery. It gives the first error that the response
-// has, or nil. Its own error means that there was no complete response.
+// Send writes messages and reads the response until it has received the given number of ReadyForQuery messages. failure is the first
+// ErrorResponse, or nil. A non-nil err means that the response was incomplete.
 func (c *Client) Send(messages []byte, ready int) (failure *pg.Error, err error) {
 	if err := c.connection.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 	return failure, nil
 }
 
-// next reads a message. What it has of bytes is valid until the next call.
+// next reads a message. Byte slices in the message are valid until the next call.
 func (c *Client) next() (pg.Message, error) {
 	for {
 		message, complete, err := c.reader.Next()
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -1,6 +1,6 @@
-// Package lab is what a router is tried out with: a cluster of fake members on loopback, clients that load a router, and a router as a process
-// of its own whose idle cost is measured. The `wayloft lab` commands and the tests of internal/server call it, and internal/lab/fleet has its
-// clients from here. It decides nothing for a router, and the router never imports it.
+// Package lab provides tools for load tests and measurements of a router: a cluster of fake members on loopback, clients that generate load,
+// and a router run as a separate process to measure its idle resource usage. It is used by the `wayloft lab` commands, the tests of
+// internal/server, and internal/lab/fleet, which uses its clients. It makes no decisions for a router, and the router never imports it.
 package lab
 
 import (
@@ -11,18 +11,19 @@
 )
 
 const (
-	storedRows     = 100                  // that each cluster has, h0 to h99
-	firstMemberLag = 5 * time.Millisecond // of the first replica; each further one lags lagStep more
+	storedRows     = 100                  // rows in each cluster, with the keys h0 to h99
+	firstMemberLag = 5 * time.Millisecond // base replication lag; each further member lags lagStep more
 	lagStep        = time.Millisecond
 )
 
-// Cluster is a group of fake members, the first of which is the primary.
+// Cluster is a group of fake members. The first member is the primary.
 type Cluster struct {
 	*pgserver.Cluster
 	Servers []*pgserver.Server
 }
 
-// StartCluster starts so many members whose responses take a time. A configure that isn't nil may change each before it starts.
+// StartCluster starts the given number of members, each of which takes responseTime per statement. If configure isn't nil, it is called on
+// each member before the member starts.
 func StartCluster(members int, responseTime time.Duration, configure func(*pgserver.Server)) (*Cluster, error) {
 	c := &Cluster{Cluster: pgserver.NewCluster()}
 	for n := range storedRows {
--- a/internal/lab/configuration.go
+++ b/internal/lab/configuration.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Values of Pool that are not given.
+// Defaults for unset fields of Pool, and the descriptor headroom of the router.
 const (
 	defaultConnectionsPerMember = 16
 	defaultIdleInTransaction    = "60s"
@@ -15,21 +15,21 @@
 	spareDescriptors            = 128
 )
 
-// platformMode is the mode of a pool whose clients send statements with comments, without a connection of their own.
+// platformMode is the mode of a pool whose clients send single statements with the platform's comment and hold no server connection of their own.
 const platformMode = "platform"
 
-// Pool is the pool of a configuration; values that are not given stand for ordinary ones.
+// Pool describes the pool in a router's configuration. Zero values select defaults.
 type Pool struct {
 	Mode              string
-	PerMember         int    // connections
-	ExtraKeys         string // more keys of the pool
-	TopLevelKeys      string // and of the file
-	IdleInTransaction string // how long a transaction may be idle
-	MaxConnections    int    // to all members
+	PerMember         int    // connections to each member
+	ExtraKeys         string // additional TOML keys of the pool
+	TopLevelKeys      string // additional top-level TOML keys
+	IdleInTransaction string // idle-in-transaction timeout
+	MaxConnections    int    // connections to all members
 	MaxSessions       int
 }
 
-// configurationTemplate has a router's address, more top-level keys, its limits and the pool's mode.
+// configurationTemplate takes the listen address, additional top-level keys, the three limits, and the pool's mode.
 const configurationTemplate = `name = "lab"
 listen = "%s"
 seed = "8c1f30d27a5be964"
@@ -74,7 +74,7 @@
 form = "%s"
 `
 
-// pooledTemplate has the keys of a pool whose clients share connections: those to a member, and how long a transaction may be idle.
+// pooledTemplate has the keys of a connection pool. It takes the connections per member and the idle-in-transaction timeout.
 const pooledTemplate = `read = "read"
 write = "write"
 connections_per_member = %d
@@ -82,7 +82,7 @@
 idle_in_transaction = "%s"
 `
 
-// Configuration gives the settings of a router before the cluster, as TOML.
+// Configuration returns the TOML configuration of a router for the cluster.
 func (c *Cluster) Configuration(listen string, pool Pool) string {
 	sessions := cmp.Or(pool.MaxSessions, defaultMaxSessions)
 	connections := cmp.Or(pool.MaxConnections, defaultMaxConnections)
--- a/internal/lab/idle_router.go
+++ b/internal/lab/idle_router.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Limits of an idle router's settings, beyond the largest sizes that are measured.
+// Limits in an idle router's configuration, above the largest sizes that are measured.
 const (
 	idleSessions      = 7500
 	idleConnections   = 512
@@ -23,35 +23,36 @@
 )
 
 const (
-	idleFileMode    = 0o600
-	reachAttempts   = 200
-	reachPause      = 50 * time.Millisecond
-	percentOfOneCPU = 100
+	idleFileMode         = 0o600
+	connectAttempts      = 200
+	connectRetryInterval = 50 * time.Millisecond
+	percentOfOneCPU      = 100
 )
 
-// IdleRouter is a router, as a process of its own, that gets no requests: members are listed that don't exist, sessions are open and idle.
+// IdleRouter describes a measurement of a router process that receives no requests. The configured members don't exist, and the client
+// sessions are open and idle.
 type IdleRouter struct {
-	Program           string // path of wayloft
+	Program           string // path of the wayloft binary
 	Members, Sessions int
-	Groups            int    // that the members belong to
-	Fleet             bool   // with a coordinator of one node
-	Memory            string // its limit; empty: an ordinary one
+	Groups            int    // number of groups that the members are spread over
+	Fleet             bool   // run a single-node coordinator
+	Memory            string // the router's memory limit; empty: idleDefaultMemory
 	SettleTime        time.Duration
 	SampleDuration    time.Duration
 	Samples           int
 }
 
-// IdleResult is what an idle router used, sample by sample.
+// IdleResult is the resource usage of an idle router. CPU and Bytes have one value per sample.
 type IdleResult struct {
 	IdleRouter
-	CPU         []float64 // % of a core
-	Bytes       []float64 // that its system calls read and wrote, a second
+	CPU         []float64 // percent of one core
+	Bytes       []float64 // bytes per second read and written by its system calls
 	Resident    float64   // MiB, at the end
 	Peak        float64   // MiB
 	Descriptors int
 }
 
-// idleTemplate has the address of an idle router and its limits.
+// idleTemplate takes an idle router's listen address and limits.
 const idleTemplate = `name = "still"
 listen = %q
 seed = "8c1f30d27a5be964"
@@ -67,7 +68,7 @@
 warm_up = "1s"
 `
 
-// idlePool is the pool that the sessions are of.
+// idlePool is the pool of the idle sessions.
 const idlePool = `
 [[pools]]
 user = "api"
@@ -77,7 +78,7 @@
 wait = "5s"
 `
 
-// idleCoordinatorTemplate has the address of the coordinator's node, its data directory, and the address once more.
+// idleCoordinatorTemplate takes the coordinator node's listen address, its data directory, and its address in the peer list.
 const idleCoordinatorTemplate = `[council]
 fleet = "still"
 name = "c1"
@@ -88,7 +89,7 @@
 address = %q
 `
 
-// Configuration gives the router's settings, as TOML.
+// Configuration returns the router's TOML configuration.
 func (r IdleRouter) Configuration(listen, coordinator, receiver, auditLog string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, idleTemplate, listen, cmp.Or(r.Memory, idleDefaultMemory), idleDescriptors, idleSessions, idleConnections)
@@ -102,17 +103,17 @@
 	return text.String()
 }
 
-// idleProcesses are the processes of one measurement, with their directory.
+// idleProcesses holds the processes of one measurement and their working directory.
 type idleProcesses struct {
 	router      IdleRouter
 	directory   string
-	address     string // of the router
-	receiver    string // of the router
+	address     string // listen address of the router
+	receiver    string // receiver address of the router
 	coordinator string // address of the coordinator
 	running     []*exec.Cmd
 }
 
-// Run starts the router, measures it and ends it.
+// Run starts the router, measures it and stops it.
 func (r IdleRouter) Run() (result IdleResult, err error) {
 	result.IdleRouter = r
 	directory, err := os.MkdirTemp("", "wayloft-idle-")
@@ -155,7 +156,7 @@
 	return err
 }
 
-// startAll starts the coordinator, if there is to be one, and the router, waits until the router accepts connections and gives its pid.
+// startAll starts the coordinator, if configured, and the router. It waits until the router accepts connections and returns its pid.
 func (p *idleProcesses) startAll() (pid int, err error) {
 	for _, address := range []*string{&p.address, &p.receiver, &p.coordinator} {
 		if *address, err = freeAddress(); err != nil {
@@ -181,7 +182,7 @@
 
 func (p *idleProcesses) logPath() string { return filepath.Join(p.directory, "log") }
 
-// start writes a process's settings and starts it.
+// start writes a process's configuration file and starts the process.
 func (p *idleProcesses) start(configName, config string, command ...string) (pid int, err error) {
 	path := filepath.Join(p.directory, configName)
 	if err := os.WriteFile(path, []byte(config), idleFileMode); err != nil {
@@ -201,7 +202,7 @@
 	return process.Process.Pid, nil
 }
 
-// close kills the processes, which have nothing to lose, waits for their ends and removes the directory.
+// close kills the processes, whose state is temporary, waits for them to exit and removes the directory.
 func (p *idleProcesses) close() error {
 	var failures error
 	for _, process := range p.running {
@@ -209,13 +210,13 @@
 			failures = errors.Join(failures, err)
 		}
 		if err := process.Wait(); err != nil {
-			logrus.WithError(err).Debug("process ended")
+			logrus.WithError(err).Debug("process exited")
 		}
 	}
 	return errors.Join(failures, os.RemoveAll(p.directory))
 }
 
-// freeAddress gives an address of loopback that is free just now.
+// freeAddress returns a loopback address whose port was free at the time of the call.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -226,12 +227,12 @@
 
 // awaitListener waits until an address accepts connections.
 func awaitListener(address string) (err error) {
-	for range reachAttempts {
+	for range connectAttempts {
 		var connection net.Conn
 		if connection, err = net.Dial("tcp", address); err == nil {
 			return connection.Close()
 		}
-		time.Sleep(reachPause)
+		time.Sleep(connectRetryInterval)
 	}
 	return err
 }
--- a/internal/lab/idle_sessions.go
+++ b/internal/lab/idle_sessions.go
@@ -6,11 +6,11 @@
 	"wayloft/internal/pg"
 )
 
-// sessionReadyCount is how many ReadyForQuery the requests of an idle session get: of SET and of the prepared query.
+// sessionReadyCount is the number of ReadyForQuery messages that an idle session's setup receives: one for SET, one for the prepared query.
 const sessionReadyCount = 2
 
-// WithIdleSessions opens so many sessions, each of which sets a parameter, prepares a statement and executes it once, and runs f while all
-// are idle.
+// WithIdleSessions opens the given number of sessions, each of which sets a parameter, prepares a statement and executes it once. It calls f
+// while all sessions are idle.
 func WithIdleSessions(address string, sessions int, f func()) error {
 	for n := range sessions {
 		client, err := Connect(address, pg.Setting{Name: "application_name", Value: "rest"})
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// WithIdlePoolSessions opens so many sessions that send nothing, and runs f while all are idle.
+// WithIdlePoolSessions opens the given number of sessions, which send no requests, and calls f while all are idle.
 func WithIdlePoolSessions(address string, sessions int, f func() error) error {
 	for n := range sessions {
 		client, err := Connect(address)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -15,57 +15,57 @@
 )
 
 const (
-	maxLatencyMicros = int64(time.Minute / time.Microsecond)
-	latencyDigits    = 3
-	shownPrecision   = 10 * time.Microsecond
+	maxLatencyMicros         = int64(time.Minute / time.Microsecond)
+	latencySignificantDigits = 3
+	latencyDisplayPrecision  = 10 * time.Microsecond
 )
 
-// Load is a closed loop of clients, each of which sends its next request once it has the response to the one before.
+// Load is a closed-loop load: each client sends its next request after it has received the response to the previous one.
 type Load struct {
 	Addr       string
 	Clients    int
 	Duration   time.Duration
-	WarmUp     time.Duration              // before anything is counted
-	Request    func(client, n int) []byte // the messages of a client's n-th request
-	ReadyCount int                        // how many ReadyForQuery a response has; 0: 1
+	WarmUp     time.Duration              // responses in this initial period are not counted
+	Request    func(client, n int) []byte // returns the messages of a client's n-th request
+	ReadyCount int                        // ReadyForQuery messages per response; 0: 1
 	Pause      time.Duration              // between response and request
 }
 
-// LoadResult is what the clients of a Load had.
+// LoadResult is the result of a Load over all clients.
 type LoadResult struct {
-	Rate             float64 // responses a second
+	Rate             float64 // responses per second
 	P50, P99, P999   time.Duration
 	Max              time.Duration
 	Rejected, Failed int64
-	Codes            map[string]int64 // responses with an error, by SQLSTATE; those during the warm-up, too
-	CPU              time.Duration    // of this process, for each response
+	Codes            map[string]int64 // error responses by SQLSTATE, including those during the warm-up
+	CPU              time.Duration    // CPU time of this process per response
 }
 
-// String gives the result as one line.
+// String formats the result as one line.
 func (r LoadResult) String() string {
-	text := fmt.Sprintf("%8.0f requests/s  p50 %8s  p99 %8s  max %8s  rejected %d  failed %d", r.Rate, shown(r.P50), shown(r.P99), shown(r.Max), r.Rejected, r.Failed)
+	text := fmt.Sprintf("%8.0f requests/s  p50 %8s  p99 %8s  max %8s  rejected %d  failed %d", r.Rate, formatLatency(r.P50), formatLatency(r.P99), formatLatency(r.Max), r.Rejected, r.Failed)
 	for _, code := range slices.Sorted(maps.Keys(r.Codes)) {
 		text += fmt.Sprintf("  %s x%d", code, r.Codes[code])
 	}
 	return text
 }
 
-func shown(d time.Duration) string { return d.Round(shownPrecision).String() }
+func formatLatency(d time.Duration) string { return d.Round(latencyDisplayPrecision).String() }
 
-// loadRun is a Load that runs.
+// loadRun is the state of a running Load.
 type loadRun struct {
 	Load
 	counting  atomic.Bool // the warm-up is over
 	stopped   atomic.Bool
-	responses atomic.Int64 // while counting
+	responses atomic.Int64 // received while counting
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	latencies *hdrhistogram.Histogram
 	codes     map[string]int64
-	failure   error // the first
+	failure   error // the first client error
 }
 
-// Run runs the load. An error means that the load itself failed: a client had no connection, or no complete response.
+// Run runs the load. An error means that the load itself failed: a client could not connect or did not receive a complete response.
 func (l Load) Run() (LoadResult, error) {
 	run := &loadRun{Load: l, latencies: newLatencies(), codes: map[string]int64{}}
 	var clients sync.WaitGroup
@@ -83,10 +83,10 @@
 }
 
 func newLatencies() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+	return hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits)
 }
 
-// cpuTime is the processor time that this process has had.
+// cpuTime returns the user and system CPU time of this process; 0 if it can't be read.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -95,7 +95,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// result gives what all clients had, once they have ended.
+// result computes the result over all clients. It must be called after they have stopped.
 func (r *loadRun) result(took time.Duration, responses int64, cpu time.Duration) LoadResult {
 	quantile := func(q float64) time.Duration { return time.Duration(r.latencies.ValueAtQuantile(q)) * time.Microsecond }
 	result := LoadResult{Rate: float64(responses) / took.Seconds(), P50: quantile(50), P99: quantile(99), P999: quantile(99.9),
@@ -113,7 +113,7 @@
 	return result
 }
 
-// runClient is one client until the load is stopped.
+// runClient runs one client until the load is stopped and merges its results.
 func (r *loadRun) runClient(number int) {
 	latencies, codes := newLatencies(), map[string]int64{}
 	err := r.sendRequests(number, latencies, codes)
@@ -128,7 +128,7 @@
 	}
 }
 
-// sendRequests sends one request after the other and notes latencies and errors.
+// sendRequests sends requests sequentially and records latencies and errors.
 func (r *loadRun) sendRequests(number int, latencies *hdrhistogram.Histogram, codes map[string]int64) error {
 	client, err := Connect(r.Addr)
 	if err != nil {
@@ -141,7 +141,7 @@
 		if err != nil {
 			return fmt.Errorf("request %d: %w", n, err)
 		}
-		if err := r.note(failure, time.Since(started), latencies, codes); err != nil {
+		if err := r.record(failure, time.Since(started), latencies, codes); err != nil {
 			return err
 		}
 		time.Sleep(r.Pause)
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// note notes a response, unless the load was stopped before it came.
-func (r *loadRun) note(failure *pg.Error, latency time.Duration, latencies *hdrhistogram.Histogram, codes map[string]int64) error {
+// record records a response unless the load was stopped before it arrived.
+func (r *loadRun) record(failure *pg.Error, latency time.Duration, latencies *hdrhistogram.Histogram, codes map[string]int64) error {
 	if r.stopped.Load() {
 		return nil
 	}
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -19,7 +19,7 @@
 	return cluster
 }
 
-// Responses are counted, with their latencies; none is an error.
+// Successful responses are counted with their latencies, and none is reported as an error.
 func TestLoad_Responses(t *testing.T) {
 	cluster := startCluster(t, nil)
 	for name, load := range map[string]Load{
@@ -38,7 +38,7 @@
 	}
 }
 
-// Errors in responses are counted by their SQLSTATE, and rejections apart from failures.
+// Error responses are counted by SQLSTATE, and rejected responses separately from failed ones.
 func TestLoad_ErrorsInResponses(t *testing.T) {
 	cluster := startCluster(t, nil)
 	result, err := Load{Addr: cluster.Servers[0].Addr, Clients: 1, Duration: 50 * time.Millisecond,
@@ -64,7 +64,7 @@
 	}
 }
 
-// A load whose clients have no connection fails.
+// A load whose clients can't connect returns an error.
 func TestLoad_NoConnection(t *testing.T) {
 	address, err := freeAddress()
 	if err != nil {
--- a/internal/lab/process_usage.go
+++ b/internal/lab/process_usage.go
@@ -15,16 +15,16 @@
 	kibibytesPerMebibyte = 1024
 )
 
-// ErrProcessEnded means that a process whose usage is read has ended.
-var ErrProcessEnded = errors.New("the process has ended")
+// ErrProcessEnded is returned when the process being measured has exited.
+var ErrProcessEnded = errors.New("the process has exited")
 
-// processUsage is what a process has used since its start.
+// processUsage is the cumulative resource usage of a process.
 type processUsage struct {
-	cpuSeconds float64 // of all threads
-	bytes      float64 // that its system calls read and wrote
+	cpuSeconds float64 // CPU time of all current threads
+	bytes      float64 // bytes read and written by its system calls
 }
 
-// readUsage reads what a process has used from /proc.
+// readUsage reads a process's usage from /proc.
 func readUsage(pid int) (usage processUsage, err error) {
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return usage, err
 }
 
-// threadSeconds reads the processor time of a thread.
+// threadSeconds reads a thread's CPU time, in seconds, from its schedstat file.
 func threadSeconds(path string) (float64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return nanoseconds / nanosecondsPerSecond, nil
 }
 
-// readMemory reads a process's resident memory, now and at its peak, in MiB.
+// readMemory reads a process's current and peak resident memory, in MiB.
 func readMemory(pid int) (resident, peak float64, err error) {
 	numbers, err := readProcNumbers(pid, "status")
 	return numbers["VmRSS"] / kibibytesPerMebibyte, numbers["VmHWM"] / kibibytesPerMebibyte, err
@@ -74,7 +74,7 @@
 	return len(entries), err
 }
 
-// readProcNumbers reads a file of /proc whose lines have a key and a value; values that are no numbers are left out.
+// readProcNumbers parses a /proc file of "key: value" lines. It skips values that aren't numeric.
 func readProcNumbers(pid int, name string) (numbers map[string]float64, err error) {
 	file, err := os.Open(fmt.Sprintf("/proc/%d/%s", pid, name))
 	if err != nil {
--- a/internal/lab/process_usage_test.go
+++ b/internal/lab/process_usage_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What a process has used grows; of one that has ended, nothing can be read.
+// Usage counters of a running process increase, and reading a process that doesn't exist fails with ErrProcessEnded.
 func TestReadUsage_RunningAndEnded(t *testing.T) {
 	before, err := readUsage(os.Getpid())
 	if err != nil {
@@ -27,6 +27,6 @@
 		t.Errorf("%d descriptors: %v", count, err)
 	}
 	if _, err := readUsage(1 << 30); !errors.Is(err, ErrProcessEnded) {
-		t.Errorf("no such process: %v", err)
+		t.Errorf("nonexistent process: %v", err)
 	}
 }
