--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -9,7 +9,7 @@
 	"wayloft/internal/pg"
 )
 
-// Client is a fake client with one session.
+// Client is a fake client with one connection.
 type Client struct {
 	t *testing.T
 	net.Conn
@@ -17,7 +17,7 @@
 	Key    pg.CancelKey // the cancel key that the server sent
 }
 
-// NewClient connects, and starts a session if start is set. The connection is closed when the test is over.
+// NewClient connects and, if start is set, starts a session. The connection is closed when the test ends.
 func NewClient(t *testing.T, addr string, start bool) *Client {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -25,18 +25,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeSocket(c) })
-	client := &Client{t: t, Conn: c, reader: pg.NewReader(true, maxMessage)}
+	client := &Client{t: t, Conn: c, reader: pg.NewReader(true, maxMessageBytes)}
 	client.reader.EnableExtended()
 	if start {
 		client.Send(string(pg.AppendStartup(nil, "api", "ledger")))
 		if got := client.Answer(); got != "ready" {
-			t.Fatalf("greeting: %s", got)
+			t.Fatalf("startup response: %s", got)
 		}
 	}
 	return client
 }
 
-// Send writes bytes; a failure fails the test.
+// Send writes raw bytes and fails the test on a write error.
 func (c *Client) Send(b string) {
 	c.t.Helper()
 	if _, err := c.Write([]byte(b)); err != nil {
@@ -44,18 +44,18 @@
 	}
 }
 
-// Ask sends a query.
+// Ask sends a simple query.
 func (c *Client) Ask(sql string) {
 	c.t.Helper()
 	c.Send(string(pg.AppendQuery(nil, sql)))
 }
 
-// Answer reads up to ReadyForQuery or the end of the connection. It returns what came in words: "VALUE ok ready", "CODE ready",
-// "empty ready", "CODE closed" and so on.
+// Answer reads up to ReadyForQuery or the end of the connection. It returns a textual summary of the response, such as "VALUE ok ready",
+// "CODE ready", "empty ready" or "CODE closed".
 func (c *Client) Answer() string {
 	var out []string
-	buffer := make([]byte, readSize)
-	_ = c.SetReadDeadline(time.Now().Add(waitLimit)) // it fails only for a closed connection, which the read reports
+	buffer := make([]byte, readBufferBytes)
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout)) // it fails only on a closed connection, which the next read reports
 	for {
 		m, ok, err := c.reader.Next()
 		switch {
--- a/internal/fakes/fakes.go
+++ b/internal/fakes/fakes.go
@@ -1,5 +1,5 @@
-// Package fakes has fake members and clients for tests: they listen or connect on loopback and speak the protocol as a test tells them
-// to. Nothing of it is part of the program.
+// Package fakes provides fake members and clients for tests. They listen or connect on loopback and speak the PostgreSQL protocol as
+// scripted by the test. The router does not use this package.
 package fakes
 
 import (
@@ -9,23 +9,23 @@
 )
 
 const (
-	// waitLimit is how long a test waits for something that must happen, also on a busy machine.
-	waitLimit    = 20 * time.Second
+	// waitTimeout bounds how long a test waits for an expected condition. It is long enough for a busy machine.
+	waitTimeout    = 20 * time.Second
 	pollInterval = time.Millisecond
 
-	readSize   = 1 << 16
-	maxMessage = 1 << 20
+	readBufferBytes   = 1 << 16
+	maxMessageBytes = 1 << 20
 )
 
-// Until waits until a condition holds, and fails the test if it doesn't in time.
-func Until(t *testing.T, what string, holds func() bool) {
+// Until polls until a condition holds and fails the test if it doesn't hold within the time limit.
+func Until(t *testing.T, description string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(waitLimit); !holds(); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s", what)
+			t.Fatalf("timed out waiting for condition: %s", description)
 		}
 	}
 }
 
-// closeSocket closes a socket of a fake. Its error can't matter: the other end sees the end of the connection in any case.
+// closeSocket closes a fake's socket. The error is ignored because the peer sees the connection end in any case.
 func closeSocket(c io.Closer) { _ = c.Close() }
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -10,16 +10,16 @@
 	"wayloft/internal/pg"
 )
 
-// Reply is what a member answers to a query.
+// Reply is a member's response to a query or a startup message.
 type Reply struct {
 	Bytes []byte
-	Close bool // close the connection afterwards
+	Close bool // close the connection after sending Bytes
 }
 
-// Member is a fake member that answers queries by a function.
+// Member is a fake member that responds to queries with the result of a function.
 type Member struct {
 	Addr   string
-	Empty  func() *Reply // answers empty queries; nil: as any server does
+	Empty  func() *Reply // responds to empty queries; nil: with EmptyQueryResponse, as a server does
 	listen net.Listener
 
 	greeting *Reply
@@ -29,8 +29,8 @@
 	queries  []string
 }
 
-// NewMember starts a member that stops when the test is over. greeting is its answer to a startup message; nil: it accepts the login.
-// answer gives its answer to a query; nil: none.
+// NewMember starts a member that stops when the test ends. greeting is its response to a startup message; nil accepts the login. answer
+// returns the response to a query; a nil Reply sends none.
 func NewMember(t *testing.T, greeting *Reply, answer func(sql string) *Reply) *Member {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,8 +53,8 @@
 }
 
 func (m *Member) serve(c net.Conn) {
-	reader := pg.NewReader(false, maxMessage)
-	buffer := make([]byte, readSize)
+	reader := pg.NewReader(false, maxMessageBytes)
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := c.Read(buffer)
 		if err != nil {
@@ -75,7 +75,7 @@
 			if reply == nil {
 				continue
 			}
-			_, _ = c.Write(reply.Bytes) // the peer may have gone: the next read sees that
+			_, _ = c.Write(reply.Bytes) // if the peer has disconnected, the next read reports it
 			if reply.Close {
 				closeSocket(c)
 				return
@@ -84,7 +84,7 @@
 	}
 }
 
-// reply records a message and returns what is answered to it.
+// reply records a message and returns the response to it.
 func (m *Member) reply(msg pg.Message) *Reply {
 	m.mu.Lock()
 	if msg.Kind == pg.Startup {
@@ -107,38 +107,38 @@
 	return &Reply{Bytes: pg.AppendGreeting(nil, 0)}
 }
 
-// Stop ends listening; connections go on.
+// Stop stops listening. Open connections are not affected.
 func (m *Member) Stop() { closeSocket(m.listen) }
 
-// Seen returns how many logins the member has received, and its queries.
+// Seen returns the number of startup messages and the queries that the member has received.
 func (m *Member) Seen() (accepted int, queries []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.accepted, append([]string(nil), m.queries...)
 }
 
-// message encodes a message of the protocol.
+// message encodes a protocol message with the given type byte.
 func message(typ byte, body string) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte{typ}, uint32(len(body)+4)), body...)
 }
 
-// Param returns a ParameterStatus message.
+// Param encodes a ParameterStatus message.
 func Param(name, value string) []byte { return message('S', name+"\x00"+value+"\x00") }
 
-// Rows returns a complete result of one row with one column.
+// Rows encodes a complete result of one row with one column.
 func Rows(value string) []byte {
 	cell := string(binary.BigEndian.AppendUint32(nil, uint32(len(value)))) + value
 	return append(append(message('T', "\x00\x01blob\x00"+strings.Repeat("\x00", 18)), message('D', "\x00\x01"+cell)...),
 		message('C', "SELECT 1\x00")...)
 }
 
-// Row returns an answer with a value, a role and a position.
+// Row returns a reply with a value, the member's role and its position.
 func Row(value, role, position string) *Reply {
 	out := append(Rows(value), Param("rank", role)...)
 	return &Reply{Bytes: pg.AppendReadyIdle(append(out, Param("as_of", position)...))}
 }
 
-// Fail returns an answer with an error of this code.
+// Fail returns a reply with an ErrorResponse of the given SQLSTATE.
 func Fail(code string) *Reply {
 	return &Reply{Bytes: pg.AppendReadyIdle(pg.AppendError(nil, &pg.Error{Code: code, Text: "no"}, false))}
 }
--- a/internal/fakes/recording/recording.go
+++ b/internal/fakes/recording/recording.go
@@ -1,4 +1,4 @@
-// Package recording compares what a deterministic run says, line by line, with what an earlier one said.
+// Package recording compares the transcript of a deterministic run with a recorded one.
 package recording
 
 import (
@@ -11,19 +11,19 @@
 	"testing"
 )
 
-var update = flag.Bool("update-recordings", false, "write recordings anew, where what is recorded is meant to change")
+var update = flag.Bool("update-recordings", false, "rewrite the recordings, for intended changes of the recorded behavior")
 
-// linesPerDigest is how many lines of a transcript one line of its recording stands for.
+// linesPerDigest is the number of transcript lines that each digest line of a recording covers.
 const linesPerDigest = 100
 
-// Compare fails the test if a transcript is not the one recorded in testdata/NAME. The recording is kept as a digest of each
-// hundred lines; a transcript that differs is written to a temporary file, to be compared with one of the text before.
+// Compare fails the test if a transcript differs from the one recorded in testdata/NAME. The recording stores a digest of every
+// hundred lines. A transcript that differs is written to a temporary file so that it can be compared with one from the previous source.
 func Compare(t *testing.T, name, transcript string) {
 	t.Helper()
 	compare(t, name, transcript, digests(transcript))
 }
 
-// CompareText does so with a recording that is kept as it is.
+// CompareText is like Compare, but the recording stores the transcript itself.
 func CompareText(t *testing.T, name, transcript string) {
 	t.Helper()
 	compare(t, name, transcript, transcript)
@@ -58,7 +58,7 @@
 	if err := os.WriteFile(file, []byte(transcript), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Fatalf("%s has %d lines, recorded are %d; the whole transcript is in %s", name, len(gotLines), len(wantLines), file)
+	t.Fatalf("%s: got %d lines, recorded %d; the full transcript is in %s", name, len(gotLines), len(wantLines), file)
 }
 
 func digests(transcript string) string {
@@ -73,7 +73,7 @@
 	return out.String()
 }
 
-// ComparePrefix does so line by line, as far as the transcript goes: the recording may have more lines.
+// ComparePrefix is like CompareText, but the transcript may be a prefix of the recording: the recording may have more lines.
 func ComparePrefix(t *testing.T, name, transcript string) {
 	t.Helper()
 	if *update {
--- a/internal/fakes/scenario/scenario.go
+++ b/internal/fakes/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario runs text files against a decision module: one step a line, # starts a comment. It knows nothing of what a step means.
+// Package scenario runs text files against a decision module: one step per line, with # starting a comment. The caller interprets the steps.
 package scenario
 
 import (
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// Play runs each file testdata/*.txt as a subtest, with a step function of its own that begin returns. An error fails the subtest and
-// names the line.
+// Play runs each file testdata/*.txt as a subtest. It calls begin once per file for a new step function, which is called with each step.
+// An error from a step fails the subtest and is reported with the file and line.
 func Play(t *testing.T, begin func() (step func(line string) error)) {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("no scenario files in testdata: %v", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
