--- a/internal/fakes/fakes.go
+++ b/internal/fakes/fakes.go
@@ -10,10 +10,10 @@
 
 const (
 	// waitTimeout bounds how long a test waits for an expected condition. It is long enough for a busy machine.
-	waitTimeout    = 20 * time.Second
+	waitTimeout  = 20 * time.Second
 	pollInterval = time.Millisecond
 
-	readBufferBytes   = 1 << 16
+	readBufferBytes = 1 << 16
 	maxMessageBytes = 1 << 20
 )
 
--- a/internal/fakes/pgserver/connection.go
+++ b/internal/fakes/pgserver/connection.go
@@ -12,7 +12,7 @@
 	"wayloft/internal/pg"
 )
 
-// Transaction statuses, as the protocol has them.
+// Transaction status bytes of ReadyForQuery.
 const (
 	idleStatus        = 'I'
 	transactionStatus = 'T'
@@ -20,36 +20,36 @@
 )
 
 const (
-	maxMessage = 64 << 20
-	readSize   = 1 << 14
+	maxMessageBytes = 64 << 20
+	readBufferBytes = 1 << 14
 )
 
-// connection is one connection of a client, and its session.
+// connection is a client connection and its session.
 type connection struct {
 	server  *Server
 	id      int
 	conn    net.Conn
 	key     pg.CancelKey
-	out     []byte    // what is to be sent
+	out     []byte    // unsent output
 	cancel  chan bool // receives cancel requests
-	running bool      // a statement takes its time; guarded by the server's lock
+	running bool      // a statement is waiting in work; guarded by the server's lock
 
-	startup          map[string]string // settings of the startup message
+	startup          map[string]string // settings from the startup message
 	settings         map[string]string
-	reportedSettings map[string]string // what the client was told
+	reportedSettings map[string]string // values last reported to the client
 
 	status        byte
-	failed        bool // a statement has failed since the last readiness
+	failed        bool // a statement has failed since the last ReadyForQuery
 	readOnly      bool
-	implicit      bool         // it is in an implicit transaction
-	implicitStart int          // where in out the implicit transaction's answers begin
+	implicit      bool         // an implicit transaction is open
+	implicitStart int          // offset in out of the implicit transaction's responses
 	savepoints    []savepoint  // [0] is the start of the transaction
-	writes        [][2]string  // rows to be committed
-	staged        stagedChange // what else is to be committed
-	skipToSync    bool         // an error was answered: messages are skipped up to the next Sync
+	writes        [][2]string  // uncommitted rows, as handle and value
+	staged        stagedChange // uncommitted changes other than rows
+	skipToSync    bool         // after an error in the extended protocol: skip messages up to the next Sync
 
 	prepared    map[string]string
-	sqlPrepared map[string]string // by the statement PREPARE
+	sqlPrepared map[string]string // created by the SQL statement PREPARE
 	portals     map[string]portal
 	copying     *copyData
 
@@ -60,7 +60,7 @@
 type savepoint struct {
 	name     string
 	settings map[string]string
-	writes   int // how many rows were written before it
+	writes   int // number of rows written before it
 }
 
 type portal struct {
@@ -68,7 +68,7 @@
 	args []string
 }
 
-// reportedParameters are the settings that a server reports, with their names on the wire and their defaults.
+// reportedParameters are the settings reported by ParameterStatus, with their wire names and defaults.
 var reportedParameters = map[string][2]string{
 	"client_encoding":  {"client_encoding", "UTF8"},
 	"datestyle":        {"DateStyle", "ISO, MDY"},
@@ -77,7 +77,7 @@
 }
 
 func (s *Server) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the client sees the end in any case
+	defer func() { _ = conn.Close() }() // the client sees the connection end in any case
 	c := &connection{
 		server:           s,
 		conn:             conn,
@@ -90,8 +90,8 @@
 		reportedSettings: map[string]string{},
 		cancel:           make(chan bool, 1),
 	}
-	r := pg.NewReader(false, maxMessage)
-	buf := make([]byte, readSize)
+	r := pg.NewReader(false, maxMessageBytes)
+	buf := make([]byte, readBufferBytes)
 	defer c.unregister()
 	for {
 		for {
@@ -122,7 +122,7 @@
 	}
 }
 
-// flush sends what is to be sent.
+// flush sends the unsent output.
 func (c *connection) flush() error {
 	_, err := c.conn.Write(c.out)
 	c.out = c.out[:0]
@@ -140,7 +140,7 @@
 	}
 }
 
-// handle answers a message, or injects a fault in its place. It returns false if the connection is to be closed.
+// handle processes a message or injects a fault in its place. It returns false if the connection must be closed.
 func (c *connection) handle(r *pg.Reader, m *pg.Message) bool {
 	switch m.Kind {
 	case pg.SSLRequest:
@@ -159,7 +159,7 @@
 		if f := c.server.InjectFault(c.id, m); f != nil {
 			c.out = append(c.out, f.Bytes...)
 			if f.Hang {
-				_ = c.flush() // it hangs in any case
+				_ = c.flush() // the connection hangs whether or not the write succeeds
 				<-c.cancel
 				return false
 			}
@@ -167,7 +167,7 @@
 				return false
 			}
 			if f.Error != "" {
-				c.fail(f.Error, "as it was told to")
+				c.fail(f.Error, "injected fault")
 				if m.Kind == pg.Query || m.Kind == pg.Sync {
 					c.writeReady()
 				} else {
@@ -214,7 +214,7 @@
 	return true
 }
 
-// writeSettings reports the settings that have changed since they were reported last.
+// writeSettings reports the settings that changed since the last report.
 func (c *connection) writeSettings() {
 	for _, key := range slices.Sorted(maps.Keys(reportedParameters)) {
 		p := reportedParameters[key]
@@ -222,14 +222,14 @@
 		if !set {
 			v = p[1]
 		}
-		if was, told := c.reportedSettings[key]; !told || was != v {
+		if previous, reported := c.reportedSettings[key]; !reported || previous != v {
 			c.reportedSettings[key] = v
 			c.out = pg.AppendParameterStatus(c.out, p[0], v)
 		}
 	}
 }
 
-// fail answers with an error, after which the transaction has failed.
+// fail writes an ErrorResponse and marks the current transaction as failed.
 func (c *connection) fail(code, text string) {
 	c.out = pg.AppendError(c.out, &pg.Error{Code: code, Text: text}, false)
 	if c.failed = true; c.status == transactionStatus {
@@ -237,7 +237,7 @@
 	}
 }
 
-// writePosition reports the server's role and a position.
+// writePosition reports the server's role and a position by ParameterStatus.
 func (c *connection) writePosition(at float64) {
 	role := "copy"
 	if c.server.isPrimary() {
@@ -247,7 +247,7 @@
 	c.out = pg.AppendParameterStatus(c.out, "as_of", strconv.FormatFloat(at, 'f', 3, 64))
 }
 
-// writeReady ends an implicit transaction and answers that the connection is ready.
+// writeReady ends an implicit transaction and writes ReadyForQuery.
 func (c *connection) writeReady() {
 	if c.implicit {
 		c.implicit = false
--- a/internal/fakes/pgserver/copy.go
+++ b/internal/fakes/pgserver/copy.go
@@ -9,18 +9,18 @@
 	"wayloft/internal/pg"
 )
 
-// binaryHeader is the size of the header of binary COPY data.
-const binaryHeader = 19
+// binaryHeaderBytes is the size of the binary COPY header, in bytes.
+const binaryHeaderBytes = 19
 
-// copyData is the data of a COPY FROM STDIN as it comes.
+// copyData collects the data of a COPY FROM STDIN.
 type copyData struct {
 	binary bool
 	data   []byte
-	simple bool // it was begun in the simple protocol
+	simple bool // started by the simple query protocol
 }
 
-func (c *connection) copy(low string, simple bool) {
-	if strings.Contains(low, "to stdout") {
+func (c *connection) copy(lower string, simple bool) {
+	if strings.Contains(lower, "to stdout") {
 		c.out = append(c.out, message('H', "\x00\x00\x02\x00\x00\x00\x00")...)
 		for n := range 3 {
 			c.out = append(c.out, message('d', fmt.Sprintf("h%d\tv%d\n", n, n))...)
@@ -34,7 +34,7 @@
 		c.fail(pg.ReadOnlySQLTransaction, "cannot execute COPY FROM in a read-only transaction")
 		return
 	}
-	c.copying = &copyData{binary: strings.Contains(low, "binary"), simple: simple}
+	c.copying = &copyData{binary: strings.Contains(lower, "binary"), simple: simple}
 	format := "\x00\x00\x02\x00\x00\x00\x00"
 	if c.copying.binary {
 		format = "\x01\x00\x02\x00\x01\x00\x01"
@@ -47,7 +47,7 @@
 	case pg.CopyData:
 		c.copying.data = append(c.copying.data, m.Raw[5:]...)
 		return
-	case pg.Flush, pg.Sync: // ignored while data is expected
+	case pg.Flush, pg.Sync: // ignored during COPY IN, as in the protocol
 		return
 	}
 	done := c.copying
@@ -66,7 +66,7 @@
 	}
 }
 
-// rows returns the rows of the data.
+// rows parses the collected data as text or binary rows.
 func (c *copyData) rows() (out [][2]string) {
 	if !c.binary {
 		for _, line := range strings.Split(strings.TrimRight(string(c.data), "\n"), "\n") {
@@ -76,10 +76,10 @@
 		return out
 	}
 	b := c.data
-	if len(b) < binaryHeader {
+	if len(b) < binaryHeaderBytes {
 		return nil
 	}
-	for b = b[binaryHeader:]; len(b) >= 2 && int16(binary.BigEndian.Uint16(b)) > 0; {
+	for b = b[binaryHeaderBytes:]; len(b) >= 2 && int16(binary.BigEndian.Uint16(b)) > 0; {
 		fields := int(binary.BigEndian.Uint16(b))
 		b = b[2:]
 		var row [2]string
--- a/internal/fakes/pgserver/extended.go
+++ b/internal/fakes/pgserver/extended.go
@@ -7,7 +7,7 @@
 	"wayloft/internal/pg"
 )
 
-// textType is the object id of the type text.
+// textType is the OID of the type text.
 const textType = 25
 
 func (c *connection) handleMessage(m *pg.Message) {
@@ -58,7 +58,7 @@
 	c.writeReady()
 }
 
-// failExtended answers with an error to a message of the extended protocol.
+// failExtended fails a message of the extended protocol and skips messages up to the next Sync.
 func (c *connection) failExtended(code, text string) {
 	c.fail(code, text)
 	c.skipToSync = true
@@ -82,7 +82,7 @@
 		c.failExtended(pg.InvalidSQLStatementName, "prepared statement "+m.Name+" does not exist")
 		return
 	}
-	c.portals[m.Portal] = portal{sql, values(m.Tail)}
+	c.portals[m.Portal] = portal{sql, bindValues(m.Tail)}
 	c.out = pg.AppendBodyless(c.out, '2')
 }
 
@@ -94,7 +94,7 @@
 			c.failExtended(pg.InvalidSQLStatementName, "prepared statement "+m.Name+" does not exist")
 			return
 		}
-		c.out = parameters(c.out, strings.Count(sql, "$"))
+		c.out = appendParameterDescription(c.out, strings.Count(sql, "$"))
 	}
 	c.describeStatement(sql)
 }
@@ -109,8 +109,8 @@
 	c.skipToSync = c.failed
 }
 
-// values reads the parameters of a Bind message, each as text.
-func values(tail []byte) (out []string) {
+// bindValues decodes the parameter values of a Bind message as text; a NULL becomes an empty string.
+func bindValues(tail []byte) (out []string) {
 	n := int(binary.BigEndian.Uint16(tail))
 	tail = tail[2+2*n:]
 	n, tail = int(binary.BigEndian.Uint16(tail)), tail[2:]
@@ -126,8 +126,8 @@
 	return out
 }
 
-// parameters appends the types of n parameters.
-func parameters(out []byte, n int) []byte {
+// appendParameterDescription appends a ParameterDescription of n parameters of type text.
+func appendParameterDescription(out []byte, n int) []byte {
 	body := binary.BigEndian.AppendUint16(nil, uint16(n))
 	for range n {
 		body = binary.BigEndian.AppendUint32(body, textType)
@@ -135,8 +135,8 @@
 	return append(out, message('t', string(body))...)
 }
 
-// columns returns the names of the columns that a statement returns; nil for none.
-func columns(sql string) []string {
+// columnNames returns the names of a statement's result columns; nil for none.
+func columnNames(sql string) []string {
 	l := strings.ToLower(strings.Join(strings.Fields(sql), " "))
 	if end := strings.Index(l, "*/ "); strings.HasPrefix(l, "/*") && end >= 0 {
 		l = l[end+3:]
@@ -151,16 +151,16 @@
 }
 
 func (c *connection) describeStatement(sql string) {
-	names := columns(sql)
+	names := columnNames(sql)
 	if names == nil {
 		c.out = pg.AppendBodyless(c.out, 'n')
 		return
 	}
-	c.out = describe(c.out, names)
+	c.out = appendRowDescription(c.out, names)
 }
 
-// describe appends a row description.
-func describe(out []byte, names []string) []byte {
+// appendRowDescription appends a RowDescription with columns of type text.
+func appendRowDescription(out []byte, names []string) []byte {
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(names)))
 	for _, n := range names {
 		body = append(append(body, n...), 0)
@@ -169,19 +169,19 @@
 	return append(out, message('T', string(body))...)
 }
 
-// writeRow answers with a row of one column; in the simple protocol its description goes first.
+// writeRow writes a DataRow with one column, preceded by its RowDescription if simple is set.
 func (c *connection) writeRow(simple bool, name string, value string) {
 	if simple {
-		c.out = describe(c.out, []string{name})
+		c.out = appendRowDescription(c.out, []string{name})
 	}
 	body := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
 	c.out = append(c.out, message('D', string(body)+value)...)
 }
 
-// writeTag answers that a command is complete.
+// writeTag writes CommandComplete with the given tag.
 func (c *connection) writeTag(tag string) { c.out = pg.AppendCommandComplete(c.out, tag) }
 
-// message encodes a message of the protocol.
+// message encodes a protocol message with the given type byte.
 func message(typ byte, body string) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte{typ}, uint32(len(body)+4)), body...)
 }
--- a/internal/fakes/pgserver/query.go
+++ b/internal/fakes/pgserver/query.go
@@ -12,11 +12,11 @@
 
 const (
 	selectRow = "select blob from rows where handle ="
-	// longRow is the size of each row of the function long.
-	longRow = 1000
+	// longRowBytes is the size of each row returned by the SQL function long, in bytes.
+	longRowBytes = 1000
 )
 
-// work takes the time of a statement. It returns false if the statement is cancelled meanwhile.
+// work waits for the duration of a statement. If the statement is canceled, it writes the error and returns false.
 func (c *connection) work(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -29,7 +29,7 @@
 		c.running = false
 		c.server.mu.Unlock()
 	}()
-	_ = c.flush() // the next read sees that the connection has ended
+	_ = c.flush() // if the connection has ended, the next read reports it
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -71,7 +71,7 @@
 	c.runCommand(cmd)
 }
 
-// argument returns what follows a mark in a statement: a parameter or a literal.
+// argument returns the value after the first occurrence of mark in a statement: a parameter or a literal.
 func (c *connection) argument(sql, mark string, args []string) string {
 	_, rest, ok := strings.Cut(sql, mark)
 	if !ok {
@@ -81,7 +81,7 @@
 	return literal(rest, args)
 }
 
-// literal returns the value of the parameter or literal at the start of s.
+// literal returns the value of the parameter reference or literal at the start of s.
 func literal(s string, args []string) string {
 	if n := 0; strings.HasPrefix(s, "$") {
 		if _, err := fmt.Sscanf(s, "$%d", &n); err != nil {
@@ -107,15 +107,15 @@
 	return strings.TrimSpace(word)
 }
 
-// runQuery runs a query or another statement on the table.
+// runQuery runs a query, or any other statement that isn't handled by runCommand.
 func (c *connection) runQuery(sql string, cmd pg.Command, args []string, simple bool) {
-	flat := strings.Join(strings.Fields(sql), " ")
-	if end := strings.Index(flat, "*/"); strings.HasPrefix(flat, "/*") && end >= 0 {
-		flat = strings.TrimSpace(flat[end+2:])
+	normalized := strings.Join(strings.Fields(sql), " ")
+	if end := strings.Index(normalized, "*/"); strings.HasPrefix(normalized, "/*") && end >= 0 {
+		normalized = strings.TrimSpace(normalized[end+2:])
 	}
-	flat = strings.TrimRight(flat, "; ")
-	low := strings.ToLower(flat)
-	if c.runSwitchoverQuery(flat, args, simple) {
+	normalized = strings.TrimRight(normalized, "; ")
+	lower := strings.ToLower(normalized)
+	if c.runSwitchoverQuery(normalized, args, simple) {
 		return
 	}
 	switch {
@@ -124,77 +124,77 @@
 	case cmd.Kind == pg.Show:
 		c.writeRow(simple, cmd.Name, c.settings[cmd.Name])
 		c.writeTag("SHOW")
-	case strings.HasPrefix(low, "insert into rows"):
-		c.insert(flat, low, args, simple)
-	case strings.HasPrefix(low, selectRow):
-		c.selectRow(literal(strings.TrimSpace(flat[len(selectRow):]), args), simple)
-	case strings.HasPrefix(low, "prepare "):
-		name, body, _ := strings.Cut(flat[len("prepare "):], " ")
+	case strings.HasPrefix(lower, "insert into rows"):
+		c.insert(normalized, lower, args, simple)
+	case strings.HasPrefix(lower, selectRow):
+		c.selectRow(literal(strings.TrimSpace(normalized[len(selectRow):]), args), simple)
+	case strings.HasPrefix(lower, "prepare "):
+		name, body, _ := strings.Cut(normalized[len("prepare "):], " ")
 		c.sqlPrepared[strings.ToLower(name)] = strings.TrimSpace(body[len("as "):])
 		c.writeTag("PREPARE")
-	case strings.Contains(low, "note("):
-		c.writeRow(simple, "note", c.argument(flat, "note(", args))
+	case strings.Contains(lower, "note("):
+		c.writeRow(simple, "note", c.argument(normalized, "note(", args))
 		c.writeTag("SELECT 1")
-	case strings.HasPrefix(low, "copy"):
-		c.copy(low, simple)
-	case strings.HasPrefix(low, "execute "):
-		text, had := c.sqlPrepared[strings.TrimSpace(low[len("execute "):])]
+	case strings.HasPrefix(lower, "copy"):
+		c.copy(lower, simple)
+	case strings.HasPrefix(lower, "execute "):
+		text, had := c.sqlPrepared[strings.TrimSpace(lower[len("execute "):])]
 		if !had {
 			c.fail(pg.InvalidSQLStatementName, "prepared statement does not exist")
 			return
 		}
 		c.runQuery(text, pg.ParseCommand(text), nil, simple)
-	case strings.HasPrefix(low, "create"), strings.HasPrefix(low, "listen"), strings.HasPrefix(low, "set constraints"):
-		c.writeTag(strings.ToUpper(strings.Fields(low)[0]))
+	case strings.HasPrefix(lower, "create"), strings.HasPrefix(lower, "listen"), strings.HasPrefix(lower, "set constraints"):
+		c.writeTag(strings.ToUpper(strings.Fields(lower)[0]))
 	default:
-		c.runFunction(flat, low, args, simple)
+		c.runFunction(normalized, lower, args, simple)
 	}
 }
 
-// showVitals answers a health check: the position in seconds, and whether the server is the primary.
+// showVitals responds to a health check with the position in seconds and whether the server is the primary.
 func (c *connection) showVitals(simple bool) {
 	at, role := c.server.applied(), 0
 	if c.server.isPrimary() {
 		role = 1
-		at = millis()
+		at = nowMillis()
 	}
 	c.writeRow(simple, "vitals", fmt.Sprintf("x0=%.6f,x1=%d", at/1000, role))
 	c.writeTag("SHOW")
 }
 
-// runFunction runs a SELECT of a function.
-func (c *connection) runFunction(flat, low string, args []string, simple bool) {
+// runFunction runs a SELECT without a table, such as a function call. It fails statements that it doesn't know with a syntax error.
+func (c *connection) runFunction(normalized, lower string, args []string, simple bool) {
 	switch {
-	case strings.HasPrefix(low, "select current_setting("):
-		c.writeRow(simple, "current_setting", c.settings[strings.ToLower(c.argument(flat, "current_setting(", args))])
+	case strings.HasPrefix(lower, "select current_setting("):
+		c.writeRow(simple, "current_setting", c.settings[strings.ToLower(c.argument(normalized, "current_setting(", args))])
 		c.writeTag("SELECT 1")
-	case strings.HasPrefix(low, "select pg_sleep("):
-		seconds, _ := strconv.ParseFloat(c.argument(flat, "pg_sleep(", args), 64)
+	case strings.HasPrefix(lower, "select pg_sleep("):
+		seconds, _ := strconv.ParseFloat(c.argument(normalized, "pg_sleep(", args), 64)
 		if c.work(time.Duration(seconds * float64(time.Second))) {
 			c.writeRow(simple, "pg_sleep", "")
 			c.writeTag("SELECT 1")
 		}
-	case strings.HasPrefix(low, "select pg_backend_pid()"):
+	case strings.HasPrefix(lower, "select pg_backend_pid()"):
 		c.writeRow(simple, "pg_backend_pid", strconv.Itoa(c.id))
 		c.writeTag("SELECT 1")
-	case low == "select 1":
+	case lower == "select 1":
 		c.writeRow(simple, "?column?", "1")
 		c.writeTag("SELECT 1")
-	case strings.HasPrefix(low, "select long("):
-		n, _ := strconv.Atoi(c.argument(flat, "long(", args))
+	case strings.HasPrefix(lower, "select long("):
+		n, _ := strconv.Atoi(c.argument(normalized, "long(", args))
 		if simple {
-			c.out = describe(c.out, []string{"long"})
+			c.out = appendRowDescription(c.out, []string{"long"})
 		}
 		for range n {
-			c.writeRow(false, "", strings.Repeat("x", longRow))
+			c.writeRow(false, "", strings.Repeat("x", longRowBytes))
 		}
 		c.writeTag("SELECT " + strconv.Itoa(n))
 	default:
-		c.fail("42601", "syntax error at or near \""+strings.Fields(low + " ?")[0]+"\"")
+		c.fail("42601", "syntax error at or near \""+strings.Fields(lower + " ?")[0]+"\"")
 	}
 }
 
-func (c *connection) insert(flat, low string, args []string, simple bool) {
+func (c *connection) insert(normalized, lower string, args []string, simple bool) {
 	if !c.server.isPrimary() {
 		c.writePosition(c.server.applied())
 		c.fail(pg.ReadOnlySQLTransaction, "cannot execute INSERT in a read-only transaction")
@@ -204,12 +204,12 @@
 		c.fail(pg.ReadOnlySQLTransaction, "cannot execute INSERT in a read-only transaction")
 		return
 	}
-	_, afterValues, _ := strings.Cut(low, "values")
-	from := len(flat) - len(afterValues)
-	first, second := twoValues(strings.TrimLeft(flat[from:], " ("))
+	_, afterValues, _ := strings.Cut(lower, "values")
+	from := len(normalized) - len(afterValues)
+	first, second := splitInsertValues(strings.TrimLeft(normalized[from:], " ("))
 	handle, blob := literal(first, args), literal(second, args)
 	c.writes = append(c.writes, [2]string{handle, blob})
-	if strings.Contains(low, "returning") {
+	if strings.Contains(lower, "returning") {
 		c.writeRow(simple, "blob", blob)
 	}
 	c.writeTag("INSERT 0 1")
@@ -225,7 +225,7 @@
 		}
 	}
 	if simple {
-		c.out = describe(c.out, []string{"blob"})
+		c.out = appendRowDescription(c.out, []string{"blob"})
 	}
 	if found {
 		c.writeRow(false, "", value)
@@ -235,8 +235,8 @@
 	}
 }
 
-// twoValues splits the two values of an INSERT.
-func twoValues(s string) (a, b string) {
+// splitInsertValues splits the two values of an INSERT at the first comma outside of quotes.
+func splitInsertValues(s string) (a, b string) {
 	quoted := false
 	for n := 0; n < len(s); n++ {
 		if s[n] == '\'' {
--- a/internal/fakes/pgserver/server.go
+++ b/internal/fakes/pgserver/server.go
@@ -1,6 +1,6 @@
-// Package pgserver is a fake of a small PostgreSQL server and its cluster, for tests, by the public protocol: transactions, settings,
-// prepared statements, COPY and cancel requests over one table. It listens on loopback and records what each connection is sent. It
-// shares no code with the router but the codec, pg.
+// Package pgserver implements a minimal fake PostgreSQL server and cluster for tests. It speaks the public protocol and supports
+// transactions, settings, prepared statements, COPY and cancel requests on one table. It listens on loopback by default and reports the
+// statements that each connection runs. The only code that it shares with the router is the protocol codec, pg.
 package pgserver
 
 import (
@@ -11,47 +11,47 @@
 	"wayloft/internal/pg"
 )
 
-// Fault is what a server does in place of its answer to a message. Bytes are sent first.
+// Fault is injected in place of the response to a message. Bytes are sent first.
 type Fault struct {
 	Close bool   // close the connection
-	Hang  bool   // answer nothing until the connection is cancelled, then close it
-	Error string // answer with an error of this code
+	Hang  bool   // don't respond until a cancel request arrives, then close the connection
+	Error string // respond with an ErrorResponse of this SQLSTATE
 	Bytes []byte
 }
 
-// Event is one statement that a connection ran.
+// Event describes a statement that a connection is about to run.
 type Event struct {
 	Conn     int
 	SQL      string
 	Args     []string
 	Settings map[string]string
-	Note     string // the argument of note(...)
+	Note     string // the argument of the SQL function note(...)
 }
 
-// Server is a fake PostgreSQL server over a cluster's rows. Its exported fields must be set before it starts.
+// Server is a fake PostgreSQL server for a cluster's rows. Its exported fields must be set before it starts.
 type Server struct {
-	Listen         string // the address to listen on; any port of loopback by default
-	Addr           string // the address that it listens on
+	Listen         string // address to listen on; by default a free loopback port
+	Addr           string // actual listen address, set at start
 	Cluster        *Cluster
-	Lag            time.Duration                        // replication lag while it is a replica
-	Delay          func() time.Duration                 // how long a statement takes
-	MaxConnections int                                  // 0: any number
-	InjectFault    func(conn int, m *pg.Message) *Fault // nil: the message is answered
-	OnStatement    func(Event)                          // called for one statement at a time
+	Lag            time.Duration                        // replication lag as a replica
+	Delay          func() time.Duration                 // returns the duration of a statement; nil: no delay
+	MaxConnections int                                  // 0: unlimited
+	InjectFault    func(conn int, m *pg.Message) *Fault // a nil Fault: the message is handled normally
+	OnStatement    func(Event)                          // called before each statement, with the server's lock held
 
 	listen           net.Listener
 	mu               sync.Mutex
 	conns            map[int]*connection
 	lastID           int
-	peak             int // the most connections at a time
+	peak             int // maximum number of concurrent connections
 	accepted         int
 	parses           int
 	inTransaction    int // open transactions
-	strayCancels     int // cancel requests that found nothing running
-	deliveredCancels int // cancel requests that found a running statement
+	strayCancels     int // cancel requests that matched a connection without a running statement
+	deliveredCancels int // cancel requests that matched a running statement
 }
 
-// NewServer starts a server on loopback. set may change its fields before it starts. The caller must Close it.
+// NewServer starts a server. If set isn't nil, it is called to configure the server before the start. The caller must Close it.
 func NewServer(c *Cluster, set func(*Server)) (*Server, error) {
 	s := &Server{Cluster: c, Listen: "127.0.0.1:0", conns: map[int]*connection{}}
 	if set != nil {
@@ -74,32 +74,32 @@
 	return s, nil
 }
 
-// Close stops the server and ends all of its connections.
+// Close stops listening and closes all connections.
 func (s *Server) Close() {
-	_ = s.listen.Close() // a second Close of a fake is harmless
+	_ = s.listen.Close() // closing a fake twice is harmless
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
-		_ = c.conn.Close() // a connection that has ended already is no failure
+		_ = c.conn.Close() // the connection may already be closed
 	}
 }
 
-// CloseConnections ends all connections; the server goes on listening.
+// CloseConnections closes all connections. The server keeps listening.
 func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
-		_ = c.conn.Close() // a connection that has ended already is no failure
+		_ = c.conn.Close() // the connection may already be closed
 	}
 }
 
-// Counts are what a server has seen. Open, Running, Copying and InTransaction are of the present, Peak and Prepared the most of one
-// connection or at a time; the others are sums.
+// Counts are a server's counters. Open, Running, Copying and InTransaction are current numbers of connections, Peak is the maximum number of
+// concurrent connections, Prepared is the maximum number of prepared statements on one open connection, and the others are totals.
 type Counts struct {
 	Open, Peak, Accepted, Parses, Prepared, Running, Copying, InTransaction, DeliveredCancels, StrayCancels int
 }
 
-// Counts returns what the server has seen so far.
+// Counts returns the current counters.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,23 +117,23 @@
 }
 
 func (s *Server) isPrimary() bool {
-	if own := s.Cluster.shared; own != nil {
-		return own.isPrimary(own.name)
+	if shared := s.Cluster.shared; shared != nil {
+		return shared.isPrimary(shared.name)
 	}
 	s.Cluster.mu.Lock()
 	defer s.Cluster.mu.Unlock()
 	return s.Cluster.primary == s
 }
 
-// applied returns the position up to which the server has the log.
+// applied returns the position up to which the server has applied the commit log.
 func (s *Server) applied() float64 {
 	if s.isPrimary() {
-		return millis() + 1
+		return nowMillis() + 1
 	}
-	return millis() - float64(s.Lag.Microseconds())/1000
+	return nowMillis() - float64(s.Lag.Microseconds())/1000
 }
 
-// cancel cancels what runs on the connection that has this key.
+// cancel cancels the running statement of the connection with the given key.
 func (s *Server) cancel(k pg.CancelKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/pgserver/shared.go
+++ b/internal/fakes/pgserver/shared.go
@@ -13,24 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// sharedCluster is a cluster whose members are processes: a log in a directory, and a file for each member's role. Only the members'
-// own files say who accepts writes, so that two members may, as in a real cluster that has split; the log shows which member wrote what.
+// sharedCluster is one member's view of a cluster whose members are separate processes. A directory holds the commit log and a role file for
+// each member. Only a member's own role file determines whether it accepts writes, so two members can accept writes at the same time, as in
+// a real split-brain; the log records which member wrote each row.
 type sharedCluster struct {
 	dir, name string
 	lock      *os.File
-	logRead   int64 // bytes of the log that were read
+	logRead   int64 // number of log bytes read so far
 }
 
-// LogEntry is one line of the log: a commit, or a change of a member's role.
+// LogEntry is a line of the log: a commit or a change of a member's role.
 type LogEntry struct {
 	At     float64     `json:"at"` // Unix ms
 	By     string      `json:"by"`
 	Writes [][2]string `json:"writes,omitempty"`
-	Part   string      `json:"part,omitempty"` // takes: the member accepts writes now; yields: it no longer does
+	Part   string      `json:"part,omitempty"` // "takes": the member starts to accept writes; "yields": it stops
 	Fence  uint64      `json:"fence,omitempty"`
 }
 
-// OpenShared opens one member's end of a cluster of processes. It creates the cluster's directory if there is none.
+// OpenShared opens a cluster of processes as the named member. It creates the cluster's directory if necessary.
 func OpenShared(dir, name string) (*Cluster, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -46,22 +47,22 @@
 
 func (s *sharedCluster) path(what string) string { return filepath.Join(s.dir, what) }
 
-// exclusively calls f while no other member is in such a call.
-func (s *sharedCluster) exclusively(f func() error) error {
+// withLock calls f with the cluster's file lock held, which excludes all other members.
+func (s *sharedCluster) withLock(f func() error) error {
 	if err := unix.Flock(int(s.lock.Fd()), unix.LOCK_EX); err != nil {
 		return err
 	}
-	defer func() { _ = unix.Flock(int(s.lock.Fd()), unix.LOCK_UN) }() // unlocking a file that is open does not fail
+	defer func() { _ = unix.Flock(int(s.lock.Fd()), unix.LOCK_UN) }() // unlocking an open file doesn't fail
 	return f()
 }
 
-// catchUp reads what others have logged. The cluster's lock must be held.
+// catchUp applies the log entries that have not been read yet. The caller must hold c.mu.
 func (c *Cluster) catchUp() {
 	f, err := os.Open(c.shared.path("log"))
 	if err != nil {
 		return
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was opened read-only
 	size, err := f.Seek(0, 2)
 	if err != nil || size <= c.shared.logRead {
 		return
@@ -70,27 +71,27 @@
 	if _, err := f.ReadAt(b, c.shared.logRead); err != nil {
 		return
 	}
-	end := bytes.LastIndexByte(b, '\n') + 1 // a member that was killed may have left half a line
+	end := bytes.LastIndexByte(b, '\n') + 1 // a killed member may have left a partial line
 	c.shared.logRead += int64(end)
 	for _, text := range bytes.Split(b[:end], []byte("\n")) {
 		var l LogEntry
 		if json.Unmarshal(text, &l) != nil {
 			continue
 		}
-		c.last = max(c.last, l.At)
+		c.lastPosition = max(c.lastPosition, l.At)
 		for _, w := range l.Writes {
 			c.rows[w[0]] = append(c.rows[w[0]], version{l.At, w[1]})
 		}
 	}
 }
 
-// appendLog appends a line; the caller must be in a call of exclusively. It cuts off what a killed member left half written.
+// appendLog appends an entry after truncating a partial line left by a killed member. It must be called within withLock, after catchUp.
 func (c *Cluster) appendLog(l LogEntry) error {
 	f, err := os.OpenFile(c.shared.path("log"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // the error of the write counts
+	defer func() { _ = f.Close() }() // the error of the write is reported
 	if err := f.Truncate(c.shared.logRead); err != nil {
 		return err
 	}
@@ -107,7 +108,7 @@
 	return string(b) == "primary"
 }
 
-// guardRow returns the member's guard row; false if it has none.
+// guardRow returns the fencing token in the member's guard row; false if it has none.
 func (s *sharedCluster) guardRow() (uint64, bool) {
 	b, err := os.ReadFile(s.path("guard-" + s.name))
 	if err != nil {
@@ -117,9 +118,9 @@
 	return n, err == nil
 }
 
-// Initialize gives a member its role and its guard row, if it has none yet.
+// Initialize sets the member's role and, if guarded is set, creates its guard row. It does nothing if the member already has a role.
 func (c *Cluster) Initialize(primary, guarded bool) error {
-	return c.shared.exclusively(func() error {
+	return c.shared.withLock(func() error {
 		if _, err := os.Stat(c.shared.path("part-" + c.shared.name)); err == nil {
 			return nil
 		}
@@ -132,62 +133,63 @@
 	})
 }
 
-// setRole changes whether this member accepts writes, and logs it.
+// setRole sets whether this member accepts writes and logs the change. It must be called within withLock.
 func (c *Cluster) setRole(primary bool, fence uint64) error {
 	c.catchUp()
-	part, does := "replica", "yields"
+	role, transition := "replica", "yields"
 	if primary {
-		part, does = "primary", "takes"
+		role, transition = "primary", "takes"
 	}
-	c.last = max(millis(), c.last+minPositionStep)
-	if err := c.appendLog(LogEntry{At: c.last, By: c.shared.name, Part: does, Fence: fence}); err != nil {
+	c.lastPosition = max(nowMillis(), c.lastPosition+minPositionStep)
+	if err := c.appendLog(LogEntry{At: c.lastPosition, By: c.shared.name, Part: transition, Fence: fence}); err != nil {
 		return err
 	}
-	return os.WriteFile(c.shared.path("part-"+c.shared.name), []byte(part), 0o600)
+	return os.WriteFile(c.shared.path("part-"+c.shared.name), []byte(role), 0o600)
 }
 
-// SetPrimary changes whether this member accepts writes, as an administrator of the cluster does.
+// SetPrimary sets whether this member accepts writes, as a cluster administrator would.
 func (c *Cluster) SetPrimary(primary bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.shared.exclusively(func() error { return c.setRole(primary, 0) })
+	return c.shared.withLock(func() error { return c.setRole(primary, 0) })
 }
 
-// errNoPrimary is the error of a commit at a member that accepts no writes any more.
-var errNoPrimary = errors.New("cannot commit in a member that takes no writes")
+// errNoPrimary is returned for a commit of rows on a member that doesn't accept writes.
+var errNoPrimary = errors.New("cannot commit: this member does not accept writes")
 
-// stagedChange is what a transaction commits besides its rows.
+// stagedChange is the part of a transaction's commit other than its rows.
 type stagedChange struct {
-	guard    uint64 // the new value of the guard row
+	guard    uint64 // the new fencing token in the guard row
 	guardSet bool
-	step     string // yield, take
+	step     string // "yield" or "take"; empty: no role change
 }
 
-// apply commits rows and a change at once, or nothing.
-func (c *Cluster) apply(writes [][2]string, ch stagedChange) (at float64, err error) {
+// apply commits rows and a staged change under the cluster's file lock. It rejects rows if the member doesn't accept writes, and a guard
+// update if the member has no guard row or a newer fencing token in it. A rejected commit changes nothing.
+func (c *Cluster) apply(writes [][2]string, staged stagedChange) (at float64, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	err = c.shared.exclusively(func() error {
+	err = c.shared.withLock(func() error {
 		c.catchUp()
 		if len(writes) > 0 && !c.shared.isPrimary(c.shared.name) {
 			return errNoPrimary
 		}
-		if ch.guardSet {
-			if seen, there := c.shared.guardRow(); !there || seen > ch.guard {
-				return fmt.Errorf("guard row: %d has come in between", seen)
+		if staged.guardSet {
+			if token, found := c.shared.guardRow(); !found || token > staged.guard {
+				return fmt.Errorf("guard row is missing or holds the newer fencing token %d", token)
 			}
-			if err := os.WriteFile(c.shared.path("guard-"+c.shared.name), []byte(strconv.FormatUint(ch.guard, 10)), 0o600); err != nil {
+			if err := os.WriteFile(c.shared.path("guard-"+c.shared.name), []byte(strconv.FormatUint(staged.guard, 10)), 0o600); err != nil {
 				return err
 			}
 		}
-		if primary := ch.step == "take"; ch.step != "" && primary != c.shared.isPrimary(c.shared.name) {
-			return c.setRole(primary, ch.guard)
+		if primary := staged.step == "take"; staged.step != "" && primary != c.shared.isPrimary(c.shared.name) {
+			return c.setRole(primary, staged.guard)
 		}
 		if len(writes) == 0 {
 			return nil
 		}
-		c.last = max(millis(), c.last+minPositionStep)
-		at = c.last
+		c.lastPosition = max(nowMillis(), c.lastPosition+minPositionStep)
+		at = c.lastPosition
 		if err := c.appendLog(LogEntry{At: at, By: c.shared.name, Writes: writes}); err != nil {
 			return err
 		}
@@ -197,7 +199,7 @@
 	return at, err
 }
 
-// ReadLog reads a cluster's log, for checkers.
+// ReadLog reads a cluster's log for use by checkers.
 func ReadLog(dir string) ([]LogEntry, error) {
 	b, err := os.ReadFile(filepath.Join(dir, "log"))
 	if err != nil {
@@ -214,38 +216,38 @@
 	return all, nil
 }
 
-// runSwitchoverQuery answers the statements of a planned switchover; false: it is none of them.
-func (c *connection) runSwitchoverQuery(flat string, args []string, simple bool) bool {
-	low := strings.ToLower(flat)
+// runSwitchoverQuery runs the statements of a planned switchover. It returns false for any other statement.
+func (c *connection) runSwitchoverQuery(normalized string, args []string, simple bool) bool {
+	lower := strings.ToLower(normalized)
 	s := c.server.Cluster.shared
 	switch {
 	case s == nil:
 		return false
-	case strings.HasPrefix(low, "select wayloft_takes_writes()"):
+	case strings.HasPrefix(lower, "select wayloft_takes_writes()"):
 		c.writeRow(simple, "takes", map[bool]string{true: "t", false: "f"}[c.server.isPrimary()])
 		c.writeTag("SELECT 1")
-	case strings.HasPrefix(low, "select fence from wayloft_guard"):
-		if seen, there := s.guardRow(); there {
-			c.writeRow(simple, "fence", strconv.FormatUint(seen, 10))
+	case strings.HasPrefix(lower, "select fence from wayloft_guard"):
+		if token, found := s.guardRow(); found {
+			c.writeRow(simple, "fence", strconv.FormatUint(token, 10))
 			c.writeTag("SELECT 1")
 		} else {
 			c.writeTag("SELECT 0")
 		}
-	case strings.HasPrefix(low, "update wayloft_guard set fence ="):
-		n, err := strconv.ParseUint(literal(strings.TrimSpace(flat[len("update wayloft_guard set fence ="):]), args), 10, 64)
+	case strings.HasPrefix(lower, "update wayloft_guard set fence ="):
+		n, err := strconv.ParseUint(literal(strings.TrimSpace(normalized[len("update wayloft_guard set fence ="):]), args), 10, 64)
 		if err != nil {
 			c.fail("22P02", "invalid input syntax for type bigint")
 			return true
 		}
-		if seen, there := s.guardRow(); !there || seen > n {
+		if token, found := s.guardRow(); !found || token > n {
 			c.writeTag("UPDATE 0")
 			return true
 		}
 		c.staged.guard, c.staged.guardSet = n, true
 		c.writeTag("UPDATE 1")
-	case strings.HasPrefix(low, "select wayloft_yield()"), strings.HasPrefix(low, "select wayloft_take()"):
+	case strings.HasPrefix(lower, "select wayloft_yield()"), strings.HasPrefix(lower, "select wayloft_take()"):
 		c.staged.step = "yield"
-		if strings.Contains(low, "take()") {
+		if strings.Contains(lower, "take()") {
 			c.staged.step = "take"
 		}
 		c.writeRow(simple, c.staged.step, "")
--- a/internal/fakes/pgserver/transaction.go
+++ b/internal/fakes/pgserver/transaction.go
@@ -7,10 +7,11 @@
 	"wayloft/internal/pg"
 )
 
-// localPrefix marks a setting that SET LOCAL has changed. Its value is empty, or "=" and what a SET in the transaction had made it.
+// localPrefix marks the entry for a setting that SET LOCAL has changed. The entry's value is "=" and the value set by an earlier SET in the
+// same transaction, or empty if there was none.
 const localPrefix = "local:"
 
-// runCommand runs a command that changes the session.
+// runCommand runs a transaction or session command.
 func (c *connection) runCommand(command pg.Command) {
 	switch command.Kind {
 	case pg.Begin:
@@ -51,7 +52,7 @@
 	}
 }
 
-// addInTransaction counts connections with an open transaction.
+// addInTransaction adds n to the number of open transactions.
 func (c *connection) addInTransaction(n int) {
 	c.server.mu.Lock()
 	c.server.inTransaction += n
@@ -87,7 +88,7 @@
 	c.addInTransaction(-1)
 }
 
-// endImplicit ends the implicit transaction of a simple query that has a COMMIT or ROLLBACK outside of a transaction block.
+// endImplicit ends the implicit transaction at a COMMIT or ROLLBACK outside of a transaction block.
 func (c *connection) endImplicit(rollBack bool) {
 	if rollBack {
 		c.rollBackTo(0)
@@ -98,7 +99,7 @@
 	c.writeTag(map[bool]string{true: "ROLLBACK", false: "COMMIT"}[rollBack])
 }
 
-// endLocalSettings restores the settings that SET LOCAL has changed.
+// endLocalSettings restores the settings changed by SET LOCAL at the end of a transaction.
 func (c *connection) endLocalSettings() {
 	for key := range c.settings {
 		name, local := strings.CutPrefix(key, localPrefix)
@@ -116,7 +117,7 @@
 	}
 }
 
-// endSavepoint rolls back to a savepoint or releases it.
+// endSavepoint rolls back to a savepoint or releases it. An unknown savepoint is an error.
 func (c *connection) endSavepoint(command pg.Command) {
 	for n := len(c.savepoints) - 1; n > 0; n-- {
 		if c.savepoints[n].name != command.Name {
@@ -151,7 +152,7 @@
 			continue
 		}
 		if key := localPrefix + name; command.Local {
-			c.noteLocal(key, name)
+			c.saveBeforeLocal(key, name)
 		} else {
 			delete(c.settings, key)
 		}
@@ -164,9 +165,9 @@
 	c.writeTag("SET")
 }
 
-// noteLocal remembers what a setting is to be after the transaction, before the first SET LOCAL changes it.
-func (c *connection) noteLocal(key, name string) {
-	if _, noted := c.settings[key]; noted {
+// saveBeforeLocal records the value to restore after the transaction, before the first SET LOCAL changes a setting.
+func (c *connection) saveBeforeLocal(key, name string) {
+	if _, saved := c.settings[key]; saved {
 		return
 	}
 	c.settings[key] = ""
@@ -188,10 +189,10 @@
 	}
 }
 
-// commitWrites commits what the transaction has written. If it can't, the answers of an implicit transaction are taken back, and an
-// error takes their place.
+// commitWrites commits the transaction's rows and staged change. If the commit fails, it writes an error, which replaces the buffered
+// responses of an implicit transaction, and returns false.
 func (c *connection) commitWrites() bool {
-	ch := c.staged
+	staged := c.staged
 	c.staged = stagedChange{}
 	if c.server.Cluster.shared == nil {
 		if len(c.writes) > 0 {
@@ -199,10 +200,10 @@
 		}
 		return true
 	}
-	if len(c.writes) == 0 && ch == (stagedChange{}) {
+	if len(c.writes) == 0 && staged == (stagedChange{}) {
 		return true
 	}
-	at, err := c.server.Cluster.apply(c.writes, ch)
+	at, err := c.server.Cluster.apply(c.writes, staged)
 	if err != nil {
 		if c.implicit {
 			c.out = c.out[:min(c.implicitStart, len(c.out))]
@@ -216,7 +217,7 @@
 	return true
 }
 
-// rollBackTo undoes what was done since a savepoint.
+// rollBackTo restores the settings and discards the writes since the savepoint with index n.
 func (c *connection) rollBackTo(n int) {
 	if n < len(c.savepoints) {
 		c.settings = maps.Clone(c.savepoints[n].settings)
