--- a/internal/lab/ci/known_red_test.go
+++ b/internal/lab/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci tests how the CI script skips the tests listed in KNOWN-RED.txt.
+// Package ci tests how the CI script handles the tests listed in KNOWN-RED.txt.
 package ci
 
 import (
@@ -50,9 +50,9 @@
 func TestKnownRed(t *testing.T) {
 	brokenPassingPackage := strings.Replace(passingPackage, "{}", "{ t.Error(\"passing\") }", 1)
 	for _, c := range []struct {
-		name, red, want string
-		passed          bool
-		replaced        []string
+		name, knownRed, want string
+		passed               bool
+		replaced             []string
 	}{
 		{"no file", "-", "FAIL", false, nil},
 		{"empty file", "", "FAIL", false, nil},
@@ -76,7 +76,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			out, passed := runScript(t, c.red, c.replaced...)
+			out, passed := runScript(t, c.knownRed, c.replaced...)
 			if passed != c.passed || !strings.Contains(out, c.want) {
 				t.Errorf("passed: %v, want %v and %q:\n%s", passed, c.passed, c.want, out)
 			}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -25,7 +25,7 @@
 	Addr       string
 	Clients    int
 	Duration   time.Duration
-	WarmUp     time.Duration              // responses in this initial period are not counted
+	WarmUp     time.Duration              // initial period that counts towards neither Rate nor latencies
 	Request    func(client, n int) []byte // returns the messages of a client's n-th request
 	ReadyCount int                        // ReadyForQuery messages per response; 0: 1
 	Pause      time.Duration              // between response and request
