--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -122,8 +122,8 @@
 	return append(binary.BigEndian.AppendUint32([]byte{typ}, uint32(len(body)+4)), body...)
 }
 
-// Param encodes a ParameterStatus message.
-func Param(name, value string) []byte { return message('S', name+"\x00"+value+"\x00") }
+// ParameterStatus encodes a ParameterStatus message.
+func ParameterStatus(name, value string) []byte { return message('S', name+"\x00"+value+"\x00") }
 
 // Rows encodes a complete result of one row with one column.
 func Rows(value string) []byte {
@@ -134,8 +134,8 @@
 
 // Row returns a reply with a value, the member's role and its position.
 func Row(value, role, position string) *Reply {
-	out := append(Rows(value), Param("rank", role)...)
-	return &Reply{Bytes: pg.AppendReadyIdle(append(out, Param("as_of", position)...))}
+	out := append(Rows(value), ParameterStatus("rank", role)...)
+	return &Reply{Bytes: pg.AppendReadyIdle(append(out, ParameterStatus("as_of", position)...))}
 }
 
 // Fail returns a reply with an ErrorResponse of the given SQLSTATE.
--- a/internal/fakes/pgserver/cluster.go
+++ b/internal/fakes/pgserver/cluster.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxVersions is the number of versions kept of each row unless Cluster.Keep is set.
+// maxVersions is the number of versions kept of each row unless Cluster.KeepHistory is set.
 const maxVersions = 8
 
 // minPositionStep is the minimum difference between the positions of two commits, in ms.
@@ -20,8 +20,8 @@
 	rows         map[string][]version
 	primary      *Server
 	Commits      int
-	Order        []string       // handles of all writes in commit order; recorded only if Keep is set
-	Keep         bool           // keep all row versions and record Order
+	CommitOrder  []string       // handles of all writes in commit order; recorded only if KeepHistory is set
+	KeepHistory  bool           // keep all row versions and record CommitOrder
 	shared       *sharedCluster // set if each member is a separate process
 }
 
@@ -50,11 +50,11 @@
 	c.lastPosition = max(nowMillis(), c.lastPosition+minPositionStep)
 	for _, w := range writes {
 		c.rows[w[0]] = append(c.rows[w[0]], version{c.lastPosition, w[1]})
-		if n := len(c.rows[w[0]]); n > maxVersions && !c.Keep {
+		if n := len(c.rows[w[0]]); n > maxVersions && !c.KeepHistory {
 			c.rows[w[0]] = slices.Delete(c.rows[w[0]], 0, n-maxVersions)
 		}
-		if c.Keep {
-			c.Order = append(c.Order, w[0])
+		if c.KeepHistory {
+			c.CommitOrder = append(c.CommitOrder, w[0])
 		}
 	}
 	c.Commits++
