--- a/cmd/wayloft/coordinator.go
+++ b/cmd/wayloft/coordinator.go
@@ -88,7 +88,7 @@
 	if !result.Held {
 		return result.Refusal
 	}
-	out.println("membership change committed")
+	out.println("agreed")
 	return nil
 }
 
--- a/cmd/wayloft/fleet_output.go
+++ b/cmd/wayloft/fleet_output.go
@@ -147,7 +147,7 @@
 	if token := blockingToken(s, lease); token != "" {
 		return "not granted: a receiver has seen token " + token + "; begin a new epoch (coordinator recover)"
 	}
-	return "none"
+	return "nobody"
 }
 
 // formatOrder returns the order in progress and its latest step.
--- a/cmd/wayloft/fleet_switchover.go
+++ b/cmd/wayloft/fleet_switchover.go
@@ -47,7 +47,7 @@
 		return result.Refusal
 	}
 	out.printf("order %d\n", result.Number)
-	progress := &orderProgress{lease: name, order: result.Number, holder: "none", out: out}
+	progress := &orderProgress{lease: name, order: result.Number, holder: "nobody", out: out}
 	for ctx.Err() == nil {
 		watch, stop := context.WithCancel(ctx)
 		err = client.Watch(watch, true, func(update *fleetpb.Update) {
--- a/cmd/wayloft/policy_status.go
+++ b/cmd/wayloft/policy_status.go
@@ -105,6 +105,6 @@
 
 func formatHash(v policy.Version) string { return hex.EncodeToString(v.Hash[:]) }
 
-func formatAuthor(v policy.Version) string { return cmp.Or(v.Author, "unknown") }
+func formatAuthor(v policy.Version) string { return cmp.Or(v.Author, "nobody") }
 
 func formatReason(v policy.Version) string { return cmp.Or(v.Reason, "no reason given") }
