--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -67,8 +67,8 @@
 	// Forget discards everything that a member has reported.
 	Forget(member string)
 
-	// TurnChanged reports what an attempt waits for: a connection or its client if waiting is set, or else its member.
-	TurnChanged(req *request.Request, attempt int, waiting bool)
+	// AttemptIdleChanged reports what an attempt waits for: a connection or its client if waiting is set, or else its member.
+	AttemptIdleChanged(req *request.Request, attempt int, waiting bool)
 	// ClientGone reports that the client of a request has disconnected.
 	ClientGone(req *request.Request)
 	// AttemptEnded reports the outcome of an attempt. took is the time in ms that the member took; role and position are those that the
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -75,7 +75,7 @@
 		j.waitingReported = false
 		c.backend.driver.Defer(func() {
 			if !j.ended {
-				c.backend.driver.TurnChanged(j.request, j.attempt, false)
+				c.backend.driver.AttemptIdleChanged(j.request, j.attempt, false)
 			}
 		})
 	}
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -31,7 +31,7 @@
 	driver.events <- fmt.Sprint(attempt, " statement error ", err.Code)
 }
 
-func (driver *testDriver) TurnChanged(*request.Request, int, bool) {}
+func (driver *testDriver) AttemptIdleChanged(*request.Request, int, bool) {}
 
 func (driver *testDriver) ClientGone(req *request.Request) { req.ClientGone() }
 
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -99,7 +99,7 @@
 func (b *Backend) reportWaiting(j *job) {
 	if j.conn == nil && !j.ended {
 		j.waitingReported = true
-		b.driver.TurnChanged(j.request, j.attempt, true)
+		b.driver.AttemptIdleChanged(j.request, j.attempt, true)
 	}
 }
 
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -123,7 +123,7 @@
 	}
 	c.backend.driver.Defer(func() {
 		if c.job == j && !j.ended && (j.memberTurnSince > 0) == membersTurn {
-			c.backend.driver.TurnChanged(j.request, j.attempt, !membersTurn)
+			c.backend.driver.AttemptIdleChanged(j.request, j.attempt, !membersTurn)
 		}
 	})
 }
--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -137,7 +137,7 @@
 }
 
 func (d *Driver) forwardReport(report pendingReport) {
-	d.routerInput().Reported(report.member, report.role, d.ToLoop(report.position))
+	d.routerInput().MemberReported(report.member, report.role, d.ToLoop(report.position))
 	if d.onReport != nil {
 		d.onReport(report.member, report.role, report.position)
 	}
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -107,9 +107,9 @@
 	if req.Position > 0 && !d.Possible(req.Position) {
 		return ErrFuturePosition
 	}
-	d.routerInput().Arrive(req.ID, req.Tenant, req.IdempotencyKey, req.RequestClass, req.Group, d.positionAge(req.Position, now), req.WaitMs, req.IsRetry)
+	d.routerInput().RequestArrived(req.ID, req.Tenant, req.IdempotencyKey, req.RequestClass, req.Group, d.positionAge(req.Position, now), req.WaitMs, req.IsRetry)
 	if req.Arrived < now {
-		d.routerInput().Queued(req.ID, now-req.Arrived)
+		d.routerInput().RequestQueued(req.ID, now-req.Arrived)
 	}
 	if req.Stream != nil && req.Stream.Reserved != nil {
 		d.routerInput().Pin(req.ID, req.Stream.Reserved.Member())
@@ -145,10 +145,10 @@
 	d.dropIfDone(req.ID)
 }
 
-// TurnChanged records who must act next in a request of several messages: the member or, if waiting is set, the client or the
+// AttemptIdleChanged records who must act next in a request of several messages: the member or, if waiting is set, the client or the
 // connection pool.
-func (d *Driver) TurnChanged(req *request.Request, attempt int, waiting bool) {
-	d.routerInput().TurnChanged(req.ID, attempt, waiting, req.Stream != nil && req.Stream.Started())
+func (d *Driver) AttemptIdleChanged(req *request.Request, attempt int, waiting bool) {
+	d.routerInput().AttemptIdleChanged(req.ID, attempt, waiting, req.Stream != nil && req.Stream.Started())
 }
 
 // StatementFailed records that a member reported an error in the statement itself. The statement did not run, and the error says
--- a/internal/lab/fleet/simulation/health_sharing.go
+++ b/internal/lab/fleet/simulation/health_sharing.go
@@ -166,7 +166,7 @@
 	if w.rand.IntN(requestsPerWrite) == 0 {
 		id, class = fmt.Sprint("w", r.number, "-", w.requests), "write"
 	}
-	r.update(func(to *router.Router) { to.Arrive(id, "", "", class, 0, 0, requestDeadlineMs, false) })
+	r.update(func(to *router.Router) { to.RequestArrived(id, "", "", class, 0, 0, requestDeadlineMs, false) })
 	w.After(w.rand.ExpFloat64()*1000/requestsPerSecond, r.sendRequests)
 }
 
@@ -178,7 +178,7 @@
 		w.After(1, func() {
 			r.learn(member, position)
 			r.update(func(to *router.Router) {
-				to.Reported(member, role, position)
+				to.MemberReported(member, role, position)
 				to.HealthChecked(member, router.Succeeded)
 			})
 		})
--- a/internal/lab/fleet/simulation/switchover_router.go
+++ b/internal/lab/fleet/simulation/switchover_router.go
@@ -57,7 +57,7 @@
 		w.switchovers.writes++
 		id := writeID(w.switchovers.writes)
 		w.switchovers.outcomes[id] = outcomeUnknown
-		p.driver.update(func(r *router.Router) { r.Arrive(id, "", "", "write", 0, 0, writeDeadlineMs, false) })
+		p.driver.update(func(r *router.Router) { r.RequestArrived(id, "", "", "write", 0, 0, writeDeadlineMs, false) })
 	}
 	p.later(w.rand.ExpFloat64()*writeIntervalMs, p.sendWrites)
 }
@@ -129,7 +129,7 @@
 		w.send(to, p, healthCheckBytes, func() {
 			if ended.first() {
 				c.update(func(r *router.Router) {
-					r.Reported(to.Name, role, checkedMs)
+					r.MemberReported(to.Name, role, checkedMs)
 					r.HealthChecked(to.Name, router.Succeeded)
 				})
 			}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -72,7 +72,7 @@
 	if config.Router.CanHealthCheck && config.runtime.HealthReports {
 		s.driver.EnablePositionChecks()
 	}
-	if config.Router.Lag != router.LagAnswers {
+	if config.Router.LagBehavior != router.LagServes {
 		s.driver.MembersCheckStaleness()
 	}
 	return s
@@ -128,7 +128,7 @@
 	switch {
 	case s.watcher == nil:
 		logrus.Info("discovery is not configured; using the members listed in the configuration")
-	case s.config.Router.PollsList:
+	case s.config.Router.PollsEndpointList:
 		go s.watcher.Poll(ctx, s.listRequests)
 	default:
 		go s.watcher.Watch(ctx)
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -300,10 +300,10 @@
 		t.Fatal(err)
 	}
 	class := set.RequestClasses["read"]
-	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over-quota weight", set.OverQuotaWeight, "polls list", set.PollsList, "marks retries", set.ClientsMarkRetries) +
+	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over-quota weight", set.OverQuotaWeight, "polls list", set.PollsEndpointList, "marks retries", set.ClientsMarkRetries) +
 		fmt.Sprintln("poll timeout", set.ListPollTimeout, "soft removal", set.SoftRemoval, "slow start floor", set.SlowStartFloor, "slow start", set.SlowStartDuration, "overload multiple",
 			set.OverloadMultiple, "overload window", set.OverloadWindow) +
-		fmt.Sprintln("attempts", set.MaxAttempts, "health checks", set.CanHealthCheck, "cancels", set.CanCancel, "retry after", set.RetryAfter, "remembers commits", set.RemembersCommits) +
+		fmt.Sprintln("attempts", set.MaxAttempts, "health checks", set.CanHealthCheck, "cancels", set.CanCancel, "retry after", set.RetryAfter, "remembers commits", set.TracksSessionCommits) +
 		fmt.Sprintln("position origin", runtime.PositionOrigin, "dial", runtime.DialTimeoutMs, "idle timeout", runtime.ServerIdleTimeoutMs, "reports", runtime.HealthReports) +
 		fmt.Sprintln("read: latency objective", class.LatencyObjective, "deadline", class.Deadline, "weight", class.PriorityWeight, "late share", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
 			class.StalenessBound) +
--- a/internal/settings/keywords.go
+++ b/internal/settings/keywords.go
@@ -9,30 +9,30 @@
 
 // Keywords of the platform's JSON.
 var (
-	platformEffects = map[string]router.Effect{
+	platformEffects = map[string]router.RetryEffect{
 		"retryable": router.Idempotent,
 		"dedup":     router.IdempotentWithKey,
 		"fragile":   router.NonIdempotent,
 	}
-	platformScopes = map[string]router.Scope{"all": router.ScopeAll, "zone": router.ScopeZone, "cell": router.ScopeGroup}
-	platformLags   = map[string]router.Lag{"silent": router.LagAnswers, "refuse": router.LagRefuses, "wait": router.LagWaits}
+	platformScopes = map[string]router.IdempotencyScope{"all": router.ScopeAll, "zone": router.ScopeZone, "cell": router.ScopeGroup}
+	platformLags   = map[string]router.LagBehavior{"silent": router.LagServes, "refuse": router.LagRejects, "wait": router.LagWaits}
 	listPolling    = map[string]bool{"push": false, "ask": true}           // discovery: whether the endpoint list is polled
 	commitMemory   = map[string]bool{"carried": false, "remembered": true} // tokenMode: whether the router remembers commits
 )
 
 // Keywords of the TOML files.
 var (
-	fileEffects = map[string]router.Effect{
+	fileEffects = map[string]router.RetryEffect{
 		"repeatable": router.Idempotent,
 		"referenced": router.IdempotentWithKey,
 		"once-only":  router.NonIdempotent,
 	}
-	fileScopes = map[string]router.Scope{"all": router.ScopeAll, "zone": router.ScopeZone, "group": router.ScopeGroup}
-	fileLags   = map[string]router.Lag{"answers": router.LagAnswers, "refuses": router.LagRefuses, "waits": router.LagWaits}
+	fileScopes = map[string]router.IdempotencyScope{"all": router.ScopeAll, "zone": router.ScopeZone, "group": router.ScopeGroup}
+	fileLags   = map[string]router.LagBehavior{"answers": router.LagServes, "refuses": router.LagRejects, "waits": router.LagWaits}
 )
 
 // levels are the keywords for the consistency level of a request class, in JSON and TOML.
-var levels = map[string]router.Level{
+var levels = map[string]router.ConsistencyLevel{
 	"any":     router.Any,
 	"bounded": router.Bounded,
 	"session": router.Session,
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -57,14 +57,14 @@
 	d.settings.Routers = int(f.Number("balancers"))
 	d.settings.Zone = f.OptionalText("locality")
 	d.settings.OverQuotaWeight = f.OptionalNumber("overShareWorth")
-	d.settings.PollsList = platformKeyword(f, "discovery", listPolling)
+	d.settings.PollsEndpointList = platformKeyword(f, "discovery", listPolling)
 	f.OptionalObject("clientHabits", func(habits *Fields) { d.settings.ClientsMarkRetries = habits.Bool("marksRetry") })
 }
 
 // decodeContract decodes what a router may rely on about the endpoint list and about starting members.
 func (d *platformDecoder) decodeContract(f *Fields) {
 	d.settings.ListPollTimeout = f.OptionalNumber("askWithin") / microsecondsPerMs
-	if d.settings.PollsList && d.settings.ListPollTimeout <= 0 {
+	if d.settings.PollsEndpointList && d.settings.ListPollTimeout <= 0 {
 		f.Fail("askWithin", "more than 0 where the endpoint list is polled")
 	}
 	d.settings.SoftRemoval = f.Bool("softRemoval")
@@ -88,8 +88,8 @@
 
 // decodeConsistency decodes what lagging members do with reads, how commits are tracked, and the consistency of the request classes.
 func (d *platformDecoder) decodeConsistency(f *Fields) {
-	d.settings.Lag = platformKeyword(f, "serverChecks", platformLags)
-	d.settings.RemembersCommits = platformKeyword(f, "tokenMode", commitMemory)
+	d.settings.LagBehavior = platformKeyword(f, "serverChecks", platformLags)
+	d.settings.TracksSessionCommits = platformKeyword(f, "tokenMode", commitMemory)
 	d.runtime.PositionOrigin = f.Number("countedFrom") / microsecondsPerMs
 	d.levels = f.Array("readLevel")
 	d.stalenessBounds = f.Array("classBound")
--- a/internal/settings/routerfile.go
+++ b/internal/settings/routerfile.go
@@ -124,7 +124,7 @@
 		HealthReports:       f.Fleet.HealthReports,
 	}
 	var err error
-	if set.Lag, err = keyword(fileLags, "fleet.lagging_reads", f.Fleet.LaggingReads, "answers"); err != nil {
+	if set.LagBehavior, err = keyword(fileLags, "fleet.lagging_reads", f.Fleet.LaggingReads, "answers"); err != nil {
 		return nil, nil, err
 	}
 	for _, class := range f.RequestClasses {
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -50,7 +50,7 @@
 	id, tenant, session, class := fields.Text("call"), fields.OptionalText("userGroup"), fields.OptionalText("clientKey"), fields.Text("class")
 	group, positionAge, ttl := int(fields.Number("groupNo")), fields.OptionalNumber("tokenAgeMs"), fields.Number("ttl")/microsecondsPerMs
 	isRetry := fields.Bool("retry")
-	if fields.Err == nil && !i.router.Arrive(id, tenant, session, class, group, positionAge, ttl, isRetry) {
+	if fields.Err == nil && !i.router.RequestArrived(id, tenant, session, class, group, positionAge, ttl, isRetry) {
 		return fmt.Errorf("class: unknown request class %q", class)
 	}
 	return fields.Err
@@ -122,7 +122,7 @@
 		if load.OptionalNumber("x1") >= 0.5 {
 			role = router.Primary
 		}
-		i.router.Reported(member, role, i.positionOrigin+load.Number("x0")*msPerSecond)
+		i.router.MemberReported(member, role, i.positionOrigin+load.Number("x0")*msPerSecond)
 	}
 	if fields.Err == nil {
 		fields.Err = load.Err
--- a/router/activegroups_test.go
+++ b/router/activegroups_test.go
@@ -24,7 +24,7 @@
 			switch d.Action {
 			case HealthCheck:
 				r.HealthChecked(d.Member, Succeeded)
-				r.Reported(d.Member, Replica, now)
+				r.MemberReported(d.Member, Replica, now)
 			case SendAttempt:
 				r.AttemptEnded(d.RequestID, 0, Succeeded, 5, true, Replica, now)
 			}
@@ -33,7 +33,7 @@
 	}
 	for n := range groups {
 		r.Advance(float64(2 + n))
-		r.Arrive(fmt.Sprint("t", n), "", "", "any", n, 0, 1000, false)
+		r.RequestArrived(fmt.Sprint("t", n), "", "", "any", n, 0, 1000, false)
 		pull(float64(2 + n))
 		pull(float64(2 + n)) // requests that waited for the check
 	}
@@ -49,7 +49,7 @@
 				now += 0.36 // 2,790 requests per second
 				id := fmt.Sprint("x", n)
 				r.Advance(now)
-				r.Arrive(id, "", "", "any", n%groups, 0, 1000, false)
+				r.RequestArrived(id, "", "", "any", n%groups, 0, 1000, false)
 				pull(now)
 			}
 		})
@@ -68,7 +68,7 @@
 	for n := range 50 {
 		now++
 		r.Advance(now)
-		r.Arrive(fmt.Sprint("x", n), "", "", "any", 7, 0, 1000, false)
+		r.RequestArrived(fmt.Sprint("x", n), "", "", "any", 7, 0, 1000, false)
 		pull(now)
 	}
 	if n := r.activeGroups.Expirations - before; n > 100 { // one visit for the arrival, at most one for the end of a check
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -42,7 +42,7 @@
 	}
 	req, m := a.request, a.member
 	r.recordAttemptEnd(a, outcome, latency, role, position)
-	if outcome == Succeeded && req.class.Level == Write && r.settings.RemembersCommits && req.session != "" {
+	if outcome == Succeeded && req.class.Level == Write && r.settings.TracksSessionCommits && req.session != "" {
 		r.rememberCommit(req.session, position)
 	}
 	a.inFlight, a.misrouted = false, outcome == Misrouted
@@ -69,10 +69,10 @@
 	return req.attempts[index]
 }
 
-// TurnChanged reports what an attempt that consists of several exchanges waits for: the member or, if idle is set, the
+// AttemptIdleChanged reports what an attempt that consists of several exchanges waits for: the member or, if idle is set, the
 // client or the connection pool. responseBegun means that part of the response has been passed to the client, so that
 // the request must never be sent again.
-func (r *Router) TurnChanged(id string, index int, idle, responseBegun bool) {
+func (r *Router) AttemptIdleChanged(id string, index int, idle, responseBegun bool) {
 	a := r.attemptInFlight(id, index)
 	if a == nil {
 		return
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -116,7 +116,7 @@
 // between its last check of the time and the write.
 func (r *Router) notAfter(req *request, m *member) float64 {
 	latest := math.Inf(1)
-	if req.class.Level == Bounded && r.settings.Lag == LagAnswers && m != r.primary(m.group) {
+	if req.class.Level == Bounded && r.settings.LagBehavior == LagServes && m != r.primary(m.group) {
 		latest = m.position + req.class.StalenessBound - maxStall
 	}
 	if req.mayHaveRunSince != Never && req.class.Effect == IdempotentWithKey {
--- a/router/doc.go
+++ b/router/doc.go
@@ -5,8 +5,8 @@
 // event loop or a simulator) uses it as follows:
 //
 //  1. When events have arrived or the requested timer has fired, the driver calls Advance with the current time.
-//  2. It passes the events in as inputs (Arrive, AttemptEnded, HealthChecked, ListMember, TimerFired, ...). Inputs only
-//     update state; they produce no decisions.
+//  2. It passes the events in as inputs (RequestArrived, AttemptEnded, HealthChecked, ListMember, TimerFired, ...). Inputs
+//     only update state; they produce no decisions.
 //  3. It calls Next until that returns false, and carries out each Decision before it asks for the next one.
 //
 // All times and durations are float64 milliseconds on the timeline of Advance. A replicated position is also a time: a
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -81,7 +81,8 @@
 	return lastReport + math.Max(r.minCheckPeriod, math.Min(forReads, routine))
 }
 
-// HealthChecked records the end of a health check. The state that the member reported is passed to Reported.
+// HealthChecked records the end of a health check. The state that the member reported is passed to
+// MemberReported.
 func (r *Router) HealthChecked(memberID string, outcome Outcome) {
 	m := r.members[memberID]
 	if m == nil {
--- a/router/healthcheck_test.go
+++ b/router/healthcheck_test.go
@@ -28,12 +28,12 @@
 				}
 			}
 			id := fmt.Sprint(at)
-			r.Arrive(id, "", "", "read", 1, 0, 1000, false)
+			r.RequestArrived(id, "", "", "read", 1, 0, 1000, false)
 			for d, more := r.Next(); more; d, more = r.Next() {
 				switch d.Action {
 				case HealthCheck:
 					checks = append(checks, at)
-					r.Reported(d.Member, roles[d.Member], at)
+					r.MemberReported(d.Member, roles[d.Member], at)
 					r.HealthChecked(d.Member, Succeeded)
 				case SendAttempt:
 					r.AttemptEnded(d.RequestID, d.Attempt, Succeeded, 5, true, roles[d.Member], at)
--- a/router/membership.go
+++ b/router/membership.go
@@ -150,7 +150,7 @@
 	r.dropEmptyGroups()
 	r.rebindWaiting()
 	r.maxMembersUp = math.Max(r.maxMembersUp, up)
-	if r.settings.PollsList && r.nextListRequest != Never {
+	if r.settings.PollsEndpointList && r.nextListRequest != Never {
 		r.nextListRequest = math.Inf(1)
 	}
 }
@@ -186,7 +186,7 @@
 // not ask again at once. It comes sooner if the failed one took long, as a silent watch or a hanging call does: the
 // routers are already spread out in time, and the next request may hang too.
 func (r *Router) ListFailed() {
-	if !r.settings.PollsList {
+	if !r.settings.PollsEndpointList {
 		return
 	}
 	pause := math.Min(r.settings.ListPollTimeout/listPausesPerPollTimeout, routineCheckPeriod)
--- a/router/membership_test.go
+++ b/router/membership_test.go
@@ -38,8 +38,8 @@
 		for _, d := range unfinished {
 			r.AttemptEnded(d.RequestID, 0, TimedOut, 900, true, RoleUnknown, Never)
 		}
-		r.Arrive(fmt.Sprint("t", n), "", "", "read", n, 0, 1000, false)
-		r.Arrive(fmt.Sprint("u", n), "", "", "read", -n, 0, 1000, false)
+		r.RequestArrived(fmt.Sprint("t", n), "", "", "read", n, 0, 1000, false)
+		r.RequestArrived(fmt.Sprint("u", n), "", "", "read", -n, 0, 1000, false)
 		pull(at)
 		if unfinished, _ = pull(at + 1); len(unfinished) != 1 || unfinished[0].Member != fmt.Sprint("m", n) {
 			t.Fatalf("%d: sent %v", n, unfinished)
@@ -61,7 +61,7 @@
 func TestListFailed_NextRequestInTime(t *testing.T) {
 	for _, pollTimeout := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 50; seed++ {
-			r := New(&Settings{PollsList: true, ListPollTimeout: pollTimeout, Routers: 1}, seed)
+			r := New(&Settings{PollsEndpointList: true, ListPollTimeout: pollTimeout, Routers: 1}, seed)
 			listRequested := func(now float64) (asked bool) {
 				r.Advance(now)
 				r.TimerFired()
@@ -93,7 +93,7 @@
 	const hang = 2500
 	for _, pollTimeout := range []float64{2000, 10000, 40000} {
 		for seed := uint64(1); seed <= 200; seed++ {
-			r := New(&Settings{PollsList: true, ListPollTimeout: pollTimeout, Routers: 1}, seed)
+			r := New(&Settings{PollsEndpointList: true, ListPollTimeout: pollTimeout, Routers: 1}, seed)
 			now := 0.0
 			awaitListRequest := func() float64 {
 				for ; ; now += tick {
--- a/router/notafter_test.go
+++ b/router/notafter_test.go
@@ -8,7 +8,7 @@
 // An attempt is permitted only for a limited time, which is passed on with it: while its connection is being
 // established, a member's known position ages and the window for retries closes.
 func TestSendAttempt_NotAfter(t *testing.T) {
-	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
+	r := New(&Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, LagBehavior: LagServes, RequestClasses: map[string]*RequestClass{
 		"read": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Bounded, StalenessBound: 700},
 		"any":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Any},
 		"put":  {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Write, Effect: IdempotentWithKey, Scope: ScopeGroup, IdempotencyWindow: 900}}}, 1)
@@ -29,9 +29,9 @@
 	r.ListMember("p", "z", 1, Up, Never)
 	r.ListMember("c", "z", 1, Up, Never)
 	r.EndList(true)
-	r.Reported("p", Primary, 990)
+	r.MemberReported("p", Primary, 990)
 	r.HealthChecked("p", Succeeded)
-	r.Reported("c", Replica, 800)
+	r.MemberReported("c", Replica, 800)
 	r.HealthChecked("c", Succeeded)
 	for _, m := range r.members {
 		m.lastCheckSent = 995
@@ -41,7 +41,7 @@
 		by        float64
 	}{{"read", "c", 800 + 700 - maxStall}, {"any", "c", math.Inf(1)}, {"put", "p", math.Inf(1)}} {
 		r.Advance(1000)
-		r.Arrive(c.class, "", "", c.class, 1, 0, 2000, false)
+		r.RequestArrived(c.class, "", "", c.class, 1, 0, 2000, false)
 		if to, by := sentTo(c.class); to != c.to || by != c.by {
 			t.Errorf("%s: sent to %s with NotAfter %v, want %s with %v", c.class, to, by, c.to, c.by)
 		}
@@ -60,7 +60,7 @@
 // be decided that would be too late after such a stall. Tests both sides of the limit.
 func TestSendAttempt_LeavesRoomForAStall(t *testing.T) {
 	const stall, slack = 150.0, 50.0
-	set := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, Lag: LagAnswers, RequestClasses: map[string]*RequestClass{
+	set := &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, LagBehavior: LagServes, RequestClasses: map[string]*RequestClass{
 		"read": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Level: Bounded, StalenessBound: 300},
 		"put":  {LatencyObjective: 500, Deadline: 5000, PriorityWeight: 1, LateWeightShare: 0.5, Level: Write, Effect: IdempotentWithKey, Scope: ScopeGroup, IdempotencyWindow: 900}}}
 	begin := func(position float64) *Router {
@@ -70,9 +70,9 @@
 		r.ListMember("p", "z", 1, Up, Never)
 		r.ListMember("c", "z", 1, Up, Never)
 		r.EndList(true)
-		r.Reported("p", Primary, 1000)
+		r.MemberReported("p", Primary, 1000)
 		r.HealthChecked("p", Succeeded)
-		r.Reported("c", Replica, position)
+		r.MemberReported("c", Replica, position)
 		r.HealthChecked("c", Succeeded)
 		for _, m := range r.members {
 			m.lastCheckSent = 1000
@@ -92,7 +92,7 @@
 		to       string
 	}{{1000 - 300 + stall - slack, "c"}, {1000 - 300 + stall - slack - 1, ""}, {1000 - 300, ""}} {
 		r := begin(c.position)
-		r.Arrive("1", "", "", "read", 1, 0, 2000, false)
+		r.RequestArrived("1", "", "", "read", 1, 0, 2000, false)
 		d := sent(r)
 		if d.Member == "c" && d.NotAfter+stall > c.position+300+slack {
 			t.Errorf("position %v: after a stall it may be written as late as %v, but the data is too old from %v on", c.position, d.NotAfter+stall, c.position+300+slack)
@@ -106,12 +106,12 @@
 		sent bool
 	}{{1000 + 900 - stall + slack, true}, {1000 + 900 - stall + slack + 1, false}} {
 		r := begin(1000)
-		r.Arrive("1", "", "", "put", 1, 0, 5000, false)
+		r.RequestArrived("1", "", "", "put", 1, 0, 5000, false)
 		if sent(r).Member != "p" {
 			t.Fatal("the first attempt was not sent")
 		}
 		r.Advance(c.at)
-		r.Reported("p", Primary, c.at)
+		r.MemberReported("p", Primary, c.at)
 		r.AttemptEnded("1", 0, ServerError, 10, false, Primary, Never)
 		if d := sent(r); (d.Member == "p") != c.sent || c.sent && d.NotAfter+stall > 1000+900+slack {
 			t.Errorf("retry at %v: sent to %q with NotAfter %v", c.at, d.Member, d.NotAfter)
--- a/router/notsent_test.go
+++ b/router/notsent_test.go
@@ -16,7 +16,7 @@
 		r.ListMember(fmt.Sprint("m", n), "z", 1, Up, Never)
 	}
 	r.EndList(true)
-	r.Arrive("t", "", "", "read", 1, 0, 1000, false)
+	r.RequestArrived("t", "", "", "read", 1, 0, 1000, false)
 	sent := 0
 	return func(now float64) (attempts int, final *Decision) {
 		r.Advance(now)
@@ -109,7 +109,7 @@
 	if !allowed() {
 		t.Fatal("the slow start budget does not allow a request")
 	}
-	r.Arrive("t", "", "", "read", 1, 0, 3000, false)
+	r.RequestArrived("t", "", "", "read", 1, 0, 3000, false)
 	if d, _ := r.Next(); d.Action != SendAttempt || allowed() || m.trialReady {
 		t.Fatalf("decision %+v, budget for another: %v, another trial: %v", d, allowed(), m.trialReady)
 	}
@@ -149,7 +149,7 @@
 			}
 			first = sent
 		}
-		r.Arrive("t", "", "", "read", 1, 0, 1000, false)
+		r.RequestArrived("t", "", "", "read", 1, 0, 1000, false)
 		for now := 1000.; now < 2100; now += 5 {
 			step(now)
 		}
--- a/router/request.go
+++ b/router/request.go
@@ -12,7 +12,7 @@
 	class       *RequestClass
 	stats       *classStats
 	group       *group
-	effect      Effect // effect of its class; NonIdempotent once part of the response has been passed to the client
+	effect      RetryEffect // effect of its class; NonIdempotent once part of the response has been passed to the client
 
 	firstArrival     float64 // estimated arrival of the client's original request, of which this may be a retry
 	deadline         float64 // when the client stops waiting for this request
@@ -35,10 +35,10 @@
 	stickyMember *member // nil if that member is not in the list
 }
 
-// Arrive adds a request. If the settings have no such class, it returns false and does nothing. tokenAge is the age of
+// RequestArrived adds a request. If the settings have no such class, it returns false and does nothing. tokenAge is the age of
 // the session token that came with the request, 0 for none; ttl is how long the client waits from now on; isRetry means
 // that the client marked the request as a retry.
-func (r *Router) Arrive(id, tenant, session, className string, groupID int, tokenAge, ttl float64, isRetry bool) bool {
+func (r *Router) RequestArrived(id, tenant, session, className string, groupID int, tokenAge, ttl float64, isRetry bool) bool {
 	class := r.settings.RequestClasses[className]
 	if class == nil {
 		return false
@@ -63,7 +63,7 @@
 // requiredPosition returns the position that a new request must see no matter when it is sent, Never for none.
 func (r *Router) requiredPosition(class *RequestClass, session string, tokenAge float64) float64 {
 	switch {
-	case class.Level == Session && r.settings.RemembersCommits && r.sessionCommits.Position(session) != 0:
+	case class.Level == Session && r.settings.TracksSessionCommits && r.sessionCommits.Position(session) != 0:
 		return r.sessionCommits.Position(session)
 	case class.Level == Session && tokenAge != 0: // a negative age is valid: a commit may carry a timestamp slightly ahead of this clock
 		return r.now - tokenAge
@@ -85,7 +85,7 @@
 	if class.Effect == Idempotent {
 		g.lastIdempotentArrival = r.now
 	}
-	if class.Level == Bounded && r.settings.Lag == LagAnswers { // otherwise the members enforce the bound themselves
+	if class.Level == Bounded && r.settings.LagBehavior == LagServes { // otherwise the members enforce the bound themselves
 		g.positionReads.Add(r.now, r.smoothingTime, 1)
 	}
 	if arrivals := r.tenantArrivals[tenant]; arrivals != nil {
@@ -104,10 +104,10 @@
 	}
 }
 
-// Queued reports for how many ms a request that has just arrived had been queued behind earlier requests of its client.
-// The client's remaining waiting time shrinks by that, so that no response is produced after the client has stopped
-// waiting; the latency objective still counts from now.
-func (r *Router) Queued(id string, waited float64) {
+// RequestQueued reports for how many ms a request that has just arrived had been queued behind earlier requests of its
+// client. The client's remaining waiting time shrinks by that, so that no response is produced after the client has
+// stopped waiting; the latency objective still counts from now.
+func (r *Router) RequestQueued(id string, waited float64) {
 	if req := r.requests[id]; req != nil {
 		req.deadline -= waited
 		req.halfTime = (r.now + req.deadline) / 2
--- a/router/roles.go
+++ b/router/roles.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Reported passes in a member's report of its role and position. The report may be old, so its role is valid as of its
+// MemberReported passes in a member's report of its role and position. The report may be old, so its role is valid as of its
 // position.
-func (r *Router) Reported(memberID string, role Role, position float64) {
+func (r *Router) MemberReported(memberID string, role Role, position float64) {
 	if m := r.members[memberID]; m != nil {
 		m.recordRole(role, position, position)
 		m.replicationLag = math.Max(0, r.now-position)
@@ -22,7 +22,7 @@
 	if m == nil || started < m.startedAt {
 		return
 	}
-	r.Reported(memberID, RoleUnknown, position)
+	r.MemberReported(memberID, RoleUnknown, position)
 	m.lastPeerReport = r.now // replaces a routine check while peers keep reporting
 	if g := m.group; role == Primary {
 		others := slices.DeleteFunc(g.members, func(other *member) bool { return other == m })
--- a/router/router.go
+++ b/router/router.go
@@ -93,7 +93,7 @@
 		smoothingTime:   maxSmoothingTime,
 		admission:       byRole[float64]{primary: maxAdmission, replica: maxAdmission},
 	}
-	if settings.PollsList {
+	if settings.PollsEndpointList {
 		r.nextListRequest = Never
 	}
 	r.UpdateSettings(settings)
--- a/router/scenario_test.go
+++ b/router/scenario_test.go
@@ -33,10 +33,10 @@
 var (
 	outcomeWords = map[string]Outcome{"ok": Succeeded, "error": ServerError, "overloaded": Overloaded, "timeout": TimedOut,
 		"connect-failed": ConnectFailed, "reset": Reset, "canceled": Canceled, "not-sent": NotSent, "misrouted": Misrouted}
-	effectWords = map[string]Effect{"idempotent": Idempotent, "idempotent-with-key": IdempotentWithKey, "non-idempotent": NonIdempotent}
-	levelWords  = map[string]Level{"any": Any, "bounded": Bounded, "session": Session, "fresh": Fresh, "write": Write}
-	scopeWords  = map[string]Scope{"all": ScopeAll, "zone": ScopeZone, "group": ScopeGroup}
-	lagWords    = map[string]Lag{"answers": LagAnswers, "refuses": LagRefuses, "waits": LagWaits}
+	effectWords = map[string]RetryEffect{"idempotent": Idempotent, "idempotent-with-key": IdempotentWithKey, "non-idempotent": NonIdempotent}
+	levelWords  = map[string]ConsistencyLevel{"any": Any, "bounded": Bounded, "session": Session, "fresh": Fresh, "write": Write}
+	scopeWords  = map[string]IdempotencyScope{"all": ScopeAll, "zone": ScopeZone, "group": ScopeGroup}
+	lagWords    = map[string]LagBehavior{"answers": LagServes, "refuses": LagRejects, "waits": LagWaits}
 	roleWords   = map[string]Role{"primary": Primary, "replica": Replica}
 	stateWords  = map[string]State{"up": Up, "draining": Draining, "removed": Removed}
 	actionWords = map[Action]string{SendAttempt: "send", CancelAttempt: "cancel", RejectRequest: "reject", FailRequest: "fail",
@@ -127,7 +127,7 @@
 	case "ended":
 		return p.ended(words[1], words[2], o)
 	case "turn":
-		p.router.TurnChanged(words[1], p.lastAttempt[words[1]].Attempt, o.has("idle"), o.has("begun"))
+		p.router.AttemptIdleChanged(words[1], p.lastAttempt[words[1]].Attempt, o.has("idle"), o.has("begun"))
 	case "checked":
 		return p.checked(words[1], words[2], o)
 	case "client-gone":
@@ -151,11 +151,11 @@
 	s.Routers = int(o.number("routers", float64(s.Routers)))
 	s.MaxAttempts = int(o.number("attempts", float64(s.MaxAttempts)))
 	s.RetryAfter = o.number("retry-after", 0)
-	s.PollsList, s.RemembersCommits = o.has("polls"), o.has("remembers-commits")
+	s.PollsEndpointList, s.TracksSessionCommits = o.has("polls"), o.has("remembers-commits")
 	s.ClientsMarkRetries, s.SoftRemoval = o.has("marks-retries"), o.has("soft-removal")
 	s.CanHealthCheck = !o.has("no-checks")
 	p.noTraffic = o.has("no-traffic")
-	s.Lag, err = lookUpWord(lagWords, o["lag"])
+	s.LagBehavior, err = lookUpWord(lagWords, o["lag"])
 	return err
 }
 
@@ -196,12 +196,12 @@
 }
 
 func (p *scenarioRunner) arrive(id, class string, o options) error {
-	if !p.router.Arrive(id, o["tenant"], o["session"], class, int(o.number("group", 1)), o.number("token-age", 0),
+	if !p.router.RequestArrived(id, o["tenant"], o["session"], class, int(o.number("group", 1)), o.number("token-age", 0),
 		o.number("ttl", 1000), o.has("marked")) {
 		return fmt.Errorf("unknown request class")
 	}
 	if waited := o.number("waited", 0); waited > 0 {
-		p.router.Queued(id, waited)
+		p.router.RequestQueued(id, waited)
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 	p.router.HealthChecked(id, outcome)
 	role, err := lookUpWord(roleWords, o["role"])
 	if role != RoleUnknown {
-		p.router.Reported(id, role, o.number("position", Never))
+		p.router.MemberReported(id, role, o.number("position", Never))
 	}
 	return err
 }
--- a/router/settings_test.go
+++ b/router/settings_test.go
@@ -34,12 +34,12 @@
 				factor := math.Pow(scale, float64(at/every))
 				r.UpdateSettings(newSettings(factor, quotas))
 			}
-			r.Arrive(fmt.Sprint(at), []string{"acme", "zeta", ""}[at/150%3], "", []string{"heavy", "light", "fair", "light"}[at/150%4], 1, 0, 1000, false)
+			r.RequestArrived(fmt.Sprint(at), []string{"acme", "zeta", ""}[at/150%3], "", []string{"heavy", "light", "fair", "light"}[at/150%4], 1, 0, 1000, false)
 			for d, more := r.Next(); more; d, more = r.Next() {
 				decisions = append(decisions, fmt.Sprint(at, d.Action, d.RequestID, d.Member))
 				switch d.Action {
 				case HealthCheck:
-					r.Reported(d.Member, Replica, float64(at))
+					r.MemberReported(d.Member, Replica, float64(at))
 					r.HealthChecked(d.Member, Succeeded)
 				case SendAttempt:
 					outcome := Succeeded
@@ -71,12 +71,12 @@
 	set := newSettings(1, quotas)
 	r := New(set, 1)
 	r.Advance(1000)
-	r.Arrive("open", "acme", "", "heavy", 1, 0, 1000, false)
+	r.RequestArrived("open", "acme", "", "heavy", 1, 0, 1000, false)
 	open, stats, arrivals := r.requests["open"], r.statsByClass[set.RequestClasses["heavy"]], r.tenantArrivals["acme"]
 	next := newSettings(3, map[string]float64{"acme": 7, "new": 1})
 	next.RequestClasses["heavy"].LateWeightShare = 0
 	r.UpdateSettings(next)
-	r.Arrive("later", "acme", "", "heavy", 1, 0, 1000, false)
+	r.RequestArrived("later", "acme", "", "heavy", 1, 0, 1000, false)
 	if later := r.requests["later"]; open.weight != 100 || open.class.LateWeightShare != 0.5 || later.weight != 300 || later.class.LateWeightShare != 0 {
 		t.Errorf("open request: weight %v, late share %v; later request: weight %v, late share %v", open.weight, open.class.LateWeightShare, later.weight, later.class.LateWeightShare)
 	}
--- a/router/slowstart_test.go
+++ b/router/slowstart_test.go
@@ -40,7 +40,7 @@
 func newFleet(t *testing.T, routers int, rate float64, seed uint64) *fleet {
 	f := &fleet{t: t, rate: rate, random: random.Source{Seed: seed}, sent: map[string][]float64{}, primary: "m0",
 		settings: &Settings{Routers: routers, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2, SlowStartDuration: 10000,
-			OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000, Lag: LagRefuses, RequestClasses: map[string]*RequestClass{
+			OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000, LagBehavior: LagRejects, RequestClasses: map[string]*RequestClass{
 				"x": {LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, LateWeightShare: 0.2, Level: Any}}}}
 	sum := 0.0
 	for n := range routers { // uneven: some get several times the mean
@@ -88,7 +88,7 @@
 				role = Primary
 			}
 			if a.check {
-				r.Reported(a.member, role, f.now)
+				r.MemberReported(a.member, role, f.now)
 				r.HealthChecked(a.member, Succeeded)
 			} else {
 				r.AttemptEnded(a.id, 0, Succeeded, fleetLatency, true, role, f.now)
@@ -99,7 +99,7 @@
 			for x := f.rate * fleetTick * f.shares[n]; x > 0; x-- {
 				if x >= 1 || f.random.Next() < x {
 					f.ids++
-					r.Arrive(fmt.Sprint(f.ids), "", "", "x", 1, 0, 2000, false)
+					r.RequestArrived(fmt.Sprint(f.ids), "", "", "x", 1, 0, 2000, false)
 				}
 			}
 			r.TimerFired()
--- a/router/timer_test.go
+++ b/router/timer_test.go
@@ -19,7 +19,7 @@
 		return timer, rejected
 	}
 	r.Advance(1000)
-	r.Arrive("t", "", "", "write", 1, 0, 1000, false)
+	r.RequestArrived("t", "", "", "write", 1, 0, 1000, false)
 	at, _ := next()
 	if at <= 1000 {
 		t.Fatal("no timer requested while a request waits")
