--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -24,8 +24,8 @@
 
 // Pools that exist for every member.
 const (
-	// PlatformPool holds the connections for health checks and for statements of sessions that are not pooled.
-	PlatformPool = "platform"
+	// StatementPool holds the connections for health checks and for statements of sessions that are not pooled.
+	StatementPool = "platform"
 	// CancelPool holds the connections for cancel requests.
 	CancelPool = "cancels"
 )
@@ -33,8 +33,8 @@
 // Login is the user and database that a pool's connections log in with.
 type Login struct{ User, Database string }
 
-// Limits holds the limits and options of a Backend.
-type Limits struct {
+// Options holds the limits and options of a Backend.
+type Options struct {
 	DialTimeoutMs   float64          // timeout in ms for a connection to become ready, and for a health check
 	HealthReports   bool             // health checks query the member's role and position
 	MaxResponse     int              // maximum size of one response in bytes
@@ -62,10 +62,10 @@
 
 	// RecordPosition adds a position reported by a member to the estimate of the cluster's clock; sent is when the query was written.
 	RecordPosition(member string, role router.Role, position, sent float64)
-	// Possible reports whether a position is plausible, given the estimate of the cluster's clock.
-	Possible(position float64) bool
-	// Forget discards everything that a member has reported.
-	Forget(member string)
+	// PositionPossible reports whether a position is plausible, given the estimate of the cluster's clock.
+	PositionPossible(position float64) bool
+	// ForgetMember discards everything that a member has reported.
+	ForgetMember(member string)
 
 	// AttemptIdleChanged reports what an attempt waits for: a connection or its client if waiting is set, or else its member.
 	AttemptIdleChanged(req *request.Request, attempt int, waiting bool)
@@ -86,7 +86,7 @@
 // Backend manages the connections to all members. Its exported fields are counters.
 type Backend struct {
 	driver        Driver
-	limits        Limits
+	options       Options
 	pool          *connpool.Pool
 	members       map[string]*member
 	conns         map[int]*memberConn             // established connections, by the pool's connection id
@@ -114,10 +114,10 @@
 }
 
 // New returns a Backend without members.
-func New(driver Driver, limits Limits, pool *connpool.Pool) *Backend {
+func New(driver Driver, options Options, pool *connpool.Pool) *Backend {
 	b := &Backend{
 		driver:     driver,
-		limits:     limits,
+		options:    options,
 		pool:       pool,
 		members:    map[string]*member{},
 		conns:      map[int]*memberConn{},
@@ -130,10 +130,10 @@
 	return b
 }
 
-// List applies a member list, which is either complete or contains only changes. Attempts that are already written continue. Attempts that
-// are not written yet end as not sent if their member is draining or removed: they were decided before the list changed, and must not be
-// sent long afterwards.
-func (b *Backend) List(list *discovery.List) {
+// ApplyMemberList applies a member list, which is either complete or contains only changes. Attempts that are already written continue.
+// Attempts that are not written yet end as not sent if their member is draining or removed: they were decided before the list changed, and
+// must not be sent long afterwards.
+func (b *Backend) ApplyMemberList(list *discovery.List) {
 	listed := map[string]bool{}
 	for _, entry := range list.Entries {
 		listed[entry.ID] = entry.State != router.Removed
@@ -165,10 +165,10 @@
 // removeMember handles a member that is no longer listed. Its jobs in flight keep their reference to it.
 func (b *Backend) removeMember(m *member) {
 	m.unavailable = true
-	b.poolInput().MemberListed(m.id, b.limits.KeepRemoved)
-	if !b.limits.KeepRemoved {
+	b.poolInput().MemberListed(m.id, b.options.KeepRemoved)
+	if !b.options.KeepRemoved {
 		delete(b.members, m.id)
-		b.driver.Forget(m.id)
+		b.driver.ForgetMember(m.id)
 	}
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -73,7 +73,7 @@
 			driver, backend := startWithDialTimeout(t, 10, dialTimeout)
 			m := fakes.NewMember(t, c.greet, func(string) *fakes.Reply { return c.answer })
 			driver.runOnLoop(func() {
-				backend.List(listOf(m.Addr, router.Up))
+				backend.ApplyMemberList(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", c.wait, math.Inf(1))
 			})
 			if got := driver.nextEvent(t); got != c.want {
@@ -95,7 +95,7 @@
 	m := fakes.NewMember(t, nil, nil)
 	m.Stop()
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 3, "a", 0, math.Inf(1))
 		backend.HealthCheck("a")
 	})
@@ -116,7 +116,7 @@
 		return fakes.Row("v", "source", "1")
 	})
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
 	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
@@ -143,7 +143,7 @@
 		}
 		return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(report))}
 	})
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 	for _, c := range []struct{ report, want string }{
 		{"x0=1767225600.123,x1=1", "report 1 1.767225600123e+12; check succeeded"},
 		{"x0=1767225600,x1=0", "report 2 1.7672256e+12; check succeeded"},
@@ -177,7 +177,7 @@
 		}
 		return &fakes.Reply{Bytes: barrierReply}
 	}
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 	for n, want := range []string{"0 succeeded 1 1 true", "0 succeeded 1 1 true", "0 server error 0 0 false"} {
 		driver.runOnLoop(func() { duplicate = n == 2 })
 		driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1)) })
@@ -196,7 +196,7 @@
 	part := fakes.Rows(strings.Repeat("v", maxResponse-100))
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return &fakes.Reply{Bytes: part[:len(part)-20]} })
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		for n := range 6 {
 			backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 60000), 0, "a", 0, math.Inf(1))
 		}
@@ -235,7 +235,7 @@
 	driver.runOnLoop(func() {
 		l := listOf(m.Addr, router.Up)
 		l.Entries = append(l.Entries, discovery.Entry{ID: "b", Addr: other.Addr})
-		backend.List(l)
+		backend.ApplyMemberList(l)
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
@@ -275,7 +275,7 @@
 		r.Close = true
 		return r
 	})
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 	for n := range 20 {
 		driver.runOnLoop(func() {
 			for _, c := range backend.conns { // the close arrives while the loop is busy
@@ -292,7 +292,7 @@
 // Guards against a timer that wakes an idle router, and against one that fires too late for the pool's next sweep.
 func TestBackend_TimerFollowsPool(t *testing.T) {
 	driver, backend := start(t, 10)
-	driver.runOnLoop(func() { backend.List(listOf("127.0.0.1:1", router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf("127.0.0.1:1", router.Up)) })
 	for idle := false; !idle; { // wait for the sweep after the list
 		driver.runOnLoop(func() { idle = math.IsInf(backend.timerAt, 1) })
 	}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -103,7 +103,7 @@
 		out = pg.AppendCancelRequest(nil, *j.cancelKey)
 	case j.request != nil:
 		out = j.request.AppendQuery(out, j.deadline-c.backend.driver.Clock())
-	case c.backend.limits.HealthReports:
+	case c.backend.options.HealthReports:
 		out = pg.AppendQuery(out, reportQuery)
 	default:
 		out = pg.AppendQuery(out, livenessQuery)
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -26,14 +26,14 @@
 	t.Helper()
 	driver := eventloop.New(eventloop.NewLoop(512), router.New(&router.Settings{Routers: 1, MaxAttempts: 3, CanHealthCheck: true, CanCancel: true,
 		RequestClasses: classes}, 1), classes, func() {})
-	limits := Limits{
+	options := Options{
 		DialTimeoutMs:  5000,
 		MaxResponse:    maxResponse,
 		ResponseBudget: 4 * maxResponse,
-		Logins:         map[string]Login{PlatformPool: {"api", "ledger"}},
+		Logins:         map[string]Login{StatementPool: {"api", "ledger"}},
 	}
-	pools := map[string]connpool.Bounds{PlatformPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}
-	backend := New(driver, limits, connpool.New(connpool.Settings{MaxTotal: 10, Pools: pools}))
+	pools := map[string]connpool.Bounds{StatementPool: connpool.StatementBounds(60000), CancelPool: connpool.CancelBounds(1000)}
+	backend := New(driver, options, connpool.New(connpool.Settings{MaxTotal: 10, Pools: pools}))
 	driver.SetBackend(backend)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,8 +47,8 @@
 		list.Entries = append(list.Entries, discovery.Entry{ID: fmt.Sprint("m", n), Addr: addr, Group: 1, State: router.Up, Started: router.Never})
 	}
 	driver.Defer(func() {
-		backend.List(list)
-		module := driver.List()
+		backend.ApplyMemberList(list)
+		module := driver.ListInput()
 		module.BeginList()
 		for _, e := range list.Entries {
 			module.ListMember(e.ID, e.Zone, e.Group, e.State, e.Started)
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -71,9 +71,9 @@
 	}
 	statements := connpool.StatementBounds(60000)
 	statements.WaitTimeoutMs = sessions.WaitTimeoutMs
-	backend := New(driver, Limits{DialTimeoutMs: dialTimeout, HealthReports: true, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse,
-		Logins: map[string]Login{PlatformPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{MaxTotal: maxConns,
-		Pools: map[string]connpool.Bounds{PlatformPool: statements, CancelPool: connpool.CancelBounds(1000), "sessions": sessions}}))
+	backend := New(driver, Options{DialTimeoutMs: dialTimeout, HealthReports: true, MaxResponse: maxResponse, ResponseBudget: 4 * maxResponse,
+		Logins: map[string]Login{StatementPool: {"api", "ledger"}, "sessions": {"api", "ledger"}}}, connpool.New(connpool.Settings{MaxTotal: maxConns,
+		Pools: map[string]connpool.Bounds{StatementPool: statements, CancelPool: connpool.CancelBounds(1000), "sessions": sessions}}))
 	ended := make(chan bool)
 	go func() { driver.Run(func() {}); close(ended) }()
 	t.Cleanup(func() { driver.Post(driver.Stop); <-ended })
--- a/internal/backend/job.go
+++ b/internal/backend/job.go
@@ -50,10 +50,10 @@
 	b.startJob(j, memberID)
 }
 
-// HealthCheck starts a health check of a member, which queries its role and position if Limits.HealthReports is set.
+// HealthCheck starts a health check of a member, which queries its role and position if Options.HealthReports is set.
 func (b *Backend) HealthCheck(memberID string) {
 	now := b.driver.Now()
-	b.startJob(&job{started: now, deadline: now + b.limits.DialTimeoutMs, notAfter: math.Inf(1)}, memberID)
+	b.startJob(&job{started: now, deadline: now + b.options.DialTimeoutMs, notAfter: math.Inf(1)}, memberID)
 }
 
 // CancelAttempt cancels an attempt. The attempt may have run if it was written.
@@ -90,7 +90,7 @@
 	b.requestConn(j)
 	b.carryOutDecisions()
 	// The time that a statement waits for a connection must not count against the member.
-	if b.limits.QueueStatements && j.request != nil && j.conn == nil && !j.ended {
+	if b.options.QueueStatements && j.request != nil && j.conn == nil && !j.ended {
 		b.driver.Defer(func() { b.reportWaiting(j) })
 	}
 }
@@ -176,7 +176,7 @@
 // endHealthCheck reports the outcome of a health check, after the report contained in its response.
 func (b *Backend) endHealthCheck(j *job, outcome router.Outcome, result jobResult) {
 	accepted := b.acceptReport(j, string(result.value))
-	if outcome == router.Succeeded && b.limits.HealthReports && !accepted {
+	if outcome == router.Succeeded && b.options.HealthReports && !accepted {
 		outcome = router.ServerError // the response does not contain a valid report
 	}
 	b.driver.HealthChecked(j.member.id, outcome)
--- a/internal/backend/list_test.go
+++ b/internal/backend/list_test.go
@@ -17,7 +17,7 @@
 	for n := range 50 {
 		id := fmt.Sprint("m", n)
 		driver.runOnLoop(func() {
-			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, Started: router.Never}}})
+			backend.ApplyMemberList(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, Started: router.Never}}})
 			backend.SendAttempt(newRequest(driver, id, 5000), 0, id, 0, math.Inf(1))
 		})
 		fakes.Until(t, "the query has arrived", func() bool {
@@ -25,7 +25,7 @@
 			return len(queries) > n
 		})
 		driver.runOnLoop(func() {
-			backend.List(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, State: router.Removed}}})
+			backend.ApplyMemberList(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, State: router.Removed}}})
 		})
 		if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 			t.Errorf("got %q", got)
@@ -45,16 +45,16 @@
 	silent := fakes.NewMember(t, &fakes.Reply{}, nil)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	driver.runOnLoop(func() {
-		backend.List(listOf(silent.Addr, router.Up))
+		backend.ApplyMemberList(listOf(silent.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
-		backend.List(listOf(silent.Addr, router.Draining))
+		backend.ApplyMemberList(listOf(silent.Addr, router.Draining))
 	})
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
 		t.Errorf("attempt not written before draining: got %q", got)
 	}
 	for n, l := range []*discovery.List{listOf(m.Addr, router.Up), listOf(silent.Addr, router.Up), listOf(m.Addr, router.Up),
 		{Entries: []discovery.Entry{{ID: "a", Addr: m.Addr, Started: 5}}}, {Complete: true}} {
-		driver.runOnLoop(func() { backend.List(l) })
+		driver.runOnLoop(func() { backend.ApplyMemberList(l) })
 		driver.runOnLoop(func() {
 			if idle := backend.pool.IdleCount("a"); idle != 0 {
 				t.Errorf("list %d: %d idle connections left", n, idle)
@@ -78,11 +78,11 @@
 	old := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
 	moved := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "2") })
 	driver.runOnLoop(func() {
-		backend.List(listOf(old.Addr, router.Up))
+		backend.ApplyMemberList(listOf(old.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
 	fakes.Until(t, "the query has arrived", func() bool { _, queries := old.Seen(); return len(queries) > 0 })
-	driver.runOnLoop(func() { backend.List(listOf(moved.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(moved.Addr, router.Up)) })
 	close(answer)
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Errorf("got %q", got)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -129,7 +129,7 @@
 	b.poolRequests++
 	j.poolRequest = strconv.Itoa(b.poolRequests)
 	b.waiting[j.poolRequest] = j
-	poolRequest := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: PlatformPool}}
+	poolRequest := connpool.Request{ID: j.poolRequest, Key: connpool.Key{Member: j.member.id, Pool: StatementPool}}
 	switch {
 	case j.cancelKey != nil:
 		poolRequest.Key.Pool = CancelPool
@@ -150,7 +150,7 @@
 		return
 	}
 	started := b.driver.Now()
-	b.driver.Dial(m.addr, b.limits.DialTimeoutMs, func(socket *eventloop.Conn, err error) {
+	b.driver.Dial(m.addr, b.options.DialTimeoutMs, func(socket *eventloop.Conn, err error) {
 		defer b.carryOutDecisions()
 		if err != nil {
 			b.poolInput().OpenFailed(d.Conn, failureCause(err))
@@ -162,7 +162,7 @@
 			b.poolInput().Opened(c.id)
 			return
 		}
-		c.logIn(started + b.limits.DialTimeoutMs)
+		c.logIn(started + b.options.DialTimeoutMs)
 	})
 }
 
@@ -174,7 +174,7 @@
 		pool:    d.Key.Pool,
 		member:  m,
 		conn:    socket,
-		reader:  pg.NewReader(true, b.limits.MaxResponse),
+		reader:  pg.NewReader(true, b.options.MaxResponse),
 	}
 	b.conns[c.id] = c
 	socket.Handle(c)
@@ -183,11 +183,11 @@
 
 // logIn sends the pool's login. The connection is closed if the member has not accepted the login by the deadline.
 func (c *memberConn) logIn(deadline float64) {
-	if c.pool != PlatformPool {
+	if c.pool != StatementPool {
 		c.reader.EnableExtended()
-		c.streamState = newStreamState(c.backend.limits.MaxPrepared)
+		c.streamState = newStreamState(c.backend.options.MaxPrepared)
 	}
-	login := c.backend.limits.Logins[c.pool]
+	login := c.backend.options.Logins[c.pool]
 	c.conn.Write(pg.AppendStartup(nil, login.User, login.Database))
 	c.backend.driver.After(deadline-c.backend.driver.Now(), func() {
 		if !c.ready {
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -78,7 +78,7 @@
 					t.Fatal(err)
 				}
 				driver.runOnLoop(func() {
-					backend.List(listOf(m.addr, router.Up))
+					backend.ApplyMemberList(listOf(m.addr, router.Up))
 					backend.SendAttempt(request.New(statement, driver.Now(), func(request.Response) {}), 0, "a", 0, math.Inf(1))
 				})
 				peer := <-m.conns
@@ -159,8 +159,8 @@
 		}
 	}()
 	driver.runOnLoop(func() {
-		backend.limits.DialTimeoutMs = 20000
-		backend.List(listOf(l.Addr().String(), router.Up))
+		backend.options.DialTimeoutMs = 20000
+		backend.ApplyMemberList(listOf(l.Addr().String(), router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
 	driver.runOnLoop(func() { backend.Abandon("1") })
@@ -188,7 +188,7 @@
 	answer := make(chan bool)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
 	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
@@ -205,7 +205,7 @@
 	driver, backend := start(t, 1)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, driver.Clock()) // connecting takes longer than that
 	})
 	if got := driver.nextEvent(t); got != "0 not sent 0 0 false" {
@@ -234,7 +234,7 @@
 		return nil
 	})
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "warmup", 60000), 0, "a", 0, math.Inf(1))
 	})
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -56,7 +56,7 @@
 		return position
 	}
 	b.recordPosition(j, role, position)
-	if !b.driver.Possible(position) {
+	if !b.driver.PositionPossible(position) {
 		return router.Never
 	}
 	return position
@@ -91,7 +91,7 @@
 		return false
 	}
 	b.recordPosition(j, role, position)
-	if !b.driver.Possible(position) {
+	if !b.driver.PositionPossible(position) {
 		return false
 	}
 	b.driver.Reported(j.member.id, role, position)
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -17,7 +17,7 @@
 	stageReady    // the final ReadyForQuery was received
 )
 
-// maxReceivedFactor times Limits.MaxResponse is the number of bytes that may be received on a connection after its last job began.
+// maxReceivedFactor times Options.MaxResponse is the number of bytes that may be received on a connection after its last job began.
 const maxReceivedFactor = 2
 
 // errorOutcomes maps error codes to outcomes. Each of these codes means that the statement did not run.
@@ -44,7 +44,7 @@
 	}
 	// Limits an endless sequence of messages that are skipped one by one, which can arrive on an idle connection as well.
 	c.receivedBytes += len(b)
-	if c.streamState == nil && c.receivedBytes > maxReceivedFactor*c.backend.limits.MaxResponse {
+	if c.streamState == nil && c.receivedBytes > maxReceivedFactor*c.backend.options.MaxResponse {
 		c.closeOnProtocolError()
 		return
 	}
@@ -66,7 +66,7 @@
 // enforceBudget discards the incomplete response on this connection if all incomplete responses together exceed the budget, since there is no
 // memory for the rest of it. Its statement may have run.
 func (c *memberConn) enforceBudget() {
-	if c.backend.bufferedBytes > c.backend.limits.ResponseBudget && c.job != nil && c.ready {
+	if c.backend.bufferedBytes > c.backend.options.ResponseBudget && c.job != nil && c.ready {
 		c.backend.OverBudget++
 		c.closeOnProtocolError()
 	}
@@ -146,7 +146,7 @@
 // handleResponseMessage appends a message to the response, which must be one row of one column. It returns false if the message can't be the
 // next part of such a response.
 func (c *memberConn) handleResponseMessage(m *pg.Message) bool {
-	if c.job == nil || !c.ready || c.queryError != nil || c.barrier != barrierNone || len(c.rows)+len(m.Raw) > c.backend.limits.MaxResponse {
+	if c.job == nil || !c.ready || c.queryError != nil || c.barrier != barrierNone || len(c.rows)+len(m.Raw) > c.backend.options.MaxResponse {
 		return false
 	}
 	switch {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -151,7 +151,7 @@
 	c.unusable = true
 	now := c.backend.driver.Now()
 	key := c.cancelKey
-	j := &job{cancelKey: &key, member: c.member, started: now, deadline: now + c.backend.limits.DialTimeoutMs, notAfter: math.Inf(1)}
+	j := &job{cancelKey: &key, member: c.member, started: now, deadline: now + c.backend.options.DialTimeoutMs, notAfter: math.Inf(1)}
 	j.timer = c.backend.driver.After(j.deadline-now, func() { c.backend.endJob(j, router.TimedOut) })
 	c.backend.requestConn(j)
 	c.backend.carryOutDecisions()
@@ -173,7 +173,7 @@
 // dropOnReplyTimeout closes the connection unless the member answers the internal queries sent between two requests within DialTimeoutMs.
 // Otherwise the connection would stay open without being in use or available in the pool.
 func (c *memberConn) dropOnReplyTimeout() {
-	c.backend.driver.After(c.backend.limits.DialTimeoutMs, func() {
+	c.backend.driver.After(c.backend.options.DialTimeoutMs, func() {
 		if c.job == nil && c.internalPending > 0 {
 			c.drop()
 		}
@@ -204,7 +204,7 @@
 	if outcome == router.ServerError && c.queryError != nil && c.unusable {
 		statementError = c.queryError
 	}
-	if outcome == router.Succeeded && c.position > 0 && c.backend.driver.Possible(c.position) {
+	if outcome == router.Succeeded && c.position > 0 && c.backend.driver.PositionPossible(c.position) {
 		stream.Position = c.position
 	}
 	if outcome != router.ServerError { // only an error response from the member tells what happened to the request
--- a/internal/backend/stream_error.go
+++ b/internal/backend/stream_error.go
@@ -99,7 +99,7 @@
 	case pg.SnapshotTooOld:
 		return router.Misrouted, true
 	case pg.ReadOnlySQLTransaction: // otherwise only the transaction is read-only, not the member
-		if c.backend.limits.PrimaryClasses[c.job.request.RequestClass] && c.role != router.Primary {
+		if c.backend.options.PrimaryClasses[c.job.request.RequestClass] && c.role != router.Primary {
 			return router.Misrouted, true
 		}
 	}
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -46,7 +46,7 @@
 					want, wantCheck = "0 connect failed 0 0 false", "check connect failed"
 				}
 				driver.runOnLoop(func() {
-					backend.List(listOf(m.Addr, router.Up))
+					backend.ApplyMemberList(listOf(m.Addr, router.Up))
 					backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 				})
 				if got := driver.nextEvent(t); got != want {
@@ -82,7 +82,7 @@
 		return dialError("connect", unix.EADDRNOTAVAIL)
 	})()
 	var started, ended float64
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)); started = driver.Clock() })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)); started = driver.Clock() })
 	const attempts = 2000
 	for n := range attempts {
 		driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 60000), n, "a", 0, math.Inf(1)) })
@@ -114,7 +114,7 @@
 				return fakes.Row("v", "source", "1")
 			})
 			driver.runOnLoop(func() {
-				backend.List(listOf(m.Addr, router.Up))
+				backend.ApplyMemberList(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got, want := driver.nextEvent(t), "0 reset 0 0 false"; got != want {
@@ -133,7 +133,7 @@
 	defer failpoint.SetError("eventloop.read", func() error { return readErrors[reads.Add(1)%int64(len(readErrors))] })()
 	defer failpoint.SetLimit("eventloop.read", 1)()
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
 	if got, want := driver.nextEvent(t), "0 succeeded 1 17 true"; got != want {
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -121,8 +121,8 @@
 				return nil
 			})
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
-			backend.limits.QueueStatements = true
-			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+			backend.options.QueueStatements = true
+			driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 			if !c.noConn && !c.queued {
 				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "warmup"), 0, "a", 0, math.Inf(1)) })
 				if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
@@ -166,7 +166,7 @@
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	closed := false // accessed only on the loop
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		abandoned := newStreamRequest(t, driver, "abandoned", 60000, true)
 		abandoned.ClientClosed = func() bool { return closed }
 		backend.SendAttempt(abandoned, 0, "a", 0, math.Inf(1))
@@ -187,7 +187,7 @@
 	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newStreamRequest(t, driver, "late", 60000, true), 0, "a", 0, math.Inf(1))
 	})
 	<-settingsArrived
@@ -208,7 +208,7 @@
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	var cancelled *request.Request
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		cancelled = newStreamRequest(t, driver, "cancels", 60000, true)
 		backend.SendAttempt(cancelled, 0, "a", 0, math.Inf(1))
 	})
@@ -264,8 +264,8 @@
 				return nil
 			})
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
-			backend.limits.QueueStatements = true
-			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+			backend.options.QueueStatements = true
+			driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 			before := "warmup"
 			if c.queued {
 				before = "blocking"
@@ -332,7 +332,7 @@
 			m := newFakeServer(t, func(string) *fakes.Reply { return nil })
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			driver.runOnLoop(func() {
-				backend.List(listOf(m.Addr, router.Up))
+				backend.ApplyMemberList(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "warmup", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
--- a/internal/eventloop/cancel_test.go
+++ b/internal/eventloop/cancel_test.go
@@ -47,7 +47,7 @@
 			driver := New(NewLoop(256), router.New(&router.Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, SlowStartFloor: 0.2, SlowStartDuration: 1, OverloadMultiple: 2, OverloadWindow: 1000, RequestClasses: classes}, 1), classes, func() {})
 			members := &recordingBackend{driver: driver}
 			driver.SetBackend(members)
-			list := driver.List()
+			list := driver.ListInput()
 			list.BeginList()
 			list.ListMember("a", "z", 1, router.Up, router.Never)
 			list.ListMember("b", "z", 1, router.Up, router.Never)
--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -26,13 +26,13 @@
 		Received: l.Clock()})
 }
 
-// Forget drops the positions reported by a member that was removed.
-func (l *Loop) Forget(member string) {
+// ForgetMember drops the positions reported by a member that was removed.
+func (l *Loop) ForgetMember(member string) {
 	l.clusterClock.Forget(member)
 }
 
-// Possible reports whether a member can have reached this position by now.
-func (l *Loop) Possible(position float64) bool {
+// PositionPossible reports whether a member can have reached this position by now.
+func (l *Loop) PositionPossible(position float64) bool {
 	if !(position > 0 && position < maxPosition) {
 		return false
 	}
@@ -80,7 +80,7 @@
 	reports := d.pendingReports
 	d.pendingReports = nil
 	for _, report := range reports {
-		if d.Possible(report.position) {
+		if d.PositionPossible(report.position) {
 			d.forwardReport(report)
 		}
 	}
--- a/internal/eventloop/clusterclock_test.go
+++ b/internal/eventloop/clusterclock_test.go
@@ -34,7 +34,7 @@
 	position := clusterTime() - age
 	driver.RecordPosition(member, role, position, sent)
 	driver.now = driver.Clock()
-	if !driver.Possible(position) {
+	if !driver.PositionPossible(position) {
 		return false
 	}
 	driver.Reported(member, role, position)
@@ -105,19 +105,19 @@
 	driver, _ := newDriverAt(-time.Hour)
 	starts := NewStartTimes(driver.Loop)
 	reported := clusterTime() - 5000
-	if at := starts.Of("a", reported); at > driver.Now() {
+	if at := starts.Convert("a", reported); at > driver.Now() {
 		t.Errorf("before the cluster's clock is known: started %.0f ms ahead", at-driver.Now())
 	}
 	driver.report("primary", router.Primary, 0)
 	driver.report("primary", router.Primary, 0)
-	at := starts.Of("a", reported)
+	at := starts.Convert("a", reported)
 	if age := driver.Now() - at; age < 4900 || age > 6000 {
 		t.Errorf("started %.0f ms ago, want 5000", age)
 	}
-	if starts.Compare("a", reported) != at || starts.Of("a", reported) != at {
+	if starts.ConvertPeer("a", reported) != at || starts.Convert("a", reported) != at {
 		t.Error("one start time has two converted values")
 	}
-	if starts.Of("b", router.Never) != router.Never || starts.Compare("b", 0) != router.Never {
+	if starts.Convert("b", router.Never) != router.Never || starts.ConvertPeer("b", 0) != router.Never {
 		t.Error("a start long ago is converted to a time")
 	}
 	if starts.Retain(map[string]bool{"b": true}); len(starts.converted) != 0 {
@@ -150,7 +150,7 @@
 			driver.EnablePositionChecks()
 			driver.report("primary", router.Primary, 0)
 			if c.removed {
-				driver.Forget("primary")
+				driver.ForgetMember("primary")
 			}
 			if len(driver.confirming) != c.wantTimers {
 				t.Fatalf("%d checks are scheduled, want %d", len(driver.confirming), c.wantTimers)
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -57,9 +57,9 @@
 
 // The errors of Driver.Arrive. Clients receive their texts.
 var (
-	ErrRequestClass   = errors.New("txn type is not in the settings")
-	ErrDuplicateID    = errors.New("id is in use")
-	ErrFuturePosition = errors.New("after lies in the future")
+	ErrUnknownRequestClass = errors.New("txn type is not in the settings")
+	ErrDuplicateID         = errors.New("id is in use")
+	ErrFuturePosition      = errors.New("after lies in the future")
 )
 
 // MaxPositionAhead is how far, in ms, a position reported by a member or given by a client may be ahead of the cluster's clock.
@@ -93,18 +93,18 @@
 	return d.router
 }
 
-// Arrive accepts a new request. It returns ErrRequestClass, ErrDuplicateID or ErrFuturePosition if the request is not accepted.
+// Arrive accepts a new request. It returns ErrUnknownRequestClass, ErrDuplicateID or ErrFuturePosition if the request is not accepted.
 func (d *Driver) Arrive(req *request.Request) error {
 	if d.requests[req.ID] != nil {
 		return ErrDuplicateID
 	}
 	class := d.classes[req.RequestClass]
 	if class == nil {
-		return ErrRequestClass
+		return ErrUnknownRequestClass
 	}
 	req.LimitWait(class.Deadline)
 	now := d.Now()
-	if req.Position > 0 && !d.Possible(req.Position) {
+	if req.Position > 0 && !d.PositionPossible(req.Position) {
 		return ErrFuturePosition
 	}
 	d.routerInput().RequestArrived(req.ID, req.Tenant, req.IdempotencyKey, req.RequestClass, req.Group, d.positionAge(req.Position, now), req.WaitMs, req.IsRetry)
@@ -187,7 +187,7 @@
 // PeerReported passes the result of another router's health check to the module; position is on the cluster's clock. The result is
 // ignored if the cluster's clock is not settled yet or the position is not possible.
 func (d *Driver) PeerReported(member string, started float64, role router.Role, position float64) {
-	if !d.clockSettled() || position != router.Never && !d.Possible(position) {
+	if !d.clockSettled() || position != router.Never && !d.PositionPossible(position) {
 		return
 	}
 	d.routerInput().PeerReported(member, started, role, d.positionOnLoop(position))
@@ -200,8 +200,8 @@
 // properties may not.
 func (d *Driver) UpdateSettings(set *router.Settings) { d.routerInput().UpdateSettings(set) }
 
-// Writes counts the requests of a group that require its primary, separately those with an attempt in flight and those waiting.
-func (d *Driver) Writes(group int) (inFlight, waiting int) {
+// CountWrites counts the requests of a group that require its primary, separately those with an attempt in flight and those waiting.
+func (d *Driver) CountWrites(group int) (inFlight, waiting int) {
 	for _, open := range d.requests {
 		class := d.classes[open.request.RequestClass]
 		if open.request.Group != group || class.Level != router.Write && class.Level != router.Fresh {
@@ -216,8 +216,8 @@
 	return inFlight, waiting
 }
 
-// List returns the module to receive endpoint list inputs.
-func (d *Driver) List() *router.Router { return d.routerInput() }
+// ListInput returns the module to receive endpoint list inputs.
+func (d *Driver) ListInput() *router.Router { return d.routerInput() }
 
 // dropIfDone forgets a request that is finished and has no attempt in flight. Until then its id counts as in use.
 func (d *Driver) dropIfDone(id string) {
--- a/internal/eventloop/starttimes.go
+++ b/internal/eventloop/starttimes.go
@@ -21,8 +21,8 @@
 	return &StartTimes{loop: l, converted: map[string]startTime{}}
 }
 
-// Of converts a member's reported start time to the loop's clock. router.Never, as argument and as result, means long ago.
-func (s *StartTimes) Of(member string, reported float64) float64 {
+// Convert converts a member's reported start time to the loop's clock. router.Never, as argument and as result, means long ago.
+func (s *StartTimes) Convert(member string, reported float64) float64 {
 	if reported == router.Never {
 		delete(s.converted, member)
 		return reported
@@ -38,8 +38,9 @@
 	return at
 }
 
-// Compare converts a start time reported by another router (0: long ago), so that it can be compared with results of Of.
-func (s *StartTimes) Compare(member string, reported float64) float64 {
+// ConvertPeer converts a start time reported by another router (0: long ago), so that it can be compared with results of
+// Convert.
+func (s *StartTimes) ConvertPeer(member string, reported float64) float64 {
 	if reported == 0 {
 		return router.Never
 	}
@@ -54,5 +55,5 @@
 	maps.DeleteFunc(s.converted, func(id string, _ startTime) bool { return !members[id] })
 }
 
-// Forget forgets a member that was removed.
-func (s *StartTimes) Forget(member string) { delete(s.converted, member) }
+// ForgetMember drops the start time of a member that was removed.
+func (s *StartTimes) ForgetMember(member string) { delete(s.converted, member) }
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -52,7 +52,7 @@
 	f.runOnLoop(func() { f.frontend.SetPooling(nil) })
 	client := fakes.NewClient(t, f.addr, true)
 	f.runOnLoop(func() {
-		list := f.driver.List()
+		list := f.driver.ListInput()
 		list.BeginList()
 		list.ListMember("m", "z", 2, router.Up, router.Never)
 		list.EndList(true)
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -192,7 +192,7 @@
 	if position == 0 {
 		position = router.Never
 	}
-	start := f.startTimes.Compare(report.Member, report.Started)
+	start := f.startTimes.ConvertPeer(report.Member, report.Started)
 	f.driver.PeerReported(report.Member, start, role, position)
 }
 
@@ -202,7 +202,7 @@
 }
 
 // Writes implements fleet.Router.
-func (f *fleetNode) Writes(group int) (running, waiting int) { return f.driver.Writes(group) }
+func (f *fleetNode) Writes(group int) (running, waiting int) { return f.driver.CountWrites(group) }
 
 // ApplyPolicy implements fleet.Router.
 func (f *fleetNode) ApplyPolicy(version policy.Version, document policy.Document) error {
--- a/internal/server/memberlist.go
+++ b/internal/server/memberlist.go
@@ -27,17 +27,17 @@
 		s.discoveryError = reason
 		logrus.WithError(err).Warn("endpoint list unavailable; using the last one")
 	}
-	s.driver.List().ListFailed()
+	s.driver.ListInput().ListFailed()
 }
 
 // applyList passes an endpoint list to the backend, the fleet node and the decision module.
 func (s *server) applyList(list *discovery.List) {
-	s.backend.List(list)
+	s.backend.ApplyMemberList(list)
 	if s.fleet != nil {
 		s.fleet.updateMembers(list)
 	}
 	s.updateStarts(list)
-	module := s.driver.List()
+	module := s.driver.ListInput()
 	module.BeginList()
 	for _, entry := range list.Entries {
 		s.listMember(module, entry)
@@ -47,7 +47,7 @@
 
 // listMember passes one member to the decision module, with its start time on the event loop's clock.
 func (s *server) listMember(module *router.Router, entry discovery.Entry) {
-	start := s.startTimes.Of(entry.ID, entry.Started)
+	start := s.startTimes.Convert(entry.ID, entry.Started)
 	module.ListMember(entry.ID, entry.Zone, entry.Group, entry.State, start)
 }
 
@@ -60,7 +60,7 @@
 	}
 	for _, entry := range list.Entries {
 		if entry.State == router.Removed {
-			s.startTimes.Forget(entry.ID)
+			s.startTimes.ForgetMember(entry.ID)
 		}
 		if s.pendingStarts == nil {
 			continue
@@ -81,7 +81,7 @@
 	if offset == 0 || len(entries) == 0 { // the start times listed so far are right
 		return
 	}
-	module := s.driver.List()
+	module := s.driver.ListInput()
 	if offset > 0 {
 		forgetMembers(module, entries)
 	}
--- a/internal/server/parts.go
+++ b/internal/server/parts.go
@@ -78,7 +78,7 @@
 
 // newBackend builds the backend with its connection pool.
 func newBackend(driver *eventloop.Driver, config *Config) *backend.Backend {
-	limits := backend.Limits{
+	options := backend.Options{
 		DialTimeoutMs:   config.runtime.DialTimeoutMs,
 		HealthReports:   config.runtime.HealthReports,
 		MaxResponse:     config.maxMessageBytes(),
@@ -95,13 +95,13 @@
 		Seed:         config.seed,
 		Pools:        poolBounds(config),
 	})
-	return backend.New(driver, limits, pool)
+	return backend.New(driver, options, pool)
 }
 
 // logins returns the user and database with which each pool's connections log in.
 func logins(config *Config) map[string]backend.Login {
 	all := map[string]backend.Login{
-		backend.PlatformPool: {User: config.checkUser, Database: config.checkDatabase},
+		backend.StatementPool: {User: config.checkUser, Database: config.checkDatabase},
 	}
 	for _, pool := range config.pools {
 		all[pool.Name] = backend.Login{User: pool.User, Database: pool.Database}
@@ -115,8 +115,8 @@
 		statements.WaitTimeoutMs = config.runtime.DialTimeoutMs
 	}
 	bounds := map[string]connpool.Bounds{
-		backend.PlatformPool: statements,
-		backend.CancelPool:   connpool.CancelBounds(config.runtime.DialTimeoutMs),
+		backend.StatementPool: statements,
+		backend.CancelPool:    connpool.CancelBounds(config.runtime.DialTimeoutMs),
 	}
 	for _, pool := range config.pools {
 		bounds[pool.Name] = pool.Bounds
