--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -187,7 +187,7 @@
 }
 
 // Connections returns the number of connections, including those being opened.
-func (b *Backend) Connections() int { return b.pool.OpenCount() }
+func (b *Backend) Connections() int { return b.pool.ConnectionCount() }
 
 // Waiting returns the number of jobs waiting for a connection.
 func (b *Backend) Waiting() int { return b.pool.WaitingCount() }
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -116,10 +116,10 @@
 	now := c.backend.driver.Now()
 	if membersTurn && j.memberTurnSince == 0 {
 		j.memberTurnSince = now
-		c.backend.poolInput().SetTurn(c.id, false)
+		c.backend.poolInput().SetAwaitingClient(c.id, false)
 	} else if !membersTurn && j.memberTurnSince > 0 {
 		j.endMemberTurn(now)
-		c.backend.poolInput().SetTurn(c.id, c.transactionStatus != session.StatusIdle)
+		c.backend.poolInput().SetAwaitingClient(c.id, c.transactionStatus != session.StatusIdle)
 	}
 	c.backend.driver.Defer(func() {
 		if c.job == j && !j.ended && (j.memberTurnSince > 0) == membersTurn {
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -95,7 +95,7 @@
 		expect(expectedReply{kind: op.Kind, forClient: true, localReply: op.Raw})
 		return out
 	case session.Reject: // the member must fail as well, so that no earlier operation takes effect
-		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Fault})
+		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Error})
 		if op.Kind == pg.Query {
 			return pg.AppendQuery(out, refusedQuery)
 		}
--- a/internal/decide/connpool/conn.go
+++ b/internal/decide/connpool/conn.go
@@ -125,9 +125,9 @@
 	c.sub.idle = append(c.sub.idle, c)
 }
 
-// SetTurn records whether a busy connection is waiting for its client or for the member. The idle-in-transaction timeout runs while
-// it waits for the client.
-func (p *Pool) SetTurn(connID int, awaitingClient bool) {
+// SetAwaitingClient records whether a busy connection is waiting for its client or for the member. The idle-in-transaction timeout runs
+// while it waits for the client.
+func (p *Pool) SetAwaitingClient(connID int, awaitingClient bool) {
 	c := p.conns[connID]
 	if c == nil || c.state != connBusy {
 		return
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -105,8 +105,8 @@
 	return d
 }
 
-// OpenCount returns the number of connections, including those being opened.
-func (p *Pool) OpenCount() int { return len(p.conns) }
+// ConnectionCount returns the number of connections, including those being opened.
+func (p *Pool) ConnectionCount() int { return len(p.conns) }
 
 // WaitingCount returns the number of requests waiting for a connection.
 func (p *Pool) WaitingCount() int { return len(p.waiters) }
--- a/internal/decide/connpool/recorded_test.go
+++ b/internal/decide/connpool/recorded_test.go
@@ -73,7 +73,7 @@
 			r.removeConn(d.Conn)
 		}
 	}
-	fmt.Fprintf(&r.transcript, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.OpenCount(), r.pool.WaitingCount(), r.pool.IdleCount("m1"), r.pool.IdleCount("m2"),
+	fmt.Fprintf(&r.transcript, "| open %d waiting %d idle %d %d %d deadline %v sweep %v\n", r.pool.ConnectionCount(), r.pool.WaitingCount(), r.pool.IdleCount("m1"), r.pool.IdleCount("m2"),
 		r.pool.IdleCount("m3"), r.pool.NextDeadline(), r.pool.NextSweep())
 }
 
@@ -138,7 +138,7 @@
 		fmt.Fprintf(&r.transcript, "free %d %d ", conn, affinity)
 	case choice < 88:
 		conn, awaitingClient := r.drawConn("busy"), r.rand.IntN(2) == 0
-		r.pool.SetTurn(conn, awaitingClient)
+		r.pool.SetAwaitingClient(conn, awaitingClient)
 		fmt.Fprintf(&r.transcript, "turn %d %v ", conn, awaitingClient)
 	case choice < 92:
 		conn := r.drawConn([]string{"busy", "idle", "opening"}[r.rand.IntN(3)])
--- a/internal/decide/connpool/scenario_test.go
+++ b/internal/decide/connpool/scenario_test.go
@@ -198,7 +198,7 @@
 	case "closed":
 		s.pool.ConnectionClosed(connID)
 	case "turn":
-		s.pool.SetTurn(connID, arguments[1] == "client")
+		s.pool.SetAwaitingClient(connID, arguments[1] == "client")
 	default:
 		return fmt.Errorf("unknown step %q", verb)
 	}
--- a/internal/decide/connpool/sweep_test.go
+++ b/internal/decide/connpool/sweep_test.go
@@ -36,7 +36,7 @@
 	}
 	p.Request(Request{ID: "1", Key: Key{"7", "x"}})
 	pullAt(100)
-	p.SetTurn(8, true)
+	p.SetAwaitingClient(8, true)
 	pullAt(200)
 	before := p.sweepVisits
 	for n := range 100 {
@@ -180,7 +180,7 @@
 	case 5, 6:
 		p.Release(in.busy, nil)
 	case 7:
-		p.SetTurn(in.busy, in.flag)
+		p.SetAwaitingClient(in.busy, in.flag)
 	case 8:
 		p.ConnectionClosed(cmp.Or(in.busy, in.opening))
 	case 9:
--- a/internal/decide/session/message.go
+++ b/internal/decide/session/message.go
@@ -19,7 +19,7 @@
 	Bind                              // bind Portal to Statement; Raw is the client's message from the parameter formats on
 	DescribeStatement                 // describe Statement
 	AnswerLocally                     // reply to the client with Raw, in order with the other replies
-	Reject                            // make the member fail too, and reply to the client with Fault
+	Reject                            // make the member fail too, and reply to the client with Error
 	ForwardDiscardReply               // send Raw and discard the reply
 )
 
@@ -30,7 +30,7 @@
 	Portal    string
 	Statement *PreparedStatement
 	Raw       []byte
-	Fault     *pg.Error
+	Error     *pg.Error
 }
 
 // Command is a parsed statement and its label.
@@ -70,7 +70,7 @@
 
 // reject returns a message that makes the member fail too, so that nothing before it in the unit takes effect.
 func reject(kind pg.Kind, pgErr *pg.Error) []Message {
-	return []Message{{Action: Reject, Kind: kind, Fault: pgErr}}
+	return []Message{{Action: Reject, Kind: kind, Error: pgErr}}
 }
 
 func completionReply(tag string, status byte) []byte {
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -169,7 +169,7 @@
 			statement = message.Statement.Tail.Value()
 		}
 		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", recordedActions[message.Action], message.Kind, message.Portal, statement, message.Raw,
-			message.Fault))
+			message.Error))
 	}
 	return "[" + strings.Join(out, "; ") + "]"
 }
--- a/internal/decide/session/scenario_test.go
+++ b/internal/decide/session/scenario_test.go
@@ -262,8 +262,8 @@
 	var words []string
 	for _, message := range messages {
 		word := actionNames[message.Action]
-		if message.Fault != nil {
-			word += ":" + message.Fault.Code
+		if message.Error != nil {
+			word += ":" + message.Error.Code
 		}
 		if message.Action == ForwardDiscardReply {
 			word += ":" + queryText(message)
