--- a/cmd/wayloft/coordinator.go
+++ b/cmd/wayloft/coordinator.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	if !result.Held {
-		return result.Refusal
+		return result.Rejection
 	}
 	out.println("membership change committed")
 	return nil
--- a/cmd/wayloft/coordinator_recover.go
+++ b/cmd/wayloft/coordinator_recover.go
@@ -86,8 +86,8 @@
 	if err != nil {
 		return err
 	}
-	if result.Refusal != "" {
-		return result.Refusal
+	if result.Rejection != "" {
+		return result.Rejection
 	}
 	out.printf("epoch %d has begun\n", epoch)
 	return nil
--- a/cmd/wayloft/fleet.go
+++ b/cmd/wayloft/fleet.go
@@ -118,8 +118,8 @@
 	if err != nil {
 		return err
 	}
-	if result.Refusal != "" {
-		return result.Refusal
+	if result.Rejection != "" {
+		return result.Rejection
 	}
 	out.printf("released lease %s: %s held it with token %s\n", lease.Name, holder.Name, formatToken(lease.Fence))
 	return nil
--- a/cmd/wayloft/fleet_switchover.go
+++ b/cmd/wayloft/fleet_switchover.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	if !result.Held {
-		return result.Refusal
+		return result.Rejection
 	}
 	out.printf("order %d\n", result.Number)
 	progress := &orderProgress{lease: name, order: result.Number, holder: "none", out: out}
--- a/cmd/wayloft/policy_propose.go
+++ b/cmd/wayloft/policy_propose.go
@@ -109,7 +109,7 @@
 		}
 	}
 	if !result.Held {
-		return policy.Version{}, fmt.Errorf("nothing was changed: %w", result.Refusal)
+		return policy.Version{}, fmt.Errorf("nothing was changed: %w", result.Rejection)
 	}
 	now, err := c.fetchPoliciesWith(client, c.Wait)
 	if err != nil {
--- a/internal/coordinator/audit.go
+++ b/internal/coordinator/audit.go
@@ -49,8 +49,8 @@
 	line := logrus.WithFields(logrus.Fields{"lease": event.Lease, "token": event.Token, "holder": event.Session})
 	lease, _ := s.node.State().Lease(event.Lease)
 	switch {
-	case lease.ForeignToken.Epoch >= s.node.State().Epoch() && lease.Holder == "":
-		line.WithField("receiver_token", lease.ForeignToken).
+	case lease.ReportedToken.Epoch >= s.node.State().Epoch() && lease.Holder == "":
+		line.WithField("receiver_token", lease.ReportedToken).
 			Error("lease not granted: a receiver has seen a higher fencing token than the coordinator; begin a new epoch (council recover)")
 	case event.Ended:
 		line.Info("lease released")
--- a/internal/coordinator/clients.go
+++ b/internal/coordinator/clients.go
@@ -84,7 +84,7 @@
 	return &fleetpb.Answer{
 		Held:   d.Result.Held,
 		Fence:  rpc.EncodeToken(d.Result.Token),
-		Why:    string(d.Result.Refusal),
+		Why:    string(d.Result.Rejection),
 		Number: d.Result.Number,
 	}, nil
 }
@@ -127,12 +127,12 @@
 func (s *Server) encodeState() *fleetpb.State {
 	state := s.node.State()
 	update, index := leaseclient.Changes(state, 0, false)
-	out := &fleetpb.State{State: rpc.EncodeUpdate(update), Epoch: state.Epoch(), Refused: state.RejectedActs()}
+	out := &fleetpb.State{State: rpc.EncodeUpdate(update), Epoch: state.Epoch(), Refused: state.RejectedOperations()}
 	out.State.Index = index
 	for _, encoded := range out.State.Sessions {
 		session, _ := state.Session(encoded.Name)
 		encoded.SilentMs = state.Now() - session.LastHeartbeat
-		encoded.Refused = session.RejectedActs
+		encoded.Refused = session.RejectedOperations
 		encoded.Wont = session.RejectedPolicy
 		encoded.Why = session.Reason
 	}
@@ -140,7 +140,7 @@
 		lease, _ := state.Lease(encoded.Name)
 		encoded.SinceMs = state.Now() - lease.Since
 		encoded.Queue = lease.Queue
-		encoded.Barred = rpc.EncodeToken(lease.ForeignToken)
+		encoded.Barred = rpc.EncodeToken(lease.ReportedToken)
 	}
 	for _, peer := range s.node.Peers() {
 		out.Council = append(out.Council, &fleetpb.Peer{
@@ -171,5 +171,5 @@
 	if d.Action == raftnode.Redirect {
 		return redirectAnswer(d), nil
 	}
-	return &fleetpb.Answer{Held: d.Result.Held, Why: string(d.Result.Refusal)}, nil
+	return &fleetpb.Answer{Held: d.Result.Held, Why: string(d.Result.Rejection)}, nil
 }
--- a/internal/coordinator/messages_test.go
+++ b/internal/coordinator/messages_test.go
@@ -319,7 +319,7 @@
 			sessions = append(sessions, m.Bytes)
 		}
 		answer := replayRequest(ctx, t, conn, m.Bytes)
-		for answer.Why == string(leasestate.RefusedNoSession) { // the session timed out because the test ran slowly
+		for answer.Why == string(leasestate.RejectedNoSession) { // the session timed out because the test ran slowly
 			for _, open := range sessions {
 				replayRequest(ctx, t, conn, open)
 			}
--- a/internal/coordinator/stored_test.go
+++ b/internal/coordinator/stored_test.go
@@ -82,21 +82,21 @@
 
 // describeState lists the contents of the replicated state machine.
 func describeState(out *strings.Builder, state *leasestate.State) {
-	fmt.Fprintf(out, "epoch %d index %d time_ms %d refused %d\n", state.Epoch(), state.Index(), state.Now(), state.RejectedActs())
+	fmt.Fprintf(out, "epoch %d index %d time_ms %d refused %d\n", state.Epoch(), state.Index(), state.Now(), state.RejectedOperations())
 	for _, name := range state.Sessions() {
 		s, _ := state.Session(name)
 		fmt.Fprintf(out, "session %s kind %s incarnation %d length_ms %d heard_ms %d address %s policy %s refused %d rejected %s why %q\n", name, s.Role,
-			s.Incarnation, s.Timeout, s.LastHeartbeat, s.Address, policy.FormatPacked(s.Policy), s.RejectedActs, policy.FormatPacked(s.RejectedPolicy), s.Reason)
+			s.Incarnation, s.Timeout, s.LastHeartbeat, s.Address, policy.FormatPacked(s.Policy), s.RejectedOperations, policy.FormatPacked(s.RejectedPolicy), s.Reason)
 	}
 	for _, name := range state.Leases() {
 		d, _ := state.Lease(name)
 		fmt.Fprintf(out, "lease %s holder %q token %d.%d since_ms %d queue %q barred %d.%d open %d %q ended %d %q\n", name, d.Holder, d.Token.Epoch,
-			d.Token.Count, d.Since, d.Queue, d.ForeignToken.Epoch, d.ForeignToken.Count, d.Open.Number, d.Open.Text, d.Ended.Number, d.Ended.Text)
+			d.Token.Count, d.Since, d.Queue, d.ReportedToken.Epoch, d.ReportedToken.Count, d.OpenOrder.Number, d.OpenOrder.Text, d.CompletedOrder.Number, d.CompletedOrder.Text)
 		for _, step := range d.Steps {
 			fmt.Fprintf(out, "  step %d.%d %q\n", step.Token.Epoch, step.Token.Count, step.Text)
 		}
 	}
-	events, all := state.Since(0)
+	events, all := state.EventsSince(0)
 	fmt.Fprintf(out, "events %d all %t\n", len(events), all)
 	for _, e := range events {
 		fmt.Fprintf(out, "  event %d session %q ended %t lease %q token %d.%d why %q policy %s\n", e.Index, e.Session, e.Ended, e.Lease, e.Token.Epoch,
@@ -156,7 +156,7 @@
 	fmt.Fprintf(out, " by %d number %d also %d kind %s", record.Proposer, record.Request, record.AlsoAnswers, e.Kind)
 	fmt.Fprintf(out, " passed_ms %d session %q incarnation %d lease %q token %d.%d", e.Elapsed, e.Session, e.Incarnation, e.Lease, e.Token.Epoch, e.Token.Count)
 	for _, n := range e.Heartbeats {
-		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.RejectedActs, policy.FormatPacked(n.Policy))
+		fmt.Fprintf(out, " heard %s %d refused %d policy %s", n.Session, n.Incarnation, n.RejectedOperations, policy.FormatPacked(n.Policy))
 	}
 }
 
--- a/internal/decide/leaseclient/changes.go
+++ b/internal/decide/leaseclient/changes.go
@@ -17,7 +17,7 @@
 // update holds what has changed, or the whole state if since is 0, the events after it are no longer kept, or the watcher is ahead of this
 // state. withoutSessions leaves out all sessions: a process that sends no orders doesn't need them, and there may be hundreds.
 func Changes(state *leasestate.State, since uint64, withoutSessions bool) (Update, uint64) {
-	events, kept := state.Since(since)
+	events, kept := state.EventsSince(since)
 	if since == 0 || since > state.Index() || !kept {
 		return completeUpdate(state, withoutSessions), state.Index()
 	}
@@ -103,8 +103,8 @@
 			Name:   name,
 			Holder: stored.Holder,
 			Token:  stored.Token,
-			Open:   stored.Open,
-			Ended:  stored.Ended,
+			Open:   stored.OpenOrder,
+			Ended:  stored.CompletedOrder,
 			Steps:  stored.Steps,
 		})
 	}
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -211,7 +211,7 @@
 	if !found {
 		return
 	}
-	if result.Refusal == leasestate.RefusedNoSession && request.kind != leasestate.OpenSession {
+	if result.Rejection == leasestate.RejectedNoSession && request.kind != leasestate.OpenSession {
 		c.sessionLost()
 		return
 	}
--- a/internal/decide/leaseclient/session.go
+++ b/internal/decide/leaseclient/session.go
@@ -44,11 +44,11 @@
 func (c *Client) sendHeartbeat() {
 	c.heartbeat.dueAt = math.Inf(1)
 	c.propose(leasestate.Entry{
-		Kind:           leasestate.KeepAlive,
-		Policy:         c.appliedPolicy,
-		RejectedPolicy: c.rejectedPolicy,
-		Reason:         c.rejectionReason,
-		RejectedActs:   uint64(c.RejectedActs),
+		Kind:               leasestate.KeepAlive,
+		Policy:             c.appliedPolicy,
+		RejectedPolicy:     c.rejectedPolicy,
+		Reason:             c.rejectionReason,
+		RejectedOperations: uint64(c.RejectedActs),
 	})
 }
 
@@ -130,7 +130,7 @@
 		c.shutdownComplete = true
 		return
 	}
-	c.propose(leasestate.Entry{Kind: leasestate.CloseSession, RejectedActs: uint64(c.RejectedActs)})
+	c.propose(leasestate.Entry{Kind: leasestate.CloseSession, RejectedOperations: uint64(c.RejectedActs)})
 }
 
 // ShutdownComplete reports whether the session is closed, or the request to close it has failed and the session will expire.
--- a/internal/decide/leaseclient/tokens_test.go
+++ b/internal/decide/leaseclient/tokens_test.go
@@ -41,7 +41,7 @@
 	h.client.Check(lease.Scope{Lease: "e", Subject: "g"}, "q", lease.Token{Epoch: 1, Count: 7})
 	h.client.UpdateReceived(Update{Complete: true, Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 2}}}})
 	h.runUntil(1000, true)
-	if stored, _ := h.state.Lease("e"); stored.ForeignToken.Count != 7 {
+	if stored, _ := h.state.Lease("e"); stored.ReportedToken.Count != 7 {
 		t.Fatalf("the coordinator doesn't know the reported token: %+v, %v", stored, h.log)
 	}
 	if h.runUntil(9000, true); h.count(leasestate.ReportToken) < 2 || h.count(leasestate.ReportToken) > 4 {
--- a/internal/decide/leasestate/entry.go
+++ b/internal/decide/leasestate/entry.go
@@ -53,35 +53,35 @@
 
 // Entry is one log entry. Only the fields that its kind uses are set.
 type Entry struct {
-	Kind           Kind             `cbor:"1,keyasint"`
-	Elapsed        uint64           `cbor:"2,keyasint,omitempty"` // ms on the leader's clock since its previous entry
-	Session        string           `cbor:"3,keyasint,omitempty"`
-	Incarnation    uint64           `cbor:"4,keyasint,omitempty"`
-	Role           string           `cbor:"5,keyasint,omitempty"`
-	Timeout        uint64           `cbor:"6,keyasint,omitempty"` // ms; the session expires after a longer time without a heartbeat
-	Lease          string           `cbor:"7,keyasint,omitempty"`
-	Token          lease.Token      `cbor:"8,keyasint,omitzero"`
-	To             string           `cbor:"9,keyasint,omitempty"`
-	Text           string           `cbor:"10,keyasint,omitempty"`
-	Epoch          uint64           `cbor:"11,keyasint,omitempty"`
-	Address        string           `cbor:"12,keyasint,omitempty"` // at which Session receives the acts of lease holders
-	Policy         uint64           `cbor:"13,keyasint,omitempty"` // packed policy version that Session has applied
-	Number         uint64           `cbor:"14,keyasint,omitempty"`
-	Heartbeats     []Heartbeat      `cbor:"15,keyasint,omitempty"`
-	RejectedActs   uint64           `cbor:"16,keyasint,omitempty"` // acts that Session has rejected since its start for a stale fencing token
-	Proposal       *policy.Proposal `cbor:"17,keyasint,omitempty"`
-	RejectedPolicy uint64           `cbor:"18,keyasint,omitempty"` // packed policy version that Session couldn't apply
-	Reason         string           `cbor:"19,keyasint,omitempty"` // why Session couldn't apply RejectedPolicy
+	Kind               Kind             `cbor:"1,keyasint"`
+	Elapsed            uint64           `cbor:"2,keyasint,omitempty"` // ms on the leader's clock since its previous entry
+	Session            string           `cbor:"3,keyasint,omitempty"`
+	Incarnation        uint64           `cbor:"4,keyasint,omitempty"`
+	Role               string           `cbor:"5,keyasint,omitempty"`
+	Timeout            uint64           `cbor:"6,keyasint,omitempty"` // ms; the session expires after a longer time without a heartbeat
+	Lease              string           `cbor:"7,keyasint,omitempty"`
+	Token              lease.Token      `cbor:"8,keyasint,omitzero"`
+	To                 string           `cbor:"9,keyasint,omitempty"`
+	Text               string           `cbor:"10,keyasint,omitempty"`
+	Epoch              uint64           `cbor:"11,keyasint,omitempty"`
+	Address            string           `cbor:"12,keyasint,omitempty"` // at which Session receives the acts of lease holders
+	Policy             uint64           `cbor:"13,keyasint,omitempty"` // packed policy version that Session has applied
+	Number             uint64           `cbor:"14,keyasint,omitempty"`
+	Heartbeats         []Heartbeat      `cbor:"15,keyasint,omitempty"`
+	RejectedOperations uint64           `cbor:"16,keyasint,omitempty"` // operations that Session has rejected since its start for a stale fencing token
+	Proposal           *policy.Proposal `cbor:"17,keyasint,omitempty"`
+	RejectedPolicy     uint64           `cbor:"18,keyasint,omitempty"` // packed policy version that Session couldn't apply
+	Reason             string           `cbor:"19,keyasint,omitempty"` // why Session couldn't apply RejectedPolicy
 }
 
 // Heartbeat is the heartbeat of one session in a KeepAliveAll entry. Its fields have the same meaning as in Entry.
 type Heartbeat struct {
-	Session        string `cbor:"1,keyasint"`
-	Incarnation    uint64 `cbor:"2,keyasint"`
-	RejectedActs   uint64 `cbor:"3,keyasint,omitempty"`
-	Policy         uint64 `cbor:"4,keyasint,omitempty"`
-	RejectedPolicy uint64 `cbor:"5,keyasint,omitempty"`
-	Reason         string `cbor:"6,keyasint,omitempty"`
+	Session            string `cbor:"1,keyasint"`
+	Incarnation        uint64 `cbor:"2,keyasint"`
+	RejectedOperations uint64 `cbor:"3,keyasint,omitempty"`
+	Policy             uint64 `cbor:"4,keyasint,omitempty"`
+	RejectedPolicy     uint64 `cbor:"5,keyasint,omitempty"`
+	Reason             string `cbor:"6,keyasint,omitempty"`
 }
 
 // Encode returns the encoding of an entry in the log.
--- a/internal/decide/leasestate/errors.go
+++ b/internal/decide/leasestate/errors.go
@@ -11,25 +11,25 @@
 	ErrMalformed = errors.New("malformed")
 )
 
-// Refusal is the reason why an entry was rejected. Its text is sent on the wire and shown to operators. Code compares it only with the
+// Rejection is the reason why an entry was rejected. Its text is sent on the wire and shown to operators. Code compares it only with the
 // constants below.
-type Refusal string
+type Rejection string
 
 // Error implements error.
-func (r Refusal) Error() string { return string(r) }
+func (r Rejection) Error() string { return string(r) }
 
 // Refusals whose text doesn't depend on the state. The texts are part of the wire protocol.
 const (
-	// RefusedNoSession means that the entry's session isn't open, or is open with another incarnation: it must be opened first.
-	RefusedNoSession Refusal = "no such session"
+	// RejectedNoSession means that the entry's session isn't open, or is open with another incarnation: it must be opened first.
+	RejectedNoSession Rejection = "no such session"
 
-	refusedAlreadyApplied   Refusal = "applied before"
-	refusedStateBehind      Refusal = "a receiver knows a higher fence than this council"
-	refusedNotHolder        Refusal = "not the holder"
-	refusedNoSuccessor      Refusal = "the successor has no session"
-	refusedInvalidSession   Refusal = "a session needs a name and a length"
-	refusedTooManySessions  Refusal = "too many sessions"
-	refusedOlderIncarnation Refusal = "a later incarnation has this name"
-	refusedLeaseNameOrCount Refusal = "no duty named, or too many"
-	refusedEmptyOrder       Refusal = "an order needs words"
+	rejectedAlreadyApplied   Rejection = "applied before"
+	rejectedStateBehind      Rejection = "a receiver knows a higher fence than this council"
+	rejectedNotHolder        Rejection = "not the holder"
+	rejectedNoSuccessor      Rejection = "the successor has no session"
+	rejectedInvalidSession   Rejection = "a session needs a name and a length"
+	rejectedTooManySessions  Rejection = "too many sessions"
+	rejectedOlderIncarnation Rejection = "a later incarnation has this name"
+	rejectedLeaseNameOrCount Rejection = "no duty named, or too many"
+	rejectedEmptyOrder       Rejection = "an order needs words"
 )
--- a/internal/decide/leasestate/events.go
+++ b/internal/decide/leasestate/events.go
@@ -27,9 +27,9 @@
 	s.data.Events = appendBounded(s.data.Events, event, maxEvents)
 }
 
-// Since returns the events of the entries after index. It returns false if some of them are no longer kept; the caller must then read the
-// whole state again.
-func (s *State) Since(index uint64) ([]Event, bool) {
+// EventsSince returns the events of the entries after index. It returns false if some of them are no longer kept; the caller must then read
+// the whole state again.
+func (s *State) EventsSince(index uint64) ([]Event, bool) {
 	events := s.data.Events
 	if len(events) == maxEvents && index < events[0].Index {
 		return nil, false
--- a/internal/decide/leasestate/leases.go
+++ b/internal/decide/leasestate/leases.go
@@ -8,14 +8,14 @@
 
 // Lease is the exclusive right of one process at a time to perform one task for the fleet.
 type Lease struct {
-	Holder       string      `cbor:"1,keyasint"` // session name; empty if the lease is free
-	Token        lease.Token `cbor:"2,keyasint"` // of the latest grant; it never decreases
-	Since        uint64      `cbor:"3,keyasint"` // state time at which the lease was granted or became free
-	Queue        []string    `cbor:"4,keyasint"` // sessions that wait for the lease, the next holder first
-	ForeignToken lease.Token `cbor:"5,keyasint"` // highest token that a receiver has reported and that isn't a grant in this state
-	Steps        []Step      `cbor:"6,keyasint"` // since the open order was placed or the previous one completed
-	Open         Order       `cbor:"7,keyasint"` // order that the holder must execute; number 0 if there is none
-	Ended        Order       `cbor:"8,keyasint"` // order completed last, with its outcome
+	Holder         string      `cbor:"1,keyasint"` // session name; empty if the lease is free
+	Token          lease.Token `cbor:"2,keyasint"` // of the latest grant; it never decreases
+	Since          uint64      `cbor:"3,keyasint"` // state time at which the lease was granted or became free
+	Queue          []string    `cbor:"4,keyasint"` // sessions that wait for the lease, the next holder first
+	ReportedToken  lease.Token `cbor:"5,keyasint"` // highest token that a receiver has reported and that isn't a grant in this state
+	Steps          []Step      `cbor:"6,keyasint"` // since the open order was placed or the previous one completed
+	OpenOrder      Order       `cbor:"7,keyasint"` // order that the holder must execute; number 0 if there is none
+	CompletedOrder Order       `cbor:"8,keyasint"` // order completed last, with its outcome
 }
 
 // dequeue removes a session from the queue.
@@ -37,12 +37,12 @@
 }
 
 // findOrCreateLease returns a lease; it creates a free one if there is none with that name.
-func (s *State) findOrCreateLease(name string) (*Lease, Refusal) {
+func (s *State) findOrCreateLease(name string) (*Lease, Rejection) {
 	if found := s.data.Leases[name]; found != nil {
 		return found, ""
 	}
 	if name == "" || len(s.data.Leases) >= maxSessionsOrLeases {
-		return nil, refusedLeaseNameOrCount
+		return nil, rejectedLeaseNameOrCount
 	}
 	created := &Lease{}
 	s.data.Leases[name] = created
@@ -52,9 +52,9 @@
 // acquireLease adds the session to the lease's queue and grants the lease if it is free. A holder that requests it again gets the same
 // token.
 func (s *State) acquireLease(entry Entry) Result {
-	requested, refusal := s.findOrCreateLease(entry.Lease)
+	requested, rejection := s.findOrCreateLease(entry.Lease)
 	if requested == nil {
-		return Result{Refusal: refusal}
+		return Result{Rejection: rejection}
 	}
 	if requested.Holder != entry.Session && !slices.Contains(requested.Queue, entry.Session) {
 		requested.Queue = append(requested.Queue, entry.Session)
@@ -66,9 +66,9 @@
 	case entry.Session:
 		return Result{Held: true, Token: requested.Token}
 	case "":
-		return Result{Token: requested.Token, Refusal: refusedStateBehind}
+		return Result{Token: requested.Token, Rejection: rejectedStateBehind}
 	default:
-		return Result{Token: requested.Token, Refusal: Refusal("held by " + requested.Holder)}
+		return Result{Token: requested.Token, Rejection: Rejection("held by " + requested.Holder)}
 	}
 }
 
@@ -76,10 +76,10 @@
 func (s *State) applyHolderEntry(entry Entry) Result {
 	held := s.data.Leases[entry.Lease]
 	if held == nil {
-		return Result{Refusal: refusedNotHolder}
+		return Result{Rejection: rejectedNotHolder}
 	}
 	if held.Holder != entry.Session || held.Token != entry.Token {
-		return Result{Token: held.Token, Refusal: refusedNotHolder}
+		return Result{Token: held.Token, Rejection: rejectedNotHolder}
 	}
 	switch entry.Kind {
 	case ReleaseLease:
@@ -91,7 +91,7 @@
 		return Result{Held: true, Token: held.Token}
 	case CompleteOrder:
 		s.completeOrder(held, entry)
-		return Result{Held: true, Token: held.Token, Number: held.Ended.Number}
+		return Result{Held: true, Token: held.Token, Number: held.CompletedOrder.Number}
 	}
 	return Result{Token: held.Token}
 }
@@ -99,7 +99,7 @@
 // transferLease releases a lease and grants it to the successor that the holder has chosen, ahead of the queue.
 func (s *State) transferLease(held *Lease, entry Entry) Result {
 	if s.data.Sessions[entry.To] == nil {
-		return Result{Held: true, Token: held.Token, Refusal: refusedNoSuccessor}
+		return Result{Held: true, Token: held.Token, Rejection: rejectedNoSuccessor}
 	}
 	held.dequeue(entry.To)
 	held.Queue = slices.Insert(held.Queue, 0, entry.To)
@@ -117,7 +117,7 @@
 	}
 	next := free.nextToken(s.data.Epoch)
 	s.data.Epoch = next.Epoch
-	if next.Epoch <= free.ForeignToken.Epoch {
+	if next.Epoch <= free.ReportedToken.Epoch {
 		return
 	}
 	free.Holder, free.Token, free.Since = free.Queue[0], next, s.data.Now
@@ -137,22 +137,22 @@
 
 // reportToken handles a receiver's report of a fencing token that it has seen. The state is older than what the fleet has seen if that token
 // was never granted here, or was granted to a session other than the one that the report says has used it. The lease is then taken from its
-// holder, whose acts would be rejected, and is granted again only in a later epoch.
+// holder, whose operations would be rejected, and is granted again only in a later epoch.
 func (s *State) reportToken(entry Entry) Result {
-	reported, refusal := s.findOrCreateLease(entry.Lease)
+	reported, rejection := s.findOrCreateLease(entry.Lease)
 	if reported == nil {
-		return Result{Refusal: refusal}
+		return Result{Rejection: rejection}
 	}
 	order := entry.Token.Compare(reported.Token)
 	sameHolder := reported.Holder == "" || entry.Session == "" || reported.Holder == entry.Session
 	known := order < 0 || order == 0 && sameHolder
-	if known || entry.Token.Compare(reported.ForeignToken) <= 0 {
+	if known || entry.Token.Compare(reported.ReportedToken) <= 0 {
 		return Result{Token: reported.Token}
 	}
-	reported.ForeignToken = entry.Token
+	reported.ReportedToken = entry.Token
 	s.emit(Event{Lease: entry.Lease, Token: reported.Token})
 	s.freeLease(entry.Lease)
-	return Result{Token: reported.Token, Refusal: refusedStateBehind}
+	return Result{Token: reported.Token, Rejection: rejectedStateBehind}
 }
 
 // LatestToken returns the lowest fencing token of a lease that can still be valid. Receivers that have no token in memory start from it. If
--- a/internal/decide/leasestate/leases_test.go
+++ b/internal/decide/leasestate/leases_test.go
@@ -21,11 +21,11 @@
 	requireEqual(t, "holder after expiry", stored.Holder, "b")
 	requireEqual(t, "token", stored.Token, token(1, 2))
 	release := Entry{Kind: ReleaseLease, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1)}
-	requireEqual(t, "release by the expired session", state.apply(release).Refusal, Refusal("no such session"))
+	requireEqual(t, "release by the expired session", state.apply(release).Rejection, Rejection("no such session"))
 	result := state.apply(Entry{Kind: TransferLease, Session: "b", Incarnation: 1, Lease: "d", Token: token(1, 2), To: "c"})
 	stored, _ = state.Lease("d")
-	requireEqual(t, "holder after the transfer", stored.Holder+string(result.Refusal), "c")
-	events, all := state.Since(0)
+	requireEqual(t, "holder after the transfer", stored.Holder+string(result.Rejection), "c")
+	events, all := state.EventsSince(0)
 	if last := events[len(events)-1]; !all || last.Session != "c" || last.Token != token(1, 3) {
 		t.Fatalf("events %+v", events)
 	}
@@ -38,13 +38,13 @@
 	state.apply(Entry{Kind: ReportToken, Lease: "d", Token: token(1, 7)})
 	result := state.apply(acquire("a"))
 	requireEqual(t, "granted in the reported epoch", result.Held, false)
-	requireEqual(t, "refusal", result.Refusal, refusedStateBehind)
-	requireEqual(t, "epoch that has begun already", state.apply(Entry{Kind: BeginEpoch, Epoch: 1}).Refusal, Refusal("epoch 1 has begun already"))
+	requireEqual(t, "refusal", result.Rejection, rejectedStateBehind)
+	requireEqual(t, "epoch that has begun already", state.apply(Entry{Kind: BeginEpoch, Epoch: 1}).Rejection, Rejection("epoch 1 has begun already"))
 	state.apply(Entry{Kind: BeginEpoch, Epoch: 2})
 	requireEqual(t, "token in the later epoch", state.apply(acquire("a")).Token, token(2, 1))
 	// A coordinator restored from an older copy may grant a token again, to another session. A receiver that has seen the token used by the
 	// first session reports it with that session's name.
-	requireEqual(t, "report of the holder's own token", state.apply(Entry{Kind: ReportToken, Lease: "d", Token: token(2, 1), Session: "a"}).Refusal, Refusal(""))
+	requireEqual(t, "report of the holder's own token", state.apply(Entry{Kind: ReportToken, Lease: "d", Token: token(2, 1), Session: "a"}).Rejection, Rejection(""))
 	state.apply(Entry{Kind: ReportToken, Lease: "d", Token: token(2, 1), Session: "z"})
 	stored, _ := state.Lease("d")
 	requireEqual(t, "holder after the report", stored.Holder, "")
--- a/internal/decide/leasestate/orders.go
+++ b/internal/decide/leasestate/orders.go
@@ -23,20 +23,20 @@
 
 // placeOrder opens an operator's order. It is idempotent: while an order is open, one with the same text is the same order.
 func (s *State) placeOrder(entry Entry) Result {
-	ordered, refusal := s.findOrCreateLease(entry.Lease)
+	ordered, rejection := s.findOrCreateLease(entry.Lease)
 	switch {
 	case ordered == nil:
-		return Result{Refusal: refusal}
+		return Result{Rejection: rejection}
 	case entry.Text == "":
-		return Result{Refusal: refusedEmptyOrder}
-	case ordered.Open.Number == 0:
-		ordered.Open, ordered.Steps = Order{ordered.Ended.Number + 1, entry.Text}, nil
+		return Result{Rejection: rejectedEmptyOrder}
+	case ordered.OpenOrder.Number == 0:
+		ordered.OpenOrder, ordered.Steps = Order{ordered.CompletedOrder.Number + 1, entry.Text}, nil
 		s.emit(Event{Lease: entry.Lease, Token: ordered.Token, Session: ordered.Holder})
-	case ordered.Open.Text != entry.Text:
-		open := ordered.Open
-		return Result{Refusal: Refusal(fmt.Sprintf("order %d is open: %s", open.Number, open.Text)), Number: open.Number}
+	case ordered.OpenOrder.Text != entry.Text:
+		open := ordered.OpenOrder
+		return Result{Rejection: Rejection(fmt.Sprintf("order %d is open: %s", open.Number, open.Text)), Number: open.Number}
 	}
-	return Result{Held: true, Token: ordered.Token, Number: ordered.Open.Number}
+	return Result{Held: true, Token: ordered.Token, Number: ordered.OpenOrder.Number}
 }
 
 func (s *State) recordStep(held *Lease, entry Entry) {
@@ -46,9 +46,9 @@
 
 // completeOrder closes the open order with its outcome, if its number is the one in the entry.
 func (s *State) completeOrder(held *Lease, entry Entry) {
-	if entry.Number == 0 || entry.Number != held.Open.Number {
+	if entry.Number == 0 || entry.Number != held.OpenOrder.Number {
 		return
 	}
-	held.Ended, held.Open, held.Steps = Order{entry.Number, entry.Text}, Order{}, nil
+	held.CompletedOrder, held.OpenOrder, held.Steps = Order{entry.Number, entry.Text}, Order{}, nil
 	s.emit(Event{Lease: entry.Lease, Token: held.Token, Session: held.Holder})
 }
--- a/internal/decide/leasestate/orders_test.go
+++ b/internal/decide/leasestate/orders_test.go
@@ -28,19 +28,19 @@
 	order := Entry{Kind: PlaceOrder, Lease: "d", Text: "to m2"}
 	requireEqual(t, "number of the first order", state.apply(order).Number, uint64(1))
 	requireEqual(t, "number of the same order again", state.apply(order).Number, uint64(1))
-	requireEqual(t, "another order while one is open", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Refusal, Refusal("order 1 is open: to m2"))
+	requireEqual(t, "another order while one is open", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Rejection, Rejection("order 1 is open: to m2"))
 	state.apply(acquire("a"))
 	state.apply(Entry{Kind: RecordStep, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Text: "hold"})
 	complete := Entry{Kind: CompleteOrder, Session: "a", Incarnation: 1, Lease: "d", Token: token(1, 1), Number: 1, Text: "done"}
 	state.apply(acquire("b"))
 	state.apply(Entry{Kind: CloseSession, Session: "a", Incarnation: 1})
-	requireEqual(t, "completed by a former holder", state.apply(complete).Refusal, Refusal("no such session"))
+	requireEqual(t, "completed by a former holder", state.apply(complete).Rejection, Rejection("no such session"))
 	stored, _ := state.Lease("d")
 	requireEqual(t, "steps left for the next holder", len(stored.Steps), 1)
 	complete.Session, complete.Token = "b", token(1, 2)
 	requireEqual(t, "completed by the new holder", state.apply(complete).Number, uint64(1))
 	stored, _ = state.Lease("d")
-	requireEqual(t, "completed order", stored.Ended, Order{1, "done"})
-	requireEqual(t, "open order", stored.Open.Number, uint64(0))
+	requireEqual(t, "completed order", stored.CompletedOrder, Order{1, "done"})
+	requireEqual(t, "open order", stored.OpenOrder.Number, uint64(0))
 	requireEqual(t, "number of the next order", state.apply(Entry{Kind: PlaceOrder, Lease: "d", Text: "to m3"}).Number, uint64(2))
 }
--- a/internal/decide/leasestate/policy.go
+++ b/internal/decide/leasestate/policy.go
@@ -9,7 +9,7 @@
 	before := history.Version
 	version, why := history.Propose(s.data.Epoch, *entry.Proposal)
 	if why != "" {
-		return Result{Refusal: Refusal(why), Number: before.Number}
+		return Result{Rejection: Rejection(why), Number: before.Number}
 	}
 	if version != before {
 		s.emit(Event{Policy: version.Packed()})
--- a/internal/decide/leasestate/policy_test.go
+++ b/internal/decide/leasestate/policy_test.go
@@ -28,19 +28,19 @@
 		t.Fatal("a snapshot with a policy must have format 2, which earlier builds reject:", header, err)
 	}
 	at := state.Index()
-	events, _ := state.Since(at - 1)
+	events, _ := state.EventsSince(at - 1)
 	if len(events) != 1 || events[0].Policy != state.Policy().Version.Packed() {
 		t.Fatal("want one event with the new version:", events)
 	}
 	stale := policy.Propose(policy.Version{}, nil, policy.Document{"over_share_value": "0.5"}, "b", "")
 	result := state.apply(Entry{Kind: ProposePolicy, Proposal: &stale})
-	if result.Held || result.Number != 1 || !strings.Contains(string(result.Refusal), "1.1 is in force, this was made from none") {
+	if result.Held || result.Number != 1 || !strings.Contains(string(result.Rejection), "1.1 is in force, this was made from none") {
 		t.Error("proposal based on no version, after version 1.1:", result)
 	}
 	version := state.Policy().Version.Packed()
 	state.apply(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: version})
 	state.apply(Entry{Kind: KeepAliveAll, Heartbeats: []Heartbeat{{Session: "b", Incarnation: 1, RejectedPolicy: version, Reason: "no memory"}}})
-	if events, _ := state.Since(at); len(events) != 0 {
+	if events, _ := state.EventsSince(at); len(events) != 0 {
 		t.Error("events for a version that a session applied or rejected:", events)
 	}
 	a, _ := state.Session("a")
@@ -59,7 +59,7 @@
 	requireEqual(t, "version after a new epoch", state.Policy().Version.String(), "4.2")
 	requireEqual(t, "proposal in the new epoch", state.proposeShare("0.3"), Result{Held: true, Number: 3})
 	state.apply(Entry{Kind: KeepAlive, Session: "a", Incarnation: 1, Policy: policy.Version{Epoch: 4, Number: 9}.Packed()})
-	if result := state.proposeShare("0.4"); result.Held || !strings.Contains(string(result.Refusal), "4.9") {
+	if result := state.proposeShare("0.4"); result.Held || !strings.Contains(string(result.Rejection), "4.9") {
 		t.Error("proposal accepted although a session has applied a version unknown here:", result)
 	}
 	state.data.Policy.Document = policy.Document{"over_share_value": "0.9"}
--- a/internal/decide/leasestate/session.go
+++ b/internal/decide/leasestate/session.go
@@ -7,15 +7,15 @@
 
 // Session is the coordinator's record of one process.
 type Session struct {
-	Incarnation    uint64 `cbor:"1,keyasint"`
-	Role           string `cbor:"2,keyasint"`
-	Timeout        uint64 `cbor:"3,keyasint"` // ms; the session expires after a longer time without a heartbeat
-	LastHeartbeat  uint64 `cbor:"4,keyasint"` // state time
-	Address        string `cbor:"5,keyasint"`
-	Policy         uint64 `cbor:"6,keyasint"`           // packed policy version that it has applied, as last reported
-	RejectedActs   uint64 `cbor:"7,keyasint"`           // number of acts that it has rejected because of a stale fencing token
-	RejectedPolicy uint64 `cbor:"8,keyasint,omitempty"` // packed policy version that it couldn't apply
-	Reason         string `cbor:"9,keyasint,omitempty"` // why it couldn't apply RejectedPolicy
+	Incarnation        uint64 `cbor:"1,keyasint"`
+	Role               string `cbor:"2,keyasint"`
+	Timeout            uint64 `cbor:"3,keyasint"` // ms; the session expires after a longer time without a heartbeat
+	LastHeartbeat      uint64 `cbor:"4,keyasint"` // state time
+	Address            string `cbor:"5,keyasint"`
+	Policy             uint64 `cbor:"6,keyasint"`           // packed policy version that it has applied, as last reported
+	RejectedOperations uint64 `cbor:"7,keyasint"`           // number of operations that it has rejected because of a stale fencing token
+	RejectedPolicy     uint64 `cbor:"8,keyasint,omitempty"` // packed policy version that it couldn't apply
+	Reason             string `cbor:"9,keyasint,omitempty"` // why it couldn't apply RejectedPolicy
 }
 
 // EndReason is the reason why a session ended. Its text is stored in snapshots and in the audit log.
@@ -31,9 +31,9 @@
 )
 
 // heartbeat restarts the session's timeout.
-func (s *Session) heartbeat(now, rejectedActs uint64) {
+func (s *Session) heartbeat(now, rejectedOperations uint64) {
 	s.LastHeartbeat = now
-	s.RejectedActs = max(s.RejectedActs, rejectedActs)
+	s.RejectedOperations = max(s.RejectedOperations, rejectedOperations)
 }
 
 // expiresAt returns the state time after which the session expires unless it has another heartbeat.
@@ -44,11 +44,11 @@
 	open := s.data.Sessions[entry.Session]
 	switch {
 	case entry.Session == "" || entry.Timeout == 0:
-		return Result{Refusal: refusedInvalidSession}
+		return Result{Rejection: rejectedInvalidSession}
 	case open == nil && len(s.data.Sessions) >= maxSessionsOrLeases:
-		return Result{Refusal: refusedTooManySessions}
+		return Result{Rejection: rejectedTooManySessions}
 	case open != nil && entry.Incarnation < open.Incarnation:
-		return Result{Refusal: refusedOlderIncarnation, Number: open.Incarnation}
+		return Result{Rejection: rejectedOlderIncarnation, Number: open.Incarnation}
 	case open != nil && entry.Incarnation == open.Incarnation: // a retry of the request
 		open.LastHeartbeat = s.data.Now
 		s.reportPolicy(open, entry.Policy, entry.RejectedPolicy, entry.Reason)
@@ -73,9 +73,9 @@
 func (s *State) applySessionEntry(entry Entry) Result {
 	session := s.data.Sessions[entry.Session]
 	if session == nil || session.Incarnation != entry.Incarnation {
-		return Result{Refusal: RefusedNoSession}
+		return Result{Rejection: RejectedNoSession}
 	}
-	session.heartbeat(s.data.Now, entry.RejectedActs)
+	session.heartbeat(s.data.Now, entry.RejectedOperations)
 	switch entry.Kind {
 	case KeepAlive:
 		s.reportPolicy(session, entry.Policy, entry.RejectedPolicy, entry.Reason)
@@ -97,7 +97,7 @@
 		if session == nil || session.Incarnation != heartbeat.Incarnation {
 			continue
 		}
-		session.heartbeat(s.data.Now, heartbeat.RejectedActs)
+		session.heartbeat(s.data.Now, heartbeat.RejectedOperations)
 		s.reportPolicy(session, heartbeat.Policy, heartbeat.RejectedPolicy, heartbeat.Reason)
 	}
 }
@@ -139,7 +139,7 @@
 
 // endSession ends an open session and grants its leases to the next sessions in their queues.
 func (s *State) endSession(name string, reason EndReason) {
-	s.data.RejectedActs += s.data.Sessions[name].RejectedActs
+	s.data.RejectedOperations += s.data.Sessions[name].RejectedOperations
 	delete(s.data.Sessions, name)
 	s.emit(Event{Session: name, Ended: true, Reason: reason})
 	for _, leaseName := range s.Leases() {
--- a/internal/decide/leasestate/session_test.go
+++ b/internal/decide/leasestate/session_test.go
@@ -22,7 +22,7 @@
 	state.apply(Entry{Kind: OpenSession, Session: "a", Incarnation: 2, Timeout: 100})
 	stored, _ := state.Lease("d")
 	requireEqual(t, "holder after the restart", stored.Holder, "")
-	requireEqual(t, "request of the previous incarnation", state.apply(acquire("a")).Refusal, Refusal("no such session"))
+	requireEqual(t, "request of the previous incarnation", state.apply(acquire("a")).Rejection, Rejection("no such session"))
 	requireEqual(t, "previous incarnation opened again", state.apply(Entry{Kind: OpenSession, Session: "a", Incarnation: 1, Timeout: 100}).Held, false)
 	requireEqual(t, "token of the new incarnation", state.apply(Entry{Kind: AcquireLease, Session: "a", Incarnation: 2, Lease: "d"}).Token, token(1, 2))
 }
@@ -31,7 +31,7 @@
 func TestKeepAliveAll_IgnoresOtherIncarnations(t *testing.T) {
 	state := newTestState("a", "b")
 	state.apply(Entry{Kind: KeepAliveAll, Elapsed: 90, Heartbeats: []Heartbeat{
-		{Session: "a", Incarnation: 1, RejectedActs: 3},
+		{Session: "a", Incarnation: 1, RejectedOperations: 3},
 		{Session: "b", Incarnation: 2},
 		{Session: "z", Incarnation: 1},
 	}})
@@ -42,6 +42,6 @@
 	_, openA := state.Session("a")
 	_, openB := state.Session("b")
 	requireEqual(t, "sessions a and b open", [2]bool{openA, openB}, [2]bool{true, false})
-	state.apply(Entry{Kind: CloseSession, Session: "a", Incarnation: 1, RejectedActs: 4})
-	requireEqual(t, "acts rejected by ended sessions", state.RejectedActs(), uint64(4))
+	state.apply(Entry{Kind: CloseSession, Session: "a", Incarnation: 1, RejectedOperations: 4})
+	requireEqual(t, "operations rejected by ended sessions", state.RejectedOperations(), uint64(4))
 }
--- a/internal/decide/leasestate/snapshot.go
+++ b/internal/decide/leasestate/snapshot.go
@@ -17,16 +17,16 @@
 
 // snapshot is the whole state in the form in which it is stored.
 type snapshot struct {
-	Version      uint64              `cbor:"1,keyasint"` // of the snapshot format
-	Fleet        string              `cbor:"2,keyasint"`
-	Epoch        uint64              `cbor:"3,keyasint"`
-	Now          uint64              `cbor:"4,keyasint"` // ms; sum of the elapsed times of all entries
-	Index        uint64              `cbor:"5,keyasint"` // of the last applied entry
-	Sessions     map[string]*Session `cbor:"6,keyasint"`
-	Leases       map[string]*Lease   `cbor:"7,keyasint"`
-	Events       []Event             `cbor:"8,keyasint"`
-	RejectedActs uint64              `cbor:"9,keyasint"`            // by the sessions that have ended
-	Policy       *policy.History     `cbor:"10,keyasint,omitempty"` // nil until a policy is proposed or a session reports one
+	Version            uint64              `cbor:"1,keyasint"` // of the snapshot format
+	Fleet              string              `cbor:"2,keyasint"`
+	Epoch              uint64              `cbor:"3,keyasint"`
+	Now                uint64              `cbor:"4,keyasint"` // ms; sum of the elapsed times of all entries
+	Index              uint64              `cbor:"5,keyasint"` // of the last applied entry
+	Sessions           map[string]*Session `cbor:"6,keyasint"`
+	Leases             map[string]*Lease   `cbor:"7,keyasint"`
+	Events             []Event             `cbor:"8,keyasint"`
+	RejectedOperations uint64              `cbor:"9,keyasint"`            // by the sessions that have ended
+	Policy             *policy.History     `cbor:"10,keyasint,omitempty"` // nil until a policy is proposed or a session reports one
 }
 
 // codec is a pair of CBOR modes.
--- a/internal/decide/leasestate/state.go
+++ b/internal/decide/leasestate/state.go
@@ -47,8 +47,8 @@
 	Held bool
 	// Token is the fencing token of the lease's latest grant, also if another session holds the lease.
 	Token lease.Token
-	// Refusal is the reason why the entry was rejected; empty if it wasn't.
-	Refusal Refusal
+	// Rejection is the reason why the entry was rejected; empty if it wasn't.
+	Rejection Rejection
 	// Number is the number of the order or of the policy version. For an OpenSession entry that was rejected as older, it is the incarnation
 	// of the open session.
 	Number uint64
@@ -57,7 +57,7 @@
 // Apply applies one log entry. index is its index in the log; an entry that is already applied changes nothing.
 func (s *State) Apply(index uint64, entry Entry) Result {
 	if index <= s.data.Index {
-		return Result{Refusal: refusedAlreadyApplied}
+		return Result{Rejection: rejectedAlreadyApplied}
 	}
 	s.data.Index = index
 	s.data.Now += entry.Elapsed
@@ -98,7 +98,7 @@
 // under a token higher than all previous ones.
 func (s *State) beginEpoch(epoch uint64) Result {
 	if epoch <= s.data.Epoch {
-		return Result{Refusal: Refusal(fmt.Sprintf("epoch %d has begun already", s.data.Epoch))}
+		return Result{Rejection: Rejection(fmt.Sprintf("epoch %d has begun already", s.data.Epoch))}
 	}
 	s.data.Epoch = epoch
 	for _, name := range s.Leases() {
@@ -142,8 +142,8 @@
 // Now returns the state's time in ms: the sum of the elapsed times of all entries.
 func (s *State) Now() uint64 { return s.data.Now }
 
-// RejectedActs returns how many acts the sessions that have ended by now had rejected because of a stale fencing token.
-func (s *State) RejectedActs() uint64 { return s.data.RejectedActs }
+// RejectedOperations returns how many operations the sessions that have ended by now had rejected because of a stale fencing token.
+func (s *State) RejectedOperations() uint64 { return s.data.RejectedOperations }
 
 // Fleet returns the name of the fleet.
 func (s *State) Fleet() string { return s.data.Fleet }
--- a/internal/decide/raftnode/epoch_test.go
+++ b/internal/decide/raftnode/epoch_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("granted again in an epoch below the reported one: %+v", a)
 	}
 	d, _ := restarted.node.State().Lease("d")
-	restarted.propose(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ForeignToken.Epoch + 1}) // as the command coordinator recover does
+	restarted.propose(leasestate.Entry{Kind: leasestate.BeginEpoch, Epoch: d.ReportedToken.Epoch + 1}) // as the command coordinator recover does
 	granted = restarted.acquire()
 	if verdict, _ := receiver.Check(scope, "s", granted.Token); !granted.Held || verdict != lease.Accepted {
 		t.Errorf("granted %+v; the receiver's verdict is %v", granted, verdict)
--- a/internal/decide/raftnode/heartbeats_test.go
+++ b/internal/decide/raftnode/heartbeats_test.go
@@ -179,7 +179,7 @@
 func TestHeartbeat_WithoutSessionIsRejectedAtOnce(t *testing.T) {
 	c := threeNodesWithSessions(t, 1, 2000)
 	c.advance(c.leader().NextDeadline())
-	if number := c.heartbeat(7); c.done[number].Refusal != leasestate.RefusedNoSession {
+	if number := c.heartbeat(7); c.done[number].Rejection != leasestate.RejectedNoSession {
 		t.Errorf("not rejected at once: %+v", c.done[number])
 	}
 }
--- a/internal/decide/raftnode/membership.go
+++ b/internal/decide/raftnode/membership.go
@@ -79,7 +79,7 @@
 		err = n.raftNode.ProposeConfChange(change)
 	}
 	if err != nil { // the operator sees its text
-		n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: leasestate.Refusal(err.Error())}})
+		n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Rejection: leasestate.Rejection(err.Error())}})
 		return
 	}
 	n.pending[request] = true
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -42,7 +42,7 @@
 	default:
 		if entry.Kind == leasestate.ProposePolicy {
 			if reason := proposalViolations(entry); reason != "" {
-				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: leasestate.Refusal(reason)}})
+				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Rejection: leasestate.Rejection(reason)}})
 				return
 			}
 		}
@@ -78,7 +78,7 @@
 func (n *Node) previewResult(entry leasestate.Entry) leasestate.Result {
 	state, err := leasestate.Restore(n.settings.Fleet, n.state.Snapshot())
 	if err != nil {
-		return leasestate.Result{Refusal: leasestate.Refusal(err.Error())}
+		return leasestate.Result{Rejection: leasestate.Rejection(err.Error())}
 	}
 	return state.Apply(state.Index()+1, entry)
 }
@@ -86,7 +86,7 @@
 func (n *Node) queueHeartbeat(request uint64, entry leasestate.Entry) {
 	n.pending[request] = true
 	n.heartbeats = append(n.heartbeats, pendingHeartbeat{request, leasestate.Heartbeat{Session: entry.Session, Incarnation: entry.Incarnation,
-		RejectedActs: entry.RejectedActs, Policy: entry.Policy, RejectedPolicy: entry.RejectedPolicy, Reason: entry.Reason}})
+		RejectedOperations: entry.RejectedOperations, Policy: entry.Policy, RejectedPolicy: entry.RejectedPolicy, Reason: entry.Reason}})
 	session, open := n.state.Session(entry.Session)
 	if !open || float64(session.Timeout) < minBatchedTimeoutTicks*n.settings.Tick {
 		n.flushHeartbeats = true
--- a/internal/decide/raftnode/raftnode_test.go
+++ b/internal/decide/raftnode/raftnode_test.go
@@ -177,8 +177,8 @@
 	} {
 		a.number++
 		change(a.number)
-		if a.runFor(20); !strings.Contains(string(a.done[a.number].Refusal), want) {
-			t.Errorf("%q, want %q", a.done[a.number].Refusal, want)
+		if a.runFor(20); !strings.Contains(string(a.done[a.number].Rejection), want) {
+			t.Errorf("%q, want %q", a.done[a.number].Rejection, want)
 		}
 	}
 	// Stored data of another fleet, stored data that lacks committed entries, and a log entry of a later build.
@@ -225,7 +225,7 @@
 	}
 	b.number++
 	b.node.ChangeMembership(b.number, []Peer{{Name: "c2", Addr: "b"}}, nil)
-	if b.runFor(20); !strings.Contains(string(b.done[b.number].Refusal), "was of this council before") {
+	if b.runFor(20); !strings.Contains(string(b.done[b.number].Rejection), "was of this council before") {
 		t.Errorf("a removed node joined again under its name: %+v", b.done[b.number])
 	}
 	three.Entries = append(three.Entries[:1:1], three.Entries[2:]...)
@@ -309,7 +309,7 @@
 	}
 	at := a.node.Applied()
 	got := propose(policy.Document{"txn_types.order.effect": "idempotent", "memory": "1", "over_share_value": "0.2"})
-	if got.Held || !strings.Contains(string(got.Refusal), "txn_types.order.effect: can't be changed yet") || !strings.Contains(string(got.Refusal), "memory: no field") || a.node.Applied() != at {
+	if got.Held || !strings.Contains(string(got.Rejection), "txn_types.order.effect: can't be changed yet") || !strings.Contains(string(got.Rejection), "memory: no field") || a.node.Applied() != at {
 		t.Fatal("invalid proposal:", got, a.node.Applied(), at)
 	}
 	if got = propose(policy.Document{"over_share_value": "0.2"}); !got.Held || got.Number != 1 {
--- a/internal/decide/raftnode/ready.go
+++ b/internal/decide/raftnode/ready.go
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	events, _ := n.state.Since(n.eventIndex)
+	events, _ := n.state.EventsSince(n.eventIndex)
 	for _, event := range events {
 		n.decide(Decision{Action: Applied, Event: event})
 	}
@@ -181,5 +181,5 @@
 	if session, open := n.state.Session(heartbeat.Session); open && session.Incarnation == heartbeat.Incarnation {
 		return leasestate.Result{Held: true}
 	}
-	return leasestate.Result{Refusal: leasestate.RefusedNoSession}
+	return leasestate.Result{Rejection: leasestate.RejectedNoSession}
 }
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -45,7 +45,7 @@
 	} else if e.Kind == leasestate.OpenSession {
 		s.rejected <- a
 	}
-	return &fleetpb.Answer{Held: a.Held, Why: string(a.Refusal), Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
+	return &fleetpb.Answer{Held: a.Held, Why: string(a.Rejection), Number: a.Number, Fence: rpc.EncodeToken(a.Token)}, nil
 }
 
 // receive receives from a channel, and fails the test after a timeout.
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -142,7 +142,7 @@
 }
 
 func describeResult(a leasestate.Result) string {
-	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Refusal, a.Number)
+	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Rejection, a.Number)
 }
 
 // describeUpdate formats an update as a router decodes it.
--- a/internal/fleet/policy_test.go
+++ b/internal/fleet/policy_test.go
@@ -261,13 +261,13 @@
 	// Rejected proposals: one based on a version that is no longer in force, and one of fields that can't be changed.
 	outdated := policy.Propose(first, policy.Document{"over_share_value": "0.2"}, policy.Document{"over_share_value": "0.3"}, "b", "")
 	a, err := client.Propose(ctx, outdated)
-	if err != nil || a.Held || !strings.Contains(string(a.Refusal), "is in force") {
+	if err != nil || a.Held || !strings.Contains(string(a.Rejection), "is in force") {
 		t.Error(a, err)
 	}
 	unchangeable := policy.Difference{Set: map[string]string{"txn_types.order.level": "stale", "listen": ":1"}}
 	a, err = client.Propose(ctx, policy.Proposal{Base: large.Packed(), Difference: unchangeable})
-	if err != nil || a.Held || !strings.Contains(string(a.Refusal), "txn_types.order.level: ") ||
-		!strings.Contains(string(a.Refusal), "listen: ") {
+	if err != nil || a.Held || !strings.Contains(string(a.Rejection), "txn_types.order.level: ") ||
+		!strings.Contains(string(a.Rejection), "listen: ") {
 		t.Error(a, err)
 	}
 
--- a/internal/fleet/policyclient.go
+++ b/internal/fleet/policyclient.go
@@ -21,9 +21,8 @@
 	History  []policy.Change // in ascending order of versions
 }
 
-// Propose proposes a change of the policy. If it is accepted, the result is Held and has the version's Number. Otherwise its Refusal has the
-// reasons for the rejection, one per line. A proposal is only accepted while its base version is in force. Repeating it has no further
-// effect.
+// Propose proposes a change of the policy. If it is accepted, the result is Held and has the version's Number. Otherwise its Rejection has
+// the reasons, one per line. A proposal is only accepted while its base version is in force. Repeating it has no further effect.
 func (c *Client) Propose(ctx context.Context, p policy.Proposal) (leasestate.Result, error) {
 	if err := p.Check(); err != nil {
 		return leasestate.Result{}, err
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -120,12 +120,12 @@
 // logResult writes the results of entries that matter to operators to the log and the audit log.
 func (n *Node) logResult(e leasestate.Entry, result leasestate.Result) {
 	switch {
-	case e.Kind == leasestate.ReportToken && result.Refusal != "":
-		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
+	case e.Kind == leasestate.ReportToken && result.Rejection != "":
+		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Rejection}).
 			Error("coordinator state has regressed: this process has seen a higher fencing token")
 		n.settings.AuditLog.Add("behind", audit.Fields{leaseField: e.Lease, "seen": e.Token.String(), coordinatorTokenField: result.Token.String()})
 	case e.Kind == leasestate.OpenSession:
-		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Refusal, "incarnation": e.Incarnation})
+		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Rejection, "incarnation": e.Incarnation})
 	}
 }
 
--- a/internal/lab/fleet/probe.go
+++ b/internal/lab/fleet/probe.go
@@ -128,7 +128,7 @@
 func (c *probeClient) acquire(ctx context.Context) error {
 	operation := c.newOperation(acquireOperation)
 	result, err := c.client.ProposeEntry(ctx, c.entry(leasestate.AcquireLease))
-	if err != nil || result.Refusal == leasestate.RefusedNoSession {
+	if err != nil || result.Rejection == leasestate.RejectedNoSession {
 		return err
 	}
 	operation.EndedMs, operation.Held, operation.Token = c.nowMs(), result.Held, result.Token
--- a/internal/lab/fleet/simulation/policy_server.go
+++ b/internal/lab/fleet/simulation/policy_server.go
@@ -78,7 +78,7 @@
 	p.pushPending = true
 	p.later(pushDelayMs, func() {
 		p.pushPending = false
-		events, complete := p.node.State().Since(p.pushedIndex)
+		events, complete := p.node.State().EventsSince(p.pushedIndex)
 		p.pushedIndex = p.node.State().Index()
 		if complete && len(events) == 0 {
 			return
--- a/internal/lab/fleet/steps_coordinator.go
+++ b/internal/lab/fleet/steps_coordinator.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		if !result.Held {
-			return result.Refusal
+			return result.Rejection
 		}
 		r.order = result.Number
 		return nil
--- a/internal/lab/fleet/steps_policy.go
+++ b/internal/lab/fleet/steps_policy.go
@@ -207,7 +207,7 @@
 		return err
 	}
 	if !result.Held {
-		return result.Refusal
+		return result.Rejection
 	}
 	return nil
 }
--- a/internal/lab/scale/event_policy.go
+++ b/internal/lab/scale/event_policy.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	if !result.Held {
-		return nil, result.Refusal
+		return nil, result.Rejection
 	}
 	acceptedMs := unixMs()
 	parts, err := in.waitReceived(eventMs, map[string]int{partPolicies: in.Routers}, nil)
--- a/internal/rpc/convert.go
+++ b/internal/rpc/convert.go
@@ -154,9 +154,9 @@
 // DecodeResult returns the result in an answer of the coordinator.
 func DecodeResult(answer *fleetpb.Answer) leasestate.Result {
 	return leasestate.Result{
-		Held:    answer.Held,
-		Token:   DecodeToken(answer.Fence),
-		Refusal: leasestate.Refusal(answer.Why),
-		Number:  answer.Number,
+		Held:      answer.Held,
+		Token:     DecodeToken(answer.Fence),
+		Rejection: leasestate.Rejection(answer.Why),
+		Number:    answer.Number,
 	}
 }
