--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -151,9 +151,9 @@
 	}
 }
 
-// ActRejected handles the rejection of an operation by a receiver that has seen a higher token: the grant has ended, whatever the clock
-// says. The receiver doesn't report whose token it is: a grant to this process under that token may be in flight.
-func (h *Holder) ActRejected(higher Token) {
+// OperationRejected handles the rejection of an operation by a receiver that has seen a higher token: the grant has ended, whatever the
+// clock says. The receiver doesn't report whose token it is: a grant to this process under that token may be in flight.
+func (h *Holder) OperationRejected(higher Token) {
 	if higher.Compare(h.token) <= 0 {
 		return
 	}
--- a/internal/decide/lease/scenario_test.go
+++ b/internal/decide/lease/scenario_test.go
@@ -69,7 +69,7 @@
 	case "lost":
 		r.holder.Lost(parseToken(args[0]))
 	case "rejected":
-		r.holder.ActRejected(parseToken(args[0]))
+		r.holder.OperationRejected(parseToken(args[0]))
 	case "valid", "invalid":
 		return r.expectValid(verb == "valid", args)
 	case "want", "never":
--- a/internal/decide/lease/world_test.go
+++ b/internal/decide/lease/world_test.go
@@ -307,7 +307,7 @@
 	switch {
 	case verdict == lease.Stale:
 		m.lateRejected++
-		m.holders[msg.holder].ActRejected(highest)
+		m.holders[msg.holder].OperationRejected(highest)
 		if !m.paused[msg.holder] {
 			m.executeDecisions(msg.holder)
 		}
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -92,8 +92,8 @@
 
 	holdersAdvanced int // how often a holder was advanced because its timer was due
 
-	Reopened     int // how often the coordinator had ended the session, which is then opened again
-	RejectedActs int // orders and switchover steps rejected for a stale fencing token
+	SessionsReopened   int // how often the coordinator had ended the session, which is then opened again
+	RejectedOperations int // orders and switchover steps rejected for a stale fencing token
 }
 
 // New returns a client without a session.
@@ -171,15 +171,15 @@
 	return deadline
 }
 
-// Signed returns an entry with the name and incarnation of this process's session.
-func (c *Client) Signed(entry leasestate.Entry) leasestate.Entry {
+// WithSession returns an entry with the name and incarnation of this process's session.
+func (c *Client) WithSession(entry leasestate.Entry) leasestate.Entry {
 	entry.Session, entry.Incarnation = c.settings.Name, c.incarnation.current
 	return entry
 }
 
 // propose decides to propose an entry for this process's session.
 func (c *Client) propose(entry leasestate.Entry) {
-	c.proposeRequest(pendingRequest{kind: entry.Kind}, c.Signed(entry))
+	c.proposeRequest(pendingRequest{kind: entry.Kind}, c.WithSession(entry))
 }
 
 // proposeRequest decides to propose an entry as it is, and keeps request until the response arrives.
@@ -205,8 +205,8 @@
 	return request, found
 }
 
-// Answered handles the coordinator's response to a request.
-func (c *Client) Answered(number uint64, result leasestate.Result) {
+// ResponseReceived handles the coordinator's response to a request.
+func (c *Client) ResponseReceived(number uint64, result leasestate.Result) {
 	request, found := c.removePending(number)
 	if !found {
 		return
@@ -229,8 +229,8 @@
 	}
 }
 
-// Failed records that a request got no response, or none that this build understands.
-func (c *Client) Failed(number uint64) {
+// RequestFailed records that a request got no response, or none that this build understands.
+func (c *Client) RequestFailed(number uint64) {
 	request, found := c.removePending(number)
 	if !found {
 		return
--- a/internal/decide/leaseclient/client_test.go
+++ b/internal/decide/leaseclient/client_test.go
@@ -24,8 +24,8 @@
 		t.Fatalf("during the outage: %d starts, %d stops", starts, stops)
 	}
 	h.log = nil
-	if starts, _ := h.runUntil(14000, true); starts != 1 || h.client.Reopened != 1 || h.count(leasestate.OpenSession) != 1 {
-		t.Fatalf("after the outage: %d starts, reopened %d times, %v", starts, h.client.Reopened, h.log)
+	if starts, _ := h.runUntil(14000, true); starts != 1 || h.client.SessionsReopened != 1 || h.count(leasestate.OpenSession) != 1 {
+		t.Fatalf("after the outage: %d starts, reopened %d times, %v", starts, h.client.SessionsReopened, h.log)
 	}
 	if token, valid = h.client.Valid("d"); !valid || token.Count != 2 {
 		t.Error("the session had expired, so the lease must be a new grant:", token, valid)
@@ -98,8 +98,8 @@
 		t.Fatal("the session must have expired")
 	}
 	h.runUntil(h.now+6000, true)
-	if session, _ := h.state.Session("p"); session.Policy != version.Packed() || h.client.Reopened != 1 {
-		t.Error(session, h.client.Reopened)
+	if session, _ := h.state.Session("p"); session.Policy != version.Packed() || h.client.SessionsReopened != 1 {
+		t.Error(session, h.client.SessionsReopened)
 	}
 }
 
--- a/internal/decide/leaseclient/helpers_test.go
+++ b/internal/decide/leaseclient/helpers_test.go
@@ -46,9 +46,9 @@
 			switch decision.Action {
 			case Propose:
 				if h.log = append(h.log, decision.Entry.Kind); respond {
-					h.client.Answered(decision.Request, h.apply(decision.Entry))
+					h.client.ResponseReceived(decision.Request, h.apply(decision.Entry))
 				} else {
-					h.client.Failed(decision.Request)
+					h.client.RequestFailed(decision.Request)
 				}
 			case QueryTokens:
 				h.client.TokensLearned(decision.Request, h.latestTokens(decision.Leases))
@@ -87,7 +87,7 @@
 	for decision, more := h.client.Next(); more; decision, more = h.client.Next() {
 		switch decision.Action {
 		case Propose:
-			h.client.Answered(decision.Request, h.apply(decision.Entry))
+			h.client.ResponseReceived(decision.Request, h.apply(decision.Entry))
 		case QueryTokens:
 			all = append(all, decision)
 		}
--- a/internal/decide/leaseclient/incarnation_test.go
+++ b/internal/decide/leaseclient/incarnation_test.go
@@ -59,12 +59,12 @@
 	for d, more := client.Next(); more; d, more = client.Next() {
 		switch {
 		case p.disconnected[client]:
-			client.Failed(d.Request)
+			client.RequestFailed(d.Request)
 		case p.responsesLost[client]:
 			p.apply(d.Entry)
-			client.Failed(d.Request)
+			client.RequestFailed(d.Request)
 		default:
-			client.Answered(d.Request, p.apply(d.Entry))
+			client.ResponseReceived(d.Request, p.apply(d.Entry))
 		}
 	}
 }
@@ -122,8 +122,8 @@
 			p.tick()
 			p.requireSessionOf(later, "the earlier process runs again")
 		}
-		if later.Reopened != 0 {
-			t.Error("the later process lost its session", later.Reopened, "times")
+		if later.SessionsReopened != 0 {
+			t.Error("the later process lost its session", later.SessionsReopened, "times")
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	p.stopped[earlier] = false
 	p.run(20 * sessionTimeout)
 	p.requireSessionOf(later, "the earlier process runs again")
-	if later.Reopened != 0 {
+	if later.SessionsReopened != 0 {
 		t.Error("the later process lost its session")
 	}
 }
@@ -164,7 +164,7 @@
 	p.requireSessionOf(later, "later process")
 	p.stopped[earlier] = false
 	earlier.Advance(p.now)
-	earlier.Answered(d.Request, refusal)
+	earlier.ResponseReceived(d.Request, refusal)
 	p.run(20 * sessionTimeout)
 	p.requireSessionOf(later, "the earlier process runs again")
 }
@@ -221,7 +221,7 @@
 	p.responsesLost[earlier] = false
 	p.run(20 * sessionTimeout)
 	p.requireSessionOf(later, "the earlier process requests a session again")
-	if later.Reopened != 0 {
+	if later.SessionsReopened != 0 {
 		t.Error("the later process lost its session")
 	}
 }
@@ -279,7 +279,7 @@
 	p.stopped[earlier] = false
 	p.run(20 * sessionTimeout)
 	p.requireSessionOf(later, "the earlier process requests a session, too")
-	if later.Reopened != 0 {
+	if later.SessionsReopened != 0 {
 		t.Error("the later process lost its session")
 	}
 }
--- a/internal/decide/leaseclient/leases.go
+++ b/internal/decide/leaseclient/leases.go
@@ -81,10 +81,10 @@
 	return lease.Token{}, false
 }
 
-// ActRejected records that a receiver rejected an order of this process and named a higher token.
-func (c *Client) ActRejected(name string, higher lease.Token) {
+// OperationRejected records that a receiver rejected an order of this process and named a higher token.
+func (c *Client) OperationRejected(name string, higher lease.Token) {
 	if h := c.holder(name); h != nil {
-		h.ActRejected(higher)
+		h.OperationRejected(higher)
 		c.pullDecisions(h)
 	}
 }
@@ -126,7 +126,7 @@
 	case lease.RequestLease:
 		if c.sessionOpen { // otherwise it is requested again once a session is open
 			request := pendingRequest{kind: leasestate.AcquireLease, lease: h.lease, holderRequest: decision.Request}
-			c.proposeRequest(request, c.Signed(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
+			c.proposeRequest(request, c.WithSession(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
 		}
 	case lease.ReleaseLease:
 		c.propose(leasestate.Entry{Kind: leasestate.ReleaseLease, Lease: h.lease, Token: decision.Token})
--- a/internal/decide/leaseclient/session.go
+++ b/internal/decide/leaseclient/session.go
@@ -48,7 +48,7 @@
 		Policy:             c.appliedPolicy,
 		RejectedPolicy:     c.rejectedPolicy,
 		Reason:             c.rejectionReason,
-		RejectedOperations: uint64(c.RejectedActs),
+		RejectedOperations: uint64(c.RejectedOperations),
 	})
 }
 
@@ -90,7 +90,7 @@
 	if !c.sessionOpen || c.shuttingDown {
 		return
 	}
-	c.Reopened++
+	c.SessionsReopened++
 	c.sessionOpen, c.heartbeat, c.opening = false, notScheduled(), backoff{dueAt: c.now}
 	c.incarnation.reopen()
 }
@@ -130,7 +130,7 @@
 		c.shutdownComplete = true
 		return
 	}
-	c.propose(leasestate.Entry{Kind: leasestate.CloseSession, RejectedOperations: uint64(c.RejectedActs)})
+	c.propose(leasestate.Entry{Kind: leasestate.CloseSession, RejectedOperations: uint64(c.RejectedOperations)})
 }
 
 // ShutdownComplete reports whether the session is closed, or the request to close it has failed and the session will expire.
--- a/internal/decide/leaseclient/tokens.go
+++ b/internal/decide/leaseclient/tokens.go
@@ -24,7 +24,7 @@
 	case lease.NotLearned:
 		c.LearnToken(scope.Lease)
 	case lease.Stale:
-		c.RejectedActs++
+		c.RejectedOperations++
 	}
 	return verdict, highest
 }
--- a/internal/decide/leaseclient/tokens_test.go
+++ b/internal/decide/leaseclient/tokens_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(verdict)
 	}
 	h.client.UpdateReceived(Update{Leases: []Lease{{Name: "e", Holder: "x", Token: lease.Token{Epoch: 1, Count: 5}}}})
-	if verdict, highest := h.client.Check(scope, "q", old); verdict != lease.Stale || highest.Count != 5 || h.client.RejectedActs != 1 {
+	if verdict, highest := h.client.Check(scope, "q", old); verdict != lease.Stale || highest.Count != 5 || h.client.RejectedOperations != 1 {
 		t.Error("the watch has reported a higher token:", verdict, highest)
 	}
 	if verdict, _ := h.client.Check(lease.Scope{Lease: "d", Subject: "g"}, "q", lease.Token{Epoch: 1}); verdict != lease.Stale {
@@ -68,7 +68,7 @@
 	}
 	// The first response has only the tokens of the first ten leases, and the second query fails.
 	h.client.TokensLearned(all[0].Request, h.latestTokens(all[0].Leases)[:10])
-	h.client.Failed(all[1].Request)
+	h.client.RequestFailed(all[1].Request)
 	if n := len(h.tokenQueries()); n != 0 {
 		t.Fatalf("queried again without a delay, %d times", n)
 	}
@@ -89,7 +89,7 @@
 	}
 	// A response with more tokens than were queried, or without any, counts as empty.
 	h.client.TokensLearned(all[0].Request, make([]lease.Token, 257))
-	h.client.Answered(all[1].Request, leasestate.Result{})
+	h.client.ResponseReceived(all[1].Request, leasestate.Result{})
 	h.client.TokensLearned(all[1].Request, h.latestTokens(all[1].Leases)) // late: the query has ended
 	if n := known(); n != 10 {
 		t.Fatalf("knows the tokens of %d leases, not 10", n)
@@ -112,7 +112,7 @@
 			if n++; len(decision.Leases) != 100 {
 				t.Fatalf("attempt %d queries %d leases, not 100", n, len(decision.Leases))
 			}
-			h.client.Failed(decision.Request)
+			h.client.RequestFailed(decision.Request)
 		}
 	}
 	if n < 25 || n > 80 {
--- a/internal/fleet/sender.go
+++ b/internal/fleet/sender.go
@@ -53,7 +53,7 @@
 	fields[higherTokenField], fields["by"] = higher.String(), receiver
 	n.settings.AuditLog.Add("refused", fields)
 	n.leases.Advance(n.now())
-	n.leases.ActRejected(leaseName, higher)
+	n.leases.OperationRejected(leaseName, higher)
 }
 
 // connectionTo returns the connection to a process and creates it if necessary.
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -102,7 +102,7 @@
 	n.post(func() {
 		if n.checkResponse(d, err) {
 			n.logResult(d.Entry, result)
-			n.leases.Answered(d.Request, result)
+			n.leases.ResponseReceived(d.Request, result)
 		}
 	})
 }
@@ -112,7 +112,7 @@
 	n.leases.Advance(n.now())
 	if err != nil {
 		logrus.WithError(err).Debug("coordinator request failed")
-		n.leases.Failed(d.Request)
+		n.leases.RequestFailed(d.Request)
 	}
 	return err == nil
 }
--- a/internal/fleet/switchover.go
+++ b/internal/fleet/switchover.go
@@ -152,7 +152,7 @@
 // goroutine, which ends with Run's context.
 func (n *Node) proposeRecord(task *switchoverTask, entry leasestate.Entry, done func(recorded bool)) {
 	entry.Lease, entry.Token = task.name, task.token
-	entry = n.leases.Signed(entry)
+	entry = n.leases.WithSession(entry)
 	go func() {
 		var result leasestate.Result
 		var err error
@@ -279,7 +279,7 @@
 	fields["member"], fields["step"], fields["how"], fields[reasonField] = d.Target, string(d.Step), int(outcome), reason
 	n.settings.AuditLog.Add("done", fields)
 	if outcome == switchover.Fenced {
-		n.leases.RejectedActs++ // counted here on behalf of the member, which reports nothing to the coordinator
+		n.leases.RejectedOperations++ // counted here on behalf of the member, which reports nothing to the coordinator
 	}
 	if outcome != switchover.Succeeded {
 		logrus.WithFields(logrus.Fields{"lease": task.name, "token": task.token, "member": d.Target, "step": string(d.Step), "error": reason}).
--- a/internal/lab/fleet/measure_cost.go
+++ b/internal/lab/fleet/measure_cost.go
@@ -209,13 +209,13 @@
 func (s *simulatedSession) handleResponse(decision leaseclient.Decision, result leasestate.Result, err error) {
 	s.leases.Advance(rpc.Boottime())
 	if err != nil {
-		s.leases.Failed(decision.Request)
+		s.leases.RequestFailed(decision.Request)
 		return
 	}
 	if decision.Entry.Kind == leasestate.KeepAlive {
 		s.measurement.heartbeats.Add(1)
 	}
-	reopenedBefore := s.leases.Reopened
-	s.leases.Answered(decision.Request, result)
-	s.measurement.reopened.Add(int64(s.leases.Reopened - reopenedBefore))
+	reopenedBefore := s.leases.SessionsReopened
+	s.leases.ResponseReceived(decision.Request, result)
+	s.measurement.reopened.Add(int64(s.leases.SessionsReopened - reopenedBefore))
 }
--- a/internal/lab/fleet/simulation/acts.go
+++ b/internal/lab/fleet/simulation/acts.go
@@ -42,7 +42,7 @@
 		}
 		w.send(to, p, commandResponseBytes, func() {
 			if p.incarnation == incarnation && verdict == lease.Stale {
-				p.client.ActRejected(name, highest)
+				p.client.OperationRejected(name, highest)
 			}
 		})
 	})
--- a/internal/lab/fleet/simulation/lease_client.go
+++ b/internal/lab/fleet/simulation/lease_client.go
@@ -202,7 +202,7 @@
 		pending.onResult(leasestate.Result{}, false)
 		return
 	}
-	p.client.Failed(number)
+	p.client.RequestFailed(number)
 }
 
 // responseReceived handles a coordinator node's response to a request.
@@ -242,6 +242,6 @@
 	case tokens != nil:
 		p.client.TokensLearned(number, tokens)
 	default:
-		p.client.Answered(number, result)
+		p.client.ResponseReceived(number, result)
 	}
 }
--- a/internal/lab/fleet/simulation/switchover_executor.go
+++ b/internal/lab/fleet/simulation/switchover_executor.go
@@ -187,7 +187,7 @@
 		}
 		w.send(to, p, stepResponseBytes, func() {
 			if verdict == lease.Stale {
-				p.client.ActRejected(switchover.LeaseName(0), highest)
+				p.client.OperationRejected(switchover.LeaseName(0), highest)
 			}
 			end(verdict == lease.Accepted, running)
 		})
@@ -212,7 +212,7 @@
 
 // writeEntry proposes an entry to the coordinator, and retries up to maxEntryRetries times while the result is unknown.
 func (p *Process) writeEntry(e leasestate.Entry, retries int, done func(accepted bool)) {
-	p.proposeEntry(p.client.Signed(e), func(result leasestate.Result, known bool) {
+	p.proposeEntry(p.client.WithSession(e), func(result leasestate.Result, known bool) {
 		if !known && retries < maxEntryRetries {
 			p.writeEntry(e, retries+1, done)
 			return
