--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -71,7 +71,7 @@
 	node         *raftnode.Node // nil: suspended until the storage recovers
 	store        *storage.Store // nil: not opened yet
 	durable      raftnode.Durable
-	backoff      backoff.Storage
+	backoff      backoff.RetrySchedule
 	auditedIndex uint64 // index up to which events were audited before the node was suspended
 
 	incarnations *raftnode.KnownIncarnations
@@ -193,7 +193,7 @@
 
 // advance executes the work that is due, and returns the time by which it must be called again.
 func (s *Server) advance() (deadline float64) {
-	if s.suspended() && s.backoff.Due() <= s.now() {
+	if s.suspended() && s.backoff.RetryAt() <= s.now() {
 		s.err = s.resume()
 	}
 	if !s.suspended() && s.err == nil {
@@ -201,7 +201,7 @@
 		s.executeDecisions()
 	}
 	if s.suspended() {
-		return s.backoff.Due()
+		return s.backoff.RetryAt()
 	}
 	return s.node.NextDeadline()
 }
--- a/internal/coordinator/storage.go
+++ b/internal/coordinator/storage.go
@@ -30,7 +30,7 @@
 		deliver(raftnode.Decision{Action: raftnode.ResultUnknown, Request: request})
 	}
 	s.notifyWatchers()
-	if s.backoff.Fail(s.now()) {
+	if s.backoff.RecordFailure(s.now()) {
 		logrus.WithError(err).WithField("directory", s.settings.Dir).Error("storage failed; node suspended until the storage recovers")
 		s.settings.AuditLog.Add("suspended", audit.Fields{"why": err.Error()})
 	}
@@ -41,7 +41,7 @@
 func (s *Server) resume() error {
 	err := s.load()
 	if errors.Is(err, storage.ErrUnavailable) || errors.Is(err, storage.ErrInUse) && s.store != nil {
-		s.backoff.Fail(s.now())
+		s.backoff.RecordFailure(s.now())
 		return nil
 	}
 	return err
@@ -147,7 +147,7 @@
 
 // writeSucceeded resets the backoff after a successful write, and logs a recovery.
 func (s *Server) writeSucceeded() {
-	if s.backoff.Succeed(s.now()) {
+	if s.backoff.RecordSuccess(s.now()) {
 		logrus.WithFields(logrus.Fields{"directory": s.settings.Dir, "applied": s.node.Applied()}).Info("storage recovered")
 		s.settings.AuditLog.Add("resumed", audit.Fields{"applied": s.node.Applied()})
 	}
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -10,8 +10,8 @@
 	maxDelay     = 5000.0 // upper bound of the delay between retries
 )
 
-// Storage is the retry schedule of one store. The zero value represents a store that works.
-type Storage struct {
+// RetrySchedule schedules the retries of one store. The zero value represents a store that works.
+type RetrySchedule struct {
 	failing      bool
 	delay        float64
 	retryAt      float64
@@ -19,10 +19,10 @@
 	hasRecovered bool
 }
 
-// Fail records a failure and reports whether it is the first since the store last worked. If the store fails again soon after
+// RecordFailure records a failure and reports whether it is the first since the store last worked. If the store fails again soon after
 // it recovered, the delay keeps growing from the value that it had reached; otherwise a store that works intermittently would
 // always be retried at the initial delay.
-func (s *Storage) Fail(now float64) (first bool) {
+func (s *RetrySchedule) RecordFailure(now float64) (first bool) {
 	first = !s.failing
 	switch {
 	case s.delay == 0, first && s.hasRecovered && now-s.recoveredAt > maxDelay:
@@ -34,8 +34,8 @@
 	return first
 }
 
-// Succeed records that the store works and reports whether it was failing before.
-func (s *Storage) Succeed(now float64) (recovered bool) {
+// RecordSuccess records that the store works and reports whether it was failing before.
+func (s *RetrySchedule) RecordSuccess(now float64) (recovered bool) {
 	if !s.failing {
 		return false
 	}
@@ -44,10 +44,10 @@
 }
 
 // Failing reports whether the latest attempt failed.
-func (s *Storage) Failing() bool { return s.failing }
+func (s *RetrySchedule) Failing() bool { return s.failing }
 
-// Due returns when the store may be tried again, +Inf while it works.
-func (s *Storage) Due() float64 {
+// RetryAt returns when the store may be tried again, +Inf while it works.
+func (s *RetrySchedule) RetryAt() float64 {
 	if !s.failing {
 		return math.Inf(1)
 	}
--- a/internal/decide/clockoffset/clockoffset.go
+++ b/internal/decide/clockoffset/clockoffset.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// Confirm reports whether a member should be checked again, and after how many ms, to find out soon which clock is wrong.
-func (e *Estimate) Confirm(member string) (wait float64, wanted bool) {
+// RecheckDelay returns after how many ms a member should be checked again to find out soon which clock is wrong, and whether it should
+// be.
+func (e *Estimate) RecheckDelay(member string) (wait float64, wanted bool) {
 	m := e.members[member]
 	return confirmIntervalMs, m != nil && m.primary && !e.confirmed
 }
--- a/internal/decide/connpool/conn.go
+++ b/internal/decide/connpool/conn.go
@@ -53,7 +53,7 @@
 func (p *Pool) openConn(sub *subPool, w *waiter) {
 	p.lastConnID++
 	c := &conn{id: p.lastConnID, sub: sub, state: connOpening, openedFor: w}
-	c.idleInTransaction.Of = c
+	c.idleInTransaction.Value = c
 	p.conns[c.id] = c
 
 	m := sub.member
@@ -106,7 +106,7 @@
 		return
 	}
 	c.affinity = affinity
-	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
+	p.idleInTransactionTimers.Remove(&c.idleInTransaction)
 	if c.expired(p.now) || p.mustYieldSlot(c) {
 		p.closeConn(c)
 		return
@@ -134,10 +134,10 @@
 	}
 	timeoutMs := c.sub.bounds.IdleInTransactionTimeoutMs
 	if awaitingClient && timeoutMs > 0 {
-		p.idleInTransactionTimers.Put(&c.idleInTransaction, p.now+timeoutMs)
+		p.idleInTransactionTimers.Schedule(&c.idleInTransaction, p.now+timeoutMs)
 		return
 	}
-	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
+	p.idleInTransactionTimers.Remove(&c.idleInTransaction)
 }
 
 // ConnectionClosed records that a connection has ended, whatever its state.
@@ -156,7 +156,7 @@
 func (p *Pool) removeConn(c *conn) {
 	sub, m := c.sub, c.sub.member
 	p.markDirty(m)
-	p.idleInTransactionTimers.Drop(&c.idleInTransaction)
+	p.idleInTransactionTimers.Remove(&c.idleInTransaction)
 	delete(p.conns, c.id)
 	sub.total--
 	m.total--
--- a/internal/decide/connpool/member.go
+++ b/internal/decide/connpool/member.go
@@ -49,7 +49,7 @@
 	m := p.members[id]
 	if m == nil {
 		m = &memberState{id: id, subPools: map[string]*subPool{}, learnedLimit: learnedLimit{raiseIntervalMs: minLimitRaiseIntervalMs}}
-		m.sweepTimer.Of = m
+		m.sweepTimer.Value = m
 		p.members[id] = m
 	}
 	p.markDirty(m)
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -62,10 +62,10 @@
 	}
 	deadline := math.Inf(1)
 	if timer := p.memberTimers.First(); timer != nil {
-		deadline = timer.At()
+		deadline = timer.Deadline()
 	}
 	if timer := p.idleInTransactionTimers.First(); timer != nil {
-		deadline = math.Min(deadline, timer.At())
+		deadline = math.Min(deadline, timer.Deadline())
 	}
 	return math.Max(deadline, p.nextSweepAt)
 }
--- a/internal/decide/connpool/sweep.go
+++ b/internal/decide/connpool/sweep.go
@@ -14,9 +14,9 @@
 func (p *Pool) sweep() {
 	p.nextSweepAt = p.now + sweepIntervalMs
 	p.assignmentDue = true
-	for timer := p.memberTimers.First(); timer != nil && timer.At() <= p.now; timer = p.memberTimers.First() {
-		p.memberTimers.Drop(timer)
-		p.markDirty(timer.Of)
+	for timer := p.memberTimers.First(); timer != nil && timer.Deadline() <= p.now; timer = p.memberTimers.First() {
+		p.memberTimers.Remove(timer)
+		p.markDirty(timer.Value)
 	}
 	members := p.dirty
 	p.dirty = nil
@@ -40,13 +40,13 @@
 			delete(m.subPools, pool)
 		}
 	}
-	p.memberTimers.Drop(&m.sweepTimer)
+	p.memberTimers.Remove(&m.sweepTimer)
 	if !m.listed && len(m.subPools) == 0 {
 		delete(p.members, m.id)
 		return
 	}
 	if deadline := m.nextDeadline(p.now); !math.IsInf(deadline, 1) {
-		p.memberTimers.Put(&m.sweepTimer, deadline)
+		p.memberTimers.Schedule(&m.sweepTimer, deadline)
 	}
 }
 
@@ -73,10 +73,10 @@
 
 func (p *Pool) sweepIdleInTransaction() {
 	var overdue []*conn
-	for timer := p.idleInTransactionTimers.First(); timer != nil && timer.At() < p.now; timer = p.idleInTransactionTimers.First() {
+	for timer := p.idleInTransactionTimers.First(); timer != nil && timer.Deadline() < p.now; timer = p.idleInTransactionTimers.First() {
 		p.sweepVisits++
-		p.idleInTransactionTimers.Drop(timer)
-		overdue = append(overdue, timer.Of)
+		p.idleInTransactionTimers.Remove(timer)
+		overdue = append(overdue, timer.Value)
 	}
 	slices.SortFunc(overdue, func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
 	for _, c := range overdue {
--- a/internal/decide/healthshare/healthshare.go
+++ b/internal/decide/healthshare/healthshare.go
@@ -1,5 +1,5 @@
 // Package healthshare implements shared health checking: one lease holder checks the members of a group for the whole fleet and sends
-// its reports to all routers. Prober decides when to check each member and when to send reports; CheckReport validates reports received
+// its reports to all routers. Prober decides when to check each member and when to send reports; ValidateReport validates reports received
 // from other processes.
 //
 // A report never determines which member a router takes for the primary. It carries a position, which never goes back while a member
@@ -132,8 +132,8 @@
 	return deadline
 }
 
-// CheckReport validates a report received from another process; now is the Unix time in ms.
-func CheckReport(report Report, now float64) error {
+// ValidateReport validates a report received from another process; now is the Unix time in ms.
+func ValidateReport(report Report, now float64) error {
 	for name, value := range map[string]float64{"started": report.Started, "position": report.Position, "at": report.At} {
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return fmt.Errorf("%s: %v is no time", name, value)
--- a/internal/decide/healthshare/healthshare_test.go
+++ b/internal/decide/healthshare/healthshare_test.go
@@ -80,7 +80,7 @@
 		"negative":            {Report{Member: "a", At: -1}, false},
 		"oversized member":    {Report{Member: string(make([]byte, 300))}, false},
 	} {
-		if err := CheckReport(c.report, 5000); (err == nil) != c.valid {
+		if err := ValidateReport(c.report, 5000); (err == nil) != c.valid {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/decide/leaseclient/client.go
+++ b/internal/decide/leaseclient/client.go
@@ -160,7 +160,7 @@
 func (c *Client) NextDeadline() float64 {
 	deadline := math.Min(c.opening.dueAt, c.heartbeat.dueAt)
 	if first := c.deadlines.First(); first != nil {
-		deadline = math.Min(deadline, first.At())
+		deadline = math.Min(deadline, first.Deadline())
 	}
 	for _, requestAt := range c.candidates {
 		deadline = math.Min(deadline, requestAt)
--- a/internal/decide/leaseclient/leases.go
+++ b/internal/decide/leaseclient/leases.go
@@ -43,11 +43,11 @@
 		}),
 		lease: name,
 	}
-	h.timer.Of = h
+	h.timer.Value = h
 	h.Advance(c.now)
 	h.Acquire()
 	c.holders[name] = h
-	c.deadlines.Put(&h.timer, h.NextDeadline())
+	c.deadlines.Schedule(&h.timer, h.NextDeadline())
 }
 
 // Release gives up a lease, whether it is held or only requested.
@@ -61,7 +61,7 @@
 		h.Release("")
 		c.pullDecisions(h)
 		delete(c.holders, name)
-		c.deadlines.Drop(&h.timer)
+		c.deadlines.Remove(&h.timer)
 	}
 }
 
@@ -101,9 +101,9 @@
 // advanceDueHolders advances the holders whose timers are due. The others are advanced when they are next used.
 func (c *Client) advanceDueHolders() {
 	var due []*holder
-	for timer := c.deadlines.First(); timer != nil && timer.At() <= c.now; timer = c.deadlines.First() {
-		c.deadlines.Drop(timer)
-		due = append(due, timer.Of)
+	for timer := c.deadlines.First(); timer != nil && timer.Deadline() <= c.now; timer = c.deadlines.First() {
+		c.deadlines.Remove(timer)
+		due = append(due, timer.Value)
 	}
 	slices.SortFunc(due, func(a, b *holder) int { return cmp.Compare(a.lease, b.lease) })
 	for _, h := range due {
@@ -118,7 +118,7 @@
 	for decision, more := h.Next(); more; decision, more = h.Next() {
 		c.applyDecision(h, decision)
 	}
-	c.deadlines.Put(&h.timer, h.NextDeadline())
+	c.deadlines.Schedule(&h.timer, h.NextDeadline())
 }
 
 func (c *Client) applyDecision(h *holder, decision lease.Decision) {
--- a/internal/decide/syscallerror/syscallerror.go
+++ b/internal/decide/syscallerror/syscallerror.go
@@ -99,9 +99,9 @@
 	Poll: HostResources,
 }
 
-// Of returns the cause of an error of a call. An error that wraps no error number, such as a connect timeout, is classified by
-// its call alone.
-func Of(call Call, err error) Cause {
+// Classify returns the cause of an error of a call. An error that wraps no error number, such as a connect timeout, is classified
+// by its call alone.
+func Classify(call Call, err error) Cause {
 	var number unix.Errno
 	if !errors.As(err, &number) {
 		return defaultCauses[call]
--- a/internal/decide/syscallerror/syscallerror_test.go
+++ b/internal/decide/syscallerror/syscallerror_test.go
@@ -35,7 +35,7 @@
 		{Poll, HostResources, []unix.Errno{unix.ENOMEM, unix.EAGAIN}},
 	} {
 		for _, errno := range c.errs {
-			if got := Of(c.call, fmt.Errorf("wrapped: %w", errno)); got != c.want {
+			if got := Classify(c.call, fmt.Errorf("wrapped: %w", errno)); got != c.want {
 				t.Errorf("call %d, %v: cause %d, want %d", c.call, errno, got, c.want)
 			}
 		}
@@ -45,7 +45,7 @@
 func TestOf_ErrorWithoutNumber(t *testing.T) {
 	timeout := errors.New("i/o timeout")
 	for call, want := range map[Call]Cause{Connect: Peer, Read: Peer, Write: Peer, Socket: HostResources, Register: HostResources} {
-		if got := Of(call, timeout); got != want {
+		if got := Classify(call, timeout); got != want {
 			t.Errorf("call %d: cause %d, want %d", call, got, want)
 		}
 	}
--- a/internal/decide/timerqueue/fair.go
+++ b/internal/decide/timerqueue/fair.go
@@ -12,9 +12,9 @@
 	Expirations int // number of times that a timer became due
 }
 
-// FairTimer is an entry of a FairQueue that belongs to the value Of. A zero FairTimer with Of set is in no queue.
+// FairTimer is an entry of a FairQueue that belongs to Value. A zero FairTimer with Value set is in no queue.
 type FairTimer[T any] struct {
-	Of                 T
+	Value              T
 	deadline, sequence float64
 	queue              *FairQueue[T]
 	pending, due       Timer[*FairTimer[T]]
@@ -27,14 +27,14 @@
 func (q *FairQueue[T]) Add(t *FairTimer[T]) {
 	q.lastSequence++
 	t.queue, t.sequence = q, q.lastSequence
-	t.pending.Of, t.due.Of = t, t
-	q.pending.Put(&t.pending, t.deadline)
+	t.pending.Value, t.due.Value = t, t
+	q.pending.Schedule(&t.pending, t.deadline)
 }
 
 // Remove removes a timer, if it is in the queue.
 func (q *FairQueue[T]) Remove(t *FairTimer[T]) {
-	q.pending.Drop(&t.pending)
-	q.due.Drop(&t.due)
+	q.pending.Remove(&t.pending)
+	q.due.Remove(&t.due)
 	t.queue = nil
 }
 
@@ -42,23 +42,23 @@
 func (t *FairTimer[T]) Set(deadline float64) {
 	t.deadline = deadline
 	if t.queue != nil {
-		t.queue.due.Drop(&t.due)
-		t.queue.pending.Put(&t.pending, deadline)
+		t.queue.due.Remove(&t.due)
+		t.queue.pending.Schedule(&t.pending, deadline)
 	}
 }
 
-// At returns the deadline.
-func (t *FairTimer[T]) At() float64 { return t.deadline }
+// Deadline returns the deadline.
+func (t *FairTimer[T]) Deadline() float64 { return t.deadline }
 
 // First returns the due timer that was added first, or nil if none is due. The timer stays due until its deadline is set again.
 func (q *FairQueue[T]) First(now float64) *FairTimer[T] {
-	for t := q.pending.First(); t != nil && t.At() <= now; t = q.pending.First() {
+	for t := q.pending.First(); t != nil && t.Deadline() <= now; t = q.pending.First() {
 		q.Expirations++
-		q.pending.Drop(t)
-		q.due.Put(&t.Of.due, t.Of.sequence)
+		q.pending.Remove(t)
+		q.due.Schedule(&t.Value.due, t.Value.sequence)
 	}
 	if t := q.due.First(); t != nil {
-		return t.Of
+		return t.Value
 	}
 	return nil
 }
@@ -68,10 +68,10 @@
 func (q *FairQueue[T]) Earliest() float64 {
 	deadline := math.Inf(1)
 	if t := q.pending.First(); t != nil {
-		deadline = t.At()
+		deadline = t.Deadline()
 	}
 	if t := q.due.First(); t != nil {
-		deadline = math.Min(deadline, t.Of.deadline)
+		deadline = math.Min(deadline, t.Value.deadline)
 	}
 	return deadline
 }
--- a/internal/decide/timerqueue/timerqueue.go
+++ b/internal/decide/timerqueue/timerqueue.go
@@ -7,19 +7,19 @@
 
 import "container/heap"
 
-// Timer is an entry of a Queue that belongs to the value Of. A value has one Timer for each queue that it may be in. A zero Timer
-// with Of set is in no queue.
+// Timer is an entry of a Queue that belongs to Value. A value has one Timer for each queue that it may be in. A zero Timer with Value
+// set is in no queue.
 type Timer[T any] struct {
-	Of           T
+	Value        T
 	deadline     float64
 	indexPlusOne int // index in the heap plus one; 0: not in a queue
 }
 
-// At returns the deadline, which is meaningful only while the timer is in a queue.
-func (t *Timer[T]) At() float64 { return t.deadline }
+// Deadline returns the deadline, which is meaningful only while the timer is in a queue.
+func (t *Timer[T]) Deadline() float64 { return t.deadline }
 
-// In reports whether the timer is in a queue.
-func (t *Timer[T]) In() bool { return t.indexPlusOne > 0 }
+// Queued reports whether the timer is in a queue.
+func (t *Timer[T]) Queued() bool { return t.indexPlusOne > 0 }
 
 // Queue is a priority queue of timers, ordered by deadline. The zero value is empty.
 type Queue[T any] struct{ timers timerHeap[T] }
@@ -35,19 +35,19 @@
 	return q.timers[0]
 }
 
-// Put adds a timer, or changes its deadline if it is already in the queue.
-func (q *Queue[T]) Put(t *Timer[T], deadline float64) {
+// Schedule adds a timer, or changes its deadline if it is already in the queue.
+func (q *Queue[T]) Schedule(t *Timer[T], deadline float64) {
 	t.deadline = deadline
-	if t.In() {
+	if t.Queued() {
 		heap.Fix(&q.timers, t.indexPlusOne-1)
 	} else {
 		heap.Push(&q.timers, t)
 	}
 }
 
-// Drop removes a timer, if it is in the queue.
-func (q *Queue[T]) Drop(t *Timer[T]) {
-	if t.In() {
+// Remove removes a timer, if it is in the queue.
+func (q *Queue[T]) Remove(t *Timer[T]) {
+	if t.Queued() {
 		heap.Remove(&q.timers, t.indexPlusOne-1)
 	}
 }
--- a/internal/decide/timerqueue/timerqueue_test.go
+++ b/internal/decide/timerqueue/timerqueue_test.go
@@ -14,29 +14,29 @@
 		var q Queue[int]
 		all := make([]*Timer[int], 12)
 		for n := range all {
-			all[n] = &Timer[int]{Of: n}
+			all[n] = &Timer[int]{Value: n}
 		}
 		deadlines := map[int]float64{}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			n := rapid.IntRange(0, len(all)-1).Draw(t, "which")
 			if rapid.Bool().Draw(t, "drop") {
-				q.Drop(all[n])
+				q.Remove(all[n])
 				delete(deadlines, n)
 			} else {
 				deadlines[n] = float64(rapid.IntRange(0, 5).Draw(t, "at"))
-				q.Put(all[n], deadlines[n])
+				q.Schedule(all[n], deadlines[n])
 			}
-			if all[n].In() != contains(deadlines, n) || q.Len() != len(deadlines) {
-				t.Fatalf("timer %d in the queue: %v, %d timers in total; want %v", n, all[n].In(), q.Len(), deadlines)
+			if all[n].Queued() != contains(deadlines, n) || q.Len() != len(deadlines) {
+				t.Fatalf("timer %d in the queue: %v, %d timers in total; want %v", n, all[n].Queued(), q.Len(), deadlines)
 			}
 		}
 		var popped []float64
 		for timer := q.First(); timer != nil; timer = q.First() {
-			if timer.At() != deadlines[timer.Of] {
-				t.Fatalf("timer %d is due at %v, want %v", timer.Of, timer.At(), deadlines[timer.Of])
+			if timer.Deadline() != deadlines[timer.Value] {
+				t.Fatalf("timer %d is due at %v, want %v", timer.Value, timer.Deadline(), deadlines[timer.Value])
 			}
-			popped = append(popped, timer.At())
-			q.Drop(timer)
+			popped = append(popped, timer.Deadline())
+			q.Remove(timer)
 		}
 		if len(popped) != len(deadlines) || !slices.IsSorted(popped) {
 			t.Fatalf("popped deadlines %v, want those of %v in order", popped, deadlines)
@@ -56,7 +56,7 @@
 		var list []*FairTimer[int]
 		all := make([]*FairTimer[int], 8)
 		for n := range all {
-			all[n] = &FairTimer[int]{Of: n}
+			all[n] = &FairTimer[int]{Value: n}
 		}
 		now := 0.0
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -77,13 +77,13 @@
 			case 4:
 				now++
 			}
-			first := slices.IndexFunc(list, func(o *FairTimer[int]) bool { return o.At() <= now })
+			first := slices.IndexFunc(list, func(o *FairTimer[int]) bool { return o.Deadline() <= now })
 			if got := q.First(now); (got == nil) != (first < 0) || got != nil && got != list[first] {
 				t.Fatalf("first due timer: %v, want the one at index %d of the list", got, first)
 			}
 			earliest := math.Inf(1)
 			for _, o := range list {
-				earliest = math.Min(earliest, o.At())
+				earliest = math.Min(earliest, o.Deadline())
 			}
 			// If timers are due, Earliest may return the deadline of the one that was added first, not the earliest.
 			if got := q.Earliest(); q.Len() != len(list) || got != earliest && (got > now || earliest > now) {
--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -90,7 +90,7 @@
 // RecordPosition calls Loop.RecordPosition, and schedules another health check of the member if that helps to settle the clock.
 func (d *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
 	d.Loop.RecordPosition(member, role, position, sent)
-	if wait, wanted := d.clusterClock.Confirm(member); wanted && d.confirmsPositions && !d.confirming[member] {
+	if wait, wanted := d.clusterClock.RecheckDelay(member); wanted && d.confirmsPositions && !d.confirming[member] {
 		d.confirming[member] = true
 		d.After(wait, func() { d.confirmPosition(member) })
 	}
@@ -98,7 +98,7 @@
 
 func (d *Driver) confirmPosition(member string) {
 	delete(d.confirming, member)
-	if _, wanted := d.clusterClock.Confirm(member); wanted {
+	if _, wanted := d.clusterClock.RecheckDelay(member); wanted {
 		d.backend.HealthCheck(member)
 	}
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -25,7 +25,7 @@
 func (e *DialError) Unwrap() error { return e.Err }
 
 // Cause classifies the failure: whether it concerns the peer or this host.
-func (e *DialError) Cause() syscallerror.Cause { return syscallerror.Of(e.Call, e.Err) }
+func (e *DialError) Cause() syscallerror.Cause { return syscallerror.Classify(e.Call, e.Err) }
 
 // Dial connects to addr, with a timeout in ms. done is called once, on the loop; its error is a *DialError. nbio's own dialler is not
 // used because nbio 1.6.8 uses the first four bytes of a 16-byte address as the IPv4 address, and so connects to 0.0.0.0.
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -55,7 +55,7 @@
 
 // endsConnection reports whether a read error means that the connection has ended.
 func endsConnection(err error) bool {
-	return err != nil && syscallerror.Of(syscallerror.Read, err) == syscallerror.Peer
+	return err != nil && syscallerror.Classify(syscallerror.Read, err) == syscallerror.Peer
 }
 
 // postData posts bytes to the loop, followed by the end of the connection if ended is set. Without bytes it posts nothing.
@@ -139,7 +139,7 @@
 		switch {
 		case err == nil:
 			return descriptors[0].Revents
-		case syscallerror.Of(syscallerror.Poll, err) != syscallerror.Transient: // transient: interrupted, e.g. by the Go runtime's signals
+		case syscallerror.Classify(syscallerror.Poll, err) != syscallerror.Transient: // transient: interrupted, e.g. by the Go runtime's signals
 			return unix.POLLIN
 		}
 	}
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -58,7 +58,7 @@
 	switch b = b[n:]; {
 	case len(b) == 0:
 		return nil
-	case err != nil && syscallerror.Of(syscallerror.Write, err) == syscallerror.HostResources:
+	case err != nil && syscallerror.Classify(syscallerror.Write, err) == syscallerror.HostResources:
 		c.delayedWrite = slices.Clone(b)
 		c.loop.After(syscallerror.RetryPauseMs, c.sendDelayed)
 		return nil
--- a/internal/fleet/client_test.go
+++ b/internal/fleet/client_test.go
@@ -165,7 +165,7 @@
 	node := New(settings, router)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
-	defer func() { cancel(); <-node.Ended() }()
+	defer func() { cancel(); <-node.Done() }()
 	leases, calls := map[string]bool{}, 0
 	for ; len(leases) < 328; calls++ {
 		for _, name := range <-asked {
--- a/internal/fleet/groups.go
+++ b/internal/fleet/groups.go
@@ -9,8 +9,8 @@
 	"wayloft/internal/decide/switchover"
 )
 
-// Changed notifies the node that the router's endpoint list has changed. It never blocks and may be called on any goroutine.
-func (n *Node) Changed() {
+// GroupsChanged notifies the node that the router's endpoint list has changed. It never blocks and may be called on any goroutine.
+func (n *Node) GroupsChanged() {
 	select {
 	case n.groupsChanged <- struct{}{}:
 	default: // a pending notification covers this change
--- a/internal/fleet/groups_test.go
+++ b/internal/fleet/groups_test.go
@@ -95,9 +95,9 @@
 	go node.Run(ctx, listen(t))
 	<-router.asked
 	for range 3 {
-		node.Changed()
+		node.GroupsChanged()
 		<-router.asked
 	}
 	cancel()
-	<-node.Ended()
+	<-node.Done()
 }
--- a/internal/fleet/healthsharing.go
+++ b/internal/fleet/healthsharing.go
@@ -18,8 +18,8 @@
 	pending map[string]bool // routers that have not yet responded to the latest reports
 }
 
-// Reported records the result of a health check by this process. It is called on the router's event loop and never blocks.
-func (n *Node) Reported(report healthshare.Report) {
+// HealthCheckReported records the result of a health check by this process. It is called on the router's event loop and never blocks.
+func (n *Node) HealthCheckReported(report healthshare.Report) {
 	record := func() {
 		for _, sharer := range n.healthSharers {
 			sharer.prober.Reported(report) // ignores reports about members of other groups
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -69,7 +69,7 @@
 	node := newNode(settings, router, started)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.Run(ctx, listen(t))
-	t.Cleanup(func() { cancel(); <-node.Ended() })
+	t.Cleanup(func() { cancel(); <-node.Done() })
 }
 
 // A process that is started after the wall clock was stepped back replaces its predecessor's session without waiting for that to expire: the
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -368,7 +368,7 @@
 	defer cancel()
 	running, end := context.WithCancel(context.Background())
 	go node.Run(running, listener)
-	defer func() { end(); <-node.Ended() }()
+	defer func() { end(); <-node.Done() }()
 	conn, err := grpc.NewClient("passthrough:///"+listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -39,9 +39,9 @@
 	Post(f func())
 	// Now returns the time in Unix ms by the cluster's clock.
 	Now() float64
-	// Groups returns the members of each group in the endpoint list. It is called at the start and after Node.Changed.
+	// Groups returns the members of each group in the endpoint list. It is called at the start and after Node.GroupsChanged.
 	Groups() map[int][]Member
-	// HealthCheck starts a health check of a member. The result is passed to Node.Reported.
+	// HealthCheck starts a health check of a member. The result is passed to Node.HealthCheckReported.
 	HealthCheck(member string)
 	// PeerReported records the result of another process's health check.
 	PeerReported(report healthshare.Report)
@@ -208,8 +208,8 @@
 	}
 }
 
-// Ended returns a channel that is closed once Run has returned.
-func (n *Node) Ended() <-chan struct{} { return n.ended }
+// Done returns a channel that is closed once Run has returned.
+func (n *Node) Done() <-chan struct{} { return n.ended }
 
 // now returns the time in ms by a monotonic clock.
 func (n *Node) now() float64 { return rpc.Boottime() + n.settings.ClockOffsetMs }
@@ -252,7 +252,7 @@
 func (n *Node) nextDeadline() float64 {
 	deadline := min(n.leases.NextDeadline(), n.groupsDueAt, n.policies.follower.NextDeadline())
 	if n.policies.toSave != nil {
-		deadline = min(deadline, n.policies.saveRetry.Due())
+		deadline = min(deadline, n.policies.saveRetry.RetryAt())
 	}
 	for _, sharer := range n.healthSharers {
 		deadline = min(deadline, sharer.prober.NextDeadline())
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -25,11 +25,11 @@
 // policyState is a router's state in following the policy. It is only accessed on the node's event loop.
 type policyState struct {
 	follower    *policy.Follower
-	toApply     *policy.Decision // not yet passed on, because the queue of the router's event loop was full
-	toSave      *policy.Decision // to be saved next
-	saving      bool             // a save is in progress
-	saveRetry   backoff.Storage  // of failed saves
-	fetchFailed bool             // the latest fetch failed, so the next one goes to a random node
+	toApply     *policy.Decision      // not yet passed on, because the queue of the router's event loop was full
+	toSave      *policy.Decision      // to be saved next
+	saving      bool                  // a save is in progress
+	saveRetry   backoff.RetrySchedule // of failed saves
+	fetchFailed bool                  // the latest fetch failed, so the next one goes to a random node
 }
 
 func newPolicyState(settings Settings, seed uint64) *policyState {
@@ -81,7 +81,7 @@
 // later version replaces it.
 func (n *Node) savePolicy(now float64) {
 	state := n.policies
-	if state.toSave == nil || state.saving || n.settings.Store == nil || state.saveRetry.Failing() && state.saveRetry.Due() > now {
+	if state.toSave == nil || state.saving || n.settings.Store == nil || state.saveRetry.Failing() && state.saveRetry.RetryAt() > now {
 		return
 	}
 	d := state.toSave
@@ -97,7 +97,7 @@
 	state := n.policies
 	state.saving = false
 	if err == nil {
-		if state.saveRetry.Succeed(n.now()) {
+		if state.saveRetry.RecordSuccess(n.now()) {
 			logrus.WithField("version", d.Version).Info("policy stored after earlier failures")
 		}
 		n.settings.AuditLog.Add("stored", audit.Fields{"version": d.Version.String()})
@@ -106,7 +106,7 @@
 	if state.toSave == nil {
 		state.toSave = d
 	}
-	if state.saveRetry.Fail(n.now()) {
+	if state.saveRetry.RecordFailure(n.now()) {
 		logrus.WithError(err).WithField("version", d.Version).Error("failed to store policy; retrying")
 		n.settings.AuditLog.Add("unsaved", audit.Fields{"version": d.Version.String(), reasonField: err.Error()})
 	}
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -145,7 +145,7 @@
 func (n *Node) applyReports(messages []*fleetpb.Sighting, now float64, verdict *fleetpb.Verdict) {
 	for _, message := range messages {
 		report := decodeReport(message)
-		if err := healthshare.CheckReport(report, now); err != nil {
+		if err := healthshare.ValidateReport(report, now); err != nil {
 			markMalformed(verdict, err.Error())
 			continue
 		}
--- a/internal/fleet/storefailures_test.go
+++ b/internal/fleet/storefailures_test.go
@@ -105,20 +105,20 @@
 	failing.Store(true)
 	decide(2)
 	for range 3 {
-		advance(max(node.now(), node.policies.saveRetry.Due()))
+		advance(max(node.now(), node.policies.saveRetry.RetryAt()))
 		if node.policies.toSave == nil || !node.policies.saveRetry.Failing() {
 			t.Fatal("the save is not retried")
 		}
 		requireLoaded(t, store, 1)
 	}
-	node.savePolicy(node.policies.saveRetry.Due() - 1)
+	node.savePolicy(node.policies.saveRetry.RetryAt() - 1)
 	if node.policies.saving {
 		t.Error("retried before the backoff ended")
 	}
 	decide(3) // replaces the version that could not be saved
-	advance(node.policies.saveRetry.Due())
+	advance(node.policies.saveRetry.RetryAt())
 	failing.Store(false)
-	advance(node.policies.saveRetry.Due())
+	advance(node.policies.saveRetry.RetryAt())
 	requireLoaded(t, store, 3)
 	if node.policies.toSave != nil || node.policies.saveRetry.Failing() {
 		t.Error("the save has not completed")
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -38,18 +38,18 @@
 func (i *sweepIndex) longestIdle(queue *timerqueue.Queue[*session], maxIdleSince float64) *session {
 	var skipped []*timerqueue.Timer[*session]
 	defer func() { requeueTimers(queue, skipped) }()
-	for timer := queue.First(); timer != nil && timer.At() <= maxIdleSince; timer = queue.First() {
+	for timer := queue.First(); timer != nil && timer.Deadline() <= maxIdleSince; timer = queue.First() {
 		i.visits++
-		s := timer.Of
+		s := timer.Value
 		switch {
 		case s.state >= sessionEnding || queue == &i.awaitingFirstQuery && s.sentQuery:
-			queue.Drop(timer)
-		case s.idleSince > timer.At():
-			queue.Put(timer, s.idleSince)
+			queue.Remove(timer)
+		case s.idleSince > timer.Deadline():
+			queue.Schedule(timer, s.idleSince)
 		case s.evictable() && !s.conn.Unread():
 			return s
 		default:
-			queue.Drop(timer)
+			queue.Remove(timer)
 			skipped = append(skipped, timer)
 		}
 	}
@@ -77,16 +77,16 @@
 	var skipped []*timerqueue.Timer[*session]
 	for timer := queue.First(); timer != nil; timer = queue.First() {
 		tooMany := queue.Len()+len(skipped) > maxIdle
-		if !tooMany && now <= timer.At()+idleTimeoutMs {
+		if !tooMany && now <= timer.Deadline()+idleTimeoutMs {
 			break
 		}
 		f.sweepIndex.visits++
-		s := timer.Of
-		if s.idleSince > timer.At() {
-			queue.Put(timer, s.idleSince)
+		s := timer.Value
+		if s.idleSince > timer.Deadline() {
+			queue.Schedule(timer, s.idleSince)
 			continue
 		}
-		queue.Drop(timer)
+		queue.Remove(timer)
 		if !s.endIfQuiescent() { // data has arrived from its client: the session becomes active
 			skipped = append(skipped, timer)
 			maxIdle++
@@ -98,6 +98,6 @@
 // requeueTimers adds skipped timers back to their queue.
 func requeueTimers(queue *timerqueue.Queue[*session], timers []*timerqueue.Timer[*session]) {
 	for _, timer := range timers {
-		queue.Put(timer, timer.At())
+		queue.Schedule(timer, timer.Deadline())
 	}
 }
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -80,14 +80,14 @@
 
 // add adds a new session, which is active and has not sent a query.
 func (i *sweepIndex) add(s *session) {
-	s.timers.awaitingFirstQuery.Of, s.timers.idle.Of = s, s
+	s.timers.awaitingFirstQuery.Value, s.timers.idle.Value = s, s
 	i.active[s] = true
-	i.awaitingFirstQuery.Put(&s.timers.awaitingFirstQuery, s.idleSince)
+	i.awaitingFirstQuery.Schedule(&s.timers.awaitingFirstQuery, s.idleSince)
 }
 
 // activate makes the session active, so that the next sweep visits it.
 func (i *sweepIndex) activate(s *session, now float64) {
-	i.idle.Drop(&s.timers.idle)
+	i.idle.Remove(&s.timers.idle)
 	if !i.active[s] {
 		i.active[s], s.readProgressAt = true, now
 	}
@@ -96,19 +96,19 @@
 // remove removes the session from the index.
 func (i *sweepIndex) remove(s *session) {
 	delete(i.active, s)
-	i.awaitingFirstQuery.Drop(&s.timers.awaitingFirstQuery)
-	i.idle.Drop(&s.timers.idle)
+	i.awaitingFirstQuery.Remove(&s.timers.awaitingFirstQuery)
+	i.idle.Remove(&s.timers.idle)
 }
 
 // deactivateIfIdle makes a session that was just visited inactive if it is ending, or is idle and has no unsent data.
 func (i *sweepIndex) deactivateIfIdle(s *session) {
 	ending := s.state >= sessionEnding
 	if s.sentQuery || ending {
-		i.awaitingFirstQuery.Drop(&s.timers.awaitingFirstQuery)
+		i.awaitingFirstQuery.Remove(&s.timers.awaitingFirstQuery)
 	}
 	idle := s.sentQuery && s.state == sessionOpen && s.idle()
 	if idle && s.pooled == nil {
-		i.idle.Put(&s.timers.idle, s.idleSince)
+		i.idle.Schedule(&s.timers.idle, s.idleSince)
 	}
 	if ending || idle && s.conn.Unsent() == 0 {
 		delete(i.active, s)
--- a/internal/lab/scale/hollow_checks.go
+++ b/internal/lab/scale/hollow_checks.go
@@ -66,7 +66,7 @@
 			c.close()
 			continue
 		}
-		c.router.node.Reported(report)
+		c.router.node.HealthCheckReported(report)
 	}
 }
 
--- a/internal/lab/scale/hollow_routers.go
+++ b/internal/lab/scale/hollow_routers.go
@@ -124,7 +124,7 @@
 		}
 	}
 	r.stopCheckers()
-	r.node.Changed()
+	r.node.GroupsChanged()
 	counts.lists.Add(1)
 	counts.entries.Add(int64(len(list.Entries)))
 	r.process.arrivals.listReceived(list.Revision)
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -115,7 +115,7 @@
 // close leaves the fleet, waits for the node to end and closes the audit log.
 func (f *fleetNode) close() {
 	f.leave()
-	<-f.node.Ended()
+	<-f.node.Done()
 	f.auditLog.Close()
 }
 
@@ -131,7 +131,7 @@
 			delete(f.members, entry.ID)
 		}
 	}
-	f.node.Changed()
+	f.node.GroupsChanged()
 }
 
 // report passes the result of a member's health check to the node.
@@ -146,7 +146,7 @@
 	if position != router.Never {
 		report.Position = position
 	}
-	f.node.Reported(report)
+	f.node.HealthCheckReported(report)
 }
 
 // encodeStart returns a member's start time as it is exchanged within the fleet: 0 stands for long ago.
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -73,7 +73,7 @@
 	r.lastUnplaced = req
 	if g := req.group; !req.needsPrimary() || r.primaryUnavailable(g) {
 		g.lastUnplaced = r.now
-		g.checkTimer.Set(math.Min(g.checkTimer.At(), r.now))
+		g.checkTimer.Set(math.Min(g.checkTimer.Deadline(), r.now))
 	}
 }
 
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -26,7 +26,7 @@
 		return Decision{}, false
 	}
 	for timer := r.activeGroups.First(r.now); timer != nil; timer = r.activeGroups.First(r.now) {
-		g, next := timer.Of, math.Inf(1)
+		g, next := timer.Value, math.Inf(1)
 		for _, m := range g.members {
 			due := r.checkDue(m)
 			if due <= r.now {
--- a/router/membership.go
+++ b/router/membership.go
@@ -84,7 +84,7 @@
 		return g
 	}
 	g := &group{id: id, lastUnplaced: Never, checkPendingSince: Never, active: !listed}
-	g.checkTimer.Of = g
+	g.checkTimer.Value = g
 	if listed {
 		r.groups[id] = g
 	}
