--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -47,7 +47,7 @@
 		if _, err := io.ReadFull(c, make([]byte, len(pg.AppendStartup(nil, "api", "ledger")))); err != nil {
 			t.Error(err)
 		}
-		if _, err := c.Write(pg.AppendGreeting(nil, 0)); err != nil {
+		if _, err := c.Write(pg.AppendStartupResponse(nil, 0)); err != nil {
 			t.Error(err)
 		}
 		m.conns <- c
@@ -146,7 +146,7 @@
 			for m, ok, _ := in.Next(); ok; m, ok, _ = in.Next() {
 				if m.Kind == pg.Startup {
 					<-greet
-					if _, err := c.Write(pg.AppendGreeting(nil, 0)); err != nil {
+					if _, err := c.Write(pg.AppendStartupResponse(nil, 0)); err != nil {
 						t.Error(err)
 					}
 					continue
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -75,7 +75,7 @@
 	switch op.Action {
 	case session.Prepare:
 		if c.hasPrepared(op.Statement) {
-			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendBodyless(nil, parseCompleteByte)})
+			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendEmptyMessage(nil, parseCompleteByte)})
 			return out
 		}
 		return c.prepare(out, op.Statement, true)
@@ -122,7 +122,7 @@
 	if err != nil {
 		return append(out, raw...)
 	}
-	return statement.AppendQuery(out, min(statement.WaitMs, c.job.deadline-c.backend.driver.Clock()))
+	return statement.AppendQuery(out, min(statement.TimeoutMs, c.job.deadline-c.backend.driver.Clock()))
 }
 
 // statementName returns the name of a prepared statement on the member.
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -41,7 +41,7 @@
 	clientSession := session.New(session.Policy{MaxSettingsBytes: 1 << 12, MaxStatements: 8}, base)
 	sql := fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait)
 	_, ops := clientSession.Query(sql, pg.AppendQuery(nil, sql), false)
-	req := request.New(&pg.Statement{ID: id, RequestClass: "x", WaitMs: wait}, driver.Now(), func(request.Response) {})
+	req := request.New(&pg.Statement{ID: id, RequestClass: "x", TimeoutMs: wait}, driver.Now(), func(request.Response) {})
 	req.Stream = &request.Stream{Pool: "sessions", Client: &fakeSession{clientSession}}
 	req.Stream.Send(ops)
 	return req
--- a/internal/decide/policy/follower.go
+++ b/internal/decide/policy/follower.go
@@ -87,9 +87,9 @@
 	allowedAt    float64 // when the rate limit allows another request
 	retryDelayMs float64
 
-	Stale          int // ignored announcements of a version older than the fetched or announced one
-	HashMismatches int // fetched or stored documents discarded because they were invalid or had another hash
-	Conflicts      int // announcements of a known version with a different document hash
+	StaleAnnouncements       int // ignored announcements of a version older than the fetched or announced one
+	HashMismatches           int // fetched or stored documents discarded because they were invalid or had another hash
+	ConflictingAnnouncements int // announcements of a known version with a different document hash
 }
 
 // NewFollower returns a Follower without any version.
@@ -149,17 +149,17 @@
 		return true
 	case f.settings.SeededDefects.AcceptOlderVersions && announced != known:
 	case announced < known || announced < f.target.Packed():
-		f.Stale++
+		f.StaleAnnouncements++
 		return true
 	case announced == known && v.Hash == f.fetched.Hash:
 		f.confirmed = true
 		return true
 	case announced == known && f.confirmed:
-		f.Conflicts++
+		f.ConflictingAnnouncements++
 		return true
 	}
 	if announced == f.target.Packed() && v.Hash != f.target.Hash {
-		f.Conflicts++
+		f.ConflictingAnnouncements++
 		return true
 	}
 	return false
--- a/internal/decide/policy/follower_test.go
+++ b/internal/decide/policy/follower_test.go
@@ -216,8 +216,8 @@
 	h.follower.VersionAnnounced(old, &first)
 	h.advanceTo(4000)
 	h.requireApplied(h.history.Version)
-	if h.follower.Stale != 1 {
-		t.Error(h.follower.Stale)
+	if h.follower.StaleAnnouncements != 1 {
+		t.Error(h.follower.StaleAnnouncements)
 	}
 	h.history = &History{}
 	if v, rejection := propose(h.history, 9, Document{"over_share_value": "0.2"}); rejection != "" || v.Number != 1 {
@@ -238,8 +238,8 @@
 	h.follower.VersionAnnounced(v, nil)
 	h.advanceTo(6000)
 	h.requireApplied(h.history.Version)
-	if h.follower.Conflicts != 1 || h.count(Fetch) != 1 {
-		t.Error(h.follower.Conflicts, h.actions)
+	if h.follower.ConflictingAnnouncements != 1 || h.count(Fetch) != 1 {
+		t.Error(h.follower.ConflictingAnnouncements, h.actions)
 	}
 }
 
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -55,7 +55,7 @@
 	n.pending[request] = true
 	if err := n.propose(entry, request, nil); err != nil {
 		n.resultUnknown(request)
-	} else if n.settings.SeededDefects.EarlyAnswer {
+	} else if n.settings.SeededDefects.EarlyResponse {
 		n.complete(request, n.previewResult(entry))
 	}
 }
@@ -74,7 +74,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// previewResult returns the result that an entry would have if it were committed. Only the seeded defect EarlyAnswer uses it.
+// previewResult returns the result that an entry would have if it were committed. Only the seeded defect EarlyResponse uses it.
 func (n *Node) previewResult(entry leasestate.Entry) leasestate.Result {
 	state, err := leasestate.Restore(n.settings.Fleet, n.state.Snapshot())
 	if err != nil {
--- a/internal/decide/raftnode/raftnode.go
+++ b/internal/decide/raftnode/raftnode.go
@@ -31,8 +31,8 @@
 
 // SeededDefects enables defects with which tests show that the checkers detect them. The program never sets any.
 type SeededDefects struct {
-	EarlyAnswer bool // responds when an entry is proposed instead of when it is committed
-	StaleRead   bool // as leader, responds to reads without confirming its leadership
+	EarlyResponse bool // responds when an entry is proposed instead of when it is committed
+	StaleRead     bool // as leader, responds to reads without confirming its leadership
 }
 
 // Settings configure a Node.
--- a/internal/decide/session/extended.go
+++ b/internal/decide/session/extended.go
@@ -87,7 +87,7 @@
 	}
 	s.prepared, _, _ = s.prepared.Delete([]byte(m.Name))
 	s.expectPrepared(pg.CloseComplete)
-	return []Message{{Action: AnswerLocally, Kind: m.Kind, Raw: pg.AppendBodyless(nil, closeCompleteByte)}}
+	return []Message{{Action: AnswerLocally, Kind: m.Kind, Raw: pg.AppendEmptyMessage(nil, closeCompleteByte)}}
 }
 
 // deallocateAll removes all prepared statements of the session.
--- a/internal/decide/session/loss.go
+++ b/internal/decide/session/loss.go
@@ -76,18 +76,18 @@
 func appendRollbackReply(out []byte, message Message) []byte {
 	switch message.Kind {
 	case pg.Parse:
-		return pg.AppendBodyless(out, parseCompleteByte)
+		return pg.AppendEmptyMessage(out, parseCompleteByte)
 	case pg.Bind:
-		return pg.AppendBodyless(out, bindCompleteByte)
+		return pg.AppendEmptyMessage(out, bindCompleteByte)
 	case pg.Describe:
 		if message.Action == DescribeStatement {
 			out = append(out, parameterDescriptionByte, 0, 0, 0, 6, 0, 0) // no parameters
 		}
-		return pg.AppendBodyless(out, noDataByte)
+		return pg.AppendEmptyMessage(out, noDataByte)
 	case pg.Execute:
 		return pg.AppendCommandComplete(out, "ROLLBACK")
 	case pg.Close:
-		return pg.AppendBodyless(out, closeCompleteByte)
+		return pg.AppendEmptyMessage(out, closeCompleteByte)
 	}
 	return out
 }
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -106,7 +106,7 @@
 	case 7:
 		encoded = pg.AppendClose(nil, "SP"[r.rand.IntN(2)], name)
 	case 8:
-		encoded = pg.AppendBodyless(nil, 'H')
+		encoded = pg.AppendEmptyMessage(nil, 'H')
 	case 9:
 		encoded = pg.AppendSync(nil)
 	}
--- a/internal/decide/switchover/executor.go
+++ b/internal/decide/switchover/executor.go
@@ -53,7 +53,7 @@
 
 // NewExecutor returns an Executor that continues an order from its recorded steps, starting at time now in ms. rank is the rank of the last
 // step under the lease holder's fencing token: a step that was sent but not answered may arrive after later steps of the same holder, and
-// members must refuse it like a step of a former holder. It returns an *UnknownFormError for an order or step written by a later build.
+// members must refuse it like a step of a former holder. It returns an *UnknownFormatError for an order or step written by a later build.
 func NewExecutor(settings Settings, order string, steps []leasestate.Step, rank uint64, now float64) (*Executor, error) {
 	newPrimary, err := parseOrder(order)
 	if err != nil {
--- a/internal/decide/switchover/executor_test.go
+++ b/internal/decide/switchover/executor_test.go
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	var unknown *UnknownFormError
+	var unknown *UnknownFormatError
 	if _, err := NewExecutor(Settings{}, FormatOrder("m2"), []leasestate.Step{{Text: "unknown m1 m2"}}, 0, 0); !errors.As(err, &unknown) {
 		t.Error("a step of a later build was accepted")
 	}
--- a/internal/decide/switchover/orders.go
+++ b/internal/decide/switchover/orders.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// StartOrder returns an Executor for the open order, or nil if there is none to execute. The coordinator node that reported the order may lag
-// behind, so orders up to the last one that ended are ignored. It returns an *UnknownFormError for an order or step of an unknown format, and
-// ends that order.
+// StartOrder returns an Executor for the open order, or nil if there is none to execute. The coordinator node that reported the order may
+// lag behind, so orders up to the last one that ended are ignored. It returns an *UnknownFormatError for an order or step of an unknown
+// format, and ends that order.
 func (s *OrderState) StartOrder(settings Settings, open leasestate.Order, steps []leasestate.Step, now float64) (*Executor, error) {
 	if open.Number <= s.lastEnded.Number {
 		return nil, nil
--- a/internal/decide/switchover/switchover.go
+++ b/internal/decide/switchover/switchover.go
@@ -104,14 +104,14 @@
 	phaseAbandon  Phase = "leave"   // undo before any member has been commanded: routers release writes
 )
 
-// UnknownFormError means that an order or a recorded step has a format unknown to this build, because a later build wrote it.
-type UnknownFormError struct {
+// UnknownFormatError means that an order or a recorded step has a format unknown to this build, because a later build wrote it.
+type UnknownFormatError struct {
 	Kind string // "order" or "step"
 	Text string
 }
 
 // Error returns a text that is recorded as the outcome of the order. It is stored data, so it must not change.
-func (e *UnknownFormError) Error() string {
+func (e *UnknownFormatError) Error() string {
 	return fmt.Sprintf("the %s %q is none that this build knows", e.Kind, e.Text)
 }
 
@@ -123,7 +123,7 @@
 func parseOrder(text string) (newPrimary string, err error) {
 	newPrimary, found := strings.CutPrefix(text, orderPrefix)
 	if !found || newPrimary == "" {
-		return "", &UnknownFormError{Kind: "order", Text: text}
+		return "", &UnknownFormatError{Kind: "order", Text: text}
 	}
 	return newPrimary, nil
 }
@@ -142,12 +142,12 @@
 func parseStep(step leasestate.Step, newPrimary string) (recordedStep, error) {
 	words := strings.Fields(step.Text)
 	if len(words) != 3 || words[2] != newPrimary {
-		return recordedStep{}, &UnknownFormError{Kind: "step", Text: step.Text}
+		return recordedStep{}, &UnknownFormatError{Kind: "step", Text: step.Text}
 	}
 	parsed := recordedStep{phase: Phase(words[0]), oldPrimary: words[1], newPrimary: words[2]}
 	switch parsed.phase {
 	case phaseHold, phaseStepDown, phasePromote, phaseRelease, phaseRollback, phaseAbandon:
 		return parsed, nil
 	}
-	return recordedStep{}, &UnknownFormError{Kind: "step", Text: step.Text}
+	return recordedStep{}, &UnknownFormatError{Kind: "step", Text: step.Text}
 }
--- a/internal/eventloop/cancel_test.go
+++ b/internal/eventloop/cancel_test.go
@@ -53,7 +53,7 @@
 			list.ListMember("b", "z", 1, router.Up, router.Never)
 			list.EndList(true)
 			responses := 0
-			req := request.New(&pg.Statement{ID: "1", RequestClass: "read", WaitMs: 20000, Group: 1}, driver.Now(), func(request.Response) { responses++ })
+			req := request.New(&pg.Statement{ID: "1", RequestClass: "read", TimeoutMs: 20000, Group: 1}, driver.Now(), func(request.Response) { responses++ })
 			req.Stream = &request.Stream{}
 			if err := driver.Arrive(req); err != nil {
 				t.Fatal(err)
--- a/internal/eventloop/driver.go
+++ b/internal/eventloop/driver.go
@@ -107,7 +107,7 @@
 	if req.Position > 0 && !d.PositionPossible(req.Position) {
 		return ErrFuturePosition
 	}
-	d.routerInput().RequestArrived(req.ID, req.Tenant, req.IdempotencyKey, req.RequestClass, req.Group, d.positionAge(req.Position, now), req.WaitMs, req.IsRetry)
+	d.routerInput().RequestArrived(req.ID, req.Tenant, req.IdempotencyKey, req.RequestClass, req.Group, d.positionAge(req.Position, now), req.TimeoutMs, req.IsRetry)
 	if req.Arrived < now {
 		d.routerInput().RequestQueued(req.ID, now-req.Arrived)
 	}
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -104,7 +104,7 @@
 	case m.greeting != nil:
 		return m.greeting
 	}
-	return &Reply{Bytes: pg.AppendGreeting(nil, 0)}
+	return &Reply{Bytes: pg.AppendStartupResponse(nil, 0)}
 }
 
 // Stop stops listening. Open connections are not affected.
--- a/internal/fakes/pgserver/copy.go
+++ b/internal/fakes/pgserver/copy.go
@@ -25,7 +25,7 @@
 		for n := range 3 {
 			c.out = append(c.out, message('d', fmt.Sprintf("h%d\tv%d\n", n, n))...)
 		}
-		c.out = pg.AppendBodyless(c.out, 'c')
+		c.out = pg.AppendEmptyMessage(c.out, 'c')
 		c.writeTag("COPY 3")
 		return
 	}
--- a/internal/fakes/pgserver/extended.go
+++ b/internal/fakes/pgserver/extended.go
@@ -38,7 +38,7 @@
 		} else {
 			delete(c.portals, m.Portal)
 		}
-		c.out = pg.AppendBodyless(c.out, '3')
+		c.out = pg.AppendEmptyMessage(c.out, '3')
 	}
 }
 
@@ -73,7 +73,7 @@
 	c.server.parses++
 	c.server.mu.Unlock()
 	c.prepared[m.Name] = m.Text
-	c.out = pg.AppendBodyless(c.out, '1')
+	c.out = pg.AppendEmptyMessage(c.out, '1')
 }
 
 func (c *connection) bind(m *pg.Message) {
@@ -83,7 +83,7 @@
 		return
 	}
 	c.portals[m.Portal] = portal{sql, bindValues(m.Tail)}
-	c.out = pg.AppendBodyless(c.out, '2')
+	c.out = pg.AppendEmptyMessage(c.out, '2')
 }
 
 func (c *connection) describeMessage(m *pg.Message) {
@@ -153,7 +153,7 @@
 func (c *connection) describeStatement(sql string) {
 	names := columnNames(sql)
 	if names == nil {
-		c.out = pg.AppendBodyless(c.out, 'n')
+		c.out = pg.AppendEmptyMessage(c.out, 'n')
 		return
 	}
 	c.out = appendRowDescription(c.out, names)
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -35,10 +35,10 @@
 		{acceptPeriodMs + 1e6 + 100, 500, 0},
 	} {
 		f.runOnLoop(func() {
-			req := request.New(&pg.Statement{WaitMs: c.waitMs}, signalled+c.arrivedMs, func(request.Response) {})
+			req := request.New(&pg.Statement{TimeoutMs: c.waitMs}, signalled+c.arrivedMs, func(request.Response) {})
 			f.frontend.limitWait(req)
-			if math.Abs(req.WaitMs-c.wantMs) > 0.01 {
-				t.Errorf("request that arrived %v ms after the signal: wait limit %v ms, want %v", c.arrivedMs, req.WaitMs, c.wantMs)
+			if math.Abs(req.TimeoutMs-c.wantMs) > 0.01 {
+				t.Errorf("request that arrived %v ms after the signal: wait limit %v ms, want %v", c.arrivedMs, req.TimeoutMs, c.wantMs)
 			}
 		})
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -46,14 +46,14 @@
 	drainDeadline float64 // ms on the loop's clock, by which each request gets its final response; set while draining
 	endingSince   float64 // ms on the loop's clock, at which the phase drainEndingSessions began
 
-	// Rejected counts statements rejected because the memory budget or the limit of pipelined queries was exceeded.
-	Rejected int
+	// RejectedRequests counts statements rejected because the memory budget or the limit of pipelined queries was exceeded.
+	RejectedRequests int
 	// ProtocolErrors counts sessions and statements that failed with an error of the client's.
 	ProtocolErrors int
 	// TimedOut counts sessions ended because the client took too long to send its first query or the rest of a message.
 	TimedOut int
-	// NoSessionSlot counts connections rejected because the session limit was reached.
-	NoSessionSlot int
+	// RejectedSessions counts connections rejected because the session limit was reached.
+	RejectedSessions int
 }
 
 // New returns a Frontend without sessions. maxSessions limits the number of sessions, maxHeldBytes the memory that statements may take in
@@ -93,7 +93,7 @@
 	}
 	f.evictIfFull()
 	if f.occupiedSlots() > f.maxSessions && s.state < sessionEnding && !conn.Unread() {
-		f.NoSessionSlot++
+		f.RejectedSessions++
 		s.finishWithError(errTooManySessions)
 	}
 }
--- a/internal/frontend/pooled_test.go
+++ b/internal/frontend/pooled_test.go
@@ -37,7 +37,7 @@
 	parse := func(want pooledState) pooledStep {
 		return clientSends("Parse", pg.AppendParse(nil, "", []byte("SELECT 1\x00\x00\x00")), want)
 	}
-	flush := func(want pooledState) pooledStep { return clientSends("Flush", pg.AppendBodyless(nil, 'H'), want) }
+	flush := func(want pooledState) pooledStep { return clientSends("Flush", pg.AppendEmptyMessage(nil, 'H'), want) }
 	sync := func(want pooledState) pooledStep { return clientSends("Sync", pg.AppendSync(nil), want) }
 	memberFails := func(want pooledState) pooledStep {
 		return memberSends("ErrorResponse", pg.Message{Kind: pg.ErrorResponse}, want)
@@ -48,7 +48,7 @@
 	requestFails := func(want pooledState) pooledStep {
 		return pooledStep{"the request is cancelled", func(p *pooledSession) { p.session.frontend.cancel(p.cancelKey) }, want}
 	}
-	terminate := clientSends("Terminate", pg.AppendBodyless(nil, 'X'), pooledEnded)
+	terminate := clientSends("Terminate", pg.AppendEmptyMessage(nil, 'X'), pooledEnded)
 
 	for name, steps := range map[string][]pooledStep{
 		"query":                {query(unitAwaitingReady), ready(unitNone)},
--- a/internal/frontend/pooledrequest.go
+++ b/internal/frontend/pooledrequest.go
@@ -20,7 +20,7 @@
 	f := p.session.frontend
 	p.addInFlightBytes(messages)
 	if f.heldBytes > f.maxHeldBytes {
-		f.Rejected++
+		f.RejectedRequests++
 		p.decisions.ConnectionLost(false)
 		p.failUnit(errOverBudget)
 		return
@@ -53,20 +53,20 @@
 		ID:           f.nextID(),
 		RequestClass: attributes.RequestClass,
 		Tenant:       attributes.Tenant,
-		WaitMs:       noWaitLimitMs,
+		TimeoutMs:    noWaitLimitMs,
 		Group:        p.pool.Group,
 		// recordCommit may have taken the position from an estimate of the cluster clock that was lowered later. Without the limit the
 		// driver could reject the position as one that lies in the future.
 		Position: min(p.decisions.LastCommitPosition, f.driver.ClusterNow()+eventloop.MaxPositionAhead),
 	}
 	if wait, err := strconv.ParseFloat(p.decisions.RouterSetting("wait"), 64); err == nil && wait > 0 {
-		statement.WaitMs = wait
+		statement.TimeoutMs = wait
 	}
 	if group, err := strconv.Atoi(p.decisions.RouterSetting("group")); err == nil {
 		statement.Group = group
 	}
 	if label := attributes.Label; label != nil {
-		statement.ID, statement.WaitMs, statement.Group = label.ID, label.WaitMs, label.Group
+		statement.ID, statement.TimeoutMs, statement.Group = label.ID, label.TimeoutMs, label.Group
 		statement.IdempotencyKey, statement.IsRetry = label.IdempotencyKey, label.IsRetry
 		statement.Position = max(statement.Position, label.Position)
 	}
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -171,7 +171,7 @@
 	case m.Kind == pg.Startup && s.frontend.pooling != nil && !s.frontend.pooling.usesStatementMode(m.Startup):
 		s.startPooled(m)
 	case m.Kind == pg.Startup:
-		s.conn.Write(pg.AppendGreeting(nil, m.MinorVersion))
+		s.conn.Write(pg.AppendStartupResponse(nil, m.MinorVersion))
 	default:
 		s.enqueue(m)
 	}
--- a/internal/frontend/statementmode.go
+++ b/internal/frontend/statementmode.go
@@ -37,7 +37,7 @@
 
 // rejectExcess queues the rejection of one more query: the client expects a response to each query that it has sent.
 func (s *session) rejectExcess() {
-	s.frontend.Rejected++
+	s.frontend.RejectedRequests++
 	last := len(s.queue) - 1
 	switch {
 	case last < 0 || s.queue[last].response != errOverBudget:
--- a/internal/lab/fleet/simulation/lease_test.go
+++ b/internal/lab/fleet/simulation/lease_test.go
@@ -119,14 +119,14 @@
 		{"lease overcounted", nil, func(d *SeededDefects) { d.OvercountLease = true }},
 		{"same epoch", wiped, func(d *SeededDefects) { d.SameEpoch = true }},
 		{"acknowledged unsaved", killFollowers, func(d *SeededDefects) { d.AcknowledgeUnsaved = true }},
-		{"early answer", isolateLeader, func(d *SeededDefects) { d.Coordinator.EarlyAnswer = true }},
+		{"early answer", isolateLeader, func(d *SeededDefects) { d.Coordinator.EarlyResponse = true }},
 		{"stale read", isolateLeader, func(d *SeededDefects) { d.Coordinator.StaleRead = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(200) {
 				o := leaseOptions(seed)
 				o.Schedule = c.schedule
-				if c.enable(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyAnswer { // this defect makes clients send requests without end
+				if c.enable(&o.SeededDefects); o.SeededDefects.Coordinator.EarlyResponse { // this defect makes clients send requests without end
 					o.FaultsMs = 1600
 				}
 				if w := Run(o); len(w.Violations) > 0 {
--- a/internal/lab/fleet/simulation/policy_checker.go
+++ b/internal/lab/fleet/simulation/policy_checker.go
@@ -175,7 +175,7 @@
 	if !p.up || p.paused {
 		return []string{p.Name + " is down at the end"}
 	}
-	w.StaleAnnouncements += p.policy.follower.Stale
+	w.StaleAnnouncements += p.policy.follower.StaleAnnouncements
 	w.HashMismatches += p.policy.follower.HashMismatches
 	applied, inForce := p.policy.version, leader.State().Policy().Version
 	if applied.Packed() != inForce.Packed() || p.policy.document.Hash() != inForce.Hash {
--- a/internal/lab/scale/hollow_databases.go
+++ b/internal/lab/scale/hollow_databases.go
@@ -113,7 +113,7 @@
 		}
 		switch {
 		case message.Kind == pg.Startup:
-			out = pg.AppendGreeting(out, 0)
+			out = pg.AppendStartupResponse(out, 0)
 		case message.Kind == pg.Query && message.Text == "":
 			d.checks.Add(1)
 			out = pg.AppendReadyIdle(pg.AppendEmptyQuery(d.appendHealth(out, name)))
--- a/internal/pg/append.go
+++ b/internal/pg/append.go
@@ -25,8 +25,10 @@
 	return binary.BigEndian.AppendUint32(out, key.Secret)
 }
 
-// AppendBodyless appends a message that consists of its type and length only.
-func AppendBodyless(out []byte, messageType byte) []byte { return appendMessage(out, messageType, nil) }
+// AppendEmptyMessage appends a message that consists of its type and length only.
+func AppendEmptyMessage(out []byte, messageType byte) []byte {
+	return appendMessage(out, messageType, nil)
+}
 
 // AppendCopyData appends a CopyData message, which has the same format in both directions.
 func AppendCopyData(out []byte, data string) []byte {
--- a/internal/pg/append_client.go
+++ b/internal/pg/append_client.go
@@ -61,4 +61,4 @@
 }
 
 // AppendSync appends a Sync message, which ends an extended query pipeline.
-func AppendSync(out []byte) []byte { return AppendBodyless(out, clientSync) }
+func AppendSync(out []byte) []byte { return AppendEmptyMessage(out, clientSync) }
--- a/internal/pg/append_server.go
+++ b/internal/pg/append_server.go
@@ -13,9 +13,9 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// AppendGreeting appends the response to a startup message, from authentication to ReadyForQuery. minorVersion is the minor protocol
+// AppendStartupResponse appends the response to a startup message, from authentication to ReadyForQuery. minorVersion is the minor protocol
 // version that the client requested.
-func AppendGreeting(out []byte, minorVersion int) []byte {
+func AppendStartupResponse(out []byte, minorVersion int) []byte {
 	if minorVersion > 0 {
 		out = AppendNegotiateProtocolVersion(out)
 	}
@@ -67,7 +67,7 @@
 }
 
 // AppendEmptyQuery appends an EmptyQueryResponse message.
-func AppendEmptyQuery(out []byte) []byte { return AppendBodyless(out, serverEmptyQueryResponse) }
+func AppendEmptyQuery(out []byte) []byte { return AppendEmptyMessage(out, serverEmptyQueryResponse) }
 
 // AppendError appends an ErrorResponse message with severity ERROR, or FATAL if the session ends with it.
 func AppendError(out []byte, e *Error, fatal bool) []byte {
--- a/internal/pg/reader_test.go
+++ b/internal/pg/reader_test.go
@@ -75,7 +75,7 @@
 	{"query without terminator", false, string(AppendStartup(nil, "a", "b")) + "Q\x00\x00\x00\x05x", "Startup; error 08P01"},
 	{"query with two terminators", false, string(AppendStartup(nil, "a", "b")) + "Q\x00\x00\x00\x06\x00\x00",
 		"Startup; error 08P01"},
-	{"greeting", true, string(AppendGreeting(nil, 0)),
+	{"greeting", true, string(AppendStartupResponse(nil, 0)),
 		"AuthenticationOK; ParameterStatus server_version 16.0; ParameterStatus client_encoding UTF8; ParameterStatus server_encoding UTF8; " +
 			"ParameterStatus standard_conforming_strings on; Ignored; ReadyForQuery"},
 	{"response", true, "T\x00\x00\x00\x06\x00\x01D\x00\x00\x00\x0c\x00\x01" + encodedTestValue + "C\x00\x00\x00\x0dSELECT 1\x00" +
@@ -149,8 +149,8 @@
 	clientBytes = AppendExecute(clientBytes, "portal")
 	clientBytes = AppendClose(clientBytes, targetPortal, "portal")
 	clientBytes = AppendCopyData(clientBytes, "1\n")
-	clientBytes = AppendBodyless(clientBytes, clientCopyDone)
-	clientBytes = AppendBodyless(clientBytes, clientFlush)
+	clientBytes = AppendEmptyMessage(clientBytes, clientCopyDone)
+	clientBytes = AppendEmptyMessage(clientBytes, clientFlush)
 	clientBytes = AppendSync(clientBytes)
 	_, got := readExtended(false, string(clientBytes))
 	want := "Parse name SELECT $1; Bind name portal=portal; Describe name target=S; Describe portal=portal target=P; Execute portal=portal; " +
@@ -161,7 +161,7 @@
 
 	var serverBytes []byte
 	for _, messageType := range []byte{serverParseComplete, serverBindComplete, serverCloseComplete, serverNoData, serverPortalSuspended, serverCopyDone} {
-		serverBytes = AppendBodyless(serverBytes, messageType)
+		serverBytes = AppendEmptyMessage(serverBytes, messageType)
 	}
 	serverBytes = AppendBackendKeyData(serverBytes, CancelKey{Process: 1, Secret: 2})
 	serverBytes = AppendTextRow(serverBytes, "column", "value")
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -19,7 +19,7 @@
 type Statement struct {
 	ID, RequestClass, Tenant string
 	IdempotencyKey           string  // the first text in single quotes after the comment
-	WaitMs                   float64 // time that the client waits for the response, in ms
+	TimeoutMs                float64 // time that the client waits for the response, in ms
 	Position                 float64 // minimum position that the response must reflect; 0 for none
 	Group                    int
 	IsRetry                  bool // the client marked it as a retry
@@ -35,7 +35,7 @@
 	if !found || end < 0 {
 		return nil, newCommentError("a statement begins with a comment that names its id, c and d")
 	}
-	s := &Statement{WaitMs: -1}
+	s := &Statement{TimeoutMs: -1}
 	offset := len(commentStart) // of the current pair in sql
 	for pair := range strings.SplitSeq(body[:end], ",") {
 		if err := s.decodePair(sql, offset, pair); err != nil {
@@ -43,7 +43,7 @@
 		}
 		offset += len(pair) + 1
 	}
-	if s.ID == "" || s.RequestClass == "" || s.WaitMs < 0 {
+	if s.ID == "" || s.RequestClass == "" || s.TimeoutMs < 0 {
 		return nil, newCommentError("comment: id, c and d must be given")
 	}
 	s.IdempotencyKey = firstQuotedText(body[end:])
@@ -70,7 +70,7 @@
 		s.Tenant = value
 	case "d":
 		isFirstDeadline := s.textBeforeDeadline == "" // AppendQuery can replace only one deadline
-		s.WaitMs, valid = parseNumber(value)
+		s.TimeoutMs, valid = parseNumber(value)
 		valid = valid && isFirstDeadline
 		s.textBeforeDeadline, s.textAfterDeadline = sql[:valueOffset], sql[valueOffset+len(value):]
 	case "after":
--- a/internal/pg/statement_test.go
+++ b/internal/pg/statement_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Statement{ID: "9b1f", RequestClass: "basket", Tenant: "acme", IdempotencyKey: "7f3a", WaitMs: 480, Position: 1767225600123,
+	want := Statement{ID: "9b1f", RequestClass: "basket", Tenant: "acme", IdempotencyKey: "7f3a", TimeoutMs: 480, Position: 1767225600123,
 		Group: 2, IsRetry: true, textBeforeDeadline: s.textBeforeDeadline, textAfterDeadline: s.textAfterDeadline}
 	if *s != want {
 		t.Errorf("got %+v, want %+v", *s, want)
@@ -52,7 +52,7 @@
 		}
 		query := s.AppendQuery(nil, 7)
 		decoded, err := ParseStatement(string(query[headerSize : len(query)-1]))
-		if err != nil || decoded.ID != s.ID || decoded.RequestClass != s.RequestClass || decoded.IdempotencyKey != s.IdempotencyKey || decoded.WaitMs != 7 {
+		if err != nil || decoded.ID != s.ID || decoded.RequestClass != s.RequestClass || decoded.IdempotencyKey != s.IdempotencyKey || decoded.TimeoutMs != 7 {
 			t.Errorf("%q: forwarded %q, decoded as %+v, %v", sql, query, decoded, err)
 		}
 	})
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -34,14 +34,14 @@
 // New returns a request that arrived at this time, in ms on the event loop's clock. deliver is called once with the final
 // response, unless the client disconnects first.
 func New(statement *pg.Statement, arrived float64, deliver func(Response)) *Request {
-	return &Request{Statement: statement, Arrived: arrived, Deadline: arrived + statement.WaitMs, deliver: deliver}
+	return &Request{Statement: statement, Arrived: arrived, Deadline: arrived + statement.TimeoutMs, deliver: deliver}
 }
 
 // LimitWait reduces the request's timeout to at most maxWait ms. It guards against clients that keep requests in memory
 // through long timeouts.
 func (r *Request) LimitWait(maxWait float64) {
-	r.WaitMs = min(r.WaitMs, maxWait)
-	r.Deadline = r.Arrived + r.WaitMs
+	r.TimeoutMs = min(r.TimeoutMs, maxWait)
+	r.Deadline = r.Arrived + r.TimeoutMs
 }
 
 // Finished reports whether the request needs no response any more.
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -33,7 +33,7 @@
 	pools                   []settings.PoolSettings // nil: all clients use the platform's statement format
 	checkUser               string                  // for health checks and for the platform's clients
 	checkDatabase           string                  // for health checks and for the platform's clients
-	runtime                 *settings.Runtime
+	runtime                 *settings.ConnectionSettings
 	fleet                   *settings.Fleet   // nil: the router belongs to no fleet
 	restartFields           map[string]string // raw values of the fields whose change takes a restart
 	wallClock               func() time.Time  // nil: time.Now
--- a/internal/server/config_json.go
+++ b/internal/server/config_json.go
@@ -91,7 +91,7 @@
 		return errors.New("settings: must be an object")
 	}
 	var err error
-	if c.Router, c.runtime, err = settings.Decode(object); err != nil {
+	if c.Router, c.runtime, err = settings.DecodePlatform(object); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.runtime.DialTimeoutMs <= 0 || c.runtime.ServerIdleTimeoutMs <= 0 {
--- a/internal/server/config_toml.go
+++ b/internal/server/config_toml.go
@@ -8,7 +8,7 @@
 
 // DecodeTOML decodes a configuration in TOML. Its error names the invalid line and key.
 func DecodeTOML(text []byte) (*Config, error) {
-	file, err := settings.Read(text)
+	file, err := settings.ReadRouter(text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/server/copyorder_test.go
+++ b/internal/server/copyorder_test.go
@@ -37,7 +37,7 @@
 	defer failpoint.Set("eventloop.posted", func() { posted <- true })()
 	close(accept)
 	<-posted // the member's CopyInResponse
-	copying.Send(string(pg.AppendBodyless(nil, 'c')))
+	copying.Send(string(pg.AppendEmptyMessage(nil, 'c')))
 	<-posted // the client's CopyDone
 	failpoint.Set("frontend.closed", func() {})
 	close(unblock)
--- a/internal/server/faultymember_test.go
+++ b/internal/server/faultymember_test.go
@@ -22,7 +22,7 @@
 		reply    *fakes.Reply
 	}{
 		{"never accepts the login", &fakes.Reply{}, nil},
-		{"sends an incomplete greeting", &fakes.Reply{Bytes: pg.AppendGreeting(nil, 0)[:7]}, nil},
+		{"sends an incomplete greeting", &fakes.Reply{Bytes: pg.AppendStartupResponse(nil, 0)[:7]}, nil},
 		{"closes during the login", &fakes.Reply{Close: true}, nil},
 		{"notices in place of the greeting", &fakes.Reply{Bytes: []byte(strings.Repeat(string(notice), 1<<18))}, nil},
 		{"hangs", nil, nil},
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -86,9 +86,9 @@
 	if f.Switchover != nil {
 		nodeSettings.SwitchoverEnabled = true
 		nodeSettings.Switchover = switchover.Settings{
-			MaxHoldMs:      float64(f.Switchover.Hold),
-			DrainTimeoutMs: float64(f.Switchover.Wait),
-			StepTimeoutMs:  float64(f.Switchover.Step),
+			MaxHoldMs:      float64(f.Switchover.MaxHold),
+			DrainTimeoutMs: float64(f.Switchover.DrainTimeout),
+			StepTimeoutMs:  float64(f.Switchover.StepTimeout),
 		}
 		nodeSettings.Adapter = switchoverAdapter(f.Switchover)
 	}
@@ -108,7 +108,7 @@
 		GuardQuery:        s.Seen,
 		StepDownStatement: s.StepDown,
 		PromoteStatement:  s.Promote,
-		StepTimeoutMs:     float64(s.Step),
+		StepTimeoutMs:     float64(s.StepTimeout),
 	}
 }
 
--- a/internal/server/gatedmember_test.go
+++ b/internal/server/gatedmember_test.go
@@ -60,7 +60,7 @@
 		}
 		reader.Feed(buf[:n])
 		for m, ok, _ := reader.Next(); ok; m, ok, _ = reader.Next() {
-			reply := pg.AppendGreeting(nil, 0)
+			reply := pg.AppendStartupResponse(nil, 0)
 			switch {
 			case m.Kind == pg.Startup:
 				g.loginRequests <- true
--- a/internal/server/pool_test.go
+++ b/internal/server/pool_test.go
@@ -174,7 +174,7 @@
 		if got := askAll(client, texts...); got != c.want {
 			t.Errorf("%d: %s: got %q, want %q", n, c.queries, got, c.want)
 		}
-		client.Send(string(pg.AppendBodyless(nil, 'X')))
+		client.Send(string(pg.AppendEmptyMessage(nil, 'X')))
 		closeSocket(client)
 	}
 	if n := cluster.Servers[0].Counts(); n.Peak > 2 { // one more is for health checks
@@ -191,7 +191,7 @@
 	}
 	describe := func(name string) string { return string(pg.AppendDescribe(nil, 'S', name)) }
 	closeStatement := func(name string) string { return string(pg.AppendClose(nil, 'S', name)) }
-	sync, flush := string(pg.AppendSync(nil)), string(pg.AppendBodyless(nil, 'H'))
+	sync, flush := string(pg.AppendSync(nil)), string(pg.AppendEmptyMessage(nil, 'H'))
 	one, two := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	for n, c := range []struct {
 		client     *fakes.Client
@@ -249,7 +249,7 @@
 		t.Errorf("next client: %q", got)
 	}
 	askAll(c, "PREPARE mine AS SELECT 1")
-	c.Send(string(pg.AppendBodyless(nil, 'X')))
+	c.Send(string(pg.AppendEmptyMessage(nil, 'X')))
 	closeSocket(c)
 	if got := askAll(other, "EXECUTE mine", "SELECT 1"); got != "26000 ready; 1 ok ready" {
 		t.Errorf("after the pinned client disconnected: %q", got)
--- a/internal/server/poolfailure_test.go
+++ b/internal/server/poolfailure_test.go
@@ -27,7 +27,7 @@
 		{"within COPY", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN"))},
 		{"within COPY's data", nil, string(pg.AppendQuery(nil, "COPY rows (handle, blob) FROM STDIN")) + "d\x00\x00\x00\x0bleft\t1\n"},
 		{"within a pipeline", nil, string(pg.AppendParse(nil, "", []byte("SELECT pg_sleep(5)\x00\x00\x00"))) +
-			string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), "")) + string(pg.AppendBodyless(nil, 'H'))},
+			string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), "")) + string(pg.AppendEmptyMessage(nil, 'H'))},
 		{"within a statement", nil, string(pg.AppendQuery(nil, "SELECT pg_sleep(5)"))},
 		{"within half a message", []string{"BEGIN", "SELECT 1"}, "Q\x00\x00\x00\x20half"},
 		{"after BEGIN alone", []string{"BEGIN"}, ""},
--- a/internal/server/poollimits_test.go
+++ b/internal/server/poollimits_test.go
@@ -116,7 +116,7 @@
 		t.Errorf("request during the COPY: %q", got)
 	}
 	for n, c := range slow {
-		c.Send(string(pg.AppendCopyData(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendBodyless(nil, 'c')))
+		c.Send(string(pg.AppendCopyData(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendEmptyMessage(nil, 'c')))
 		if got := c.Answer(); got != "ok ready" {
 			t.Errorf("%d: %q", n, got)
 		}
--- a/internal/server/transcript_test.go
+++ b/internal/server/transcript_test.go
@@ -26,7 +26,7 @@
 		"SELECT 1", "DISCARD ALL", "SET long.x = '" + strings.Repeat("x", 400) + "'", "DEALLOCATE ALL", "DEALLOCATE none"} {
 		c.send(transcriptQueries(sql), 1)
 	}
-	c.send(pg.AppendBodyless(nil, 'X'), 1)
+	c.send(pg.AppendEmptyMessage(nil, 'X'), 1)
 
 	c = client("pipelined queries")
 	c.send(transcriptQueries("SELECT 1", "BEGIN", "SELECT blob FROM rows WHERE handle = 'h2'", "COMMIT", "SELEKT", "SELECT 1"), 6)
@@ -59,7 +59,7 @@
 	c = client("copy")
 	c.send(transcriptQueries("COPY rows TO STDOUT (FORMAT csv)"), 1)
 	c.send(transcriptQueries("COPY rows FROM STDIN"), 1) // up to CopyInResponse
-	c.send(pg.AppendBodyless(pg.AppendCopyData(nil, "x\t1\ny\t2\n"), 'c'), 1)
+	c.send(pg.AppendEmptyMessage(pg.AppendCopyData(nil, "x\t1\ny\t2\n"), 'c'), 1)
 	c.send(transcriptQueries("COPY rows FROM STDIN"), 1)
 	c.send([]byte("f\x00\x00\x00\x09stop\x00"), 1)
 	c.send(transcriptQueries("SELECT blob FROM rows WHERE handle = 'x'"), 1)
@@ -105,7 +105,7 @@
 		fmt.Fprintf(&out, "%d: ", n)
 		c.send(transcriptQueries(sql), 1)
 	}
-	c.send(pg.AppendBodyless(nil, 'X'), 1)
+	c.send(pg.AppendEmptyMessage(nil, 'X'), 1)
 
 	c = client("pipelined")
 	c.send(transcriptQueries(readStatement("b1", "x1"), writeStatement("b2", "x2"), "", readStatement("b3", "x3"), readStatement("b4", "wrong"), readStatement("b5", "x5")), 6)
--- a/internal/settings/fleetsection.go
+++ b/internal/settings/fleetsection.go
@@ -45,16 +45,16 @@
 
 // Switchover configures how the holder of a switchover lease changes a group's primary.
 type Switchover struct {
-	Hold     Duration `toml:"hold"` // longest write hold at the routers
-	Wait     Duration `toml:"wait"` // part of Hold in which running writes may end
-	Step     Duration `toml:"step"` // time limit of one statement
-	User     string   `toml:"user"`
-	Database string   `toml:"database"`
-	Primary  string   `toml:"primary"`
-	Guard    string   `toml:"guard"`
-	Seen     string   `toml:"seen"`
-	StepDown string   `toml:"yield"`
-	Promote  string   `toml:"take"`
+	MaxHold      Duration `toml:"hold"` // longest write hold at the routers
+	DrainTimeout Duration `toml:"wait"` // part of MaxHold in which running writes may end
+	StepTimeout  Duration `toml:"step"` // time limit of one statement
+	User         string   `toml:"user"`
+	Database     string   `toml:"database"`
+	Primary      string   `toml:"primary"`
+	Guard        string   `toml:"guard"`
+	Seen         string   `toml:"seen"`
+	StepDown     string   `toml:"yield"`
+	Promote      string   `toml:"take"`
 }
 
 // Defaults and bounds of a section that names the coordinator.
@@ -123,9 +123,9 @@
 }
 
 func (s *Switchover) setDefaults(user, database string) {
-	s.Hold.setDefault(defaultSwitchoverHoldMs)
-	s.Wait.setDefault(s.Hold / switchoverHoldPerWait)
-	s.Step.setDefault(defaultSwitchoverStepMs)
+	s.MaxHold.setDefault(defaultSwitchoverHoldMs)
+	s.DrainTimeout.setDefault(s.MaxHold / switchoverHoldPerWait)
+	s.StepTimeout.setDefault(defaultSwitchoverStepMs)
 	s.User = cmp.Or(s.User, user)
 	s.Database = cmp.Or(s.Database, database)
 }
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -82,7 +82,7 @@
 
 // The strict decoder decodes each key of a router's own file.
 func TestRouterKeys_AreDecoded(t *testing.T) {
-	file, err := settings.Read(readFile(t, keysDir, "router.toml"))
+	file, err := settings.ReadRouter(readFile(t, keysDir, "router.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 		key, _, _ := strings.Cut(c.given, " = ")
 		decoded := map[string]string{}
 		for _, keyword := range append(c.keywords, "other") {
-			file, err := settings.Read([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, keyword), 1)))
+			file, err := settings.ReadRouter([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, keyword), 1)))
 			var set, runtime any
 			if err == nil {
 				set, runtime, err = file.Settings()
@@ -235,7 +235,7 @@
 
 // decodeSettings decodes the platform's settings and formats the result.
 func decodeSettings(v *fastjson.Value) (string, error) {
-	set, runtime, err := settings.Decode(v)
+	set, runtime, err := settings.DecodePlatform(v)
 	return describe(set) + describe(runtime), err
 }
 
@@ -295,7 +295,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, runtime, err := settings.Decode(document)
+	set, runtime, err := settings.DecodePlatform(document)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -11,8 +11,8 @@
 // microsecondsPerMs converts the platform's times, in microseconds, to ms.
 const microsecondsPerMs = 1000
 
-// Runtime has the settings for connections and health checks, which the decision module doesn't need.
-type Runtime struct {
+// ConnectionSettings has the settings for connections and health checks, which the decision module doesn't need.
+type ConnectionSettings struct {
 	PositionOrigin      float64 // the time in ms from which the platform measures positions
 	DialTimeoutMs       float64
 	ServerIdleTimeoutMs float64 // after which a member closes an idle connection
@@ -22,19 +22,19 @@
 // platformDecoder decodes settings in the platform's JSON. Their keys are translated only here.
 type platformDecoder struct {
 	settings *router.Settings
-	runtime  *Runtime
+	runtime  *ConnectionSettings
 
 	// Indexed like profiles, the array of request classes.
 	levels          []*fastjson.Value
 	stalenessBounds []*fastjson.Value
 }
 
-// Decode decodes settings in the platform's JSON. Its error names the field at fault.
-func Decode(object *fastjson.Value) (*router.Settings, *Runtime, error) {
+// DecodePlatform decodes settings in the platform's JSON. Its error names the field at fault.
+func DecodePlatform(object *fastjson.Value) (*router.Settings, *ConnectionSettings, error) {
 	f := &Fields{Value: object}
 	d := &platformDecoder{
 		settings: &router.Settings{RequestClasses: map[string]*router.RequestClass{}, Tenants: map[string]float64{}},
-		runtime:  &Runtime{},
+		runtime:  &ConnectionSettings{},
 	}
 	d.decodeFleet(f)
 	f.Object("contract", d.decodeContract)
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -102,7 +102,7 @@
 }
 
 // PoolSettings returns the pools as the frontend and the backend need them, or nil if the file has none.
-func (f *File) PoolSettings() []PoolSettings {
+func (f *RouterFile) PoolSettings() []PoolSettings {
 	var all []PoolSettings
 	for _, pool := range f.Pools {
 		all = append(all, pool.settings(f.serverIdleTimeoutMs()))
--- a/internal/settings/routerfile.go
+++ b/internal/settings/routerfile.go
@@ -8,8 +8,8 @@
 	"wayloft/router"
 )
 
-// File is the TOML file of a router. Unknown keys are errors.
-type File struct {
+// RouterFile is the TOML file of a router. Unknown keys are errors.
+type RouterFile struct {
 	Name           string         `toml:"name"`
 	Listen         string         `toml:"listen"`
 	Discovery      string         `toml:"discovery"` // address; empty: the members are those in the file
@@ -53,9 +53,9 @@
 	defaultServerIdleTimeoutMs = 600_000.
 )
 
-// Read decodes and checks a router's file. Its error names the line and key at fault.
-func Read(text []byte) (*File, error) {
-	f := &File{}
+// ReadRouter decodes and checks a router's file. Its error names the line and key at fault.
+func ReadRouter(text []byte) (*RouterFile, error) {
+	f := &RouterFile{}
 	if err := decodeStrict(text, f); err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 }
 
 // check applies the defaults of the fleet section, and returns an error if the file is invalid or contradicts itself.
-func (f *File) check() error {
+func (f *RouterFile) check() error {
 	if err := f.Fleet.complete(); err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 }
 
 // Settings returns the settings of the decision module, and those for connections and health checks.
-func (f *File) Settings() (*router.Settings, *Runtime, error) {
+func (f *RouterFile) Settings() (*router.Settings, *ConnectionSettings, error) {
 	set := &router.Settings{
 		Routers:           cmp.Or(f.Fleet.Routers, defaultRouters),
 		Zone:              f.Fleet.Zone,
@@ -118,7 +118,7 @@
 		RequestClasses:    map[string]*router.RequestClass{},
 		Tenants:           map[string]float64{},
 	}
-	runtime := &Runtime{
+	runtime := &ConnectionSettings{
 		DialTimeoutMs:       cmp.Or(float64(f.Fleet.ConnectTimeout), defaultDialTimeoutMs),
 		ServerIdleTimeoutMs: f.serverIdleTimeoutMs(),
 		HealthReports:       f.Fleet.HealthReports,
@@ -142,6 +142,6 @@
 }
 
 // serverIdleTimeoutMs is the time in ms after which a member closes an idle connection.
-func (f *File) serverIdleTimeoutMs() float64 {
+func (f *RouterFile) serverIdleTimeoutMs() float64 {
 	return cmp.Or(float64(f.Fleet.ServerIdleTimeout), defaultServerIdleTimeoutMs)
 }
--- a/internal/settings/routerfile_test.go
+++ b/internal/settings/routerfile_test.go
@@ -48,12 +48,12 @@
 		{`id = "a"`, "", "members[0]: id and address must be given"},
 		{"[limits]", "[limits", "line 3"},
 	} {
-		_, err := Read([]byte(strings.Replace(validRouterFile, c.old, c.new, 1)))
+		_, err := ReadRouter([]byte(strings.Replace(validRouterFile, c.old, c.new, 1)))
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%q for %q: got %v, want %q", c.new, c.old, err, c.want)
 		}
 	}
-	f, err := Read([]byte(validRouterFile))
+	f, err := ReadRouter([]byte(validRouterFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	if set.RequestClasses[UnlabelledClass] != nil {
 		t.Error("the unlabelled class is defined although the pool names a class for its writes")
 	}
-	bare, err := Read([]byte(strings.Replace(validRouterFile, "write = \"write\"\n", "", 1)))
+	bare, err := ReadRouter([]byte(strings.Replace(validRouterFile, "write = \"write\"\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/shipped_test.go
+++ b/internal/settings/shipped_test.go
@@ -28,14 +28,14 @@
 	if text, err = os.ReadFile("../../deploy/fleet.toml"); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Read([]byte(minimalRouterFile + string(text)))
+	f, err := ReadRouter([]byte(minimalRouterFile + string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Fleet.SessionTimeout != 2000 || f.Fleet.SafetyMargin != 200 || f.Fleet.MaxWriteHold != 5000 || f.Fleet.Switchover.Wait != 1000 || f.Fleet.HealthShareInterval != 250 {
+	if f.Fleet.SessionTimeout != 2000 || f.Fleet.SafetyMargin != 200 || f.Fleet.MaxWriteHold != 5000 || f.Fleet.Switchover.DrainTimeout != 1000 || f.Fleet.HealthShareInterval != 250 {
 		t.Errorf("%+v, %+v", f.Fleet, f.Fleet.Switchover)
 	}
-	if f, err = Read([]byte(minimalRouterFile)); err != nil || len(f.Fleet.Coordinators) != 0 || f.Fleet.SessionTimeout != 0 {
+	if f, err = ReadRouter([]byte(minimalRouterFile)); err != nil || len(f.Fleet.Coordinators) != 0 || f.Fleet.SessionTimeout != 0 {
 		t.Errorf("without a coordinator the fleet section is not empty: %+v, %v", f.Fleet, err)
 	}
 }
@@ -80,7 +80,7 @@
 		if c.of == "council" {
 			_, err = ReadCoordinator([]byte(text))
 		} else {
-			_, err = Read([]byte(text))
+			_, err = ReadRouter([]byte(text))
 		}
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%q for %q: %v, want %q", c.new, c.old, err, c.want)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -169,7 +169,7 @@
 	if seed == nil || seed.Type() != fastjson.TypeNumber {
 		return errors.New("rngSeed: must be a number")
 	}
-	routerSettings, runtimeSettings, err := settings.Decode(platformSettings)
+	routerSettings, runtimeSettings, err := settings.DecodePlatform(platformSettings)
 	if err != nil {
 		return fmt.Errorf("facts: %w", err)
 	}
