--- a/cmd/wayloft/lab_latency.go
+++ b/cmd/wayloft/lab_latency.go
@@ -76,7 +76,7 @@
 
 // runLoad runs one load, directly or through a router in this process.
 func (c *labLatencyCmd) runLoad(cluster *lab.Cluster, mode string, clients int) (result lab.LoadResult, err error) {
-	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.RunDuration, WarmUp: latencyWarmUp, Request: lab.StatementQuery}
+	load := lab.Load{Addr: cluster.Servers[0].Addr, Clients: clients, Duration: c.RunDuration, WarmUp: latencyWarmUp, Request: lab.CommentedQuery}
 	if mode == "direct" {
 		return load.Run()
 	}
--- a/cmd/wayloft/lab_member.go
+++ b/cmd/wayloft/lab_member.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	server, err := pgserver.NewServer(cluster, func(s *pgserver.Server) {
-		s.Lag, s.Listen = c.Lag, c.Listen
+		s.Lag, s.ListenAddress = c.Lag, c.Listen
 		if c.StatementTime > 0 {
 			s.Delay = func() time.Duration { return c.StatementTime }
 		}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -26,15 +26,15 @@
 		want   string
 		reused bool
 	}{
-		{"row", nil, fakes.Row("v", "source", "17"), 0, "0 succeeded 1 17 true", true},
-		{"row of a replica", nil, fakes.Row("v", "copy", "0"), 0, "0 succeeded 2 0 true", true},
-		{"misrouted write", nil, fakes.Fail("25006"), 0, "0 misrouted 0 0 false", true},
-		{"replication lag", nil, fakes.Fail("72000"), 0, "0 misrouted 0 0 false", true},
-		{"error", nil, fakes.Fail("XX000"), 0, "0 server error 0 0 false", true},
-		{"error code not in the table", nil, fakes.Fail("58000"), 0, "0 server error 0 0 false", true},
-		{"statement error", nil, fakes.Fail("42601"), 0, "0 statement error 42601", true},
-		{"position in the future", nil, fakes.Row("v", "source", "1e18"), 0, "0 succeeded 1 0 true", true},
-		{"invalid position", nil, fakes.Row("v", "copy", "NaN"), 0, "0 succeeded 2 0 true", true},
+		{"row", nil, fakes.RowReply("v", "source", "17"), 0, "0 succeeded 1 17 true", true},
+		{"row of a replica", nil, fakes.RowReply("v", "copy", "0"), 0, "0 succeeded 2 0 true", true},
+		{"misrouted write", nil, fakes.ErrorReply("25006"), 0, "0 misrouted 0 0 false", true},
+		{"replication lag", nil, fakes.ErrorReply("72000"), 0, "0 misrouted 0 0 false", true},
+		{"error", nil, fakes.ErrorReply("XX000"), 0, "0 server error 0 0 false", true},
+		{"error code not in the table", nil, fakes.ErrorReply("58000"), 0, "0 server error 0 0 false", true},
+		{"statement error", nil, fakes.ErrorReply("42601"), 0, "0 statement error 42601", true},
+		{"position in the future", nil, fakes.RowReply("v", "source", "1e18"), 0, "0 succeeded 1 0 true", true},
+		{"invalid position", nil, fakes.RowReply("v", "copy", "NaN"), 0, "0 succeeded 2 0 true", true},
 		{"well-formed garbage", nil, &fakes.Reply{Bytes: []byte("x\x00\x00\x00\x40")}, 0, "0 server error 0 0 false", false},
 		{"endless value", nil, &fakes.Reply{Bytes: concat(fakes.Rows("v")[:30],
 			[]byte("D\xb2\xd0\x5e\x0a\x00\x01\xb2\xd0\x5e\x00"))}, 0, "0 server error 0 0 false", false},
@@ -42,7 +42,7 @@
 			ready)}, 0, "0 server error 0 0 false", false},
 		{"no row", nil, &fakes.Reply{Bytes: concat(fakes.Rows("v")[:30], []byte("C\x00\x00\x00\x05\x00"), ready)}, 0,
 			"0 server error 0 0 false", false},
-		{"overloaded", nil, fakes.Fail("53300"), 0, "0 overloaded 0 0 false", true},
+		{"overloaded", nil, fakes.ErrorReply("53300"), 0, "0 overloaded 0 0 false", true},
 		{"overloaded and closed", nil, &fakes.Reply{Bytes: refusal, Close: true}, 0, "0 overloaded 0 0 false", false},
 		{"login refused", &fakes.Reply{Bytes: refusal, Close: true}, nil, 0,
 			"0 connect failed 0 0 false", false},
@@ -79,7 +79,7 @@
 			if got := driver.nextEvent(t); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			fakes.Until(t, fmt.Sprint("the connection is kept: ", c.reused), func() (settled bool) {
+			fakes.WaitUntil(t, fmt.Sprint("the connection is kept: ", c.reused), func() (settled bool) {
 				driver.runOnLoop(func() {
 					idle := backend.pool.IdleCount("a")
 					settled = (idle > 0) == c.reused && backend.Connections() == idle && len(backend.attempts) == 0
@@ -113,13 +113,13 @@
 		if strings.Contains(sql, "id=1") {
 			return nil
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})
 	driver.runOnLoop(func() {
 		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
+	fakes.WaitUntil(t, "the query has arrived", func() bool { _, queries := m.Received(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.CancelAttempt("1", 0) })
 	if got := driver.nextEvent(t); got != "0 canceled 0 0 false" {
 		t.Errorf("got %q", got)
@@ -128,7 +128,7 @@
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Errorf("got %q", got)
 	}
-	if accepted, _ := m.Seen(); accepted != 2 {
+	if accepted, _ := m.Received(); accepted != 2 {
 		t.Errorf("%d connections, want 2", accepted)
 	}
 }
@@ -169,11 +169,11 @@
 func TestSendAttempt_DuplicateResponseIsNotTakenForNext(t *testing.T) {
 	driver, backend := start(t, 1)
 	duplicate := false
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 	m.Empty = func() *fakes.Reply {
 		barrierReply := pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
 		if duplicate { // the previous response is sent again
-			barrierReply = append(fakes.Row("old", "source", "1").Bytes, barrierReply...)
+			barrierReply = append(fakes.RowReply("old", "source", "1").Bytes, barrierReply...)
 		}
 		return &fakes.Reply{Bytes: barrierReply}
 	}
@@ -185,7 +185,7 @@
 			t.Errorf("%d: got %q, want %q", n, got, want)
 		}
 	}
-	if accepted, queries := m.Seen(); accepted != 1 || !strings.Contains(strings.Join(queries, "|"), "||") {
+	if accepted, queries := m.Received(); accepted != 1 || !strings.Contains(strings.Join(queries, "|"), "||") {
 		t.Errorf("%d connections; queries %q", accepted, queries)
 	}
 }
@@ -206,7 +206,7 @@
 			t.Errorf("got %q", got)
 		}
 	}
-	fakes.Until(t, "four incomplete responses are buffered", func() (four bool) {
+	fakes.WaitUntil(t, "four incomplete responses are buffered", func() (four bool) {
 		driver.runOnLoop(func() {
 			four = backend.bufferedBytes > 3*maxResponse && backend.bufferedBytes <= 4*maxResponse && backend.OverBudget == 2 && backend.Connections() == 4
 		})
@@ -215,7 +215,7 @@
 	for n := range 6 {
 		driver.runOnLoop(func() { backend.CancelAttempt(fmt.Sprint(n), 0) })
 	}
-	fakes.Until(t, "no response is buffered and no connection is open", func() (none bool) {
+	fakes.WaitUntil(t, "no response is buffered and no connection is open", func() (none bool) {
 		driver.runOnLoop(func() { none = backend.bufferedBytes == 0 && backend.Connections() == 0 })
 		return none
 	})
@@ -229,7 +229,7 @@
 		if strings.Contains(sql, "id=2") {
 			return nil
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})
 	other := fakes.NewMember(t, nil, func(string) *fakes.Reply { return nil })
 	driver.runOnLoop(func() {
@@ -271,7 +271,7 @@
 func TestSendAttempt_ClosedConnectionIsNotUsed(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
-		r := fakes.Row("v", "source", "1")
+		r := fakes.RowReply("v", "source", "1")
 		r.Close = true
 		return r
 	})
--- a/internal/backend/dial_shortage_test.go
+++ b/internal/backend/dial_shortage_test.go
@@ -72,7 +72,7 @@
 					var addrs []string
 					for range members {
 						addrs = append(addrs, fakes.NewMember(t, nil, func(string) *fakes.Reply {
-							return fakes.Row("v", "source", "1")
+							return fakes.RowReply("v", "source", "1")
 						}).Addr)
 					}
 					var dials atomic.Int64
--- a/internal/backend/list_test.go
+++ b/internal/backend/list_test.go
@@ -13,15 +13,15 @@
 // Guards against a leak when members are added and removed. An attempt in flight to a removed member must still end with its own outcome.
 func TestList_RemovedMembersLeaveNothing(t *testing.T) {
 	driver, backend := start(t, 10)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 	for n := range 50 {
 		id := fmt.Sprint("m", n)
 		driver.runOnLoop(func() {
 			backend.ApplyMemberList(&discovery.List{Entries: []discovery.Entry{{ID: id, Addr: m.Addr, Started: router.Never}}})
 			backend.SendAttempt(newRequest(driver, id, 5000), 0, id, 0, math.Inf(1))
 		})
-		fakes.Until(t, "the query has arrived", func() bool {
-			_, queries := m.Seen()
+		fakes.WaitUntil(t, "the query has arrived", func() bool {
+			_, queries := m.Received()
 			return len(queries) > n
 		})
 		driver.runOnLoop(func() {
@@ -43,7 +43,7 @@
 func TestList_Changes(t *testing.T) {
 	driver, backend := startWithDialTimeout(t, 10, 200)
 	silent := fakes.NewMember(t, &fakes.Reply{}, nil)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 	driver.runOnLoop(func() {
 		backend.ApplyMemberList(listOf(silent.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
@@ -75,13 +75,13 @@
 func TestList_AddressChangesDuringAttempt(t *testing.T) {
 	driver, backend := start(t, 10)
 	answer := make(chan bool)
-	old := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
-	moved := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "2") })
+	old := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.RowReply("v", "source", "1") })
+	moved := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "2") })
 	driver.runOnLoop(func() {
 		backend.ApplyMemberList(listOf(old.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, queries := old.Seen(); return len(queries) > 0 })
+	fakes.WaitUntil(t, "the query has arrived", func() bool { _, queries := old.Received(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(moved.Addr, router.Up)) })
 	close(answer)
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
--- a/internal/backend/race_test.go
+++ b/internal/backend/race_test.go
@@ -83,7 +83,7 @@
 				})
 				peer := <-m.conns
 				defer closeSocket(peer)
-				fakes.Until(t, "part of the query is written", func() (written bool) {
+				fakes.WaitUntil(t, "part of the query is written", func() (written bool) {
 					driver.runOnLoop(func() {
 						for _, c := range backend.conns {
 							written = c.queryWritten && c.conn.Unsent() > 0
@@ -98,7 +98,7 @@
 					}
 				})
 				if readMeanwhile {
-					defer failpoint.Set("backend.unsent", sync.OnceFunc(func() {
+					defer failpoint.SetHook("backend.unsent", sync.OnceFunc(func() {
 						go readToEOF(peer)
 						for !conn.conn.Sent() {
 							runtime.Gosched()
@@ -152,7 +152,7 @@
 					continue
 				}
 				queries <- m.Text
-				if _, err := c.Write(fakes.Row("v", "source", "1").Bytes); err != nil {
+				if _, err := c.Write(fakes.RowReply("v", "source", "1").Bytes); err != nil {
 					t.Error(err)
 				}
 			}
@@ -169,7 +169,7 @@
 	}
 	driver.runOnLoop(func() { backend.Abandon("1") }) // a second call has no effect
 	close(greet)
-	fakes.Until(t, "the connection is kept", func() (idle bool) {
+	fakes.WaitUntil(t, "the connection is kept", func() (idle bool) {
 		driver.runOnLoop(func() { idle = backend.pool.IdleCount("a") == 1 })
 		return idle
 	})
@@ -186,12 +186,12 @@
 func TestAbandon_WhileQueryRuns(t *testing.T) {
 	driver, backend := start(t, 1)
 	answer := make(chan bool)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { <-answer; return fakes.RowReply("v", "source", "1") })
 	driver.runOnLoop(func() {
 		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
+	fakes.WaitUntil(t, "the query has arrived", func() bool { _, queries := m.Received(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.Abandon("1") })
 	close(answer)
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
@@ -203,7 +203,7 @@
 // request.
 func TestSendAttempt_TooLate(t *testing.T) {
 	driver, backend := start(t, 1)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 	driver.runOnLoop(func() {
 		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, driver.Clock()) // connecting takes longer than that
@@ -215,7 +215,7 @@
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Errorf("got %q", got)
 	}
-	if accepted, queries := m.Seen(); accepted != 1 || strings.Contains(strings.Join(queries, ""), "id=1") {
+	if accepted, queries := m.Received(); accepted != 1 || strings.Contains(strings.Join(queries, ""), "id=1") {
 		t.Errorf("%d connections, queries %q; want 1 connection and no query of request 1", accepted, queries)
 	}
 }
@@ -229,7 +229,7 @@
 	m := fakes.NewMember(t, nil, func(sql string) *fakes.Reply {
 		received <- sql
 		if strings.Contains(sql, "id=warmup") {
-			return fakes.Row("v", "source", "1")
+			return fakes.RowReply("v", "source", "1")
 		}
 		return nil
 	})
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -38,7 +38,7 @@
 		for n, errno := range append(c.host, c.peer...) {
 			t.Run(fmt.Sprint(c.call, " ", unix.ErrnoName(errno)), func(t *testing.T) {
 				driver, backend := start(t, 10)
-				m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+				m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 				restore := failpoint.SetError(c.point, func() error { return dialError(c.call, errno) })
 				defer restore()
 				want, wantCheck := "0 not sent 0 0 false", "check not sent"
@@ -111,7 +111,7 @@
 			})()
 			m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
 				broken.Store(true)
-				return fakes.Row("v", "source", "1")
+				return fakes.RowReply("v", "source", "1")
 			})
 			driver.runOnLoop(func() {
 				backend.ApplyMemberList(listOf(m.Addr, router.Up))
@@ -127,7 +127,7 @@
 // Reads that are interrupted, return no data, fail temporarily for lack of memory or return a single byte must not change the response.
 func TestMemberConn_InterruptedAndShortReads(t *testing.T) {
 	driver, backend := start(t, 10)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "17") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "17") })
 	var reads atomic.Int64
 	readErrors := []error{0: unix.EINTR, 1: unix.EINTR, 2: unix.EAGAIN, 10: unix.ENOMEM, 49: nil}
 	defer failpoint.SetError("eventloop.read", func() error { return readErrors[reads.Add(1)%int64(len(readErrors))] })()
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -59,7 +59,7 @@
 		if strings.Contains(sql, "SET") || strings.Contains(sql, "DISCARD") || strings.Contains(sql, "RESET") {
 			return &fakes.Reply{Bytes: pg.AppendReadyIdle(pg.AppendCommandComplete(nil, "SET"))}
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})}
 }
 
@@ -80,7 +80,7 @@
 
 // received reports whether the member received a statement with this id.
 func (s *fakeServer) received(id string) bool {
-	_, queries := s.Seen()
+	_, queries := s.Received()
 	return strings.Contains(strings.Join(queries, "|"), "id="+id+",")
 }
 
@@ -131,7 +131,7 @@
 			}
 			if c.queued {
 				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "blocking"), 0, "a", 0, math.Inf(1)) })
-				fakes.Until(t, "the blocking query has arrived", func() bool { return m.received("blocking") })
+				fakes.WaitUntil(t, "the blocking query has arrived", func() bool { return m.received("blocking") })
 			}
 			driver.runOnLoop(func() {
 				abandoned := c.new(t, driver, "abandoned")
@@ -150,7 +150,7 @@
 			if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
 				t.Errorf("next attempt: got %q", got)
 			}
-			if accepted, _ := m.Seen(); accepted != 1 {
+			if accepted, _ := m.Received(); accepted != 1 {
 				t.Errorf("%d connections, want 1", accepted)
 			}
 			if m.received("abandoned") {
@@ -274,7 +274,7 @@
 			if !c.queued {
 				driver.nextEvent(t)
 			}
-			fakes.Until(t, "the previous query has arrived", func() bool { return m.received(before) })
+			fakes.WaitUntil(t, "the previous query has arrived", func() bool { return m.received(before) })
 			var from, began float64
 			delayBatch := func() { // keeps the loop busy for batchMs
 				for from = driver.Clock(); driver.Clock() < from+batchMs; {
@@ -294,8 +294,8 @@
 				}
 			})
 			answer <- true
-			fakes.Until(t, "the query has arrived", func() bool { return m.received("late") })
-			_, queries := m.Seen()
+			fakes.WaitUntil(t, "the query has arrived", func() bool { return m.received("late") })
+			_, queries := m.Received()
 			d := deadlineOf(t, queries[slices.IndexFunc(queries, func(s string) bool { return strings.Contains(s, "id=late,") })])
 			if maxDeadline := began + remainingMs - (from + batchMs); d > maxDeadline {
 				t.Errorf("the deadline sent is %.0f ms, want at most %.1f", d, maxDeadline)
--- a/internal/decide/connpool/scenario_test.go
+++ b/internal/decide/connpool/scenario_test.go
@@ -25,7 +25,7 @@
 //	expect reject 1 nocapacity
 //	nothing                                checks that no decision is left
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, func() func(string) error {
+	scenario.Run(t, func() func(string) error {
 		player := &scenarioPlayer{settings: Settings{MaxTotal: 100, Pools: map[string]Bounds{}}}
 		return func(line string) error { return player.step(strings.Fields(line)) }
 	})
--- a/internal/decide/lease/scenario_test.go
+++ b/internal/decide/lease/scenario_test.go
@@ -19,7 +19,7 @@
 //	valid 1.2 | invalid                                                                      whether the holder's lease is valid
 //	learned LEASE 1.2 | act LEASE SUBJECT HOLDER 1.2 VERDICT [HIGHEST] | restart | close_scope LEASE SUBJECT
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, func() func(string) error {
+	scenario.Run(t, func() func(string) error {
 		r := &scenarioRunner{
 			holder:   NewHolder(Settings{Duration: 1000, SafetyMargin: 100, Seed: 1}),
 			receiver: NewReceiver(),
--- a/internal/decide/session/scenario_test.go
+++ b/internal/decide/session/scenario_test.go
@@ -31,7 +31,7 @@
 //	request CLASS of ID for TENANT  checks the request attributes; none means unclassified
 //	status I|T|E, sticky REASON     checks the transaction status, and why the session keeps its connection
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, func() func(string) error {
+	scenario.Run(t, func() func(string) error {
 		p := &scenarioPlayer{policy: Policy{MaxSettingsBytes: 200, MaxStatements: 3}}
 		return p.step
 	})
--- a/internal/discovery/change_address_test.go
+++ b/internal/discovery/change_address_test.go
@@ -23,7 +23,7 @@
 	delivered := make(chan *List, 10)
 	w := NewWatcher(previous.address(), testRevision, func(l *List) { delivered <- l }, ignoreError)
 	changeOnce := sync.OnceFunc(func() { w.ChangeAddress(next.address()) })
-	defer failpoint.Set("discovery.deliver", changeOnce)()
+	defer failpoint.SetHook("discovery.deliver", changeOnce)()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Watch(ctx)
--- a/internal/eventloop/race_test.go
+++ b/internal/eventloop/race_test.go
@@ -52,7 +52,7 @@
 			ended := make(chan bool, 1)
 			tryEnd := func() { l.Post(func() { ended <- end(c) }) }
 			unlocked := false
-			restore := failpoint.Set("eventloop.read", sync.OnceFunc(func() {
+			restore := failpoint.SetHook("eventloop.read", sync.OnceFunc(func() {
 				if unlocked = c.readMu.TryLock(); unlocked { // the lock is not held: let the end happen now
 					c.readMu.Unlock()
 					tryEnd()
@@ -87,9 +87,9 @@
 		defer mu.Unlock()
 		order = append(order, event)
 	}
-	defer failpoint.Set("eventloop.read", func() { record("read") })()
+	defer failpoint.SetHook("eventloop.read", func() { record("read") })()
 	unlocked := false
-	defer failpoint.Set("eventloop.quiescent", func() {
+	defer failpoint.SetHook("eventloop.quiescent", func() {
 		if unlocked = c.readMu.TryLock(); unlocked {
 			c.readMu.Unlock()
 		}
@@ -152,8 +152,8 @@
 			}
 			defer closeSocket(listener)
 			notified := make(chan bool, 10)
-			defer failpoint.Set("eventloop.closed", func() { notified <- true })()
-			defer failpoint.Set("eventloop.dialed", func() { // the connection is registered with the poller, and the loop has not been notified
+			defer failpoint.SetHook("eventloop.closed", func() { notified <- true })()
+			defer failpoint.SetHook("eventloop.dialed", func() { // the connection is registered with the poller, and the loop has not been notified
 				peer, err := listener.Accept()
 				if err != nil {
 					t.Error(err)
@@ -248,9 +248,9 @@
 		<-accepted
 	}
 	blocked, release := make(chan bool), make(chan bool)
-	defer failpoint.Set("eventloop.read", sync.OnceFunc(func() { blocked <- true; <-release }))()
+	defer failpoint.SetHook("eventloop.read", sync.OnceFunc(func() { blocked <- true; <-release }))()
 	posted := 0
-	defer failpoint.Set("eventloop.posted", func() {
+	defer failpoint.SetHook("eventloop.posted", func() {
 		if posted++; posted == 2 { // the request; the first post is from the other connection
 			<-log.batchEnded
 		}
@@ -288,7 +288,7 @@
 	}
 	defer closeSocket(target)
 	ended, dialed := make(chan bool), make(chan error)
-	defer failpoint.Set("eventloop.connected", func() { <-ended })()
+	defer failpoint.SetHook("eventloop.connected", func() { <-ended })()
 	go func() { _, err := l.dial(target.Addr().String(), 10*time.Second); dialed <- err }()
 	go func() { l.Run(func() {}); close(ended) }()
 	peer, err := target.Accept()
--- a/internal/failpoint/points_debug.go
+++ b/internal/failpoint/points_debug.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// Set makes each call of Hit with this name call f, until restore is called.
-func Set(name string, f func()) (restore func()) {
+// SetHook makes each call of Hit with this name call f, until restore is called.
+func SetHook(name string, f func()) (restore func()) {
 	hooks.Store(name, f)
 	return func() { hooks.Delete(name) }
 }
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -29,7 +29,7 @@
 	client.reader.EnableExtended()
 	if start {
 		client.Send(string(pg.AppendStartup(nil, "api", "ledger")))
-		if got := client.Answer(); got != "ready" {
+		if got := client.ReadResponse(); got != "ready" {
 			t.Fatalf("startup response: %s", got)
 		}
 	}
@@ -44,15 +44,15 @@
 	}
 }
 
-// Ask sends a simple query.
-func (c *Client) Ask(sql string) {
+// SendQuery sends a simple query.
+func (c *Client) SendQuery(sql string) {
 	c.t.Helper()
 	c.Send(string(pg.AppendQuery(nil, sql)))
 }
 
-// Answer reads up to ReadyForQuery or the end of the connection. It returns a textual summary of the response, such as "VALUE ok ready",
-// "CODE ready", "empty ready" or "CODE closed".
-func (c *Client) Answer() string {
+// ReadResponse reads up to ReadyForQuery or the end of the connection. It returns a textual summary of the response, such as "VALUE ok
+// ready", "CODE ready", "empty ready" or "CODE closed".
+func (c *Client) ReadResponse() string {
 	var out []string
 	buffer := make([]byte, readBufferBytes)
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout)) // it fails only on a closed connection, which the next read reports
--- a/internal/fakes/fakes.go
+++ b/internal/fakes/fakes.go
@@ -17,8 +17,8 @@
 	maxMessageBytes = 1 << 20
 )
 
-// Until polls until a condition holds and fails the test if it doesn't hold within the time limit.
-func Until(t *testing.T, description string, holds func() bool) {
+// WaitUntil polls until a condition holds and fails the test if it doesn't hold within the time limit.
+func WaitUntil(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -110,8 +110,8 @@
 // Stop stops listening. Open connections are not affected.
 func (m *Member) Stop() { closeSocket(m.listen) }
 
-// Seen returns the number of startup messages and the queries that the member has received.
-func (m *Member) Seen() (accepted int, queries []string) {
+// Received returns the number of startup messages and the queries that the member has received.
+func (m *Member) Received() (accepted int, queries []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.accepted, append([]string(nil), m.queries...)
@@ -132,13 +132,13 @@
 		message('C', "SELECT 1\x00")...)
 }
 
-// Row returns a reply with a value, the member's role and its position.
-func Row(value, role, position string) *Reply {
+// RowReply returns a reply with a value, the member's role and its position.
+func RowReply(value, role, position string) *Reply {
 	out := append(Rows(value), ParameterStatus("rank", role)...)
 	return &Reply{Bytes: pg.AppendReadyIdle(append(out, ParameterStatus("as_of", position)...))}
 }
 
-// Fail returns a reply with an ErrorResponse of the given SQLSTATE.
-func Fail(code string) *Reply {
+// ErrorReply returns a reply with an ErrorResponse of the given SQLSTATE.
+func ErrorReply(code string) *Reply {
 	return &Reply{Bytes: pg.AppendReadyIdle(pg.AppendError(nil, &pg.Error{Code: code, Text: "no"}, false))}
 }
--- a/internal/fakes/pgserver/cluster.go
+++ b/internal/fakes/pgserver/cluster.go
@@ -19,7 +19,7 @@
 	lastPosition float64 // position of the last commit, Unix ms
 	rows         map[string][]version
 	primary      *Server
-	Commits      int
+	CommitCount  int
 	CommitOrder  []string       // handles of all writes in commit order; recorded only if KeepHistory is set
 	KeepHistory  bool           // keep all row versions and record CommitOrder
 	shared       *sharedCluster // set if each member is a separate process
@@ -57,7 +57,7 @@
 			c.CommitOrder = append(c.CommitOrder, w[0])
 		}
 	}
-	c.Commits++
+	c.CommitCount++
 	return c.lastPosition
 }
 
--- a/internal/fakes/pgserver/query.go
+++ b/internal/fakes/pgserver/query.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if c.server.OnStatement != nil {
-		e := Event{Conn: c.id, SQL: sql, Args: args, Settings: maps.Clone(c.settings)}
+		e := Event{ConnectionID: c.id, SQL: sql, Args: args, Settings: maps.Clone(c.settings)}
 		if strings.Contains(sql, "note(") {
 			e.Note = c.argument(sql, "note(", args)
 		}
--- a/internal/fakes/pgserver/server.go
+++ b/internal/fakes/pgserver/server.go
@@ -21,16 +21,16 @@
 
 // Event describes a statement that a connection is about to run.
 type Event struct {
-	Conn     int
-	SQL      string
-	Args     []string
-	Settings map[string]string
-	Note     string // the argument of the SQL function note(...)
+	ConnectionID int
+	SQL          string
+	Args         []string
+	Settings     map[string]string
+	Note         string // the argument of the SQL function note(...)
 }
 
 // Server is a fake PostgreSQL server for a cluster's rows. Its exported fields must be set before it starts.
 type Server struct {
-	Listen         string // address to listen on; by default a free loopback port
+	ListenAddress  string // address to listen on; by default a free loopback port
 	Addr           string // actual listen address, set at start
 	Cluster        *Cluster
 	Lag            time.Duration                        // replication lag as a replica
@@ -53,11 +53,11 @@
 
 // NewServer starts a server. If set isn't nil, it is called to configure the server before the start. The caller must Close it.
 func NewServer(c *Cluster, set func(*Server)) (*Server, error) {
-	s := &Server{Cluster: c, Listen: "127.0.0.1:0", conns: map[int]*connection{}}
+	s := &Server{Cluster: c, ListenAddress: "127.0.0.1:0", conns: map[int]*connection{}}
 	if set != nil {
 		set(s)
 	}
-	l, err := net.Listen("tcp", s.Listen)
+	l, err := net.Listen("tcp", s.ListenAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fakes/pgserver/shared.go
+++ b/internal/fakes/pgserver/shared.go
@@ -24,11 +24,11 @@
 
 // LogEntry is a line of the log: a commit or a change of a member's role.
 type LogEntry struct {
-	At     float64     `json:"at"` // Unix ms
-	By     string      `json:"by"`
-	Writes [][2]string `json:"writes,omitempty"`
-	Part   string      `json:"part,omitempty"` // "takes": the member starts to accept writes; "yields": it stops
-	Fence  uint64      `json:"fence,omitempty"`
+	At         float64     `json:"at"` // Unix ms
+	By         string      `json:"by"`
+	Writes     [][2]string `json:"writes,omitempty"`
+	Transition string      `json:"part,omitempty"` // "takes": the member starts to accept writes; "yields": it stops
+	Fence      uint64      `json:"fence,omitempty"`
 }
 
 // OpenShared opens a cluster of processes as the named member. It creates the cluster's directory if necessary.
@@ -141,7 +141,7 @@
 		role, transition = "primary", "takes"
 	}
 	c.lastPosition = max(nowMillis(), c.lastPosition+minPositionStep)
-	if err := c.appendLog(LogEntry{At: c.lastPosition, By: c.shared.name, Part: transition, Fence: fence}); err != nil {
+	if err := c.appendLog(LogEntry{At: c.lastPosition, By: c.shared.name, Transition: transition, Fence: fence}); err != nil {
 		return err
 	}
 	return os.WriteFile(c.shared.path("part-"+c.shared.name), []byte(role), 0o600)
--- a/internal/fakes/scenario/scenario.go
+++ b/internal/fakes/scenario/scenario.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Play runs each file testdata/*.txt as a subtest. It calls begin once per file for a new step function, which is called with each step.
+// Run plays each file testdata/*.txt as a subtest. It calls begin once per file for a new step function, which is called with each step.
 // An error from a step fails the subtest and is reported with the file and line.
-func Play(t *testing.T, begin func() (step func(line string) error)) {
+func Run(t *testing.T, begin func() (step func(line string) error)) {
 	t.Helper()
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
--- a/internal/fleet/hold_debug_test.go
+++ b/internal/fleet/hold_debug_test.go
@@ -11,7 +11,7 @@
 // holdUpdates delays the watch updates of all nodes in this process until release is called.
 func holdUpdates() (release func()) {
 	released := make(chan struct{})
-	clearPoint := failpoint.Set("fleet.updated", func() { <-released })
+	clearPoint := failpoint.SetHook("fleet.updated", func() { <-released })
 	return sync.OnceFunc(func() {
 		clearPoint()
 		close(released)
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -57,13 +57,13 @@
 		list.ListMember("m", "z", 2, router.Up, router.Never)
 		list.EndList(true)
 	})
-	client.Ask("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
+	client.SendQuery("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
 	f.waitUntil("the request waits for a primary", func() bool { return f.onlySession().request != nil })
 	f.runOnLoop(func() { f.frontend.Drain(f.driver.Clock()-2*acceptPeriodMs, acceptPeriodMs) })
-	if got := client.Answer(); got != "08007 ready" {
+	if got := client.ReadResponse(); got != "08007 ready" {
 		t.Errorf("got %q", got)
 	}
-	if got := client.Answer(); got != "closed" {
+	if got := client.ReadResponse(); got != "closed" {
 		t.Errorf("then %q", got)
 	}
 	if err := client.Close(); err != nil {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -86,7 +86,7 @@
 // waitUntil polls a condition on the event loop until it holds. what describes it in the failure message.
 func (f *testFrontend) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
-	fakes.Until(f.t, what, func() (now bool) {
+	fakes.WaitUntil(f.t, what, func() (now bool) {
 		f.runOnLoop(func() { now = condition() })
 		return now
 	})
--- a/internal/frontend/gate_test.go
+++ b/internal/frontend/gate_test.go
@@ -72,7 +72,7 @@
 func TestGate_AcceptedConnectionWaitsForDescriptorWhileDraining(t *testing.T) {
 	f := newTestFrontend(t, 10)
 	var lastSessionHits atomic.Int64 // how often the drain has found no session left
-	t.Cleanup(failpoint.Set("frontend.last_session", func() { lastSessionHits.Add(1) }))
+	t.Cleanup(failpoint.SetHook("frontend.last_session", func() { lastSessionHits.Add(1) }))
 	t.Cleanup(failpoint.SetError("eventloop.adopt", func() error {
 		if lastSessionHits.Load() < 3 {
 			return os.NewSyscallError("dup", unix.EMFILE)
--- a/internal/lab/fleet/check_writes.go
+++ b/internal/lab/fleet/check_writes.go
@@ -21,7 +21,7 @@
 	}
 	applied, primary := map[string]int{}, ""
 	for _, entry := range entries {
-		if entry.Part == promotedRole {
+		if entry.Transition == promotedRole {
 			primary = entry.By
 		}
 		if len(entry.Writes) > 0 && entry.By != primary {
--- a/internal/lab/fleet/check_writes_test.go
+++ b/internal/lab/fleet/check_writes_test.go
@@ -13,7 +13,7 @@
 // CheckWrites reports each kind of violation, and none in a correct log.
 func TestCheckWrites_Violations(t *testing.T) {
 	entry := func(member, role string, writes ...string) pgserver.LogEntry {
-		logged := pgserver.LogEntry{By: member, Part: role}
+		logged := pgserver.LogEntry{By: member, Transition: role}
 		for _, handle := range writes {
 			logged.Writes = append(logged.Writes, [2]string{handle, "x"})
 		}
--- a/internal/lab/fleet/policy.go
+++ b/internal/lab/fleet/policy.go
@@ -23,9 +23,9 @@
 	return f.policyPath(name), os.WriteFile(f.policyPath(name), text, fileMode)
 }
 
-// AppliedPolicy returns the version that a router applies according to its audit log, and the one that it rejected. Only events of the process
-// with this pid count; a pid of 0 matches all starts of the router.
-func (f *Fleet) AppliedPolicy(p *Process, pid int) (applied, rejected string, err error) {
+// ReportedPolicy returns the version that a router applies according to its audit log, and the one that it rejected. Only events of the
+// process with this pid count; a pid of 0 matches all starts of the router.
+func (f *Fleet) ReportedPolicy(p *Process, pid int) (applied, rejected string, err error) {
 	events, err := f.AuditEvents(p.Name)
 	applied, rejected = noPolicyVersion, noPolicyVersion
 	for _, e := range events {
@@ -69,7 +69,7 @@
 			continue
 		}
 		err := waitWithin(policyWaitLimit, fmt.Sprintf("%s applies %s", router.Name, wanted), func() (bool, error) {
-			applied, rejected, err := f.AppliedPolicy(router, router.Pid())
+			applied, rejected, err := f.ReportedPolicy(router, router.Pid())
 			return applied == wanted || rejected == wanted, err
 		})
 		if err != nil {
--- a/internal/lab/fleet/steps_policy.go
+++ b/internal/lab/fleet/steps_policy.go
@@ -247,7 +247,7 @@
 		if pid == 0 || except[router.Name] {
 			continue
 		}
-		version, _, err := r.fleet.AppliedPolicy(router, pid)
+		version, _, err := r.fleet.ReportedPolicy(router, pid)
 		if err != nil || version != inForce {
 			return false, err
 		}
@@ -263,7 +263,7 @@
 			return err
 		}
 		return waitWithin(policyWaitLimit, p.Name+" reports "+version.text(r), func() (bool, error) {
-			applied, _, err := r.fleet.AppliedPolicy(p, anyPid)
+			applied, _, err := r.fleet.ReportedPolicy(p, anyPid)
 			return applied == version.text(r), err
 		})
 	}
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -23,7 +23,7 @@
 func TestLoad_Responses(t *testing.T) {
 	cluster := startCluster(t, nil)
 	for name, load := range map[string]Load{
-		"statement":   {Request: StatementQuery},
+		"statement":   {Request: CommentedQuery},
 		"plain":       {Request: PlainQuery},
 		"transaction": {Request: TransactionQueries, ReadyCount: 3},
 	} {
--- a/internal/lab/queries.go
+++ b/internal/lab/queries.go
@@ -11,8 +11,8 @@
 	selectByKey  = "SELECT blob FROM rows WHERE handle = $1"
 )
 
-// StatementQuery returns a read with the platform's comment.
-func StatementQuery(client, n int) []byte {
+// CommentedQuery returns a read with the platform's comment.
+func CommentedQuery(client, n int) []byte {
 	return pg.AppendQuery(nil, fmt.Sprintf("/* id=%d-%d,c=look,d=2000 */ SELECT blob FROM rows WHERE handle = 'h%d'", client, n, n%storedRows))
 }
 
--- a/internal/server/clientgone_test.go
+++ b/internal/server/clientgone_test.go
@@ -18,7 +18,7 @@
 		primary := true
 		g, addr, wait := startGatedRouter(t, 1, &primary) // the health check's connection, which ends after one response
 		leaving := fakes.NewClient(t, addr, true)
-		leaving.Ask(writeStatement("leaves", "x"))
+		leaving.SendQuery(writeStatement("leaves", "x"))
 		<-g.loginRequests // of the health check
 		<-g.loginRequests // of the request
 		closeSocket(leaving)
@@ -35,17 +35,17 @@
 		primary := false
 		g, addr, wait := startGatedRouter(t, 20, &primary)
 		leaving := fakes.NewClient(t, addr, true)
-		leaving.Ask(writeStatement("leaves", "x"))
+		leaving.SendQuery(writeStatement("leaves", "x"))
 		closeSocket(leaving)
 		wait()
 		g.mu.Lock()
 		primary = true
 		g.mu.Unlock()
 		c, n := fakes.NewClient(t, addr, true), 0
-		fakes.Until(t, "writes are served", func() bool {
+		fakes.WaitUntil(t, "writes are served", func() bool {
 			n++
-			c.Ask(writeStatement(fmt.Sprint("after", n), "x"))
-			return c.Answer() == "v ok ready"
+			c.SendQuery(writeStatement(fmt.Sprint("after", n), "x"))
+			return c.ReadResponse() == "v ok ready"
 		})
 		if g.received("leaves") {
 			t.Error("the request was sent after its client had disconnected")
@@ -55,9 +55,9 @@
 		primary := true
 		g, addr, wait := startGatedRouter(t, 20, &primary)
 		leaving := fakes.NewClient(t, addr, true)
-		leaving.Ask(readStatement("first", "hang"))
-		leaving.Ask(readStatement("leaves", "x"))
-		fakes.Until(t, "the first request has been sent", func() bool { return g.received("first") })
+		leaving.SendQuery(readStatement("first", "hang"))
+		leaving.SendQuery(readStatement("leaves", "x"))
+		fakes.WaitUntil(t, "the first request has been sent", func() bool { return g.received("first") })
 		closeSocket(leaving)
 		wait()
 		g.replies <- true
@@ -70,8 +70,8 @@
 		primary := true
 		g, addr, wait := startGatedRouter(t, 20, &primary)
 		leaving := fakes.NewClient(t, addr, true)
-		leaving.Ask(readStatement("leaves", "hang and fail"))
-		fakes.Until(t, "its first attempt has been sent", func() bool { return g.received("leaves") })
+		leaving.SendQuery(readStatement("leaves", "hang and fail"))
+		fakes.WaitUntil(t, "its first attempt has been sent", func() bool { return g.received("leaves") })
 		closeSocket(leaving)
 		wait()
 		for range 20 {
@@ -96,13 +96,13 @@
 	}
 	closing, cancelling := fakes.NewClient(t, addr, true), fakes.NewClient(t, addr, true)
 	for n, c := range []*fakes.Client{closing, cancelling} {
-		c.Ask(insertSQL(fmt.Sprint("waits", n), "1"))
+		c.SendQuery(insertSQL(fmt.Sprint("waits", n), "1"))
 	}
 	closeSocket(closing)
 	wait()
 	canceller := fakes.NewClient(t, addr, false)
 	canceller.Send(string(pg.AppendCancelRequest(nil, cancelling.Key)))
-	if got := cancelling.Answer(); got != "57014 ready" {
+	if got := cancelling.ReadResponse(); got != "57014 ready" {
 		t.Errorf("cancelled request: %q", got)
 	}
 	if got := askAll(holder, "COMMIT"); got != "ok ready" {
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -33,7 +33,7 @@
 			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%.6f,x1=%d", at/1000, x1)))}
 		}
 		m.reads.Add(1)
-		return fakes.Row(name, role, fmt.Sprintf("%.3f", at))
+		return fakes.RowReply(name, role, fmt.Sprintf("%.3f", at))
 	})
 	return m
 }
@@ -77,13 +77,13 @@
 			c := fakes.NewClient(t, startWithClockAhead(t, ahead, primary, replica), true)
 			ask := func(n int, class, fields string) {
 				t.Helper()
-				c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, fields))
-				if got := c.Answer(); got != "primary ok ready" {
+				c.SendQuery(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2%s */ SELECT blob FROM rows WHERE handle = 's'", class, n, class, fields))
+				if got := c.ReadResponse(); got != "primary ok ready" {
 					t.Errorf("%s read %d: got %q, want the primary's response", class, n, got)
 				}
 			}
 			n := 0
-			fakes.Until(t, "both members have been checked more than once", func() bool { // reads begin right after the start
+			fakes.WaitUntil(t, "both members have been checked more than once", func() bool { // reads begin right after the start
 				n++
 				ask(n, "look", "")
 				ask(n, "own", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
@@ -106,11 +106,11 @@
 			commit := time.Now().Add(-10 * time.Second).UnixMilli()
 			for _, class := range []string{"old", "own"} {
 				before, n := replica.reads.Load(), 0
-				fakes.Until(t, "the replica serves "+class, func() bool {
+				fakes.WaitUntil(t, "the replica serves "+class, func() bool {
 					n++
-					c.Ask(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2,after=%d */ SELECT blob FROM rows WHERE handle = 's'", class, n,
+					c.SendQuery(fmt.Sprintf("/* id=%s%d,c=%s,t=n,d=2500,cluster=2,after=%d */ SELECT blob FROM rows WHERE handle = 's'", class, n,
 						class, commit))
-					if got := c.Answer(); got != "primary ok ready" && got != "replica ok ready" {
+					if got := c.ReadResponse(); got != "primary ok ready" && got != "replica ok ready" {
 						t.Fatalf("%s read %d: got %q", class, n, got)
 					}
 					return replica.reads.Load() > before
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -84,12 +84,12 @@
 			go func() { ended <- Run(conf, l, signals) }()
 			client := fakes.NewClient(t, l.Addr().String(), true)
 			n := 0
-			fakes.Until(t, "a read and a write are served", func() bool {
+			fakes.WaitUntil(t, "a read and a write are served", func() bool {
 				n++
-				client.Ask(readStatement(fmt.Sprint("r", n), "x"))
-				read := client.Answer()
-				client.Ask(writeStatement(fmt.Sprint("w", n), "y"))
-				return read == "x ok ready" && client.Answer() == "y ok ready"
+				client.SendQuery(readStatement(fmt.Sprint("r", n), "x"))
+				read := client.ReadResponse()
+				client.SendQuery(writeStatement(fmt.Sprint("w", n), "y"))
+				return read == "x ok ready" && client.ReadResponse() == "y ok ready"
 			})
 			closeSocket(client)
 			signals <- syscall.SIGTERM
--- a/internal/server/copyorder_test.go
+++ b/internal/server/copyorder_test.go
@@ -30,18 +30,18 @@
 	copying.Send(queryMessage("COPY rows (handle, blob) FROM STDIN") + string(pg.AppendCopyData(nil, "copied\tv\n")))
 	<-received
 	blocked, unblock := make(chan bool), make(chan bool)
-	defer failpoint.Set("frontend.closed", func() { blocked <- true; <-unblock })()
+	defer failpoint.SetHook("frontend.closed", func() { blocked <- true; <-unblock })()
 	closeSocket(closing)
 	<-blocked // the event loop waits in the failpoint
 	posted := make(chan bool, 100)
-	defer failpoint.Set("eventloop.posted", func() { posted <- true })()
+	defer failpoint.SetHook("eventloop.posted", func() { posted <- true })()
 	close(accept)
 	<-posted // the member's CopyInResponse
 	copying.Send(string(pg.AppendEmptyMessage(nil, 'c')))
 	<-posted // the client's CopyDone
-	failpoint.Set("frontend.closed", func() {})
+	failpoint.SetHook("frontend.closed", func() {})
 	close(unblock)
-	if got := copying.Answer(); got != "ok ready" {
+	if got := copying.ReadResponse(); got != "ok ready" {
 		t.Errorf("COPY: %q", got)
 	}
 	if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'copied'"); got != "v ok ready" {
--- a/internal/server/discoveryraces_test.go
+++ b/internal/server/discoveryraces_test.go
@@ -69,7 +69,7 @@
 	closeSocket(l)
 	c := startProcess(t, strings.NewReplacer("127.0.0.1:0", addr, "127.0.0.1:1", strings.TrimPrefix(discovery.URL, "http://"),
 		`"sockets":256`, `"sockets":128`).Replace(platformConfig))
-	fakes.Until(t, "the router listens", func() bool {
+	fakes.WaitUntil(t, "the router listens", func() bool {
 		conn, err := net.Dial("tcp", addr)
 		if err == nil {
 			closeSocket(conn)
@@ -77,8 +77,8 @@
 		return err == nil
 	})
 	ready := fakes.NewClient(t, addr, true)
-	ready.Ask("")
-	if got := ready.Answer(); got != "empty ready" {
+	ready.SendQuery("")
+	if got := ready.ReadResponse(); got != "empty ready" {
 		t.Errorf("empty query: %q", got)
 	}
 	startup := string(pg.AppendStartup(nil, "api", "ledger"))
@@ -99,7 +99,7 @@
 	member := newPrimary(t)
 	lists <- fmt.Sprintf(`{"revision":43,"complete":false,"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]}`, member.Addr)
 	n := 0
-	fakes.Until(t, "a client is served with the new list", func() bool {
+	fakes.WaitUntil(t, "a client is served with the new list", func() bool {
 		n++
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -129,17 +129,17 @@
 	watch.watchEvents <- fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"m0","host_port":"%s","locality":"z","cell":2,"phase":"terminating"}]}`+"\n",
 		draining.Addr)
 	posted := make(chan struct{}, 100)
-	defer failpoint.Set("server.list_posted", func() { posted <- struct{}{} })()
-	defer failpoint.Set("eventloop.starting", func() { <-posted })()
+	defer failpoint.SetHook("server.list_posted", func() { posted <- struct{}{} })()
+	defer failpoint.SetHook("eventloop.starting", func() { <-posted })()
 	addr, _, _ := startRouter(t, watch.addr, 256, draining.Addr, other.Addr)
 	client := fakes.NewClient(t, addr, true)
 	for n := range 30 { // by chance alone, all go to the other member once in 2^30 runs
-		client.Ask(readStatement(fmt.Sprint(n), "x"))
-		if got := client.Answer(); got != "x ok ready" && got != "53300 ready" {
+		client.SendQuery(readStatement(fmt.Sprint(n), "x"))
+		if got := client.ReadResponse(); got != "x ok ready" && got != "53300 ready" {
 			t.Fatal(got)
 		}
 	}
-	if _, statements := draining.Seen(); strings.Contains(strings.Join(statements, "|"), "c=look") {
+	if _, statements := draining.Received(); strings.Contains(strings.Join(statements, "|"), "c=look") {
 		t.Error("a draining member was sent a request")
 	}
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -16,22 +16,22 @@
 	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
 	idle := fakes.NewClient(t, addr, true)
 	busy := fakes.NewClient(t, addr, true)
-	busy.Ask(writeStatement("1", "hang"))
+	busy.SendQuery(writeStatement("1", "hang"))
 	signals <- syscall.SIGTERM
 	late := fakes.NewClient(t, addr, true)
-	late.Ask(readStatement("2", "served"))
-	if got := late.Answer(); got != "served ok ready" {
+	late.SendQuery(readStatement("2", "served"))
+	if got := late.ReadResponse(); got != "served ok ready" {
 		t.Errorf("new session: %q", got)
 	}
-	idle.Ask(readStatement("3", "served"))
-	if got := idle.Answer(); got != "served ok ready" {
+	idle.SendQuery(readStatement("3", "served"))
+	if got := idle.ReadResponse(); got != "served ok ready" {
 		t.Errorf("idle session: %q", got)
 	}
-	if got := busy.Answer(); got != "08007 ready" {
+	if got := busy.ReadResponse(); got != "08007 ready" {
 		t.Errorf("busy session: %q", got)
 	}
 	for _, c := range []*fakes.Client{idle, busy, late} {
-		if got := c.Answer(); got != "closed" {
+		if got := c.ReadResponse(); got != "closed" {
 			t.Errorf("got %q, want the session closed", got)
 		}
 		closeSocket(c)
@@ -59,7 +59,7 @@
 		client.Send(startup[:1+n])
 		client.Send(startup[1+n:] + query(50+n))
 		for _, want := range []string{"ready", "x ok ready"} {
-			if got := client.Answer(); got != want {
+			if got := client.ReadResponse(); got != want {
 				t.Fatalf("startup message in two pieces: got %q, want %q", got, want)
 			}
 		}
@@ -75,7 +75,7 @@
 		incomplete[n].Send(query(30 + n)[:at])
 	}
 	signals <- syscall.SIGTERM
-	if got := idle.Answer(); got != "closed" { // from here on idle sessions are closed
+	if got := idle.ReadResponse(); got != "closed" { // from here on idle sessions are closed
 		t.Errorf("idle session: %q", got)
 	}
 	for n, client := range completed {
@@ -83,14 +83,14 @@
 	}
 	for n, client := range completed {
 		for _, want := range []string{"x ok ready", "closed"} {
-			if got := client.Answer(); got != want {
+			if got := client.ReadResponse(); got != want {
 				t.Errorf("split at %d: got %q, want %q", splits[n], got, want)
 			}
 		}
 		closeSocket(client)
 	}
 	for n, client := range incomplete {
-		if got := client.Answer(); !strings.HasSuffix(got, "closed") {
+		if got := client.ReadResponse(); !strings.HasSuffix(got, "closed") {
 			t.Errorf("split at %d, never completed: %q", splits[n], got)
 		}
 		closeSocket(client)
--- a/internal/server/drainraces_test.go
+++ b/internal/server/drainraces_test.go
@@ -25,8 +25,8 @@
 	addr, signals, ended := startRouterWith(t, []string{`"deadline":3000000`, `"deadline":300000`, `"target":500000`, `"target":200000`},
 		"127.0.0.1:1", 256, newPrimary(t).Addr)
 	var read, ignored atomic.Int64
-	defer failpoint.Set("frontend.query", func() { read.Add(1) })()
-	defer failpoint.Set("frontend.ignored", func() { ignored.Add(1) })()
+	defer failpoint.SetHook("frontend.query", func() { read.Add(1) })()
+	defer failpoint.SetHook("frontend.ignored", func() { ignored.Add(1) })()
 	type result struct {
 		asked, answered int
 		last            time.Time
@@ -44,7 +44,7 @@
 					class := []string{"look", "put"}[r.asked%2]
 					_, _ = client.Write(pg.AppendQuery(nil, fmt.Sprintf("/* id=%d-%d,c=%s,t=n,d=300,cluster=2 */ SELECT hang", n, r.asked, class)))
 				}
-				if strings.HasSuffix(client.Answer(), "closed") {
+				if strings.HasSuffix(client.ReadResponse(), "closed") {
 					results <- r
 					return
 				}
@@ -88,9 +88,9 @@
 	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	first := fakes.NewClient(t, addr, true)
 	held, release := make(chan bool, 10), make(chan bool)
-	defer failpoint.Set("frontend.accepted", func() { held <- true; <-release })()
+	defer failpoint.SetHook("frontend.accepted", func() { held <- true; <-release })()
 	lastClosed := make(chan bool, 100)
-	defer failpoint.Set("frontend.last_session", func() { lastClosed <- true })()
+	defer failpoint.SetHook("frontend.last_session", func() { lastClosed <- true })()
 	startup := string(pg.AppendStartup(nil, "api", "ledger"))
 	var late []*fakes.Client
 	for n := range arriving {
@@ -100,7 +100,7 @@
 	}
 	<-held
 	signals <- syscall.SIGTERM
-	if got := first.Answer(); got != "closed" {
+	if got := first.ReadResponse(); got != "closed" {
 		t.Fatalf("first session: %q", got)
 	}
 	closeSocket(first)
@@ -108,7 +108,7 @@
 	close(release)
 	for n, c := range late {
 		for _, want := range []string{"ready", "served ok ready", "closed"} {
-			if got := c.Answer(); got != want {
+			if got := c.ReadResponse(); got != want {
 				t.Fatalf("late connection %d: got %q, want %q", n, got, want)
 			}
 		}
@@ -124,22 +124,22 @@
 func TestSignals_RepeatedWhileRequestHeld(t *testing.T) {
 	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newMemberWithRole(t, 0).Addr)
 	waiting := fakes.NewClient(t, addr, true)
-	waiting.Ask("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // rejected at half its deadline, after several sweeps of the sessions
+	waiting.SendQuery("/* id=held,c=put,t=n,d=2000,cluster=2 */ INSERT x") // rejected at half its deadline, after several sweeps of the sessions
 	incomplete := fakes.NewClient(t, addr, true)
 	query := string(pg.AppendQuery(nil, readStatement("half", "whole")))
 	incomplete.Send(query[:20])
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
 		signals <- s
 	}
-	if got := waiting.Answer(); got != "53300 ready" {
+	if got := waiting.ReadResponse(); got != "53300 ready" {
 		t.Errorf("waiting write: %q", got)
 	}
 	incomplete.Send(query[20:])
-	if got := incomplete.Answer(); got != "whole ok ready" {
+	if got := incomplete.ReadResponse(); got != "whole ok ready" {
 		t.Errorf("incomplete query: %q", got)
 	}
 	for _, c := range []*fakes.Client{waiting, incomplete} {
-		if got := c.Answer(); got != "closed" {
+		if got := c.ReadResponse(); got != "closed" {
 			t.Errorf("got %q, want the session closed", got)
 		}
 		closeSocket(c)
@@ -166,7 +166,7 @@
 	signals <- syscall.SIGTERM
 	go func() { ended <- Run(config, l, signals) }()
 	for _, want := range []string{"ready", "served ok ready", "closed"} {
-		if got := c.Answer(); got != want {
+		if got := c.ReadResponse(); got != want {
 			t.Fatalf("got %q, want %q", got, want)
 		}
 	}
--- a/internal/server/faultymember_test.go
+++ b/internal/server/faultymember_test.go
@@ -35,7 +35,7 @@
 		{"invalid bytes", nil, &fakes.Reply{Bytes: []byte("\x00\xff what?")}},
 		{"closes", nil, &fakes.Reply{Close: true}},
 		{"closes within a row", nil, &fakes.Reply{Bytes: response[:len(response)-16], Close: true}},
-		{"has too many connections", nil, fakes.Fail("53300")},
+		{"has too many connections", nil, fakes.ErrorReply("53300")},
 		{"has too many connections, and closes", nil, &fakes.Reply{Bytes: pg.AppendError(nil, &pg.Error{Code: "53300", Text: "no"}, true), Close: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,16 +49,16 @@
 			var clients []*fakes.Client
 			for n := range 8 {
 				client := fakes.NewClient(t, addr, true)
-				client.Ask(fmt.Sprintf("/* id=%d,c=%s,t=n,d=%d,cluster=2 */ SELECT x", n, []string{"look", "put"}[n%2], 300+n/2*300))
+				client.SendQuery(fmt.Sprintf("/* id=%d,c=%s,t=n,d=%d,cluster=2 */ SELECT x", n, []string{"look", "put"}[n%2], 300+n/2*300))
 				clients = append(clients, client)
 			}
 			signals <- syscall.SIGTERM
 			for n, client := range clients {
-				got := client.Answer()
+				got := client.ReadResponse()
 				if code, rest, _ := strings.Cut(got, " "); len(code) != 5 || rest != "ready" {
 					t.Errorf("request %d: %q, want one error", n, got)
 				}
-				if got := client.Answer(); got != "closed" {
+				if got := client.ReadResponse(); got != "closed" {
 					t.Errorf("after the response to request %d: %q, want the session closed", n, got)
 				}
 				closeSocket(client)
--- a/internal/server/gatedmember_test.go
+++ b/internal/server/gatedmember_test.go
@@ -90,8 +90,8 @@
 						return
 					}
 				}
-				if reply = fakes.Row("v", "source", "1").Bytes; strings.Contains(m.Text, "fail") {
-					reply = fakes.Fail("XX000").Bytes
+				if reply = fakes.RowReply("v", "source", "1").Bytes; strings.Contains(m.Text, "fail") {
+					reply = fakes.ErrorReply("XX000").Bytes
 				}
 			}
 			if _, err := c.Write(reply); err != nil || g.singleUse && m.Kind == pg.Query {
@@ -120,10 +120,10 @@
 func askUntilServed(t *testing.T, c *fakes.Client, name string) {
 	t.Helper()
 	n := 0
-	fakes.Until(t, name+" is served", func() bool {
+	fakes.WaitUntil(t, name+" is served", func() bool {
 		n++
-		c.Ask(readStatement(fmt.Sprint(name, n), "x"))
-		return c.Answer() == "v ok ready"
+		c.SendQuery(readStatement(fmt.Sprint(name, n), "x"))
+		return c.ReadResponse() == "v ok ready"
 	})
 }
 
@@ -131,6 +131,6 @@
 func notifyClosedClients(t *testing.T) (wait func()) {
 	t.Helper()
 	gone := make(chan bool, 100)
-	t.Cleanup(failpoint.Set("frontend.closed", func() { gone <- true }))
+	t.Cleanup(failpoint.SetHook("frontend.closed", func() { gone <- true }))
 	return func() { <-gone }
 }
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -163,11 +163,11 @@
 		case strings.Contains(sql, "hang"):
 			return nil
 		case strings.Contains(sql, "error"):
-			return fakes.Fail("XX000")
+			return fakes.ErrorReply("XX000")
 		case strings.Contains(sql, "wrong"):
-			return fakes.Fail("42601")
+			return fakes.ErrorReply("42601")
 		}
-		return fakes.Row(sql[strings.LastIndex(sql, " ")+1:], "source", "1")
+		return fakes.RowReply(sql[strings.LastIndex(sql, " ")+1:], "source", "1")
 	})
 }
 
@@ -193,7 +193,7 @@
 func readAnswers(c *fakes.Client, count int, since time.Time) (string, time.Duration) {
 	var answers []string
 	for range count {
-		answers = append(answers, c.Answer())
+		answers = append(answers, c.ReadResponse())
 	}
 	return strings.Join(answers, "; "), time.Since(since)
 }
@@ -202,8 +202,8 @@
 func askAll(c *fakes.Client, sql ...string) string {
 	var answers []string
 	for _, q := range sql {
-		c.Ask(q)
-		answers = append(answers, c.Answer())
+		c.SendQuery(q)
+		answers = append(answers, c.ReadResponse())
 	}
 	return strings.Join(answers, "; ")
 }
@@ -221,8 +221,8 @@
 	t.Helper()
 	for n := range count {
 		c := fakes.NewClient(t, addr, true)
-		c.Ask(readStatement(fmt.Sprint(n), "x"))
-		if got := c.Answer(); got != "x ok ready" {
+		c.SendQuery(readStatement(fmt.Sprint(n), "x"))
+		if got := c.ReadResponse(); got != "x ok ready" {
 			t.Fatalf("client %d: %q", n, got)
 		}
 		clients = append(clients, c)
@@ -244,6 +244,6 @@
 
 // statementsSeen returns the statements that a member has received.
 func statementsSeen(m *fakes.Member) []string {
-	_, statements := m.Seen()
+	_, statements := m.Received()
 	return statements
 }
--- a/internal/server/incomplete_test.go
+++ b/internal/server/incomplete_test.go
@@ -45,7 +45,7 @@
 			client := fakes.NewClient(t, c.addr, false)
 			for _, ask := range c.ask {
 				client.Send(ask)
-				if got := client.Answer(); !strings.HasSuffix(got, "ready") {
+				if got := client.ReadResponse(); !strings.HasSuffix(got, "ready") {
 					t.Fatalf("before the incomplete request: %q", got)
 				}
 			}
@@ -88,7 +88,7 @@
 	t.Run("on the platform", func(t *testing.T) {
 		addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 		client := fakes.NewClient(t, addr, true)
-		client.Ask(readStatement("first", "x"))
+		client.SendQuery(readStatement("first", "x"))
 		whole := queryMessage(readStatement("half", "x"))
 		client.Send(whole[:len(whole)-1])
 		signals <- syscall.SIGTERM
--- a/internal/server/mixedclient_test.go
+++ b/internal/server/mixedclient_test.go
@@ -48,20 +48,20 @@
 
 // ask sends a simple query. ok is false after an error, such as a rejection or a lost transaction, or a disconnect.
 func (m *mixedClient) ask(sql string) (answer string, ok bool) {
-	m.client.Ask(sql)
+	m.client.SendQuery(sql)
 	return m.readAnswer(sql)
 }
 
 // readAnswer reads the response to a query and counts the errors that the run expects.
 func (m *mixedClient) readAnswer(sql string) (answer string, ok bool) {
-	answer = m.client.Answer()
+	answer = m.client.ReadResponse()
 	for _, code := range []string{"53300", "08006", "08007", "40001", "25P02", "57014", "XX000"} {
 		if strings.Contains(answer, code) {
 			m.codes[code]++
 			m.settings, m.inTransaction = clone(m.committed), false
 			if strings.HasSuffix(answer, "ready") {
-				m.client.Ask("ROLLBACK")
-				m.client.Answer()
+				m.client.SendQuery("ROLLBACK")
+				m.client.ReadResponse()
 			}
 			return answer, false
 		}
@@ -155,7 +155,7 @@
 
 // cancelSleep sends a cancel request that may arrive too early, in time, or as the statement ends.
 func (m *mixedClient) cancelSleep() {
-	m.client.Ask("SELECT pg_sleep(0.004)")
+	m.client.SendQuery("SELECT pg_sleep(0.004)")
 	if m.random.IntN(2) == 0 {
 		time.Sleep(time.Duration(m.random.IntN(30)) * time.Millisecond)
 	}
--- a/internal/server/mixedrun_test.go
+++ b/internal/server/mixedrun_test.go
@@ -39,7 +39,7 @@
 		actual = append(actual, name+"="+e.Settings["m."+name])
 	}
 	if want := strings.Fields(e.Note); strings.Join(want[1:], " ") != strings.Join(actual, " ") && len(c.mismatches) < 10 {
-		c.mismatches = append(c.mismatches, fmt.Sprintf("on connection %d: %q has %v", e.Conn, e.Note, actual))
+		c.mismatches = append(c.mismatches, fmt.Sprintf("on connection %d: %q has %v", e.ConnectionID, e.Note, actual))
 	}
 }
 
@@ -56,7 +56,7 @@
 			codes: map[string]int{}}
 		m.client = fakes.NewClient(t, addr, false)
 		_, _ = m.client.Write(pg.AppendStartup(nil, "api", "ledger", pg.Setting{Name: "options", Value: fmt.Sprintf("-c m.owner=%d", id)}))
-		if got := m.client.Answer(); got != "ready" {
+		if got := m.client.ReadResponse(); got != "ready" {
 			t.Fatalf("client %d: %q", id, got)
 		}
 		wg.Add(1)
@@ -90,7 +90,7 @@
 	var counts []pgserver.Counts
 	for _, s := range cluster.Servers {
 		// One more connection is for health checks. The member sees the end of a connection a moment after the router has closed it.
-		fakes.Until(t, "no more connections than the pool allows", func() bool { return s.Counts().Open <= 4+1 })
+		fakes.WaitUntil(t, "no more connections than the pool allows", func() bool { return s.Counts().Open <= 4+1 })
 		n := s.Counts()
 		counts = append(counts, n)
 	}
--- a/internal/server/pipelined_test.go
+++ b/internal/server/pipelined_test.go
@@ -18,8 +18,8 @@
 	t.Helper()
 	c := fakes.NewClient(t, addr, true)
 	defer closeSocket(c)
-	c.Ask(fmt.Sprintf("/* id=passed,c=%s,t=n,d=%d,cluster=9 */ %s", class, 2*duration.Milliseconds(), insertSQL("none", "1")))
-	if got := c.Answer(); got != "53300 ready" {
+	c.SendQuery(fmt.Sprintf("/* id=passed,c=%s,t=n,d=%d,cluster=9 */ %s", class, 2*duration.Milliseconds(), insertSQL("none", "1")))
+	if got := c.ReadResponse(); got != "53300 ready" {
 		t.Fatalf("request to a group that does not exist: %q", got)
 	}
 }
@@ -34,30 +34,30 @@
 		} else if strings.Contains(sql, "before") {
 			<-release
 		}
-		return fakes.Row("served", "source", "1")
+		return fakes.RowReply("served", "source", "1")
 	})
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, m.Addr)
 	c := fakes.NewClient(t, addr, true)
 	for n := range 20 { // so that one slow response carries little weight
-		c.Ask(writeStatement(fmt.Sprint("q", n), "quick"))
-		if got := c.Answer(); got != "served ok ready" {
+		c.SendQuery(writeStatement(fmt.Sprint("q", n), "quick"))
+		if got := c.ReadResponse(); got != "served ok ready" {
 			t.Fatal(got)
 		}
 	}
 	c.Send(string(pg.AppendQuery(pg.AppendQuery(nil, "/* id=b1,c=put,t=n,d=2000,cluster=2 */ INSERT before"),
 		"/* id=b2,c=put,t=n,d=300,cluster=2 */ INSERT behind")))
-	fakes.Until(t, "the first query has been sent", func() bool {
-		_, statements := m.Seen()
+	fakes.WaitUntil(t, "the first query has been sent", func() bool {
+		_, statements := m.Received()
 		return strings.Contains(strings.Join(statements, ""), "before")
 	})
 	waitByRouterClock(t, addr, "look", 350*time.Millisecond)
 	release <- true
 	for n, want := range []string{"served ok ready", "53300 ready"} {
-		if got := c.Answer(); got != want {
+		if got := c.ReadResponse(); got != want {
 			t.Errorf("response %d: got %q, want %q", n, got, want)
 		}
 	}
-	if _, statements := m.Seen(); strings.Contains(strings.Join(statements, "\n"), "behind") {
+	if _, statements := m.Received(); strings.Contains(strings.Join(statements, "\n"), "behind") {
 		t.Error("a member was sent the query whose deadline had passed")
 	}
 }
@@ -87,7 +87,7 @@
 	waitByRouterClock(t, addr, "write", 350*time.Millisecond)
 	release <- true
 	for n, want := range []string{"1 ok ready", "53300 ready", "53300 ready", "ok ready"} {
-		if got := c.Answer(); got != want {
+		if got := c.ReadResponse(); got != want {
 			t.Errorf("response %d: got %q, want %q", n, got, want)
 		}
 	}
--- a/internal/server/pool_test.go
+++ b/internal/server/pool_test.go
@@ -223,7 +223,7 @@
 		if one.Send(c.send); c.want == "" {
 			continue
 		}
-		if got := one.Answer(); got != c.want {
+		if got := one.ReadResponse(); got != c.want {
 			t.Fatalf("%d: got %q, want %q", n, got, c.want)
 		}
 	}
@@ -241,11 +241,11 @@
 		t.Fatalf("got %q", got)
 	}
 	other := fakes.NewClient(t, addr, true)
-	other.Ask("SHOW m.x") // waits for the only connection
+	other.SendQuery("SHOW m.x") // waits for the only connection
 	if got := askAll(c, "EXECUTE mine", "DISCARD ALL", "EXECUTE mine"); got != "mine ok ready; ok ready; 26000 ready" {
 		t.Errorf("got %q", got)
 	}
-	if got := other.Answer(); got != " ok ready" {
+	if got := other.ReadResponse(); got != " ok ready" {
 		t.Errorf("next client: %q", got)
 	}
 	askAll(c, "PREPARE mine AS SELECT 1")
@@ -260,7 +260,7 @@
 		t.Errorf("%d connections", accepted)
 	}
 	cluster.Servers[0].CloseConnections()
-	if got := other.Answer(); got != "57P01 closed" {
+	if got := other.ReadResponse(); got != "57P01 closed" {
 		t.Errorf("after its member connection ended: %q", got)
 	}
 }
@@ -277,9 +277,9 @@
 	}
 	askAll(one, "SET m.x = '1'", "PREPARE p AS SELECT 1")
 	three := fakes.NewClient(t, addr, true)
-	three.Ask("SHOW m.x")
+	three.SendQuery("SHOW m.x")
 	closeSocket(one)
-	if got := three.Answer(); got != " ok ready" {
+	if got := three.ReadResponse(); got != " ok ready" {
 		t.Errorf("next client: %q", got)
 	}
 	if got := askAll(three, "EXECUTE p", "SELECT pg_backend_pid()"); got != "26000 ready; "+a {
@@ -311,7 +311,7 @@
 			client := fakes.NewClient(t, addr, false)
 			client.Send(c.send)
 			for _, want := range strings.Split(c.want, ", ") {
-				if got := client.Answer(); got != want {
+				if got := client.ReadResponse(); got != want {
 					t.Fatalf("got %q, want %q", got, want)
 				}
 			}
--- a/internal/server/poolfailure_test.go
+++ b/internal/server/poolfailure_test.go
@@ -42,13 +42,13 @@
 			client.Send(c.last)
 			if c.last != "" && len(c.ask) == 0 {
 				accepted := cluster.Servers[0].Counts().Accepted
-				fakes.Until(t, "the last message has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && accepted > 0 })
+				fakes.WaitUntil(t, "the last message has been sent", func() bool { return cluster.Servers[0].Counts().Open > 0 && accepted > 0 })
 			}
 			closeSocket(client)
 			if got := askOnce(t, addr, "SELECT blob FROM rows WHERE handle = 'left'"); got != "ok ready" {
 				t.Errorf("next client: %q", got)
 			}
-			fakes.Until(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().InTransaction == 0 })
+			fakes.WaitUntil(t, "no transaction is open", func() bool { return cluster.Servers[0].Counts().InTransaction == 0 })
 		})
 	}
 }
@@ -75,13 +75,13 @@
 	bindExecute := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
 	sync := string(pg.AppendSync(nil))
 	c.Send(string(pg.AppendQuery(nil, "SET wayloft.txn_type = 'read'")) + parse + sync)
-	if a, b := c.Answer(), c.Answer(); a != "ok ready" || b != "ready" {
+	if a, b := c.ReadResponse(), c.ReadResponse(); a != "ok ready" || b != "ready" {
 		t.Fatalf("got %q, %q", a, b)
 	}
 	for _, kind := range []pg.Kind{pg.Bind, pg.Execute, pg.Sync} {
 		failAt(kind)
 		c.Send(bindExecute + sync)
-		if got := c.Answer(); got != "1 ok ready" {
+		if got := c.ReadResponse(); got != "1 ok ready" {
 			t.Errorf("connection lost at message %d: %q", kind, got)
 		}
 	}
@@ -96,8 +96,8 @@
 		"40001 ready; 25P02 ready; ok ready; ok ready" {
 		t.Errorf("connection lost in a transaction: %q", got)
 	}
-	c.Ask("SET wayloft.txn_type = 'write'")
-	c.Answer()
+	c.SendQuery("SET wayloft.txn_type = 'write'")
+	c.ReadResponse()
 	askAll(c, "BEGIN", insertSQL("dies", "2"))
 	failAt(pg.Query)
 	if got := askAll(c, "COMMIT", "ROLLBACK"); got != "08007 ready; ok ready" {
@@ -111,7 +111,7 @@
 	askAll(c, "BEGIN", insertSQL("dies", "4"))
 	failAt(pg.Sync)
 	c.Send(bindExecute + sync)
-	if got := c.Answer(); got != "1 ok 08006 ready" {
+	if got := c.ReadResponse(); got != "1 ok 08006 ready" {
 		t.Errorf("connection lost in a pipeline within a transaction: %q", got)
 	}
 	if got := askAll(c, "ROLLBACK", "SELECT 1"); got != "ok ready; 1 ok ready" {
@@ -133,7 +133,7 @@
 	cancelAmongOthers(ctx, t, one, addr)
 	unknown := fakes.NewClient(t, addr, false)
 	unknown.Send(string(pg.AppendCancelRequest(nil, pg.CancelKey{Process: 1, Secret: 2})))
-	if got := unknown.Answer(); got != "closed" {
+	if got := unknown.ReadResponse(); got != "closed" {
 		t.Errorf("unknown cancel key: %q", got)
 	}
 }
@@ -152,7 +152,7 @@
 func cancelRunning(ctx context.Context, t *testing.T, conn *pgx.Conn, cluster *lab.Cluster) {
 	t.Helper()
 	result := execute(ctx, conn, "SELECT pg_sleep(30)")
-	fakes.Until(t, "the statement runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
+	fakes.WaitUntil(t, "the statement runs", func() bool { return cluster.Servers[0].Counts().Running > 0 })
 	if err := conn.PgConn().CancelRequest(ctx); err != nil {
 		t.Error(err)
 	}
@@ -168,7 +168,7 @@
 	askAll(holder, "BEGIN", "SELECT 1")
 	result := execute(ctx, conn, "SELECT 1")
 	var ended error
-	fakes.Until(t, "the queued statement ends", func() bool {
+	fakes.WaitUntil(t, "the queued statement ends", func() bool {
 		_ = conn.PgConn().CancelRequest(ctx) // a cancel request that fails is repeated
 		select {
 		case ended = <-result:
@@ -236,7 +236,7 @@
 	}
 	l.publish(2, listEntry(0, cluster.Servers[0], "terminating"), listEntry(1, cluster.Servers[1], "in_service"))
 	cluster.Promote(cluster.Servers[1])
-	fakes.Until(t, "the new primary takes writes", func() bool { return askOnce(t, addr, insertSQL("new", "1")) == "1 ok ready" })
+	fakes.WaitUntil(t, "the new primary takes writes", func() bool { return askOnce(t, addr, insertSQL("new", "1")) == "1 ok ready" })
 	before := cluster.Servers[0].Counts()
 	cluster.Promote(cluster.Servers[0]) // so that open transactions can finish there; the router is not told
 	for n, c := range open {
@@ -245,7 +245,7 @@
 		}
 	}
 	cluster.Promote(cluster.Servers[1])
-	fakes.Until(t, "no connection to the draining member is left", func() bool { return cluster.Servers[0].Counts().Open == 0 })
+	fakes.WaitUntil(t, "no connection to the draining member is left", func() bool { return cluster.Servers[0].Counts().Open == 0 })
 	if n := cluster.Servers[0].Counts(); n.Accepted != before.Accepted {
 		t.Errorf("%d connections were opened to a draining member", n.Accepted-before.Accepted)
 	}
@@ -296,7 +296,7 @@
 	c := fakes.NewClient(t, addr, true)
 	sync := string(pg.AppendSync(nil))
 	c.Send(string(pg.AppendParse(nil, "s", []byte("SELECT 1\x00\x00\x00"))) + sync)
-	c.Answer()
+	c.ReadResponse()
 	bindExecute := string(pg.AppendExecute(pg.AppendBind(nil, "", "s", []byte{0, 0, 0, 0, 0, 0}), ""))
 	for _, x := range []struct{ codes, want string }{
 		{"0A000", "1 ok ready"}, {"26000", "1 ok ready"}, {"", "1 ok ready"},
@@ -307,7 +307,7 @@
 		codes = strings.Fields(x.codes)
 		mu.Unlock()
 		c.Send(bindExecute + sync)
-		if got := c.Answer(); got != x.want {
+		if got := c.ReadResponse(); got != x.want {
 			t.Errorf("%s: got %q, want %q", x.codes, got, x.want)
 		}
 	}
@@ -316,7 +316,7 @@
 	codes = []string{"0A000"}
 	mu.Unlock()
 	c.Send(bindExecute + sync)
-	if got := c.Answer(); got != "0A000 ready" {
+	if got := c.ReadResponse(); got != "0A000 ready" {
 		t.Errorf("in a transaction: %q", got)
 	}
 	askAll(c, "ROLLBACK")
@@ -326,7 +326,7 @@
 	begin := string(pg.AppendParse(nil, "b", []byte("BEGIN\x00\x00\x00"))) +
 		string(pg.AppendExecute(pg.AppendBind(nil, "", "b", []byte{0, 0, 0, 0, 0, 0}), ""))
 	c.Send(begin + bindExecute + sync)
-	if got := c.Answer(); got != "ok 0A000 ready" {
+	if got := c.ReadResponse(); got != "ok 0A000 ready" {
 		t.Errorf("in a transaction that the same pipeline began: %q", got)
 	}
 	if got := askAll(c, "ROLLBACK", "SELECT 1"); got != "ok ready; 1 ok ready" {
--- a/internal/server/poollimits_test.go
+++ b/internal/server/poollimits_test.go
@@ -33,7 +33,7 @@
 		}()
 	}
 	wg.Wait()
-	if got := idle.Answer(); got != "25P03 closed" {
+	if got := idle.ReadResponse(); got != "25P03 closed" {
 		t.Errorf("idle client: %q", got)
 	}
 	if n := cluster.Servers[0].Counts(); n.Accepted > 4+1+1 { // one for health checks, one to replace the closed connection
@@ -52,21 +52,21 @@
 	bindExecute := string(pg.AppendExecute(pg.AppendBind(nil, "", "", []byte{0, 0, 0, 0, 0, 0}), ""))
 	for n := range 600 { // unnamed: each replaces the previous one
 		c.Send(string(pg.AppendParse(nil, "", []byte(fmt.Sprintf("SELECT note('%d')\x00\x00\x00", n)))) + bindExecute + sync)
-		if got := c.Answer(); got != fmt.Sprint(n, " ok ready") {
+		if got := c.ReadResponse(); got != fmt.Sprint(n, " ok ready") {
 			t.Fatalf("%d: %q", n, got)
 		}
 	}
 	var last string
 	for n := range 300 {
 		c.Send(string(pg.AppendParse(nil, fmt.Sprint("s", n), []byte(fmt.Sprintf("SELECT note('%d')\x00\x00\x00", n)))) + sync)
-		last = c.Answer()
+		last = c.ReadResponse()
 	}
 	if last != "54000 ready" {
 		t.Errorf("one statement over the limit: %q", last)
 	}
-	fakes.Until(t, "the member keeps few prepared statements", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
+	fakes.WaitUntil(t, "the member keeps few prepared statements", func() bool { return cluster.Servers[0].Counts().Prepared <= 260 })
 	c.Send(string(pg.AppendExecute(pg.AppendBind(nil, "", "s0", []byte{0, 0, 0, 0, 0, 0}), "")) + sync)
-	if got := c.Answer(); got != "0 ok ready" {
+	if got := c.ReadResponse(); got != "0 ok ready" {
 		t.Errorf("first named statement: %q", got)
 	}
 }
@@ -107,17 +107,17 @@
 	var slow []*fakes.Client
 	for range 3 {
 		c := fakes.NewClient(t, addr, true)
-		c.Ask("COPY rows (handle, blob) FROM STDIN")
+		c.SendQuery("COPY rows (handle, blob) FROM STDIN")
 		slow = append(slow, c)
 	}
-	fakes.Until(t, "all three COPY statements run", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
+	fakes.WaitUntil(t, "all three COPY statements run", func() bool { return cluster.Servers[0].Counts().Copying == 3 })
 	waitByRouterClock(t, addr, "write", 300*time.Millisecond) // no response to all three, for far longer than the member usually takes
 	if got := askAll(other, "/* id=between,c=write,d=400 */ "+insertSQL("between", "1")); got != "1 ok ready" {
 		t.Errorf("request during the COPY: %q", got)
 	}
 	for n, c := range slow {
 		c.Send(string(pg.AppendCopyData(nil, fmt.Sprintf("slow%d\tv\n", n))) + string(pg.AppendEmptyMessage(nil, 'c')))
-		if got := c.Answer(); got != "ok ready" {
+		if got := c.ReadResponse(); got != "ok ready" {
 			t.Errorf("%d: %q", n, got)
 		}
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -24,7 +24,7 @@
 			return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(fmt.Sprintf("x0=%d,x1=1", time.Now().Unix())))}
 		}
 		<-release
-		return fakes.Row("old", "source", "1")
+		return fakes.RowReply("old", "source", "1")
 	})
 	remaining := newPrimary(t)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -34,9 +34,9 @@
 	t.Cleanup(service.Close)
 	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, removed.Addr)
 	busy := fakes.NewClient(t, addr, true)
-	busy.Ask(readStatement("1", "slow"))
-	fakes.Until(t, "the request has been sent", func() bool {
-		_, statements := removed.Seen()
+	busy.SendQuery(readStatement("1", "slow"))
+	fakes.WaitUntil(t, "the request has been sent", func() bool {
+		_, statements := removed.Received()
 		return strings.Contains(strings.Join(statements, ""), "slow")
 	})
 	file := os.Getenv("PROXY_CONFIG")
@@ -48,7 +48,7 @@
 	for range 2 {
 		signals <- syscall.SIGHUP
 	}
-	fakes.Until(t, "the invalid file has been read", func() bool { return len(signals) == 0 })
+	fakes.WaitUntil(t, "the invalid file has been read", func() bool { return len(signals) == 0 })
 	writeFile(t, file+".next", strings.Replace(string(text), "127.0.0.1:1\"", strings.TrimPrefix(service.URL, "http://")+"\"", 1))
 	if err := os.Rename(file+".next", file); err != nil {
 		t.Fatal(err)
@@ -56,13 +56,13 @@
 	signals <- syscall.SIGHUP
 	c := fakes.NewClient(t, addr, true)
 	n := 1
-	fakes.Until(t, "the new list is in use", func() bool {
+	fakes.WaitUntil(t, "the new list is in use", func() bool {
 		n++
-		c.Ask(writeStatement(fmt.Sprint(n), "y"))
-		return c.Answer() == "y ok ready"
+		c.SendQuery(writeStatement(fmt.Sprint(n), "y"))
+		return c.ReadResponse() == "y ok ready"
 	})
 	release <- true
-	if got := busy.Answer(); got != "old ok ready" {
+	if got := busy.ReadResponse(); got != "old ok ready" {
 		t.Errorf("running request: %q", got)
 	}
 	signals <- syscall.SIGTERM
@@ -113,8 +113,8 @@
 	}
 	drained := len(statementsSeen(draining))
 	for n := range 100 {
-		c.Ask(readStatement(fmt.Sprint(n), "x"))
-		if got := c.Answer(); got != "x ok ready" {
+		c.SendQuery(readStatement(fmt.Sprint(n), "x"))
+		if got := c.ReadResponse(); got != "x ok ready" {
 			t.Fatalf("request %d: %q", n, got)
 		}
 	}
@@ -124,7 +124,7 @@
 		}
 	}
 	for n, one := range services[:len(services)-1] {
-		fakes.Until(t, fmt.Sprint("all connections to discovery server ", n, " have ended"), func() bool { return one.openConnections.Load() == 0 })
+		fakes.WaitUntil(t, fmt.Sprint("all connections to discovery server ", n, " have ended"), func() bool { return one.openConnections.Load() == 0 })
 	}
 	if now := last.openConnections.Load(); now != 1 {
 		t.Errorf("%d watches are open, want one", now)
@@ -183,7 +183,7 @@
 			<-next.requests // the list has been delivered, and the watch has begun
 			client, n := fakes.NewClient(t, addr, true), 0
 			count := func() int {
-				_, statements := draining.Seen()
+				_, statements := draining.Received()
 				return strings.Count(strings.Join(statements, "|"), "c=look")
 			}
 			last := -1
@@ -191,8 +191,8 @@
 				if n > 20000 {
 					t.Fatal("the member still gets requests, or no request is served")
 				}
-				client.Ask(readStatement(fmt.Sprint(n), "x"))
-				switch got := client.Answer(); got {
+				client.SendQuery(readStatement(fmt.Sprint(n), "x"))
+				switch got := client.ReadResponse(); got {
 				case "x ok ready":
 				case "53300 ready": // a busy machine
 					continue
@@ -231,20 +231,20 @@
 	old, moved := newPrimary(t), newPrimary(t)
 	addr, _, _ := startRouter(t, strings.TrimPrefix(service.URL, "http://"), 256, old.Addr)
 	c := fakes.NewClient(t, addr, true)
-	c.Ask(readStatement("1", "x"))
-	if got := c.Answer(); got != "x ok ready" {
+	c.SendQuery(readStatement("1", "x"))
+	if got := c.ReadResponse(); got != "x ok ready" {
 		t.Fatalf("got %q", got)
 	}
 	lists <- fmt.Sprintf(`{"revision":43,"complete":false,"members":[{"id":"m0","host_port":"%s","cell":2,"phase":"in_service"}]}`,
 		moved.Addr)
 	n := 1
-	fakes.Until(t, "the member has moved", func() bool {
+	fakes.WaitUntil(t, "the member has moved", func() bool {
 		n++
-		c.Ask(readStatement(fmt.Sprint(n), "y"))
-		if got := c.Answer(); got != "y ok ready" {
+		c.SendQuery(readStatement(fmt.Sprint(n), "y"))
+		if got := c.ReadResponse(); got != "y ok ready" {
 			t.Fatalf("got %q", got)
 		}
-		accepted, _ := moved.Seen()
+		accepted, _ := moved.Received()
 		return accepted > 0
 	})
 }
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -57,12 +57,12 @@
 			client.Send(c.send[:half])
 			client.Send(c.send[half:])
 			for i, want := range strings.Split(c.want, ", ") {
-				if got := client.Answer(); got != want {
+				if got := client.ReadResponse(); got != want {
 					t.Fatalf("response %d: got %q, want %q", i, got, want)
 				}
 			}
-			steady.Ask(readStatement(fmt.Sprint("s", n), "fine"))
-			if got := steady.Answer(); got != "fine ok ready" {
+			steady.SendQuery(readStatement(fmt.Sprint("s", n), "fine"))
+			if got := steady.ReadResponse(); got != "fine ok ready" {
 				t.Errorf("another session: %q", got)
 			}
 		})
@@ -79,7 +79,7 @@
 		t.Fatalf("got %q, %v", b, err)
 	}
 	c.Send(string(pg.AppendStartup(nil, "api", "ledger")))
-	if got := c.Answer(); got != "ready" {
+	if got := c.ReadResponse(); got != "ready" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -91,7 +91,7 @@
 	for _, b := range pg.AppendQuery(nil, readStatement("1", "whole")) {
 		c.Send(string(b))
 	}
-	if got := c.Answer(); got != "whole ok ready" {
+	if got := c.ReadResponse(); got != "whole ok ready" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -100,12 +100,12 @@
 func TestSessionLimit_QuietestClosed(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 128, newPrimary(t).Addr, newMemberWithRole(t, 0).Addr)
 	busy := fakes.NewClient(t, addr, true)
-	busy.Ask(writeStatement("busy", "hang"))
+	busy.SendQuery(writeStatement("busy", "hang"))
 	idle := openSessions(t, addr, 100)
-	if got := busy.Answer(); got != "08007 ready" {
+	if got := busy.ReadResponse(); got != "08007 ready" {
 		t.Errorf("busy session: %q", got)
 	}
-	if got := idle[0].Answer(); got != "closed" {
+	if got := idle[0].ReadResponse(); got != "closed" {
 		t.Errorf("first session: %q", got)
 	}
 }
@@ -132,7 +132,7 @@
 	}
 	for n, c := range cases {
 		for _, want := range strings.Split(c.want, ", ") {
-			if got := clients[n].Answer(); got != want {
+			if got := clients[n].ReadResponse(); got != want {
 				t.Errorf("case %d: got %q, want %q", n, got, want)
 			}
 		}
@@ -143,22 +143,22 @@
 		silent = append(silent, fakes.NewClient(t, addr, false))
 		if n%20 == 0 {
 			_, _ = steady.Write(pg.AppendQuery(nil, readStatement(fmt.Sprint("s", n), "fine")))
-			if got := steady.Answer(); got == "closed" { // closed while it was idle: reconnect
+			if got := steady.ReadResponse(); got == "closed" { // closed while it was idle: reconnect
 				steady = fakes.NewClient(t, addr, true)
 			} else if got != "fine ok ready" {
 				t.Fatalf("with %d silent clients: %q", n, got)
 			}
 			if n%40 == 0 {
 				late := fakes.NewClient(t, addr, true)
-				late.Ask(readStatement(fmt.Sprint("l", n), "late"))
-				if got := late.Answer(); got != "late ok ready" {
+				late.SendQuery(readStatement(fmt.Sprint("l", n), "late"))
+				if got := late.ReadResponse(); got != "late ok ready" {
 					t.Fatalf("new client with %d silent clients: %q", n, got)
 				}
 			}
 		}
 	}
 	for n, c := range silent {
-		if got := c.Answer(); !strings.HasSuffix(got, "closed") {
+		if got := c.ReadResponse(); !strings.HasSuffix(got, "closed") {
 			t.Errorf("silent client %d: %q", n, got)
 		}
 	}
@@ -168,11 +168,11 @@
 func TestIdleSessions_OldestClosed(t *testing.T) {
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 128, newPrimary(t).Addr)
 	sessions := openSessions(t, addr, 30)
-	if got := sessions[0].Answer(); got != "closed" {
+	if got := sessions[0].ReadResponse(); got != "closed" {
 		t.Errorf("first session: %q", got)
 	}
-	sessions[29].Ask(readStatement("again", "y"))
-	if got := sessions[29].Answer(); got != "y ok ready" {
+	sessions[29].SendQuery(readStatement("again", "y"))
+	if got := sessions[29].ReadResponse(); got != "y ok ready" {
 		t.Errorf("last session: %q", got)
 	}
 }
@@ -185,7 +185,7 @@
 	errorCount := make(chan int)
 	go func() {
 		n := 0
-		for _, _ = repeating.Write(pg.AppendQuery(nil, "SELECT 1")); repeating.Answer() == "08P01 ready"; n++ {
+		for _, _ = repeating.Write(pg.AppendQuery(nil, "SELECT 1")); repeating.ReadResponse() == "08P01 ready"; n++ {
 			_, _ = repeating.Write(pg.AppendQuery(nil, "SELECT 1"))
 		}
 		errorCount <- n
@@ -198,12 +198,12 @@
 			}
 		}
 	}()
-	if got := flooding.Answer(); got != "54000 closed" && got != "closed" {
+	if got := flooding.ReadResponse(); got != "54000 closed" && got != "closed" {
 		t.Errorf("flooding client: %q", got)
 	}
 	for n := range 100 {
-		steady.Ask(readStatement(fmt.Sprint(n), "fine"))
-		if got := steady.Answer(); got != "fine ok ready" {
+		steady.SendQuery(readStatement(fmt.Sprint(n), "fine"))
+		if got := steady.ReadResponse(); got != "fine ok ready" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -223,21 +223,21 @@
 		case strings.Contains(sql, "slow"):
 			<-release
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})
 	addr, _, _ := startRouter(t, "127.0.0.1:1", 256, slow.Addr)
 	leaving := fakes.NewClient(t, addr, true)
-	leaving.Ask(readStatement("1", "slow"))
-	fakes.Until(t, "the request has been sent", func() bool {
-		_, statements := slow.Seen()
+	leaving.SendQuery(readStatement("1", "slow"))
+	fakes.WaitUntil(t, "the request has been sent", func() bool {
+		_, statements := slow.Received()
 		return len(statements) > 0 && strings.Contains(statements[len(statements)-1], "slow")
 	})
 	closeSocket(leaving)
 	close(release)
 	other := fakes.NewClient(t, addr, true)
-	fakes.Until(t, "the id is free", func() bool {
-		other.Ask(readStatement("1", "x"))
-		return other.Answer() == "v ok ready"
+	fakes.WaitUntil(t, "the id is free", func() bool {
+		other.SendQuery(readStatement("1", "x"))
+		return other.ReadResponse() == "v ok ready"
 	})
 }
 
@@ -261,19 +261,19 @@
 		c := fakes.NewClient(t, addr, true)
 		defer closeSocket(c)
 		_, _ = c.Write(pg.AppendQuery(nil, readStatement(fmt.Sprint("one", n), long)))
-		return c.Answer()
+		return c.ReadResponse()
 	}
-	fakes.Until(t, "another request is rejected", func() bool { return ask() == "53300 ready" })
+	fakes.WaitUntil(t, "another request is rejected", func() bool { return ask() == "53300 ready" })
 	for range 25 {
 		sendIncomplete()
 	}
-	if got := incomplete[len(incomplete)-1].Answer(); got != "53300 closed" {
+	if got := incomplete[len(incomplete)-1].ReadResponse(); got != "53300 closed" {
 		t.Errorf("last incomplete request: %q", got)
 	}
 	for _, c := range incomplete {
 		closeSocket(c)
 	}
-	fakes.Until(t, "the next request is served", func() bool { return ask() == long+" ok ready" })
+	fakes.WaitUntil(t, "the next request is served", func() bool { return ask() == long+" ok ready" })
 }
 
 // Connections that are reset or closed at any point after they are accepted leave nothing open, and others are served.
@@ -298,8 +298,8 @@
 		}
 		closeSocket(conn)
 		after := fakes.NewClient(t, addr, true)
-		after.Ask(readStatement(fmt.Sprint("after", n), "x"))
-		if got := after.Answer(); got != "x ok ready" {
+		after.SendQuery(readStatement(fmt.Sprint("after", n), "x"))
+		if got := after.ReadResponse(); got != "x ok ready" {
 			t.Errorf("another session: %q", got)
 		}
 		closeSocket(after)
--- a/internal/server/signals_test.go
+++ b/internal/server/signals_test.go
@@ -118,8 +118,8 @@
 	}
 	if ignored {
 		client := fakes.NewClient(t, addr, true)
-		client.Ask("")
-		if got := client.Answer(); got != "empty ready" {
+		client.SendQuery("")
+		if got := client.ReadResponse(); got != "empty ready" {
 			t.Errorf("got %q", got)
 		}
 		closeSocket(client)
--- a/internal/server/status_test.go
+++ b/internal/server/status_test.go
@@ -40,8 +40,8 @@
 
 	addr, signals, ended := startRouter(t, "127.0.0.1:1", 256, newPrimary(t).Addr)
 	client := fakes.NewClient(t, addr, true)
-	client.Ask("SELECT 1")
-	if got := client.Answer(); got != "08P01 ready" {
+	client.SendQuery("SELECT 1")
+	if got := client.ReadResponse(); got != "08P01 ready" {
 		t.Fatalf("statement without a comment: %q", got)
 	}
 	closeSocket(client)
--- a/router/scenario_test.go
+++ b/router/scenario_test.go
@@ -46,7 +46,7 @@
 const maxDecisionsAtOnce = 1000
 
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, func() func(string) error {
+	scenario.Run(t, func() func(string) error {
 		p := &scenarioRunner{settings: &Settings{Routers: 1, MaxAttempts: 6, CanHealthCheck: true, CanCancel: true, SlowStartFloor: 0.2,
 			SlowStartDuration: 10000, OverloadMultiple: 2.5, OverloadWindow: 2000, ListPollTimeout: 10000,
 			RequestClasses: map[string]*RequestClass{}, Tenants: map[string]float64{}},
