--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -26,15 +26,15 @@
 		want   string
 		reused bool
 	}{
-		{"row", nil, fakes.Row("v", "source", "17"), 0, "0 succeeded 1 17 true", true},
-		{"row of a replica", nil, fakes.Row("v", "copy", "0"), 0, "0 succeeded 2 0 true", true},
-		{"misrouted write", nil, fakes.Fail("25006"), 0, "0 misrouted 0 0 false", true},
-		{"replication lag", nil, fakes.Fail("72000"), 0, "0 misrouted 0 0 false", true},
-		{"error", nil, fakes.Fail("XX000"), 0, "0 server error 0 0 false", true},
-		{"error code not in the table", nil, fakes.Fail("58000"), 0, "0 server error 0 0 false", true},
-		{"statement error", nil, fakes.Fail("42601"), 0, "0 statement error 42601", true},
-		{"position in the future", nil, fakes.Row("v", "source", "1e18"), 0, "0 succeeded 1 0 true", true},
-		{"invalid position", nil, fakes.Row("v", "copy", "NaN"), 0, "0 succeeded 2 0 true", true},
+		{"row", nil, fakes.RowReply("v", "source", "17"), 0, "0 succeeded 1 17 true", true},
+		{"row of a replica", nil, fakes.RowReply("v", "copy", "0"), 0, "0 succeeded 2 0 true", true},
+		{"misrouted write", nil, fakes.ErrorReply("25006"), 0, "0 misrouted 0 0 false", true},
+		{"replication lag", nil, fakes.ErrorReply("72000"), 0, "0 misrouted 0 0 false", true},
+		{"error", nil, fakes.ErrorReply("XX000"), 0, "0 server error 0 0 false", true},
+		{"error code not in the table", nil, fakes.ErrorReply("58000"), 0, "0 server error 0 0 false", true},
+		{"statement error", nil, fakes.ErrorReply("42601"), 0, "0 statement error 42601", true},
+		{"position in the future", nil, fakes.RowReply("v", "source", "1e18"), 0, "0 succeeded 1 0 true", true},
+		{"invalid position", nil, fakes.RowReply("v", "copy", "NaN"), 0, "0 succeeded 2 0 true", true},
 		{"well-formed garbage", nil, &fakes.Reply{Bytes: []byte("x\x00\x00\x00\x40")}, 0, "0 server error 0 0 false", false},
 		{"endless value", nil, &fakes.Reply{Bytes: concat(fakes.Rows("v")[:30],
 			[]byte("D\xb2\xd0\x5e\x0a\x00\x01\xb2\xd0\x5e\x00"))}, 0, "0 server error 0 0 false", false},
@@ -42,7 +42,7 @@
 			ready)}, 0, "0 server error 0 0 false", false},
 		{"no row", nil, &fakes.Reply{Bytes: concat(fakes.Rows("v")[:30], []byte("C\x00\x00\x00\x05\x00"), ready)}, 0,
 			"0 server error 0 0 false", false},
-		{"overloaded", nil, fakes.Fail("53300"), 0, "0 overloaded 0 0 false", true},
+		{"overloaded", nil, fakes.ErrorReply("53300"), 0, "0 overloaded 0 0 false", true},
 		{"overloaded and closed", nil, &fakes.Reply{Bytes: refusal, Close: true}, 0, "0 overloaded 0 0 false", false},
 		{"login refused", &fakes.Reply{Bytes: refusal, Close: true}, nil, 0,
 			"0 connect failed 0 0 false", false},
@@ -73,13 +73,13 @@
 			driver, backend := startWithDialTimeout(t, 10, dialTimeout)
 			m := fakes.NewMember(t, c.greet, func(string) *fakes.Reply { return c.answer })
 			driver.runOnLoop(func() {
-				backend.List(listOf(m.Addr, router.Up))
+				backend.ApplyMemberList(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", c.wait, math.Inf(1))
 			})
 			if got := driver.nextEvent(t); got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			fakes.Until(t, fmt.Sprint("the connection is kept: ", c.reused), func() (settled bool) {
+			fakes.WaitUntil(t, fmt.Sprint("the connection is kept: ", c.reused), func() (settled bool) {
 				driver.runOnLoop(func() {
 					idle := backend.pool.IdleCount("a")
 					settled = (idle > 0) == c.reused && backend.Connections() == idle && len(backend.attempts) == 0
@@ -95,7 +95,7 @@
 	m := fakes.NewMember(t, nil, nil)
 	m.Stop()
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 3, "a", 0, math.Inf(1))
 		backend.HealthCheck("a")
 	})
@@ -113,13 +113,13 @@
 		if strings.Contains(sql, "id=1") {
 			return nil
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
-	fakes.Until(t, "the query has arrived", func() bool { _, queries := m.Seen(); return len(queries) > 0 })
+	fakes.WaitUntil(t, "the query has arrived", func() bool { _, queries := m.Received(); return len(queries) > 0 })
 	driver.runOnLoop(func() { backend.CancelAttempt("1", 0) })
 	if got := driver.nextEvent(t); got != "0 canceled 0 0 false" {
 		t.Errorf("got %q", got)
@@ -128,7 +128,7 @@
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
 		t.Errorf("got %q", got)
 	}
-	if accepted, _ := m.Seen(); accepted != 2 {
+	if accepted, _ := m.Received(); accepted != 2 {
 		t.Errorf("%d connections, want 2", accepted)
 	}
 }
@@ -143,7 +143,7 @@
 		}
 		return &fakes.Reply{Bytes: pg.AppendReadyIdle(fakes.Rows(report))}
 	})
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 	for _, c := range []struct{ report, want string }{
 		{"x0=1767225600.123,x1=1", "report 1 1.767225600123e+12; check succeeded"},
 		{"x0=1767225600,x1=0", "report 2 1.7672256e+12; check succeeded"},
@@ -169,15 +169,15 @@
 func TestSendAttempt_DuplicateResponseIsNotTakenForNext(t *testing.T) {
 	driver, backend := start(t, 1)
 	duplicate := false
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 	m.Empty = func() *fakes.Reply {
 		barrierReply := pg.AppendReadyIdle(pg.AppendEmptyQuery(nil))
 		if duplicate { // the previous response is sent again
-			barrierReply = append(fakes.Row("old", "source", "1").Bytes, barrierReply...)
+			barrierReply = append(fakes.RowReply("old", "source", "1").Bytes, barrierReply...)
 		}
 		return &fakes.Reply{Bytes: barrierReply}
 	}
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 	for n, want := range []string{"0 succeeded 1 1 true", "0 succeeded 1 1 true", "0 server error 0 0 false"} {
 		driver.runOnLoop(func() { duplicate = n == 2 })
 		driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 5000), 0, "a", 0, math.Inf(1)) })
@@ -185,7 +185,7 @@
 			t.Errorf("%d: got %q, want %q", n, got, want)
 		}
 	}
-	if accepted, queries := m.Seen(); accepted != 1 || !strings.Contains(strings.Join(queries, "|"), "||") {
+	if accepted, queries := m.Received(); accepted != 1 || !strings.Contains(strings.Join(queries, "|"), "||") {
 		t.Errorf("%d connections; queries %q", accepted, queries)
 	}
 }
@@ -196,7 +196,7 @@
 	part := fakes.Rows(strings.Repeat("v", maxResponse-100))
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return &fakes.Reply{Bytes: part[:len(part)-20]} })
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		for n := range 6 {
 			backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 60000), 0, "a", 0, math.Inf(1))
 		}
@@ -206,7 +206,7 @@
 			t.Errorf("got %q", got)
 		}
 	}
-	fakes.Until(t, "four incomplete responses are buffered", func() (four bool) {
+	fakes.WaitUntil(t, "four incomplete responses are buffered", func() (four bool) {
 		driver.runOnLoop(func() {
 			four = backend.bufferedBytes > 3*maxResponse && backend.bufferedBytes <= 4*maxResponse && backend.OverBudget == 2 && backend.Connections() == 4
 		})
@@ -215,7 +215,7 @@
 	for n := range 6 {
 		driver.runOnLoop(func() { backend.CancelAttempt(fmt.Sprint(n), 0) })
 	}
-	fakes.Until(t, "no response is buffered and no connection is open", func() (none bool) {
+	fakes.WaitUntil(t, "no response is buffered and no connection is open", func() (none bool) {
 		driver.runOnLoop(func() { none = backend.bufferedBytes == 0 && backend.Connections() == 0 })
 		return none
 	})
@@ -229,13 +229,13 @@
 		if strings.Contains(sql, "id=2") {
 			return nil
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})
 	other := fakes.NewMember(t, nil, func(string) *fakes.Reply { return nil })
 	driver.runOnLoop(func() {
 		l := listOf(m.Addr, router.Up)
 		l.Entries = append(l.Entries, discovery.Entry{ID: "b", Addr: other.Addr})
-		backend.List(l)
+		backend.ApplyMemberList(l)
 		backend.SendAttempt(newRequest(driver, "1", 5000), 0, "a", 0, math.Inf(1))
 	})
 	if got := driver.nextEvent(t); got != "0 succeeded 1 1 true" {
@@ -271,11 +271,11 @@
 func TestSendAttempt_ClosedConnectionIsNotUsed(t *testing.T) {
 	driver, backend := start(t, 10)
 	m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
-		r := fakes.Row("v", "source", "1")
+		r := fakes.RowReply("v", "source", "1")
 		r.Close = true
 		return r
 	})
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 	for n := range 20 {
 		driver.runOnLoop(func() {
 			for _, c := range backend.conns { // the close arrives while the loop is busy
@@ -292,7 +292,7 @@
 // Guards against a timer that wakes an idle router, and against one that fires too late for the pool's next sweep.
 func TestBackend_TimerFollowsPool(t *testing.T) {
 	driver, backend := start(t, 10)
-	driver.runOnLoop(func() { backend.List(listOf("127.0.0.1:1", router.Up)) })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf("127.0.0.1:1", router.Up)) })
 	for idle := false; !idle; { // wait for the sweep after the list
 		driver.runOnLoop(func() { idle = math.IsInf(backend.timerAt, 1) })
 	}
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -75,7 +75,7 @@
 		j.waitingReported = false
 		c.backend.driver.Defer(func() {
 			if !j.ended {
-				c.backend.driver.TurnChanged(j.request, j.attempt, false)
+				c.backend.driver.AttemptIdleChanged(j.request, j.attempt, false)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 		out = pg.AppendCancelRequest(nil, *j.cancelKey)
 	case j.request != nil:
 		out = j.request.AppendQuery(out, j.deadline-c.backend.driver.Clock())
-	case c.backend.limits.HealthReports:
+	case c.backend.options.HealthReports:
 		out = pg.AppendQuery(out, reportQuery)
 	default:
 		out = pg.AppendQuery(out, livenessQuery)
--- a/internal/backend/stream_send.go
+++ b/internal/backend/stream_send.go
@@ -75,7 +75,7 @@
 	switch op.Action {
 	case session.Prepare:
 		if c.hasPrepared(op.Statement) {
-			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendBodyless(nil, parseCompleteByte)})
+			expect(expectedReply{kind: pg.Parse, forClient: true, localReply: pg.AppendEmptyMessage(nil, parseCompleteByte)})
 			return out
 		}
 		return c.prepare(out, op.Statement, true)
@@ -95,7 +95,7 @@
 		expect(expectedReply{kind: op.Kind, forClient: true, localReply: op.Raw})
 		return out
 	case session.Reject: // the member must fail as well, so that no earlier operation takes effect
-		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Fault})
+		expect(expectedReply{kind: op.Kind, forClient: true, replyError: op.Error})
 		if op.Kind == pg.Query {
 			return pg.AppendQuery(out, refusedQuery)
 		}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return append(out, raw...)
 	}
-	return statement.AppendQuery(out, min(statement.WaitMs, c.job.deadline-c.backend.driver.Clock()))
+	return statement.AppendQuery(out, min(statement.TimeoutMs, c.job.deadline-c.backend.driver.Clock()))
 }
 
 // statementName returns the name of a prepared statement on the member.
--- a/internal/backend/syscall_test.go
+++ b/internal/backend/syscall_test.go
@@ -38,7 +38,7 @@
 		for n, errno := range append(c.host, c.peer...) {
 			t.Run(fmt.Sprint(c.call, " ", unix.ErrnoName(errno)), func(t *testing.T) {
 				driver, backend := start(t, 10)
-				m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "1") })
+				m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "1") })
 				restore := failpoint.SetError(c.point, func() error { return dialError(c.call, errno) })
 				defer restore()
 				want, wantCheck := "0 not sent 0 0 false", "check not sent"
@@ -46,7 +46,7 @@
 					want, wantCheck = "0 connect failed 0 0 false", "check connect failed"
 				}
 				driver.runOnLoop(func() {
-					backend.List(listOf(m.Addr, router.Up))
+					backend.ApplyMemberList(listOf(m.Addr, router.Up))
 					backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 				})
 				if got := driver.nextEvent(t); got != want {
@@ -82,7 +82,7 @@
 		return dialError("connect", unix.EADDRNOTAVAIL)
 	})()
 	var started, ended float64
-	driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)); started = driver.Clock() })
+	driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)); started = driver.Clock() })
 	const attempts = 2000
 	for n := range attempts {
 		driver.runOnLoop(func() { backend.SendAttempt(newRequest(driver, fmt.Sprint(n), 60000), n, "a", 0, math.Inf(1)) })
@@ -111,10 +111,10 @@
 			})()
 			m := fakes.NewMember(t, nil, func(string) *fakes.Reply {
 				broken.Store(true)
-				return fakes.Row("v", "source", "1")
+				return fakes.RowReply("v", "source", "1")
 			})
 			driver.runOnLoop(func() {
-				backend.List(listOf(m.Addr, router.Up))
+				backend.ApplyMemberList(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got, want := driver.nextEvent(t), "0 reset 0 0 false"; got != want {
@@ -127,13 +127,13 @@
 // Reads that are interrupted, return no data, fail temporarily for lack of memory or return a single byte must not change the response.
 func TestMemberConn_InterruptedAndShortReads(t *testing.T) {
 	driver, backend := start(t, 10)
-	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.Row("v", "source", "17") })
+	m := fakes.NewMember(t, nil, func(string) *fakes.Reply { return fakes.RowReply("v", "source", "17") })
 	var reads atomic.Int64
 	readErrors := []error{0: unix.EINTR, 1: unix.EINTR, 2: unix.EAGAIN, 10: unix.ENOMEM, 49: nil}
 	defer failpoint.SetError("eventloop.read", func() error { return readErrors[reads.Add(1)%int64(len(readErrors))] })()
 	defer failpoint.SetLimit("eventloop.read", 1)()
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newRequest(driver, "1", 60000), 0, "a", 0, math.Inf(1))
 	})
 	if got, want := driver.nextEvent(t), "0 succeeded 1 17 true"; got != want {
--- a/internal/backend/write_test.go
+++ b/internal/backend/write_test.go
@@ -41,7 +41,7 @@
 	clientSession := session.New(session.Policy{MaxSettingsBytes: 1 << 12, MaxStatements: 8}, base)
 	sql := fmt.Sprintf("/* id=%s,c=x,d=%.0f */ SELECT blob", id, wait)
 	_, ops := clientSession.Query(sql, pg.AppendQuery(nil, sql), false)
-	req := request.New(&pg.Statement{ID: id, RequestClass: "x", WaitMs: wait}, driver.Now(), func(request.Response) {})
+	req := request.New(&pg.Statement{ID: id, RequestClass: "x", TimeoutMs: wait}, driver.Now(), func(request.Response) {})
 	req.Stream = &request.Stream{Pool: "sessions", Client: &fakeSession{clientSession}}
 	req.Stream.Send(ops)
 	return req
@@ -59,7 +59,7 @@
 		if strings.Contains(sql, "SET") || strings.Contains(sql, "DISCARD") || strings.Contains(sql, "RESET") {
 			return &fakes.Reply{Bytes: pg.AppendReadyIdle(pg.AppendCommandComplete(nil, "SET"))}
 		}
-		return fakes.Row("v", "source", "1")
+		return fakes.RowReply("v", "source", "1")
 	})}
 }
 
@@ -80,7 +80,7 @@
 
 // received reports whether the member received a statement with this id.
 func (s *fakeServer) received(id string) bool {
-	_, queries := s.Seen()
+	_, queries := s.Received()
 	return strings.Contains(strings.Join(queries, "|"), "id="+id+",")
 }
 
@@ -121,8 +121,8 @@
 				return nil
 			})
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
-			backend.limits.QueueStatements = true
-			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+			backend.options.QueueStatements = true
+			driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 			if !c.noConn && !c.queued {
 				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "warmup"), 0, "a", 0, math.Inf(1)) })
 				if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
@@ -131,7 +131,7 @@
 			}
 			if c.queued {
 				driver.runOnLoop(func() { backend.SendAttempt(c.new(t, driver, "blocking"), 0, "a", 0, math.Inf(1)) })
-				fakes.Until(t, "the blocking query has arrived", func() bool { return m.received("blocking") })
+				fakes.WaitUntil(t, "the blocking query has arrived", func() bool { return m.received("blocking") })
 			}
 			driver.runOnLoop(func() {
 				abandoned := c.new(t, driver, "abandoned")
@@ -150,7 +150,7 @@
 			if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
 				t.Errorf("next attempt: got %q", got)
 			}
-			if accepted, _ := m.Seen(); accepted != 1 {
+			if accepted, _ := m.Received(); accepted != 1 {
 				t.Errorf("%d connections, want 1", accepted)
 			}
 			if m.received("abandoned") {
@@ -166,7 +166,7 @@
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	closed := false // accessed only on the loop
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		abandoned := newStreamRequest(t, driver, "abandoned", 60000, true)
 		abandoned.ClientClosed = func() bool { return closed }
 		backend.SendAttempt(abandoned, 0, "a", 0, math.Inf(1))
@@ -187,7 +187,7 @@
 	m, settingsArrived, answerSettings := newFakeServerWithDelayedSettings(t)
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		backend.SendAttempt(newStreamRequest(t, driver, "late", 60000, true), 0, "a", 0, math.Inf(1))
 	})
 	<-settingsArrived
@@ -208,7 +208,7 @@
 	driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 	var cancelled *request.Request
 	driver.runOnLoop(func() {
-		backend.List(listOf(m.Addr, router.Up))
+		backend.ApplyMemberList(listOf(m.Addr, router.Up))
 		cancelled = newStreamRequest(t, driver, "cancels", 60000, true)
 		backend.SendAttempt(cancelled, 0, "a", 0, math.Inf(1))
 	})
@@ -264,8 +264,8 @@
 				return nil
 			})
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
-			backend.limits.QueueStatements = true
-			driver.runOnLoop(func() { backend.List(listOf(m.Addr, router.Up)) })
+			backend.options.QueueStatements = true
+			driver.runOnLoop(func() { backend.ApplyMemberList(listOf(m.Addr, router.Up)) })
 			before := "warmup"
 			if c.queued {
 				before = "blocking"
@@ -274,7 +274,7 @@
 			if !c.queued {
 				driver.nextEvent(t)
 			}
-			fakes.Until(t, "the previous query has arrived", func() bool { return m.received(before) })
+			fakes.WaitUntil(t, "the previous query has arrived", func() bool { return m.received(before) })
 			var from, began float64
 			delayBatch := func() { // keeps the loop busy for batchMs
 				for from = driver.Clock(); driver.Clock() < from+batchMs; {
@@ -294,8 +294,8 @@
 				}
 			})
 			answer <- true
-			fakes.Until(t, "the query has arrived", func() bool { return m.received("late") })
-			_, queries := m.Seen()
+			fakes.WaitUntil(t, "the query has arrived", func() bool { return m.received("late") })
+			_, queries := m.Received()
 			d := deadlineOf(t, queries[slices.IndexFunc(queries, func(s string) bool { return strings.Contains(s, "id=late,") })])
 			if maxDeadline := began + remainingMs - (from + batchMs); d > maxDeadline {
 				t.Errorf("the deadline sent is %.0f ms, want at most %.1f", d, maxDeadline)
@@ -332,7 +332,7 @@
 			m := newFakeServer(t, func(string) *fakes.Reply { return nil })
 			driver, backend := startPools(t, 1, 20000, connpool.Bounds{PerMember: 1, WaitTimeoutMs: 60000, IdleTimeoutMs: 60000})
 			driver.runOnLoop(func() {
-				backend.List(listOf(m.Addr, router.Up))
+				backend.ApplyMemberList(listOf(m.Addr, router.Up))
 				backend.SendAttempt(newRequest(driver, "warmup", 60000), 0, "a", 0, math.Inf(1))
 			})
 			if got := driver.nextEvent(t); !strings.HasPrefix(got, "0 succeeded") {
--- a/internal/decide/connpool/pool.go
+++ b/internal/decide/connpool/pool.go
@@ -62,10 +62,10 @@
 	}
 	deadline := math.Inf(1)
 	if timer := p.memberTimers.First(); timer != nil {
-		deadline = timer.At()
+		deadline = timer.Deadline()
 	}
 	if timer := p.idleInTransactionTimers.First(); timer != nil {
-		deadline = math.Min(deadline, timer.At())
+		deadline = math.Min(deadline, timer.Deadline())
 	}
 	return math.Max(deadline, p.nextSweepAt)
 }
@@ -105,8 +105,8 @@
 	return d
 }
 
-// OpenCount returns the number of connections, including those being opened.
-func (p *Pool) OpenCount() int { return len(p.conns) }
+// ConnectionCount returns the number of connections, including those being opened.
+func (p *Pool) ConnectionCount() int { return len(p.conns) }
 
 // WaitingCount returns the number of requests waiting for a connection.
 func (p *Pool) WaitingCount() int { return len(p.waiters) }
--- a/internal/decide/connpool/scenario_test.go
+++ b/internal/decide/connpool/scenario_test.go
@@ -25,7 +25,7 @@
 //	expect reject 1 nocapacity
 //	nothing                                checks that no decision is left
 func TestScenarios(t *testing.T) {
-	scenario.Play(t, func() func(string) error {
+	scenario.Run(t, func() func(string) error {
 		player := &scenarioPlayer{settings: Settings{MaxTotal: 100, Pools: map[string]Bounds{}}}
 		return func(line string) error { return player.step(strings.Fields(line)) }
 	})
@@ -198,7 +198,7 @@
 	case "closed":
 		s.pool.ConnectionClosed(connID)
 	case "turn":
-		s.pool.SetTurn(connID, arguments[1] == "client")
+		s.pool.SetAwaitingClient(connID, arguments[1] == "client")
 	default:
 		return fmt.Errorf("unknown step %q", verb)
 	}
--- a/internal/decide/leaseclient/leases.go
+++ b/internal/decide/leaseclient/leases.go
@@ -43,11 +43,11 @@
 		}),
 		lease: name,
 	}
-	h.timer.Of = h
+	h.timer.Value = h
 	h.Advance(c.now)
 	h.Acquire()
 	c.holders[name] = h
-	c.deadlines.Put(&h.timer, h.NextDeadline())
+	c.deadlines.Schedule(&h.timer, h.NextDeadline())
 }
 
 // Release gives up a lease, whether it is held or only requested.
@@ -61,7 +61,7 @@
 		h.Release("")
 		c.pullDecisions(h)
 		delete(c.holders, name)
-		c.deadlines.Drop(&h.timer)
+		c.deadlines.Remove(&h.timer)
 	}
 }
 
@@ -81,10 +81,10 @@
 	return lease.Token{}, false
 }
 
-// ActRejected records that a receiver rejected an order of this process and named a higher token.
-func (c *Client) ActRejected(name string, higher lease.Token) {
+// OperationRejected records that a receiver rejected an order of this process and named a higher token.
+func (c *Client) OperationRejected(name string, higher lease.Token) {
 	if h := c.holder(name); h != nil {
-		h.ActRejected(higher)
+		h.OperationRejected(higher)
 		c.pullDecisions(h)
 	}
 }
@@ -101,9 +101,9 @@
 // advanceDueHolders advances the holders whose timers are due. The others are advanced when they are next used.
 func (c *Client) advanceDueHolders() {
 	var due []*holder
-	for timer := c.deadlines.First(); timer != nil && timer.At() <= c.now; timer = c.deadlines.First() {
-		c.deadlines.Drop(timer)
-		due = append(due, timer.Of)
+	for timer := c.deadlines.First(); timer != nil && timer.Deadline() <= c.now; timer = c.deadlines.First() {
+		c.deadlines.Remove(timer)
+		due = append(due, timer.Value)
 	}
 	slices.SortFunc(due, func(a, b *holder) int { return cmp.Compare(a.lease, b.lease) })
 	for _, h := range due {
@@ -118,7 +118,7 @@
 	for decision, more := h.Next(); more; decision, more = h.Next() {
 		c.applyDecision(h, decision)
 	}
-	c.deadlines.Put(&h.timer, h.NextDeadline())
+	c.deadlines.Schedule(&h.timer, h.NextDeadline())
 }
 
 func (c *Client) applyDecision(h *holder, decision lease.Decision) {
@@ -126,7 +126,7 @@
 	case lease.RequestLease:
 		if c.sessionOpen { // otherwise it is requested again once a session is open
 			request := pendingRequest{kind: leasestate.AcquireLease, lease: h.lease, holderRequest: decision.Request}
-			c.proposeRequest(request, c.Signed(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
+			c.proposeRequest(request, c.WithSession(leasestate.Entry{Kind: leasestate.AcquireLease, Lease: h.lease}))
 		}
 	case lease.ReleaseLease:
 		c.propose(leasestate.Entry{Kind: leasestate.ReleaseLease, Lease: h.lease, Token: decision.Token})
--- a/internal/decide/raftnode/propose.go
+++ b/internal/decide/raftnode/propose.go
@@ -42,7 +42,7 @@
 	default:
 		if entry.Kind == leasestate.ProposePolicy {
 			if reason := proposalViolations(entry); reason != "" {
-				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Refusal: leasestate.Refusal(reason)}})
+				n.decide(Decision{Action: Done, Request: request, Result: leasestate.Result{Rejection: leasestate.Rejection(reason)}})
 				return
 			}
 		}
@@ -55,7 +55,7 @@
 	n.pending[request] = true
 	if err := n.propose(entry, request, nil); err != nil {
 		n.resultUnknown(request)
-	} else if n.settings.SeededDefects.EarlyAnswer {
+	} else if n.settings.SeededDefects.EarlyResponse {
 		n.complete(request, n.previewResult(entry))
 	}
 }
@@ -74,11 +74,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// previewResult returns the result that an entry would have if it were committed. Only the seeded defect EarlyAnswer uses it.
+// previewResult returns the result that an entry would have if it were committed. Only the seeded defect EarlyResponse uses it.
 func (n *Node) previewResult(entry leasestate.Entry) leasestate.Result {
 	state, err := leasestate.Restore(n.settings.Fleet, n.state.Snapshot())
 	if err != nil {
-		return leasestate.Result{Refusal: leasestate.Refusal(err.Error())}
+		return leasestate.Result{Rejection: leasestate.Rejection(err.Error())}
 	}
 	return state.Apply(state.Index()+1, entry)
 }
@@ -86,7 +86,7 @@
 func (n *Node) queueHeartbeat(request uint64, entry leasestate.Entry) {
 	n.pending[request] = true
 	n.heartbeats = append(n.heartbeats, pendingHeartbeat{request, leasestate.Heartbeat{Session: entry.Session, Incarnation: entry.Incarnation,
-		RejectedActs: entry.RejectedActs, Policy: entry.Policy, RejectedPolicy: entry.RejectedPolicy, Reason: entry.Reason}})
+		RejectedOperations: entry.RejectedOperations, Policy: entry.Policy, RejectedPolicy: entry.RejectedPolicy, Reason: entry.Reason}})
 	session, open := n.state.Session(entry.Session)
 	if !open || float64(session.Timeout) < minBatchedTimeoutTicks*n.settings.Tick {
 		n.flushHeartbeats = true
--- a/internal/decide/session/recorded_test.go
+++ b/internal/decide/session/recorded_test.go
@@ -106,7 +106,7 @@
 	case 7:
 		encoded = pg.AppendClose(nil, "SP"[r.rand.IntN(2)], name)
 	case 8:
-		encoded = pg.AppendBodyless(nil, 'H')
+		encoded = pg.AppendEmptyMessage(nil, 'H')
 	case 9:
 		encoded = pg.AppendSync(nil)
 	}
@@ -169,7 +169,7 @@
 			statement = message.Statement.Tail.Value()
 		}
 		out = append(out, fmt.Sprintf("%s %d %q %.60q %.80q %v", recordedActions[message.Action], message.Kind, message.Portal, statement, message.Raw,
-			message.Fault))
+			message.Error))
 	}
 	return "[" + strings.Join(out, "; ") + "]"
 }
--- a/internal/eventloop/clusterclock.go
+++ b/internal/eventloop/clusterclock.go
@@ -26,13 +26,13 @@
 		Received: l.Clock()})
 }
 
-// Forget drops the positions reported by a member that was removed.
-func (l *Loop) Forget(member string) {
+// ForgetMember drops the positions reported by a member that was removed.
+func (l *Loop) ForgetMember(member string) {
 	l.clusterClock.Forget(member)
 }
 
-// Possible reports whether a member can have reached this position by now.
-func (l *Loop) Possible(position float64) bool {
+// PositionPossible reports whether a member can have reached this position by now.
+func (l *Loop) PositionPossible(position float64) bool {
 	if !(position > 0 && position < maxPosition) {
 		return false
 	}
@@ -80,7 +80,7 @@
 	reports := d.pendingReports
 	d.pendingReports = nil
 	for _, report := range reports {
-		if d.Possible(report.position) {
+		if d.PositionPossible(report.position) {
 			d.forwardReport(report)
 		}
 	}
@@ -90,7 +90,7 @@
 // RecordPosition calls Loop.RecordPosition, and schedules another health check of the member if that helps to settle the clock.
 func (d *Driver) RecordPosition(member string, role router.Role, position, sent float64) {
 	d.Loop.RecordPosition(member, role, position, sent)
-	if wait, wanted := d.clusterClock.Confirm(member); wanted && d.confirmsPositions && !d.confirming[member] {
+	if wait, wanted := d.clusterClock.RecheckDelay(member); wanted && d.confirmsPositions && !d.confirming[member] {
 		d.confirming[member] = true
 		d.After(wait, func() { d.confirmPosition(member) })
 	}
@@ -98,7 +98,7 @@
 
 func (d *Driver) confirmPosition(member string) {
 	delete(d.confirming, member)
-	if _, wanted := d.clusterClock.Confirm(member); wanted {
+	if _, wanted := d.clusterClock.RecheckDelay(member); wanted {
 		d.backend.HealthCheck(member)
 	}
 }
@@ -137,7 +137,7 @@
 }
 
 func (d *Driver) forwardReport(report pendingReport) {
-	d.routerInput().Reported(report.member, report.role, d.ToLoop(report.position))
+	d.routerInput().MemberReported(report.member, report.role, d.ToLoop(report.position))
 	if d.onReport != nil {
 		d.onReport(report.member, report.role, report.position)
 	}
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -142,7 +142,7 @@
 }
 
 func describeResult(a leasestate.Result) string {
-	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Refusal, a.Number)
+	return fmt.Sprintf("held %t token %d.%d why %q number %d", a.Held, a.Token.Epoch, a.Token.Count, a.Rejection, a.Number)
 }
 
 // describeUpdate formats an update as a router decodes it.
@@ -368,7 +368,7 @@
 	defer cancel()
 	running, end := context.WithCancel(context.Background())
 	go node.Run(running, listener)
-	defer func() { end(); <-node.Ended() }()
+	defer func() { end(); <-node.Done() }()
 	conn, err := grpc.NewClient("passthrough:///"+listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -102,7 +102,7 @@
 	n.post(func() {
 		if n.checkResponse(d, err) {
 			n.logResult(d.Entry, result)
-			n.leases.Answered(d.Request, result)
+			n.leases.ResponseReceived(d.Request, result)
 		}
 	})
 }
@@ -112,7 +112,7 @@
 	n.leases.Advance(n.now())
 	if err != nil {
 		logrus.WithError(err).Debug("coordinator request failed")
-		n.leases.Failed(d.Request)
+		n.leases.RequestFailed(d.Request)
 	}
 	return err == nil
 }
@@ -120,12 +120,12 @@
 // logResult writes the results of entries that matter to operators to the log and the audit log.
 func (n *Node) logResult(e leasestate.Entry, result leasestate.Result) {
 	switch {
-	case e.Kind == leasestate.ReportToken && result.Refusal != "":
-		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Refusal}).
+	case e.Kind == leasestate.ReportToken && result.Rejection != "":
+		logrus.WithFields(logrus.Fields{"lease": e.Lease, "token": e.Token, "coordinator_token": result.Token, "reason": result.Rejection}).
 			Error("coordinator state has regressed: this process has seen a higher fencing token")
 		n.settings.AuditLog.Add("behind", audit.Fields{leaseField: e.Lease, "seen": e.Token.String(), coordinatorTokenField: result.Token.String()})
 	case e.Kind == leasestate.OpenSession:
-		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Refusal, "incarnation": e.Incarnation})
+		n.settings.AuditLog.Add("session", audit.Fields{"held": result.Held, reasonField: result.Rejection, "incarnation": e.Incarnation})
 	}
 }
 
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -35,10 +35,10 @@
 		{acceptPeriodMs + 1e6 + 100, 500, 0},
 	} {
 		f.runOnLoop(func() {
-			req := request.New(&pg.Statement{WaitMs: c.waitMs}, signalled+c.arrivedMs, func(request.Response) {})
+			req := request.New(&pg.Statement{TimeoutMs: c.waitMs}, signalled+c.arrivedMs, func(request.Response) {})
 			f.frontend.limitWait(req)
-			if math.Abs(req.WaitMs-c.wantMs) > 0.01 {
-				t.Errorf("request that arrived %v ms after the signal: wait limit %v ms, want %v", c.arrivedMs, req.WaitMs, c.wantMs)
+			if math.Abs(req.TimeoutMs-c.wantMs) > 0.01 {
+				t.Errorf("request that arrived %v ms after the signal: wait limit %v ms, want %v", c.arrivedMs, req.TimeoutMs, c.wantMs)
 			}
 		})
 	}
@@ -52,18 +52,18 @@
 	f.runOnLoop(func() { f.frontend.SetPooling(nil) })
 	client := fakes.NewClient(t, f.addr, true)
 	f.runOnLoop(func() {
-		list := f.driver.List()
+		list := f.driver.ListInput()
 		list.BeginList()
 		list.ListMember("m", "z", 2, router.Up, router.Never)
 		list.EndList(true)
 	})
-	client.Ask("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
+	client.SendQuery("/* id=1,c=x,t=n,d=900000,cluster=2 */ SELECT 1")
 	f.waitUntil("the request waits for a primary", func() bool { return f.onlySession().request != nil })
 	f.runOnLoop(func() { f.frontend.Drain(f.driver.Clock()-2*acceptPeriodMs, acceptPeriodMs) })
-	if got := client.Answer(); got != "08007 ready" {
+	if got := client.ReadResponse(); got != "08007 ready" {
 		t.Errorf("got %q", got)
 	}
-	if got := client.Answer(); got != "closed" {
+	if got := client.ReadResponse(); got != "closed" {
 		t.Errorf("then %q", got)
 	}
 	if err := client.Close(); err != nil {
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -86,9 +86,9 @@
 	if f.Switchover != nil {
 		nodeSettings.SwitchoverEnabled = true
 		nodeSettings.Switchover = switchover.Settings{
-			MaxHoldMs:      float64(f.Switchover.Hold),
-			DrainTimeoutMs: float64(f.Switchover.Wait),
-			StepTimeoutMs:  float64(f.Switchover.Step),
+			MaxHoldMs:      float64(f.Switchover.MaxHold),
+			DrainTimeoutMs: float64(f.Switchover.DrainTimeout),
+			StepTimeoutMs:  float64(f.Switchover.StepTimeout),
 		}
 		nodeSettings.Adapter = switchoverAdapter(f.Switchover)
 	}
@@ -108,14 +108,14 @@
 		GuardQuery:        s.Seen,
 		StepDownStatement: s.StepDown,
 		PromoteStatement:  s.Promote,
-		StepTimeoutMs:     float64(s.Step),
+		StepTimeoutMs:     float64(s.StepTimeout),
 	}
 }
 
 // close leaves the fleet, waits for the node to end and closes the audit log.
 func (f *fleetNode) close() {
 	f.leave()
-	<-f.node.Ended()
+	<-f.node.Done()
 	f.auditLog.Close()
 }
 
@@ -131,7 +131,7 @@
 			delete(f.members, entry.ID)
 		}
 	}
-	f.node.Changed()
+	f.node.GroupsChanged()
 }
 
 // report passes the result of a member's health check to the node.
@@ -146,7 +146,7 @@
 	if position != router.Never {
 		report.Position = position
 	}
-	f.node.Reported(report)
+	f.node.HealthCheckReported(report)
 }
 
 // encodeStart returns a member's start time as it is exchanged within the fleet: 0 stands for long ago.
@@ -192,7 +192,7 @@
 	if position == 0 {
 		position = router.Never
 	}
-	start := f.startTimes.Compare(report.Member, report.Started)
+	start := f.startTimes.ConvertPeer(report.Member, report.Started)
 	f.driver.PeerReported(report.Member, start, role, position)
 }
 
@@ -202,7 +202,7 @@
 }
 
 // Writes implements fleet.Router.
-func (f *fleetNode) Writes(group int) (running, waiting int) { return f.driver.Writes(group) }
+func (f *fleetNode) Writes(group int) (running, waiting int) { return f.driver.CountWrites(group) }
 
 // ApplyPolicy implements fleet.Router.
 func (f *fleetNode) ApplyPolicy(version policy.Version, document policy.Document) error {
--- a/internal/settings/keys_test.go
+++ b/internal/settings/keys_test.go
@@ -82,7 +82,7 @@
 
 // The strict decoder decodes each key of a router's own file.
 func TestRouterKeys_AreDecoded(t *testing.T) {
-	file, err := settings.Read(readFile(t, keysDir, "router.toml"))
+	file, err := settings.ReadRouter(readFile(t, keysDir, "router.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 		key, _, _ := strings.Cut(c.given, " = ")
 		decoded := map[string]string{}
 		for _, keyword := range append(c.keywords, "other") {
-			file, err := settings.Read([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, keyword), 1)))
+			file, err := settings.ReadRouter([]byte(strings.Replace(full, c.given, fmt.Sprintf("%s = %q", key, keyword), 1)))
 			var set, runtime any
 			if err == nil {
 				set, runtime, err = file.Settings()
@@ -235,7 +235,7 @@
 
 // decodeSettings decodes the platform's settings and formats the result.
 func decodeSettings(v *fastjson.Value) (string, error) {
-	set, runtime, err := settings.Decode(v)
+	set, runtime, err := settings.DecodePlatform(v)
 	return describe(set) + describe(runtime), err
 }
 
@@ -295,15 +295,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, runtime, err := settings.Decode(document)
+	set, runtime, err := settings.DecodePlatform(document)
 	if err != nil {
 		t.Fatal(err)
 	}
 	class := set.RequestClasses["read"]
-	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over-quota weight", set.OverQuotaWeight, "polls list", set.PollsList, "marks retries", set.ClientsMarkRetries) +
+	got := fmt.Sprintln("routers", set.Routers, "zone", set.Zone, "over-quota weight", set.OverQuotaWeight, "polls list", set.PollsEndpointList, "marks retries", set.ClientsMarkRetries) +
 		fmt.Sprintln("poll timeout", set.ListPollTimeout, "soft removal", set.SoftRemoval, "slow start floor", set.SlowStartFloor, "slow start", set.SlowStartDuration, "overload multiple",
 			set.OverloadMultiple, "overload window", set.OverloadWindow) +
-		fmt.Sprintln("attempts", set.MaxAttempts, "health checks", set.CanHealthCheck, "cancels", set.CanCancel, "retry after", set.RetryAfter, "remembers commits", set.RemembersCommits) +
+		fmt.Sprintln("attempts", set.MaxAttempts, "health checks", set.CanHealthCheck, "cancels", set.CanCancel, "retry after", set.RetryAfter, "remembers commits", set.TracksSessionCommits) +
 		fmt.Sprintln("position origin", runtime.PositionOrigin, "dial", runtime.DialTimeoutMs, "idle timeout", runtime.ServerIdleTimeoutMs, "reports", runtime.HealthReports) +
 		fmt.Sprintln("read: latency objective", class.LatencyObjective, "deadline", class.Deadline, "weight", class.PriorityWeight, "late share", class.LateWeightShare, "window", class.IdempotencyWindow, "bound",
 			class.StalenessBound) +
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -11,8 +11,8 @@
 // microsecondsPerMs converts the platform's times, in microseconds, to ms.
 const microsecondsPerMs = 1000
 
-// Runtime has the settings for connections and health checks, which the decision module doesn't need.
-type Runtime struct {
+// ConnectionSettings has the settings for connections and health checks, which the decision module doesn't need.
+type ConnectionSettings struct {
 	PositionOrigin      float64 // the time in ms from which the platform measures positions
 	DialTimeoutMs       float64
 	ServerIdleTimeoutMs float64 // after which a member closes an idle connection
@@ -22,19 +22,19 @@
 // platformDecoder decodes settings in the platform's JSON. Their keys are translated only here.
 type platformDecoder struct {
 	settings *router.Settings
-	runtime  *Runtime
+	runtime  *ConnectionSettings
 
 	// Indexed like profiles, the array of request classes.
 	levels          []*fastjson.Value
 	stalenessBounds []*fastjson.Value
 }
 
-// Decode decodes settings in the platform's JSON. Its error names the field at fault.
-func Decode(object *fastjson.Value) (*router.Settings, *Runtime, error) {
+// DecodePlatform decodes settings in the platform's JSON. Its error names the field at fault.
+func DecodePlatform(object *fastjson.Value) (*router.Settings, *ConnectionSettings, error) {
 	f := &Fields{Value: object}
 	d := &platformDecoder{
 		settings: &router.Settings{RequestClasses: map[string]*router.RequestClass{}, Tenants: map[string]float64{}},
-		runtime:  &Runtime{},
+		runtime:  &ConnectionSettings{},
 	}
 	d.decodeFleet(f)
 	f.Object("contract", d.decodeContract)
@@ -57,14 +57,14 @@
 	d.settings.Routers = int(f.Number("balancers"))
 	d.settings.Zone = f.OptionalText("locality")
 	d.settings.OverQuotaWeight = f.OptionalNumber("overShareWorth")
-	d.settings.PollsList = platformKeyword(f, "discovery", listPolling)
+	d.settings.PollsEndpointList = platformKeyword(f, "discovery", listPolling)
 	f.OptionalObject("clientHabits", func(habits *Fields) { d.settings.ClientsMarkRetries = habits.Bool("marksRetry") })
 }
 
 // decodeContract decodes what a router may rely on about the endpoint list and about starting members.
 func (d *platformDecoder) decodeContract(f *Fields) {
 	d.settings.ListPollTimeout = f.OptionalNumber("askWithin") / microsecondsPerMs
-	if d.settings.PollsList && d.settings.ListPollTimeout <= 0 {
+	if d.settings.PollsEndpointList && d.settings.ListPollTimeout <= 0 {
 		f.Fail("askWithin", "more than 0 where the endpoint list is polled")
 	}
 	d.settings.SoftRemoval = f.Bool("softRemoval")
@@ -88,8 +88,8 @@
 
 // decodeConsistency decodes what lagging members do with reads, how commits are tracked, and the consistency of the request classes.
 func (d *platformDecoder) decodeConsistency(f *Fields) {
-	d.settings.Lag = platformKeyword(f, "serverChecks", platformLags)
-	d.settings.RemembersCommits = platformKeyword(f, "tokenMode", commitMemory)
+	d.settings.LagBehavior = platformKeyword(f, "serverChecks", platformLags)
+	d.settings.TracksSessionCommits = platformKeyword(f, "tokenMode", commitMemory)
 	d.runtime.PositionOrigin = f.Number("countedFrom") / microsecondsPerMs
 	d.levels = f.Array("readLevel")
 	d.stalenessBounds = f.Array("classBound")
--- a/router/healthcheck.go
+++ b/router/healthcheck.go
@@ -26,7 +26,7 @@
 		return Decision{}, false
 	}
 	for timer := r.activeGroups.First(r.now); timer != nil; timer = r.activeGroups.First(r.now) {
-		g, next := timer.Of, math.Inf(1)
+		g, next := timer.Value, math.Inf(1)
 		for _, m := range g.members {
 			due := r.checkDue(m)
 			if due <= r.now {
@@ -81,7 +81,8 @@
 	return lastReport + math.Max(r.minCheckPeriod, math.Min(forReads, routine))
 }
 
-// HealthChecked records the end of a health check. The state that the member reported is passed to Reported.
+// HealthChecked records the end of a health check. The state that the member reported is passed to
+// MemberReported.
 func (r *Router) HealthChecked(memberID string, outcome Outcome) {
 	m := r.members[memberID]
 	if m == nil {
